--- a/internal/headstock/outlet.go
+++ b/internal/headstock/buffered_conn.go
@@ -12,28 +12,28 @@
 	stuck       = 10 * time.Second // a peer that takes nothing for so long is left
 )
 
-// wire is one connection as the owner sees it. None of its calls waits.
-type wire interface {
+// nonblockingConn is one connection as the owner sees it. None of its calls waits.
+type nonblockingConn interface {
 	write(b []byte) (n int, ok bool) // how much went out at once, and whether the rest will be tried
 	stop()                           // no more is read from it; its reader tells when it has ended
 	finish()                         // nothing more is written; its reader ends soon
 	close()
 }
 
-func (o *outlet) stop() { o.conn.SetReadDeadline(time.Unix(1, 0)) }
+func (o *bufferedConn) stop() { o.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-func (o *outlet) finish() {
+func (o *bufferedConn) finish() {
 	if half, ok := o.conn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
 	}
 	o.conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 }
 
-func (o *outlet) close() { o.conn.Close() }
+func (o *bufferedConn) close() { o.conn.Close() }
 
-// outlet writes to a socket without ever holding up who writes: what the socket does not take at once is sent on by a
+// bufferedConn writes to a socket without ever holding up who writes: what the socket does not take at once is sent on by a
 // goroutine of its own.
-type outlet struct {
+type bufferedConn struct {
 	conn net.Conn
 	raw  syscall.RawConn
 
@@ -43,8 +43,8 @@
 	broken  bool
 }
 
-func newOutlet(c net.Conn) *outlet {
-	o := &outlet{conn: c}
+func newBufferedConn(c net.Conn) *bufferedConn {
+	o := &bufferedConn{conn: c}
 	if s, ok := c.(syscall.Conn); ok {
 		o.raw, _ = s.SyscallConn()
 	}
@@ -52,7 +52,7 @@
 }
 
 // write says how many bytes went out at once, and whether the rest will be tried.
-func (o *outlet) write(b []byte) (n int, ok bool) {
+func (o *bufferedConn) write(b []byte) (n int, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.broken {
@@ -90,7 +90,7 @@
 	return n, true
 }
 
-func (o *outlet) drain() {
+func (o *bufferedConn) drain() {
 	for {
 		o.mu.Lock()
 		b := o.backlog
--- a/internal/headstock/calls.go
+++ b/internal/headstock/calls.go
@@ -13,7 +13,7 @@
 
 // call is a client's statement on its way.
 type call struct {
-	session *session
+	session *clientSession
 	request scribe.Request
 	step    chuck.Step
 	route   *route
@@ -39,7 +39,7 @@
 func number(n uint64) string { return strconv.FormatUint(n, 36) }
 
 // statement takes one of a session's statements.
-func (h *Headstock) statement(s *session, m message) {
+func (h *Headstock) statement(s *clientSession, m message) {
 	if m.err != nil {
 		h.answer(s, h.tell(telltale.BadStatement, 0))
 		return
--- a/internal/headstock/headstock.go
+++ b/internal/headstock/headstock.go
@@ -63,7 +63,7 @@
 	services   map[string]*service
 	routes     map[string]*route
 	calls      map[string]*call
-	sessions   map[*session]struct{}
+	sessions   map[*clientSession]struct{}
 	early      []early // sessions that came before this router was in touch
 	serial     uint64
 	plan       *jig.Plan
@@ -210,7 +210,7 @@
 func newHeadstock(plate *nameplate.Plate, log hclog.Logger, clock arbor.Steady, seed uint64) *Headstock {
 	h := &Headstock{plate: plate, log: log, clock: clock, queue: arbor.NewQueue(2048), life: seed | 1,
 		state: &rack.State{}, routers: 12, hosts: map[string]*host{}, nodes: map[*rules.Node]*host{}, services: map[string]*service{},
-		routes: map[string]*route{}, calls: map[string]*call{}, sessions: map[*session]struct{}{}, listenerClosed: make(chan struct{})}
+		routes: map[string]*route{}, calls: map[string]*call{}, sessions: map[*clientSession]struct{}{}, listenerClosed: make(chan struct{})}
 	h.module = rules.New(h, rules.Deployment{Seed: uint32(seed), Tick: 50, Routers: 1, Zone: plate.Zone, Dispatches: 3, Guarded: true,
 		Kept: true, Probes: true, Led: true, Streams: 1, IdleFor: rules.Tenth(idleFor / (100 * time.Microsecond)),
 		ConnectFor: rules.Tenth(connectFor / (100 * time.Microsecond)), Comeback: 2000, FallFactor: 1e6, ColdFrom: 1, ProbePrice: 0.01}, h.moment())
@@ -355,8 +355,8 @@
 }
 
 // all are the sessions, the oldest first.
-func (h *Headstock) all() []*session {
-	return slices.SortedFunc(maps.Keys(h.sessions), func(a, b *session) int { return cmp.Compare(a.serial, b.serial) })
+func (h *Headstock) all() []*clientSession {
+	return slices.SortedFunc(maps.Keys(h.sessions), func(a, b *clientSession) int { return cmp.Compare(a.serial, b.serial) })
 }
 
 // giveUp answers all that is out, as this router ends: what had not gone out has not run.
--- a/internal/headstock/hosts.go
+++ b/internal/headstock/hosts.go
@@ -42,11 +42,11 @@
 // hostConn is a connection. All but its socket belongs to the owner.
 type hostConn struct {
 	host    *host
-	out     wire
+	out     nonblockingConn
 	fixture chuck.Fixture
-	call    *call    // whose statement is out, or is being made ready
-	session *session // whose transaction is open on it
-	setup   int      // statements of the router's own that are not answered yet
+	call    *call          // whose statement is out, or is being made ready
+	session *clientSession // whose transaction is open on it
+	setup   int            // statements of the router's own that are not answered yet
 	serial  uint64
 	roll    bool // an ABORT of the router's own is out
 	closed  bool
@@ -67,7 +67,7 @@
 }
 
 // pick takes an idle connection out, first one that has the session's values, then one that has none.
-func (n *host) pick(s *session) *hostConn {
+func (n *host) pick(s *clientSession) *hostConn {
 	best := -1
 	for i := len(n.idle) - 1; i >= 0; i-- {
 		k := n.idle[i]
@@ -110,7 +110,7 @@
 				a, err = gather(in)
 			}
 			conn.SetDeadline(time.Time{})
-			k.out = newOutlet(conn)
+			k.out = newBufferedConn(conn)
 		}
 		up := err == nil && a.Code == ""
 		if !h.queue.Put(arbor.Outcomes, func() { n.opened(k, a, err, lead) }) || !up {
--- a/internal/headstock/sessions.go
+++ b/internal/headstock/sessions.go
@@ -16,11 +16,11 @@
 	firstWords = 64 << 10
 )
 
-// session is a client's connection. All but its socket belongs to the owner.
-type session struct {
+// clientSession is a client's connection. All but its socket belongs to the owner.
+type clientSession struct {
 	chuck.Session
 	h        *Headstock
-	out      wire
+	out      nonblockingConn
 	serial   uint64
 	key      string // what the module calls it
 	database string
@@ -70,7 +70,7 @@
 
 // client is a session's reading goroutine.
 func (h *Headstock) client(c net.Conn) {
-	s := &session{h: h, out: newOutlet(c)}
+	s := &clientSession{h: h, out: newBufferedConn(c)}
 	in := &lines{conn: c}
 	c.SetReadDeadline(time.Now().Add(connectIn))
 	line, _, err := in.next(scribe.Line)
@@ -120,7 +120,7 @@
 
 // part tells why a connection ends and closes it, so that the word is read: over unread bytes a close would reset.
 func part(c net.Conn, last []byte) {
-	o := newOutlet(c)
+	o := newBufferedConn(c)
 	o.write(last)
 	o.finish()
 	var drop [2048]byte
@@ -133,7 +133,7 @@
 }
 
 // final says a last word to a session and lets its reader end it.
-func (h *Headstock) final(s *session, word []byte) {
+func (h *Headstock) final(s *clientSession, word []byte) {
 	if s.closed {
 		return
 	}
@@ -143,7 +143,7 @@
 }
 
 // begin greets a session, if its database is one of a route.
-func (h *Headstock) begin(s *session, database string) {
+func (h *Headstock) begin(s *clientSession, database string) {
 	s.database = database
 	h.serial++
 	s.serial, s.key = h.serial, number(h.serial)
@@ -156,7 +156,7 @@
 
 // early is a session that came before this router was in touch.
 type early struct {
-	session  *session
+	session  *clientSession
 	database string
 	at       time.Time
 }
@@ -176,7 +176,7 @@
 	}
 }
 
-func (h *Headstock) greet(s *session, database string) {
+func (h *Headstock) greet(s *clientSession, database string) {
 	if s.closed {
 		return
 	}
@@ -194,7 +194,7 @@
 }
 
 // message takes in a statement; those of one session are answered in order.
-func (h *Headstock) message(s *session, m message) {
+func (h *Headstock) message(s *clientSession, m message) {
 	if s.closed {
 		return
 	}
@@ -210,7 +210,7 @@
 }
 
 // next takes a session's messages on until one has to be waited for.
-func (h *Headstock) next(s *session) {
+func (h *Headstock) next(s *clientSession) {
 	for s.call == nil && len(s.ahead) > 0 && !s.closed {
 		m := s.ahead[0]
 		if s.ahead = s.ahead[1:]; len(s.ahead) == 0 {
@@ -230,7 +230,7 @@
 }
 
 // answer gives a session an answer and its IDLE.
-func (h *Headstock) answer(s *session, lines []byte) {
+func (h *Headstock) answer(s *clientSession, lines []byte) {
 	if s.closed {
 		return
 	}
@@ -241,7 +241,7 @@
 }
 
 // end has a session that is at I with nothing asked end: no more is read from it, and what was read is answered first.
-func (h *Headstock) end(s *session) {
+func (h *Headstock) end(s *clientSession) {
 	if !s.closed && !s.ending {
 		s.ending = true
 		s.out.stop()
@@ -249,7 +249,7 @@
 }
 
 // left takes in that nothing more comes from a client: it is gone, or is to end.
-func (h *Headstock) left(s *session) {
+func (h *Headstock) left(s *clientSession) {
 	if s.ending && !s.closed && (s.call != nil || len(s.ahead) > 0) {
 		s.parted = true
 		return
@@ -281,7 +281,7 @@
 }
 
 // dropped notes that the connection of a session's transaction is gone; c is what was out on it.
-func (s *session) dropped(c *call) {
+func (s *clientSession) dropped(c *call) {
 	s.pin = nil
 	if s.At() != 'I' {
 		s.Drop()
--- a/internal/headstock/world_test.go
+++ b/internal/headstock/world_test.go
@@ -34,8 +34,8 @@
 	db      *database.Group
 	frozen  map[string]int64 // hosts that stand still, until when
 	routers []*router
-	control *control // the control plane: this, or
-	council *council // its members as they are
+	control *controlPlane // the control plane: this, or
+	council *council      // its members as they are
 	clients []*client
 	judge   *judge.Judge
 	Served  int
@@ -52,7 +52,7 @@
 
 func newWorld(seed uint64, routers, clients int) *world {
 	w := bareWorld(seed)
-	w.control = newControl(w)
+	w.control = newControlPlane(w)
 	for i := range 3 {
 		w.db.Add(fmt.Sprintf("h%d", i))
 	}
@@ -114,8 +114,8 @@
 
 func (w *world) time() time.Time { return w.epoch.Add(time.Duration(w.Now) * 100 * time.Microsecond) }
 
-// control is the control plane: one member that never fails, and what it says may come late or not at all.
-type control struct {
+// controlPlane is the control plane: one member that never fails, and what it says may come late or not at all.
+type controlPlane struct {
 	w     *world
 	state *rack.State
 	log   [][]byte
@@ -126,10 +126,10 @@
 	answer func(hoist.Question, *hoist.Reply) // a defence taken out
 }
 
-func (c *control) millis() int64 { return c.w.Now / ms }
+func (c *controlPlane) millis() int64 { return c.w.Now / ms }
 
-func newControl(w *world) *control {
-	c := &control{w: w, state: &rack.State{}}
+func newControlPlane(w *world) *controlPlane {
+	c := &controlPlane{w: w, state: &rack.State{}}
 	c.jaw, c.hoist = vise.New(c.millis()-10*vise.Span), hoist.New("anvil", 1, 1200, c.millis())
 	c.hoist.Log = func(service, what, host string) { w.Note("%s: %s %s", service, what, host) }
 	c.clear = func(i uint64) bool { return c.jaw.Clear(i, c.state.RouterNames(), c.millis()) }
@@ -142,7 +142,7 @@
 {"Name":"c","Host":"own","PathPrefix":"/","Kind":"owned","DeadlineMs":1000,"TargetMs":150,"Priority":2,"Service":"db","MaxTries":2,"StalenessMs":900}],
 "Services":[{"Name":"db","MaxConns":60,"SyncReplicas":1}],"Limits":{"TxnIdleMs":2000}}`
 
-func (c *control) begin() {
+func (c *controlPlane) begin() {
 	for _, h := range c.w.db.Hosts {
 		c.apply(rack.Change{Enter: &rack.Host{ID: h.ID, Service: "db", Address: h.ID}})
 	}
@@ -151,7 +151,7 @@
 }
 
 // apply orders a change, and tells the routers.
-func (c *control) apply(x rack.Change) {
+func (c *controlPlane) apply(x rack.Change) {
 	b := rack.Encode(x)
 	c.log = append(c.log, b)
 	if err := c.state.Apply(uint64(len(c.log)), x); err != nil {
@@ -174,13 +174,13 @@
 	}
 }
 
-func (c *control) tick() {
+func (c *controlPlane) tick() {
 	w := c.w
 	w.In(20*ms, c.tick)
 	c.tend()
 }
 
-func (c *control) tend() {
+func (c *controlPlane) tend() {
 	w := c.w
 	do := c.hoist.Tick(c.state, c.clear, c.millis())
 	for _, x := range do.Propose {
@@ -209,7 +209,7 @@
 	}
 }
 
-func (c *control) ask(q hoist.Question) {
+func (c *controlPlane) ask(q hoist.Question) {
 	w, h := c.w, c.w.db.Host(q.Host)
 	w.In(w.Between(1*ms, 4*ms), func() {
 		r := hoist.Reply{To: q}
@@ -562,7 +562,7 @@
 	life   int
 	router *router
 	rlife  int
-	s      *session
+	s      *clientSession
 	in     []byte
 	values map[string]string
 	names  map[string]string
@@ -622,7 +622,7 @@
 	}
 	c.rlife = c.router.life
 	life := c.life
-	c.s = &session{h: c.router.h, out: clientWire{c, life}}
+	c.s = &clientSession{h: c.router.h, out: clientWire{c, life}}
 	c.asked, c.sentAt = asked{verb: "CONNECT"}, w.Now
 	sess, router, rlife := c.s, c.router, c.rlife
 	w.In(3*ms, func() { router.run(rlife, func(h *Headstock) { h.begin(sess, c.kind) }) })
