--- /dev/null
+++ b/internal/compatibility/generate_test.go
@@ -0,0 +1,368 @@
+package compatibility
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"ferrypitch/internal/drawer"
+	"ferrypitch/internal/rack"
+	"ferrypitch/internal/ratchet"
+	"ferrypitch/internal/store"
+	"ferrypitch/internal/tier/link"
+	"ferrypitch/internal/tier/view"
+	"ferrypitch/internal/trace/file"
+	"ferrypitch/internal/trace/format"
+	"ferrypitch/internal/trace/record"
+	"ferrypitch/rules"
+)
+
+// traceEvent is one event of a trace.
+type traceEvent = format.Event
+
+var writeFixtures = flag.Bool("write-fixtures", false, "write the fixtures into testdata, up to the first that is there already, and run no test")
+
+// TestMain writes fixtures where it is told to. None that is there is ever written over: what a later revision writes is
+// a fixture of that revision, and takes a name of its own.
+func TestMain(m *testing.M) {
+	flag.Parse()
+	if !*writeFixtures {
+		os.Exit(m.Run())
+	}
+	if err := generate(); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+}
+
+const (
+	memberA = ratchet.ID("10.0.0.1:7000+a1")
+	memberB = ratchet.ID("10.0.0.2:7000+b1")
+	memberC = ratchet.ID("10.0.0.3:7000+c1")
+	memberD = ratchet.ID("10.0.0.4:7000+d1")
+)
+
+// configuration is an operator's configuration with a route that has a deadline of its own.
+func configuration(generation, deadline int) []byte {
+	return fmt.Appendf(nil, `{"Generation":%d,"Routes":[{"Name":"ledger-write","Host":"ledger","PathPrefix":"/","Kind":"leader","DeadlineMs":%d,"TargetMs":150,"Priority":1,"Service":"ledger","MaxTries":2},`+
+		`{"Name":"audit-read","Host":"audit","PathPrefix":"/","Kind":"bounded_staleness","DeadlineMs":900,"TargetMs":150,"Priority":1,"Service":"audit","MaxTries":2,"StalenessMs":250}],`+
+		`"Services":[{"Name":"ledger","HealthPath":"/health","MaxConns":57,"SyncReplicas":1},{"Name":"audit","MaxConns":12}],"Limits":{"MaxBodyBytes":1048576,"IdleTimeoutMs":60000,"TxnIdleMs":5000},"Unknown":"kept"}`, generation, deadline)
+}
+
+// amendment is an amendment that sets the deadline of a route.
+func amendment(generation, deadline int) []byte {
+	return fmt.Appendf(nil, `{"Generation":%d,"Upsert":{"Routes":[{"Name":"audit-read","Host":"audit","PathPrefix":"/","Kind":"bounded_staleness","DeadlineMs":%d,"Service":"audit","StalenessMs":300}]}}`, generation, deadline)
+}
+
+// history builds a log as a leader does.
+type history struct {
+	state   rack.State
+	entries []ratchet.Entry
+	led     int64
+	err     error
+}
+
+// plain adds an entry that is not of the state machine.
+func (h *history) plain(view uint64, members ...ratchet.ID) {
+	h.entries = append(h.entries, ratchet.Entry{View: view, Members: members})
+}
+
+// add adds changes.
+func (h *history) add(view uint64, changes ...rack.Change) {
+	for _, change := range changes {
+		h.led += 125
+		change.Led = h.led
+		body := rack.Encode(change)
+		again, err := rack.Decode(body)
+		if err == nil {
+			err = h.state.Apply(uint64(len(h.entries))+1, again)
+		}
+		if err != nil && h.err == nil {
+			h.err = fmt.Errorf("entry %d: %w", len(h.entries)+1, err)
+		}
+		h.entries = append(h.entries, ratchet.Entry{View: view, Body: body})
+	}
+}
+
+// packed adds an operator's order as a leader packs it.
+func (h *history) packed(view uint64, order rack.Configure) {
+	plan, err := h.state.Check(&order)
+	if err != nil {
+		h.err = err
+		return
+	}
+	h.add(view, rack.Change{Configure: h.state.Pack(&order, plan)})
+}
+
+// host is a host that enters.
+func host(id, service, address string) rack.Change {
+	return rack.Change{Enter: &rack.Host{ID: id, Service: service, Address: address, Zone: "zone-" + id[len(id)-1:], Generation: "pg16-" + id, Capacity: 4000}}
+}
+
+// first is the part of the log before the snapshot: every kind of change, and a state without a field that is zero.
+func first() *history {
+	h := &history{}
+	h.plain(1)
+	h.plain(1, memberA, memberB, memberC)
+	h.packed(1, rack.Configure{Body: configuration(3, 800)})
+	h.add(1, host("ledger-1", "ledger", "10.1.0.1:5432"), host("ledger-2", "ledger", "10.1.0.2:5432"), host("ledger-3", "ledger", "10.1.0.3:5432"),
+		host("ledger-4", "ledger", "10.1.0.4:5432"), host("audit-5", "audit", "10.1.0.5:5432"),
+		rack.Change{Enter: &rack.Host{ID: "audit-6", Service: "audit", Address: "10.1.0.6:5432", Zone: "zone-6", Generation: "pg16-audit-6", Capacity: 10, Draining: true, Missing: true, Since: 77}},
+		rack.Change{Lead: &rack.NewLead{Service: "ledger", Host: "ledger-1", Term: 4, Took: 850}},
+		rack.Change{Lead: &rack.NewLead{Service: "audit", Host: "audit-5", Term: 2}},
+		rack.Change{Configure: &rack.Configure{Base: 3, Body: configuration(4, 700)}},
+		rack.Change{Configure: &rack.Configure{Base: 4, Amend: true, Body: amendment(5, 610)}})
+	h.packed(2, rack.Configure{Base: 5, Amend: true, Body: amendment(6, 620)})
+	h.packed(2, rack.Configure{Base: 6, Body: configuration(8, 650)})
+	h.add(2, rack.Change{Drain: "ledger-2"}, rack.Change{Missing: "ledger-2"}, rack.Change{Drain: "ledger-3"}, rack.Change{Leave: "ledger-3"},
+		rack.Change{Router: &rack.Router{Node: "router-1"}}, rack.Change{Router: &rack.Router{Node: "router-2"}}, rack.Change{Router: &rack.Router{Node: "router-3"}},
+		rack.Change{Router: &rack.Router{Node: "router-2", Gone: true}},
+		rack.Change{Recall: &rack.Recall{Service: "audit", Holder: string(memberA)}}, rack.Change{Lead: &rack.NewLead{Service: "audit", Host: "audit-5", Term: 3, Took: 910}},
+		rack.Change{Resumed: "audit"},
+		rack.Change{Recall: &rack.Recall{Service: "ledger", Holder: string(memberB)}}, rack.Change{Named: &rack.Named{Service: "ledger", Host: "ledger-4", Holder: string(memberC)}})
+	return h
+}
+
+// later adds the part of the log behind the snapshot.
+func later(h *history) {
+	h.plain(3)
+	h.add(3, rack.Change{Lead: &rack.NewLead{Service: "ledger", Host: "ledger-4", Term: 5, Took: 1230}}, rack.Change{Resumed: "ledger"},
+		host("ledger-7", "ledger", "10.1.0.3:5432"), rack.Change{Leave: "audit-6"})
+	h.packed(3, rack.Configure{Base: 8, Amend: true, Body: amendment(9, 990)})
+}
+
+// writeDisk writes a member's disk, each write synced by itself, and gives the size of the file after each.
+func writeDisk(name string, writes ...ratchet.Write) error {
+	folder, err := os.MkdirTemp("", "fixture")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(folder)
+	disk, _, _, err := drawer.Open(folder, func() drawer.Identity {
+		return drawer.Identity{ID: memberA, Founders: []ratchet.ID{memberA, memberB, memberC}}
+	})
+	if err != nil {
+		return err
+	}
+	path := filepath.Join(folder, "ratchet.db")
+	var before int64
+	for _, write := range writes {
+		info, err := os.Stat(path)
+		if err != nil {
+			return err
+		}
+		before = info.Size()
+		if err := disk.Store([]ratchet.Write{write}); err != nil {
+			return err
+		}
+	}
+	if err := disk.Close(); err != nil {
+		return err
+	}
+	body, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	if name == "torn" { // half of the last write
+		body = body[:(before+int64(len(body)))/2]
+	}
+	return create(name+".ratchet.db", body)
+}
+
+// create writes a file of testdata that is not there yet.
+func create(name string, body []byte) error {
+	out, err := os.OpenFile(filepath.Join("testdata", name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+	if err != nil {
+		return err
+	}
+	defer out.Close()
+	_, err = out.Write(body)
+	return err
+}
+
+// expect writes the rendering of a fixture, to be read over by a person before it is committed.
+func expect(name string, body []byte) error {
+	sum := sha256.Sum256(body)
+	fmt.Printf("\t%q: %q,\n", name, hex.EncodeToString(sum[:]))
+	return create(name, body)
+}
+
+// generate writes the fixtures.
+func generate() error {
+	h := first()
+	at, state := uint64(len(h.entries)), h.state.Snapshot()
+	before := append([]ratchet.Entry{}, h.entries...)
+	later(h)
+	if h.err != nil {
+		return h.err
+	}
+	behind := h.entries[at:]
+	meta := func(view uint64, settled uint64) *ratchet.Meta {
+		return &ratchet.Meta{View: view, Vote: memberB, Settled: settled}
+	}
+	snapshot := &ratchet.Snapshot{Index: at, View: 2, Members: []ratchet.ID{memberA, memberB, memberC}, State: state}
+	moving := append(append([]ratchet.Entry{}, behind[:3]...), ratchet.Entry{View: 3, Members: []ratchet.ID{memberA, memberB, memberC, memberD}},
+		ratchet.Entry{View: 3, Body: rack.Encode(rack.Change{Led: h.led, Router: &rack.Router{Node: "router-4"}})})
+	for _, err := range []error{
+		writeDisk("entries", ratchet.Write{Meta: meta(1, 0), From: 1, Entries: before[:4]}, ratchet.Write{Meta: meta(2, 2), From: 5, Entries: before[4:]},
+			ratchet.Write{Meta: meta(3, 2), From: at + 1, Entries: behind}),
+		writeDisk("snapshot", ratchet.Write{Meta: meta(2, 2), From: 1, Entries: before}, ratchet.Write{Snapshot: snapshot, Keep: at},
+			ratchet.Write{Meta: meta(3, 2), From: at + 1, Entries: behind}),
+		writeDisk("membership", ratchet.Write{Meta: meta(3, 2), Snapshot: snapshot, Keep: at}, ratchet.Write{From: at + 1, Entries: moving}),
+		writeDisk("torn", ratchet.Write{Meta: meta(3, 2), From: 1, Entries: before}, ratchet.Write{From: at + 1, Entries: behind[:2]}, ratchet.Write{From: at + 3, Entries: behind[2:3]}),
+		writeView(), writeTrace(),
+	} {
+		if err != nil {
+			return err
+		}
+	}
+	for _, name := range disks {
+		folder, err := os.MkdirTemp("", "fixture")
+		if err != nil {
+			return err
+		}
+		defer os.RemoveAll(folder)
+		body, err := os.ReadFile(filepath.Join("testdata", name+".ratchet.db"))
+		if err != nil {
+			return err
+		}
+		if err := os.WriteFile(filepath.Join(folder, "ratchet.db"), body, 0o600); err != nil {
+			return err
+		}
+		contents, err := readDisk(folder)
+		if err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+		if err := expect(name+".json", indented(contents.render())); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// writeView writes a forwarder's kept view.
+func writeView() error {
+	var kept view.View
+	kept.Routers = 7
+	kept.List(view.Version{Gen: 2, Rev: 41}, true, []view.Host{
+		{Name: "db-a", Address: "10.1.0.1:5432", Zone: "zone-1", Kind: "large", Set: 4, Size: 2.5, Leader: true, Boot: 900_000},
+		{Name: "db-b", Address: "10.1.0.2:5432", Zone: "zone-2", Kind: "small", Set: 4, Size: 1, Standing: rules.Draining, Boot: 800_000},
+		{Name: "db-c", Address: "10.1.0.3:5432", Zone: "zone-3", Set: 5}})
+	kept.Believe(view.Evidence{Name: "db-a", Pos: 1_200_000, Role: rules.Primary, RoleAt: 1_100_000, Turn: 1}, 2_000_000)
+	kept.Believe(view.Evidence{Name: "db-b", Pos: 1_150_000, Role: rules.Replica, RoleAt: 1_000_000, Turn: 2}, 2_000_000)
+	kept.Lateness("db-a", 4)
+	path := filepath.Join("testdata", "forward.keep")
+	if _, err := os.Stat(path); err == nil {
+		return os.ErrExist
+	}
+	change := kept.Whole(0x1234567890abcdef, 0)
+	if err := store.Write(store.Disk{}, path, link.Body(change)); err != nil {
+		return err
+	}
+	return expect("forward.json", indented(viewObject(change)))
+}
+
+// fill gives each exported field of a struct another value that is not zero.
+func fill(value reflect.Value, next *int64) {
+	for place := range value.NumField() {
+		if !value.Type().Field(place).IsExported() {
+			continue
+		}
+		*next++
+		switch field := value.Field(place); field.Kind() {
+		case reflect.Bool:
+			field.SetBool(true)
+		case reflect.Int, reflect.Int64:
+			field.SetInt(*next)
+		case reflect.Uint8:
+			field.SetUint(uint64(place + 1))
+		case reflect.Uint32:
+			field.SetUint(uint64(*next))
+		case reflect.Float64:
+			field.SetFloat(float64(*next) / 8)
+		case reflect.String:
+			field.SetString(fmt.Sprint("text-", *next))
+		}
+	}
+}
+
+// writeTrace writes a trace of two blocks with an event of each kind in each.
+func writeTrace() error {
+	deployment, number := rules.Deployment{}, int64(0)
+	fill(reflect.ValueOf(&deployment).Elem(), &number)
+	for range 2 {
+		group := &rules.CmdGroup{}
+		fill(reflect.ValueOf(group).Elem(), &number)
+		deployment.Groups = append(deployment.Groups, group)
+	}
+	body, err := record.Deployment(deployment)
+	if err != nil {
+		return err
+	}
+	groups, err := record.Groups([]string{"read", "write"})
+	if err != nil {
+		return err
+	}
+	header := format.Header{Router: "router-1", Life: 0xfeed, Began: 5_000_000, Build: "8f5d6eb", Part: 1000, Schema: record.Schema,
+		More: map[string][]byte{"deployment": body, "groups": groups}, Key: []byte{1, 2, 3, 4}}
+	folder, err := os.MkdirTemp("", "fixture")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(folder)
+	writer := file.New(file.Terms{Dir: folder, Name: header.Router, Size: 1 << 20, Age: time.Hour, Budget: 1 << 22, Flush: time.Hour, Blocks: 2},
+		file.Disk{}, header, time.Now, zap.NewNop())
+	for turn := range 2 {
+		block := writer.Get()
+		for kind, described := range record.Schema {
+			ints, texts := []int64{}, []string{}
+			for range described.Count(format.Int) {
+				number++
+				ints = append(ints, number)
+			}
+			for range described.Count(format.Text) {
+				number++
+				texts = append(texts, fmt.Sprint("text-", number))
+			}
+			block.Add(5_000_000+number*10, kind, ints, texts)
+		}
+		if turn == 1 {
+			block.Lost(5)
+		}
+		writer.Put(block)
+	}
+	ended, cancel := context.WithCancel(context.Background())
+	cancel()
+	if err := writer.Run(ended); err != nil {
+		return err
+	}
+	paths, err := filepath.Glob(filepath.Join(folder, "*"+file.Ending))
+	if err != nil || len(paths) != 1 {
+		return fmt.Errorf("%d trace files: %w", len(paths), err)
+	}
+	if body, err = os.ReadFile(paths[0]); err != nil {
+		return err
+	}
+	if err := create("router.fptrace", body); err != nil {
+		return err
+	}
+	source, err := openTraceFile()
+	if err != nil {
+		return err
+	}
+	defer source.Close()
+	rendered, err := renderTrace(source)
+	if err != nil {
+		return err
+	}
+	return expect("router.jsonl", rendered)
+}
