--- a/cmd/ferrylab/demo.go
+++ b/cmd/ferrylab/demo.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"ferrypitch/internal/lab/fleet"
-	"ferrypitch/internal/lab/load"
-	"ferrypitch/internal/standin/pg"
+	"ferrypitch/internal/fake/postgres"
+	"ferrypitch/internal/simulation/tierfleet"
+	"ferrypitch/internal/simulation/workload"
 )
 
 func demoCommand() *cobra.Command {
@@ -42,7 +42,7 @@
 
 // installation is a running demo.
 type installation struct {
-	*fleet.Fleet
+	*tierfleet.Fleet
 	routers []string
 	tasks   errgroup.Group
 	end     context.CancelFunc
@@ -50,7 +50,7 @@
 
 func begin(ctx context.Context, dir string, log *zap.Logger) (i *installation, err error) {
 	i = &installation{}
-	if i.Fleet, err = fleet.New(dir, 2, 3, 2, 1); err != nil {
+	if i.Fleet, err = tierfleet.New(dir, 2, 3, 2, 1); err != nil {
 		return nil, err
 	}
 	ctx, i.end = context.WithCancel(context.WithoutCancel(ctx))
@@ -66,7 +66,7 @@
 	for _, a := range i.routers {
 		if err == nil {
 			up, stop := context.WithTimeout(ctx, 15*time.Second)
-			err = fleet.Ready(up, a)
+			err = tierfleet.Ready(up, a)
 			stop()
 		}
 	}
@@ -137,7 +137,7 @@
 	say("forwarders at %s, a planner at %s; %v of commands", strings.Join(i.routers, " and "), i.Planners()[0], span)
 	var side errgroup.Group
 	side.Go(func() error { return i.trouble(ctx, span) })
-	t := load.Run(ctx, load.Terms{Routers: i.routers, Sets: []int64{1, 2}, Clients: 12, Rate: rate, For: span, Writes: 0.1,
+	t := workload.Run(ctx, workload.Terms{Routers: i.routers, Sets: []int64{1, 2}, Clients: 12, Rate: rate, For: span, Writes: 0.1,
 		Sessions: 4, Timeout: time.Second, Seed: 1}, nil)
 	err = side.Wait()
 	r := report(t, i.Hosts.Seen())
@@ -165,7 +165,7 @@
 func host(address string) string { h, _, _ := strings.Cut(address, ":"); return h }
 func port(address string) string { _, p, _ := strings.Cut(address, ":"); return p }
 
-func report(t *load.Tally, truth pg.Truth) result {
+func report(t *workload.Tally, truth postgres.Truth) result {
 	r := result{Sent: t.Sent, Answered: t.Answered, Throttled: t.Throttled, Failed: t.Failed, Answers: t.Answers,
 		Broken: truth.Broken() + t.Lost + t.Extra + t.Late, Notes: truth.Notes,
 		Median: float64(t.Latency.ValueAtQuantile(50)) / 1000, P99: float64(t.Latency.ValueAtQuantile(99)) / 1000}
--- a/cmd/ferrylab/export.go
+++ b/cmd/ferrylab/export.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"ferrypitch/internal/trace/export"
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/tool"
+	"ferrypitch/internal/router/trace/export"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/tool"
 )
 
 func exportCommand() *cobra.Command {
--- a/cmd/ferrylab/system.go
+++ b/cmd/ferrylab/system.go
@@ -13,13 +13,13 @@
 
 	"github.com/spf13/cobra"
 
-	"ferrypitch/internal/lab/whole"
+	"ferrypitch/internal/simulation/cluster"
 )
 
 func systemCommand() *cobra.Command {
-	t := whole.Terms{}
+	t := cluster.Terms{}
 	var asJSON bool
-	c := &cobra.Command{Use: "system", Args: cobra.NoArgs, Short: "The whole system: three anvils, two lathes, stand-in hosts, and sessions",
+	c := &cobra.Command{Use: "system", Args: cobra.NoArgs, Short: "The whole system: three control members, two proxies, stand-in hosts, and sessions",
 		Long: "Three members of the control plane and two routers as processes, stand-in hosts, platform and operator in this one,\n" +
 			"all on loopback. Sessions of all three kinds of routes go on through a change of configuration and the crash of a\n" +
 			"primary; what clients were told is judged against what the hosts kept. Ends with status 1 if a rule was broken.",
@@ -31,7 +31,7 @@
 	return c
 }
 
-func system(ctx context.Context, out io.Writer, t whole.Terms, asJSON bool) error {
+func system(ctx context.Context, out io.Writer, t cluster.Terms, asJSON bool) error {
 	dir, err := os.MkdirTemp("", "ferrylab")
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
 		t.Say = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	}
-	r, err := whole.Run(ctx, dir, t)
+	r, err := cluster.Run(ctx, dir, t)
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 		}
 		fmt.Fprintf(out, "\n%d writes acknowledged, %d configurations taken and read back, %d promotions, %d ms from the crash to the next write\n",
 			r.Kept, r.Versions, r.Leads, r.Gap.Milliseconds())
-		fmt.Fprintf(out, "memory: lathe %d kB, anvil %d kB\n", r.PeakKB["lathe"], r.PeakKB["anvil"])
+		fmt.Fprintf(out, "memory: proxy %d kB, control %d kB\n", r.PeakKB["ferrypitch-proxy"], r.PeakKB["ferrypitch-control"])
 		for _, b := range r.Broken {
 			fmt.Fprintln(out, b)
 		}
--- a/cmd/ferrylab/system_test.go
+++ b/cmd/ferrylab/system_test.go
@@ -8,13 +8,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/lab/whole"
+	"ferrypitch/internal/simulation/cluster"
 )
 
 func TestTheWholeSystemServesThroughTheCrashOfAPrimary(t *testing.T) {
 	var out bytes.Buffer
-	require.NoError(t, system(t.Context(), &out, whole.Terms{For: 6 * time.Second, Sessions: 6, Seed: 77}, true), "%s", &out)
-	var r whole.Result
+	require.NoError(t, system(t.Context(), &out, cluster.Terms{For: 6 * time.Second, Sessions: 6, Seed: 77}, true), "%s", &out)
+	var r cluster.Result
 	require.NoError(t, json.Unmarshal(out.Bytes(), &r))
 	require.Empty(t, r.Broken)
 	require.Equal(t, 2, r.Versions)
--- a/cmd/ferrylab/tiers.go
+++ b/cmd/ferrylab/tiers.go
@@ -9,12 +9,12 @@
 
 	"github.com/spf13/cobra"
 
-	"ferrypitch/internal/lab/fleet"
-	"ferrypitch/internal/lab/tiers"
+	"ferrypitch/internal/simulation/tierfleet"
+	"ferrypitch/internal/simulation/tierprocess"
 )
 
 func tiersCommand() *cobra.Command {
-	t := tiers.Terms{}
+	t := tierprocess.Terms{}
 	var asJSON, both bool
 	var capture, keep string
 	c := &cobra.Command{Use: "tiers", Args: cobra.NoArgs, Short: "Forwarders and planners as processes, under load and faults",
@@ -28,13 +28,13 @@
 				}
 				defer os.RemoveAll(dir)
 			}
-			if t.Binary, err = fleet.Build(dir, "ferrypitch"); err != nil {
+			if t.Binary, err = tierfleet.Build(dir, "ferrypitch"); err != nil {
 				return err
 			}
 			if t.Trace, err = tracing(dir, capture); err != nil {
 				return err
 			}
-			runs := []tiers.Terms{t}
+			runs := []tierprocess.Terms{t}
 			if both {
 				alone := t
 				alone.Planners = 0
@@ -46,7 +46,7 @@
 				if err := os.Mkdir(one.Dir, 0o700); err != nil {
 					return err
 				}
-				o, err := tiers.Run(c.Context(), one)
+				o, err := tierprocess.Run(c.Context(), one)
 				if err != nil {
 					return err
 				}
--- a/cmd/anvil/disk.go
+++ b/cmd/ferrypitch-control/disk.go
@@ -11,9 +11,9 @@
 	"github.com/google/subcommands"
 	"github.com/gravitational/trace"
 
-	"ferrypitch/internal/drawer"
-	"ferrypitch/internal/haft"
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/cli"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
 )
 
 // disk shows what a stopped member holds. It reads a copy: the member's own file is not opened for writing.
@@ -22,33 +22,33 @@
 func (*disk) Name() string     { return "disk" }
 func (*disk) Synopsis() string { return "show what a stopped member holds on its disk" }
 func (*disk) Usage() string {
-	return "anvil disk [-json] FOLDER\n  shows identity, view, members and state of the log in a member's DataDir\n"
+	return "ferrypitch-control disk [-json] FOLDER\n  shows identity, view, members and state of the log in a member's DataDir\n"
 }
 func (d *disk) SetFlags(f *flag.FlagSet) { f.BoolVar(&d.json, "json", false, "print as JSON") }
 
 // held is what is shown.
 type held struct {
-	Identity        drawer.Identity
+	Identity        storage.Identity
 	View            uint64
 	Snapshot        uint64
 	Entries         int
 	Last            uint64
 	Version         int64
-	Hosts           []rack.Host
-	Leads           map[string]rack.Lead
+	Hosts           []statemachine.Host
+	Leads           map[string]statemachine.Lead
 	Routers         []string
 	Unread, Refused int // entries that can't be read; changes that changed nothing
 }
 
 func (d *disk) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return haft.Fail("anvil", trace.BadParameter("disk: one folder is wanted"))
+		return cli.Fail("ferrypitch-control", trace.BadParameter("disk: one folder is wanted"))
 	}
 	h, err := look(f.Arg(0))
 	if err != nil {
-		return haft.Fail("anvil", err)
+		return cli.Fail("ferrypitch-control", err)
 	}
-	return haft.Print(os.Stdout, d.json, h, func(w io.Writer) {
+	return cli.Print(os.Stdout, d.json, h, func(w io.Writer) {
 		fmt.Fprintf(w, "member %s, view %d\nsnapshot up to %d, %d entries behind it, the last %d\nversion %d, %d hosts, %d routers\n",
 			h.Identity.ID, h.View, h.Snapshot, h.Entries, h.Last, h.Version, len(h.Hosts), len(h.Routers))
 		for name, l := range h.Leads {
@@ -66,7 +66,7 @@
 	if err != nil {
 		return h, trace.ConvertSystemError(err)
 	}
-	copied, err := os.MkdirTemp("", "anvil-disk")
+	copied, err := os.MkdirTemp("", "ferrypitch-control-disk")
 	if err != nil {
 		return h, trace.ConvertSystemError(err)
 	}
@@ -74,12 +74,12 @@
 	if err := os.WriteFile(filepath.Join(copied, "ratchet.db"), body, 0o600); err != nil {
 		return h, trace.ConvertSystemError(err)
 	}
-	d, id, kept, err := drawer.Open(copied, func() drawer.Identity { return drawer.Identity{ID: "(none)"} })
+	d, id, kept, err := storage.Open(copied, func() storage.Identity { return storage.Identity{ID: "(none)"} })
 	if err != nil {
 		return h, err
 	}
 	defer d.Close()
-	state, err := rack.Restore(kept.Snapshot.State)
+	state, err := statemachine.Restore(kept.Snapshot.State)
 	if err != nil {
 		return h, trace.BadParameter("%s: its snapshot: %v", folder, err)
 	}
@@ -87,7 +87,7 @@
 		if len(e.Body) == 0 {
 			continue
 		}
-		c, err := rack.Decode(e.Body)
+		c, err := statemachine.Decode(e.Body)
 		if err != nil {
 			h.Unread++
 		} else if state.Apply(kept.Snapshot.Index+uint64(i)+1, c) != nil {
--- a/cmd/anvil/plan.go
+++ b/cmd/ferrypitch-control/plan.go
@@ -10,8 +10,8 @@
 	"github.com/google/subcommands"
 	"github.com/gravitational/trace"
 
-	"ferrypitch/internal/haft"
-	"ferrypitch/internal/jig"
+	"ferrypitch/internal/cli"
+	"ferrypitch/internal/config"
 )
 
 // plan checks an operator's configuration as the control plane would.
@@ -23,7 +23,7 @@
 func (*plan) Name() string     { return "plan" }
 func (*plan) Synopsis() string { return "check an operator's configuration and name the faulty key" }
 func (*plan) Usage() string {
-	return "anvil plan [-json] [-current FILE] FILE\n  checks a whole configuration, or with -current a change of items of that one\n"
+	return "ferrypitch-control plan [-json] [-current FILE] FILE\n  checks a whole configuration, or with -current a change of items of that one\n"
 }
 func (p *plan) SetFlags(f *flag.FlagSet) {
 	f.BoolVar(&p.json, "json", false, "print the checked configuration as JSON")
@@ -32,26 +32,26 @@
 
 func (p *plan) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
-		return haft.Fail("anvil", trace.BadParameter("plan: one file is wanted"))
+		return cli.Fail("ferrypitch-control", trace.BadParameter("plan: one file is wanted"))
 	}
 	body, err := os.ReadFile(f.Arg(0))
 	if err != nil {
-		return haft.Fail("anvil", trace.ConvertSystemError(err))
+		return cli.Fail("ferrypitch-control", trace.ConvertSystemError(err))
 	}
-	var checked *jig.Plan
+	var checked *config.Plan
 	if p.current == "" {
-		checked, err = jig.Read(body)
+		checked, err = config.Read(body)
 	} else {
 		var current []byte
 		if current, err = os.ReadFile(p.current); err != nil {
-			return haft.Fail("anvil", trace.ConvertSystemError(err))
+			return cli.Fail("ferrypitch-control", trace.ConvertSystemError(err))
 		}
-		checked, err = jig.Amend(current, body)
+		checked, err = config.Amend(current, body)
 	}
 	if err != nil {
-		return haft.Fail("anvil", trace.BadParameter("%s: %v", f.Arg(0), err))
+		return cli.Fail("ferrypitch-control", trace.BadParameter("%s: %v", f.Arg(0), err))
 	}
-	return haft.Print(os.Stdout, p.json, checked, func(w io.Writer) {
+	return cli.Print(os.Stdout, p.json, checked, func(w io.Writer) {
 		fmt.Fprintf(w, "%s: good: version %d, %d routes, %d services\n", f.Arg(0), checked.Generation, len(checked.Routes), len(checked.Services))
 	})
 }
--- a/cmd/anvil/status.go
+++ b/cmd/ferrypitch-control/status.go
@@ -7,13 +7,13 @@
 	"slices"
 	"strings"
 
-	"ferrypitch/internal/forge"
-	"ferrypitch/internal/haft"
+	"ferrypitch/internal/cli"
+	"ferrypitch/internal/control"
 )
 
 // status asks a running member, at the address of its control calls.
-var status = &haft.Status[forge.Status]{Program: "anvil", What: "show a running member's view, leads, moves and counters",
-	Path: "/Member.Status", Text: func(w io.Writer, shown forge.Status) {
+var status = &cli.Status[control.Status]{Program: "ferrypitch-control", What: "show a running member's view, leads, moves and counters",
+	Path: "/Member.Status", Text: func(w io.Writer, shown control.Status) {
 		g := shown.Standing
 		fmt.Fprintf(w, "member %s, view %d, leader %s, holds %v\nmembers %v, learners %v\ndelivered %d of %d, on disk %d\n",
 			g.ID, g.View, g.Leader, g.Holds, g.Members, g.Learners, g.Commit, g.Last, g.Saved)
@@ -39,5 +39,5 @@
 		for _, id := range shown.Missing {
 			fmt.Fprintf(w, "missing: %s, whose log others have\n", id)
 		}
-		haft.Counters(w, shown.Counts)
+		cli.Counters(w, shown.Counts)
 	}}
--- a/cmd/lathe/status.go
+++ b/cmd/ferrypitch-proxy/status.go
@@ -6,13 +6,13 @@
 	"maps"
 	"slices"
 
-	"ferrypitch/internal/haft"
-	"ferrypitch/internal/headstock"
+	"ferrypitch/internal/cli"
+	"ferrypitch/internal/proxy"
 )
 
 // status asks a running router, at the address at which the platform asks whether it is ready.
-var status = &haft.Status[headstock.Status]{Program: "lathe", What: "show a running router's lease, sessions, hosts, routers and counters",
-	Path: "/Router.Status", Text: func(w io.Writer, shown headstock.Status) {
+var status = &cli.Status[proxy.Status]{Program: "ferrypitch-proxy", What: "show a running router's lease, sessions, hosts, routers and counters",
+	Path: "/Router.Status", Text: func(w io.Writer, shown proxy.Status) {
 		fmt.Fprintf(w, "router %s, ready %v, version %d, log up to %d, lease for %d ms more\n", shown.Node, shown.Ready, shown.Version,
 			shown.Index, shown.LeaseMs)
 		fmt.Fprintf(w, "%d sessions, %d statements under way, control plane %v\n", shown.Sessions, shown.Calls, shown.Control)
@@ -28,5 +28,5 @@
 		for _, r := range shown.Routers {
 			fmt.Fprintf(w, "router at %s\n", r)
 		}
-		haft.Counters(w, shown.Counts)
+		cli.Counters(w, shown.Counts)
 	}}
--- a/cmd/ferrypitch/check.go
+++ b/cmd/ferrypitch/check.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"ferrypitch/internal/setup"
+	"ferrypitch/internal/router/setup"
 )
 
 func checkCommand() *cobra.Command {
--- a/cmd/ferrypitch/command.go
+++ b/cmd/ferrypitch/command.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"ferrypitch/internal/setup"
+	"ferrypitch/internal/router/setup"
 )
 
 const environment = `Without a sub-command it serves as the platform starts it, and reads:
--- a/cmd/ferrypitch/command_test.go
+++ b/cmd/ferrypitch/command_test.go
@@ -18,7 +18,7 @@
 	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgconn"
 
-	"ferrypitch/internal/lab/fleet"
+	"ferrypitch/internal/simulation/tierfleet"
 )
 
 // example writes the repository's example with free addresses and a key, changed as a test wants.
@@ -34,7 +34,7 @@
 	}
 	for _, at := range []func(string){func(a string) { all["listen"] = a }, func(a string) { all["plan"].(map[string]any)["listen"] = a },
 		func(a string) { all["discovery"] = a }} {
-		a, err := fleet.Free()
+		a, err := tierfleet.Free()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -157,7 +157,7 @@
 func (l *lines) Write(b []byte) (int, error) { l.t.Logf("%s", b); return len(b), nil }
 
 func TestTheExampleStartsAndAPgxClientIsServed(t *testing.T) {
-	f, err := fleet.New(t.TempDir(), 1, 3, 1, 0)
+	f, err := tierfleet.New(t.TempDir(), 1, 3, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 	running(t, "forward", path)
 	ctx, stop := context.WithTimeout(t.Context(), patience)
 	defer stop()
-	if err := fleet.Ready(ctx, listen); err != nil {
+	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
 	}
 	host, port, _ := net.SplitHostPort(listen)
@@ -201,7 +201,7 @@
 }
 
 func TestAForwarderThatRestartsWithoutPlannersServesFromTheViewItKept(t *testing.T) {
-	f, err := fleet.New(t.TempDir(), 1, 2, 1, 0)
+	f, err := tierfleet.New(t.TempDir(), 1, 2, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 	planner, forwarder := start("plan"), start("forward")
 	ctx, stop := context.WithTimeout(t.Context(), patience)
 	defer stop()
-	if err := fleet.Ready(ctx, listen); err != nil {
+	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
 	}
 	for kept := filepath.Join(filepath.Dir(path), "view"); ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
@@ -236,13 +236,13 @@
 		cmd.Wait()
 	}
 	running(t, "forward", path)
-	if err := fleet.Ready(ctx, listen); err != nil {
+	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Errorf("with no planner: %v", err)
 	}
 }
 
 func TestAForwarderWithoutPlannersServesFromTheListItIsGivenOrSaysThatItIsNotReady(t *testing.T) {
-	f, err := fleet.New(t.TempDir(), 1, 2, 1, 0)
+	f, err := tierfleet.New(t.TempDir(), 1, 2, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,7 +261,7 @@
 		})
 		running(t, "forward", path)
 		ctx, stop := context.WithTimeout(t.Context(), 3*time.Second)
-		err := fleet.Ready(ctx, listen)
+		err := tierfleet.Ready(ctx, listen)
 		stop()
 		if (err == nil) != known {
 			t.Errorf("with a list %v: %v", known, err)
--- a/cmd/ferrypitch/forward.go
+++ b/cmd/ferrypitch/forward.go
@@ -6,7 +6,7 @@
 
 	"github.com/spf13/cobra"
 
-	"ferrypitch/internal/setup"
+	"ferrypitch/internal/router/setup"
 )
 
 func forwardCommand() *cobra.Command {
--- a/cmd/ferrypitch/main.go
+++ b/cmd/ferrypitch/main.go
@@ -11,8 +11,8 @@
 
 	"go.uber.org/zap"
 
-	"ferrypitch/internal/service"
-	"ferrypitch/internal/setup"
+	"ferrypitch/internal/router/service"
+	"ferrypitch/internal/router/setup"
 )
 
 // Statuses of the program's end.
--- a/cmd/ferrypitch/plan.go
+++ b/cmd/ferrypitch/plan.go
@@ -13,11 +13,11 @@
 	"github.com/spf13/cobra"
 	"go.uber.org/zap"
 
-	"ferrypitch/internal/service"
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/tier/plan"
-	"ferrypitch/internal/trace/file"
-	"ferrypitch/internal/trace/record"
+	"ferrypitch/internal/router/service"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/tier/plan"
+	"ferrypitch/internal/router/trace/file"
+	"ferrypitch/internal/router/trace/record"
 )
 
 func planCommand() *cobra.Command {
--- a/cmd/ferrypitch/program_test.go
+++ b/cmd/ferrypitch/program_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"ferrypitch/internal/protocol"
+	"ferrypitch/internal/router/protocol"
 )
 
 // patience is how long a test waits for what must come about. Nothing is proved by waiting.
--- a/cmd/ferrypitch/shape_test.go
+++ b/cmd/ferrypitch/shape_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"ferrypitch/internal/protocol"
+	"ferrypitch/internal/router/protocol"
 )
 
 // counts holds commands against the program until its counters are as wanted.
--- a/cmd/ferrypitch/trace.go
+++ b/cmd/ferrypitch/trace.go
@@ -15,11 +15,11 @@
 
 	"github.com/spf13/cobra"
 
-	"ferrypitch/internal/clock"
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/replay"
-	"ferrypitch/internal/trace/tool"
+	"ferrypitch/internal/router/clock"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/replay"
+	"ferrypitch/internal/router/trace/tool"
 )
 
 func traceCommand() *cobra.Command {
--- a/cmd/ferrypitch/trace_test.go
+++ b/cmd/ferrypitch/trace_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"ferrypitch/internal/lab/fleet"
-	"ferrypitch/internal/lab/load"
+	"ferrypitch/internal/simulation/tierfleet"
+	"ferrypitch/internal/simulation/workload"
 )
 
 // only is the one trace file of a folder.
@@ -28,7 +28,7 @@
 // traced is the file of a router that served a load for a moment.
 func traced(t *testing.T) string {
 	t.Helper()
-	f, err := fleet.New(t.TempDir(), 1, 3, 1, 0)
+	f, err := tierfleet.New(t.TempDir(), 1, 3, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,10 +45,10 @@
 	}
 	ctx, stop := context.WithTimeout(t.Context(), patience)
 	defer stop()
-	if err := fleet.Ready(ctx, listen); err != nil {
+	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
 	}
-	load.Run(ctx, load.Terms{Routers: []string{listen}, Sets: []int64{1}, Clients: 4, Rate: 150, For: time.Second, Writes: 0.2, Sessions: 2,
+	workload.Run(ctx, workload.Terms{Routers: []string{listen}, Sets: []int64{1}, Clients: 4, Rate: 150, For: time.Second, Writes: 0.2, Sessions: 2,
 		Timeout: time.Second, Seed: 5}, nil)
 	cmd.Process.Signal(syscall.SIGHUP)
 	client, err := net.Dial("tcp", listen) // keeps it there for a moment
@@ -122,7 +122,7 @@
 }
 
 func TestAPlannerCapturesWhatItHeardAndAsked(t *testing.T) {
-	f, err := fleet.New(t.TempDir(), 1, 2, 1, 0)
+	f, err := tierfleet.New(t.TempDir(), 1, 2, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -7,12 +7,12 @@
 	"os"
 	"runtime/debug"
 
-	"ferrypitch/internal/drill"
+	"ferrypitch/internal/simadapter"
 )
 
 func main() {
 	debug.SetGCPercent(400) // hundreds of instances share the process here; their garbage is small
-	if err := drill.Run(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "drill:", err)
 		os.Exit(1)
 	}
--- a/internal/haft/haft.go
+++ b/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package haft (what a tool is held by) is what the command lines of lathe and anvil share: how a sub-command prints
-// and ends, and the check of a settings file.
-package haft
+// Package cli is what the command lines of ferrypitch-proxy and ferrypitch-control share: how a sub-command prints and ends, and
+// the check of a settings file.
+package cli
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"github.com/gravitational/trace"
 	"github.com/hashicorp/go-hclog"
 
-	"ferrypitch/internal/nameplate"
+	"ferrypitch/internal/settings"
 )
 
 // Fail prints why a sub-command ends, on one line, and gives its status: 2 for wrong use or configuration, else 1.
@@ -49,18 +49,18 @@
 // Run is the sub-command that serves until it is told to end.
 type Run struct {
 	Program, What string
-	Serve         func(plate *nameplate.Plate, signals, reload <-chan os.Signal, log hclog.Logger) error
+	Serve         func(plate *settings.Plate, signals, reload <-chan os.Signal, log hclog.Logger) error
 }
 
 func (*Run) Name() string             { return "run" }
 func (r *Run) Synopsis() string       { return r.What }
 func (r *Run) SetFlags(*flag.FlagSet) {}
 func (r *Run) Usage() string {
-	return fmt.Sprintf("%s run\n  serves as the settings file of $%s says\n", r.Program, nameplate.Variable)
+	return fmt.Sprintf("%s run\n  serves as the settings file of $%s says\n", r.Program, settings.Variable)
 }
 
 func (r *Run) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	plate, err := nameplate.Read()
+	plate, err := settings.Read()
 	if err != nil {
 		return Fail(r.Program, err)
 	}
@@ -68,7 +68,7 @@
 	signals, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
-	go nameplate.Watch(ctx, reload, syscall.SIGHUP) // ends with the program
+	go settings.Watch(ctx, reload, syscall.SIGHUP) // ends with the program
 	if err := r.Serve(plate, signals, reload, log); err != nil {
 		return Fail(r.Program, err)
 	}
@@ -94,7 +94,7 @@
 	if f.NArg() != 1 {
 		return Fail(c.Program, trace.BadParameter("check: one file is wanted"))
 	}
-	p, err := nameplate.ReadFile(f.Arg(0))
+	p, err := settings.ReadFile(f.Arg(0))
 	if err != nil {
 		return Fail(c.Program, err)
 	}
--- a/internal/compatibility/compatibility_test.go
+++ b/internal/compatibility/compatibility_test.go
@@ -16,17 +16,17 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/drawer"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/ratchet"
-	"ferrypitch/internal/store"
-	"ferrypitch/internal/tier/follower"
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/internal/trace/record"
-	"ferrypitch/internal/trace/replay"
-	"ferrypitch/internal/trace/tool"
-	"ferrypitch/rules"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/router/tier/follower"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/internal/router/trace/record"
+	"ferrypitch/internal/router/trace/replay"
+	"ferrypitch/internal/router/trace/tool"
+	"ferrypitch/internal/snapshotfile"
+	"ferrypitch/policy"
 )
 
 // object is a JSON object whose keys are literals here, so that they don't follow the names of fields.
@@ -44,12 +44,12 @@
 }
 
 // identityObject renders a member's identity.
-func identityObject(identity drawer.Identity) object {
+func identityObject(identity storage.Identity) object {
 	return object{"id": string(identity.ID), "founders": memberNames(identity.Founders)}
 }
 
 // memberNames are member ids as plain strings.
-func memberNames(members []ratchet.ID) []string {
+func memberNames(members []consensus.ID) []string {
 	names := []string{}
 	for _, member := range members {
 		names = append(names, string(member))
@@ -58,18 +58,18 @@
 }
 
 // metaObject renders what a member stores of its view, vote and settled change of members.
-func metaObject(meta ratchet.Meta) object {
+func metaObject(meta consensus.Meta) object {
 	return object{"view": meta.View, "vote": string(meta.Vote), "settled": meta.Settled}
 }
 
 // hostObject renders a database host.
-func hostObject(host rack.Host) object {
+func hostObject(host statemachine.Host) object {
 	return object{"id": host.ID, "service": host.Service, "address": host.Address, "zone": host.Zone, "generation": host.Generation,
 		"capacity": host.Capacity, "draining": host.Draining, "missing": host.Missing, "since": host.Since}
 }
 
 // hostObjects renders hosts by their ids.
-func hostObjects(hosts map[string]rack.Host) object {
+func hostObjects(hosts map[string]statemachine.Host) object {
 	all := object{}
 	for id, host := range hosts {
 		all[id] = hostObject(host)
@@ -78,7 +78,7 @@
 }
 
 // stateObject renders every field of the replicated state.
-func stateObject(state *rack.State) object {
+func stateObject(state *statemachine.State) object {
 	taken, gone, leads, services := []object{}, []object{}, object{}, []string{}
 	for _, order := range state.Taken {
 		taken = append(taken, object{"base": order.Base, "sum": hex.EncodeToString(order.Sum[:]), "at": order.At})
@@ -101,7 +101,7 @@
 }
 
 // changeObject renders every field of one change in the log.
-func changeObject(change rack.Change) object {
+func changeObject(change statemachine.Change) object {
 	all := object{"led": change.Led, "drain": change.Drain, "leave": change.Leave, "missing": change.Missing, "resumed": change.Resumed}
 	if configure := change.Configure; configure != nil {
 		all["configure"] = object{"base": configure.Base, "amend": configure.Amend, "body": string(configure.Body),
@@ -128,17 +128,17 @@
 
 // diskContents is what a member's disk held, with the states that it gives.
 type diskContents struct {
-	identity drawer.Identity
-	restored ratchet.Restored
-	restore  *rack.State // of the snapshot alone
-	state    *rack.State // with the entries applied
-	changes  []rack.Change
+	identity storage.Identity
+	restored consensus.Restored
+	restore  *statemachine.State // of the snapshot alone
+	state    *statemachine.State // with the entries applied
+	changes  []statemachine.Change
 	refused  []bool
 }
 
 // openDisk opens a member's disk, which must not be taken for a broken one.
-func openDisk(folder string) (*drawer.Drawer, drawer.Identity, ratchet.Restored, error) {
-	disk, identity, restored, err := drawer.Open(folder, func() drawer.Identity { return drawer.Identity{ID: "not read"} })
+func openDisk(folder string) (*storage.Drawer, storage.Identity, consensus.Restored, error) {
+	disk, identity, restored, err := storage.Open(folder, func() storage.Identity { return storage.Identity{ID: "not read"} })
 	if err == nil && identity.ID == "not read" {
 		err = fmt.Errorf("%s: the disk was put aside as broken", folder)
 	}
@@ -153,16 +153,16 @@
 	}
 	defer disk.Close()
 	contents.identity, contents.restored = identity, restored
-	if contents.restore, err = rack.Restore(restored.Snapshot.State); err != nil {
+	if contents.restore, err = statemachine.Restore(restored.Snapshot.State); err != nil {
 		return contents, err
 	}
-	if contents.state, err = rack.Restore(restored.Snapshot.State); err != nil {
+	if contents.state, err = statemachine.Restore(restored.Snapshot.State); err != nil {
 		return contents, err
 	}
 	for place, entry := range restored.Entries {
-		change, refused := rack.Change{}, false
+		change, refused := statemachine.Change{}, false
 		if len(entry.Body) > 0 {
-			if change, err = rack.Decode(entry.Body); err != nil {
+			if change, err = statemachine.Decode(entry.Body); err != nil {
 				return contents, fmt.Errorf("entry %d: %w", place, err)
 			}
 			refused = contents.state.Apply(restored.Snapshot.Index+uint64(place)+1, change) != nil
@@ -360,10 +360,10 @@
 			disk, identity, before, err := openDisk(folder)
 			require.NoError(t, err)
 			next := before.Snapshot.Index + uint64(len(before.Entries)) + 1
-			change := rack.Change{Led: 999_999, Router: &rack.Router{Node: "router-added"}}
-			entry := ratchet.Entry{View: before.Meta.View, Body: rack.Encode(change)}
-			meta := ratchet.Meta{View: before.Meta.View, Vote: "10.0.0.9:7000+9", Settled: before.Meta.Settled}
-			require.NoError(t, disk.Store([]ratchet.Write{{Meta: &meta, From: next, Entries: []ratchet.Entry{entry}}}))
+			change := statemachine.Change{Led: 999_999, Router: &statemachine.Router{Node: "router-added"}}
+			entry := consensus.Entry{View: before.Meta.View, Body: statemachine.Encode(change)}
+			meta := consensus.Meta{View: before.Meta.View, Vote: "10.0.0.9:7000+9", Settled: before.Meta.Settled}
+			require.NoError(t, disk.Store([]consensus.Write{{Meta: &meta, From: next, Entries: []consensus.Entry{entry}}}))
 			require.NoError(t, disk.Close())
 
 			contents, err := readDisk(folder)
@@ -375,10 +375,10 @@
 			require.Equal(t, next, contents.state.Routers["router-added"])
 			require.EqualValues(t, 999_999, contents.state.Led)
 
-			snapshot := ratchet.Snapshot{Index: next, View: meta.View, Members: before.Snapshot.Members, State: contents.state.Snapshot()}
+			snapshot := consensus.Snapshot{Index: next, View: meta.View, Members: before.Snapshot.Members, State: contents.state.Snapshot()}
 			disk, _, _, err = openDisk(folder)
 			require.NoError(t, err)
-			require.NoError(t, disk.Store([]ratchet.Write{{Snapshot: &snapshot, Keep: next}}))
+			require.NoError(t, disk.Store([]consensus.Write{{Snapshot: &snapshot, Keep: next}}))
 			require.NoError(t, disk.Close())
 			again, err := readDisk(folder)
 			require.NoError(t, err)
@@ -404,7 +404,7 @@
 }
 
 // deploymentObject renders every field of the deployment in a trace's header, which is stored by the names of its fields.
-func deploymentObject(deployment rules.Deployment) object {
+func deploymentObject(deployment policy.Deployment) object {
 	groups := []object{}
 	for _, group := range deployment.Groups {
 		groups = append(groups, object{"effect": group.Effect, "need": group.Need, "bound": group.Bound, "target": group.Target,
@@ -513,7 +513,7 @@
 
 // The view that a forwarder kept is read whole, and a forwarder begins with it.
 func TestAKeptViewIsReadWhole(t *testing.T) {
-	body, err := store.Read(store.Disk{}, filepath.Join("testdata", "forward.keep"))
+	body, err := snapshotfile.Read(snapshotfile.Disk{}, filepath.Join("testdata", "forward.keep"))
 	require.NoError(t, err)
 	change, err := link.ReadChange(body)
 	require.NoError(t, err)
@@ -526,9 +526,9 @@
 	host, there := core.View().Host("db-a")
 	require.True(t, there)
 	require.Equal(t, object{"name": "db-a", "address": "10.1.0.1:5432", "zone": "zone-1", "kind": "large", "set": int64(4), "size": 2.5,
-		"leader": true, "standing": rules.In, "version": object{"generation": uint64(2), "revision": int64(41)}, "boot": int64(900_000),
-		"position": int64(1_200_000), "role": rules.Primary, "role_at": int64(1_100_000), "turn": uint32(1), "late": uint8(0)},
+		"leader": true, "standing": policy.In, "version": object{"generation": uint64(2), "revision": int64(41)}, "boot": int64(900_000),
+		"position": int64(1_200_000), "role": policy.Primary, "role_at": int64(1_100_000), "turn": uint32(1), "late": uint8(0)},
 		viewHostObject(host), "lateness ages, and is not taken over")
 	host, _ = core.View().Host("db-b")
-	require.Equal(t, rules.Draining, host.Standing)
+	require.Equal(t, policy.Draining, host.Standing)
 }
--- a/internal/compatibility/generate_test.go
+++ b/internal/compatibility/generate_test.go
@@ -14,16 +14,16 @@
 
 	"go.uber.org/zap"
 
-	"ferrypitch/internal/drawer"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/ratchet"
-	"ferrypitch/internal/store"
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/internal/trace/file"
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/record"
-	"ferrypitch/rules"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/internal/router/trace/file"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/record"
+	"ferrypitch/internal/snapshotfile"
+	"ferrypitch/policy"
 )
 
 // traceEvent is one event of a trace.
@@ -45,10 +45,10 @@
 }
 
 const (
-	memberA = ratchet.ID("10.0.0.1:7000+a1")
-	memberB = ratchet.ID("10.0.0.2:7000+b1")
-	memberC = ratchet.ID("10.0.0.3:7000+c1")
-	memberD = ratchet.ID("10.0.0.4:7000+d1")
+	memberA = consensus.ID("10.0.0.1:7000+a1")
+	memberB = consensus.ID("10.0.0.2:7000+b1")
+	memberC = consensus.ID("10.0.0.3:7000+c1")
+	memberD = consensus.ID("10.0.0.4:7000+d1")
 )
 
 // configuration is an operator's configuration with a route that has a deadline of its own.
@@ -65,47 +65,47 @@
 
 // history builds a log as a leader does.
 type history struct {
-	state   rack.State
-	entries []ratchet.Entry
+	state   statemachine.State
+	entries []consensus.Entry
 	led     int64
 	err     error
 }
 
 // plain adds an entry that is not of the state machine.
-func (h *history) plain(view uint64, members ...ratchet.ID) {
-	h.entries = append(h.entries, ratchet.Entry{View: view, Members: members})
+func (h *history) plain(view uint64, members ...consensus.ID) {
+	h.entries = append(h.entries, consensus.Entry{View: view, Members: members})
 }
 
 // add adds changes.
-func (h *history) add(view uint64, changes ...rack.Change) {
+func (h *history) add(view uint64, changes ...statemachine.Change) {
 	for _, change := range changes {
 		h.led += 125
 		change.Led = h.led
-		body := rack.Encode(change)
-		again, err := rack.Decode(body)
+		body := statemachine.Encode(change)
+		again, err := statemachine.Decode(body)
 		if err == nil {
 			err = h.state.Apply(uint64(len(h.entries))+1, again)
 		}
 		if err != nil && h.err == nil {
 			h.err = fmt.Errorf("entry %d: %w", len(h.entries)+1, err)
 		}
-		h.entries = append(h.entries, ratchet.Entry{View: view, Body: body})
+		h.entries = append(h.entries, consensus.Entry{View: view, Body: body})
 	}
 }
 
 // packed adds an operator's order as a leader packs it.
-func (h *history) packed(view uint64, order rack.Configure) {
+func (h *history) packed(view uint64, order statemachine.Configure) {
 	plan, err := h.state.Check(&order)
 	if err != nil {
 		h.err = err
 		return
 	}
-	h.add(view, rack.Change{Configure: h.state.Pack(&order, plan)})
+	h.add(view, statemachine.Change{Configure: h.state.Pack(&order, plan)})
 }
 
 // host is a host that enters.
-func host(id, service, address string) rack.Change {
-	return rack.Change{Enter: &rack.Host{ID: id, Service: service, Address: address, Zone: "zone-" + id[len(id)-1:], Generation: "pg16-" + id, Capacity: 4000}}
+func host(id, service, address string) statemachine.Change {
+	return statemachine.Change{Enter: &statemachine.Host{ID: id, Service: service, Address: address, Zone: "zone-" + id[len(id)-1:], Generation: "pg16-" + id, Capacity: 4000}}
 }
 
 // first is the part of the log before the snapshot: every kind of change, and a state without a field that is zero.
@@ -113,42 +113,42 @@
 	h := &history{}
 	h.plain(1)
 	h.plain(1, memberA, memberB, memberC)
-	h.packed(1, rack.Configure{Body: configuration(3, 800)})
+	h.packed(1, statemachine.Configure{Body: configuration(3, 800)})
 	h.add(1, host("ledger-1", "ledger", "10.1.0.1:5432"), host("ledger-2", "ledger", "10.1.0.2:5432"), host("ledger-3", "ledger", "10.1.0.3:5432"),
 		host("ledger-4", "ledger", "10.1.0.4:5432"), host("audit-5", "audit", "10.1.0.5:5432"),
-		rack.Change{Enter: &rack.Host{ID: "audit-6", Service: "audit", Address: "10.1.0.6:5432", Zone: "zone-6", Generation: "pg16-audit-6", Capacity: 10, Draining: true, Missing: true, Since: 77}},
-		rack.Change{Lead: &rack.NewLead{Service: "ledger", Host: "ledger-1", Term: 4, Took: 850}},
-		rack.Change{Lead: &rack.NewLead{Service: "audit", Host: "audit-5", Term: 2}},
-		rack.Change{Configure: &rack.Configure{Base: 3, Body: configuration(4, 700)}},
-		rack.Change{Configure: &rack.Configure{Base: 4, Amend: true, Body: amendment(5, 610)}})
-	h.packed(2, rack.Configure{Base: 5, Amend: true, Body: amendment(6, 620)})
-	h.packed(2, rack.Configure{Base: 6, Body: configuration(8, 650)})
-	h.add(2, rack.Change{Drain: "ledger-2"}, rack.Change{Missing: "ledger-2"}, rack.Change{Drain: "ledger-3"}, rack.Change{Leave: "ledger-3"},
-		rack.Change{Router: &rack.Router{Node: "router-1"}}, rack.Change{Router: &rack.Router{Node: "router-2"}}, rack.Change{Router: &rack.Router{Node: "router-3"}},
-		rack.Change{Router: &rack.Router{Node: "router-2", Gone: true}},
-		rack.Change{Recall: &rack.Recall{Service: "audit", Holder: string(memberA)}}, rack.Change{Lead: &rack.NewLead{Service: "audit", Host: "audit-5", Term: 3, Took: 910}},
-		rack.Change{Resumed: "audit"},
-		rack.Change{Recall: &rack.Recall{Service: "ledger", Holder: string(memberB)}}, rack.Change{Named: &rack.Named{Service: "ledger", Host: "ledger-4", Holder: string(memberC)}})
+		statemachine.Change{Enter: &statemachine.Host{ID: "audit-6", Service: "audit", Address: "10.1.0.6:5432", Zone: "zone-6", Generation: "pg16-audit-6", Capacity: 10, Draining: true, Missing: true, Since: 77}},
+		statemachine.Change{Lead: &statemachine.NewLead{Service: "ledger", Host: "ledger-1", Term: 4, Took: 850}},
+		statemachine.Change{Lead: &statemachine.NewLead{Service: "audit", Host: "audit-5", Term: 2}},
+		statemachine.Change{Configure: &statemachine.Configure{Base: 3, Body: configuration(4, 700)}},
+		statemachine.Change{Configure: &statemachine.Configure{Base: 4, Amend: true, Body: amendment(5, 610)}})
+	h.packed(2, statemachine.Configure{Base: 5, Amend: true, Body: amendment(6, 620)})
+	h.packed(2, statemachine.Configure{Base: 6, Body: configuration(8, 650)})
+	h.add(2, statemachine.Change{Drain: "ledger-2"}, statemachine.Change{Missing: "ledger-2"}, statemachine.Change{Drain: "ledger-3"}, statemachine.Change{Leave: "ledger-3"},
+		statemachine.Change{Router: &statemachine.Router{Node: "router-1"}}, statemachine.Change{Router: &statemachine.Router{Node: "router-2"}}, statemachine.Change{Router: &statemachine.Router{Node: "router-3"}},
+		statemachine.Change{Router: &statemachine.Router{Node: "router-2", Gone: true}},
+		statemachine.Change{Recall: &statemachine.Recall{Service: "audit", Holder: string(memberA)}}, statemachine.Change{Lead: &statemachine.NewLead{Service: "audit", Host: "audit-5", Term: 3, Took: 910}},
+		statemachine.Change{Resumed: "audit"},
+		statemachine.Change{Recall: &statemachine.Recall{Service: "ledger", Holder: string(memberB)}}, statemachine.Change{Named: &statemachine.Named{Service: "ledger", Host: "ledger-4", Holder: string(memberC)}})
 	return h
 }
 
 // later adds the part of the log behind the snapshot.
 func later(h *history) {
 	h.plain(3)
-	h.add(3, rack.Change{Lead: &rack.NewLead{Service: "ledger", Host: "ledger-4", Term: 5, Took: 1230}}, rack.Change{Resumed: "ledger"},
-		host("ledger-7", "ledger", "10.1.0.3:5432"), rack.Change{Leave: "audit-6"})
-	h.packed(3, rack.Configure{Base: 8, Amend: true, Body: amendment(9, 990)})
+	h.add(3, statemachine.Change{Lead: &statemachine.NewLead{Service: "ledger", Host: "ledger-4", Term: 5, Took: 1230}}, statemachine.Change{Resumed: "ledger"},
+		host("ledger-7", "ledger", "10.1.0.3:5432"), statemachine.Change{Leave: "audit-6"})
+	h.packed(3, statemachine.Configure{Base: 8, Amend: true, Body: amendment(9, 990)})
 }
 
 // writeDisk writes a member's disk, each write synced by itself, and gives the size of the file after each.
-func writeDisk(name string, writes ...ratchet.Write) error {
+func writeDisk(name string, writes ...consensus.Write) error {
 	folder, err := os.MkdirTemp("", "fixture")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(folder)
-	disk, _, _, err := drawer.Open(folder, func() drawer.Identity {
-		return drawer.Identity{ID: memberA, Founders: []ratchet.ID{memberA, memberB, memberC}}
+	disk, _, _, err := storage.Open(folder, func() storage.Identity {
+		return storage.Identity{ID: memberA, Founders: []consensus.ID{memberA, memberB, memberC}}
 	})
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 			return err
 		}
 		before = info.Size()
-		if err := disk.Store([]ratchet.Write{write}); err != nil {
+		if err := disk.Store([]consensus.Write{write}); err != nil {
 			return err
 		}
 	}
@@ -200,25 +200,25 @@
 func generate() error {
 	h := first()
 	at, state := uint64(len(h.entries)), h.state.Snapshot()
-	before := append([]ratchet.Entry{}, h.entries...)
+	before := append([]consensus.Entry{}, h.entries...)
 	later(h)
 	if h.err != nil {
 		return h.err
 	}
 	behind := h.entries[at:]
-	meta := func(view uint64, settled uint64) *ratchet.Meta {
-		return &ratchet.Meta{View: view, Vote: memberB, Settled: settled}
+	meta := func(view uint64, settled uint64) *consensus.Meta {
+		return &consensus.Meta{View: view, Vote: memberB, Settled: settled}
 	}
-	snapshot := &ratchet.Snapshot{Index: at, View: 2, Members: []ratchet.ID{memberA, memberB, memberC}, State: state}
-	moving := append(append([]ratchet.Entry{}, behind[:3]...), ratchet.Entry{View: 3, Members: []ratchet.ID{memberA, memberB, memberC, memberD}},
-		ratchet.Entry{View: 3, Body: rack.Encode(rack.Change{Led: h.led, Router: &rack.Router{Node: "router-4"}})})
+	snapshot := &consensus.Snapshot{Index: at, View: 2, Members: []consensus.ID{memberA, memberB, memberC}, State: state}
+	moving := append(append([]consensus.Entry{}, behind[:3]...), consensus.Entry{View: 3, Members: []consensus.ID{memberA, memberB, memberC, memberD}},
+		consensus.Entry{View: 3, Body: statemachine.Encode(statemachine.Change{Led: h.led, Router: &statemachine.Router{Node: "router-4"}})})
 	for _, err := range []error{
-		writeDisk("entries", ratchet.Write{Meta: meta(1, 0), From: 1, Entries: before[:4]}, ratchet.Write{Meta: meta(2, 2), From: 5, Entries: before[4:]},
-			ratchet.Write{Meta: meta(3, 2), From: at + 1, Entries: behind}),
-		writeDisk("snapshot", ratchet.Write{Meta: meta(2, 2), From: 1, Entries: before}, ratchet.Write{Snapshot: snapshot, Keep: at},
-			ratchet.Write{Meta: meta(3, 2), From: at + 1, Entries: behind}),
-		writeDisk("membership", ratchet.Write{Meta: meta(3, 2), Snapshot: snapshot, Keep: at}, ratchet.Write{From: at + 1, Entries: moving}),
-		writeDisk("torn", ratchet.Write{Meta: meta(3, 2), From: 1, Entries: before}, ratchet.Write{From: at + 1, Entries: behind[:2]}, ratchet.Write{From: at + 3, Entries: behind[2:3]}),
+		writeDisk("entries", consensus.Write{Meta: meta(1, 0), From: 1, Entries: before[:4]}, consensus.Write{Meta: meta(2, 2), From: 5, Entries: before[4:]},
+			consensus.Write{Meta: meta(3, 2), From: at + 1, Entries: behind}),
+		writeDisk("snapshot", consensus.Write{Meta: meta(2, 2), From: 1, Entries: before}, consensus.Write{Snapshot: snapshot, Keep: at},
+			consensus.Write{Meta: meta(3, 2), From: at + 1, Entries: behind}),
+		writeDisk("membership", consensus.Write{Meta: meta(3, 2), Snapshot: snapshot, Keep: at}, consensus.Write{From: at + 1, Entries: moving}),
+		writeDisk("torn", consensus.Write{Meta: meta(3, 2), From: 1, Entries: before}, consensus.Write{From: at + 1, Entries: behind[:2]}, consensus.Write{From: at + 3, Entries: behind[2:3]}),
 		writeView(), writeTrace(),
 	} {
 		if err != nil {
@@ -255,17 +255,17 @@
 	kept.Routers = 7
 	kept.List(view.Version{Gen: 2, Rev: 41}, true, []view.Host{
 		{Name: "db-a", Address: "10.1.0.1:5432", Zone: "zone-1", Kind: "large", Set: 4, Size: 2.5, Leader: true, Boot: 900_000},
-		{Name: "db-b", Address: "10.1.0.2:5432", Zone: "zone-2", Kind: "small", Set: 4, Size: 1, Standing: rules.Draining, Boot: 800_000},
+		{Name: "db-b", Address: "10.1.0.2:5432", Zone: "zone-2", Kind: "small", Set: 4, Size: 1, Standing: policy.Draining, Boot: 800_000},
 		{Name: "db-c", Address: "10.1.0.3:5432", Zone: "zone-3", Set: 5}})
-	kept.Believe(view.Evidence{Name: "db-a", Pos: 1_200_000, Role: rules.Primary, RoleAt: 1_100_000, Turn: 1}, 2_000_000)
-	kept.Believe(view.Evidence{Name: "db-b", Pos: 1_150_000, Role: rules.Replica, RoleAt: 1_000_000, Turn: 2}, 2_000_000)
+	kept.Believe(view.Evidence{Name: "db-a", Pos: 1_200_000, Role: policy.Primary, RoleAt: 1_100_000, Turn: 1}, 2_000_000)
+	kept.Believe(view.Evidence{Name: "db-b", Pos: 1_150_000, Role: policy.Replica, RoleAt: 1_000_000, Turn: 2}, 2_000_000)
 	kept.Lateness("db-a", 4)
 	path := filepath.Join("testdata", "forward.keep")
 	if _, err := os.Stat(path); err == nil {
 		return os.ErrExist
 	}
 	change := kept.Whole(0x1234567890abcdef, 0)
-	if err := store.Write(store.Disk{}, path, link.Body(change)); err != nil {
+	if err := snapshotfile.Write(snapshotfile.Disk{}, path, link.Body(change)); err != nil {
 		return err
 	}
 	return expect("forward.json", indented(viewObject(change)))
@@ -297,10 +297,10 @@
 
 // writeTrace writes a trace of two blocks with an event of each kind in each.
 func writeTrace() error {
-	deployment, number := rules.Deployment{}, int64(0)
+	deployment, number := policy.Deployment{}, int64(0)
 	fill(reflect.ValueOf(&deployment).Elem(), &number)
 	for range 2 {
-		group := &rules.CmdGroup{}
+		group := &policy.CmdGroup{}
 		fill(reflect.ValueOf(group).Elem(), &number)
 		deployment.Groups = append(deployment.Groups, group)
 	}
--- a/internal/jig/jig.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package jig (what holds a piece in its shape) reads and checks the operator's configurations: a whole one, or a change
+// Package config reads and checks the operator's configurations: a whole one, or a change
 // of items by name. What the operator sent is kept byte for byte, with fields that are not known here, beside the
 // checked form.
 //
@@ -6,7 +6,7 @@
 //	body, current -> Amend -> Plan    items put in and taken out by name
 //
 // Pure: no socket, no clock.
-package jig
+package config
 
 import (
 	"bytes"
--- a/internal/jig/diff.go
+++ b/internal/config/diff.go
@@ -1,4 +1,4 @@
-package jig
+package config
 
 import (
 	"cmp"
--- a/internal/forge/callers_test.go
+++ b/internal/control/callers_test.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"fmt"
@@ -11,14 +11,14 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/drawer"
-	"ferrypitch/internal/jig"
-	"ferrypitch/internal/lab/stage"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/ratchet"
+	"ferrypitch/internal/config"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/simulation/scheduler"
 )
 
 const ms = 10
@@ -26,7 +26,7 @@
 // A ring is three members on a network that loses, holds back and repeats what they pass on, while they end and begin
 // anew, and callers who each know the answer to their own question.
 type ring struct {
-	*stage.Stage
+	*scheduler.Stage
 	seats  []*seat
 	token  int
 	logged map[string]map[[2]uint64]bool // by token: where it stands in the log
@@ -41,16 +41,16 @@
 	f     *Forge
 	up    bool
 	life  int
-	id    drawer.Identity
-	disk  ratchet.Restored
-	queue []ratchet.Write
+	id    storage.Identity
+	disk  consensus.Restored
+	queue []consensus.Write
 }
 
 func newRing(seed uint64) *ring {
-	w := &ring{Stage: stage.New(seed, 1<<40, ms), logged: map[string]map[[2]uint64]bool{}, told: map[string]int{}}
-	ids := []ratchet.ID{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
+	w := &ring{Stage: scheduler.New(seed, 1<<40, ms), logged: map[string]map[[2]uint64]bool{}, told: map[string]int{}}
+	ids := []consensus.ID{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 	for _, id := range ids {
-		w.seats = append(w.seats, &seat{w: w, ip: string(id), id: drawer.Identity{ID: id, Founders: ids}})
+		w.seats = append(w.seats, &seat{w: w, ip: string(id), id: storage.Identity{ID: id, Founders: ids}})
 	}
 	for _, s := range w.seats {
 		s.begin()
@@ -62,8 +62,8 @@
 	return w
 }
 
-func plateAt(ip string) *nameplate.Plate {
-	p := &nameplate.Plate{Node: "n" + ip, Ip: ip, Zone: "z", BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
+func plateAt(ip string) *settings.Plate {
+	p := &settings.Plate{Node: "n" + ip, Ip: ip, Zone: "z", BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
 	p.FaultBudget.Machines = 1
 	p.Listen.Control = ip + ":8080"
 	return p
@@ -79,13 +79,13 @@
 	if w.sameLife {
 		life = 1
 	}
-	clock := arbor.NewSteady(func() time.Time { return time.Unix(1e9, w.Now*int64(time.Millisecond)/ms) })
+	clock := eventloop.NewSteady(func() time.Time { return time.Unix(1e9, w.Now*int64(time.Millisecond)/ms) })
 	f, err := New(plateAt(s.ip), hclog.NewNullLogger(), clock, s.id, kept, w.Chance.Float64, life)
 	if err != nil {
 		panic(err)
 	}
 	s.f = f
-	f.Wire(Reach{Send: s.send, Store: func(x []ratchet.Write) { s.store(s.life, x) }})
+	f.Wire(Reach{Send: s.send, Store: func(x []consensus.Write) { s.store(s.life, x) }})
 	s.tick(s.life)
 }
 
@@ -96,12 +96,12 @@
 	}
 }
 
-func (s *seat) store(life int, x []ratchet.Write) {
+func (s *seat) store(life int, x []consensus.Write) {
 	w := s.w
 	s.queue = append(s.queue, x...)
 	for _, write := range x {
 		for i, e := range write.Entries {
-			c, _ := rack.Decode(e.Body)
+			c, _ := statemachine.Decode(e.Body)
 			token := ""
 			if c.Enter != nil {
 				token = c.Enter.ID
@@ -128,7 +128,7 @@
 
 // send brings a frame to whoever is at an address by then. Before it is written it may be lost with its connection, after
 // that its connection may break, so that it comes again by another, and it may be held back for long.
-func (s *seat) send(ip string, frame *belt.Frame) {
+func (s *seat) send(ip string, frame *rpc.Frame) {
 	w := s.w
 	arrive := func(after int64) {
 		w.In(after, func() {
@@ -184,7 +184,7 @@
 	case 1:
 		kind, body = "order", fmt.Sprintf(`{"Generation":%d,"Routes":[],"Services":[]}`, w.token)
 		base = fmt.Sprint(s.f.state.Gen)
-		sent := (&rack.State{}).Pack(&rack.Configure{Body: []byte(body)}, &jig.Plan{}).Sent // how the log knows it
+		sent := (&statemachine.State{}).Pack(&statemachine.Configure{Body: []byte(body)}, &config.Plan{}).Sent // how the log knows it
 		t = string(sent[:])
 	case 2:
 		kind, path = "beat", "/Instances.Heartbeat/"+t
@@ -269,24 +269,24 @@
 type desk struct {
 	f     *Forge
 	now   time.Time
-	sent  []*belt.Frame
+	sent  []*rpc.Frame
 	to    []string
 	ready []uint64
 }
 
-func newDesk(id ratchet.ID, founders ...ratchet.ID) *desk {
+func newDesk(id consensus.ID, founders ...consensus.ID) *desk {
 	d := &desk{now: time.Unix(1e9, 0)}
-	f, err := New(plateAt(id.Address()), hclog.NewNullLogger(), arbor.NewSteady(func() time.Time { return d.now }),
-		drawer.Identity{ID: id, Founders: founders}, ratchet.Restored{}, func() float64 { return 0.5 }, 77)
+	f, err := New(plateAt(id.Address()), hclog.NewNullLogger(), eventloop.NewSteady(func() time.Time { return d.now }),
+		storage.Identity{ID: id, Founders: founders}, consensus.Restored{}, func() float64 { return 0.5 }, 77)
 	if err != nil {
 		panic(err)
 	}
 	d.f = f
-	f.Wire(Reach{Send: func(ip string, frame *belt.Frame) {
+	f.Wire(Reach{Send: func(ip string, frame *rpc.Frame) {
 		if frame.Core == nil {
 			d.sent, d.to = append(d.sent, frame), append(d.to, ip)
 		}
-	}, Store: func(x []ratchet.Write) { d.ready = append(d.ready, x[len(x)-1].Seq) }})
+	}, Store: func(x []consensus.Write) { d.ready = append(d.ready, x[len(x)-1].Seq) }})
 	return d
 }
 
@@ -302,27 +302,27 @@
 }
 
 // follows has a member follow one that leads.
-func (d *desk) follows(leader ratchet.ID, view uint64) {
-	d.f.Hear(leader.Address(), &belt.Frame{Core: &ratchet.Message{Kind: ratchet.Heartbeat, From: leader, To: d.f.id, View: view, Sent: 1}})
+func (d *desk) follows(leader consensus.ID, view uint64) {
+	d.f.Hear(leader.Address(), &rpc.Frame{Core: &consensus.Message{Kind: consensus.Heartbeat, From: leader, To: d.f.id, View: view, Sent: 1}})
 }
 
 // An answer counts for exactly the call that is out, from exactly the member that was asked, once.
 func TestAnAnswerCountsOnlyForTheCallThatIsOut(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(a *belt.Answer, from *string)
+		change func(a *rpc.Answer, from *string)
 		why    stray
 	}{
-		"to a call that was never made":       {func(a *belt.Answer, _ *string) { a.Serial += 5 }, answerUnknown},
-		"to none":                             {func(a *belt.Answer, _ *string) { a.Serial = 0 }, answerUnknown},
-		"of another life":                     {func(a *belt.Answer, _ *string) { a.Life++ }, answerLife},
-		"to another member's call":            {func(a *belt.Answer, _ *string) { a.From = "10.0.0.3" }, answerLife},
-		"to the old member at this address":   {func(a *belt.Answer, _ *string) { a.From = "10.0.0.1+ab" }, answerLife},
-		"from another member":                 {func(a *belt.Answer, from *string) { a.By, *from = "10.0.0.3", "10.0.0.3" }, answerOther},
-		"from the address of another":         {func(_ *belt.Answer, from *string) { *from = "10.0.0.3" }, answerOther},
-		"from an empty one at its address":    {func(a *belt.Answer, _ *string) { a.By = "10.0.0.2+ab" }, answerOther},
-		"of another view":                     {func(a *belt.Answer, _ *string) { a.View++ }, answerOther},
-		"without a status":                    {func(a *belt.Answer, _ *string) { a.Status = 0 }, answerOdd},
-		"with a status beyond all that there": {func(a *belt.Answer, _ *string) { a.Status = 1 << 30 }, answerOdd},
+		"to a call that was never made":       {func(a *rpc.Answer, _ *string) { a.Serial += 5 }, answerUnknown},
+		"to none":                             {func(a *rpc.Answer, _ *string) { a.Serial = 0 }, answerUnknown},
+		"of another life":                     {func(a *rpc.Answer, _ *string) { a.Life++ }, answerLife},
+		"to another member's call":            {func(a *rpc.Answer, _ *string) { a.From = "10.0.0.3" }, answerLife},
+		"to the old member at this address":   {func(a *rpc.Answer, _ *string) { a.From = "10.0.0.1+ab" }, answerLife},
+		"from another member":                 {func(a *rpc.Answer, from *string) { a.By, *from = "10.0.0.3", "10.0.0.3" }, answerOther},
+		"from the address of another":         {func(_ *rpc.Answer, from *string) { *from = "10.0.0.3" }, answerOther},
+		"from an empty one at its address":    {func(a *rpc.Answer, _ *string) { a.By = "10.0.0.2+ab" }, answerOther},
+		"of another view":                     {func(a *rpc.Answer, _ *string) { a.View++ }, answerOther},
+		"without a status":                    {func(a *rpc.Answer, _ *string) { a.Status = 0 }, answerOdd},
+		"with a status beyond all that there": {func(a *rpc.Answer, _ *string) { a.Status = 1 << 30 }, answerOdd},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDesk("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -331,15 +331,15 @@
 			d.f.Take(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { n++ })
 			require.Len(t, d.sent, 1)
 			require.Equal(t, "10.0.0.2", d.to[0])
-			good := belt.Answer{Mark: d.sent[0].Ask.Mark, By: "10.0.0.2", Status: 200}
+			good := rpc.Answer{Mark: d.sent[0].Ask.Mark, By: "10.0.0.2", Status: 200}
 			bad, from := good, "10.0.0.2"
 			c.change(&bad, &from)
-			d.f.Hear(from, &belt.Frame{Answer: &bad})
+			d.f.Hear(from, &rpc.Frame{Answer: &bad})
 			require.Zero(t, n, "it counted")
 			require.EqualValues(t, 1, d.f.counts()[strayNames[c.why]])
-			d.f.Hear("10.0.0.2", &belt.Frame{Answer: &good})
+			d.f.Hear("10.0.0.2", &rpc.Frame{Answer: &good})
 			require.Equal(t, 1, n, "the right one counts still")
-			d.f.Hear("10.0.0.2", &belt.Frame{Answer: &good})
+			d.f.Hear("10.0.0.2", &rpc.Frame{Answer: &good})
 			require.Equal(t, 1, n, "once")
 			require.EqualValues(t, 1, d.f.counts()["answers_late"])
 		})
@@ -350,25 +350,25 @@
 func TestACallIsCarriedOutOnceForThoseWhoMayAsk(t *testing.T) {
 	body := []byte(`{"Service":"db","Address":"10.1.0.1:80","State":"serving","CallSeq":1}`)
 	for name, c := range map[string]struct {
-		change func(a *belt.Ask, from *string)
+		change func(a *rpc.Ask, from *string)
 		why    stray
 		told   bool // that it was not carried out
 	}{
-		"an unknown process":            {func(a *belt.Ask, from *string) { a.From, *from = "10.9.9.9", "10.9.9.9" }, askUnknown, false},
-		"one that is not where it says": {func(_ *belt.Ask, from *string) { *from = "10.9.9.9" }, askUnknown, false},
-		"one that gives no name":        {func(a *belt.Ask, _ *string) { a.From = "" }, askUnknown, false},
-		"meant for the old member":      {func(a *belt.Ask, _ *string) { a.To = "10.0.0.1+ab" }, askElsewhere, true},
-		"of an older view":              {func(a *belt.Ask, _ *string) { a.View-- }, askElsewhere, true},
+		"an unknown process":            {func(a *rpc.Ask, from *string) { a.From, *from = "10.9.9.9", "10.9.9.9" }, askUnknown, false},
+		"one that is not where it says": {func(_ *rpc.Ask, from *string) { *from = "10.9.9.9" }, askUnknown, false},
+		"one that gives no name":        {func(a *rpc.Ask, _ *string) { a.From = "" }, askUnknown, false},
+		"meant for the old member":      {func(a *rpc.Ask, _ *string) { a.To = "10.0.0.1+ab" }, askElsewhere, true},
+		"of an older view":              {func(a *rpc.Ask, _ *string) { a.View-- }, askElsewhere, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDesk("10.0.0.1", "10.0.0.1")
 			d.run(2 * time.Second)
 			require.True(t, d.f.leads)
-			good := belt.Ask{Mark: belt.Mark{From: "10.0.0.2", Life: 5, View: d.f.core.View(), Serial: 1}, To: "10.0.0.1",
+			good := rpc.Ask{Mark: rpc.Mark{From: "10.0.0.2", Life: 5, View: d.f.core.View(), Serial: 1}, To: "10.0.0.1",
 				Method: http.MethodPost, Path: "/Instances.Heartbeat/h1", Body: body}
 			bad, from := good, "10.0.0.2"
 			c.change(&bad, &from)
-			d.f.Hear(from, &belt.Frame{Ask: &bad})
+			d.f.Hear(from, &rpc.Frame{Ask: &bad})
 			d.run(200 * time.Millisecond)
 			require.Empty(t, d.f.state.Hosts, "it was carried out")
 			require.EqualValues(t, 1, d.f.counts()[strayNames[c.why]])
@@ -380,13 +380,13 @@
 			}
 			d.sent = nil
 			for range 3 {
-				d.f.Hear("10.0.0.2", &belt.Frame{Ask: &good})
+				d.f.Hear("10.0.0.2", &rpc.Frame{Ask: &good})
 			}
 			d.run(200 * time.Millisecond)
 			require.Len(t, d.f.state.Hosts, 1)
 			require.EqualValues(t, 1, d.f.Beats.Load())
 			require.Len(t, d.sent, 1)
-			require.Equal(t, belt.Answer{Mark: good.Mark, By: "10.0.0.1", Status: 200, Body: d.sent[0].Answer.Body}, *d.sent[0].Answer)
+			require.Equal(t, rpc.Answer{Mark: good.Mark, By: "10.0.0.1", Status: 200, Body: d.sent[0].Answer.Body}, *d.sent[0].Answer)
 			require.EqualValues(t, 2, d.f.counts()["asks_repeated"])
 		})
 	}
@@ -394,9 +394,9 @@
 
 // A message of the log counts from where its sender is.
 func TestAMessageOfTheLogCountsOnlyFromItsSender(t *testing.T) {
-	for from, leads := range map[string]ratchet.ID{"10.0.0.2": "10.0.0.2", "10.0.0.3": "", "10.9.9.9": ""} {
+	for from, leads := range map[string]consensus.ID{"10.0.0.2": "10.0.0.2", "10.0.0.3": "", "10.9.9.9": ""} {
 		d := newDesk("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
-		d.f.Hear(from, &belt.Frame{Core: &ratchet.Message{Kind: ratchet.Heartbeat, From: "10.0.0.2", To: "10.0.0.1", View: 4, Sent: 1}})
+		d.f.Hear(from, &rpc.Frame{Core: &consensus.Message{Kind: consensus.Heartbeat, From: "10.0.0.2", To: "10.0.0.1", View: 4, Sent: 1}})
 		require.Equal(t, leads, d.f.core.Leader(), "from %s", from)
 		require.EqualValues(t, map[bool]int64{true: 1}[leads == ""], d.f.counts()["messages_of_another"])
 	}
@@ -436,7 +436,7 @@
 // The window against a set: what comes in any order counts once, and what is far behind does not count.
 func TestAWindowTakesEachSerialOnce(t *testing.T) {
 	for seed := range 200 {
-		w := stage.New(uint64(seed), 0, 1)
+		w := scheduler.New(uint64(seed), 0, 1)
 		var win window
 		seen, newest := map[uint64]bool{}, uint64(0)
 		for range 500 {
--- a/internal/forge/calls.go
+++ b/internal/control/calls.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"strings"
 	"time"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/ratchet"
-	"ferrypitch/internal/telltale"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/eventloop"
 )
 
 // call is one of an operator or a host, here or passed on by another member.
@@ -65,20 +65,20 @@
 	f.Calls.Add(1)
 	c, _, ok := find(r.Method, r.URL.Path)
 	if !ok {
-		tell(w, telltale.NoCall, "")
+		tell(w, errcode.NoCall, "")
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, c.Most+1))
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded): // this process may have stood still meanwhile: that is no judgement on the call
-		tell(w, telltale.NoLeader, "it did not come in time")
+		tell(w, errcode.NoLeader, "it did not come in time")
 		return
 	case err != nil:
-		tell(w, telltale.BadBody, "it did not come whole")
+		tell(w, errcode.BadBody, "it did not come whole")
 		return
 	}
 	if int64(len(body)) > c.Most {
-		tell(w, telltale.LongBody, "over "+strconv.FormatInt(c.Most, 10)+" bytes")
+		tell(w, errcode.LongBody, "over "+strconv.FormatInt(c.Most, 10)+" bytes")
 		return
 	}
 	type answer struct {
@@ -87,7 +87,7 @@
 	}
 	done := make(chan answer, 1)
 	in := call{r.Method, r.URL.Path, r.Header.Get("X-Base-Version"), body}
-	if !f.queue.Put(arbor.Commands, func() {
+	if !f.queue.Put(eventloop.Commands, func() {
 		f.handle(in, true, func(status int, body []byte) {
 			select {
 			case done <- answer{status, body}:
@@ -95,7 +95,7 @@
 			}
 		})
 	}) {
-		tell(w, telltale.NoLeader, "this member ends")
+		tell(w, errcode.NoLeader, "this member ends")
 		return
 	}
 	timer := time.NewTimer(c.Within)
@@ -109,7 +109,7 @@
 		w.WriteHeader(a.status)
 		w.Write(a.body)
 	case <-timer.C:
-		tell(w, telltale.NoLeader, "no clear answer in time")
+		tell(w, errcode.NoLeader, "no clear answer in time")
 	case <-f.ctx.Done():
 	}
 }
@@ -125,20 +125,20 @@
 	leader := f.core.Heard(f.clock.Now())
 	switch {
 	case !ok:
-		refuse(answer, telltale.NoCall, nil)
+		refuse(answer, errcode.NoCall, nil)
 	case int64(len(in.body)) > c.Most:
-		refuse(answer, telltale.LongBody, nil)
+		refuse(answer, errcode.LongBody, nil)
 	case f.leads && f.core.Holds(f.clock.Now()) || c.Path == status.Path:
 		c.Handle(f, id, in, answer)
 	case pass && leader != "" && leader != f.id:
 		f.passOn(leader, in, c.Within.Milliseconds(), answer)
 	default:
-		refuse(answer, telltale.NoLeader, nil)
+		refuse(answer, errcode.NoLeader, nil)
 	}
 }
 
 // refuse answers by a kind, with more on it.
-func refuse(answer func(int, []byte), kind telltale.Kind, more error) {
+func refuse(answer func(int, []byte), kind errcode.Kind, more error) {
 	text := kind.Text()
 	if more != nil {
 		text = more.Error()
@@ -147,7 +147,7 @@
 	answer(kind.Status(), append(b, '\n'))
 }
 
-func tell(w http.ResponseWriter, kind telltale.Kind, more string) {
+func tell(w http.ResponseWriter, kind errcode.Kind, more string) {
 	var why error
 	if more != "" {
 		why = errors.New(kind.Text() + ": " + more)
@@ -166,28 +166,28 @@
 }
 
 // kindOf is why a change was not made.
-func kindOf(err error) telltale.Kind {
+func kindOf(err error) errcode.Kind {
 	switch {
-	case errors.Is(err, rack.ErrOther):
-		return telltale.OtherBase
-	case errors.Is(err, rack.ErrInvalid):
-		return telltale.BadBody
-	case errors.Is(err, rack.ErrUnknown):
-		return telltale.NotKnown
+	case errors.Is(err, statemachine.ErrOther):
+		return errcode.OtherBase
+	case errors.Is(err, statemachine.ErrInvalid):
+		return errcode.BadBody
+	case errors.Is(err, statemachine.ErrUnknown):
+		return errcode.NotKnown
 	}
-	return telltale.NoLeader
+	return errcode.NoLeader
 }
 
 // Status is what a member shows of itself, whether it leads or not.
 type Status struct {
-	Standing ratchet.Standing
+	Standing consensus.Standing
 	Version  int64
 	Hosts    int
 	Routers  int // that hold leases, where it leads
-	Leads    map[string]rack.Lead
-	Moves    map[string]hoist.Move // where it leads
-	Owed     []rack.Host           // that left, and whose logs are not known to be elsewhere
-	Missing  []string              // hosts that fail-over need not ask
+	Leads    map[string]statemachine.Lead
+	Moves    map[string]failover.Move // where it leads
+	Owed     []statemachine.Host      // that left, and whose logs are not known to be elsewhere
+	Missing  []string                 // hosts that fail-over need not ask
 	Counts   map[string]int64
 }
 
--- /dev/null
+++ b/internal/control/capacity_test.go
@@ -0,0 +1,125 @@
+package control
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/simulation/statesize"
+)
+
+// sole is a member that leads alone and holds a state, with all its routers linked and all hosts heard. What it sends is
+// counted, and not encoded: internal/rpc has the price of a frame.
+type sole struct {
+	*Forge
+	frames  int
+	routers []*Router
+	pending []consensus.Write
+}
+
+func newSole(b *testing.B, e statesize.Extent) *sole {
+	plate := &settings.Plate{Node: "core-waco-hall-0", Ip: "10.1.0.11", Zone: "waco-hall", BeatMs: 1200}
+	plate.Listen.Control = "10.1.0.11:8782"
+	id := storage.Identity{ID: "10.1.0.11", Founders: []consensus.ID{"10.1.0.11"}}
+	f, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteady(time.Now), id, consensus.Restored{}, func() float64 { return 0 }, 1)
+	if err != nil {
+		b.Fatal(err)
+	}
+	s := &sole{Forge: f}
+	f.Wire(Reach{Send: func(string, *rpc.Frame) {}, Ask: func(failover.Question, statemachine.Host) {}, Promote: func(failover.Promotion) {},
+		Store: func(w []consensus.Write) { s.pending = append(s.pending, w...) }})
+	for !f.leads {
+		f.Tick()
+		s.store()
+		time.Sleep(5 * time.Millisecond)
+	}
+	index := f.state.Index
+	f.state = e.State()
+	f.state.Index = index
+	for n := range e.Hosts() {
+		f.hoist.Beat(statesize.Host(n).ID, n%3 == 0, f.clock.Now()+1<<40) // none falls silent while it is measured
+	}
+	for n := range e.Routers {
+		hello := &rpc.Hello{Node: statesize.Router(n), Life: 1, Zone: "waco-hall", From: index}
+		s.routers = append(s.routers, f.Meet(hello, fmt.Sprintf("10.1.%d.%d", n/250, 1+n%250),
+			func(*rpc.Frame) bool { s.frames++; return true }, func() {}))
+	}
+	return s
+}
+
+// store has what was written be on disk.
+func (s *sole) store() {
+	for len(s.pending) > 0 {
+		seq := s.pending[len(s.pending)-1].Seq
+		s.pending = nil
+		s.Saved(seq)
+	}
+}
+
+func sizes(b *testing.B, run func(b *testing.B, s *sole, e statesize.Extent)) {
+	for _, e := range statesize.All {
+		b.Run(e.String(), func(b *testing.B) {
+			s := newSole(b, e)
+			s.frames = 0
+			run(b, s, e)
+			b.ReportMetric(float64(s.frames)/float64(b.N), "frames/op")
+		})
+	}
+}
+
+// One renewal of a lease, as the owner of the state takes it in.
+func BenchmarkRenewal(b *testing.B) {
+	sizes(b, func(b *testing.B, s *sole, e statesize.Extent) {
+		for b.Loop() {
+			s.Said(s.routers[7], &rpc.Frame{Renew: &rpc.Renew{Serial: 1, Applied: s.state.Index, Sessions: 100}})
+		}
+	})
+}
+
+// One beat of a host that tells nothing new.
+func BenchmarkBeat(b *testing.B) {
+	sizes(b, func(b *testing.B, s *sole, e statesize.Extent) {
+		h := statesize.Host(10)
+		body := fmt.Appendf(nil, `{"Service":%q,"Address":%q,"Zone":%q,"Generation":%q,"Capacity":7,"State":"serving","DbRole":"replica","CallSeq":1}`,
+			h.Service, h.Address, h.Zone, h.Generation)
+		for b.Loop() {
+			s.Take(http.MethodPost, heartbeat.Path+h.ID, "", body, func(status int, b2 []byte) {
+				if status != http.StatusOK {
+					b.Fatal(status, string(b2))
+				}
+			})
+		}
+	})
+}
+
+// One change, from its proposal to a frame in each router's queue.
+func BenchmarkChange(b *testing.B) {
+	sizes(b, func(b *testing.B, s *sole, e statesize.Extent) {
+		term := uint64(1)
+		for b.Loop() {
+			term++
+			s.propose(statemachine.Change{Lead: &statemachine.NewLead{Service: statesize.Service(3), Host: statesize.Host(9).ID, Term: term}}, func(error) {})
+			s.store()
+		}
+	})
+}
+
+// A router that has nothing is greeted with a snapshot.
+func BenchmarkGreet(b *testing.B) {
+	sizes(b, func(b *testing.B, s *sole, e statesize.Extent) {
+		for b.Loop() {
+			r := s.Meet(&rpc.Hello{Node: statesize.Router(7), Life: 1, Zone: "waco-hall"}, "10.1.0.8", func(*rpc.Frame) bool { s.frames++; return true }, func() {})
+			s.Parted(r)
+		}
+	})
+}
--- a/internal/ratchet/capacity_test.go
+++ b/internal/control/consensus/capacity_test.go
@@ -1,4 +1,4 @@
-package ratchet
+package consensus
 
 import (
 	"fmt"
--- a/internal/ratchet/doc.go
+++ b/internal/control/consensus/doc.go
@@ -1,4 +1,4 @@
-// Package ratchet (a wheel that turns one way only) is the ordered log of the control plane: all members of a view
+// Package consensus is the ordered log of the control plane: all members of a view
 // deliver changes in one order; a change of view stops, trims and goes on.
 //
 //	Propose, Step (a member's message), Tick, Saved  ->  Core  ->  Out: what to put on disk, send and deliver
@@ -10,4 +10,4 @@
 // been delivered. A leader holds its view for as long as a majority has promised to take part in no other.
 //
 // Pure: the caller brings time in milliseconds of a steady clock, messages, and word that a write is on disk.
-package ratchet
+package consensus
--- a/internal/ratchet/ratchet_test.go
+++ b/internal/control/consensus/node_test.go
@@ -1,4 +1,4 @@
-package ratchet
+package consensus
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/lab/stage"
+	"ferrypitch/internal/simulation/scheduler"
 )
 
 var seeds = flag.Int("seeds", 1000, "worlds to play")
@@ -19,7 +19,7 @@
 // step it asserts: all deliver the same in one order, no two members hold a view at once, and in the end nothing that
 // was acknowledged is gone.
 type world struct {
-	*stage.Stage
+	*scheduler.Stage
 	size, lost int
 	members    []*member
 	order      []string // what was delivered in each place, by whoever was first
@@ -51,7 +51,7 @@
 }
 
 func newWorld(seed uint64, size, lost int) *world {
-	w := &world{Stage: stage.New(seed, 1<<30, 1), size: size, lost: lost, order: []string{""}}
+	w := &world{Stage: scheduler.New(seed, 1<<30, 1), size: size, lost: lost, order: []string{""}}
 	var founders []ID
 	for i := range size {
 		founders = append(founders, ID(fmt.Sprintf("m%d", i)))
--- a/internal/ratchet/snapshot_test.go
+++ b/internal/control/consensus/snapshot_test.go
@@ -1,4 +1,4 @@
-package ratchet
+package consensus
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"github.com/zeebo/blake3"
 
-	"ferrypitch/internal/lab/stage"
+	"ferrypitch/internal/simulation/scheduler"
 )
 
 // mangled has messages lost, doubled and reordered, and parts of snapshots changed on their way.
@@ -313,7 +313,7 @@
 	old := m.disk
 	old.Entries = slices.Clone(old.Entries)
 	w.Play(3000)
-	w.Stage = stage.New(5, w.Now, 1) // nothing is proposed any more
+	w.Stage = scheduler.New(5, w.Now, 1) // nothing is proposed any more
 	m.crash(true)
 	m.disk = old
 	for _, o := range w.members {
--- a/internal/forge/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"encoding/json"
@@ -14,15 +14,15 @@
 	"github.com/stretchr/testify/require"
 	"github.com/zeebo/blake3"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/drawer"
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/lab/stage"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/ratchet"
-	"ferrypitch/internal/vise"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/lease"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/simulation/scheduler"
 )
 
 var cutSeeds = flag.Int("cutseeds", 100, "worlds of members that are cut off")
@@ -32,7 +32,7 @@
 // where no answer comes, and read; and routers that ask for leases. Faults come with no budget: whatever is lost, at
 // most one member holds, no answer, refusal or confirmation is wrong, and no lease outlives its account.
 type cutWorld struct {
-	*stage.Stage
+	*scheduler.Stage
 	members   []*cutMember
 	routers   []*cutRouter
 	operators []*cutOperator
@@ -66,9 +66,9 @@
 	life    int
 	rate    float64
 	began   int64
-	id      drawer.Identity
-	disk    ratchet.Restored
-	queue   []ratchet.Write
+	id      storage.Identity
+	disk    consensus.Restored
+	queue   []consensus.Write
 	seen    uint64 // the index that was looked at last
 	pending []func()
 	cut     map[string]string // to whom nothing gets, and how: silent or late
@@ -76,13 +76,13 @@
 }
 
 func newCutWorld(seed uint64, size, routers int, drift float64, out string) *cutWorld {
-	w := &cutWorld{Stage: stage.New(seed, 1<<30, 1), drift: drift, out: out, chain: []link{{known: 1}}}
-	var founders []ratchet.ID
+	w := &cutWorld{Stage: scheduler.New(seed, 1<<30, 1), drift: drift, out: out, chain: []link{{known: 1}}}
+	var founders []consensus.ID
 	for i := range size {
-		founders = append(founders, ratchet.ID(fmt.Sprintf("10.0.0.%d", i+1)))
+		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
 	}
 	for i := range size {
-		m := &cutMember{w: w, ip: string(founders[i]), id: drawer.Identity{ID: founders[i], Founders: founders}, cut: map[string]string{}}
+		m := &cutMember{w: w, ip: string(founders[i]), id: storage.Identity{ID: founders[i], Founders: founders}, cut: map[string]string{}}
 		w.members = append(w.members, m)
 	}
 	for _, m := range w.members {
@@ -108,7 +108,7 @@
 	m.life++
 	m.up, m.frozen, m.pending, m.queue, m.ties = true, false, nil, nil, map[*cutTie]bool{}
 	m.rate, m.began, m.seen = w.rate(), w.Now, 0
-	plate := &nameplate.Plate{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
+	plate := &settings.Plate{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
 	plate.FaultBudget.Machines = len(w.members) / 2
 	plate.Listen.Control = m.ip + ":8080"
 	for _, o := range w.members[:3] {
@@ -116,7 +116,7 @@
 	}
 	kept := m.disk
 	kept.Entries = slices.Clone(kept.Entries)
-	f, err := New(plate, hclog.NewNullLogger(), arbor.NewSteady(m.time), m.id, kept, w.Chance.Float64, uint64(m.life))
+	f, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteady(m.time), m.id, kept, w.Chance.Float64, uint64(m.life))
 	if err != nil {
 		panic(err)
 	}
@@ -124,9 +124,9 @@
 	m.f = f
 	f.Wire(Reach{
 		Send:    m.send,
-		Store:   func(x []ratchet.Write) { m.store(life, x) },
-		Ask:     func(hoist.Question, rack.Host) {},
-		Promote: func(hoist.Promotion) {},
+		Store:   func(x []consensus.Write) { m.store(life, x) },
+		Ask:     func(failover.Question, statemachine.Host) {},
+		Promote: func(failover.Promotion) {},
 	})
 	m.tick(life)
 }
@@ -161,7 +161,7 @@
 	})
 }
 
-func (m *cutMember) send(ip string, f *belt.Frame) {
+func (m *cutMember) send(ip string, f *rpc.Frame) {
 	w := m.w
 	for _, to := range w.members {
 		if to.ip == ip && to != m {
@@ -170,7 +170,7 @@
 	}
 }
 
-func (w *cutWorld) deliver(m, to *cutMember, f *belt.Frame) {
+func (w *cutWorld) deliver(m, to *cutMember, f *rpc.Frame) {
 	how := m.cut[to.ip]
 	took := w.Between(1, 4)
 	if !w.calm && w.Odds(60) {
@@ -182,11 +182,11 @@
 	bring := func() {
 		if f.Core != nil && w.out != "" {
 			msg := *f.Core
-			f = &belt.Frame{Core: &msg}
+			f = &rpc.Frame{Core: &msg}
 			switch {
-			case w.out == "sent" && msg.Kind == ratchet.HeartbeatReply: // counted from the answer
+			case w.out == "sent" && msg.Kind == consensus.HeartbeatReply: // counted from the answer
 				f.Core.Sent = 1 << 60
-			case w.out == "lease" && msg.Kind == ratchet.VoteRequest:
+			case w.out == "lease" && msg.Kind == consensus.VoteRequest:
 				f.Core.Transferred = true
 			}
 		}
@@ -201,7 +201,7 @@
 	}
 }
 
-func (m *cutMember) store(life int, x []ratchet.Write) {
+func (m *cutMember) store(life int, x []consensus.Write) {
 	w := m.w
 	m.queue = append(m.queue, x...)
 	seq := x[len(x)-1].Seq
@@ -474,8 +474,8 @@
 	name    string
 	rate    float64
 	life    uint64
-	screw   vise.Screw
-	state   *rack.State
+	screw   lease.Screw
+	state   *statemachine.State
 	applied uint64
 	tie     *cutTie
 	turn    int
@@ -484,7 +484,7 @@
 
 func (r *cutRouter) start() {
 	r.life++
-	r.screw, r.state, r.applied, r.cut = vise.Screw{}, &rack.State{}, 0, map[string]bool{}
+	r.screw, r.state, r.applied, r.cut = lease.Screw{}, &statemachine.State{}, 0, map[string]bool{}
 	r.seek(r.life)
 }
 
@@ -522,12 +522,12 @@
 		return
 	}
 	m.ties[t] = true
-	hello := &belt.Hello{Node: r.name, Life: r.life, Zone: "z", From: r.applied}
+	hello := &rpc.Hello{Node: r.name, Life: r.life, Zone: "z", From: r.applied}
 	t.toMember(func() { t.at = m.f.Meet(hello, r.name, t.send, func() { w.In(2, t.part) }) })
 	if w.Odds(10) && !w.calm { // the same once more, by a connection that was held up
 		life := m.life
 		w.In(w.Between(100, 20000), func() {
-			m.do(life, func() { m.f.Meet(hello, r.name, func(*belt.Frame) bool { return true }, func() {}) })
+			m.do(life, func() { m.f.Meet(hello, r.name, func(*rpc.Frame) bool { return true }, func() {}) })
 		})
 	}
 	t.deaf()
@@ -544,7 +544,7 @@
 	w.In(t.there-w.Now, func() { t.m.do(t.mlife, do) })
 }
 
-func (t *cutTie) send(f *belt.Frame) bool {
+func (t *cutTie) send(f *rpc.Frame) bool {
 	w := t.r.w
 	took := w.Between(1, 3)
 	if t.r.cut[t.m.ip] {
@@ -560,7 +560,7 @@
 	return true
 }
 
-func (t *cutTie) take(f *belt.Frame) {
+func (t *cutTie) take(f *rpc.Frame) {
 	w, r := t.r.w, t.r
 	t.heard = w.Now
 	switch {
@@ -570,7 +570,7 @@
 	case f.Welcome != nil:
 		t.renews()
 	case f.News != nil && f.News.Snapshot != nil:
-		s, err := rack.Restore(f.News.Snapshot)
+		s, err := statemachine.Restore(f.News.Snapshot)
 		if err != nil {
 			panic(err)
 		}
@@ -585,7 +585,7 @@
 		}
 		for i, b := range f.News.Entries {
 			if at := first + uint64(i); at > r.applied {
-				if c, err := rack.Decode(b); err == nil && len(b) > 0 {
+				if c, err := statemachine.Decode(b); err == nil && len(b) > 0 {
 					r.state.Apply(at, c)
 				}
 				r.applied = at
@@ -643,9 +643,9 @@
 		return
 	}
 	t.n++
-	n := &belt.Renew{Serial: t.n, Applied: t.r.applied}
+	n := &rpc.Renew{Serial: t.n, Applied: t.r.applied}
 	t.asked[t.n] = t.r.now()
-	t.toMember(func() { t.m.f.Said(t.at, &belt.Frame{Renew: n}) })
+	t.toMember(func() { t.m.f.Said(t.at, &rpc.Frame{Renew: n}) })
 	t.r.w.In(int64(300/t.r.rate), t.renews)
 }
 
@@ -765,7 +765,7 @@
 			continue
 		}
 		for _, m := range w.members {
-			if m.up && m.f.leads && !slices.ContainsFunc(m.f.state.Taken, func(t rack.Taken) bool { return t.Sum == l.sum }) && i > len(w.chain)-100 {
+			if m.up && m.f.leads && !slices.ContainsFunc(m.f.state.Taken, func(t statemachine.Taken) bool { return t.Sum == l.sum }) && i > len(w.chain)-100 {
 				w.Broke("LOST: %d was told and is gone", l.gen)
 			}
 		}
--- a/internal/hoist/callers_test.go
+++ b/internal/control/failover/callers_test.go
@@ -1,4 +1,4 @@
-package hoist
+package failover
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/scribe"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/wire"
 )
 
 // A member leads anew, and asks the same questions under the same numbers as in its last lead: what was on its way from
@@ -27,7 +27,7 @@
 				b.replies[i].at += gap
 			}
 			old += before
-			b.h = New("anvil", 2, 1200, b.now)
+			b.h = New("control", 2, 1200, b.now)
 			b.h.Suspect("r0", "db", "h0", b.now)
 			b.run(gap + patience + 20)
 			if b.h.serial >= asked && asked > 0 {
@@ -125,7 +125,7 @@
 				if !a.Leader || id != lead.Host || lead.Moving && b.clear(lead.At) {
 					continue
 				}
-				a.Received = scribe.Position{Term: a.Term, Number: a.Received.Number + 1}
+				a.Received = wire.Position{Term: a.Term, Number: a.Received.Number + 1}
 				for n, other := range []string{"h0", "h1", "h2"} { // one that receives is enough; each is behind for spells
 					if b.now >= spells[n] && chance.IntN(30) == 0 {
 						spells[n] = b.now + 30 + chance.Int64N(400)
@@ -170,15 +170,15 @@
 				play(chance.Int64N(1500))
 			}
 			if chance.IntN(3) == 0 {
-				b.h = New("anvil", b.h.view+1, 1200, b.now) // another takes the duty over
+				b.h = New("control", b.h.view+1, 1200, b.now) // another takes the duty over
 			}
 			host := b.state.Hosts[from]
 			host.Draining = true
-			b.apply(rack.Change{Enter: &host})
+			b.apply(statemachine.Change{Enter: &host})
 			for until := b.now + 25000; b.now < until && b.state.Leads["db"].Host == from; {
 				step()
 				if chance.IntN(300) == 0 {
-					b.h = New("anvil", b.h.view+1, 1200, b.now)
+					b.h = New("control", b.h.view+1, 1200, b.now)
 				}
 			}
 			if b.state.Leads["db"].Host != from {
--- a/internal/hoist/calls.go
+++ b/internal/control/failover/calls.go
@@ -1,8 +1,8 @@
-package hoist
+package failover
 
 import (
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/scribe"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/wire"
 )
 
 // Verb is a question to a host.
@@ -34,8 +34,8 @@
 	To      Question
 	Refused bool // nothing listens there
 	Silent  bool // no answer in time, or one that broke off
-	Code    scribe.Code
-	Status  scribe.Status
+	Code    wire.Code
+	Status  wire.Status
 }
 
 // Promotion is a call to the platform. No two are equal.
@@ -160,16 +160,16 @@
 }
 
 // answered gives a host's row if it is of this verb and no older than a while.
-func (s *service) answered(host string, v Verb, since int64) (scribe.Status, bool) {
+func (s *service) answered(host string, v Verb, since int64) (wire.Status, bool) {
 	r, ok := s.rows[host]
 	if !ok || r.verb != v || r.sent < since || r.reply.Refused || r.reply.Silent || r.reply.Code != "" {
-		return scribe.Status{}, false
+		return wire.Status{}, false
 	}
 	return r.reply.Status, true
 }
 
 // look asks the host that was named to the platform whether it leads by now.
-func (h *Hoist) look(do *Todo, state *rack.State, s *service, now int64) {
+func (h *Hoist) look(do *Todo, state *statemachine.State, s *service, now int64) {
 	if r, ok := s.rows[s.called]; ok && r.sent >= s.calledAt && (r.reply.Silent || r.reply.Refused) {
 		s.gaveNone = true
 	}
@@ -180,7 +180,7 @@
 	h.ask(do, s, s.called, Stat, 0, every, now)
 }
 
-func (h *Hoist) call(do *Todo, s *service, lead rack.Lead, host string, now int64) {
+func (h *Hoist) call(do *Todo, s *service, lead statemachine.Lead, host string, now int64) {
 	if s.calling || s.proposed > 0 || s.calledAt > 0 && now < s.calledAt+renew && s.called == host {
 		return
 	}
--- a/internal/hoist/capacity_test.go
+++ b/internal/control/failover/capacity_test.go
@@ -1,19 +1,19 @@
-package hoist_test
+package failover_test
 
 import (
 	"testing"
 
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/lab/extent"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/simulation/statesize"
 )
 
 // A look at all services where nothing is wrong: at each beat, at each renewal of a lease and 20 times a second.
 func BenchmarkTick(b *testing.B) {
-	for _, e := range extent.All {
+	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) {
-			s, h := e.State(), hoist.New("anvil", 1, 1200, 0)
+			s, h := e.State(), failover.New("control", 1, 1200, 0)
 			for n := range e.Hosts() {
-				h.Beat(extent.Host(n).ID, n%3 == 0, 1)
+				h.Beat(statesize.Host(n).ID, n%3 == 0, 1)
 			}
 			for b.Loop() {
 				if do := h.Tick(s, func(uint64) bool { return true }, 2); len(do.Propose)+len(do.Questions) > 0 {
--- a/internal/hoist/hoist.go
+++ b/internal/control/failover/coordinator.go
@@ -1,4 +1,4 @@
-// Package hoist (it lifts a load into the place of another) decides on fail-over: when a service's primary is given up,
+// Package failover decides on fail-over: when a service's primary is given up,
 // which replica takes its place, and in which order all that is said. It acts for the member that leads the control
 // plane's view, and goes on where another left off by what the ordered log says.
 //
@@ -10,12 +10,12 @@
 // that it has not received; it is promoted while the old primary goes on; once it leads, Recall, STEPDOWN and Lead.
 //
 // Pure: the caller brings time in milliseconds.
-package hoist
+package failover
 
 import (
 	"slices"
 
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/control/statemachine"
 )
 
 // Times in milliseconds.
@@ -38,7 +38,7 @@
 
 // Todo is what a Tick asks for.
 type Todo struct {
-	Propose   []rack.Change
+	Propose   []statemachine.Change
 	Questions []Question
 	Promote   []Promotion
 }
@@ -108,7 +108,7 @@
 	return s
 }
 
-func (s *service) propose(do *Todo, c rack.Change, now int64) {
+func (s *service) propose(do *Todo, c statemachine.Change, now int64) {
 	if s.proposed == 0 || now > s.proposed+1000 {
 		s.proposed = now
 		do.Propose = append(do.Propose, c)
@@ -116,7 +116,7 @@
 }
 
 // Tick goes over all services. clear says whether no router acts any more on what the log said before an index.
-func (h *Hoist) Tick(state *rack.State, clear func(index uint64) bool, now int64) (do Todo) {
+func (h *Hoist) Tick(state *statemachine.State, clear func(index uint64) bool, now int64) (do Todo) {
 	names := map[string]bool{}
 	for _, host := range state.Hosts {
 		names[host.Service] = true
@@ -145,7 +145,7 @@
 	}
 }
 
-func (h *Hoist) tend(do *Todo, state *rack.State, s *service, clear func(uint64) bool, now int64) {
+func (h *Hoist) tend(do *Todo, state *statemachine.State, s *service, clear func(uint64) bool, now int64) {
 	lead, known := state.Leads[s.name]
 	members := state.Members(s.name)
 	switch {
@@ -167,7 +167,7 @@
 }
 
 // Active says whether any service is on the move or looked into.
-func (h *Hoist) Active(state *rack.State) bool {
+func (h *Hoist) Active(state *statemachine.State) bool {
 	for name, s := range h.services {
 		l := state.Leads[name]
 		if l.Moving || l.To != "" || len(s.suspect) > 0 || len(s.questions) > 0 || s.strikes > 0 {
--- a/internal/hoist/hoist_test.go
+++ b/internal/control/failover/coordinator_test.go
@@ -1,4 +1,4 @@
-package hoist
+package failover
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/scribe"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/wire"
 )
 
 // A table is one service's hosts as they answer, a platform, and the log, on a clock of its own. Chance plays no part:
@@ -16,7 +16,7 @@
 type table struct {
 	t       *testing.T
 	h       *Hoist
-	state   *rack.State
+	state   *statemachine.State
 	now     int64
 	index   uint64
 	hosts   map[string]*answers
@@ -32,7 +32,7 @@
 }
 
 type answers struct {
-	scribe.Status
+	wire.Status
 	up, dark bool
 	asked    []Verb
 }
@@ -43,18 +43,18 @@
 }
 
 func newTable(t *testing.T) *table {
-	b := &table{t: t, now: 1 << 20, state: &rack.State{}, hosts: map[string]*answers{}, outcome: func(int) Outcome { return Done }}
-	b.h = New("anvil", 1, 1200, b.now)
+	b := &table{t: t, now: 1 << 20, state: &statemachine.State{}, hosts: map[string]*answers{}, outcome: func(int) Outcome { return Done }}
+	b.h = New("control", 1, 1200, b.now)
 	for i := range 3 {
 		id := fmt.Sprintf("h%d", i)
-		b.hosts[id] = &answers{Status: scribe.Status{Leader: i == 0, Term: 4, Received: scribe.Position{Term: 4, Number: 100}}, up: true}
-		b.apply(rack.Change{Enter: &rack.Host{ID: id, Service: "db", Address: id}})
+		b.hosts[id] = &answers{Status: wire.Status{Leader: i == 0, Term: 4, Received: wire.Position{Term: 4, Number: 100}}, up: true}
+		b.apply(statemachine.Change{Enter: &statemachine.Host{ID: id, Service: "db", Address: id}})
 	}
-	b.apply(rack.Change{Lead: &rack.NewLead{Service: "db", Host: "h0", Term: 4}})
+	b.apply(statemachine.Change{Lead: &statemachine.NewLead{Service: "db", Host: "h0", Term: 4}})
 	return b
 }
 
-func (b *table) apply(c rack.Change) {
+func (b *table) apply(c statemachine.Change) {
 	b.index++
 	require.NoError(b.t, b.state.Apply(b.index, c))
 	b.h.AppliedAny()
@@ -287,7 +287,7 @@
 	b.run(1300)
 	host := b.state.Hosts["h0"]
 	host.Draining = true
-	b.apply(rack.Change{Enter: &host})
+	b.apply(statemachine.Change{Enter: &host})
 	b.run(300)
 	require.Len(t, b.calls, 1)
 	require.Zero(t, b.recalls, "the old one serves on until the successor leads")
--- a/internal/hoist/detection.go
+++ b/internal/control/failover/detection.go
@@ -1,7 +1,7 @@
-package hoist
+package failover
 
 import (
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/control/statemachine"
 )
 
 // Beat is what a host last said of itself.
@@ -54,18 +54,18 @@
 		h.ask(do, s, m, Stat, 0, again, now)
 	}
 	if best != "" {
-		s.propose(do, rack.Change{Lead: &rack.NewLead{Service: s.name, Host: best, Term: term}}, now)
+		s.propose(do, statemachine.Change{Lead: &statemachine.NewLead{Service: s.name, Host: best, Term: term}}, now)
 	}
 }
 
 // watch looks after a service that is led: is its primary there, and does it stay?
-func (h *Hoist) watch(do *Todo, state *rack.State, s *service, lead rack.Lead, members []string, now int64) {
+func (h *Hoist) watch(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, now int64) {
 	primary, there := state.Hosts[lead.Host]
 	s.settle()
 	if !there || h.lost(do, s, lead, now) {
 		h.Counts.Lost++
 		s.why = "lost"
-		s.propose(do, rack.Change{Recall: &rack.Recall{Service: s.name, Holder: h.self}}, now)
+		s.propose(do, statemachine.Change{Recall: &statemachine.Recall{Service: s.name, Holder: h.self}}, now)
 		return
 	}
 	for _, m := range members { // one that was promoted late leads now, whoever is said to
@@ -73,7 +73,7 @@
 			continue
 		}
 		if st, ok := s.answered(m, Stat, now-2*again); ok && st.Leader && st.Term > lead.Term && sane(st.Term, lead) {
-			s.propose(do, rack.Change{Recall: &rack.Recall{Service: s.name, Holder: h.self}}, now)
+			s.propose(do, statemachine.Change{Recall: &statemachine.Recall{Service: s.name, Holder: h.self}}, now)
 			return
 		}
 		h.ask(do, s, m, Stat, 0, 4*again, now)
@@ -87,7 +87,7 @@
 			h.Counts.Planned++
 			s.named = to
 			s.why = "drains"
-			s.propose(do, rack.Change{Named: &rack.Named{Service: s.name, Host: to, Holder: h.self}}, now)
+			s.propose(do, statemachine.Change{Named: &statemachine.Named{Service: s.name, Host: to, Holder: h.self}}, now)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 // missing finds replicas whose processes are gone, so that the loss of the primary need not wait for them: one that left,
 // and one whose machine has refused for a while. What it alone had received others must have since: another replica has
 // reached where the primary stood after that. A replica that is silent is never taken for gone.
-func (h *Hoist) missing(do *Todo, state *rack.State, s *service, lead rack.Lead, members []string, now int64) {
+func (h *Hoist) missing(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, now int64) {
 	for _, m := range state.OwedOf(s.name) {
 		if s.refuses[m] == 0 {
 			s.refuses[m] = now
@@ -123,7 +123,7 @@
 }
 
 // overtaken notes in the log that nothing is owed to a host that is gone, once another replica has all that it had.
-func (h *Hoist) overtaken(do *Todo, state *rack.State, s *service, lead rack.Lead, members []string, m string, now int64) {
+func (h *Hoist) overtaken(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, m string, now int64) {
 	since := s.refuses[m]
 	at, ok := s.answered(lead.Host, Stat, since)
 	if !ok {
@@ -142,7 +142,7 @@
 			h.Log(s.name, "a replica is gone, and others have all that it had", m)
 			h.Counts.Missing++
 			delete(s.refuses, m)
-			s.propose(do, rack.Change{Missing: m}, now)
+			s.propose(do, statemachine.Change{Missing: m}, now)
 			return
 		}
 		h.ask(do, s, o, Stat, 0, again, now)
@@ -151,7 +151,7 @@
 
 // lost says whether a primary is given up. Routers that can't reach it, or beats that stopped, have it asked; it is
 // lost once it gave no answer twice in a row.
-func (h *Hoist) lost(do *Todo, s *service, lead rack.Lead, now int64) bool {
+func (h *Hoist) lost(do *Todo, s *service, lead statemachine.Lead, now int64) bool {
 	if s.of != lead.Host {
 		s.of, s.strikes = lead.Host, 0
 		clear(s.suspect)
--- a/internal/hoist/holds.go
+++ b/internal/control/failover/holds.go
@@ -1,12 +1,12 @@
-package hoist
+package failover
 
 import (
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/control/statemachine"
 )
 
 // resume has the replicas that a move PAUSEd receive again; true once it need not be waited for. One that is not running
 // receives when it starts; one that gives no answer is asked on, and holds up a planned move for a while only.
-func (h *Hoist) resume(do *Todo, state *rack.State, s *service, lead rack.Lead, members []string, now int64) bool {
+func (h *Hoist) resume(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, now int64) bool {
 	if s.resuming != lead.At {
 		s.resuming, s.resumeAt = lead.At, now
 	}
@@ -29,7 +29,7 @@
 	}
 	if all {
 		h.Counts.Resumed++
-		s.propose(do, rack.Change{Resumed: s.name}, now)
+		s.propose(do, statemachine.Change{Resumed: s.name}, now)
 		return false
 	}
 	return now > s.resumeAt+handing
--- a/internal/hoist/planned.go
+++ b/internal/control/failover/planned.go
@@ -1,12 +1,12 @@
-package hoist
+package failover
 
 import (
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/scribe"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/wire"
 )
 
 // successor is the replica that takes over from a primary that leaves: one that stays, beats, and stands in order of id.
-func (h *Hoist) successor(state *rack.State, s *service, lead rack.Lead, members []string, now int64) string {
+func (h *Hoist) successor(state *statemachine.State, s *service, lead statemachine.Lead, members []string, now int64) string {
 	best := ""
 	for _, m := range members {
 		host := state.Hosts[m]
@@ -21,19 +21,19 @@
 }
 
 // handOver carries out a planned move up to the moment at which the successor leads.
-func (h *Hoist) handOver(do *Todo, state *rack.State, s *service, lead rack.Lead, members []string, now int64) {
+func (h *Hoist) handOver(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, now int64) {
 	if s.started == 0 {
 		s.started = now
 		h.Log(s.name, "a lead is handed over", lead.To)
 	}
-	recall := rack.Change{Recall: &rack.Recall{Service: s.name, Holder: h.self}}
+	recall := statemachine.Change{Recall: &statemachine.Recall{Service: s.name, Holder: h.self}}
 	to, there := state.Hosts[lead.To]
 	if h.lost(do, s, lead, now) || !there {
 		s.propose(do, recall, now) // what follows finds out where it had come to
 		return
 	}
 	if lead.Holder != h.self {
-		s.propose(do, rack.Change{Named: &rack.Named{Service: s.name, Host: lead.To, Holder: h.self}}, now)
+		s.propose(do, statemachine.Change{Named: &statemachine.Named{Service: s.name, Host: lead.To, Holder: h.self}}, now)
 		return
 	}
 	if st, ok := s.answered(lead.To, Stat, s.started); ok && st.Leader && st.Term > lead.Term || h.beats[lead.To].Leader && h.beats[lead.To].At >= s.started {
@@ -59,7 +59,7 @@
 	if r, ok := s.rows[lead.To]; ok && r.sent >= s.started && (r.reply.Refused || r.reply.Silent) { // another, if there is one
 		s.rejected[lead.To] = now
 		s.named = h.successor(state, s, lead, members, now)
-		s.propose(do, rack.Change{Named: &rack.Named{Service: s.name, Host: s.named, Holder: h.self}}, now)
+		s.propose(do, statemachine.Change{Named: &statemachine.Named{Service: s.name, Host: s.named, Holder: h.self}}, now)
 		return
 	}
 	h.attend(do, s, lead.To, now)
@@ -67,7 +67,7 @@
 		return // what the holder before this one said may run still
 	}
 	// Nothing is acknowledged that the successor has not received, from here on.
-	ready, most := true, scribe.Position{}
+	ready, most := true, wire.Position{}
 	for _, m := range members {
 		if m == lead.Host || m == lead.To {
 			continue
--- a/internal/hoist/unplanned.go
+++ b/internal/control/failover/unplanned.go
@@ -1,16 +1,16 @@
-package hoist
+package failover
 
 import (
 	"slices"
 
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/scribe"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/wire"
 )
 
 // move carries out a move whose lead was taken back.
-func (h *Hoist) move(do *Todo, state *rack.State, s *service, lead rack.Lead, members []string, clear func(uint64) bool, now int64) {
+func (h *Hoist) move(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, clear func(uint64) bool, now int64) {
 	if lead.Holder != h.self {
-		s.propose(do, rack.Change{Recall: &rack.Recall{Service: s.name, Holder: h.self}}, now)
+		s.propose(do, statemachine.Change{Recall: &statemachine.Recall{Service: s.name, Holder: h.self}}, now)
 		return
 	}
 	if s.started == 0 {
@@ -42,11 +42,11 @@
 		// acknowledged by the new one, since nobody was granted its lead.
 		if old, ok := s.answered(lead.Host, StepDown, s.started); !ok || old.Leader || !s.gaveNone || st.Received.Number >= old.Received.Number {
 			h.Log(s.name, "leads", to)
-			new := rack.NewLead{Service: s.name, Host: to, Term: st.Term}
+			new := statemachine.NewLead{Service: s.name, Host: to, Term: st.Term}
 			if s.called == to {
 				new.Took = max(1, s.rows[to].sent-s.calledAt)
 			}
-			s.propose(do, rack.Change{Lead: &new}, now)
+			s.propose(do, statemachine.Change{Lead: &new}, now)
 			return
 		}
 	}
@@ -80,8 +80,8 @@
 		oldKnown = false
 	}
 	s.lacking = nil
-	complete, best, most := true, "", scribe.Position{}
-	consider := func(m string, at scribe.Position) {
+	complete, best, most := true, "", wire.Position{}
+	consider := func(m string, at wire.Position) {
 		at.Term = min(at.Term, lead.Term) // nothing was acknowledged in a term that nobody was granted
 		// One that drains is taken only where no other has as much: what it alone received was acknowledged.
 		if best == "" || most.Before(at) || most == at && (state.Hosts[best].Draining && !state.Hosts[m].Draining || m == lead.To) {
@@ -124,17 +124,17 @@
 			return // an earlier holder may have called: whether that one leads is seen before another is named
 		}
 		s.named = best
-		s.propose(do, rack.Change{Named: &rack.Named{Service: s.name, Host: best, Holder: h.self}}, now)
+		s.propose(do, statemachine.Change{Named: &statemachine.Named{Service: s.name, Host: best, Holder: h.self}}, now)
 		return
 	}
 	h.call(do, s, lead, best, now)
 }
 
 // sane says that a term may follow a lead's. A host that tells of one beyond all reason is not believed.
-func sane(term uint64, lead rack.Lead) bool { return term < lead.Term+farOff }
+func sane(term uint64, lead statemachine.Lead) bool { return term < lead.Term+farOff }
 
 // leading is the host that was seen to lead in a term of at least so much, the greatest of all.
-func (s *service) leading(least uint64, members []string) (to string, at scribe.Status) {
+func (s *service) leading(least uint64, members []string) (to string, at wire.Status) {
 	for _, m := range members {
 		r, ok := s.rows[m]
 		if ok && r.sent >= s.started-2*settles && r.reply.Code == "" && !r.reply.Silent && !r.reply.Refused &&
@@ -155,7 +155,7 @@
 }
 
 // Moves are the services on the move, by name.
-func (h *Hoist) Moves(state *rack.State, now int64) map[string]Move {
+func (h *Hoist) Moves(state *statemachine.State, now int64) map[string]Move {
 	all := map[string]Move{}
 	for name, l := range state.Leads {
 		if s := h.services[name]; s != nil && (l.Moving || l.To != "") {
--- a/internal/forge/growth_test.go
+++ b/internal/control/growth_test.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/control/statemachine"
 )
 
 // BenchmarkGrowth tells what changes cost three members, by routes and changes: bytes that the one that leads sends, bytes
@@ -38,9 +38,9 @@
 					var before, after runtime.MemStats
 					runtime.GC()
 					runtime.ReadMemStats(&before)
-					var states []*rack.State
+					var states []*statemachine.State
 					for range 16 {
-						s, err := rack.Restore(snapshot)
+						s, err := statemachine.Restore(snapshot)
 						require.NoError(b, err)
 						states = append(states, s)
 					}
--- a/internal/forge/history_test.go
+++ b/internal/control/history_test.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/control/statemachine"
 )
 
 // The small model: one version after another, each built on the one before. It knows nothing of logs or members.
@@ -315,14 +315,14 @@
 		}
 	}
 	// What has no answer and was never taken need not be placed: it may never have had an effect.
-	known := map[rack.Identity]bool{}
+	known := map[statemachine.Identity]bool{}
 	for _, t := range l.f.state.Taken {
 		known[t.Identity] = true
 	}
 	judged := slices.DeleteFunc(slices.Clone(h.ops), func(op porcupine.Operation) bool {
 		o, isOrder := op.Input.(*order)
 		return isOrder && op.Output.(answer).status == 0 &&
-			!known[(&rack.Configure{Base: o.base, Amend: o.amend, Body: o.body()}).Identity()]
+			!known[(&statemachine.Configure{Base: o.base, Amend: o.amend, Body: o.body()}).Identity()]
 	})
 	switch porcupine.CheckOperationsTimeout(model, judged, 20*time.Second) {
 	case porcupine.Illegal:
--- a/internal/forge/tongs.go
+++ b/internal/control/host_client.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"bytes"
@@ -13,12 +13,12 @@
 	"syscall"
 	"time"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/detent"
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/scribe"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/retry"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/wire"
 )
 
 // tongs (they reach into the fire) ask hosts, each question on a connection that is kept for a short while.
@@ -80,22 +80,22 @@
 }
 
 // ask asks from a goroutine of its own and tells the owner how it ended.
-func (t *tongs) ask(q hoist.Question, host rack.Host) {
+func (t *tongs) ask(q failover.Question, host statemachine.Host) {
 	f := t.f
 	text := q.Verb.Text()
-	if q.Verb == hoist.Pause || q.Verb == hoist.StepDown {
+	if q.Verb == failover.Pause || q.Verb == failover.StepDown {
 		text += " " + strconv.FormatUint(q.Term, 10)
 	}
 	until := time.Now().Add(within) // from the decision on: a process that stood still since asks nothing
 	f.tasks.Go(func() error {
-		r := hoist.Reply{To: q}
+		r := failover.Reply{To: q}
 		h := t.take(q.Host)
 		a, err := t.answer(&h, host, q.Verb, text, until)
 		var code *codeError
 		switch {
 		case errors.As(err, &code):
 			r.Code = code.code
-			r.Refused = code.code == scribe.WrongNode // another uses its address: it is gone
+			r.Refused = code.code == wire.WrongNode // another uses its address: it is gone
 			r.Silent = !r.Refused
 		case err != nil:
 			r.Refused = errors.Is(err, syscall.ECONNREFUSED)
@@ -103,8 +103,8 @@
 		case a.Code != "":
 			r.Code = a.Code
 		default:
-			if r.Status, err = scribe.ReadStatus(a.Row); err != nil {
-				r.Code = scribe.Failed
+			if r.Status, err = wire.ReadStatus(a.Row); err != nil {
+				r.Code = wire.Failed
 			}
 		}
 		if err == nil && h != nil {
@@ -112,13 +112,13 @@
 		} else if h != nil {
 			h.conn.Close()
 		}
-		f.queue.Put(arbor.Outcomes, func() { f.Replied(r) })
+		f.queue.Put(eventloop.Outcomes, func() { f.Replied(r) })
 		return nil
 	})
 }
 
 // Replied takes in how a question to a host ended.
-func (f *Forge) Replied(r hoist.Reply) {
+func (f *Forge) Replied(r failover.Reply) {
 	if !f.leads || !f.hoist.Replied(r, f.clock.Now()) {
 		f.ignored(replyStray)
 		return
@@ -126,16 +126,16 @@
 	f.tend()
 }
 
-type codeError struct{ code scribe.Code }
+type codeError struct{ code wire.Code }
 
 func (e *codeError) Error() string { return string(e.code) }
 
 // verbs are what a verb is in the table of calls.
-var verbs = map[hoist.Verb]detent.Call{hoist.Stat: detent.Stat, hoist.Pause: detent.Pause, hoist.Resume: detent.Resume, hoist.StepDown: detent.StepDown}
+var verbs = map[failover.Verb]retry.Call{failover.Stat: retry.Stat, failover.Pause: retry.Pause, failover.Resume: retry.Resume, failover.StepDown: retry.StepDown}
 
 // answer asks on a connection that is kept, or on a new one where that has ended and the table of calls lets the question
 // be asked again.
-func (t *tongs) answer(h **held, host rack.Host, verb hoist.Verb, text string, until time.Time) (scribe.Answer, error) {
+func (t *tongs) answer(h **held, host statemachine.Host, verb failover.Verb, text string, until time.Time) (wire.Answer, error) {
 	if *h != nil {
 		a, moment, err := (*h).ask(text, until)
 		if err == nil {
@@ -144,18 +144,18 @@
 		(*h).conn.Close()
 		*h = nil
 		var timeout net.Error
-		if errors.As(err, &timeout) && timeout.Timeout() || detent.After(verbs[verb], moment) != detent.Again {
-			return scribe.Answer{}, err
+		if errors.As(err, &timeout) && timeout.Timeout() || retry.After(verbs[verb], moment) != retry.Again {
+			return wire.Answer{}, err
 		}
 	}
 	conn, err := t.dial(host.Address, time.Until(until))
 	if err != nil {
-		return scribe.Answer{}, err
+		return wire.Answer{}, err
 	}
 	n := &held{conn: conn}
 	conn.SetDeadline(until)
-	var a scribe.Answer
-	if _, err = conn.Write(scribe.AppendConnect(nil, host.Service, "anvil", host.ID)); err == nil {
+	var a wire.Answer
+	if _, err = conn.Write(wire.AppendConnect(nil, host.Service, "control", host.ID)); err == nil {
 		if a, err = n.next(); err == nil && a.Code != "" {
 			err = &codeError{a.Code}
 		}
@@ -174,14 +174,14 @@
 // reach opens a connection to a host. What it has not acknowledged in the time of a question is given up by the kernel, and
 // what has not gone out when the connection is closed, or this process ends, goes out no more.
 func (t *tongs) reach(address string, wait time.Duration) (net.Conn, error) {
-	c, err := belt.Dial(t.f.ctx, t.f.plate.Ip, address, wait)
+	c, err := rpc.Dial(t.f.ctx, t.f.plate.Ip, address, wait)
 	if err != nil {
 		return nil, err
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 		if raw, err := tcp.SyscallConn(); err == nil {
-			belt.Control(within)("", "", raw)
+			rpc.Control(within)("", "", raw)
 		}
 	}
 	return c, nil
@@ -190,17 +190,17 @@
 var errStale = errors.New("the connection that was kept has ended, or says what nobody asked")
 
 // ask asks one question, and says how far it was written.
-func (h *held) ask(text string, until time.Time) (a scribe.Answer, m detent.Moment, err error) {
+func (h *held) ask(text string, until time.Time) (a wire.Answer, m retry.Moment, err error) {
 	if len(h.in) > 0 || spoken(h.conn) {
-		return a, detent.Unsaid, errStale
+		return a, retry.Unsaid, errStale
 	}
 	h.conn.SetDeadline(until)
-	b := scribe.AppendQuery(nil, "-", text)
+	b := wire.AppendQuery(nil, "-", text)
 	n, err := h.conn.Write(b)
 	if err == nil {
 		a, err = h.next()
 	}
-	return a, detent.Wrote(n, len(b)), err
+	return a, retry.Wrote(n, len(b)), err
 }
 
 // spoken says that a connection at rest has ended, or that something came on it.
@@ -223,10 +223,10 @@
 }
 
 // next reads one answer.
-func (h *held) next() (a scribe.Answer, err error) {
+func (h *held) next() (a wire.Answer, err error) {
 	at := 0
 	for {
-		line, n, err := scribe.Line(h.in, at)
+		line, n, err := wire.Line(h.in, at)
 		if err != nil {
 			return a, err
 		}
@@ -253,20 +253,20 @@
 }
 
 // promote calls the platform, from a goroutine of its own.
-func (f *Forge) promote(p hoist.Promotion) {
+func (f *Forge) promote(p failover.Promotion) {
 	address := f.plate.Provider.Address
 	f.log.Info("a host is named to the platform", "service", p.Service, "host", p.Host, "fence", p.Fence)
 	ctx, end := context.WithTimeout(f.ctx, 900*time.Millisecond) // from the decision on
 	f.tasks.Go(func() error {
 		defer end()
 		o := f.call(ctx, address, p)
-		f.queue.Put(arbor.Outcomes, func() { f.Called(p, o) })
+		f.queue.Put(eventloop.Outcomes, func() { f.Called(p, o) })
 		return nil
 	})
 }
 
 // Called takes in how a call to the platform ended.
-func (f *Forge) Called(p hoist.Promotion, o hoist.Outcome) {
+func (f *Forge) Called(p failover.Promotion, o failover.Outcome) {
 	if !f.leads || !f.hoist.Called(p, o, f.clock.Now()) {
 		f.ignored(replyStray)
 		return
@@ -274,42 +274,42 @@
 	f.tend()
 }
 
-func (f *Forge) call(ctx context.Context, address string, p hoist.Promotion) hoist.Outcome {
+func (f *Forge) call(ctx context.Context, address string, p failover.Promotion) failover.Outcome {
 	body, _ := json.Marshal(map[string]string{"Service": p.Service, "Id": p.Host})
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/promotion", address), bytes.NewReader(body))
 	if err != nil {
-		return hoist.Later
+		return failover.Later
 	}
 	r.Header.Set("Content-Type", "application/json")
 	r.Header.Set("X-Duty-Holder", p.Holder)
 	r.Header.Set("X-Fence-Token", strconv.FormatUint(p.Fence, 10))
 	dialed := false
 	client := &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }, Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, to string) (net.Conn, error) {
-		c, err := belt.Dial(ctx, f.plate.Ip, to, 600*time.Millisecond)
+		c, err := rpc.Dial(ctx, f.plate.Ip, to, 600*time.Millisecond)
 		dialed = err == nil
 		return c, err
 	}}}
 	answer, err := client.Do(r)
 	if err != nil {
 		f.log.Info("the platform gave no clear answer", "error", err)
-		moment := detent.Said
+		moment := retry.Said
 		if !dialed {
-			moment = detent.Unsaid
+			moment = retry.Unsaid
 		}
-		if detent.After(detent.Promotion, moment) == detent.Again {
-			return hoist.Later
+		if retry.After(retry.Promotion, moment) == retry.Again {
+			return failover.Later
 		}
-		return hoist.Unclear
+		return failover.Unclear
 	}
 	answer.Body.Close()
 	f.log.Info("the platform answers", "status", answer.StatusCode, "host", p.Host)
 	switch {
 	case answer.StatusCode < 300:
-		return hoist.Done
+		return failover.Done
 	case answer.StatusCode == http.StatusConflict:
-		return hoist.Rejected
+		return failover.Rejected
 	case answer.StatusCode == http.StatusTooManyRequests || answer.StatusCode == http.StatusServiceUnavailable:
-		return hoist.Later
+		return failover.Later
 	}
-	return hoist.Unclear
+	return failover.Unclear
 }
--- a/internal/forge/tongs_test.go
+++ b/internal/control/host_client_test.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"errors"
@@ -12,9 +12,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/detent"
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/retry"
 )
 
 // socket plays one connection to a host: how much of a question is written, and what comes then.
@@ -75,7 +75,7 @@
 		"an answer that is no answer": {socket{writes: -1, comes: "MUMBLE\r\n"}, 2, 1},
 		"it said something by itself": {socket{writes: -1, comes: row, quiet: true}, 1, 1},
 	} {
-		for verb, want := range map[hoist.Verb]int{hoist.Stat: c.stat, hoist.Pause: c.rest, hoist.Resume: c.rest, hoist.StepDown: c.rest} {
+		for verb, want := range map[failover.Verb]int{failover.Stat: c.stat, failover.Pause: c.rest, failover.Resume: c.rest, failover.StepDown: c.rest} {
 			t.Run(name+" "+verb.Text(), func(t *testing.T) {
 				var said []string
 				kept := c.kept
@@ -87,7 +87,7 @@
 				fresh := &socket{said: &said, writes: -1, comes: idle, then: row}
 				dials := 0
 				tongs := &tongs{dial: func(string, time.Duration) (net.Conn, error) { dials++; return fresh, nil }}
-				a, err := tongs.answer(&h, rack.Host{ID: "h1", Service: "db", Address: "h1:1"}, verb, verb.Text(), time.Now().Add(within))
+				a, err := tongs.answer(&h, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, verb, verb.Text(), time.Now().Add(within))
 				require.Len(t, said, want)
 				if err != nil {
 					require.Zero(t, dials, "it was given up, and nothing else begun")
@@ -115,14 +115,14 @@
 		fresh := &socket{said: &said, writes: -1, comes: comes, fails: io.EOF}
 		tongs := &tongs{dial: func(string, time.Duration) (net.Conn, error) { return fresh, nil }}
 		var h *held
-		_, err := tongs.answer(&h, rack.Host{ID: "h1", Service: "db", Address: "h1:1"}, hoist.Pause, "PAUSE 4", time.Now().Add(within))
+		_, err := tongs.answer(&h, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, failover.Pause, "PAUSE 4", time.Now().Add(within))
 		require.ErrorContains(t, err, want)
 		require.Nil(t, h)
 		require.True(t, fresh.closed)
 	}
 	tongs := &tongs{dial: func(string, time.Duration) (net.Conn, error) { return nil, errors.New("refused") }}
 	var h *held
-	_, err := tongs.answer(&h, rack.Host{}, hoist.Pause, "PAUSE 4", time.Now().Add(within))
+	_, err := tongs.answer(&h, statemachine.Host{}, failover.Pause, "PAUSE 4", time.Now().Add(within))
 	require.Error(t, err)
 	require.Empty(t, said)
 }
@@ -149,7 +149,7 @@
 			require.Eventually(t, func() bool { return spoken(c) }, 5*time.Second, time.Millisecond)
 			_, m, err := (&held{conn: c}).ask("PAUSE 7", time.Now().Add(time.Second))
 			require.ErrorIs(t, err, errStale)
-			require.Equal(t, detent.Unsaid, m)
+			require.Equal(t, retry.Unsaid, m)
 		})
 	}
 }
--- a/internal/forge/hosts.go
+++ b/internal/control/hosts.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/telltale"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/errcode"
 )
 
 // The hosts' calls.
@@ -48,16 +48,16 @@
 	Handle: func(f *Forge, id string, c call, answer func(int, []byte)) {
 		var b Beat
 		if err := json.Unmarshal(c.body, &b); err != nil {
-			refuse(answer, telltale.BadBody, err)
+			refuse(answer, errcode.BadBody, err)
 			return
 		}
 		if err := b.check(id); err != nil {
-			refuse(answer, telltale.BadBody, err)
+			refuse(answer, errcode.BadBody, err)
 			return
 		}
 		f.Beats.Add(1)
 		taken := func(err error) {
-			if err != nil && !errors.Is(err, rack.ErrUnknown) { // one that has left may say so once more
+			if err != nil && !errors.Is(err, statemachine.ErrUnknown) { // one that has left may say so once more
 				refuse(answer, kindOf(err), err)
 				return
 			}
@@ -70,13 +70,13 @@
 			return
 		}
 		if known && (was.Address != b.Address || was.Service != b.Service) { // hosts don't move, and ids are not used again
-			refuse(answer, telltale.BadBody, fmt.Errorf("%s is known at %s, of %s", id, was.Address, was.Service))
+			refuse(answer, errcode.BadBody, fmt.Errorf("%s is known at %s, of %s", id, was.Address, was.Service))
 			return
 		}
 		f.seqs[id] = b.CallSeq
 		f.hoist.Beat(id, b.DbRole == "leader", f.clock.Now())
 		f.tend()
-		h := rack.Host{ID: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Generation: b.Generation,
+		h := statemachine.Host{ID: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Generation: b.Generation,
 			Capacity: int64(b.Capacity), Draining: b.State == "draining", Since: was.Since}
 		if known && was.Draining {
 			h.Draining = true
@@ -85,10 +85,10 @@
 		case known && h == was:
 			taken(nil)
 		case !known && len(f.state.Hosts) >= mostHosts:
-			refuse(answer, telltale.TooMany, nil)
+			refuse(answer, errcode.TooMany, nil)
 		default:
 			f.log.Info("a host", "id", id, "service", h.Service, "address", h.Address, "zone", h.Zone, "draining", h.Draining)
-			f.propose(rack.Change{Enter: &h}, taken)
+			f.propose(statemachine.Change{Enter: &h}, taken)
 		}
 	}}
 
@@ -99,5 +99,5 @@
 			return
 		}
 		f.log.Info("a host leaves", "id", id)
-		f.propose(rack.Change{Leave: id}, func(err error) { f.answer(err, answer) })
+		f.propose(statemachine.Change{Leave: id}, func(err error) { f.answer(err, answer) })
 	}}
--- a/internal/forge/operators.go
+++ b/internal/control/operators.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strconv"
 	"time"
 
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/telltale"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/errcode"
 )
 
 // The operator's calls.
@@ -23,7 +23,7 @@
 
 // orders are those under way here, with all who wait for each.
 type orders struct {
-	waiting map[rack.Identity][]func(error)
+	waiting map[statemachine.Identity][]func(error)
 	bytes   int
 }
 
@@ -44,10 +44,10 @@
 func (f *Forge) configure(c call, amend bool, answer func(int, []byte)) {
 	base, err := c.version()
 	if err != nil {
-		refuse(answer, telltale.BadBody, err)
+		refuse(answer, errcode.BadBody, err)
 		return
 	}
-	change := &rack.Configure{Base: base, Amend: amend, Body: c.body}
+	change := &statemachine.Configure{Base: base, Amend: amend, Body: c.body}
 	id, told := change.Identity(), func(err error) { f.answer(err, answer) }
 	if others, underWay := f.orders.waiting[id]; underWay {
 		f.orders.waiting[id] = append(others, told)
@@ -59,15 +59,15 @@
 		told(err)
 		return
 	case f.orders.bytes+len(c.body) > mostUnderWay:
-		refuse(answer, telltale.TooMany, fmt.Errorf("orders of %d bytes are under way", f.orders.bytes))
+		refuse(answer, errcode.TooMany, fmt.Errorf("orders of %d bytes are under way", f.orders.bytes))
 		return
 	}
 	if f.orders.waiting == nil {
-		f.orders.waiting = map[rack.Identity][]func(error){}
+		f.orders.waiting = map[statemachine.Identity][]func(error){}
 	}
 	f.orders.waiting[id] = []func(error){told}
 	f.orders.bytes += len(c.body)
-	f.propose(rack.Change{Configure: f.state.Pack(change, plan)}, func(err error) {
+	f.propose(statemachine.Change{Configure: f.state.Pack(change, plan)}, func(err error) {
 		if err == nil {
 			f.log.Info("a configuration is taken", "version", plan.Generation, "routes", len(plan.Routes))
 		}
@@ -91,7 +91,7 @@
 var read = Call{Method: http.MethodGet, Path: "/Config.Read", Most: 0, Within: time.Second,
 	Handle: func(f *Forge, _ string, _ call, answer func(int, []byte)) {
 		if len(f.state.Config) == 0 {
-			refuse(answer, telltale.NotKnown, fmt.Errorf("no configuration yet"))
+			refuse(answer, errcode.NotKnown, fmt.Errorf("no configuration yet"))
 			return
 		}
 		answer(http.StatusOK, f.state.Config)
--- a/internal/forge/operators_test.go
+++ b/internal/control/operators_test.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"bytes"
--- a/internal/forge/passing.go
+++ b/internal/control/passing.go
@@ -1,12 +1,12 @@
-package forge
+package control
 
 import (
 	"maps"
 	"slices"
 
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/ratchet"
-	"ferrypitch/internal/telltale"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/rpc"
 )
 
 // Most that is on its way to the member that leads at once, and callers of whom it is remembered what they asked.
@@ -30,8 +30,8 @@
 
 // passed is a call that another member was asked to answer.
 type passed struct {
-	mark   belt.Mark
-	to     ratchet.ID
+	mark   rpc.Mark
+	to     consensus.ID
 	bytes  int
 	answer func(status int, body []byte)
 	until  int64
@@ -39,7 +39,7 @@
 
 // asker is a member in one life.
 type asker struct {
-	id   ratchet.ID
+	id   consensus.ID
 	life uint64
 }
 
@@ -72,18 +72,18 @@
 func (f *Forge) ignored(why stray) { f.Strays[why].Add(1) }
 
 // passOn asks the member that leads to answer a call, once: whoever calls comes again by itself.
-func (f *Forge) passOn(to ratchet.ID, in call, within int64, answer func(int, []byte)) {
+func (f *Forge) passOn(to consensus.ID, in call, within int64, answer func(int, []byte)) {
 	if len(f.passed) >= mostPassed || f.bytes+len(in.body) > mostPassedBytes {
 		f.ignored(askTooMany)
-		refuse(answer, telltale.NoLeader, nil)
+		refuse(answer, errcode.NoLeader, nil)
 		return
 	}
 	f.Passed.Add(1)
 	f.serial++
-	m := belt.Mark{From: f.id, Life: f.life, View: f.core.View(), Serial: f.serial}
+	m := rpc.Mark{From: f.id, Life: f.life, View: f.core.View(), Serial: f.serial}
 	f.passed[f.serial] = passed{m, to, len(in.body), answer, f.clock.Now() + within}
 	f.bytes += len(in.body)
-	f.reach.Send(to.Address(), &belt.Frame{Ask: &belt.Ask{Mark: m, To: to, Method: in.method, Path: in.path, Base: in.base, Body: in.body}})
+	f.reach.Send(to.Address(), &rpc.Frame{Ask: &rpc.Ask{Mark: m, To: to, Method: in.method, Path: in.path, Base: in.base, Body: in.body}})
 }
 
 // over forgets a call that is out.
@@ -100,12 +100,12 @@
 			continue
 		}
 		f.over(serial)
-		refuse(p.answer, telltale.NoLeader, nil)
+		refuse(p.answer, errcode.NoLeader, nil)
 	}
 }
 
 // answered takes in an answer.
-func (f *Forge) answered(from string, a *belt.Answer) {
+func (f *Forge) answered(from string, a *rpc.Answer) {
 	p, out := f.passed[a.Serial]
 	switch {
 	case a.From != f.id || a.Life != f.life:
@@ -125,16 +125,16 @@
 }
 
 // asked carries out a call that another member passes on.
-func (f *Forge) asked(from string, a *belt.Ask) {
+func (f *Forge) asked(from string, a *rpc.Ask) {
 	answer := func(status int, body []byte) {
-		f.reach.Send(from, &belt.Frame{Answer: &belt.Answer{Mark: a.Mark, By: f.id, Status: status, Body: body}})
+		f.reach.Send(from, &rpc.Frame{Answer: &rpc.Answer{Mark: a.Mark, By: f.id, Status: status, Body: body}})
 	}
 	switch {
 	case a.From.Address() != from || !f.knows(a.From):
 		f.ignored(askUnknown)
 	case a.To != f.id || a.View != f.core.View():
 		f.ignored(askElsewhere)
-		refuse(answer, telltale.NoLeader, nil) // its caller goes on to another at once
+		refuse(answer, errcode.NoLeader, nil) // its caller goes on to another at once
 	case !f.first(asker{a.From, a.Life}, a.Serial):
 		f.ignored(askTwice)
 	default:
@@ -143,7 +143,7 @@
 }
 
 // knows says whether a process may pass calls on: a member, one that learns, or one at an address of the settings.
-func (f *Forge) knows(id ratchet.ID) bool {
+func (f *Forge) knows(id consensus.ID) bool {
 	return slices.Contains(f.core.Members(), id) || slices.Contains(f.core.Standing(f.clock.Now()).Learners, id) ||
 		slices.Contains(f.plate.Seeds(), id.Address())
 }
--- a/internal/forge/routers.go
+++ b/internal/control/routers.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"cmp"
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
 )
 
 const quiet = 4 * time.Second // a connection that says nothing for so long is given up
@@ -19,8 +19,8 @@
 	life   uint64
 	serial uint64 // by when it came
 	remote string
-	index  uint64                 // sent up to here
-	send   func(*belt.Frame) bool // false: it does not read
+	index  uint64                // sent up to here
+	send   func(*rpc.Frame) bool // false: it does not read
 	shut   func()
 	over   bool
 
@@ -40,35 +40,35 @@
 }
 
 // put sends a frame; a router that does not read is left.
-func (r *Router) put(f *belt.Frame) {
+func (r *Router) put(f *rpc.Frame) {
 	if !r.over && !r.send(f) {
 		r.close()
 	}
 }
 
-func (r *Router) news(f *Forge, n *belt.News) {
+func (r *Router) news(f *Forge, n *rpc.News) {
 	if n.Snapshot == nil && r.index+uint64(len(n.Entries)) != n.Index {
 		r.catchUp(f)
 		return
 	}
 	r.index = n.Index
-	r.put(&belt.Frame{News: n})
+	r.put(&rpc.Frame{News: n})
 }
 
 // catchUp sends what is missing, or a snapshot.
 func (r *Router) catchUp(f *Forge) {
-	n := &belt.News{Members: f.members(), Index: f.state.Index}
+	n := &rpc.News{Members: f.members(), Index: f.state.Index}
 	if bodies, ok := f.core.Entries(r.index); ok && r.index > 0 && r.index <= f.state.Index {
 		n.Entries = bodies
 	} else {
 		n.Snapshot = f.state.Snapshot()
 	}
 	r.index = n.Index
-	r.put(&belt.Frame{News: n})
+	r.put(&rpc.Frame{News: n})
 }
 
 // accept takes a connection of a member or of a router.
-func (f *Forge) accept(c *belt.Conn) {
+func (f *Forge) accept(c *rpc.Conn) {
 	first, err := c.Receive(quiet)
 	if err != nil {
 		return
@@ -78,16 +78,16 @@
 		return
 	}
 	for frame := first; err == nil; frame, err = c.Receive(time.Hour) {
-		rank := arbor.Outcomes
+		rank := eventloop.Outcomes
 		if frame.Ask != nil {
-			rank = arbor.Commands
+			rank = eventloop.Commands
 		}
 		f.queue.Put(rank, func() { f.Hear(c.Remote(), frame) })
 	}
 }
 
 // Hear takes in a frame of another member, from the address that its connection came from.
-func (f *Forge) Hear(from string, frame *belt.Frame) {
+func (f *Forge) Hear(from string, frame *rpc.Frame) {
 	switch {
 	case frame.Core != nil && frame.Core.From.Address() != from:
 		f.ignored(messageAstray)
@@ -101,9 +101,9 @@
 }
 
 // serveRouter serves one until its connection ends.
-func (f *Forge) serveRouter(c *belt.Conn, h *belt.Hello) {
-	out, closed := make(chan *belt.Frame, 256), make(chan struct{})
-	send := func(frame *belt.Frame) bool {
+func (f *Forge) serveRouter(c *rpc.Conn, h *rpc.Hello) {
+	out, closed := make(chan *rpc.Frame, 256), make(chan struct{})
+	send := func(frame *rpc.Frame) bool {
 		select {
 		case out <- frame:
 			return true
@@ -113,7 +113,7 @@
 	}
 	taken := make(chan *Router, 1)
 	var r *Router
-	if !f.queue.Put(arbor.Lists, func() {
+	if !f.queue.Put(eventloop.Lists, func() {
 		taken <- f.Meet(h, c.Remote(), send, func() { close(closed); c.Close() })
 	}) {
 		return
@@ -141,16 +141,16 @@
 		if err != nil {
 			break
 		}
-		f.queue.Put(arbor.Lists, func() { f.Said(r, frame) })
+		f.queue.Put(eventloop.Lists, func() { f.Said(r, frame) })
 	}
-	f.queue.Put(arbor.Lists, func() { f.Parted(r) })
+	f.queue.Put(eventloop.Lists, func() { f.Parted(r) })
 }
 
 // Meet greets a router, and serves it if this member leads. send never waits.
-func (f *Forge) Meet(h *belt.Hello, remote string, send func(*belt.Frame) bool, shut func()) *Router {
+func (f *Forge) Meet(h *rpc.Hello, remote string, send func(*rpc.Frame) bool, shut func()) *Router {
 	f.met++
 	r := &Router{node: h.Node, life: h.Life, serial: f.met, remote: remote, index: h.From, send: send, shut: shut}
-	w := &belt.Welcome{Node: f.plate.Node, Leads: f.leads && f.core.Holds(f.clock.Now()), Members: f.members()}
+	w := &rpc.Welcome{Node: f.plate.Node, Leads: f.leads && f.core.Holds(f.clock.Now()), Members: f.members()}
 	if l := f.core.Heard(f.clock.Now()); l != "" && l != f.id {
 		w.Leader = l.Address()
 	}
@@ -159,7 +159,7 @@
 			w.Routers = append(w.Routers, other.remote)
 		}
 	}
-	r.put(&belt.Frame{Welcome: w})
+	r.put(&rpc.Frame{Welcome: w})
 	if w.Leads {
 		f.routers[r] = struct{}{}
 		f.jaw.Heard(h.Node, h.Life, h.From, f.clock.Now())
@@ -169,7 +169,7 @@
 }
 
 // Said takes in a router's frame.
-func (f *Forge) Said(r *Router, frame *belt.Frame) {
+func (f *Forge) Said(r *Router, frame *rpc.Frame) {
 	if _, served := f.routers[r]; !served {
 		return
 	}
@@ -191,12 +191,12 @@
 }
 
 // renew grants a lease, for as long as this member's view holds.
-func (f *Forge) renew(r *Router, n *belt.Renew) {
+func (f *Forge) renew(r *Router, n *rpc.Renew) {
 	now := f.clock.Now()
 	if _, known := f.state.Routers[r.node]; !known && f.leads {
 		if !r.entering { // the next member that leads is to know of it, before it holds a lease
 			r.entering = true
-			f.propose(rack.Change{Router: &rack.Router{Node: r.node}}, func(err error) {
+			f.propose(statemachine.Change{Router: &statemachine.Router{Node: r.node}}, func(err error) {
 				if r.entering = false; err == nil && !r.over {
 					f.renew(r, n)
 				}
@@ -204,7 +204,7 @@
 		}
 		return
 	}
-	l := &belt.Lease{Serial: n.Serial, Granted: f.leads && f.core.Holds(now), Index: f.state.Index}
+	l := &rpc.Lease{Serial: n.Serial, Granted: f.leads && f.core.Holds(now), Index: f.state.Index}
 	switch {
 	case l.Granted && !f.jaw.Renew(r.node, r.life, n.Applied, f.state.Recalled(), now):
 		f.LeasesHeld.Add(1) // it asks again once it has applied the news that is on its way
@@ -219,7 +219,7 @@
 			f.jaw.Heard(r.node, r.life, n.Applied, now)
 		}
 	}
-	r.put(&belt.Frame{Lease: l})
+	r.put(&rpc.Frame{Lease: l})
 	if f.leads {
 		f.tend()
 	}
--- a/internal/forge/forge.go
+++ b/internal/control/server.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"context"
@@ -16,45 +16,45 @@
 	"github.com/hashicorp/go-hclog"
 	"golang.org/x/sync/errgroup"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/drawer"
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/ratchet"
-	"ferrypitch/internal/vise"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/lease"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
 )
 
 // Forge is one member.
 type Forge struct {
-	plate *nameplate.Plate
+	plate *settings.Plate
 	log   hclog.Logger
-	clock arbor.Steady
-	queue *arbor.Queue
+	clock eventloop.Steady
+	queue *eventloop.Queue
 	ctx   context.Context
 	tasks *errgroup.Group
 
-	id      ratchet.ID
+	id      consensus.ID
 	reach   Reach
-	core    *ratchet.Core
-	drawer  *drawer.Drawer
-	disk    chan []ratchet.Write
-	state   *rack.State
-	jaw     *vise.Jaw
-	hoist   *hoist.Hoist
+	core    *consensus.Core
+	drawer  *storage.Drawer
+	disk    chan []consensus.Write
+	state   *statemachine.State
+	jaw     *lease.Jaw
+	hoist   *failover.Hoist
 	leads   bool // this member has begun to act as the one that leads
-	mesh    *belt.Mesh
+	mesh    *rpc.Mesh
 	routers map[*Router]struct{}
 	met     uint64            // routers, in this life
 	waiting map[uint64]waiter // proposals, by index
 	passing
 	seqs    map[string]int64 // the newest call of each host
 	ending  bool
-	astray  bool               // the state here is not the one that the log builds; it is restored from the leader's
-	endBy   int64              // the latest that its seat is waited for to be handed on
-	seats   []ratchet.ID       // the members as last logged
-	arrived []ratchet.Delivery // not applied yet
+	astray  bool                 // the state here is not the one that the log builds; it is restored from the leader's
+	endBy   int64                // the latest that its seat is waited for to be handed on
+	seats   []consensus.ID       // the members as last logged
+	arrived []consensus.Delivery // not applied yet
 
 	delivering bool
 
@@ -67,10 +67,10 @@
 // Reach is all that a member does outside itself; none of it waits. Run wires it to sockets and a disk, seeded worlds to
 // a network of their own.
 type Reach struct {
-	Send    func(ip string, f *belt.Frame)      // to another member, may be lost
-	Ask     func(q hoist.Question, h rack.Host) // of a host; ends in Replied
-	Promote func(p hoist.Promotion)             // the platform's; ends in Called
-	Store   func(w []ratchet.Write)             // in their order; ends in Saved
+	Send    func(ip string, f *rpc.Frame)                  // to another member, may be lost
+	Ask     func(q failover.Question, h statemachine.Host) // of a host; ends in Replied
+	Promote func(p failover.Promotion)                     // the platform's; ends in Called
+	Store   func(w []consensus.Write)                      // in their order; ends in Saved
 }
 
 // Counts are what a member did.
@@ -88,7 +88,7 @@
 		"promotions": f.Promotions.Load(), "views_led": f.Views.Load(), "disk_faults": f.DiskFaults.Load(),
 		"state_diverged": f.Diverged.Load(), "snapshots_begun": f.core.Transfers, "snapshots_installed": f.core.Installed,
 		"snapshot_parts_sent": f.core.PartsSent, "snapshot_parts_ignored": f.core.PartsIgnored, "log_messages_stray": f.core.Strays,
-		"link_bytes_sent": belt.Sent.Load(), "link_bytes_received": belt.Received.Load()}
+		"link_bytes_sent": rpc.Sent.Load(), "link_bytes_received": rpc.Received.Load()}
 	for why, name := range strayNames {
 		all[name] = f.Strays[why].Load()
 	}
@@ -112,7 +112,7 @@
 var errUnclear = errors.New("the view changed; whether it was taken is not known here")
 
 // Run lives until a signal to stop.
-func Run(plate *nameplate.Plate, signals, reload <-chan os.Signal, log hclog.Logger) error {
+func Run(plate *settings.Plate, signals, reload <-chan os.Signal, log hclog.Logger) error {
 	if plate.Listen.Control == "" {
 		return trace.BadParameter("Listen.Control: missing; this program serves the control plane")
 	}
@@ -127,20 +127,20 @@
 		return err
 	}
 	defer d.Close()
-	f, err := New(plate, log, arbor.NewSteady(time.Now), id, kept, rand.Float64, rand.Uint64())
+	f, err := New(plate, log, eventloop.NewSteady(time.Now), id, kept, rand.Float64, rand.Uint64())
 	if err != nil {
 		return err
 	}
-	f.ctx, f.tasks, f.drawer, f.disk = ctx, tasks, d, make(chan []ratchet.Write, 1024)
-	f.mesh = belt.NewMesh(ctx, plate.Ip)
+	f.ctx, f.tasks, f.drawer, f.disk = ctx, tasks, d, make(chan []consensus.Write, 1024)
+	f.mesh = rpc.NewMesh(ctx, plate.Ip)
 	tongs := newTongs(f)
 	f.Wire(Reach{
-		Send:    func(ip string, frame *belt.Frame) { f.mesh.Send(plate.Link(ip), frame) },
+		Send:    func(ip string, frame *rpc.Frame) { f.mesh.Send(plate.Link(ip), frame) },
 		Ask:     tongs.ask,
 		Promote: f.promote,
-		Store:   func(w []ratchet.Write) { f.disk <- w },
+		Store:   func(w []consensus.Write) { f.disk <- w },
 	})
-	wait, err := belt.Listen(ctx, plate.Link(plate.Ip), f.accept)
+	wait, err := rpc.Listen(ctx, plate.Link(plate.Ip), f.accept)
 	if err != nil {
 		return trace.Wrap(err, "PortRange")
 	}
@@ -162,30 +162,30 @@
 }
 
 // restore opens the disk, and says who this member is and what it held.
-func restore(p *nameplate.Plate) (*drawer.Drawer, drawer.Identity, ratchet.Restored, error) {
-	self := ratchet.ID(p.Ip)
-	var founders []ratchet.ID
+func restore(p *settings.Plate) (*storage.Drawer, storage.Identity, consensus.Restored, error) {
+	self := consensus.ID(p.Ip)
+	var founders []consensus.ID
 	for _, ip := range p.Seeds() {
-		founders = append(founders, ratchet.ID(ip))
+		founders = append(founders, consensus.ID(ip))
 	}
 	slices.Sort(founders)
-	return drawer.Open(p.DataDir, func() drawer.Identity {
+	return storage.Open(p.DataDir, func() storage.Identity {
 		if p.Bootstrap && slices.Contains(founders, self) {
-			return drawer.Identity{ID: self, Founders: founders}
+			return storage.Identity{ID: self, Founders: founders}
 		}
-		return drawer.Identity{ID: ratchet.ID(fmt.Sprintf("%s+%08x", p.Ip, rand.Uint32()))}
+		return storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%08x", p.Ip, rand.Uint32()))}
 	})
 }
 
 // New readies a member from what its disk held; Wire comes before its first call. All calls are its owner's. life is drawn
 // anew for each life of its process.
-func New(plate *nameplate.Plate, log hclog.Logger, clock arbor.Steady, id drawer.Identity, kept ratchet.Restored,
+func New(plate *settings.Plate, log hclog.Logger, clock eventloop.Steady, id storage.Identity, kept consensus.Restored,
 	chance func() float64, life uint64) (*Forge, error) {
-	f := &Forge{plate: plate, log: log, clock: clock, queue: arbor.NewQueue(512), routers: map[*Router]struct{}{},
+	f := &Forge{plate: plate, log: log, clock: clock, queue: eventloop.NewQueue(512), routers: map[*Router]struct{}{},
 		waiting: map[uint64]waiter{}, passing: newPassing(life), seqs: map[string]int64{}, id: id.ID}
-	f.core = ratchet.New(id.ID, ratchet.Usual(plate.FaultBudget.Machines), kept, id.Founders, chance, clock.Now())
+	f.core = consensus.New(id.ID, consensus.Usual(plate.FaultBudget.Machines), kept, id.Founders, chance, clock.Now())
 	var err error
-	f.state, err = rack.Restore(kept.Snapshot.State)
+	f.state, err = statemachine.Restore(kept.Snapshot.State)
 	return f, err
 }
 
@@ -223,12 +223,12 @@
 			}
 		}
 		for {
-			do := f.queue.Take(arbor.Lists)
+			do := f.queue.Take(eventloop.Lists)
 			if do == nil {
-				do = f.queue.Take(arbor.Outcomes)
+				do = f.queue.Take(eventloop.Outcomes)
 			}
 			if do == nil {
-				do = f.queue.Take(arbor.Commands)
+				do = f.queue.Take(eventloop.Commands)
 			}
 			if do == nil {
 				break
@@ -239,18 +239,18 @@
 }
 
 // carry carries out what the log asks for.
-func (f *Forge) carry(o ratchet.Out) {
+func (f *Forge) carry(o consensus.Out) {
 	if len(o.Writes) > 0 {
 		f.reach.Store(o.Writes)
 	}
 	for _, m := range o.Messages {
 		m := m
 		if m.To != "" {
-			f.reach.Send(m.To.Address(), &belt.Frame{Core: &m})
+			f.reach.Send(m.To.Address(), &rpc.Frame{Core: &m})
 			continue
 		}
 		for _, ip := range f.known() {
-			f.reach.Send(ip, &belt.Frame{Core: &m})
+			f.reach.Send(ip, &rpc.Frame{Core: &m})
 		}
 	}
 	f.arrived = append(f.arrived, o.Delivered...)
@@ -293,7 +293,7 @@
 		f.leads = true
 		f.Views.Add(1)
 		f.led = f.state.Led - now
-		f.jaw, f.hoist = vise.New(now), hoist.New(f.plate.Node, f.core.View(), f.plate.BeatMs, now)
+		f.jaw, f.hoist = lease.New(now), failover.New(f.plate.Node, f.core.View(), f.plate.BeatMs, now)
 		f.hoist.Log = func(service, what, host string) { f.log.Info(what, "service", service, "host", host) }
 		f.log.Info("leads", "view", f.core.View(), "members", f.core.Members())
 	case (!f.core.IsLeader() || f.astray) && f.leads:
@@ -311,11 +311,11 @@
 	}
 }
 
-func (f *Forge) deliver(all []ratchet.Delivery) {
-	news := &belt.News{Members: f.members()}
+func (f *Forge) deliver(all []consensus.Delivery) {
+	news := &rpc.News{Members: f.members()}
 	for _, d := range all {
 		if d.Snapshot != nil {
-			s, err := rack.Restore(d.Snapshot.State)
+			s, err := statemachine.Restore(d.Snapshot.State)
 			if err != nil {
 				f.log.Error("a snapshot can't be read", "error", err)
 				f.stray()
@@ -330,7 +330,7 @@
 			continue
 		}
 		c, err := f.apply(f.state, d)
-		if errors.Is(err, rack.ErrDiverged) {
+		if errors.Is(err, statemachine.ErrDiverged) {
 			f.Diverged.Add(1)
 			f.log.Error("this member's state is not what a change builds on; it is built anew", "index", d.Index)
 			var built bool
@@ -374,12 +374,12 @@
 )
 
 // apply has a state take in an entry, if it holds a change.
-func (f *Forge) apply(s *rack.State, d ratchet.Delivery) (*rack.Change, error) {
+func (f *Forge) apply(s *statemachine.State, d consensus.Delivery) (*statemachine.Change, error) {
 	if len(d.Body) == 0 {
 		s.Index = max(s.Index, d.Index)
 		return nil, nil
 	}
-	c, err := rack.Decode(d.Body)
+	c, err := statemachine.Decode(d.Body)
 	if err != nil {
 		f.log.Error("a change can't be read", "index", d.Index, "error", err)
 		s.Index = max(s.Index, d.Index)
@@ -392,13 +392,13 @@
 func (f *Forge) rebuild(to uint64) (err error, built bool) {
 	base := f.core.Base()
 	bodies, ok := f.core.Entries(base.Index)
-	s, bad := rack.Restore(base.State)
+	s, bad := statemachine.Restore(base.State)
 	if bad != nil || !ok {
 		return bad, false
 	}
 	s.Index = base.Index
 	for i, body := range bodies[:to-base.Index] {
-		if _, err = f.apply(s, ratchet.Delivery{Index: base.Index + uint64(i) + 1, Body: body}); errors.Is(err, rack.ErrDiverged) {
+		if _, err = f.apply(s, consensus.Delivery{Index: base.Index + uint64(i) + 1, Body: body}); errors.Is(err, statemachine.ErrDiverged) {
 			return err, false
 		}
 	}
@@ -413,7 +413,7 @@
 }
 
 // note tells fail-over and hosts' accounts of a change.
-func (f *Forge) note(c rack.Change) {
+func (f *Forge) note(c statemachine.Change) {
 	switch {
 	case c.Leave != "":
 		delete(f.seqs, c.Leave)
@@ -442,10 +442,10 @@
 }
 
 // propose puts a change in the log; done is told once it is delivered, or that this is not known.
-func (f *Forge) propose(c rack.Change, done func(error)) {
+func (f *Forge) propose(c statemachine.Change, done func(error)) {
 	now := f.clock.Now()
 	c.Led = now + f.led
-	index, out := f.core.Propose(rack.Encode(c), now)
+	index, out := f.core.Propose(statemachine.Encode(c), now)
 	if index == 0 {
 		done(errUnclear)
 		return
@@ -469,7 +469,7 @@
 		f.Questions.Add(1)
 		h, known := f.state.Hosts[q.Host]
 		if !known { // it has left
-			f.hoist.Replied(hoist.Reply{To: q, Refused: true}, now)
+			f.hoist.Replied(failover.Reply{To: q, Refused: true}, now)
 			continue
 		}
 		f.reach.Ask(q, h)
@@ -509,7 +509,7 @@
 				}
 			}
 			seq := writes[len(writes)-1].Seq
-			f.queue.Put(arbor.Outcomes, func() { f.Saved(seq) })
+			f.queue.Put(eventloop.Outcomes, func() { f.Saved(seq) })
 			if err := f.drawer.Shrink(2 << 20); err != nil {
 				f.log.Error("the file can't be made small", "error", err)
 			}
@@ -524,12 +524,12 @@
 		case <-f.ctx.Done():
 			return
 		case <-reload:
-			f.queue.Put(arbor.Lists, f.reread)
+			f.queue.Put(eventloop.Lists, f.reread)
 		case <-signals:
-			f.queue.Put(arbor.Lists, f.End)
+			f.queue.Put(eventloop.Lists, f.End)
 			for over := make(chan bool, 1); ; {
 				time.Sleep(30 * time.Millisecond)
-				if !f.queue.Put(arbor.Lists, func() { over <- f.Ended() }) || <-over {
+				if !f.queue.Put(eventloop.Lists, func() { over <- f.Ended() }) || <-over {
 					time.Sleep(100 * time.Millisecond)
 					return
 				}
@@ -568,7 +568,7 @@
 
 // reread takes the settings in anew. Addresses of this machine stay as they were at its start.
 func (f *Forge) reread() {
-	p, err := nameplate.Read()
+	p, err := settings.Read()
 	if err != nil {
 		f.log.Error("the settings are not taken", "error", err)
 		return
--- a/internal/forge/silence_test.go
+++ b/internal/control/silence_test.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/settings"
 )
 
 // agreed is a calm world whose members agree, with the one that leads and one that follows.
@@ -75,7 +75,7 @@
 
 // What was decided under a lease is not begun long after: a process may stand still between the two.
 func TestNothingIsAskedLongAfterItWasDecided(t *testing.T) {
-	f := &Forge{ctx: context.Background(), plate: &nameplate.Plate{Ip: "127.0.0.1"}, log: hclog.NewNullLogger()}
+	f := &Forge{ctx: context.Background(), plate: &settings.Plate{Ip: "127.0.0.1"}, log: hclog.NewNullLogger()}
 	mine, hosts := net.Pipe()
 	written := make(chan int, 1)
 	go func() {
@@ -84,7 +84,7 @@
 		written <- n
 	}()
 	h := &held{conn: mine}
-	_, err := newTongs(f).answer(&h, rack.Host{ID: "h1", Service: "db", Address: "127.0.0.1:1"}, hoist.StepDown, "STEPDOWN 7", time.Now().Add(-time.Second))
+	_, err := newTongs(f).answer(&h, statemachine.Host{ID: "h1", Service: "db", Address: "127.0.0.1:1"}, failover.StepDown, "STEPDOWN 7", time.Now().Add(-time.Second))
 	require.Error(t, err)
 	hosts.Close()
 	require.Zero(t, <-written, "a host is told to step down by a decision that is over")
@@ -93,6 +93,6 @@
 	defer platform.Close()
 	ctx, end := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer end()
-	require.Equal(t, hoist.Later, f.call(ctx, platform.Listener.Addr().String(), hoist.Promotion{Service: "db", Host: "h1"}))
+	require.Equal(t, failover.Later, f.call(ctx, platform.Listener.Addr().String(), failover.Promotion{Service: "db", Host: "h1"}))
 	require.Zero(t, calls)
 }
--- a/internal/forge/state_test.go
+++ b/internal/control/state_test.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"bytes"
@@ -11,20 +11,20 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/drawer"
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/lab/stage"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/ratchet"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/simulation/scheduler"
 )
 
 // A mill is three members on links and disks that take their time by the byte, and an operator who changes one route
 // after another.
 type mill struct {
-	*stage.Stage
+	*scheduler.Stage
 	posts   []*post
 	routes  int
 	version int64  // the newest that was acknowledged
@@ -42,9 +42,9 @@
 	up    bool
 	cut   bool
 	life  int
-	id    drawer.Identity
-	disk  ratchet.Restored
-	queue []ratchet.Write
+	id    storage.Identity
+	disk  consensus.Restored
+	queue []consensus.Write
 	slow  int64 // how many times as long its disk takes
 	free  int64 // when its disk is done with what it was given
 	order map[string]int64
@@ -54,13 +54,13 @@
 }
 
 func newMill(seed uint64, routes int, gap int64) *mill {
-	w := &mill{Stage: stage.New(seed, 0, 1), routes: routes, gap: gap, rate: 12500} // 100 Mbit/s
-	var founders []ratchet.ID
+	w := &mill{Stage: scheduler.New(seed, 0, 1), routes: routes, gap: gap, rate: 12500} // 100 Mbit/s
+	var founders []consensus.ID
 	for i := range 3 {
-		founders = append(founders, ratchet.ID(fmt.Sprintf("10.0.0.%d", i+1)))
+		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
 	}
 	for _, id := range founders {
-		p := &post{w: w, id: drawer.Identity{ID: id, Founders: founders}, slow: 1}
+		p := &post{w: w, id: storage.Identity{ID: id, Founders: founders}, slow: 1}
 		w.posts = append(w.posts, p)
 		p.start()
 	}
@@ -74,19 +74,19 @@
 	w := p.w
 	p.life++
 	p.up, p.queue, p.order, p.free = true, nil, map[string]int64{}, 0
-	plate := &nameplate.Plate{Node: "n" + p.ip(), Ip: p.ip(), BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
+	plate := &settings.Plate{Node: "n" + p.ip(), Ip: p.ip(), BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
 	plate.FaultBudget.Machines = 1
 	plate.Listen.Control = p.ip() + ":8080"
 	kept := p.disk
 	kept.Entries = slices.Clone(kept.Entries)
-	clock := arbor.NewSteady(func() time.Time { return time.UnixMilli(w.Now) })
+	clock := eventloop.NewSteady(func() time.Time { return time.UnixMilli(w.Now) })
 	f, err := New(plate, hclog.NewNullLogger(), clock, p.id, kept, w.Chance.Float64, uint64(p.life))
 	if err != nil {
 		panic(err)
 	}
 	p.f = f
 	life := p.life
-	f.Wire(Reach{Send: p.send, Store: func(x []ratchet.Write) { p.store(life, x) }, Ask: func(hoist.Question, rack.Host) {}, Promote: func(hoist.Promotion) {}})
+	f.Wire(Reach{Send: p.send, Store: func(x []consensus.Write) { p.store(life, x) }, Ask: func(failover.Question, statemachine.Host) {}, Promote: func(failover.Promotion) {}})
 	p.tick(life)
 }
 
@@ -106,7 +106,7 @@
 	}
 }
 
-func (p *post) send(ip string, f *belt.Frame) {
+func (p *post) send(ip string, f *rpc.Frame) {
 	w, size := p.w, int64(200)
 	if f.Core != nil {
 		for _, e := range f.Core.Entries {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (p *post) store(life int, x []ratchet.Write) {
+func (p *post) store(life int, x []consensus.Write) {
 	w, size := p.w, 0
 	for _, one := range x {
 		for _, e := range one.Entries {
@@ -265,7 +265,7 @@
 		}
 		switch how {
 		case 0:
-			p.id, p.disk = drawer.Identity{ID: ratchet.ID(fmt.Sprintf("%s+%d", p.ip(), seed))}, ratchet.Restored{}
+			p.id, p.disk = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", p.ip(), seed))}, consensus.Restored{}
 			p.start()
 		case 1:
 			p.start()
@@ -335,14 +335,14 @@
 }
 
 // other is a state at the same place and version as a member's, with another configuration.
-func other(t *testing.T, f *Forge, s *rack.State) *rack.State {
-	spoilt, err := rack.Restore(s.Snapshot())
+func other(t *testing.T, f *Forge, s *statemachine.State) *statemachine.State {
+	spoilt, err := statemachine.Restore(s.Snapshot())
 	require.NoError(t, err)
 	spoilt.Gen--
 	spoilt.Index--
 	spoilt.Taken = spoilt.Taken[:len(spoilt.Taken)-1] // a base is built on once
 	body := bytes.Replace(spoilt.Config, []byte(`"TargetMs":150`), []byte(`"TargetMs":151`), 1)
-	require.NoError(t, spoilt.Apply(spoilt.Index+1, rack.Change{Configure: &rack.Configure{Base: spoilt.Gen, Body: body}}))
+	require.NoError(t, spoilt.Apply(spoilt.Index+1, statemachine.Change{Configure: &statemachine.Configure{Base: spoilt.Gen, Body: body}}))
 	return spoilt
 }
 
@@ -363,7 +363,7 @@
 		}
 		if disk {
 			p.up, p.queue = false, nil
-			s, err := rack.Restore(p.disk.Snapshot.State)
+			s, err := statemachine.Restore(p.disk.Snapshot.State)
 			require.NoError(t, err)
 			s.Index = p.disk.Snapshot.Index
 			p.disk.Snapshot.State = other(t, p.f, s).Snapshot()
--- a/internal/rack/capacity_test.go
+++ b/internal/control/statemachine/capacity_test.go
@@ -1,4 +1,4 @@
-package rack_test
+package statemachine_test
 
 import (
 	"runtime"
@@ -6,20 +6,20 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/lab/extent"
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/simulation/statesize"
 )
 
 // The figures of docs/CAPACITY.md: what the replicated state costs at a size.
 
-func sizes(b *testing.B, run func(b *testing.B, e extent.Extent)) {
-	for _, e := range extent.All {
+func sizes(b *testing.B, run func(b *testing.B, e statesize.Extent)) {
+	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) { run(b, e) })
 	}
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	sizes(b, func(b *testing.B, e extent.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Extent) {
 		s := e.State()
 		for b.Loop() {
 			b.ReportMetric(float64(len(s.Snapshot())), "bytes")
@@ -29,17 +29,17 @@
 
 // What a router or a member does with a snapshot, and what the state that comes of it holds of memory.
 func BenchmarkRestore(b *testing.B) {
-	sizes(b, func(b *testing.B, e extent.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Extent) {
 		snapshot := e.State().Snapshot()
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		held, err := rack.Restore(snapshot)
+		held, err := statemachine.Restore(snapshot)
 		require.NoError(b, err)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		for b.Loop() {
-			rack.Restore(snapshot)
+			statemachine.Restore(snapshot)
 		}
 		b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "heap-bytes")
 		runtime.KeepAlive(held)
@@ -49,23 +49,23 @@
 // A whole configuration in which one route differs: what its order costs where it is checked, and what it costs each
 // member and each router that applies it.
 func BenchmarkOrder(b *testing.B) {
-	sizes(b, func(b *testing.B, e extent.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Extent) {
 		s := e.State()
 		for b.Loop() {
-			b.ReportMetric(float64(len(rack.Encode(e.Order(s)))), "bytes")
+			b.ReportMetric(float64(len(statemachine.Encode(e.Order(s)))), "bytes")
 		}
 		b.ReportMetric(float64(len(s.Config)), "bytes-sent")
 	})
 }
 
 func BenchmarkConfigure(b *testing.B) {
-	sizes(b, func(b *testing.B, e extent.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Extent) {
 		s := e.State()
 		other := e.State()
 		var bodies [][]byte
 		for i := range 20 {
 			c := e.Order(other)
-			bodies = append(bodies, rack.Encode(c))
+			bodies = append(bodies, statemachine.Encode(c))
 			require.NoError(b, other.Apply(other.Index+uint64(i)+1, c))
 		}
 		n := 0
@@ -75,7 +75,7 @@
 				s, n = e.State(), 0
 				b.StartTimer()
 			}
-			c, err := rack.Decode(bodies[n])
+			c, err := statemachine.Decode(bodies[n])
 			require.NoError(b, err)
 			require.NoError(b, s.Apply(s.Index+1, c))
 			n++
@@ -85,12 +85,12 @@
 
 // A host enters a state that holds all others.
 func BenchmarkEnter(b *testing.B) {
-	sizes(b, func(b *testing.B, e extent.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Extent) {
 		s := e.State()
-		h := extent.Host(e.Hosts())
-		body := rack.Encode(rack.Change{Enter: &h})
+		h := statesize.Host(e.Hosts())
+		body := statemachine.Encode(statemachine.Change{Enter: &h})
 		for b.Loop() {
-			c, err := rack.Decode(body)
+			c, err := statemachine.Decode(body)
 			require.NoError(b, err)
 			require.NoError(b, s.Apply(s.Index+1, c))
 			delete(s.Hosts, h.ID)
@@ -100,11 +100,11 @@
 }
 
 func BenchmarkLead(b *testing.B) {
-	sizes(b, func(b *testing.B, e extent.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Extent) {
 		s := e.State()
-		body := rack.Encode(rack.Change{Lead: &rack.NewLead{Service: extent.Service(3), Host: extent.Host(10).ID, Term: 2}})
+		body := statemachine.Encode(statemachine.Change{Lead: &statemachine.NewLead{Service: statesize.Service(3), Host: statesize.Host(10).ID, Term: 2}})
 		for b.Loop() {
-			c, err := rack.Decode(body)
+			c, err := statemachine.Decode(body)
 			require.NoError(b, err)
 			require.NoError(b, s.Apply(s.Index+1, c))
 		}
@@ -114,7 +114,7 @@
 
 // Each renewal of a lease asks for this.
 func BenchmarkRecalled(b *testing.B) {
-	sizes(b, func(b *testing.B, e extent.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Extent) {
 		s := e.State()
 		for b.Loop() {
 			s.Recalled()
--- a/internal/rack/packed.go
+++ b/internal/control/statemachine/config_update.go
@@ -1,4 +1,4 @@
-package rack
+package statemachine
 
 import (
 	"encoding/binary"
@@ -7,7 +7,7 @@
 
 	"github.com/zeebo/blake3"
 
-	"ferrypitch/internal/jig"
+	"ferrypitch/internal/config"
 )
 
 // Packed is what the log carries of a configuration beside Base and Amend: the result, whole in Body or as a difference to
@@ -34,10 +34,10 @@
 func (c *Configure) isPacked() bool { return c.Whole != [16]byte{} }
 
 // Pack is an order, checked here with this plan for a result, as the log is to carry it.
-func (s *State) Pack(c *Configure, plan *jig.Plan) *Configure {
+func (s *State) Pack(c *Configure, plan *config.Plan) *Configure {
 	p := &Configure{Base: c.Base, Amend: c.Amend, Body: plan.Body, Packed: Packed{Sent: c.Identity().Sum, Was: s.sum, Whole: digestOf(plan.Body)}}
 	if s.plan != nil {
-		if d := jig.Diff(s.plan, plan); len(d) < len(plan.Body) {
+		if d := config.Diff(s.plan, plan); len(d) < len(plan.Body) {
 			p.Body, p.Diff = nil, d
 		}
 	}
@@ -50,18 +50,18 @@
 }
 
 // unpack makes the result of a packed order. What fails here fails at all that hold the same state.
-func (s *State) unpack(c *Configure) (*jig.Plan, error) {
+func (s *State) unpack(c *Configure) (*config.Plan, error) {
 	body := c.Body
 	if len(c.Diff) > 0 {
 		var err error
-		if body, err = jig.Patch(s.Config, c.Diff); err != nil {
+		if body, err = config.Patch(s.Config, c.Diff); err != nil {
 			return nil, err
 		}
 	}
 	if digestOf(body) != c.Whole {
 		return nil, errors.New("its digest is another")
 	}
-	return jig.Next(s.plan, body)
+	return config.Next(s.plan, body)
 }
 
 func (c *Configure) encode(led int64) []byte {
@@ -113,7 +113,7 @@
 }
 
 // whole is the digest of what a change made, which unpack has checked where the change brings it.
-func whole(c *Configure, plan *jig.Plan) [16]byte {
+func whole(c *Configure, plan *config.Plan) [16]byte {
 	if c.isPacked() {
 		return c.Whole
 	}
--- a/internal/rack/taken.go
+++ b/internal/control/statemachine/retention.go
@@ -1,4 +1,4 @@
-package rack
+package statemachine
 
 import (
 	"encoding/binary"
--- a/internal/rack/taken_test.go
+++ b/internal/control/statemachine/retention_test.go
@@ -1,4 +1,4 @@
-package rack
+package statemachine
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 func storm(t testing.TB, s *State, orders int, every int64) (*State, []Configure) {
 	var all []Configure
 	for i := range orders {
-		c := Configure{Base: s.Gen, Body: config(int(s.Gen)+1+i%3, fmt.Sprint("h", i))}
+		c := Configure{Base: s.Gen, Body: configBody(int(s.Gen)+1+i%3, fmt.Sprint("h", i))}
 		require.NoError(t, s.Apply(s.Index+1, Change{Led: s.Led + every, Configure: &c}))
 		all = append(all, c)
 		if i%500 == 7 {
--- a/internal/rack/rack.go
+++ b/internal/control/statemachine/state.go
@@ -1,11 +1,11 @@
-// Package rack (where tools hang, each in its place) is the state that the ordered log builds: the configuration, the
+// Package statemachine is the state that the ordered log builds: the configuration, the
 // hosts, and who leads each service. Every member of the control plane and every router applies the same changes in
 // the same order, so all hold the same.
 //
 //	Change -> Encode -> log -> Decode -> State.Apply -> Result
 //
 // Pure: no socket, no clock; the same changes give the same state.
-package rack
+package statemachine
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 	"maps"
 	"slices"
 
-	"ferrypitch/internal/jig"
+	"ferrypitch/internal/config"
 )
 
 // Host is a database host as it told of itself.
@@ -60,7 +60,7 @@
 	// Routers are those that may hold leases, with the change that brought each.
 	Routers map[string]uint64
 
-	plan *jig.Plan
+	plan *config.Plan
 	sum  [16]byte // of Config
 }
 
@@ -220,7 +220,7 @@
 		s.router(n, flat.Since[i])
 	}
 	if len(s.Config) > 0 {
-		p, err := jig.Read(s.Config)
+		p, err := config.Read(s.Config)
 		if err != nil {
 			return nil, fmt.Errorf("a snapshot: its configuration: %w", err)
 		}
@@ -233,7 +233,7 @@
 func (s *State) Sum() uint32 { return crc32.ChecksumIEEE(s.Snapshot()) }
 
 // Plan is the configuration in force; nil: none.
-func (s *State) Plan() *jig.Plan { return s.plan }
+func (s *State) Plan() *config.Plan { return s.plan }
 
 func (s *State) host(h Host) {
 	if s.Hosts == nil {
@@ -300,14 +300,14 @@
 
 // Check says what a configuration sent now would meet, without taking it: nil and the plan; nil and none where the
 // same was taken before; or why not.
-func (s *State) Check(c *Configure) (*jig.Plan, error) {
+func (s *State) Check(c *Configure) (*config.Plan, error) {
 	if s.taken(c.Identity()) {
 		return nil, nil
 	}
 	if c.Base != s.Gen {
 		return nil, fmt.Errorf("%w: %d is, the change builds on %d", ErrOther, s.Gen, c.Base)
 	}
-	var plan *jig.Plan
+	var plan *config.Plan
 	var err error
 	switch {
 	case c.isPacked():
@@ -317,7 +317,7 @@
 	case c.Amend:
 		plan, err = s.plan.Amend(c.Body)
 	default:
-		plan, err = jig.Next(s.plan, c.Body)
+		plan, err = config.Next(s.plan, c.Body)
 	}
 	if err == nil && (plan.Generation <= s.Gen) {
 		err = fmt.Errorf("Generation: %d: not above %d", plan.Generation, s.Gen)
--- a/internal/rack/rack_test.go
+++ b/internal/control/statemachine/state_test.go
@@ -1,4 +1,4 @@
-package rack
+package statemachine
 
 import (
 	"errors"
@@ -9,22 +9,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-func config(generation int, host string) []byte {
+func configBody(generation int, host string) []byte {
 	return fmt.Appendf(nil, `{"Generation":%d,"Routes":[{"Name":"r","Host":%q,"Kind":"leader","DeadlineMs":9,"Service":"s"}],"Services":[{"Name":"s"}]}`, generation, host)
 }
 
 func TestOfTwoChangesOnOneVersionOneWinsAndALostAnswerIsFoundAgain(t *testing.T) {
 	s := &State{}
-	first := Configure{Base: 0, Body: config(3, "a")}
+	first := Configure{Base: 0, Body: configBody(3, "a")}
 	require.NoError(t, s.Apply(1, Change{Configure: &first}))
-	one, other := Configure{Base: 3, Body: config(5, "b")}, Configure{Base: 3, Body: config(6, "c")}
+	one, other := Configure{Base: 3, Body: configBody(5, "b")}, Configure{Base: 3, Body: configBody(6, "c")}
 	require.NoError(t, s.Apply(2, Change{Configure: &one}))
 	require.ErrorIs(t, s.Apply(3, Change{Configure: &other}), ErrOther)
 	require.EqualValues(t, 5, s.Gen)
 	plan, err := s.Check(&first) // sent again after an answer was lost, and after others
 	require.NoError(t, err)
 	require.Nil(t, plan)
-	_, err = s.Check(&Configure{Base: 5, Body: config(5, "d")})
+	_, err = s.Check(&Configure{Base: 5, Body: configBody(5, "d")})
 	require.ErrorIs(t, err, ErrInvalid)
 	_, err = s.Check(&Configure{Base: 5, Body: []byte("{")})
 	require.ErrorIs(t, err, ErrInvalid)
@@ -89,7 +89,7 @@
 			id := fmt.Sprintf("h%d", chance.IntN(5))
 			switch chance.IntN(8) {
 			case 0:
-				c.Configure = &Configure{Base: a.Gen, Body: config(int(a.Gen)+1+chance.IntN(3), id)}
+				c.Configure = &Configure{Base: a.Gen, Body: configBody(int(a.Gen)+1+chance.IntN(3), id)}
 			case 1, 2:
 				c.Enter = &Host{ID: id, Service: "s", Address: "1.1.1.1:" + id[1:], Draining: chance.IntN(3) == 0}
 			case 3:
--- a/internal/drawer/seal.go
+++ b/internal/control/storage/checksum.go
@@ -1,4 +1,4 @@
-package drawer
+package storage
 
 import (
 	"encoding/base64"
--- a/internal/drawer/growth_test.go
+++ b/internal/control/storage/growth_test.go
@@ -1,4 +1,4 @@
-package drawer
+package storage
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"testing"
 
-	"ferrypitch/internal/ratchet"
+	"ferrypitch/internal/control/consensus"
 )
 
 // BenchmarkGrowth tells what a file costs by entries and their size: bytes and time of one more, and of a new life.
@@ -19,11 +19,11 @@
 			b.Run(fmt.Sprintf("state=%d/entries=%d", size, n), func(b *testing.B) {
 				folder := b.TempDir()
 				d, _, _, _ := Open(folder, fresh)
-				s := ratchet.Snapshot{Index: 1, View: 1, State: make([]byte, size)}
-				d.Store([]ratchet.Write{{Snapshot: &s, Keep: 1}})
+				s := consensus.Snapshot{Index: 1, View: 1, State: make([]byte, size)}
+				d.Store([]consensus.Write{{Snapshot: &s, Keep: 1}})
 				before, _ := os.Stat(filepath.Join(folder, "ratchet.db"))
 				for i := range n {
-					d.Store([]ratchet.Write{{From: uint64(i + 2), Entries: []ratchet.Entry{entry(1, string(make([]byte, 85)))}}})
+					d.Store([]consensus.Write{{From: uint64(i + 2), Entries: []consensus.Entry{entry(1, string(make([]byte, 85)))}}})
 				}
 				after, _ := os.Stat(filepath.Join(folder, "ratchet.db"))
 				d.Close()
--- a/internal/drawer/drawer.go
+++ b/internal/control/storage/wal.go
@@ -1,9 +1,9 @@
-// Package drawer (where a workshop keeps what must not be lost) holds a member's part of the ordered log on disk, in
+// Package storage holds a member's part of the ordered log on disk, in
 // buntdb. What is acknowledged was synced; a file that can't be read whole is put aside, and its member starts as a
 // learner.
 //
 //	Open -> Restored       Store(writes) returns when they are on disk
-package drawer
+package storage
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"github.com/gravitational/trace"
 	"github.com/tidwall/buntdb"
 
-	"ferrypitch/internal/ratchet"
-	"ferrypitch/internal/store"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/snapshotfile"
 )
 
 // Drawer is an open file. Its calls are made by one goroutine.
@@ -32,8 +32,8 @@
 
 // Identity is who a member is, for as long as its disk lives.
 type Identity struct {
-	ID       ratchet.ID
-	Founders []ratchet.ID // the first members, of one that was there at the first start
+	ID       consensus.ID
+	Founders []consensus.ID // the first members, of one that was there at the first start
 }
 
 const (
@@ -46,7 +46,7 @@
 func entryKey(i uint64) string { return fmt.Sprintf("%s%016x", prefixEntry, i) }
 
 // Open opens or makes the file in a folder. fresh makes the identity of a member that has none.
-func Open(folder string, fresh func() Identity) (d *Drawer, id Identity, kept ratchet.Restored, err error) {
+func Open(folder string, fresh func() Identity) (d *Drawer, id Identity, kept consensus.Restored, err error) {
 	path := filepath.Join(folder, "ratchet.db")
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, id, kept, trace.ConvertSystemError(err)
@@ -68,12 +68,12 @@
 		if err := d.open(); err != nil {
 			return nil, id, kept, err
 		}
-		id, kept = fresh(), ratchet.Restored{}
+		id, kept = fresh(), consensus.Restored{}
 		err := d.update(func(tx *buntdb.Tx) error { return put(tx, keyIdentity, id) })
 		if err != nil {
 			return nil, id, kept, trace.Wrap(err)
 		}
-		if err := (store.Disk{}).SyncFolder(folder); err != nil {
+		if err := (snapshotfile.Disk{}).SyncFolder(folder); err != nil {
 			return nil, id, kept, trace.ConvertSystemError(err)
 		}
 	}
@@ -165,7 +165,7 @@
 	return true, gob.NewDecoder(bytes.NewReader(body)).Decode(v)
 }
 
-func (d *Drawer) read() (id Identity, kept ratchet.Restored, err error) {
+func (d *Drawer) read() (id Identity, kept consensus.Restored, err error) {
 	err = d.db.View(func(tx *buntdb.Tx) error {
 		if _, err := get(tx, keyIdentity, &id); err != nil {
 			return err
@@ -178,7 +178,7 @@
 	})
 	next, view := kept.Snapshot.Index+1, kept.Snapshot.View
 	for more := err == nil; more; {
-		var e ratchet.Entry
+		var e consensus.Entry
 		if err = d.db.View(func(tx *buntdb.Tx) error {
 			var err error
 			more, err = get(tx, entryKey(next), &e)
@@ -197,7 +197,7 @@
 
 // Store puts writes on disk in their order. A change of buntdb's may be torn between any two of its keys, in any order,
 // so what takes entries away is a change of its own: torn, it leaves a gap, and what is behind a gap counts for nothing.
-func (d *Drawer) Store(writes []ratchet.Write) error {
+func (d *Drawer) Store(writes []consensus.Write) error {
 	var sets []func(*buntdb.Tx) error
 	flush := func() error {
 		if len(sets) == 0 {
@@ -306,7 +306,7 @@
 		os.Remove(beside)
 		return trace.Wrap(err)
 	}
-	if err := (store.Disk{}).SyncFolder(filepath.Dir(d.path)); err != nil {
+	if err := (snapshotfile.Disk{}).SyncFolder(filepath.Dir(d.path)); err != nil {
 		d.torn = true // what is open has no name any more
 		return trace.ConvertSystemError(err)
 	}
--- a/internal/drawer/drawer_test.go
+++ b/internal/control/storage/wal_test.go
@@ -1,4 +1,4 @@
-package drawer
+package storage
 
 import (
 	"fmt"
@@ -9,32 +9,32 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/ratchet"
+	"ferrypitch/internal/control/consensus"
 )
 
-func fresh() Identity { return Identity{ID: "a", Founders: []ratchet.ID{"a", "b"}} }
+func fresh() Identity { return Identity{ID: "a", Founders: []consensus.ID{"a", "b"}} }
 
-func entry(view uint64, body string) ratchet.Entry {
-	return ratchet.Entry{View: view, Body: []byte(body)}
+func entry(view uint64, body string) consensus.Entry {
+	return consensus.Entry{View: view, Body: []byte(body)}
 }
 
 // steps are writes as a member makes them: appended, trimmed, a snapshot; and what must be there after each.
 var steps = []struct {
-	write ratchet.Write
+	write consensus.Write
 	want  string
 }{
-	{ratchet.Write{Meta: &ratchet.Meta{View: 1, Vote: "b"}}, "v1 b s0 []"},
-	{ratchet.Write{From: 1, Entries: []ratchet.Entry{entry(1, "x"), entry(1, "y"), entry(1, "z")}}, "v1 b s0 [1x 1y 1z]"},
-	{ratchet.Write{Meta: &ratchet.Meta{View: 2}}, "v2  s0 [1x 1y 1z]"},
-	{ratchet.Write{From: 2, Entries: []ratchet.Entry{entry(2, "n")}}, "v2  s0 [1x 2n]"},
-	{ratchet.Write{From: 3, Entries: []ratchet.Entry{entry(2, "o"), entry(2, "p")}}, "v2  s0 [1x 2n 2o 2p]"},
-	{ratchet.Write{Snapshot: &ratchet.Snapshot{Index: 3, View: 2, State: []byte("xno")}, Keep: 3}, "v2  s3 [2p]"},
-	{ratchet.Write{From: 5, Entries: []ratchet.Entry{entry(2, "q")}}, "v2  s3 [2p 2q]"},
-	{ratchet.Write{Snapshot: &ratchet.Snapshot{Index: 9, View: 4, State: []byte("all")}, Keep: 9, From: 10}, "v2  s9 []"},
-	{ratchet.Write{From: 10, Entries: []ratchet.Entry{entry(4, "r")}, Meta: &ratchet.Meta{View: 4, Vote: "a", Settled: 2}}, "v4 a s9 [4r]"},
+	{consensus.Write{Meta: &consensus.Meta{View: 1, Vote: "b"}}, "v1 b s0 []"},
+	{consensus.Write{From: 1, Entries: []consensus.Entry{entry(1, "x"), entry(1, "y"), entry(1, "z")}}, "v1 b s0 [1x 1y 1z]"},
+	{consensus.Write{Meta: &consensus.Meta{View: 2}}, "v2  s0 [1x 1y 1z]"},
+	{consensus.Write{From: 2, Entries: []consensus.Entry{entry(2, "n")}}, "v2  s0 [1x 2n]"},
+	{consensus.Write{From: 3, Entries: []consensus.Entry{entry(2, "o"), entry(2, "p")}}, "v2  s0 [1x 2n 2o 2p]"},
+	{consensus.Write{Snapshot: &consensus.Snapshot{Index: 3, View: 2, State: []byte("xno")}, Keep: 3}, "v2  s3 [2p]"},
+	{consensus.Write{From: 5, Entries: []consensus.Entry{entry(2, "q")}}, "v2  s3 [2p 2q]"},
+	{consensus.Write{Snapshot: &consensus.Snapshot{Index: 9, View: 4, State: []byte("all")}, Keep: 9, From: 10}, "v2  s9 []"},
+	{consensus.Write{From: 10, Entries: []consensus.Entry{entry(4, "r")}, Meta: &consensus.Meta{View: 4, Vote: "a", Settled: 2}}, "v4 a s9 [4r]"},
 }
 
-func show(k ratchet.Restored) string {
+func show(k consensus.Restored) string {
 	var entries []string
 	for _, e := range k.Entries {
 		entries = append(entries, fmt.Sprintf("%d%s", e.View, e.Body))
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("v%d %s s%d %v", k.Meta.View, k.Meta.Vote, k.Snapshot.Index, entries)
 }
 
-func held(t *testing.T, folder string) (string, ratchet.ID) {
+func held(t *testing.T, folder string) (string, consensus.ID) {
 	t.Helper()
 	d, id, kept, err := Open(folder, func() Identity { return Identity{ID: "learner"} })
 	require.NoError(t, err)
@@ -59,11 +59,11 @@
 		d, _, _, err := Open(folder, fresh)
 		require.NoError(t, err)
 		for _, s := range steps[:n] {
-			require.NoError(t, d.Store([]ratchet.Write{s.write}))
+			require.NoError(t, d.Store([]consensus.Write{s.write}))
 		}
 		before, err := os.ReadFile(path)
 		require.NoError(t, err)
-		require.NoError(t, d.Store([]ratchet.Write{steps[n].write}))
+		require.NoError(t, d.Store([]consensus.Write{steps[n].write}))
 		after, err := os.ReadFile(path)
 		require.NoError(t, err)
 		require.NoError(t, d.Close())
@@ -105,7 +105,7 @@
 	d, _, _, err := Open(folder, fresh)
 	require.NoError(t, err)
 	for _, s := range steps {
-		require.NoError(t, d.Store([]ratchet.Write{s.write}))
+		require.NoError(t, d.Store([]consensus.Write{s.write}))
 	}
 	require.NoError(t, d.Close())
 	whole, err := os.ReadFile(filepath.Join(folder, "ratchet.db"))
@@ -125,7 +125,7 @@
 		d, _, kept, err := Open(other, fresh)
 		require.NoError(t, err)
 		next := kept.Snapshot.Index + uint64(len(kept.Entries)) + 1
-		require.NoError(t, d.Store([]ratchet.Write{{From: next, Entries: []ratchet.Entry{entry(9, "after")}}}))
+		require.NoError(t, d.Store([]consensus.Write{{From: next, Entries: []consensus.Entry{entry(9, "after")}}}))
 		require.NoError(t, d.Close())
 		got, _ = held(t, other)
 		require.Contains(t, got, "9after")
@@ -161,7 +161,7 @@
 		d, _, _, err := Open(folder, fresh)
 		require.NoError(t, err)
 		for _, s := range steps[:n+1] {
-			require.NoError(t, d.Store([]ratchet.Write{s.write}))
+			require.NoError(t, d.Store([]consensus.Write{s.write}))
 		}
 		f, err := os.OpenFile(filepath.Join(folder, "ratchet.db"), os.O_APPEND|os.O_WRONLY, 0)
 		require.NoError(t, err)
@@ -169,7 +169,7 @@
 		require.NoError(t, err)
 		require.NoError(t, f.Close())
 		d.torn = true
-		require.NoError(t, d.Store([]ratchet.Write{steps[n+1].write}))
+		require.NoError(t, d.Store([]consensus.Write{steps[n+1].write}))
 		require.NoError(t, d.Close())
 		got, id := held(t, folder)
 		require.EqualValues(t, "a", id)
@@ -191,10 +191,10 @@
 	require.NoError(t, err)
 	for i := range 300 {
 		body := make([]byte, 400)
-		require.NoError(t, d.Store([]ratchet.Write{{From: uint64(i + 1), Entries: []ratchet.Entry{entry(1, string(body))}}}))
+		require.NoError(t, d.Store([]consensus.Write{{From: uint64(i + 1), Entries: []consensus.Entry{entry(1, string(body))}}}))
 		if i%50 == 49 {
-			s := ratchet.Snapshot{Index: uint64(i), View: 1}
-			require.NoError(t, d.Store([]ratchet.Write{{Snapshot: &s, Keep: s.Index}}))
+			s := consensus.Snapshot{Index: uint64(i), View: 1}
+			require.NoError(t, d.Store([]consensus.Write{{Snapshot: &s, Keep: s.Index}}))
 			require.NoError(t, d.Shrink(16<<10))
 		}
 	}
--- a/internal/forge/world_test.go
+++ b/internal/control/world_test.go
@@ -1,4 +1,4 @@
-package forge
+package control
 
 import (
 	"fmt"
@@ -9,14 +9,14 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/drawer"
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/lab/stage"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/ratchet"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/simulation/scheduler"
 )
 
 const (
@@ -27,7 +27,7 @@
 // A world is a control plane alone: members with disks that forget what was not synced, on a network that can be cut one
 // way, and no hosts or routers.
 type world struct {
-	*stage.Stage
+	*scheduler.Stage
 	members []*member
 	cut     map[[2]string]bool // from, to
 	calmAt  int64              // when the last trouble ended
@@ -40,24 +40,24 @@
 	up     bool
 	frozen bool
 	life   int
-	id     drawer.Identity
-	disk   ratchet.Restored
-	queue  []ratchet.Write
+	id     storage.Identity
+	disk   consensus.Restored
+	queue  []consensus.Write
 	held   []func()
 	order  map[string]int64 // when what was last sent to another comes
 }
 
 func newWorld(seed uint64, members int) *world {
-	w := &world{Stage: stage.New(seed, second, milli), cut: map[[2]string]bool{}}
-	var founders []ratchet.ID
+	w := &world{Stage: scheduler.New(seed, second, milli), cut: map[[2]string]bool{}}
+	var founders []consensus.ID
 	for i := range 3 {
-		founders = append(founders, ratchet.ID(fmt.Sprintf("10.0.0.%d", i+1)))
+		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
 	}
 	for i := range members {
 		m := &member{w: w, ip: fmt.Sprintf("10.0.0.%d", i+1)}
-		m.id = drawer.Identity{ID: ratchet.ID(m.ip + "+0")}
+		m.id = storage.Identity{ID: consensus.ID(m.ip + "+0")}
 		if i < len(founders) {
-			m.id = drawer.Identity{ID: founders[i], Founders: founders}
+			m.id = storage.Identity{ID: founders[i], Founders: founders}
 		}
 		w.members = append(w.members, m)
 	}
@@ -75,7 +75,7 @@
 	w := m.w
 	m.life++
 	m.up, m.frozen, m.held, m.queue, m.order = true, false, nil, nil, map[string]int64{}
-	plate := &nameplate.Plate{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
+	plate := &settings.Plate{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
 	plate.FaultBudget.Machines = 1
 	plate.Listen.Control = m.ip + ":8080"
 	for _, o := range w.members[:3] {
@@ -83,7 +83,7 @@
 	}
 	kept := m.disk
 	kept.Entries = slices.Clone(kept.Entries)
-	f, err := New(plate, hclog.NewNullLogger(), arbor.NewSteady(w.time), m.id, kept, w.Chance.Float64, uint64(m.life))
+	f, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteady(w.time), m.id, kept, w.Chance.Float64, uint64(m.life))
 	if err != nil {
 		panic(err)
 	}
@@ -91,9 +91,9 @@
 	life := m.life
 	f.Wire(Reach{
 		Send:    m.send,
-		Store:   func(x []ratchet.Write) { m.store(life, x) },
-		Ask:     func(hoist.Question, rack.Host) {},
-		Promote: func(hoist.Promotion) {},
+		Store:   func(x []consensus.Write) { m.store(life, x) },
+		Ask:     func(failover.Question, statemachine.Host) {},
+		Promote: func(failover.Promotion) {},
 	})
 	m.tick(life)
 }
@@ -116,7 +116,7 @@
 	})
 }
 
-func (m *member) send(ip string, f *belt.Frame) {
+func (m *member) send(ip string, f *rpc.Frame) {
 	w := m.w
 	for _, to := range w.members {
 		if to.ip != ip || to == m {
@@ -132,7 +132,7 @@
 	}
 }
 
-func (m *member) store(life int, x []ratchet.Write) {
+func (m *member) store(life int, x []consensus.Write) {
 	w := m.w
 	m.queue = append(m.queue, x...)
 	seq := x[len(x)-1].Seq
@@ -259,8 +259,8 @@
 		if calm && w.whole() {
 			w.Note("%s loses its disk, down for %d ms", m.ip, back/milli)
 			m.crash(true)
-			m.disk = ratchet.Restored{}
-			m.id = drawer.Identity{ID: ratchet.ID(fmt.Sprintf("%s+%d", m.ip, m.life))}
+			m.disk = consensus.Restored{}
+			m.id = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", m.ip, m.life))}
 			w.calmAt += 3 * second
 			w.In(back, m.start)
 		}
--- a/internal/telltale/telltale.go
+++ b/internal/errcode/errcode.go
@@ -1,16 +1,16 @@
-// Package telltale (a mark that shows at a glance what is the matter) is the closed list of what can go wrong for a
+// Package errcode is the closed list of what can go wrong for a
 // caller, with a table from each kind to its answer: the code and text on the wire, the status over HTTP, and when to
 // come back where nothing was kept.
 //
 //	Kind -> Append (the wire's ERROR line) | Status (HTTP)
 //
 // Pure.
-package telltale
+package errcode
 
 import (
 	"strconv"
 
-	"ferrypitch/internal/scribe"
+	"ferrypitch/internal/wire"
 )
 
 // Kind is one thing that can go wrong. The list is closed: what is not here is no answer of ours.
@@ -49,32 +49,32 @@
 
 type row struct {
 	name   string
-	code   scribe.Code
+	code   wire.Code
 	text   string
 	status int
 	after  int64 // milliseconds after which to come again, where that is told and nobody says otherwise; 0: not told
 }
 
 var table = [Kinds]row{
-	NoTouch:      {"no_touch", scribe.Retry, "this router is not known to be up to date", 503, 500},
-	NoDatabase:   {"no_database", scribe.NoDB, "no such database", 404, 0},
-	RouteGone:    {"route_gone", scribe.NoDB, "no such database any more", 404, 0},
-	NoPlace:      {"no_place", scribe.Retry, "no host can serve it in time", 503, 200},
-	NotSent:      {"not_sent", scribe.Retry, "it was not sent", 503, 100},
-	Lapsed:       {"lapsed", scribe.Aborted, "the primary may have been replaced", 503, 200},
-	Replaced:     {"replaced", scribe.Aborted, "the primary was replaced", 503, 100},
-	RolledBack:   {"rolled_back", scribe.Aborted, "the transaction was rolled back", 503, 100},
-	Doubt:        {"doubt", scribe.InDoubt, "no answer; it may have run", 502, 0},
-	DoubtMoved:   {"doubt_moved", scribe.InDoubt, "the primary was replaced", 502, 0},
-	BadMessage:   {"bad_message", scribe.Malformed, "not a message of the wire", 400, 0},
-	BadStatement: {"bad_statement", scribe.Malformed, "not a statement of the wire", 400, 0},
-	NoConnect:    {"no_connect", scribe.Malformed, "CONNECT with a database and a word for who comes first", 400, 0},
-	TooFarAhead:  {"too_far_ahead", scribe.Malformed, "too many messages before an answer", 400, 0},
-	NoTxn:        {"no_txn", scribe.Malformed, "no transaction is open", 400, 0},
-	InTxn:        {"in_txn", scribe.Malformed, "a transaction is open", 400, 0},
-	FailedTxn:    {"failed_txn", scribe.Malformed, "the transaction has failed", 400, 0},
-	NoName:       {"no_name", scribe.Unknown, "no such name", 404, 0},
-	TooMuch:      {"too_much", scribe.Overload, "more values or names than a session may have", 413, 0},
+	NoTouch:      {"no_touch", wire.Retry, "this router is not known to be up to date", 503, 500},
+	NoDatabase:   {"no_database", wire.NoDB, "no such database", 404, 0},
+	RouteGone:    {"route_gone", wire.NoDB, "no such database any more", 404, 0},
+	NoPlace:      {"no_place", wire.Retry, "no host can serve it in time", 503, 200},
+	NotSent:      {"not_sent", wire.Retry, "it was not sent", 503, 100},
+	Lapsed:       {"lapsed", wire.Aborted, "the primary may have been replaced", 503, 200},
+	Replaced:     {"replaced", wire.Aborted, "the primary was replaced", 503, 100},
+	RolledBack:   {"rolled_back", wire.Aborted, "the transaction was rolled back", 503, 100},
+	Doubt:        {"doubt", wire.InDoubt, "no answer; it may have run", 502, 0},
+	DoubtMoved:   {"doubt_moved", wire.InDoubt, "the primary was replaced", 502, 0},
+	BadMessage:   {"bad_message", wire.Malformed, "not a message of the wire", 400, 0},
+	BadStatement: {"bad_statement", wire.Malformed, "not a statement of the wire", 400, 0},
+	NoConnect:    {"no_connect", wire.Malformed, "CONNECT with a database and a word for who comes first", 400, 0},
+	TooFarAhead:  {"too_far_ahead", wire.Malformed, "too many messages before an answer", 400, 0},
+	NoTxn:        {"no_txn", wire.Malformed, "no transaction is open", 400, 0},
+	InTxn:        {"in_txn", wire.Malformed, "a transaction is open", 400, 0},
+	FailedTxn:    {"failed_txn", wire.Malformed, "the transaction has failed", 400, 0},
+	NoName:       {"no_name", wire.Unknown, "no such name", 404, 0},
+	TooMuch:      {"too_much", wire.Overload, "more values or names than a session may have", 413, 0},
 	NoCall:       {"no_call", "", "no such call", 404, 0},
 	BadBody:      {"bad_body", "", "the body is not valid", 400, 0},
 	LongBody:     {"long_body", "", "the body is too long", 413, 0},
@@ -88,7 +88,7 @@
 func (k Kind) String() string { return table[k].name }
 
 // Code is its code on the wire; empty for those that are told over HTTP only.
-func (k Kind) Code() scribe.Code { return table[k].code }
+func (k Kind) Code() wire.Code { return table[k].code }
 
 // Status is its status over HTTP.
 func (k Kind) Status() int { return table[k].status }
@@ -103,7 +103,7 @@
 		after = r.after
 	}
 	if after > 0 && r.code.Promise() {
-		return scribe.AppendError(b, r.code, r.text+"; "+strconv.FormatInt(after, 10))
+		return wire.AppendError(b, r.code, r.text+"; "+strconv.FormatInt(after, 10))
 	}
-	return scribe.AppendError(b, r.code, r.text)
+	return wire.AppendError(b, r.code, r.text)
 }
--- a/internal/telltale/telltale_test.go
+++ b/internal/errcode/errcode_test.go
@@ -1,4 +1,4 @@
-package telltale
+package errcode
 
 import (
 	"os"
--- a/internal/arbor/queue.go
+++ b/internal/eventloop/queue.go
@@ -1,10 +1,10 @@
-// Package arbor (the shaft that turns a machine's parts) is the one goroutine that owns a program's state, and the queue
+// Package eventloop is the one goroutine that owns a program's state, and the queue
 // that is the only way to it.
 //
 //	any goroutine -> Queue.Put -> Loop.Run -> what is to be done, in the order of its rank
 //
 // A shell: it has a clock and a goroutine, and decides nothing.
-package arbor
+package eventloop
 
 import "sync"
 
--- a/internal/arbor/clock.go
+++ b/internal/eventloop/steady_clock.go
@@ -1,4 +1,4 @@
-package arbor
+package eventloop
 
 import "time"
 
--- a/internal/standin/database/database.go
+++ b/internal/fake/database/database.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"ferrypitch/internal/scribe"
+	"ferrypitch/internal/wire"
 )
 
 // Units of a Stage's spans: tenths of a millisecond.
@@ -99,11 +99,11 @@
 }
 
 // At is the position of the first n entries.
-func (h *Host) At(n int) scribe.Position {
+func (h *Host) At(n int) wire.Position {
 	if n == 0 {
-		return scribe.Position{Term: 1}
+		return wire.Position{Term: 1}
 	}
-	return scribe.Position{Term: h.Log[n-1].Term, Number: uint64(n)}
+	return wire.Position{Term: h.Log[n-1].Term, Number: uint64(n)}
 }
 
 // Seen is how many entries a read sees.
@@ -115,7 +115,7 @@
 }
 
 // Has says whether a read sees a position.
-func (h *Host) Has(p scribe.Position) bool {
+func (h *Host) Has(p wire.Position) bool {
 	n := int(p.Number)
 	return n <= h.Seen() && (n == 0 || h.Log[n-1].Term == p.Term)
 }
@@ -246,7 +246,7 @@
 }
 
 // Control runs STAT, PAUSE, RESUME and STEPDOWN; the result is the row.
-func (h *Host) Control(verb string, term uint64) scribe.Status {
+func (h *Host) Control(verb string, term uint64) wire.Status {
 	switch {
 	case verb == "PAUSE" && term > h.Term && !h.Leader:
 		h.Paused = term
@@ -255,7 +255,7 @@
 	case verb == "STEPDOWN" && term > h.Term:
 		h.StepDown()
 	}
-	return scribe.Status{Leader: h.Leader, Term: h.Term, Received: h.At(len(h.Log)), Held: h.Paused, Conns: int64(len(h.Conns))}
+	return wire.Status{Leader: h.Leader, Term: h.Term, Received: h.At(len(h.Log)), Held: h.Paused, Conns: int64(len(h.Conns))}
 }
 
 // Conn is a connection at a host. Answer brings the lines of an answer, IDLE included; Broke tells that it ended.
@@ -266,7 +266,7 @@
 	Began  string // the id of the statement that began it
 	Values map[string]string
 	Names  map[string]string
-	Answer func(after int64, a scribe.Answer)
+	Answer func(after int64, a wire.Answer)
 	Broke  func()
 
 	pending []string
@@ -287,9 +287,9 @@
 	c.State, c.pending = 'I', nil
 }
 
-func (c *Conn) say(after int64, lines string, code scribe.Code) {
+func (c *Conn) say(after int64, lines string, code wire.Code) {
 	h := c.H
-	var a scribe.Answer
+	var a wire.Answer
 	take := func(line string) {
 		if _, err := a.Take([]byte(line), []byte(line+"\r\n")); err != nil {
 			panic(err)
@@ -312,7 +312,7 @@
 	c.Answer(after, a)
 }
 
-func (c *Conn) fail(code scribe.Code) {
+func (c *Conn) fail(code wire.Code) {
 	if c.State == 'T' {
 		c.State, c.pending = 'E', nil
 	}
@@ -323,12 +323,12 @@
 func (c *Conn) Query(id, text string) {
 	h, g := c.H, c.H.g
 	verb, rest, _ := strings.Cut(text, " ")
-	var fence *scribe.Position
+	var fence *wire.Position
 	if verb == "FENCE" {
 		at, then, _ := strings.Cut(rest, " ")
-		p, err := scribe.ReadPosition([]byte(at))
+		p, err := wire.ReadPosition([]byte(at))
 		if err != nil {
-			c.say(0, "", scribe.Malformed)
+			c.say(0, "", wire.Malformed)
 			return
 		}
 		fence = &p
@@ -338,14 +338,14 @@
 		name, then, _ := strings.Cut(rest, " ")
 		shape, ok := c.Names[name]
 		if !ok {
-			c.fail(scribe.Unknown)
+			c.fail(wire.Unknown)
 			return
 		}
 		verb, _, _ = strings.Cut(shape, " ")
 		rest = then
 	}
 	if c.State == 'E' && verb != "COMMIT" && verb != "ABORT" {
-		c.say(0, "", scribe.Malformed)
+		c.say(0, "", wire.Malformed)
 		return
 	}
 	stamp := "DONE x." + id
@@ -367,9 +367,9 @@
 	case "BEGIN":
 		switch {
 		case fence != nil && !h.Has(*fence):
-			c.say(0, "", scribe.Lagging)
+			c.say(0, "", wire.Lagging)
 		case rest == "" && !h.Leader:
-			c.say(0, "", scribe.ReadOnly)
+			c.say(0, "", wire.ReadOnly)
 		default:
 			c.State, c.Reads, c.Began, c.pending = 'T', rest == "FETCH", id, nil
 			c.say(0, "DONE -", "")
@@ -382,20 +382,20 @@
 		c.State, c.pending = 'I', nil
 		switch {
 		case failed:
-			c.say(0, "", scribe.Aborted)
+			c.say(0, "", wire.Aborted)
 		case len(writes) == 0:
 			c.say(0, stamp, "")
 		case !h.Leader:
-			c.say(0, "", scribe.ReadOnly)
+			c.say(0, "", wire.ReadOnly)
 		default:
 			c.commit(stamp, writes)
 		}
 	case "FETCH":
 		switch {
 		case fence != nil && !h.Has(*fence):
-			c.fail(scribe.Lagging)
+			c.fail(wire.Lagging)
 		case c.State == 'T' && !c.Reads && !h.Leader:
-			c.fail(scribe.ReadOnly)
+			c.fail(wire.ReadOnly)
 		default:
 			if g.Read != nil {
 				g.Read(h, c, id)
@@ -406,12 +406,12 @@
 		_, data, _ := strings.Cut(rest, " ")
 		switch {
 		case !h.Leader || c.State == 'T' && c.Reads:
-			c.fail(scribe.ReadOnly)
+			c.fail(wire.ReadOnly)
 		case c.State == 'T':
 			c.pending = append(c.pending, data)
 			c.say(g.Between(Ms, 5*Ms), stamp, "")
 		case g.Refused > 0 && g.Odds(g.Refused):
-			c.say(0, "", scribe.Retry)
+			c.say(0, "", wire.Retry)
 		default:
 			c.commit(stamp, []string{data})
 		}
@@ -425,7 +425,7 @@
 		}
 		c.say(0, fmt.Sprintf("ROW %s %d %s %d 0 0 %d\nDONE -", role, s.Term, s.Received, s.Held, s.Conns), "")
 	default:
-		c.say(0, "", scribe.Malformed)
+		c.say(0, "", wire.Malformed)
 	}
 }
 
@@ -440,7 +440,7 @@
 func (c *Conn) Same(values map[string]string) bool { return maps.Equal(c.Values, values) }
 
 // Find is where a datum stands last, in the first log that holds it.
-func (g *Group) Find(data string) (scribe.Position, bool) {
+func (g *Group) Find(data string) (wire.Position, bool) {
 	for _, h := range g.Hosts {
 		for i, e := range slices.Backward(h.Log) { // it is asked for what was written just now
 			if slices.Contains(e.Data, data) {
@@ -448,7 +448,7 @@
 			}
 		}
 	}
-	return scribe.Position{}, false
+	return wire.Position{}, false
 }
 
 // Times is how often each datum stands in a host's log.
--- a/internal/standin/database/server.go
+++ b/internal/fake/database/server.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"ferrypitch/internal/scribe"
+	"ferrypitch/internal/wire"
 )
 
 // Clockwork is a Stage in real time: what is due runs under one lock.
@@ -163,7 +163,7 @@
 		}
 	}()
 	for {
-		line, n, err := scribe.Line(in, 0)
+		line, n, err := wire.Line(in, 0)
 		if err != nil {
 			return
 		}
@@ -184,20 +184,20 @@
 		f := strings.SplitN(string(line), " ", 4)
 		switch {
 		case c == nil && (f[0] != "CONNECT" || len(f) < 3 || f[1] != s.service || len(f) == 4 && f[3] != h.ID):
-			conn.Write(scribe.AppendError(nil, scribe.WrongNode, h.ID))
+			conn.Write(wire.AppendError(nil, wire.WrongNode, h.ID))
 			s.work.Unlock()
 			return
 		case c == nil:
 			c = h.Connect()
 			c.Broke = func() { conn.Close() }
-			c.Answer = func(after int64, a scribe.Answer) {
-				out := scribe.AppendIdle(a.Lines, a.State, a.Position)
+			c.Answer = func(after int64, a wire.Answer) {
+				out := wire.AppendIdle(a.Lines, a.State, a.Position)
 				s.In(after, func() {
 					conn.SetWriteDeadline(time.Now().Add(time.Second))
 					conn.Write(out)
 				})
 			}
-			conn.Write(scribe.AppendIdle(nil, 'I', h.At(h.Seen())))
+			conn.Write(wire.AppendIdle(nil, 'I', h.At(h.Seen())))
 		default:
 			word, rest, _ := strings.Cut(string(line), " ")
 			id, text, _ := strings.Cut(rest, " ")
--- a/internal/standin/pg/pg.go
+++ b/internal/fake/postgres/postgres.go
@@ -1,10 +1,10 @@
-// Package pg is a fleet of stand-in database hosts for tests and the
+// Package postgres is a fleet of stand-in database hosts for tests and the
 // laboratory. They speak PostgreSQL's protocol version 3 as far as routers use
 // it (simple queries, by its public specification), on loopback: replica sets
 // with one log each, roles, lag, capacity that is cold after a start, drains and
 // faults by call. Ground truth is recorded: what ran, where, how often, from
 // which position.
-package pg
+package postgres
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 	"sync"
 	"time"
 
-	"ferrypitch/internal/protocol"
+	"ferrypitch/internal/router/protocol"
 )
 
 // Terms are the same for all hosts of a fleet.
--- a/internal/feeler/callers_test.go
+++ b/internal/gossip/callers_test.go
@@ -1,4 +1,4 @@
-package feeler
+package gossip
 
 import (
 	"bytes"
--- a/internal/feeler/feeler.go
+++ b/internal/gossip/gossip.go
@@ -1,11 +1,11 @@
-// Package feeler (a thin blade that feels whether there is a gap) is how routers know each other: each probes a few
+// Package gossip is how routers know each other: each probes a few
 // others in turn, asks third parties for a second opinion on one that does not answer, suspects before it removes, and
 // passes on what it learned with its probes. What a router costs does not grow with the number of routers.
 //
 //	Heard (a message), Tick  ->  Feeler  ->  messages to send;  Live, Control: what is known
 //
 // Pure: the caller brings time in milliseconds, chance and messages.
-package feeler
+package gossip
 
 import (
 	"maps"
--- a/internal/feeler/feeler_test.go
+++ b/internal/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package feeler
+package gossip
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/lab/stage"
+	"ferrypitch/internal/simulation/scheduler"
 )
 
 // world is routers on a network that loses datagrams.
 type world struct {
-	*stage.Stage
+	*scheduler.Stage
 	nodes map[string]*node
 	names []string
 	cut   func(from, to string) bool
@@ -28,7 +28,7 @@
 }
 
 func newWorld(seed uint64, n int) *world {
-	w := &world{Stage: stage.New(seed, 1<<30, 1), nodes: map[string]*node{}, cut: func(string, string) bool { return false }}
+	w := &world{Stage: scheduler.New(seed, 1<<30, 1), nodes: map[string]*node{}, cut: func(string, string) bool { return false }}
 	for i := range n {
 		name := fmt.Sprintf("r%02d", i)
 		w.names = append(w.names, name)
--- a/internal/vise/capacity_test.go
+++ b/internal/lease/capacity_test.go
@@ -1,19 +1,19 @@
-package vise_test
+package lease_test
 
 import (
 	"testing"
 
-	"ferrypitch/internal/lab/extent"
-	"ferrypitch/internal/vise"
+	"ferrypitch/internal/lease"
+	"ferrypitch/internal/simulation/statesize"
 )
 
 // A renewal, and the count of those that hold leases, which goes out with each.
 func BenchmarkRenew(b *testing.B) {
-	for _, e := range extent.All {
+	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) {
-			j := vise.New(0)
+			j := lease.New(0)
 			for i := range e.Routers {
-				j.Renew(extent.Router(i), 1, 1, 0, 1)
+				j.Renew(statesize.Router(i), 1, 1, 0, 1)
 			}
 			b.Run("grant", func(b *testing.B) {
 				for b.Loop() {
@@ -31,11 +31,11 @@
 
 // Whether a lead that was taken back is handed back by all: asked at each tick while a move goes on.
 func BenchmarkClear(b *testing.B) {
-	for _, e := range extent.All {
+	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) {
-			j := vise.New(0)
+			j := lease.New(0)
 			for i := range e.Routers {
-				j.Renew(extent.Router(i), 1, 2, 0, 5000)
+				j.Renew(statesize.Router(i), 1, 2, 0, 5000)
 			}
 			for b.Loop() {
 				if !j.Clear(2, nil, 5001) {
--- a/internal/vise/vise.go
+++ b/internal/lease/lease.go
@@ -1,4 +1,4 @@
-// Package vise (it holds a piece only while it is screwed tight) keeps the leases under which routers may treat a host as
+// Package lease keeps the leases under which routers may treat a host as
 // a service's primary. A lease counts at the router from the moment at which it asked, at the control plane from the
 // moment at which that answered, so the router's always ends first. What leads which service comes with the log; a
 // router that has applied the change which takes a lead back has handed it back.
@@ -7,7 +7,7 @@
 //	Screw  at a router: until when what the log says may be acted on
 //
 // Pure: times are milliseconds of each process's own steady clock.
-package vise
+package lease
 
 import "slices"
 
--- a/internal/vise/vise_test.go
+++ b/internal/lease/lease_test.go
@@ -1,4 +1,4 @@
-package vise
+package lease
 
 import (
 	"math/rand/v2"
--- a/internal/headstock/buffered_conn.go
+++ b/internal/proxy/buffered_conn.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"net"
