--- a/internal/headstock/calls.go
+++ b/internal/proxy/calls.go
@@ -1,33 +1,33 @@
-package headstock
+package proxy
 
 import (
 	"strconv"
 	"time"
 
-	"ferrypitch/internal/chuck"
-	"ferrypitch/internal/detent"
-	"ferrypitch/internal/scribe"
-	"ferrypitch/internal/telltale"
-	"ferrypitch/rules"
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/proxy/session"
+	"ferrypitch/internal/retry"
+	"ferrypitch/internal/wire"
+	"ferrypitch/policy"
 )
 
 // call is a client's statement on its way.
 type call struct {
 	session *clientSession
-	request scribe.Request
-	step    chuck.Step
+	request wire.Request
+	step    session.Step
 	route   *route
-	group   *rules.CmdGroup
+	group   *policy.CmdGroup
 	at      time.Time // when it was read
 	until   time.Time // when its answer is due
 	timer   timer
 	name    string // what the module calls it; empty where a transaction's connection is its place
-	handle  *rules.Cmd
+	handle  *policy.Cmd
 	host    *host
 	conn    *hostConn
 	sent    bool // some of it may be with the host
 	maybe   bool // some dispatch of it may have run
-	sentAt  rules.Tenth
+	sentAt  policy.Tenth
 	wroteAt time.Time
 	lead    uint64 // under which it was sent as to the primary; 0: not so
 	over    bool   // this dispatch has ended
@@ -41,18 +41,18 @@
 // statement takes one of a session's statements.
 func (h *Headstock) statement(s *clientSession, m message) {
 	if m.err != nil {
-		h.answer(s, h.tell(telltale.BadStatement, 0))
+		h.answer(s, h.tell(errcode.BadStatement, 0))
 		return
 	}
 	step := s.Take(m.request)
 	switch step.Do {
-	case chuck.Here, chuck.End:
+	case session.Here, session.End:
 		h.answer(s, step.Reply)
 		return
 	}
 	h.Taken.Add(1)
 	c := &call{session: s, request: m.request, step: step, at: m.at}
-	if step.Do == chuck.Pinned {
+	if step.Do == session.Pinned {
 		c.route = s.route
 		h.pinned(c)
 		return
@@ -61,9 +61,9 @@
 	if c.route == nil {
 		if h.inTouch() {
 			h.NoDB.Add(1)
-			h.final(s, h.tell(telltale.RouteGone, 0))
+			h.final(s, h.tell(errcode.RouteGone, 0))
 		} else {
-			h.refuse(c, telltale.NoTouch, 0)
+			h.refuse(c, errcode.NoTouch, 0)
 		}
 		return
 	}
@@ -85,7 +85,7 @@
 		}
 	}
 	c.group = r.read
-	since := rules.Tenth(0)
+	since := policy.Tenth(0)
 	switch {
 	case c.step.Writes:
 		c.group = r.write
@@ -99,7 +99,7 @@
 			h.Floorless.Add(1)
 		}
 	}
-	timeout := now + rules.Tenth(c.until.Sub(h.clock.Time())/(100*time.Microsecond))
+	timeout := now + policy.Tenth(c.until.Sub(h.clock.Time())/(100*time.Microsecond))
 	h.serial++
 	c.name = number(h.serial)
 	h.calls[c.name] = c
@@ -119,7 +119,7 @@
 }
 
 // Dispatch sends a call to a host; the module asks for it.
-func (h *Headstock) Dispatch(handle *rules.Cmd, n *rules.Node, timeout rules.Tenth) {
+func (h *Headstock) Dispatch(handle *policy.Cmd, n *policy.Node, timeout policy.Tenth) {
 	c := h.calls[handle.Name]
 	c.handle = handle
 	c.host, c.conn, c.sent, c.over, c.ready = h.nodes[n], nil, false, false, false
@@ -143,7 +143,7 @@
 	h.Setups.Add(int64(len(texts)))
 	var b []byte
 	for _, t := range texts {
-		b = scribe.AppendQuery(b, "-", t)
+		b = wire.AppendQuery(b, "-", t)
 	}
 	k.setup += len(texts)
 	if _, ok := k.out.write(b); !ok {
@@ -158,42 +158,42 @@
 	c.ready = true
 	var b []byte
 	switch {
-	case c.step.Do == chuck.Pinned:
+	case c.step.Do == session.Pinned:
 		if s.lead != 0 && !n.service.holds(s.lead, h) {
 			h.later = append(h.later, func() { h.lapsed(c) })
 			return
 		}
-		b = scribe.AppendQuery(nil, c.request.ID, c.step.Text)
+		b = wire.AppendQuery(nil, c.request.ID, c.step.Text)
 		c.lead = s.lead
 	default:
 		c.lead = n.service.asLead(n, h)
 		if c.lead != 0 {
-			b = scribe.AppendQuery(nil, c.request.ID, c.step.Text)
+			b = wire.AppendQuery(nil, c.request.ID, c.step.Text)
 			break
 		}
 		floor, ok := n.service.gauge.Fence(now, c.route.bound, c.token())
 		if c.group != c.route.read || c.route.bound == 0 || !ok {
 			h.Lapsed.Add(1)
 			k.call = nil
-			h.outcomeLater(c, rules.Moot)
+			h.outcomeLater(c, policy.Moot)
 			h.free(k)
 			return
 		}
-		b = scribe.AppendFenced(nil, c.request.ID, floor, c.step.Text)
+		b = wire.AppendFenced(nil, c.request.ID, floor, c.step.Text)
 	}
 	c.sentAt, c.sent, c.wroteAt = now, true, h.clock.Time()
 	if n, ok := k.out.write(b); !ok {
-		c.sent = detent.Wrote(n, len(b)) == detent.Said // else it never ran
+		c.sent = retry.Wrote(n, len(b)) == retry.Said // else it never ran
 		h.later = append(h.later, func() { h.broken(k) })
 	}
 }
 
 // token is what a session's own reads must see, where its route promises that.
-func (c *call) token() scribe.Position {
+func (c *call) token() wire.Position {
 	if c.route.owned {
 		return c.session.Token
 	}
-	return scribe.Position{}
+	return wire.Position{}
 }
 
 // pinned sends a statement to the connection of its transaction.
@@ -202,7 +202,7 @@
 	k := s.pin
 	if k == nil || k.closed {
 		s.Drop()
-		h.answer(s, h.tell(telltale.RolledBack, 0))
+		h.answer(s, h.tell(errcode.RolledBack, 0))
 		return
 	}
 	s.call = c
@@ -218,11 +218,11 @@
 	k := c.conn
 	k.call, k.session = nil, nil
 	h.close(k)
-	h.outcome(c, rules.Moot)
+	h.outcome(c, policy.Moot)
 }
 
 // arrived takes in an answer of a host.
-func (h *Headstock) arrived(k *hostConn, a *scribe.Answer, at time.Time) {
+func (h *Headstock) arrived(k *hostConn, a *wire.Answer, at time.Time) {
 	if k.closed {
 		return
 	}
@@ -257,7 +257,7 @@
 }
 
 // answered brings a host's answer to a call.
-func (h *Headstock) answered(k *hostConn, c *call, a *scribe.Answer, at time.Time) {
+func (h *Headstock) answered(k *hostConn, c *call, a *wire.Answer, at time.Time) {
 	now := h.moment()
 	s, n := c.session, k.host
 	c.over = true
@@ -269,27 +269,27 @@
 	effect := c.step.Writes && !c.step.Begins || c.step.Commit && s.Wrote
 	if c.lead != 0 && effect && a.Code == "" && !n.service.same(c.lead) {
 		h.TakenBack.Add(1)
-		if c.step.Do == chuck.Pinned && !c.step.Commit {
+		if c.step.Do == session.Pinned && !c.step.Commit {
 			k.session = nil
 			h.close(k)
 			s.dropped(c)
-			h.reply(c, h.tell(telltale.Replaced, 0))
+			h.reply(c, h.tell(errcode.Replaced, 0))
 			return
 		}
 		if k.session = nil; s.pin == k {
 			s.pin = nil
 		}
 		h.close(k)
-		s.Answered(c.step, &scribe.Answer{State: 'I', Code: scribe.InDoubt})
+		s.Answered(c.step, &wire.Answer{State: 'I', Code: wire.InDoubt})
 		if c.name != "" {
 			c.maybe = true
-			c.handle.Ended(rules.TimedOut, -1, rules.Unknown, 0, true)
+			c.handle.Ended(policy.TimedOut, -1, policy.Unknown, 0, true)
 			h.settle(c)
 		}
-		h.reply(c, h.tell(telltale.DoubtMoved, 0))
+		h.reply(c, h.tell(errcode.DoubtMoved, 0))
 		return
 	}
-	if c.step.Do == chuck.Pinned {
+	if c.step.Do == session.Pinned {
 		if s.Answered(c.step, a) && !c.done {
 			k.session = s
 		} else {
@@ -308,13 +308,13 @@
 	if a.Code == "" && c.step.Begins && a.State != 'T' || a.Code == "" && !c.step.Begins && (a.State != 'I' || !a.Stamp) {
 		h.Stray.Add(1) // an answer that is none of a statement like it
 		h.close(k)
-		h.outcome(c, rules.Reset)
+		h.outcome(c, policy.Reset)
 		return
 	}
-	if !c.done && (o == rules.Answered || o == rules.Errored || a.Code == scribe.Unknown || a.Code == scribe.Malformed) {
+	if !c.done && (o == policy.Answered || o == policy.Errored || a.Code == wire.Unknown || a.Code == wire.Malformed) {
 		c.said = a.Lines
 	}
-	if o == rules.Answered {
+	if o == policy.Answered {
 		s.last = a.Position
 		if s.Answered(c.step, a) {
 			if c.done { // its client is gone
@@ -338,29 +338,29 @@
 	took := now - c.sentAt
 	h.Outcomes[o].Add(1)
 	if moment < 0 {
-		role = rules.Unknown
+		role = policy.Unknown
 	}
 	c.handle.Ended(o, moment, role, took, c.done)
 	h.settle(c)
 }
 
 // outcomeOf is what a host's code means to the module.
-func outcomeOf(code scribe.Code) rules.Outcome {
+func outcomeOf(code wire.Code) policy.Outcome {
 	switch code {
 	case "":
-		return rules.Answered
-	case scribe.Lagging, scribe.ReadOnly:
-		return rules.Missed
-	case scribe.Retry, scribe.Overload:
-		return rules.Full
-	case scribe.WrongNode:
-		return rules.Unreached
-	}
-	return rules.Errored
+		return policy.Answered
+	case wire.Lagging, wire.ReadOnly:
+		return policy.Missed
+	case wire.Retry, wire.Overload:
+		return policy.Full
+	case wire.WrongNode:
+		return policy.Unreached
+	}
+	return policy.Errored
 }
 
 // outcome ends a dispatch that brought no answer.
-func (h *Headstock) outcome(c *call, o rules.Outcome) {
+func (h *Headstock) outcome(c *call, o policy.Outcome) {
 	if c.over {
 		return
 	}
@@ -377,12 +377,12 @@
 	h.moment()
 	h.Outcomes[o].Add(1)
 	s := c.session
-	if c.step.Do == chuck.Pinned {
+	if c.step.Do == session.Pinned {
 		s.pin = nil
 		if c.step.Commit && c.sent {
-			kind := telltale.Doubt
+			kind := errcode.Doubt
 			if !s.Wrote { // there is nothing to keep
-				kind = telltale.RolledBack
+				kind = errcode.RolledBack
 			}
 			s.Leave()
 			h.reply(c, h.tell(kind, 0))
@@ -391,27 +391,27 @@
 		if c.step.Ends {
 			s.Leave()
 			if c.step.Commit {
-				h.reply(c, h.tell(telltale.RolledBack, 0))
+				h.reply(c, h.tell(errcode.RolledBack, 0))
 			} else {
-				h.reply(c, scribe.AppendDone(nil))
+				h.reply(c, wire.AppendDone(nil))
 			}
 			return
 		}
 		s.Drop()
-		h.reply(c, h.tell(telltale.RolledBack, 0))
+		h.reply(c, h.tell(errcode.RolledBack, 0))
 		return
 	}
-	if c.sent && c.step.Writes && !c.step.Begins && o != rules.Moot {
+	if c.sent && c.step.Writes && !c.step.Begins && o != policy.Moot {
 		c.maybe = true
 	}
-	if !c.sent && o == rules.Reset {
-		o = rules.Unreached
+	if !c.sent && o == policy.Reset {
+		o = policy.Unreached
 	}
-	c.handle.Ended(o, -1, rules.Unknown, h.now-c.sentAtOr(h.now), c.done)
+	c.handle.Ended(o, -1, policy.Unknown, h.now-c.sentAtOr(h.now), c.done)
 	h.settle(c)
 }
 
-func (c *call) sentAtOr(now rules.Tenth) rules.Tenth {
+func (c *call) sentAtOr(now policy.Tenth) policy.Tenth {
 	if c.sentAt > 0 {
 		return c.sentAt
 	}
@@ -419,7 +419,7 @@
 }
 
 // outcomeLater is outcome for where the module may be calling.
-func (h *Headstock) outcomeLater(c *call, o rules.Outcome) {
+func (h *Headstock) outcomeLater(c *call, o policy.Outcome) {
 	h.later = append(h.later, func() { h.outcome(c, o) })
 }
 
@@ -429,18 +429,18 @@
 		return
 	}
 	k := c.conn
-	o := rules.Moot
+	o := policy.Moot
 	if k != nil {
 		k.call, k.session = nil, nil
 		h.close(k)
-		if o = rules.TimedOut; !c.sent {
-			o = rules.Unreached
+		if o = policy.TimedOut; !c.sent {
+			o = policy.Unreached
 		}
 		if c.lead != 0 {
 			k.host.suspect(false)
 		}
 	} else if c.host != nil && c.host.opening > 0 && len(c.host.all) == 0 {
-		o = rules.Unreached
+		o = policy.Unreached
 		c.host.suspect(false)
 	}
 	h.outcome(c, o)
@@ -457,7 +457,7 @@
 	if c.name != "" {
 		c.handle.Left()
 		if c.conn == nil && !c.over && c.handle.Node != nil {
-			h.outcome(c, rules.Moot)
+			h.outcome(c, policy.Moot)
 			return
 		}
 		h.settle(c)
@@ -477,7 +477,7 @@
 }
 
 // Throttle is the final answer of a call that has not run, or whose running harms nobody.
-func (h *Headstock) Throttle(handle *rules.Cmd, comeback rules.Tenth) {
+func (h *Headstock) Throttle(handle *policy.Cmd, comeback policy.Tenth) {
 	c := h.calls[handle.Name]
 	h.Throttled.Add(1)
 	h.later = append(h.later, func() {
@@ -485,12 +485,12 @@
 			h.reply(c, c.said)
 			return
 		}
-		h.refuse(c, telltale.NoPlace, int64(comeback/10))
+		h.refuse(c, errcode.NoPlace, int64(comeback/10))
 	})
 }
 
 // Fail is the final answer of a call that may have run.
-func (h *Headstock) Fail(handle *rules.Cmd) {
+func (h *Headstock) Fail(handle *policy.Cmd) {
 	c := h.calls[handle.Name]
 	h.Failed.Add(1)
 	h.later = append(h.later, func() {
@@ -499,21 +499,21 @@
 		case c.said != nil:
 			h.reply(c, c.said)
 		case c.maybe:
-			h.reply(c, h.tell(telltale.Doubt, 0))
+			h.reply(c, h.tell(errcode.Doubt, 0))
 		default:
-			h.refuse(c, telltale.NotSent, 0)
+			h.refuse(c, errcode.NotSent, 0)
 		}
 	})
 }
 
 // refuse answers a call of which nothing is kept, with the milliseconds after which to come again.
-func (h *Headstock) refuse(c *call, kind telltale.Kind, after int64) {
+func (h *Headstock) refuse(c *call, kind errcode.Kind, after int64) {
 	h.Refused.Add(1)
 	h.reply(c, h.tell(kind, after))
 }
 
 // tell is an answer of this router's own, and counts it.
-func (h *Headstock) tell(kind telltale.Kind, after int64) []byte {
+func (h *Headstock) tell(kind errcode.Kind, after int64) []byte {
 	h.Told[kind].Add(1)
 	return kind.Append(nil, after)
 }
--- a/internal/headstock/capacity_test.go
+++ b/internal/proxy/capacity_test.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"bytes"
@@ -12,26 +12,26 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/feeler"
-	"ferrypitch/internal/lab/extent"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/scribe"
-	"ferrypitch/rules"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/gossip"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/simulation/statesize"
+	"ferrypitch/internal/wire"
+	"ferrypitch/policy"
 )
 
 // following is a router that holds a state and has no sessions; none of its connections opens.
-func following(e extent.Extent) *Headstock {
-	h := newHeadstock(&nameplate.Plate{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), arbor.NewSteady(time.Now), 1)
+func following(e statesize.Extent) *Headstock {
+	h := newHeadstock(&settings.Plate{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteady(time.Now), 1)
 	h.ctx = context.Background()
-	h.say = func(*belt.Frame) {}
-	h.dial = func(n *host, asked rules.Tenth, lead uint64) {
-		h.later = append(h.later, func() { n.opened(&hostConn{host: n, opened: asked}, scribe.Answer{}, errors.New("not here"), lead) })
+	h.say = func(*rpc.Frame) {}
+	h.dial = func(n *host, asked policy.Tenth, lead uint64) {
+		h.later = append(h.later, func() { n.opened(&hostConn{host: n, opened: asked}, wire.Answer{}, errors.New("not here"), lead) })
 	}
 	s := e.State()
-	if !h.news(&belt.News{Snapshot: s.Snapshot(), Index: s.Index}) {
+	if !h.news(&rpc.News{Snapshot: s.Snapshot(), Index: s.Index}) {
 		panic("a snapshot is not taken")
 	}
 	for h.step() {
@@ -39,27 +39,27 @@
 	return h
 }
 
-func sizes(b *testing.B, run func(b *testing.B, h *Headstock, e extent.Extent)) {
-	for _, e := range extent.All {
+func sizes(b *testing.B, run func(b *testing.B, h *Headstock, e statesize.Extent)) {
+	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) { run(b, following(e), e) })
 	}
 }
 
 // A change of one lead, from its frame to the module.
 func BenchmarkNews(b *testing.B) {
-	sizes(b, func(b *testing.B, h *Headstock, e extent.Extent) {
+	sizes(b, func(b *testing.B, h *Headstock, e statesize.Extent) {
 		term := uint64(1)
 		for b.Loop() {
 			term++
-			c := rack.Encode(rack.Change{Lead: &rack.NewLead{Service: extent.Service(3), Host: extent.Host(9 + int(term)%3).ID, Term: term}})
-			h.news(&belt.News{Entries: [][]byte{c}, Index: h.state.Index + 1})
+			c := statemachine.Encode(statemachine.Change{Lead: &statemachine.NewLead{Service: statesize.Service(3), Host: statesize.Host(9 + int(term)%3).ID, Term: term}})
+			h.news(&rpc.News{Entries: [][]byte{c}, Index: h.state.Index + 1})
 		}
 	})
 }
 
 // What is looked at with each lease and each 50 ms.
 func BenchmarkRounds(b *testing.B) {
-	sizes(b, func(b *testing.B, h *Headstock, e extent.Extent) {
+	sizes(b, func(b *testing.B, h *Headstock, e statesize.Extent) {
 		for b.Loop() {
 			h.rounds(h.clock.Time())
 		}
@@ -68,7 +68,7 @@
 
 // The module's look at its hosts, each 50 ms.
 func BenchmarkLook(b *testing.B) {
-	sizes(b, func(b *testing.B, h *Headstock, e extent.Extent) {
+	sizes(b, func(b *testing.B, h *Headstock, e statesize.Extent) {
 		at := h.moment()
 		for b.Loop() {
 			at += 500
@@ -81,13 +81,13 @@
 
 // A start with a snapshot, and what a router holds of memory then.
 func BenchmarkStart(b *testing.B) {
-	sizes(b, func(b *testing.B, _ *Headstock, e extent.Extent) {
+	sizes(b, func(b *testing.B, _ *Headstock, e statesize.Extent) {
 		s := e.State()
 		snapshot := s.Snapshot()
 		begin := func() *Headstock {
-			h := newHeadstock(&nameplate.Plate{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), arbor.NewSteady(time.Now), 1)
-			h.dial = func(*host, rules.Tenth, uint64) {}
-			h.news(&belt.News{Snapshot: snapshot, Index: s.Index})
+			h := newHeadstock(&settings.Plate{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteady(time.Now), 1)
+			h.dial = func(*host, policy.Tenth, uint64) {}
+			h.news(&rpc.News{Snapshot: snapshot, Index: s.Index})
 			return h
 		}
 		var before, after runtime.MemStats
@@ -106,23 +106,23 @@
 
 // A datagram between routers, made, encoded and decoded; each router sends about four a second.
 func BenchmarkDatagram(b *testing.B) {
-	for _, e := range extent.All {
+	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) {
 			at := func(n int) string { return fmt.Sprintf("10.1.%d.%d:7440", n/250, 1+n%250) }
-			f := feeler.New(extent.Router(0), at(0), 1, feeler.Usual(), func(n int) int { return n / 2 }, 0)
+			f := gossip.New(statesize.Router(0), at(0), 1, gossip.Usual(), func(n int) int { return n / 2 }, 0)
 			f.SetControl([]string{"10.1.0.11", "10.2.0.8", "10.3.0.9"}, 12345)
 			for n := 1; n < e.Routers; n++ {
-				f.Heard(feeler.Message{Kind: feeler.Ack, From: at(n), News: []feeler.News{{Name: extent.Router(n), Address: at(n), Incarnation: 1 << 60}}}, 0)
+				f.Heard(gossip.Message{Kind: gossip.Ack, From: at(n), News: []gossip.News{{Name: statesize.Router(n), Address: at(n), Incarnation: 1 << 60}}}, 0)
 			}
 			size := 0
 			for b.Loop() {
-				out := f.Heard(feeler.Message{Kind: feeler.Ping, From: at(1), Serial: 7}, 1)
+				out := f.Heard(gossip.Message{Kind: gossip.Ping, From: at(1), Serial: 7}, 1)
 				var w bytes.Buffer
 				if err := gob.NewEncoder(&w).Encode(out[0].Message); err != nil {
 					b.Fatal(err)
 				}
 				size = w.Len()
-				var m feeler.Message
+				var m gossip.Message
 				if err := gob.NewDecoder(&w).Decode(&m); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/collet/collet.go
+++ b/internal/proxy/connlimit/connlimit.go
@@ -1,4 +1,4 @@
-// Package collet (a sleeve that holds a piece by closing round it) says how a host's connections, which are fewer than
+// Package connlimit says how a host's connections, which are fewer than
 // would be held if each router kept its own, are shared: how many one router may have, and how long one may rest.
 //
 // Each router counts on a share: what the host takes, less a reserve, over the routers that there are. Where the share is
@@ -9,7 +9,7 @@
 // second, so that all routers' resting connections together stay within the host's.
 //
 // Pure.
-package collet
+package connlimit
 
 const (
 	reserve = 2     // for the control plane's questions
--- a/internal/collet/collet_test.go
+++ b/internal/proxy/connlimit/connlimit_test.go
@@ -1,4 +1,4 @@
-package collet
+package connlimit
 
 import (
 	"math/rand/v2"
--- a/internal/headstock/council_test.go
+++ b/internal/proxy/council_test.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"cmp"
@@ -11,16 +11,16 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/drawer"
-	"ferrypitch/internal/forge"
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/ratchet"
-	"ferrypitch/internal/scribe"
-	"ferrypitch/internal/standin/database"
+	"ferrypitch/internal/control"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/fake/database"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/wire"
 )
 
 // A council is the control plane as it is: three members with their log, disks that forget what was not synced, and
@@ -45,7 +45,7 @@
 	takes func() int64 // of a promotion at the platform; nil: by chance
 
 	// defences taken out
-	answer   func(hoist.Question, *database.Host) bool // a question's answer is made up
+	answer   func(failover.Question, *database.Host) bool // a question's answer is made up
 	address  func(id string) string
 	sameName bool // a member whose disk is lost counts as before
 }
@@ -53,13 +53,13 @@
 type member struct {
 	c      *council
 	ip     string
-	f      *forge.Forge
+	f      *control.Forge
 	up     bool
 	frozen bool
 	life   int
-	id     drawer.Identity
-	disk   ratchet.Restored
-	queue  []ratchet.Write
+	id     storage.Identity
+	disk   consensus.Restored
+	queue  []consensus.Write
 	held   []func()
 	cut    bool // from the other members
 	deaf   bool // hears none of them, and is heard
@@ -77,12 +77,12 @@
 	c := &council{w: w, fencing: w.Odds(2), fences: map[string]uint64{}, holders: map[uint64]string{}, draining: map[string]bool{},
 		address: func(id string) string { return "10.1.0.1:100" + id[1:2] }}
 	w.council, c.places, w.apart = c, map[string]*member{}, 10
-	var founders []ratchet.ID
+	var founders []consensus.ID
 	for i := range 3 {
-		founders = append(founders, ratchet.ID(fmt.Sprintf("10.0.0.%d", i+1)))
+		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
 	}
 	for i := range 3 {
-		m := &member{c: c, ip: string(founders[i]), id: drawer.Identity{ID: founders[i], Founders: founders}, rate: w.rate()}
+		m := &member{c: c, ip: string(founders[i]), id: storage.Identity{ID: founders[i], Founders: founders}, rate: w.rate()}
 		c.members, c.places[m.ip] = append(c.members, m), m
 		m.start()
 	}
@@ -116,7 +116,7 @@
 	m.life++
 	m.up, m.frozen, m.cut, m.deaf, m.mute, m.blind, m.held, m.queue = true, false, false, false, false, false, nil, nil
 	m.links, m.order = map[*tie]bool{}, map[string]int64{}
-	plate := &nameplate.Plate{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
+	plate := &settings.Plate{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
 	plate.FaultBudget.Machines = 1
 	plate.Listen.Control = m.ip + ":8080"
 	for _, o := range m.c.members {
@@ -128,17 +128,17 @@
 	if *only >= 0 {
 		log = hclog.New(&hclog.LoggerOptions{Output: noting{w, m.ip}, DisableTime: true})
 	}
-	f, err := forge.New(plate, log, arbor.NewSteady(w.clock(m.rate)), m.id, kept, w.Chance.Float64, uint64(m.life))
+	f, err := control.New(plate, log, eventloop.NewSteady(w.clock(m.rate)), m.id, kept, w.Chance.Float64, uint64(m.life))
 	if err != nil {
 		panic(err)
 	}
 	life := m.life
 	m.f = f
-	f.Wire(forge.Reach{
-		Send:    func(ip string, frame *belt.Frame) { m.send(ip, frame) },
-		Store:   func(x []ratchet.Write) { m.store(life, x) },
-		Ask:     func(q hoist.Question, _ rack.Host) { m.ask(life, q) },
-		Promote: func(p hoist.Promotion) { m.promote(life, p) },
+	f.Wire(control.Reach{
+		Send:    func(ip string, frame *rpc.Frame) { m.send(ip, frame) },
+		Store:   func(x []consensus.Write) { m.store(life, x) },
+		Ask:     func(q failover.Question, _ statemachine.Host) { m.ask(life, q) },
+		Promote: func(p failover.Promotion) { m.promote(life, p) },
 	})
 	m.tick(life)
 }
@@ -165,7 +165,7 @@
 }
 
 // send brings a frame to another member; what goes over one connection keeps its order.
-func (m *member) send(ip string, f *belt.Frame) {
+func (m *member) send(ip string, f *rpc.Frame) {
 	w, to := m.c.w, m.c.places[ip]
 	if to == nil || to == m {
 		return
@@ -180,7 +180,7 @@
 	})
 }
 
-func (m *member) store(life int, x []ratchet.Write) {
+func (m *member) store(life int, x []consensus.Write) {
 	w := m.c.w
 	m.queue = append(m.queue, x...)
 	seq := x[len(x)-1].Seq
@@ -200,10 +200,10 @@
 }
 
 // ask brings a question to a host.
-func (m *member) ask(life int, q hoist.Question) {
+func (m *member) ask(life int, q failover.Question) {
 	w := m.c.w
 	w.In(w.Between(1*ms, 4*ms), func() {
-		r := hoist.Reply{To: q}
+		r := failover.Reply{To: q}
 		back := w.Between(1*ms, 4*ms)
 		switch h := w.db.Host(q.Host); {
 		case h == nil || !h.Up && !h.Dark && !m.blind:
@@ -214,7 +214,7 @@
 				w.runsLate(q, h)
 			}
 		case m.c.answer != nil && m.c.answer(q, h):
-			r.Status = scribe.Status{Term: h.Term, Received: h.At(len(h.Log))}
+			r.Status = wire.Status{Term: h.Term, Received: h.At(len(h.Log))}
 		default:
 			r.Status = h.Control(q.Verb.Text(), q.Term)
 		}
@@ -223,7 +223,7 @@
 }
 
 // promote calls the platform, which asserts that a fence has one holder.
-func (m *member) promote(life int, p hoist.Promotion) {
+func (m *member) promote(life int, p failover.Promotion) {
 	w, c := m.c.w, m.c
 	c.calls++
 	w.Note("%s names %s to the platform, fence %d", m.ip, p.Host, p.Fence)
@@ -235,10 +235,10 @@
 	if c.takes == nil && w.Odds(6) {
 		way = w.Between(100*ms, 2*s) // it is slow
 	}
-	o, blind := hoist.Done, m.blind
+	o, blind := failover.Done, m.blind
 	answer := func() { m.do(life, func() { m.f.Called(p, o) }) }
 	if blind {
-		o = hoist.Later
+		o = failover.Later
 		w.In(600*ms, answer)
 		return
 	}
@@ -246,9 +246,9 @@
 		host := w.db.Host(p.Host)
 		switch {
 		case c.fencing && p.Fence < c.fences[p.Service], host == nil || !host.Up:
-			o = hoist.Rejected
+			o = failover.Rejected
 		case c.takes == nil && w.Odds(10):
-			o = hoist.Later
+			o = failover.Later
 		default:
 			c.fences[p.Service] = max(c.fences[p.Service], p.Fence)
 			took := w.Between(80*ms, 400*ms)
@@ -257,7 +257,7 @@
 			}
 			w.In(took, func() { host.Promote() })
 			if c.takes == nil && w.Odds(5) {
-				o = hoist.Unclear
+				o = failover.Unclear
 			}
 		}
 		if way > 900*ms {
@@ -266,8 +266,8 @@
 		w.In(w.Between(2*ms, 8*ms), answer)
 	})
 	if way > 900*ms { // it waits no longer
-		o = hoist.Unclear
-		w.In(900*ms, func() { m.do(life, func() { m.f.Called(p, hoist.Unclear) }) })
+		o = failover.Unclear
+		w.In(900*ms, func() { m.do(life, func() { m.f.Called(p, failover.Unclear) }) })
 	}
 }
 
@@ -275,7 +275,7 @@
 func (c *council) beat(h *database.Host) {
 	w := c.w
 	c.seq++
-	b := forge.Beat{Service: "db", Address: c.address(h.ID), Zone: "z", Capacity: 5, State: "serving", DbRole: "follower", CallSeq: c.seq}
+	b := control.Beat{Service: "db", Address: c.address(h.ID), Zone: "z", Capacity: 5, State: "serving", DbRole: "follower", CallSeq: c.seq}
 	if h.Leader {
 		b.DbRole = "leader"
 	}
@@ -424,7 +424,7 @@
 
 // wiped starts a member with an empty disk.
 func (m *member) wiped() {
-	m.disk = ratchet.Restored{}
+	m.disk = consensus.Restored{}
 	if !m.c.sameName {
 		m.id = m.c.newcomer(m.ip)
 	}
@@ -432,9 +432,9 @@
 }
 
 // newcomer is who a member with an empty disk is.
-func (c *council) newcomer(ip string) drawer.Identity {
+func (c *council) newcomer(ip string) storage.Identity {
 	c.lives++
-	return drawer.Identity{ID: ratchet.ID(fmt.Sprintf("%s+%08x", ip, c.lives))}
+	return storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%08x", ip, c.lives))}
 }
 
 // replace starts a machine at a new address, and callers and routers are told of it in the place of another.
@@ -500,7 +500,7 @@
 		return false
 	}
 	m.f.Take(http.MethodGet, "/Member.Status", "", nil, func(_ int, body []byte) {
-		var st forge.Status
+		var st control.Status
 		if json.Unmarshal(body, &st) == nil {
 			is = st.Standing.Holds
 		}
@@ -551,7 +551,7 @@
 	life   int
 	m      *member
 	mlife  int
-	at     *forge.Router
+	at     *control.Router
 	over   bool
 	torn   bool
 	leads  bool
@@ -586,7 +586,7 @@
 	r.run(life, func(h *Headstock) { from = h.from() })
 	m.links[l] = true
 	l.toMember(func() {
-		l.at = m.f.Meet(&belt.Hello{Node: r.name, Life: uint64(life), Zone: "z", From: from}, r.name, l.send, func() { w.In(2*ms, l.part) })
+		l.at = m.f.Meet(&rpc.Hello{Node: r.name, Life: uint64(life), Zone: "z", From: from}, r.name, l.send, func() { w.In(2*ms, l.part) })
 	})
 	l.deaf()
 }
@@ -602,7 +602,7 @@
 }
 
 // send is the member's side.
-func (l *tie) send(f *belt.Frame) bool {
+func (l *tie) send(f *rpc.Frame) bool {
 	w, r := l.r.w, l.r
 	l.here = max(l.here+1, w.Now+w.Between(ms/2, 3*ms))
 	w.In(l.here-w.Now, func() {
@@ -614,7 +614,7 @@
 }
 
 // take is what link.follow does with a frame.
-func (l *tie) take(h *Headstock, f *belt.Frame) {
+func (l *tie) take(h *Headstock, f *rpc.Frame) {
 	w, r := l.r.w, l.r
 	if l.over {
 		return
@@ -685,14 +685,14 @@
 func (l *tie) renew() {
 	l.r.run(l.life, func(h *Headstock) {
 		l.serial++
-		n := &belt.Renew{Serial: l.serial, Applied: h.state.Index}
+		n := &rpc.Renew{Serial: l.serial, Applied: h.state.Index}
 		l.asked[l.serial] = h.clock.Now()
-		l.toMember(func() { l.m.f.Said(l.at, &belt.Frame{Renew: n}) })
+		l.toMember(func() { l.m.f.Said(l.at, &rpc.Frame{Renew: n}) })
 	})
 }
 
 // tell is what a router has to say; nil: how far it has applied the log.
-func (r *router) tell(f *belt.Frame) {
+func (r *router) tell(f *rpc.Frame) {
 	l := r.link
 	switch {
 	case l == nil || l.over || !l.leads:
--- a/internal/headstock/defence_test.go
+++ b/internal/proxy/defence_test.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"strings"
@@ -6,10 +6,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/scribe"
-	"ferrypitch/internal/standin/database"
-	"ferrypitch/rules"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/fake/database"
+	"ferrypitch/internal/wire"
+	"ferrypitch/policy"
 )
 
 // Each defence, taken out, must be caught by the worlds: else they prove nothing.
@@ -42,15 +42,15 @@
 			every(w, func(r *router) { r.h.screw.Granted(1 << 50) })
 		}, false},
 		"a replica that has less is promoted": {"LOST STALE", func(w *world) {
-			w.control.answer = func(q hoist.Question, r *hoist.Reply) {
-				if q.Verb == hoist.Pause {
-					r.Status.Received = scribe.Position{Term: 1} // all look alike
+			w.control.answer = func(q failover.Question, r *failover.Reply) {
+				if q.Verb == failover.Pause {
+					r.Status.Received = wire.Position{Term: 1} // all look alike
 				}
 			}
 		}, false},
 		"replicas are not stopped before they are asked": {"LOST STALE", func(w *world) {
-			w.control.answer = func(q hoist.Question, r *hoist.Reply) {
-				if q.Verb == hoist.Pause {
+			w.control.answer = func(q failover.Question, r *failover.Reply) {
+				if q.Verb == failover.Pause {
 					w.db.Host(q.Host).Paused = 0
 				}
 			}
@@ -58,19 +58,19 @@
 		"a write whose answer is lost is sent again": {"TWICE", func(w *world) {
 			every(w, func(r *router) {
 				for _, k := range r.h.routes {
-					k.write.Effect = rules.Replayable
+					k.write.Effect = policy.Replayable
 				}
 			})
 		}, false},
 		"a session's own writes are forgotten": {"STALE", func(w *world) {
 			every(w, func(r *router) {
 				for s := range r.h.sessions {
-					s.Token = scribe.Position{}
+					s.Token = wire.Position{}
 				}
 				for _, k := range r.h.routes {
 					if k.owned {
 						k.owned = false
-						k.read.Need, k.read.Bound = rules.Bounded, k.bound
+						k.read.Need, k.read.Bound = policy.Bounded, k.bound
 					}
 				}
 			})
@@ -99,7 +99,7 @@
 			})
 		}, false},
 		"replicas that were PAUSEd are not told to go on": {"PAUSED", func(w *world) {
-			w.council.answer = func(q hoist.Question, h *database.Host) bool { return q.Verb == hoist.Resume }
+			w.council.answer = func(q failover.Question, h *database.Host) bool { return q.Verb == failover.Resume }
 		}, true},
 		"what a replica that left may alone have had is forgotten": {"LOST STALE", func(w *world) {
 			w.council.address = func(string) string { return "10.1.0.1:1000" } // any new host seems to have its log
--- a/internal/headstock/feel.go
+++ b/internal/proxy/feel.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"bytes"
@@ -6,8 +6,8 @@
 	"net"
 	"time"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/feeler"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/gossip"
 )
 
 const mostDatagram = 8 << 10
@@ -27,17 +27,17 @@
 			}
 			continue
 		}
-		var m feeler.Message
+		var m gossip.Message
 		if gob.NewDecoder(bytes.NewReader(b[:n])).Decode(&m) != nil || m.From != from.String() {
 			h.Torn.Add(1)
 			continue
 		}
-		h.queue.Put(arbor.Outcomes, func() { h.pass(h.feeler.Heard(m, h.clock.Now())) })
+		h.queue.Put(eventloop.Outcomes, func() { h.pass(h.feeler.Heard(m, h.clock.Now())) })
 	}
 }
 
 // pass sends what the feeler asks for; a datagram that can't go at once is lost, as any may be.
-func (h *Headstock) pass(all []feeler.Out) {
+func (h *Headstock) pass(all []gossip.Out) {
 	for _, o := range all {
 		to, err := net.ResolveUDPAddr("udp4", o.To)
 		if err != nil {
--- a/internal/headstock/hosts.go
+++ b/internal/proxy/hosts.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"cmp"
@@ -9,41 +9,41 @@
 	"syscall"
 	"time"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/chuck"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/plumb"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/scribe"
-	"ferrypitch/rules"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/proxy/lossdetect"
+	"ferrypitch/internal/proxy/session"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/wire"
+	"ferrypitch/policy"
 )
 
 // host is a database host, and this router's connections to it.
 type host struct {
-	rack.Host
+	statemachine.Host
 	h        *Headstock
-	node     *rules.Node
+	node     *policy.Node
 	service  *service
 	idle     []*hostConn // the most recently used last
 	all      map[*hostConn]struct{}
 	opening  int
 	waiting  []*call
 	gone     bool
-	line     plumb.Line
+	line     lossdetect.Line
 	heardAt  time.Time // when it last answered anything
 	told     int64     // when it was last told to be suspect
 	drainAt  time.Time // when this router learned that it drains
 	probing  bool      // the module waits for word of it
 	listed   bool
-	standing rules.Standing
+	standing policy.Standing
 }
 
 // hostConn is a connection. All but its socket belongs to the owner.
 type hostConn struct {
 	host    *host
 	out     nonblockingConn
-	fixture chuck.Fixture
+	fixture session.Fixture
 	call    *call          // whose statement is out, or is being made ready
 	session *clientSession // whose transaction is open on it
 	setup   int            // statements of the router's own that are not answered yet
@@ -51,7 +51,7 @@
 	roll    bool // an ABORT of the router's own is out
 	closed  bool
 	since   time.Time // idle since
-	opened  rules.Tenth
+	opened  policy.Tenth
 }
 
 // take finds a connection for a call, or has one opened, or has the call wait.
@@ -97,23 +97,23 @@
 }
 
 // dialer opens a connection in a goroutine of its own, which reads from it from then on.
-func (h *Headstock) dialer(n *host, asked rules.Tenth, lead uint64) {
+func (h *Headstock) dialer(n *host, asked policy.Tenth, lead uint64) {
 	address, service, id := n.Address, n.Service, n.ID
 	h.tasks.Go(func() {
-		conn, err := belt.Dial(h.ctx, h.plate.Ip, address, connectFor)
+		conn, err := rpc.Dial(h.ctx, h.plate.Ip, address, connectFor)
 		k := &hostConn{host: n, opened: asked}
-		var a scribe.Answer
+		var a wire.Answer
 		in := &lines{conn: conn}
 		if err == nil {
 			conn.SetDeadline(time.Now().Add(connectFor))
-			if _, err = conn.Write(scribe.AppendConnect(nil, service, "lathe", id)); err == nil {
+			if _, err = conn.Write(wire.AppendConnect(nil, service, "proxy", id)); err == nil {
 				a, err = gather(in)
 			}
 			conn.SetDeadline(time.Time{})
 			k.out = newBufferedConn(conn)
 		}
 		up := err == nil && a.Code == ""
-		if !h.queue.Put(arbor.Outcomes, func() { n.opened(k, a, err, lead) }) || !up {
+		if !h.queue.Put(eventloop.Outcomes, func() { n.opened(k, a, err, lead) }) || !up {
 			if conn != nil {
 				conn.Close()
 			}
@@ -124,9 +124,9 @@
 }
 
 // gather reads one answer.
-func gather(in *lines) (a scribe.Answer, err error) {
+func gather(in *lines) (a wire.Answer, err error) {
 	for {
-		line, raw, err := in.next(scribe.Line)
+		line, raw, err := in.next(wire.Line)
 		if err != nil {
 			if a.Ended() && a.Code != "" { // of CONNECT: an error and a close
 				return a, nil
@@ -146,7 +146,7 @@
 	for {
 		a, err := gather(in)
 		at := time.Now()
-		h.queue.Put(arbor.Outcomes, func() {
+		h.queue.Put(eventloop.Outcomes, func() {
 			if err == nil {
 				h.arrived(k, &a, at)
 			}
@@ -162,7 +162,7 @@
 }
 
 // opened takes in how an opening ended. lead is what lead it was begun under.
-func (n *host) opened(k *hostConn, a scribe.Answer, err error, lead uint64) {
+func (n *host) opened(k *hostConn, a wire.Answer, err error, lead uint64) {
 	h := n.h
 	n.opening--
 	h.moment()
@@ -172,14 +172,14 @@
 	}
 	if err != nil || a.Code != "" {
 		h.Broken.Add(1)
-		o, refused := rules.Unreached, errors.Is(err, syscall.ECONNREFUSED) || a.Code == scribe.WrongNode
-		if a.Code == scribe.Overload || a.Code == scribe.Retry {
-			o = rules.Full
+		o, refused := policy.Unreached, errors.Is(err, syscall.ECONNREFUSED) || a.Code == wire.WrongNode
+		if a.Code == wire.Overload || a.Code == wire.Retry {
+			o = policy.Full
 			h.ConnsRefused.Add(1)
 		} else {
 			n.suspect(refused)
 		}
-		if len(n.all) == 0 || o != rules.Full { // what waits would wait for nothing
+		if len(n.all) == 0 || o != policy.Full { // what waits would wait for nothing
 			for _, c := range slices.Clone(n.waiting) {
 				h.outcome(c, o)
 			}
@@ -203,20 +203,20 @@
 	if now := n.h.clock.Now(); n.service.lead.Host == n.ID && now > n.told+150 {
 		n.told = now
 		n.h.Suspects.Add(1)
-		n.h.say(&belt.Frame{Suspect: &belt.Suspect{Service: n.Service, Host: n.ID, Refused: refused}})
+		n.h.say(&rpc.Frame{Suspect: &rpc.Suspect{Service: n.Service, Host: n.ID, Refused: refused}})
 	}
 }
 
 // position takes in where a host stands. As the primary's it is a sample only if it was asked under the lead that still
 // holds; asked is when.
-func (n *host) position(pos scribe.Position, asked rules.Tenth, lead uint64) (moment rules.Tenth, role rules.Role) {
+func (n *host) position(pos wire.Position, asked policy.Tenth, lead uint64) (moment policy.Tenth, role policy.Role) {
 	s := n.service
 	if lead != 0 && lead == s.lead.At && s.lead.Host == n.ID {
 		s.gauge.Add(asked, pos)
-		return asked, rules.Primary
+		return asked, policy.Primary
 	}
-	if moment, role = s.gauge.Moment(pos), rules.Replica; s.lead.Host == n.ID && !s.lead.Moving {
-		role = rules.Primary // by the log: a lease that is over says nothing else
+	if moment, role = s.gauge.Moment(pos), policy.Replica; s.lead.Host == n.ID && !s.lead.Moving {
+		role = policy.Primary // by the log: a lease that is over says nothing else
 	}
 	return moment, role
 }
@@ -283,9 +283,9 @@
 	}
 	if c != nil && !c.over {
 		if c.sent {
-			h.outcome(c, rules.Reset)
+			h.outcome(c, policy.Reset)
 		} else {
-			h.outcome(c, rules.Unreached)
+			h.outcome(c, policy.Unreached)
 		}
 	}
 }
@@ -297,7 +297,7 @@
 		n.h.close(k)
 	}
 	for _, c := range slices.Clone(n.waiting) {
-		n.h.outcome(c, rules.Moot)
+		n.h.outcome(c, policy.Moot)
 	}
 }
 
@@ -308,7 +308,7 @@
 
 // drained says that a host which leaves may be sent nothing more, whether it leads or not.
 func (n *host) drained(now time.Time) bool {
-	bound := nameplate.Duration(n.h.plate.Bounds.DrainMs)
+	bound := settings.Duration(n.h.plate.Bounds.DrainMs)
 	return n.Draining && bound > 0 && now.Sub(n.drainAt) > max(bound/2, bound-1500*time.Millisecond)
 }
 
@@ -326,16 +326,16 @@
 }
 
 // miss ends transactions whose answer counts as lost; what is kept of a COMMIT that writes is not known, so it is waited for.
-func (n *host) miss(now rules.Tenth) {
+func (n *host) miss(now policy.Tenth) {
 	for _, k := range n.conns() {
 		c := k.call
-		if c == nil || !c.sent || c.step.Do != chuck.Pinned || c.step.Commit && c.session.Wrote || !n.line.Lost(c.sentAt, now) {
+		if c == nil || !c.sent || c.step.Do != session.Pinned || c.step.Commit && c.session.Wrote || !n.line.Lost(c.sentAt, now) {
 			continue
 		}
 		n.h.Overdue.Add(1)
 		k.call, k.session = nil, nil
 		n.h.close(k)
-		n.h.outcome(c, rules.TimedOut)
+		n.h.outcome(c, policy.TimedOut)
 	}
 }
 
--- a/internal/headstock/link_test.go
+++ b/internal/proxy/link_test.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/nameplate"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
 )
 
 // A member that stands still takes connections, by its kernel, and never welcomes anybody: a lease that runs is not
@@ -23,7 +23,7 @@
 	port := l.Addr().(*net.TCPAddr).Port
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	h := newHeadstock(&nameplate.Plate{Node: "n", Ip: "127.0.0.1", PortRange: []int{port, port}}, hclog.NewNullLogger(), arbor.NewSteady(time.Now), 1)
+	h := newHeadstock(&settings.Plate{Node: "n", Ip: "127.0.0.1", PortRange: []int{port, port}}, hclog.NewNullLogger(), eventloop.NewSteady(time.Now), 1)
 	h.ctx = ctx
 	go func() {
 		for range h.queue.Ready {
@@ -31,7 +31,7 @@
 			}
 		}
 	}()
-	k := &link{h: h, out: make(chan *belt.Frame)}
+	k := &link{h: h, out: make(chan *rpc.Frame)}
 	begun := time.Now()
 	require.False(t, k.follow("127.0.0.1"))
 	require.Less(t, time.Since(begun), 900*time.Millisecond)
--- a/internal/plumb/plumb.go
+++ b/internal/proxy/lossdetect/lossdetect.go
@@ -1,12 +1,12 @@
-// Package plumb (a line with a weight: it shows what hangs too far out) tells when an answer of a host counts as lost: when
+// Package lossdetect tells when an answer of a host counts as lost: when
 // others that were asked later have come, and it is out for several times as long as any of late. A transaction whose answer
 // is lost is ended at once, so that its client may begin anew while there is time; a host that is slow with all that it is
 // asked loses nothing by it.
 //
 // Pure: moments are the decision module's, in tenths of a millisecond.
-package plumb
+package lossdetect
 
-import "ferrypitch/rules"
+import "ferrypitch/policy"
 
 const (
 	kept     = 16
@@ -15,7 +15,7 @@
 	least    = 800 // tenths that any answer is given
 )
 
-type answer struct{ sent, took rules.Tenth }
+type answer struct{ sent, took policy.Tenth }
 
 // Line is of one host. The zero value has seen nothing, and takes nothing for lost.
 type Line struct {
@@ -24,14 +24,14 @@
 }
 
 // Answered takes in an answer to what was sent at a moment.
-func (l *Line) Answered(sent, now rules.Tenth) {
+func (l *Line) Answered(sent, now policy.Tenth) {
 	l.recent[l.n%kept] = answer{sent, now - sent}
 	l.n++
 }
 
 // Lost says whether the answer to what was sent at a moment will not come any more.
-func (l *Line) Lost(sent, now rules.Tenth) bool {
-	longest, later := rules.Tenth(0), 0
+func (l *Line) Lost(sent, now policy.Tenth) bool {
+	longest, later := policy.Tenth(0), 0
 	for _, a := range l.recent[:min(l.n, kept)] {
 		longest = max(longest, a.took)
 		if a.sent > sent {
--- a/internal/plumb/plumb_test.go
+++ b/internal/proxy/lossdetect/lossdetect_test.go
@@ -1,4 +1,4 @@
-package plumb
+package lossdetect
 
 import (
 	"math/rand/v2"
@@ -6,23 +6,23 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 // Hosts with queues whose answers take their time, some slowed in the middle: none that is on its way counts as lost, and
 // one that never comes does in good time.
 func TestAnAnswerIsLostOnlyWhenOthersOvertookItByFar(t *testing.T) {
-	found, waited := 0, rules.Tenth(0)
+	found, waited := 0, policy.Tenth(0)
 	for seed := range 300 {
 		chance := rand.New(rand.NewPCG(uint64(seed), 11))
 		var l Line
-		type out struct{ sent, due rules.Tenth }
+		type out struct{ sent, due policy.Tenth }
 		var all []out
-		lost := rules.Tenth(0)
-		free := make([]rules.Tenth, 4) // when each of a host's slots is free
-		for now := rules.Tenth(0); now < 60000; now += 10 {
+		lost := policy.Tenth(0)
+		free := make([]policy.Tenth, 4) // when each of a host's slots is free
+		for now := policy.Tenth(0); now < 60000; now += 10 {
 			if chance.IntN(30) == 0 {
-				work := rules.Tenth(40 + chance.ExpFloat64()*60)
+				work := policy.Tenth(40 + chance.ExpFloat64()*60)
 				if now > 20000 && now < 40000 {
 					work *= 5
 				}
@@ -54,5 +54,5 @@
 		}
 	}
 	require.Greater(t, found, 290)
-	require.Less(t, waited/rules.Tenth(found), rules.Tenth(5000), "tenths")
+	require.Less(t, waited/policy.Tenth(found), policy.Tenth(5000), "tenths")
 }
--- a/internal/headstock/moments_test.go
+++ b/internal/proxy/moments_test.go
@@ -1,11 +1,11 @@
-package headstock
+package proxy
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 // reset ends a connection before, while or after a statement is written, or after it has run.
@@ -46,8 +46,8 @@
 		require.Empty(t, w.Broken, "seed %d: %s", seed, w.report())
 		for _, r := range w.routers {
 			if r.h != nil {
-				ended[0] += r.h.Outcomes[rules.Unreached].Load()
-				ended[1] += r.h.Outcomes[rules.Reset].Load()
+				ended[0] += r.h.Outcomes[policy.Unreached].Load()
+				ended[1] += r.h.Outcomes[policy.Reset].Load()
 			}
 		}
 	}
--- a/internal/headstock/news.go
+++ b/internal/proxy/news.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"context"
@@ -7,19 +7,19 @@
 	"slices"
 	"time"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/detent"
-	"ferrypitch/internal/gauge"
-	"ferrypitch/internal/jig"
-	"ferrypitch/internal/rack"
-	"ferrypitch/rules"
+	"ferrypitch/internal/config"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/proxy/position"
+	"ferrypitch/internal/retry"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/policy"
 )
 
 // link follows the control plane: it finds the member that leads, follows its log, and renews the lease.
 type link struct {
 	h       *Headstock
-	out     chan *belt.Frame
+	out     chan *rpc.Frame
 	members []string // addresses, as last told
 	next    string   // where to go next; empty: in turn
 	turn    int
@@ -32,7 +32,7 @@
 )
 
 // say sends a frame to the member that leads, if there is one.
-func (l *link) say(f *belt.Frame) {
+func (l *link) say(f *rpc.Frame) {
 	select {
 	case l.out <- f:
 	default:
@@ -73,7 +73,7 @@
 // seeds are addresses of the control plane's members that other routers or the settings name.
 func (h *Headstock) seeds() []string {
 	got := make(chan []string, 1)
-	if !h.queue.Put(arbor.Lists, func() {
+	if !h.queue.Put(eventloop.Lists, func() {
 		all := h.plate.Seeds()
 		if h.feeler != nil { // the settings may be old; others may know better
 			members, _ := h.feeler.Control()
@@ -96,16 +96,16 @@
 	h := l.h
 	ctx, end := context.WithCancel(h.ctx)
 	defer end()
-	socket, err := belt.Reach(ctx, h.plate.Ip, h.plate.Link(ip), 200*time.Millisecond)
+	socket, err := rpc.Reach(ctx, h.plate.Ip, h.plate.Link(ip), 200*time.Millisecond)
 	if err != nil {
 		return false
 	}
-	c := belt.Wrap(socket)
+	c := rpc.Wrap(socket)
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	from := make(chan uint64, 1)
-	if !h.queue.Put(arbor.Lists, func() { from <- h.from() }) {
+	if !h.queue.Put(eventloop.Lists, func() { from <- h.from() }) {
 		return false
 	}
 	var index uint64
@@ -114,7 +114,7 @@
 	case <-h.queue.Ended:
 		return false
 	}
-	if c.Send(&belt.Frame{Hello: &belt.Hello{Node: h.plate.Node, Life: h.life, Zone: h.plate.Zone, From: index}}, time.Second) != nil {
+	if c.Send(&rpc.Frame{Hello: &rpc.Hello{Node: h.plate.Node, Life: h.life, Zone: h.plate.Zone, From: index}}, time.Second) != nil {
 		return false
 	}
 	f, err := c.Receive(greeting)
@@ -131,7 +131,7 @@
 		return false
 	}
 	h.Links.Add(1)
-	h.queue.Put(arbor.Lists, func() { h.meet(f.Welcome.Routers) })
+	h.queue.Put(eventloop.Lists, func() { h.meet(f.Welcome.Routers) })
 	asked := &asks{at: map[uint64]int64{}}
 	renewed := make(chan struct{})
 	go func() {
@@ -146,7 +146,7 @@
 		switch {
 		case f.News != nil:
 			l.members = f.News.Members
-			h.queue.Put(arbor.Lists, func() {
+			h.queue.Put(eventloop.Lists, func() {
 				if !h.news(f.News) {
 					c.Close() // the link is made anew, from where this router has come to
 					return
@@ -166,7 +166,7 @@
 				return false
 			}
 			at := asked.take(f.Lease.Serial)
-			h.queue.Put(arbor.Lists, func() { h.leased(f.Lease, at) })
+			h.queue.Put(eventloop.Lists, func() { h.leased(f.Lease, at) })
 		}
 	}
 	end()
@@ -176,20 +176,20 @@
 }
 
 // renew asks for leases, and sends what there is to say, until ctx ends. A lease counts from before it was asked for.
-func (l *link) renew(ctx context.Context, c *belt.Conn, asked *asks) {
+func (l *link) renew(ctx context.Context, c *rpc.Conn, asked *asks) {
 	h := l.h
 	t := time.NewTicker(renewEvery)
 	defer t.Stop()
 	serial := uint64(0)
 	for {
 		serial++
-		filled := make(chan *belt.Renew, 1)
-		if !h.queue.Put(arbor.Lists, func() {
-			filled <- &belt.Renew{Serial: serial, Applied: h.state.Index, Sessions: len(h.sessions)}
+		filled := make(chan *rpc.Renew, 1)
+		if !h.queue.Put(eventloop.Lists, func() {
+			filled <- &rpc.Renew{Serial: serial, Applied: h.state.Index, Sessions: len(h.sessions)}
 		}) {
 			return
 		}
-		var r *belt.Renew
+		var r *rpc.Renew
 		select {
 		case r = <-filled:
 		case <-h.queue.Ended:
@@ -197,7 +197,7 @@
 		}
 		asked.put(serial, h.clock.Now())
 		h.Renewals.Add(1)
-		if c.Send(&belt.Frame{Renew: r}, time.Second) != nil {
+		if c.Send(&rpc.Frame{Renew: r}, time.Second) != nil {
 			c.Close()
 			return
 		}
@@ -228,7 +228,7 @@
 }
 
 // leased takes in a lease; askedAt is when it was asked for.
-func (h *Headstock) leased(l *belt.Lease, askedAt int64) {
+func (h *Headstock) leased(l *rpc.Lease, askedAt int64) {
 	if askedAt == 0 || l.Index > h.state.Index { // the log of that moment is not here yet
 		return
 	}
@@ -241,10 +241,10 @@
 }
 
 // news takes in changes, in their order; false: some before them are missing.
-func (h *Headstock) news(n *belt.News) bool {
+func (h *Headstock) news(n *rpc.News) bool {
 	switch {
 	case n.Snapshot != nil:
-		s, err := rack.Restore(n.Snapshot)
+		s, err := statemachine.Restore(n.Snapshot)
 		if err != nil {
 			h.log.Error("a snapshot can't be read", "error", err)
 			h.Diverged.Add(1)
@@ -266,7 +266,7 @@
 				continue
 			}
 			if len(body) > 0 {
-				if c, err := rack.Decode(body); err == nil && errors.Is(h.state.Apply(index, c), rack.ErrDiverged) { // what else it refuses all refuse
+				if c, err := statemachine.Decode(body); err == nil && errors.Is(h.state.Apply(index, c), statemachine.ErrDiverged) { // what else it refuses all refuse
 					h.log.Error("the state here is not what a change builds on; a snapshot is asked for", "index", index)
 					h.Diverged.Add(1)
 					h.astray = true
@@ -321,7 +321,7 @@
 	for _, id := range slices.Sorted(maps.Keys(h.state.Hosts)) {
 		want, n := h.state.Hosts[id], h.hosts[id]
 		if n != nil && (n.Address != want.Address || n.Service != want.Service) {
-			n.node.Listed(rules.Gone, false, n.Zone, "", 1, 0)
+			n.node.Listed(policy.Gone, false, n.Zone, "", 1, 0)
 			n.retire()
 			n = nil
 		}
@@ -332,12 +332,12 @@
 			h.hosts[id], h.nodes[n.node] = n, n
 		}
 		n.Host = want
-		standing := rules.In
+		standing := policy.In
 		if want.Draining && n.drainAt.IsZero() {
 			n.drainAt = h.clock.Time()
 		}
 		if want.Draining && (h.state.Leads[want.Service].Host != id || n.drained(h.clock.Time())) { // one that leads goes on until another does
-			standing = rules.Draining
+			standing = policy.Draining
 		}
 		if n.standing != standing || !n.listed {
 			n.standing, n.listed, changed = standing, true, true
@@ -346,9 +346,9 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.hosts)) {
 		n := h.hosts[id]
-		if _, ok := h.state.Hosts[id]; !ok && n.standing != rules.Gone {
-			n.standing, changed = rules.Gone, true
-			n.node.Listed(rules.Gone, false, n.Zone, "", 1, 0)
+		if _, ok := h.state.Hosts[id]; !ok && n.standing != policy.Gone {
+			n.standing, changed = policy.Gone, true
+			n.node.Listed(policy.Gone, false, n.Zone, "", 1, 0)
 			n.retire()
 		}
 	}
@@ -374,7 +374,7 @@
 		}
 		if want.Moving {
 			h.handedBack = h.handedBack || !was.Moving
-			h.module.Due(s.set, gauge.Due(h.now, h.state.Took, want.To != ""))
+			h.module.Due(s.set, position.Due(h.now, h.state.Took, want.To != ""))
 			continue
 		}
 		s.gauge.Clear()
@@ -396,14 +396,14 @@
 			owner.pin = nil
 			h.close(k)
 			if c != nil {
-				h.outcome(c, rules.Reset)
+				h.outcome(c, policy.Reset)
 			} else {
 				owner.dropped(nil)
 			}
 		case c != nil && c.sent && c.lead != 0 && c.step.Writes:
 			k.call = nil
 			h.close(k)
-			h.outcome(c, rules.Reset)
+			h.outcome(c, policy.Reset)
 		}
 	}
 }
@@ -434,33 +434,33 @@
 }
 
 // route readies a route: the module's groups of its reads and writes.
-func (h *Headstock) route(r jig.Route) *route {
-	tenths := func(ms float64) rules.Tenth { return rules.Tenth(ms * 10) }
+func (h *Headstock) route(r config.Route) *route {
+	tenths := func(ms float64) policy.Tenth { return policy.Tenth(ms * 10) }
 	k := &route{Route: r, service: h.service(r.Service), deadline: time.Duration(r.DeadlineMs * float64(time.Millisecond)),
-		owned: r.Kind == jig.Owned}
-	if r.Kind != jig.Leader {
+		owned: r.Kind == config.Owned}
+	if r.Kind != config.Leader {
 		k.bound = tenths(r.StalenessMs)
 	}
-	group := func(need rules.Need, kind detent.Call) *rules.CmdGroup {
-		effect := rules.Mutating
-		if detent.Repeats(kind) {
-			effect = rules.Replayable
+	group := func(need policy.Need, kind retry.Call) *policy.CmdGroup {
+		effect := policy.Mutating
+		if retry.Repeats(kind) {
+			effect = policy.Replayable
 		}
 		target := tenths(r.TargetMs)
 		if target <= 0 {
 			target = tenths(r.DeadlineMs / 4)
 		}
-		return h.module.Group(&rules.CmdGroup{Effect: effect, Need: need, Bound: k.bound, Target: target, Timeout: tenths(r.DeadlineMs),
+		return h.module.Group(&policy.CmdGroup{Effect: effect, Need: need, Bound: k.bound, Target: target, Timeout: tenths(r.DeadlineMs),
 			Benefit: 1 / (1 + max(0, r.Priority)), LateShare: 0.5})
 	}
-	k.fresh, k.write = group(rules.Fresh, detent.Read), group(rules.Write, detent.Write)
+	k.fresh, k.write = group(policy.Fresh, retry.Read), group(policy.Write, retry.Write)
 	switch {
 	case k.bound == 0:
 		k.read = k.fresh
 	case k.owned:
-		k.read = group(rules.Session, detent.Read)
+		k.read = group(policy.Session, retry.Read)
 	default:
-		k.read = group(rules.Bounded, detent.Read)
+		k.read = group(policy.Bounded, retry.Read)
 	}
 	return k
 }
--- a/internal/headstock/operator_test.go
+++ b/internal/proxy/operator_test.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"ferrypitch/internal/jig"
+	"ferrypitch/internal/config"
 )
 
 // An operator is two people who change the configuration at once, each from what it last knew: answers are lost, what has
@@ -95,7 +95,7 @@
 			continue
 		}
 		m.f.Take(http.MethodGet, "/Config.Read", "", nil, func(_ int, body []byte) {
-			version, _ := jig.Peek(body)
+			version, _ := config.Peek(body)
 			for number, kept := range o.kept {
 				if number > version || number == version && kept != string(body) {
 					w.Broke("ORDER: version %d was confirmed, and %d is in place", number, version)
--- a/internal/headstock/outage_test.go
+++ b/internal/proxy/outage_test.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"flag"
@@ -7,13 +7,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/standin/database"
+	"ferrypitch/internal/fake/database"
 )
 
 var outages = flag.Int("outages", 12, "worlds for each kind of fail-over")
 
 // The time between two acknowledged writes of a service through each kind of fail-over, where the platform takes 300 ms for
-// a promotion: go test ./internal/headstock -run Outage -outages 50 -v prints the table of docs/results.md.
+// a promotion: go test ./internal/proxy -run Outage -outages 50 -v prints the table of docs/results.md.
 func TestOutageByKindOfFailOver(t *testing.T) {
 	if testing.Short() {
 		t.Skip("played in full runs")
--- a/internal/gauge/gauge.go
+++ b/internal/proxy/position/position.go
@@ -1,4 +1,4 @@
-// Package gauge (it tells whether a piece is as large as it must be) holds what a service's primary was known to have at
+// Package position holds what a service's primary was known to have at
 // which moment, and from that says which position a read must see, and how new a host is that stands at a position.
 //
 // A sample is the position in the answer to a question that was sent while the router might take that host for the
@@ -6,11 +6,11 @@
 // comes and whatever became of the host meanwhile: a successor can't have been granted to anybody before.
 //
 // Pure: moments are the decision module's, in tenths of a millisecond.
-package gauge
+package position
 
 import (
-	"ferrypitch/internal/scribe"
-	"ferrypitch/rules"
+	"ferrypitch/internal/wire"
+	"ferrypitch/policy"
 )
 
 // Margin is taken off every bound, in tenths: for the way to the host.
@@ -22,15 +22,15 @@
 )
 
 type sample struct {
-	at  rules.Tenth
-	pos scribe.Position
+	at  policy.Tenth
+	pos wire.Position
 }
 
 // Gauge is of one service. The zero value knows nothing.
 type Gauge struct{ samples []sample }
 
 // Add takes in the primary's position in the answer to a question sent at a moment.
-func (g *Gauge) Add(sentAt rules.Tenth, pos scribe.Position) {
+func (g *Gauge) Add(sentAt policy.Tenth, pos wire.Position) {
 	if !pos.Known() {
 		return
 	}
@@ -55,26 +55,26 @@
 func (g *Gauge) Clear() { g.samples = g.samples[:0] }
 
 // Floor is a position that holds all that was acknowledged before a moment; ok false where none is known.
-func (g *Gauge) Floor(moment rules.Tenth) (pos scribe.Position, ok bool) {
+func (g *Gauge) Floor(moment policy.Tenth) (pos wire.Position, ok bool) {
 	for _, s := range g.samples { // the oldest that will do asks least of a replica
 		if s.at >= moment {
 			return s.pos, true
 		}
 	}
-	return scribe.Position{}, false
+	return wire.Position{}, false
 }
 
 // Newest is the moment of the last sample, and its position.
-func (g *Gauge) Newest() (rules.Tenth, scribe.Position) {
+func (g *Gauge) Newest() (policy.Tenth, wire.Position) {
 	if len(g.samples) == 0 {
-		return -1, scribe.Position{}
+		return -1, wire.Position{}
 	}
 	s := g.samples[len(g.samples)-1]
 	return s.at, s.pos
 }
 
 // Moment says up to when a host has all that was acknowledged, if it stands at a position; -1: not known.
-func (g *Gauge) Moment(pos scribe.Position) rules.Tenth {
+func (g *Gauge) Moment(pos wire.Position) policy.Tenth {
 	for i := len(g.samples) - 1; i >= 0; i-- {
 		if !pos.Before(g.samples[i].pos) {
 			return g.samples[i].at
@@ -85,7 +85,7 @@
 
 // Fence is what a read must see that may lack what was acknowledged less than bound ago, and must see a session's own
 // token; ok false where no floor is known: then only the primary will do.
-func (g *Gauge) Fence(now, bound rules.Tenth, token scribe.Position) (scribe.Position, bool) {
+func (g *Gauge) Fence(now, bound policy.Tenth, token wire.Position) (wire.Position, bool) {
 	floor, ok := g.Floor(now - bound + Margin)
 	if floor.Before(token) {
 		floor = token
@@ -94,7 +94,7 @@
 }
 
 // Fresh says that floors for a bound will be known for a while, so that a read may be sent to a replica.
-func (g *Gauge) Fresh(now, bound rules.Tenth) bool {
+func (g *Gauge) Fresh(now, bound policy.Tenth) bool {
 	at, _ := g.Newest()
 	return at >= 0 && at >= now-bound+2*Margin
 }
@@ -104,7 +104,7 @@
 
 // Due is when the next primary may be there, in tenths, by how long the platform's last promotion took (milliseconds;
 // 0: none was seen). named says that the platform has been told whom to promote; else that is still found out.
-func Due(now rules.Tenth, took int64, named bool) rules.Tenth {
+func Due(now policy.Tenth, took int64, named bool) policy.Tenth {
 	if took <= 0 {
 		took = Usual
 	}
--- a/internal/headstock/headstock.go
+++ b/internal/proxy/server.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"cmp"
@@ -16,18 +16,18 @@
 	"github.com/gravitational/trace"
 	"github.com/hashicorp/go-hclog"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/chuck"
-	"ferrypitch/internal/collet"
-	"ferrypitch/internal/feeler"
-	"ferrypitch/internal/gauge"
-	"ferrypitch/internal/jig"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/telltale"
-	"ferrypitch/internal/vise"
-	"ferrypitch/rules"
+	"ferrypitch/internal/config"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/gossip"
+	"ferrypitch/internal/lease"
+	"ferrypitch/internal/proxy/connlimit"
+	"ferrypitch/internal/proxy/position"
+	"ferrypitch/internal/proxy/session"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/policy"
 )
 
 const (
@@ -38,35 +38,35 @@
 	quietFor   = 150 * time.Millisecond // a primary that owes answers and gives none for so long is suspect
 )
 
-type timer = *arbor.Timer[func()]
+type timer = *eventloop.Timer[func()]
 
 // Headstock is one router.
 type Headstock struct {
-	plate *nameplate.Plate
+	plate *settings.Plate
 	log   hclog.Logger
-	clock arbor.Steady
-	queue *arbor.Queue
+	clock eventloop.Steady
+	queue *eventloop.Queue
 	ctx   context.Context
 	tasks sync.WaitGroup
 	life  uint64
 
-	module     *rules.Router
-	now        rules.Tenth
+	module     *policy.Router
+	now        policy.Tenth
 	wakeAt     time.Time
-	due        arbor.Timers[func()]
+	due        eventloop.Timers[func()]
 	later      []func() // what the module asked for, once it has returned
-	state      *rack.State
-	screw      vise.Screw
+	state      *statemachine.State
+	screw      lease.Screw
 	routers    int
 	hosts      map[string]*host
-	nodes      map[*rules.Node]*host
+	nodes      map[*policy.Node]*host
 	services   map[string]*service
 	routes     map[string]*route
 	calls      map[string]*call
 	sessions   map[*clientSession]struct{}
 	early      []early // sessions that came before this router was in touch
 	serial     uint64
-	plan       *jig.Plan
+	plan       *config.Plan
 	leaving    bool // SIGTERM has come
 	past       bool // the platform knows: sessions end as soon as they rest
 	trimAt     time.Time
@@ -75,11 +75,11 @@
 	handedBack bool      // a lead was, since it was last told how far the log was applied
 
 	link           *link
-	feeler         *feeler.Feeler // nil: other routers are not looked for
+	feeler         *gossip.Feeler // nil: other routers are not looked for
 	feelAt         int64
 	datagrams      net.PacketConn
-	dial           func(n *host, asked rules.Tenth, lead uint64) // ends in host.opened
-	say            func(*belt.Frame)                             // to the member that leads, if there is one
+	dial           func(n *host, asked policy.Tenth, lead uint64) // ends in host.opened
+	say            func(*rpc.Frame)                               // to the member that leads, if there is one
 	ready          atomic.Bool
 	listenerClosed chan struct{}
 
@@ -91,28 +91,28 @@
 	Accepted, Torn, NoDB, Taken, Dispatched, Refused, Throttled, Failed, Gone                             atomic.Int64
 	Opened, Broken, ConnsRefused, Setups, SetupFaults, Stray, Lapsed, TakenBack, Overdue, Held, Floorless atomic.Int64
 	Suspects, Renewals, Leases, Links, Versions, Gaps, Diverged                                           atomic.Int64
-	Outcomes                                                                                              [rules.Missed + 1]atomic.Int64
-	Told                                                                                                  [telltale.Kinds]atomic.Int64 // answers of its own
+	Outcomes                                                                                              [policy.Missed + 1]atomic.Int64
+	Told                                                                                                  [errcode.Kinds]atomic.Int64 // answers of its own
 }
 
 // service is a set of hosts with one primary.
 type service struct {
 	name  string
 	set   int64
-	gauge gauge.Gauge
-	lead  rack.Lead
+	gauge position.Gauge
+	lead  statemachine.Lead
 	conns int  // the most at each host, of all routers
 	used  bool // a session has asked for it
 }
 
 // route is one of the configuration in force.
 type route struct {
-	jig.Route
+	config.Route
 	service            *service
 	deadline           time.Duration
-	bound              rules.Tenth // 0: a read must see all
+	bound              policy.Tenth // 0: a read must see all
 	owned              bool
-	read, fresh, write *rules.CmdGroup
+	read, fresh, write *policy.CmdGroup
 }
 
 // asLead gives the lead under which a host may be treated as the primary at this moment; 0: it may not.
@@ -135,20 +135,20 @@
 func (h *Headstock) inTouch() bool { return h.plan != nil && h.screw.Tight(h.clock.Now()) }
 
 // share is this router's of a host's connections.
-func (h *Headstock) share(n *host) collet.Share {
+func (h *Headstock) share(n *host) connlimit.Share {
 	routers := h.routers
 	if h.feeler != nil {
 		routers = max(routers, len(h.feeler.Live()))
 	}
-	share := collet.Of(n.service.conns, routers)
-	if h.clock.Since().Milliseconds() < collet.Young {
+	share := connlimit.Of(n.service.conns, routers)
+	if h.clock.Since().Milliseconds() < connlimit.Young {
 		share = share.Halved()
 	}
 	return share
 }
 
 // Run lives until a signal to stop.
-func Run(plate *nameplate.Plate, signals, reload <-chan os.Signal, log hclog.Logger) error {
+func Run(plate *settings.Plate, signals, reload <-chan os.Signal, log hclog.Logger) error {
 	if plate.Listen.Front == "" {
 		return trace.BadParameter("Listen.Front: missing; this program serves clients")
 	}
@@ -157,15 +157,15 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	h := newHeadstock(plate, log, arbor.NewSteady(time.Now), rand.Uint64())
+	h := newHeadstock(plate, log, eventloop.NewSteady(time.Now), rand.Uint64())
 	h.ctx = ctx
-	h.link = &link{h: h, out: make(chan *belt.Frame, 256)}
+	h.link = &link{h: h, out: make(chan *rpc.Frame, 256)}
 	h.dial, h.say = h.dialer, h.link.say
 	var err error
 	if h.datagrams, err = net.ListenPacket("udp4", plate.Link(plate.Ip)); err != nil {
 		return trace.Wrap(err, "PortRange")
 	}
-	h.feeler = feeler.New(plate.Node, plate.Link(plate.Ip), uint64(time.Now().UnixNano()), feeler.Usual(), rand.IntN, h.clock.Now())
+	h.feeler = gossip.New(plate.Node, plate.Link(plate.Ip), uint64(time.Now().UnixNano()), gossip.Usual(), rand.IntN, h.clock.Now())
 	lc := net.ListenConfig{KeepAlive: 15 * time.Second}
 	front, err := lc.Listen(ctx, "tcp", plate.Listen.Front)
 	if err != nil {
@@ -207,13 +207,13 @@
 }
 
 // newHeadstock readies a router without its sockets.
-func newHeadstock(plate *nameplate.Plate, log hclog.Logger, clock arbor.Steady, seed uint64) *Headstock {
-	h := &Headstock{plate: plate, log: log, clock: clock, queue: arbor.NewQueue(2048), life: seed | 1,
-		state: &rack.State{}, routers: 12, hosts: map[string]*host{}, nodes: map[*rules.Node]*host{}, services: map[string]*service{},
+func newHeadstock(plate *settings.Plate, log hclog.Logger, clock eventloop.Steady, seed uint64) *Headstock {
+	h := &Headstock{plate: plate, log: log, clock: clock, queue: eventloop.NewQueue(2048), life: seed | 1,
+		state: &statemachine.State{}, routers: 12, hosts: map[string]*host{}, nodes: map[*policy.Node]*host{}, services: map[string]*service{},
 		routes: map[string]*route{}, calls: map[string]*call{}, sessions: map[*clientSession]struct{}{}, listenerClosed: make(chan struct{})}
-	h.module = rules.New(h, rules.Deployment{Seed: uint32(seed), Tick: 50, Routers: 1, Zone: plate.Zone, Dispatches: 3, Guarded: true,
-		Kept: true, Probes: true, Led: true, Streams: 1, IdleFor: rules.Tenth(idleFor / (100 * time.Microsecond)),
-		ConnectFor: rules.Tenth(connectFor / (100 * time.Microsecond)), Comeback: 2000, FallFactor: 1e6, ColdFrom: 1, ProbePrice: 0.01}, h.moment())
+	h.module = policy.New(h, policy.Deployment{Seed: uint32(seed), Tick: 50, Routers: 1, Zone: plate.Zone, Dispatches: 3, Guarded: true,
+		Kept: true, Probes: true, Led: true, Streams: 1, IdleFor: policy.Tenth(idleFor / (100 * time.Microsecond)),
+		ConnectFor: policy.Tenth(connectFor / (100 * time.Microsecond)), Comeback: 2000, FallFactor: 1e6, ColdFrom: 1, ProbePrice: 0.01}, h.moment())
 	return h
 }
 
@@ -231,8 +231,8 @@
 }
 
 // moment tells the module the time.
-func (h *Headstock) moment() rules.Tenth {
-	h.now = rules.Tenth(arbor.Begin)*10 + rules.Tenth(h.clock.Since()/(100*time.Microsecond))
+func (h *Headstock) moment() policy.Tenth {
+	h.now = policy.Tenth(eventloop.Begin)*10 + policy.Tenth(h.clock.Since()/(100*time.Microsecond))
 	if h.module != nil {
 		h.module.Clock(h.now)
 	}
@@ -272,7 +272,7 @@
 // step does what comes first of all that is due.
 func (h *Headstock) step() bool {
 	defer h.after()
-	for r := arbor.Lists; r <= arbor.Outcomes; r++ {
+	for r := eventloop.Lists; r <= eventloop.Outcomes; r++ {
 		if do := h.queue.Take(r); do != nil {
 			do()
 			return true
@@ -296,7 +296,7 @@
 		h.trimAt = now.Add(pulse)
 		h.rounds(now)
 	}
-	if do := h.queue.Take(arbor.Commands); do != nil {
+	if do := h.queue.Take(eventloop.Commands); do != nil {
 		do()
 		return true
 	}
@@ -327,7 +327,7 @@
 		h.hosts[id].trim(now)
 		h.hosts[id].listen(now)
 		h.hosts[id].miss(h.now)
-		if n := h.hosts[id]; n.standing == rules.In && n.drained(now) {
+		if n := h.hosts[id]; n.standing == policy.In && n.drained(now) {
 			h.settleHosts()
 		}
 	}
@@ -343,7 +343,7 @@
 	if h.plan == nil || h.plan.Limits.TxnIdleMs <= 0 {
 		return
 	}
-	rest := nameplate.Duration(h.plan.Limits.TxnIdleMs)
+	rest := settings.Duration(h.plan.Limits.TxnIdleMs)
 	for _, s := range h.all() {
 		if s.At() != 'I' && s.call == nil && s.pin != nil && now.Sub(s.restAt) > rest {
 			k := s.pin
@@ -366,12 +366,12 @@
 		if c == nil {
 			continue
 		}
-		kind := telltale.NotSent
+		kind := errcode.NotSent
 		switch {
-		case c.step.Do == chuck.Pinned && c.step.Commit && c.sent && s.Wrote, c.name != "" && (c.sent || c.maybe) && c.step.Writes && !c.step.Begins:
-			kind = telltale.Doubt
-		case c.step.Do == chuck.Pinned:
-			kind = telltale.RolledBack
+		case c.step.Do == session.Pinned && c.step.Commit && c.sent && s.Wrote, c.name != "" && (c.sent || c.maybe) && c.step.Writes && !c.step.Begins:
+			kind = errcode.Doubt
+		case c.step.Do == session.Pinned:
+			kind = errcode.RolledBack
 		}
 		if s.At() != 'I' {
 			s.Drop()
@@ -382,7 +382,7 @@
 }
 
 // Probe has the module learn whether a host is there, and where it stands: a connection is opened, or one is there.
-func (h *Headstock) Probe(n *rules.Node) {
+func (h *Headstock) Probe(n *policy.Node) {
 	k := h.nodes[n]
 	if k.probing = true; h.share(k).Scarce() && !k.service.used {
 		return // all routers at once would take more than there are: it is opened with the first that needs the service
@@ -393,14 +393,14 @@
 }
 
 // Close closes a host's idle connections.
-func (h *Headstock) Close(n *rules.Node) {
+func (h *Headstock) Close(n *policy.Node) {
 	for _, k := range slices.Clone(h.nodes[n].idle) {
 		h.close(k)
 	}
 }
 
 // Forget drops a host that left.
-func (h *Headstock) Forget(n *rules.Node) {
+func (h *Headstock) Forget(n *policy.Node) {
 	if k := h.nodes[n]; k != nil {
 		k.retire()
 		delete(h.nodes, n)
@@ -415,7 +415,7 @@
 func (h *Headstock) Tell(string) {}
 
 // Wake has the module called.
-func (h *Headstock) Wake(after rules.Tenth) {
+func (h *Headstock) Wake(after policy.Tenth) {
 	if at := h.clock.Time().Add(time.Duration(after) * 100 * time.Microsecond); h.wakeAt.IsZero() || at.Before(h.wakeAt) {
 		h.wakeAt = at
 	}
@@ -429,22 +429,22 @@
 		case <-h.ctx.Done():
 			return
 		case <-reload:
-			p, err := nameplate.Read()
+			p, err := settings.Read()
 			if err != nil {
 				h.log.Error("the settings are not taken", "error", err)
 				continue
 			}
-			h.queue.Put(arbor.Lists, func() { h.plate.SeedPeers, h.plate.Bounds = p.SeedPeers, p.Bounds })
+			h.queue.Put(eventloop.Lists, func() { h.plate.SeedPeers, h.plate.Bounds = p.SeedPeers, p.Bounds })
 			h.log.Info("settings read again", "seeds", p.SeedPeers)
 		case <-signals:
 			h.log.Info("ends")
-			grace := nameplate.Duration(h.plate.Bounds.GraceS * 1000)
+			grace := settings.Duration(h.plate.Bounds.GraceS * 1000)
 			began := time.Now()
-			h.queue.Put(arbor.Lists, func() { h.leaving = true; h.rounds(h.clock.Time()) })
+			h.queue.Put(eventloop.Lists, func() { h.leaving = true; h.rounds(h.clock.Time()) })
 			for {
 				time.Sleep(100 * time.Millisecond)
 				left := make(chan int, 1)
-				h.queue.Put(arbor.Lists, func() {
+				h.queue.Put(eventloop.Lists, func() {
 					if time.Since(began) > min(2500*time.Millisecond, grace/2) {
 						h.past = true
 						for s := range h.sessions {
@@ -458,7 +458,7 @@
 				n := <-left
 				if spent := time.Since(began); spent > grace*3/4 || n == 0 && spent > min(2500*time.Millisecond, grace/2) {
 					done := make(chan struct{})
-					h.queue.Put(arbor.Lists, func() { h.giveUp(); close(done) })
+					h.queue.Put(eventloop.Lists, func() { h.giveUp(); close(done) })
 					<-done
 					return
 				}
--- a/internal/chuck/chuck.go
+++ b/internal/proxy/session/session.go
@@ -1,4 +1,4 @@
-// Package chuck (it holds a work piece while it is worked on) is a client's session: its values and prepared names, its
+// Package session is a client's session: its values and prepared names, its
 // transaction, its token, and what each of its statements asks for. What was acknowledged to a client is put in place
 // on whatever host connection serves it next.
 //
@@ -6,7 +6,7 @@
 //	Session, Fixture -> Prepare -> statements that make a host connection the session's
 //
 // Pure: no socket, no clock.
-package chuck
+package session
 
 import (
 	"hash/crc32"
@@ -15,8 +15,8 @@
 	"strconv"
 	"strings"
 
-	"ferrypitch/internal/scribe"
-	"ferrypitch/internal/telltale"
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/wire"
 )
 
 // Do is what a statement asks for.
@@ -46,7 +46,7 @@
 type Session struct {
 	Values   map[string]string
 	Names    map[string]string // prepared: shapes by the client's names
-	Token    scribe.Position   // the greatest position of its writes
+	Token    wire.Position     // the greatest position of its writes
 	State    byte              // I, T or E; 0 is I
 	ReadOnly bool              // its transaction began with BEGIN FETCH
 	Lost     bool              // its transaction's connection is gone
@@ -71,66 +71,66 @@
 
 func here(reply []byte) Step { return Step{Do: Here, Reply: reply} }
 
-func wrong(kind telltale.Kind) Step { return here(kind.Append(nil, 0)) }
+func wrong(kind errcode.Kind) Step { return here(kind.Append(nil, 0)) }
 
 // Take says what a statement asks for. Only what is answered here changes the session.
-func (s *Session) Take(r scribe.Request) Step {
+func (s *Session) Take(r wire.Request) Step {
 	state := s.At()
 	switch r.Kind {
-	case scribe.Commit, scribe.Abort:
+	case wire.Commit, wire.Abort:
 		switch {
 		case state == 'I':
-			return wrong(telltale.NoTxn)
+			return wrong(errcode.NoTxn)
 		case s.Lost:
 			s.Leave()
-			if r.Kind == scribe.Commit {
-				return Step{Do: End, Reply: telltale.RolledBack.Append(nil, 0)}
+			if r.Kind == wire.Commit {
+				return Step{Do: End, Reply: errcode.RolledBack.Append(nil, 0)}
 			}
-			return Step{Do: End, Reply: scribe.AppendDone(nil)}
+			return Step{Do: End, Reply: wire.AppendDone(nil)}
 		}
-		return Step{Do: Pinned, Ends: true, Commit: r.Kind == scribe.Commit, Text: r.Text}
+		return Step{Do: Pinned, Ends: true, Commit: r.Kind == wire.Commit, Text: r.Text}
 	}
 	if state == 'E' {
-		return wrong(telltale.FailedTxn)
+		return wrong(errcode.FailedTxn)
 	}
 	switch r.Kind {
-	case scribe.Begin, scribe.BeginRead:
+	case wire.Begin, wire.BeginRead:
 		if state == 'T' {
-			return wrong(telltale.InTxn)
+			return wrong(errcode.InTxn)
 		}
-		return Step{Do: Place, Begins: true, Reads: r.Kind == scribe.BeginRead, Writes: r.Kind == scribe.Begin, Text: r.Text}
-	case scribe.Set:
+		return Step{Do: Place, Begins: true, Reads: r.Kind == wire.BeginRead, Writes: r.Kind == wire.Begin, Text: r.Text}
+	case wire.Set:
 		if !s.room(len(s.Values), r.Name, r.Shape) {
-			return wrong(telltale.TooMuch)
+			return wrong(errcode.TooMuch)
 		}
 		if s.Values == nil {
 			s.Values = map[string]string{}
 		}
 		s.Values[r.Name], s.stale = r.Shape, true
-		return here(scribe.AppendDone(nil))
-	case scribe.Prepare:
+		return here(wire.AppendDone(nil))
+	case wire.Prepare:
 		if !s.room(len(s.Names), r.Name, r.Shape) {
-			return wrong(telltale.TooMuch)
+			return wrong(errcode.TooMuch)
 		}
 		if s.Names == nil {
 			s.Names = map[string]string{}
 		}
 		s.Names[r.Name] = r.Shape
-		return here(scribe.AppendDone(nil))
-	case scribe.CloseName:
+		return here(wire.AppendDone(nil))
+	case wire.CloseName:
 		if _, ok := s.Names[r.Name]; !ok {
-			return wrong(telltale.NoName)
+			return wrong(errcode.NoName)
 		}
 		delete(s.Names, r.Name)
-		return here(scribe.AppendDone(nil))
+		return here(wire.AppendDone(nil))
 	}
-	step := Step{Do: Place, Text: r.Text, Writes: r.Kind == scribe.Store}
-	if r.Kind == scribe.Execute {
+	step := Step{Do: Place, Text: r.Text, Writes: r.Kind == wire.Store}
+	if r.Kind == wire.Execute {
 		shape, ok := s.Names[r.Name]
 		if !ok {
-			return wrong(telltale.NoName)
+			return wrong(errcode.NoName)
 		}
-		step.Writes = scribe.Writes(shape)
+		step.Writes = wire.Writes(shape)
 		step.Text = "EXECUTE " + Name(shape) + " " + r.Rest
 	}
 	if state == 'T' {
@@ -157,7 +157,7 @@
 
 // Answered takes in what a host answered to a step that was placed or pinned, and says whether the connection stays
 // with the session.
-func (s *Session) Answered(step Step, a *scribe.Answer) (stays bool) {
+func (s *Session) Answered(step Step, a *wire.Answer) (stays bool) {
 	if step.Writes && !step.Begins || step.Ends && s.Wrote {
 		if a.Code == "" && s.Token.Before(a.Position) {
 			s.Token = a.Position // replaced only by a greater one
@@ -218,9 +218,9 @@
 
 // Prepare gives the statements that make a connection the session's, for what its next statement runs, and notes them
 // as done: a connection on which one of them fails is to be closed.
-func (f *Fixture) Prepare(s *Session, r scribe.Request) (texts []string) {
+func (f *Fixture) Prepare(s *Session, r wire.Request) (texts []string) {
 	shape := ""
-	if r.Kind == scribe.Execute {
+	if r.Kind == wire.Execute {
 		shape = s.Names[r.Name]
 	}
 	name := Name(shape)
--- a/internal/headstock/sessions.go
+++ b/internal/proxy/sessions.go
@@ -1,13 +1,13 @@
-package headstock
+package proxy
 
 import (
 	"net"
 	"time"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/chuck"
-	"ferrypitch/internal/scribe"
-	"ferrypitch/internal/telltale"
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/proxy/session"
+	"ferrypitch/internal/wire"
 )
 
 const (
@@ -18,7 +18,7 @@
 
 // clientSession is a client's connection. All but its socket belongs to the owner.
 type clientSession struct {
-	chuck.Session
+	session.Session
 	h        *Headstock
 	out      nonblockingConn
 	serial   uint64
@@ -32,12 +32,12 @@
 	closed   bool
 	ending   bool // nothing more is read from it
 	parted   bool // its reader has ended; what it brought is answered first
-	last     scribe.Position
+	last     wire.Position
 	route    *route // of its transaction
 }
 
 type message struct {
-	request scribe.Request
+	request wire.Request
 	err     error
 	at      time.Time
 }
@@ -73,47 +73,47 @@
 	s := &clientSession{h: h, out: newBufferedConn(c)}
 	in := &lines{conn: c}
 	c.SetReadDeadline(time.Now().Add(connectIn))
-	line, _, err := in.next(scribe.Line)
-	var hello scribe.Request
+	line, _, err := in.next(wire.Line)
+	var hello wire.Request
 	if err == nil {
-		hello, err = scribe.ReadRequest(line)
+		hello, err = wire.ReadRequest(line)
 	}
-	if err != nil || hello.Kind != scribe.Connect {
+	if err != nil || hello.Kind != wire.Connect {
 		h.Torn.Add(1)
 		if err != nil && len(line) == 0 {
 			c.Close()
 			return
 		}
-		part(c, h.tell(telltale.NoConnect, 0))
+		part(c, h.tell(errcode.NoConnect, 0))
 		return
 	}
 	c.SetReadDeadline(time.Time{})
-	if !h.queue.Put(arbor.Commands, func() { h.begin(s, hello.Name) }) {
+	if !h.queue.Put(eventloop.Commands, func() { h.begin(s, hello.Name) }) {
 		c.Close()
 		return
 	}
 	for {
-		line, _, err := in.next(scribe.Line)
+		line, _, err := in.next(wire.Line)
 		if err != nil {
 			break
 		}
 		at := time.Now()
-		r, bad := scribe.ReadRequest(line)
-		if bad == nil && r.Kind == scribe.Bye {
+		r, bad := wire.ReadRequest(line)
+		if bad == nil && r.Kind == wire.Bye {
 			break
 		}
-		if bad != nil && r.ID == "" || bad == nil && r.Kind == scribe.Connect {
+		if bad != nil && r.ID == "" || bad == nil && r.Kind == wire.Connect {
 			h.Torn.Add(1)
-			h.queue.Put(arbor.Commands, func() {
-				h.final(s, h.tell(telltale.BadMessage, 0))
+			h.queue.Put(eventloop.Commands, func() {
+				h.final(s, h.tell(errcode.BadMessage, 0))
 			})
 			break
 		}
-		if !h.queue.Put(arbor.Commands, func() { h.message(s, message{r, bad, at}) }) {
+		if !h.queue.Put(eventloop.Commands, func() { h.message(s, message{r, bad, at}) }) {
 			break
 		}
 	}
-	if !h.queue.Put(arbor.Commands, func() { h.left(s) }) {
+	if !h.queue.Put(eventloop.Commands, func() { h.left(s) }) {
 		c.Close()
 	}
 }
@@ -182,15 +182,15 @@
 	}
 	if h.routes[database] == nil {
 		if !h.inTouch() {
-			h.final(s, h.tell(telltale.NoTouch, 0))
+			h.final(s, h.tell(errcode.NoTouch, 0))
 			return
 		}
 		h.NoDB.Add(1)
-		h.final(s, h.tell(telltale.NoDatabase, 0))
+		h.final(s, h.tell(errcode.NoDatabase, 0))
 		return
 	}
 	h.sessions[s] = struct{}{}
-	s.out.write(scribe.AppendIdle(nil, 'I', scribe.Position{}))
+	s.out.write(wire.AppendIdle(nil, 'I', wire.Position{}))
 }
 
 // message takes in a statement; those of one session are answered in order.
@@ -200,7 +200,7 @@
 	}
 	if len(s.ahead) >= mostAhead {
 		h.Torn.Add(1)
-		h.final(s, h.tell(telltale.TooFarAhead, 0))
+		h.final(s, h.tell(errcode.TooFarAhead, 0))
 		return
 	}
 	s.ahead = append(s.ahead, m)
@@ -235,7 +235,7 @@
 		return
 	}
 	b := append(make([]byte, 0, len(lines)+32), lines...)
-	if _, ok := s.out.write(scribe.AppendIdle(b, s.At(), s.last)); !ok {
+	if _, ok := s.out.write(wire.AppendIdle(b, s.At(), s.last)); !ok {
 		s.out.close() // its reader notices
 	}
 }
@@ -275,7 +275,7 @@
 	}
 	k.roll = true
 	k.setup++
-	if _, ok := k.out.write(scribe.AppendQuery(nil, "-", "ABORT")); !ok {
+	if _, ok := k.out.write(wire.AppendQuery(nil, "-", "ABORT")); !ok {
 		h.close(k)
 	}
 }
--- a/internal/headstock/status.go
+++ b/internal/proxy/status.go
@@ -1,14 +1,14 @@
-package headstock
+package proxy
 
 import (
 	"encoding/json"
 	"net/http"
 	"time"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/telltale"
-	"ferrypitch/rules"
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/policy"
 )
 
 // Call is one that is answered beside the platform's question, declared beside its handler. Handlers run in the owner's
@@ -49,7 +49,7 @@
 	Conns, Idle, Opening, Most, Waiting int
 }
 
-var standings = map[rules.Standing]string{rules.In: "in", rules.Draining: "draining", rules.Gone: "gone"}
+var standings = map[policy.Standing]string{policy.In: "in", policy.Draining: "draining", policy.Gone: "gone"}
 
 var status = Call{Method: http.MethodGet, Path: "/Router.Status", Handle: func(h *Headstock) any {
 	now := h.moment()
@@ -87,17 +87,17 @@
 		"beliefs_lapsed": c.Lapsed.Load(), "floors_unknown": c.Floorless.Load(), "leads_taken_back": c.TakenBack.Load(),
 		"answers_overdue": c.Overdue.Load(), "primaries_suspected": c.Suspects.Load(), "renewals": c.Renewals.Load(),
 		"leases": c.Leases.Load(), "links": c.Links.Load(), "news_gaps": c.Gaps.Load(), "state_diverged": c.Diverged.Load(), "versions": c.Versions.Load(),
-		"link_bytes_sent": belt.Sent.Load(), "link_bytes_received": belt.Received.Load(),
+		"link_bytes_sent": rpc.Sent.Load(), "link_bytes_received": rpc.Received.Load(),
 	}
 	if h.feeler != nil {
 		all["probes"], all["probe_answers_stray"] = h.feeler.Probes, h.feeler.Strays
 	}
 	for o := range c.Outcomes {
-		all["ended_"+rules.Outcome(o).String()] = c.Outcomes[o].Load()
+		all["ended_"+policy.Outcome(o).String()] = c.Outcomes[o].Load()
 	}
 	for k := range c.Told {
 		if n := c.Told[k].Load(); n > 0 {
-			all["told_"+telltale.Kind(k).String()] = n
+			all["told_"+errcode.Kind(k).String()] = n
 		}
 	}
 	return all
@@ -110,7 +110,7 @@
 			continue
 		}
 		shown := make(chan any, 1)
-		h.queue.Put(arbor.Outcomes, func() { shown <- c.Handle(h) })
+		h.queue.Put(eventloop.Outcomes, func() { shown <- c.Handle(h) })
 		select {
 		case s := <-shown:
 			w.Header().Set("Content-Type", "application/json")
--- a/internal/headstock/world_test.go
+++ b/internal/proxy/world_test.go
@@ -1,4 +1,4 @@
-package headstock
+package proxy
 
 import (
 	"fmt"
@@ -10,17 +10,17 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/belt"
-	"ferrypitch/internal/hoist"
-	"ferrypitch/internal/lab/judge"
-	"ferrypitch/internal/lab/stage"
-	"ferrypitch/internal/nameplate"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/scribe"
-	"ferrypitch/internal/standin/database"
-	"ferrypitch/internal/vise"
-	"ferrypitch/rules"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/fake/database"
+	"ferrypitch/internal/lease"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/simulation/checker"
+	"ferrypitch/internal/simulation/scheduler"
+	"ferrypitch/internal/wire"
+	"ferrypitch/policy"
 )
 
 // A world is whole routers without their sockets, hosts that replicate, one control plane that fails over and grants,
@@ -29,7 +29,7 @@
 // values that its client was told.
 type world struct {
 	resets int // one write in so many meets a reset of its connection; 0: none
-	*stage.Stage
+	*scheduler.Stage
 	epoch   time.Time
 	db      *database.Group
 	frozen  map[string]int64 // hosts that stand still, until when
@@ -37,7 +37,7 @@
 	control *controlPlane // the control plane: this, or
 	council *council      // its members as they are
 	clients []*client
-	judge   *judge.Judge
+	judge   *checker.Judge
 	Served  int
 	apart   int64 // how far clocks are off at most, in thousandths
 	opens   int
@@ -62,9 +62,9 @@
 }
 
 func bareWorld(seed uint64) *world {
-	w := &world{Stage: stage.New(seed, 1<<40, ms), epoch: time.Unix(1e9, 0), frozen: map[string]int64{}}
+	w := &world{Stage: scheduler.New(seed, 1<<40, ms), epoch: time.Unix(1e9, 0), frozen: map[string]int64{}}
 	w.db = &database.Group{Stage: w.Stage, Note: w.Note, Read: w.fresh, Losses: 300, Refused: 60, Told: w.told}
-	w.judge = &judge.Judge{Bounds: map[string]int64{"bound": 600 * ms, "own": 900 * ms}, Own: map[string]bool{"own": true}, Group: w.db, Broke: w.Broke}
+	w.judge = &checker.Judge{Bounds: map[string]int64{"bound": 600 * ms, "own": 900 * ms}, Own: map[string]bool{"own": true}, Group: w.db, Broke: w.Broke}
 	return w
 }
 
@@ -92,7 +92,7 @@
 		w.control.hoist.Beat(h.ID, leader, w.control.millis())
 		if is := w.control.state.Hosts[h.ID]; is.Missing {
 			is.Missing = false
-			w.control.apply(rack.Change{Enter: &is})
+			w.control.apply(statemachine.Change{Enter: &is})
 		}
 	})
 }
@@ -117,20 +117,20 @@
 // controlPlane is the control plane: one member that never fails, and what it says may come late or not at all.
 type controlPlane struct {
 	w     *world
-	state *rack.State
+	state *statemachine.State
 	log   [][]byte
-	jaw   *vise.Jaw
-	hoist *hoist.Hoist
+	jaw   *lease.Jaw
+	hoist *failover.Hoist
 	clear func(uint64) bool
 
-	answer func(hoist.Question, *hoist.Reply) // a defence taken out
+	answer func(failover.Question, *failover.Reply) // a defence taken out
 }
 
 func (c *controlPlane) millis() int64 { return c.w.Now / ms }
 
 func newControlPlane(w *world) *controlPlane {
-	c := &controlPlane{w: w, state: &rack.State{}}
-	c.jaw, c.hoist = vise.New(c.millis()-10*vise.Span), hoist.New("anvil", 1, 1200, c.millis())
+	c := &controlPlane{w: w, state: &statemachine.State{}}
+	c.jaw, c.hoist = lease.New(c.millis()-10*lease.Span), failover.New("control", 1, 1200, c.millis())
 	c.hoist.Log = func(service, what, host string) { w.Note("%s: %s %s", service, what, host) }
 	c.clear = func(i uint64) bool { return c.jaw.Clear(i, c.state.RouterNames(), c.millis()) }
 	return c
@@ -144,15 +144,15 @@
 
 func (c *controlPlane) begin() {
 	for _, h := range c.w.db.Hosts {
-		c.apply(rack.Change{Enter: &rack.Host{ID: h.ID, Service: "db", Address: h.ID}})
+		c.apply(statemachine.Change{Enter: &statemachine.Host{ID: h.ID, Service: "db", Address: h.ID}})
 	}
-	c.apply(rack.Change{Configure: &rack.Configure{Body: []byte(plan)}})
+	c.apply(statemachine.Change{Configure: &statemachine.Configure{Body: []byte(plan)}})
 	c.tick()
 }
 
 // apply orders a change, and tells the routers.
-func (c *controlPlane) apply(x rack.Change) {
-	b := rack.Encode(x)
+func (c *controlPlane) apply(x statemachine.Change) {
+	b := statemachine.Encode(x)
 	c.log = append(c.log, b)
 	if err := c.state.Apply(uint64(len(c.log)), x); err != nil {
 		panic(err)
@@ -192,16 +192,16 @@
 	for _, p := range do.Promote {
 		w.Note("%s is named to the platform", p.Host)
 		w.In(w.Between(2*ms, 20*ms), func() {
-			o, host := hoist.Done, w.db.Host(p.Host)
+			o, host := failover.Done, w.db.Host(p.Host)
 			switch {
 			case !host.Up:
-				o = hoist.Rejected
+				o = failover.Rejected
 			case w.Odds(10):
-				o = hoist.Later
+				o = failover.Later
 			default:
 				w.In(w.Between(80*ms, 400*ms), func() { host.Promote() })
 				if w.Odds(5) {
-					o = hoist.Unclear
+					o = failover.Unclear
 				}
 			}
 			w.In(w.Between(2*ms, 8*ms), func() { c.hoist.Called(p, o, c.millis()) })
@@ -209,10 +209,10 @@
 	}
 }
 
-func (c *controlPlane) ask(q hoist.Question) {
+func (c *controlPlane) ask(q failover.Question) {
 	w, h := c.w, c.w.db.Host(q.Host)
 	w.In(w.Between(1*ms, 4*ms), func() {
-		r := hoist.Reply{To: q}
+		r := failover.Reply{To: q}
 		back := w.Between(1*ms, 4*ms)
 		switch {
 		case !h.Up && !h.Dark:
@@ -236,7 +236,7 @@
 }
 
 // runsLate has a host that stands still do what it was told once it goes on, in no order.
-func (w *world) runsLate(q hoist.Question, h *database.Host) {
+func (w *world) runsLate(q failover.Question, h *database.Host) {
 	crashes := h.Crashes
 	w.In(w.frozen[h.ID]-w.Now+int64(q.Serial*97%300)*ms, func() {
 		if h.Up && h.Crashes == crashes {
@@ -293,7 +293,7 @@
 }
 
 // answered brings an answer to the router.
-func (c *dbConn) answered(after int64, a scribe.Answer) {
+func (c *dbConn) answered(after int64, a wire.Answer) {
 	w := c.r.w
 	c.later(after+w.Between(ms/2, 3*ms), func() {
 		if !c.H.Dark && !c.closed && !c.mute {
@@ -313,7 +313,7 @@
 	}
 	c.in = append(c.in, b...)
 	for {
-		line, n, err := scribe.Line(c.in, 0)
+		line, n, err := wire.Line(c.in, 0)
 		if err != nil {
 			w.Broke("%s is sent what is no line: %v", h.ID, err)
 		}
@@ -369,13 +369,13 @@
 // fresh asserts that a read misses nothing that it must see.
 func (w *world) fresh(h *database.Host, _ *database.Conn, id string) {
 	if who, now := w.owner(id); who != nil && now && who.first > 0 {
-		w.judge.Fresh(h, judge.Reader{Kind: who.kind, Session: who.session(), First: who.first})
+		w.judge.Fresh(h, checker.Reader{Kind: who.kind, Session: who.session(), First: who.first})
 	}
 }
 
 func (c *client) session() string { return fmt.Sprintf("%d.%d", c.i, c.life) }
 
-// router is a whole lathe without its sockets.
+// router is a whole proxy without its sockets.
 type router struct {
 	w      *world
 	name   string
@@ -396,13 +396,13 @@
 	w := r.w
 	r.life++
 	r.up, r.cut, r.frozen, r.sent, r.dueAt = true, false, 0, 0, 0
-	r.h = newHeadstock(&nameplate.Plate{Node: r.name, Zone: "z"}, hclog.NewNullLogger(), arbor.NewSteady(w.clock(r.rate)), w.Chance.Uint64())
+	r.h = newHeadstock(&settings.Plate{Node: r.name, Zone: "z"}, hclog.NewNullLogger(), eventloop.NewSteady(w.clock(r.rate)), w.Chance.Uint64())
 	life := r.life
 	if w.council != nil {
 		defer r.seek(life)
 	}
-	r.h.dial = func(n *host, asked rules.Tenth, lead uint64) { r.dial(life, n, asked, lead) }
-	r.h.say = func(f *belt.Frame) {
+	r.h.dial = func(n *host, asked policy.Tenth, lead uint64) { r.dial(life, n, asked, lead) }
+	r.h.say = func(f *rpc.Frame) {
 		if w.council != nil {
 			r.tell(f)
 			return
@@ -421,7 +421,7 @@
 		return
 	}
 	if _, known := w.control.state.Routers[r.name]; !known {
-		w.control.apply(rack.Change{Router: &rack.Router{Node: r.name}})
+		w.control.apply(statemachine.Change{Router: &statemachine.Router{Node: r.name}})
 	}
 	r.follow()
 	r.renews(life)
@@ -437,7 +437,7 @@
 		w.In(r.frozen-w.Now, func() { r.run(life, do) })
 		return
 	}
-	r.h.queue.Put(arbor.Outcomes, func() { do(r.h) })
+	r.h.queue.Put(eventloop.Outcomes, func() { do(r.h) })
 	for r.h.step() {
 	}
 	after := int64(r.h.dueAt().Sub(r.h.clock.Time())/(100*time.Microsecond)) * 1000 / (1000 + r.rate)
@@ -454,7 +454,7 @@
 	if !r.up || r.cut || r.sent == uint64(len(all)) {
 		return
 	}
-	n := &belt.News{Entries: slices.Clone(all[r.sent:]), Index: uint64(len(all))}
+	n := &rpc.News{Entries: slices.Clone(all[r.sent:]), Index: uint64(len(all))}
 	r.sent = n.Index
 	r.order = max(r.order, w.Now+w.Between(1*ms, 4*ms))
 	w.In(r.order-w.Now, func() {
@@ -493,21 +493,21 @@
 			c.tend()
 			return
 		}
-		l := &belt.Lease{Granted: true, Index: c.state.Index, Routers: len(w.routers)}
+		l := &rpc.Lease{Granted: true, Index: c.state.Index, Routers: len(w.routers)}
 		c.tend()
 		r.order = max(r.order, w.Now+w.Between(1*ms, 4*ms))
 		w.In(r.order-w.Now, func() { r.run(life, func(h *Headstock) { h.leased(l, asked) }) })
 	})
 }
 
-func (r *router) dial(life int, n *host, asked rules.Tenth, lead uint64) {
+func (r *router) dial(life int, n *host, asked policy.Tenth, lead uint64) {
 	w, id := r.w, n.ID
 	w.opens++
 	k := &hostConn{host: n, opened: asked}
 	w.In(w.Between(2*ms, 15*ms), func() {
 		h := w.db.Host(id)
 		if h == nil { // another uses its address
-			r.run(life, func(*Headstock) { n.opened(k, scribe.Answer{Code: scribe.WrongNode}, nil, lead) })
+			r.run(life, func(*Headstock) { n.opened(k, wire.Answer{Code: wire.WrongNode}, nil, lead) })
 			return
 		}
 		if !h.Up || h.Dark {
@@ -516,13 +516,13 @@
 			if h.Dark {
 				after, err = 1500*ms, fmt.Errorf("timed out")
 			}
-			w.In(after, func() { r.run(life, func(*Headstock) { n.opened(k, scribe.Answer{}, err, lead) }) })
+			w.In(after, func() { r.run(life, func(*Headstock) { n.opened(k, wire.Answer{}, err, lead) }) })
 			return
 		}
 		c := &dbConn{Conn: h.Connect(), r: r, life: life, k: k}
 		c.Answer, c.Broke = c.answered, c.broke
 		k.out = c
-		a := scribe.Answer{State: 'I', Position: h.At(h.Seen())}
+		a := wire.Answer{State: 'I', Position: h.At(h.Seen())}
 		w.In(w.Between(1*ms, 3*ms), func() { r.run(life, func(*Headstock) { n.opened(k, a, nil, lead) }) })
 	})
 }
@@ -668,9 +668,9 @@
 
 func (c *client) feed(b []byte) {
 	c.in = append(c.in, b...)
-	var a scribe.Answer
+	var a wire.Answer
 	for rest := c.in; ; {
-		line, n, err := scribe.Line(rest, 0)
+		line, n, err := wire.Line(rest, 0)
 		if err != nil {
 			c.w.Broke("%d is sent what is no line", c.i)
 		}
@@ -682,7 +682,7 @@
 			c.w.Broke("%d is sent %q: %v", c.i, line, err)
 		}
 		rest = rest[n:]
-		if whole || a.Code == scribe.NoDB || c.asked.verb == "CONNECT" && a.Code != "" {
+		if whole || a.Code == wire.NoDB || c.asked.verb == "CONNECT" && a.Code != "" {
 			c.in = slices.Clone(rest)
 			c.answered(&a)
 			return
@@ -690,7 +690,7 @@
 	}
 }
 
-func (c *client) answered(a *scribe.Answer) {
+func (c *client) answered(a *wire.Answer) {
 	w, what := c.w, c.asked
 	if what.verb == "" {
 		w.Broke("%d is answered without having asked: %+v", c.i, a)
@@ -798,7 +798,7 @@
 				c.send(life, asked{verb: "COMMIT"}, "COMMIT")
 			}
 		case n < 12 && c.names["p0"] != "":
-			if scribe.Writes(c.names["p0"]) {
+			if wire.Writes(c.names["p0"]) {
 				c.send(life, asked{verb: "STORE", name: "p0", data: data}, "EXECUTE p0 "+thing+" "+data)
 			} else {
 				c.send(life, asked{verb: "FETCH", name: "p0"}, "EXECUTE p0 "+thing)
@@ -822,7 +822,7 @@
 	if a.verb == "STORE" {
 		w.judge.Try(a.data)
 	}
-	r, err := scribe.ReadRequest([]byte("QUERY " + a.id + " " + text))
+	r, err := wire.ReadRequest([]byte("QUERY " + a.id + " " + text))
 	if err != nil {
 		panic(err)
 	}
@@ -848,12 +848,12 @@
 		w.Note("%s drains", l.Host)
 		drained := w.control.state.Hosts[l.Host]
 		drained.Draining = true
-		w.control.apply(rack.Change{Enter: &drained})
+		w.control.apply(statemachine.Change{Enter: &drained})
 		w.In(3*s, func() { // it is replaced: the same machine serves again under its name
-			w.control.apply(rack.Change{Leave: drained.ID})
+			w.control.apply(statemachine.Change{Leave: drained.ID})
 			w.control.state.Gone = nil
 			drained.Draining = false
-			w.control.apply(rack.Change{Enter: &drained})
+			w.control.apply(statemachine.Change{Enter: &drained})
 			for _, r := range w.routers { // they forget who left, too
 				r.run(r.life, func(h *Headstock) { h.state.Gone = nil })
 			}
--- a/internal/detent/detent.go
+++ b/internal/retry/retry.go
@@ -1,4 +1,4 @@
-// Package detent (the catch that lets a wheel on by one tooth at a time) says which calls may be made again, and what is
+// Package retry says which calls may be made again, and what is
 // done with one that got no clear answer, by how far it had been written. The data plane, the questions to hosts and the
 // calls to the platform follow it; the table in docs/design/control-state.md is this one.
 //
@@ -8,7 +8,7 @@
 // written may run at any moment until its host is known to have done all that it was told.
 //
 // Pure.
-package detent
+package retry
 
 // Call is what one process asks of another.
 type Call uint8
--- a/internal/detent/detent_test.go
+++ b/internal/retry/retry_test.go
@@ -1,4 +1,4 @@
-package detent
+package retry
 
 import (
 	"testing"
--- a/internal/catalog/catalog.go
+++ b/internal/router/catalog/catalog.go
@@ -2,9 +2,9 @@
 package catalog
 
 import (
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/policy"
 )
 
 // Read reads a list, whole or the changes since the last. A fault names its
@@ -16,14 +16,14 @@
 	hosts = make([]view.Host, len(targets))
 	for i, e := range targets {
 		h := view.Host{Name: e.Text("uid"), Address: e.Text("endpoint"), Set: e.Integer("pod_group"),
-			Standing: rules.Draining, // nothing new in a state not known
+			Standing: policy.Draining, // nothing new in a state not known
 			Leader:   e.MaybeText("role") == "leader", Zone: e.MaybeText("az"), Kind: e.MaybeText("model"),
 			Size: e.MaybeNumber("capacity_hint"), Boot: setup.Up(e.MaybeNumber("boot_ms"))}
 		switch e.Text("state") {
 		case "up":
-			h.Standing = rules.In
+			h.Standing = policy.In
 		case "removed":
-			h.Standing = rules.Gone
+			h.Standing = policy.Gone
 		}
 		hosts[i] = h
 	}
--- a/internal/clock/clock.go
+++ b/internal/router/clock/clock.go
@@ -4,7 +4,7 @@
 import (
 	"time"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 // Tenth is the module's unit.
@@ -29,7 +29,7 @@
 }
 
 // Now is never before what it was.
-func (c *Clock) Now() rules.Tenth {
+func (c *Clock) Now() policy.Tenth {
 	t := c.read()
 	passed := int64(t.Sub(c.last))
 	c.last = t
@@ -44,4 +44,4 @@
 }
 
 // Span is a span of the module's as a duration.
-func Span(t rules.Tenth) time.Duration { return time.Duration(t) * Tenth }
+func Span(t policy.Tenth) time.Duration { return time.Duration(t) * Tenth }
--- a/internal/routing/counts.go
+++ b/internal/router/routing/counts.go
@@ -5,7 +5,7 @@
 
 	"go.uber.org/zap"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 // Counts are of what is taken in, sent and answered. Taken is the sum of
@@ -16,7 +16,7 @@
 	Dispatched, Probes, Lists, Stale, Panics, Stalls atomic.Int64
 	Held, Forgotten                                  atomic.Int64 // hosts
 	Asks, Unlists                                    atomic.Int64 // for the list, and those that brought none or broke off
-	Outcomes                                         [rules.Missed + 1]atomic.Int64
+	Outcomes                                         [policy.Missed + 1]atomic.Int64
 }
 
 // Fields are the counts for a line of the log. What is still out counts what the queue holds, too.
@@ -34,7 +34,7 @@
 		zap.Int64("panics", c.Panics.Load()), zap.Int64("stalls", c.Stalls.Load()), zap.Int("queued", r.queue.Length()),
 	}
 	for i := range c.Outcomes {
-		fields = append(fields, zap.Int64("outcome_"+rules.Outcome(i).String(), c.Outcomes[i].Load()))
+		fields = append(fields, zap.Int64("outcome_"+policy.Outcome(i).String(), c.Outcomes[i].Load()))
 	}
 	return append(fields, r.shape.fields()...)
 }
--- a/internal/routing/list.go
+++ b/internal/router/routing/list.go
@@ -3,23 +3,23 @@
 import (
 	"go.uber.org/zap"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/catalog"
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/internal/transport"
-	"ferrypitch/rules"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/router/catalog"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/internal/router/transport"
+	"ferrypitch/policy"
 )
 
 // host is a database host as the list has it, and what it said of itself since the last report.
 type host struct {
-	node  *rules.Node
+	node  *policy.Node
 	conns *transport.Host
 	view.Host
 	said  view.Evidence
 	heard link.Heard
-	at    rules.Tenth // when its last answer came
+	at    policy.Tenth // when its last answer came
 }
 
 // list takes in a list, whole or the changes since the last. One that has a fault changes nothing.
@@ -47,7 +47,7 @@
 	r.moment()
 	for _, e := range entries {
 		h := r.hosts[e.Name]
-		if h == nil && e.Standing == rules.Gone {
+		if h == nil && e.Standing == policy.Gone {
 			continue
 		}
 		if h == nil {
@@ -92,11 +92,11 @@
 // Told takes in what is new in a view, from any goroutine: hosts as they are now, names of those that it dropped,
 // how many routers there are, and whether any planner is there. Lists that are held are the view's alone.
 func (r *Router) Told(hosts []view.Host, dropped []string, routers int, blind bool) {
-	r.queue.Put(arbor.Lists, func() {
+	r.queue.Put(eventloop.Lists, func() {
 		for _, name := range dropped {
 			if h := r.hosts[name]; h != nil {
 				gone := h.Host
-				gone.Standing = rules.Gone
+				gone.Standing = policy.Gone
 				hosts = append(hosts, gone)
 			}
 		}
@@ -110,7 +110,7 @@
 		r.rules.Count(routers, blind)
 		for _, e := range hosts {
 			if h := r.hosts[e.Name]; h != nil {
-				word := rules.Lateness(e.Late)
+				word := policy.Lateness(e.Late)
 				r.trace.Told(h.node, e.Pos, e.Role, e.RoleAt, word)
 				h.node.Told(e.Pos, e.Role, e.RoleAt, word)
 			}
@@ -121,7 +121,7 @@
 // Report hands over what answers said of hosts since the last report, from any goroutine; nil once stopped.
 func (r *Router) Report() []link.Heard {
 	got := make(chan []link.Heard, 1)
-	if !r.queue.Put(arbor.Lists, func() {
+	if !r.queue.Put(eventloop.Lists, func() {
 		var all []link.Heard
 		for _, h := range r.hosts {
 			h.heard.Evidence = h.said
@@ -143,19 +143,19 @@
 }
 
 // answered notes what an answer said, for a report.
-func (h *host) answered(c *rules.Cmd, o rules.Outcome, pos rules.Tenth, role rules.Role, asked, now, took rules.Tenth) {
-	if pos >= 0 && o != rules.Reset {
+func (h *host) answered(c *policy.Cmd, o policy.Outcome, pos policy.Tenth, role policy.Role, asked, now, took policy.Tenth) {
+	if pos >= 0 && o != policy.Reset {
 		h.said.Said(pos, role, asked >= h.at)
 		h.at = now
 	}
-	if o == rules.Answered {
+	if o == policy.Answered {
 		h.heard.Count++
 		h.heard.Sum += uint32(min(10, c.Spent(took)) * 1000)
 	}
 }
 
 // sent notes work sent to a cold host.
-func (h *host) sent(c *rules.Cmd) {
+func (h *host) sent(c *policy.Cmd) {
 	boot := h.node.Cold()
 	if boot != h.heard.Boot {
 		h.heard.Boot, h.heard.Cold = boot, 0
--- a/internal/routing/routing.go
+++ b/internal/router/routing/routing.go
@@ -14,20 +14,20 @@
 
 	"go.uber.org/zap"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/clock"
-	"ferrypitch/internal/protocol"
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/trace/record"
-	"ferrypitch/internal/transport"
-	"ferrypitch/rules"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/router/clock"
+	"ferrypitch/internal/router/protocol"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/trace/record"
+	"ferrypitch/internal/router/transport"
+	"ferrypitch/policy"
 )
 
 // Router is the module and what it is known by outside.
 type Router struct {
 	start *setup.Start
 	log   *zap.Logger
-	queue *arbor.Queue
+	queue *eventloop.Queue
 	clock *clock.Clock
 	pool  *transport.Hosts
 	tell  func(body string)
@@ -35,14 +35,14 @@
 	trace *record.Recorder // nil while nothing is captured
 	shape *watching        // nil where no settings are watched
 
-	rules  *rules.Router
+	rules  *policy.Router
 	hosts  map[string]*host
-	nodes  map[*rules.Node]*host
+	nodes  map[*policy.Node]*host
 	sets   map[int64]bool // that the list has named
-	groups map[*rules.CmdGroup]int
+	groups map[*policy.CmdGroup]int
 	cmds   map[string]*command
 	slots  map[*transport.Slot]*command // of commands that are owed an answer
-	due    arbor.Timers[*sending]
+	due    eventloop.Timers[*sending]
 	wakeAt time.Time
 	stepAt time.Time // when the owner last went on
 	listed bool
@@ -55,7 +55,7 @@
 
 // command is one that was taken.
 type command struct {
-	handle    *rules.Cmd
+	handle    *policy.Cmd
 	slot      *transport.Slot // nil when no answer is owed
 	statement []byte
 	until     time.Time // when its last answer is due
@@ -66,8 +66,8 @@
 
 // New makes a router that knows the list of the last run, if there was one. trace may be nil.
 func New(s *setup.Start, pool *transport.Hosts, tell func(string), trace *record.Recorder, log *zap.Logger) (*Router, error) {
-	r := &Router{start: s, log: log, queue: arbor.NewQueue(s.Limits.Backlog), clock: clock.New(time.Now), pool: pool,
-		tell: tell, trace: trace, hosts: map[string]*host{}, nodes: map[*rules.Node]*host{}, sets: map[int64]bool{}, groups: map[*rules.CmdGroup]int{}, cmds: map[string]*command{},
+	r := &Router{start: s, log: log, queue: eventloop.NewQueue(s.Limits.Backlog), clock: clock.New(time.Now), pool: pool,
+		tell: tell, trace: trace, hosts: map[string]*host{}, nodes: map[*policy.Node]*host{}, sets: map[int64]bool{}, groups: map[*policy.CmdGroup]int{}, cmds: map[string]*command{},
 		slots: map[*transport.Slot]*command{}, began: time.Now()}
 	r.rev.Store(-1)
 	for i, g := range s.Deployment.Groups {
@@ -75,7 +75,7 @@
 	}
 	now := r.clock.Now()
 	trace.Now(now)
-	r.rules, r.shape = rules.New(r, s.Deployment, now), watch(s, now)
+	r.rules, r.shape = policy.New(r, s.Deployment, now), watch(s, now)
 	if !s.Known.Has("targets") {
 		return r, nil
 	}
@@ -100,13 +100,13 @@
 	case g == nil:
 		r.refuse(s, "no command group of the name "+strconv.Quote(group[:min(len(group), 64)]))
 		return
-	case writes != (g.Need == rules.Write):
+	case writes != (g.Need == policy.Write):
 		r.refuse(s, "a statement that its command group does not have")
 		return
 	}
 	longest := clock.Span(g.Timeout) // nobody waits for longer, whatever is said
 	until := at.Add(min(time.Duration(min(wait, 1e9)*float64(time.Millisecond)), longest) - r.start.Limits.Early)
-	if !r.queue.Put(arbor.Commands, func() { r.command(s, statement, g, id, key, set, until, after, again) }) {
+	if !r.queue.Put(eventloop.Commands, func() { r.command(s, statement, g, id, key, set, until, after, again) }) {
 		s.Fail(protocol.Failed, errStopped.Error())
 	}
 }
@@ -118,7 +118,7 @@
 }
 
 func (r *Router) Empty(s *transport.Slot) {
-	r.queue.Put(arbor.Commands, func() {
+	r.queue.Put(eventloop.Commands, func() {
 		if r.listed {
 			s.Empty()
 		} else {
@@ -128,7 +128,7 @@
 }
 
 func (r *Router) Left(s *transport.Slot) {
-	r.queue.Put(arbor.Outcomes, func() {
+	r.queue.Put(eventloop.Outcomes, func() {
 		if c := r.slots[s]; c != nil {
 			r.Gone.Add(1)
 			r.final(c)
@@ -143,7 +143,7 @@
 // that speaks for the first time.
 func (r *Router) List(line []byte, anew bool) error {
 	told := make(chan error, 1)
-	if !r.queue.Put(arbor.Lists, func() {
+	if !r.queue.Put(eventloop.Lists, func() {
 		o, err := setup.Decode("", line)
 		if err == nil {
 			err = r.list(o, anew)
@@ -162,7 +162,7 @@
 
 // Unlisted tells that a list that was asked for did not come, or comes no more. What is held serves on.
 func (r *Router) Unlisted() {
-	r.queue.Put(arbor.Lists, func() {
+	r.queue.Put(eventloop.Lists, func() {
 		r.Unlists.Add(1)
 		r.moment()
 		r.trace.Unlisted()
@@ -171,7 +171,7 @@
 }
 
 func (r *Router) Heard(body string) {
-	r.queue.Put(arbor.Commands, func() {
+	r.queue.Put(eventloop.Commands, func() {
 		r.moment()
 		r.trace.Heard(body)
 		r.rules.Heard(body)
@@ -181,7 +181,7 @@
 // Reloaded notes, for whoever captures, that the configuration was read again, and whether it was good.
 func (r *Router) Reloaded(ok bool) {
 	if r.trace != nil {
-		r.queue.Put(arbor.Lists, func() {
+		r.queue.Put(eventloop.Lists, func() {
 			r.moment()
 			r.trace.Reload(ok)
 		})
@@ -191,7 +191,7 @@
 // Stop fails what is owed, when time is up.
 func (r *Router) Stop() {
 	done := make(chan struct{})
-	if r.queue.Put(arbor.Outcomes, func() { r.failAll(); close(done) }) {
+	if r.queue.Put(eventloop.Outcomes, func() { r.failAll(); close(done) }) {
 		select {
 		case <-done:
 		case <-r.queue.Ended:
@@ -225,7 +225,7 @@
 func (r *Router) catchUp() {
 	if time.Since(r.stepAt) > 2*r.start.Limits.Pulse {
 		r.Stalls.Add(1)
-		r.trace.Stall(rules.Tenth(time.Since(r.stepAt) / clock.Tenth))
+		r.trace.Stall(policy.Tenth(time.Since(r.stepAt) / clock.Tenth))
 		time.Sleep(r.start.Limits.Settle)
 	}
 	r.stepAt = time.Now()
@@ -246,11 +246,11 @@
 // step does what comes first of all that is due now, and says whether there was anything.
 func (r *Router) step() bool {
 	r.stepAt = time.Now()
-	if do := r.queue.Take(arbor.Lists); do != nil {
+	if do := r.queue.Take(eventloop.Lists); do != nil {
 		do()
 		return true
 	}
-	if do := r.queue.Take(arbor.Outcomes); do != nil {
+	if do := r.queue.Take(eventloop.Outcomes); do != nil {
 		do()
 		return true
 	}
@@ -273,7 +273,7 @@
 		}
 		r.asking = nil
 	}
-	if do := r.queue.Take(arbor.Commands); do != nil {
+	if do := r.queue.Take(eventloop.Commands); do != nil {
 		do()
 		return true
 	}
@@ -293,7 +293,7 @@
 			now := r.clock.Now()
 			r.trace.Now(now)
 			r.trace.Anew()
-			r.rules = rules.New(r, r.start.Deployment, now)
+			r.rules = policy.New(r, r.start.Deployment, now)
 			for _, h := range r.hosts {
 				r.introduce(h)
 				r.listHost(h)
@@ -324,7 +324,7 @@
 }
 
 // moment tells the module the time of the calls that follow.
-func (r *Router) moment() rules.Tenth {
+func (r *Router) moment() policy.Tenth {
 	now := r.clock.Now()
 	r.rules.Clock(now)
 	if r.trace != nil {
@@ -335,7 +335,7 @@
 }
 
 // command brings a command to the module.
-func (r *Router) command(s *transport.Slot, statement []byte, g *rules.CmdGroup, id, key string, set int64,
+func (r *Router) command(s *transport.Slot, statement []byte, g *policy.CmdGroup, id, key string, set int64,
 	until time.Time, written float64, again bool) {
 	switch {
 	case r.listed && !r.sets[set]: // the module would keep every number that clients make up
@@ -347,14 +347,14 @@
 	}
 	s.Taken()
 	now := r.moment()
-	since := rules.Tenth(0)
+	since := policy.Tenth(0)
 	if written > 0 { // a commit's time is rounded up, so this errs towards fresh
 		since = max(1, now-setup.Up(written))
 	}
 	c := &command{slot: s, statement: statement, until: until}
 	r.cmds[id], r.slots[s] = c, c
 	r.Taken.Add(1)
-	timeout := now + rules.Tenth(time.Until(until)/clock.Tenth)
+	timeout := now + policy.Tenth(time.Until(until)/clock.Tenth)
 	taken := r.shape.command(r.rules, g, set, key, timeout, since, again)
 	r.trace.Take(id, r.groups[g], set, key, timeout, since, again)
 	c.handle = r.rules.Take(id, g, set, key, timeout, since, again)
@@ -367,14 +367,14 @@
 func (r *Router) ended(c *command, a transport.Answer) {
 	c.out = nil
 	r.Outcomes[a.Outcome].Add(1)
-	if a.Outcome == rules.Answered && c.slot != nil {
+	if a.Outcome == policy.Answered && c.slot != nil {
 		r.Answered.Add(1)
 		c.slot.Answer(a.Frames)
 		r.final(c)
 	}
 	r.report(c.handle.Node, a.Load)
 	pos, role := setup.Words(a.Position, a.Role, r.ahead())
-	took := rules.Tenth(a.Took / clock.Tenth)
+	took := policy.Tenth(a.Took / clock.Tenth)
 	if h := r.nodes[c.handle.Node]; h != nil && r.start.Deployment.Told {
 		now := r.clock.Now()
 		h.answered(c.handle, a.Outcome, pos, role, now-took, now, took)
@@ -385,7 +385,7 @@
 }
 
 // report hands on what a load report says.
-func (r *Router) report(n *rules.Node, load string) {
+func (r *Router) report(n *policy.Node, load string) {
 	t := r.start.Terms
 	pos, role, ok := t.Report(func(i int) (float64, bool) { return protocol.Field(load, t.Fields[i]) })
 	if n != nil && ok && pos >= 0 && float64(pos) <= 10*r.ahead() {
@@ -405,7 +405,7 @@
 }
 
 // settle forgets a command for which nothing more will come, in whichever call it got its answer.
-func (r *Router) settle(handle *rules.Cmd) {
+func (r *Router) settle(handle *policy.Cmd) {
 	if handle.Over() {
 		r.trace.Settled(handle)
 		delete(r.cmds, handle.Name)
@@ -414,7 +414,7 @@
 
 // Dispatch, Throttle, Fail, Probe, Close, Tell and Wake are what the module asks for.
 
-func (r *Router) Dispatch(handle *rules.Cmd, n *rules.Node, timeout rules.Tenth) {
+func (r *Router) Dispatch(handle *policy.Cmd, n *policy.Node, timeout policy.Tenth) {
 	c, now := r.cmds[handle.Name], time.Now()
 	until, by := c.until, now.Add(r.start.Limits.Connect)
 	if at := now.Add(clock.Span(timeout)); timeout > 0 && at.Before(until) {
@@ -433,7 +433,7 @@
 	c.out = r.send(r.nodes[n], c.statement, until, by, true, func(a transport.Answer) { r.ended(c, a) })
 }
 
-func (r *Router) Throttle(handle *rules.Cmd, comeback rules.Tenth) {
+func (r *Router) Throttle(handle *policy.Cmd, comeback policy.Tenth) {
 	r.trace.Throttle(handle, comeback)
 	r.shape.throttled(comeback)
 	if c := r.cmds[handle.Name]; c.slot != nil {
@@ -444,7 +444,7 @@
 	}
 }
 
-func (r *Router) Fail(handle *rules.Cmd) {
+func (r *Router) Fail(handle *policy.Cmd) {
 	r.trace.Fail(handle)
 	if c := r.cmds[handle.Name]; c.slot != nil {
 		r.Failed.Add(1)
@@ -454,7 +454,7 @@
 	}
 }
 
-func (r *Router) Probe(n *rules.Node) {
+func (r *Router) Probe(n *policy.Node) {
 	statement := "SELECT 1"
 	if r.start.Deployment.Reports {
 		statement = "SHOW server_load"
@@ -463,20 +463,20 @@
 	r.Probes.Add(1)
 	r.trace.Probe(n)
 	r.send(r.nodes[n], []byte(statement), until, until, false, func(a transport.Answer) {
-		if a.Outcome == rules.Answered {
+		if a.Outcome == policy.Answered {
 			r.report(n, a.Value)
 		}
-		r.trace.Probed(n, a.Outcome == rules.Answered)
-		n.Probed(a.Outcome == rules.Answered)
+		r.trace.Probed(n, a.Outcome == policy.Answered)
+		n.Probed(a.Outcome == policy.Answered)
 	})
 }
 
-func (r *Router) Close(n *rules.Node) {
+func (r *Router) Close(n *policy.Node) {
 	r.trace.Close(n)
 	r.nodes[n].conns.CloseIdle()
 }
 
-func (r *Router) Forget(n *rules.Node) {
+func (r *Router) Forget(n *policy.Node) {
 	r.Forgotten.Add(1)
 	r.trace.Forget(n)
 	r.nodes[n].conns.Remove()
@@ -495,12 +495,12 @@
 	r.tell(body)
 }
 
-func (r *Router) Wake(after rules.Tenth) {
+func (r *Router) Wake(after policy.Tenth) {
 	r.trace.Wake(after)
 	r.wake(after)
 }
 
-func (r *Router) wake(after rules.Tenth) {
+func (r *Router) wake(after policy.Tenth) {
 	if at := time.Now().Add(clock.Span(after)); r.wakeAt.IsZero() || at.Before(r.wakeAt) {
 		r.wakeAt = at
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/router/routing/routing_test.go
@@ -9,24 +9,24 @@
 
 	"go.uber.org/zap"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/clock"
-	"ferrypitch/internal/protocol"
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/transport"
-	"ferrypitch/rules"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/router/clock"
+	"ferrypitch/internal/router/protocol"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/transport"
+	"ferrypitch/policy"
 )
 
 func TestAPanicFailsWhatIsOutAndTheRouterServesOn(t *testing.T) {
-	order := &rules.CmdGroup{Effect: rules.Mutating, Need: rules.Write, Target: 5000, Timeout: 900000, Benefit: 1}
+	order := &policy.CmdGroup{Effect: policy.Mutating, Need: policy.Write, Target: 5000, Timeout: 900000, Benefit: 1}
 	known, err := setup.Decode("", []byte(`{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1",
 		"pod_group":1,"state":"draining"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	second := time.Second
-	s := &setup.Start{Known: known, Deployment: rules.Deployment{Tick: 50, Routers: 1, Dispatches: 4,
-		Groups: []*rules.CmdGroup{order}}, Terms: setup.Terms{Groups: map[string]*rules.CmdGroup{"order": order},
+	s := &setup.Start{Known: known, Deployment: policy.Deployment{Tick: 50, Routers: 1, Dispatches: 4,
+		Groups: []*policy.CmdGroup{order}}, Terms: setup.Terms{Groups: map[string]*policy.CmdGroup{"order": order},
 		Position: -1}, Limits: setup.Limits{Clients: 9, Hosts: 9, Backlog: 9, Ahead: 9, Message: 1 << 10,
 		Buffer: 1 << 10, Whole: 20 * second, Stuck: 20 * second, Ready: 20 * second, Pulse: second / 20}}
 	ctx, end := context.WithCancel(context.Background())
@@ -74,7 +74,7 @@
 		t.Errorf("given up while held: %q", code)
 	}
 	left := make(chan int)
-	r.queue.Put(arbor.Outcomes, func() { left <- len(r.cmds) + len(r.slots) })
+	r.queue.Put(eventloop.Outcomes, func() { left <- len(r.cmds) + len(r.slots) })
 	if n := <-left; n != 0 {
 		t.Errorf("%d are kept of a command that was given up while held", n)
 	}
@@ -83,7 +83,7 @@
 	for r.Taken.Load() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	r.queue.Put(arbor.Commands, func() { panic("a fault of the module") })
+	r.queue.Put(eventloop.Commands, func() { panic("a fault of the module") })
 	if _, code := answer(); code != protocol.Failed {
 		t.Errorf("the held command ends with %q", code)
 	}
@@ -100,7 +100,7 @@
 }
 
 func TestThousandsOfGenerationsOfHostsLeaveNothing(t *testing.T) {
-	s := &setup.Start{Deployment: rules.Deployment{Tick: 10, Routers: 1, Dispatches: 4}, Terms: setup.Terms{Position: -1}}
+	s := &setup.Start{Deployment: policy.Deployment{Tick: 10, Routers: 1, Dispatches: 4}, Terms: setup.Terms{Position: -1}}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	r, err := New(s, transport.NewHosts(ctx, &s.Limits, transport.NewRoom(&s.Limits)), func(string) {}, nil, zap.NewNop())
@@ -144,11 +144,11 @@
 }
 
 func TestListsComeBeforeOutcomesAndThoseBeforeCommands(t *testing.T) {
-	q, order := arbor.NewQueue(2), ""
-	for _, r := range []arbor.Rank{arbor.Commands, arbor.Outcomes, arbor.Outcomes, arbor.Outcomes, arbor.Lists} {
+	q, order := eventloop.NewQueue(2), ""
+	for _, r := range []eventloop.Rank{eventloop.Commands, eventloop.Outcomes, eventloop.Outcomes, eventloop.Outcomes, eventloop.Lists} {
 		q.Put(r, func() { order += string(rune('0' + r)) })
 	}
-	for _, r := range []arbor.Rank{arbor.Lists, arbor.Outcomes, arbor.Commands} {
+	for _, r := range []eventloop.Rank{eventloop.Lists, eventloop.Outcomes, eventloop.Commands} {
 		for do := q.Take(r); do != nil; do = q.Take(r) {
 			do()
 		}
@@ -156,21 +156,21 @@
 	if order != "01112" {
 		t.Error(order)
 	}
-	q.Put(arbor.Commands, func() {})
-	q.Put(arbor.Commands, func() {})
+	q.Put(eventloop.Commands, func() {})
+	q.Put(eventloop.Commands, func() {})
 	waited := make(chan bool)
-	go func() { waited <- q.Put(arbor.Commands, func() {}) }()
+	go func() { waited <- q.Put(eventloop.Commands, func() {}) }()
 	select {
 	case <-waited:
 		t.Error("a full queue takes a command")
 	default:
 	}
-	q.Take(arbor.Commands)
+	q.Take(eventloop.Commands)
 	if !<-waited || q.Length() != 2 {
 		t.Error("the command that waited is lost")
 	}
 	q.Close()
-	if q.Put(arbor.Outcomes, func() {}) {
+	if q.Put(eventloop.Outcomes, func() {}) {
 		t.Error("a closed queue takes")
 	}
 }
--- a/internal/routing/sending.go
+++ b/internal/router/routing/sending.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"ferrypitch/internal/arbor"
-	"ferrypitch/internal/transport"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/router/transport"
 )
 
 // sending is a dispatch or a probe that is out.
@@ -13,7 +13,7 @@
 	at    time.Time
 	ended func(a transport.Answer) // called once, by the owner
 	over  bool
-	due   *arbor.Timer[*sending]
+	due   *eventloop.Timer[*sending]
 }
 
 func (r *Router) send(h *host, statement []byte, until, by time.Time, rewrite bool,
@@ -21,7 +21,7 @@
 	s := &sending{at: time.Now(), ended: ended}
 	s.due = r.due.Add(until, s)
 	s.call = h.conns.Send(statement, until, by, rewrite, func(a transport.Answer) {
-		r.queue.Put(arbor.Outcomes, func() { r.arrived(s, a) })
+		r.queue.Put(eventloop.Outcomes, func() { r.arrived(s, a) })
 	})
 	return s
 }
--- a/internal/routing/watching.go
+++ b/internal/router/routing/watching.go
@@ -5,15 +5,15 @@
 
 	"go.uber.org/zap"
 
-	"ferrypitch/internal/setup"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/policy"
 )
 
 // watching holds what comes against settings that are not in force yet, and counts by kind where they would have
 // decided otherwise. It decides nothing and sends nothing. A nil one does nothing.
 type watching struct {
-	shape      *rules.Shape
-	groups     map[*rules.CmdGroup]*rules.CmdGroup // as they would be
+	shape      *policy.Shape
+	groups     map[*policy.CmdGroup]*policy.CmdGroup // as they would be
 	drainAlone bool
 	onRequest  bool
 
@@ -25,11 +25,11 @@
 }
 
 // watch readies the settings that a start names beside those in force.
-func watch(s *setup.Start, now rules.Tenth) *watching {
+func watch(s *setup.Start, now policy.Tenth) *watching {
 	if s.Next == nil {
 		return nil
 	}
-	w := &watching{shape: rules.NewShape(s.Next.Deployment, now), groups: map[*rules.CmdGroup]*rules.CmdGroup{},
+	w := &watching{shape: policy.NewShape(s.Next.Deployment, now), groups: map[*policy.CmdGroup]*policy.CmdGroup{},
 		drainAlone: s.Next.Deployment.DrainAlone != s.Deployment.DrainAlone,
 		onRequest:  s.Next.Deployment.AskWithin > 0 && s.Deployment.AskWithin == 0}
 	for name, g := range s.Terms.Groups {
@@ -39,26 +39,26 @@
 }
 
 // command is called before the module takes a command, and what it gives with the handle.
-func (w *watching) command(r *rules.Router, g *rules.CmdGroup, set int64, session string, timeout, since rules.Tenth,
-	again bool) (taken func(*rules.Cmd)) {
+func (w *watching) command(r *policy.Router, g *policy.CmdGroup, set int64, session string, timeout, since policy.Tenth,
+	again bool) (taken func(*policy.Cmd)) {
 	if w == nil {
-		return func(*rules.Cmd) {}
+		return func(*policy.Cmd) {}
 	}
 	would, there := r.Preview(w.shape, w.groups[g], g, set, session, timeout, since, again)
-	return func(c *rules.Cmd) { w.compare(c, would, there) }
+	return func(c *policy.Cmd) { w.compare(c, would, there) }
 }
 
-func (w *watching) compare(c *rules.Cmd, would rules.Course, there *rules.Node) {
+func (w *watching) compare(c *policy.Cmd, would policy.Course, there *policy.Node) {
 	w.Compared.Add(1)
 	switch is, to := c.Course(); {
 	case is == would && to == there:
 	case is == would:
 		w.Elsewhere.Add(1)
-	case would == rules.Asked:
+	case would == policy.Asked:
 		w.Asked.Add(1)
-	case would == rules.Held:
+	case would == policy.Held:
 		w.Held.Add(1)
-	case would == rules.Sent:
+	case would == policy.Sent:
 		w.Sent.Add(1)
 	default:
 		w.TurnedAway.Add(1)
@@ -66,15 +66,15 @@
 }
 
 // throttled is called with the time that a throttled command is given.
-func (w *watching) throttled(comeback rules.Tenth) {
+func (w *watching) throttled(comeback policy.Tenth) {
 	if w != nil && (comeback > 0) != (w.shape.Comeback() > 0) {
 		w.Comeback.Add(1)
 	}
 }
 
 // listed is called for each entry of a list, list for each whole one and each change.
-func (w *watching) listed(standing rules.Standing) {
-	if w != nil && w.drainAlone && standing == rules.Gone {
+func (w *watching) listed(standing policy.Standing) {
+	if w != nil && w.drainAlone && standing == policy.Gone {
 		w.Gone.Add(1)
 	}
 }
--- a/internal/service/service.go
+++ b/internal/router/service/service.go
@@ -19,15 +19,15 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"ferrypitch/internal/catalog"
-	"ferrypitch/internal/clock"
-	"ferrypitch/internal/routing"
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/tier/forward"
-	"ferrypitch/internal/trace/file"
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/record"
-	"ferrypitch/internal/transport"
+	"ferrypitch/internal/router/catalog"
+	"ferrypitch/internal/router/clock"
+	"ferrypitch/internal/router/routing"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/tier/forward"
+	"ferrypitch/internal/router/trace/file"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/record"
+	"ferrypitch/internal/router/transport"
 )
 
 // program is what a running router is made of.
--- a/internal/setup/deployment.go
+++ b/internal/router/setup/deployment.go
@@ -3,23 +3,23 @@
 import (
 	"strconv"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 // Terms is how commands, answers and load reports of a deployment are read.
 type Terms struct {
-	Groups         map[string]*rules.CmdGroup
+	Groups         map[string]*policy.CmdGroup
 	Fields         []string // of a load report, in order
 	Position, Role int      // the fields of a load report that hold them; -1: none
 	Positions      bool     // every answer carries one
 }
 
 // Deployment decodes the settings, once at start.
-func Deployment(env Object, seed uint32) (dep rules.Deployment, terms Terms) {
+func Deployment(env Object, seed uint32) (dep policy.Deployment, terms Terms) {
 	bounds, limits := env.Within("bounds"), env.Within("rules")
 	prices, tele := env.Within("prices"), env.Within("telemetry")
 	info := env.Within("family_info")
-	terms = Terms{Groups: map[string]*rules.CmdGroup{},
+	terms = Terms{Groups: map[string]*policy.CmdGroup{},
 		Position: -1, Role: -1, Positions: info.Flag("stamps")}
 	for i, f := range tele.MaybeList("fields") {
 		name, _ := f.(string)
@@ -35,7 +35,7 @@
 	if info.atLeast("wait", 0) > 0 && guards != "await" {
 		info.fault("wait", "there is nothing to wait for, since guards is not await")
 	}
-	dep = rules.Deployment{
+	dep = policy.Deployment{
 		Seed: seed, Zero: Down(info.MaybeNumber("origin_time")),
 		Tick: Up(env.MaybeNumber("tick")), Routers: int(max(1, env.MaybeNumber("peers_total"))),
 		Zone: env.MaybeText("zone"), Dispatches: int(bounds.MaybeNumber("send_cap")),
@@ -63,15 +63,15 @@
 	}
 	reads, bound := info.MaybeList("class_read"), info.MaybeList("class_bound")
 	for i, c := range env.Objects("classes") {
-		g := &rules.CmdGroup{Target: Down(c.Number("promise")), Timeout: Down(c.Number("give_up")),
+		g := &policy.CmdGroup{Target: Down(c.Number("promise")), Timeout: Down(c.Number("give_up")),
 			Memory: Down(c.MaybeNumber("memory_span")), EverySet: c.MaybeText("group") == "all",
 			Benefit: c.Number("worth"), LateShare: c.MaybeNumber("late_share")}
-		g.Effect = map[string]rules.Effect{
-			"deduplicated": rules.Keyed, "at_most_once": rules.Mutating}[c.Text("effect")]
+		g.Effect = map[string]policy.Effect{
+			"deduplicated": policy.Keyed, "at_most_once": policy.Mutating}[c.Text("effect")]
 		if i < len(reads) {
 			word, _ := reads[i].(string)
-			g.Need = map[string]rules.Need{"lag_bound": rules.Bounded, "causal": rules.Session,
-				"strong": rules.Fresh, "mutate": rules.Write}[word]
+			g.Need = map[string]policy.Need{"lag_bound": policy.Bounded, "causal": policy.Session,
+				"strong": policy.Fresh, "mutate": policy.Write}[word]
 		}
 		if i < len(bound) {
 			ms, ok := AsNumber(bound[i])
@@ -87,20 +87,20 @@
 }
 
 // Report is what a load report says of position and role, if it says anything.
-func (t Terms) Report(field func(i int) (float64, bool)) (pos rules.Tenth, role rules.Role, ok bool) {
+func (t Terms) Report(field func(i int) (float64, bool)) (pos policy.Tenth, role policy.Role, ok bool) {
 	if t.Position < 0 {
-		return 0, rules.Unknown, false
+		return 0, policy.Unknown, false
 	}
 	seconds, ok := field(t.Position)
 	if !ok || seconds < 0 || seconds > 1e12 { // not even as a whole number of tenths
 
-		return 0, rules.Unknown, false
+		return 0, policy.Unknown, false
 	}
 	if t.Role >= 0 {
 		if is, known := field(t.Role); known {
-			role = rules.Replica
+			role = policy.Replica
 			if is == 1 {
-				role = rules.Primary
+				role = policy.Primary
 			}
 		}
 	}
@@ -109,16 +109,16 @@
 
 // Words are what a host says beside an answer: its position in milliseconds, of which one past ahead can't be
 // true, and its role. The position is -1 where there is none.
-func Words(position, is string, ahead float64) (pos rules.Tenth, role rules.Role) {
+func Words(position, is string, ahead float64) (pos policy.Tenth, role policy.Role) {
 	pos = -1
 	if v, err := strconv.ParseFloat(position, 64); err == nil && v > 0 && v <= ahead {
 		pos = Down(v)
 	}
 	switch is {
 	case "leader":
-		role = rules.Primary
+		role = policy.Primary
 	case "follower":
-		role = rules.Replica
+		role = policy.Replica
 	}
 	return pos, role
 }
--- a/internal/setup/object.go
+++ b/internal/router/setup/object.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 // Object is an object of JSON that is read field by field. A field that is
@@ -188,5 +188,5 @@
 }
 
 // Up and Down round milliseconds to the module's tenths.
-func Up(ms float64) rules.Tenth   { return rules.Tenth(math.Ceil(ms*10 - 1e-3)) }
-func Down(ms float64) rules.Tenth { return rules.Tenth(math.Floor(ms*10 + 1e-3)) }
+func Up(ms float64) policy.Tenth   { return policy.Tenth(math.Ceil(ms*10 - 1e-3)) }
+func Down(ms float64) policy.Tenth { return policy.Tenth(math.Floor(ms*10 + 1e-3)) }
--- a/internal/setup/operator.go
+++ b/internal/router/setup/operator.go
@@ -16,8 +16,8 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 	"github.com/santhosh-tekuri/jsonschema/v6/kind"
 
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/policy"
 )
 
 // Schema is the JSON schema of the operator's file.
@@ -340,7 +340,7 @@
 // AsForwarder has a router live by views alone: it probes nothing, talks to no peers, and what it was given as
 // known is for the view.
 func (s *Start) AsForwarder() {
-	all := []*rules.Deployment{&s.Deployment}
+	all := []*policy.Deployment{&s.Deployment}
 	if s.Next != nil {
 		all = append(all, &s.Next.Deployment)
 	}
--- a/internal/setup/setup.go
+++ b/internal/router/setup/setup.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 // Start is what one router starts with.
@@ -19,7 +19,7 @@
 	Name, Listen, Discovery, PeerListen, PeersAll string
 	Peers                                         []string
 	Known, Given                                  Object // the last list, for the module and for views; Has("targets") is false without one
-	Deployment                                    rules.Deployment
+	Deployment                                    policy.Deployment
 	Terms                                         Terms
 	Next                                          *Next // settings that are watched, not in force; nil: none
 	Limits                                        Limits
@@ -31,7 +31,7 @@
 
 // Next is what settings that are not in force yet would make of a deployment.
 type Next struct {
-	Deployment rules.Deployment
+	Deployment policy.Deployment
 	Terms      Terms
 }
 
@@ -111,7 +111,7 @@
 	if err != nil {
 		top.fault("seed", "not a number in hexadecimal digits")
 	}
-	deployment := func(key string) (d rules.Deployment, t Terms) {
+	deployment := func(key string) (d policy.Deployment, t Terms) {
 		d, t = Deployment(top.Within(key), uint32(seed)^uint32(seed>>32))
 		d.Zero = 0 // positions on sockets are Unix times
 		d.Peers = d.Peers && s.PeerListen != "" && s.PeersAll != ""
--- a/internal/setup/setup_test.go
+++ b/internal/router/setup/setup_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 const settings = `{"tick":5,"bounds":{"conn_idle":30000,"connect_timeout":250,"probes":true},"prices":{},` +
@@ -37,12 +37,12 @@
 		t.Fatal(err)
 	}
 	dep, terms := Deployment(env, 7)
-	if g := terms.Groups["own"]; g == nil || g.Need != rules.Session || g.Timeout != 9000 || !dep.Reports {
+	if g := terms.Groups["own"]; g == nil || g.Need != policy.Session || g.Timeout != 9000 || !dep.Reports {
 		t.Errorf("%+v", dep)
 	}
 	row := []float64{3, 1, 1767225600.1234}
 	pos, role, ok := terms.Report(func(i int) (float64, bool) { return row[i], i < len(row) })
-	if pos != 17672256001234 || role != rules.Primary || !ok {
+	if pos != 17672256001234 || role != policy.Primary || !ok {
 		t.Error(pos, role, ok)
 	}
 	for name, said := range map[string]func(int) (float64, bool){
--- a/internal/tier/follower/follower.go
+++ b/internal/router/tier/follower/follower.go
@@ -10,31 +10,31 @@
 	"slices"
 	"strconv"
 
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/policy"
 )
 
-const second = rules.Tenth(10000)
+const second = policy.Tenth(10000)
 
 // Terms are what one forwarder keeps to; times in tenths.
 type Terms struct {
-	Again  rules.Tenth // the first wait before dialling anew; it doubles
-	Most   rules.Tenth // up to this
-	Report rules.Tenth // between reports, unless planners ask for longer
-	Silent rules.Tenth // a planner that says nothing for so long is left, unless it said it speaks seldom
+	Again  policy.Tenth // the first wait before dialling anew; it doubles
+	Most   policy.Tenth // up to this
+	Report policy.Tenth // between reports, unless planners ask for longer
+	Silent policy.Tenth // a planner that says nothing for so long is left, unless it said it speaks seldom
 }
 
 // Follower is the state of one forwarder.
 type Follower struct {
 	Terms
 	seed, draws       uint64
-	now               rules.Tenth
+	now               policy.Tenth
 	planners          []*Planner
 	view              view.View
 	changed           map[string]bool // lateness that moved
 	routers           int
 	blind             bool
-	heardAt, reportAt rules.Tenth
+	heardAt, reportAt policy.Tenth
 	told              bool
 
 	Gaps, Digests, Restarts, Silences int64 // whole views asked for, by why; links left
@@ -47,15 +47,15 @@
 	copy    view.Copy
 	up      bool
 	dialing bool
-	dialAt  rules.Tenth
-	wait    rules.Tenth
-	heardAt rules.Tenth
-	every   rules.Tenth
+	dialAt  policy.Tenth
+	wait    policy.Tenth
+	heardAt policy.Tenth
+	every   policy.Tenth
 	late    map[string]uint8
 }
 
 // New starts a forwarder that dials all planners. routers is the count until one tells.
-func New(seed uint64, t Terms, planners []string, routers int, now rules.Tenth) *Follower {
+func New(seed uint64, t Terms, planners []string, routers int, now policy.Tenth) *Follower {
 	f := &Follower{Terms: t, seed: seed, now: now, routers: routers, blind: true, changed: map[string]bool{}}
 	for _, a := range planners {
 		f.planners = append(f.planners, &Planner{Address: a, f: f, wait: t.Again})
@@ -91,14 +91,14 @@
 func (f *Follower) Blind() bool { return f.blind }
 
 // Age is how long ago any planner last spoke; -1: never.
-func (f *Follower) Age() rules.Tenth {
+func (f *Follower) Age() policy.Tenth {
 	if f.heardAt == 0 {
 		return -1
 	}
 	return f.now - f.heardAt
 }
 
-func (f *Follower) clock(now rules.Tenth) { f.now = max(f.now, now) }
+func (f *Follower) clock(now policy.Tenth) { f.now = max(f.now, now) }
 
 func (f *Follower) chance() float64 {
 	f.draws++
@@ -106,7 +106,7 @@
 }
 
 // Connected begins a link; the planner sends a whole view unasked.
-func (p *Planner) Connected(now rules.Tenth) {
+func (p *Planner) Connected(now policy.Tenth) {
 	p.f.clock(now)
 	p.up, p.dialing, p.heardAt, p.every = true, false, p.f.now, 0
 	p.copy = view.Copy{}
@@ -114,17 +114,17 @@
 
 // Lost ends a link, or a dialling. Waits double, by a part that chance decides,
 // lest all forwarders come back to a planner at once.
-func (p *Planner) Lost(now rules.Tenth) {
+func (p *Planner) Lost(now policy.Tenth) {
 	f := p.f
 	f.clock(now)
 	p.up, p.dialing = false, false
-	p.dialAt = f.now + rules.Tenth((0.5+f.chance()/2)*float64(p.wait))
+	p.dialAt = f.now + policy.Tenth((0.5+f.chance()/2)*float64(p.wait))
 	p.wait = min(2*p.wait, f.Most)
 	f.forget(p)
 }
 
 // Changed takes in what a planner says. want: a whole view is to be asked for.
-func (p *Planner) Changed(now rules.Tenth, c view.Change) (want bool) {
+func (p *Planner) Changed(now policy.Tenth, c view.Change) (want bool) {
 	f := p.f
 	f.clock(now)
 	p.heardAt, f.heardAt, p.every, p.wait = f.now, f.now, c.Every, f.Again
@@ -168,7 +168,7 @@
 }
 
 // silent is how long a planner may say nothing.
-func (p *Planner) silent() rules.Tenth { return max(p.f.Silent, 3*p.every) }
+func (p *Planner) silent() policy.Tenth { return max(p.f.Silent, 3*p.every) }
 
 // there says that a planner's word is fresh.
 func (p *Planner) there() bool { return p.up && p.copy.Whole() && p.f.now < p.heardAt+p.silent() }
@@ -183,11 +183,11 @@
 	Told    bool // Hosts, Dropped, Routers or Blind are new
 	Routers int
 	Blind   bool
-	Next    rules.Tenth
+	Next    policy.Tenth
 }
 
 // Tick goes on to a time.
-func (f *Follower) Tick(now rules.Tenth) (do Todo) {
+func (f *Follower) Tick(now policy.Tenth) (do Todo) {
 	f.clock(now)
 	do.Next = f.now + f.Report
 	routers, blind, every := 0, true, f.Report
--- a/internal/tier/follower/follower_test.go
+++ b/internal/router/tier/follower/follower_test.go
@@ -3,12 +3,12 @@
 import (
 	"testing"
 
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/policy"
 )
 
 const (
-	ms    = rules.Tenth(10)
+	ms    = policy.Tenth(10)
 	start = 1000 * second
 )
 
@@ -32,9 +32,9 @@
 }
 
 func TestWaitsDoubleAndDifferBetweenForwarders(t *testing.T) {
-	first := map[rules.Tenth]bool{}
+	first := map[policy.Tenth]bool{}
 	for seed := range uint64(20) {
-		f, now, waits := New(seed, terms, []string{"p"}, 1, start), start, []rules.Tenth(nil)
+		f, now, waits := New(seed, terms, []string{"p"}, 1, start), start, []policy.Tenth(nil)
 		for at := now; len(waits) < 9; now += 5 * ms {
 			if do := f.Tick(now); len(do.Dial) > 0 {
 				waits = append(waits, now-at)
@@ -55,8 +55,8 @@
 func TestAPlannerThatRestartedFromNothingTakesNothingAway(t *testing.T) {
 	f := New(1, terms, []string{"p"}, 1, start)
 	p, s := f.Planners()[0], &source{life: 1}
-	s.list(5, true, view.Host{Name: "a", Address: "x"}, view.Host{Name: "b", Address: "y", Standing: rules.Draining})
-	s.Believe(view.Evidence{Name: "a", Pos: start - ms, Role: rules.Primary, RoleAt: start - ms}, start)
+	s.list(5, true, view.Host{Name: "a", Address: "x"}, view.Host{Name: "b", Address: "y", Standing: policy.Draining})
+	s.Believe(view.Evidence{Name: "a", Pos: start - ms, Role: policy.Primary, RoleAt: start - ms}, start)
 	s.Routers = 4
 	p.Connected(start)
 	p.Changed(start, s.whole())
@@ -69,12 +69,12 @@
 	p.Changed(start+3*ms, empty.whole())
 	f.Tick(start + 3*ms)
 	a, _ := f.View().Host("a")
-	if b, _ := f.View().Host("b"); a.Role != rules.Primary || b.Standing != rules.Draining {
+	if b, _ := f.View().Host("b"); a.Role != policy.Primary || b.Standing != policy.Draining {
 		t.Errorf("%+v %+v", a, b)
 	}
 	empty.list(4, true, view.Host{Name: "a", Address: "x"}, view.Host{Name: "b", Address: "y"})
 	p.Changed(start+4*ms, empty.next())
-	if b, _ := f.View().Host("b"); b.Standing != rules.Draining {
+	if b, _ := f.View().Host("b"); b.Standing != policy.Draining {
 		t.Error("an older list lifts the drain")
 	}
 }
@@ -150,13 +150,13 @@
 
 func TestAKeptViewIsAStartAndNothingMore(t *testing.T) {
 	s := &source{life: 9}
-	s.list(5, true, view.Host{Name: "a", Address: "x"}, view.Host{Name: "b", Address: "y", Standing: rules.Draining}, view.Host{Name: "gone"})
-	s.Believe(view.Evidence{Name: "a", Pos: start + 60*second, Role: rules.Primary, RoleAt: start + 60*second}, start+90*second)
+	s.list(5, true, view.Host{Name: "a", Address: "x"}, view.Host{Name: "b", Address: "y", Standing: policy.Draining}, view.Host{Name: "gone"})
+	s.Believe(view.Evidence{Name: "a", Pos: start + 60*second, Role: policy.Primary, RoleAt: start + 60*second}, start+90*second)
 	f := New(1, terms, []string{"p"}, 1, start)
 	f.Kept(s.whole())
 	a, _ := f.View().Host("a")
 	b, _ := f.View().Host("b")
-	if !f.Ready() || a.Address != "x" || a.Role == rules.Primary || b.Standing != rules.Draining || !f.Blind() {
+	if !f.Ready() || a.Address != "x" || a.Role == policy.Primary || b.Standing != policy.Draining || !f.Blind() {
 		t.Errorf("%+v %+v", a, b)
 	}
 	later := &source{life: 2}
@@ -165,7 +165,7 @@
 	f.Planners()[0].Changed(start, later.whole())
 	a, _ = f.View().Host("a")
 	b, _ = f.View().Host("b")
-	if _, there := f.View().Host("gone"); there || a.Address != "z" || b.Standing != rules.In {
+	if _, there := f.View().Host("gone"); there || a.Address != "z" || b.Standing != policy.In {
 		t.Errorf("%v %+v %+v", there, a, b)
 	}
 	torn := s.whole()
--- a/internal/tier/forward/forward.go
+++ b/internal/router/tier/forward/forward.go
@@ -13,13 +13,13 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"ferrypitch/internal/clock"
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/store"
-	"ferrypitch/internal/tier/follower"
-	"ferrypitch/internal/tier/line"
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/view"
+	"ferrypitch/internal/router/clock"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/tier/follower"
+	"ferrypitch/internal/router/tier/line"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/internal/snapshotfile"
 )
 
 // Router is told what is new, and asked for what was heard.
@@ -67,8 +67,8 @@
 	if f.section.Keep == "" {
 		return
 	}
-	body, err := store.Read(store.Disk{}, f.section.Keep)
-	if store.None(err) {
+	body, err := snapshotfile.Read(snapshotfile.Disk{}, f.section.Keep)
+	if snapshotfile.None(err) {
 		return
 	}
 	var c view.Change
@@ -91,7 +91,7 @@
 		case <-ctx.Done():
 			return
 		case body := <-f.keeping:
-			if err := store.Write(store.Disk{}, f.section.Keep, body); err != nil {
+			if err := snapshotfile.Write(snapshotfile.Disk{}, f.section.Keep, body); err != nil {
 				if f.Unkept.Add(1); !failing {
 					f.log.Warn("the view is not kept", zap.Error(err))
 				}
--- a/internal/tier/line/line.go
+++ b/internal/router/tier/line/line.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"ferrypitch/internal/tier/link"
+	"ferrypitch/internal/router/tier/link"
 )
 
 // ErrSlow tells of a reader that was cut.
--- a/internal/tier/link/link.go
+++ b/internal/router/tier/link/link.go
@@ -18,7 +18,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/zeebo/blake3"
 
-	"ferrypitch/internal/tier/view"
+	"ferrypitch/internal/router/tier/view"
 )
 
 // Spoken is the version that is spoken here.
--- a/internal/tier/link/link_test.go
+++ b/internal/router/tier/link/link_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/policy"
 )
 
 var key, other = [32]byte{1}, [32]byte{2}
@@ -20,8 +20,8 @@
 
 func TestAMessageComesThroughAndIsReadByItsFields(t *testing.T) {
 	f, p := pair()
-	c := view.Change{Life: 7, Seq: 2, Hosts: []view.Host{{Name: "a", Address: "x", Set: -3, Size: 1.5, Standing: rules.Draining,
-		Version: view.Version{Gen: 1, Rev: 41}, Pos: 99, Role: rules.Replica, RoleAt: 98, Turn: 1, Late: 3}}, Dropped: []string{"b"}, Digest: 5}
+	c := view.Change{Life: 7, Seq: 2, Hosts: []view.Host{{Name: "a", Address: "x", Set: -3, Size: 1.5, Standing: policy.Draining,
+		Version: view.Version{Gen: 1, Rev: 41}, Pos: 99, Role: policy.Replica, RoleAt: 98, Turn: 1, Late: 3}}, Dropped: []string{"b"}, Digest: 5}
 	wire := p.Seal(nil, KindChange, Body(c))
 	for cut := range wire {
 		if _, _, n, _, err := f.Open(wire[:cut], FrameMost); n != 0 || err != nil {
--- a/internal/tier/plan/plan.go
+++ b/internal/router/tier/plan/plan.go
@@ -13,16 +13,16 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"ferrypitch/internal/catalog"
-	"ferrypitch/internal/clock"
-	"ferrypitch/internal/protocol"
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/tier/line"
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/planner"
-	"ferrypitch/internal/trace/record"
-	"ferrypitch/internal/transport"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/catalog"
+	"ferrypitch/internal/router/clock"
+	"ferrypitch/internal/router/protocol"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/tier/line"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/planner"
+	"ferrypitch/internal/router/trace/record"
+	"ferrypitch/internal/router/transport"
+	"ferrypitch/policy"
 )
 
 // Plan is one planner.
@@ -120,7 +120,7 @@
 func (p *Plan) connect() {
 	held := map[string]bool{}
 	for _, h := range p.core.View().Hosts() {
-		if h.Standing != rules.In {
+		if h.Standing != policy.In {
 			continue
 		}
 		held[h.Name] = true
@@ -213,7 +213,7 @@
 func (p *Plan) probe(ctx context.Context, name string) {
 	h := p.hosts[name]
 	if h == nil {
-		p.core.Probed(p.clock.Now(), name, false, -1, rules.Unknown, 0)
+		p.core.Probed(p.clock.Now(), name, false, -1, policy.Unknown, 0)
 		return
 	}
 	statement := "SELECT 1"
@@ -238,8 +238,8 @@
 						pos, role = at, is
 					}
 				}
-				p.trace.Probed(name, a.Outcome == rules.Answered, pos, role, now-asked)
-				p.core.Probed(now, name, a.Outcome == rules.Answered, pos, role, asked)
+				p.trace.Probed(name, a.Outcome == policy.Answered, pos, role, now-asked)
+				p.core.Probed(now, name, a.Outcome == policy.Answered, pos, role, asked)
 			})
 		})
 	}
--- a/internal/tier/plan/plan_test.go
+++ b/internal/router/tier/plan/plan_test.go
@@ -13,11 +13,11 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zaptest/observer"
 
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/standin/discovery"
-	"ferrypitch/internal/tier/line"
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/view"
+	"ferrypitch/internal/fake/discovery"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/tier/line"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/view"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/tier/planner/planner.go
+++ b/internal/router/tier/planner/planner.go
@@ -12,25 +12,25 @@
 	"strconv"
 	"strings"
 
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/policy"
 )
 
-const second = rules.Tenth(10000)
+const second = policy.Tenth(10000)
 
 // Terms are what one planner keeps to; times in tenths.
 type Terms struct {
-	Gen        uint64      // of discovery's versions
-	Beat       rules.Tenth // the shortest time between two changes
-	Probe      rules.Tenth // after which a host that nobody has heard of is asked
-	Search     rules.Tenth // between askings where a set's primary is not known or silent
-	Probes     int         // that may be out at once
-	PerSecond  int         // probes a second at most
-	Forwarders int         // taken at most
-	Reports    int         // of all forwarders a second
-	Frames     int         // to all forwarders a second
-	Bytes      int         // of positions to all forwarders a second
+	Gen        uint64       // of discovery's versions
+	Beat       policy.Tenth // the shortest time between two changes
+	Probe      policy.Tenth // after which a host that nobody has heard of is asked
+	Search     policy.Tenth // between askings where a set's primary is not known or silent
+	Probes     int          // that may be out at once
+	PerSecond  int          // probes a second at most
+	Forwarders int          // taken at most
+	Reports    int          // of all forwarders a second
+	Frames     int          // to all forwarders a second
+	Bytes      int          // of positions to all forwarders a second
 }
 
 // Planner is the state of one.
@@ -38,14 +38,14 @@
 	Terms
 	life, seq, seed uint64
 	draws           uint64
-	now, beatAt     rules.Tenth
-	turnAt, fillAt  rules.Tenth // of lateness' buckets; of the probes' allowance
+	now, beatAt     policy.Tenth
+	turnAt, fillAt  policy.Tenth // of lateness' buckets; of the probes' allowance
 	credit          float64
 	out             int
 	view            view.View
 	hosts           map[string]*host
 	forwarders      map[*Forwarder]bool
-	leases          map[lease]rules.Tenth // until when a forwarder counts
+	leases          map[lease]policy.Tenth // until when a forwarder counts
 
 	Doubles, Overdue, Silent, Cold int64 // leases of a name that held one, a restart's too; links cut; probes without answer; work sent to cold hosts
 }
@@ -60,23 +60,23 @@
 	name               string
 	set                int64
 	said               view.Evidence
-	heardAt, askedAt   rules.Tenth // when anybody last heard of it; when it was last asked
-	wordAt             rules.Tenth // when its last word came, of any kind
-	published          rules.Tenth
-	wait               rules.Tenth // between askings while it is silent; 0: it answers
-	probing, waiting   bool        // waiting: said is ahead of the view
-	count, sum         uint32      // this bucket
+	heardAt, askedAt   policy.Tenth // when anybody last heard of it; when it was last asked
+	wordAt             policy.Tenth // when its last word came, of any kind
+	published          policy.Tenth
+	wait               policy.Tenth // between askings while it is silent; 0: it answers
+	probing, waiting   bool         // waiting: said is ahead of the view
+	count, sum         uint32       // this bucket
 	late               uint8
-	role               rules.Role // that was published
-	lastCount, lastSum uint32     // and the one before
-	boot               rules.Tenth
+	role               policy.Role // that was published
+	lastCount, lastSum uint32      // and the one before
+	boot               policy.Tenth
 	cold               map[uint64]int64 // by forwarders' lives
 }
 
 // New starts a planner that knows nothing.
-func New(life uint64, t Terms, now rules.Tenth) *Planner {
+func New(life uint64, t Terms, now policy.Tenth) *Planner {
 	return &Planner{Terms: t, life: life, seed: life, now: now, beatAt: now, turnAt: now, fillAt: now,
-		hosts: map[string]*host{}, forwarders: map[*Forwarder]bool{}, leases: map[lease]rules.Tenth{}}
+		hosts: map[string]*host{}, forwarders: map[*Forwarder]bool{}, leases: map[lease]policy.Tenth{}}
 }
 
 // View is the view as it stands; not to be changed.
@@ -88,7 +88,7 @@
 // Open is how many forwarders are connected.
 func (p *Planner) Open() int { return len(p.forwarders) }
 
-func (p *Planner) clock(now rules.Tenth) { p.now = max(p.now, now) }
+func (p *Planner) clock(now policy.Tenth) { p.now = max(p.now, now) }
 
 // chance is a number from 0 to 1, by the planner's life and a counter.
 func (p *Planner) chance() float64 {
@@ -97,7 +97,7 @@
 }
 
 // Listed takes in a list of discovery's, and says whether it was not older than the one held.
-func (p *Planner) Listed(now rules.Tenth, rev int64, whole bool, entries []view.Host) bool {
+func (p *Planner) Listed(now policy.Tenth, rev int64, whole bool, entries []view.Host) bool {
 	p.clock(now)
 	for i := range entries {
 		entries[i].Boot = max(0, min(entries[i].Boot, now)) // a clock that is ahead keeps nothing cold for longer
@@ -111,7 +111,7 @@
 		}
 	}
 	for _, e := range entries {
-		if h, known := p.view.Host(e.Name); known && h.Standing == rules.In {
+		if h, known := p.view.Host(e.Name); known && h.Standing == policy.In {
 			p.host(h)
 		} else {
 			delete(p.hosts, e.Name)
@@ -136,7 +136,7 @@
 }
 
 // Probed ends a probe that was asked for at a time. pos is -1 where there is none.
-func (p *Planner) Probed(now rules.Tenth, name string, ok bool, pos rules.Tenth, role rules.Role, asked rules.Tenth) {
+func (p *Planner) Probed(now policy.Tenth, name string, ok bool, pos policy.Tenth, role policy.Role, asked policy.Tenth) {
 	p.clock(now)
 	p.out--
 	h := p.hosts[name]
@@ -157,19 +157,19 @@
 }
 
 // ahead is the greatest position that can be true: of a commit now, rounded up.
-func (p *Planner) ahead() rules.Tenth { return p.now + 20 }
+func (p *Planner) ahead() policy.Tenth { return p.now + 20 }
 
 // Forwarder is the handle of a connected one.
 type Forwarder struct {
 	p       *Planner
 	id      lease
-	heardAt rules.Tenth
+	heardAt policy.Tenth
 	want    bool
 }
 
 // Greeted takes a forwarder that showed the key, or nil when there are too many. It
 // counts from its first frame on, which a repeated greeting can't bring.
-func (p *Planner) Greeted(now rules.Tenth, name string, life uint64) *Forwarder {
+func (p *Planner) Greeted(now policy.Tenth, name string, life uint64) *Forwarder {
 	p.clock(now)
 	if len(p.forwarders) >= p.Forwarders {
 		return nil
@@ -186,7 +186,7 @@
 func (f *Forwarder) Left() { delete(f.p.forwarders, f) }
 
 // Wanted is a forwarder's wish for a whole view.
-func (f *Forwarder) Wanted(now rules.Tenth) {
+func (f *Forwarder) Wanted(now policy.Tenth) {
 	f.p.clock(now)
 	f.want = true
 	f.renew()
@@ -209,7 +209,7 @@
 }
 
 // Reported takes in what a forwarder heard of hosts. What no host can have said is passed over.
-func (f *Forwarder) Reported(now rules.Tenth, r link.Report) {
+func (f *Forwarder) Reported(now policy.Tenth, r link.Report) {
 	p := f.p
 	p.clock(now)
 	f.renew()
@@ -239,19 +239,19 @@
 }
 
 // every is how often forwarders report: so often that all together keep to Reports a second.
-func (p *Planner) every() rules.Tenth {
-	return max(2*p.beat(), rules.Tenth(len(p.forwarders))*second/rules.Tenth(p.Reports))
+func (p *Planner) every() policy.Tenth {
+	return max(2*p.beat(), policy.Tenth(len(p.forwarders))*second/policy.Tenth(p.Reports))
 }
 
 // beat is the time between two changes: so long that all together keep to Frames a second.
-func (p *Planner) beat() rules.Tenth {
-	return max(p.Beat, rules.Tenth(len(p.forwarders))*second/rules.Tenth(p.Frames))
+func (p *Planner) beat() policy.Tenth {
+	return max(p.Beat, policy.Tenth(len(p.forwarders))*second/policy.Tenth(p.Frames))
 }
 
 // spread is the time between two positions told of one host, so long that all keep to Bytes a second.
-func (p *Planner) spread() rules.Tenth {
+func (p *Planner) spread() policy.Tenth {
 	const entry = 96 // bytes, about
-	return rules.Tenth(float64(len(p.hosts)*len(p.forwarders)*entry) * float64(second) / float64(p.Bytes))
+	return policy.Tenth(float64(len(p.hosts)*len(p.forwarders)*entry) * float64(second) / float64(p.Bytes))
 }
 
 // Todo is what a Tick asks for.
@@ -260,11 +260,11 @@
 	Change *view.Change // to all who are not in Whole
 	Whole  []*Forwarder // are sent the view as it is after Change
 	Cut    []*Forwarder // have said nothing for longer than a lease
-	Next   rules.Tenth  // when to tick again at the latest
+	Next   policy.Tenth // when to tick again at the latest
 }
 
 // Tick goes on to a time.
-func (p *Planner) Tick(now rules.Tenth) (do Todo) {
+func (p *Planner) Tick(now policy.Tenth) (do Todo) {
 	p.clock(now)
 	for id, until := range p.leases {
 		if p.now >= until {
@@ -324,7 +324,7 @@
 		if !h.waiting {
 			continue
 		}
-		turned := h.role != h.said.Role && (h.role == rules.Primary || h.said.Role == rules.Primary)
+		turned := h.role != h.said.Role && (h.role == policy.Primary || h.said.Role == policy.Primary)
 		if turned || p.now >= h.published+spread {
 			p.view.Believe(h.said, p.ahead())
 			p.view.Lateness(h.name, h.late)
@@ -351,7 +351,7 @@
 	for _, h := range p.hosts {
 		rest := p.Probe
 		switch {
-		case headless[h.set] && h.said.Role != rules.Primary:
+		case headless[h.set] && h.said.Role != policy.Primary:
 			rest = p.Search
 		case h.wait > 0:
 			rest = h.wait
@@ -369,7 +369,7 @@
 		p.out++
 		p.credit--
 		h.probing = true
-		h.askedAt = max(1, p.now-rules.Tenth(p.chance()*float64(p.Search)/4)) // planners don't ask in step
+		h.askedAt = max(1, p.now-policy.Tenth(p.chance()*float64(p.Search)/4)) // planners don't ask in step
 		ask = append(ask, h.name)
 	}
 	return ask
@@ -389,7 +389,7 @@
 func (p *Planner) headless() map[int64]bool {
 	best, is := map[int64]*host{}, map[int64]bool{}
 	for _, h := range p.hosts {
-		if is[h.set] = true; h.said.Role != rules.Primary {
+		if is[h.set] = true; h.said.Role != policy.Primary {
 			continue
 		}
 		if b := best[h.set]; b == nil || h.said.RoleAt > b.said.RoleAt || h.said.RoleAt == b.said.RoleAt && h.name < b.name {
--- a/internal/tier/planner/planner_test.go
+++ b/internal/router/tier/planner/planner_test.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"testing"
 
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/policy"
 )
 
 const (
-	ms    = rules.Tenth(10)
+	ms    = policy.Tenth(10)
 	start = 1000 * second
 )
 
@@ -18,20 +18,20 @@
 	Frames: 20000, Bytes: 20_000_000}
 
 // fresh is a planner with a set of three hosts, of which a says that it is the primary.
-func fresh() (*Planner, rules.Tenth) {
+func fresh() (*Planner, policy.Tenth) {
 	p := New(7, terms, start)
 	p.Listed(start, 1, true, []view.Host{{Name: "a", Set: 1}, {Name: "b", Set: 1}, {Name: "c", Set: 1}})
 	for _, name := range p.Tick(start + 200*ms).Probe {
-		role := rules.Replica
+		role := policy.Replica
 		if name == "a" {
-			role = rules.Primary
+			role = policy.Primary
 		}
 		p.Probed(start+210*ms, name, true, start, role, start+200*ms)
 	}
 	return p, start + 210*ms
 }
 
-func heard(name string, pos rules.Tenth, role rules.Role) link.Report {
+func heard(name string, pos policy.Tenth, role policy.Role) link.Report {
 	return link.Report{Heard: []link.Heard{{Evidence: view.Evidence{Name: name, Pos: pos, Role: role, RoleAt: pos}, Count: 1, Sum: 200}}}
 }
 
@@ -40,13 +40,13 @@
 	f := p.Greeted(now, "f", 1)
 	for i := range 50 {
 		now += 100 * ms
-		f.Reported(now, heard("a", now-ms, rules.Primary))
-		f.Reported(now, heard("b", now-ms, rules.Replica))
+		f.Reported(now, heard("a", now-ms, policy.Primary))
+		f.Reported(now, heard("b", now-ms, policy.Replica))
 		for _, name := range p.Tick(now).Probe {
 			if i > 5 && name != "c" {
 				t.Fatalf("%s is probed", name)
 			}
-			p.Probed(now, name, true, now-ms, rules.Replica, now)
+			p.Probed(now, name, true, now-ms, policy.Replica, now)
 		}
 	}
 	if h, _ := p.View().Host("b"); h.Pos < now-200*ms || h.Late != 3 {
@@ -61,13 +61,13 @@
 		now += 10 * ms
 		for _, name := range p.Tick(now).Probe {
 			asked[name]++
-			p.Probed(now+ms, name, name != "a", now, rules.Replica, now)
+			p.Probed(now+ms, name, name != "a", now, policy.Replica, now)
 		}
 	}
 	if asked["b"] < 5 || asked["c"] < 5 || asked["a"] > asked["b"] {
 		t.Errorf("asked %v in a second", asked)
 	}
-	p.Probed(now+2*ms, "b", true, now+ms, rules.Primary, now+ms)
+	p.Probed(now+2*ms, "b", true, now+ms, policy.Primary, now+ms)
 	p.out++
 	if c := p.Tick(now + 200*ms); c.Change == nil || len(c.Change.Hosts) == 0 {
 		t.Error("the new primary is not told at once")
@@ -126,10 +126,10 @@
 func TestWhatNoHostCanHaveSaidIsPassedOver(t *testing.T) {
 	p, now := fresh()
 	f := p.Greeted(now, "f", 1)
-	f.Reported(now, heard("b", now+second, rules.Primary))
+	f.Reported(now, heard("b", now+second, policy.Primary))
 	f.Reported(now, link.Report{Heard: []link.Heard{{Evidence: view.Evidence{Name: "nobody", Pos: 1}}}})
 	p.Tick(now + 200*ms)
-	if h, _ := p.View().Host("b"); h.Role == rules.Primary || h.Pos > now {
+	if h, _ := p.View().Host("b"); h.Role == policy.Primary || h.Pos > now {
 		t.Errorf("%+v", h)
 	}
 }
@@ -166,8 +166,8 @@
 				for i := range forwarders {
 					all = append(all, p.Greeted(start, fmt.Sprintf("f%d", i), uint64(i+1)))
 				}
-				now, bytes, frames, reports := rules.Tenth(start), 0, 0, 0
-				due := make([]rules.Tenth, forwarders)
+				now, bytes, frames, reports := policy.Tenth(start), 0, 0, 0
+				due := make([]policy.Tenth, forwarders)
 				b.ResetTimer()
 				for range b.N {
 					for end := now + second; now < end; now += 25 * ms {
@@ -180,13 +180,13 @@
 							r := link.Report{}
 							for k := range 10 {
 								h := list[(i*7+k*13)%hosts]
-								r.Heard = append(r.Heard, heard(h.Name, now-ms, rules.Replica).Heard...)
+								r.Heard = append(r.Heard, heard(h.Name, now-ms, policy.Replica).Heard...)
 							}
 							f.Reported(now, r)
 						}
 						do := p.Tick(now)
 						for _, name := range do.Probe {
-							p.Probed(now, name, true, now-ms, rules.Replica, now)
+							p.Probed(now, name, true, now-ms, policy.Replica, now)
 						}
 						if do.Change != nil {
 							n := len(link.Body(do.Change))
--- a/internal/tier/view/change.go
+++ b/internal/router/tier/view/change.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 // Change is what came to a view between two numbers of a planner's life; a
@@ -120,7 +120,7 @@
 		return "a name of no or too many bytes"
 	case len(h.Address) > 256 || len(h.Zone) > 64 || len(h.Kind) > 64:
 		return "a text of too many bytes"
-	case h.Standing > rules.Gone || h.Role > rules.Replica:
+	case h.Standing > policy.Gone || h.Role > policy.Replica:
 		return "a standing or a role that is not known"
 	case !(h.Size >= 0 && h.Size <= 1e9):
 		return "a size that can't be"
--- a/internal/tier/view/view.go
+++ b/internal/router/tier/view/view.go
@@ -18,7 +18,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 // Version orders lists. Rev is discovery's; Gen is raised by the operator when
@@ -33,45 +33,45 @@
 
 // Host is a host as the list has it, and what it said of itself.
 type Host struct {
-	Name     string         `cbor:"1,keyasint"`
-	Address  string         `cbor:"2,keyasint"`
-	Zone     string         `cbor:"3,keyasint,omitempty"`
-	Kind     string         `cbor:"4,keyasint,omitempty"`
-	Set      int64          `cbor:"5,keyasint"`
-	Size     float64        `cbor:"6,keyasint,omitempty"`
-	Leader   bool           `cbor:"7,keyasint,omitempty"` // by the list, late
-	Standing rules.Standing `cbor:"8,keyasint,omitempty"`
-	Version  Version        `cbor:"9,keyasint"` // of the list that says all above
-	Boot     rules.Tenth    `cbor:"10,keyasint,omitempty"`
-
-	Pos    rules.Tenth `cbor:"11,keyasint,omitempty"` // it has applied all up to here
-	Role   rules.Role  `cbor:"12,keyasint,omitempty"`
-	RoleAt rules.Tenth `cbor:"13,keyasint,omitempty"` // the position that it named with its role
-	Turn   uint32      `cbor:"14,keyasint,omitempty"` // how often it changed its role at that position
+	Name     string          `cbor:"1,keyasint"`
+	Address  string          `cbor:"2,keyasint"`
+	Zone     string          `cbor:"3,keyasint,omitempty"`
+	Kind     string          `cbor:"4,keyasint,omitempty"`
+	Set      int64           `cbor:"5,keyasint"`
+	Size     float64         `cbor:"6,keyasint,omitempty"`
+	Leader   bool            `cbor:"7,keyasint,omitempty"` // by the list, late
+	Standing policy.Standing `cbor:"8,keyasint,omitempty"`
+	Version  Version         `cbor:"9,keyasint"` // of the list that says all above
+	Boot     policy.Tenth    `cbor:"10,keyasint,omitempty"`
+
+	Pos    policy.Tenth `cbor:"11,keyasint,omitempty"` // it has applied all up to here
+	Role   policy.Role  `cbor:"12,keyasint,omitempty"`
+	RoleAt policy.Tenth `cbor:"13,keyasint,omitempty"` // the position that it named with its role
+	Turn   uint32       `cbor:"14,keyasint,omitempty"` // how often it changed its role at that position
 
 	Late uint8 `cbor:"15,keyasint,omitempty"` // one more than the tenths of the response target; 0: not known
 }
 
 // Evidence is a host's own words: its position, and its role if it named one.
 type Evidence struct {
-	Name   string      `cbor:"1,keyasint"`
-	Pos    rules.Tenth `cbor:"2,keyasint,omitempty"`
-	Role   rules.Role  `cbor:"3,keyasint,omitempty"`
-	RoleAt rules.Tenth `cbor:"4,keyasint,omitempty"`
-	Turn   uint32      `cbor:"5,keyasint,omitempty"`
+	Name   string       `cbor:"1,keyasint"`
+	Pos    policy.Tenth `cbor:"2,keyasint,omitempty"`
+	Role   policy.Role  `cbor:"3,keyasint,omitempty"`
+	RoleAt policy.Tenth `cbor:"4,keyasint,omitempty"`
+	Turn   uint32       `cbor:"5,keyasint,omitempty"`
 }
 
 // Said takes in what a host just said. later tells that it was asked after what
 // is held was heard: a role that differs at one position has then turned, else it
 // is an older word that came late.
-func (e *Evidence) Said(pos rules.Tenth, role rules.Role, later bool) bool {
+func (e *Evidence) Said(pos policy.Tenth, role policy.Role, later bool) bool {
 	was := *e
 	e.Pos = max(e.Pos, pos)
 	switch {
-	case role == rules.Unknown || pos < e.RoleAt:
+	case role == policy.Unknown || pos < e.RoleAt:
 	case pos > e.RoleAt:
 		e.Role, e.RoleAt, e.Turn = role, pos, 0
-	case e.Role == rules.Unknown:
+	case e.Role == policy.Unknown:
 		e.Role = role
 	case role != e.Role && later:
 		e.Role, e.Turn = role, e.Turn+1
@@ -210,7 +210,7 @@
 	if !known {
 		h = &Host{Name: name}
 	}
-	before, was := uint64(0), h.Standing == rules.Gone
+	before, was := uint64(0), h.Standing == policy.Gone
 	if known {
 		before = h.digest()
 	}
@@ -224,7 +224,7 @@
 		v.hosts[name] = h
 	}
 	v.sum += h.digest() - before
-	switch is := h.Standing == rules.Gone; {
+	switch is := h.Standing == policy.Gone; {
 	case is && !(known && was):
 		v.gone++
 	case !is && known && was:
@@ -237,7 +237,7 @@
 func (v *View) drop(name string) {
 	h := v.hosts[name]
 	v.sum -= h.digest()
-	if h.Standing == rules.Gone {
+	if h.Standing == policy.Gone {
 		v.gone--
 	}
 	delete(v.hosts, name)
@@ -259,7 +259,7 @@
 	}
 	v.Listed = at
 	for _, e := range entries {
-		e.Version, e.Pos, e.Role, e.RoleAt, e.Turn, e.Late = at, 0, rules.Unknown, 0, 0, 0
+		e.Version, e.Pos, e.Role, e.RoleAt, e.Turn, e.Late = at, 0, policy.Unknown, 0, 0, 0
 		v.change(e.Name, func(h *Host) bool { return h.join(e) })
 	}
 	if whole {
@@ -271,7 +271,7 @@
 // Settle says of all hosts that are held that the newest list still has them so,
 // and drops those that are gone. Guards against a planner that comes back with a
 // list from before they went: what is older than the floor counts no more.
-func (v *View) Settle() { v.settle(func(h *Host) bool { return h.Standing == rules.Gone }) }
+func (v *View) Settle() { v.settle(func(h *Host) bool { return h.Standing == policy.Gone }) }
 
 func (v *View) settle(gone func(*Host) bool) {
 	v.Floor = v.Listed
@@ -286,7 +286,7 @@
 
 // Believe takes in evidence of a host, from whomever, and says whether it was
 // new. ahead is the greatest position that can be true now.
-func (v *View) Believe(e Evidence, ahead rules.Tenth) bool {
+func (v *View) Believe(e Evidence, ahead policy.Tenth) bool {
 	if v.hosts[e.Name] == nil || e.Pos > ahead || e.RoleAt > ahead || e.Pos < 0 || e.RoleAt < 0 {
 		return false
 	}
@@ -304,7 +304,7 @@
 // in the same list, and, of hosts above the floors, in the same evidence; what
 // was said of a host under an older floor may be lost, which only makes less
 // known. Claims past ahead are passed over, and lateness, which ages.
-func (v *View) Join(o *View, ahead rules.Tenth) {
+func (v *View) Join(o *View, ahead policy.Tenth) {
 	if v.Listed.Before(o.Listed) {
 		v.Listed = o.Listed
 	}
@@ -322,12 +322,12 @@
 }
 
 // Take takes in one host of another view.
-func (v *View) Take(h Host, ahead rules.Tenth) bool {
+func (v *View) Take(h Host, ahead policy.Tenth) bool {
 	if h.Version.Before(v.Floor) {
 		return false
 	}
 	if h.Late = 0; h.Pos > ahead || h.RoleAt > ahead || h.Pos < 0 || h.RoleAt < 0 {
-		h.Pos, h.Role, h.RoleAt, h.Turn = 0, rules.Unknown, 0, 0
+		h.Pos, h.Role, h.RoleAt, h.Turn = 0, policy.Unknown, 0, 0
 	}
 	h.Boot = max(0, min(h.Boot, ahead))
 	return v.change(h.Name, func(mine *Host) bool { return mine.join(h) })
@@ -339,10 +339,10 @@
 func (v *View) Primary(set int64) (primary, next string) {
 	var p, n *Host
 	for _, h := range v.hosts {
-		if h.Set != set || h.Standing != rules.In {
+		if h.Set != set || h.Standing != policy.In {
 			continue
 		}
-		if h.Role == rules.Primary && (p == nil || h.RoleAt > p.RoleAt || h.RoleAt == p.RoleAt && h.Name < p.Name) {
+		if h.Role == policy.Primary && (p == nil || h.RoleAt > p.RoleAt || h.RoleAt == p.RoleAt && h.Name < p.Name) {
 			p = h
 		}
 		if n == nil || h.Pos > n.Pos || h.Pos == n.Pos && h.Name < n.Name {
--- a/internal/tier/view/view_test.go
+++ b/internal/router/tier/view/view_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"ferrypitch/rules"
+	"ferrypitch/policy"
 )
 
 const ahead = 1000
@@ -21,7 +21,7 @@
 		for range rapid.IntRange(0, 4).Draw(t, "entries") {
 			entries = append(entries, Host{Name: names.Draw(t, "host"),
 				Address: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"), Set: int64(rapid.IntRange(0, 1).Draw(t, "set")),
-				Standing: rules.Standing(rapid.IntRange(0, 2).Draw(t, "standing")), Boot: int64(rapid.IntRange(0, 9).Draw(t, "boot"))})
+				Standing: policy.Standing(rapid.IntRange(0, 2).Draw(t, "standing")), Boot: int64(rapid.IntRange(0, 9).Draw(t, "boot"))})
 		}
 		v.List(Version{uint64(rapid.IntRange(0, 1).Draw(t, "gen")), int64(rapid.IntRange(0, 9).Draw(t, "rev"))},
 			rapid.Bool().Draw(t, "whole"), entries)
@@ -38,7 +38,7 @@
 	v.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}})
 	for range rapid.IntRange(0, 6).Draw(t, name) {
 		v.Believe(Evidence{Name: names.Draw(t, "host"),
-			Pos: int64(rapid.IntRange(0, 5).Draw(t, "pos")), Role: rules.Role(rapid.IntRange(0, 2).Draw(t, "role")),
+			Pos: int64(rapid.IntRange(0, 5).Draw(t, "pos")), Role: policy.Role(rapid.IntRange(0, 2).Draw(t, "role")),
 			RoleAt: int64(rapid.IntRange(0, 5).Draw(t, "at")), Turn: uint32(rapid.IntRange(0, 2).Draw(t, "turn"))}, ahead)
 	}
 	return v
@@ -72,11 +72,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		knows, old := &View{}, &View{}
 		knows.List(Version{Rev: 40}, true, []Host{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}})
-		knows.List(Version{Rev: 43}, false, []Host{{Name: "a", Address: "x", Standing: rules.Draining}})
+		knows.List(Version{Rev: 43}, false, []Host{{Name: "a", Address: "x", Standing: policy.Draining}})
 		rev := rapid.Int64Range(1, 43).Draw(t, "rev")
 		old.List(Version{Rev: rev}, rapid.Bool().Draw(t, "whole"), []Host{{Name: "a", Address: "x"}})
 		for _, v := range []*View{joined(knows, old), joined(old, knows)} {
-			if h, known := v.Host("a"); known && h.Standing == rules.In {
+			if h, known := v.Host("a"); known && h.Standing == policy.In {
 				t.Fatalf("in again by a list of version %d", rev)
 			}
 		}
@@ -87,7 +87,7 @@
 	knows, old := &View{}, &View{}
 	knows.List(Version{Rev: 10}, true, []Host{{Name: "a"}, {Name: "b"}})
 	old.Join(knows, ahead)
-	knows.List(Version{Rev: 11}, false, []Host{{Name: "b", Standing: rules.Gone}})
+	knows.List(Version{Rev: 11}, false, []Host{{Name: "b", Standing: policy.Gone}})
 	knows.Settle() // its tombstone too
 	v := joined(knows, old)
 	if _, known := v.Host("b"); known || v.Len() != 1 {
@@ -98,16 +98,16 @@
 func TestARoleGoesByTheHostsOwnPositionNotByWhoeverIsLast(t *testing.T) {
 	v := &View{}
 	v.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
-	v.Believe(Evidence{"b", 500, rules.Primary, 500, 0}, ahead)
-	v.Believe(Evidence{"a", 400, rules.Primary, 400, 0}, ahead) // the old one's word, relayed late
+	v.Believe(Evidence{"b", 500, policy.Primary, 500, 0}, ahead)
+	v.Believe(Evidence{"a", 400, policy.Primary, 400, 0}, ahead) // the old one's word, relayed late
 	if p, _ := v.Primary(0); p != "b" {
 		t.Errorf("the primary is %q", p)
 	}
-	if v.Believe(Evidence{"a", ahead + 1, rules.Primary, ahead + 1, 0}, ahead) {
+	if v.Believe(Evidence{"a", ahead + 1, policy.Primary, ahead + 1, 0}, ahead) {
 		t.Error("a position of the future is believed")
 	}
-	v.Believe(Evidence{"b", 500, rules.Replica, 500, 1}, ahead) // it stepped down where it stood
-	v.Believe(Evidence{"b", 500, rules.Primary, 500, 0}, ahead)
+	v.Believe(Evidence{"b", 500, policy.Replica, 500, 1}, ahead) // it stepped down where it stood
+	v.Believe(Evidence{"b", 500, policy.Primary, 500, 0}, ahead)
 	if p, next := v.Primary(0); p != "a" || next != "b" {
 		t.Errorf("the primary is %q, next %q", p, next)
 	}
@@ -115,11 +115,11 @@
 
 func TestAnAnswerThatComesLateTurnsNoRole(t *testing.T) {
 	e := Evidence{Name: "a"}
-	e.Said(7, rules.Replica, true)
-	if e.Said(7, rules.Primary, false) || e.Role != rules.Replica {
+	e.Said(7, policy.Replica, true)
+	if e.Said(7, policy.Primary, false) || e.Role != policy.Replica {
 		t.Errorf("%+v", e)
 	}
-	if !e.Said(7, rules.Primary, true) || e.Role != rules.Primary || e.Turn != 1 {
+	if !e.Said(7, policy.Primary, true) || e.Role != policy.Primary || e.Turn != 1 {
 		t.Errorf("%+v", e)
 	}
 }
--- a/internal/trace/export/export.go
+++ b/internal/router/trace/export/export.go
@@ -8,7 +8,7 @@
 
 	"github.com/parquet-go/parquet-go"
 
-	"ferrypitch/internal/trace/format"
+	"ferrypitch/internal/router/trace/format"
 )
 
 // File writes the events of one kind as Parquet, a column for each of the kind's and one for the moment. The
--- a/internal/trace/export/export_test.go
+++ b/internal/router/trace/export/export_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/parquet-go/parquet-go"
 
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/record"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/record"
 )
 
 func TestAnExportedKindIsReadByItsColumns(t *testing.T) {
--- a/internal/trace/file/file.go
+++ b/internal/router/trace/file/file.go
@@ -15,7 +15,7 @@
 
 	"go.uber.org/zap"
 
-	"ferrypitch/internal/trace/format"
+	"ferrypitch/internal/router/trace/format"
 )
 
 // Ending is of all trace files' names.
--- a/internal/trace/file/file_test.go
+++ b/internal/router/trace/file/file_test.go
@@ -13,7 +13,7 @@
 
 	"go.uber.org/zap"
 
-	"ferrypitch/internal/trace/format"
+	"ferrypitch/internal/router/trace/format"
 )
 
 var schema = format.Schema{{Name: "x", Columns: []format.Column{{Name: "n", Type: format.Int, Mark: format.Plain}}}}
--- a/internal/trace/record/plan.go
+++ b/internal/router/trace/record/plan.go
@@ -1,9 +1,9 @@
 package record
 
 import (
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/policy"
 )
 
 // Planner records one planner: what it heard, whom it asked, and what it told. It is called by the planner's
@@ -16,7 +16,7 @@
 }
 
 // Now tells the moment of the events that follow, and system the reading of the system's clock beside it.
-func (p *Planner) Now(now rules.Tenth, system int64) {
+func (p *Planner) Now(now policy.Tenth, system int64) {
 	if p != nil {
 		p.r.Now(now)
 		p.r.System(system)
@@ -42,7 +42,7 @@
 	}
 }
 
-func (p *Planner) Probed(name string, ok bool, pos rules.Tenth, role rules.Role, took rules.Tenth) {
+func (p *Planner) Probed(name string, ok bool, pos policy.Tenth, role policy.Role, took policy.Tenth) {
 	if p != nil {
 		p.r.put(PlanProbed, []int64{flag(ok), pos, int64(role), took}, []string{name})
 	}
--- a/internal/trace/record/record.go
+++ b/internal/router/trace/record/record.go
@@ -13,8 +13,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/zeebo/blake3"
 
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/policy"
 )
 
 // Kinds of events, by their place in Schema. Those up to Anew are calls into the module, from Dispatch to Wake what it
@@ -133,8 +133,8 @@
 	size     int
 	lost     uint64
 	now      int64
-	hosts    map[*rules.Node]int64
-	commands map[*rules.Cmd]int64
+	hosts    map[*policy.Node]int64
+	commands map[*policy.Cmd]int64
 	next     int64 // command
 	nodes    int64
 	part     uint32 // of sessions that are recorded, in thousandths
@@ -149,18 +149,18 @@
 // New records into blocks of about size bytes. part is how many sessions in a thousand are recorded, chosen by a
 // keyed hash; with less than all, no replay is possible. detail: the candidates of each dispatch too.
 func New(sink Sink, size int, part uint32, key [32]byte, detail bool) *Recorder {
-	return &Recorder{sink: sink, size: size, part: part, key: key, detail: detail, hosts: map[*rules.Node]int64{},
-		commands: map[*rules.Cmd]int64{}}
+	return &Recorder{sink: sink, size: size, part: part, key: key, detail: detail, hosts: map[*policy.Node]int64{},
+		commands: map[*policy.Cmd]int64{}}
 }
 
 // Deployment is a deployment's form in a header, from which a replay makes it again.
-func Deployment(d rules.Deployment) ([]byte, error) { return cbor.Marshal(d) }
+func Deployment(d policy.Deployment) ([]byte, error) { return cbor.Marshal(d) }
 
 // Groups is the form of command groups' names in a header, by number.
 func Groups(names []string) ([]byte, error) { return cbor.Marshal(names) }
 
 // ReadDeployment reads it back.
-func ReadDeployment(b []byte) (d rules.Deployment, err error) {
+func ReadDeployment(b []byte) (d policy.Deployment, err error) {
 	if err := cbor.Unmarshal(b, &d); err != nil {
 		return d, fmt.Errorf("the deployment: %w", err)
 	}
@@ -173,7 +173,7 @@
 }
 
 // Now tells the moment of the events that follow, as the module was told it.
-func (r *Recorder) Now(now rules.Tenth) {
+func (r *Recorder) Now(now policy.Tenth) {
 	if r == nil {
 		return
 	}
@@ -231,7 +231,7 @@
 }
 
 // Host, and what follows up to Anew, are the calls into the module, recorded before they are made.
-func (r *Recorder) Host(n *rules.Node, set int64) {
+func (r *Recorder) Host(n *policy.Node, set int64) {
 	if r == nil {
 		return
 	}
@@ -240,7 +240,7 @@
 	r.put(Host, []int64{r.hosts[n], set}, []string{n.Name})
 }
 
-func (r *Recorder) Listed(n *rules.Node, standing rules.Standing, leader bool, zone, model string, size float64, boot rules.Tenth) {
+func (r *Recorder) Listed(n *policy.Node, standing policy.Standing, leader bool, zone, model string, size float64, boot policy.Tenth) {
 	if r != nil {
 		r.put(Listed, []int64{r.hosts[n], int64(standing), flag(leader), int64(math.Float64bits(size)), boot}, []string{zone, model})
 	}
@@ -274,7 +274,7 @@
 
 // Take is called before the module's, and Taken with the handle that it gave; what the module asks for in between
 // is of that command.
-func (r *Recorder) Take(id string, group int, set int64, session string, timeout, since rules.Tenth, again bool) {
+func (r *Recorder) Take(id string, group int, set int64, session string, timeout, since policy.Tenth, again bool) {
 	if r == nil {
 		return
 	}
@@ -287,7 +287,7 @@
 	r.put(Take, []int64{r.asked, int64(group), set, timeout, since, flag(again)}, []string{id, session})
 }
 
-func (r *Recorder) Taken(c *rules.Cmd) {
+func (r *Recorder) Taken(c *policy.Cmd) {
 	if r == nil {
 		return
 	}
@@ -298,14 +298,14 @@
 }
 
 // command is a command's number; 0: it is not recorded.
-func (r *Recorder) command(c *rules.Cmd) int64 {
+func (r *Recorder) command(c *policy.Cmd) int64 {
 	if n, known := r.commands[c]; known {
 		return n
 	}
 	return max(0, r.asked)
 }
 
-func (r *Recorder) Ended(c *rules.Cmd, o rules.Outcome, pos rules.Tenth, role rules.Role, took rules.Tenth, over bool) {
+func (r *Recorder) Ended(c *policy.Cmd, o policy.Outcome, pos policy.Tenth, role policy.Role, took policy.Tenth, over bool) {
 	if r == nil {
 		return
 	}
@@ -315,13 +315,13 @@
 }
 
 // Settled says that nothing more comes for a command.
-func (r *Recorder) Settled(c *rules.Cmd) {
+func (r *Recorder) Settled(c *policy.Cmd) {
 	if r != nil {
 		delete(r.commands, c)
 	}
 }
 
-func (r *Recorder) Left(c *rules.Cmd) {
+func (r *Recorder) Left(c *policy.Cmd) {
 	if r == nil {
 		return
 	}
@@ -330,13 +330,13 @@
 	}
 }
 
-func (r *Recorder) Reported(n *rules.Node, pos rules.Tenth, role rules.Role) {
+func (r *Recorder) Reported(n *policy.Node, pos policy.Tenth, role policy.Role) {
 	if r != nil {
 		r.add(Reported, r.hosts[n], pos, int64(role))
 	}
 }
 
-func (r *Recorder) Probed(n *rules.Node, ok bool) {
+func (r *Recorder) Probed(n *policy.Node, ok bool) {
 	if r != nil {
 		r.add(Probed, r.hosts[n], flag(ok))
 	}
@@ -354,7 +354,7 @@
 	}
 }
 
-func (r *Recorder) Told(n *rules.Node, pos rules.Tenth, role rules.Role, at, late rules.Tenth) {
+func (r *Recorder) Told(n *policy.Node, pos policy.Tenth, role policy.Role, at, late policy.Tenth) {
 	if r != nil {
 		r.add(Told, r.hosts[n], pos, int64(role), at, late)
 	}
@@ -375,7 +375,7 @@
 }
 
 // Dispatch, and what follows up to Wake, are what the module asked for.
-func (r *Recorder) Dispatch(c *rules.Cmd, n *rules.Node, timeout rules.Tenth) {
+func (r *Recorder) Dispatch(c *policy.Cmd, n *policy.Node, timeout policy.Tenth) {
 	if r == nil {
 		return
 	}
@@ -384,7 +384,7 @@
 		return
 	}
 	if r.detail {
-		c.Members(func(m *rules.Node, s rules.Seen) {
+		c.Members(func(m *policy.Node, s policy.Seen) {
 			r.add(Candidate, number, r.hosts[m], int64(s.Standing), int64(s.Role), s.Position, int64(s.Out), int64(s.Late*1000),
 				int64(s.Share*1000), s.State)
 		})
@@ -392,7 +392,7 @@
 	r.add(Dispatch, number, r.hosts[n], timeout, c.SendBy, c.SentFor(), int64(c.Work()*1000))
 }
 
-func (r *Recorder) Throttle(c *rules.Cmd, comeback rules.Tenth) {
+func (r *Recorder) Throttle(c *policy.Cmd, comeback policy.Tenth) {
 	if r == nil {
 		return
 	}
@@ -401,7 +401,7 @@
 	}
 }
 
-func (r *Recorder) Fail(c *rules.Cmd) {
+func (r *Recorder) Fail(c *policy.Cmd) {
 	if r == nil {
 		return
 	}
@@ -410,19 +410,19 @@
 	}
 }
 
-func (r *Recorder) Probe(n *rules.Node) {
+func (r *Recorder) Probe(n *policy.Node) {
 	if r != nil {
 		r.add(Probe, r.hosts[n])
 	}
 }
 
-func (r *Recorder) Close(n *rules.Node) {
+func (r *Recorder) Close(n *policy.Node) {
 	if r != nil {
 		r.add(Close, r.hosts[n])
 	}
 }
 
-func (r *Recorder) Forget(n *rules.Node) {
+func (r *Recorder) Forget(n *policy.Node) {
 	if r != nil {
 		r.add(Forget, r.hosts[n])
 		delete(r.hosts, n)
@@ -435,7 +435,7 @@
 	}
 }
 
-func (r *Recorder) Wake(after rules.Tenth) {
+func (r *Recorder) Wake(after policy.Tenth) {
 	if r != nil {
 		r.add(Wake, after)
 	}
@@ -454,7 +454,7 @@
 	}
 }
 
-func (r *Recorder) Stall(span rules.Tenth) {
+func (r *Recorder) Stall(span policy.Tenth) {
 	if r != nil {
 		r.add(Stall, span)
 	}
--- a/internal/trace/replay/replay.go
+++ b/internal/router/trace/replay/replay.go
@@ -11,9 +11,9 @@
 	"slices"
 	"strings"
 
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/record"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/record"
+	"ferrypitch/policy"
 )
 
 // ErrPart tells of a trace that can't be driven: of some sessions only, or not from the router's start.
@@ -35,12 +35,12 @@
 // Replay is a module and what it was told.
 type Replay struct {
 	most     int
-	deploy   rules.Deployment
-	module   *rules.Router
-	nodes    map[int64]*rules.Node
-	names    map[*rules.Node]int64
-	commands map[int64]*rules.Cmd
-	numbers  map[*rules.Cmd]int64
+	deploy   policy.Deployment
+	module   *policy.Router
+	nodes    map[int64]*policy.Node
+	names    map[*policy.Node]int64
+	commands map[int64]*policy.Cmd
+	numbers  map[*policy.Cmd]int64
 	taking   int64
 	detail   bool // candidates were recorded too
 	now      int64
@@ -70,13 +70,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Replay{most: most, deploy: d, nodes: map[int64]*rules.Node{}, names: map[*rules.Node]int64{},
-		commands: map[int64]*rules.Cmd{}, numbers: map[*rules.Cmd]int64{}}, nil
+	return &Replay{most: most, deploy: d, nodes: map[int64]*policy.Node{}, names: map[*policy.Node]int64{},
+		commands: map[int64]*policy.Cmd{}, numbers: map[*policy.Cmd]int64{}}, nil
 }
 
 func (r *Replay) begin(now int64) {
 	r.now = now
-	r.module = rules.New(r, r.deploy, now)
+	r.module = policy.New(r, r.deploy, now)
 }
 
 // Lost tells that events are missing before the next; nothing after them can be held against anything.
@@ -131,8 +131,8 @@
 // call makes one call into the module.
 func (r *Replay) call(e format.Event) error {
 	v := e.Ints
-	var n *rules.Node
-	var c *rules.Cmd
+	var n *policy.Node
+	var c *policy.Cmd
 	switch e.Kind {
 	case record.Listed, record.Reported, record.Probed, record.Told:
 		if n = r.nodes[v[0]]; n == nil {
@@ -145,7 +145,7 @@
 	}
 	switch e.Kind {
 	case record.Listed:
-		n.Listed(rules.Standing(v[1]), v[2] == 1, e.Texts[0], e.Texts[1], math.Float64frombits(uint64(v[3])), v[4])
+		n.Listed(policy.Standing(v[1]), v[2] == 1, e.Texts[0], e.Texts[1], math.Float64frombits(uint64(v[3])), v[4])
 	case record.ListDone:
 		r.module.ListDone(v[0] == 1)
 	case record.Take:
@@ -158,13 +158,13 @@
 			r.commands[v[0]], r.numbers[c] = c, v[0]
 		}
 	case record.Ended:
-		c.Ended(rules.Outcome(v[1]), v[2], rules.Role(v[3]), v[4], v[5] == 1)
+		c.Ended(policy.Outcome(v[1]), v[2], policy.Role(v[3]), v[4], v[5] == 1)
 		r.forget(v[0], c)
 	case record.Left:
 		c.Left()
 		r.forget(v[0], c)
 	case record.Reported:
-		n.Reported(v[1], rules.Role(v[2]))
+		n.Reported(v[1], policy.Role(v[2]))
 	case record.Probed:
 		n.Probed(v[1] == 1)
 	case record.Heard:
@@ -174,14 +174,14 @@
 	case record.Woke:
 		r.module.Woke()
 	case record.Told:
-		n.Told(v[1], rules.Role(v[2]), v[3], v[4])
+		n.Told(v[1], policy.Role(v[2]), v[3], v[4])
 	case record.Count:
 		r.module.Count(int(v[0]), v[1] == 1)
 	}
 	return nil
 }
 
-func (r *Replay) forget(number int64, c *rules.Cmd) {
+func (r *Replay) forget(number int64, c *policy.Cmd) {
 	if c.Over() {
 		delete(r.commands, number)
 		delete(r.numbers, c)
@@ -238,7 +238,7 @@
 	return fmt.Sprintf("%s %d", record.Schema[e.Kind].Name, v[0])
 }
 
-func (r *Replay) number(c *rules.Cmd) int64 {
+func (r *Replay) number(c *policy.Cmd) int64 {
 	if n, known := r.numbers[c]; known {
 		return n
 	}
@@ -250,24 +250,24 @@
 }
 
 // Dispatch and the rest are what the module asks for.
-func (r *Replay) Dispatch(c *rules.Cmd, n *rules.Node, timeout rules.Tenth) {
-	c.Members(func(m *rules.Node, s rules.Seen) {
+func (r *Replay) Dispatch(c *policy.Cmd, n *policy.Node, timeout policy.Tenth) {
+	c.Members(func(m *policy.Node, s policy.Seen) {
 		r.note("candidate %d: host %d, standing %d, role %d, position %d, out %d, late %d, share %d, state %d", r.number(c), r.names[m],
 			s.Standing, s.Role, s.Position, s.Out, int64(s.Late*1000), int64(s.Share*1000), s.State)
 	})
 	r.note("dispatch %d to %d, timeout %d, by %d, for %d", r.number(c), r.names[n], timeout, c.SendBy, c.SentFor())
 }
-func (r *Replay) Throttle(c *rules.Cmd, back rules.Tenth) {
+func (r *Replay) Throttle(c *policy.Cmd, back policy.Tenth) {
 	r.note("throttle %d, back after %d", r.number(c), back)
 }
-func (r *Replay) Fail(c *rules.Cmd)      { r.note("fail %d", r.number(c)) }
-func (r *Replay) Probe(n *rules.Node)    { r.note("probe %d", r.names[n]) }
-func (r *Replay) Close(n *rules.Node)    { r.note("close %d", r.names[n]) }
-func (r *Replay) Watch()                 { r.note("watch") }
-func (r *Replay) Tell(body string)       { r.note("tell %s", body) }
-func (r *Replay) Wake(after rules.Tenth) { r.note("wake %d", after) }
+func (r *Replay) Fail(c *policy.Cmd)      { r.note("fail %d", r.number(c)) }
+func (r *Replay) Probe(n *policy.Node)    { r.note("probe %d", r.names[n]) }
+func (r *Replay) Close(n *policy.Node)    { r.note("close %d", r.names[n]) }
+func (r *Replay) Watch()                  { r.note("watch") }
+func (r *Replay) Tell(body string)        { r.note("tell %s", body) }
+func (r *Replay) Wake(after policy.Tenth) { r.note("wake %d", after) }
 
-func (r *Replay) Forget(n *rules.Node) {
+func (r *Replay) Forget(n *policy.Node) {
 	r.note("forget %d", r.names[n])
 	delete(r.nodes, r.names[n])
 	delete(r.names, n)
--- a/internal/trace/tool/feed.go
+++ b/internal/router/trace/tool/feed.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"os"
 
-	"ferrypitch/internal/trace/format"
+	"ferrypitch/internal/router/trace/format"
 )
 
 // Feed gives the blocks of an indexed file one after the other, opening it for each, so that any number of files
--- a/internal/trace/tool/large_test.go
+++ b/internal/router/trace/tool/large_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/record"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/record"
 )
 
 var large = flag.Int("events", 300_000, "events of the file that is larger than what may be held")
--- a/internal/trace/tool/merge.go
+++ b/internal/router/trace/tool/merge.go
@@ -8,8 +8,8 @@
 	"math"
 	"slices"
 
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/policy"
 )
 
 // Skew is how a router's clock stands to the first one's: its moments less Offset and Drift (a part of the time since
@@ -67,7 +67,7 @@
 		number := value(k, e, "command")
 		name, pos := d.names[d.sent[number]], value(k, e, "position")
 		delete(d.sent, number)
-		if pos <= 0 || name == "" || rules.Role(value(k, e, "role")) != rules.Primary {
+		if pos <= 0 || name == "" || policy.Role(value(k, e, "role")) != policy.Primary {
 			return
 		}
 		s := spot{name, pos / window}
--- a/internal/trace/tool/summary.go
+++ b/internal/router/trace/tool/summary.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/policy"
 )
 
 // Line is what a summary says of one command group in one set; times in milliseconds.
@@ -89,14 +89,14 @@
 			l.waited += e.At - c.at
 		}
 	case "ended":
-		o := rules.Outcome(value(k, e, "outcome"))
+		o := policy.Outcome(value(k, e, "outcome"))
 		l.Outcomes[o.String()]++
-		if o == rules.Answered && !c.final {
+		if o == policy.Answered && !c.final {
 			c.final = true
 			l.Answered++
 			l.good[c.at/10000]++
 			l.latency.RecordValue(max(0, e.At-c.at))
-			if rules.Role(value(k, e, "role")) == rules.Replica {
+			if policy.Role(value(k, e, "role")) == policy.Replica {
 				l.replicas++
 			}
 		}
--- a/internal/trace/tool/tool.go
+++ b/internal/router/trace/tool/tool.go
@@ -14,8 +14,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/zeebo/blake3"
 
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/record"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/record"
 )
 
 // Source is a trace that is read, a file or a pipe.
--- a/internal/trace/tool/tool_test.go
+++ b/internal/router/trace/tool/tool_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"unicode/utf16"
 
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/record"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/record"
+	"ferrypitch/policy"
 )
 
 const base = int64(17672256000000)
@@ -23,7 +23,7 @@
 // day is a router's file: commands of sessions at hosts, whose clock is ahead by offset and drifts.
 func day(t *testing.T, dir, router string, seed uint64, seconds int, offset int64, drift float64) string {
 	t.Helper()
-	deployment, err := record.Deployment(rules.Deployment{Zone: "zone of " + router, Groups: []*rules.CmdGroup{{Target: 2500}, {Target: 2500}}})
+	deployment, err := record.Deployment(policy.Deployment{Zone: "zone of " + router, Groups: []*policy.CmdGroup{{Target: 2500}, {Target: 2500}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 		put(at, record.Take, []int64{k + 1, k % 2, 1, at + 10000, 0, 0}, fmt.Sprintf("id-%d", k), fmt.Sprintf("viewer-%03d", k%20))
 		put(at+2, record.Dispatch, []int64{k + 1, 1, 0, 0, 0, 1000})
 		took := 40 + chance.Int64N(60)
-		put(at+2+took, record.Ended, []int64{k + 1, int64(rules.Answered), at + took - 20, int64(rules.Primary), took, 0})
+		put(at+2+took, record.Ended, []int64{k + 1, int64(policy.Answered), at + took - 20, int64(policy.Primary), took, 0})
 	}
 	if err := o.Close(); err != nil {
 		t.Fatal(err)
--- a/internal/transport/buffer.go
+++ b/internal/router/transport/buffer.go
@@ -8,7 +8,7 @@
 	"io"
 	"sync/atomic"
 
-	"ferrypitch/internal/setup"
+	"ferrypitch/internal/router/setup"
 )
 
 // Room is what all buffers together may take past their first size.
--- a/internal/transport/clients.go
+++ b/internal/router/transport/clients.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"ferrypitch/internal/protocol"
-	"ferrypitch/internal/setup"
+	"ferrypitch/internal/router/protocol"
+	"ferrypitch/internal/router/setup"
 )
 
 // Taker is told what clients bring, from their connections' goroutines. It may
--- a/internal/transport/hosts.go
+++ b/internal/router/transport/hosts.go
@@ -10,14 +10,14 @@
 	"syscall"
 	"time"
 
-	"ferrypitch/internal/protocol"
-	"ferrypitch/internal/setup"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/protocol"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/policy"
 )
 
 // Answer is what came back for a dispatch or a probe.
 type Answer struct {
-	Outcome  rules.Outcome
+	Outcome  policy.Outcome
 	Frames   []byte // of an answer: row description, row and completion, as they came
 	Value    string // the row's one value, for a probe
 	Position string // empty where the host gave none
@@ -146,7 +146,7 @@
 		if spare = h.oldestIdle(); spare == nil {
 			h.mu.Unlock()
 			h.Refused.Add(1)
-			h.tasks.Go(func() { done(Answer{Outcome: rules.Moot, At: now}) })
+			h.tasks.Go(func() { done(Answer{Outcome: policy.Moot, At: now}) })
 			return call
 		}
 	}
@@ -183,7 +183,7 @@
 
 // Abandon stops waiting and closes the connection. It says how the call ended,
 // or ok false where its answer has come and done is or was called.
-func (call *Call) Abandon() (o rules.Outcome, ok bool) {
+func (call *Call) Abandon() (o policy.Outcome, ok bool) {
 	c := call.conn
 	if c == nil {
 		return 0, false // there was no connection for it
@@ -194,9 +194,9 @@
 		return 0, false
 	}
 	call.over, c.call = true, nil
-	o = rules.TimedOut
+	o = policy.TimedOut
 	if !call.sent {
-		o = rules.Unreached
+		o = policy.Unreached
 	}
 	c.mu.Unlock()
 	c.close()
@@ -264,7 +264,7 @@
 	defer cancel()
 	conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(up, "tcp", address)
 	if err != nil {
-		c.end(first, Answer{Outcome: rules.Unreached})
+		c.end(first, Answer{Outcome: policy.Unreached})
 		return
 	}
 	c.mu.Lock()
@@ -300,27 +300,27 @@
 	switch {
 	case call == nil:
 	case call.sent:
-		c.end(call, Answer{Outcome: rules.Reset})
+		c.end(call, Answer{Outcome: policy.Reset})
 	case c.used: // it had been up, which tells nothing of the host now
-		c.end(call, Answer{Outcome: rules.Moot})
+		c.end(call, Answer{Outcome: policy.Moot})
 	default:
-		c.end(call, Answer{Outcome: rules.Unreached})
+		c.end(call, Answer{Outcome: policy.Unreached})
 	}
 }
 
 // greet brings a connection up. Whatever fails, no command has been sent yet.
-func greet(conn net.Conn, in *buffer) (rules.Outcome, bool) {
+func greet(conn net.Conn, in *buffer) (policy.Outcome, bool) {
 	if _, err := conn.Write(protocol.AppendStartup(nil, "svc", "main")); err != nil {
-		return rules.Unreached, false
+		return policy.Unreached, false
 	}
 	for {
 		kind, body, n, err := protocol.Next(in.bytes(), in.most)
 		if err != nil {
-			return rules.Unreached, false
+			return policy.Unreached, false
 		}
 		if n == 0 {
 			if in.fill(conn) != nil {
-				return rules.Unreached, false
+				return policy.Unreached, false
 			}
 			continue
 		}
@@ -331,9 +331,9 @@
 		in.use(n)
 		switch {
 		case code == protocol.TooMany:
-			return rules.Full, false
+			return policy.Full, false
 		case kind == protocol.ErrorResponse:
-			return rules.Unreached, false
+			return policy.Unreached, false
 		case kind == protocol.Ready:
 			return 0, true
 		}
@@ -356,7 +356,7 @@
 		now := time.Now()
 		left := call.until.Sub(now).Milliseconds()
 		if left < 1 || now.After(call.by) {
-			c.end(call, Answer{Outcome: rules.Moot})
+			c.end(call, Answer{Outcome: policy.Moot})
 			return
 		}
 		if out = out[:0]; call.rewrite {
@@ -409,7 +409,7 @@
 			c.host.hosts.Stray.Add(1)
 			return // it would be taken for the next command's
 		case err != nil && call != nil && last == protocol.CommandComplete:
-			a = Answer{Outcome: rules.Answered, Frames: a.Frames, Value: a.Value}
+			a = Answer{Outcome: policy.Answered, Frames: a.Frames, Value: a.Value}
 			c.end(call, finish(a)) // all of it had come
 			return
 		case err != nil && call != nil && a.Code != "" && !torn:
@@ -434,7 +434,7 @@
 			}
 		case protocol.CommandComplete:
 			good = last == protocol.DataRow && protocol.Tag(body)
-			a.Outcome = rules.Answered
+			a.Outcome = policy.Answered
 		case protocol.ErrorResponse:
 			a.Code = protocol.Code(body)
 			good = last != protocol.CommandComplete && last != protocol.ErrorResponse && a.Code != ""
@@ -478,7 +478,7 @@
 // spoilt ends a call whose answer makes no sense.
 func (c *hostConn) spoilt(call *Call) {
 	c.host.hosts.Spoilt.Add(1)
-	c.end(call, Answer{Outcome: rules.Reset})
+	c.end(call, Answer{Outcome: policy.Reset})
 }
 
 // inTurn reads a host connection and tells for which call, if for any, what it brought was sent: by the
@@ -518,11 +518,11 @@
 	switch a.Code {
 	case "":
 	case protocol.ReadOnly, protocol.Behind:
-		a.Outcome = rules.Missed
+		a.Outcome = policy.Missed
 	case protocol.TooMany:
-		a.Outcome = rules.Full
+		a.Outcome = policy.Full
 	default:
-		a.Outcome = rules.Errored
+		a.Outcome = policy.Errored
 	}
 	a.At = time.Now()
 	return a
--- a/internal/transport/peers.go
+++ b/internal/router/transport/peers.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"ferrypitch/internal/setup"
+	"ferrypitch/internal/router/setup"
 )
 
 // Peers carries datagrams between the routers.
