--- a/internal/transport/transport_test.go
+++ b/internal/router/transport/transport_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"ferrypitch/internal/protocol"
-	"ferrypitch/internal/setup"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/protocol"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/policy"
 )
 
 const long = 20 * time.Second
@@ -67,7 +67,7 @@
 	return n.Send([]byte("x"), time.Now().Add(long), by, false, func(a Answer) { got <- a }), got
 }
 
-func (n *Host) asked() rules.Outcome {
+func (n *Host) asked() policy.Outcome {
 	_, got := n.ask(time.Now().Add(long))
 	return (<-got).Outcome
 }
@@ -75,39 +75,39 @@
 func TestHowAConnectionEndsTellsWhetherTheCommandRan(t *testing.T) {
 	for name, story := range map[string]struct {
 		serve func(net.Conn)
-		want  rules.Outcome
+		want  policy.Outcome
 	}{
-		"broken while it comes up":    {func(c net.Conn) { next(c) }, rules.Unreached},
-		"too many connections":        {func(c net.Conn) { c.Write(protocol.AppendError(nil, "FATAL", "53300", "", "")) }, rules.Full},
-		"starting":                    {func(c net.Conn) { c.Write(protocol.AppendError(nil, "FATAL", "57P03", "", "")) }, rules.Unreached},
-		"broken after the last byte":  {func(c net.Conn) { greeted(c); next(c) }, rules.Reset},
-		"broken in the answer":        {func(c net.Conn) { greeted(c); next(c); c.Write(reply('a')[:12]) }, rules.Reset},
-		"broken behind a whole error": {func(c net.Conn) { greeted(c); next(c); c.Write(protocol.AppendError(nil, "", "53300", "", "")) }, rules.Full},
-		"answered":                    {func(c net.Conn) { greeted(c); next(c); c.Write(reply('a')); next(c) }, rules.Answered},
-		"an answer of no form":        {func(c net.Conn) { greeted(c); next(c); c.Write([]byte("HTTP/1.1 400\r\n\r\n")) }, rules.Reset},
+		"broken while it comes up":    {func(c net.Conn) { next(c) }, policy.Unreached},
+		"too many connections":        {func(c net.Conn) { c.Write(protocol.AppendError(nil, "FATAL", "53300", "", "")) }, policy.Full},
+		"starting":                    {func(c net.Conn) { c.Write(protocol.AppendError(nil, "FATAL", "57P03", "", "")) }, policy.Unreached},
+		"broken after the last byte":  {func(c net.Conn) { greeted(c); next(c) }, policy.Reset},
+		"broken in the answer":        {func(c net.Conn) { greeted(c); next(c); c.Write(reply('a')[:12]) }, policy.Reset},
+		"broken behind a whole error": {func(c net.Conn) { greeted(c); next(c); c.Write(protocol.AppendError(nil, "", "53300", "", "")) }, policy.Full},
+		"answered":                    {func(c net.Conn) { greeted(c); next(c); c.Write(reply('a')); next(c) }, policy.Answered},
+		"an answer of no form":        {func(c net.Conn) { greeted(c); next(c); c.Write([]byte("HTTP/1.1 400\r\n\r\n")) }, policy.Reset},
 		"a row twice": {func(c net.Conn) {
 			greeted(c)
 			next(c)
 			c.Write(append(reply('a')[:38], reply('a')[26:]...))
 			next(c)
-		}, rules.Reset},
-		"a row before its description": {func(c net.Conn) { greeted(c); next(c); c.Write(reply('a')[26:]); next(c) }, rules.Reset},
-		"a description of no column":   {func(c net.Conn) { greeted(c); next(c); c.Write([]byte("T\x00\x00\x00\x06\x00\x00")); next(c) }, rules.Reset},
+		}, policy.Reset},
+		"a row before its description": {func(c net.Conn) { greeted(c); next(c); c.Write(reply('a')[26:]); next(c) }, policy.Reset},
+		"a description of no column":   {func(c net.Conn) { greeted(c); next(c); c.Write([]byte("T\x00\x00\x00\x06\x00\x00")); next(c) }, policy.Reset},
 		"a row of 3 GB": {func(c net.Conn) {
 			greeted(c)
 			next(c)
 			c.Write(append(reply('a')[:26], "D\xb2\xd0\x5e\x00"...))
 			next(c)
-		}, rules.Reset},
-		"an error without a code": {func(c net.Conn) { greeted(c); next(c); c.Write([]byte("E\x00\x00\x00\x05\x00")); next(c) }, rules.Reset},
+		}, policy.Reset},
+		"an error without a code": {func(c net.Conn) { greeted(c); next(c); c.Write([]byte("E\x00\x00\x00\x05\x00")); next(c) }, policy.Reset},
 		"noise behind an error": {func(c net.Conn) {
 			greeted(c)
 			next(c)
 			c.Write(append(protocol.AppendError(nil, "", "53300", "", ""), "noise"...))
 			next(c)
-		}, rules.Reset},
-		"noise behind a whole row": {func(c net.Conn) { greeted(c); next(c); c.Write(append(reply('a')[:45], "noise"...)); next(c) }, rules.Answered},
-		"nothing in the answer":    {func(c net.Conn) { greeted(c); next(c); c.Write(protocol.AppendReady(nil)); next(c) }, rules.Reset},
+		}, policy.Reset},
+		"noise behind a whole row": {func(c net.Conn) { greeted(c); next(c); c.Write(append(reply('a')[:45], "noise"...)); next(c) }, policy.Answered},
+		"nothing in the answer":    {func(c net.Conn) { greeted(c); next(c); c.Write(protocol.AppendReady(nil)); next(c) }, policy.Reset},
 	} {
 		_, n := pool(t, 9, story.serve)
 		if got := n.asked(); got != story.want {
@@ -116,7 +116,7 @@
 	}
 	_, n := pool(t, 9, nil)
 	n.Move("127.0.0.1:1")
-	if got := n.asked(); got != rules.Unreached {
+	if got := n.asked(); got != policy.Unreached {
 		t.Errorf("refused: %d", got)
 	}
 }
@@ -131,7 +131,7 @@
 	})
 	call, got := n.ask(time.Now().Add(long))
 	<-came
-	if o, ok := call.Abandon(); o != rules.Unreached || !ok {
+	if o, ok := call.Abandon(); o != policy.Unreached || !ok {
 		t.Errorf("while it comes up: %d %t", o, ok)
 	}
 	if err := <-gone; err == nil {
@@ -146,7 +146,7 @@
 	})
 	call, got = n.ask(time.Now().Add(long))
 	<-came
-	if o, ok := call.Abandon(); o != rules.TimedOut || !ok {
+	if o, ok := call.Abandon(); o != policy.TimedOut || !ok {
 		t.Errorf("once sent: %d %t", o, ok)
 	}
 	<-gone
@@ -159,7 +159,7 @@
 	h, n := pool(t, 100, func(c net.Conn) { io.Copy(io.Discard, c) }) // it never comes up
 	for range 100 {
 		call, got := n.ask(time.Now().Add(long))
-		if o, ok := call.Abandon(); o != rules.Unreached || !ok || len(got) != 0 {
+		if o, ok := call.Abandon(); o != policy.Unreached || !ok || len(got) != 0 {
 			t.Errorf("outcome %d %t", o, ok)
 		}
 	}
@@ -175,7 +175,7 @@
 		sent <- next(c)
 	})
 	_, got := n.ask(time.Now())
-	if a := <-got; a.Outcome != rules.Moot || <-sent {
+	if a := <-got; a.Outcome != policy.Moot || <-sent {
 		t.Errorf("outcome %d", a.Outcome)
 	}
 }
@@ -189,7 +189,7 @@
 	})
 	for range 5 {
 		_, got := n.ask(time.Now().Add(long))
-		if a := <-got; a.Outcome == rules.Answered && a.Value != "a" {
+		if a := <-got; a.Outcome == policy.Answered && a.Value != "a" {
 			t.Fatalf("%q", a.Value)
 		}
 	}
@@ -208,13 +208,13 @@
 		next(c)
 	})
 	for range 50 {
-		if got := n.asked(); got != rules.Answered {
+		if got := n.asked(); got != policy.Answered {
 			t.Fatalf("outcome %d", got)
 		}
 		let <- true
 		<-done
 		_, got := n.ask(time.Now().Add(long))
-		if a := <-got; a.Outcome == rules.Answered && a.Value != "a" {
+		if a := <-got; a.Outcome == policy.Answered && a.Value != "a" {
 			t.Fatalf("%q", a.Value)
 		}
 		let <- true
@@ -237,7 +237,7 @@
 	_, got := n.ask(time.Now().Add(long))
 	n.Remove()
 	wait <- true
-	if a := <-got; a.Outcome != rules.Answered {
+	if a := <-got; a.Outcome != policy.Answered {
 		t.Errorf("what was out ended as %d", a.Outcome)
 	}
 	for h.Open() > 0 { // its connection is not kept
@@ -448,7 +448,7 @@
 	for h.Open() > 0 { // seen without being used
 		time.Sleep(time.Millisecond)
 	}
-	if got := n.asked(); got != rules.Answered || h.Opened.Load() != 2 {
+	if got := n.asked(); got != policy.Answered || h.Opened.Load() != 2 {
 		t.Errorf("%d on connection %d", got, h.Opened.Load())
 	}
 }
@@ -464,15 +464,15 @@
 		<-wait
 	}
 	h, n := pool(t, 1, serve)
-	if n.asked() != rules.Answered {
+	if n.asked() != policy.Answered {
 		t.Fatal("not answered")
 	}
 	other := h.Add(n.address)
-	if got := other.asked(); got != rules.Answered {
+	if got := other.asked(); got != policy.Answered {
 		t.Errorf("the idle one did not make way: %d", got)
 	}
 	other.ask(time.Now().Add(long)) // stays out
-	if got := n.asked(); got != rules.Moot || h.Refused.Load() != 1 {
+	if got := n.asked(); got != policy.Moot || h.Refused.Load() != 1 {
 		t.Errorf("no descriptor is left: %d", got)
 	}
 }
--- a/internal/transport/watch.go
+++ b/internal/router/transport/watch.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"ferrypitch/internal/protocol"
-	"ferrypitch/internal/setup"
+	"ferrypitch/internal/router/protocol"
+	"ferrypitch/internal/router/setup"
 )
 
 // Watch follows discovery's list.
--- a/internal/transport/watch_test.go
+++ b/internal/router/transport/watch_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"ferrypitch/internal/setup"
+	"ferrypitch/internal/router/setup"
 )
 
 // watching runs a watch of an address where nobody listens.
--- a/internal/belt/callers_test.go
+++ b/internal/rpc/callers_test.go
@@ -1,4 +1,4 @@
-package belt
+package rpc
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"ferrypitch/internal/ratchet"
+	"ferrypitch/internal/control/consensus"
 )
 
 // tape is a connection that plays bytes, and records.
@@ -39,7 +39,7 @@
 	return []*Frame{
 		{Ask: &Ask{Mark: mark, To: "10.0.0.2", Method: "POST", Path: "/Config.Replace", Base: "7", Body: []byte("{}")}},
 		{Answer: &Answer{Mark: mark, By: "10.0.0.2", Status: 200, Body: []byte("{}\n")}},
-		{Core: &ratchet.Message{Kind: ratchet.Append, From: "10.0.0.1", Entries: []ratchet.Entry{{View: 3, Body: []byte("x")}}}},
+		{Core: &consensus.Message{Kind: consensus.Append, From: "10.0.0.1", Entries: []consensus.Entry{{View: 3, Body: []byte("x")}}}},
 	}
 }
 
--- a/internal/belt/capacity_test.go
+++ b/internal/rpc/capacity_test.go
@@ -1,4 +1,4 @@
-package belt
+package rpc
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"ferrypitch/internal/lab/extent"
-	"ferrypitch/internal/rack"
-	"ferrypitch/internal/ratchet"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/simulation/statesize"
 )
 
 // still is a connection whose bytes stay here.
@@ -28,10 +28,10 @@
 // Each kind of frame: its bytes on a connection that has carried one before, and the first one's, and what it costs to
 // encode and to decode.
 func BenchmarkFrame(b *testing.B) {
-	body := func(c rack.Change) [][]byte { return [][]byte{rack.Encode(c)} }
+	body := func(c statemachine.Change) [][]byte { return [][]byte{statemachine.Encode(c)} }
 	members := []string{"10.1.0.11", "10.2.0.8", "10.3.0.9"}
-	host := extent.Host(10)
-	state := extent.Full.State()
+	host := statesize.Host(10)
+	state := statesize.Full.State()
 	beat := []byte(`{"Service":"lecture-core-3","Address":"10.11.0.4:5432","Zone":"waco-hall","Generation":"g1","Capacity":7,` +
 		`"State":"serving","ColdLeftMs":0,"DbRole":"replica","CallSeq":123456}`)
 	mark := Mark{From: "10.2.0.8", Life: 1 << 60, View: 3, Serial: 12345}
@@ -39,21 +39,21 @@
 		name  string
 		frame Frame
 	}{
-		{"hello", Frame{Hello: &Hello{Node: extent.Router(7), Life: 1 << 60, Zone: "waco-hall", From: 12345}}},
+		{"hello", Frame{Hello: &Hello{Node: statesize.Router(7), Life: 1 << 60, Zone: "waco-hall", From: 12345}}},
 		{"welcome", Frame{Welcome: &Welcome{Node: "core-waco-hall-0", Leads: true, Members: members, Routers: append(members, members...)[:5]}}},
 		{"renew", Frame{Renew: &Renew{Serial: 12345, Applied: 12345, Sessions: 3250}}},
 		{"lease", Frame{Lease: &Lease{Serial: 12345, Granted: true, Index: 12345, Routers: 1200}}},
 		{"suspect", Frame{Suspect: &Suspect{Service: host.Service, Host: host.ID}}},
 		{"news/lead", Frame{News: &News{Index: 12345, Members: members,
-			Entries: body(rack.Change{Lead: &rack.NewLead{Service: host.Service, Host: host.ID, Term: 3, Took: 300}})}}},
-		{"news/host", Frame{News: &News{Index: 12345, Members: members, Entries: body(rack.Change{Enter: &host})}}},
+			Entries: body(statemachine.Change{Lead: &statemachine.NewLead{Service: host.Service, Host: host.ID, Term: 3, Took: 300}})}}},
+		{"news/host", Frame{News: &News{Index: 12345, Members: members, Entries: body(statemachine.Change{Enter: &host})}}},
 		{"news/configuration", Frame{News: &News{Index: 12345, Members: members,
-			Entries: body(extent.Full.Order(state))}}},
+			Entries: body(statesize.Full.Order(state))}}},
 		{"news/snapshot", Frame{News: &News{Index: 12345, Members: members, Snapshot: state.Snapshot()}}},
-		{"heartbeat", Frame{Core: &ratchet.Message{Kind: ratchet.Heartbeat, From: "10.1.0.11", To: "10.2.0.8", View: 3, Sent: 1 << 40, Commit: 12345}}},
-		{"append", Frame{Core: &ratchet.Message{Kind: ratchet.Append, From: "10.1.0.11", To: "10.2.0.8", View: 3, Index: 12344, Prev: 3, Commit: 12344,
-			Entries: []ratchet.Entry{{View: 3, Body: body(rack.Change{Enter: &host})[0]}}}}},
-		{"accept", Frame{Core: &ratchet.Message{Kind: ratchet.Accept, From: "10.2.0.8", To: "10.1.0.11", View: 3, Index: 12345}}},
+		{"heartbeat", Frame{Core: &consensus.Message{Kind: consensus.Heartbeat, From: "10.1.0.11", To: "10.2.0.8", View: 3, Sent: 1 << 40, Commit: 12345}}},
+		{"append", Frame{Core: &consensus.Message{Kind: consensus.Append, From: "10.1.0.11", To: "10.2.0.8", View: 3, Index: 12344, Prev: 3, Commit: 12344,
+			Entries: []consensus.Entry{{View: 3, Body: body(statemachine.Change{Enter: &host})[0]}}}}},
+		{"accept", Frame{Core: &consensus.Message{Kind: consensus.Accept, From: "10.2.0.8", To: "10.1.0.11", View: 3, Index: 12345}}},
 		{"beat-passed-on", Frame{Ask: &Ask{Mark: mark, To: "10.1.0.11", Method: "POST", Path: "/Instances.Heartbeat/" + host.ID, Body: beat}}},
 		{"beat-answered", Frame{Answer: &Answer{Mark: mark, By: "10.1.0.11", Status: 200, Body: []byte(strings.Repeat("x", 32))}}},
 	} {
--- a/internal/belt/belt.go
+++ b/internal/rpc/rpc.go
@@ -1,4 +1,4 @@
-// Package belt (it carries power from wheel to wheel) is the link between the system's own processes: frames of
+// Package rpc is the link between the system's own processes: frames of
 // encoding/gob over TCP, each with its length in front.
 //
 //	Conn      one connection, either way: Send and Receive
@@ -6,7 +6,7 @@
 //	Listen    takes connections
 //
 // A shell: sockets and goroutines, no decisions.
-package belt
+package rpc
 
 import (
 	"bytes"
@@ -23,7 +23,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"ferrypitch/internal/ratchet"
+	"ferrypitch/internal/control/consensus"
 )
 
 // Most is the longest frame in bytes.
@@ -31,8 +31,8 @@
 
 // Frame is one message; one of its fields is set.
 type Frame struct {
-	Core    *ratchet.Message // between members
-	Ask     *Ask             // a member passes on what came to it
+	Core    *consensus.Message // between members
+	Ask     *Ask               // a member passes on what came to it
 	Answer  *Answer
 	Hello   *Hello // a router opens a connection
 	Welcome *Welcome
@@ -44,16 +44,16 @@
 
 // Mark names one call passed on for good: no other of any member or life has it.
 type Mark struct {
-	From   ratchet.ID // who asks, and where the answer goes
-	Life   uint64     // drawn at its start
-	View   uint64     // in which it knows whom it asks as the leader
-	Serial uint64     // rises within a life
+	From   consensus.ID // who asks, and where the answer goes
+	Life   uint64       // drawn at its start
+	View   uint64       // in which it knows whom it asks as the leader
+	Serial uint64       // rises within a life
 }
 
 // Ask passes a call of a host or an operator on to the member that leads.
 type Ask struct {
 	Mark
-	To           ratchet.ID
+	To           consensus.ID
 	Method, Path string
 	Base         string // X-Base-Version
 	Body         []byte
@@ -62,7 +62,7 @@
 // Answer is how it went, to just that call.
 type Answer struct {
 	Mark
-	By     ratchet.ID
+	By     consensus.ID
 	Status int
 	Body   []byte
 }
--- a/internal/nameplate/nameplate.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package nameplate (the plate on a machine that says what it is) reads and checks the settings file that a program is
+// Package settings reads and checks the settings file that a program is
 // started with.
 //
 //	FERRYPITCH_NODE_FILE -> Read -> Plate -> each part is handed what it needs
-package nameplate
+package settings
 
 import (
 	"errors"
--- a/internal/nameplate/nameplate_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,4 @@
-package nameplate
+package settings
 
 import (
 	"os"
--- a/internal/drill/drill.go
+++ b/internal/simadapter/simadapter.go
@@ -1,7 +1,7 @@
-// Package drill puts the decision module on the simulator's wire: it decodes
+// Package simadapter puts the decision module on the simulator's wire: it decodes
 // events into calls, keeps the ids of hosts and commands, and encodes what the
 // module asks for. It decides nothing.
-package drill
+package simadapter
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"runtime/debug"
 	"strings"
 
-	"ferrypitch/internal/setup"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/policy"
 )
 
 // Run answers batches until the input ends.
@@ -53,10 +53,10 @@
 type router struct {
 	d     *drill
 	who   int64
-	rules *rules.Router
+	rules *policy.Router
 	terms setup.Terms
-	hosts map[string]*rules.Node
-	cmds  map[string]*rules.Cmd
+	hosts map[string]*policy.Node
+	cmds  map[string]*policy.Cmd
 }
 
 func (d *drill) batch(line []byte) (bad error) {
@@ -133,7 +133,7 @@
 			if pos == 0 && !r.terms.Positions {
 				pos = -1
 			}
-			role := rules.Role(min(stamp&3, 2))
+			role := policy.Role(min(stamp&3, 2))
 			c.Ended(outcome(ev), pos, role, setup.Down(ev.Number("cost_time")), ev.Flag("ended"))
 		}
 	case "dropped":
@@ -143,7 +143,7 @@
 	case "status_back":
 		if n := r.hosts[ev.Text("host")]; n != nil {
 			r.report(n, ev)
-			n.Probed(outcome(ev) == rules.Answered)
+			n.Probed(outcome(ev) == policy.Answered)
 		}
 	case "peer_data":
 		r.rules.Heard(ev.Text("body"))
@@ -158,10 +158,10 @@
 }
 
 func (d *drill) spawn(who int64, ev setup.Object) *router {
-	r := &router{d: d, who: who, hosts: map[string]*rules.Node{}, cmds: map[string]*rules.Cmd{}}
+	r := &router{d: d, who: who, hosts: map[string]*policy.Node{}, cmds: map[string]*policy.Cmd{}}
 	dep, terms := setup.Deployment(ev.Within("env"), uint32(ev.Integer("init_seed")))
 	r.terms = terms
-	r.rules = rules.New(r, dep, setup.Up(d.now))
+	r.rules = policy.New(r, dep, setup.Up(d.now))
 	return r
 }
 
@@ -178,7 +178,7 @@
 			n = r.rules.Host(name, e.Integer("shard"))
 			r.hosts[name] = n
 		}
-		standing := map[string]rules.Standing{"LAME": rules.Draining, "OUT": rules.Gone}[e.Text("stage_state")]
+		standing := map[string]policy.Standing{"LAME": policy.Draining, "OUT": policy.Gone}[e.Text("stage_state")]
 		n.Listed(standing, e.MaybeNumber("leader") == 1, e.MaybeText("az"), e.MaybeText("shape"),
 			e.MaybeNumber("scale"), setup.Up(e.MaybeNumber("boot_time")))
 	}
@@ -186,7 +186,7 @@
 }
 
 // report hands a load report on, if the event has one.
-func (r *router) report(n *rules.Node, ev setup.Object) {
+func (r *router) report(n *policy.Node, ev setup.Object) {
 	row := ev.MaybeList("telemetry")
 	pos, role, ok := r.terms.Report(func(i int) (float64, bool) {
 		if i >= len(row) {
@@ -199,44 +199,44 @@
 	}
 }
 
-func (r *router) Dispatch(c *rules.Cmd, n *rules.Node, timeout rules.Tenth) {
+func (r *router) Dispatch(c *policy.Cmd, n *policy.Node, timeout policy.Tenth) {
 	r.d.act(`{"t":"call_out","who":%d,"req":%s,"host":%s,"timeout":%s}`,
 		r.who, quote(c.Name), quote(n.Name), ms(timeout))
 }
 
-func (r *router) Throttle(c *rules.Cmd, comeback rules.Tenth) {
+func (r *router) Throttle(c *policy.Cmd, comeback policy.Tenth) {
 	r.d.act(`{"t":"deny","who":%d,"req":%s,"retry_after":%s}`, r.who, quote(c.Name), ms(comeback))
 	r.settle(c)
 }
 
-func (r *router) Fail(c *rules.Cmd) {
+func (r *router) Fail(c *policy.Cmd) {
 	r.d.act(`{"t":"abort","who":%d,"req":%s}`, r.who, quote(c.Name))
 	r.settle(c)
 }
 
-func (r *router) settle(c *rules.Cmd) {
+func (r *router) settle(c *policy.Cmd) {
 	if c.Over() {
 		delete(r.cmds, c.Name)
 	}
 }
 
-func (r *router) Probe(n *rules.Node) {
+func (r *router) Probe(n *policy.Node) {
 	r.d.act(`{"t":"touch","who":%d,"host":%s}`, r.who, quote(n.Name))
 }
 
-func (r *router) Close(n *rules.Node) {
+func (r *router) Close(n *policy.Node) {
 	r.d.act(`{"t":"close_idle","who":%d,"host":%s}`, r.who, quote(n.Name))
 }
 
 func (r *router) Watch() { r.d.act(`{"t":"subscribe","who":%d,"active":true}`, r.who) }
 
-func (r *router) Forget(n *rules.Node) { delete(r.hosts, n.Name) }
+func (r *router) Forget(n *policy.Node) { delete(r.hosts, n.Name) }
 
 func (r *router) Tell(body string) {
 	r.d.act(`{"t":"say","who":%d,"target":null,"body":%s}`, r.who, quote(body))
 }
 
-func (r *router) Wake(after rules.Tenth) {
+func (r *router) Wake(after policy.Tenth) {
 	r.d.act(`{"t":"timer","who":%d,"offset":%s,"nonce":0}`, r.who, ms(after))
 }
 
@@ -248,7 +248,7 @@
 	fmt.Fprintf(d.out, format, args...)
 }
 
-func ms(t rules.Tenth) string { return fmt.Sprintf("%d.%d", t/10, t%10) }
+func ms(t policy.Tenth) string { return fmt.Sprintf("%d.%d", t/10, t%10) }
 
 func quote(s string) string {
 	var b strings.Builder
@@ -260,10 +260,10 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-func outcome(ev setup.Object) rules.Outcome {
+func outcome(ev setup.Object) policy.Outcome {
 	how := ev.Integer("how")
 	if how < 1 || how > 9 {
 		panic(setup.Fault(fmt.Sprintf("how: no outcome %d", how)))
 	}
-	return rules.Outcome(how - 1)
+	return policy.Outcome(how - 1)
 }
--- a/internal/drill/drill_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -1,4 +1,4 @@
-package drill
+package simadapter
 
 import (
 	"strings"
--- a/internal/lab/judge/judge.go
+++ b/internal/simulation/checker/checker.go
@@ -1,10 +1,10 @@
-// Package judge holds what clients were told against what stand-in hosts ran and kept: no stale read, no write lost or
+// Package checker holds what clients were told against what stand-in hosts ran and kept: no stale read, no write lost or
 // twice, each promise kept. Seeded worlds and runs on sockets share it. Its calls are made by one goroutine at a time.
-package judge
+package checker
 
 import (
-	"ferrypitch/internal/scribe"
-	"ferrypitch/internal/standin/database"
+	"ferrypitch/internal/fake/database"
+	"ferrypitch/internal/wire"
 )
 
 // Judge is of one service. Moments are in the units of the database's stage.
@@ -20,7 +20,7 @@
 
 type commit struct {
 	at      int64
-	pos     scribe.Position
+	pos     wire.Position
 	session string
 }
 
@@ -58,7 +58,7 @@
 }
 
 // Told takes in the answer to what ends a write: the write itself, or the COMMIT of several.
-func (j *Judge) Told(session string, data []string, code scribe.Code, now int64) {
+func (j *Judge) Told(session string, data []string, code wire.Code, now int64) {
 	for _, d := range data {
 		switch {
 		case code == "":
--- a/internal/lab/whole/client.go
+++ b/internal/simulation/cluster/client.go
@@ -1,4 +1,4 @@
-package whole
+package cluster
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"ferrypitch/internal/lab/judge"
-	"ferrypitch/internal/scribe"
+	"ferrypitch/internal/simulation/checker"
+	"ferrypitch/internal/wire"
 )
 
 var (
@@ -65,14 +65,14 @@
 }
 
 // answer reads one; ok false where the connection ended.
-func (c *session) answer() (a scribe.Answer, ok bool) {
+func (c *session) answer() (a wire.Answer, ok bool) {
 	c.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	for {
 		raw, err := c.in.ReadBytes('\n')
 		if err != nil {
 			return a, false
 		}
-		line, _, err := scribe.Line(raw, 0)
+		line, _, err := wire.Line(raw, 0)
 		if err != nil {
 			c.s.broke("%s is sent what is no line: %q", c.name, raw)
 			return a, false
@@ -89,17 +89,17 @@
 }
 
 // ask sends a statement; first is when its transaction began, 0: with it.
-func (c *session) ask(text string, first int64) (scribe.Answer, bool) {
+func (c *session) ask(text string, first int64) (wire.Answer, bool) {
 	c.n++
 	id := fmt.Sprintf("%s.%d", c.name, c.n)
 	if first == 0 {
 		first = c.s.now()
 	}
 	c.s.mu.Lock()
-	c.s.ids[id] = judge.Reader{Kind: c.kind, Session: c.name, First: first}
+	c.s.ids[id] = checker.Reader{Kind: c.kind, Session: c.name, First: first}
 	c.s.mu.Unlock()
-	if _, err := c.conn.Write(scribe.AppendQuery(nil, id, text)); err != nil {
-		return scribe.Answer{}, false
+	if _, err := c.conn.Write(wire.AppendQuery(nil, id, text)); err != nil {
+		return wire.Answer{}, false
 	}
 	a, ok := c.answer()
 	if ok && a.Code == "" && a.Stamp && !slices.Contains([]string{"DONE x." + id + "\r\n"}, lastLine(a.Lines)) {
@@ -117,7 +117,7 @@
 }
 
 // told takes in how a write ended.
-func (c *session) told(data []string, code scribe.Code) {
+func (c *session) told(data []string, code wire.Code) {
 	c.s.work.Lock()
 	c.s.judge.Told(c.name, data, code, c.s.now())
 	c.s.work.Unlock()
@@ -194,7 +194,7 @@
 }
 
 // count books an outcome; false where the session has ended.
-func (c *session) count(statement string, code scribe.Code, ok bool) bool {
+func (c *session) count(statement string, code wire.Code, ok bool) bool {
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
 	key := [2]string{c.kind, statement}
@@ -210,7 +210,7 @@
 		row.Answered++
 	case code.Promise():
 		row.Promised++
-	case code == scribe.InDoubt:
+	case code == wire.InDoubt:
 		row.InDoubt++
 	default:
 		row.Failed++
--- a/internal/lab/whole/whole.go
+++ b/internal/simulation/cluster/cluster.go
@@ -1,7 +1,7 @@
-// Package whole runs the whole system on loopback: three members of the control plane and two routers as processes,
+// Package cluster runs the whole system on loopback: three members of the control plane and two routers as processes,
 // stand-in hosts, platform and operator in this one, and sessions of all three kinds, through a change of configuration
 // and the crash of a primary. What clients were told is judged against what the hosts kept.
-package whole
+package cluster
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 	"sync"
 	"time"
 
-	"ferrypitch/internal/lab/fleet"
-	"ferrypitch/internal/lab/judge"
-	"ferrypitch/internal/standin/database"
+	"ferrypitch/internal/fake/database"
+	"ferrypitch/internal/simulation/checker"
+	"ferrypitch/internal/simulation/tierfleet"
 )
 
 // Terms of a run.
@@ -51,18 +51,18 @@
 	Terms
 	dir     string
 	net     string
-	members []*fleet.Process
-	routers []*fleet.Process
+	members []*tierfleet.Process
+	routers []*tierfleet.Process
 	work    *database.Clockwork
 	hosts   *database.Server
-	judge   *judge.Judge
+	judge   *checker.Judge
 	began   time.Time
 
 	mu     sync.Mutex // of what follows; the judge is under the work's lock
 	result Result
 	rows   map[[2]string]*Row
 	crash  time.Time
-	ids    map[string]judge.Reader // statements that are out
+	ids    map[string]checker.Reader // statements that are out
 }
 
 const settings = `Node = %q
@@ -91,7 +91,7 @@
 	if t.Say == nil {
 		t.Say = func(string, ...any) {}
 	}
-	s := &system{Terms: t, dir: dir, work: database.NewClockwork(t.Seed), rows: map[[2]string]*Row{}, ids: map[string]judge.Reader{}, began: time.Now()}
+	s := &system{Terms: t, dir: dir, work: database.NewClockwork(t.Seed), rows: map[[2]string]*Row{}, ids: map[string]checker.Reader{}, began: time.Now()}
 	s.net = fmt.Sprintf("127.%d.%d", 10+t.Seed%200, 1+t.Seed/200%250)
 	s.result.From, s.result.PeakKB = map[string]int{}, map[string]int{}
 	ctx, end := context.WithCancel(ctx)
@@ -139,10 +139,10 @@
 		calls = append(calls, s.address(1, i, control))
 		hosts = append(hosts, s.address(3, i, dbPort))
 	}
-	s.Say("building lathe and anvil")
+	s.Say("building ferrypitch-proxy and ferrypitch-control")
 	binaries := map[string]string{}
-	for _, program := range []string{"lathe", "anvil"} {
-		binary, err := fleet.Build(s.dir, program)
+	for _, program := range []string{"ferrypitch-proxy", "ferrypitch-control"} {
+		binary, err := tierfleet.Build(s.dir, program)
 		if err != nil {
 			return err
 		}
@@ -152,30 +152,30 @@
 	if s.hosts, err = database.Serve(ctx, s.work, "db", hosts, s.address(4, 0, provider), calls); err != nil {
 		return err
 	}
-	s.judge = &judge.Judge{Bounds: map[string]int64{"bounded": 1000 * database.Ms, "owned": 1500 * database.Ms}, Own: map[string]bool{"owned": true},
+	s.judge = &checker.Judge{Bounds: map[string]int64{"bounded": 1000 * database.Ms, "owned": 1500 * database.Ms}, Own: map[string]bool{"owned": true},
 		Group: s.hosts.Group, Broke: s.broke}
 	s.work.Lock()
 	s.hosts.Read = s.read
 	s.hosts.Note = func(format string, args ...any) { s.Say("host "+format, args...) }
 	s.work.Unlock()
 	for i := range 5 {
-		program, kind, n, listen, data := "anvil", 1, i, fmt.Sprintf("Control = %q", s.address(1, i, control)), filepath.Join(s.dir, fmt.Sprint("disk", i))
+		program, kind, n, listen, data := "ferrypitch-control", 1, i, fmt.Sprintf("Control = %q", s.address(1, i, control)), filepath.Join(s.dir, fmt.Sprint("disk", i))
 		if i >= 3 {
-			program, kind, n, data = "lathe", 2, i-3, ""
+			program, kind, n, data = "ferrypitch-proxy", 2, i-3, ""
 			listen = fmt.Sprintf("Front = %q\nReadiness = %q", s.address(2, n, front), s.address(2, n, readiness))
 		}
 		ip, _, _ := strings.Cut(s.address(kind, n, 1), ":")
-		text := fmt.Sprintf(settings, fmt.Sprint(program, n), program, ip, link, link+9, strings.Join(seeds, ","), program == "anvil", data, listen,
+		text := fmt.Sprintf(settings, fmt.Sprint(program, n), program, ip, link, link+9, strings.Join(seeds, ","), program == "ferrypitch-control", data, listen,
 			s.address(4, 0, provider))
 		file := filepath.Join(s.dir, fmt.Sprint(program, n, ".toml"))
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			return err
 		}
-		p, err := fleet.StartWith([]string{"FERRYPITCH_NODE_FILE=" + file}, binaries[program], filepath.Join(s.dir, fmt.Sprint(program, n, ".log")), "run")
+		p, err := tierfleet.StartWith([]string{"FERRYPITCH_NODE_FILE=" + file}, binaries[program], filepath.Join(s.dir, fmt.Sprint(program, n, ".log")), "run")
 		if err != nil {
 			return err
 		}
-		if program == "anvil" {
+		if program == "ferrypitch-control" {
 			s.members = append(s.members, p)
 		} else {
 			s.routers = append(s.routers, p)
@@ -313,7 +313,7 @@
 		return nil, failed
 	}
 	time.Sleep(300 * time.Millisecond) // what is acknowledged is applied
-	for program, all := range map[string][]*fleet.Process{"lathe": s.routers, "anvil": s.members} {
+	for program, all := range map[string][]*tierfleet.Process{"ferrypitch-proxy": s.routers, "ferrypitch-control": s.members} {
 		for _, p := range all {
 			_, kb := p.Use()
 			s.result.PeakKB[program] = max(s.result.PeakKB[program], kb)
--- a/internal/lab/stage/stage.go
+++ b/internal/simulation/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package stage plays seeded worlds on one thread: events in the order of their moments, chance from the seed, and what
+// Package scheduler plays seeded worlds on one thread: events in the order of their moments, chance from the seed, and what
 // broke. Worlds of the simulated networks stand on it.
-package stage
+package scheduler
 
 import (
 	"fmt"
--- a/internal/lab/extent/extent.go
+++ b/internal/simulation/statesize/statesize.go
@@ -1,12 +1,12 @@
-// Package extent makes control state of a given size, for benchmarks: so many routers before so many databases of three
+// Package statesize makes control state of a given size, for benchmarks: so many routers before so many databases of three
 // hosts each, with names and addresses as long as those of the deployments.
-package extent
+package statesize
 
 import (
 	"bytes"
 	"fmt"
 
-	"ferrypitch/internal/rack"
+	"ferrypitch/internal/control/statemachine"
 )
 
 // Extent is a size.
@@ -27,8 +27,8 @@
 func Service(i int) string { return fmt.Sprintf("lecture-core-%d", i) }
 
 // Host is the nth of all; the first of each three leads.
-func Host(n int) rack.Host {
-	return rack.Host{ID: fmt.Sprintf("lecture-core-%d-h%d-1", n/3, n%3), Service: Service(n / 3),
+func Host(n int) statemachine.Host {
+	return statemachine.Host{ID: fmt.Sprintf("lecture-core-%d-h%d-1", n/3, n%3), Service: Service(n / 3),
 		Address: fmt.Sprintf("10.%d.%d.%d:5432", 10+n%3, n/3/250, 1+n/3%250), Zone: "waco-hall", Generation: "g1", Capacity: 7,
 		Since: uint64(n + 1)}
 }
@@ -65,28 +65,28 @@
 }
 
 // Order is an operator's change of one route, as the log carries it on top of a state.
-func (e Extent) Order(s *rack.State) rack.Change {
-	c := &rack.Configure{Base: s.Gen, Body: e.Config(s.Gen + 1)}
+func (e Extent) Order(s *statemachine.State) statemachine.Change {
+	c := &statemachine.Configure{Base: s.Gen, Body: e.Config(s.Gen + 1)}
 	plan, err := s.Check(c)
 	if err != nil {
 		panic(err)
 	}
-	return rack.Change{Configure: s.Pack(c, plan)}
+	return statemachine.Change{Configure: s.Pack(c, plan)}
 }
 
 // State holds all that, each database led by its first host. It is put together directly: applying as many changes takes
 // time that grows with the square.
-func (e Extent) State() *rack.State {
-	s := &rack.State{}
-	if err := s.Apply(1, rack.Change{Configure: &rack.Configure{Body: e.Config(1)}}); err != nil {
+func (e Extent) State() *statemachine.State {
+	s := &statemachine.State{}
+	if err := s.Apply(1, statemachine.Change{Configure: &statemachine.Configure{Body: e.Config(1)}}); err != nil {
 		panic(err)
 	}
-	s.Hosts, s.Leads, s.Routers = map[string]rack.Host{}, map[string]rack.Lead{}, map[string]uint64{}
+	s.Hosts, s.Leads, s.Routers = map[string]statemachine.Host{}, map[string]statemachine.Lead{}, map[string]uint64{}
 	for n := range e.Hosts() {
 		h := Host(n)
 		s.Hosts[h.ID] = h
 		if s.Index++; n%3 == 0 {
-			s.Leads[h.Service] = rack.Lead{Host: h.ID, Term: 1, At: s.Index}
+			s.Leads[h.Service] = statemachine.Lead{Host: h.ID, Term: 1, At: s.Index}
 		}
 	}
 	for n := range e.Routers {
--- a/internal/lab/fleet/process.go
+++ b/internal/simulation/tierfleet/process.go
@@ -1,4 +1,4 @@
-package fleet
+package tierfleet
 
 import (
 	"bytes"
--- a/internal/lab/fleet/run.go
+++ b/internal/simulation/tierfleet/run.go
@@ -1,4 +1,4 @@
-package fleet
+package tierfleet
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"ferrypitch/internal/protocol"
-	"ferrypitch/internal/service"
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/tier/plan"
+	"ferrypitch/internal/router/protocol"
+	"ferrypitch/internal/router/service"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/tier/plan"
 )
 
 func none(string) string { return "" }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/simulation/tierfleet/tierfleet.go
@@ -1,7 +1,7 @@
-// Package fleet puts a small installation together on free loopback ports: hosts
+// Package tierfleet puts a small installation together on free loopback ports: hosts
 // and discovery as stand-ins, planners and forwarders as they run in service, in
 // this process or as processes of their own.
-package fleet
+package tierfleet
 
 import (
 	"encoding/json"
@@ -13,13 +13,13 @@
 	"strings"
 	"time"
 
-	"ferrypitch/internal/standin/discovery"
-	"ferrypitch/internal/standin/pg"
+	"ferrypitch/internal/fake/discovery"
+	"ferrypitch/internal/fake/postgres"
 )
 
 // Fleet is the hosts and discovery of an installation, and where its files are.
 type Fleet struct {
-	Hosts     *pg.Fleet
+	Hosts     *postgres.Fleet
 	Discovery *discovery.Discovery
 	Dir       string
 	Trace     map[string]any // the section of routers' and forwarders' files; nil: none
@@ -31,8 +31,8 @@
 const Grace = 1050 * time.Millisecond
 
 // Terms of stand-in hosts that fit Settings.
-func Terms() pg.Terms {
-	return pg.Terms{Work: 4 * time.Millisecond, Slots: 8, Queue: 256, ColdFrom: 0.25, ColdFor: 8 * time.Second, Fall: 4,
+func Terms() postgres.Terms {
+	return postgres.Terms{Work: 4 * time.Millisecond, Slots: 8, Queue: 256, ColdFrom: 0.25, ColdFor: 8 * time.Second, Fall: 4,
 		FallSpan: 1500 * time.Millisecond, Grace: Grace, Bounds: map[string]time.Duration{"list": time.Second},
 		Once: map[string]bool{"order": true}}
 }
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Hosts: pg.New(Terms()), Discovery: d, Dir: dir, routers: routers}
+	f := &Fleet{Hosts: postgres.New(Terms()), Discovery: d, Dir: dir, routers: routers}
 	var entries []discovery.Entry
 	for s := range sets {
 		for m := range members {
@@ -94,12 +94,12 @@
 	return l.Addr().String(), nil
 }
 
-func entry(h *pg.Host, state string) discovery.Entry {
+func entry(h *postgres.Host, state string) discovery.Entry {
 	return discovery.Entry{UID: h.Name, Endpoint: h.Address(), Set: h.Set, State: state, Size: 1, Boot: h.Boot()}
 }
 
 // Told has discovery tell of a host, which then counts a drain from now.
-func (f *Fleet) Told(h *pg.Host, state string) {
+func (f *Fleet) Told(h *postgres.Host, state string) {
 	at := f.Discovery.Set(entry(h, state))
 	if state == "up" {
 		at = time.Time{}
--- a/internal/lab/fleet/trace_test.go
+++ b/internal/simulation/tierfleet/trace_test.go
@@ -1,4 +1,4 @@
-package fleet
+package tierfleet
 
 import (
 	"context"
@@ -13,15 +13,15 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"ferrypitch/internal/lab/load"
-	"ferrypitch/internal/service"
-	"ferrypitch/internal/setup"
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/replay"
+	"ferrypitch/internal/router/service"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/replay"
+	"ferrypitch/internal/simulation/workload"
 )
 
 // serving runs a router here that captures, under load, with a replica that dies and returns.
-func serving(t *testing.T, f *Fleet, file func(int, string) (string, error), trace map[string]any) *load.Tally {
+func serving(t *testing.T, f *Fleet, file func(int, string) (string, error), trace map[string]any) *workload.Tally {
 	t.Helper()
 	address, err := Free()
 	if err != nil {
@@ -59,7 +59,7 @@
 		f.Told(h, "up")
 	})
 	defer back.Stop()
-	tally := load.Run(ctx, load.Terms{Routers: []string{address}, Sets: []int64{1, 2}, Clients: 8, Rate: 200, For: 4 * time.Second,
+	tally := workload.Run(ctx, workload.Terms{Routers: []string{address}, Sets: []int64{1, 2}, Clients: 8, Rate: 200, For: 4 * time.Second,
 		Writes: 0.15, Sessions: 4, Timeout: time.Second, Seed: 3}, nil)
 	signals <- os.Interrupt
 	if err := tasks.Wait(); err != nil {
--- a/internal/lab/virtual/fault.go
+++ b/internal/simulation/tiernet/fault.go
@@ -1,6 +1,6 @@
-package virtual
+package tiernet
 
-import "ferrypitch/rules"
+import "ferrypitch/policy"
 
 // fault causes one trouble, drawn by chance, and has it end.
 func (w *World) fault() {
@@ -40,13 +40,13 @@
 	}
 }
 
-func (w *World) dies(h *host, back rules.Tenth) {
+func (w *World) dies(h *host, back policy.Tenth) {
 	h.kill()
 	w.In(back, h.back)
 }
 
 // hangs has a host answer nothing; a primary is succeeded. What it took runs when it goes on, as a replica.
-func (w *World) hangs(h *host, span rules.Tenth) {
+func (w *World) hangs(h *host, span policy.Tenth) {
 	if !h.up || h.hung {
 		return
 	}
@@ -74,8 +74,8 @@
 
 func (w *World) drains(h *host) {
 	w.Note("%s drains", h.name)
-	w.state(h, rules.Draining)
-	w.In(w.Between(2*second, 4*second), func() { w.state(h, rules.In) })
+	w.state(h, policy.Draining)
+	w.In(w.Between(2*second, 4*second), func() { w.state(h, policy.In) })
 }
 
 // steps is a planned change of a primary: it steps down where its log stands.
@@ -87,7 +87,7 @@
 	}
 }
 
-func (w *World) noPlanners(span rules.Tenth) {
+func (w *World) noPlanners(span policy.Tenth) {
 	for _, p := range w.planners {
 		p.kill()
 		w.In(span, func() { p.again(p.old) })
--- a/internal/lab/virtual/forward.go
+++ b/internal/simulation/tiernet/forward.go
@@ -1,13 +1,13 @@
-package virtual
+package tiernet
 
 import (
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/policy"
 )
 
 // settle forgets a command for which nothing more will come.
-func (f *forward) settle(handle *rules.Cmd) {
+func (f *forward) settle(handle *policy.Cmd) {
 	if c := f.open[handle.Name]; c != nil && c.final && handle.Over() {
 		f.trace.Settled(handle)
 		delete(f.open, handle.Name)
@@ -15,7 +15,7 @@
 }
 
 // end is a command's final answer.
-func (f *forward) end(handle *rules.Cmd, count *int) {
+func (f *forward) end(handle *policy.Cmd, count *int) {
 	w, c := f.w, f.open[handle.Name]
 	if c == nil || c.final {
 		w.Broke("%s: %s has a second final answer", f.name, handle.Name)
@@ -29,29 +29,29 @@
 }
 
 // Throttle, Fail, Dispatch and the rest are what the module asks for.
-func (f *forward) Throttle(c *rules.Cmd, back rules.Tenth) {
+func (f *forward) Throttle(c *policy.Cmd, back policy.Tenth) {
 	f.trace.Throttle(c, back)
 	f.end(c, &f.w.Throttled)
 	f.settle(c)
 }
 
-func (f *forward) Fail(c *rules.Cmd) {
+func (f *forward) Fail(c *policy.Cmd) {
 	f.trace.Fail(c)
 	f.end(c, &f.w.Failed)
 	f.settle(c)
 }
 
-func (f *forward) Probe(n *rules.Node) { f.w.Broke("%s probes %s", f.name, f.names[n]) }
-func (f *forward) Close(n *rules.Node) { f.trace.Close(n) }
-func (f *forward) Tell(string)         { f.w.Broke("%s tells others", f.name) }
-func (f *forward) Watch()              { f.w.Broke("%s asks for a list", f.name) }
-func (f *forward) Forget(n *rules.Node) {
+func (f *forward) Probe(n *policy.Node) { f.w.Broke("%s probes %s", f.name, f.names[n]) }
+func (f *forward) Close(n *policy.Node) { f.trace.Close(n) }
+func (f *forward) Tell(string)          { f.w.Broke("%s tells others", f.name) }
+func (f *forward) Watch()               { f.w.Broke("%s asks for a list", f.name) }
+func (f *forward) Forget(n *policy.Node) {
 	f.trace.Forget(n)
 	delete(f.nodes, f.names[n])
 	delete(f.names, n)
 }
 
-func (f *forward) Wake(after rules.Tenth) {
+func (f *forward) Wake(after policy.Tenth) {
 	life := f.life
 	f.trace.Wake(after)
 	f.w.In(max(ms, after), func() {
@@ -63,7 +63,7 @@
 	})
 }
 
-func (f *forward) Dispatch(handle *rules.Cmd, n *rules.Node, timeout rules.Tenth) {
+func (f *forward) Dispatch(handle *policy.Cmd, n *policy.Node, timeout policy.Tenth) {
 	w, c, h := f.w, f.open[handle.Name], f.w.host(f.names[n])
 	if c == nil || c.final {
 		w.Broke("%s: %s is sent after its final answer", f.name, handle.Name)
@@ -83,7 +83,7 @@
 		f.hear(h.name).Cold += int64(handle.Work() * 1000)
 		f.hear(h.name).Boot = n.Cold()
 	}
-	ended := func(o rules.Outcome, pos rules.Tenth, role rules.Role) {
+	ended := func(o policy.Outcome, pos policy.Tenth, role policy.Role) {
 		if f.up && f.life == life && c.out == serial {
 			f.ended(c, h, o, pos, role, sent)
 		}
@@ -92,9 +92,9 @@
 	if timeout > 0 {
 		until = min(until, w.Now+timeout)
 	}
-	w.In(until-w.Now, func() { ended(rules.TimedOut, -1, rules.Unknown) })
-	bound := rules.Tenth(0)
-	if c.group.Need == rules.Bounded {
+	w.In(until-w.Now, func() { ended(policy.TimedOut, -1, policy.Unknown) })
+	bound := policy.Tenth(0)
+	if c.group.Need == policy.Bounded {
 		bound = w.Now - c.group.Bound - 50*ms
 	}
 	excused := h.was && !f.demoted[h.name] // by the rule, until an answer tells this router that it is no primary
@@ -102,11 +102,11 @@
 }
 
 // arrive runs a dispatch at a host.
-func (h *host) arrive(f *forward, handle *rules.Cmd, c *command, bound rules.Tenth, excused bool,
-	ended func(rules.Outcome, rules.Tenth, rules.Role)) {
+func (h *host) arrive(f *forward, handle *policy.Cmd, c *command, bound policy.Tenth, excused bool,
+	ended func(policy.Outcome, policy.Tenth, policy.Role)) {
 	w := h.w
 	if !h.up {
-		w.In(w.Between(ms/2, 3*ms), func() { ended(rules.Unreached, -1, rules.Unknown) })
+		w.In(w.Between(ms/2, 3*ms), func() { ended(policy.Unreached, -1, policy.Unknown) })
 		return
 	}
 	h.cold(f)
@@ -117,20 +117,20 @@
 	boot := h.boot
 	w.In(w.Between(2*ms, 10*ms), func() {
 		if !h.up || h.boot != boot {
-			ended(rules.Reset, -1, rules.Unknown)
+			ended(policy.Reset, -1, policy.Unknown)
 			return
 		}
 		h.run(f, handle, c, bound, excused, ended)
 	})
 }
 
-func (h *host) run(f *forward, handle *rules.Cmd, c *command, bound rules.Tenth, excused bool,
-	ended func(rules.Outcome, rules.Tenth, rules.Role)) {
+func (h *host) run(f *forward, handle *policy.Cmd, c *command, bound policy.Tenth, excused bool,
+	ended func(policy.Outcome, policy.Tenth, policy.Role)) {
 	w := h.w
 	pos, role, back := h.pos(), h.role(), w.Between(ms/2, 3*ms)
-	if c.group.Need == rules.Write {
-		if role != rules.Primary {
-			w.In(back, func() { ended(rules.Missed, pos, role) })
+	if c.group.Need == policy.Write {
+		if role != policy.Primary {
+			w.In(back, func() { ended(policy.Missed, pos, role) })
 			return
 		}
 		if w.ran[handle.Name]++; w.ran[handle.Name] > 1 {
@@ -145,33 +145,33 @@
 					w.Followed = append(w.Followed, w.Now-elected)
 				}
 			}
-			ended(rules.Answered, pos+9, role) // rounded up
+			ended(policy.Answered, pos+9, role) // rounded up
 		})
 		return
 	}
 	need := max(c.need, bound)
-	if pos < need && !excused && role != rules.Primary {
+	if pos < need && !excused && role != policy.Primary {
 		w.Broke("%s: %s reads at %s %d ms too old", f.name, handle.Name, h.name, (need-pos)/10)
 	}
-	w.In(back, func() { ended(rules.Answered, pos/10*10, role) })
+	w.In(back, func() { ended(policy.Answered, pos/10*10, role) })
 }
 
 // ended brings an outcome to the module, as the routing owner does.
-func (f *forward) ended(c *command, h *host, o rules.Outcome, pos rules.Tenth, role rules.Role, sent rules.Tenth) {
+func (f *forward) ended(c *command, h *host, o policy.Outcome, pos policy.Tenth, role policy.Role, sent policy.Tenth) {
 	w := f.w
 	c.out = 0
 	f.moment()
 	took := w.Now - sent
-	if o == rules.Answered && !c.final {
+	if o == policy.Answered && !c.final {
 		f.end(c.handle, &w.Answered)
 	}
 	heard := f.hear(h.name)
 	if pos >= 0 {
 		heard.Said(pos, role, sent >= f.lates[h.name])
 		f.lates[h.name] = w.Now
-		f.demoted[h.name] = role == rules.Replica
+		f.demoted[h.name] = role == policy.Replica
 	}
-	if o == rules.Answered {
+	if o == policy.Answered {
 		heard.Count++
 		heard.Sum += uint32(min(10, c.handle.Spent(took)) * 1000)
 	}
--- a/internal/lab/virtual/replay_test.go
+++ b/internal/simulation/tiernet/replay_test.go
@@ -1,14 +1,14 @@
-package virtual
+package tiernet
 
 import (
 	"bytes"
 	"io"
 	"testing"
 
-	"ferrypitch/internal/trace/format"
-	"ferrypitch/internal/trace/record"
-	"ferrypitch/internal/trace/replay"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/record"
+	"ferrypitch/internal/router/trace/replay"
+	"ferrypitch/policy"
 )
 
 // memory is a file of one forwarder's life.
@@ -30,7 +30,7 @@
 // captured plays a world and gives the files of all lives.
 func captured(t *testing.T, seed uint64) (files map[string]*memory, w *World) {
 	files = map[string]*memory{}
-	capture := func(f string, life int, d rules.Deployment) record.Sink {
+	capture := func(f string, life int, d policy.Deployment) record.Sink {
 		deployment, err := record.Deployment(d)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/lab/virtual/world.go
+++ b/internal/simulation/tiernet/world.go
@@ -1,27 +1,27 @@
-// Package virtual plays planners and forwarders in one goroutine on a seeded
+// Package tiernet plays planners and forwarders in one goroutine on a seeded
 // virtual network: the pure cores and the real decision module, stand-in hosts
 // and discovery, with time handed in. After every step the five rules are
 // asserted; a failing seed is the report of a fault. Nothing here is measured in
 // real time.
-package virtual
+package tiernet
 
 import (
 	"fmt"
 	"slices"
 	"strconv"
 
-	"ferrypitch/internal/lab/stage"
-	"ferrypitch/internal/tier/follower"
-	"ferrypitch/internal/tier/link"
-	"ferrypitch/internal/tier/planner"
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/internal/trace/record"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/tier/follower"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/planner"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/internal/router/trace/record"
+	"ferrypitch/internal/simulation/scheduler"
+	"ferrypitch/policy"
 )
 
 const (
-	ms     = rules.Tenth(10)
-	second = rules.Tenth(10000)
+	ms     = policy.Tenth(10)
+	second = policy.Tenth(10000)
 	zero   = 1000 * second // when a world begins
 )
 
@@ -29,14 +29,14 @@
 type Size struct {
 	Forwarders, Planners, Sets, Members int
 	Rate                                float64 // commands a second, over all forwarders
-	For                                 rules.Tenth
+	For                                 policy.Tenth
 	Faults                              int
 }
 
 // World is one run.
 type World struct {
 	Size
-	*stage.Stage
+	*scheduler.Stage
 	hosts      []*host
 	sets       []*set
 	planners   []*plan
@@ -46,21 +46,21 @@
 	history    [][]view.Host // whole lists by version
 	commands   int
 	ran        map[string]int
-	sessions   map[string]rules.Tenth                                   // their last commit that a client knows of
-	captured   func(f string, life int, d rules.Deployment) record.Sink // where forwarders' traces go; nil: nowhere
+	sessions   map[string]policy.Tenth                                   // their last commit that a client knows of
+	captured   func(f string, life int, d policy.Deployment) record.Sink // where forwarders' traces go; nil: nowhere
 
 	Taken, Answered, Throttled, Failed, Probes int
-	Followed                                   []rules.Tenth // from an election to a forwarder's first write answered by the new primary
-	Named                                      []rules.Tenth // from an election to the moment at which a forwarder's view names it
+	Followed                                   []policy.Tenth // from an election to a forwarder's first write answered by the new primary
+	Named                                      []policy.Tenth // from an election to the moment at which a forwarder's view names it
 }
 
 // New makes a world of a seed, in which nothing has happened.
 func New(seed uint64, size Size) *World { return NewCaptured(seed, size, nil) }
 
 // NewCaptured makes one whose forwarders record what their modules decide.
-func NewCaptured(seed uint64, size Size, to func(f string, life int, d rules.Deployment) record.Sink) *World {
-	w := &World{Size: size, captured: to, Stage: stage.New(seed, zero, ms), ran: map[string]int{},
-		sessions: map[string]rules.Tenth{}}
+func NewCaptured(seed uint64, size Size, to func(f string, life int, d policy.Deployment) record.Sink) *World {
+	w := &World{Size: size, captured: to, Stage: scheduler.New(seed, zero, ms), ran: map[string]int{},
+		sessions: map[string]policy.Tenth{}}
 	for s := range size.Sets {
 		set := &set{w: w, id: int64(s + 1)}
 		w.sets = append(w.sets, set)
@@ -105,7 +105,7 @@
 	if w.Now > zero+w.For {
 		return
 	}
-	w.In(rules.Tenth(w.Chance.ExpFloat64()/w.Rate*float64(second)), w.arrive)
+	w.In(policy.Tenth(w.Chance.ExpFloat64()/w.Rate*float64(second)), w.arrive)
 	f := w.forwarders[w.Chance.IntN(len(w.forwarders))]
 	if f.up {
 		f.take()
@@ -117,8 +117,8 @@
 	id      int64
 	hosts   []*host
 	primary *host
-	end     rules.Tenth // of the log, while no primary is there
-	elected rules.Tenth
+	end     policy.Tenth // of the log, while no primary is there
+	elected policy.Tenth
 	follows map[*forward]bool // since the last election: those whose writes go there
 	named   map[*forward]bool // and those whose view says so
 }
@@ -145,19 +145,19 @@
 	set       *set
 	up, hung  bool
 	was       bool // primary, once
-	lag       rules.Tenth
-	boot, had rules.Tenth // when it last started; up to where it ever had the log
-	stuck     []func()    // arrived while it hung
+	lag       policy.Tenth
+	boot, had policy.Tenth // when it last started; up to where it ever had the log
+	stuck     []func()     // arrived while it hung
 	recent    []arrival
 }
 
 type arrival struct {
-	at   rules.Tenth
+	at   policy.Tenth
 	told bool // by a forwarder that had been told of the start
 }
 
 // pos is up to where it has the log, which never goes back. A primary elected from a replica catches up at once.
-func (h *host) pos() rules.Tenth {
+func (h *host) pos() policy.Tenth {
 	now := h.w.Now
 	if h.set.primary == nil {
 		now = h.set.end
@@ -169,11 +169,11 @@
 	return h.had
 }
 
-func (h *host) role() rules.Role {
+func (h *host) role() policy.Role {
 	if h.set.primary == h {
-		return rules.Primary
+		return policy.Primary
 	}
-	return rules.Replica
+	return policy.Replica
 }
 
 // The rule on cold hosts, in the world's figures.
@@ -233,11 +233,11 @@
 	if h.set.primary == nil && h.set.end < h.w.Now-2*second {
 		h.w.In(0, h.set.elect)
 	}
-	h.w.state(h, rules.In)
+	h.w.state(h, policy.In)
 }
 
 // state has discovery list a host otherwise; planners hear of it each in their time.
-func (w *World) state(h *host, standing rules.Standing) {
+func (w *World) state(h *host, standing policy.Standing) {
 	for i := range w.list {
 		if w.list[i].Name == h.name {
 			w.list[i].Standing, w.list[i].Boot = standing, h.boot
@@ -261,13 +261,13 @@
 	core  *planner.Planner
 	life  uint64
 	up    bool
-	old   bool        // its discovery stands still
-	skew  rules.Tenth // of its clock
+	old   bool         // its discovery stands still
+	skew  policy.Tenth // of its clock
 	links map[*forward]*planner.Forwarder
 	ticks int
 }
 
-func (p *plan) clock() rules.Tenth { return p.w.Now + p.skew }
+func (p *plan) clock() policy.Tenth { return p.w.Now + p.skew }
 
 func (p *plan) start() {
 	w := p.w
@@ -349,7 +349,7 @@
 	w.Probes++
 	h := w.host(name)
 	asked := p.clock()
-	ended := func(ok bool, pos rules.Tenth, role rules.Role) func() {
+	ended := func(ok bool, pos policy.Tenth, role policy.Role) func() {
 		return func() {
 			if p.up && p.life == life {
 				p.core.Probed(p.clock(), name, ok, pos, role, asked)
@@ -359,9 +359,9 @@
 	w.In(w.Between(ms/2, 3*ms), func() {
 		switch {
 		case !h.up:
-			w.In(ms, ended(false, -1, rules.Unknown))
+			w.In(ms, ended(false, -1, policy.Unknown))
 		case h.hung:
-			w.In(250*ms, ended(false, -1, rules.Unknown))
+			w.In(250*ms, ended(false, -1, policy.Unknown))
 		default:
 			w.In(w.Between(ms/2, 3*ms), ended(true, h.pos(), h.role()))
 		}
@@ -396,26 +396,26 @@
 	life    int
 	up      bool
 	core    *follower.Follower
-	rules   *rules.Router
-	nodes   map[string]*rules.Node
-	names   map[*rules.Node]string
+	rules   *policy.Router
+	nodes   map[string]*policy.Node
+	names   map[*policy.Node]string
 	open    map[string]*command
-	groups  []*rules.CmdGroup
+	groups  []*policy.CmdGroup
 	cut     map[int]bool // from planners
-	drains  map[string]rules.Tenth
-	boots   map[string]rules.Tenth
+	drains  map[string]policy.Tenth
+	boots   map[string]policy.Tenth
 	demoted map[string]bool // by an answer
 	heard   map[string]*link.Heard
-	lates   map[string]rules.Tenth
+	lates   map[string]policy.Tenth
 	trace   *record.Recorder // nil unless the world captures
 }
 
 type command struct {
-	handle  *rules.Cmd
-	until   rules.Tenth
+	handle  *policy.Cmd
+	until   policy.Tenth
 	session string
-	need    rules.Tenth // a position that its read must see; bounded ones by when they are sent
-	group   *rules.CmdGroup
+	need    policy.Tenth // a position that its read must see; bounded ones by when they are sent
+	group   *policy.CmdGroup
 	final   bool
 	out     int // serial of the dispatch that is out; 0: none
 }
@@ -424,21 +424,21 @@
 	w := f.w
 	f.life++
 	f.up = true
-	f.nodes, f.names, f.open = map[string]*rules.Node{}, map[*rules.Node]string{}, map[string]*command{}
-	f.drains, f.boots, f.demoted = map[string]rules.Tenth{}, map[string]rules.Tenth{}, map[string]bool{}
-	f.heard, f.lates = map[string]*link.Heard{}, map[string]rules.Tenth{}
-	f.groups = []*rules.CmdGroup{
-		{Need: rules.Bounded, Bound: second, Target: 250 * ms, Timeout: second, Benefit: 1, LateShare: 0.3},
-		{Need: rules.Session, Target: 250 * ms, Timeout: second, Benefit: 1, LateShare: 0.3},
-		{Effect: rules.Mutating, Need: rules.Write, Target: 400 * ms, Timeout: 3 * second, Benefit: 3, LateShare: 0.3}}
+	f.nodes, f.names, f.open = map[string]*policy.Node{}, map[*policy.Node]string{}, map[string]*command{}
+	f.drains, f.boots, f.demoted = map[string]policy.Tenth{}, map[string]policy.Tenth{}, map[string]bool{}
+	f.heard, f.lates = map[string]*link.Heard{}, map[string]policy.Tenth{}
+	f.groups = []*policy.CmdGroup{
+		{Need: policy.Bounded, Bound: second, Target: 250 * ms, Timeout: second, Benefit: 1, LateShare: 0.3},
+		{Need: policy.Session, Target: 250 * ms, Timeout: second, Benefit: 1, LateShare: 0.3},
+		{Effect: policy.Mutating, Need: policy.Write, Target: 400 * ms, Timeout: 3 * second, Benefit: 3, LateShare: 0.3}}
 	seed := w.Chance.Uint64()
-	d := rules.Deployment{Seed: uint32(seed), Tick: 5 * ms, Routers: w.Forwarders, Dispatches: 6, Told: true,
+	d := policy.Deployment{Seed: uint32(seed), Tick: 5 * ms, Routers: w.Forwarders, Dispatches: 6, Told: true,
 		Comeback: 500 * ms, FallFactor: fall, FallSpan: fallSpan, ColdFrom: coldFrom, ColdFor: coldFor, Groups: f.groups}
 	if w.captured != nil {
 		f.trace = record.New(w.captured(f.name, f.life, d), 64<<10, 1000, [32]byte{}, true)
 		f.trace.Now(w.Now)
 	}
-	f.rules = rules.New(f, d, w.Now)
+	f.rules = policy.New(f, d, w.Now)
 	var addresses []string
 	for i := range w.planners {
 		addresses = append(addresses, strconv.Itoa(i))
@@ -502,7 +502,7 @@
 }
 
 // step does what is due, as after all that comes in.
-func (f *forward) step() (next rules.Tenth) {
+func (f *forward) step() (next policy.Tenth) {
 	w, life := f.w, f.life
 	do := f.core.Tick(w.Now)
 	for _, p := range do.Cut {
@@ -550,12 +550,12 @@
 	hosts := do.Hosts
 	for _, name := range do.Dropped {
 		if f.nodes[name] != nil {
-			hosts = append(hosts, view.Host{Name: name, Standing: rules.Gone, Size: 1})
+			hosts = append(hosts, view.Host{Name: name, Standing: policy.Gone, Size: 1})
 		}
 	}
 	for _, h := range hosts {
 		n := f.nodes[h.Name]
-		if n == nil && h.Standing == rules.Gone {
+		if n == nil && h.Standing == policy.Gone {
 			continue
 		}
 		if n == nil {
@@ -566,7 +566,7 @@
 		f.trace.Listed(n, h.Standing, h.Leader, h.Zone, h.Kind, h.Size, h.Boot)
 		n.Listed(h.Standing, h.Leader, h.Zone, h.Kind, h.Size, h.Boot)
 		f.boots[h.Name] = max(f.boots[h.Name], h.Boot)
-		if h.Standing == rules.In {
+		if h.Standing == policy.In {
 			delete(f.drains, h.Name)
 		} else if f.drains[h.Name] == 0 {
 			f.drains[h.Name] = w.Now
@@ -578,10 +578,10 @@
 	f.rules.Count(do.Routers, do.Blind)
 	for _, h := range hosts {
 		if n := f.nodes[h.Name]; n != nil {
-			late := rules.Lateness(h.Late)
+			late := policy.Lateness(h.Late)
 			f.trace.Told(n, h.Pos, h.Role, h.RoleAt, late)
 			n.Told(h.Pos, h.Role, h.RoleAt, late)
-			if s := w.host(h.Name).set; s.named != nil && !s.named[f] && h.Role == rules.Primary && s.primary == w.host(h.Name) {
+			if s := w.host(h.Name).set; s.named != nil && !s.named[f] && h.Role == policy.Primary && s.primary == w.host(h.Name) {
 				s.named[f] = true
 				w.Named = append(w.Named, w.Now-s.elected)
 			}
@@ -627,9 +627,9 @@
 		set = w.sets[n%len(w.sets)]
 	}
 	f.moment()
-	since := rules.Tenth(0)
-	need := rules.Tenth(0)
-	if g.Need == rules.Session {
+	since := policy.Tenth(0)
+	need := policy.Tenth(0)
+	if g.Need == policy.Session {
 		if need = w.sessions[session]; need > 0 {
 			since = max(1, w.Now-need)
 		}
--- a/internal/lab/virtual/world_test.go
+++ b/internal/simulation/tiernet/world_test.go
@@ -1,4 +1,4 @@
-package virtual
+package tiernet
 
 import (
 	"flag"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"ferrypitch/internal/tier/view"
-	"ferrypitch/rules"
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/policy"
 )
 
 var seeds = flag.Int("seeds", 100, "worlds to play")
@@ -43,7 +43,7 @@
 }
 
 // calm is a world without faults of chance, at a moment when all is known.
-func calm(seed uint64, span rules.Tenth) *World {
+func calm(seed uint64, span policy.Tenth) *World {
 	size := small
 	size.Faults, size.For = 0, span
 	w := New(seed, size)
@@ -79,7 +79,7 @@
 	w := calm(2, 20*second)
 	old := w.sets[0].primary
 	// Planner 2 has a clock that is behind: it believes nothing new and goes on naming the old one.
-	behind := func(by rules.Tenth, planners ...*plan) {
+	behind := func(by policy.Tenth, planners ...*plan) {
 		for _, p := range planners {
 			p.kill()
 			p.skew = by
@@ -115,7 +115,7 @@
 		p.old = true // they hear of nothing new
 	}
 	h := w.hosts[1]
-	w.state(h, rules.Draining)
+	w.state(h, policy.Draining)
 	for w.forwarders[0].drains[h.name] == 0 {
 		w.Play(10 * ms)
 	}
@@ -160,11 +160,11 @@
 		w.dies(w.hosts[1], second)
 		w.dies(w.hosts[4], second)
 		for i, p := range w.planners {
-			w.In(rules.Tenth(i)*second, p.kill)
-			w.In(rules.Tenth(i)*second+1500*ms, func() { p.again(false) })
+			w.In(policy.Tenth(i)*second, p.kill)
+			w.In(policy.Tenth(i)*second+1500*ms, func() { p.again(false) })
 		}
 		for i, f := range w.forwarders[:3] {
-			w.In(second+rules.Tenth(i)*700*ms, func() {
+			w.In(second+policy.Tenth(i)*700*ms, func() {
 				f.kill()
 				w.In(50*ms, f.start)
 			})
@@ -214,11 +214,11 @@
 
 // TestANewPrimaryIsNamedSoon states how soon forwarders know of a new primary, with planners and without.
 func TestANewPrimaryIsNamedSoon(t *testing.T) {
-	half := func(all []rules.Tenth) (half, most rules.Tenth) {
+	half := func(all []policy.Tenth) (half, most policy.Tenth) {
 		slices.Sort(all)
 		return all[len(all)/2] / 10, all[len(all)*99/100] / 10
 	}
-	var named, followed, alone []rules.Tenth
+	var named, followed, alone []policy.Tenth
 	for seed := range uint64(10) {
 		for _, blind := range []bool{false, true} {
 			w := New(200+seed, Size{Forwarders: 40, Planners: 3, Sets: 2, Members: 3, Rate: 400, For: 12 * second})
--- a/internal/lab/tiers/tiers.go
+++ b/internal/simulation/tierprocess/tierprocess.go
@@ -1,7 +1,7 @@
-// Package tiers runs forwarders and planners, or as many routers that are
+// Package tierprocess runs forwarders and planners, or as many routers that are
 // alone, as processes under load and faults, and says what came of it by the
 // stand-in hosts' own record.
-package tiers
+package tierprocess
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"ferrypitch/internal/lab/fleet"
-	"ferrypitch/internal/lab/load"
-	"ferrypitch/internal/standin/pg"
+	"ferrypitch/internal/fake/postgres"
+	"ferrypitch/internal/simulation/tierfleet"
+	"ferrypitch/internal/simulation/workload"
 )
 
 // Terms of a run. Planners 0: routers that are alone.
@@ -37,8 +37,8 @@
 // Outcome is what came of a run.
 type Outcome struct {
 	Terms
-	Tally                                                  *load.Tally `json:"-"`
-	Truth                                                  pg.Truth
+	Tally                                                  *workload.Tally `json:"-"`
+	Truth                                                  postgres.Truth
 	Sent, Answered, Throttled, Failed, Lost, Extra, Unsent int
 	Broken                                                 int
 	Doubled                                                int     // acknowledged writes that ran more than once
@@ -53,9 +53,9 @@
 
 type run struct {
 	Terms
-	fleet      *fleet.Fleet
-	forwarders []*fleet.Process
-	planners   []*fleet.Process
+	fleet      *tierfleet.Fleet
+	forwarders []*tierfleet.Process
+	planners   []*tierfleet.Process
 	routers    []string
 
 	mu      sync.Mutex
@@ -68,7 +68,7 @@
 // Run runs it.
 func Run(ctx context.Context, t Terms) (o *Outcome, err error) {
 	r := &run{Terms: t, elected: map[string]time.Time{}, follows: map[string]map[string]time.Duration{}}
-	if r.fleet, err = fleet.New(t.Dir, t.Sets, t.Members, t.Forwarders, t.Planners); err != nil {
+	if r.fleet, err = tierfleet.New(t.Dir, t.Sets, t.Members, t.Forwarders, t.Planners); err != nil {
 		return nil, err
 	}
 	r.fleet.Trace = t.Trace
@@ -89,7 +89,7 @@
 	for s := range t.Sets {
 		sets = append(sets, int64(s+1))
 	}
-	tally := load.Run(ctx, load.Terms{Routers: r.routers, Sets: sets, Clients: t.Clients, Rate: t.Rate, For: t.For, Writes: 0.15,
+	tally := workload.Run(ctx, workload.Terms{Routers: r.routers, Sets: sets, Clients: t.Clients, Rate: t.Rate, For: t.For, Writes: 0.15,
 		Sessions: 4, Timeout: time.Second, Seed: t.Seed, Seen: r.seen}, r.killed)
 	took := time.Since(began)
 	stop()
@@ -105,14 +105,14 @@
 		if err != nil {
 			return err
 		}
-		p, err := fleet.Start(r.Binary, filepath.Join(r.Dir, fmt.Sprintf("p%d.log", i)), "plan", path)
+		p, err := tierfleet.Start(r.Binary, filepath.Join(r.Dir, fmt.Sprintf("p%d.log", i)), "plan", path)
 		if err != nil {
 			return err
 		}
 		r.planners = append(r.planners, p)
 	}
 	for i := range r.Forwarders {
-		address, err := fleet.Free()
+		address, err := tierfleet.Free()
 		if err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 		if err != nil {
 			return err
 		}
-		p, err := fleet.Start(r.Binary, filepath.Join(r.Dir, fmt.Sprintf("f%d.log", i)), command, path)
+		p, err := tierfleet.Start(r.Binary, filepath.Join(r.Dir, fmt.Sprintf("f%d.log", i)), command, path)
 		if err != nil {
 			return err
 		}
@@ -133,7 +133,7 @@
 	up, stop := context.WithTimeout(ctx, 30*time.Second)
 	defer stop()
 	for _, a := range r.routers {
-		if err := fleet.Ready(up, a); err != nil {
+		if err := tierfleet.Ready(up, a); err != nil {
 			return err
 		}
 	}
@@ -142,7 +142,7 @@
 
 func (r *run) stop() {
 	var all sync.WaitGroup
-	for _, p := range append(append([]*fleet.Process{}, r.planners...), r.forwarders...) {
+	for _, p := range append(append([]*tierfleet.Process{}, r.planners...), r.forwarders...) {
 		all.Go(p.Stop)
 	}
 	all.Wait()
@@ -285,7 +285,7 @@
 	return time.Now().Before(r.until)
 }
 
-func (r *run) outcome(t *load.Tally, before pg.Truth, took time.Duration) *Outcome {
+func (r *run) outcome(t *workload.Tally, before postgres.Truth, took time.Duration) *Outcome {
 	truth := r.fleet.Hosts.Seen()
 	o := &Outcome{Terms: r.Terms, Tally: t, Truth: truth, Sent: t.Sent, Answered: t.Answered, Throttled: t.Throttled, Failed: t.Failed,
 		Lost: t.Lost, Extra: t.Extra, Unsent: t.Unsent, Broken: truth.Broken() + t.Lost + t.Extra + t.Late,
@@ -306,7 +306,7 @@
 			o.Follow = append(o.Follow, float64(times[n/2].Microseconds())/1000, float64(times[n*99/100].Microseconds())/1000)
 		}
 	}
-	use := func(all []*fleet.Process) (cpu float64, resident int) {
+	use := func(all []*tierfleet.Process) (cpu float64, resident int) {
 		for _, p := range all {
 			c, m := p.Use()
 			cpu, resident = cpu+c.Seconds()/float64(len(all)), max(resident, m)
--- a/internal/lab/tiers/tiers_test.go
+++ b/internal/simulation/tierprocess/tierprocess_test.go
@@ -1,15 +1,15 @@
-package tiers
+package tierprocess
 
 import (
 	"testing"
 	"time"
 
-	"ferrypitch/internal/lab/fleet"
+	"ferrypitch/internal/simulation/tierfleet"
 )
 
 func TestSixForwardersAndThreePlannersKilledInTurn(t *testing.T) {
 	dir := t.TempDir()
-	binary, err := fleet.Build(dir, "ferrypitch")
+	binary, err := tierfleet.Build(dir, "ferrypitch")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/load/load.go
+++ b/internal/simulation/workload/workload.go
@@ -1,8 +1,8 @@
-// Package load is an open-loop load of commands over PostgreSQL's protocol:
+// Package workload is an open-loop load of commands over PostgreSQL's protocol:
 // commands are due at moments that answers don't move, latencies count from
 // those, and every command's answers are counted, so that one too many or too
 // few is seen.
-package load
+package workload
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"ferrypitch/internal/protocol"
+	"ferrypitch/internal/router/protocol"
 )
 
 // Terms of a load.
--- a/internal/store/snapshot.go
+++ b/internal/snapshotfile/snapshot.go
@@ -1,9 +1,9 @@
-// Package store keeps what a process learned on a disk that may lose all that was
+// Package snapshotfile keeps what a process learned on a disk that may lose all that was
 // not synced. A snapshot is there whole or as it was before: it is written beside
 // its place, synced, renamed over it, and its folder synced. What is read back is
 // checked by length, version and xxhash, and is only ever a hint: whoever reads it
 // joins it with what it hears.
-package store
+package snapshotfile
 
 import (
 	"bytes"
--- a/internal/store/snapshot_test.go
+++ b/internal/snapshotfile/snapshot_test.go
@@ -1,4 +1,4 @@
-package store
+package snapshotfile
 
 import (
 	"bytes"
--- a/internal/scribe/scribe.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-package scribe
+package wire
 
 import (
 	"bytes"
--- a/rules/door.go
+++ b/policy/door.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 // Tenth is a moment or a span in whole tenths of a millisecond. Positions in
 // the log are moments too, counted from the deployment's zero.
--- a/rules/hosts.go
+++ b/policy/hosts.go
@@ -1,4 +1,4 @@
-package rules
+package policy
 
 import (
 	"cmp"
--- a/rules/rules.go
+++ b/policy/rules.go
@@ -1,4 +1,4 @@
-// Package rules decides where each command of a replicated database goes. The interface is door.go: a caller
+// Package policy decides where each command of a replicated database goes. The interface is door.go: a caller
 // makes a Router with New, tells it the time, the list and what comes in, and does what it asks for.
 //
 // The design: writes leave a token, the position of their commit; a session's read goes to a replica known at
@@ -10,7 +10,7 @@
 //  4. cold budget: a host just started gets a part of what warm hosts do
 //  5. word: routers tell each other what answers say of hosts
 //  6. repeats: a client's last try counts its target from the first; an error met twice is the command's
-package rules
+package policy
 
 import (
 	"hash/crc32"
