--- a/internal/control/statemachine/state.go
+++ b/internal/control/statemachine/state.go
@@ -18,6 +18,7 @@
 	"slices"
 
 	"ferrypitch/internal/config"
+	"ferrypitch/internal/control/statemachine/diskformat"
 )
 
 // Host is a database host as it told of itself.
@@ -124,7 +125,7 @@
 		return c.Configure.encode(c.Led)
 	}
 	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(c); err != nil {
+	if err := gob.NewEncoder(&b).Encode(changeToStored(c)); err != nil {
 		panic(err) // its types are fixed
 	}
 	return b.Bytes()
@@ -136,21 +137,27 @@
 		c.Configure, c.Led, err = decodeConfigure(b)
 		return c, err
 	}
-	err = gob.NewDecoder(bytes.NewReader(b)).Decode(&c)
-	return c, err
+	var stored diskformat.Change
+	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(&stored); err != nil {
+		return Change{}, err
+	}
+	return changeFromStored(stored), nil
 }
 
 // Snapshot is the state as bytes behind their digest; maps are written in order, so equal states give equal bytes.
 func (s *State) Snapshot() []byte {
-	flat := flatState{Index: s.Index, Config: s.Config, Gen: s.Gen, Led: s.Led, Orders: packTaken(s.Taken), Left: s.Gone, Took: s.Took}
+	flat := diskformat.State{Index: s.Index, Config: s.Config, Gen: s.Gen, Led: s.Led, Orders: packTaken(s.Taken), Took: s.Took}
+	for _, d := range s.Gone {
+		flat.Left = append(flat.Left, departureToStored(d))
+	}
 	for _, id := range slices.Sorted(maps.Keys(s.Hosts)) {
-		flat.Hosts = append(flat.Hosts, s.Hosts[id])
+		flat.Hosts = append(flat.Hosts, hostToStored(s.Hosts[id]))
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Leads)) {
-		flat.Names, flat.Leads = append(flat.Names, name), append(flat.Leads, s.Leads[name])
+		flat.Names, flat.Leads = append(flat.Names, name), append(flat.Leads, leadToStored(s.Leads[name]))
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Owed)) {
-		flat.Owed = append(flat.Owed, s.Owed[id])
+		flat.Owed = append(flat.Owed, hostToStored(s.Owed[id]))
 	}
 	for _, name := range s.RouterNames() {
 		flat.Routers, flat.Since = append(flat.Routers, name), append(flat.Since, s.Routers[name])
@@ -166,23 +173,6 @@
 	return b.Bytes()
 }
 
-type flatState struct {
-	Index  uint64
-	Config []byte
-	Gen    int64
-	Led    int64
-	Orders []byte
-	Hosts  []Host
-	Names  []string
-	Leads  []Lead
-	Left   []Departure
-	Owed   []Host
-	Took   int64
-
-	Routers []string
-	Since   []uint64
-}
-
 // Restore reads a snapshot.
 func Restore(b []byte) (*State, error) {
 	s := &State{}
@@ -195,26 +185,29 @@
 		}
 		b = rest[16:]
 	}
-	var flat flatState
+	var flat diskformat.State
 	if err := gob.NewDecoder(bytes.NewReader(b)).Decode(&flat); err != nil {
 		return nil, err
 	}
 	if len(flat.Names) != len(flat.Leads) || len(flat.Routers) != len(flat.Since) {
 		return nil, fmt.Errorf("a snapshot: %d services with %d leads", len(flat.Names), len(flat.Leads))
 	}
-	s.Index, s.Config, s.Gen, s.Led, s.Gone, s.Took = flat.Index, flat.Config, flat.Gen, flat.Led, flat.Left, flat.Took
+	s.Index, s.Config, s.Gen, s.Led, s.Took = flat.Index, flat.Config, flat.Gen, flat.Led, flat.Took
+	for _, d := range flat.Left {
+		s.Gone = append(s.Gone, departureFromStored(d))
+	}
 	var err error
 	if s.Taken, err = unpackTaken(flat.Orders); err != nil {
 		return nil, err
 	}
 	for _, h := range flat.Hosts {
-		s.host(h)
+		s.host(hostFromStored(h))
 	}
 	for _, h := range flat.Owed {
-		s.owe(h)
+		s.owe(hostFromStored(h))
 	}
 	for i, n := range flat.Names {
-		s.lead(n, flat.Leads[i])
+		s.lead(n, leadFromStored(flat.Leads[i]))
 	}
 	for i, n := range flat.Routers {
 		s.router(n, flat.Since[i])
--- a/internal/control/storage/wal.go
+++ b/internal/control/storage/wal.go
@@ -17,6 +17,7 @@
 	"github.com/tidwall/buntdb"
 
 	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/storage/diskformat"
 	"ferrypitch/internal/snapshotfile"
 )
 
@@ -69,7 +70,9 @@
 			return nil, id, kept, err
 		}
 		id, kept = fresh(), consensus.Restored{}
-		err := d.update(func(tx *buntdb.Tx) error { return put(tx, keyIdentity, id) })
+		err := d.update(func(tx *buntdb.Tx) error {
+			return put(tx, keyIdentity, diskformat.Identity{ID: id.ID, Founders: id.Founders})
+		})
 		if err != nil {
 			return nil, id, kept, trace.Wrap(err)
 		}
@@ -166,19 +169,23 @@
 }
 
 func (d *Drawer) read() (id Identity, kept consensus.Restored, err error) {
+	var identity diskformat.Identity
+	var meta diskformat.Meta
+	var snapshot diskformat.Snapshot
 	err = d.db.View(func(tx *buntdb.Tx) error {
-		if _, err := get(tx, keyIdentity, &id); err != nil {
+		if _, err := get(tx, keyIdentity, &identity); err != nil {
 			return err
 		}
-		if _, err := get(tx, keyMeta, &kept.Meta); err != nil {
+		if _, err := get(tx, keyMeta, &meta); err != nil {
 			return err
 		}
-		_, err := get(tx, keySnapshot, &kept.Snapshot)
+		_, err := get(tx, keySnapshot, &snapshot)
 		return err
 	})
+	id, kept.Meta, kept.Snapshot = Identity{ID: identity.ID, Founders: identity.Founders}, meta.Value(), snapshot.Value()
 	next, view := kept.Snapshot.Index+1, kept.Snapshot.View
 	for more := err == nil; more; {
-		var e consensus.Entry
+		var e diskformat.Entry
 		if err = d.db.View(func(tx *buntdb.Tx) error {
 			var err error
 			more, err = get(tx, entryKey(next), &e)
@@ -186,7 +193,7 @@
 		}); err != nil || !more || e.View < view {
 			break
 		}
-		kept.Entries, next, view = append(kept.Entries, e), next+1, e.View
+		kept.Entries, next, view = append(kept.Entries, e.Value()), next+1, e.View
 	}
 	if err == nil { // what lies behind a gap is of a change that was torn
 		d.last = next - 1
@@ -219,10 +226,10 @@
 	}
 	for _, w := range writes {
 		if w.Meta != nil {
-			set(keyMeta, *w.Meta)
+			set(keyMeta, diskformat.FromMeta(*w.Meta))
 		}
 		if w.Snapshot != nil {
-			set(keySnapshot, *w.Snapshot)
+			set(keySnapshot, diskformat.FromSnapshot(*w.Snapshot))
 			if err := flush(); err != nil {
 				return trace.Wrap(err)
 			}
@@ -240,7 +247,7 @@
 			}
 		}
 		for i, e := range w.Entries {
-			set(entryKey(w.From+uint64(i)), e)
+			set(entryKey(w.From+uint64(i)), diskformat.FromEntry(e))
 		}
 		if w.From > 0 {
 			d.last = w.From + uint64(len(w.Entries)) - 1
