--- a/cmd/ferrylab/system.go
+++ b/cmd/ferrylab/system.go
@@ -17,7 +17,7 @@
 )
 
 func systemCommand() *cobra.Command {
-	t := cluster.Terms{}
+	t := cluster.Options{}
 	var asJSON bool
 	c := &cobra.Command{Use: "system", Args: cobra.NoArgs, Short: "The whole system: three control members, two proxies, stand-in hosts, and sessions",
 		Long: "Three members of the control plane and two routers as processes, stand-in hosts, platform and operator in this one,\n" +
@@ -31,7 +31,7 @@
 	return c
 }
 
-func system(ctx context.Context, out io.Writer, t cluster.Terms, asJSON bool) error {
+func system(ctx context.Context, out io.Writer, t cluster.Options, asJSON bool) error {
 	dir, err := os.MkdirTemp("", "ferrylab")
 	if err != nil {
 		return err
--- a/cmd/ferrypitch-control/disk.go
+++ b/cmd/ferrypitch-control/disk.go
@@ -35,7 +35,7 @@
 	Last            uint64
 	Version         int64
 	Hosts           []statemachine.Host
-	Leads           map[string]statemachine.Lead
+	Leads           map[string]statemachine.Primary
 	Routers         []string
 	Unread, Refused int // entries that can't be read; changes that changed nothing
 }
@@ -52,7 +52,7 @@
 		fmt.Fprintf(w, "member %s, view %d\nsnapshot up to %d, %d entries behind it, the last %d\nversion %d, %d hosts, %d routers\n",
 			h.Identity.ID, h.View, h.Snapshot, h.Entries, h.Last, h.Version, len(h.Hosts), len(h.Routers))
 		for name, l := range h.Leads {
-			fmt.Fprintf(w, "%s: led by %s, term %d, moving %v, fence %d\n", name, l.Host, l.Term, l.Moving, l.Fence)
+			fmt.Fprintf(w, "%s: led by %s, term %d, moving %v, fence %d\n", name, l.Host, l.Term, l.Revoked, l.FencingToken)
 		}
 		if h.Unread+h.Refused > 0 {
 			fmt.Fprintf(w, "%d entries can't be read, %d changed nothing\n", h.Unread, h.Refused)
@@ -79,23 +79,23 @@
 		return h, err
 	}
 	defer d.Close()
-	state, err := statemachine.Restore(kept.Snapshot.State)
+	state, err := statemachine.Restore(kept.Snapshot.Data)
 	if err != nil {
 		return h, trace.BadParameter("%s: its snapshot: %v", folder, err)
 	}
 	for i, e := range kept.Entries {
-		if len(e.Body) == 0 {
+		if len(e.Data) == 0 {
 			continue
 		}
-		c, err := statemachine.Decode(e.Body)
+		c, err := statemachine.DecodeChange(e.Data)
 		if err != nil {
 			h.Unread++
 		} else if state.Apply(kept.Snapshot.Index+uint64(i)+1, c) != nil {
 			h.Refused++
 		}
 	}
-	h.Identity, h.View, h.Snapshot, h.Entries = id, kept.Meta.View, kept.Snapshot.Index, len(kept.Entries)
-	h.Last, h.Version, h.Leads, h.Routers = kept.Snapshot.Index+uint64(len(kept.Entries)), state.Gen, state.Leads, state.RouterNames()
+	h.Identity, h.View, h.Snapshot, h.Entries = id, kept.HardState.Term, kept.Snapshot.Index, len(kept.Entries)
+	h.Last, h.Version, h.Leads, h.Routers = kept.Snapshot.Index+uint64(len(kept.Entries)), state.Generation, state.Primaries, state.ProxyNames()
 	for _, host := range state.Hosts {
 		h.Hosts = append(h.Hosts, host)
 	}
--- a/cmd/ferrypitch-control/plan.go
+++ b/cmd/ferrypitch-control/plan.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return cli.Fail("ferrypitch-control", trace.ConvertSystemError(err))
 	}
-	var checked *config.Plan
+	var checked *config.Config
 	if p.current == "" {
 		checked, err = config.Read(body)
 	} else {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -49,14 +49,14 @@
 // Run is the sub-command that serves until it is told to end.
 type Run struct {
 	Program, What string
-	Serve         func(plate *settings.Plate, signals, reload <-chan os.Signal, log hclog.Logger) error
+	Serve         func(plate *settings.Settings, signals, reload <-chan os.Signal, log hclog.Logger) error
 }
 
 func (*Run) Name() string             { return "run" }
 func (r *Run) Synopsis() string       { return r.What }
 func (r *Run) SetFlags(*flag.FlagSet) {}
 func (r *Run) Usage() string {
-	return fmt.Sprintf("%s run\n  serves as the settings file of $%s says\n", r.Program, settings.Variable)
+	return fmt.Sprintf("%s run\n  serves as the settings file of $%s says\n", r.Program, settings.EnvVar)
 }
 
 func (r *Run) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
--- a/internal/compatibility/compatibility_test.go
+++ b/internal/compatibility/compatibility_test.go
@@ -58,14 +58,14 @@
 }
 
 // metaObject renders what a member stores of its view, vote and settled change of members.
-func metaObject(meta consensus.Meta) object {
-	return object{"view": meta.View, "vote": string(meta.Vote), "settled": meta.Settled}
+func metaObject(meta consensus.HardState) object {
+	return object{"view": meta.Term, "vote": string(meta.Vote), "settled": meta.CommittedConfigIndex}
 }
 
 // hostObject renders a database host.
 func hostObject(host statemachine.Host) object {
 	return object{"id": host.ID, "service": host.Service, "address": host.Address, "zone": host.Zone, "generation": host.Generation,
-		"capacity": host.Capacity, "draining": host.Draining, "missing": host.Missing, "since": host.Since}
+		"capacity": host.Capacity, "draining": host.Draining, "missing": host.Missing, "since": host.AddedAt}
 }
 
 // hostObjects renders hosts by their ids.
@@ -80,48 +80,48 @@
 // stateObject renders every field of the replicated state.
 func stateObject(state *statemachine.State) object {
 	taken, gone, leads, services := []object{}, []object{}, object{}, []string{}
-	for _, order := range state.Taken {
-		taken = append(taken, object{"base": order.Base, "sum": hex.EncodeToString(order.Sum[:]), "at": order.At})
+	for _, order := range state.AppliedUpdates {
+		taken = append(taken, object{"base": order.BaseVersion, "sum": hex.EncodeToString(order.Digest[:]), "at": order.LedTimeMs})
 	}
-	for _, departure := range state.Gone {
-		gone = append(gone, object{"id": departure.ID, "at": departure.At})
+	for _, departure := range state.RemovedHosts {
+		gone = append(gone, object{"id": departure.ID, "at": departure.LedTimeMs})
 	}
-	for service, lead := range state.Leads {
-		leads[service] = object{"host": lead.Host, "term": lead.Term, "moving": lead.Moving, "fence": lead.Fence, "holder": lead.Holder,
-			"at": lead.At, "to": lead.To, "paused": lead.Paused}
+	for service, lead := range state.Primaries {
+		leads[service] = object{"host": lead.Host, "term": lead.Term, "moving": lead.Revoked, "fence": lead.FencingToken, "holder": lead.Owner,
+			"at": lead.ChangedAt, "to": lead.Nominee, "paused": lead.ReplicasPaused}
 	}
-	if plan := state.Plan(); plan != nil {
+	if plan := state.Config(); plan != nil {
 		for _, service := range plan.Services {
 			services = append(services, service.Name)
 		}
 	}
-	return object{"index": state.Index, "configuration": string(state.Config), "generation": state.Gen, "led": state.Led, "taken": taken,
-		"hosts": hostObjects(state.Hosts), "leads": leads, "gone": gone, "owed": hostObjects(state.Owed), "took": state.Took,
-		"routers": state.Routers, "plan_services": services}
+	return object{"index": state.Index, "configuration": string(state.ConfigBody), "generation": state.Generation, "led": state.LedTimeMs, "taken": taken,
+		"hosts": hostObjects(state.Hosts), "leads": leads, "gone": gone, "owed": hostObjects(state.UnaccountedHosts), "took": state.LastPromotionMs,
+		"routers": state.Proxies, "plan_services": services}
 }
 
 // changeObject renders every field of one change in the log.
 func changeObject(change statemachine.Change) object {
-	all := object{"led": change.Led, "drain": change.Drain, "leave": change.Leave, "missing": change.Missing, "resumed": change.Resumed}
-	if configure := change.Configure; configure != nil {
-		all["configure"] = object{"base": configure.Base, "amend": configure.Amend, "body": string(configure.Body),
-			"sent": hex.EncodeToString(configure.Sent[:]), "was": hex.EncodeToString(configure.Was[:]),
-			"whole": hex.EncodeToString(configure.Whole[:]), "difference": hex.EncodeToString(configure.Diff)}
+	all := object{"led": change.LedTimeMs, "drain": change.DrainHost, "leave": change.RemoveHost, "missing": change.MarkMissing, "resumed": change.ReplicationResumed}
+	if configure := change.UpdateConfig; configure != nil {
+		all["configure"] = object{"base": configure.BaseVersion, "amend": configure.IsAmendment, "body": string(configure.Body),
+			"sent": hex.EncodeToString(configure.RequestDigest[:]), "was": hex.EncodeToString(configure.BaseDigest[:]),
+			"whole": hex.EncodeToString(configure.ResultDigest[:]), "difference": hex.EncodeToString(configure.Diff)}
 	}
-	if host := change.Enter; host != nil {
+	if host := change.AddHost; host != nil {
 		all["enter"] = hostObject(*host)
 	}
-	if recall := change.Recall; recall != nil {
-		all["recall"] = object{"service": recall.Service, "holder": recall.Holder}
+	if recall := change.RevokePrimary; recall != nil {
+		all["recall"] = object{"service": recall.Service, "holder": recall.Owner}
 	}
-	if named := change.Named; named != nil {
-		all["named"] = object{"service": named.Service, "host": named.Host, "holder": named.Holder}
+	if named := change.NominatePrimary; named != nil {
+		all["named"] = object{"service": named.Service, "host": named.Host, "holder": named.Owner}
 	}
-	if lead := change.Lead; lead != nil {
-		all["lead"] = object{"service": lead.Service, "host": lead.Host, "term": lead.Term, "took": lead.Took}
+	if lead := change.AppointPrimary; lead != nil {
+		all["lead"] = object{"service": lead.Service, "host": lead.Host, "term": lead.Term, "took": lead.PromotionMs}
 	}
-	if router := change.Router; router != nil {
-		all["router"] = object{"node": router.Node, "gone": router.Gone}
+	if router := change.Proxy; router != nil {
+		all["router"] = object{"node": router.Node, "gone": router.Removed}
 	}
 	return all
 }
@@ -129,7 +129,7 @@
 // diskContents is what a member's disk held, with the states that it gives.
 type diskContents struct {
 	identity storage.Identity
-	restored consensus.Restored
+	restored consensus.RestoredState
 	restore  *statemachine.State // of the snapshot alone
 	state    *statemachine.State // with the entries applied
 	changes  []statemachine.Change
@@ -137,7 +137,7 @@
 }
 
 // openDisk opens a member's disk, which must not be taken for a broken one.
-func openDisk(folder string) (*storage.Drawer, storage.Identity, consensus.Restored, error) {
+func openDisk(folder string) (*storage.WAL, storage.Identity, consensus.RestoredState, error) {
 	disk, identity, restored, err := storage.Open(folder, func() storage.Identity { return storage.Identity{ID: "not read"} })
 	if err == nil && identity.ID == "not read" {
 		err = fmt.Errorf("%s: the disk was put aside as broken", folder)
@@ -153,16 +153,16 @@
 	}
 	defer disk.Close()
 	contents.identity, contents.restored = identity, restored
-	if contents.restore, err = statemachine.Restore(restored.Snapshot.State); err != nil {
+	if contents.restore, err = statemachine.Restore(restored.Snapshot.Data); err != nil {
 		return contents, err
 	}
-	if contents.state, err = statemachine.Restore(restored.Snapshot.State); err != nil {
+	if contents.state, err = statemachine.Restore(restored.Snapshot.Data); err != nil {
 		return contents, err
 	}
 	for place, entry := range restored.Entries {
 		change, refused := statemachine.Change{}, false
-		if len(entry.Body) > 0 {
-			if change, err = statemachine.Decode(entry.Body); err != nil {
+		if len(entry.Data) > 0 {
+			if change, err = statemachine.DecodeChange(entry.Data); err != nil {
 				return contents, fmt.Errorf("entry %d: %w", place, err)
 			}
 			refused = contents.state.Apply(restored.Snapshot.Index+uint64(place)+1, change) != nil
@@ -176,16 +176,16 @@
 func (contents diskContents) render() object {
 	snapshot, entries := contents.restored.Snapshot, []object{}
 	for place, entry := range contents.restored.Entries {
-		sum := sha256.Sum256(entry.Body)
-		rendered := object{"index": snapshot.Index + uint64(place) + 1, "view": entry.View, "members": memberNames(entry.Members),
-			"body_bytes": len(entry.Body), "body_sha256": hex.EncodeToString(sum[:])}
-		if len(entry.Body) > 0 {
+		sum := sha256.Sum256(entry.Data)
+		rendered := object{"index": snapshot.Index + uint64(place) + 1, "view": entry.Term, "members": memberNames(entry.Members),
+			"body_bytes": len(entry.Data), "body_sha256": hex.EncodeToString(sum[:])}
+		if len(entry.Data) > 0 {
 			rendered["change"], rendered["refused"] = changeObject(contents.changes[place]), contents.refused[place]
 		}
 		entries = append(entries, rendered)
 	}
-	return object{"identity": identityObject(contents.identity), "meta": metaObject(contents.restored.Meta),
-		"snapshot": object{"index": snapshot.Index, "view": snapshot.View, "members": memberNames(snapshot.Members), "state": stateObject(contents.restore)},
+	return object{"identity": identityObject(contents.identity), "meta": metaObject(contents.restored.HardState),
+		"snapshot": object{"index": snapshot.Index, "view": snapshot.Term, "members": memberNames(snapshot.Members), "state": stateObject(contents.restore)},
 		"entries":  entries, "state": stateObject(contents.state)}
 }
 
@@ -241,7 +241,7 @@
 		contents[name] = read
 		require.Equal(t, object{"id": "10.0.0.1:7000+a1", "founders": []string{"10.0.0.1:7000+a1", "10.0.0.2:7000+b1", "10.0.0.3:7000+c1"}},
 			identityObject(read.identity), name)
-		require.Equal(t, object{"view": uint64(3), "vote": "10.0.0.2:7000+b1", "settled": uint64(2)}, metaObject(read.restored.Meta), name)
+		require.Equal(t, object{"view": uint64(3), "vote": "10.0.0.2:7000+b1", "settled": uint64(2)}, metaObject(read.restored.HardState), name)
 		require.NotContains(t, read.refused, true, name)
 	}
 	for name, size := range map[string]int{"entries": 34, "snapshot": 6, "membership": 5, "torn": 30, "oldest": 6} {
@@ -276,7 +276,7 @@
 	moving := contents["membership"].restored
 	require.Equal(t, []string{"10.0.0.1:7000+a1", "10.0.0.2:7000+b1", "10.0.0.3:7000+c1"}, memberNames(moving.Snapshot.Members))
 	require.Equal(t, []string{"10.0.0.1:7000+a1", "10.0.0.2:7000+b1", "10.0.0.3:7000+c1", "10.0.0.4:7000+d1"}, memberNames(moving.Entries[3].Members))
-	require.Greater(t, moving.Snapshot.Index+4, moving.Meta.Settled, "the change of members is not settled")
+	require.Greater(t, moving.Snapshot.Index+4, moving.HardState.CommittedConfigIndex, "the change of members is not settled")
 }
 
 // disks are the fixtures of member disks.
@@ -360,10 +360,10 @@
 			disk, identity, before, err := openDisk(folder)
 			require.NoError(t, err)
 			next := before.Snapshot.Index + uint64(len(before.Entries)) + 1
-			change := statemachine.Change{Led: 999_999, Router: &statemachine.Router{Node: "router-added"}}
-			entry := consensus.Entry{View: before.Meta.View, Body: statemachine.Encode(change)}
-			meta := consensus.Meta{View: before.Meta.View, Vote: "10.0.0.9:7000+9", Settled: before.Meta.Settled}
-			require.NoError(t, disk.Store([]consensus.Write{{Meta: &meta, From: next, Entries: []consensus.Entry{entry}}}))
+			change := statemachine.Change{LedTimeMs: 999_999, Proxy: &statemachine.ProxyMembership{Node: "router-added"}}
+			entry := consensus.Entry{Term: before.HardState.Term, Data: statemachine.EncodeChange(change)}
+			meta := consensus.HardState{Term: before.HardState.Term, Vote: "10.0.0.9:7000+9", CommittedConfigIndex: before.HardState.CommittedConfigIndex}
+			require.NoError(t, disk.Save([]consensus.Write{{HardState: &meta, FirstIndex: next, Entries: []consensus.Entry{entry}}}))
 			require.NoError(t, disk.Close())
 
 			contents, err := readDisk(folder)
@@ -371,14 +371,14 @@
 			require.Equal(t, identity, contents.identity)
 			require.Equal(t, before.Snapshot, contents.restored.Snapshot)
 			require.Equal(t, append(slices.Clone(before.Entries), entry), contents.restored.Entries)
-			require.Equal(t, meta, contents.restored.Meta)
-			require.Equal(t, next, contents.state.Routers["router-added"])
-			require.EqualValues(t, 999_999, contents.state.Led)
+			require.Equal(t, meta, contents.restored.HardState)
+			require.Equal(t, next, contents.state.Proxies["router-added"])
+			require.EqualValues(t, 999_999, contents.state.LedTimeMs)
 
-			snapshot := consensus.Snapshot{Index: next, View: meta.View, Members: before.Snapshot.Members, State: contents.state.Snapshot()}
+			snapshot := consensus.Snapshot{Index: next, Term: meta.Term, Members: before.Snapshot.Members, Data: contents.state.Snapshot()}
 			disk, _, _, err = openDisk(folder)
 			require.NoError(t, err)
-			require.NoError(t, disk.Store([]consensus.Write{{Snapshot: &snapshot, Keep: next}}))
+			require.NoError(t, disk.Save([]consensus.Write{{Snapshot: &snapshot, CompactThrough: next}}))
 			require.NoError(t, disk.Close())
 			again, err := readDisk(folder)
 			require.NoError(t, err)
--- a/internal/compatibility/generate_test.go
+++ b/internal/compatibility/generate_test.go
@@ -73,39 +73,39 @@
 
 // plain adds an entry that is not of the state machine.
 func (h *history) plain(view uint64, members ...consensus.ID) {
-	h.entries = append(h.entries, consensus.Entry{View: view, Members: members})
+	h.entries = append(h.entries, consensus.Entry{Term: view, Members: members})
 }
 
 // add adds changes.
 func (h *history) add(view uint64, changes ...statemachine.Change) {
 	for _, change := range changes {
 		h.led += 125
-		change.Led = h.led
-		body := statemachine.Encode(change)
-		again, err := statemachine.Decode(body)
+		change.LedTimeMs = h.led
+		body := statemachine.EncodeChange(change)
+		again, err := statemachine.DecodeChange(body)
 		if err == nil {
 			err = h.state.Apply(uint64(len(h.entries))+1, again)
 		}
 		if err != nil && h.err == nil {
 			h.err = fmt.Errorf("entry %d: %w", len(h.entries)+1, err)
 		}
-		h.entries = append(h.entries, consensus.Entry{View: view, Body: body})
+		h.entries = append(h.entries, consensus.Entry{Term: view, Data: body})
 	}
 }
 
 // packed adds an operator's order as a leader packs it.
-func (h *history) packed(view uint64, order statemachine.Configure) {
-	plan, err := h.state.Check(&order)
+func (h *history) packed(view uint64, order statemachine.ConfigUpdate) {
+	plan, err := h.state.CheckConfig(&order)
 	if err != nil {
 		h.err = err
 		return
 	}
-	h.add(view, statemachine.Change{Configure: h.state.Pack(&order, plan)})
+	h.add(view, statemachine.Change{UpdateConfig: h.state.Delta(&order, plan)})
 }
 
 // host is a host that enters.
 func host(id, service, address string) statemachine.Change {
-	return statemachine.Change{Enter: &statemachine.Host{ID: id, Service: service, Address: address, Zone: "zone-" + id[len(id)-1:], Generation: "pg16-" + id, Capacity: 4000}}
+	return statemachine.Change{AddHost: &statemachine.Host{ID: id, Service: service, Address: address, Zone: "zone-" + id[len(id)-1:], Generation: "pg16-" + id, Capacity: 4000}}
 }
 
 // first is the part of the log before the snapshot: every kind of change, and a state without a field that is zero.
@@ -113,31 +113,31 @@
 	h := &history{}
 	h.plain(1)
 	h.plain(1, memberA, memberB, memberC)
-	h.packed(1, statemachine.Configure{Body: configuration(3, 800)})
+	h.packed(1, statemachine.ConfigUpdate{Body: configuration(3, 800)})
 	h.add(1, host("ledger-1", "ledger", "10.1.0.1:5432"), host("ledger-2", "ledger", "10.1.0.2:5432"), host("ledger-3", "ledger", "10.1.0.3:5432"),
 		host("ledger-4", "ledger", "10.1.0.4:5432"), host("audit-5", "audit", "10.1.0.5:5432"),
-		statemachine.Change{Enter: &statemachine.Host{ID: "audit-6", Service: "audit", Address: "10.1.0.6:5432", Zone: "zone-6", Generation: "pg16-audit-6", Capacity: 10, Draining: true, Missing: true, Since: 77}},
-		statemachine.Change{Lead: &statemachine.NewLead{Service: "ledger", Host: "ledger-1", Term: 4, Took: 850}},
-		statemachine.Change{Lead: &statemachine.NewLead{Service: "audit", Host: "audit-5", Term: 2}},
-		statemachine.Change{Configure: &statemachine.Configure{Base: 3, Body: configuration(4, 700)}},
-		statemachine.Change{Configure: &statemachine.Configure{Base: 4, Amend: true, Body: amendment(5, 610)}})
-	h.packed(2, statemachine.Configure{Base: 5, Amend: true, Body: amendment(6, 620)})
-	h.packed(2, statemachine.Configure{Base: 6, Body: configuration(8, 650)})
-	h.add(2, statemachine.Change{Drain: "ledger-2"}, statemachine.Change{Missing: "ledger-2"}, statemachine.Change{Drain: "ledger-3"}, statemachine.Change{Leave: "ledger-3"},
-		statemachine.Change{Router: &statemachine.Router{Node: "router-1"}}, statemachine.Change{Router: &statemachine.Router{Node: "router-2"}}, statemachine.Change{Router: &statemachine.Router{Node: "router-3"}},
-		statemachine.Change{Router: &statemachine.Router{Node: "router-2", Gone: true}},
-		statemachine.Change{Recall: &statemachine.Recall{Service: "audit", Holder: string(memberA)}}, statemachine.Change{Lead: &statemachine.NewLead{Service: "audit", Host: "audit-5", Term: 3, Took: 910}},
-		statemachine.Change{Resumed: "audit"},
-		statemachine.Change{Recall: &statemachine.Recall{Service: "ledger", Holder: string(memberB)}}, statemachine.Change{Named: &statemachine.Named{Service: "ledger", Host: "ledger-4", Holder: string(memberC)}})
+		statemachine.Change{AddHost: &statemachine.Host{ID: "audit-6", Service: "audit", Address: "10.1.0.6:5432", Zone: "zone-6", Generation: "pg16-audit-6", Capacity: 10, Draining: true, Missing: true, AddedAt: 77}},
+		statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: "ledger", Host: "ledger-1", Term: 4, PromotionMs: 850}},
+		statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: "audit", Host: "audit-5", Term: 2}},
+		statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{BaseVersion: 3, Body: configuration(4, 700)}},
+		statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{BaseVersion: 4, IsAmendment: true, Body: amendment(5, 610)}})
+	h.packed(2, statemachine.ConfigUpdate{BaseVersion: 5, IsAmendment: true, Body: amendment(6, 620)})
+	h.packed(2, statemachine.ConfigUpdate{BaseVersion: 6, Body: configuration(8, 650)})
+	h.add(2, statemachine.Change{DrainHost: "ledger-2"}, statemachine.Change{MarkMissing: "ledger-2"}, statemachine.Change{DrainHost: "ledger-3"}, statemachine.Change{RemoveHost: "ledger-3"},
+		statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: "router-1"}}, statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: "router-2"}}, statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: "router-3"}},
+		statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: "router-2", Removed: true}},
+		statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: "audit", Owner: string(memberA)}}, statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: "audit", Host: "audit-5", Term: 3, PromotionMs: 910}},
+		statemachine.Change{ReplicationResumed: "audit"},
+		statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: "ledger", Owner: string(memberB)}}, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: "ledger", Host: "ledger-4", Owner: string(memberC)}})
 	return h
 }
 
 // later adds the part of the log behind the snapshot.
 func later(h *history) {
 	h.plain(3)
-	h.add(3, statemachine.Change{Lead: &statemachine.NewLead{Service: "ledger", Host: "ledger-4", Term: 5, Took: 1230}}, statemachine.Change{Resumed: "ledger"},
-		host("ledger-7", "ledger", "10.1.0.3:5432"), statemachine.Change{Leave: "audit-6"})
-	h.packed(3, statemachine.Configure{Base: 8, Amend: true, Body: amendment(9, 990)})
+	h.add(3, statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: "ledger", Host: "ledger-4", Term: 5, PromotionMs: 1230}}, statemachine.Change{ReplicationResumed: "ledger"},
+		host("ledger-7", "ledger", "10.1.0.3:5432"), statemachine.Change{RemoveHost: "audit-6"})
+	h.packed(3, statemachine.ConfigUpdate{BaseVersion: 8, IsAmendment: true, Body: amendment(9, 990)})
 }
 
 // writeDisk writes a member's disk, each write synced by itself, and gives the size of the file after each.
@@ -161,7 +161,7 @@
 			return err
 		}
 		before = info.Size()
-		if err := disk.Store([]consensus.Write{write}); err != nil {
+		if err := disk.Save([]consensus.Write{write}); err != nil {
 			return err
 		}
 	}
@@ -206,19 +206,19 @@
 		return h.err
 	}
 	behind := h.entries[at:]
-	meta := func(view uint64, settled uint64) *consensus.Meta {
-		return &consensus.Meta{View: view, Vote: memberB, Settled: settled}
+	meta := func(view uint64, settled uint64) *consensus.HardState {
+		return &consensus.HardState{Term: view, Vote: memberB, CommittedConfigIndex: settled}
 	}
-	snapshot := &consensus.Snapshot{Index: at, View: 2, Members: []consensus.ID{memberA, memberB, memberC}, State: state}
-	moving := append(append([]consensus.Entry{}, behind[:3]...), consensus.Entry{View: 3, Members: []consensus.ID{memberA, memberB, memberC, memberD}},
-		consensus.Entry{View: 3, Body: statemachine.Encode(statemachine.Change{Led: h.led, Router: &statemachine.Router{Node: "router-4"}})})
+	snapshot := &consensus.Snapshot{Index: at, Term: 2, Members: []consensus.ID{memberA, memberB, memberC}, Data: state}
+	moving := append(append([]consensus.Entry{}, behind[:3]...), consensus.Entry{Term: 3, Members: []consensus.ID{memberA, memberB, memberC, memberD}},
+		consensus.Entry{Term: 3, Data: statemachine.EncodeChange(statemachine.Change{LedTimeMs: h.led, Proxy: &statemachine.ProxyMembership{Node: "router-4"}})})
 	for _, err := range []error{
-		writeDisk("entries", consensus.Write{Meta: meta(1, 0), From: 1, Entries: before[:4]}, consensus.Write{Meta: meta(2, 2), From: 5, Entries: before[4:]},
-			consensus.Write{Meta: meta(3, 2), From: at + 1, Entries: behind}),
-		writeDisk("snapshot", consensus.Write{Meta: meta(2, 2), From: 1, Entries: before}, consensus.Write{Snapshot: snapshot, Keep: at},
-			consensus.Write{Meta: meta(3, 2), From: at + 1, Entries: behind}),
-		writeDisk("membership", consensus.Write{Meta: meta(3, 2), Snapshot: snapshot, Keep: at}, consensus.Write{From: at + 1, Entries: moving}),
-		writeDisk("torn", consensus.Write{Meta: meta(3, 2), From: 1, Entries: before}, consensus.Write{From: at + 1, Entries: behind[:2]}, consensus.Write{From: at + 3, Entries: behind[2:3]}),
+		writeDisk("entries", consensus.Write{HardState: meta(1, 0), FirstIndex: 1, Entries: before[:4]}, consensus.Write{HardState: meta(2, 2), FirstIndex: 5, Entries: before[4:]},
+			consensus.Write{HardState: meta(3, 2), FirstIndex: at + 1, Entries: behind}),
+		writeDisk("snapshot", consensus.Write{HardState: meta(2, 2), FirstIndex: 1, Entries: before}, consensus.Write{Snapshot: snapshot, CompactThrough: at},
+			consensus.Write{HardState: meta(3, 2), FirstIndex: at + 1, Entries: behind}),
+		writeDisk("membership", consensus.Write{HardState: meta(3, 2), Snapshot: snapshot, CompactThrough: at}, consensus.Write{FirstIndex: at + 1, Entries: moving}),
+		writeDisk("torn", consensus.Write{HardState: meta(3, 2), FirstIndex: 1, Entries: before}, consensus.Write{FirstIndex: at + 1, Entries: behind[:2]}, consensus.Write{FirstIndex: at + 3, Entries: behind[2:3]}),
 		writeView(), writeTrace(),
 	} {
 		if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,13 +22,13 @@
 
 // Kinds of routes, by what their reads must see (RULES.md).
 const (
-	Leader  = "leader"
-	Bounded = "bounded_staleness"
-	Owned   = "owned"
+	KindLeader  = "leader"
+	KindBounded = "bounded_staleness"
+	KindOwned   = "owned"
 )
 
-// Plan is a checked configuration. Body is what Config.Read answers.
-type Plan struct {
+// Config is a checked configuration. Body is what Config.Read answers.
+type Config struct {
 	Generation int64 `validate:"min=0"`
 	Routes     []Route
 	Services   []Service
@@ -70,14 +70,14 @@
 var check = validator.New(validator.WithRequiredStructEnabled())
 
 // Read reads a whole configuration; the error names the fault.
-func Read(body []byte) (*Plan, error) { return Next(nil, body) }
+func Read(body []byte) (*Config, error) { return ReadNext(nil, body) }
 
 // whole reads a configuration of any shape.
-func whole(body []byte) (*Plan, error) {
-	if len(body) > Most {
+func whole(body []byte) (*Config, error) {
+	if len(body) > MaxBodyBytes {
 		return nil, tooLong(len(body))
 	}
-	p := &Plan{Body: body}
+	p := &Config{Body: body}
 	if err := top(body, p); err != nil {
 		return nil, err
 	}
@@ -85,7 +85,7 @@
 }
 
 // top reads an object into a plan.
-func top(body []byte, p *Plan) error {
+func top(body []byte, p *Config) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	if err := d.Decode(p); err != nil {
 		return fault(err)
@@ -117,7 +117,7 @@
 	return fmt.Errorf("the body: %w", err)
 }
 
-func (p *Plan) check() error {
+func (p *Config) check() error {
 	if err := tags("", p); err != nil {
 		return err
 	}
@@ -156,10 +156,10 @@
 
 // Amend puts items into a configuration, or in the place of those of the same name, and takes out those that are
 // named. All other bytes of the items stay as they were sent.
-func Amend(current []byte, body []byte) (*Plan, error) { return (&Plan{Body: current}).Amend(body) }
+func Amend(current []byte, body []byte) (*Config, error) { return (&Config{Body: current}).Amend(body) }
 
 // Amend is a plan's own: items that stay are not read and checked again.
-func (p *Plan) Amend(body []byte) (*Plan, error) {
+func (p *Config) Amend(body []byte) (*Config, error) {
 	current := p.Body
 	var a amendment
 	if err := json.Unmarshal(body, &a); err != nil {
@@ -203,7 +203,7 @@
 		name, _ := json.Marshal(k)
 		whole = append(append(append(whole, name...), ':'), top[k]...)
 	}
-	return Next(p, append(whole, '}'))
+	return ReadNext(p, append(whole, '}'))
 }
 
 func name(item json.RawMessage) (string, error) {
@@ -274,8 +274,8 @@
 	return keys, top, nil
 }
 
-// Peek reads the generation of a body that may be no whole configuration.
-func Peek(body []byte) (generation int64, ok bool) {
+// PeekGeneration reads the generation of a body that may be no whole configuration.
+func PeekGeneration(body []byte) (generation int64, ok bool) {
 	var p struct{ Generation *int64 }
 	if json.Unmarshal(body, &p) != nil || p.Generation == nil {
 		return 0, false
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -8,15 +8,15 @@
 	"slices"
 )
 
-// Most is the longest body in bytes.
-const Most = 8 << 20
+// MaxBodyBytes is the longest body in bytes.
+const MaxBodyBytes = 8 << 20
 
 // least is how many bytes a copy must stand for.
 const least = 12
 
 // Diff is how a body is made of an older one's bytes: its length, then in turn new bytes (their number before them) and a
 // copy (where it begins, and how many). Items that stood in the older body are copied wherever they stand now.
-func Diff(old, p *Plan) []byte {
+func Diff(old, p *Config) []byte {
 	type anchor struct{ at, old int }
 	anchors := []anchor{{0, 0}}
 	for _, l := range [][2][]span{{old.at.routes, p.at.routes}, {old.at.services, p.at.services}} {
@@ -71,7 +71,7 @@
 
 // Patch makes a body of an older one by a difference. All lengths are checked before anything is made.
 func Patch(old, diff []byte) ([]byte, error) {
-	size, rest, ok := number(diff, Most)
+	size, rest, ok := number(diff, MaxBodyBytes)
 	if !ok {
 		return nil, errDiff
 	}
@@ -116,4 +116,4 @@
 	return int(u), b[k:], true
 }
 
-func tooLong(n int) error { return fmt.Errorf("the body: %d bytes, %d at most", n, Most) }
+func tooLong(n int) error { return fmt.Errorf("the body: %d bytes, %d at most", n, MaxBodyBytes) }
--- a/internal/config/diff_test.go
+++ b/internal/config/diff_test.go
@@ -61,7 +61,7 @@
 			i := fmt.Sprint(chance.IntN(n))
 			next = bytes.Replace(next, []byte(`"Name":"r0","Host":"db0"`), []byte(`"Name":"r`+i+`","Host":"db`+i+`"`), 1)
 		}
-		p, err := Next(old, next)
+		p, err := ReadNext(old, next)
 		alone, want := whole(bytes.Clone(next))
 		require.Equal(t, want, err, "seed %d: %s", seed, next)
 		if err != nil {
@@ -78,7 +78,7 @@
 	}
 	require.Greater(t, refused, 10)
 	old, _ := Read(many(1, 900, same))
-	p, err := Next(old, many(2, 900, func(i int) string { return strings.Repeat(`,"New":1`, 1/(1+(i-77)*(i-77))) }))
+	p, err := ReadNext(old, many(2, 900, func(i int) string { return strings.Repeat(`,"New":1`, 1/(1+(i-77)*(i-77))) }))
 	require.NoError(t, err)
 	require.Less(t, len(Diff(old, p)), 64, "one route of 900 changed")
 }
@@ -87,7 +87,7 @@
 	old := []byte("0123456789")
 	for name, d := range map[string][]byte{
 		"empty":                       {},
-		"a length beyond reason":      binary.AppendUvarint(nil, Most+1),
+		"a length beyond reason":      binary.AppendUvarint(nil, MaxBodyBytes+1),
 		"a length that overflows":     bytes.Repeat([]byte{0xff}, 12),
 		"literals that are not there": {5, 5, 'a'},
 		"a copy behind the end":       {5, 0, 8, 5},
@@ -100,14 +100,14 @@
 		_, err := Patch(old, d)
 		require.ErrorIs(t, err, errDiff, name)
 	}
-	big := make([]byte, Most/8)
-	d := binary.AppendUvarint(nil, Most+Most/8)
+	big := make([]byte, MaxBodyBytes/8)
+	d := binary.AppendUvarint(nil, MaxBodyBytes+MaxBodyBytes/8)
 	for range 9 { // few bytes that stand for many
-		d = binary.AppendUvarint(append(d, 0, 0), Most/8)
+		d = binary.AppendUvarint(append(d, 0, 0), MaxBodyBytes/8)
 	}
 	_, err := Patch(big, d)
 	require.ErrorIs(t, err, errDiff)
-	_, err = Read(append(bytes.Repeat([]byte(" "), Most), many(1, 1, same)...))
+	_, err = Read(append(bytes.Repeat([]byte(" "), MaxBodyBytes), many(1, 1, same)...))
 	require.ErrorContains(t, err, "at most")
 }
 
@@ -123,7 +123,7 @@
 		if err != nil {
 			return
 		}
-		p, err := Next(old, after)
+		p, err := ReadNext(old, after)
 		alone, want := whole(after)
 		if (err == nil) != (want == nil) {
 			t.Fatalf("beside another: %v, alone: %v", err, want)
@@ -143,9 +143,9 @@
 
 func FuzzPatch(f *testing.F) {
 	f.Add([]byte("0123456789"), []byte{7, 1, 'a', 2, 5, 1, 'b'})
-	f.Add([]byte("x"), binary.AppendUvarint(nil, Most))
+	f.Add([]byte("x"), binary.AppendUvarint(nil, MaxBodyBytes))
 	f.Fuzz(func(t *testing.T, old, d []byte) {
-		if b, err := Patch(old, d); err == nil && len(b) > Most {
+		if b, err := Patch(old, d); err == nil && len(b) > MaxBodyBytes {
 			t.Fatalf("%d bytes", len(b))
 		}
 	})
@@ -156,11 +156,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			old, _ := Read(many(1, n, same))
 			next := many(2, n, func(i int) string { return strings.Repeat(`,"New":1`, 1/(1+(i-7)*(i-7))) })
-			p, _ := Next(old, next)
+			p, _ := ReadNext(old, next)
 			d := Diff(old, p)
 			for b.Loop() {
 				made, _ := Patch(old.Body, d)
-				Next(old, made)
+				ReadNext(old, made)
 			}
 			b.ReportMetric(float64(len(d)), "diff_B")
 			b.ReportMetric(float64(len(next)), "body_B")
--- a/internal/config/items.go
+++ b/internal/config/items.go
@@ -58,9 +58,9 @@
 	return -1
 }
 
-// Next reads a whole configuration that takes the place of an older one (nil: none). Items that stood in that one are
+// ReadNext reads a whole configuration that takes the place of an older one (nil: none). Items that stood in that one are
 // not read and checked again; the verdict is the same as Read's.
-func Next(old *Plan, body []byte) (*Plan, error) {
+func ReadNext(old *Config, body []byte) (*Config, error) {
 	if p := next(old, body); p != nil {
 		return p, nil
 	}
@@ -68,14 +68,14 @@
 }
 
 // next gives nil where there may be a fault, or where the body has a shape of its own.
-func next(old *Plan, body []byte) *Plan {
+func next(old *Config, body []byte) *Config {
 	if old == nil {
-		old = &Plan{}
+		old = &Config{}
 	}
 	was := [2]*finder{{body: old.Body, items: old.at.routes}, {body: old.Body, items: old.at.services}}
 	at, places, skeleton, ok := split(body, was)
-	p := &Plan{}
-	if !ok || len(body) > Most || top(skeleton, p) != nil {
+	p := &Config{}
+	if !ok || len(body) > MaxBodyBytes || top(skeleton, p) != nil {
 		return nil
 	}
 	p.Body, p.at = body, at
@@ -269,7 +269,7 @@
 
 // cross checks what items say of each other. Where only few routes are new, and each other one stood once in a plan that
 // was checked, those are compared with all.
-func (p *Plan) cross(fresh []int, once bool) error {
+func (p *Config) cross(fresh []int, once bool) error {
 	services := make(map[string]bool, len(p.Services))
 	for i := range p.Services {
 		s := &p.Services[i]
--- a/internal/control/callers_test.go
+++ b/internal/control/callers_test.go
@@ -26,7 +26,7 @@
 // A ring is three members on a network that loses, holds back and repeats what they pass on, while they end and begin
 // anew, and callers who each know the answer to their own question.
 type ring struct {
-	*scheduler.Stage
+	*scheduler.Scheduler
 	seats  []*seat
 	token  int
 	logged map[string]map[[2]uint64]bool // by token: where it stands in the log
@@ -38,16 +38,16 @@
 type seat struct {
 	w     *ring
 	ip    string
-	f     *Forge
+	f     *Server
 	up    bool
 	life  int
 	id    storage.Identity
-	disk  consensus.Restored
+	disk  consensus.RestoredState
 	queue []consensus.Write
 }
 
 func newRing(seed uint64) *ring {
-	w := &ring{Stage: scheduler.New(seed, 1<<40, ms), logged: map[string]map[[2]uint64]bool{}, told: map[string]int{}}
+	w := &ring{Scheduler: scheduler.New(seed, 1<<40, ms), logged: map[string]map[[2]uint64]bool{}, told: map[string]int{}}
 	ids := []consensus.ID{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 	for _, id := range ids {
 		w.seats = append(w.seats, &seat{w: w, ip: string(id), id: storage.Identity{ID: id, Founders: ids}})
@@ -56,14 +56,14 @@
 		s.begin()
 	}
 	for i := range 4 {
-		w.In(int64(1000+i*17)*ms, w.ask)
+		w.After(int64(1000+i*17)*ms, w.ask)
 	}
-	w.In(1500*ms, w.strike)
+	w.After(1500*ms, w.strike)
 	return w
 }
 
-func plateAt(ip string) *settings.Plate {
-	p := &settings.Plate{Node: "n" + ip, Ip: ip, Zone: "z", BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
+func plateAt(ip string) *settings.Settings {
+	p := &settings.Settings{Node: "n" + ip, Ip: ip, Zone: "z", BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
 	p.FaultBudget.Machines = 1
 	p.Listen.Control = ip + ":8080"
 	return p
@@ -79,20 +79,20 @@
 	if w.sameLife {
 		life = 1
 	}
-	clock := eventloop.NewSteady(func() time.Time { return time.Unix(1e9, w.Now*int64(time.Millisecond)/ms) })
-	f, err := New(plateAt(s.ip), hclog.NewNullLogger(), clock, s.id, kept, w.Chance.Float64, life)
+	clock := eventloop.NewSteadyClock(func() time.Time { return time.Unix(1e9, w.Now*int64(time.Millisecond)/ms) })
+	f, err := New(plateAt(s.ip), hclog.NewNullLogger(), clock, s.id, kept, w.Rand.Float64, life)
 	if err != nil {
 		panic(err)
 	}
 	s.f = f
-	f.Wire(Reach{Send: s.send, Store: func(x []consensus.Write) { s.store(s.life, x) }})
+	f.SetEnvironment(Environment{Send: s.send, Persist: func(x []consensus.Write) { s.store(s.life, x) }})
 	s.tick(s.life)
 }
 
 func (s *seat) tick(life int) {
 	if s.up && s.life == life {
 		s.f.Tick()
-		s.w.In(50*ms, func() { s.tick(life) })
+		s.w.After(50*ms, func() { s.tick(life) })
 	}
 }
 
@@ -101,27 +101,27 @@
 	s.queue = append(s.queue, x...)
 	for _, write := range x {
 		for i, e := range write.Entries {
-			c, _ := statemachine.Decode(e.Body)
+			c, _ := statemachine.DecodeChange(e.Data)
 			token := ""
-			if c.Enter != nil {
-				token = c.Enter.ID
-			} else if c.Configure != nil {
-				token = string(c.Configure.Sent[:])
+			if c.AddHost != nil {
+				token = c.AddHost.ID
+			} else if c.UpdateConfig != nil {
+				token = string(c.UpdateConfig.RequestDigest[:])
 			}
 			if w.logged[token] == nil {
 				w.logged[token] = map[[2]uint64]bool{}
 			}
-			w.logged[token][[2]uint64{e.View, write.From + uint64(i)}] = true
+			w.logged[token][[2]uint64{e.Term, write.FirstIndex + uint64(i)}] = true
 		}
 	}
-	w.In(w.Between(ms/2, 8*ms), func() {
+	w.After(w.Between(ms/2, 8*ms), func() {
 		if s.up && s.life == life && len(s.queue) > 0 {
 			for _, write := range s.queue {
-				s.disk.Put(write)
+				s.disk.ApplyWrite(write)
 			}
 			seq := s.queue[len(s.queue)-1].Seq
 			s.queue = nil
-			s.f.Saved(seq)
+			s.f.Persisted(seq)
 		}
 	})
 }
@@ -131,20 +131,20 @@
 func (s *seat) send(ip string, frame *rpc.Frame) {
 	w := s.w
 	arrive := func(after int64) {
-		w.In(after, func() {
+		w.After(after, func() {
 			for _, to := range w.seats {
 				if to.ip == ip && to.up {
-					to.f.Hear(s.ip, frame)
+					to.f.HandleFrame(s.ip, frame)
 				}
 			}
 		})
 	}
 	soon := w.Between(ms/2, 3*ms)
-	if frame.Core != nil {
+	if frame.Consensus != nil {
 		arrive(soon)
 		return
 	}
-	switch w.Chance.IntN(12) {
+	switch w.Rand.IntN(12) {
 	case 0: // reset before it was written, or in the middle
 	case 1: // silence, and it comes all the same
 		arrive(w.Between(100*ms, 6000*ms))
@@ -158,33 +158,33 @@
 
 // strike ends a member, which begins anew with its disk soon after; often one that only follows, in the same view.
 func (w *ring) strike() {
-	s := w.seats[w.Chance.IntN(3)]
-	if s.up && !w.seats[0].down() && !w.seats[1].down() && !w.seats[2].down() && (w.Odds(4) || !s.f.leads) {
+	s := w.seats[w.Rand.IntN(3)]
+	if s.up && !w.seats[0].down() && !w.seats[1].down() && !w.seats[2].down() && (w.OneIn(4) || !s.f.leads) {
 		s.up = false
-		w.In(w.Between(20*ms, 600*ms), s.begin)
+		w.After(w.Between(20*ms, 600*ms), s.begin)
 	}
-	w.In(w.Between(300*ms, 1500*ms), w.strike)
+	w.After(w.Between(300*ms, 1500*ms), w.strike)
 }
 
 func (s *seat) down() bool { return !s.up }
 
 // ask makes one call at one member, and looks at what comes.
 func (w *ring) ask() {
-	w.In(w.Between(10*ms, 80*ms), w.ask)
-	s := w.seats[w.Chance.IntN(3)]
+	w.After(w.Between(10*ms, 80*ms), w.ask)
+	s := w.seats[w.Rand.IntN(3)]
 	if !s.up {
 		return
 	}
 	w.token++
 	t := fmt.Sprintf("t%d", w.token)
 	kind, method, path, base, body := "", http.MethodPost, "/Config.Replace", "0", ""
-	switch w.Chance.IntN(4) {
+	switch w.Rand.IntN(4) {
 	case 0:
 		kind, base = "odd order", "q"+t
 	case 1:
 		kind, body = "order", fmt.Sprintf(`{"Generation":%d,"Routes":[],"Services":[]}`, w.token)
-		base = fmt.Sprint(s.f.state.Gen)
-		sent := (&statemachine.State{}).Pack(&statemachine.Configure{Body: []byte(body)}, &config.Plan{}).Sent // how the log knows it
+		base = fmt.Sprint(s.f.state.Generation)
+		sent := (&statemachine.State{}).Delta(&statemachine.ConfigUpdate{Body: []byte(body)}, &config.Config{}).RequestDigest // how the log knows it
 		t = string(sent[:])
 	case 2:
 		kind, path = "beat", "/Instances.Heartbeat/"+t
@@ -193,32 +193,32 @@
 		kind, path, body = "odd beat", "/Instances.Heartbeat/"+t, `{"Service":"db","Address":"`+t+`"}`
 	}
 	n := 0
-	s.f.Take(method, path, base, []byte(body), func(status int, b []byte) {
+	s.f.HandleCall(method, path, base, []byte(body), func(status int, b []byte) {
 		if n++; n > 1 {
-			w.Broke("%s is answered twice", t)
+			w.Violate("%s is answered twice", t)
 		}
 		w.told[fmt.Sprint(kind, " ", status)]++
 		switch got := string(b); {
 		case status == http.StatusServiceUnavailable:
 		case strings.HasPrefix(kind, "odd"):
 			if status != http.StatusBadRequest || !strings.Contains(got, t+`\"`) {
-				w.Broke("WRONG CALLER: %s %s is told %d %s", kind, t, status, got)
+				w.Violate("WRONG CALLER: %s %s is told %d %s", kind, t, status, got)
 			}
 		case status == http.StatusPreconditionFailed && kind == "order":
 		case status != http.StatusOK || strings.Contains(got, "BeatTarget") != (kind == "beat"):
-			w.Broke("WRONG CALLER: %s %s is told %d %s", kind, t, status, got)
+			w.Violate("WRONG CALLER: %s %s is told %d %s", kind, t, status, got)
 		case len(w.logged[t]) == 0:
-			w.Broke("UNEARNED: %s %s is confirmed and stands in no log", kind, t)
+			w.Violate("UNEARNED: %s %s is confirmed and stands in no log", kind, t)
 		}
 	})
 }
 
 // play goes on for a while, and looks at what was carried out.
 func (w *ring) play() {
-	w.Play(8000 * ms)
+	w.RunFor(8000 * ms)
 	for t, at := range w.logged {
 		if len(at) > 1 && t != "" {
-			w.Broke("TWICE: %s stands in the log %d times", t, len(at))
+			w.Violate("TWICE: %s stands in the log %d times", t, len(at))
 		}
 	}
 }
@@ -232,7 +232,7 @@
 	for seed := range seeds {
 		w := newRing(uint64(seed))
 		w.play()
-		require.Empty(t, w.Broken, "seed %d", seed)
+		require.Empty(t, w.Violations, "seed %d", seed)
 		for k, n := range w.told {
 			told[k] += n
 		}
@@ -257,8 +257,8 @@
 		w := newRing(uint64(seed))
 		w.sameLife = true
 		w.play()
-		if i := slices.IndexFunc(w.Broken, func(b string) bool { return strings.Contains(b, "WRONG CALLER") }); i >= 0 {
-			t.Logf("caught by seed %d: %s", seed, w.Broken[i])
+		if i := slices.IndexFunc(w.Violations, func(b string) bool { return strings.Contains(b, "WRONG CALLER") }); i >= 0 {
+			t.Logf("caught by seed %d: %s", seed, w.Violations[i])
 			return
 		}
 	}
@@ -267,7 +267,7 @@
 
 // desk is one member by itself, with all that it sends.
 type desk struct {
-	f     *Forge
+	f     *Server
 	now   time.Time
 	sent  []*rpc.Frame
 	to    []string
@@ -276,17 +276,17 @@
 
 func newDesk(id consensus.ID, founders ...consensus.ID) *desk {
 	d := &desk{now: time.Unix(1e9, 0)}
-	f, err := New(plateAt(id.Address()), hclog.NewNullLogger(), eventloop.NewSteady(func() time.Time { return d.now }),
-		storage.Identity{ID: id, Founders: founders}, consensus.Restored{}, func() float64 { return 0.5 }, 77)
+	f, err := New(plateAt(id.Address()), hclog.NewNullLogger(), eventloop.NewSteadyClock(func() time.Time { return d.now }),
+		storage.Identity{ID: id, Founders: founders}, consensus.RestoredState{}, func() float64 { return 0.5 }, 77)
 	if err != nil {
 		panic(err)
 	}
 	d.f = f
-	f.Wire(Reach{Send: func(ip string, frame *rpc.Frame) {
-		if frame.Core == nil {
+	f.SetEnvironment(Environment{Send: func(ip string, frame *rpc.Frame) {
+		if frame.Consensus == nil {
 			d.sent, d.to = append(d.sent, frame), append(d.to, ip)
 		}
-	}, Store: func(x []consensus.Write) { d.ready = append(d.ready, x[len(x)-1].Seq) }})
+	}, Persist: func(x []consensus.Write) { d.ready = append(d.ready, x[len(x)-1].Seq) }})
 	return d
 }
 
@@ -296,50 +296,50 @@
 		for len(d.ready) > 0 {
 			seq := d.ready[0]
 			d.ready = d.ready[1:]
-			d.f.Saved(seq)
+			d.f.Persisted(seq)
 		}
 	}
 }
 
 // follows has a member follow one that leads.
 func (d *desk) follows(leader consensus.ID, view uint64) {
-	d.f.Hear(leader.Address(), &rpc.Frame{Core: &consensus.Message{Kind: consensus.Heartbeat, From: leader, To: d.f.id, View: view, Sent: 1}})
+	d.f.HandleFrame(leader.Address(), &rpc.Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: leader, To: d.f.id, Term: view, SentAtMs: 1}})
 }
 
 // An answer counts for exactly the call that is out, from exactly the member that was asked, once.
 func TestAnAnswerCountsOnlyForTheCallThatIsOut(t *testing.T) {
 	for name, c := range map[string]struct {
-		change func(a *rpc.Answer, from *string)
+		change func(a *rpc.ForwardResponse, from *string)
 		why    stray
 	}{
-		"to a call that was never made":       {func(a *rpc.Answer, _ *string) { a.Serial += 5 }, answerUnknown},
-		"to none":                             {func(a *rpc.Answer, _ *string) { a.Serial = 0 }, answerUnknown},
-		"of another life":                     {func(a *rpc.Answer, _ *string) { a.Life++ }, answerLife},
-		"to another member's call":            {func(a *rpc.Answer, _ *string) { a.From = "10.0.0.3" }, answerLife},
-		"to the old member at this address":   {func(a *rpc.Answer, _ *string) { a.From = "10.0.0.1+ab" }, answerLife},
-		"from another member":                 {func(a *rpc.Answer, from *string) { a.By, *from = "10.0.0.3", "10.0.0.3" }, answerOther},
-		"from the address of another":         {func(_ *rpc.Answer, from *string) { *from = "10.0.0.3" }, answerOther},
-		"from an empty one at its address":    {func(a *rpc.Answer, _ *string) { a.By = "10.0.0.2+ab" }, answerOther},
-		"of another view":                     {func(a *rpc.Answer, _ *string) { a.View++ }, answerOther},
-		"without a status":                    {func(a *rpc.Answer, _ *string) { a.Status = 0 }, answerOdd},
-		"with a status beyond all that there": {func(a *rpc.Answer, _ *string) { a.Status = 1 << 30 }, answerOdd},
+		"to a call that was never made":       {func(a *rpc.ForwardResponse, _ *string) { a.Serial += 5 }, answerUnknown},
+		"to none":                             {func(a *rpc.ForwardResponse, _ *string) { a.Serial = 0 }, answerUnknown},
+		"of another life":                     {func(a *rpc.ForwardResponse, _ *string) { a.Incarnation++ }, answerLife},
+		"to another member's call":            {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.3" }, answerLife},
+		"to the old member at this address":   {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.1+ab" }, answerLife},
+		"from another member":                 {func(a *rpc.ForwardResponse, from *string) { a.By, *from = "10.0.0.3", "10.0.0.3" }, answerOther},
+		"from the address of another":         {func(_ *rpc.ForwardResponse, from *string) { *from = "10.0.0.3" }, answerOther},
+		"from an empty one at its address":    {func(a *rpc.ForwardResponse, _ *string) { a.By = "10.0.0.2+ab" }, answerOther},
+		"of another view":                     {func(a *rpc.ForwardResponse, _ *string) { a.Term++ }, answerOther},
+		"without a status":                    {func(a *rpc.ForwardResponse, _ *string) { a.Status = 0 }, answerOdd},
+		"with a status beyond all that there": {func(a *rpc.ForwardResponse, _ *string) { a.Status = 1 << 30 }, answerOdd},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDesk("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
 			d.follows("10.0.0.2", 4)
 			n := 0
-			d.f.Take(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { n++ })
+			d.f.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { n++ })
 			require.Len(t, d.sent, 1)
 			require.Equal(t, "10.0.0.2", d.to[0])
-			good := rpc.Answer{Mark: d.sent[0].Ask.Mark, By: "10.0.0.2", Status: 200}
+			good := rpc.ForwardResponse{CallID: d.sent[0].ForwardRequest.CallID, By: "10.0.0.2", Status: 200}
 			bad, from := good, "10.0.0.2"
 			c.change(&bad, &from)
-			d.f.Hear(from, &rpc.Frame{Answer: &bad})
+			d.f.HandleFrame(from, &rpc.Frame{ForwardResponse: &bad})
 			require.Zero(t, n, "it counted")
 			require.EqualValues(t, 1, d.f.counts()[strayNames[c.why]])
-			d.f.Hear("10.0.0.2", &rpc.Frame{Answer: &good})
+			d.f.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
 			require.Equal(t, 1, n, "the right one counts still")
-			d.f.Hear("10.0.0.2", &rpc.Frame{Answer: &good})
+			d.f.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
 			require.Equal(t, 1, n, "once")
 			require.EqualValues(t, 1, d.f.counts()["answers_late"])
 		})
@@ -350,43 +350,43 @@
 func TestACallIsCarriedOutOnceForThoseWhoMayAsk(t *testing.T) {
 	body := []byte(`{"Service":"db","Address":"10.1.0.1:80","State":"serving","CallSeq":1}`)
 	for name, c := range map[string]struct {
-		change func(a *rpc.Ask, from *string)
+		change func(a *rpc.ForwardRequest, from *string)
 		why    stray
 		told   bool // that it was not carried out
 	}{
-		"an unknown process":            {func(a *rpc.Ask, from *string) { a.From, *from = "10.9.9.9", "10.9.9.9" }, askUnknown, false},
-		"one that is not where it says": {func(_ *rpc.Ask, from *string) { *from = "10.9.9.9" }, askUnknown, false},
-		"one that gives no name":        {func(a *rpc.Ask, _ *string) { a.From = "" }, askUnknown, false},
-		"meant for the old member":      {func(a *rpc.Ask, _ *string) { a.To = "10.0.0.1+ab" }, askElsewhere, true},
-		"of an older view":              {func(a *rpc.Ask, _ *string) { a.View-- }, askElsewhere, true},
+		"an unknown process":            {func(a *rpc.ForwardRequest, from *string) { a.From, *from = "10.9.9.9", "10.9.9.9" }, askUnknown, false},
+		"one that is not where it says": {func(_ *rpc.ForwardRequest, from *string) { *from = "10.9.9.9" }, askUnknown, false},
+		"one that gives no name":        {func(a *rpc.ForwardRequest, _ *string) { a.From = "" }, askUnknown, false},
+		"meant for the old member":      {func(a *rpc.ForwardRequest, _ *string) { a.To = "10.0.0.1+ab" }, askElsewhere, true},
+		"of an older view":              {func(a *rpc.ForwardRequest, _ *string) { a.Term-- }, askElsewhere, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDesk("10.0.0.1", "10.0.0.1")
 			d.run(2 * time.Second)
 			require.True(t, d.f.leads)
-			good := rpc.Ask{Mark: rpc.Mark{From: "10.0.0.2", Life: 5, View: d.f.core.View(), Serial: 1}, To: "10.0.0.1",
+			good := rpc.ForwardRequest{CallID: rpc.CallID{From: "10.0.0.2", Incarnation: 5, Term: d.f.core.Term(), Serial: 1}, To: "10.0.0.1",
 				Method: http.MethodPost, Path: "/Instances.Heartbeat/h1", Body: body}
 			bad, from := good, "10.0.0.2"
 			c.change(&bad, &from)
-			d.f.Hear(from, &rpc.Frame{Ask: &bad})
+			d.f.HandleFrame(from, &rpc.Frame{ForwardRequest: &bad})
 			d.run(200 * time.Millisecond)
 			require.Empty(t, d.f.state.Hosts, "it was carried out")
 			require.EqualValues(t, 1, d.f.counts()[strayNames[c.why]])
 			if c.told {
 				require.Len(t, d.sent, 1)
-				require.Equal(t, http.StatusServiceUnavailable, d.sent[0].Answer.Status)
+				require.Equal(t, http.StatusServiceUnavailable, d.sent[0].ForwardResponse.Status)
 			} else {
 				require.Empty(t, d.sent)
 			}
 			d.sent = nil
 			for range 3 {
-				d.f.Hear("10.0.0.2", &rpc.Frame{Ask: &good})
+				d.f.HandleFrame("10.0.0.2", &rpc.Frame{ForwardRequest: &good})
 			}
 			d.run(200 * time.Millisecond)
 			require.Len(t, d.f.state.Hosts, 1)
 			require.EqualValues(t, 1, d.f.Beats.Load())
 			require.Len(t, d.sent, 1)
-			require.Equal(t, rpc.Answer{Mark: good.Mark, By: "10.0.0.1", Status: 200, Body: d.sent[0].Answer.Body}, *d.sent[0].Answer)
+			require.Equal(t, rpc.ForwardResponse{CallID: good.CallID, By: "10.0.0.1", Status: 200, Body: d.sent[0].ForwardResponse.Body}, *d.sent[0].ForwardResponse)
 			require.EqualValues(t, 2, d.f.counts()["asks_repeated"])
 		})
 	}
@@ -396,7 +396,7 @@
 func TestAMessageOfTheLogCountsOnlyFromItsSender(t *testing.T) {
 	for from, leads := range map[string]consensus.ID{"10.0.0.2": "10.0.0.2", "10.0.0.3": "", "10.9.9.9": ""} {
 		d := newDesk("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
-		d.f.Hear(from, &rpc.Frame{Core: &consensus.Message{Kind: consensus.Heartbeat, From: "10.0.0.2", To: "10.0.0.1", View: 4, Sent: 1}})
+		d.f.HandleFrame(from, &rpc.Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: "10.0.0.2", To: "10.0.0.1", Term: 4, SentAtMs: 1}})
 		require.Equal(t, leads, d.f.core.Leader(), "from %s", from)
 		require.EqualValues(t, map[bool]int64{true: 1}[leads == ""], d.f.counts()["messages_of_another"])
 	}
@@ -408,7 +408,7 @@
 	d.follows("10.0.0.2", 4)
 	refused := 0
 	for range mostPassed + 10 {
-		d.f.Take(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { refused++ })
+		d.f.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { refused++ })
 	}
 	require.Equal(t, 10, refused)
 	require.EqualValues(t, 10, d.f.counts()["asks_over_limit"])
@@ -416,15 +416,15 @@
 	require.Empty(t, d.f.passed, "forgotten once nobody waits")
 	d.follows("10.0.0.2", 4)
 	refused = 0
-	large := make([]byte, replace.Most)
-	for range mostPassedBytes/replace.Most + 3 {
-		d.f.Take(http.MethodPost, "/Config.Replace", "0", large, func(int, []byte) { refused++ })
+	large := make([]byte, replace.MaxBodyBytes)
+	for range mostPassedBytes/replace.MaxBodyBytes + 3 {
+		d.f.HandleCall(http.MethodPost, "/Config.Replace", "0", large, func(int, []byte) { refused++ })
 	}
 	require.Equal(t, 3, refused)
 	d.run(6 * time.Second)
 	require.Zero(t, d.f.bytes)
 	status := 0
-	d.f.Take(http.MethodPost, "/Config.Replace", "0", append(large, 0), func(s int, _ []byte) { status = s })
+	d.f.HandleCall(http.MethodPost, "/Config.Replace", "0", append(large, 0), func(s int, _ []byte) { status = s })
 	require.Equal(t, http.StatusRequestEntityTooLarge, status)
 	for i := range 1000 {
 		require.True(t, d.f.first(asker{"10.0.0.2", uint64(i)}, 1))
@@ -440,7 +440,7 @@
 		var win window
 		seen, newest := map[uint64]bool{}, uint64(0)
 		for range 500 {
-			serial := uint64(max(1, int64(newest)+int64(w.Chance.IntN(150))-100))
+			serial := uint64(max(1, int64(newest)+int64(w.Rand.IntN(150))-100))
 			want := !seen[serial] && (newest < 64 || serial > newest-64)
 			require.Equal(t, want, win.take(serial), "seed %d: %d after %d", seed, serial, newest)
 			seen[serial], newest = seen[serial] || want, max(newest, serial)
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -27,17 +27,17 @@
 	body               []byte
 }
 
-// Call is declared beside its handler. Handlers run in the owner's goroutine and answer once.
-type Call struct {
+// Endpoint is declared beside its handler. Handlers run in the owner's goroutine and answer once.
+type Endpoint struct {
 	Method, Path string // a path that ends in / is followed by an id
-	Most         int64  // bytes of the body
-	Within       time.Duration
-	Handle       func(f *Forge, id string, c call, answer func(status int, body []byte))
+	MaxBodyBytes int64  // bytes of the body
+	Timeout      time.Duration
+	Handle       func(f *Server, id string, c call, answer func(status int, body []byte))
 }
 
-var calls = []Call{replace, amend, read, heartbeat, leave, status}
+var calls = []Endpoint{replace, amend, read, heartbeat, leave, status}
 
-func find(method, path string) (Call, string, bool) {
+func find(method, path string) (Endpoint, string, bool) {
 	for _, c := range calls {
 		if c.Method != method {
 			continue
@@ -46,11 +46,11 @@
 			return c, id, true
 		}
 	}
-	return Call{}, "", false
+	return Endpoint{}, "", false
 }
 
 // serve takes calls over HTTP.
-func (f *Forge) serve(l net.Listener) error {
+func (f *Server) serve(l net.Listener) error {
 	s := &http.Server{Handler: http.HandlerFunc(f.http), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 15 * time.Second,
 		WriteTimeout: 15 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10}
 	stop := context.AfterFunc(f.ctx, func() { s.Close() })
@@ -61,24 +61,24 @@
 	return nil
 }
 
-func (f *Forge) http(w http.ResponseWriter, r *http.Request) {
+func (f *Server) http(w http.ResponseWriter, r *http.Request) {
 	f.Calls.Add(1)
 	c, _, ok := find(r.Method, r.URL.Path)
 	if !ok {
-		tell(w, errcode.NoCall, "")
+		tell(w, errcode.UnknownEndpoint, "")
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, c.Most+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, c.MaxBodyBytes+1))
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded): // this process may have stood still meanwhile: that is no judgement on the call
 		tell(w, errcode.NoLeader, "it did not come in time")
 		return
 	case err != nil:
-		tell(w, errcode.BadBody, "it did not come whole")
+		tell(w, errcode.InvalidBody, "it did not come whole")
 		return
 	}
-	if int64(len(body)) > c.Most {
-		tell(w, errcode.LongBody, "over "+strconv.FormatInt(c.Most, 10)+" bytes")
+	if int64(len(body)) > c.MaxBodyBytes {
+		tell(w, errcode.BodyTooLong, "over "+strconv.FormatInt(c.MaxBodyBytes, 10)+" bytes")
 		return
 	}
 	type answer struct {
@@ -87,7 +87,7 @@
 	}
 	done := make(chan answer, 1)
 	in := call{r.Method, r.URL.Path, r.Header.Get("X-Base-Version"), body}
-	if !f.queue.Put(eventloop.Commands, func() {
+	if !f.queue.Put(eventloop.PriorityCommands, func() {
 		f.handle(in, true, func(status int, body []byte) {
 			select {
 			case done <- answer{status, body}:
@@ -98,7 +98,7 @@
 		tell(w, errcode.NoLeader, "this member ends")
 		return
 	}
-	timer := time.NewTimer(c.Within)
+	timer := time.NewTimer(c.Timeout)
 	defer timer.Stop()
 	select {
 	case a := <-done:
@@ -114,24 +114,24 @@
 	}
 }
 
-// Take answers a call of a host or an operator, here or by the member that leads.
-func (f *Forge) Take(method, path, base string, body []byte, answer func(status int, body []byte)) {
+// HandleCall answers a call of a host or an operator, here or by the member that leads.
+func (f *Server) HandleCall(method, path, base string, body []byte, answer func(status int, body []byte)) {
 	f.handle(call{method, path, base, body}, true, answer)
 }
 
 // handle answers a call if this member leads, and else passes it on to the one that does, once.
-func (f *Forge) handle(in call, pass bool, answer func(int, []byte)) {
+func (f *Server) handle(in call, pass bool, answer func(int, []byte)) {
 	c, id, ok := find(in.method, in.path)
-	leader := f.core.Heard(f.clock.Now())
+	leader := f.core.RecentLeader(f.clock.Now())
 	switch {
 	case !ok:
-		refuse(answer, errcode.NoCall, nil)
-	case int64(len(in.body)) > c.Most:
-		refuse(answer, errcode.LongBody, nil)
-	case f.leads && f.core.Holds(f.clock.Now()) || c.Path == status.Path:
+		refuse(answer, errcode.UnknownEndpoint, nil)
+	case int64(len(in.body)) > c.MaxBodyBytes:
+		refuse(answer, errcode.BodyTooLong, nil)
+	case f.leads && f.core.HoldsLease(f.clock.Now()) || c.Path == status.Path:
 		c.Handle(f, id, in, answer)
 	case pass && leader != "" && leader != f.id:
-		f.passOn(leader, in, c.Within.Milliseconds(), answer)
+		f.passOn(leader, in, c.Timeout.Milliseconds(), answer)
 	default:
 		refuse(answer, errcode.NoLeader, nil)
 	}
@@ -160,7 +160,7 @@
 }
 
 // control is where a member takes calls: all have alike ports.
-func (f *Forge) control(ip string) string {
+func (f *Server) control(ip string) string {
 	_, port, _ := net.SplitHostPort(f.plate.Listen.Control)
 	return net.JoinHostPort(ip, port)
 }
@@ -168,42 +168,42 @@
 // kindOf is why a change was not made.
 func kindOf(err error) errcode.Kind {
 	switch {
-	case errors.Is(err, statemachine.ErrOther):
-		return errcode.OtherBase
+	case errors.Is(err, statemachine.ErrVersionConflict):
+		return errcode.VersionConflict
 	case errors.Is(err, statemachine.ErrInvalid):
-		return errcode.BadBody
-	case errors.Is(err, statemachine.ErrUnknown):
-		return errcode.NotKnown
+		return errcode.InvalidBody
+	case errors.Is(err, statemachine.ErrNotFound):
+		return errcode.NotFound
 	}
 	return errcode.NoLeader
 }
 
 // Status is what a member shows of itself, whether it leads or not.
 type Status struct {
-	Standing consensus.Standing
-	Version  int64
-	Hosts    int
-	Routers  int // that hold leases, where it leads
-	Leads    map[string]statemachine.Lead
-	Moves    map[string]failover.Move // where it leads
-	Owed     []statemachine.Host      // that left, and whose logs are not known to be elsewhere
-	Missing  []string                 // hosts that fail-over need not ask
-	Counts   map[string]int64
+	Consensus        consensus.Status
+	Version          int64
+	Hosts            int
+	Proxies          int // that hold leases, where it leads
+	Primaries        map[string]statemachine.Primary
+	Transitions      map[string]failover.Transition // where it leads
+	UnaccountedHosts []statemachine.Host            // that left, and whose logs are not known to be elsewhere
+	MissingHosts     []string                       // hosts that fail-over need not ask
+	Counters         map[string]int64
 }
 
-var status = Call{Method: http.MethodGet, Path: "/Member.Status", Most: 0, Within: time.Second,
-	Handle: func(f *Forge, _ string, _ call, answer func(int, []byte)) {
+var status = Endpoint{Method: http.MethodGet, Path: "/Member.Status", MaxBodyBytes: 0, Timeout: time.Second,
+	Handle: func(f *Server, _ string, _ call, answer func(int, []byte)) {
 		now := f.clock.Now()
-		s := Status{Standing: f.core.Standing(now), Version: f.state.Gen, Hosts: len(f.state.Hosts), Leads: f.state.Leads, Counts: f.counts()}
+		s := Status{Consensus: f.core.Status(now), Version: f.state.Generation, Hosts: len(f.state.Hosts), Primaries: f.state.Primaries, Counters: f.counts()}
 		if f.leads {
-			s.Routers, s.Moves = f.jaw.Live(now), f.hoist.Moves(f.state, now)
+			s.Proxies, s.Transitions = f.jaw.HolderCount(now), f.hoist.Transitions(f.state, now)
 		}
-		for _, id := range slices.Sorted(maps.Keys(f.state.Owed)) {
-			s.Owed = append(s.Owed, f.state.Owed[id])
+		for _, id := range slices.Sorted(maps.Keys(f.state.UnaccountedHosts)) {
+			s.UnaccountedHosts = append(s.UnaccountedHosts, f.state.UnaccountedHosts[id])
 		}
 		for _, id := range slices.Sorted(maps.Keys(f.state.Hosts)) {
 			if f.state.Hosts[id].Missing {
-				s.Missing = append(s.Missing, id)
+				s.MissingHosts = append(s.MissingHosts, id)
 			}
 		}
 		b, _ := json.Marshal(s)
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -21,23 +21,23 @@
 // sole is a member that leads alone and holds a state, with all its routers linked and all hosts heard. What it sends is
 // counted, and not encoded: internal/rpc has the price of a frame.
 type sole struct {
-	*Forge
+	*Server
 	frames  int
-	routers []*Router
+	routers []*ProxyConn
 	pending []consensus.Write
 }
 
-func newSole(b *testing.B, e statesize.Extent) *sole {
-	plate := &settings.Plate{Node: "core-waco-hall-0", Ip: "10.1.0.11", Zone: "waco-hall", BeatMs: 1200}
+func newSole(b *testing.B, e statesize.Size) *sole {
+	plate := &settings.Settings{Node: "core-waco-hall-0", Ip: "10.1.0.11", Zone: "waco-hall", BeatMs: 1200}
 	plate.Listen.Control = "10.1.0.11:8782"
 	id := storage.Identity{ID: "10.1.0.11", Founders: []consensus.ID{"10.1.0.11"}}
-	f, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteady(time.Now), id, consensus.Restored{}, func() float64 { return 0 }, 1)
+	f, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), id, consensus.RestoredState{}, func() float64 { return 0 }, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := &sole{Forge: f}
-	f.Wire(Reach{Send: func(string, *rpc.Frame) {}, Ask: func(failover.Question, statemachine.Host) {}, Promote: func(failover.Promotion) {},
-		Store: func(w []consensus.Write) { s.pending = append(s.pending, w...) }})
+	s := &sole{Server: f}
+	f.SetEnvironment(Environment{Send: func(string, *rpc.Frame) {}, QueryHost: func(failover.HostQuery, statemachine.Host) {}, Promote: func(failover.Promotion) {},
+		Persist: func(w []consensus.Write) { s.pending = append(s.pending, w...) }})
 	for !f.leads {
 		f.Tick()
 		s.store()
@@ -47,11 +47,11 @@
 	f.state = e.State()
 	f.state.Index = index
 	for n := range e.Hosts() {
-		f.hoist.Beat(statesize.Host(n).ID, n%3 == 0, f.clock.Now()+1<<40) // none falls silent while it is measured
+		f.hoist.Heartbeat(statesize.Host(n).ID, n%3 == 0, f.clock.Now()+1<<40) // none falls silent while it is measured
 	}
 	for n := range e.Routers {
-		hello := &rpc.Hello{Node: statesize.Router(n), Life: 1, Zone: "waco-hall", From: index}
-		s.routers = append(s.routers, f.Meet(hello, fmt.Sprintf("10.1.%d.%d", n/250, 1+n%250),
+		hello := &rpc.Hello{Node: statesize.Router(n), Incarnation: 1, Zone: "waco-hall", AppliedIndex: index}
+		s.routers = append(s.routers, f.AcceptProxy(hello, fmt.Sprintf("10.1.%d.%d", n/250, 1+n%250),
 			func(*rpc.Frame) bool { s.frames++; return true }, func() {}))
 	}
 	return s
@@ -62,11 +62,11 @@
 	for len(s.pending) > 0 {
 		seq := s.pending[len(s.pending)-1].Seq
 		s.pending = nil
-		s.Saved(seq)
+		s.Persisted(seq)
 	}
 }
 
-func sizes(b *testing.B, run func(b *testing.B, s *sole, e statesize.Extent)) {
+func sizes(b *testing.B, run func(b *testing.B, s *sole, e statesize.Size)) {
 	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) {
 			s := newSole(b, e)
@@ -79,21 +79,21 @@
 
 // One renewal of a lease, as the owner of the state takes it in.
 func BenchmarkRenewal(b *testing.B) {
-	sizes(b, func(b *testing.B, s *sole, e statesize.Extent) {
+	sizes(b, func(b *testing.B, s *sole, e statesize.Size) {
 		for b.Loop() {
-			s.Said(s.routers[7], &rpc.Frame{Renew: &rpc.Renew{Serial: 1, Applied: s.state.Index, Sessions: 100}})
+			s.HandleProxyFrame(s.routers[7], &rpc.Frame{LeaseRequest: &rpc.LeaseRequest{Serial: 1, AppliedIndex: s.state.Index, Sessions: 100}})
 		}
 	})
 }
 
 // One beat of a host that tells nothing new.
 func BenchmarkBeat(b *testing.B) {
-	sizes(b, func(b *testing.B, s *sole, e statesize.Extent) {
+	sizes(b, func(b *testing.B, s *sole, e statesize.Size) {
 		h := statesize.Host(10)
 		body := fmt.Appendf(nil, `{"Service":%q,"Address":%q,"Zone":%q,"Generation":%q,"Capacity":7,"State":"serving","DbRole":"replica","CallSeq":1}`,
 			h.Service, h.Address, h.Zone, h.Generation)
 		for b.Loop() {
-			s.Take(http.MethodPost, heartbeat.Path+h.ID, "", body, func(status int, b2 []byte) {
+			s.HandleCall(http.MethodPost, heartbeat.Path+h.ID, "", body, func(status int, b2 []byte) {
 				if status != http.StatusOK {
 					b.Fatal(status, string(b2))
 				}
@@ -104,11 +104,11 @@
 
 // One change, from its proposal to a frame in each router's queue.
 func BenchmarkChange(b *testing.B) {
-	sizes(b, func(b *testing.B, s *sole, e statesize.Extent) {
+	sizes(b, func(b *testing.B, s *sole, e statesize.Size) {
 		term := uint64(1)
 		for b.Loop() {
 			term++
-			s.propose(statemachine.Change{Lead: &statemachine.NewLead{Service: statesize.Service(3), Host: statesize.Host(9).ID, Term: term}}, func(error) {})
+			s.propose(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(9).ID, Term: term}}, func(error) {})
 			s.store()
 		}
 	})
@@ -116,10 +116,10 @@
 
 // A router that has nothing is greeted with a snapshot.
 func BenchmarkGreet(b *testing.B) {
-	sizes(b, func(b *testing.B, s *sole, e statesize.Extent) {
+	sizes(b, func(b *testing.B, s *sole, e statesize.Size) {
 		for b.Loop() {
-			r := s.Meet(&rpc.Hello{Node: statesize.Router(7), Life: 1, Zone: "waco-hall"}, "10.1.0.8", func(*rpc.Frame) bool { s.frames++; return true }, func() {})
-			s.Parted(r)
+			r := s.AcceptProxy(&rpc.Hello{Node: statesize.Router(7), Incarnation: 1, Zone: "waco-hall"}, "10.1.0.8", func(*rpc.Frame) bool { s.frames++; return true }, func() {})
+			s.ProxyDisconnected(r)
 		}
 	})
 }
--- a/internal/control/consensus/capacity_test.go
+++ b/internal/control/consensus/capacity_test.go
@@ -7,17 +7,17 @@
 
 // commit is a group without a network: what is sent comes at once, what is written is on disk at once.
 type commit struct {
-	cores            map[ID]*Core
+	cores            map[ID]*Node
 	now              int64
 	messages, writes int
 	delivered        int
 }
 
-func (g *commit) carry(id ID, o Out) {
-	g.delivered += len(o.Delivered)
+func (g *commit) carry(id ID, o Ready) {
+	g.delivered += len(o.Committed)
 	if n := len(o.Writes); n > 0 {
 		g.writes++
-		g.carry(id, g.cores[id].Saved(o.Writes[n-1].Seq, g.now))
+		g.carry(id, g.cores[id].Persisted(o.Writes[n-1].Seq, g.now))
 	}
 	for _, m := range o.Messages {
 		for to, c := range g.cores {
@@ -29,19 +29,19 @@
 	}
 }
 
-func newCommit(members int) (*commit, *Core) {
-	g := &commit{cores: map[ID]*Core{}}
+func newCommit(members int) (*commit, *Node) {
+	g := &commit{cores: map[ID]*Node{}}
 	var all []ID
 	for i := range members {
 		all = append(all, ID(fmt.Sprintf("10.1.0.%d", 11+i)))
 	}
 	for i, id := range all {
-		g.cores[id] = New(id, Usual((members-1)/2), Restored{}, all, func() float64 { return float64(i) / 100 }, 0)
+		g.cores[id] = New(id, DefaultConfig((members-1)/2), RestoredState{}, all, func() float64 { return float64(i) / 100 }, 0)
 	}
 	for {
 		g.now += 50
 		for _, id := range all {
-			if g.carry(id, g.cores[id].Tick(g.now)); g.cores[id].Holds(g.now) {
+			if g.carry(id, g.cores[id].Tick(g.now)); g.cores[id].HoldsLease(g.now) {
 				return g, g.cores[id]
 			}
 		}
@@ -82,11 +82,11 @@
 			g.messages = 0
 			n := 0
 			for b.Loop() {
-				g.now += leads.Beat
+				g.now += leads.HeartbeatMs
 				g.carry(leads.id, leads.Tick(g.now))
 				n++
 			}
-			if !leads.Holds(g.now) {
+			if !leads.HoldsLease(g.now) {
 				b.Fatal("it leads no more")
 			}
 			b.ReportMetric(float64(g.messages)/float64(n), "messages/op")
--- a/internal/control/consensus/cutoff_test.go
+++ b/internal/control/consensus/cutoff_test.go
@@ -10,16 +10,16 @@
 type bare struct {
 	t     *testing.T
 	now   int64
-	cores map[ID]*Core
-	disks map[ID]*Restored
+	cores map[ID]*Node
+	disks map[ID]*RestoredState
 	wire  []Message
 	round float64
 }
 
 func newBare(t *testing.T, ids ...ID) *bare {
-	b := &bare{t: t, now: 1 << 30, cores: map[ID]*Core{}, disks: map[ID]*Restored{}}
+	b := &bare{t: t, now: 1 << 30, cores: map[ID]*Node{}, disks: map[ID]*RestoredState{}}
 	for _, id := range ids {
-		b.disks[id] = &Restored{}
+		b.disks[id] = &RestoredState{}
 	}
 	for _, id := range ids {
 		b.start(id, ids...)
@@ -30,14 +30,14 @@
 func (b *bare) start(id ID, founders ...ID) {
 	b.round += 0.01
 	kept := *b.disks[id]
-	b.cores[id] = New(id, Usual(1), kept, founders, func() float64 { return b.round }, b.now)
+	b.cores[id] = New(id, DefaultConfig(1), kept, founders, func() float64 { return b.round }, b.now)
 }
 
-func (b *bare) carry(id ID, o Out) {
+func (b *bare) carry(id ID, o Ready) {
 	b.wire = append(b.wire, o.Messages...)
 	for _, w := range o.Writes {
-		b.disks[id].Put(w)
-		b.carry(id, b.cores[id].Saved(w.Seq, b.now))
+		b.disks[id].ApplyWrite(w)
+		b.carry(id, b.cores[id].Persisted(w.Seq, b.now))
 	}
 }
 
@@ -66,7 +66,7 @@
 
 func (b *bare) holders() (all []ID) {
 	for _, id := range []ID{"a", "b", "c"} {
-		if b.cores[id].Holds(b.now) {
+		if b.cores[id].HoldsLease(b.now) {
 			all = append(all, id)
 		}
 	}
@@ -113,7 +113,7 @@
 	b.bring(func(m Message) bool { return m.From == "a" })
 	old := b.wire // fresh, both
 	require.Len(t, old, 2)
-	require.True(t, old[0].Fresh && old[1].Fresh)
+	require.True(t, old[0].ColdStart && old[1].ColdStart)
 	b.wire = nil
 	b.elect("c", "b")
 	b.cores["c"].beatAt = 0
@@ -161,7 +161,7 @@
 		b.bring(between("a", "c")) // the worst: no time passes on the way
 		for passed := range 1000 {
 			a.clock(at + int64(float64(passed)*member))
-			if c.Holds(at+int64(float64(passed)*leader)) && !a.promised() {
+			if c.HoldsLease(at+int64(float64(passed)*leader)) && !a.promised() {
 				return true
 			}
 		}
@@ -182,25 +182,25 @@
 	b.now += 140
 	b.tick("c")
 	b.bring(func(Message) bool { return true })
-	b.disks["d+1"] = &Restored{}
+	b.disks["d+1"] = &RestoredState{}
 	b.start("d+1")
 	b.tick("d+1")
 	require.Len(t, b.wire, 1)
 	join := b.wire[0]
-	require.Equal(t, Join, join.Kind)
+	require.Equal(t, MsgJoin, join.Type)
 	b.wire = nil
 	b.carry("b", b.cores["b"].Step(join, b.now)) // its only seed in reach, which follows
 	b.bring(func(m Message) bool { return true })
-	require.Equal(t, b.cores["c"].Commit(), b.cores["d+1"].Commit())
+	require.Equal(t, b.cores["c"].CommitIndex(), b.cores["d+1"].CommitIndex())
 	require.Equal(t, ID("c"), b.cores["d+1"].Leader())
 }
 
 // An empty disk at a member's address is another member: what is meant for the one before says nothing to it.
 func TestWhatIsMeantForAnEarlierMemberAtTheAddressIsIgnored(t *testing.T) {
-	c := New("b+1", Usual(1), Restored{}, nil, func() float64 { return 0 }, 1000)
-	require.Empty(t, c.Step(Message{Kind: Append, From: "a", To: "b", View: 3, Entries: []Entry{{View: 3, Body: []byte("x")}}}, 1010))
-	require.Empty(t, c.Step(Message{Kind: Heartbeat, From: "a", To: "b", View: 3, Sent: 1}, 1011))
-	require.Zero(t, c.View())
-	require.EqualValues(t, 2, c.Strays)
-	require.NotEmpty(t, c.Step(Message{Kind: Heartbeat, From: "a", To: "b+1", View: 3, Sent: 1}, 1012).Messages)
+	c := New("b+1", DefaultConfig(1), RestoredState{}, nil, func() float64 { return 0 }, 1000)
+	require.Empty(t, c.Step(Message{Type: MsgAppend, From: "a", To: "b", Term: 3, Entries: []Entry{{Term: 3, Data: []byte("x")}}}, 1010))
+	require.Empty(t, c.Step(Message{Type: MsgHeartbeat, From: "a", To: "b", Term: 3, SentAtMs: 1}, 1011))
+	require.Zero(t, c.Term())
+	require.EqualValues(t, 2, c.DiscardedMessages)
+	require.NotEmpty(t, c.Step(Message{Type: MsgHeartbeat, From: "a", To: "b+1", Term: 3, SentAtMs: 1}, 1012).Messages)
 }
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -12,14 +12,14 @@
 	leader
 )
 
-// Holds says that no other view can have begun by now, and that all that was delivered in older ones was delivered
+// HoldsLease says that no other view can have begun by now, and that all that was delivered in older ones was delivered
 // here. Only then may anything be granted or acknowledged.
-func (c *Core) Holds(now int64) bool {
+func (c *Node) HoldsLease(now int64) bool {
 	return c.role == leader && !c.transferring && c.began > 0 && c.commit >= c.began && now < c.heldUntil()
 }
 
 // heldUntil is when the first lease of the majority that held out longest ends, less a tenth for clocks that drift.
-func (c *Core) heldUntil() int64 {
+func (c *Node) heldUntil() int64 {
 	until := int64(1<<62 - 1)
 	for _, g := range c.active() {
 		var at []int64
@@ -37,27 +37,27 @@
 		if len(at) == 0 {
 			return 0
 		}
-		until = min(until, at[len(at)/2]+c.Lease*9/10)
+		until = min(until, at[len(at)/2]+c.LeaseMs*9/10)
 	}
 	return until
 }
 
 // rest draws when to ask for votes, should no leader be heard by then.
-func (c *Core) rest() {
-	c.askAt = c.now + c.Lease + 50 + int64(c.chance()*float64(c.Jitter))
+func (c *Node) rest() {
+	c.askAt = c.now + c.LeaseMs + 50 + int64(c.chance()*float64(c.ElectionJitterMs))
 	if c.last() < c.commit { // nobody with less is to go first
-		c.askAt += c.Jitter
+		c.askAt += c.ElectionJitterMs
 	}
 }
 
-func (c *Core) lead() {
-	if c.now > max(c.heldUntil(), c.ledAt)+2*c.Lease || c.transferring && c.now > c.silenced+c.Lease {
+func (c *Node) lead() {
+	if c.now > max(c.heldUntil(), c.ledAt)+2*c.LeaseMs || c.transferring && c.now > c.silenced+c.LeaseMs {
 		c.fall("")
 		return
 	}
 	beat := c.now >= c.beatAt
 	if beat {
-		c.beatAt = c.now + c.Beat
+		c.beatAt = c.now + c.HeartbeatMs
 	}
 	for _, id := range c.others() {
 		p := c.peers[id]
@@ -65,7 +65,7 @@
 			c.heartbeat(id)
 		}
 		c.feed(id, p)
-		if p.learner && c.now > p.heardAt+4*c.Lease {
+		if p.learner && c.now > p.heardAt+4*c.LeaseMs {
 			delete(c.peers, id)
 		}
 	}
@@ -74,33 +74,33 @@
 
 // unheard says that a member was silent for so long that a leader which has lost its majority must not bind it any
 // more: it may hear well, and be heard by all others. It is only asked whether it is there.
-func (c *Core) unheard(p *progress) bool {
-	return c.now > p.heardAt+c.Lease && c.now > max(c.heldUntil(), c.ledAt+c.Lease)
+func (c *Node) unheard(p *progress) bool {
+	return c.now > p.heardAt+c.LeaseMs && c.now > max(c.heldUntil(), c.ledAt+c.LeaseMs)
 }
 
-func (c *Core) heartbeat(id ID) {
+func (c *Node) heartbeat(id ID) {
 	p := c.peers[id]
 	if c.unheard(p) {
-		c.send(Message{Kind: VoteRequest, To: id, PreVote: true}) // as one that has nothing, it stops no other
+		c.send(Message{Type: MsgVoteRequest, To: id, PreVote: true}) // as one that has nothing, it stops no other
 		return
 	}
-	c.send(Message{Kind: Heartbeat, To: id, Sent: c.now, Commit: min(c.commit, p.match)})
+	c.send(Message{Type: MsgHeartbeat, To: id, SentAtMs: c.now, CommitIndex: min(c.commit, p.match)})
 }
 
 // ask begins an election: first whether votes would be had, then for them.
-func (c *Core) ask(preVote, transferred bool) {
+func (c *Node) ask(preVote, transferred bool) {
 	c.role, c.leader, c.preVote, c.transferred = candidate, "", preVote, transferred
 	free := !c.promised() // its own vote is bound like any other's
 	c.votes, c.fresh = map[ID]bool{c.id: preVote && free}, map[ID]bool{c.id: !c.heard}
 	if c.rounds++; preVote { // asking whether votes would be had harms nobody
-		c.askAt = c.now + c.Beat/2 + int64(c.chance()*float64(c.Jitter)/2)
+		c.askAt = c.now + c.HeartbeatMs/2 + int64(c.chance()*float64(c.ElectionJitterMs)/2)
 	} else { // two at once may take each other's votes; slow disks need longer each time
 		c.tries = min(c.tries+1, 8)
-		c.askAt = c.now + int64(c.tries)*c.Beat + int64(c.chance()*float64(c.Jitter))
+		c.askAt = c.now + int64(c.tries)*c.HeartbeatMs + int64(c.chance()*float64(c.ElectionJitterMs))
 	}
 	view, _ := c.viewAt(c.last())
-	m := c.telling(Message{Kind: VoteRequest, Index: c.last(), Prev: view, PreVote: preVote, Transferred: transferred,
-		Fresh: c.allFresh && !preVote})
+	m := c.telling(Message{Type: MsgVoteRequest, Index: c.last(), PrevTerm: view, PreVote: preVote, LeadershipTransfer: transferred,
+		ColdStart: c.allFresh && !preVote})
 	to := map[ID]bool{}
 	for _, g := range c.active() {
 		for _, id := range g.members {
@@ -116,7 +116,7 @@
 	slices.Sort(all)
 	if preVote { // an answer of another round may be old: whoever was fresh then may have promised itself since
 		c.round++
-		m.Round = c.round
+		m.PreVoteRound = c.round
 		for _, id := range all {
 			m.To = id
 			c.send(m)
@@ -124,17 +124,17 @@
 		c.elected()
 		return
 	}
-	c.meta.View, c.meta.Vote = c.meta.View+1, c.id
+	c.meta.Term, c.meta.Vote = c.meta.Term+1, c.id
 	meta := c.meta
-	messages := []Message{{Kind: Vote, To: c.id, Granted: free || transferred || m.Fresh}}
+	messages := []Message{{Type: MsgVoteResponse, To: c.id, Granted: free || transferred || m.ColdStart}}
 	for _, id := range all {
 		m.To = id
 		messages = append(messages, m)
 	}
-	c.write(Write{Meta: &meta}, messages...)
+	c.write(Write{HardState: &meta}, messages...)
 }
 
-func (c *Core) elected() {
+func (c *Node) elected() {
 	if c.role == candidate && !c.member(c.id) { // it has learnt from a vote that it is out
 		c.fall("")
 		return
@@ -157,7 +157,7 @@
 	c.peers = map[ID]*progress{}
 	c.follow()
 	c.peers[c.id].match = c.saved
-	first := Entry{View: c.meta.View}
+	first := Entry{Term: c.meta.Term}
 	if c.configs[len(c.configs)-1].index == 0 { // learners are told no other way who the first members were
 		first.Members = c.Members()
 	}
@@ -167,26 +167,26 @@
 }
 
 // fall has a member follow again.
-func (c *Core) fall(to ID) {
+func (c *Node) fall(to ID) {
 	c.role, c.leader, c.peers, c.votes, c.began, c.transferring = follower, to, nil, nil, 0, false
 	c.rest()
 }
 
 // TransferLeadership hands the view over to the member that has most, if this one leads. Nothing is granted here any more.
-func (c *Core) TransferLeadership(now int64) Out {
+func (c *Node) TransferLeadership(now int64) Ready {
 	c.clock(now)
 	c.transfer()
 	return c.take()
 }
 
-func (c *Core) transfer() {
+func (c *Node) transfer() {
 	if c.role != leader || c.transferring {
 		return
 	}
 	best := ID("")
 	for _, id := range c.others() {
 		p := c.peers[id]
-		if p.learner || c.now >= p.heardAt+c.Lease {
+		if p.learner || c.now >= p.heardAt+c.LeaseMs {
 			continue
 		}
 		if best == "" || c.leaves(best) && !c.leaves(id) || c.leaves(best) == c.leaves(id) && p.match > c.peers[best].match {
@@ -200,13 +200,13 @@
 }
 
 // yield has the heir ask for votes once it holds all that was appended: before, others may have what it lacks, and refuse.
-func (c *Core) yield() {
+func (c *Node) yield() {
 	if !c.transferring || c.heir == "" || c.peers[c.heir] == nil || c.peers[c.heir].match < c.last() {
 		return
 	}
 	heir := c.heir
 	c.heir = ""
-	c.send(Message{Kind: Transfer, To: heir})
+	c.send(Message{Type: MsgTimeoutNow, To: heir})
 	if !c.member(c.id) { // nobody tells it who leads now
 		c.fall(heir)
 	}
@@ -214,66 +214,66 @@
 
 // telling adds what is known here to be delivered: where a leader is lost right after a change of members, what knows
 // of it and what can lead need not be the same member.
-func (c *Core) telling(m Message) Message {
-	m.Commit = max(c.commit, c.meta.Settled)
-	m.CommitView, _ = c.viewAt(m.Commit)
+func (c *Node) telling(m Message) Message {
+	m.CommitIndex = max(c.commit, c.meta.CommittedConfigIndex)
+	m.CommitTerm, _ = c.viewAt(m.CommitIndex)
 	return m
 }
 
 // learn takes in what another knows to be delivered: with that entry alike, all before it are.
-func (c *Core) learn(m Message) {
-	if view, held := c.viewAt(m.Commit); held && m.Commit > c.commit && view == m.CommitView {
-		c.commitTo(m.Commit)
+func (c *Node) learn(m Message) {
+	if view, held := c.viewAt(m.CommitIndex); held && m.CommitIndex > c.commit && view == m.CommitTerm {
+		c.commitTo(m.CommitIndex)
 	}
 }
 
 // promised says that a leader may count on this member: one that it has heard, or that an earlier life may have heard.
-func (c *Core) promised() bool { return c.now < max(c.heardAt, c.startedAt)+c.Lease }
+func (c *Node) promised() bool { return c.now < max(c.heardAt, c.startedAt)+c.LeaseMs }
 
 // asked answers a candidate. A member that has promised itself to a view gives no vote until that is over, and takes
 // part in nothing newer meanwhile.
-func (c *Core) asked(m Message) {
+func (c *Node) asked(m Message) {
 	view, _ := c.viewAt(c.last())
-	upToDate := m.Prev > view || m.Prev == view && m.Index >= c.last()
-	bound := c.promised() || c.role == leader && c.now < c.heldUntil()+c.Lease/5
-	if m.Transferred && m.From != "" && c.role == follower && c.now >= c.startedAt+c.Lease {
+	upToDate := m.PrevTerm > view || m.PrevTerm == view && m.Index >= c.last()
+	bound := c.promised() || c.role == leader && c.now < c.heldUntil()+c.LeaseMs/5
+	if m.LeadershipTransfer && m.From != "" && c.role == follower && c.now >= c.startedAt+c.LeaseMs {
 		bound = false
 	}
-	if m.Transferred && c.role == leader && c.transferring || m.Fresh && !c.heard {
+	if m.LeadershipTransfer && c.role == leader && c.transferring || m.ColdStart && !c.heard {
 		bound = false
 	}
 	if m.PreVote {
-		newer := m.View+1 > c.meta.View
+		newer := m.Term+1 > c.meta.Term
 		// Two that try at once would take each other's votes. With as much each, the one that comes first by name goes on, for
 		// as long as it may yet get through.
-		if c.role == candidate && c.preVote && c.rounds <= 2 && upToDate && newer && !bound && m.Prev == view && m.Index == c.last() {
+		if c.role == candidate && c.preVote && c.rounds <= 2 && upToDate && newer && !bound && m.PrevTerm == view && m.Index == c.last() {
 			if c.id < m.From {
 				newer = false
 			} else {
 				c.fall("")
-				c.askAt = c.now + 2*c.Beat + int64(c.chance()*float64(c.Jitter))
+				c.askAt = c.now + 2*c.HeartbeatMs + int64(c.chance()*float64(c.ElectionJitterMs))
 			}
 		}
-		c.send(c.telling(Message{Kind: Vote, To: m.From, PreVote: true, Granted: !bound && upToDate && newer,
-			Fresh: !c.heard && upToDate, Round: m.Round}))
+		c.send(c.telling(Message{Type: MsgVoteResponse, To: m.From, PreVote: true, Granted: !bound && upToDate && newer,
+			ColdStart: !c.heard && upToDate, PreVoteRound: m.PreVoteRound}))
 		return
 	}
-	if bound || m.View < c.meta.View {
+	if bound || m.Term < c.meta.Term {
 		return
 	}
-	if m.View > c.meta.View {
-		c.meta.View, c.meta.Vote = m.View, ""
+	if m.Term > c.meta.Term {
+		c.meta.Term, c.meta.Vote = m.Term, ""
 		c.fall("")
 	} else if c.meta.Vote != "" && c.meta.Vote != m.From || c.role == leader {
 		return
 	}
 	if !upToDate {
 		meta := c.meta
-		c.write(Write{Meta: &meta})
+		c.write(Write{HardState: &meta})
 		return
 	}
 	c.meta.Vote = m.From
 	c.rest()
 	meta := c.meta
-	c.write(Write{Meta: &meta}, c.telling(Message{Kind: Vote, To: m.From, Granted: true}))
+	c.write(Write{HardState: &meta}, c.telling(Message{Type: MsgVoteResponse, To: m.From, Granted: true}))
 }
--- a/internal/control/consensus/explore_test.go
+++ b/internal/control/consensus/explore_test.go
@@ -47,8 +47,8 @@
 type node struct {
 	id       ID
 	founders []ID
-	core     *Core // nil: it is gone
-	disk     Restored
+	core     *Node // nil: it is gone
+	disk     RestoredState
 	queue    []Write
 	hash     uint64
 	diskHash uint64
@@ -61,7 +61,7 @@
 	hash uint64
 }
 
-func cloneCore(c *Core) *Core {
+func cloneCore(c *Node) *Node {
 	n := *c
 	n.log, n.waiting, n.configs = slices.Clone(c.log), slices.Clone(c.waiting), slices.Clone(c.configs)
 	n.votes, n.fresh, n.peers = maps.Clone(c.votes), maps.Clone(c.fresh), maps.Clone(c.peers)
@@ -123,8 +123,8 @@
 
 func (h *hasher) entries(all []Entry) {
 	for _, e := range all {
-		h.num(int64(e.View))
-		h.Write(e.Body)
+		h.num(int64(e.Term))
+		h.Write(e.Data)
 		h.ids(e.Members...)
 	}
 	h.WriteByte(4)
@@ -132,14 +132,14 @@
 
 func (h *hasher) message(m *Message) {
 	h.ids(m.From, m.To)
-	h.num(int64(m.Kind), int64(m.View), int64(m.Index), int64(m.Prev), int64(m.Commit), int64(m.CommitView), m.Sent)
-	h.is(m.PreVote, m.Transferred, m.Granted, m.Fresh)
+	h.num(int64(m.Type), int64(m.Term), int64(m.Index), int64(m.PrevTerm), int64(m.CommitIndex), int64(m.CommitTerm), m.SentAtMs)
+	h.is(m.PreVote, m.LeadershipTransfer, m.Granted, m.ColdStart)
 	h.entries(m.Entries)
 }
 
-func (h *hasher) core(c *Core) {
+func (h *hasher) core(c *Node) {
 	h.ids(c.id, c.meta.Vote, c.leader)
-	h.num(int64(c.meta.View), int64(c.meta.Settled), int64(c.commit), int64(c.saved), int64(c.settled), int64(c.role), c.heardAt, c.askAt,
+	h.num(int64(c.meta.Term), int64(c.meta.CommittedConfigIndex), int64(c.commit), int64(c.saved), int64(c.settled), int64(c.role), c.heardAt, c.askAt,
 		c.joinAt, c.tries, int64(c.rounds), int64(c.began), c.beatAt, c.ledAt, c.silenced, c.startedAt, c.departure.askAt, c.departure.begunAt)
 	h.ids(c.heir)
 	h.is(c.preVote, c.transferred, c.heard, c.allFresh, c.transferring, c.departure.begun, c.departure.over, c.departure.handed)
@@ -167,8 +167,8 @@
 
 func (n *node) seal() {
 	h := newHasher()
-	h.ids(n.id, n.disk.Meta.Vote)
-	h.num(int64(n.disk.Meta.View), int64(n.disk.Meta.Settled))
+	h.ids(n.id, n.disk.HardState.Vote)
+	h.num(int64(n.disk.HardState.Term), int64(n.disk.HardState.CommittedConfigIndex))
 	h.entries(n.disk.Entries)
 	h.is(n.core != nil)
 	n.diskHash = h.Sum64()
@@ -176,11 +176,11 @@
 		h.core(n.core)
 	}
 	for _, w := range n.queue {
-		h.num(int64(w.From))
+		h.num(int64(w.FirstIndex))
 		h.entries(w.Entries)
-		if w.Meta != nil {
-			h.num(int64(w.Meta.View), int64(w.Meta.Settled))
-			h.ids(w.Meta.Vote)
+		if w.HardState != nil {
+			h.num(int64(w.HardState.Term), int64(w.HardState.CommittedConfigIndex))
+			h.ids(w.HardState.Vote)
 		}
 	}
 	n.hash = h.Sum64()
@@ -208,7 +208,7 @@
 }
 
 // at has an event happen at a node.
-func (x *explorer) at(s *system, i int, do func(*Core) Out) {
+func (x *explorer) at(s *system, i int, do func(*Node) Ready) {
 	was := s.nodes[i]
 	if was.core == nil {
 		return
@@ -233,7 +233,7 @@
 	if x.out == "joint" { // the newest members alone must agree
 		n.core.configs = n.core.configs[len(n.core.configs)-1:]
 	}
-	over, handed := n.core.Left()
+	over, handed := n.core.LeaveProgress()
 	if over && !handed {
 		s.stops(n.id)
 	}
@@ -244,7 +244,7 @@
 	n.seal()
 }
 
-func (x *explorer) carry(s *system, i int, o Out) {
+func (x *explorer) carry(s *system, i int, o Ready) {
 	n := s.nodes[i]
 	if len(o.Writes) > 0 {
 		if len(n.queue) == 0 {
@@ -259,11 +259,11 @@
 			}
 		}
 	}
-	for _, d := range o.Delivered {
+	for _, d := range o.Committed {
 		x.deliver(s, n, d)
 	}
 	for _, m := range o.Messages {
-		if m.Kind == LeaveReply && !m.Granted {
+		if m.Type == MsgLeaveResponse && !m.Granted {
 			s.stops(m.To)
 		}
 		for j, to := range s.nodes {
@@ -298,8 +298,8 @@
 // newest is the place of the newest change of members that was delivered.
 func (s *system) newest() uint64 { return slices.Max(slices.Collect(maps.Keys(s.seats))) }
 
-func (x *explorer) deliver(s *system, n *node, d Delivery) {
-	what := fmt.Sprintf("%d:%s", d.View, d.Body)
+func (x *explorer) deliver(s *system, n *node, d Committed) {
+	what := fmt.Sprintf("%d:%s", d.Term, d.Data)
 	switch {
 	case d.Index < uint64(len(s.order)):
 		if s.order[d.Index] != what {
@@ -321,23 +321,23 @@
 	a := s.todo[k]
 	s.todo = slices.Delete(s.todo, k, k+1)
 	if a.msg != nil {
-		x.at(s, a.node, func(c *Core) Out { return c.Step(*a.msg, s.now) })
+		x.at(s, a.node, func(c *Node) Ready { return c.Step(*a.msg, s.now) })
 		return
 	}
-	x.at(s, a.node, func(c *Core) Out {
+	x.at(s, a.node, func(c *Node) Ready {
 		n := s.nodes[a.node]
 		if len(n.queue) == 0 {
-			return Out{}
+			return Ready{}
 		}
 		seq := n.queue[len(n.queue)-1].Seq
 		for _, w := range n.queue {
-			n.disk.Put(w)
+			n.disk.ApplyWrite(w)
 		}
 		if x.out == "settled" {
-			n.disk.Meta.Settled = 0
+			n.disk.HardState.CommittedConfigIndex = 0
 		}
 		n.queue = nil
-		return c.Saved(seq, s.now)
+		return c.Persisted(seq, s.now)
 	})
 }
 
@@ -345,7 +345,7 @@
 	s.now += span
 	s.beats++
 	for i := range s.nodes {
-		x.at(s, i, func(c *Core) Out { return c.Tick(s.now) })
+		x.at(s, i, func(c *Node) Ready { return c.Tick(s.now) })
 	}
 }
 
@@ -365,7 +365,7 @@
 	n := s.nodes[i]
 	kept := n.disk
 	kept.Entries = slices.Clone(kept.Entries)
-	n.core, n.queue = New(n.id, Usual(1), kept, n.founders, func() float64 { return float64(i) / 5 }, s.now), nil
+	n.core, n.queue = New(n.id, DefaultConfig(1), kept, n.founders, func() float64 { return float64(i) / 5 }, s.now), nil
 	n.seal()
 	s.todo = slices.DeleteFunc(s.todo, func(a action) bool { return a.node == i && a.msg == nil })
 }
@@ -377,7 +377,7 @@
 	if s.counts(n.id) {
 		s.lost, s.lostAt = n.id, s.now
 	}
-	n.core, n.queue, n.disk, n.founders = nil, nil, Restored{}, nil
+	n.core, n.queue, n.disk, n.founders = nil, nil, RestoredState{}, nil
 	n.seal()
 	if !back {
 		return
@@ -430,21 +430,21 @@
 		if s.spent.leave < x.rare.leave && !m.core.departure.begun {
 			add(fmt.Sprintf("%s is to end", m.id), func(n *system) {
 				n.spent.leave++
-				x.at(n, i, func(c *Core) Out { return c.Leave(n.now) })
+				x.at(n, i, func(c *Node) Ready { return c.Leave(n.now) })
 			})
 		}
 		if s.spent.expiry < x.rare.expiry && m.core.member(m.id) && !m.core.IsLeader() {
 			add(fmt.Sprintf("%s hears nobody", m.id), func(n *system) {
 				n.spent.expiry++
 				n.now += 960
-				x.at(n, i, func(c *Core) Out { return c.Tick(n.now) })
+				x.at(n, i, func(c *Node) Ready { return c.Tick(n.now) })
 			})
 		}
-		if s.spent.order < x.rare.order && m.core.Holds(s.now) {
+		if s.spent.order < x.rare.order && m.core.HoldsLease(s.now) {
 			add("an order", func(n *system) {
 				n.spent.order++
 				n.orders++
-				x.at(n, i, func(c *Core) Out {
+				x.at(n, i, func(c *Node) Ready {
 					_, o := c.Propose(fmt.Appendf(nil, "o%d", n.orders), n.now)
 					return o
 				})
@@ -472,7 +472,7 @@
 func (x *explorer) check(s *system) {
 	holds := ID("")
 	for _, n := range s.nodes {
-		if n.core != nil && n.core.Holds(s.now) {
+		if n.core != nil && n.core.HoldsLease(s.now) {
 			if holds != "" {
 				x.breaks(s, "%s and %s both hold a view", holds, n.id)
 			}
@@ -529,7 +529,7 @@
 		}
 		if slices.Contains(s.seats[newest], n.id) && n.id != s.stopped {
 			there++
-			if n.disk.Meta.Settled >= newest {
+			if n.disk.HardState.CommittedConfigIndex >= newest {
 				know++
 			}
 		}
@@ -537,11 +537,11 @@
 	return there == len(s.seats[newest]) && 2*know > there
 }
 
-func (r *Restored) at(i uint64) (view uint64, held bool) {
+func (r *RestoredState) at(i uint64) (view uint64, held bool) {
 	if i == 0 || i > uint64(len(r.Entries)) {
 		return 0, i == 0
 	}
-	return r.Entries[i-1].View, true
+	return r.Entries[i-1].Term, true
 }
 
 // survives asserts that the disks, without one, hold all that was delivered and can elect one that does. It is worked out
@@ -559,17 +559,17 @@
 		last := uint64(len(d.Entries))
 		holds := last+1 >= uint64(len(s.order))
 		for i := 1; holds && i < len(s.order); i++ {
-			holds = s.order[i] == fmt.Sprintf("%d:%s", d.Entries[i-1].View, d.Entries[i-1].Body)
+			holds = s.order[i] == fmt.Sprintf("%d:%s", d.Entries[i-1].Term, d.Entries[i-1].Data)
 		}
 		if !holds {
 			continue
 		}
-		settled := d.Meta.Settled
+		settled := d.HardState.CommittedConfigIndex
 		for _, o := range left { // votes tell it
-			mine, held := d.at(o.disk.Meta.Settled)
-			theirs, _ := o.disk.at(o.disk.Meta.Settled)
+			mine, held := d.at(o.disk.HardState.CommittedConfigIndex)
+			theirs, _ := o.disk.at(o.disk.HardState.CommittedConfigIndex)
 			if x.out != "telling" && held && mine == theirs {
-				settled = max(settled, o.disk.Meta.Settled)
+				settled = max(settled, o.disk.HardState.CommittedConfigIndex)
 			}
 		}
 		active := [][]ID{n.founders}
@@ -608,8 +608,8 @@
 	var all []string
 	for _, n := range s.nodes {
 		if n.core != nil {
-			all = append(all, fmt.Sprintf("%s: view %d, %d entries, settled %d, members %v", n.id, n.disk.Meta.View, len(n.disk.Entries),
-				n.disk.Meta.Settled, n.core.Members()))
+			all = append(all, fmt.Sprintf("%s: view %d, %d entries, settled %d, members %v", n.id, n.disk.HardState.Term, len(n.disk.Entries),
+				n.disk.HardState.CommittedConfigIndex, n.core.Members()))
 		}
 	}
 	return strings.Join(all, "; ")
@@ -624,7 +624,7 @@
 	n.nodes[i] = &gone
 	chance := rand.New(rand.NewPCG(s.key(), 1)) // not in step with each other for good
 	for j := range n.nodes {
-		x.at(n, j, func(c *Core) Out { c.chance = chance.Float64; return Out{} })
+		x.at(n, j, func(c *Node) Ready { c.chance = chance.Float64; return Ready{} })
 	}
 	for n.beats = 0; n.beats < 240; {
 		for acts := 0; len(n.todo) > 0; acts++ {
@@ -635,7 +635,7 @@
 			x.do(n, 0)
 		}
 		for _, m := range n.nodes {
-			if m.core != nil && m.core.Holds(n.now) && int(m.core.Commit())+1 >= len(s.order) {
+			if m.core != nil && m.core.HoldsLease(n.now) && int(m.core.CommitIndex())+1 >= len(s.order) {
 				return
 			}
 		}
@@ -680,7 +680,7 @@
 			s.orders++
 			for i, n := range s.nodes {
 				if n.core.IsLeader() {
-					x.at(s, i, func(c *Core) Out { _, o := c.Propose([]byte("first"), s.now); return o })
+					x.at(s, i, func(c *Node) Ready { _, o := c.Propose([]byte("first"), s.now); return o })
 				}
 			}
 		}
@@ -703,29 +703,29 @@
 	begin func(x *explorer, s *system)
 }{
 	{"a member that follows is to end", func(x *explorer, s *system) {
-		x.at(s, (s.leads()+1)%3, func(c *Core) Out { return c.Leave(s.now) })
+		x.at(s, (s.leads()+1)%3, func(c *Node) Ready { return c.Leave(s.now) })
 	}},
 	{"the one that leads is to end", func(x *explorer, s *system) {
-		x.at(s, s.leads(), func(c *Core) Out { return c.Leave(s.now) })
+		x.at(s, s.leads(), func(c *Node) Ready { return c.Leave(s.now) })
 	}},
 	{"one is to end, and who stands by has just started", func(x *explorer, s *system) {
 		for _, id := range []ID{"d+1", "e+1"} {
-			x.at(s, s.leads(), func(c *Core) Out { delete(c.peers, id); return Out{} })
+			x.at(s, s.leads(), func(c *Node) Ready { delete(c.peers, id); return Ready{} })
 		}
 		for i := 3; i < 5; i++ {
 			n := *s.nodes[i]
-			n.disk = Restored{}
+			n.disk = RestoredState{}
 			n.id = ID(n.id.Address() + "+2")
 			s.nodes[i] = &n
 			x.start(s, i)
-			x.at(s, i, func(c *Core) Out { return c.Tick(s.now) })
+			x.at(s, i, func(c *Node) Ready { return c.Tick(s.now) })
 		}
-		x.at(s, (s.leads()+1)%3, func(c *Core) Out { return c.Leave(s.now) })
+		x.at(s, (s.leads()+1)%3, func(c *Node) Ready { return c.Leave(s.now) })
 	}},
 	{"two are to end", func(x *explorer, s *system) {
 		l := s.leads()
-		x.at(s, l, func(c *Core) Out { return c.Leave(s.now) })
-		x.at(s, (l+1)%3, func(c *Core) Out { return c.Leave(s.now) })
+		x.at(s, l, func(c *Node) Ready { return c.Leave(s.now) })
+		x.at(s, (l+1)%3, func(c *Node) Ready { return c.Leave(s.now) })
 	}},
 	{"one loses its disk", func(x *explorer, s *system) { x.off(s, (s.leads()+1)%3, true) }},
 	{"the one that leads is gone", func(x *explorer, s *system) { x.off(s, s.leads(), false) }},
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -39,18 +39,18 @@
 const mostLearners = 32
 
 // Members are who counts, by the newest entry held.
-func (c *Core) Members() []ID { return c.configs[len(c.configs)-1].members }
+func (c *Node) Members() []ID { return c.configs[len(c.configs)-1].members }
 
 // active are the configurations that must each agree: the newest delivered one and all behind it.
-func (c *Core) active() []config {
+func (c *Node) active() []config {
 	i := 0
-	for i+1 < len(c.configs) && c.configs[i+1].index <= max(c.commit, c.meta.Settled) {
+	for i+1 < len(c.configs) && c.configs[i+1].index <= max(c.commit, c.meta.CommittedConfigIndex) {
 		i++
 	}
 	return c.configs[i:]
 }
 
-func (c *Core) majority(has func(ID) bool) bool {
+func (c *Node) majority(has func(ID) bool) bool {
 	for _, g := range c.active() {
 		n := 0
 		for _, m := range g.members {
@@ -65,7 +65,7 @@
 	return true
 }
 
-func (c *Core) all(has func(ID) bool) bool {
+func (c *Node) all(has func(ID) bool) bool {
 	n := 0
 	for _, g := range c.active() {
 		for _, m := range g.members {
@@ -77,7 +77,7 @@
 	return n > 0
 }
 
-func (c *Core) member(id ID) bool {
+func (c *Node) member(id ID) bool {
 	for _, g := range c.active() {
 		if slices.Contains(g.members, id) {
 			return true
@@ -87,7 +87,7 @@
 }
 
 // follow has a leader keep account of all that count.
-func (c *Core) follow() {
+func (c *Node) follow() {
 	if c.role != leader {
 		return
 	}
@@ -106,7 +106,7 @@
 	}
 }
 
-func (c *Core) others() []ID {
+func (c *Node) others() []ID {
 	all := make([]ID, 0, len(c.peers))
 	for id := range c.peers {
 		if id != c.id {
@@ -120,8 +120,8 @@
 // adopt makes a learner that holds all that was delivered a member, in the place of one at its address, of one that is
 // to end, or of one that is silent, or beside the others while they are fewer than must be there. More than that would only make majorities
 // greater: a member that is gone for good would count in them. One change at a time.
-func (c *Core) adopt() {
-	if len(c.active()) > 1 || !c.Holds(c.now) {
+func (c *Node) adopt() {
+	if len(c.active()) > 1 || !c.HoldsLease(c.now) {
 		return
 	}
 	members := c.Members()
@@ -134,26 +134,26 @@
 			i := slices.IndexFunc(next, c.leaves)
 			if i < 0 {
 				i = slices.IndexFunc(next, func(m ID) bool {
-					return m != c.id && c.peers[m] != nil && c.now > c.peers[m].heardAt+c.Gone
+					return m != c.id && c.peers[m] != nil && c.now > c.peers[m].heardAt+c.RemovalTimeoutMs
 				})
 			}
 			switch {
 			case i >= 0:
 				next = slices.Delete(next, i, i+1)
-			case len(members) >= c.Most:
+			case len(members) >= c.MaxMembers:
 				continue // it stands by
 			}
 		}
 		next = append(next, id)
 		slices.Sort(next)
-		c.append(Entry{View: c.meta.View, Members: next})
+		c.append(Entry{Term: c.meta.Term, Members: next})
 		return
 	}
 }
 
 // joined has a leader call a learner. Who joins knows its seeds only, and the leader need be none of them, nor be in
 // reach of it: a follower passes on, once, what was sent to all.
-func (c *Core) joined(m Message) {
+func (c *Node) joined(m Message) {
 	if c.role == follower && c.leader != "" && m.To == "" {
 		m.To = c.leader
 		c.out.Messages = append(c.out.Messages, m)
@@ -174,7 +174,7 @@
 			}
 		}
 		if learners >= mostLearners {
-			c.Strays++
+			c.DiscardedMessages++
 			return
 		}
 		c.peers[m.From] = &progress{next: min(m.Index, c.last()) + 1, heardAt: c.now, learner: true}
@@ -185,9 +185,9 @@
 }
 
 // standby are the learners that are heard of, those that hold most first. One that is to end is forgotten when it says so.
-func (c *Core) standby() (all []ID) {
+func (c *Node) standby() (all []ID) {
 	for _, id := range c.others() {
-		if p := c.peers[id]; p.learner && c.now <= p.heardAt+c.Lease {
+		if p := c.peers[id]; p.learner && c.now <= p.heardAt+c.LeaseMs {
 			all = append(all, id)
 		}
 	}
@@ -203,13 +203,13 @@
 }
 
 // leaves says that a member is to end: it has said so, and was not heard of otherwise since.
-func (c *Core) leaves(id ID) bool {
+func (c *Node) leaves(id ID) bool {
 	p := c.peers[id]
-	return p != nil && p.leavingAt > 0 && c.now <= p.leavingAt+c.Gone
+	return p != nil && p.leavingAt > 0 && c.now <= p.leavingAt+c.RemovalTimeoutMs
 }
 
 // Leave has this member ask for its seat to be handed on, until Left. It goes on counting, voting and answering until then.
-func (c *Core) Leave(now int64) Out {
+func (c *Node) Leave(now int64) Ready {
 	c.clock(now)
 	if d := &c.departure; !d.begun {
 		d.begun, d.begunAt = true, c.now
@@ -218,25 +218,25 @@
 	return c.take()
 }
 
-// Left says whether a member that leaves may end, and whether another has its seat. Where none stands by it keeps the
+// LeaveProgress says whether a member that leaves may end, and whether another has its seat. Where none stands by it keeps the
 // seat: it may come back with all that it holds, and a configuration without it would need all the others.
-func (c *Core) Left() (over, handed bool) { return c.departure.over, c.departure.handed }
+func (c *Node) LeaveProgress() (over, handed bool) { return c.departure.over, c.departure.handed }
 
 // depart asks the one that leads, again and again: it may change. One that leads itself hands its seat on first, so that
 // its view is left once, and by a member that goes on.
-func (c *Core) depart() {
+func (c *Node) depart() {
 	d := &c.departure
 	if !d.begun || d.over || c.now < d.askAt {
 		return
 	}
-	d.askAt = c.now + c.Beat/2
+	d.askAt = c.now + c.HeartbeatMs/2
 	if p := c.peers[c.id]; p != nil {
 		p.leaves(c.now)
 	}
 	switch {
 	case c.role != leader:
 		if c.leader != "" {
-			c.send(Message{Kind: Leave, To: c.leader, Sent: c.now})
+			c.send(Message{Type: MsgLeave, To: c.leader, SentAtMs: c.now})
 		}
 	case c.transferring:
 	case c.member(c.id) && c.awaits(c.id):
@@ -249,9 +249,9 @@
 
 // awaits says that a member should not end yet: its seat may still be handed on (a learner is there, or has had no time
 // to call, or a change is under way), or those that have been heard of since it said so are no majority without it.
-func (c *Core) awaits(id ID) bool {
+func (c *Node) awaits(id ID) bool {
 	since := c.peers[id].leavesSince
-	return len(c.active()) > 1 || len(c.standby()) > 0 || !c.Holds(c.now) || c.now < c.ledAt+c.Lease ||
+	return len(c.active()) > 1 || len(c.standby()) > 0 || !c.HoldsLease(c.now) || c.now < c.ledAt+c.LeaseMs ||
 		!c.majority(func(m ID) bool {
 			p := c.peers[m]
 			return m != id && (m == c.id || p != nil && p.confirmed > since && !c.leaves(m))
@@ -260,7 +260,7 @@
 
 // agreed says that a majority of the members has on disk that the last change of members was delivered. Before that, a
 // loss could leave none but such as would still ask those who are out.
-func (c *Core) agreed() bool {
+func (c *Node) agreed() bool {
 	all := c.active()
 	return len(all) == 1 && c.majority(func(id ID) bool {
 		if id == c.id {
@@ -272,31 +272,31 @@
 }
 
 // left has a leader hand on the seat of a member that is to end, and tell it once it may.
-func (c *Core) left(m Message) {
-	if !c.Holds(c.now) {
+func (c *Node) left(m Message) {
+	if !c.HoldsLease(c.now) {
 		return
 	}
 	p := c.peers[m.From]
 	switch {
 	case !c.member(m.From):
 		if p == nil {
-			c.Strays++
+			c.DiscardedMessages++
 		}
 		delete(c.peers, m.From)
 		if c.agreed() {
-			c.send(c.telling(Message{Kind: LeaveReply, To: m.From, Sent: m.Sent, Granted: true}))
+			c.send(c.telling(Message{Type: MsgLeaveResponse, To: m.From, SentAtMs: m.SentAtMs, Granted: true}))
 		}
 	default: // where it ends, a learner that comes before it is back need not wait until it is silent for long
 		if p.leaves(c.now); c.awaits(m.From) {
 			c.adopt()
 			return
 		}
-		c.send(c.telling(Message{Kind: LeaveReply, To: m.From, Sent: m.Sent}))
+		c.send(c.telling(Message{Type: MsgLeaveResponse, To: m.From, SentAtMs: m.SentAtMs}))
 	}
 }
 
-func (c *Core) departed(m Message) {
-	if d := &c.departure; d.begun && m.From == c.leader && m.View == c.meta.View && m.Sent >= d.begunAt && m.Sent <= c.now {
+func (c *Node) departed(m Message) {
+	if d := &c.departure; d.begun && m.From == c.leader && m.Term == c.meta.Term && m.SentAtMs >= d.begunAt && m.SentAtMs <= c.now {
 		d.over, d.handed = true, m.Granted
 	}
 }
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -19,17 +19,17 @@
 
 func (e *ends) tell() {
 	w := e.world
-	w.In(w.Between(2500, 5000), e.tell)
+	w.After(w.Between(2500, 5000), e.tell)
 	if w.calm || w.lostNow()+w.leaving >= w.lost {
 		return
 	}
-	m := w.members[w.Chance.IntN(len(w.members))]
+	m := w.members[w.Rand.IntN(len(w.members))]
 	for _, l := range w.members {
-		if l.up && l.core.IsLeader() && w.Odds(2) {
+		if l.up && l.core.IsLeader() && w.OneIn(2) {
 			m = l
 		}
 	}
-	if w.Odds(2) {
+	if w.OneIn(2) {
 		e.end(m, false)
 		return
 	}
@@ -38,7 +38,7 @@
 	s.id = ID(s.address + "+0")
 	w.members = append(w.members, s)
 	s.start()
-	w.In(4000, func() {
+	w.After(4000, func() {
 		if w.lostNow()+w.leaving < w.lost {
 			e.end(m, true)
 		}
@@ -59,7 +59,7 @@
 	}
 	var poll func()
 	poll = func() {
-		over, handed := m.core.Left()
+		over, handed := m.core.LeaveProgress()
 		if w.out == "leave" { // it ends as one that falls silent
 			over, handed = true, true
 		}
@@ -74,7 +74,7 @@
 			if gone && (handed || !counted) {
 				w.members = slices.DeleteFunc(slices.Clone(w.members), func(o *member) bool { return o == m })
 			} else {
-				w.In(w.Between(50, 1500), m.start)
+				w.After(w.Between(50, 1500), m.start)
 			}
 			if e.told++; !handed {
 				m.outAt = w.Now
@@ -85,10 +85,10 @@
 			e.latest = max(e.latest, w.Now-begun)
 			e.second()
 		default:
-			w.In(30, poll)
+			w.After(30, poll)
 		}
 	}
-	w.In(30, poll)
+	w.After(30, poll)
 }
 
 // second is a loss right after; the others are to serve again.
@@ -97,31 +97,31 @@
 	if w.calm || w.lostNow() > w.lost {
 		return
 	}
-	m := w.members[w.Chance.IntN(len(w.members))]
+	m := w.members[w.Rand.IntN(len(w.members))]
 	for _, l := range w.members {
-		if l.up && l.core.IsLeader() && w.Odds(2) {
+		if l.up && l.core.IsLeader() && w.OneIn(2) {
 			m = l
 		}
 	}
 	if !m.up || m.frozen {
 		return
 	}
-	wiped := w.Odds(2)
+	wiped := w.OneIn(2)
 	w.Note("%s is lost right after, its disk %v", m.id, wiped)
 	m.outAt = w.Now
 	m.crash(true)
 	life := m.life
-	w.In(w.Between(2500, 4500), func() {
+	w.After(w.Between(2500, 4500), func() {
 		if wiped {
-			m.disk, m.founder, m.id = Restored{}, nil, ID(fmt.Sprintf("%s+s%d", m.address, life))
+			m.disk, m.founder, m.id = RestoredState{}, nil, ID(fmt.Sprintf("%s+s%d", m.address, life))
 		}
 		m.start()
 	})
-	w.In(9000, func() { m.outAt = 0 })
+	w.After(9000, func() { m.outAt = 0 })
 	served, slow := len(w.acked), w.slow
-	w.In(4500, func() {
+	w.After(4500, func() {
 		if len(w.acked) == served && !slow { // all disks slow are more lost than may be
-			w.Broke("nothing was acknowledged for 4.5 s after %s was lost", m.id)
+			w.Violate("nothing was acknowledged for 4.5 s after %s was lost", m.id)
 		}
 	})
 }
@@ -139,9 +139,9 @@
 		}
 		e := &ends{world: newWorld(uint64(seed), size, lost)}
 		e.slow, e.still = seed%10 == 9, seed/4%2 == 0
-		e.In(4000, e.tell)
+		e.After(4000, e.tell)
 		e.run(14000)
-		if len(e.Broken) > 0 {
+		if len(e.Violations) > 0 {
 			t.Fatalf("seed %d, %d members:\n%s", seed, size, e.report())
 		}
 		told, handed, passed, latest = told+e.told, handed+e.handed, passed+e.passed, max(latest, e.latest)
@@ -154,10 +154,10 @@
 	for seed := range uint64(100) {
 		e := &ends{world: newWorld(seed, 3, 1)}
 		e.out, e.still = "leave", true
-		e.In(4000, e.tell)
+		e.After(4000, e.tell)
 		e.run(14000)
-		if len(e.Broken) > 0 {
-			t.Logf("seed %d: %s", seed, e.Broken[0])
+		if len(e.Violations) > 0 {
+			t.Logf("seed %d: %s", seed, e.Violations[0])
 			return
 		}
 	}
@@ -172,25 +172,25 @@
 		const seeds = 60
 		for seed := range uint64(seeds) {
 			w := newWorld(seed, 3, 1)
-			w.In(500, w.propose)
-			w.Play(4000)
+			w.After(500, w.propose)
+			w.RunFor(4000)
 			m := w.members[seed%3]
 			m.crash(true)
-			w.Play(500)
-			m.disk, m.founder = Restored{}, nil
+			w.RunFor(500)
+			m.disk, m.founder = RestoredState{}, nil
 			if address != "its own" {
 				m.address = address
 			}
 			m.id = ID(m.address + "+new")
 			m.start()
 			began := w.Now
-			for counts := false; !counts && w.Now < began+10000; w.Play(10) {
+			for counts := false; !counts && w.Now < began+10000; w.RunFor(10) {
 				for _, l := range w.members {
-					counts = counts || l.up && l.core.Holds(w.Now) && l.core.agreed() && slices.Contains(l.core.Members(), m.id)
+					counts = counts || l.up && l.core.HoldsLease(w.Now) && l.core.agreed() && slices.Contains(l.core.Members(), m.id)
 				}
 			}
 			all, worst = all+w.Now-began, max(worst, w.Now-began)
-			require.Empty(t, w.Broken, w.report())
+			require.Empty(t, w.Violations, w.report())
 		}
 		t.Logf("at %s: %d ms on average, %d at most", address, all/seeds, worst)
 		require.Less(t, worst, int64(4000))
@@ -198,68 +198,68 @@
 }
 
 // led is a core that leads a, b and c, at a moment.
-func led(now int64) *Core {
-	c := New("a", Usual(1), Restored{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, now)
+func led(now int64) *Node {
+	c := New("a", DefaultConfig(1), RestoredState{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, now)
 	vote := func(preVote bool) {
-		c.Step(Message{Kind: Vote, From: "b", To: "a", View: c.View(), PreVote: preVote, Granted: true, Fresh: true}, now)
+		c.Step(Message{Type: MsgVoteResponse, From: "b", To: "a", Term: c.Term(), PreVote: preVote, Granted: true, ColdStart: true}, now)
 	}
 	c.Tick(now + 1000)
 	now += 1000
 	vote(true)
-	c.Saved(1<<40, now)
+	c.Persisted(1<<40, now)
 	vote(false)
-	c.Saved(1<<40, now)
-	c.Step(Message{Kind: Accept, From: "b", To: "a", View: c.View(), Index: c.Last()}, now)
-	c.Step(Message{Kind: HeartbeatReply, From: "b", To: "a", View: c.View(), Sent: now}, now)
+	c.Persisted(1<<40, now)
+	c.Step(Message{Type: MsgAppendAccepted, From: "b", To: "a", Term: c.Term(), Index: c.LastIndex()}, now)
+	c.Step(Message{Type: MsgHeartbeatResponse, From: "b", To: "a", Term: c.Term(), SentAtMs: now}, now)
 	return c
 }
 
 func TestBadMessagesOfMembershipChangeNothingAndAreCounted(t *testing.T) {
 	c := led(1 << 20)
 	now := c.now
-	require.True(t, c.Holds(now))
-	was, last := c.Members(), c.Last()
+	require.True(t, c.HoldsLease(now))
+	was, last := c.Members(), c.LastIndex()
 	strays := func(by int64, what string) {
-		require.Equal(t, by, c.Strays, what)
+		require.Equal(t, by, c.DiscardedMessages, what)
 		require.Equal(t, was, c.Members(), what)
-		require.Equal(t, last, c.Last(), what)
+		require.Equal(t, last, c.LastIndex(), what)
 	}
-	c.Step(Message{Kind: Leave, From: "x", To: "a", View: 1, Sent: now}, now)
+	c.Step(Message{Type: MsgLeave, From: "x", To: "a", Term: 1, SentAtMs: now}, now)
 	strays(1, "leave of one that is no member")
-	c.Step(Message{Kind: Leave, From: "b", To: "a+old", View: 1, Sent: now}, now)
+	c.Step(Message{Type: MsgLeave, From: "b", To: "a+old", Term: 1, SentAtMs: now}, now)
 	strays(2, "to another life at this address")
-	c.Step(Message{Kind: Leave, From: "", To: "a", View: 1}, now)
+	c.Step(Message{Type: MsgLeave, From: "", To: "a", Term: 1}, now)
 	strays(3, "from nobody")
-	c.Step(Message{Kind: LeaveReply, From: "b", To: "a", View: 1, Granted: true}, now)
-	over, _ := c.Left()
+	c.Step(Message{Type: MsgLeaveResponse, From: "b", To: "a", Term: 1, Granted: true}, now)
+	over, _ := c.LeaveProgress()
 	require.False(t, over, "an answer that was not asked for")
 	for i := range 1000 {
-		c.Step(Message{Kind: Join, From: ID(fmt.Sprintf("j%d+1", i)), Index: 1 << 60}, now)
+		c.Step(Message{Type: MsgJoin, From: ID(fmt.Sprintf("j%d+1", i)), Index: 1 << 60}, now)
 	}
 	strays(3+1000-mostLearners, "more learners than are kept account of")
-	require.Len(t, c.Standing(now).Learners, mostLearners)
+	require.Len(t, c.Status(now).Learners, mostLearners)
 	for i := range 100 { // lives of one machine are one learner
-		c.Step(Message{Kind: Join, From: ID(fmt.Sprintf("j1+%d", i+5)), Index: 0}, now)
+		c.Step(Message{Type: MsgJoin, From: ID(fmt.Sprintf("j1+%d", i+5)), Index: 0}, now)
 	}
-	require.Len(t, c.Standing(now).Learners, mostLearners)
+	require.Len(t, c.Status(now).Learners, mostLearners)
 }
 
 func TestAnAnswerToAnEarlierLifeDoesNotEndAMember(t *testing.T) {
-	c := New("a", Usual(1), Restored{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
-	c.Step(Message{Kind: Heartbeat, From: "b", To: "a", View: 3, Sent: 5}, 1010)
+	c := New("a", DefaultConfig(1), RestoredState{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
+	c.Step(Message{Type: MsgHeartbeat, From: "b", To: "a", Term: 3, SentAtMs: 5}, 1010)
 	c.Leave(2000)
 	for _, m := range []Message{
-		{Kind: LeaveReply, From: "b", To: "a", View: 3, Sent: 1900, Granted: true}, // to what a life before asked
-		{Kind: LeaveReply, From: "c", To: "a", View: 3, Sent: 2000, Granted: true}, // of one that does not lead
-		{Kind: LeaveReply, From: "b", To: "a", View: 2, Sent: 2000, Granted: true}, // of an older view
-		{Kind: LeaveReply, From: "b", To: "a", View: 3, Sent: 9000, Granted: true}, // to what was not asked yet
+		{Type: MsgLeaveResponse, From: "b", To: "a", Term: 3, SentAtMs: 1900, Granted: true}, // to what a life before asked
+		{Type: MsgLeaveResponse, From: "c", To: "a", Term: 3, SentAtMs: 2000, Granted: true}, // of one that does not lead
+		{Type: MsgLeaveResponse, From: "b", To: "a", Term: 2, SentAtMs: 2000, Granted: true}, // of an older view
+		{Type: MsgLeaveResponse, From: "b", To: "a", Term: 3, SentAtMs: 9000, Granted: true}, // to what was not asked yet
 	} {
 		c.Step(m, 2010)
-		over, _ := c.Left()
+		over, _ := c.LeaveProgress()
 		require.False(t, over, "%+v", m)
 	}
-	c.Step(Message{Kind: LeaveReply, From: "b", To: "a", View: 3, Sent: 2000, Granted: true}, 2010)
-	over, handed := c.Left()
+	c.Step(Message{Type: MsgLeaveResponse, From: "b", To: "a", Term: 3, SentAtMs: 2000, Granted: true}, 2010)
+	over, handed := c.LeaveProgress()
 	require.True(t, over && handed)
 }
 
@@ -270,12 +270,12 @@
 	for seed := range uint64(50) {
 		w := newWorld(seed, 6, 2)
 		w.calm = true
-		w.In(500, w.propose)
-		w.Play(10000)
+		w.After(500, w.propose)
+		w.RunFor(10000)
 		for range 5 {
 			var l *member
 			for _, m := range w.members {
-				if m.up && m.core.Holds(w.Now) {
+				if m.up && m.core.HoldsLease(w.Now) {
 					l = m
 				}
 			}
@@ -283,20 +283,20 @@
 			l.carry(l.core.Leave(w.Now))
 			begun, last := w.Now, w.Now
 			for w.Now < begun+2500 {
-				w.Play(5)
+				w.RunFor(5)
 				for _, m := range w.members {
-					if m.up && m.core.Holds(w.Now) {
+					if m.up && m.core.HoldsLease(w.Now) {
 						last = w.Now
 					}
 				}
 				worst = max(worst, w.Now-last)
-				if over, _ := l.core.Left(); l.up && over && !l.core.IsLeader() {
+				if over, _ := l.core.LeaveProgress(); l.up && over && !l.core.IsLeader() {
 					l.crash(false)
-					w.In(700, l.start)
+					w.After(700, l.start)
 				}
 			}
 		}
-		require.Empty(t, w.Broken, w.report())
+		require.Empty(t, w.Violations, w.report())
 		require.Less(t, worst, int64(300), "seed %d", seed)
 	}
 	t.Logf("nobody led for %d ms at most", worst)
--- a/internal/control/consensus/node_test.go
+++ b/internal/control/consensus/node_test.go
@@ -19,7 +19,7 @@
 // step it asserts: all deliver the same in one order, no two members hold a view at once, and in the end nothing that
 // was acknowledged is gone.
 type world struct {
-	*scheduler.Stage
+	*scheduler.Scheduler
 	size, lost int
 	members    []*member
 	order      []string // what was delivered in each place, by whoever was first
@@ -36,12 +36,12 @@
 type member struct {
 	w       *world
 	address string
-	core    *Core
+	core    *Node
 	up      bool
 	life    int
 	id      ID
 	founder []ID
-	disk    Restored
+	disk    RestoredState
 	queue   []Write // not synced yet
 	cut     map[string]bool
 	frozen  bool
@@ -51,7 +51,7 @@
 }
 
 func newWorld(seed uint64, size, lost int) *world {
-	w := &world{Stage: scheduler.New(seed, 1<<30, 1), size: size, lost: lost, order: []string{""}}
+	w := &world{Scheduler: scheduler.New(seed, 1<<30, 1), size: size, lost: lost, order: []string{""}}
 	var founders []ID
 	for i := range size {
 		founders = append(founders, ID(fmt.Sprintf("m%d", i)))
@@ -76,22 +76,22 @@
 	m.up, m.frozen, m.held, m.waiting = true, false, nil, map[uint64]string{}
 	kept := m.disk
 	kept.Entries = slices.Clone(kept.Entries)
-	terms := Usual(w.lost)
-	terms.Part, terms.Kept = 64, 100 // snapshots go in many parts
-	m.core = New(m.id, terms, kept, m.founder, w.Chance.Float64, w.Now)
+	terms := DefaultConfig(w.lost)
+	terms.ChunkBytes, terms.RetainedBytes = 64, 100 // snapshots go in many parts
+	m.core = New(m.id, terms, kept, m.founder, w.Rand.Float64, w.Now)
 	if w.out == "lease" { // its leader counts on what it does not keep
 		life := m.life
 		var forget func()
 		forget = func() {
 			if m.up && m.life == life {
 				m.core.heardAt, m.core.startedAt = 0, 0
-				if w.Odds(20) && !m.core.IsLeader() {
+				if w.OneIn(20) && !m.core.IsLeader() {
 					m.core.askAt = w.Now
 				}
-				w.In(10, forget)
+				w.After(10, forget)
 			}
 		}
-		w.In(10, forget)
+		w.After(10, forget)
 	}
 	m.tick(m.life)
 }
@@ -108,7 +108,7 @@
 }
 
 func (m *member) tick(life int) {
-	m.w.In(20, func() {
+	m.w.After(20, func() {
 		m.do(life, func() {
 			m.carry(m.core.Tick(m.w.Now))
 			m.tick(life)
@@ -116,7 +116,7 @@
 	})
 }
 
-func (m *member) carry(o Out) {
+func (m *member) carry(o Ready) {
 	w, life := m.w, m.life
 	for _, x := range o.Writes {
 		m.queue = append(m.queue, x)
@@ -128,13 +128,13 @@
 		if w.out == "sync" { // it is told of as stored before it is
 			took = 0
 		}
-		w.In(took, func() {
+		w.After(took, func() {
 			m.do(life, func() {
 				for w.out != "sync" && len(m.queue) > 0 && m.queue[0].Seq <= seq {
-					m.disk.Put(m.queue[0])
+					m.disk.ApplyWrite(m.queue[0])
 					m.queue = m.queue[1:]
 				}
-				m.carry(m.core.Saved(seq, w.Now))
+				m.carry(m.core.Persisted(seq, w.Now))
 			})
 		})
 	}
@@ -146,66 +146,66 @@
 			w.send(m, to, msg)
 		}
 	}
-	for _, d := range o.Delivered {
+	for _, d := range o.Committed {
 		m.deliver(d)
 	}
 	w.check()
 }
 
 func (w *world) send(from, to *member, msg Message) {
-	if from.cut[to.address] || to.cut[from.address] || !w.calm && w.Odds(40) {
+	if from.cut[to.address] || to.cut[from.address] || !w.calm && w.OneIn(40) {
 		return
 	}
 	took := w.Between(1, 4)
-	if !w.calm && w.Odds(50) {
+	if !w.calm && w.OneIn(50) {
 		took = w.Between(1, 600)
 	}
 	life := to.life
 	if w.mangle != nil {
 		for range w.mangle(&msg) {
 			again := msg
-			w.In(w.Between(1, 60), func() { to.do(life, func() { to.carry(to.core.Step(again, w.Now)) }) })
+			w.After(w.Between(1, 60), func() { to.do(life, func() { to.carry(to.core.Step(again, w.Now)) }) })
 		}
 		return
 	}
-	w.In(took, func() {
+	w.After(took, func() {
 		if !to.cut[from.address] {
 			to.do(life, func() { to.carry(to.core.Step(msg, w.Now)) })
 		}
 	})
 }
 
-func (m *member) deliver(d Delivery) {
+func (m *member) deliver(d Committed) {
 	w := m.w
 	if d.Snapshot != nil {
-		if string(d.Snapshot.State) != w.state(d.Index) {
-			w.Broke("%s takes a snapshot up to %d that is another's", m.id, d.Index)
+		if string(d.Snapshot.Data) != w.state(d.Index) {
+			w.Violate("%s takes a snapshot up to %d that is another's", m.id, d.Index)
 		}
 		return
 	}
-	what := fmt.Sprintf("%d:%s", d.View, d.Body)
+	what := fmt.Sprintf("%d:%s", d.Term, d.Data)
 	switch {
 	case d.Index < uint64(len(w.order)):
 		if w.order[d.Index] != what {
-			w.Broke("%s delivers %q in place %d, where %q was", m.id, what, d.Index, w.order[d.Index])
+			w.Violate("%s delivers %q in place %d, where %q was", m.id, what, d.Index, w.order[d.Index])
 		}
 	case d.Index == uint64(len(w.order)):
 		w.order = append(w.order, what)
 	default:
-		w.Broke("%s delivers place %d before %d", m.id, d.Index, len(w.order))
+		w.Violate("%s delivers place %d before %d", m.id, d.Index, len(w.order))
 	}
 	if body, ok := m.waiting[d.Index]; ok {
 		delete(m.waiting, d.Index)
-		if strings.HasSuffix(what, ":"+body) && m.core.View() == d.View {
+		if strings.HasSuffix(what, ":"+body) && m.core.Term() == d.Term {
 			w.acked = append(w.acked, body)
 		}
 	}
 	if d.Index%40 == 0 && !m.frozen {
 		life := m.life
 		index := d.Index
-		w.In(0, func() { // a snapshot is of all that was delivered
+		w.After(0, func() { // a snapshot is of all that was delivered
 			m.do(life, func() {
-				if m.core.Commit() >= index {
+				if m.core.CommitIndex() >= index {
 					m.carry(m.core.Compact(index, []byte(w.state(index)), 10, w.Now))
 				}
 			})
@@ -221,9 +221,9 @@
 func (w *world) check() {
 	holds := ""
 	for _, m := range w.members {
-		if m.up && !m.frozen && m.core.Holds(w.Now) {
+		if m.up && !m.frozen && m.core.HoldsLease(w.Now) {
 			if holds != "" {
-				w.Broke("%s and %s both hold a view", holds, m.id)
+				w.Violate("%s and %s both hold a view", holds, m.id)
 			}
 			holds = string(m.id)
 		}
@@ -231,10 +231,10 @@
 }
 
 func (w *world) propose() {
-	w.In(w.Between(5, 60), w.propose)
-	m := w.members[w.Chance.IntN(len(w.members))]
+	w.After(w.Between(5, 60), w.propose)
+	m := w.members[w.Rand.IntN(len(w.members))]
 	m.do(m.life, func() {
-		if !m.core.Holds(w.Now) {
+		if !m.core.HoldsLease(w.Now) {
 			return
 		}
 		w.proposed++
@@ -259,8 +259,8 @@
 
 func (m *member) caughtUp() bool {
 	for _, l := range m.w.members { // by the one that leads: the change that made it a member was delivered
-		if l.up && l.core.Holds(m.w.Now) && len(l.core.active()) == 1 && slices.Contains(l.core.Members(), m.id) &&
-			m.w.Now > m.outAt+4000 && m.core.Commit()+2 >= uint64(len(m.w.order))-1 {
+		if l.up && l.core.HoldsLease(m.w.Now) && len(l.core.active()) == 1 && slices.Contains(l.core.Members(), m.id) &&
+			m.w.Now > m.outAt+4000 && m.core.CommitIndex()+2 >= uint64(len(m.w.order))-1 {
 			m.outAt = 0
 			return true
 		}
@@ -274,22 +274,22 @@
 	m.up = false
 	if !power {
 		for _, x := range m.queue {
-			if w.Odds(2) {
+			if w.OneIn(2) {
 				break
 			}
-			m.disk.Put(x)
+			m.disk.ApplyWrite(x)
 		}
 	}
 	m.queue = nil
 }
 
 func (w *world) strike() {
-	w.In(w.Between(300, 2500), w.strike)
+	w.After(w.Between(300, 2500), w.strike)
 	if w.calm || w.still || w.lostNow()+w.leaving >= w.lost {
 		return
 	}
-	m := w.members[w.Chance.IntN(len(w.members))]
-	if w.Odds(3) {
+	m := w.members[w.Rand.IntN(len(w.members))]
+	if w.OneIn(3) {
 		for _, l := range w.members {
 			if l.up && l.core.IsLeader() {
 				m = l
@@ -301,23 +301,23 @@
 	}
 	back := w.Between(50, 4000)
 	m.outAt = w.Now
-	switch kind := w.Chance.IntN(6); kind {
+	switch kind := w.Rand.IntN(6); kind {
 	case 0, 1:
 		w.Note("%s dies, power %v", m.id, kind == 0)
 		m.crash(kind == 0)
-		w.In(back, func() { m.start() })
+		w.After(back, func() { m.start() })
 	case 2:
 		w.Note("%s loses its disk", m.id)
 		m.crash(true)
-		w.In(back, func() {
-			m.disk, m.founder = Restored{}, nil
+		w.After(back, func() {
+			m.disk, m.founder = RestoredState{}, nil
 			if w.out == "name" {
 				m.founder = []ID{"m0", "m1", "m2"}
 				m.start()
 				return
 			}
 			m.id = ID(fmt.Sprintf("%s+%d", m.address, m.life))
-			if w.Odds(2) { // for good, and another takes its place elsewhere
+			if w.OneIn(2) { // for good, and another takes its place elsewhere
 				m.address = fmt.Sprintf("%s-%d", m.address, m.life)
 				m.id = ID(m.address + "+x")
 			}
@@ -326,7 +326,7 @@
 	case 3:
 		w.Note("%s freezes", m.id)
 		m.frozen = true
-		w.In(back, func() {
+		w.After(back, func() {
 			if !m.up || !m.frozen {
 				return
 			}
@@ -340,11 +340,11 @@
 	case 4:
 		w.Note("%s is cut off", m.id)
 		for _, o := range w.members {
-			if o != m && (!w.Odds(4)) {
+			if o != m && (!w.OneIn(4)) {
 				m.cut[o.address] = true
 			}
 		}
-		w.In(back, func() { clear(m.cut) })
+		w.After(back, func() { clear(m.cut) })
 	case 5:
 		w.Note("%s hands over", m.id)
 		m.outAt = 0
@@ -355,66 +355,66 @@
 // allLosePower is the closing fault: some lose their disks, all others their power, right after an acknowledgement.
 func (w *world) allLosePower(wiped int) {
 	w.Note("all lose power, %d their disks", wiped)
-	order := w.Chance.Perm(len(w.members))
+	order := w.Rand.Perm(len(w.members))
 	for i, k := range order {
 		m := w.members[k]
 		m.crash(true)
 		clear(m.cut)
 		if i < wiped && w.out == "name" {
-			m.disk, m.founder = Restored{}, []ID{"m0", "m1", "m2"}
+			m.disk, m.founder = RestoredState{}, []ID{"m0", "m1", "m2"}
 		} else if i < wiped {
-			m.disk, m.founder, m.id = Restored{}, nil, ID(fmt.Sprintf("%s+w%d", m.address, m.life))
+			m.disk, m.founder, m.id = RestoredState{}, nil, ID(fmt.Sprintf("%s+w%d", m.address, m.life))
 		}
-		w.In(w.Between(100, 1500), m.start)
+		w.After(w.Between(100, 1500), m.start)
 	}
 }
 
 func (w *world) run(span int64) {
-	w.In(500, w.propose)
+	w.After(500, w.propose)
 	first := int64(3000)
 	if w.size > 3 { // those who were not there first are made members by then
 		first = 10000
 	}
-	w.In(first, w.strike)
-	w.Play(first + span)
+	w.After(first, w.strike)
+	w.RunFor(first + span)
 	w.calm, w.slow = true, false
 	for _, m := range w.members { // what is out comes back by itself
 		clear(m.cut)
 	}
-	w.Play(14000)
+	w.RunFor(14000)
 	for acked := len(w.acked); w.out == "name" && len(w.acked) == acked; { // some may not have it yet
-		w.Play(1)
+		w.RunFor(1)
 	}
 	w.allLosePower(w.lost)
-	w.Play(12000)
+	w.RunFor(12000)
 	w.over()
 }
 
 func (w *world) over() {
 	up := 0
 	for _, m := range w.members {
-		if m.up && m.core.Holds(w.Now) {
+		if m.up && m.core.HoldsLease(w.Now) {
 			up++
 		}
 	}
 	if up != 1 {
-		w.Broke("%d members hold a view in the end", up)
+		w.Violate("%d members hold a view in the end", up)
 	}
 	all := " " + w.state(uint64(len(w.order))) + " "
 	for _, body := range w.acked {
 		if !strings.Contains(all, ":"+body+" ") {
-			w.Broke("%s was acknowledged and is gone", body)
+			w.Violate("%s was acknowledged and is gone", body)
 		}
 	}
 	for _, m := range w.members {
-		if m.up && slices.Contains(m.core.Members(), m.id) && int(m.core.Commit()) < len(w.order)-3 {
-			w.Broke("%s has delivered %d of %d", m.id, m.core.Commit(), len(w.order)-1)
+		if m.up && slices.Contains(m.core.Members(), m.id) && int(m.core.CommitIndex()) < len(w.order)-3 {
+			w.Violate("%s has delivered %d of %d", m.id, m.core.CommitIndex(), len(w.order)-1)
 		}
 	}
 }
 
 func (w *world) report() string {
-	return strings.Join(w.Broken, "\n") + "\nafter\n" + strings.Join(w.Trace, "\n")
+	return strings.Join(w.Violations, "\n") + "\nafter\n" + strings.Join(w.FaultLog, "\n")
 }
 
 func TestNoSeedLosesWhatWasAcknowledged(t *testing.T) {
@@ -430,7 +430,7 @@
 		w := newWorld(uint64(seed), size, lost)
 		w.slow = seed%5 == 4
 		w.run(9000)
-		if len(w.Broken) > 0 {
+		if len(w.Violations) > 0 {
 			t.Fatalf("seed %d, %d members:\n%s", seed, size, w.report())
 		}
 		acked += len(w.acked)
@@ -441,8 +441,8 @@
 func TestALearnerOfAWipedDiskHasNoVoteUntilItHoldsAll(t *testing.T) {
 	w := newWorld(1, 3, 1)
 	w.calm = true
-	w.In(500, w.propose)
-	w.Play(3000)
+	w.After(500, w.propose)
+	w.RunFor(3000)
 	// The lagging member would make a majority that has forgotten with one that knows nothing.
 	lag, wiped := w.members[0], w.members[1]
 	if lag.core.IsLeader() {
@@ -451,50 +451,50 @@
 	for _, o := range w.members {
 		lag.cut[o.address] = true
 	}
-	w.Play(2000)
+	w.RunFor(2000)
 	for _, m := range w.members[2:] {
 		m.crash(true)
 	}
 	wiped.crash(true)
-	wiped.disk, wiped.founder, wiped.id = Restored{}, nil, "m1+w"
+	wiped.disk, wiped.founder, wiped.id = RestoredState{}, nil, "m1+w"
 	wiped.start()
 	clear(lag.cut)
 	before := len(w.order)
-	w.Play(5000)
+	w.RunFor(5000)
 	require.Len(t, w.order, before, "two of three, one of them a learner, went on")
 	for _, m := range w.members[2:] {
 		m.start()
 	}
-	w.Play(5000)
+	w.RunFor(5000)
 	w.over()
-	require.Empty(t, w.Broken, w.report())
+	require.Empty(t, w.Violations, w.report())
 }
 
 func TestAnUnheardLeaderIsNotWaitedForWhereAllStartAnew(t *testing.T) {
 	w := newWorld(3, 3, 1)
 	w.calm = true
-	w.In(100, w.propose)
-	w.Play(3000)
+	w.After(100, w.propose)
+	w.RunFor(3000)
 	for _, m := range w.members {
 		m.crash(true)
 		m.start()
 	}
-	w.Play(400) // well within the lease that a leader of the lives before may have had
+	w.RunFor(400) // well within the lease that a leader of the lives before may have had
 	held := false
 	for _, m := range w.members {
-		held = held || m.core.Holds(w.Now)
+		held = held || m.core.HoldsLease(w.Now)
 	}
 	require.True(t, held, "nobody leads 400 ms after all started anew")
 }
 
 func TestTrimmedEntriesAreNotDelivered(t *testing.T) {
-	terms := Usual(1)
-	c := New("a", terms, Restored{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
-	c.Step(Message{Kind: Append, From: "b", To: "a", View: 1, Entries: []Entry{{View: 1, Body: []byte("old")}}}, 1010)
-	o := c.Step(Message{Kind: Append, From: "c", To: "a", View: 2, Entries: []Entry{{View: 2, Body: []byte("new")}}, Commit: 1}, 1020)
-	require.Len(t, o.Delivered, 1)
-	require.True(t, bytes.Equal(o.Delivered[0].Body, []byte("new")))
-	require.EqualValues(t, 1, c.Last())
+	terms := DefaultConfig(1)
+	c := New("a", terms, RestoredState{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
+	c.Step(Message{Type: MsgAppend, From: "b", To: "a", Term: 1, Entries: []Entry{{Term: 1, Data: []byte("old")}}}, 1010)
+	o := c.Step(Message{Type: MsgAppend, From: "c", To: "a", Term: 2, Entries: []Entry{{Term: 2, Data: []byte("new")}}, CommitIndex: 1}, 1020)
+	require.Len(t, o.Committed, 1)
+	require.True(t, bytes.Equal(o.Committed[0].Data, []byte("new")))
+	require.EqualValues(t, 1, c.LastIndex())
 }
 
 // worlds is how many are played: a tenth in short runs, as under the race detector.
@@ -514,18 +514,18 @@
 			w.out = out
 			for _, m := range w.members {
 				m.crash(true)
-				m.disk = Restored{}
+				m.disk = RestoredState{}
 				m.start()
 			}
 			func() {
 				defer func() {
 					if p := recover(); p != nil { // an assertion of the log itself
-						w.Broke("%v", p)
+						w.Violate("%v", p)
 					}
 				}()
 				w.run(9000)
 			}()
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				if strings.Contains(b, "gone") || strings.Contains(b, "both hold") || strings.Contains(b, "delivers") || strings.Contains(b, "ratchet:") {
 					caught = fmt.Sprintf("seed %d: %s", seed, b)
 				}
--- a/internal/control/consensus/snapshot_test.go
+++ b/internal/control/consensus/snapshot_test.go
@@ -15,30 +15,30 @@
 // mangled has messages lost, doubled and reordered, and parts of snapshots changed on their way.
 func (w *world) mangled(m *Message) int {
 	switch {
-	case w.Odds(20):
+	case w.OneIn(20):
 		return 0
-	case m.Kind == Install && m.Part != nil && w.Odds(12):
-		p := *m.Part
-		p.Bytes = bytes.Clone(p.Bytes)
-		switch k := w.Chance.IntN(7); {
-		case k == 0 && len(p.Bytes) > 0:
-			p.Bytes[w.Chance.IntN(len(p.Bytes))] ^= 4
+	case m.Type == MsgSnapshotChunk && m.Chunk != nil && w.OneIn(12):
+		p := *m.Chunk
+		p.Data = bytes.Clone(p.Data)
+		switch k := w.Rand.IntN(7); {
+		case k == 0 && len(p.Data) > 0:
+			p.Data[w.Rand.IntN(len(p.Data))] ^= 4
 		case k == 1:
-			p.Offset += uint64(w.Chance.IntN(300))
+			p.Offset += uint64(w.Rand.IntN(300))
 		case k == 2:
 			p.Size = 1 << 60
 		case k == 3:
-			p.Sum[0]++
+			p.Digest[0]++
 		case k == 4:
-			p.Index += uint64(w.Chance.IntN(1000))
-		case k == 5 && len(p.Bytes) > 1:
-			p.Bytes = p.Bytes[1:]
+			p.Index += uint64(w.Rand.IntN(1000))
+		case k == 5 && len(p.Data) > 1:
+			p.Data = p.Data[1:]
 		default:
-			p.Bytes = append(p.Bytes, p.Bytes...)
+			p.Data = append(p.Data, p.Data...)
 		}
-		m.Part = &p
+		m.Chunk = &p
 	}
-	if w.Odds(6) {
+	if w.OneIn(6) {
 		return 2
 	}
 	return 1
@@ -53,37 +53,37 @@
 		w := newWorld(uint64(seed), 3, 1)
 		w.calm = true
 		for range 4 {
-			w.In(500, w.propose)
+			w.After(500, w.propose)
 		}
-		w.Play(2500)
-		m := w.members[w.Chance.IntN(3)]
-		m.crash(w.Odds(2))
-		if w.Odds(4) {
-			m.disk, m.founder, m.id = Restored{}, nil, ID(m.address+"+w")
+		w.RunFor(2500)
+		m := w.members[w.Rand.IntN(3)]
+		m.crash(w.OneIn(2))
+		if w.OneIn(4) {
+			m.disk, m.founder, m.id = RestoredState{}, nil, ID(m.address+"+w")
 		}
-		w.Play(w.Between(0, 9000))
+		w.RunFor(w.Between(0, 9000))
 		w.mangle = w.mangled
 		m.start()
-		m.core.Part = 400
+		m.core.ChunkBytes = 400
 		for _, o := range w.members {
-			o.core.Part = 400
+			o.core.ChunkBytes = 400
 		}
 		was := len(w.order) - 1
-		w.In(w.Between(0, 2000), func() {
+		w.After(w.Between(0, 2000), func() {
 			for _, l := range w.members {
-				if l.up && l != m && l.core.IsLeader() && w.Odds(2) {
+				if l.up && l != m && l.core.IsLeader() && w.OneIn(2) {
 					ledAnew++
 					l.carry(l.core.TransferLeadership(w.Now))
 				}
 			}
 		})
-		w.Play(catchup)
-		installed, ignored = installed+m.core.Installed, ignored+m.core.PartsIgnored
-		if int(m.core.Commit()) < was {
-			w.Broke("%s has delivered %d of %d after %d ms", m.id, m.core.Commit(), was, catchup)
+		w.RunFor(catchup)
+		installed, ignored = installed+m.core.SnapshotsInstalled, ignored+m.core.ChunksIgnored
+		if int(m.core.CommitIndex()) < was {
+			w.Violate("%s has delivered %d of %d after %d ms", m.id, m.core.CommitIndex(), was, catchup)
 		}
 		w.mangle = nil
-		if len(w.Broken) > 0 {
+		if len(w.Violations) > 0 {
 			t.Fatalf("seed %d:\n%s", seed, w.report())
 		}
 	}
@@ -93,28 +93,28 @@
 }
 
 // parts are those of a snapshot, as a leader sends them.
-func parts(index uint64, state []byte, size int) (all []*Part) {
+func parts(index uint64, state []byte, size int) (all []*SnapshotChunk) {
 	sum := blake3.Sum256(state)
 	for at := 0; at < len(state); at += size {
-		all = append(all, &Part{Index: index, View: 1, Members: []ID{"a", "b", "c"}, Sum: [16]byte(sum[:16]), Size: uint64(len(state)),
-			Offset: uint64(at), Bytes: state[at:min(len(state), at+size)]})
+		all = append(all, &SnapshotChunk{Index: index, Term: 1, Members: []ID{"a", "b", "c"}, Digest: [16]byte(sum[:16]), Size: uint64(len(state)),
+			Offset: uint64(at), Data: state[at:min(len(state), at+size)]})
 	}
 	return all
 }
 
-func lagging() *Core {
-	return New("a", Usual(1), Restored{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
+func lagging() *Node {
+	return New("a", DefaultConfig(1), RestoredState{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
 }
 
-func install(from ID, view uint64, p *Part) Message {
-	return Message{Kind: Install, From: from, To: "a", View: view, Part: p}
+func install(from ID, view uint64, p *SnapshotChunk) Message {
+	return Message{Type: MsgSnapshotChunk, From: from, To: "a", Term: view, Chunk: p}
 }
 
 // offset is what a follower answers it has; -1: nothing.
-func offset(o Out) int {
+func offset(o Ready) int {
 	for _, m := range o.Messages {
-		if m.Kind == InstallReply {
-			return int(m.Part.Offset)
+		if m.Type == MsgSnapshotChunkAck {
+			return int(m.Chunk.Offset)
 		}
 	}
 	return -1
@@ -134,9 +134,9 @@
 	require.Equal(t, -1, offset(c.Step(install("c", 2, parts(8, state[5:], 100)[0]), 1040)), "an older snapshot, late")
 	require.Equal(t, 400, offset(c.Step(install("c", 2, all[3]), 1050)))
 	o := c.Step(install("c", 2, all[4]), 1060)
-	require.Len(t, o.Delivered, 1)
-	require.Equal(t, state, o.Delivered[0].Snapshot.State)
-	require.EqualValues(t, 4, c.PartsIgnored)
+	require.Len(t, o.Committed, 1)
+	require.Equal(t, state, o.Committed[0].Snapshot.Data)
+	require.EqualValues(t, 4, c.ChunksIgnored)
 }
 
 // What is told to be on disk is: a snapshot that comes twice, or entries that it stands for, are no reason to say so sooner.
@@ -145,78 +145,78 @@
 	p := parts(9, []byte("state"), 100)[0]
 	o := c.Step(install("b", 1, p), 1010)
 	seq := o.Writes[len(o.Writes)-1].Seq
-	out := []Out{o, c.Step(install("b", 1, p), 1020),
-		c.Step(Message{Kind: Append, From: "b", To: "a", View: 1, Index: 2, Prev: 1, Entries: []Entry{{View: 1}}}, 1030)}
+	out := []Ready{o, c.Step(install("b", 1, p), 1020),
+		c.Step(Message{Type: MsgAppend, From: "b", To: "a", Term: 1, Index: 2, PrevTerm: 1, Entries: []Entry{{Term: 1}}}, 1030)}
 	for _, o := range out {
-		require.False(t, slices.ContainsFunc(o.Messages, func(m Message) bool { return m.Kind == Accept }), "before it is on disk")
+		require.False(t, slices.ContainsFunc(o.Messages, func(m Message) bool { return m.Type == MsgAppendAccepted }), "before it is on disk")
 	}
-	o = c.Saved(seq, 1040)
-	require.Equal(t, Accept, o.Messages[len(o.Messages)-1].Kind)
+	o = c.Persisted(seq, 1040)
+	require.Equal(t, MsgAppendAccepted, o.Messages[len(o.Messages)-1].Type)
 	require.EqualValues(t, 9, o.Messages[len(o.Messages)-1].Index)
 }
 
 func TestPartsThatLieChangeNothing(t *testing.T) {
 	state := bytes.Repeat([]byte("x"), 1000)
-	for name, spoil := range map[string]func(p *Part){
-		"a snapshot beyond reason": func(p *Part) { p.Size = snapshotMost + 1 },
-		"an offset behind its end": func(p *Part) { p.Offset = p.Size + 1 },
-		"more than its size":       func(p *Part) { p.Size = 99 },
-		"a part beyond reason":     func(p *Part) { p.Bytes, p.Size = make([]byte, partMost+1), snapshotMost },
-		"members beyond reason":    func(p *Part) { p.Members = make([]ID, membersMost+1) },
-		"the middle first":         func(p *Part) { p.Offset = 100 },
+	for name, spoil := range map[string]func(p *SnapshotChunk){
+		"a snapshot beyond reason": func(p *SnapshotChunk) { p.Size = snapshotMost + 1 },
+		"an offset behind its end": func(p *SnapshotChunk) { p.Offset = p.Size + 1 },
+		"more than its size":       func(p *SnapshotChunk) { p.Size = 99 },
+		"a part beyond reason":     func(p *SnapshotChunk) { p.Data, p.Size = make([]byte, partMost+1), snapshotMost },
+		"members beyond reason":    func(p *SnapshotChunk) { p.Members = make([]ID, membersMost+1) },
+		"the middle first":         func(p *SnapshotChunk) { p.Offset = 100 },
 	} {
 		c := lagging()
 		p := *parts(9, state, 100)[0]
 		spoil(&p)
 		c.Step(install("b", 1, &p), 1010)
 		require.True(t, c.taking == nil, name)
-		require.EqualValues(t, 1, c.PartsIgnored, name)
+		require.EqualValues(t, 1, c.ChunksIgnored, name)
 	}
 	c := lagging()
 	c.Step(install("b", 1, nil), 1010)
-	require.EqualValues(t, 1, c.PartsIgnored)
+	require.EqualValues(t, 1, c.ChunksIgnored)
 	one := parts(9, state, 1000)[0]
-	one.Sum[0]++
+	one.Digest[0]++
 	o := c.Step(install("b", 1, one), 1010)
-	require.Empty(t, o.Delivered, "another digest")
+	require.Empty(t, o.Committed, "another digest")
 	require.Equal(t, 0, offset(o), "it is asked for anew")
 	require.Nil(t, c.taking)
 }
 
 // slowly plays a leader and a member that lacks all; a part and its answer take so long. It gives how many transfers began.
-func slowly(t *testing.T, behind int) (leader, member *Core) {
-	terms := Usual(1)
-	terms.Part, terms.Kept, terms.Behind, terms.Gone = 100, 200, behind, 1<<40
-	leader = New("a", terms, Restored{}, []ID{"a"}, func() float64 { return 0 }, 1000)
-	member = New("b+1", terms, Restored{}, nil, func() float64 { return 0 }, 1000)
+func slowly(t *testing.T, behind int) (leader, member *Node) {
+	terms := DefaultConfig(1)
+	terms.ChunkBytes, terms.RetainedBytes, terms.TransferRetainedBytes, terms.RemovalTimeoutMs = 100, 200, behind, 1<<40
+	leader = New("a", terms, RestoredState{}, []ID{"a"}, func() float64 { return 0 }, 1000)
+	member = New("b+1", terms, RestoredState{}, nil, func() float64 { return 0 }, 1000)
 	type late struct {
 		at int64
-		to *Core
+		to *Node
 		m  Message
 	}
 	var way []late
 	now := int64(1000)
-	var carry func(c *Core, o Out)
-	carry = func(c *Core, o Out) {
+	var carry func(c *Node, o Ready)
+	carry = func(c *Node, o Ready) {
 		for _, m := range o.Messages {
 			to := member
 			if c == member {
 				to = leader
 			}
 			took := int64(5)
-			if m.Kind == Install {
+			if m.Type == MsgSnapshotChunk {
 				took = 60
 			}
 			way = append(way, late{now + took, to, m})
 		}
-		for _, d := range o.Delivered {
+		for _, d := range o.Committed {
 			if c == leader && d.Index%40 == 0 {
 				carry(c, c.Compact(d.Index, bytes.Repeat([]byte("s"), 3000+int(d.Index)), 10, now))
 				require.LessOrEqual(t, len(c.old)*8, max(behind, 200)+8)
 			}
 		}
 		for _, w := range o.Writes {
-			carry(c, c.Saved(w.Seq, now))
+			carry(c, c.Persisted(w.Seq, now))
 		}
 	}
 	for ; now < 12000; now += 5 {
@@ -245,19 +245,19 @@
 // taken once. Where the bound is too small for that, it is begun anew, and nothing else is lost.
 func TestChangesDoNotOutrunASnapshot(t *testing.T) {
 	leader, member := slowly(t, 1<<20)
-	require.EqualValues(t, 1, leader.Transfers)
-	require.Greater(t, member.Commit()+40, leader.Commit())
+	require.EqualValues(t, 1, leader.SnapshotTransfers)
+	require.Greater(t, member.CommitIndex()+40, leader.CommitIndex())
 	leader, _ = slowly(t, 400)
-	require.Greater(t, leader.Transfers, int64(1), "begun anew where it is hopeless")
+	require.Greater(t, leader.SnapshotTransfers, int64(1), "begun anew where it is hopeless")
 }
 
 // What a snapshot stands for stays at hand for members and routers that lag a little, bound by number and by bytes.
 func TestEntriesForThoseThatLagAreBoundByNumberAndBytes(t *testing.T) {
-	terms := Usual(1)
-	terms.Kept = 500
-	c := New("a", terms, Restored{}, []ID{"a"}, func() float64 { return 0 }, 1000)
-	carry := func(o Out) {
-		for ; len(o.Writes) > 0; o = c.Saved(o.Writes[len(o.Writes)-1].Seq, 2000) {
+	terms := DefaultConfig(1)
+	terms.RetainedBytes = 500
+	c := New("a", terms, RestoredState{}, []ID{"a"}, func() float64 { return 0 }, 1000)
+	carry := func(o Ready) {
+		for ; len(o.Writes) > 0; o = c.Persisted(o.Writes[len(o.Writes)-1].Seq, 2000) {
 		}
 	}
 	carry(c.Tick(1500))
@@ -268,13 +268,13 @@
 	for _, want := range []struct{ keep, most uint64 }{{20, 5}, {3, 3}} {
 		_, o := c.Propose(make([]byte, 100), 2000)
 		carry(o)
-		last := c.Commit()
+		last := c.CommitIndex()
 		carry(c.Compact(last, nil, want.keep, 2000))
-		bodies, ok := c.Entries(last - want.most)
+		bodies, ok := c.CommittedAfter(last - want.most)
 		require.True(t, ok && uint64(len(bodies)) == want.most)
-		_, ok = c.Entries(last - want.most - 1)
+		_, ok = c.CommittedAfter(last - want.most - 1)
 		require.False(t, ok, "a snapshot stands for it")
-		_, ok = c.Entries(last + 1)
+		_, ok = c.CommittedAfter(last + 1)
 		require.False(t, ok, "nobody is there yet")
 	}
 }
@@ -283,27 +283,27 @@
 func TestAStateThatIsWrongIsFetched(t *testing.T) {
 	w := newWorld(5, 3, 1)
 	w.calm = true
-	w.In(500, w.propose)
-	w.Play(9000)
+	w.After(500, w.propose)
+	w.RunFor(9000)
 	for _, m := range w.members {
 		if m.core.Leader() != m.id {
-			was := m.core.Installed
-			m.carry(m.core.Refetch(w.Now))
-			w.Play(3000)
-			require.Equal(t, was+1, m.core.Installed)
+			was := m.core.SnapshotsInstalled
+			m.carry(m.core.RequestSnapshot(w.Now))
+			w.RunFor(3000)
+			require.Equal(t, was+1, m.core.SnapshotsInstalled)
 			require.False(t, m.core.refetch)
 		}
 	}
 	w.over()
-	require.Empty(t, w.Broken, w.report())
+	require.Empty(t, w.Violations, w.report())
 }
 
 // A member whose disk was put back to an older one is brought what it lacks, also where no change comes any more.
 func TestAMemberWithAnOlderDiskIsCaughtUp(t *testing.T) {
 	w := newWorld(5, 3, 1)
 	w.calm = true
-	w.In(500, w.propose)
-	w.Play(3000)
+	w.After(500, w.propose)
+	w.RunFor(3000)
 	var m *member
 	for _, o := range w.members {
 		if !o.core.IsLeader() {
@@ -312,8 +312,8 @@
 	}
 	old := m.disk
 	old.Entries = slices.Clone(old.Entries)
-	w.Play(3000)
-	w.Stage = scheduler.New(5, w.Now, 1) // nothing is proposed any more
+	w.RunFor(3000)
+	w.Scheduler = scheduler.New(5, w.Now, 1) // nothing is proposed any more
 	m.crash(true)
 	m.disk = old
 	for _, o := range w.members {
@@ -322,28 +322,30 @@
 		}
 	}
 	m.start()
-	w.Play(3000)
-	require.Equal(t, len(w.order)-1, int(m.core.Commit()))
-	require.Empty(t, w.Broken, w.report())
+	w.RunFor(3000)
+	require.Equal(t, len(w.order)-1, int(m.core.CommitIndex()))
+	require.Empty(t, w.Violations, w.report())
 }
 
 // What a member said that it had, and has no more, counts for nothing.
 func TestWhatAnOlderDiskLacksDoesNotCount(t *testing.T) {
-	c := New("a", Usual(1), Restored{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
-	c.meta.View, c.role, c.leader, c.heard, c.ledAt = 1, leader, "a", true, 2000
+	c := New("a", DefaultConfig(1), RestoredState{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
+	c.meta.Term, c.role, c.leader, c.heard, c.ledAt = 1, leader, "a", true, 2000
 	c.peers = map[ID]*progress{}
 	c.follow()
-	var o Out
+	var o Ready
 	for range 5 {
 		_, o = c.Propose([]byte("x"), 2000)
 	}
-	say := func(k Kind, index uint64) { c.Step(Message{Kind: k, From: "b", To: "a", View: 1, Index: index}, 2010) }
-	say(Accept, 5)
-	say(Refuse, 2)
-	c.Saved(o.Writes[len(o.Writes)-1].Seq, 2020)
-	require.EqualValues(t, 2, c.Commit(), "only this member holds the rest")
-	say(Accept, 5)
-	require.EqualValues(t, 5, c.Commit())
+	say := func(k MessageType, index uint64) {
+		c.Step(Message{Type: k, From: "b", To: "a", Term: 1, Index: index}, 2010)
+	}
+	say(MsgAppendAccepted, 5)
+	say(MsgAppendRejected, 2)
+	c.Persisted(o.Writes[len(o.Writes)-1].Seq, 2020)
+	require.EqualValues(t, 2, c.CommitIndex(), "only this member holds the rest")
+	say(MsgAppendAccepted, 5)
+	require.EqualValues(t, 5, c.CommitIndex())
 }
 
 func FuzzInstall(f *testing.F) {
@@ -352,11 +354,11 @@
 	f.Fuzz(func(t *testing.T, index, size, at uint64, b []byte, view uint64) {
 		c := lagging()
 		good := parts(9, bytes.Repeat([]byte("state"), 3), 5)
-		for i, p := range []*Part{good[0], {Index: index, View: 1, Size: size, Offset: at, Bytes: b, Sum: good[0].Sum}, good[1], good[2]} {
+		for i, p := range []*SnapshotChunk{good[0], {Index: index, Term: 1, Size: size, Offset: at, Data: b, Digest: good[0].Digest}, good[1], good[2]} {
 			o := c.Step(install("b", max(1, view*uint64(i&1)), p), 1010)
-			for _, d := range o.Delivered {
-				if sum := blake3.Sum256(d.Snapshot.State); [16]byte(sum[:16]) != good[0].Sum {
-					t.Fatalf("%q is taken", d.Snapshot.State)
+			for _, d := range o.Committed {
+				if sum := blake3.Sum256(d.Snapshot.Data); [16]byte(sum[:16]) != good[0].Digest {
+					t.Fatalf("%q is taken", d.Snapshot.Data)
 				}
 			}
 			if c.taking != nil && len(c.taking.state) > int(c.taking.Size) {
--- a/internal/control/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -32,7 +32,7 @@
 // where no answer comes, and read; and routers that ask for leases. Faults come with no budget: whatever is lost, at
 // most one member holds, no answer, refusal or confirmation is wrong, and no lease outlives its account.
 type cutWorld struct {
-	*scheduler.Stage
+	*scheduler.Scheduler
 	members   []*cutMember
 	routers   []*cutRouter
 	operators []*cutOperator
@@ -60,14 +60,14 @@
 type cutMember struct {
 	w       *cutWorld
 	ip      string
-	f       *Forge
+	f       *Server
 	up      bool
 	frozen  bool
 	life    int
 	rate    float64
 	began   int64
 	id      storage.Identity
-	disk    consensus.Restored
+	disk    consensus.RestoredState
 	queue   []consensus.Write
 	seen    uint64 // the index that was looked at last
 	pending []func()
@@ -76,7 +76,7 @@
 }
 
 func newCutWorld(seed uint64, size, routers int, drift float64, out string) *cutWorld {
-	w := &cutWorld{Stage: scheduler.New(seed, 1<<30, 1), drift: drift, out: out, chain: []link{{known: 1}}}
+	w := &cutWorld{Scheduler: scheduler.New(seed, 1<<30, 1), drift: drift, out: out, chain: []link{{known: 1}}}
 	var founders []consensus.ID
 	for i := range size {
 		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
@@ -96,19 +96,19 @@
 	for i := range 3 {
 		o := &cutOperator{w: w, i: i}
 		w.operators = append(w.operators, o)
-		w.In(w.Between(300, 900), o.next)
+		w.After(w.Between(300, 900), o.next)
 	}
 	return w
 }
 
-func (w *cutWorld) rate() float64 { return 1 + w.drift*(2*w.Chance.Float64()-1) }
+func (w *cutWorld) rate() float64 { return 1 + w.drift*(2*w.Rand.Float64()-1) }
 
 func (m *cutMember) start() {
 	w := m.w
 	m.life++
 	m.up, m.frozen, m.pending, m.queue, m.ties = true, false, nil, nil, map[*cutTie]bool{}
 	m.rate, m.began, m.seen = w.rate(), w.Now, 0
-	plate := &settings.Plate{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
+	plate := &settings.Settings{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
 	plate.FaultBudget.Machines = len(w.members) / 2
 	plate.Listen.Control = m.ip + ":8080"
 	for _, o := range w.members[:3] {
@@ -116,17 +116,17 @@
 	}
 	kept := m.disk
 	kept.Entries = slices.Clone(kept.Entries)
-	f, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteady(m.time), m.id, kept, w.Chance.Float64, uint64(m.life))
+	f, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteadyClock(m.time), m.id, kept, w.Rand.Float64, uint64(m.life))
 	if err != nil {
 		panic(err)
 	}
 	life := m.life
 	m.f = f
-	f.Wire(Reach{
-		Send:    m.send,
-		Store:   func(x []consensus.Write) { m.store(life, x) },
-		Ask:     func(failover.Question, statemachine.Host) {},
-		Promote: func(failover.Promotion) {},
+	f.SetEnvironment(Environment{
+		Send:      m.send,
+		Persist:   func(x []consensus.Write) { m.store(life, x) },
+		QueryHost: func(failover.HostQuery, statemachine.Host) {},
+		Promote:   func(failover.Promotion) {},
 	})
 	m.tick(life)
 }
@@ -150,10 +150,10 @@
 func (m *cutMember) tick(life int) {
 	w := m.w
 	after := int64(50 / m.rate)
-	if w.Odds(40) {
+	if w.OneIn(40) {
 		after += w.Between(0, 150) // timers are late
 	}
-	w.In(after, func() {
+	w.After(after, func() {
 		m.do(life, func() {
 			m.f.Tick()
 			m.tick(life)
@@ -173,31 +173,31 @@
 func (w *cutWorld) deliver(m, to *cutMember, f *rpc.Frame) {
 	how := m.cut[to.ip]
 	took := w.Between(1, 4)
-	if !w.calm && w.Odds(60) {
+	if !w.calm && w.OneIn(60) {
 		took = w.Between(5, 900)
 	}
-	if !w.calm && w.Odds(150) {
+	if !w.calm && w.OneIn(150) {
 		took = w.Between(900, 20000) // long after what it answers
 	}
 	bring := func() {
-		if f.Core != nil && w.out != "" {
-			msg := *f.Core
-			f = &rpc.Frame{Core: &msg}
+		if f.Consensus != nil && w.out != "" {
+			msg := *f.Consensus
+			f = &rpc.Frame{Consensus: &msg}
 			switch {
-			case w.out == "sent" && msg.Kind == consensus.HeartbeatReply: // counted from the answer
-				f.Core.Sent = 1 << 60
-			case w.out == "lease" && msg.Kind == consensus.VoteRequest:
-				f.Core.Transferred = true
+			case w.out == "sent" && msg.Type == consensus.MsgHeartbeatResponse: // counted from the answer
+				f.Consensus.SentAtMs = 1 << 60
+			case w.out == "lease" && msg.Type == consensus.MsgVoteRequest:
+				f.Consensus.LeadershipTransfer = true
 			}
 		}
-		to.do(to.life, func() { to.f.Hear(m.ip, f) })
+		to.do(to.life, func() { to.f.HandleFrame(m.ip, f) })
 	}
 	switch {
-	case how == "late" && !w.Odds(3):
+	case how == "late" && !w.OneIn(3):
 		w.held = append(w.held, bring)
 	case how != "":
 	default:
-		w.In(took, bring)
+		w.After(took, bring)
 	}
 }
 
@@ -206,16 +206,16 @@
 	m.queue = append(m.queue, x...)
 	seq := x[len(x)-1].Seq
 	took := w.Between(0, 5)
-	if !w.calm && w.Odds(80) {
+	if !w.calm && w.OneIn(80) {
 		took = w.Between(50, 600)
 	}
-	w.In(took, func() {
+	w.After(took, func() {
 		m.do(life, func() {
 			for len(m.queue) > 0 && m.queue[0].Seq <= seq {
-				m.disk.Put(m.queue[0])
+				m.disk.ApplyWrite(m.queue[0])
 				m.queue = m.queue[1:]
 			}
-			m.f.Saved(seq)
+			m.f.Persisted(seq)
 		})
 	})
 }
@@ -223,10 +223,10 @@
 func (m *cutMember) crash(power bool) {
 	m.up = false
 	for _, x := range m.queue {
-		if power || m.w.Odds(2) {
+		if power || m.w.OneIn(2) {
 			break
 		}
-		m.disk.Put(x)
+		m.disk.ApplyWrite(x)
 	}
 	m.queue = nil
 	for t := range m.ties {
@@ -240,7 +240,7 @@
 		return
 	}
 	m.frozen = true
-	w.In(span, func() {
+	w.After(span, func() {
 		if !m.up || m.life != life {
 			return
 		}
@@ -256,21 +256,21 @@
 // take brings a call to a member; the answer may be held up by a freeze of the process that has judged already.
 func (m *cutMember) take(method, path, base string, body []byte, answer func(int, []byte)) {
 	w, life := m.w, m.life
-	w.In(w.Between(1, 4), func() {
+	w.After(w.Between(1, 4), func() {
 		m.do(life, func() {
 			told := func(status int, b []byte) {
-				if !w.calm && w.Odds(60) {
+				if !w.calm && w.OneIn(60) {
 					w.answers++
 					m.freeze(w.Between(20, 3000))
 				}
-				m.do(life, func() { w.In(w.Between(1, 4), func() { answer(status, b) }) })
+				m.do(life, func() { w.After(w.Between(1, 4), func() { answer(status, b) }) })
 			}
 			if w.out == "holds" && m.f.leads { // whoever led last judges
 				c, id, _ := find(method, path)
 				c.Handle(m.f, id, call{method, path, base, body}, told)
 				return
 			}
-			m.f.Take(method, path, base, body, told)
+			m.f.HandleCall(method, path, base, body, told)
 		})
 	})
 }
@@ -284,9 +284,9 @@
 			continue
 		}
 		w.follow(m)
-		if m.f.core.Holds(m.f.clock.Now()) { // one that stands still, too: it may go on at any moment
+		if m.f.core.HoldsLease(m.f.clock.Now()) { // one that stands still, too: it may go on at any moment
 			if holder != nil {
-				w.Broke("%s and %s both hold a view", holder.ip, m.ip)
+				w.Violate("%s and %s both hold a view", holder.ip, m.ip)
 			}
 			holder = m
 		}
@@ -297,8 +297,8 @@
 	f := holder.f
 	now, index := f.clock.Now(), f.state.Index
 	for _, r := range w.routers {
-		if r.applied < index && r.tight() && f.jaw.Clear(index, f.state.RouterNames(), now) {
-			w.Broke("%s acts on %d under a lease, %s holds %d for handed back", r.name, r.applied, holder.ip, index)
+		if r.applied < index && r.tight() && f.jaw.AllCaughtUp(index, f.state.ProxyNames(), now) {
+			w.Violate("%s acts on %d under a lease, %s holds %d for handed back", r.name, r.applied, holder.ip, index)
 		}
 	}
 }
@@ -308,21 +308,21 @@
 		return
 	}
 	m.seen = m.f.state.Index
-	all := m.f.state.Taken
+	all := m.f.state.AppliedUpdates
 	if len(all) == 0 {
 		return
 	}
-	first := max(1, slices.IndexFunc(w.chain, func(l link) bool { return l.sum == all[0].Sum })) // older ones are forgotten
+	first := max(1, slices.IndexFunc(w.chain, func(l link) bool { return l.sum == all[0].Digest })) // older ones are forgotten
 	for i, t := range all {
-		gen := m.f.state.Gen // what the next one builds on
+		gen := m.f.state.Generation // what the next one builds on
 		if i+1 < len(all) {
-			gen = all[i+1].Base
+			gen = all[i+1].BaseVersion
 		}
 		switch at := first + i; {
 		case at >= len(w.chain):
-			w.chain = append(w.chain, link{gen: gen, sum: t.Sum, at: w.Now})
-		case w.chain[at].gen != gen || w.chain[at].sum != t.Sum:
-			w.Broke("%s took %d in place %d, where %d was", m.ip, gen, at, w.chain[at].gen)
+			w.chain = append(w.chain, link{gen: gen, sum: t.Digest, at: w.Now})
+		case w.chain[at].gen != gen || w.chain[at].sum != t.Digest:
+			w.Violate("%s took %d in place %d, where %d was", m.ip, gen, at, w.chain[at].gen)
 		}
 	}
 }
@@ -374,18 +374,18 @@
 			done(came, status, b)
 		}
 	}
-	m := w.members[w.Chance.IntN(len(w.members))]
+	m := w.members[w.Rand.IntN(len(w.members))]
 	if m.up {
 		m.take(method, path, base, body, func(status int, b []byte) {
 			w.judge(path, base, body, came, status, b)
-			if w.calm || !w.Odds(8) { // it may be lost on its way
+			if w.calm || !w.OneIn(8) { // it may be lost on its way
 				end(status, b)
 			}
 		})
 	} else {
-		w.In(2, func() { end(0, nil) })
+		w.After(2, func() { end(0, nil) })
 	}
-	w.In(1000, func() { end(0, nil) })
+	w.After(1000, func() { end(0, nil) })
 }
 
 // judge compares an answer with what was true while its call was under way, whether it reaches the caller or not.
@@ -398,20 +398,20 @@
 	case status == http.StatusServiceUnavailable:
 	case path == "/Config.Read" && status == http.StatusNotFound:
 		if w.newest(came) > 0 {
-			w.Broke("STALE: a read finds nothing, after %d was told", w.chain[w.newest(came)].gen)
+			w.Violate("STALE: a read finds nothing, after %d was told", w.chain[w.newest(came)].gen)
 		}
 	case path == "/Config.Read":
 		w.reads++
 		i := slices.IndexFunc(w.chain, func(l link) bool { return l.sum == of })
 		if i < 0 || i < w.newest(came) {
-			w.Broke("STALE: a read that came at %d gives place %d, %d was told", came-w.Zero, i, w.newest(came))
+			w.Violate("STALE: a read that came at %d gives place %d, %d was told", came-w.Zero, i, w.newest(came))
 			return
 		}
 		w.tell(i)
 	case status == http.StatusOK:
 		i := slices.IndexFunc(w.chain, func(l link) bool { return l.sum == of })
 		if i < 0 {
-			w.Broke("LOST: an order is confirmed and was not taken")
+			w.Violate("LOST: an order is confirmed and was not taken")
 			return
 		}
 		w.confirms++
@@ -420,14 +420,14 @@
 		w.refused++
 		taken := slices.IndexFunc(w.chain, func(l link) bool { return l.sum == of })
 		if taken > 0 && w.chain[taken].at <= came {
-			w.Broke("REFUSED: an order that was taken")
+			w.Violate("REFUSED: an order that was taken")
 		}
 		was := slices.IndexFunc(w.chain, func(l link) bool { return fmt.Sprint(l.gen) == base })
 		if was < 0 || was == len(w.chain)-1 { // the version that it builds on was in place all the time
-			w.Broke("REFUSED: 412 to an order on %s, which is the newest", base)
+			w.Violate("REFUSED: 412 to an order on %s, which is the newest", base)
 		}
 	default:
-		w.Broke("REFUSED: %d to %s: %s", status, path, b)
+		w.Violate("REFUSED: %d to %s: %s", status, path, b)
 	}
 }
 
@@ -451,7 +451,7 @@
 			o.base = 0
 			done()
 		default:
-			o.w.In(o.w.Between(20, 200), func() { o.read(done) })
+			o.w.After(o.w.Between(20, 200), func() { o.read(done) })
 		}
 	})
 }
@@ -461,9 +461,9 @@
 	o.call(http.MethodPost, "/Config.Replace", fmt.Sprint(base), body, func(_ int64, status int, _ []byte) {
 		switch {
 		case status == http.StatusOK || status == http.StatusPreconditionFailed || status == http.StatusBadRequest:
-			w.In(w.Between(20, 700), o.next)
+			w.After(w.Between(20, 700), o.next)
 		default:
-			w.In(w.Between(20, 100+50*int64(min(turn, 8))), func() { o.order(base, gen, body, turn+1, since) })
+			w.After(w.Between(20, 100+50*int64(min(turn, 8))), func() { o.order(base, gen, body, turn+1, since) })
 		}
 	})
 }
@@ -474,7 +474,7 @@
 	name    string
 	rate    float64
 	life    uint64
-	screw   lease.Screw
+	screw   lease.Holder
 	state   *statemachine.State
 	applied uint64
 	tie     *cutTie
@@ -484,12 +484,12 @@
 
 func (r *cutRouter) start() {
 	r.life++
-	r.screw, r.state, r.applied, r.cut = lease.Screw{}, &statemachine.State{}, 0, map[string]bool{}
+	r.screw, r.state, r.applied, r.cut = lease.Holder{}, &statemachine.State{}, 0, map[string]bool{}
 	r.seek(r.life)
 }
 
 func (r *cutRouter) now() int64  { return 1<<30 + int64(float64(r.w.Now-r.w.Zero)*r.rate) }
-func (r *cutRouter) tight() bool { return r.screw.Tight(r.now()) }
+func (r *cutRouter) tight() bool { return r.screw.Valid(r.now()) }
 
 func (r *cutRouter) seek(life uint64) {
 	if r.life != life {
@@ -504,7 +504,7 @@
 	m     *cutMember
 	life  uint64
 	mlife int
-	at    *Router
+	at    *ProxyConn
 	over  bool
 	heard int64
 	asked map[uint64]int64
@@ -518,16 +518,16 @@
 	t := &cutTie{r: r, m: m, life: r.life, mlife: m.life, heard: w.Now, asked: map[uint64]int64{}}
 	r.tie = t
 	if !m.up {
-		w.In(30, t.part)
+		w.After(30, t.part)
 		return
 	}
 	m.ties[t] = true
-	hello := &rpc.Hello{Node: r.name, Life: r.life, Zone: "z", From: r.applied}
-	t.toMember(func() { t.at = m.f.Meet(hello, r.name, t.send, func() { w.In(2, t.part) }) })
-	if w.Odds(10) && !w.calm { // the same once more, by a connection that was held up
+	hello := &rpc.Hello{Node: r.name, Incarnation: r.life, Zone: "z", AppliedIndex: r.applied}
+	t.toMember(func() { t.at = m.f.AcceptProxy(hello, r.name, t.send, func() { w.After(2, t.part) }) })
+	if w.OneIn(10) && !w.calm { // the same once more, by a connection that was held up
 		life := m.life
-		w.In(w.Between(100, 20000), func() {
-			m.do(life, func() { m.f.Meet(hello, r.name, func(*rpc.Frame) bool { return true }, func() {}) })
+		w.After(w.Between(100, 20000), func() {
+			m.do(life, func() { m.f.AcceptProxy(hello, r.name, func(*rpc.Frame) bool { return true }, func() {}) })
 		})
 	}
 	t.deaf()
@@ -541,7 +541,7 @@
 		took = w.Between(200, 1500)
 	}
 	t.there = max(t.there+1, w.Now+took)
-	w.In(t.there-w.Now, func() { t.m.do(t.mlife, do) })
+	w.After(t.there-w.Now, func() { t.m.do(t.mlife, do) })
 }
 
 func (t *cutTie) send(f *rpc.Frame) bool {
@@ -551,7 +551,7 @@
 		took = w.Between(200, 1500)
 	}
 	t.here = max(t.here+1, w.Now+took)
-	w.In(t.here-w.Now, func() {
+	w.After(t.here-w.Now, func() {
 		if !t.over && t.r.life == t.life {
 			t.take(f)
 			w.check()
@@ -564,38 +564,38 @@
 	w, r := t.r.w, t.r
 	t.heard = w.Now
 	switch {
-	case f.Welcome != nil && !f.Welcome.Leads:
+	case f.Welcome != nil && !f.Welcome.IsLeader:
 		t.over = true
-		w.In(30, func() { r.seek(t.life) })
+		w.After(30, func() { r.seek(t.life) })
 	case f.Welcome != nil:
 		t.renews()
-	case f.News != nil && f.News.Snapshot != nil:
-		s, err := statemachine.Restore(f.News.Snapshot)
+	case f.LogUpdate != nil && f.LogUpdate.Snapshot != nil:
+		s, err := statemachine.Restore(f.LogUpdate.Snapshot)
 		if err != nil {
 			panic(err)
 		}
-		if f.News.Index >= r.applied {
-			r.state, r.applied = s, f.News.Index
+		if f.LogUpdate.LastIndex >= r.applied {
+			r.state, r.applied = s, f.LogUpdate.LastIndex
 		}
-	case f.News != nil:
-		first := f.News.Index - uint64(len(f.News.Entries)) + 1
+	case f.LogUpdate != nil:
+		first := f.LogUpdate.LastIndex - uint64(len(f.LogUpdate.Entries)) + 1
 		if first > r.applied+1 {
 			t.part()
 			return
 		}
-		for i, b := range f.News.Entries {
+		for i, b := range f.LogUpdate.Entries {
 			if at := first + uint64(i); at > r.applied {
-				if c, err := statemachine.Decode(b); err == nil && len(b) > 0 {
+				if c, err := statemachine.DecodeChange(b); err == nil && len(b) > 0 {
 					r.state.Apply(at, c)
 				}
 				r.applied = at
 			}
 		}
-	case f.Lease != nil && !f.Lease.Granted:
+	case f.LeaseResponse != nil && !f.LeaseResponse.Granted:
 		t.part()
-	case f.Lease != nil && f.Lease.Index <= r.applied:
-		asked := t.asked[f.Lease.Serial]
-		r.screw.Granted(asked)
+	case f.LeaseResponse != nil && f.LeaseResponse.CommitIndex <= r.applied:
+		asked := t.asked[f.LeaseResponse.Serial]
+		r.screw.Renewed(asked)
 		w.leased++
 	}
 	r.ready()
@@ -607,8 +607,8 @@
 	if !r.tight() {
 		return
 	}
-	if i := w.newest(w.Now - 1800); i > 0 && r.state.Gen < w.chain[i].gen {
-		w.Broke("READY: %s is under a lease with %d, %d was told 1.8 s ago", r.name, r.state.Gen, w.chain[i].gen)
+	if i := w.newest(w.Now - 1800); i > 0 && r.state.Generation < w.chain[i].gen {
+		w.Violate("READY: %s is under a lease with %d, %d was told 1.8 s ago", r.name, r.state.Generation, w.chain[i].gen)
 	}
 }
 
@@ -619,14 +619,14 @@
 	t.over = true
 	delete(t.m.ties, t)
 	if at := t.at; at != nil {
-		t.toMember(func() { t.m.f.Parted(at) })
+		t.toMember(func() { t.m.f.ProxyDisconnected(at) })
 	}
-	t.r.w.In(30, func() { t.r.seek(t.life) })
+	t.r.w.After(30, func() { t.r.seek(t.life) })
 }
 
 func (t *cutTie) deaf() {
 	w := t.r.w
-	w.In(50, func() {
+	w.After(50, func() {
 		switch {
 		case t.over || t.r.life != t.life:
 		case w.Now > t.heard+700:
@@ -643,15 +643,15 @@
 		return
 	}
 	t.n++
-	n := &rpc.Renew{Serial: t.n, Applied: t.r.applied}
+	n := &rpc.LeaseRequest{Serial: t.n, AppliedIndex: t.r.applied}
 	t.asked[t.n] = t.r.now()
-	t.toMember(func() { t.m.f.Said(t.at, &rpc.Frame{Renew: n}) })
-	t.r.w.In(int64(300/t.r.rate), t.renews)
+	t.toMember(func() { t.m.f.HandleProxyFrame(t.at, &rpc.Frame{LeaseRequest: n}) })
+	t.r.w.After(int64(300/t.r.rate), t.renews)
 }
 
 // strike is one fault. With "wild" there is no budget.
 func (w *cutWorld) strike(wild bool) {
-	w.In(w.Between(150, 1500), func() { w.strike(wild) })
+	w.After(w.Between(150, 1500), func() { w.strike(wild) })
 	if w.calm {
 		return
 	}
@@ -664,8 +664,8 @@
 	if !wild && out >= len(w.members)/2 {
 		return
 	}
-	m := w.members[w.Chance.IntN(len(w.members))]
-	if w.Odds(2) {
+	m := w.members[w.Rand.IntN(len(w.members))]
+	if w.OneIn(2) {
 		for _, l := range w.members {
 			if l.up && l.f.core.IsLeader() {
 				m = l
@@ -675,19 +675,19 @@
 	if !m.up {
 		return
 	}
-	switch w.Chance.IntN(10) {
+	switch w.Rand.IntN(10) {
 	case 0:
 		for _, o := range w.members { // one, or all that this one may have asked
-			if o == m || o.up && wild && w.Odds(3) {
+			if o == m || o.up && wild && w.OneIn(3) {
 				w.Note("%s ends", o.ip)
-				o.crash(w.Odds(2))
-				w.In(w.Between(60, 400), o.start)
+				o.crash(w.OneIn(2))
+				w.After(w.Between(60, 400), o.start)
 			}
 		}
 	case 1:
 		w.Note("%s ends for long", m.ip)
 		m.crash(true)
-		w.In(w.Between(400, 4000), m.start)
+		w.After(w.Between(400, 4000), m.start)
 	case 2:
 		span := w.Between(50, 4000)
 		w.Note("%s stands still for %d", m.ip, span)
@@ -698,8 +698,8 @@
 		w.Note("%s hands over", m.ip)
 		m.do(m.life, func() { m.f.carry(m.f.core.TransferLeadership(m.f.clock.Now())) })
 	case 8, 9:
-		r := w.routers[w.Chance.IntN(len(w.routers))]
-		if w.Odds(2) {
+		r := w.routers[w.Rand.IntN(len(w.routers))]
+		if w.OneIn(2) {
 			w.Note("%s starts anew", r.name)
 			if t := r.tie; t != nil {
 				t.over = true
@@ -709,17 +709,17 @@
 		}
 		w.Note("%s and %s are cut off", r.name, m.ip)
 		r.cut[m.ip] = true
-		w.In(w.Between(100, 4000), func() { delete(r.cut, m.ip) })
+		w.After(w.Between(100, 4000), func() { delete(r.cut, m.ip) })
 	}
 }
 
 // cutOff cuts a member off from some or all others, one way or both.
 func (m *cutMember) cutOff(span int64) {
 	w := m.w
-	how, way := []string{"silent", "late"}[w.Chance.IntN(2)], w.Chance.IntN(3)
+	how, way := []string{"silent", "late"}[w.Rand.IntN(2)], w.Rand.IntN(3)
 	w.Note("%s is cut off, %s, way %d, for %d", m.ip, how, way, span)
-	only := w.members[w.Chance.IntN(len(w.members))]
-	if only == m || w.Odds(2) {
+	only := w.members[w.Rand.IntN(len(w.members))]
+	if only == m || w.OneIn(2) {
 		only = nil
 	}
 	for _, o := range w.members {
@@ -733,7 +733,7 @@
 			o.cut[m.ip] = how
 		}
 	}
-	w.In(span, func() {
+	w.After(span, func() {
 		w.Note("%s is joined", m.ip)
 		clear(m.cut)
 		for _, o := range w.members {
@@ -742,38 +742,38 @@
 		held := w.held
 		w.held = nil
 		for _, bring := range held {
-			w.In(w.Between(1, 30), bring)
+			w.After(w.Between(1, 30), bring)
 		}
 	})
 }
 
 func (w *cutWorld) run(span int64, wild bool) {
-	w.In(1500, func() { w.strike(wild) })
-	w.Play(span)
+	w.After(1500, func() { w.strike(wild) })
+	w.RunFor(span)
 	w.calm = true
 	for _, m := range w.members {
 		clear(m.cut)
 	}
-	w.Play(6000)
+	w.RunFor(6000)
 	before := w.confirms
-	w.Play(4000)
+	w.RunFor(4000)
 	if w.confirms < before+3 {
-		w.Broke("%d orders are confirmed in 4 s of calm", w.confirms-before)
+		w.Violate("%d orders are confirmed in 4 s of calm", w.confirms-before)
 	}
 	for i, l := range w.chain { // what was told is there
 		if l.known == 0 || i == 0 {
 			continue
 		}
 		for _, m := range w.members {
-			if m.up && m.f.leads && !slices.ContainsFunc(m.f.state.Taken, func(t statemachine.Taken) bool { return t.Sum == l.sum }) && i > len(w.chain)-100 {
-				w.Broke("LOST: %d was told and is gone", l.gen)
+			if m.up && m.f.leads && !slices.ContainsFunc(m.f.state.AppliedUpdates, func(t statemachine.AppliedUpdate) bool { return t.Digest == l.sum }) && i > len(w.chain)-100 {
+				w.Violate("LOST: %d was told and is gone", l.gen)
 			}
 		}
 	}
 }
 
 func (w *cutWorld) report() string {
-	return strings.Join(w.Broken, "\n") + "\nafter\n" + strings.Join(w.Trace, "\n")
+	return strings.Join(w.Violations, "\n") + "\nafter\n" + strings.Join(w.FaultLog, "\n")
 }
 
 func cutWorlds() int {
@@ -794,11 +794,11 @@
 		w := newCutWorld(uint64(seed), size, 2, 0.05, "")
 		span := int64(9000)
 		if seed%10 == 7 { // one long cut that heals in the middle of orders
-			w.In(2000, func() { w.members[w.Chance.IntN(size)].cutOff(20000) })
+			w.After(2000, func() { w.members[w.Rand.IntN(size)].cutOff(20000) })
 			span = 24000
 		}
 		w.run(span, seed%2 == 0)
-		if len(w.Broken) > 0 {
+		if len(w.Violations) > 0 {
 			t.Fatalf("seed %d:\n%s", seed, w.report())
 		}
 		confirms, refused, reads, answers, leased = confirms+w.confirms, refused+w.refused, reads+w.reads, answers+w.answers, leased+w.leased
@@ -829,12 +829,12 @@
 			func() {
 				defer func() {
 					if p := recover(); p != nil { // an assertion of the log itself
-						w.Broke("both hold: %v", p)
+						w.Violate("both hold: %v", p)
 					}
 				}()
 				w.run(9000, true)
 			}()
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				if !strings.Contains(b, "of calm") {
 					caught = fmt.Sprintf("seed %d: %s", seed, b)
 					break
--- a/internal/control/failover/callers_test.go
+++ b/internal/control/failover/callers_test.go
@@ -20,7 +20,7 @@
 			b := newTable(t)
 			b.run(1200)
 			b.crash(true)
-			b.h.Suspect("r0", "db", "h0", b.now)
+			b.h.SuspectPrimary("r0", "db", "h0", b.now)
 			b.run(after)
 			before, asked := b.out, b.h.serial
 			for i := range b.replies {
@@ -28,7 +28,7 @@
 			}
 			old += before
 			b.h = New("control", 2, 1200, b.now)
-			b.h.Suspect("r0", "db", "h0", b.now)
+			b.h.SuspectPrimary("r0", "db", "h0", b.now)
 			b.run(gap + patience + 20)
 			if b.h.serial >= asked && asked > 0 {
 				met++
@@ -39,7 +39,7 @@
 				b.promote(b.calls[len(b.calls)-1].Host)
 			}
 			b.run(3000)
-			require.NotEqual(t, "h0", b.state.Leads["db"].Host, "after %d ms", after)
+			require.NotEqual(t, "h0", b.state.Primaries["db"].Host, "after %d ms", after)
 		}
 	}
 	require.Greater(t, old, 100)
@@ -49,9 +49,9 @@
 // Only the answer to the call that is out counts: none that came before, is of another host, fence, view or number.
 func TestOnlyTheCallThatIsOutIsAnswered(t *testing.T) {
 	b := newTable(t)
-	b.outcome = func(int) Outcome { return Unclear }
+	b.outcome = func(int) PromotionOutcome { return PromotionUnknown }
 	b.crash(false)
-	b.h.Suspect("r0", "db", "h0", b.now)
+	b.h.SuspectPrimary("r0", "db", "h0", b.now)
 	for len(b.calls) < 2 {
 		b.run(10)
 		require.Less(t, b.now, int64(1<<20)+20000)
@@ -60,32 +60,32 @@
 	require.NotEqual(t, first, second)
 	require.Equal(t, first.Host, second.Host)
 	for name, p := range map[string]Promotion{"the call before": first,
-		"another host":    {second.Service, "h9", second.Holder, second.Fence, second.View, second.Serial},
-		"another service": {"other", second.Host, second.Holder, second.Fence, second.View, second.Serial},
-		"another fence":   {second.Service, second.Host, second.Holder, second.Fence + 1, second.View, second.Serial},
-		"another view":    {second.Service, second.Host, second.Holder, second.Fence, second.View + 1, second.Serial},
-		"another number":  {second.Service, second.Host, second.Holder, second.Fence, second.View, second.Serial + 1},
+		"another host":    {second.Service, "h9", second.Owner, second.FencingToken, second.LeaderTerm, second.Serial},
+		"another service": {"other", second.Host, second.Owner, second.FencingToken, second.LeaderTerm, second.Serial},
+		"another fence":   {second.Service, second.Host, second.Owner, second.FencingToken + 1, second.LeaderTerm, second.Serial},
+		"another view":    {second.Service, second.Host, second.Owner, second.FencingToken, second.LeaderTerm + 1, second.Serial},
+		"another number":  {second.Service, second.Host, second.Owner, second.FencingToken, second.LeaderTerm, second.Serial + 1},
 	} {
-		require.False(t, b.h.Called(p, Done, b.now), name)
+		require.False(t, b.h.PromotionFinished(p, PromotionSucceeded, b.now), name)
 	}
-	require.Zero(t, b.h.Counts.Promoted)
-	require.True(t, b.h.Called(second, Done, b.now))
-	require.False(t, b.h.Called(second, Done, b.now), "twice")
-	require.EqualValues(t, 1, b.h.Counts.Promoted)
+	require.Zero(t, b.h.Counters.Promoted)
+	require.True(t, b.h.PromotionFinished(second, PromotionSucceeded, b.now))
+	require.False(t, b.h.PromotionFinished(second, PromotionSucceeded, b.now), "twice")
+	require.EqualValues(t, 1, b.h.Counters.Promoted)
 
-	q := Question{"db", "h1", Stat, 0, 1, 1 << 30}
+	q := HostQuery{"db", "h1", Stat, 0, 1, 1 << 30}
 	b.h.services["db"].questions["h1"] = &asked{q, b.now}
-	for name, change := range map[string]func(q *Question){
-		"another verb": func(q *Question) { q.Verb = Resume }, "another term": func(q *Question) { q.Term = 9 },
-		"another view": func(q *Question) { q.View = 2 }, "another number": func(q *Question) { q.Serial-- },
-		"another host": func(q *Question) { q.Host = "h2" }, "another service": func(q *Question) { q.Service = "none" },
+	for name, change := range map[string]func(q *HostQuery){
+		"another verb": func(q *HostQuery) { q.Command = Resume }, "another term": func(q *HostQuery) { q.Term = 9 },
+		"another view": func(q *HostQuery) { q.LeaderTerm = 2 }, "another number": func(q *HostQuery) { q.Serial-- },
+		"another host": func(q *HostQuery) { q.Host = "h2" }, "another service": func(q *HostQuery) { q.Service = "none" },
 	} {
 		o := q
 		change(&o)
-		require.False(t, b.h.Replied(Reply{To: o}, b.now), name)
+		require.False(t, b.h.QueryFinished(QueryResult{Query: o}, b.now), name)
 	}
-	require.True(t, b.h.Replied(Reply{To: q}, b.now))
-	require.False(t, b.h.Replied(Reply{To: q}, b.now), "twice")
+	require.True(t, b.h.QueryFinished(QueryResult{Query: q}, b.now))
+	require.False(t, b.h.QueryFinished(QueryResult{Query: q}, b.now), "twice")
 }
 
 // Two planned moves, one right after the other. What the first one's end says to replicas is without an answer now and then,
@@ -105,13 +105,13 @@
 			return b.now >= seen[i]+int64(i*37+uint64(seed))%900
 		}
 		still, thaws, spells := "", int64(0), [3]int64{}
-		b.late = func(q Question) int64 {
+		b.late = func(q HostQuery) int64 {
 			by := 10 + int64(q.Serial*131+uint64(seed)*17)%900
 			switch {
 			case q.Host == still && b.now < thaws: // it stands still, and does all that it was told at once
 				frozen++
 				return thaws - b.now + by/3
-			case calm || q.Verb != []Verb{Resume, Pause}[seed%2] || (q.Serial*7+uint64(seed))%5 > 2:
+			case calm || q.Command != []Command{Resume, Pause}[seed%2] || (q.Serial*7+uint64(seed))%5 > 2:
 				return 0
 			}
 			late++
@@ -119,10 +119,10 @@
 		}
 		step := func() {
 			b.run(10)
-			lead := b.state.Leads["db"]
+			lead := b.state.Primaries["db"]
 			for _, id := range []string{"h0", "h1", "h2"} {
 				a := b.hosts[id]
-				if !a.Leader || id != lead.Host || lead.Moving && b.clear(lead.At) {
+				if !a.Leader || id != lead.Host || lead.Revoked && b.clear(lead.ChangedAt) {
 					continue
 				}
 				a.Received = wire.Position{Term: a.Term, Number: a.Received.Number + 1}
@@ -164,7 +164,7 @@
 		}
 		for range 3 {
 			play(200 + chance.Int64N(1500))
-			from := b.state.Leads["db"].Host
+			from := b.state.Primaries["db"].Host
 			if still = fmt.Sprintf("h%d", chance.IntN(3)); still != from && chance.IntN(3) == 0 {
 				thaws = b.now + 300 + chance.Int64N(3000)
 				play(chance.Int64N(1500))
@@ -174,14 +174,14 @@
 			}
 			host := b.state.Hosts[from]
 			host.Draining = true
-			b.apply(statemachine.Change{Enter: &host})
-			for until := b.now + 25000; b.now < until && b.state.Leads["db"].Host == from; {
+			b.apply(statemachine.Change{AddHost: &host})
+			for until := b.now + 25000; b.now < until && b.state.Primaries["db"].Host == from; {
 				step()
 				if chance.IntN(300) == 0 {
 					b.h = New("control", b.h.view+1, 1200, b.now)
 				}
 			}
-			if b.state.Leads["db"].Host != from {
+			if b.state.Primaries["db"].Host != from {
 				moved++
 			}
 			host.Draining = false // the next that comes in its place
--- a/internal/control/failover/calls.go
+++ b/internal/control/failover/calls.go
@@ -5,12 +5,12 @@
 	"ferrypitch/internal/wire"
 )
 
-// Verb is a question to a host.
-type Verb uint8
+// Command is a question to a host.
+type Command uint8
 
 // Verbs.
 const (
-	Stat Verb = iota + 1
+	Stat Command = iota + 1
 	Pause
 	Resume
 	StepDown
@@ -19,98 +19,98 @@
 var words = [...]string{Stat: "STAT", Pause: "PAUSE", Resume: "RESUME", StepDown: "STEPDOWN"}
 
 // Text is how a host is asked.
-func (v Verb) Text() string { return words[v] }
-
-// Question is one to a host. No two are equal: a view has one leader, in one life, which numbers what it asks.
-type Question struct {
-	Service, Host string
-	Verb          Verb
-	Term          uint64 // of PAUSE and STEPDOWN
-	View, Serial  uint64
+func (v Command) Text() string { return words[v] }
+
+// HostQuery is one to a host. No two are equal: a view has one leader, in one life, which numbers what it asks.
+type HostQuery struct {
+	Service, Host      string
+	Command            Command
+	Term               uint64 // of PAUSE and STEPDOWN
+	LeaderTerm, Serial uint64
 }
 
-// Reply is how a question ended.
-type Reply struct {
-	To      Question
-	Refused bool // nothing listens there
-	Silent  bool // no answer in time, or one that broke off
-	Code    wire.Code
-	Status  wire.Status
+// QueryResult is how a question ended.
+type QueryResult struct {
+	Query             HostQuery
+	ConnectionRefused bool // nothing listens there
+	TimedOut          bool // no answer in time, or one that broke off
+	Code              wire.Code
+	Status            wire.HostStatus
 }
 
 // Promotion is a call to the platform. No two are equal.
 type Promotion struct {
-	Service, Host, Holder string
-	Fence                 uint64
-	View, Serial          uint64
+	Service, Host, Owner string
+	FencingToken         uint64
+	LeaderTerm, Serial   uint64
 }
 
-// Outcome is how a promotion's call ended.
-type Outcome uint8
+// PromotionOutcome is how a promotion's call ended.
+type PromotionOutcome uint8
 
 // Outcomes.
 const (
-	Done     Outcome = iota
-	Rejected         // an older fence, or a host that is not running
-	Unclear          // it may have been carried out
-	Later            // it was not
+	PromotionSucceeded   PromotionOutcome = iota
+	PromotionRejected                     // an older fence, or a host that is not running
+	PromotionUnknown                      // it may have been carried out
+	PromotionNotExecuted                  // it was not
 )
 
 type told struct {
-	reply Reply
-	verb  Verb
+	reply QueryResult
+	verb  Command
 	at    int64
 	sent  int64
 }
 
 type asked struct {
-	question Question
+	question HostQuery
 	at       int64
 }
 
-// Replied takes in how a question ended; false: it is none that is out.
-func (h *Hoist) Replied(r Reply, now int64) bool {
-	s := h.services[r.To.Service]
+// QueryFinished takes in how a question ended; false: it is none that is out.
+func (h *Coordinator) QueryFinished(r QueryResult, now int64) bool {
+	s := h.services[r.Query.Service]
 	if s == nil {
 		return false
 	}
-	if a := s.beside; a != nil && a.question == r.To {
+	if a := s.beside; a != nil && a.question == r.Query {
 		s.beside = nil
-		if s.rows[r.To.Host].sent < a.at {
-			s.rows[r.To.Host] = told{r, r.To.Verb, now, a.at}
+		if s.rows[r.Query.Host].sent < a.at {
+			s.rows[r.Query.Host] = told{r, r.Query.Command, now, a.at}
 		}
 		return true
 	}
-	a := s.questions[r.To.Host]
-	if a == nil || a.question != r.To {
+	a := s.questions[r.Query.Host]
+	if a == nil || a.question != r.Query {
 		return false
 	}
-	delete(s.questions, r.To.Host)
-	if r.Silent || r.Refused {
-		s.doubt(r.To, now)
+	delete(s.questions, r.Query.Host)
+	if r.TimedOut || r.ConnectionRefused {
+		s.doubt(r.Query, now)
 	}
-	if s.rows[r.To.Host].sent <= a.at {
-		s.rows[r.To.Host] = told{r, r.To.Verb, now, a.at}
+	if s.rows[r.Query.Host].sent <= a.at {
+		s.rows[r.Query.Host] = told{r, r.Query.Command, now, a.at}
 	}
 	return true
 }
 
-// Called takes in how a promotion's call ended; false: it is not the one that is out.
-func (h *Hoist) Called(p Promotion, o Outcome, now int64) bool {
+// PromotionFinished takes in how a promotion's call ended; false: it is not the one that is out.
+func (h *Coordinator) PromotionFinished(p Promotion, o PromotionOutcome, now int64) bool {
 	s := h.services[p.Service]
 	if s == nil || !s.calling || s.call != p {
 		return false
 	}
 	s.calling, s.callEnded = false, now
 	switch o {
-	case Done:
-		h.Counts.Promoted++
-	case Rejected:
+	case PromotionSucceeded:
+		h.Counters.Promoted++
+	case PromotionRejected:
 		s.called = ""
 		s.rejected[p.Host] = now
-	case Later:
+	case PromotionNotExecuted:
 		s.called = ""
-	case Unclear: // it is called again, sooner than one that was told yes
+	case PromotionUnknown: // it is called again, sooner than one that was told yes
 		s.callEnded = now - settles + 2*renew
 	}
 	return true
@@ -119,14 +119,14 @@
 // order is a verb that was said to a host.
 type order struct {
 	host string
-	verb Verb
+	verb Command
 }
 
 // doubt notes that an order may run at its host from now on still, and that what is in doubt there is so as before: a host
 // that stands still, or a network that holds bytes back, gives them no order across connections.
-func (s *service) doubt(q Question, now int64) {
-	if q.Verb == Pause || q.Verb == Resume {
-		s.doubted[order{q.Host, q.Verb}] = now
+func (s *service) doubt(q HostQuery, now int64) {
+	if q.Command == Pause || q.Command == Resume {
+		s.doubted[order{q.Host, q.Command}] = now
 	}
 	for o := range s.doubted {
 		if o.host == q.Host {
@@ -137,12 +137,12 @@
 
 // stands says that what a host did on an order holds: none that undoes it, of this holder or of the one before, can run
 // any more. since is when the order was sent.
-func (h *Hoist) stands(s *service, host string, undone Verb, since int64) bool {
+func (h *Coordinator) stands(s *service, host string, undone Command, since int64) bool {
 	return since >= max(h.since, s.doubted[order{host, undone}])+lingers
 }
 
 // ask asks a host, unless a question to it is out, or one like it was asked less than a while ago.
-func (h *Hoist) ask(do *Todo, s *service, host string, v Verb, term uint64, every, now int64) {
+func (h *Coordinator) ask(do *Actions, s *service, host string, v Command, term uint64, every, now int64) {
 	if a := s.questions[host]; a != nil {
 		if now < a.at+2*patience {
 			return
@@ -154,38 +154,38 @@
 		return
 	}
 	h.serial++
-	q := Question{s.name, host, v, term, h.view, h.serial}
+	q := HostQuery{s.name, host, v, term, h.view, h.serial}
 	s.questions[host] = &asked{q, now}
-	do.Questions = append(do.Questions, q)
+	do.Queries = append(do.Queries, q)
 }
 
 // answered gives a host's row if it is of this verb and no older than a while.
-func (s *service) answered(host string, v Verb, since int64) (wire.Status, bool) {
+func (s *service) answered(host string, v Command, since int64) (wire.HostStatus, bool) {
 	r, ok := s.rows[host]
-	if !ok || r.verb != v || r.sent < since || r.reply.Refused || r.reply.Silent || r.reply.Code != "" {
-		return wire.Status{}, false
+	if !ok || r.verb != v || r.sent < since || r.reply.ConnectionRefused || r.reply.TimedOut || r.reply.Code != "" {
+		return wire.HostStatus{}, false
 	}
 	return r.reply.Status, true
 }
 
 // look asks the host that was named to the platform whether it leads by now.
-func (h *Hoist) look(do *Todo, state *statemachine.State, s *service, now int64) {
-	if r, ok := s.rows[s.called]; ok && r.sent >= s.calledAt && (r.reply.Silent || r.reply.Refused) {
+func (h *Coordinator) look(do *Actions, state *statemachine.State, s *service, now int64) {
+	if r, ok := s.rows[s.called]; ok && r.sent >= s.calledAt && (r.reply.TimedOut || r.reply.ConnectionRefused) {
 		s.gaveNone = true
 	}
 	every := int64(quick)
-	if b := h.beats[s.called]; b.Leader && b.At >= s.calledAt || state.Took > 0 && now >= s.calledAt+state.Took*4/5 {
+	if b := h.beats[s.called]; b.IsPrimary && b.At >= s.calledAt || state.LastPromotionMs > 0 && now >= s.calledAt+state.LastPromotionMs*4/5 {
 		every = closing
 	}
 	h.ask(do, s, s.called, Stat, 0, every, now)
 }
 
-func (h *Hoist) call(do *Todo, s *service, lead statemachine.Lead, host string, now int64) {
+func (h *Coordinator) call(do *Actions, s *service, lead statemachine.Primary, host string, now int64) {
 	if s.calling || s.proposed > 0 || s.calledAt > 0 && now < s.calledAt+renew && s.called == host {
 		return
 	}
 	h.serial++
 	s.calling, s.called, s.calledAt = true, host, now
-	s.call = Promotion{s.name, host, h.self, lead.Fence, h.view, h.serial}
-	do.Promote = append(do.Promote, s.call)
+	s.call = Promotion{s.name, host, h.self, lead.FencingToken, h.view, h.serial}
+	do.Promotions = append(do.Promotions, s.call)
 }
--- a/internal/control/failover/capacity_test.go
+++ b/internal/control/failover/capacity_test.go
@@ -13,10 +13,10 @@
 		b.Run(e.String(), func(b *testing.B) {
 			s, h := e.State(), failover.New("control", 1, 1200, 0)
 			for n := range e.Hosts() {
-				h.Beat(statesize.Host(n).ID, n%3 == 0, 1)
+				h.Heartbeat(statesize.Host(n).ID, n%3 == 0, 1)
 			}
 			for b.Loop() {
-				if do := h.Tick(s, func(uint64) bool { return true }, 2); len(do.Propose)+len(do.Questions) > 0 {
+				if do := h.Tick(s, func(uint64) bool { return true }, 2); len(do.Proposals)+len(do.Queries) > 0 {
 					b.Fatal("nothing is wrong", do)
 				}
 			}
--- a/internal/control/failover/coordinator.go
+++ b/internal/control/failover/coordinator.go
@@ -36,15 +36,15 @@
 // farOff is how many terms beyond the last one a host may tell of.
 const farOff = 1000
 
-// Todo is what a Tick asks for.
-type Todo struct {
-	Propose   []statemachine.Change
-	Questions []Question
-	Promote   []Promotion
+// Actions is what a Tick asks for.
+type Actions struct {
+	Proposals  []statemachine.Change
+	Queries    []HostQuery
+	Promotions []Promotion
 }
 
-// Counts are of steps, for counters.
-type Counts struct {
+// Counters are of steps, for counters.
+type Counters struct {
 	Suspected, Cleared, Lost, Planned, Promoted, Resumed, Missing, Waiting int64
 }
 
@@ -78,26 +78,26 @@
 	resumeAt  int64  // since when
 }
 
-// Hoist is the state of one member that leads. It lives as long as its view.
-type Hoist struct {
+// Coordinator is the state of one member that leads. It lives as long as its view.
+type Coordinator struct {
 	self     string
 	beatMs   int64
 	view     uint64
 	serial   uint64
 	services map[string]*service
-	beats    map[string]Beat
+	beats    map[string]HostHeartbeat
 	since    int64
-	Counts   Counts
+	Counters Counters
 	Log      func(service, what, host string)
 }
 
 // New starts a member that leads a view from now on. beatMs is how often hosts beat.
-func New(self string, view uint64, beatMs, now int64) *Hoist {
-	return &Hoist{self: self, view: view, beatMs: max(beatMs, 100), services: map[string]*service{}, beats: map[string]Beat{}, since: now,
+func New(self string, view uint64, beatMs, now int64) *Coordinator {
+	return &Coordinator{self: self, view: view, beatMs: max(beatMs, 100), services: map[string]*service{}, beats: map[string]HostHeartbeat{}, since: now,
 		Log: func(string, string, string) {}}
 }
 
-func (h *Hoist) service(name string) *service {
+func (h *Coordinator) service(name string) *service {
 	s := h.services[name]
 	if s == nil {
 		s = &service{name: name, suspect: map[string]int64{}, questions: map[string]*asked{}, rows: map[string]told{},
@@ -108,20 +108,20 @@
 	return s
 }
 
-func (s *service) propose(do *Todo, c statemachine.Change, now int64) {
+func (s *service) propose(do *Actions, c statemachine.Change, now int64) {
 	if s.proposed == 0 || now > s.proposed+1000 {
 		s.proposed = now
-		do.Propose = append(do.Propose, c)
+		do.Proposals = append(do.Proposals, c)
 	}
 }
 
 // Tick goes over all services. clear says whether no router acts any more on what the log said before an index.
-func (h *Hoist) Tick(state *statemachine.State, clear func(index uint64) bool, now int64) (do Todo) {
+func (h *Coordinator) Tick(state *statemachine.State, clear func(index uint64) bool, now int64) (do Actions) {
 	names := map[string]bool{}
 	for _, host := range state.Hosts {
 		names[host.Service] = true
 	}
-	for name := range state.Leads {
+	for name := range state.Primaries {
 		names[name] = true
 	}
 	sorted := make([]string, 0, len(names))
@@ -135,25 +135,25 @@
 	return do
 }
 
-// Applied tells that a change has come, so that what was proposed is no longer awaited.
-func (h *Hoist) Applied(name string) { h.service(name).proposed = 0 }
+// ChangeApplied tells that a change has come, so that what was proposed is no longer awaited.
+func (h *Coordinator) ChangeApplied(name string) { h.service(name).proposed = 0 }
 
-// AppliedAny is Applied for a change that names no service.
-func (h *Hoist) AppliedAny() {
+// ChangesApplied is Applied for a change that names no service.
+func (h *Coordinator) ChangesApplied() {
 	for _, s := range h.services {
 		s.proposed = 0
 	}
 }
 
-func (h *Hoist) tend(do *Todo, state *statemachine.State, s *service, clear func(uint64) bool, now int64) {
-	lead, known := state.Leads[s.name]
-	members := state.Members(s.name)
+func (h *Coordinator) tend(do *Actions, state *statemachine.State, s *service, clear func(uint64) bool, now int64) {
+	lead, known := state.Primaries[s.name]
+	members := state.HostIDs(s.name)
 	switch {
 	case !known:
 		h.first(do, s, members, now)
-	case lead.Moving:
+	case lead.Revoked:
 		h.move(do, state, s, lead, members, clear, now)
-	case lead.To != "":
+	case lead.Nominee != "":
 		h.handOver(do, state, s, lead, members, now)
 	default:
 		h.watch(do, state, s, lead, members, now)
@@ -167,10 +167,10 @@
 }
 
 // Active says whether any service is on the move or looked into.
-func (h *Hoist) Active(state *statemachine.State) bool {
+func (h *Coordinator) Active(state *statemachine.State) bool {
 	for name, s := range h.services {
-		l := state.Leads[name]
-		if l.Moving || l.To != "" || len(s.suspect) > 0 || len(s.questions) > 0 || s.strikes > 0 {
+		l := state.Primaries[name]
+		if l.Revoked || l.Nominee != "" || len(s.suspect) > 0 || len(s.questions) > 0 || s.strikes > 0 {
 			return true
 		}
 	}
