--- a/internal/control/failover/detection.go
+++ b/internal/control/failover/detection.go
@@ -4,20 +4,22 @@
 	"ferrypitch/internal/control/statemachine"
 )
 
-// Beat is what a host last said of itself.
-type Beat struct {
-	At     int64
-	Leader bool
+// HostHeartbeat is what a host last said of itself.
+type HostHeartbeat struct {
+	At        int64
+	IsPrimary bool
 }
 
-// Beat takes in a host's beat.
-func (h *Hoist) Beat(host string, leader bool, now int64) { h.beats[host] = Beat{now, leader} }
+// Heartbeat takes in a host's beat.
+func (h *Coordinator) Heartbeat(host string, leader bool, now int64) {
+	h.beats[host] = HostHeartbeat{now, leader}
+}
 
-// Beaten is a host's last beat.
-func (h *Hoist) Beaten(host string) Beat { return h.beats[host] }
+// LastHeartbeat is a host's last beat.
+func (h *Coordinator) LastHeartbeat(host string) HostHeartbeat { return h.beats[host] }
 
-// Forget drops a host that left.
-func (h *Hoist) Forget(host string) {
+// ForgetHost drops a host that left.
+func (h *Coordinator) ForgetHost(host string) {
 	delete(h.beats, host)
 	for _, s := range h.services {
 		delete(s.doubted, order{host, Pause})
@@ -25,27 +27,27 @@
 	}
 }
 
-// Suspect takes in a router's word that it can't reach a service's primary; now is when it came.
-func (h *Hoist) Suspect(router, name, host string, now int64) {
+// SuspectPrimary takes in a router's word that it can't reach a service's primary; now is when it came.
+func (h *Coordinator) SuspectPrimary(router, name, host string, now int64) {
 	s := h.service(name)
 	if s.of != host {
 		s.of, s.strikes = host, 0
 		clear(s.suspect)
 	}
 	if len(s.suspect) == 0 {
-		h.Counts.Suspected++
+		h.Counters.Suspected++
 	}
 	s.suspect[router] = now
 }
 
 // first finds who leads a service that none was ever known to lead: a host says so, and is asked for its term.
-func (h *Hoist) first(do *Todo, s *service, members []string, now int64) {
+func (h *Coordinator) first(do *Actions, s *service, members []string, now int64) {
 	best, term := "", uint64(0)
 	for _, m := range members {
-		if !h.beats[m].Leader {
+		if !h.beats[m].IsPrimary {
 			continue
 		}
-		if r, ok := s.rows[m]; ok && now < r.at+2*patience && !r.reply.Silent && !r.reply.Refused && r.reply.Status.Leader {
+		if r, ok := s.rows[m]; ok && now < r.at+2*patience && !r.reply.TimedOut && !r.reply.ConnectionRefused && r.reply.Status.Leader {
 			if r.reply.Status.Term > term || best == "" {
 				best, term = m, r.reply.Status.Term
 			}
@@ -54,40 +56,40 @@
 		h.ask(do, s, m, Stat, 0, again, now)
 	}
 	if best != "" {
-		s.propose(do, statemachine.Change{Lead: &statemachine.NewLead{Service: s.name, Host: best, Term: term}}, now)
+		s.propose(do, statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: s.name, Host: best, Term: term}}, now)
 	}
 }
 
 // watch looks after a service that is led: is its primary there, and does it stay?
-func (h *Hoist) watch(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, now int64) {
+func (h *Coordinator) watch(do *Actions, state *statemachine.State, s *service, lead statemachine.Primary, members []string, now int64) {
 	primary, there := state.Hosts[lead.Host]
 	s.settle()
 	if !there || h.lost(do, s, lead, now) {
-		h.Counts.Lost++
+		h.Counters.Lost++
 		s.why = "lost"
-		s.propose(do, statemachine.Change{Recall: &statemachine.Recall{Service: s.name, Holder: h.self}}, now)
+		s.propose(do, statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: s.name, Owner: h.self}}, now)
 		return
 	}
 	for _, m := range members { // one that was promoted late leads now, whoever is said to
-		if m == lead.Host || !h.beats[m].Leader || h.beats[m].At < h.since {
+		if m == lead.Host || !h.beats[m].IsPrimary || h.beats[m].At < h.since {
 			continue
 		}
 		if st, ok := s.answered(m, Stat, now-2*again); ok && st.Leader && st.Term > lead.Term && sane(st.Term, lead) {
-			s.propose(do, statemachine.Change{Recall: &statemachine.Recall{Service: s.name, Holder: h.self}}, now)
+			s.propose(do, statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: s.name, Owner: h.self}}, now)
 			return
 		}
 		h.ask(do, s, m, Stat, 0, 4*again, now)
 	}
 	h.missing(do, state, s, lead, members, now)
-	if lead.Paused && !h.resume(do, state, s, lead, members, now) {
+	if lead.ReplicasPaused && !h.resume(do, state, s, lead, members, now) {
 		return // what is to be PAUSEd next must not be told to go on by what is still out
 	}
-	if primary.Draining && len(state.OwedOf(s.name)) == 0 {
+	if primary.Draining && len(state.UnaccountedHostIDs(s.name)) == 0 {
 		if to := h.successor(state, s, lead, members, now); to != "" {
-			h.Counts.Planned++
+			h.Counters.Planned++
 			s.named = to
 			s.why = "drains"
-			s.propose(do, statemachine.Change{Named: &statemachine.Named{Service: s.name, Host: to, Holder: h.self}}, now)
+			s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: to, Owner: h.self}}, now)
 		}
 	}
 }
@@ -95,8 +97,8 @@
 // missing finds replicas whose processes are gone, so that the loss of the primary need not wait for them: one that left,
 // and one whose machine has refused for a while. What it alone had received others must have since: another replica has
 // reached where the primary stood after that. A replica that is silent is never taken for gone.
-func (h *Hoist) missing(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, now int64) {
-	for _, m := range state.OwedOf(s.name) {
+func (h *Coordinator) missing(do *Actions, state *statemachine.State, s *service, lead statemachine.Primary, members []string, now int64) {
+	for _, m := range state.UnaccountedHostIDs(s.name) {
 		if s.refuses[m] == 0 {
 			s.refuses[m] = now
 		}
@@ -109,7 +111,7 @@
 		}
 		h.ask(do, s, m, Stat, 0, 4*again, now)
 		r, ok := s.rows[m]
-		if !ok || !r.reply.Refused || now > r.at+8*again {
+		if !ok || !r.reply.ConnectionRefused || now > r.at+8*again {
 			delete(s.refuses, m)
 			continue
 		}
@@ -123,7 +125,7 @@
 }
 
 // overtaken notes in the log that nothing is owed to a host that is gone, once another replica has all that it had.
-func (h *Hoist) overtaken(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, m string, now int64) {
+func (h *Coordinator) overtaken(do *Actions, state *statemachine.State, s *service, lead statemachine.Primary, members []string, m string, now int64) {
 	since := s.refuses[m]
 	at, ok := s.answered(lead.Host, Stat, since)
 	if !ok {
@@ -140,9 +142,9 @@
 		st, ok := s.answered(o, Stat, s.rows[lead.Host].sent)
 		if ok && !st.Received.Before(at.Received) {
 			h.Log(s.name, "a replica is gone, and others have all that it had", m)
-			h.Counts.Missing++
+			h.Counters.Missing++
 			delete(s.refuses, m)
-			s.propose(do, statemachine.Change{Missing: m}, now)
+			s.propose(do, statemachine.Change{MarkMissing: m}, now)
 			return
 		}
 		h.ask(do, s, o, Stat, 0, again, now)
@@ -151,7 +153,7 @@
 
 // lost says whether a primary is given up. Routers that can't reach it, or beats that stopped, have it asked; it is
 // lost once it gave no answer twice in a row.
-func (h *Hoist) lost(do *Todo, s *service, lead statemachine.Lead, now int64) bool {
+func (h *Coordinator) lost(do *Actions, s *service, lead statemachine.Primary, now int64) bool {
 	if s.of != lead.Host {
 		s.of, s.strikes = lead.Host, 0
 		clear(s.suspect)
@@ -175,14 +177,14 @@
 	if r, ok := s.rows[lead.Host]; ok && r.verb == Stat && r.sent >= s.doubtAt && r.sent > s.struckAt {
 		s.struckAt = r.sent
 		switch {
-		case !r.reply.Refused && !r.reply.Silent:
+		case !r.reply.ConnectionRefused && !r.reply.TimedOut:
 			s.strikes, s.doubtAt = 0, 0
-			h.Counts.Cleared++
+			h.Counters.Cleared++
 			clear(s.suspect)
 			if len(s.suspect) == 0 && r.reply.Status.Term == lead.Term && !r.reply.Status.Leader && r.reply.Code == "" {
 				return true // it leads no more
 			}
-			h.beats[lead.Host] = Beat{now, h.beats[lead.Host].Leader}
+			h.beats[lead.Host] = HostHeartbeat{now, h.beats[lead.Host].IsPrimary}
 			return false
 		default:
 			s.strikes++
@@ -192,11 +194,11 @@
 		s.strikes = 0
 		return true
 	}
-	if a := s.questions[lead.Host]; a != nil && a.question.Verb == Stat && s.beside == nil && now >= a.at+hasten && now < a.at+patience {
+	if a := s.questions[lead.Host]; a != nil && a.question.Command == Stat && s.beside == nil && now >= a.at+hasten && now < a.at+patience {
 		h.serial++
-		q := Question{s.name, lead.Host, Stat, 0, h.view, h.serial}
+		q := HostQuery{s.name, lead.Host, Stat, 0, h.view, h.serial}
 		s.beside = &asked{q, now}
-		do.Questions = append(do.Questions, q)
+		do.Queries = append(do.Queries, q)
 		return false
 	}
 	h.ask(do, s, lead.Host, Stat, 0, twice, now)
--- a/internal/control/failover/planned.go
+++ b/internal/control/failover/planned.go
@@ -6,7 +6,7 @@
 )
 
 // successor is the replica that takes over from a primary that leaves: one that stays, beats, and stands in order of id.
-func (h *Hoist) successor(state *statemachine.State, s *service, lead statemachine.Lead, members []string, now int64) string {
+func (h *Coordinator) successor(state *statemachine.State, s *service, lead statemachine.Primary, members []string, now int64) string {
 	best := ""
 	for _, m := range members {
 		host := state.Hosts[m]
@@ -21,22 +21,22 @@
 }
 
 // handOver carries out a planned move up to the moment at which the successor leads.
-func (h *Hoist) handOver(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, now int64) {
+func (h *Coordinator) handOver(do *Actions, state *statemachine.State, s *service, lead statemachine.Primary, members []string, now int64) {
 	if s.started == 0 {
 		s.started = now
-		h.Log(s.name, "a lead is handed over", lead.To)
+		h.Log(s.name, "a lead is handed over", lead.Nominee)
 	}
-	recall := statemachine.Change{Recall: &statemachine.Recall{Service: s.name, Holder: h.self}}
-	to, there := state.Hosts[lead.To]
+	recall := statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: s.name, Owner: h.self}}
+	to, there := state.Hosts[lead.Nominee]
 	if h.lost(do, s, lead, now) || !there {
 		s.propose(do, recall, now) // what follows finds out where it had come to
 		return
 	}
-	if lead.Holder != h.self {
-		s.propose(do, statemachine.Change{Named: &statemachine.Named{Service: s.name, Host: lead.To, Holder: h.self}}, now)
+	if lead.Owner != h.self {
+		s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: lead.Nominee, Owner: h.self}}, now)
 		return
 	}
-	if st, ok := s.answered(lead.To, Stat, s.started); ok && st.Leader && st.Term > lead.Term || h.beats[lead.To].Leader && h.beats[lead.To].At >= s.started {
+	if st, ok := s.answered(lead.Nominee, Stat, s.started); ok && st.Leader && st.Term > lead.Term || h.beats[lead.Nominee].IsPrimary && h.beats[lead.Nominee].At >= s.started {
 		s.propose(do, recall, now)
 		return
 	}
@@ -46,7 +46,7 @@
 	}
 	if s.called != "" {
 		for _, m := range members { // one that started anew receives again, and would have more than the successor
-			if m != lead.Host && m != lead.To {
+			if m != lead.Host && m != lead.Nominee {
 				h.ask(do, s, m, Pause, lead.Term+1, quick, now)
 			}
 		}
@@ -56,20 +56,20 @@
 		}
 		return
 	}
-	if r, ok := s.rows[lead.To]; ok && r.sent >= s.started && (r.reply.Refused || r.reply.Silent) { // another, if there is one
-		s.rejected[lead.To] = now
+	if r, ok := s.rows[lead.Nominee]; ok && r.sent >= s.started && (r.reply.ConnectionRefused || r.reply.TimedOut) { // another, if there is one
+		s.rejected[lead.Nominee] = now
 		s.named = h.successor(state, s, lead, members, now)
-		s.propose(do, statemachine.Change{Named: &statemachine.Named{Service: s.name, Host: s.named, Holder: h.self}}, now)
+		s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: s.named, Owner: h.self}}, now)
 		return
 	}
-	h.attend(do, s, lead.To, now)
+	h.attend(do, s, lead.Nominee, now)
 	if now < h.since+lingers {
 		return // what the holder before this one said may run still
 	}
 	// Nothing is acknowledged that the successor has not received, from here on.
 	ready, most := true, wire.Position{}
 	for _, m := range members {
-		if m == lead.Host || m == lead.To {
+		if m == lead.Host || m == lead.Nominee {
 			continue
 		}
 		st, ok := s.answered(m, Pause, s.started)
@@ -96,16 +96,16 @@
 		}
 		return
 	}
-	st, ok := s.answered(lead.To, Stat, s.started)
+	st, ok := s.answered(lead.Nominee, Stat, s.started)
 	if !ok || st.Received.Before(most) {
-		h.ask(do, s, lead.To, Stat, 0, 30, now)
+		h.ask(do, s, lead.Nominee, Stat, 0, 30, now)
 		return
 	}
-	h.call(do, s, lead, lead.To, now)
+	h.call(do, s, lead, lead.Nominee, now)
 }
 
 // attend asks a successor where it stands, and has it receive where an earlier try PAUSEd it.
-func (h *Hoist) attend(do *Todo, s *service, to string, now int64) {
+func (h *Coordinator) attend(do *Actions, s *service, to string, now int64) {
 	if st, ok := s.answered(to, Stat, s.started); ok && st.Held > 0 {
 		h.ask(do, s, to, Resume, 0, closing, now)
 		return
--- a/internal/control/failover/unplanned.go
+++ b/internal/control/failover/unplanned.go
@@ -8,9 +8,9 @@
 )
 
 // move carries out a move whose lead was taken back.
-func (h *Hoist) move(do *Todo, state *statemachine.State, s *service, lead statemachine.Lead, members []string, clear func(uint64) bool, now int64) {
-	if lead.Holder != h.self {
-		s.propose(do, statemachine.Change{Recall: &statemachine.Recall{Service: s.name, Holder: h.self}}, now)
+func (h *Coordinator) move(do *Actions, state *statemachine.State, s *service, lead statemachine.Primary, members []string, clear func(uint64) bool, now int64) {
+	if lead.Owner != h.self {
+		s.propose(do, statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: s.name, Owner: h.self}}, now)
 		return
 	}
 	if s.started == 0 {
@@ -34,19 +34,19 @@
 	if to, st := s.leading(least, members); to != "" {
 		h.ask(do, s, lead.Host, StepDown, st.Term, again, now)
 		r, ok := s.rows[lead.Host]
-		silent := ok && (r.reply.Silent || r.reply.Refused) || !ok && now >= s.started+patience
-		if !clear(lead.At) || !silent && (r.verb != StepDown || r.sent < s.started) {
+		silent := ok && (r.reply.TimedOut || r.reply.ConnectionRefused) || !ok && now >= s.started+patience
+		if !clear(lead.ChangedAt) || !silent && (r.verb != StepDown || r.sent < s.started) {
 			return
 		}
 		// Where the new one was out of reach at once the old primary may have gone on and been acknowledged. Nothing was
 		// acknowledged by the new one, since nobody was granted its lead.
 		if old, ok := s.answered(lead.Host, StepDown, s.started); !ok || old.Leader || !s.gaveNone || st.Received.Number >= old.Received.Number {
 			h.Log(s.name, "leads", to)
-			new := statemachine.NewLead{Service: s.name, Host: to, Term: st.Term}
+			new := statemachine.AppointPrimary{Service: s.name, Host: to, Term: st.Term}
 			if s.called == to {
-				new.Took = max(1, s.rows[to].sent-s.calledAt)
+				new.PromotionMs = max(1, s.rows[to].sent-s.calledAt)
 			}
-			s.propose(do, statemachine.Change{Lead: &new}, now)
+			s.propose(do, statemachine.Change{AppointPrimary: &new}, now)
 			return
 		}
 	}
@@ -54,21 +54,21 @@
 		h.look(do, state, s, now) // none other is named before it is clear what became of the call
 		return
 	}
-	if !clear(lead.At) {
+	if !clear(lead.ChangedAt) {
 		return
 	}
 	if s.clearAt == 0 {
 		s.clearAt = now
 	}
 	// A planned move with writes stopped: the successor has all once it has what the old primary, where it leads on, has now.
-	if s.named != "" && s.named == lead.To && s.called == "" && now < s.started+handing {
+	if s.named != "" && s.named == lead.Nominee && s.called == "" && now < s.started+handing {
 		old, lives := s.rows[lead.Host]
-		if !lives || !old.reply.Silent && !old.reply.Refused {
+		if !lives || !old.reply.TimedOut && !old.reply.ConnectionRefused {
 			h.ask(do, s, lead.Host, Stat, 0, closing, now)
-			h.attend(do, s, lead.To, now)
+			h.attend(do, s, lead.Nominee, now)
 			at, ok := s.answered(lead.Host, Stat, s.clearAt)
-			if st, has := s.answered(lead.To, Stat, s.clearAt); ok && has && at.Leader && st.Received.Number >= at.Received.Number {
-				h.call(do, s, lead, lead.To, now)
+			if st, has := s.answered(lead.Nominee, Stat, s.clearAt); ok && has && at.Leader && st.Received.Number >= at.Received.Number {
+				h.call(do, s, lead, lead.Nominee, now)
 			}
 			return
 		}
@@ -84,7 +84,7 @@
 	consider := func(m string, at wire.Position) {
 		at.Term = min(at.Term, lead.Term) // nothing was acknowledged in a term that nobody was granted
 		// One that drains is taken only where no other has as much: what it alone received was acknowledged.
-		if best == "" || most.Before(at) || most == at && (state.Hosts[best].Draining && !state.Hosts[m].Draining || m == lead.To) {
+		if best == "" || most.Before(at) || most == at && (state.Hosts[best].Draining && !state.Hosts[m].Draining || m == lead.Nominee) {
 			best, most = m, at
 		}
 	}
@@ -106,7 +106,7 @@
 		s.paused[m] = true
 		consider(m, st.Received)
 	}
-	if owed := state.OwedOf(s.name); len(owed) > 0 {
+	if owed := state.UnaccountedHostIDs(s.name); len(owed) > 0 {
 		s.lacking, complete = append(s.lacking, owed...), false
 	}
 	if oldKnown && (!complete || best == "") { // its log will do in place of those that don't answer
@@ -116,28 +116,28 @@
 		complete = best != "" && most.Number >= old.Received.Number
 	}
 	if !complete || best == "" || s.rejected[best] > 0 && now < s.rejected[best]+2*patience {
-		h.Counts.Waiting++
+		h.Counters.Waiting++
 		return
 	}
-	if best != lead.To {
-		if _, there := state.Hosts[lead.To]; there && s.named != lead.To && now < s.started+2*patience {
+	if best != lead.Nominee {
+		if _, there := state.Hosts[lead.Nominee]; there && s.named != lead.Nominee && now < s.started+2*patience {
 			return // an earlier holder may have called: whether that one leads is seen before another is named
 		}
 		s.named = best
-		s.propose(do, statemachine.Change{Named: &statemachine.Named{Service: s.name, Host: best, Holder: h.self}}, now)
+		s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: best, Owner: h.self}}, now)
 		return
 	}
 	h.call(do, s, lead, best, now)
 }
 
 // sane says that a term may follow a lead's. A host that tells of one beyond all reason is not believed.
-func sane(term uint64, lead statemachine.Lead) bool { return term < lead.Term+farOff }
+func sane(term uint64, lead statemachine.Primary) bool { return term < lead.Term+farOff }
 
 // leading is the host that was seen to lead in a term of at least so much, the greatest of all.
-func (s *service) leading(least uint64, members []string) (to string, at wire.Status) {
+func (s *service) leading(least uint64, members []string) (to string, at wire.HostStatus) {
 	for _, m := range members {
 		r, ok := s.rows[m]
-		if ok && r.sent >= s.started-2*settles && r.reply.Code == "" && !r.reply.Silent && !r.reply.Refused &&
+		if ok && r.sent >= s.started-2*settles && r.reply.Code == "" && !r.reply.TimedOut && !r.reply.ConnectionRefused &&
 			r.reply.Status.Leader && r.reply.Status.Term >= max(least, at.Term+1) && r.reply.Status.Term < least+farOff {
 			to, at = m, r.reply.Status
 		}
@@ -145,23 +145,23 @@
 	return to, at
 }
 
-// Move is a service's move as it stands.
-type Move struct {
-	From, Named string
-	ForMs       int64    // since this member carries it out
-	Called      string   // whom the platform was told to promote
-	Lacking     []string // hosts that must say what they received, or whose logs are owed, before one can be named
-	Handed      bool     // the old primary serves on meanwhile
+// Transition is a service's move as it stands.
+type Transition struct {
+	From, Nominee      string
+	ElapsedMs          int64    // since this member carries it out
+	PromotionRequested string   // whom the platform was told to promote
+	WaitingFor         []string // hosts that must say what they received, or whose logs are owed, before one can be named
+	Planned            bool     // the old primary serves on meanwhile
 }
 
-// Moves are the services on the move, by name.
-func (h *Hoist) Moves(state *statemachine.State, now int64) map[string]Move {
-	all := map[string]Move{}
-	for name, l := range state.Leads {
-		if s := h.services[name]; s != nil && (l.Moving || l.To != "") {
-			m := Move{From: l.Host, Named: l.To, Called: s.called, Lacking: slices.Clone(s.lacking), Handed: !l.Moving}
+// Transitions are the services on the move, by name.
+func (h *Coordinator) Transitions(state *statemachine.State, now int64) map[string]Transition {
+	all := map[string]Transition{}
+	for name, l := range state.Primaries {
+		if s := h.services[name]; s != nil && (l.Revoked || l.Nominee != "") {
+			m := Transition{From: l.Host, Nominee: l.Nominee, PromotionRequested: s.called, WaitingFor: slices.Clone(s.lacking), Planned: !l.Revoked}
 			if s.started > 0 {
-				m.ForMs = now - s.started
+				m.ElapsedMs = now - s.started
 			}
 			all[name] = m
 		}
--- a/internal/control/growth_test.go
+++ b/internal/control/growth_test.go
@@ -19,21 +19,21 @@
 				for b.Loop() {
 					w := newMill(1, routes, 5)
 					for w.version < 1 {
-						w.Play(10)
+						w.RunFor(10)
 					}
 					sent, stored, syncs := int64(0), int64(0), int64(0)
 					for _, p := range w.posts {
 						sent, stored, syncs = sent-p.bytes, stored-p.stored, syncs-p.syncs
 					}
 					for w.version <= changes {
-						w.Play(10)
+						w.RunFor(10)
 					}
 					w.calm = true
-					w.Play(500)
+					w.RunFor(500)
 					for _, p := range w.posts {
 						sent, stored, syncs = sent+p.bytes, stored+p.stored, syncs+p.syncs
 					}
-					entries, bytes := w.posts[0].f.core.Logged()
+					entries, bytes := w.posts[0].f.core.SinceSnapshot()
 					snapshot := w.posts[0].f.state.Snapshot()
 					var before, after runtime.MemStats
 					runtime.GC()
--- a/internal/control/history_test.go
+++ b/internal/control/history_test.go
@@ -161,10 +161,10 @@
 	h := &history{world: newWorld(seed, members), known: make([]int64, 4), stale: make([]bool, 4), clear: map[int]int{}}
 	h.until = h.Now + 20*second
 	for i := range h.known {
-		h.In(h.Between(100*milli, second), func() { h.act(i) })
+		h.After(h.Between(100*milli, second), func() { h.act(i) })
 	}
-	if !h.Odds(10) {
-		h.In(second, func() { h.strike(h.until) })
+	if !h.OneIn(10) {
+		h.After(second, func() { h.strike(h.until) })
 	}
 	return h
 }
@@ -176,25 +176,25 @@
 	}
 	again := func(a answer) {
 		h.stale[i] = a.status == http.StatusPreconditionFailed
-		h.In(h.Between(0, 300*milli), func() { h.act(i) })
+		h.After(h.Between(0, 300*milli), func() { h.act(i) })
 	}
 	o := &order{base: h.known[i], gen: h.known[i] + h.Between(1, 3)}
 	for _, r := range []string{"a", "b", "c", "d"} {
-		if h.Odds(2) {
+		if h.OneIn(2) {
 			o.routes = append(o.routes, route{r, int(h.Between(1, 9))})
 		}
 	}
-	switch n := h.Chance.IntN(100); {
+	switch n := h.Rand.IntN(100); {
 	case n < 30 || h.stale[i] && n < 80:
 		h.send(i, nil, again)
 		return
 	case n < 45 && len(h.orders) > 0: // one of before, as it was; mostly of late
-		o = h.orders[max(len(h.orders)-1-h.Chance.IntN(8), 0)]
-		if h.Odds(4) {
-			o = h.orders[h.Chance.IntN(len(h.orders))]
+		o = h.orders[max(len(h.orders)-1-h.Rand.IntN(8), 0)]
+		if h.OneIn(4) {
+			o = h.orders[h.Rand.IntN(len(h.orders))]
 		}
 	case n < 50 && len(h.orders) > 0: // the same body on another version
-		same := *h.orders[h.Chance.IntN(len(h.orders))]
+		same := *h.orders[h.Rand.IntN(len(h.orders))]
 		same.base, o = h.known[i], &same
 	case n < 53:
 		o.broken = true
@@ -203,11 +203,11 @@
 	case n < 59:
 		o.gen = max(0, o.base-h.Between(0, 2))
 	case n < 79:
-		o.amend, o.remove = true, string(rune('a'+h.Chance.IntN(4)))
+		o.amend, o.remove = true, string(rune('a'+h.Rand.IntN(4)))
 		o.routes = slices.DeleteFunc(o.routes, func(r route) bool { return r.name == o.remove })
 	}
 	h.orders = append(h.orders, o)
-	if h.Odds(8) { // raced by another operator at another member
+	if h.OneIn(8) { // raced by another operator at another member
 		h.send((i+1)%len(h.known), o, func(answer) {})
 	}
 	h.send(i, o, again)
@@ -227,9 +227,9 @@
 		c.end(answer{})
 		return
 	}
-	m := h.members[h.Chance.IntN(len(h.members))]
+	m := h.members[h.Rand.IntN(len(h.members))]
 	there, life := h.Between(milli/2, 3*milli), m.life
-	if h.Odds(20) {
+	if h.OneIn(20) {
 		there = h.Between(3*milli, 600*milli) // it may come after others of its kind
 	}
 	method, path, base, body := http.MethodGet, "/Config.Read", "", []byte(nil)
@@ -239,24 +239,24 @@
 			path = "/Config.Amend"
 		}
 	}
-	h.In(there, func() {
+	h.After(there, func() {
 		m.do(life, func() {
-			m.f.Take(method, path, base, body, func(status int, body []byte) {
-				if h.Odds(10) {
+			m.f.HandleCall(method, path, base, body, func(status int, body []byte) {
+				if h.OneIn(10) {
 					return // it is lost on its way
 				}
-				h.In(h.Between(milli/2, 3*milli), func() { c.told(answer{status, string(body)}) })
+				h.After(h.Between(milli/2, 3*milli), func() { c.told(answer{status, string(body)}) })
 			})
 		})
 	})
-	h.In(h.Between(200*milli, second), c.try)
+	h.After(h.Between(200*milli, second), c.try)
 }
 
 func (c *sent) told(a answer) {
 	switch {
 	case c.over:
 	case a.status >= 500 || a.status == http.StatusTooManyRequests:
-		c.w.In(c.w.Between(10*milli, 200*milli), c.try)
+		c.w.After(c.w.Between(10*milli, 200*milli), c.try)
 	default:
 		c.end(a)
 	}
@@ -299,36 +299,36 @@
 	}
 	h.play(8 * second)
 	if served < len(h.known) {
-		h.Broke("%d of %d reads were answered once all was well", served, len(h.known))
+		h.Violate("%d of %d reads were answered once all was well", served, len(h.known))
 	}
 	l := h.leader()
 	if l == nil {
-		h.Broke("nobody leads once all is well")
+		h.Violate("nobody leads once all is well")
 		return
 	}
-	if led := l.f.state.Led; led > (h.Now-h.Zero)/milli {
-		h.Broke("led time runs ahead: %d ms of %d", led, (h.Now-h.Zero)/milli)
+	if led := l.f.state.LedTimeMs; led > (h.Now-h.Zero)/milli {
+		h.Violate("led time runs ahead: %d ms of %d", led, (h.Now-h.Zero)/milli)
 	}
 	for _, m := range h.members {
-		if m.f.state.Index == l.f.state.Index && m.f.state.Sum() != l.f.state.Sum() {
-			h.Broke("%s holds other than %s", m.ip, l.ip)
+		if m.f.state.Index == l.f.state.Index && m.f.state.Checksum() != l.f.state.Checksum() {
+			h.Violate("%s holds other than %s", m.ip, l.ip)
 		}
 	}
 	// What has no answer and was never taken need not be placed: it may never have had an effect.
-	known := map[statemachine.Identity]bool{}
-	for _, t := range l.f.state.Taken {
-		known[t.Identity] = true
+	known := map[statemachine.RequestID]bool{}
+	for _, t := range l.f.state.AppliedUpdates {
+		known[t.RequestID] = true
 	}
 	judged := slices.DeleteFunc(slices.Clone(h.ops), func(op porcupine.Operation) bool {
 		o, isOrder := op.Input.(*order)
 		return isOrder && op.Output.(answer).status == 0 &&
-			!known[(&statemachine.Configure{Base: o.base, Amend: o.amend, Body: o.body()}).Identity()]
+			!known[(&statemachine.ConfigUpdate{BaseVersion: o.base, IsAmendment: o.amend, Body: o.body()}).RequestID()]
 	})
 	switch porcupine.CheckOperationsTimeout(model, judged, 20*time.Second) {
 	case porcupine.Illegal:
-		h.Broke("no order of these calls explains their answers:\n%s", told(judged))
+		h.Violate("no order of these calls explains their answers:\n%s", told(judged))
 	case porcupine.Unknown:
-		h.Broke("no verdict on %d calls", len(judged))
+		h.Violate("no verdict on %d calls", len(judged))
 	}
 }
 
--- a/internal/control/host_client.go
+++ b/internal/control/host_client.go
@@ -23,7 +23,7 @@
 
 // tongs (they reach into the fire) ask hosts, each question on a connection that is kept for a short while.
 type tongs struct {
-	f    *Forge
+	f    *Server
 	dial func(address string, within time.Duration) (net.Conn, error)
 	mu   sync.Mutex
 	open map[string]*held
@@ -40,7 +40,7 @@
 	keep   = 3 * time.Second
 )
 
-func newTongs(f *Forge) *tongs {
+func newTongs(f *Server) *tongs {
 	t := &tongs{f: f, open: map[string]*held{}}
 	t.dial = t.reach
 	return t
@@ -80,31 +80,31 @@
 }
 
 // ask asks from a goroutine of its own and tells the owner how it ended.
-func (t *tongs) ask(q failover.Question, host statemachine.Host) {
+func (t *tongs) ask(q failover.HostQuery, host statemachine.Host) {
 	f := t.f
-	text := q.Verb.Text()
-	if q.Verb == failover.Pause || q.Verb == failover.StepDown {
+	text := q.Command.Text()
+	if q.Command == failover.Pause || q.Command == failover.StepDown {
 		text += " " + strconv.FormatUint(q.Term, 10)
 	}
 	until := time.Now().Add(within) // from the decision on: a process that stood still since asks nothing
 	f.tasks.Go(func() error {
-		r := failover.Reply{To: q}
+		r := failover.QueryResult{Query: q}
 		h := t.take(q.Host)
-		a, err := t.answer(&h, host, q.Verb, text, until)
+		a, err := t.answer(&h, host, q.Command, text, until)
 		var code *codeError
 		switch {
 		case errors.As(err, &code):
 			r.Code = code.code
-			r.Refused = code.code == wire.WrongNode // another uses its address: it is gone
-			r.Silent = !r.Refused
+			r.ConnectionRefused = code.code == wire.CodeWrongNode // another uses its address: it is gone
+			r.TimedOut = !r.ConnectionRefused
 		case err != nil:
-			r.Refused = errors.Is(err, syscall.ECONNREFUSED)
-			r.Silent = !r.Refused
+			r.ConnectionRefused = errors.Is(err, syscall.ECONNREFUSED)
+			r.TimedOut = !r.ConnectionRefused
 		case a.Code != "":
 			r.Code = a.Code
 		default:
-			if r.Status, err = wire.ReadStatus(a.Row); err != nil {
-				r.Code = wire.Failed
+			if r.Status, err = wire.ParseHostStatus(a.Row); err != nil {
+				r.Code = wire.CodeFailed
 			}
 		}
 		if err == nil && h != nil {
@@ -112,14 +112,14 @@
 		} else if h != nil {
 			h.conn.Close()
 		}
-		f.queue.Put(eventloop.Outcomes, func() { f.Replied(r) })
+		f.queue.Put(eventloop.PriorityOutcomes, func() { f.QueryFinished(r) })
 		return nil
 	})
 }
 
-// Replied takes in how a question to a host ended.
-func (f *Forge) Replied(r failover.Reply) {
-	if !f.leads || !f.hoist.Replied(r, f.clock.Now()) {
+// QueryFinished takes in how a question to a host ended.
+func (f *Server) QueryFinished(r failover.QueryResult) {
+	if !f.leads || !f.hoist.QueryFinished(r, f.clock.Now()) {
 		f.ignored(replyStray)
 		return
 	}
@@ -131,11 +131,11 @@
 func (e *codeError) Error() string { return string(e.code) }
 
 // verbs are what a verb is in the table of calls.
-var verbs = map[failover.Verb]retry.Call{failover.Stat: retry.Stat, failover.Pause: retry.Pause, failover.Resume: retry.Resume, failover.StepDown: retry.StepDown}
+var verbs = map[failover.Command]retry.Operation{failover.Stat: retry.Stat, failover.Pause: retry.Pause, failover.Resume: retry.Resume, failover.StepDown: retry.StepDown}
 
 // answer asks on a connection that is kept, or on a new one where that has ended and the table of calls lets the question
 // be asked again.
-func (t *tongs) answer(h **held, host statemachine.Host, verb failover.Verb, text string, until time.Time) (wire.Answer, error) {
+func (t *tongs) answer(h **held, host statemachine.Host, verb failover.Command, text string, until time.Time) (wire.Response, error) {
 	if *h != nil {
 		a, moment, err := (*h).ask(text, until)
 		if err == nil {
@@ -144,17 +144,17 @@
 		(*h).conn.Close()
 		*h = nil
 		var timeout net.Error
-		if errors.As(err, &timeout) && timeout.Timeout() || retry.After(verbs[verb], moment) != retry.Again {
-			return wire.Answer{}, err
+		if errors.As(err, &timeout) && timeout.Timeout() || retry.Decide(verbs[verb], moment) != retry.RetryNow {
+			return wire.Response{}, err
 		}
 	}
 	conn, err := t.dial(host.Address, time.Until(until))
 	if err != nil {
-		return wire.Answer{}, err
+		return wire.Response{}, err
 	}
 	n := &held{conn: conn}
 	conn.SetDeadline(until)
-	var a wire.Answer
+	var a wire.Response
 	if _, err = conn.Write(wire.AppendConnect(nil, host.Service, "control", host.ID)); err == nil {
 		if a, err = n.next(); err == nil && a.Code != "" {
 			err = &codeError{a.Code}
@@ -181,7 +181,7 @@
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 		if raw, err := tcp.SyscallConn(); err == nil {
-			rpc.Control(within)("", "", raw)
+			rpc.SocketControl(within)("", "", raw)
 		}
 	}
 	return c, nil
@@ -190,9 +190,9 @@
 var errStale = errors.New("the connection that was kept has ended, or says what nobody asked")
 
 // ask asks one question, and says how far it was written.
-func (h *held) ask(text string, until time.Time) (a wire.Answer, m retry.Moment, err error) {
+func (h *held) ask(text string, until time.Time) (a wire.Response, m retry.Progress, err error) {
 	if len(h.in) > 0 || spoken(h.conn) {
-		return a, retry.Unsaid, errStale
+		return a, retry.NotSent, errStale
 	}
 	h.conn.SetDeadline(until)
 	b := wire.AppendQuery(nil, "-", text)
@@ -200,7 +200,7 @@
 	if err == nil {
 		a, err = h.next()
 	}
-	return a, retry.Wrote(n, len(b)), err
+	return a, retry.ProgressOf(n, len(b)), err
 }
 
 // spoken says that a connection at rest has ended, or that something came on it.
@@ -223,10 +223,10 @@
 }
 
 // next reads one answer.
-func (h *held) next() (a wire.Answer, err error) {
+func (h *held) next() (a wire.Response, err error) {
 	at := 0
 	for {
-		line, n, err := wire.Line(h.in, at)
+		line, n, err := wire.CutLine(h.in, at)
 		if err != nil {
 			return a, err
 		}
@@ -235,7 +235,7 @@
 			var b [1024]byte
 			k, err := h.conn.Read(b[:])
 			if k == 0 && err != nil {
-				if a.Ended() && a.Code != "" { // of CONNECT: an error and a close
+				if a.Completed() && a.Code != "" { // of CONNECT: an error and a close
 					return a, nil
 				}
 				return a, err
@@ -244,7 +244,7 @@
 			continue
 		}
 		raw := h.in[:n]
-		whole, err := a.Take(line, raw)
+		whole, err := a.AddLine(line, raw)
 		h.in, at = h.in[n:], 0
 		if err != nil || whole {
 			return a, err
@@ -253,36 +253,36 @@
 }
 
 // promote calls the platform, from a goroutine of its own.
-func (f *Forge) promote(p failover.Promotion) {
+func (f *Server) promote(p failover.Promotion) {
 	address := f.plate.Provider.Address
-	f.log.Info("a host is named to the platform", "service", p.Service, "host", p.Host, "fence", p.Fence)
+	f.log.Info("a host is named to the platform", "service", p.Service, "host", p.Host, "fence", p.FencingToken)
 	ctx, end := context.WithTimeout(f.ctx, 900*time.Millisecond) // from the decision on
 	f.tasks.Go(func() error {
 		defer end()
 		o := f.call(ctx, address, p)
-		f.queue.Put(eventloop.Outcomes, func() { f.Called(p, o) })
+		f.queue.Put(eventloop.PriorityOutcomes, func() { f.PromotionFinished(p, o) })
 		return nil
 	})
 }
 
-// Called takes in how a call to the platform ended.
-func (f *Forge) Called(p failover.Promotion, o failover.Outcome) {
-	if !f.leads || !f.hoist.Called(p, o, f.clock.Now()) {
+// PromotionFinished takes in how a call to the platform ended.
+func (f *Server) PromotionFinished(p failover.Promotion, o failover.PromotionOutcome) {
+	if !f.leads || !f.hoist.PromotionFinished(p, o, f.clock.Now()) {
 		f.ignored(replyStray)
 		return
 	}
 	f.tend()
 }
 
-func (f *Forge) call(ctx context.Context, address string, p failover.Promotion) failover.Outcome {
+func (f *Server) call(ctx context.Context, address string, p failover.Promotion) failover.PromotionOutcome {
 	body, _ := json.Marshal(map[string]string{"Service": p.Service, "Id": p.Host})
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/promotion", address), bytes.NewReader(body))
 	if err != nil {
-		return failover.Later
+		return failover.PromotionNotExecuted
 	}
 	r.Header.Set("Content-Type", "application/json")
-	r.Header.Set("X-Duty-Holder", p.Holder)
-	r.Header.Set("X-Fence-Token", strconv.FormatUint(p.Fence, 10))
+	r.Header.Set("X-Duty-Holder", p.Owner)
+	r.Header.Set("X-Fence-Token", strconv.FormatUint(p.FencingToken, 10))
 	dialed := false
 	client := &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }, Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, to string) (net.Conn, error) {
 		c, err := rpc.Dial(ctx, f.plate.Ip, to, 600*time.Millisecond)
@@ -292,24 +292,24 @@
 	answer, err := client.Do(r)
 	if err != nil {
 		f.log.Info("the platform gave no clear answer", "error", err)
-		moment := retry.Said
+		moment := retry.Sent
 		if !dialed {
-			moment = retry.Unsaid
+			moment = retry.NotSent
 		}
-		if retry.After(retry.Promotion, moment) == retry.Again {
-			return failover.Later
+		if retry.Decide(retry.Promotion, moment) == retry.RetryNow {
+			return failover.PromotionNotExecuted
 		}
-		return failover.Unclear
+		return failover.PromotionUnknown
 	}
 	answer.Body.Close()
 	f.log.Info("the platform answers", "status", answer.StatusCode, "host", p.Host)
 	switch {
 	case answer.StatusCode < 300:
-		return failover.Done
+		return failover.PromotionSucceeded
 	case answer.StatusCode == http.StatusConflict:
-		return failover.Rejected
+		return failover.PromotionRejected
 	case answer.StatusCode == http.StatusTooManyRequests || answer.StatusCode == http.StatusServiceUnavailable:
-		return failover.Later
+		return failover.PromotionNotExecuted
 	}
-	return failover.Unclear
+	return failover.PromotionUnknown
 }
--- a/internal/control/host_client_test.go
+++ b/internal/control/host_client_test.go
@@ -75,7 +75,7 @@
 		"an answer that is no answer": {socket{writes: -1, comes: "MUMBLE\r\n"}, 2, 1},
 		"it said something by itself": {socket{writes: -1, comes: row, quiet: true}, 1, 1},
 	} {
-		for verb, want := range map[failover.Verb]int{failover.Stat: c.stat, failover.Pause: c.rest, failover.Resume: c.rest, failover.StepDown: c.rest} {
+		for verb, want := range map[failover.Command]int{failover.Stat: c.stat, failover.Pause: c.rest, failover.Resume: c.rest, failover.StepDown: c.rest} {
 			t.Run(name+" "+verb.Text(), func(t *testing.T) {
 				var said []string
 				kept := c.kept
@@ -95,7 +95,7 @@
 					require.Nil(t, h, "no connection is kept behind an answer that may come yet")
 					return
 				}
-				require.True(t, a.Ended())
+				require.True(t, a.Completed())
 				require.Contains(t, string(a.Row), "3.9", "the answer to something else")
 				require.NotNil(t, h)
 				require.Equal(t, dials > 0, kept.closed)
@@ -149,7 +149,7 @@
 			require.Eventually(t, func() bool { return spoken(c) }, 5*time.Second, time.Millisecond)
 			_, m, err := (&held{conn: c}).ask("PAUSE 7", time.Now().Add(time.Second))
 			require.ErrorIs(t, err, errStale)
-			require.Equal(t, retry.Unsaid, m)
+			require.Equal(t, retry.NotSent, m)
 		})
 	}
 }
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -15,8 +15,8 @@
 
 // The hosts' calls.
 
-// Beat is what a host tells of itself.
-type Beat struct {
+// HeartbeatRequest is what a host tells of itself.
+type HeartbeatRequest struct {
 	Service, Address, Zone, Generation string
 	Capacity                           float64
 	State                              string
@@ -27,7 +27,7 @@
 
 const mostHosts = 4096
 
-func (b *Beat) check(id string) error {
+func (b *HeartbeatRequest) check(id string) error {
 	host, _, err := net.SplitHostPort(b.Address)
 	switch {
 	case id == "" || len(id) > 128 || strings.ContainsAny(id, " \r\n/"):
@@ -44,20 +44,20 @@
 	return nil
 }
 
-var heartbeat = Call{Method: http.MethodPost, Path: "/Instances.Heartbeat/", Most: 64 << 10, Within: 950 * time.Millisecond,
-	Handle: func(f *Forge, id string, c call, answer func(int, []byte)) {
-		var b Beat
+var heartbeat = Endpoint{Method: http.MethodPost, Path: "/Instances.Heartbeat/", MaxBodyBytes: 64 << 10, Timeout: 950 * time.Millisecond,
+	Handle: func(f *Server, id string, c call, answer func(int, []byte)) {
+		var b HeartbeatRequest
 		if err := json.Unmarshal(c.body, &b); err != nil {
-			refuse(answer, errcode.BadBody, err)
+			refuse(answer, errcode.InvalidBody, err)
 			return
 		}
 		if err := b.check(id); err != nil {
-			refuse(answer, errcode.BadBody, err)
+			refuse(answer, errcode.InvalidBody, err)
 			return
 		}
 		f.Beats.Add(1)
 		taken := func(err error) {
-			if err != nil && !errors.Is(err, statemachine.ErrUnknown) { // one that has left may say so once more
+			if err != nil && !errors.Is(err, statemachine.ErrNotFound) { // one that has left may say so once more
 				refuse(answer, kindOf(err), err)
 				return
 			}
@@ -70,14 +70,14 @@
 			return
 		}
 		if known && (was.Address != b.Address || was.Service != b.Service) { // hosts don't move, and ids are not used again
-			refuse(answer, errcode.BadBody, fmt.Errorf("%s is known at %s, of %s", id, was.Address, was.Service))
+			refuse(answer, errcode.InvalidBody, fmt.Errorf("%s is known at %s, of %s", id, was.Address, was.Service))
 			return
 		}
 		f.seqs[id] = b.CallSeq
-		f.hoist.Beat(id, b.DbRole == "leader", f.clock.Now())
+		f.hoist.Heartbeat(id, b.DbRole == "leader", f.clock.Now())
 		f.tend()
 		h := statemachine.Host{ID: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Generation: b.Generation,
-			Capacity: int64(b.Capacity), Draining: b.State == "draining", Since: was.Since}
+			Capacity: int64(b.Capacity), Draining: b.State == "draining", AddedAt: was.AddedAt}
 		if known && was.Draining {
 			h.Draining = true
 		}
@@ -85,19 +85,19 @@
 		case known && h == was:
 			taken(nil)
 		case !known && len(f.state.Hosts) >= mostHosts:
-			refuse(answer, errcode.TooMany, nil)
+			refuse(answer, errcode.TooManyPending, nil)
 		default:
 			f.log.Info("a host", "id", id, "service", h.Service, "address", h.Address, "zone", h.Zone, "draining", h.Draining)
-			f.propose(statemachine.Change{Enter: &h}, taken)
+			f.propose(statemachine.Change{AddHost: &h}, taken)
 		}
 	}}
 
-var leave = Call{Method: http.MethodPost, Path: "/Instances.Leave/", Most: 64 << 10, Within: 950 * time.Millisecond,
-	Handle: func(f *Forge, id string, _ call, answer func(int, []byte)) {
+var leave = Endpoint{Method: http.MethodPost, Path: "/Instances.Leave/", MaxBodyBytes: 64 << 10, Timeout: 950 * time.Millisecond,
+	Handle: func(f *Server, id string, _ call, answer func(int, []byte)) {
 		if _, known := f.state.Hosts[id]; !known {
 			answer(http.StatusOK, []byte("{}\n"))
 			return
 		}
 		f.log.Info("a host leaves", "id", id)
-		f.propose(statemachine.Change{Leave: id}, func(err error) { f.answer(err, answer) })
+		f.propose(statemachine.Change{RemoveHost: id}, func(err error) { f.answer(err, answer) })
 	}}
--- a/internal/control/loss_test.go
+++ b/internal/control/loss_test.go
@@ -15,9 +15,9 @@
 func loss(seed uint64, kind string) (took, led int64) {
 	w := newCutWorld(seed, 3, 0, 0, "")
 	w.calm = true
-	w.Play(1500)
+	w.RunFor(1500)
 	w.still = true
-	w.Play(1500 + w.Between(0, 400))
+	w.RunFor(1500 + w.Between(0, 400))
 	var lost *cutMember
 	for _, m := range w.members {
 		if m.f.leads {
@@ -54,7 +54,7 @@
 			}
 		}
 		if led == 0 {
-			w.In(5, watch)
+			w.After(5, watch)
 		}
 	}
 	watch()
@@ -63,15 +63,15 @@
 	body := []byte{}
 	begun := int64(0)
 	send = func(turn int) {
-		m := w.members[w.Chance.IntN(3)]
+		m := w.members[w.Rand.IntN(3)]
 		for m == lost {
-			m = w.members[w.Chance.IntN(3)]
+			m = w.members[w.Rand.IntN(3)]
 		}
 		over := false
 		again := func() {
 			if !over {
 				over = true
-				w.In(50+50*int64(min(turn, 8)), func() { send(turn + 1) })
+				w.After(50+50*int64(min(turn, 8)), func() { send(turn + 1) })
 			}
 		}
 		m.take(http.MethodPost, "/Config.Replace", fmt.Sprint(base), body, func(status int, _ []byte) {
@@ -86,19 +86,19 @@
 				again()
 			}
 		})
-		w.In(1000, again)
+		w.After(1000, again)
 	}
-	w.In(w.Between(0, 500), func() {
+	w.After(w.Between(0, 500), func() {
 		for _, m := range w.members {
 			if m != lost {
-				base = max(base, m.f.state.Gen)
+				base = max(base, m.f.state.Generation)
 			}
 		}
 		begun = w.Now
 		body = []byte(fmt.Sprintf(`{"Generation":%d,"Routes":[{"Name":"x","Host":"h","PathPrefix":"/","Kind":"leader","DeadlineMs":500,"TargetMs":100,"Priority":1,"Service":"db","MaxTries":1}],"Services":[{"Name":"db","MaxConns":5}]}`, base+1000))
 		send(0)
 	})
-	w.Play(8000)
+	w.RunFor(8000)
 	return took, led
 }
 
--- a/internal/control/operators.go
+++ b/internal/control/operators.go
@@ -12,18 +12,18 @@
 
 // The operator's calls.
 
-var replace = Call{Method: http.MethodPost, Path: "/Config.Replace", Most: 4 << 20, Within: 4 * time.Second,
-	Handle: func(f *Forge, _ string, c call, answer func(int, []byte)) { f.configure(c, false, answer) }}
+var replace = Endpoint{Method: http.MethodPost, Path: "/Config.Replace", MaxBodyBytes: 4 << 20, Timeout: 4 * time.Second,
+	Handle: func(f *Server, _ string, c call, answer func(int, []byte)) { f.configure(c, false, answer) }}
 
-var amend = Call{Method: http.MethodPost, Path: "/Config.Amend", Most: 4 << 20, Within: 4 * time.Second,
-	Handle: func(f *Forge, _ string, c call, answer func(int, []byte)) { f.configure(c, true, answer) }}
+var amend = Endpoint{Method: http.MethodPost, Path: "/Config.Amend", MaxBodyBytes: 4 << 20, Timeout: 4 * time.Second,
+	Handle: func(f *Server, _ string, c call, answer func(int, []byte)) { f.configure(c, true, answer) }}
 
 // mostUnderWay bounds the bodies of orders that wait for the log: eight of the longest.
 const mostUnderWay = 8 * 4 << 20
 
 // orders are those under way here, with all who wait for each.
 type orders struct {
-	waiting map[statemachine.Identity][]func(error)
+	waiting map[statemachine.RequestID][]func(error)
 	bytes   int
 }
 
@@ -41,33 +41,33 @@
 
 // configure takes a configuration: what is wrong with it is told before it comes into the log, and once more by the
 // log's order, since another may come before it. An order that is under way is not put in the log again.
-func (f *Forge) configure(c call, amend bool, answer func(int, []byte)) {
+func (f *Server) configure(c call, amend bool, answer func(int, []byte)) {
 	base, err := c.version()
 	if err != nil {
-		refuse(answer, errcode.BadBody, err)
+		refuse(answer, errcode.InvalidBody, err)
 		return
 	}
-	change := &statemachine.Configure{Base: base, Amend: amend, Body: c.body}
-	id, told := change.Identity(), func(err error) { f.answer(err, answer) }
+	change := &statemachine.ConfigUpdate{BaseVersion: base, IsAmendment: amend, Body: c.body}
+	id, told := change.RequestID(), func(err error) { f.answer(err, answer) }
 	if others, underWay := f.orders.waiting[id]; underWay {
 		f.orders.waiting[id] = append(others, told)
 		return
 	}
-	plan, err := f.state.Check(change)
+	plan, err := f.state.CheckConfig(change)
 	switch {
 	case err != nil || plan == nil:
 		told(err)
 		return
 	case f.orders.bytes+len(c.body) > mostUnderWay:
-		refuse(answer, errcode.TooMany, fmt.Errorf("orders of %d bytes are under way", f.orders.bytes))
+		refuse(answer, errcode.TooManyPending, fmt.Errorf("orders of %d bytes are under way", f.orders.bytes))
 		return
 	}
 	if f.orders.waiting == nil {
-		f.orders.waiting = map[statemachine.Identity][]func(error){}
+		f.orders.waiting = map[statemachine.RequestID][]func(error){}
 	}
 	f.orders.waiting[id] = []func(error){told}
 	f.orders.bytes += len(c.body)
-	f.propose(statemachine.Change{Configure: f.state.Pack(change, plan)}, func(err error) {
+	f.propose(statemachine.Change{UpdateConfig: f.state.Delta(change, plan)}, func(err error) {
 		if err == nil {
 			f.log.Info("a configuration is taken", "version", plan.Generation, "routes", len(plan.Routes))
 		}
@@ -80,7 +80,7 @@
 	})
 }
 
-func (f *Forge) answer(err error, answer func(int, []byte)) {
+func (f *Server) answer(err error, answer func(int, []byte)) {
 	if err != nil {
 		refuse(answer, kindOf(err), err)
 		return
@@ -88,11 +88,11 @@
 	answer(http.StatusOK, []byte("{}\n"))
 }
 
-var read = Call{Method: http.MethodGet, Path: "/Config.Read", Most: 0, Within: time.Second,
-	Handle: func(f *Forge, _ string, _ call, answer func(int, []byte)) {
-		if len(f.state.Config) == 0 {
-			refuse(answer, errcode.NotKnown, fmt.Errorf("no configuration yet"))
+var read = Endpoint{Method: http.MethodGet, Path: "/Config.Read", MaxBodyBytes: 0, Timeout: time.Second,
+	Handle: func(f *Server, _ string, _ call, answer func(int, []byte)) {
+		if len(f.state.ConfigBody) == 0 {
+			refuse(answer, errcode.NotFound, fmt.Errorf("no configuration yet"))
 			return
 		}
-		answer(http.StatusOK, f.state.Config)
+		answer(http.StatusOK, f.state.ConfigBody)
 	}}
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -12,7 +12,7 @@
 )
 
 // settled is a control plane in which a member leads and all is well.
-func settled(t *testing.T) (*world, *Forge) {
+func settled(t *testing.T) (*world, *Server) {
 	w := newWorld(1, 3)
 	w.play(3 * second)
 	l := w.leader()
@@ -21,10 +21,10 @@
 }
 
 // replies are the answers to one call made so many times at once, by status.
-func replies(f *Forge, path, base string, body []byte, times int) (all map[int]int, texts *string) {
+func replies(f *Server, path, base string, body []byte, times int) (all map[int]int, texts *string) {
 	all, texts = map[int]int{}, new(string)
 	for range times {
-		f.Take(http.MethodPost, path, base, body, func(status int, b []byte) { all[status]++; *texts = string(b) })
+		f.HandleCall(http.MethodPost, path, base, body, func(status int, b []byte) { all[status]++; *texts = string(b) })
 	}
 	return all, texts
 }
@@ -46,11 +46,11 @@
 		require.Equal(t, map[int]int{412: 1}, all, base)
 	}
 	w.play(second)
-	require.Zero(t, f.state.Gen)
+	require.Zero(t, f.state.Generation)
 	require.Zero(t, f.Proposals.Load(), "nothing of it came into the log")
 	replies(f, "/Config.Replace", "", whole(3), 1) // named or not, the first builds on nothing
 	w.play(second)
-	require.EqualValues(t, 3, f.state.Gen)
+	require.EqualValues(t, 3, f.state.Generation)
 	for generation, status := range map[int64]int{3: 200, 5: 412} {
 		all, _ := replies(f, "/Config.Replace", "", whole(generation), 1)
 		require.Equal(t, map[int]int{status: 1}, all, "sent again, and another")
@@ -64,17 +64,17 @@
 		`{"Generation":1e99,"Routes":[],"Services":[]}`, `{"Generation":"7","Routes":[],"Services":[]}`,
 	} {
 		for _, path := range []string{"/Config.Replace", "/Config.Amend"} {
-			if path == "/Config.Amend" && f.state.Gen == 0 {
+			if path == "/Config.Amend" && f.state.Generation == 0 {
 				all, _ := replies(f, "/Config.Replace", "0", whole(1), 1)
 				w.play(second)
 				require.Equal(t, map[int]int{200: 1}, all)
 			}
-			all, text := replies(f, path, fmt.Sprint(f.state.Gen), []byte(body), 1)
+			all, text := replies(f, path, fmt.Sprint(f.state.Generation), []byte(body), 1)
 			require.Equal(t, map[int]int{400: 1}, all, body)
 			require.Contains(t, *text, "Generation", body)
 		}
 	}
-	require.EqualValues(t, 1, f.state.Gen)
+	require.EqualValues(t, 1, f.state.Generation)
 }
 
 // Of orders on one version one wins; the winner sent again, also by many at once, is one entry, and taken for each.
@@ -96,7 +96,7 @@
 	require.Equal(t, map[int]int{200: 100}, again)
 	require.Equal(t, map[int]int{412: 1}, lost)
 	for _, m := range w.members {
-		require.Equal(t, string(one), string(m.f.state.Config))
+		require.Equal(t, string(one), string(m.f.state.ConfigBody))
 	}
 }
 
@@ -111,7 +111,7 @@
 	require.Equal(t, map[int]int{200: 100}, all)
 	require.EqualValues(t, 1, f.Proposals.Load())
 	for _, m := range w.members {
-		require.Len(t, m.f.state.Plan().Routes, 2000)
+		require.Len(t, m.f.state.Config().Routes, 2000)
 	}
 	great := func(gen int64) []byte { // of the longest
 		b := whole(gen)
@@ -127,7 +127,7 @@
 	for _, lost := range told[1:8] {
 		require.Equal(t, map[int]int{412: 2}, lost)
 	}
-	require.EqualValues(t, 10, f.state.Gen)
+	require.EqualValues(t, 10, f.state.Generation)
 	require.Zero(t, f.orders.bytes)
 
 	r := httptest.NewRequest(http.MethodPost, "/Config.Replace", bytes.NewReader(append(great(20), ' ')))
@@ -165,7 +165,7 @@
 		w.play(second)
 		require.Equal(t, map[int]int{200: 1}, all)
 		gen++
-		return w.leader().f.state.Led
+		return w.leader().f.state.LedTimeMs
 	}
 	before := led()
 	w.play(60 * second)
@@ -173,11 +173,11 @@
 	require.InDelta(t, before+61_000, after, 100)
 	for _, m := range w.members { // nobody leads for a minute
 		m.crash(true)
-		w.In(60*second, m.start)
+		w.After(60*second, m.start)
 	}
 	w.play(70 * second)
 	require.InDelta(t, after, led(), 10_000, "a minute without a leader is no led time")
-	require.LessOrEqual(t, w.leader().f.state.Led, (w.Now-w.Zero)/milli)
+	require.LessOrEqual(t, w.leader().f.state.LedTimeMs, (w.Now-w.Zero)/milli)
 }
 
 // An entry of another view may come to the place of an order while its member does not yet know that it leads no more.
@@ -199,7 +199,7 @@
 		}
 		w.play(6 * second)
 		for i := range told {
-			require.True(t, told[i][200] == 0 || string(bodies[i]) == string(w.leader().f.state.Config), "seed %d: %v", seed, told[i])
+			require.True(t, told[i][200] == 0 || string(bodies[i]) == string(w.leader().f.state.ConfigBody), "seed %d: %v", seed, told[i])
 		}
 	}
 }
--- a/internal/control/orders_test.go
+++ b/internal/control/orders_test.go
@@ -42,7 +42,7 @@
 			for status, n := range h.clear {
 				clear[status] += n
 			}
-			if len(h.Broken) > 0 {
+			if len(h.Violations) > 0 {
 				if broken++; least < 0 || seed < least {
 					least, report = seed, h.report()
 				}
--- a/internal/control/passing.go
+++ b/internal/control/passing.go
@@ -30,7 +30,7 @@
 
 // passed is a call that another member was asked to answer.
 type passed struct {
-	mark   rpc.Mark
+	mark   rpc.CallID
 	to     consensus.ID
 	bytes  int
 	answer func(status int, body []byte)
@@ -69,10 +69,10 @@
 	askTooMany: "asks_over_limit", answerUnknown: "answers_to_nothing", answerLate: "answers_late", answerLife: "answers_of_other_life",
 	answerOther: "answers_of_other_member", answerOdd: "answers_malformed", messageAstray: "messages_of_another", replyStray: "replies_stray"}
 
-func (f *Forge) ignored(why stray) { f.Strays[why].Add(1) }
+func (f *Server) ignored(why stray) { f.Strays[why].Add(1) }
 
 // passOn asks the member that leads to answer a call, once: whoever calls comes again by itself.
-func (f *Forge) passOn(to consensus.ID, in call, within int64, answer func(int, []byte)) {
+func (f *Server) passOn(to consensus.ID, in call, within int64, answer func(int, []byte)) {
 	if len(f.passed) >= mostPassed || f.bytes+len(in.body) > mostPassedBytes {
 		f.ignored(askTooMany)
 		refuse(answer, errcode.NoLeader, nil)
@@ -80,10 +80,10 @@
 	}
 	f.Passed.Add(1)
 	f.serial++
-	m := rpc.Mark{From: f.id, Life: f.life, View: f.core.View(), Serial: f.serial}
+	m := rpc.CallID{From: f.id, Incarnation: f.life, Term: f.core.Term(), Serial: f.serial}
 	f.passed[f.serial] = passed{m, to, len(in.body), answer, f.clock.Now() + within}
 	f.bytes += len(in.body)
-	f.reach.Send(to.Address(), &rpc.Frame{Ask: &rpc.Ask{Mark: m, To: to, Method: in.method, Path: in.path, Base: in.base, Body: in.body}})
+	f.reach.Send(to.Address(), &rpc.Frame{ForwardRequest: &rpc.ForwardRequest{CallID: m, To: to, Method: in.method, Path: in.path, BaseVersion: in.base, Body: in.body}})
 }
 
 // over forgets a call that is out.
@@ -93,10 +93,10 @@
 }
 
 // expire gives up calls whose callers wait no longer, and those at a member that is not heard as the leader any more.
-func (f *Forge) expire(now int64) {
+func (f *Server) expire(now int64) {
 	for _, serial := range slices.Sorted(maps.Keys(f.passed)) {
 		p := f.passed[serial]
-		if now <= p.until && p.to == f.core.Heard(now) {
+		if now <= p.until && p.to == f.core.RecentLeader(now) {
 			continue
 		}
 		f.over(serial)
@@ -105,16 +105,16 @@
 }
 
 // answered takes in an answer.
-func (f *Forge) answered(from string, a *rpc.Answer) {
+func (f *Server) answered(from string, a *rpc.ForwardResponse) {
 	p, out := f.passed[a.Serial]
 	switch {
-	case a.From != f.id || a.Life != f.life:
+	case a.From != f.id || a.Incarnation != f.life:
 		f.ignored(answerLife)
 	case a.Serial == 0 || a.Serial > f.serial:
 		f.ignored(answerUnknown)
 	case !out:
 		f.ignored(answerLate)
-	case a.By != p.to || from != p.to.Address() || a.Mark != p.mark:
+	case a.By != p.to || from != p.to.Address() || a.CallID != p.mark:
 		f.ignored(answerOther)
 	case a.Status < 200 || a.Status > 599:
 		f.ignored(answerOdd)
@@ -125,27 +125,27 @@
 }
 
 // asked carries out a call that another member passes on.
-func (f *Forge) asked(from string, a *rpc.Ask) {
+func (f *Server) asked(from string, a *rpc.ForwardRequest) {
 	answer := func(status int, body []byte) {
-		f.reach.Send(from, &rpc.Frame{Answer: &rpc.Answer{Mark: a.Mark, By: f.id, Status: status, Body: body}})
+		f.reach.Send(from, &rpc.Frame{ForwardResponse: &rpc.ForwardResponse{CallID: a.CallID, By: f.id, Status: status, Body: body}})
 	}
 	switch {
 	case a.From.Address() != from || !f.knows(a.From):
 		f.ignored(askUnknown)
-	case a.To != f.id || a.View != f.core.View():
+	case a.To != f.id || a.Term != f.core.Term():
 		f.ignored(askElsewhere)
 		refuse(answer, errcode.NoLeader, nil) // its caller goes on to another at once
-	case !f.first(asker{a.From, a.Life}, a.Serial):
+	case !f.first(asker{a.From, a.Incarnation}, a.Serial):
 		f.ignored(askTwice)
 	default:
-		f.handle(call{a.Method, a.Path, a.Base, a.Body}, false, answer)
+		f.handle(call{a.Method, a.Path, a.BaseVersion, a.Body}, false, answer)
 	}
 }
 
 // knows says whether a process may pass calls on: a member, one that learns, or one at an address of the settings.
-func (f *Forge) knows(id consensus.ID) bool {
-	return slices.Contains(f.core.Members(), id) || slices.Contains(f.core.Standing(f.clock.Now()).Learners, id) ||
-		slices.Contains(f.plate.Seeds(), id.Address())
+func (f *Server) knows(id consensus.ID) bool {
+	return slices.Contains(f.core.Members(), id) || slices.Contains(f.core.Status(f.clock.Now()).Learners, id) ||
+		slices.Contains(f.plate.SeedHosts(), id.Address())
 }
 
 // first says that a call was not carried out before.
--- a/internal/control/routers.go
+++ b/internal/control/routers.go
@@ -13,8 +13,8 @@
 
 const quiet = 4 * time.Second // a connection that says nothing for so long is given up
 
-// Router is the connection of one, as its member's owner sees it.
-type Router struct {
+// ProxyConn is the connection of one, as its member's owner sees it.
+type ProxyConn struct {
 	node   string
 	life   uint64
 	serial uint64 // by when it came
@@ -28,11 +28,11 @@
 }
 
 // served are the routers in the order in which they came, so that a member does the same each time it is given the same.
-func (f *Forge) served() []*Router {
-	return slices.SortedFunc(maps.Keys(f.routers), func(a, b *Router) int { return cmp.Compare(a.serial, b.serial) })
+func (f *Server) served() []*ProxyConn {
+	return slices.SortedFunc(maps.Keys(f.routers), func(a, b *ProxyConn) int { return cmp.Compare(a.serial, b.serial) })
 }
 
-func (r *Router) close() {
+func (r *ProxyConn) close() {
 	if !r.over {
 		r.over = true
 		r.shut()
@@ -40,35 +40,35 @@
 }
 
 // put sends a frame; a router that does not read is left.
-func (r *Router) put(f *rpc.Frame) {
+func (r *ProxyConn) put(f *rpc.Frame) {
 	if !r.over && !r.send(f) {
 		r.close()
 	}
 }
 
-func (r *Router) news(f *Forge, n *rpc.News) {
-	if n.Snapshot == nil && r.index+uint64(len(n.Entries)) != n.Index {
+func (r *ProxyConn) news(f *Server, n *rpc.LogUpdate) {
+	if n.Snapshot == nil && r.index+uint64(len(n.Entries)) != n.LastIndex {
 		r.catchUp(f)
 		return
 	}
-	r.index = n.Index
-	r.put(&rpc.Frame{News: n})
+	r.index = n.LastIndex
+	r.put(&rpc.Frame{LogUpdate: n})
 }
 
 // catchUp sends what is missing, or a snapshot.
-func (r *Router) catchUp(f *Forge) {
-	n := &rpc.News{Members: f.members(), Index: f.state.Index}
-	if bodies, ok := f.core.Entries(r.index); ok && r.index > 0 && r.index <= f.state.Index {
+func (r *ProxyConn) catchUp(f *Server) {
+	n := &rpc.LogUpdate{Members: f.members(), LastIndex: f.state.Index}
+	if bodies, ok := f.core.CommittedAfter(r.index); ok && r.index > 0 && r.index <= f.state.Index {
 		n.Entries = bodies
 	} else {
 		n.Snapshot = f.state.Snapshot()
 	}
-	r.index = n.Index
-	r.put(&rpc.Frame{News: n})
+	r.index = n.LastIndex
+	r.put(&rpc.Frame{LogUpdate: n})
 }
 
 // accept takes a connection of a member or of a router.
-func (f *Forge) accept(c *rpc.Conn) {
+func (f *Server) accept(c *rpc.Conn) {
 	first, err := c.Receive(quiet)
 	if err != nil {
 		return
@@ -78,30 +78,30 @@
 		return
 	}
 	for frame := first; err == nil; frame, err = c.Receive(time.Hour) {
-		rank := eventloop.Outcomes
-		if frame.Ask != nil {
-			rank = eventloop.Commands
+		rank := eventloop.PriorityOutcomes
+		if frame.ForwardRequest != nil {
+			rank = eventloop.PriorityCommands
 		}
-		f.queue.Put(rank, func() { f.Hear(c.Remote(), frame) })
+		f.queue.Put(rank, func() { f.HandleFrame(c.Remote(), frame) })
 	}
 }
 
-// Hear takes in a frame of another member, from the address that its connection came from.
-func (f *Forge) Hear(from string, frame *rpc.Frame) {
+// HandleFrame takes in a frame of another member, from the address that its connection came from.
+func (f *Server) HandleFrame(from string, frame *rpc.Frame) {
 	switch {
-	case frame.Core != nil && frame.Core.From.Address() != from:
+	case frame.Consensus != nil && frame.Consensus.From.Address() != from:
 		f.ignored(messageAstray)
-	case frame.Core != nil:
-		f.carry(f.core.Step(*frame.Core, f.clock.Now()))
-	case frame.Ask != nil:
-		f.asked(from, frame.Ask)
-	case frame.Answer != nil:
-		f.answered(from, frame.Answer)
+	case frame.Consensus != nil:
+		f.carry(f.core.Step(*frame.Consensus, f.clock.Now()))
+	case frame.ForwardRequest != nil:
+		f.asked(from, frame.ForwardRequest)
+	case frame.ForwardResponse != nil:
+		f.answered(from, frame.ForwardResponse)
 	}
 }
 
 // serveRouter serves one until its connection ends.
-func (f *Forge) serveRouter(c *rpc.Conn, h *rpc.Hello) {
+func (f *Server) serveRouter(c *rpc.Conn, h *rpc.Hello) {
 	out, closed := make(chan *rpc.Frame, 256), make(chan struct{})
 	send := func(frame *rpc.Frame) bool {
 		select {
@@ -111,10 +111,10 @@
 			return false
 		}
 	}
-	taken := make(chan *Router, 1)
-	var r *Router
-	if !f.queue.Put(eventloop.Lists, func() {
-		taken <- f.Meet(h, c.Remote(), send, func() { close(closed); c.Close() })
+	taken := make(chan *ProxyConn, 1)
+	var r *ProxyConn
+	if !f.queue.Put(eventloop.PriorityLists, func() {
+		taken <- f.AcceptProxy(h, c.Remote(), send, func() { close(closed); c.Close() })
 	}) {
 		return
 	}
@@ -141,62 +141,62 @@
 		if err != nil {
 			break
 		}
-		f.queue.Put(eventloop.Lists, func() { f.Said(r, frame) })
+		f.queue.Put(eventloop.PriorityLists, func() { f.HandleProxyFrame(r, frame) })
 	}
-	f.queue.Put(eventloop.Lists, func() { f.Parted(r) })
+	f.queue.Put(eventloop.PriorityLists, func() { f.ProxyDisconnected(r) })
 }
 
-// Meet greets a router, and serves it if this member leads. send never waits.
-func (f *Forge) Meet(h *rpc.Hello, remote string, send func(*rpc.Frame) bool, shut func()) *Router {
+// AcceptProxy greets a router, and serves it if this member leads. send never waits.
+func (f *Server) AcceptProxy(h *rpc.Hello, remote string, send func(*rpc.Frame) bool, shut func()) *ProxyConn {
 	f.met++
-	r := &Router{node: h.Node, life: h.Life, serial: f.met, remote: remote, index: h.From, send: send, shut: shut}
-	w := &rpc.Welcome{Node: f.plate.Node, Leads: f.leads && f.core.Holds(f.clock.Now()), Members: f.members()}
-	if l := f.core.Heard(f.clock.Now()); l != "" && l != f.id {
+	r := &ProxyConn{node: h.Node, life: h.Incarnation, serial: f.met, remote: remote, index: h.AppliedIndex, send: send, shut: shut}
+	w := &rpc.Welcome{Node: f.plate.Node, IsLeader: f.leads && f.core.HoldsLease(f.clock.Now()), Members: f.members()}
+	if l := f.core.RecentLeader(f.clock.Now()); l != "" && l != f.id {
 		w.Leader = l.Address()
 	}
 	for _, other := range f.served() {
-		if len(w.Routers) < 5 {
-			w.Routers = append(w.Routers, other.remote)
+		if len(w.Proxies) < 5 {
+			w.Proxies = append(w.Proxies, other.remote)
 		}
 	}
 	r.put(&rpc.Frame{Welcome: w})
-	if w.Leads {
+	if w.IsLeader {
 		f.routers[r] = struct{}{}
-		f.jaw.Heard(h.Node, h.Life, h.From, f.clock.Now())
+		f.jaw.Observe(h.Node, h.Incarnation, h.AppliedIndex, f.clock.Now())
 		r.catchUp(f)
 	}
 	return r
 }
 
-// Said takes in a router's frame.
-func (f *Forge) Said(r *Router, frame *rpc.Frame) {
+// HandleProxyFrame takes in a router's frame.
+func (f *Server) HandleProxyFrame(r *ProxyConn, frame *rpc.Frame) {
 	if _, served := f.routers[r]; !served {
 		return
 	}
 	switch {
-	case frame.Renew != nil:
-		f.renew(r, frame.Renew)
-	case frame.Suspect != nil:
-		if s := frame.Suspect; f.leads && f.state.Leads[s.Service].Host == s.Host {
-			f.hoist.Suspect(r.node, s.Service, s.Host, f.clock.Now())
+	case frame.LeaseRequest != nil:
+		f.renew(r, frame.LeaseRequest)
+	case frame.SuspectReport != nil:
+		if s := frame.SuspectReport; f.leads && f.state.Primaries[s.Service].Host == s.Host {
+			f.hoist.SuspectPrimary(r.node, s.Service, s.Host, f.clock.Now())
 			f.tend()
 		}
 	}
 }
 
-// Parted takes in that a router's connection has ended.
-func (f *Forge) Parted(r *Router) {
+// ProxyDisconnected takes in that a router's connection has ended.
+func (f *Server) ProxyDisconnected(r *ProxyConn) {
 	delete(f.routers, r)
 	r.close()
 }
 
 // renew grants a lease, for as long as this member's view holds.
-func (f *Forge) renew(r *Router, n *rpc.Renew) {
+func (f *Server) renew(r *ProxyConn, n *rpc.LeaseRequest) {
 	now := f.clock.Now()
-	if _, known := f.state.Routers[r.node]; !known && f.leads {
+	if _, known := f.state.Proxies[r.node]; !known && f.leads {
 		if !r.entering { // the next member that leads is to know of it, before it holds a lease
 			r.entering = true
-			f.propose(statemachine.Change{Router: &statemachine.Router{Node: r.node}}, func(err error) {
+			f.propose(statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: r.node}}, func(err error) {
 				if r.entering = false; err == nil && !r.over {
 					f.renew(r, n)
 				}
@@ -204,22 +204,22 @@
 		}
 		return
 	}
-	l := &rpc.Lease{Serial: n.Serial, Granted: f.leads && f.core.Holds(now), Index: f.state.Index}
+	l := &rpc.LeaseResponse{Serial: n.Serial, Granted: f.leads && f.core.HoldsLease(now), CommitIndex: f.state.Index}
 	switch {
-	case l.Granted && !f.jaw.Renew(r.node, r.life, n.Applied, f.state.Recalled(), now):
+	case l.Granted && !f.jaw.Grant(r.node, r.life, n.AppliedIndex, f.state.LatestRevocation(), now):
 		f.LeasesHeld.Add(1) // it asks again once it has applied the news that is on its way
 		f.tend()
 		return
 	case l.Granted:
 		f.Leases.Add(1)
-		l.Routers = f.jaw.Live(now)
+		l.ProxyCount = f.jaw.HolderCount(now)
 	default:
 		f.LeasesRefused.Add(1)
 		if f.jaw != nil {
-			f.jaw.Heard(r.node, r.life, n.Applied, now)
+			f.jaw.Observe(r.node, r.life, n.AppliedIndex, now)
 		}
 	}
-	r.put(&rpc.Frame{Lease: l})
+	r.put(&rpc.Frame{LeaseResponse: l})
 	if f.leads {
 		f.tend()
 	}
--- a/internal/control/silence_test.go
+++ b/internal/control/silence_test.go
@@ -22,7 +22,7 @@
 func agreed(t *testing.T) (w *cutWorld, leader, follower *cutMember) {
 	w = newCutWorld(5, 3, 0, 0, "")
 	w.calm = true
-	w.Play(3000)
+	w.RunFor(3000)
 	for _, m := range w.members {
 		if m.f.leads {
 			leader = m
@@ -45,16 +45,16 @@
 		}
 	}
 	begun, took, status := w.Now, int64(0), 0
-	follower.f.Take(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { took, status = w.Now-begun, s })
-	w.Play(600)
+	follower.f.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { took, status = w.Now-begun, s })
+	w.RunFor(600)
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.Less(t, took, int64(600))
 	status = 0
-	follower.f.Take(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { status = s })
+	follower.f.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { status = s })
 	require.Equal(t, http.StatusServiceUnavailable, status, "the leader is silent for 0.6 s, and the call is passed on to it")
-	w.Play(1400)
-	follower.f.Take(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { status = s })
-	w.Play(100)
+	w.RunFor(1400)
+	follower.f.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { status = s })
+	w.RunFor(100)
 	require.Equal(t, http.StatusOK, status, "orders go on at the side of the majority")
 }
 
@@ -75,7 +75,7 @@
 
 // What was decided under a lease is not begun long after: a process may stand still between the two.
 func TestNothingIsAskedLongAfterItWasDecided(t *testing.T) {
-	f := &Forge{ctx: context.Background(), plate: &settings.Plate{Ip: "127.0.0.1"}, log: hclog.NewNullLogger()}
+	f := &Server{ctx: context.Background(), plate: &settings.Settings{Ip: "127.0.0.1"}, log: hclog.NewNullLogger()}
 	mine, hosts := net.Pipe()
 	written := make(chan int, 1)
 	go func() {
@@ -93,6 +93,6 @@
 	defer platform.Close()
 	ctx, end := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer end()
-	require.Equal(t, failover.Later, f.call(ctx, platform.Listener.Addr().String(), failover.Promotion{Service: "db", Host: "h1"}))
+	require.Equal(t, failover.PromotionNotExecuted, f.call(ctx, platform.Listener.Addr().String(), failover.Promotion{Service: "db", Host: "h1"}))
 	require.Zero(t, calls)
 }
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -24,7 +24,7 @@
 // A mill is three members on links and disks that take their time by the byte, and an operator who changes one route
 // after another.
 type mill struct {
-	*scheduler.Stage
+	*scheduler.Scheduler
 	posts   []*post
 	routes  int
 	version int64  // the newest that was acknowledged
@@ -38,12 +38,12 @@
 
 type post struct {
 	w     *mill
-	f     *Forge
+	f     *Server
 	up    bool
 	cut   bool
 	life  int
 	id    storage.Identity
-	disk  consensus.Restored
+	disk  consensus.RestoredState
 	queue []consensus.Write
 	slow  int64 // how many times as long its disk takes
 	free  int64 // when its disk is done with what it was given
@@ -54,7 +54,7 @@
 }
 
 func newMill(seed uint64, routes int, gap int64) *mill {
-	w := &mill{Stage: scheduler.New(seed, 0, 1), routes: routes, gap: gap, rate: 12500} // 100 Mbit/s
+	w := &mill{Scheduler: scheduler.New(seed, 0, 1), routes: routes, gap: gap, rate: 12500} // 100 Mbit/s
 	var founders []consensus.ID
 	for i := range 3 {
 		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
@@ -64,7 +64,7 @@
 		w.posts = append(w.posts, p)
 		p.start()
 	}
-	w.In(1500, w.change)
+	w.After(1500, w.change)
 	return w
 }
 
@@ -74,29 +74,29 @@
 	w := p.w
 	p.life++
 	p.up, p.queue, p.order, p.free = true, nil, map[string]int64{}, 0
-	plate := &settings.Plate{Node: "n" + p.ip(), Ip: p.ip(), BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
+	plate := &settings.Settings{Node: "n" + p.ip(), Ip: p.ip(), BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
 	plate.FaultBudget.Machines = 1
 	plate.Listen.Control = p.ip() + ":8080"
 	kept := p.disk
 	kept.Entries = slices.Clone(kept.Entries)
-	clock := eventloop.NewSteady(func() time.Time { return time.UnixMilli(w.Now) })
-	f, err := New(plate, hclog.NewNullLogger(), clock, p.id, kept, w.Chance.Float64, uint64(p.life))
+	clock := eventloop.NewSteadyClock(func() time.Time { return time.UnixMilli(w.Now) })
+	f, err := New(plate, hclog.NewNullLogger(), clock, p.id, kept, w.Rand.Float64, uint64(p.life))
 	if err != nil {
 		panic(err)
 	}
 	p.f = f
 	life := p.life
-	f.Wire(Reach{Send: p.send, Store: func(x []consensus.Write) { p.store(life, x) }, Ask: func(failover.Question, statemachine.Host) {}, Promote: func(failover.Promotion) {}})
+	f.SetEnvironment(Environment{Send: p.send, Persist: func(x []consensus.Write) { p.store(life, x) }, QueryHost: func(failover.HostQuery, statemachine.Host) {}, Promote: func(failover.Promotion) {}})
 	p.tick(life)
 }
 
 func (p *post) tick(life int) {
 	p.do(life, func() {
 		p.f.Tick()
-		if l := p.w.leader(); l == p && p.f.state.Gen < p.w.version {
-			p.w.Broke("%s leads with version %d, %d was acknowledged", p.id.ID, p.f.state.Gen, p.w.version)
+		if l := p.w.leader(); l == p && p.f.state.Generation < p.w.version {
+			p.w.Violate("%s leads with version %d, %d was acknowledged", p.id.ID, p.f.state.Generation, p.w.version)
 		}
-		p.w.In(50, func() { p.tick(life) })
+		p.w.After(50, func() { p.tick(life) })
 	})
 }
 
@@ -108,24 +108,24 @@
 
 func (p *post) send(ip string, f *rpc.Frame) {
 	w, size := p.w, int64(200)
-	if f.Core != nil {
-		for _, e := range f.Core.Entries {
-			size += int64(len(e.Body))
+	if f.Consensus != nil {
+		for _, e := range f.Consensus.Entries {
+			size += int64(len(e.Data))
 		}
-		if f.Core.Part != nil {
-			size += int64(len(f.Core.Part.Bytes))
+		if f.Consensus.Chunk != nil {
+			size += int64(len(f.Consensus.Chunk.Data))
 		}
 	}
-	if p.bytes += size; f.Ask != nil {
-		size += int64(len(f.Ask.Body))
+	if p.bytes += size; f.ForwardRequest != nil {
+		size += int64(len(f.ForwardRequest.Body))
 	}
 	p.order[ip] = max(p.order[ip], w.Now) + size/w.rate
 	for _, to := range w.posts {
 		if to.ip() == ip && to != p {
 			life := to.life
-			w.In(p.order[ip]-w.Now+w.Between(1, 4), func() {
+			w.After(p.order[ip]-w.Now+w.Between(1, 4), func() {
 				if !p.cut && !to.cut {
-					to.do(life, func() { to.f.Hear(p.ip(), f) })
+					to.do(life, func() { to.f.HandleFrame(p.ip(), f) })
 				}
 			})
 		}
@@ -136,23 +136,23 @@
 	w, size := p.w, 0
 	for _, one := range x {
 		for _, e := range one.Entries {
-			size += len(e.Body)
+			size += len(e.Data)
 		}
 		if one.Snapshot != nil {
-			size += len(one.Snapshot.State)
+			size += len(one.Snapshot.Data)
 		}
 	}
 	p.stored, p.syncs = p.stored+int64(size), p.syncs+1
 	p.queue = append(p.queue, x...)
 	seq := x[len(x)-1].Seq
 	p.free = max(p.free, w.Now) + (1+int64(size)/100_000)*p.slow
-	w.In(p.free-w.Now, func() {
+	w.After(p.free-w.Now, func() {
 		p.do(life, func() {
 			for len(p.queue) > 0 && p.queue[0].Seq <= seq {
-				p.disk.Put(p.queue[0])
+				p.disk.ApplyWrite(p.queue[0])
 				p.queue = p.queue[1:]
 			}
-			p.f.Saved(seq)
+			p.f.Persisted(seq)
 		})
 	})
 }
@@ -171,7 +171,7 @@
 	}
 	b.WriteString(`],"Services":[{"Name":"s","MaxConns":57}],"More":"`)
 	for range w.pad {
-		b.WriteByte(byte('a' + w.Chance.IntN(26)))
+		b.WriteByte(byte('a' + w.Rand.IntN(26)))
 	}
 	b.WriteString(`"}`)
 	return b.Bytes()
@@ -190,29 +190,29 @@
 		if done {
 			return
 		}
-		p := w.posts[w.Chance.IntN(3)]
-		if l := w.leader(); l != nil && !w.Odds(4) {
+		p := w.posts[w.Rand.IntN(3)]
+		if l := w.leader(); l != nil && !w.OneIn(4) {
 			p = l
 		}
 		p.do(p.life, func() {
-			p.f.Take(http.MethodPost, "/Config.Replace", fmt.Sprint(next-1), body, func(status int, answer []byte) {
+			p.f.HandleCall(http.MethodPost, "/Config.Replace", fmt.Sprint(next-1), body, func(status int, answer []byte) {
 				switch {
 				case status == http.StatusOK && !done:
 					done, w.version, w.body = true, next, body
-					w.In(w.gap, w.change)
+					w.After(w.gap, w.change)
 				case status < 500 && status != http.StatusOK:
-					w.Broke("version %d is refused: %d %s", next, status, answer)
+					w.Violate("version %d is refused: %d %s", next, status, answer)
 				}
 			})
 		})
-		w.In(300, try)
+		w.After(300, try)
 	}
 	try()
 }
 
 func (w *mill) leader() *post {
 	for _, p := range w.posts {
-		if p.up && !p.cut && p.f.leads && p.f.core.Holds(p.f.clock.Now()) {
+		if p.up && !p.cut && p.f.leads && p.f.core.HoldsLease(p.f.clock.Now()) {
 			return p
 		}
 	}
@@ -223,8 +223,8 @@
 func (w *mill) agree() {
 	for i, a := range w.posts {
 		for _, b := range w.posts[:i] {
-			if a.up && b.up && !a.f.astray && !b.f.astray && a.f.state.Index == b.f.state.Index && a.f.state.Sum() != b.f.state.Sum() {
-				w.Broke("%s and %s differ at %d", a.ip(), b.ip(), a.f.state.Index)
+			if a.up && b.up && !a.f.astray && !b.f.astray && a.f.state.Index == b.f.state.Index && a.f.state.Checksum() != b.f.state.Checksum() {
+				w.Violate("%s and %s differ at %d", a.ip(), b.ip(), a.f.state.Index)
 			}
 		}
 	}
@@ -240,32 +240,32 @@
 	parts := int64(0)
 	for seed := range seeds {
 		w := newMill(uint64(seed), []int{10, 300, 40, 100, 10, 2000, 20, 10, 40, 900, 20, 10}[seed%12], []int64{60, 20, 5}[seed%3])
-		w.Play(4000)
-		for before := int64(w.Chance.IntN(900)); w.version < before && w.routes < 900 && w.Now < 60_000; {
-			w.Play(500)
+		w.RunFor(4000)
+		for before := int64(w.Rand.IntN(900)); w.version < before && w.routes < 900 && w.Now < 60_000; {
+			w.RunFor(500)
 		}
-		p := w.posts[w.Chance.IntN(3)]
-		if l := w.leader(); l != nil && w.Odds(2) {
+		p := w.posts[w.Rand.IntN(3)]
+		if l := w.leader(); l != nil && w.OneIn(2) {
 			p = l
 		}
-		how := w.Chance.IntN(4)
+		how := w.Rand.IntN(4)
 		old := p.disk
 		if how == 3 { // it comes back with a file of some time ago
 			old.Entries = slices.Clone(old.Entries)
-			w.Play(w.Between(500, 6000))
+			w.RunFor(w.Between(500, 6000))
 		}
 		if how == 2 {
 			p.cut = true
 		} else {
 			p.up, p.queue = false, nil
 		}
-		w.Play(w.Between(100, 9000))
-		if p.slow = 1; w.Odds(2) {
+		w.RunFor(w.Between(100, 9000))
+		if p.slow = 1; w.OneIn(2) {
 			p.slow = 25
 		}
 		switch how {
 		case 0:
-			p.id, p.disk = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", p.ip(), seed))}, consensus.Restored{}
+			p.id, p.disk = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", p.ip(), seed))}, consensus.RestoredState{}
 			p.start()
 		case 1:
 			p.start()
@@ -274,42 +274,42 @@
 			p.start()
 		}
 		p.cut = false
-		was, behind, whole := w.version, w.version-p.f.state.Gen, int64(-1)
+		was, behind, whole := w.version, w.version-p.f.state.Generation, int64(-1)
 		for at := int64(20); at <= 4000; at += 20 {
-			if w.Play(20); whole < 0 && p.f.state.Gen >= was && !p.f.astray {
+			if w.RunFor(20); whole < 0 && p.f.state.Generation >= was && !p.f.astray {
 				whole = at
 			}
 		}
 		t.Logf("%s, %d routes, %d changes behind, a disk %d times as slow: whole after %d ms",
 			[]string{"empty", "restarted", "cut off", "put back to an older file"}[how], w.routes, behind, p.slow, whole)
-		if p.f.state.Gen < was || p.f.astray {
-			w.Broke("%s (how %d, %d times slow) stands at version %d, %d was before it came back", p.id.ID, how, p.slow, p.f.state.Gen, was)
+		if p.f.state.Generation < was || p.f.astray {
+			w.Violate("%s (how %d, %d times slow) stands at version %d, %d was before it came back", p.id.ID, how, p.slow, p.f.state.Generation, was)
 		}
 		w.agree()
-		parts += p.f.core.Installed
+		parts += p.f.core.SnapshotsInstalled
 		for _, o := range w.posts { // all power
 			o.up, o.queue, o.slow = false, nil, 1
 		}
 		acked, body, under := w.version, w.body, w.under
 		w.calm = true
 		for _, o := range w.posts {
-			w.In(w.Between(0, 400), o.start)
+			w.After(w.Between(0, 400), o.start)
 		}
-		w.Play(400 + 2000)
+		w.RunFor(400 + 2000)
 		switch l := w.leader(); {
 		case l == nil:
-			w.Broke("nobody leads 2 s after the last start")
-		case l.f.state.Gen < acked || !bytes.Equal(l.f.state.Config, body) && !bytes.Equal(l.f.state.Config, under):
-			w.Broke("version %d is served, %d was acknowledged", l.f.state.Gen, acked)
+			w.Violate("nobody leads 2 s after the last start")
+		case l.f.state.Generation < acked || !bytes.Equal(l.f.state.ConfigBody, body) && !bytes.Equal(l.f.state.ConfigBody, under):
+			w.Violate("version %d is served, %d was acknowledged", l.f.state.Generation, acked)
 		}
-		w.Play(1500)
+		w.RunFor(1500)
 		w.agree()
 		for _, o := range w.posts {
-			if o.f.state.Gen < acked || o.f.Diverged.Load() > 0 {
-				w.Broke("%s stands at version %d of %d, diverged %d", o.id.ID, o.f.state.Gen, acked, o.f.Diverged.Load())
+			if o.f.state.Generation < acked || o.f.Diverged.Load() > 0 {
+				w.Violate("%s stands at version %d of %d, diverged %d", o.id.ID, o.f.state.Generation, acked, o.f.Diverged.Load())
 			}
 		}
-		require.Empty(t, w.Broken, "seed %d, %d routes, %d changes", seed, w.routes, acked)
+		require.Empty(t, w.Violations, "seed %d, %d routes, %d changes", seed, w.routes, acked)
 		require.Greater(t, acked, int64(20), "seed %d", seed)
 	}
 	require.Positive(t, parts, "snapshots")
@@ -320,29 +320,29 @@
 	w := newMill(3, 10, 20)
 	w.pad = 50_000
 	for w.version < 60 && w.Now < 60_000 {
-		w.Play(500)
+		w.RunFor(500)
 		for _, p := range w.posts {
 			bytes := 0
 			for _, e := range p.disk.Entries {
-				bytes += len(e.Body)
+				bytes += len(e.Data)
 			}
 			require.Less(t, bytes, logBytes+5*w.pad)
 		}
 	}
 	require.GreaterOrEqual(t, w.version, int64(60))
 	w.agree()
-	require.Empty(t, w.Broken)
+	require.Empty(t, w.Violations)
 }
 
 // other is a state at the same place and version as a member's, with another configuration.
-func other(t *testing.T, f *Forge, s *statemachine.State) *statemachine.State {
+func other(t *testing.T, f *Server, s *statemachine.State) *statemachine.State {
 	spoilt, err := statemachine.Restore(s.Snapshot())
 	require.NoError(t, err)
-	spoilt.Gen--
+	spoilt.Generation--
 	spoilt.Index--
-	spoilt.Taken = spoilt.Taken[:len(spoilt.Taken)-1] // a base is built on once
-	body := bytes.Replace(spoilt.Config, []byte(`"TargetMs":150`), []byte(`"TargetMs":151`), 1)
-	require.NoError(t, spoilt.Apply(spoilt.Index+1, statemachine.Change{Configure: &statemachine.Configure{Base: spoilt.Gen, Body: body}}))
+	spoilt.AppliedUpdates = spoilt.AppliedUpdates[:len(spoilt.AppliedUpdates)-1] // a base is built on once
+	body := bytes.Replace(spoilt.ConfigBody, []byte(`"TargetMs":150`), []byte(`"TargetMs":151`), 1)
+	require.NoError(t, spoilt.Apply(spoilt.Index+1, statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{BaseVersion: spoilt.Generation, Body: body}}))
 	return spoilt
 }
 
@@ -351,35 +351,35 @@
 func TestAStateThatDivergedIsBuiltAnewOrFetched(t *testing.T) {
 	for _, disk := range []bool{false, true} {
 		w := newMill(7, 20, 20)
-		for w.leader() == nil || w.leader().f.core.Base().Index == 0 {
-			w.Play(500)
+		for w.leader() == nil || w.leader().f.core.LatestSnapshot().Index == 0 {
+			w.RunFor(500)
 		}
-		w.Play(1000)
+		w.RunFor(1000)
 		var p *post
 		for _, o := range w.posts {
-			if o != w.leader() && len(o.disk.Snapshot.State) > 0 {
+			if o != w.leader() && len(o.disk.Snapshot.Data) > 0 {
 				p = o
 			}
 		}
 		if disk {
 			p.up, p.queue = false, nil
-			s, err := statemachine.Restore(p.disk.Snapshot.State)
+			s, err := statemachine.Restore(p.disk.Snapshot.Data)
 			require.NoError(t, err)
 			s.Index = p.disk.Snapshot.Index
-			p.disk.Snapshot.State = other(t, p.f, s).Snapshot()
+			p.disk.Snapshot.Data = other(t, p.f, s).Snapshot()
 			p.start()
 		} else {
 			p.f.state = other(t, p.f, p.f.state)
 		}
-		w.Play(12000)
+		w.RunFor(12000)
 		require.Positive(t, p.f.Diverged.Load(), "disk %v", disk)
-		require.Equal(t, disk, p.f.core.Installed > 0)
+		require.Equal(t, disk, p.f.core.SnapshotsInstalled > 0)
 		require.False(t, p.f.astray)
-		require.Greater(t, p.f.state.Gen+20, w.version)
+		require.Greater(t, p.f.state.Generation+20, w.version)
 		w.calm = true
-		w.Play(2000)
+		w.RunFor(2000)
 		w.agree()
-		require.Equal(t, w.leader().f.state.Sum(), p.f.state.Sum(), "disk %v", disk)
-		require.Empty(t, w.Broken)
+		require.Equal(t, w.leader().f.state.Checksum(), p.f.state.Checksum(), "disk %v", disk)
+		require.Empty(t, w.Violations)
 	}
 }
--- a/internal/control/statemachine/capacity_test.go
+++ b/internal/control/statemachine/capacity_test.go
@@ -12,14 +12,14 @@
 
 // The figures of docs/CAPACITY.md: what the replicated state costs at a size.
 
-func sizes(b *testing.B, run func(b *testing.B, e statesize.Extent)) {
+func sizes(b *testing.B, run func(b *testing.B, e statesize.Size)) {
 	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) { run(b, e) })
 	}
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Size) {
 		s := e.State()
 		for b.Loop() {
 			b.ReportMetric(float64(len(s.Snapshot())), "bytes")
@@ -29,7 +29,7 @@
 
 // What a router or a member does with a snapshot, and what the state that comes of it holds of memory.
 func BenchmarkRestore(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Size) {
 		snapshot := e.State().Snapshot()
 		var before, after runtime.MemStats
 		runtime.GC()
@@ -49,23 +49,23 @@
 // A whole configuration in which one route differs: what its order costs where it is checked, and what it costs each
 // member and each router that applies it.
 func BenchmarkOrder(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Size) {
 		s := e.State()
 		for b.Loop() {
-			b.ReportMetric(float64(len(statemachine.Encode(e.Order(s)))), "bytes")
+			b.ReportMetric(float64(len(statemachine.EncodeChange(e.Order(s)))), "bytes")
 		}
-		b.ReportMetric(float64(len(s.Config)), "bytes-sent")
+		b.ReportMetric(float64(len(s.ConfigBody)), "bytes-sent")
 	})
 }
 
 func BenchmarkConfigure(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Size) {
 		s := e.State()
 		other := e.State()
 		var bodies [][]byte
 		for i := range 20 {
 			c := e.Order(other)
-			bodies = append(bodies, statemachine.Encode(c))
+			bodies = append(bodies, statemachine.EncodeChange(c))
 			require.NoError(b, other.Apply(other.Index+uint64(i)+1, c))
 		}
 		n := 0
@@ -75,7 +75,7 @@
 				s, n = e.State(), 0
 				b.StartTimer()
 			}
-			c, err := statemachine.Decode(bodies[n])
+			c, err := statemachine.DecodeChange(bodies[n])
 			require.NoError(b, err)
 			require.NoError(b, s.Apply(s.Index+1, c))
 			n++
@@ -85,12 +85,12 @@
 
 // A host enters a state that holds all others.
 func BenchmarkEnter(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Size) {
 		s := e.State()
 		h := statesize.Host(e.Hosts())
-		body := statemachine.Encode(statemachine.Change{Enter: &h})
+		body := statemachine.EncodeChange(statemachine.Change{AddHost: &h})
 		for b.Loop() {
-			c, err := statemachine.Decode(body)
+			c, err := statemachine.DecodeChange(body)
 			require.NoError(b, err)
 			require.NoError(b, s.Apply(s.Index+1, c))
 			delete(s.Hosts, h.ID)
@@ -100,11 +100,11 @@
 }
 
 func BenchmarkLead(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Size) {
 		s := e.State()
-		body := statemachine.Encode(statemachine.Change{Lead: &statemachine.NewLead{Service: statesize.Service(3), Host: statesize.Host(10).ID, Term: 2}})
+		body := statemachine.EncodeChange(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(10).ID, Term: 2}})
 		for b.Loop() {
-			c, err := statemachine.Decode(body)
+			c, err := statemachine.DecodeChange(body)
 			require.NoError(b, err)
 			require.NoError(b, s.Apply(s.Index+1, c))
 		}
@@ -114,10 +114,10 @@
 
 // Each renewal of a lease asks for this.
 func BenchmarkRecalled(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Extent) {
+	sizes(b, func(b *testing.B, e statesize.Size) {
 		s := e.State()
 		for b.Loop() {
-			s.Recalled()
+			s.LatestRevocation()
 		}
 	})
 }
--- a/internal/control/statemachine/state.go
+++ b/internal/control/statemachine/state.go
@@ -28,101 +28,101 @@
 	Capacity                   int64
 	Draining                   bool
 	Missing                    bool   // its process is gone, and others hold all that it had received
-	Since                      uint64 // the change that brought it
+	AddedAt                    uint64 // the change that brought it
 }
 
-// Lead is who leads a service. While Moving is set nobody may be sent what only a primary can do.
-type Lead struct {
-	Host   string
-	Term   uint64
-	Moving bool
-	Fence  uint64 // rises with each holder of the duty
-	Holder string // the member that carries a move out
-	At     uint64 // the change that set Moving, or the lead
-	To     string // who was named to the platform last, in this move; it may have been promoted
-	Paused bool   // replicas were PAUSEd for a move, and not all are known to receive again
+// Primary is who leads a service. While Moving is set nobody may be sent what only a primary can do.
+type Primary struct {
+	Host           string
+	Term           uint64
+	Revoked        bool
+	FencingToken   uint64 // rises with each holder of the duty
+	Owner          string // the member that carries a move out
+	ChangedAt      uint64 // the change that set Moving, or the lead
+	Nominee        string // who was named to the platform last, in this move; it may have been promoted
+	ReplicasPaused bool   // replicas were PAUSEd for a move, and not all are known to receive again
 }
 
 // State is what all changes up to Index have made. The zero value is the state before the first.
 type State struct {
-	Index  uint64
-	Config []byte // as Config.Read gives it; empty: none
-	Gen    int64
-	Led    int64   // led time, in milliseconds
-	Taken  []Taken // by base, so the newest last
-	Hosts  map[string]Host
-	Leads  map[string]Lead
-	Gone   []Departure // the newest last
-	// Owed are hosts that left and may alone have had what was acknowledged: until a new host at the address of one has its
+	Index          uint64
+	ConfigBody     []byte // as Config.Read gives it; empty: none
+	Generation     int64
+	LedTimeMs      int64           // led time, in milliseconds
+	AppliedUpdates []AppliedUpdate // by base, so the newest last
+	Hosts          map[string]Host
+	Primaries      map[string]Primary
+	RemovedHosts   []RemovedHost // the newest last
+	// UnaccountedHosts are hosts that left and may alone have had what was acknowledged: until a new host at the address of one has its
 	// log, or others are known to have reached all of it, the service is not given to another primary.
-	Owed map[string]Host
-	// Took is how many milliseconds the platform's last promotion took, from the call; 0: none was seen.
-	Took int64
-	// Routers are those that may hold leases, with the change that brought each.
-	Routers map[string]uint64
+	UnaccountedHosts map[string]Host
+	// LastPromotionMs is how many milliseconds the platform's last promotion took, from the call; 0: none was seen.
+	LastPromotionMs int64
+	// Proxies are those that may hold leases, with the change that brought each.
+	Proxies map[string]uint64
 
-	plan *config.Plan
-	sum  [16]byte // of Config
+	config *config.Config
+	sum    [16]byte // of Config
 }
 
 // Change is one entry; one of its fields is set, beside Led.
 type Change struct {
-	Led       int64 // when it was proposed, in led time
-	Configure *Configure
-	Enter     *Host
-	Drain     string
-	Leave     string
-	Recall    *Recall
-	Named     *Named
-	Lead      *NewLead
-	Router    *Router
-	Missing   string // a host that fail-over need not ask, until it says that it is there
-	Resumed   string // a service whose replicas all receive again
+	LedTimeMs          int64 // when it was proposed, in led time
+	UpdateConfig       *ConfigUpdate
+	AddHost            *Host
+	DrainHost          string
+	RemoveHost         string
+	RevokePrimary      *RevokePrimary
+	NominatePrimary    *NominatePrimary
+	AppointPrimary     *AppointPrimary
+	Proxy              *ProxyMembership
+	MarkMissing        string // a host that fail-over need not ask, until it says that it is there
+	ReplicationResumed string // a service whose replicas all receive again
 }
 
-// Router brings a router before it is granted its first lease, or takes out one that holds none any more.
-type Router struct {
-	Node string
-	Gone bool
+// ProxyMembership brings a router before it is granted its first lease, or takes out one that holds none any more.
+type ProxyMembership struct {
+	Node    string
+	Removed bool
 }
 
-// Configure is an operator's configuration: a whole one, or an amendment. As it was sent, it has a Body; Pack makes of it
+// ConfigUpdate is an operator's configuration: a whole one, or an amendment. As it was sent, it has a Body; Pack makes of it
 // what the log carries.
-type Configure struct {
-	Base  int64
-	Amend bool
-	Body  []byte
-	Packed
+type ConfigUpdate struct {
+	BaseVersion int64
+	IsAmendment bool
+	Body        []byte
+	ConfigDelta
 }
 
-// Recall takes the lead of a service back: whoever had it sends nothing more that only a primary can do.
-type Recall struct{ Service, Holder string }
+// RevokePrimary takes the lead of a service back: whoever had it sends nothing more that only a primary can do.
+type RevokePrimary struct{ Service, Owner string }
 
-// Named notes which host is named to the platform, before it is. Where the service is not yet recalled, the host that
+// NominatePrimary notes which host is named to the platform, before it is. Where the service is not yet recalled, the host that
 // leads goes on.
-type Named struct{ Service, Host, Holder string }
+type NominatePrimary struct{ Service, Host, Owner string }
 
-// NewLead gives a service a primary.
-type NewLead struct {
+// AppointPrimary gives a service a primary.
+type AppointPrimary struct {
 	Service, Host string
 	Term          uint64
-	Took          int64 // milliseconds from the call to the platform; 0: not seen
+	PromotionMs   int64 // milliseconds from the call to the platform; 0: not seen
 }
 
 // Kinds of refusals.
 var (
-	ErrOther   = errors.New("another version is in place")
-	ErrInvalid = errors.New("not valid")
-	ErrUnknown = errors.New("not known")
+	ErrVersionConflict = errors.New("another version is in place")
+	ErrInvalid         = errors.New("not valid")
+	ErrNotFound        = errors.New("not known")
 	// ErrDiverged says that the state itself is not the one that a change builds on: it takes in nothing more, and is to be
 	// restored from a snapshot.
 	ErrDiverged = errors.New("this state is not what the change builds on")
 )
 
-// Encode is a change as the log holds it.
-func Encode(c Change) []byte {
-	if c.Configure != nil {
-		return c.Configure.encode(c.Led)
+// EncodeChange is a change as the log holds it.
+func EncodeChange(c Change) []byte {
+	if c.UpdateConfig != nil {
+		return c.UpdateConfig.encode(c.LedTimeMs)
 	}
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(changeToStored(c)); err != nil {
@@ -131,10 +131,10 @@
 	return b.Bytes()
 }
 
-// Decode reads a change.
-func Decode(b []byte) (c Change, err error) {
+// DecodeChange reads a change.
+func DecodeChange(b []byte) (c Change, err error) {
 	if len(b) > 0 && b[0] == packed {
-		c.Configure, c.Led, err = decodeConfigure(b)
+		c.UpdateConfig, c.LedTimeMs, err = decodeConfigure(b)
 		return c, err
 	}
 	var stored diskformat.Change
@@ -146,21 +146,21 @@
 
 // Snapshot is the state as bytes behind their digest; maps are written in order, so equal states give equal bytes.
 func (s *State) Snapshot() []byte {
-	flat := diskformat.State{Index: s.Index, Config: s.Config, Gen: s.Gen, Led: s.Led, Orders: packTaken(s.Taken), Took: s.Took}
-	for _, d := range s.Gone {
+	flat := diskformat.State{Index: s.Index, Config: s.ConfigBody, Gen: s.Generation, Led: s.LedTimeMs, Orders: packTaken(s.AppliedUpdates), Took: s.LastPromotionMs}
+	for _, d := range s.RemovedHosts {
 		flat.Left = append(flat.Left, departureToStored(d))
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Hosts)) {
 		flat.Hosts = append(flat.Hosts, hostToStored(s.Hosts[id]))
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.Leads)) {
-		flat.Names, flat.Leads = append(flat.Names, name), append(flat.Leads, leadToStored(s.Leads[name]))
+	for _, name := range slices.Sorted(maps.Keys(s.Primaries)) {
+		flat.Names, flat.Leads = append(flat.Names, name), append(flat.Leads, leadToStored(s.Primaries[name]))
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.Owed)) {
-		flat.Owed = append(flat.Owed, hostToStored(s.Owed[id]))
+	for _, id := range slices.Sorted(maps.Keys(s.UnaccountedHosts)) {
+		flat.Owed = append(flat.Owed, hostToStored(s.UnaccountedHosts[id]))
 	}
-	for _, name := range s.RouterNames() {
-		flat.Routers, flat.Since = append(flat.Routers, name), append(flat.Since, s.Routers[name])
+	for _, name := range s.ProxyNames() {
+		flat.Routers, flat.Since = append(flat.Routers, name), append(flat.Since, s.Proxies[name])
 	}
 	var b bytes.Buffer
 	b.Write(make([]byte, len(marked)+16))
@@ -192,12 +192,12 @@
 	if len(flat.Names) != len(flat.Leads) || len(flat.Routers) != len(flat.Since) {
 		return nil, fmt.Errorf("a snapshot: %d services with %d leads", len(flat.Names), len(flat.Leads))
 	}
-	s.Index, s.Config, s.Gen, s.Led, s.Took = flat.Index, flat.Config, flat.Gen, flat.Led, flat.Took
+	s.Index, s.ConfigBody, s.Generation, s.LedTimeMs, s.LastPromotionMs = flat.Index, flat.Config, flat.Gen, flat.Led, flat.Took
 	for _, d := range flat.Left {
-		s.Gone = append(s.Gone, departureFromStored(d))
+		s.RemovedHosts = append(s.RemovedHosts, departureFromStored(d))
 	}
 	var err error
-	if s.Taken, err = unpackTaken(flat.Orders); err != nil {
+	if s.AppliedUpdates, err = unpackTaken(flat.Orders); err != nil {
 		return nil, err
 	}
 	for _, h := range flat.Hosts {
@@ -212,21 +212,21 @@
 	for i, n := range flat.Routers {
 		s.router(n, flat.Since[i])
 	}
-	if len(s.Config) > 0 {
-		p, err := config.Read(s.Config)
+	if len(s.ConfigBody) > 0 {
+		p, err := config.Read(s.ConfigBody)
 		if err != nil {
 			return nil, fmt.Errorf("a snapshot: its configuration: %w", err)
 		}
-		s.plan, s.sum = p, digestOf(s.Config)
+		s.config, s.sum = p, digestOf(s.ConfigBody)
 	}
 	return s, nil
 }
 
-// Sum is the same for equal states.
-func (s *State) Sum() uint32 { return crc32.ChecksumIEEE(s.Snapshot()) }
+// Checksum is the same for equal states.
+func (s *State) Checksum() uint32 { return crc32.ChecksumIEEE(s.Snapshot()) }
 
-// Plan is the configuration in force; nil: none.
-func (s *State) Plan() *config.Plan { return s.plan }
+// Config is the configuration in force; nil: none.
+func (s *State) Config() *config.Config { return s.config }
 
 func (s *State) host(h Host) {
 	if s.Hosts == nil {
@@ -236,41 +236,41 @@
 }
 
 func (s *State) owe(h Host) {
-	if s.Owed == nil {
-		s.Owed = map[string]Host{}
+	if s.UnaccountedHosts == nil {
+		s.UnaccountedHosts = map[string]Host{}
 	}
-	s.Owed[h.ID] = h
+	s.UnaccountedHosts[h.ID] = h
 }
 
-func (s *State) lead(name string, l Lead) {
-	if s.Leads == nil {
-		s.Leads = map[string]Lead{}
+func (s *State) lead(name string, l Primary) {
+	if s.Primaries == nil {
+		s.Primaries = map[string]Primary{}
 	}
-	s.Leads[name] = l
+	s.Primaries[name] = l
 }
 
 func (s *State) router(name string, since uint64) {
-	if s.Routers == nil {
-		s.Routers = map[string]uint64{}
+	if s.Proxies == nil {
+		s.Proxies = map[string]uint64{}
 	}
-	s.Routers[name] = since
+	s.Proxies[name] = since
 }
 
-// RouterNames are those that may hold leases, in order.
-func (s *State) RouterNames() []string { return slices.Sorted(maps.Keys(s.Routers)) }
+// ProxyNames are those that may hold leases, in order.
+func (s *State) ProxyNames() []string { return slices.Sorted(maps.Keys(s.Proxies)) }
 
-// Recalled is the newest change that took a lead back of those that are on the move; 0: none.
-func (s *State) Recalled() (at uint64) {
-	for _, l := range s.Leads {
-		if l.Moving {
-			at = max(at, l.At)
+// LatestRevocation is the newest change that took a lead back of those that are on the move; 0: none.
+func (s *State) LatestRevocation() (at uint64) {
+	for _, l := range s.Primaries {
+		if l.Revoked {
+			at = max(at, l.ChangedAt)
 		}
 	}
 	return at
 }
 
-// Members are the ids of a service's hosts, in order.
-func (s *State) Members(service string) (ids []string) {
+// HostIDs are the ids of a service's hosts, in order.
+func (s *State) HostIDs(service string) (ids []string) {
 	for id, h := range s.Hosts {
 		if h.Service == service {
 			ids = append(ids, id)
@@ -280,9 +280,9 @@
 	return ids
 }
 
-// OwedOf are the ids of hosts that left a service and may alone have had something, in order.
-func (s *State) OwedOf(service string) (ids []string) {
-	for id, h := range s.Owed {
+// UnaccountedHostIDs are the ids of hosts that left a service and may alone have had something, in order.
+func (s *State) UnaccountedHostIDs(service string) (ids []string) {
+	for id, h := range s.UnaccountedHosts {
 		if h.Service == service {
 			ids = append(ids, id)
 		}
@@ -291,29 +291,29 @@
 	return ids
 }
 
-// Check says what a configuration sent now would meet, without taking it: nil and the plan; nil and none where the
+// CheckConfig says what a configuration sent now would meet, without taking it: nil and the plan; nil and none where the
 // same was taken before; or why not.
-func (s *State) Check(c *Configure) (*config.Plan, error) {
-	if s.taken(c.Identity()) {
+func (s *State) CheckConfig(c *ConfigUpdate) (*config.Config, error) {
+	if s.taken(c.RequestID()) {
 		return nil, nil
 	}
-	if c.Base != s.Gen {
-		return nil, fmt.Errorf("%w: %d is, the change builds on %d", ErrOther, s.Gen, c.Base)
+	if c.BaseVersion != s.Generation {
+		return nil, fmt.Errorf("%w: %d is, the change builds on %d", ErrVersionConflict, s.Generation, c.BaseVersion)
 	}
-	var plan *config.Plan
+	var plan *config.Config
 	var err error
 	switch {
 	case c.isPacked():
 		plan, err = s.unpack(c)
-	case c.Amend && len(s.Config) == 0:
+	case c.IsAmendment && len(s.ConfigBody) == 0:
 		err = errors.New("nothing to amend")
-	case c.Amend:
-		plan, err = s.plan.Amend(c.Body)
+	case c.IsAmendment:
+		plan, err = s.config.Amend(c.Body)
 	default:
-		plan, err = config.Next(s.plan, c.Body)
+		plan, err = config.ReadNext(s.config, c.Body)
 	}
-	if err == nil && (plan.Generation <= s.Gen) {
-		err = fmt.Errorf("Generation: %d: not above %d", plan.Generation, s.Gen)
+	if err == nil && (plan.Generation <= s.Generation) {
+		err = fmt.Errorf("Generation: %d: not above %d", plan.Generation, s.Generation)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
@@ -327,27 +327,27 @@
 	if index <= s.Index {
 		return nil
 	}
-	if c.Configure != nil && s.diverged(c.Configure) {
+	if c.UpdateConfig != nil && s.diverged(c.UpdateConfig) {
 		return ErrDiverged
 	}
-	s.Index, s.Led = index, max(s.Led, c.Led)
+	s.Index, s.LedTimeMs = index, max(s.LedTimeMs, c.LedTimeMs)
 	switch {
-	case c.Configure != nil:
-		plan, err := s.Check(c.Configure)
+	case c.UpdateConfig != nil:
+		plan, err := s.CheckConfig(c.UpdateConfig)
 		if err != nil || plan == nil {
 			return err
 		}
-		s.plan, s.Config, s.Gen, s.sum = plan, plan.Body, plan.Generation, whole(c.Configure, plan)
-		s.take(c.Configure.Identity())
-	case c.Enter != nil:
-		h := *c.Enter
+		s.config, s.ConfigBody, s.Generation, s.sum = plan, plan.Body, plan.Generation, whole(c.UpdateConfig, plan)
+		s.take(c.UpdateConfig.RequestID())
+	case c.AddHost != nil:
+		h := *c.AddHost
 		if s.hasLeft(h.ID) {
-			return fmt.Errorf("%w: %s has left", ErrUnknown, h.ID)
+			return fmt.Errorf("%w: %s has left", ErrNotFound, h.ID)
 		}
 		was, known := s.Hosts[h.ID]
-		h.Since = index
+		h.AddedAt = index
 		if known {
-			h.Since, h.Draining = was.Since, was.Draining || h.Draining
+			h.AddedAt, h.Draining = was.AddedAt, was.Draining || h.Draining
 		}
 		if !known { // whoever was at its address has ended, whether it could say so or not
 			for _, id := range slices.Sorted(maps.Keys(s.Hosts)) {
@@ -356,60 +356,60 @@
 				}
 			}
 		}
-		for _, id := range s.OwedOf(h.Service) { // a new host takes the log that is at its address
-			if s.Owed[id].Address == h.Address {
-				delete(s.Owed, id)
+		for _, id := range s.UnaccountedHostIDs(h.Service) { // a new host takes the log that is at its address
+			if s.UnaccountedHosts[id].Address == h.Address {
+				delete(s.UnaccountedHosts, id)
 			}
 		}
 		s.host(h)
-	case c.Drain != "":
-		h, known := s.Hosts[c.Drain]
+	case c.DrainHost != "":
+		h, known := s.Hosts[c.DrainHost]
 		if !known {
-			return fmt.Errorf("%w: %s", ErrUnknown, c.Drain)
+			return fmt.Errorf("%w: %s", ErrNotFound, c.DrainHost)
 		}
 		h.Draining = true
 		s.host(h)
-	case c.Leave != "":
-		s.leave(c.Leave)
-	case c.Recall != nil:
-		l := s.Leads[c.Recall.Service]
-		if !l.Moving {
-			l.Moving, l.At = true, index
+	case c.RemoveHost != "":
+		s.leave(c.RemoveHost)
+	case c.RevokePrimary != nil:
+		l := s.Primaries[c.RevokePrimary.Service]
+		if !l.Revoked {
+			l.Revoked, l.ChangedAt = true, index
 		}
-		if l.Holder != c.Recall.Holder || l.Fence == 0 {
-			l.Holder, l.Fence = c.Recall.Holder, index
+		if l.Owner != c.RevokePrimary.Owner || l.FencingToken == 0 {
+			l.Owner, l.FencingToken = c.RevokePrimary.Owner, index
 		}
-		l.Paused = true
-		s.lead(c.Recall.Service, l)
-	case c.Named != nil:
-		l := s.Leads[c.Named.Service]
-		l.To, l.Paused = c.Named.Host, true
-		if l.Holder != c.Named.Holder || l.Fence == 0 {
-			l.Holder, l.Fence = c.Named.Holder, index
+		l.ReplicasPaused = true
+		s.lead(c.RevokePrimary.Service, l)
+	case c.NominatePrimary != nil:
+		l := s.Primaries[c.NominatePrimary.Service]
+		l.Nominee, l.ReplicasPaused = c.NominatePrimary.Host, true
+		if l.Owner != c.NominatePrimary.Owner || l.FencingToken == 0 {
+			l.Owner, l.FencingToken = c.NominatePrimary.Owner, index
 		}
-		s.lead(c.Named.Service, l)
-	case c.Resumed != "":
-		if l, known := s.Leads[c.Resumed]; known && !l.Moving && l.To == "" {
-			l.Paused = false
-			s.lead(c.Resumed, l)
+		s.lead(c.NominatePrimary.Service, l)
+	case c.ReplicationResumed != "":
+		if l, known := s.Primaries[c.ReplicationResumed]; known && !l.Revoked && l.Nominee == "" {
+			l.ReplicasPaused = false
+			s.lead(c.ReplicationResumed, l)
 		}
-	case c.Missing != "":
-		delete(s.Owed, c.Missing)
-		if h, known := s.Hosts[c.Missing]; known {
+	case c.MarkMissing != "":
+		delete(s.UnaccountedHosts, c.MarkMissing)
+		if h, known := s.Hosts[c.MarkMissing]; known {
 			h.Missing = true
 			s.host(h)
 		}
-	case c.Router != nil && c.Router.Gone:
-		delete(s.Routers, c.Router.Node)
-	case c.Router != nil:
-		s.router(c.Router.Node, index)
-	case c.Lead != nil:
-		if c.Lead.Took > 0 {
-			s.Took = c.Lead.Took
+	case c.Proxy != nil && c.Proxy.Removed:
+		delete(s.Proxies, c.Proxy.Node)
+	case c.Proxy != nil:
+		s.router(c.Proxy.Node, index)
+	case c.AppointPrimary != nil:
+		if c.AppointPrimary.PromotionMs > 0 {
+			s.LastPromotionMs = c.AppointPrimary.PromotionMs
 		}
-		l := s.Leads[c.Lead.Service]
-		l.Host, l.Term, l.Moving, l.To, l.At = c.Lead.Host, max(l.Term, c.Lead.Term), false, "", index
-		s.lead(c.Lead.Service, l)
+		l := s.Primaries[c.AppointPrimary.Service]
+		l.Host, l.Term, l.Revoked, l.Nominee, l.ChangedAt = c.AppointPrimary.Host, max(l.Term, c.AppointPrimary.Term), false, "", index
+		s.lead(c.AppointPrimary.Service, l)
 	}
 	return nil
 }
@@ -420,12 +420,12 @@
 	if !known {
 		return
 	}
-	if l, led := s.Leads[h.Service]; led && l.Host != id && !h.Missing { // what a primary acknowledged another has received
+	if l, led := s.Primaries[h.Service]; led && l.Host != id && !h.Missing { // what a primary acknowledged another has received
 		s.owe(h)
 	}
 	delete(s.Hosts, id)
 	s.depart(id)
 }
 
-// Rank orders hosts of a service by id, for where nothing else does.
-func Rank(a, b Host) int { return cmp.Compare(a.ID, b.ID) }
+// CompareHosts orders hosts of a service by id, for where nothing else does.
+func CompareHosts(a, b Host) int { return cmp.Compare(a.ID, b.ID) }
--- a/internal/control/statemachine/stored.go
+++ b/internal/control/statemachine/stored.go
@@ -4,80 +4,80 @@
 
 func hostToStored(h Host) diskformat.Host {
 	return diskformat.Host{ID: h.ID, Service: h.Service, Address: h.Address, Zone: h.Zone, Generation: h.Generation,
-		Capacity: h.Capacity, Draining: h.Draining, Missing: h.Missing, Since: h.Since}
+		Capacity: h.Capacity, Draining: h.Draining, Missing: h.Missing, Since: h.AddedAt}
 }
 
 func hostFromStored(s diskformat.Host) Host {
 	return Host{ID: s.ID, Service: s.Service, Address: s.Address, Zone: s.Zone, Generation: s.Generation,
-		Capacity: s.Capacity, Draining: s.Draining, Missing: s.Missing, Since: s.Since}
+		Capacity: s.Capacity, Draining: s.Draining, Missing: s.Missing, AddedAt: s.Since}
 }
 
-func leadToStored(l Lead) diskformat.Lead {
-	return diskformat.Lead{Host: l.Host, Term: l.Term, Moving: l.Moving, Fence: l.Fence, Holder: l.Holder, At: l.At, To: l.To,
-		Paused: l.Paused}
+func leadToStored(l Primary) diskformat.Lead {
+	return diskformat.Lead{Host: l.Host, Term: l.Term, Moving: l.Revoked, Fence: l.FencingToken, Holder: l.Owner, At: l.ChangedAt, To: l.Nominee,
+		Paused: l.ReplicasPaused}
 }
 
-func leadFromStored(s diskformat.Lead) Lead {
-	return Lead{Host: s.Host, Term: s.Term, Moving: s.Moving, Fence: s.Fence, Holder: s.Holder, At: s.At, To: s.To,
-		Paused: s.Paused}
+func leadFromStored(s diskformat.Lead) Primary {
+	return Primary{Host: s.Host, Term: s.Term, Revoked: s.Moving, FencingToken: s.Fence, Owner: s.Holder, ChangedAt: s.At, Nominee: s.To,
+		ReplicasPaused: s.Paused}
 }
 
-func departureToStored(d Departure) diskformat.Departure {
-	return diskformat.Departure{ID: d.ID, At: d.At}
+func departureToStored(d RemovedHost) diskformat.Departure {
+	return diskformat.Departure{ID: d.ID, At: d.LedTimeMs}
 }
 
-func departureFromStored(s diskformat.Departure) Departure {
-	return Departure{ID: s.ID, At: s.At}
+func departureFromStored(s diskformat.Departure) RemovedHost {
+	return RemovedHost{ID: s.ID, LedTimeMs: s.At}
 }
 
-func configureFromStored(s diskformat.Configure) Configure {
-	return Configure{Base: s.Base, Amend: s.Amend, Body: s.Body,
-		Packed: Packed{Sent: s.Packed.Sent, Was: s.Packed.Was, Whole: s.Packed.Whole, Diff: s.Packed.Diff}}
+func configureFromStored(s diskformat.Configure) ConfigUpdate {
+	return ConfigUpdate{BaseVersion: s.Base, IsAmendment: s.Amend, Body: s.Body,
+		ConfigDelta: ConfigDelta{RequestDigest: s.Packed.Sent, BaseDigest: s.Packed.Was, ResultDigest: s.Packed.Whole, Diff: s.Packed.Diff}}
 }
 
 // changeToStored gives the stored form of a change. One of the configuration has a form of its own; see encode.
 func changeToStored(c Change) diskformat.Change {
-	s := diskformat.Change{Led: c.Led, Drain: c.Drain, Leave: c.Leave, Missing: c.Missing, Resumed: c.Resumed}
-	if c.Enter != nil {
-		h := hostToStored(*c.Enter)
+	s := diskformat.Change{Led: c.LedTimeMs, Drain: c.DrainHost, Leave: c.RemoveHost, Missing: c.MarkMissing, Resumed: c.ReplicationResumed}
+	if c.AddHost != nil {
+		h := hostToStored(*c.AddHost)
 		s.Enter = &h
 	}
-	if c.Recall != nil {
-		s.Recall = &diskformat.Recall{Service: c.Recall.Service, Holder: c.Recall.Holder}
+	if c.RevokePrimary != nil {
+		s.Recall = &diskformat.Recall{Service: c.RevokePrimary.Service, Holder: c.RevokePrimary.Owner}
 	}
-	if c.Named != nil {
-		s.Named = &diskformat.Named{Service: c.Named.Service, Host: c.Named.Host, Holder: c.Named.Holder}
+	if c.NominatePrimary != nil {
+		s.Named = &diskformat.Named{Service: c.NominatePrimary.Service, Host: c.NominatePrimary.Host, Holder: c.NominatePrimary.Owner}
 	}
-	if c.Lead != nil {
-		s.Lead = &diskformat.NewLead{Service: c.Lead.Service, Host: c.Lead.Host, Term: c.Lead.Term, Took: c.Lead.Took}
+	if c.AppointPrimary != nil {
+		s.Lead = &diskformat.NewLead{Service: c.AppointPrimary.Service, Host: c.AppointPrimary.Host, Term: c.AppointPrimary.Term, Took: c.AppointPrimary.PromotionMs}
 	}
-	if c.Router != nil {
-		s.Router = &diskformat.Router{Node: c.Router.Node, Gone: c.Router.Gone}
+	if c.Proxy != nil {
+		s.Router = &diskformat.Router{Node: c.Proxy.Node, Gone: c.Proxy.Removed}
 	}
 	return s
 }
 
 func changeFromStored(s diskformat.Change) Change {
-	c := Change{Led: s.Led, Drain: s.Drain, Leave: s.Leave, Missing: s.Missing, Resumed: s.Resumed}
+	c := Change{LedTimeMs: s.Led, DrainHost: s.Drain, RemoveHost: s.Leave, MarkMissing: s.Missing, ReplicationResumed: s.Resumed}
 	if s.Configure != nil {
 		u := configureFromStored(*s.Configure)
-		c.Configure = &u
+		c.UpdateConfig = &u
 	}
 	if s.Enter != nil {
 		h := hostFromStored(*s.Enter)
-		c.Enter = &h
+		c.AddHost = &h
 	}
 	if s.Recall != nil {
-		c.Recall = &Recall{Service: s.Recall.Service, Holder: s.Recall.Holder}
+		c.RevokePrimary = &RevokePrimary{Service: s.Recall.Service, Owner: s.Recall.Holder}
 	}
 	if s.Named != nil {
-		c.Named = &Named{Service: s.Named.Service, Host: s.Named.Host, Holder: s.Named.Holder}
+		c.NominatePrimary = &NominatePrimary{Service: s.Named.Service, Host: s.Named.Host, Owner: s.Named.Holder}
 	}
 	if s.Lead != nil {
-		c.Lead = &NewLead{Service: s.Lead.Service, Host: s.Lead.Host, Term: s.Lead.Term, Took: s.Lead.Took}
+		c.AppointPrimary = &AppointPrimary{Service: s.Lead.Service, Host: s.Lead.Host, Term: s.Lead.Term, PromotionMs: s.Lead.Took}
 	}
 	if s.Router != nil {
-		c.Router = &Router{Node: s.Router.Node, Gone: s.Router.Gone}
+		c.Proxy = &ProxyMembership{Node: s.Router.Node, Removed: s.Router.Gone}
 	}
 	return c
 }
--- a/internal/control/storage/diskformat/diskformat.go
+++ b/internal/control/storage/diskformat/diskformat.go
@@ -35,31 +35,31 @@
 }
 
 // FromMeta gives the stored form.
-func FromMeta(m consensus.Meta) Meta {
-	return Meta{View: m.View, Vote: m.Vote, Settled: m.Settled}
+func FromMeta(m consensus.HardState) Meta {
+	return Meta{View: m.Term, Vote: m.Vote, Settled: m.CommittedConfigIndex}
 }
 
 // Value is what the stored form stands for.
-func (m Meta) Value() consensus.Meta {
-	return consensus.Meta{View: m.View, Vote: m.Vote, Settled: m.Settled}
+func (m Meta) Value() consensus.HardState {
+	return consensus.HardState{Term: m.View, Vote: m.Vote, CommittedConfigIndex: m.Settled}
 }
 
 // FromEntry gives the stored form.
 func FromEntry(e consensus.Entry) Entry {
-	return Entry{View: e.View, Body: e.Body, Members: e.Members}
+	return Entry{View: e.Term, Body: e.Data, Members: e.Members}
 }
 
 // Value is what the stored form stands for.
 func (e Entry) Value() consensus.Entry {
-	return consensus.Entry{View: e.View, Body: e.Body, Members: e.Members}
+	return consensus.Entry{Term: e.View, Data: e.Body, Members: e.Members}
 }
 
 // FromSnapshot gives the stored form.
 func FromSnapshot(s consensus.Snapshot) Snapshot {
-	return Snapshot{Index: s.Index, View: s.View, Members: s.Members, State: s.State}
+	return Snapshot{Index: s.Index, View: s.Term, Members: s.Members, State: s.Data}
 }
 
 // Value is what the stored form stands for.
 func (s Snapshot) Value() consensus.Snapshot {
-	return consensus.Snapshot{Index: s.Index, View: s.View, Members: s.Members, State: s.State}
+	return consensus.Snapshot{Index: s.Index, Term: s.View, Members: s.Members, Data: s.State}
 }
--- a/internal/control/storage/growth_test.go
+++ b/internal/control/storage/growth_test.go
@@ -19,11 +19,11 @@
 			b.Run(fmt.Sprintf("state=%d/entries=%d", size, n), func(b *testing.B) {
 				folder := b.TempDir()
 				d, _, _, _ := Open(folder, fresh)
-				s := consensus.Snapshot{Index: 1, View: 1, State: make([]byte, size)}
-				d.Store([]consensus.Write{{Snapshot: &s, Keep: 1}})
+				s := consensus.Snapshot{Index: 1, Term: 1, Data: make([]byte, size)}
+				d.Save([]consensus.Write{{Snapshot: &s, CompactThrough: 1}})
 				before, _ := os.Stat(filepath.Join(folder, "ratchet.db"))
 				for i := range n {
-					d.Store([]consensus.Write{{From: uint64(i + 2), Entries: []consensus.Entry{entry(1, string(make([]byte, 85)))}}})
+					d.Save([]consensus.Write{{FirstIndex: uint64(i + 2), Entries: []consensus.Entry{entry(1, string(make([]byte, 85)))}}})
 				}
 				after, _ := os.Stat(filepath.Join(folder, "ratchet.db"))
 				d.Close()
--- a/internal/control/storage/wal.go
+++ b/internal/control/storage/wal.go
@@ -21,8 +21,8 @@
 	"ferrypitch/internal/snapshotfile"
 )
 
-// Drawer is an open file. Its calls are made by one goroutine.
-type Drawer struct {
+// WAL is an open file. Its calls are made by one goroutine.
+type WAL struct {
 	db   *buntdb.DB
 	file *os.File // the same file, to sync it: buntdb passes over a sync that fails
 	path string
@@ -47,12 +47,12 @@
 func entryKey(i uint64) string { return fmt.Sprintf("%s%016x", prefixEntry, i) }
 
 // Open opens or makes the file in a folder. fresh makes the identity of a member that has none.
-func Open(folder string, fresh func() Identity) (d *Drawer, id Identity, kept consensus.Restored, err error) {
+func Open(folder string, fresh func() Identity) (d *WAL, id Identity, kept consensus.RestoredState, err error) {
 	path := filepath.Join(folder, "ratchet.db")
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, id, kept, trace.ConvertSystemError(err)
 	}
-	d = &Drawer{path: path}
+	d = &WAL{path: path}
 	if err := salvage(path); err != nil {
 		return nil, id, kept, err
 	}
@@ -69,7 +69,7 @@
 		if err := d.open(); err != nil {
 			return nil, id, kept, err
 		}
-		id, kept = fresh(), consensus.Restored{}
+		id, kept = fresh(), consensus.RestoredState{}
 		err := d.update(func(tx *buntdb.Tx) error {
 			return put(tx, keyIdentity, diskformat.Identity{ID: id.ID, Founders: id.Founders})
 		})
@@ -83,7 +83,7 @@
 	return d, id, kept, nil
 }
 
-func (d *Drawer) open() error {
+func (d *WAL) open() error {
 	db, err := buntdb.Open(d.path)
 	if err != nil {
 		return trace.Wrap(err)
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (d *Drawer) close() {
+func (d *WAL) close() {
 	if d.db != nil {
 		d.db.Close()
 		d.file.Close()
@@ -110,13 +110,13 @@
 }
 
 // Close closes the file.
-func (d *Drawer) Close() error {
+func (d *WAL) Close() error {
 	d.close()
 	return nil
 }
 
 // update makes one change and returns once it is on disk. A change that fails may be made again.
-func (d *Drawer) update(do func(*buntdb.Tx) error) (err error) {
+func (d *WAL) update(do func(*buntdb.Tx) error) (err error) {
 	if d.torn || d.db == nil {
 		d.close()
 		if err := salvage(d.path); err != nil {
@@ -168,7 +168,7 @@
 	return true, gob.NewDecoder(bytes.NewReader(body)).Decode(v)
 }
 
-func (d *Drawer) read() (id Identity, kept consensus.Restored, err error) {
+func (d *WAL) read() (id Identity, kept consensus.RestoredState, err error) {
 	var identity diskformat.Identity
 	var meta diskformat.Meta
 	var snapshot diskformat.Snapshot
@@ -182,8 +182,8 @@
 		_, err := get(tx, keySnapshot, &snapshot)
 		return err
 	})
-	id, kept.Meta, kept.Snapshot = Identity{ID: identity.ID, Founders: identity.Founders}, meta.Value(), snapshot.Value()
-	next, view := kept.Snapshot.Index+1, kept.Snapshot.View
+	id, kept.HardState, kept.Snapshot = Identity{ID: identity.ID, Founders: identity.Founders}, meta.Value(), snapshot.Value()
+	next, view := kept.Snapshot.Index+1, kept.Snapshot.Term
 	for more := err == nil; more; {
 		var e diskformat.Entry
 		if err = d.db.View(func(tx *buntdb.Tx) error {
@@ -202,9 +202,9 @@
 	return id, kept, err
 }
 
-// Store puts writes on disk in their order. A change of buntdb's may be torn between any two of its keys, in any order,
+// Save puts writes on disk in their order. A change of buntdb's may be torn between any two of its keys, in any order,
 // so what takes entries away is a change of its own: torn, it leaves a gap, and what is behind a gap counts for nothing.
-func (d *Drawer) Store(writes []consensus.Write) error {
+func (d *WAL) Save(writes []consensus.Write) error {
 	var sets []func(*buntdb.Tx) error
 	flush := func() error {
 		if len(sets) == 0 {
@@ -225,39 +225,39 @@
 		sets = append(sets, func(tx *buntdb.Tx) error { return put(tx, key, v) })
 	}
 	for _, w := range writes {
-		if w.Meta != nil {
-			set(keyMeta, diskformat.FromMeta(*w.Meta))
+		if w.HardState != nil {
+			set(keyMeta, diskformat.FromMeta(*w.HardState))
 		}
 		if w.Snapshot != nil {
 			set(keySnapshot, diskformat.FromSnapshot(*w.Snapshot))
 			if err := flush(); err != nil {
 				return trace.Wrap(err)
 			}
-			if err := d.drop(func(i uint64) bool { return i <= w.Keep }); err != nil {
+			if err := d.drop(func(i uint64) bool { return i <= w.CompactThrough }); err != nil {
 				return trace.Wrap(err)
 			}
 			d.last = max(d.last, w.Snapshot.Index)
 		}
-		if w.From > 0 && w.From <= d.last {
+		if w.FirstIndex > 0 && w.FirstIndex <= d.last {
 			if err := flush(); err != nil {
 				return trace.Wrap(err)
 			}
-			if err := d.drop(func(i uint64) bool { return i >= w.From }); err != nil {
+			if err := d.drop(func(i uint64) bool { return i >= w.FirstIndex }); err != nil {
 				return trace.Wrap(err)
 			}
 		}
 		for i, e := range w.Entries {
-			set(entryKey(w.From+uint64(i)), diskformat.FromEntry(e))
+			set(entryKey(w.FirstIndex+uint64(i)), diskformat.FromEntry(e))
 		}
-		if w.From > 0 {
-			d.last = w.From + uint64(len(w.Entries)) - 1
+		if w.FirstIndex > 0 {
+			d.last = w.FirstIndex + uint64(len(w.Entries)) - 1
 		}
 	}
 	return trace.Wrap(flush())
 }
 
 // drop takes entries away.
-func (d *Drawer) drop(which func(uint64) bool) error {
+func (d *WAL) drop(which func(uint64) bool) error {
 	var keys []string
 	err := d.db.View(func(tx *buntdb.Tx) error {
 		return tx.AscendGreaterOrEqual("", prefixEntry, func(key, _ string) bool {
@@ -282,9 +282,9 @@
 	})
 }
 
-// Shrink makes the file small once it has grown to a multiple of what it holds and past least bytes: a copy is written
+// Compact makes the file small once it has grown to a multiple of what it holds and past least bytes: a copy is written
 // beside it, synced, renamed over it, and its folder synced. At each moment the file is whole under its name.
-func (d *Drawer) Shrink(least int64) error {
+func (d *WAL) Compact(least int64) error {
 	info, err := os.Stat(d.path)
 	if err != nil || info.Size() < least || info.Size() < 3*d.size {
 		return trace.ConvertSystemError(err)
@@ -293,7 +293,7 @@
 }
 
 // rewrite puts a copy of all that is held in the file's place.
-func (d *Drawer) rewrite() error {
+func (d *WAL) rewrite() error {
 	beside := d.path + ".new"
 	f, err := os.OpenFile(beside, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
--- a/internal/control/storage/wal_test.go
+++ b/internal/control/storage/wal_test.go
@@ -15,7 +15,7 @@
 func fresh() Identity { return Identity{ID: "a", Founders: []consensus.ID{"a", "b"}} }
 
 func entry(view uint64, body string) consensus.Entry {
-	return consensus.Entry{View: view, Body: []byte(body)}
+	return consensus.Entry{Term: view, Data: []byte(body)}
 }
 
 // steps are writes as a member makes them: appended, trimmed, a snapshot; and what must be there after each.
@@ -23,23 +23,23 @@
 	write consensus.Write
 	want  string
 }{
-	{consensus.Write{Meta: &consensus.Meta{View: 1, Vote: "b"}}, "v1 b s0 []"},
-	{consensus.Write{From: 1, Entries: []consensus.Entry{entry(1, "x"), entry(1, "y"), entry(1, "z")}}, "v1 b s0 [1x 1y 1z]"},
-	{consensus.Write{Meta: &consensus.Meta{View: 2}}, "v2  s0 [1x 1y 1z]"},
-	{consensus.Write{From: 2, Entries: []consensus.Entry{entry(2, "n")}}, "v2  s0 [1x 2n]"},
-	{consensus.Write{From: 3, Entries: []consensus.Entry{entry(2, "o"), entry(2, "p")}}, "v2  s0 [1x 2n 2o 2p]"},
-	{consensus.Write{Snapshot: &consensus.Snapshot{Index: 3, View: 2, State: []byte("xno")}, Keep: 3}, "v2  s3 [2p]"},
-	{consensus.Write{From: 5, Entries: []consensus.Entry{entry(2, "q")}}, "v2  s3 [2p 2q]"},
-	{consensus.Write{Snapshot: &consensus.Snapshot{Index: 9, View: 4, State: []byte("all")}, Keep: 9, From: 10}, "v2  s9 []"},
-	{consensus.Write{From: 10, Entries: []consensus.Entry{entry(4, "r")}, Meta: &consensus.Meta{View: 4, Vote: "a", Settled: 2}}, "v4 a s9 [4r]"},
+	{consensus.Write{HardState: &consensus.HardState{Term: 1, Vote: "b"}}, "v1 b s0 []"},
+	{consensus.Write{FirstIndex: 1, Entries: []consensus.Entry{entry(1, "x"), entry(1, "y"), entry(1, "z")}}, "v1 b s0 [1x 1y 1z]"},
+	{consensus.Write{HardState: &consensus.HardState{Term: 2}}, "v2  s0 [1x 1y 1z]"},
+	{consensus.Write{FirstIndex: 2, Entries: []consensus.Entry{entry(2, "n")}}, "v2  s0 [1x 2n]"},
+	{consensus.Write{FirstIndex: 3, Entries: []consensus.Entry{entry(2, "o"), entry(2, "p")}}, "v2  s0 [1x 2n 2o 2p]"},
+	{consensus.Write{Snapshot: &consensus.Snapshot{Index: 3, Term: 2, Data: []byte("xno")}, CompactThrough: 3}, "v2  s3 [2p]"},
+	{consensus.Write{FirstIndex: 5, Entries: []consensus.Entry{entry(2, "q")}}, "v2  s3 [2p 2q]"},
+	{consensus.Write{Snapshot: &consensus.Snapshot{Index: 9, Term: 4, Data: []byte("all")}, CompactThrough: 9, FirstIndex: 10}, "v2  s9 []"},
+	{consensus.Write{FirstIndex: 10, Entries: []consensus.Entry{entry(4, "r")}, HardState: &consensus.HardState{Term: 4, Vote: "a", CommittedConfigIndex: 2}}, "v4 a s9 [4r]"},
 }
 
-func show(k consensus.Restored) string {
+func show(k consensus.RestoredState) string {
 	var entries []string
 	for _, e := range k.Entries {
-		entries = append(entries, fmt.Sprintf("%d%s", e.View, e.Body))
+		entries = append(entries, fmt.Sprintf("%d%s", e.Term, e.Data))
 	}
-	return fmt.Sprintf("v%d %s s%d %v", k.Meta.View, k.Meta.Vote, k.Snapshot.Index, entries)
+	return fmt.Sprintf("v%d %s s%d %v", k.HardState.Term, k.HardState.Vote, k.Snapshot.Index, entries)
 }
 
 func held(t *testing.T, folder string) (string, consensus.ID) {
@@ -59,11 +59,11 @@
 		d, _, _, err := Open(folder, fresh)
 		require.NoError(t, err)
 		for _, s := range steps[:n] {
-			require.NoError(t, d.Store([]consensus.Write{s.write}))
+			require.NoError(t, d.Save([]consensus.Write{s.write}))
 		}
 		before, err := os.ReadFile(path)
 		require.NoError(t, err)
-		require.NoError(t, d.Store([]consensus.Write{steps[n].write}))
+		require.NoError(t, d.Save([]consensus.Write{steps[n].write}))
 		after, err := os.ReadFile(path)
 		require.NoError(t, err)
 		require.NoError(t, d.Close())
@@ -105,7 +105,7 @@
 	d, _, _, err := Open(folder, fresh)
 	require.NoError(t, err)
 	for _, s := range steps {
-		require.NoError(t, d.Store([]consensus.Write{s.write}))
+		require.NoError(t, d.Save([]consensus.Write{s.write}))
 	}
 	require.NoError(t, d.Close())
 	whole, err := os.ReadFile(filepath.Join(folder, "ratchet.db"))
@@ -125,7 +125,7 @@
 		d, _, kept, err := Open(other, fresh)
 		require.NoError(t, err)
 		next := kept.Snapshot.Index + uint64(len(kept.Entries)) + 1
-		require.NoError(t, d.Store([]consensus.Write{{From: next, Entries: []consensus.Entry{entry(9, "after")}}}))
+		require.NoError(t, d.Save([]consensus.Write{{FirstIndex: next, Entries: []consensus.Entry{entry(9, "after")}}}))
 		require.NoError(t, d.Close())
 		got, _ = held(t, other)
 		require.Contains(t, got, "9after")
@@ -161,7 +161,7 @@
 		d, _, _, err := Open(folder, fresh)
 		require.NoError(t, err)
 		for _, s := range steps[:n+1] {
-			require.NoError(t, d.Store([]consensus.Write{s.write}))
+			require.NoError(t, d.Save([]consensus.Write{s.write}))
 		}
 		f, err := os.OpenFile(filepath.Join(folder, "ratchet.db"), os.O_APPEND|os.O_WRONLY, 0)
 		require.NoError(t, err)
@@ -169,7 +169,7 @@
 		require.NoError(t, err)
 		require.NoError(t, f.Close())
 		d.torn = true
-		require.NoError(t, d.Store([]consensus.Write{steps[n+1].write}))
+		require.NoError(t, d.Save([]consensus.Write{steps[n+1].write}))
 		require.NoError(t, d.Close())
 		got, id := held(t, folder)
 		require.EqualValues(t, "a", id)
@@ -191,11 +191,11 @@
 	require.NoError(t, err)
 	for i := range 300 {
 		body := make([]byte, 400)
-		require.NoError(t, d.Store([]consensus.Write{{From: uint64(i + 1), Entries: []consensus.Entry{entry(1, string(body))}}}))
+		require.NoError(t, d.Save([]consensus.Write{{FirstIndex: uint64(i + 1), Entries: []consensus.Entry{entry(1, string(body))}}}))
 		if i%50 == 49 {
-			s := consensus.Snapshot{Index: uint64(i), View: 1}
-			require.NoError(t, d.Store([]consensus.Write{{Snapshot: &s, Keep: s.Index}}))
-			require.NoError(t, d.Shrink(16<<10))
+			s := consensus.Snapshot{Index: uint64(i), Term: 1}
+			require.NoError(t, d.Save([]consensus.Write{{Snapshot: &s, CompactThrough: s.Index}}))
+			require.NoError(t, d.Compact(16<<10))
 		}
 	}
 	info, err := os.Stat(filepath.Join(folder, "ratchet.db"))
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -27,7 +27,7 @@
 // A world is a control plane alone: members with disks that forget what was not synced, on a network that can be cut one
 // way, and no hosts or routers.
 type world struct {
-	*scheduler.Stage
+	*scheduler.Scheduler
 	members []*member
 	cut     map[[2]string]bool // from, to
 	calmAt  int64              // when the last trouble ended
@@ -36,19 +36,19 @@
 type member struct {
 	w      *world
 	ip     string
-	f      *Forge
+	f      *Server
 	up     bool
 	frozen bool
 	life   int
 	id     storage.Identity
-	disk   consensus.Restored
+	disk   consensus.RestoredState
 	queue  []consensus.Write
 	held   []func()
 	order  map[string]int64 // when what was last sent to another comes
 }
 
 func newWorld(seed uint64, members int) *world {
-	w := &world{Stage: scheduler.New(seed, second, milli), cut: map[[2]string]bool{}}
+	w := &world{Scheduler: scheduler.New(seed, second, milli), cut: map[[2]string]bool{}}
 	var founders []consensus.ID
 	for i := range 3 {
 		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
@@ -75,7 +75,7 @@
 	w := m.w
 	m.life++
 	m.up, m.frozen, m.held, m.queue, m.order = true, false, nil, nil, map[string]int64{}
-	plate := &settings.Plate{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
+	plate := &settings.Settings{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
 	plate.FaultBudget.Machines = 1
 	plate.Listen.Control = m.ip + ":8080"
 	for _, o := range w.members[:3] {
@@ -83,17 +83,17 @@
 	}
 	kept := m.disk
 	kept.Entries = slices.Clone(kept.Entries)
-	f, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteady(w.time), m.id, kept, w.Chance.Float64, uint64(m.life))
+	f, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteadyClock(w.time), m.id, kept, w.Rand.Float64, uint64(m.life))
 	if err != nil {
 		panic(err)
 	}
 	m.f = f
 	life := m.life
-	f.Wire(Reach{
-		Send:    m.send,
-		Store:   func(x []consensus.Write) { m.store(life, x) },
-		Ask:     func(failover.Question, statemachine.Host) {},
-		Promote: func(failover.Promotion) {},
+	f.SetEnvironment(Environment{
+		Send:      m.send,
+		Persist:   func(x []consensus.Write) { m.store(life, x) },
+		QueryHost: func(failover.HostQuery, statemachine.Host) {},
+		Promote:   func(failover.Promotion) {},
 	})
 	m.tick(life)
 }
@@ -112,7 +112,7 @@
 func (m *member) tick(life int) {
 	m.do(life, func() {
 		m.f.Tick()
-		m.w.In(50*milli, func() { m.tick(life) })
+		m.w.After(50*milli, func() { m.tick(life) })
 	})
 }
 
@@ -124,9 +124,9 @@
 		}
 		m.order[ip] = max(m.order[ip]+1, w.Now+w.Between(milli/2, 3*milli))
 		life := to.life
-		w.In(m.order[ip]-w.Now, func() {
+		w.After(m.order[ip]-w.Now, func() {
 			if !w.cut[[2]string{m.ip, ip}] {
-				to.do(life, func() { to.f.Hear(m.ip, f) })
+				to.do(life, func() { to.f.HandleFrame(m.ip, f) })
 			}
 		})
 	}
@@ -137,16 +137,16 @@
 	m.queue = append(m.queue, x...)
 	seq := x[len(x)-1].Seq
 	took := w.Between(milli/2, 8*milli)
-	if w.Odds(100) {
+	if w.OneIn(100) {
 		took = w.Between(50*milli, 600*milli)
 	}
-	w.In(took, func() {
+	w.After(took, func() {
 		m.do(life, func() {
 			for len(m.queue) > 0 && m.queue[0].Seq <= seq {
-				m.disk.Put(m.queue[0])
+				m.disk.ApplyWrite(m.queue[0])
 				m.queue = m.queue[1:]
 			}
-			m.f.Saved(seq)
+			m.f.Persisted(seq)
 		})
 	})
 }
@@ -155,10 +155,10 @@
 func (m *member) crash(power bool) {
 	m.up = false
 	for _, x := range m.queue {
-		if power || m.w.Odds(2) {
+		if power || m.w.OneIn(2) {
 			break
 		}
-		m.disk.Put(x)
+		m.disk.ApplyWrite(x)
 	}
 	m.queue = nil
 }
@@ -177,7 +177,7 @@
 
 func (w *world) leader() *member {
 	for _, m := range w.members {
-		if m.up && !m.frozen && m.f.leads && m.f.core.Holds(m.f.clock.Now()) {
+		if m.up && !m.frozen && m.f.leads && m.f.core.HoldsLease(m.f.clock.Now()) {
 			return m
 		}
 	}
@@ -203,33 +203,33 @@
 	if w.Now > until {
 		return
 	}
-	w.In(w.Between(100*milli, 2*second), func() { w.strike(until) })
-	m := w.members[w.Chance.IntN(len(w.members))]
-	if l := w.leader(); l != nil && w.Odds(2) {
+	w.After(w.Between(100*milli, 2*second), func() { w.strike(until) })
+	m := w.members[w.Rand.IntN(len(w.members))]
+	if l := w.leader(); l != nil && w.OneIn(2) {
 		m = l
 	}
 	if !m.up || m.frozen {
 		return
 	}
 	back := w.Between(50*milli, 3*second)
-	if w.Odds(4) {
+	if w.OneIn(4) {
 		back = w.Between(milli, 50*milli) // what is under way may outlive it
 	}
 	life := m.life
 	calm := w.Now > w.calmAt+3*second
 	w.calmAt = max(w.calmAt, w.Now+back)
-	switch w.Chance.IntN(9) {
+	switch w.Rand.IntN(9) {
 	case 0, 1:
-		power := w.Odds(2)
+		power := w.OneIn(2)
 		w.Note("%s dies, power %v, for %d ms", m.ip, power, back/milli)
 		m.crash(power)
-		w.In(back, m.start)
+		w.After(back, m.start)
 	case 2:
 		w.Note("%s stands still for %d ms", m.ip, back/milli)
 		m.frozen = true
-		w.In(back, func() { m.thaw(life) })
+		w.After(back, func() { m.thaw(life) })
 	case 3, 4:
-		way := w.Chance.IntN(3)
+		way := w.Rand.IntN(3)
 		w.Note("%s is cut off for %d ms, ways %d", m.ip, back/milli, way)
 		for _, o := range w.members {
 			if way != 0 {
@@ -240,12 +240,12 @@
 			}
 		}
 	case 5:
-		if w.Odds(3) {
+		if w.OneIn(3) {
 			w.Note("all power is lost for %d ms", back/milli)
 			for _, o := range w.members {
 				if o.up {
 					o.crash(true)
-					w.In(back+w.Between(0, 300*milli), o.start)
+					w.After(back+w.Between(0, 300*milli), o.start)
 				}
 			}
 		}
@@ -254,33 +254,33 @@
 		m.f.carry(m.f.core.TransferLeadership(m.f.clock.Now()))
 	case 7:
 		w.Note("%s takes a snapshot", m.ip)
-		m.f.carry(m.f.core.Compact(m.f.state.Index, m.f.state.Snapshot(), uint64(w.Chance.IntN(20)), m.f.clock.Now()))
+		m.f.carry(m.f.core.Compact(m.f.state.Index, m.f.state.Snapshot(), uint64(w.Rand.IntN(20)), m.f.clock.Now()))
 	case 8:
 		if calm && w.whole() {
 			w.Note("%s loses its disk, down for %d ms", m.ip, back/milli)
 			m.crash(true)
-			m.disk = consensus.Restored{}
+			m.disk = consensus.RestoredState{}
 			m.id = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", m.ip, m.life))}
 			w.calmAt += 3 * second
-			w.In(back, m.start)
+			w.After(back, m.start)
 		}
 	}
 }
 
 func (w *world) part(from, to string, back int64) {
 	w.cut[[2]string{from, to}] = true
-	w.In(back, func() { delete(w.cut, [2]string{from, to}) })
+	w.After(back, func() { delete(w.cut, [2]string{from, to}) })
 }
 
 func (w *world) play(span int64) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.Broke("a panic: %v\n%s", p, debug.Stack())
+			w.Violate("a panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	w.Play(span)
+	w.RunFor(span)
 }
 
 func (w *world) report() string {
-	return strings.Join(w.Broken, "\n") + "\nafter\n" + strings.Join(w.Trace, "\n")
+	return strings.Join(w.Violations, "\n") + "\nafter\n" + strings.Join(w.FaultLog, "\n")
 }
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -8,13 +8,13 @@
 
 import "sync"
 
-// Rank orders what is due at one moment: lists, then outcomes, then the rest.
-type Rank int
+// Priority orders what is due at one moment: lists, then outcomes, then the rest.
+type Priority int
 
 const (
-	Lists Rank = iota
-	Outcomes
-	Commands
+	PriorityLists Priority = iota
+	PriorityOutcomes
+	PriorityCommands
 	ranks
 )
 
@@ -39,9 +39,9 @@
 }
 
 // Put hands over what the owner is to do; false once it has stopped.
-func (q *Queue) Put(r Rank, do func()) bool {
+func (q *Queue) Put(r Priority, do func()) bool {
 	q.mu.Lock()
-	for r != Outcomes && len(q.waiting[r]) >= q.most && !q.closed {
+	for r != PriorityOutcomes && len(q.waiting[r]) >= q.most && !q.closed {
 		q.room.Wait()
 	}
 	closed := q.closed
@@ -57,7 +57,7 @@
 }
 
 // Take gives the first of a rank, if there is one.
-func (q *Queue) Take(r Rank) func() {
+func (q *Queue) Take(r Priority) func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	w := q.waiting[r]
@@ -69,7 +69,7 @@
 	if q.waiting[r] = w[1:]; len(w) == 1 {
 		q.waiting[r] = nil
 	}
-	if r != Outcomes {
+	if r != PriorityOutcomes {
 		q.room.Signal()
 	}
 	return do
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -7,9 +7,9 @@
 
 // Timer is something due at a time.
 type Timer[T any] struct {
-	Until time.Time
-	What  T
-	index int // among the timers; -1: not there
+	Deadline time.Time
+	Value    T
+	index    int // among the timers; -1: not there
 }
 
 // Timers hold what is due, the first first. The zero value is empty. They belong to one goroutine.
@@ -17,7 +17,7 @@
 
 // Add adds what is due at a time.
 func (t *Timers[T]) Add(until time.Time, what T) *Timer[T] {
-	k := &Timer[T]{Until: until, What: what}
+	k := &Timer[T]{Deadline: until, Value: what}
 	heap.Push(&t.all, k)
 	return k
 }
@@ -51,7 +51,7 @@
 type timers[T any] []*Timer[T]
 
 func (d timers[T]) Len() int           { return len(d) }
-func (d timers[T]) Less(i, j int) bool { return d[i].Until.Before(d[j].Until) }
+func (d timers[T]) Less(i, j int) bool { return d[i].Deadline.Before(d[j].Deadline) }
 func (d timers[T]) Swap(i, j int) {
 	d[i], d[j] = d[j], d[i]
 	d[i].index, d[j].index = i, j
--- a/internal/fake/database/database.go
+++ b/internal/fake/database/database.go
@@ -18,16 +18,16 @@
 	Second = 1000 * Ms
 )
 
-// Stage runs what is due, one thing at a time.
-type Stage interface {
-	In(after int64, do func())
+// Scheduler runs what is due, one thing at a time.
+type Scheduler interface {
+	After(after int64, do func())
 	Between(a, b int64) int64
-	Odds(n int) bool // yes once in n
+	OneIn(n int) bool // yes once in n
 }
 
 // Group is one service's hosts.
 type Group struct {
-	Stage
+	Scheduler
 	Hosts   []*Host
 	Note    func(format string, args ...any)
 	Read    func(h *Host, c *Conn, id string) // before a read runs
@@ -121,7 +121,7 @@
 }
 
 func (h *Host) beat() {
-	h.g.In(h.g.Between(1100*Ms, 1300*Ms), h.beat)
+	h.g.After(h.g.Between(1100*Ms, 1300*Ms), h.beat)
 	h.tell()
 }
 
@@ -134,7 +134,7 @@
 // pull has a replica receive from whoever leads the greatest term.
 func (h *Host) pull() {
 	g := h.g
-	g.In(g.Between(2*Ms, 8*Ms), h.pull)
+	g.After(g.Between(2*Ms, 8*Ms), h.pull)
 	if !h.Up || h.Leader || h.Deaf || h.Paused > 0 || h.Dark {
 		return
 	}
@@ -155,12 +155,12 @@
 	h.Log = append(h.Log[:same], from.Log[same:]...)
 	h.Applied = min(h.Applied, same)
 	n, term := len(h.Log), from.Term
-	g.In(h.Lag, func() {
+	g.After(h.Lag, func() {
 		if h.Up && n <= len(h.Log) {
 			h.Applied = max(h.Applied, n)
 		}
 	})
-	g.In(g.Between(Ms, 3*Ms), func() {
+	g.After(g.Between(Ms, 3*Ms), func() {
 		if !from.Up || from.Term != term {
 			return
 		}
@@ -199,7 +199,7 @@
 			o.Paused, o.Term = 0, max(o.Term, h.Term)
 		}
 		if old := o; o.Leader { // it goes on for a while
-			g.In(g.Between(0, Second), func() {
+			g.After(g.Between(0, Second), func() {
 				if old.Up && old.Leader && old.Term < h.Term {
 					old.StepDown()
 				}
@@ -233,7 +233,7 @@
 			c.Broke()
 		}
 	}
-	g.In(back, func() {
+	g.After(back, func() {
 		h.Up, h.Dark, h.Paused = true, false, 0
 		for _, o := range g.Hosts {
 			if o.Term > h.Term && h.Leader { // another was promoted, whether it leads still or not
@@ -246,7 +246,7 @@
 }
 
 // Control runs STAT, PAUSE, RESUME and STEPDOWN; the result is the row.
-func (h *Host) Control(verb string, term uint64) wire.Status {
+func (h *Host) Control(verb string, term uint64) wire.HostStatus {
 	switch {
 	case verb == "PAUSE" && term > h.Term && !h.Leader:
 		h.Paused = term
@@ -255,7 +255,7 @@
 	case verb == "STEPDOWN" && term > h.Term:
 		h.StepDown()
 	}
-	return wire.Status{Leader: h.Leader, Term: h.Term, Received: h.At(len(h.Log)), Held: h.Paused, Conns: int64(len(h.Conns))}
+	return wire.HostStatus{Leader: h.Leader, Term: h.Term, Received: h.At(len(h.Log)), Held: h.Paused, Conns: int64(len(h.Conns))}
 }
 
 // Conn is a connection at a host. Answer brings the lines of an answer, IDLE included; Broke tells that it ended.
@@ -266,7 +266,7 @@
 	Began  string // the id of the statement that began it
 	Values map[string]string
 	Names  map[string]string
-	Answer func(after int64, a wire.Answer)
+	Answer func(after int64, a wire.Response)
 	Broke  func()
 
 	pending []string
@@ -289,9 +289,9 @@
 
 func (c *Conn) say(after int64, lines string, code wire.Code) {
 	h := c.H
-	var a wire.Answer
+	var a wire.Response
 	take := func(line string) {
-		if _, err := a.Take([]byte(line), []byte(line+"\r\n")); err != nil {
+		if _, err := a.AddLine([]byte(line), []byte(line+"\r\n")); err != nil {
 			panic(err)
 		}
 	}
@@ -304,7 +304,7 @@
 		take("ERROR " + string(code) + " " + h.ID)
 	}
 	take(fmt.Sprintf("IDLE %c %s", c.State, h.At(h.Seen())))
-	if h.g.Losses > 0 && h.g.Odds(h.g.Losses) {
+	if h.g.Losses > 0 && h.g.OneIn(h.g.Losses) {
 		c.Close()
 		c.Broke()
 		return
@@ -326,9 +326,9 @@
 	var fence *wire.Position
 	if verb == "FENCE" {
 		at, then, _ := strings.Cut(rest, " ")
-		p, err := wire.ReadPosition([]byte(at))
+		p, err := wire.ParsePosition([]byte(at))
 		if err != nil {
-			c.say(0, "", wire.Malformed)
+			c.say(0, "", wire.CodeMalformed)
 			return
 		}
 		fence = &p
@@ -338,14 +338,14 @@
 		name, then, _ := strings.Cut(rest, " ")
 		shape, ok := c.Names[name]
 		if !ok {
-			c.fail(wire.Unknown)
+			c.fail(wire.CodeUnknown)
 			return
 		}
 		verb, _, _ = strings.Cut(shape, " ")
 		rest = then
 	}
 	if c.State == 'E' && verb != "COMMIT" && verb != "ABORT" {
-		c.say(0, "", wire.Malformed)
+		c.say(0, "", wire.CodeMalformed)
 		return
 	}
 	stamp := "DONE x." + id
@@ -367,9 +367,9 @@
 	case "BEGIN":
 		switch {
 		case fence != nil && !h.Has(*fence):
-			c.say(0, "", wire.Lagging)
+			c.say(0, "", wire.CodeLagging)
 		case rest == "" && !h.Leader:
-			c.say(0, "", wire.ReadOnly)
+			c.say(0, "", wire.CodeReadOnly)
 		default:
 			c.State, c.Reads, c.Began, c.pending = 'T', rest == "FETCH", id, nil
 			c.say(0, "DONE -", "")
@@ -382,20 +382,20 @@
 		c.State, c.pending = 'I', nil
 		switch {
 		case failed:
-			c.say(0, "", wire.Aborted)
+			c.say(0, "", wire.CodeAborted)
 		case len(writes) == 0:
 			c.say(0, stamp, "")
 		case !h.Leader:
-			c.say(0, "", wire.ReadOnly)
+			c.say(0, "", wire.CodeReadOnly)
 		default:
 			c.commit(stamp, writes)
 		}
 	case "FETCH":
 		switch {
 		case fence != nil && !h.Has(*fence):
-			c.fail(wire.Lagging)
+			c.fail(wire.CodeLagging)
 		case c.State == 'T' && !c.Reads && !h.Leader:
-			c.fail(wire.ReadOnly)
+			c.fail(wire.CodeReadOnly)
 		default:
 			if g.Read != nil {
 				g.Read(h, c, id)
@@ -406,12 +406,12 @@
 		_, data, _ := strings.Cut(rest, " ")
 		switch {
 		case !h.Leader || c.State == 'T' && c.Reads:
-			c.fail(wire.ReadOnly)
+			c.fail(wire.CodeReadOnly)
 		case c.State == 'T':
 			c.pending = append(c.pending, data)
 			c.say(g.Between(Ms, 5*Ms), stamp, "")
-		case g.Refused > 0 && g.Odds(g.Refused):
-			c.say(0, "", wire.Retry)
+		case g.Refused > 0 && g.OneIn(g.Refused):
+			c.say(0, "", wire.CodeRetry)
 		default:
 			c.commit(stamp, []string{data})
 		}
@@ -425,7 +425,7 @@
 		}
 		c.say(0, fmt.Sprintf("ROW %s %d %s %d 0 0 %d\nDONE -", role, s.Term, s.Received, s.Held, s.Conns), "")
 	default:
-		c.say(0, "", wire.Malformed)
+		c.say(0, "", wire.CodeMalformed)
 	}
 }
 
--- a/internal/fake/database/server.go
+++ b/internal/fake/database/server.go
@@ -15,20 +15,20 @@
 	"ferrypitch/internal/wire"
 )
 
-// Clockwork is a Stage in real time: what is due runs under one lock.
-type Clockwork struct {
+// RealTimeScheduler is a Stage in real time: what is due runs under one lock.
+type RealTimeScheduler struct {
 	sync.Mutex
 	chance *rand.Rand
 	over   bool
 }
 
-// NewClockwork draws chance from a seed.
-func NewClockwork(seed uint64) *Clockwork {
-	return &Clockwork{chance: rand.New(rand.NewPCG(seed, 1))}
+// NewRealTimeScheduler draws chance from a seed.
+func NewRealTimeScheduler(seed uint64) *RealTimeScheduler {
+	return &RealTimeScheduler{chance: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// In has something done after a span, under the lock.
-func (c *Clockwork) In(after int64, do func()) {
+// After has something done after a span, under the lock.
+func (c *RealTimeScheduler) After(after int64, do func()) {
 	time.AfterFunc(time.Duration(after)*100*time.Microsecond, func() {
 		c.Lock()
 		defer c.Unlock()
@@ -39,13 +39,13 @@
 }
 
 // Between draws from a to b.
-func (c *Clockwork) Between(a, b int64) int64 { return a + c.chance.Int64N(b-a+1) }
+func (c *RealTimeScheduler) Between(a, b int64) int64 { return a + c.chance.Int64N(b-a+1) }
 
-// Odds says yes once in n.
-func (c *Clockwork) Odds(n int) bool { return c.chance.IntN(n) == 0 }
+// OneIn says yes once in n.
+func (c *RealTimeScheduler) OneIn(n int) bool { return c.chance.IntN(n) == 0 }
 
 // End has nothing more run.
-func (c *Clockwork) End() {
+func (c *RealTimeScheduler) End() {
 	c.Lock()
 	defer c.Unlock()
 	c.over = true
@@ -54,7 +54,7 @@
 // Server is a service's hosts on sockets, with their beats, and the platform that promotes them.
 type Server struct {
 	*Group
-	work     *Clockwork
+	work     *RealTimeScheduler
 	service  string
 	control  []string // addresses of the control plane's calls
 	platform http.Server
@@ -66,11 +66,11 @@
 }
 
 // Serve starts hosts at addresses, ids in their order, and the platform at its own. It lives until ctx ends.
-func Serve(ctx context.Context, work *Clockwork, service string, hosts []string, platform string, control []string) (*Server, error) {
+func Serve(ctx context.Context, work *RealTimeScheduler, service string, hosts []string, platform string, control []string) (*Server, error) {
 	s := &Server{work: work, service: service, control: control, ctx: ctx, address: map[string]string{}}
 	work.Lock()
 	defer work.Unlock()
-	s.Group = &Group{Stage: work, Note: func(string, ...any) {}, Told: s.beat}
+	s.Group = &Group{Scheduler: work, Note: func(string, ...any) {}, Told: s.beat}
 	for i, address := range hosts {
 		id := fmt.Sprintf("h%d", i)
 		l, err := net.Listen("tcp", address)
@@ -108,7 +108,7 @@
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	s.In(150*Ms, func() { h.Promote(); s.Promoted++ })
+	s.After(150*Ms, func() { h.Promote(); s.Promoted++ })
 }
 
 // beat tells the control plane of a host, whichever member takes it.
@@ -163,7 +163,7 @@
 		}
 	}()
 	for {
-		line, n, err := wire.Line(in, 0)
+		line, n, err := wire.CutLine(in, 0)
 		if err != nil {
 			return
 		}
@@ -184,15 +184,15 @@
 		f := strings.SplitN(string(line), " ", 4)
 		switch {
 		case c == nil && (f[0] != "CONNECT" || len(f) < 3 || f[1] != s.service || len(f) == 4 && f[3] != h.ID):
-			conn.Write(wire.AppendError(nil, wire.WrongNode, h.ID))
+			conn.Write(wire.AppendError(nil, wire.CodeWrongNode, h.ID))
 			s.work.Unlock()
 			return
 		case c == nil:
 			c = h.Connect()
 			c.Broke = func() { conn.Close() }
-			c.Answer = func(after int64, a wire.Answer) {
+			c.Answer = func(after int64, a wire.Response) {
 				out := wire.AppendIdle(a.Lines, a.State, a.Position)
-				s.In(after, func() {
+				s.After(after, func() {
 					conn.SetWriteDeadline(time.Now().Add(time.Second))
 					conn.Write(out)
 				})
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -22,57 +22,57 @@
 	Dead
 )
 
-// News is a word on one router.
-type News struct {
+// Update is a word on one router.
+type Update struct {
 	Name, Address string
 	Incarnation   uint64 // raised by the router itself, to contradict a suspicion
 	State         State
 }
 
-// Kind of a message.
-type Kind uint8
+// MessageType of a message.
+type MessageType uint8
 
 // Kinds.
 const (
-	Ping Kind = iota + 1
+	Ping MessageType = iota + 1
 	Ack
-	Please // ping another, and tell
+	PingRequest // ping another, and tell
 )
 
 // Message goes over datagrams; it may be lost.
 type Message struct {
-	Kind    Kind
-	From    string // an address
-	Serial  uint64
-	Target  string // of Please: an address
-	News    []News
-	Control []string // addresses of the control plane's members
-	Version uint64   // of Control: the place in the log where it was so
+	Type           MessageType
+	From           string // an address
+	Serial         uint64
+	Target         string // of Please: an address
+	Updates        []Update
+	ControlMembers []string // addresses of the control plane's members
+	ControlVersion uint64   // of Control: the place in the log where it was so
 }
 
-// Out is a message and where it goes.
-type Out struct {
+// Outgoing is a message and where it goes.
+type Outgoing struct {
 	To      string
 	Message Message
 }
 
-// Terms are times in milliseconds and counts.
-type Terms struct {
-	Period  int64 // between probes
-	Answer  int64 // after which third parties are asked
-	Suspect int64 // how long a router is suspected before it is removed
-	Keep    int64 // how long a removed one is remembered
-	Third   int   // how many third parties are asked
-	Load    int   // words that a message carries at most
+// Config are times in milliseconds and counts.
+type Config struct {
+	ProbePeriodMs      int64 // between probes
+	AckTimeoutMs       int64 // after which third parties are asked
+	SuspicionTimeoutMs int64 // how long a router is suspected before it is removed
+	RemovedRetentionMs int64 // how long a removed one is remembered
+	IndirectProbes     int   // how many third parties are asked
+	MaxUpdates         int   // words that a message carries at most
 }
 
-// Usual are terms for tens to hundreds of routers.
-func Usual() Terms {
-	return Terms{Period: 1000, Answer: 250, Suspect: 5000, Keep: 60000, Third: 3, Load: 6}
+// DefaultConfig are terms for tens to hundreds of routers.
+func DefaultConfig() Config {
+	return Config{ProbePeriodMs: 1000, AckTimeoutMs: 250, SuspicionTimeoutMs: 5000, RemovedRetentionMs: 60000, IndirectProbes: 3, MaxUpdates: 6}
 }
 
 type router struct {
-	News
+	Update
 	since int64 // in this state
 	told  int   // how often this word was passed on
 }
@@ -87,10 +87,10 @@
 	serial  uint64   // theirs
 }
 
-// Feeler is one router's view of the others. The zero value is not of use; New.
-type Feeler struct {
-	Terms
-	self    News
+// Membership is one router's view of the others. The zero value is not of use; New.
+type Membership struct {
+	Config
+	self    Update
 	chance  func(n int) int
 	now     int64
 	next    int64
@@ -101,19 +101,19 @@
 	control []string
 	version uint64
 
-	Removed, Contradicted, Probes int64
-	Strays                        int64 // answers to nothing that is out, or from another than was asked
+	Removed, Refuted, Probes int64
+	DiscardedAcks            int64 // answers to nothing that is out, or from another than was asked
 }
 
 // New starts a router that knows nobody. life is greater in each life of its process; chance draws below n.
-func New(name, address string, life uint64, t Terms, chance func(n int) int, now int64) *Feeler {
-	return &Feeler{Terms: t, self: News{Name: name, Address: address, Incarnation: life}, chance: chance, now: now,
+func New(name, address string, life uint64, t Config, chance func(n int) int, now int64) *Membership {
+	return &Membership{Config: t, self: Update{Name: name, Address: address, Incarnation: life}, chance: chance, now: now,
 		serial: life, // no life uses the numbers of another
-		next:   now + int64(chance(int(t.Period))), routers: map[string]*router{}, probes: map[uint64]*probe{}}
+		next:   now + int64(chance(int(t.ProbePeriodMs))), routers: map[string]*router{}, probes: map[uint64]*probe{}}
 }
 
-// Known takes in addresses of routers, from whomever; they are probed to learn who is there.
-func (f *Feeler) Known(addresses []string, now int64) (out []Out) {
+// AddSeeds takes in addresses of routers, from whomever; they are probed to learn who is there.
+func (f *Membership) AddSeeds(addresses []string, now int64) (out []Outgoing) {
 	f.clock(now)
 	for _, a := range addresses {
 		if a == f.self.Address || slices.ContainsFunc(f.all(), func(r *router) bool { return r.Address == a }) {
@@ -124,10 +124,10 @@
 	return out
 }
 
-func (f *Feeler) all() []*router { return slices.Collect(maps.Values(f.routers)) }
+func (f *Membership) all() []*router { return slices.Collect(maps.Values(f.routers)) }
 
-// Live are the names of routers that are not removed, this one included, in order.
-func (f *Feeler) Live() []string {
+// AliveNames are the names of routers that are not removed, this one included, in order.
+func (f *Membership) AliveNames() []string {
 	names := []string{f.self.Name}
 	for name, r := range f.routers {
 		if r.State != Dead {
@@ -138,39 +138,39 @@
 	return names
 }
 
-// State is what is held of a router.
-func (f *Feeler) State(name string) (News, bool) {
+// Lookup is what is held of a router.
+func (f *Membership) Lookup(name string) (Update, bool) {
 	r := f.routers[name]
 	if r == nil {
-		return News{}, false
+		return Update{}, false
 	}
-	return r.News, true
+	return r.Update, true
 }
 
-// SetControl notes who the members of the control plane are, as of a place in the log; the newest word binds, whoever
+// SetControlMembers notes who the members of the control plane are, as of a place in the log; the newest word binds, whoever
 // brings it.
-func (f *Feeler) SetControl(members []string, version uint64) {
+func (f *Membership) SetControlMembers(members []string, version uint64) {
 	if version > f.version && len(members) > 0 && len(members) <= 32 {
 		f.control, f.version = slices.Clone(members), version
 	}
 }
 
-// Control is the newest word on the members of the control plane.
-func (f *Feeler) Control() ([]string, uint64) { return f.control, f.version }
+// ControlMembers is the newest word on the members of the control plane.
+func (f *Membership) ControlMembers() ([]string, uint64) { return f.control, f.version }
 
-func (f *Feeler) clock(now int64) { f.now = max(f.now, now) }
+func (f *Membership) clock(now int64) { f.now = max(f.now, now) }
 
 // most that is held of routers and of probes, whatever is heard.
 const most = 1024
 
 // hear takes in one word.
-func (f *Feeler) hear(n News) {
+func (f *Membership) hear(n Update) {
 	if n.Name == "" || n.Address == "" || len(n.Name) > 128 || len(n.Address) > 64 || n.State > Dead {
 		return
 	}
 	if n.Name == f.self.Name {
 		if n.State != Alive && n.Incarnation >= f.self.Incarnation { // it is not so
-			f.Contradicted++
+			f.Refuted++
 			f.self.Incarnation = n.Incarnation + 1
 		}
 		return
@@ -181,20 +181,20 @@
 		if n.State == Dead || len(f.routers) >= most {
 			return
 		}
-		f.routers[n.Name] = &router{News: n, since: f.now}
+		f.routers[n.Name] = &router{Update: n, since: f.now}
 	case n.Incarnation < r.Incarnation, n.Incarnation == r.Incarnation && n.State <= r.State:
 		return
 	default:
 		if n.State == Dead && r.State != Dead {
 			f.Removed++
 		}
-		*r = router{News: n, since: f.now}
+		*r = router{Update: n, since: f.now}
 	}
 }
 
 // load are the words that were passed on least, this router's own first.
-func (f *Feeler) load() []News {
-	words := []News{f.self}
+func (f *Membership) load() []Update {
+	words := []Update{f.self}
 	all := f.all()
 	slices.SortFunc(all, func(a, b *router) int {
 		if a.told != b.told {
@@ -210,101 +210,101 @@
 		limit++
 	}
 	for _, r := range all {
-		if len(words) >= f.Load {
+		if len(words) >= f.MaxUpdates {
 			break
 		}
 		if r.told < limit {
 			r.told++
-			words = append(words, r.News)
+			words = append(words, r.Update)
 		}
 	}
-	for i := 0; len(words) < f.Load && i < len(all); i++ { // what all know fills up, in turn, for those that are new
+	for i := 0; len(words) < f.MaxUpdates && i < len(all); i++ { // what all know fills up, in turn, for those that are new
 		r := all[f.chance(len(all))]
-		if !slices.Contains(words, r.News) {
-			words = append(words, r.News)
+		if !slices.Contains(words, r.Update) {
+			words = append(words, r.Update)
 		}
 	}
 	return words
 }
 
-func (f *Feeler) message(kind Kind, serial uint64) Message {
-	return Message{Kind: kind, From: f.self.Address, Serial: serial, News: f.load(), Control: f.control, Version: f.version}
+func (f *Membership) message(kind MessageType, serial uint64) Message {
+	return Message{Type: kind, From: f.self.Address, Serial: serial, Updates: f.load(), ControlMembers: f.control, ControlVersion: f.version}
 }
 
-func (f *Feeler) ping(address string, p *probe) Out {
+func (f *Membership) ping(address string, p *probe) Outgoing {
 	f.serial++
 	f.Probes++
 	p.from = []string{address}
 	if len(f.probes) < most {
 		f.probes[f.serial] = p
 	}
-	return Out{address, f.message(Ping, f.serial)}
+	return Outgoing{address, f.message(Ping, f.serial)}
 }
 
-// Heard takes in a message.
-func (f *Feeler) Heard(m Message, now int64) (out []Out) {
+// HandleMessage takes in a message.
+func (f *Membership) HandleMessage(m Message, now int64) (out []Outgoing) {
 	f.clock(now)
-	if len(m.News) > 64 {
-		m.News = m.News[:64]
+	if len(m.Updates) > 64 {
+		m.Updates = m.Updates[:64]
 	}
-	for _, n := range m.News {
+	for _, n := range m.Updates {
 		f.hear(n)
 	}
-	f.SetControl(m.Control, m.Version)
-	switch m.Kind {
+	f.SetControlMembers(m.ControlMembers, m.ControlVersion)
+	switch m.Type {
 	case Ping:
-		out = append(out, Out{m.From, f.message(Ack, m.Serial)})
-	case Please:
+		out = append(out, Outgoing{m.From, f.message(Ack, m.Serial)})
+	case PingRequest:
 		if m.Target != "" && m.Target != f.self.Address {
 			out = append(out, f.ping(m.Target, &probe{at: f.now, forWhom: m.From, serial: m.Serial}))
 		}
 	case Ack:
 		p := f.probes[m.Serial]
 		if p == nil || !slices.Contains(p.from, m.From) {
-			f.Strays++
+			f.DiscardedAcks++
 			break
 		}
 		delete(f.probes, m.Serial)
 		p.done = true
 		if p.forWhom != "" {
-			out = append(out, Out{p.forWhom, f.message(Ack, p.serial)})
+			out = append(out, Outgoing{p.forWhom, f.message(Ack, p.serial)})
 		}
 	}
 	return out
 }
 
 // Tick goes on to a time.
-func (f *Feeler) Tick(now int64) (out []Out) {
+func (f *Membership) Tick(now int64) (out []Outgoing) {
 	f.clock(now)
 	for _, serial := range slices.Sorted(maps.Keys(f.probes)) {
 		p := f.probes[serial]
 		switch r := f.routers[p.name]; {
-		case f.now >= p.at+f.Period:
+		case f.now >= p.at+f.ProbePeriodMs:
 			delete(f.probes, serial)
 			if r != nil && r.State == Alive && p.forWhom == "" {
-				*r = router{News: News{r.Name, r.Address, r.Incarnation, Suspect}, since: f.now}
+				*r = router{Update: Update{r.Name, r.Address, r.Incarnation, Suspect}, since: f.now}
 			}
-		case r != nil && !p.asked && p.forWhom == "" && f.now >= p.at+f.Answer:
+		case r != nil && !p.asked && p.forWhom == "" && f.now >= p.at+f.AckTimeoutMs:
 			p.asked = true
-			for _, third := range f.pick(f.Third, p.name) {
-				m := f.message(Please, serial)
+			for _, third := range f.pick(f.IndirectProbes, p.name) {
+				m := f.message(PingRequest, serial)
 				m.Target = r.Address
 				p.from = append(p.from, third.Address)
-				out = append(out, Out{third.Address, m})
+				out = append(out, Outgoing{third.Address, m})
 			}
 		}
 	}
 	for name, r := range f.routers {
 		switch {
-		case r.State == Suspect && f.now >= r.since+f.Suspect:
+		case r.State == Suspect && f.now >= r.since+f.SuspicionTimeoutMs:
 			f.Removed++
-			*r = router{News: News{r.Name, r.Address, r.Incarnation, Dead}, since: f.now}
-		case r.State == Dead && f.now >= r.since+f.Keep:
+			*r = router{Update: Update{r.Name, r.Address, r.Incarnation, Dead}, since: f.now}
+		case r.State == Dead && f.now >= r.since+f.RemovedRetentionMs:
 			delete(f.routers, name)
 		}
 	}
 	if f.now >= f.next {
-		f.next = f.now + f.Period
+		f.next = f.now + f.ProbePeriodMs
 		if r := f.turn(); r != nil {
 			out = append(out, f.ping(r.Address, &probe{name: r.Name, at: f.now}))
 		}
@@ -312,19 +312,19 @@
 	return out
 }
 
-// Next is when Tick is to be called at the latest.
-func (f *Feeler) Next() int64 {
+// NextTick is when Tick is to be called at the latest.
+func (f *Membership) NextTick() int64 {
 	next := f.next
 	for _, p := range f.probes {
 		if !p.asked {
-			next = min(next, p.at+f.Answer)
+			next = min(next, p.at+f.AckTimeoutMs)
 		}
 	}
 	return max(next, f.now+20)
 }
 
 // turn is whom to probe: all in a drawn order, then in another.
-func (f *Feeler) turn() *router {
+func (f *Membership) turn() *router {
 	for range 2 {
 		for len(f.order) > 0 {
 			name := f.order[0]
@@ -343,7 +343,7 @@
 }
 
 // pick draws routers that are alive, but for one.
-func (f *Feeler) pick(n int, but string) (some []*router) {
+func (f *Membership) pick(n int, but string) (some []*router) {
 	names := slices.Sorted(maps.Keys(f.routers))
 	for len(some) < n && len(names) > 0 {
 		i := f.chance(len(names))
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -12,7 +12,7 @@
 
 // world is routers on a network that loses datagrams.
 type world struct {
-	*scheduler.Stage
+	*scheduler.Scheduler
 	nodes map[string]*node
 	names []string
 	cut   func(from, to string) bool
@@ -22,13 +22,13 @@
 type node struct {
 	w    *world
 	name string
-	f    *Feeler
+	f    *Membership
 	life int
 	up   bool
 }
 
 func newWorld(seed uint64, n int) *world {
-	w := &world{Stage: scheduler.New(seed, 1<<30, 1), nodes: map[string]*node{}, cut: func(string, string) bool { return false }}
+	w := &world{Scheduler: scheduler.New(seed, 1<<30, 1), nodes: map[string]*node{}, cut: func(string, string) bool { return false }}
 	for i := range n {
 		name := fmt.Sprintf("r%02d", i)
 		w.names = append(w.names, name)
@@ -41,29 +41,29 @@
 func (n *node) start() {
 	n.life++
 	n.up = true
-	n.f = New(n.name, n.name, uint64(n.life)<<32, Usual(), n.w.Chance.IntN, n.w.Now)
-	n.send(n.f.Known([]string{"r00", "r01"}, n.w.Now))
+	n.f = New(n.name, n.name, uint64(n.life)<<32, DefaultConfig(), n.w.Rand.IntN, n.w.Now)
+	n.send(n.f.AddSeeds([]string{"r00", "r01"}, n.w.Now))
 	n.tick(n.life)
 }
 
 func (n *node) tick(life int) {
 	if n.up && n.life == life {
 		n.send(n.f.Tick(n.w.Now))
-		n.w.In(max(1, n.f.Next()-n.w.Now), func() { n.tick(life) })
+		n.w.After(max(1, n.f.NextTick()-n.w.Now), func() { n.tick(life) })
 	}
 }
 
-func (n *node) send(all []Out) {
+func (n *node) send(all []Outgoing) {
 	w := n.w
 	for _, o := range all {
 		w.sent++
 		to := w.nodes[o.To]
-		if w.Odds(20) || to == nil || w.cut(n.name, o.To) {
+		if w.OneIn(20) || to == nil || w.cut(n.name, o.To) {
 			continue
 		}
-		w.In(w.Between(1, 5), func() {
+		w.After(w.Between(1, 5), func() {
 			if to.up {
-				to.send(to.f.Heard(o.Message, w.Now))
+				to.send(to.f.HandleMessage(o.Message, w.Now))
 			}
 		})
 	}
@@ -73,7 +73,7 @@
 	t.Helper()
 	for _, name := range w.names {
 		if n := w.nodes[name]; n.up {
-			require.Equal(t, want, n.f.Live(), "at %s", name)
+			require.Equal(t, want, n.f.AliveNames(), "at %s", name)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 func TestAllLearnOfAllThoughDatagramsAreLost(t *testing.T) {
 	for seed := range 60 {
 		w := newWorld(uint64(seed), 12)
-		w.Play(25000)
+		w.RunFor(25000)
 		w.agree(t, w.names)
 	}
 }
@@ -89,14 +89,14 @@
 func TestOneThatDiesIsRemovedEverywhereAndTakenBackWhenItReturns(t *testing.T) {
 	for seed := range 60 {
 		w := newWorld(uint64(seed), 9)
-		w.Play(20000)
+		w.RunFor(20000)
 		dead := w.nodes["r05"]
 		dead.up = false
 		left := slices.DeleteFunc(slices.Clone(w.names), func(n string) bool { return n == "r05" })
-		w.Play(20000)
+		w.RunFor(20000)
 		w.agree(t, left)
 		dead.start()
-		w.Play(25000)
+		w.RunFor(25000)
 		w.agree(t, w.names)
 	}
 }
@@ -105,7 +105,7 @@
 	removed := int64(0)
 	for seed := range 40 {
 		w := newWorld(uint64(seed), 8)
-		w.Play(15000)
+		w.RunFor(15000)
 		before := int64(0)
 		for _, n := range w.nodes {
 			before += n.f.Removed
@@ -113,7 +113,7 @@
 		w.cut = func(from, to string) bool { // one pair, both ways
 			return from == "r02" && to == "r06" || from == "r06" && to == "r02"
 		}
-		w.Play(20000)
+		w.RunFor(20000)
 		for _, n := range w.nodes {
 			removed += n.f.Removed
 		}
@@ -126,9 +126,9 @@
 func TestWhatARouterSendsDoesNotGrowWithTheirNumber(t *testing.T) {
 	rate := func(n int) float64 {
 		w := newWorld(1, n)
-		w.Play(20000)
+		w.RunFor(20000)
 		before := w.sent
-		w.Play(20000)
+		w.RunFor(20000)
 		return float64(w.sent-before) / float64(n) / 20
 	}
 	few, many := rate(9), rate(120)
@@ -137,12 +137,12 @@
 
 func TestTheNewestWordOnControlBinds(t *testing.T) {
 	w := newWorld(7, 6)
-	w.Play(5000)
-	w.nodes["r03"].f.SetControl([]string{"a", "b", "c"}, 7)
-	w.nodes["r04"].f.SetControl([]string{"old"}, 3)
-	w.Play(20000)
+	w.RunFor(5000)
+	w.nodes["r03"].f.SetControlMembers([]string{"a", "b", "c"}, 7)
+	w.nodes["r04"].f.SetControlMembers([]string{"old"}, 3)
+	w.RunFor(20000)
 	for _, n := range w.nodes {
-		members, version := n.f.Control()
+		members, version := n.f.ControlMembers()
 		require.EqualValues(t, 7, version)
 		require.Equal(t, []string{"a", "b", "c"}, members)
 	}
--- a/internal/lease/capacity_test.go
+++ b/internal/lease/capacity_test.go
@@ -11,18 +11,18 @@
 func BenchmarkRenew(b *testing.B) {
 	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) {
-			j := lease.New(0)
+			j := lease.NewGrantor(0)
 			for i := range e.Routers {
-				j.Renew(statesize.Router(i), 1, 1, 0, 1)
+				j.Grant(statesize.Router(i), 1, 1, 0, 1)
 			}
 			b.Run("grant", func(b *testing.B) {
 				for b.Loop() {
-					j.Renew("edge-waco-hall-7", 1, 1, 0, 1)
+					j.Grant("edge-waco-hall-7", 1, 1, 0, 1)
 				}
 			})
 			b.Run("count", func(b *testing.B) {
 				for b.Loop() {
-					j.Live(1)
+					j.HolderCount(1)
 				}
 			})
 		})
@@ -33,12 +33,12 @@
 func BenchmarkClear(b *testing.B) {
 	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) {
-			j := lease.New(0)
+			j := lease.NewGrantor(0)
 			for i := range e.Routers {
-				j.Renew(statesize.Router(i), 1, 2, 0, 5000)
+				j.Grant(statesize.Router(i), 1, 2, 0, 5000)
 			}
 			for b.Loop() {
-				if !j.Clear(2, nil, 5001) {
+				if !j.AllCaughtUp(2, nil, 5001) {
 					b.Fatal("all have applied it")
 				}
 			}
--- a/internal/lease/cutoff_test.go
+++ b/internal/lease/cutoff_test.go
@@ -9,25 +9,25 @@
 // What an older life said may come after its successor was granted a lease: a hello, or a renewal that was on its way.
 func TestAnOlderLifeTakesNothingFromTheNext(t *testing.T) {
 	known := []string{"a"}
-	for name, late := range map[string]func(j *Jaw){
-		"a hello of a life never met": func(j *Jaw) { j.Heard("a", 9, 50, 10100) },
-		"a hello of the life before":  func(j *Jaw) { j.Heard("a", 1, 50, 10100) },
-		"a renewal":                   func(j *Jaw) { require.False(t, j.Renew("a", 1, 50, 0, 10100)) },
-		"one of a life that was met only": func(j *Jaw) {
-			require.False(t, j.Renew("a", 2, 50, 0, 10100))
+	for name, late := range map[string]func(j *Grantor){
+		"a hello of a life never met": func(j *Grantor) { j.Observe("a", 9, 50, 10100) },
+		"a hello of the life before":  func(j *Grantor) { j.Observe("a", 1, 50, 10100) },
+		"a renewal":                   func(j *Grantor) { require.False(t, j.Grant("a", 1, 50, 0, 10100)) },
+		"one of a life that was met only": func(j *Grantor) {
+			require.False(t, j.Grant("a", 2, 50, 0, 10100))
 		},
 	} {
-		j := New(0)
-		require.True(t, j.Renew("a", 1, 5, 0, 9900))
-		j.Heard("a", 2, 5, 9950)
-		j.Heard("a", 3, 5, 9990)
-		require.True(t, j.Renew("a", 3, 5, 0, 10000))
+		j := NewGrantor(0)
+		require.True(t, j.Grant("a", 1, 5, 0, 9900))
+		j.Observe("a", 2, 5, 9950)
+		j.Observe("a", 3, 5, 9990)
+		require.True(t, j.Grant("a", 3, 5, 0, 10000))
 		late(j)
-		for now := int64(10100); now < 10000+Span; now += 100 {
-			require.False(t, j.Clear(6, known, now), "%s: the lease of the life that is there is passed over", name)
+		for now := int64(10100); now < 10000+GrantMs; now += 100 {
+			require.False(t, j.AllCaughtUp(6, known, now), "%s: the lease of the life that is there is passed over", name)
 		}
-		require.True(t, j.Clear(6, known, 10000+Span), name)
-		require.True(t, j.Renew("a", 3, 6, 6, 20000), name)
+		require.True(t, j.AllCaughtUp(6, known, 10000+GrantMs), name)
+		require.True(t, j.Grant("a", 3, 6, 6, 20000), name)
 	}
 }
 
@@ -36,13 +36,13 @@
 	over := func(router, control float64) (early bool) { // rates
 		for at := range int64(40) { // when it is granted, after it was asked for
 			asked, granted := int64(1000), 1000+at
-			var s Screw
-			s.Granted(int64(float64(asked) * router))
-			j := New(-10 * Span)
-			j.Renew("a", 1, 1, 0, int64(float64(granted)*control))
-			for now := granted; now < granted+2*Span; now++ {
-				if j.Clear(2, []string{"a"}, int64(float64(now)*control)) {
-					early = early || s.Tight(int64(float64(now)*router))
+			var s Holder
+			s.Renewed(int64(float64(asked) * router))
+			j := NewGrantor(-10 * GrantMs)
+			j.Grant("a", 1, 1, 0, int64(float64(granted)*control))
+			for now := granted; now < granted+2*GrantMs; now++ {
+				if j.AllCaughtUp(2, []string{"a"}, int64(float64(now)*control)) {
+					early = early || s.Valid(int64(float64(now)*router))
 					break
 				}
 			}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -11,16 +11,16 @@
 
 import "slices"
 
-// Span is how long the control plane counts on a lease that it granted, in milliseconds. Longer rides out a change of
+// GrantMs is how long the control plane counts on a lease that it granted, in milliseconds. Longer rides out a change of
 // its view; shorter lets a lead pass on sooner when a router can't be heard.
-const Span = 1760
+const GrantMs = 1760
 
 // held is how long a router acts under one: a tenth less, so that its clock may run slower than the control plane's, by
 // as much as a view's leases allow.
-const held = Span * 9 / 10
+const held = GrantMs * 9 / 10
 
-// Jaw is the control plane's side. Its zero value is not of use; New.
-type Jaw struct {
+// Grantor is the control plane's side. Its zero value is not of use; New.
+type Grantor struct {
 	since   int64 // when this member began to lead
 	holders map[string]*holder
 }
@@ -33,13 +33,13 @@
 	past    map[uint64]bool // lives before this one
 }
 
-// New starts the account of a member that begins to lead now: others may have granted until then.
-func New(now int64) *Jaw { return &Jaw{since: now, holders: map[string]*holder{}} }
+// NewGrantor starts the account of a member that begins to lead now: others may have granted until then.
+func NewGrantor(now int64) *Grantor { return &Grantor{since: now, holders: map[string]*holder{}} }
 
-// Renew notes a lease that is granted now to a router, which has applied the log up to an index. A router in another
+// Grant notes a lease that is granted now to a router, which has applied the log up to an index. A router in another
 // life has no leases of the one before. One that has not applied what takes a lead back, at need, is granted none: else
 // one that hears no news, and yet asks, would hold up fail-over for good.
-func (j *Jaw) Renew(router string, life, applied, need uint64, now int64) bool {
+func (j *Grantor) Grant(router string, life, applied, need uint64, now int64) bool {
 	h := j.holders[router]
 	if h != nil && h.past[life] {
 		return false // it was on its way when that life ended
@@ -54,17 +54,17 @@
 		}
 		j.holders[router] = next
 	}
-	j.Heard(router, life, applied, now)
+	j.Observe(router, life, applied, now)
 	if applied < need {
 		return false
 	}
-	j.holders[router].until = now + Span
+	j.holders[router].until = now + GrantMs
 	return true
 }
 
-// Heard notes how far a router has come, without a lease. A hello may be an old life's that comes late, and takes
+// Observe notes how far a router has come, without a lease. A hello may be an old life's that comes late, and takes
 // nothing from a lease that runs: only who was met here asks for one.
-func (j *Jaw) Heard(router string, life, applied uint64, now int64) {
+func (j *Grantor) Observe(router string, life, applied uint64, now int64) {
 	h := j.holders[router]
 	switch {
 	case h == nil:
@@ -81,10 +81,10 @@
 	h.applied = max(h.applied, applied)
 }
 
-// Clear says that no router acts any more on what the log said before an index. known are all routers that were ever
+// AllCaughtUp says that no router acts any more on what the log said before an index. known are all routers that were ever
 // granted a lease by anybody: until what others may have granted is over, each of them must have been heard.
-func (j *Jaw) Clear(index uint64, known []string, now int64) bool {
-	if now < j.since+Span {
+func (j *Grantor) AllCaughtUp(index uint64, known []string, now int64) bool {
+	if now < j.since+GrantMs {
 		for _, name := range known {
 			if h := j.holders[name]; h == nil || h.applied < index {
 				return false
@@ -99,20 +99,20 @@
 	return true
 }
 
-// Live counts the routers that hold leases, and forgets those that are long gone.
-func (j *Jaw) Live(now int64) (n int) {
+// HolderCount counts the routers that hold leases, and forgets those that are long gone.
+func (j *Grantor) HolderCount(now int64) (n int) {
 	for name, h := range j.holders {
 		if now < h.until {
 			n++
-		} else if h.until > 0 && now > h.until+60*Span {
+		} else if h.until > 0 && now > h.until+60*GrantMs {
 			delete(j.holders, name)
 		}
 	}
 	return n
 }
 
-// Routers are the names of those that hold leases.
-func (j *Jaw) Routers(now int64) (names []string) {
+// Holders are the names of those that hold leases.
+func (j *Grantor) Holders(now int64) (names []string) {
 	for name, h := range j.holders {
 		if now < h.until {
 			names = append(names, name)
@@ -121,14 +121,14 @@
 	return names
 }
 
-// Screw is a router's side. The zero value holds nothing.
-type Screw struct{ until int64 }
+// Holder is a router's side. The zero value holds nothing.
+type Holder struct{ until int64 }
 
-// Granted takes in a lease that was asked for at a time.
-func (s *Screw) Granted(askedAt int64) { s.until = max(s.until, askedAt+held) }
+// Renewed takes in a lease that was asked for at a time.
+func (s *Holder) Renewed(askedAt int64) { s.until = max(s.until, askedAt+held) }
 
-// Until is when the lease ends.
-func (s *Screw) Until() int64 { return s.until }
+// ExpiresAt is when the lease ends.
+func (s *Holder) ExpiresAt() int64 { return s.until }
 
-// Tight says whether what the log says may be acted on now.
-func (s *Screw) Tight(now int64) bool { return now < s.until }
+// Valid says whether what the log says may be acted on now.
+func (s *Holder) Valid(now int64) bool { return now < s.until }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -11,7 +11,7 @@
 // Members that lead change; one that stood still goes on with what it believed.
 func TestNoRouterActsOnWhatIsHandedBack(t *testing.T) {
 	type router struct {
-		screw   Screw
+		screw   Holder
 		applied uint64
 		skew    int64
 	}
@@ -21,7 +21,7 @@
 		now, index := int64(1<<30), uint64(1)
 		routers := map[string]*router{"a": {skew: 5}, "b": {skew: -900}, "c": {}}
 		known := []string{"a", "b", "c"}
-		jaw := New(now)
+		jaw := NewGrantor(now)
 		for range 400 {
 			now += chance.Int64N(120)
 			name := known[chance.IntN(3)]
@@ -30,23 +30,23 @@
 			case 0:
 				index++
 			case 1: // another member leads
-				jaw = New(now)
+				jaw = NewGrantor(now)
 			case 2:
-				jaw.Heard(name, 1, r.applied, now)
+				jaw.Observe(name, 1, r.applied, now)
 			case 3:
 				r.applied = index
 			default: // a renewal, its answer late or lost
 				asked := now + r.skew
 				now += chance.Int64N(30)
-				jaw.Renew(name, 1, r.applied, 0, now)
+				jaw.Grant(name, 1, r.applied, 0, now)
 				if chance.IntN(4) > 0 {
-					r.screw.Granted(asked)
+					r.screw.Renewed(asked)
 				}
 			}
-			if jaw.Clear(index, known, now) {
+			if jaw.AllCaughtUp(index, known, now) {
 				cleared++
 				for name, r := range routers {
-					require.False(t, r.applied < index && r.screw.Tight(now+r.skew), "seed %d: %s acts on %d, %d was handed back", seed, name, r.applied, index)
+					require.False(t, r.applied < index && r.screw.Valid(now+r.skew), "seed %d: %s acts on %d, %d was handed back", seed, name, r.applied, index)
 				}
 			}
 		}
@@ -55,26 +55,26 @@
 }
 
 func TestARouterInAnotherLifeHoldsNothingOfTheLast(t *testing.T) {
-	j := New(0)
-	require.True(t, j.Renew("a", 1, 5, 0, 10000))
-	require.False(t, j.Clear(6, []string{"a"}, 10001))
-	j.Heard("a", 2, 6, 10001)
-	require.False(t, j.Clear(6, []string{"a"}, 10001), "a hello may be an older life's")
-	require.False(t, j.Renew("a", 2, 6, 7, 10001), "it asks, so the life before is over, whether it is granted one or not")
-	require.True(t, j.Clear(6, []string{"a"}, 10001))
-	require.Equal(t, 0, j.Live(10001))
+	j := NewGrantor(0)
+	require.True(t, j.Grant("a", 1, 5, 0, 10000))
+	require.False(t, j.AllCaughtUp(6, []string{"a"}, 10001))
+	j.Observe("a", 2, 6, 10001)
+	require.False(t, j.AllCaughtUp(6, []string{"a"}, 10001), "a hello may be an older life's")
+	require.False(t, j.Grant("a", 2, 6, 7, 10001), "it asks, so the life before is over, whether it is granted one or not")
+	require.True(t, j.AllCaughtUp(6, []string{"a"}, 10001))
+	require.Equal(t, 0, j.HolderCount(10001))
 }
 
 // A router that asks on and never hears the news must not hold up fail-over for longer than the lease that it has.
 func TestARouterThatHearsNoNewsHoldsNothingUpForGood(t *testing.T) {
-	j := New(0)
-	at := int64(2 * Span)
-	require.True(t, j.Renew("a", 1, 5, 0, at))
-	for now := at; now < at+Span; now += 300 {
-		require.False(t, j.Renew("a", 1, 5, 6, now), "it has not applied what took the lead back")
-		require.False(t, j.Clear(6, []string{"a"}, now))
+	j := NewGrantor(0)
+	at := int64(2 * GrantMs)
+	require.True(t, j.Grant("a", 1, 5, 0, at))
+	for now := at; now < at+GrantMs; now += 300 {
+		require.False(t, j.Grant("a", 1, 5, 6, now), "it has not applied what took the lead back")
+		require.False(t, j.AllCaughtUp(6, []string{"a"}, now))
 	}
-	require.True(t, j.Clear(6, []string{"a"}, at+Span))
-	require.True(t, j.Renew("a", 1, 6, 6, at+Span))
-	require.True(t, j.Clear(6, []string{"a"}, at+Span))
+	require.True(t, j.AllCaughtUp(6, []string{"a"}, at+GrantMs))
+	require.True(t, j.Grant("a", 1, 6, 6, at+GrantMs))
+	require.True(t, j.AllCaughtUp(6, []string{"a"}, at+GrantMs))
 }
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -39,20 +39,20 @@
 func number(n uint64) string { return strconv.FormatUint(n, 36) }
 
 // statement takes one of a session's statements.
-func (h *Headstock) statement(s *clientSession, m message) {
+func (h *Server) statement(s *clientSession, m message) {
 	if m.err != nil {
 		h.answer(s, h.tell(errcode.BadStatement, 0))
 		return
 	}
-	step := s.Take(m.request)
-	switch step.Do {
-	case session.Here, session.End:
+	step := s.Handle(m.request)
+	switch step.Action {
+	case session.AnswerLocally, session.FailTransaction:
 		h.answer(s, step.Reply)
 		return
 	}
 	h.Taken.Add(1)
 	c := &call{session: s, request: m.request, step: step, at: m.at}
-	if step.Do == session.Pinned {
+	if step.Action == session.UsePinnedConn {
 		c.route = s.route
 		h.pinned(c)
 		return
@@ -61,9 +61,9 @@
 	if c.route == nil {
 		if h.inTouch() {
 			h.NoDB.Add(1)
-			h.final(s, h.tell(errcode.RouteGone, 0))
+			h.final(s, h.tell(errcode.RouteRemoved, 0))
 		} else {
-			h.refuse(c, errcode.NoTouch, 0)
+			h.refuse(c, errcode.NoValidLease, 0)
 		}
 		return
 	}
@@ -73,12 +73,12 @@
 }
 
 // place brings a statement to the module.
-func (h *Headstock) place(c *call) {
+func (h *Server) place(c *call) {
 	now := h.moment()
 	r := c.route
 	if !r.service.used {
 		r.service.used = true
-		for _, id := range h.state.Members(r.service.name) {
+		for _, id := range h.state.HostIDs(r.service.name) {
 			if n := h.hosts[id]; n != nil && n.probing && n.opening == 0 && len(n.all) == 0 {
 				n.open()
 			}
@@ -89,7 +89,7 @@
 	switch {
 	case c.step.Writes:
 		c.group = r.write
-	case r.bound > 0 && r.service.gauge.Fresh(now, r.bound):
+	case r.bound > 0 && r.service.gauge.CoversBound(now, r.bound):
 		if r.owned {
 			since = r.bound
 		}
@@ -112,14 +112,14 @@
 }
 
 // settle forgets a call for which nothing more will come from the module.
-func (h *Headstock) settle(c *call) {
+func (h *Server) settle(c *call) {
 	if c.handle != nil && c.handle.Over() {
 		delete(h.calls, c.name)
 	}
 }
 
 // Dispatch sends a call to a host; the module asks for it.
-func (h *Headstock) Dispatch(handle *policy.Cmd, n *policy.Node, timeout policy.Tenth) {
+func (h *Server) Dispatch(handle *policy.Cmd, n *policy.Node, timeout policy.Tenth) {
 	c := h.calls[handle.Name]
 	c.handle = handle
 	c.host, c.conn, c.sent, c.over, c.ready = h.nodes[n], nil, false, false, false
@@ -133,7 +133,7 @@
 }
 
 // run puts a call on a connection: first what makes that the session's, then the statement.
-func (h *Headstock) run(k *hostConn, c *call) {
+func (h *Server) run(k *hostConn, c *call) {
 	k.call, c.conn = c, k
 	texts := k.fixture.Prepare(&c.session.Session, c.request)
 	if len(texts) == 0 {
@@ -152,13 +152,13 @@
 }
 
 // send writes a call's statement, if what was decided for it still holds at this moment.
-func (h *Headstock) send(k *hostConn, c *call) {
+func (h *Server) send(k *hostConn, c *call) {
 	now := h.moment()
 	s, n := c.session, k.host
 	c.ready = true
 	var b []byte
 	switch {
-	case c.step.Do == session.Pinned:
+	case c.step.Action == session.UsePinnedConn:
 		if s.lead != 0 && !n.service.holds(s.lead, h) {
 			h.later = append(h.later, func() { h.lapsed(c) })
 			return
@@ -179,11 +179,11 @@
 			h.free(k)
 			return
 		}
-		b = wire.AppendFenced(nil, c.request.ID, floor, c.step.Text)
+		b = wire.AppendFencedQuery(nil, c.request.ID, floor, c.step.Text)
 	}
 	c.sentAt, c.sent, c.wroteAt = now, true, h.clock.Time()
 	if n, ok := k.out.write(b); !ok {
-		c.sent = retry.Wrote(n, len(b)) == retry.Said // else it never ran
+		c.sent = retry.ProgressOf(n, len(b)) == retry.Sent // else it never ran
 		h.later = append(h.later, func() { h.broken(k) })
 	}
 }
@@ -197,11 +197,11 @@
 }
 
 // pinned sends a statement to the connection of its transaction.
-func (h *Headstock) pinned(c *call) {
+func (h *Server) pinned(c *call) {
 	s := c.session
 	k := s.pin
 	if k == nil || k.closed {
-		s.Drop()
+		s.ConnectionLost()
 		h.answer(s, h.tell(errcode.RolledBack, 0))
 		return
 	}
@@ -213,7 +213,7 @@
 }
 
 // lapsed ends a statement of a transaction whose primary may be none any more.
-func (h *Headstock) lapsed(c *call) {
+func (h *Server) lapsed(c *call) {
 	h.Lapsed.Add(1)
 	k := c.conn
 	k.call, k.session = nil, nil
@@ -222,7 +222,7 @@
 }
 
 // arrived takes in an answer of a host.
-func (h *Headstock) arrived(k *hostConn, a *wire.Answer, at time.Time) {
+func (h *Server) arrived(k *hostConn, a *wire.Response, at time.Time) {
 	if k.closed {
 		return
 	}
@@ -248,7 +248,7 @@
 		}
 		return
 	}
-	if c == nil || !c.sent || !a.Ended() {
+	if c == nil || !c.sent || !a.Completed() {
 		h.Stray.Add(1)
 		h.broken(k)
 		return
@@ -257,40 +257,40 @@
 }
 
 // answered brings a host's answer to a call.
-func (h *Headstock) answered(k *hostConn, c *call, a *wire.Answer, at time.Time) {
+func (h *Server) answered(k *hostConn, c *call, a *wire.Response, at time.Time) {
 	now := h.moment()
 	s, n := c.session, k.host
 	c.over = true
 	h.due.Remove(c.timer)
 	k.call = nil
-	n.line.Answered(c.sentAt, now)
+	n.line.ResponseReceived(c.sentAt, now)
 	moment, role := n.position(a.Position, c.sentAt, c.lead)
 	// What was acknowledged under a lead that was taken back since is not among what was looked at for the next.
-	effect := c.step.Writes && !c.step.Begins || c.step.Commit && s.Wrote
+	effect := c.step.Writes && !c.step.Begins || c.step.Commit && s.MayHaveWritten
 	if c.lead != 0 && effect && a.Code == "" && !n.service.same(c.lead) {
 		h.TakenBack.Add(1)
-		if c.step.Do == session.Pinned && !c.step.Commit {
+		if c.step.Action == session.UsePinnedConn && !c.step.Commit {
 			k.session = nil
 			h.close(k)
 			s.dropped(c)
-			h.reply(c, h.tell(errcode.Replaced, 0))
+			h.reply(c, h.tell(errcode.PrimaryReplaced, 0))
 			return
 		}
 		if k.session = nil; s.pin == k {
 			s.pin = nil
 		}
 		h.close(k)
-		s.Answered(c.step, &wire.Answer{State: 'I', Code: wire.InDoubt})
+		s.HandleResponse(c.step, &wire.Response{State: 'I', Code: wire.CodeInDoubt})
 		if c.name != "" {
 			c.maybe = true
 			c.handle.Ended(policy.TimedOut, -1, policy.Unknown, 0, true)
 			h.settle(c)
 		}
-		h.reply(c, h.tell(errcode.DoubtMoved, 0))
+		h.reply(c, h.tell(errcode.InDoubtPrimaryReplaced, 0))
 		return
 	}
-	if c.step.Do == session.Pinned {
-		if s.Answered(c.step, a) && !c.done {
+	if c.step.Action == session.UsePinnedConn {
+		if s.HandleResponse(c.step, a) && !c.done {
 			k.session = s
 		} else {
 			s.pin, k.session = nil, nil
@@ -311,14 +311,14 @@
 		h.outcome(c, policy.Reset)
 		return
 	}
-	if !c.done && (o == policy.Answered || o == policy.Errored || a.Code == wire.Unknown || a.Code == wire.Malformed) {
+	if !c.done && (o == policy.Answered || o == policy.Errored || a.Code == wire.CodeUnknown || a.Code == wire.CodeMalformed) {
 		c.said = a.Lines
 	}
 	if o == policy.Answered {
 		s.last = a.Position
-		if s.Answered(c.step, a) {
+		if s.HandleResponse(c.step, a) {
 			if c.done { // its client is gone
-				s.Leave()
+				s.EndTransaction()
 				h.roll(k)
 			} else {
 				k.session, s.pin, s.route, s.lead = s, k, c.route, c.lead
@@ -349,18 +349,18 @@
 	switch code {
 	case "":
 		return policy.Answered
-	case wire.Lagging, wire.ReadOnly:
+	case wire.CodeLagging, wire.CodeReadOnly:
 		return policy.Missed
-	case wire.Retry, wire.Overload:
+	case wire.CodeRetry, wire.CodeOverload:
 		return policy.Full
-	case wire.WrongNode:
+	case wire.CodeWrongNode:
 		return policy.Unreached
 	}
 	return policy.Errored
 }
 
 // outcome ends a dispatch that brought no answer.
-func (h *Headstock) outcome(c *call, o policy.Outcome) {
+func (h *Server) outcome(c *call, o policy.Outcome) {
 	if c.over {
 		return
 	}
@@ -377,19 +377,19 @@
 	h.moment()
 	h.Outcomes[o].Add(1)
 	s := c.session
-	if c.step.Do == session.Pinned {
+	if c.step.Action == session.UsePinnedConn {
 		s.pin = nil
 		if c.step.Commit && c.sent {
-			kind := errcode.Doubt
-			if !s.Wrote { // there is nothing to keep
+			kind := errcode.InDoubt
+			if !s.MayHaveWritten { // there is nothing to keep
 				kind = errcode.RolledBack
 			}
-			s.Leave()
+			s.EndTransaction()
 			h.reply(c, h.tell(kind, 0))
 			return
 		}
 		if c.step.Ends {
-			s.Leave()
+			s.EndTransaction()
 			if c.step.Commit {
 				h.reply(c, h.tell(errcode.RolledBack, 0))
 			} else {
@@ -397,7 +397,7 @@
 			}
 			return
 		}
-		s.Drop()
+		s.ConnectionLost()
 		h.reply(c, h.tell(errcode.RolledBack, 0))
 		return
 	}
@@ -419,12 +419,12 @@
 }
 
 // outcomeLater is outcome for where the module may be calling.
-func (h *Headstock) outcomeLater(c *call, o policy.Outcome) {
+func (h *Server) outcomeLater(c *call, o policy.Outcome) {
 	h.later = append(h.later, func() { h.outcome(c, o) })
 }
 
 // expire ends a dispatch whose time is over.
-func (h *Headstock) expire(c *call) {
+func (h *Server) expire(c *call) {
 	if c.over {
 		return
 	}
@@ -447,7 +447,7 @@
 }
 
 // abandon takes in that a call's client is gone. What is out ends as it does; its connection is used again.
-func (h *Headstock) abandon(c *call) {
+func (h *Server) abandon(c *call) {
 	if c.done {
 		return
 	}
@@ -465,7 +465,7 @@
 }
 
 // reply gives a call its final answer, and its session goes on.
-func (h *Headstock) reply(c *call, lines []byte) {
+func (h *Server) reply(c *call, lines []byte) {
 	if c.done {
 		return
 	}
@@ -477,7 +477,7 @@
 }
 
 // Throttle is the final answer of a call that has not run, or whose running harms nobody.
-func (h *Headstock) Throttle(handle *policy.Cmd, comeback policy.Tenth) {
+func (h *Server) Throttle(handle *policy.Cmd, comeback policy.Tenth) {
 	c := h.calls[handle.Name]
 	h.Throttled.Add(1)
 	h.later = append(h.later, func() {
@@ -485,12 +485,12 @@
 			h.reply(c, c.said)
 			return
 		}
-		h.refuse(c, errcode.NoPlace, int64(comeback/10))
+		h.refuse(c, errcode.NoHostAvailable, int64(comeback/10))
 	})
 }
 
 // Fail is the final answer of a call that may have run.
-func (h *Headstock) Fail(handle *policy.Cmd) {
+func (h *Server) Fail(handle *policy.Cmd) {
 	c := h.calls[handle.Name]
 	h.Failed.Add(1)
 	h.later = append(h.later, func() {
@@ -499,21 +499,21 @@
 		case c.said != nil:
 			h.reply(c, c.said)
 		case c.maybe:
-			h.reply(c, h.tell(errcode.Doubt, 0))
+			h.reply(c, h.tell(errcode.InDoubt, 0))
 		default:
-			h.refuse(c, errcode.NotSent, 0)
+			h.refuse(c, errcode.WriteNotSent, 0)
 		}
 	})
 }
 
 // refuse answers a call of which nothing is kept, with the milliseconds after which to come again.
-func (h *Headstock) refuse(c *call, kind errcode.Kind, after int64) {
+func (h *Server) refuse(c *call, kind errcode.Kind, after int64) {
 	h.Refused.Add(1)
 	h.reply(c, h.tell(kind, after))
 }
 
 // tell is an answer of this router's own, and counts it.
-func (h *Headstock) tell(kind errcode.Kind, after int64) []byte {
+func (h *Server) tell(kind errcode.Kind, after int64) []byte {
 	h.Told[kind].Add(1)
 	return kind.Append(nil, after)
 }
--- a/internal/proxy/capacity_test.go
+++ b/internal/proxy/capacity_test.go
@@ -23,15 +23,15 @@
 )
 
 // following is a router that holds a state and has no sessions; none of its connections opens.
-func following(e statesize.Extent) *Headstock {
-	h := newHeadstock(&settings.Plate{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteady(time.Now), 1)
+func following(e statesize.Size) *Server {
+	h := newHeadstock(&settings.Settings{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
 	h.ctx = context.Background()
 	h.say = func(*rpc.Frame) {}
 	h.dial = func(n *host, asked policy.Tenth, lead uint64) {
-		h.later = append(h.later, func() { n.opened(&hostConn{host: n, opened: asked}, wire.Answer{}, errors.New("not here"), lead) })
+		h.later = append(h.later, func() { n.opened(&hostConn{host: n, opened: asked}, wire.Response{}, errors.New("not here"), lead) })
 	}
 	s := e.State()
-	if !h.news(&rpc.News{Snapshot: s.Snapshot(), Index: s.Index}) {
+	if !h.news(&rpc.LogUpdate{Snapshot: s.Snapshot(), LastIndex: s.Index}) {
 		panic("a snapshot is not taken")
 	}
 	for h.step() {
@@ -39,7 +39,7 @@
 	return h
 }
 
-func sizes(b *testing.B, run func(b *testing.B, h *Headstock, e statesize.Extent)) {
+func sizes(b *testing.B, run func(b *testing.B, h *Server, e statesize.Size)) {
 	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) { run(b, following(e), e) })
 	}
@@ -47,19 +47,19 @@
 
 // A change of one lead, from its frame to the module.
 func BenchmarkNews(b *testing.B) {
-	sizes(b, func(b *testing.B, h *Headstock, e statesize.Extent) {
+	sizes(b, func(b *testing.B, h *Server, e statesize.Size) {
 		term := uint64(1)
 		for b.Loop() {
 			term++
-			c := statemachine.Encode(statemachine.Change{Lead: &statemachine.NewLead{Service: statesize.Service(3), Host: statesize.Host(9 + int(term)%3).ID, Term: term}})
-			h.news(&rpc.News{Entries: [][]byte{c}, Index: h.state.Index + 1})
+			c := statemachine.EncodeChange(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(9 + int(term)%3).ID, Term: term}})
+			h.news(&rpc.LogUpdate{Entries: [][]byte{c}, LastIndex: h.state.Index + 1})
 		}
 	})
 }
 
 // What is looked at with each lease and each 50 ms.
 func BenchmarkRounds(b *testing.B) {
-	sizes(b, func(b *testing.B, h *Headstock, e statesize.Extent) {
+	sizes(b, func(b *testing.B, h *Server, e statesize.Size) {
 		for b.Loop() {
 			h.rounds(h.clock.Time())
 		}
@@ -68,7 +68,7 @@
 
 // The module's look at its hosts, each 50 ms.
 func BenchmarkLook(b *testing.B) {
-	sizes(b, func(b *testing.B, h *Headstock, e statesize.Extent) {
+	sizes(b, func(b *testing.B, h *Server, e statesize.Size) {
 		at := h.moment()
 		for b.Loop() {
 			at += 500
@@ -81,13 +81,13 @@
 
 // A start with a snapshot, and what a router holds of memory then.
 func BenchmarkStart(b *testing.B) {
-	sizes(b, func(b *testing.B, _ *Headstock, e statesize.Extent) {
+	sizes(b, func(b *testing.B, _ *Server, e statesize.Size) {
 		s := e.State()
 		snapshot := s.Snapshot()
-		begin := func() *Headstock {
-			h := newHeadstock(&settings.Plate{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteady(time.Now), 1)
+		begin := func() *Server {
+			h := newHeadstock(&settings.Settings{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
 			h.dial = func(*host, policy.Tenth, uint64) {}
-			h.news(&rpc.News{Snapshot: snapshot, Index: s.Index})
+			h.news(&rpc.LogUpdate{Snapshot: snapshot, LastIndex: s.Index})
 			return h
 		}
 		var before, after runtime.MemStats
@@ -109,14 +109,14 @@
 	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) {
 			at := func(n int) string { return fmt.Sprintf("10.1.%d.%d:7440", n/250, 1+n%250) }
-			f := gossip.New(statesize.Router(0), at(0), 1, gossip.Usual(), func(n int) int { return n / 2 }, 0)
-			f.SetControl([]string{"10.1.0.11", "10.2.0.8", "10.3.0.9"}, 12345)
+			f := gossip.New(statesize.Router(0), at(0), 1, gossip.DefaultConfig(), func(n int) int { return n / 2 }, 0)
+			f.SetControlMembers([]string{"10.1.0.11", "10.2.0.8", "10.3.0.9"}, 12345)
 			for n := 1; n < e.Routers; n++ {
-				f.Heard(gossip.Message{Kind: gossip.Ack, From: at(n), News: []gossip.News{{Name: statesize.Router(n), Address: at(n), Incarnation: 1 << 60}}}, 0)
+				f.HandleMessage(gossip.Message{Type: gossip.Ack, From: at(n), Updates: []gossip.Update{{Name: statesize.Router(n), Address: at(n), Incarnation: 1 << 60}}}, 0)
 			}
 			size := 0
 			for b.Loop() {
-				out := f.Heard(gossip.Message{Kind: gossip.Ping, From: at(1), Serial: 7}, 1)
+				out := f.HandleMessage(gossip.Message{Type: gossip.Ping, From: at(1), Serial: 7}, 1)
 				var w bytes.Buffer
 				if err := gob.NewEncoder(&w).Encode(out[0].Message); err != nil {
 					b.Fatal(err)
@@ -128,7 +128,7 @@
 				}
 			}
 			b.ReportMetric(float64(size), "bytes")
-			b.ReportMetric(float64(len(f.Live())), "known")
+			b.ReportMetric(float64(len(f.AliveNames())), "known")
 		})
 	}
 }
--- a/internal/proxy/connlimit/connlimit.go
+++ b/internal/proxy/connlimit/connlimit.go
@@ -23,23 +23,23 @@
 // Share is of one router at one host.
 type Share float64
 
-// Of is the share where a host takes so many connections and so many routers are there, this one included.
-func Of(conns, routers int) Share {
+// ShareOf is the share where a host takes so many connections and so many routers are there, this one included.
+func ShareOf(conns, routers int) Share {
 	return Share(float64(max(1, conns-reserve)) / float64(max(1, routers)+1))
 }
 
-// Young is how long, in milliseconds, a router counts on half its share after its start: for so long a host may hold on to
+// WarmUpMs is how long, in milliseconds, a router counts on half its share after its start: for so long a host may hold on to
 // the connections of its last life.
-const Young = 3500
+const WarmUpMs = 3500
 
 // Halved is the share of a router that is young.
 func (s Share) Halved() Share { return s / 2 }
 
-// Most is how many connections this router may have to the host.
-func (s Share) Most() int { return max(few, int(s)) }
+// MaxConns is how many connections this router may have to the host.
+func (s Share) MaxConns() int { return max(few, int(s)) }
 
-// Rest is how many milliseconds the nth resting connection, from 0, may go on resting.
-func (s Share) Rest(n int) int64 {
+// IdleTimeoutMs is how many milliseconds the nth resting connection, from 0, may go on resting.
+func (s Share) IdleTimeoutMs(n int) int64 {
 	switch {
 	case n < min(int(s), steady):
 		return long
--- a/internal/proxy/connlimit/connlimit_test.go
+++ b/internal/proxy/connlimit/connlimit_test.go
@@ -17,7 +17,7 @@
 		busy           time.Duration
 	}{{35, 63, 25, 60 * time.Millisecond}, {57, 83, 30, 60 * time.Millisecond}, {82, 9, 120, 30 * time.Millisecond}, {57, 9, 100, 30 * time.Millisecond}} {
 		chance := rand.New(rand.NewPCG(1, 2))
-		share := Of(c.conns, c.routers)
+		share := ShareOf(c.conns, c.routers)
 		type conn struct{ busyTo, restTo time.Duration }
 		held := make([][]conn, c.routers)
 		over, uses, opened := 0, 0, 0
@@ -42,7 +42,7 @@
 				}
 			}
 			if use < 0 {
-				if len(held[r]) >= share.Most() {
+				if len(held[r]) >= share.MaxConns() {
 					continue
 				}
 				if total >= c.conns-reserve {
@@ -54,7 +54,7 @@
 				use = len(held[r]) - 1
 			}
 			held[r][use].busyTo = now + c.busy
-			held[r][use].restTo = now + c.busy + time.Duration(share.Rest(use))*time.Millisecond
+			held[r][use].restTo = now + c.busy + time.Duration(share.IdleTimeoutMs(use))*time.Millisecond
 		}
 		require.Less(t, over*200, uses, "%d of %d uses of a host of %d connections by %d routers were turned away", over, uses, c.conns, c.routers)
 		require.Greater(t, opened, 0)
