--- a/internal/proxy/council_test.go
+++ b/internal/proxy/council_test.go
@@ -45,7 +45,7 @@
 	takes func() int64 // of a promotion at the platform; nil: by chance
 
 	// defences taken out
-	answer   func(failover.Question, *database.Host) bool // a question's answer is made up
+	answer   func(failover.HostQuery, *database.Host) bool // a question's answer is made up
 	address  func(id string) string
 	sameName bool // a member whose disk is lost counts as before
 }
@@ -53,12 +53,12 @@
 type member struct {
 	c      *council
 	ip     string
-	f      *control.Forge
+	f      *control.Server
 	up     bool
 	frozen bool
 	life   int
 	id     storage.Identity
-	disk   consensus.Restored
+	disk   consensus.RestoredState
 	queue  []consensus.Write
 	held   []func()
 	cut    bool // from the other members
@@ -74,7 +74,7 @@
 
 func newCouncilWorld(seed uint64, routers, clients int) *world {
 	w := bareWorld(seed)
-	c := &council{w: w, fencing: w.Odds(2), fences: map[string]uint64{}, holders: map[uint64]string{}, draining: map[string]bool{},
+	c := &council{w: w, fencing: w.OneIn(2), fences: map[string]uint64{}, holders: map[uint64]string{}, draining: map[string]bool{},
 		address: func(id string) string { return "10.1.0.1:100" + id[1:2] }}
 	w.council, c.places, w.apart = c, map[string]*member{}, 10
 	var founders []consensus.ID
@@ -98,12 +98,12 @@
 // configure is the operator at first: it sends the configuration until it is taken.
 func (c *council) configure(turn int) {
 	w, taken := c.w, false
-	w.In(100*ms, func() {
+	w.After(100*ms, func() {
 		m := c.members[turn%3]
 		m.do(m.life, func() {
-			m.f.Take(http.MethodPost, "/Config.Replace", "0", []byte(plan), func(status int, _ []byte) { taken = taken || status == http.StatusOK })
+			m.f.HandleCall(http.MethodPost, "/Config.Replace", "0", []byte(plan), func(status int, _ []byte) { taken = taken || status == http.StatusOK })
 		})
-		w.In(300*ms, func() {
+		w.After(300*ms, func() {
 			if !taken {
 				c.configure(turn + 1)
 			}
@@ -116,7 +116,7 @@
 	m.life++
 	m.up, m.frozen, m.cut, m.deaf, m.mute, m.blind, m.held, m.queue = true, false, false, false, false, false, nil, nil
 	m.links, m.order = map[*tie]bool{}, map[string]int64{}
-	plate := &settings.Plate{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
+	plate := &settings.Settings{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
 	plate.FaultBudget.Machines = 1
 	plate.Listen.Control = m.ip + ":8080"
 	for _, o := range m.c.members {
@@ -128,17 +128,17 @@
 	if *only >= 0 {
 		log = hclog.New(&hclog.LoggerOptions{Output: noting{w, m.ip}, DisableTime: true})
 	}
-	f, err := control.New(plate, log, eventloop.NewSteady(w.clock(m.rate)), m.id, kept, w.Chance.Float64, uint64(m.life))
+	f, err := control.New(plate, log, eventloop.NewSteadyClock(w.clock(m.rate)), m.id, kept, w.Rand.Float64, uint64(m.life))
 	if err != nil {
 		panic(err)
 	}
 	life := m.life
 	m.f = f
-	f.Wire(control.Reach{
-		Send:    func(ip string, frame *rpc.Frame) { m.send(ip, frame) },
-		Store:   func(x []consensus.Write) { m.store(life, x) },
-		Ask:     func(q failover.Question, _ statemachine.Host) { m.ask(life, q) },
-		Promote: func(p failover.Promotion) { m.promote(life, p) },
+	f.SetEnvironment(control.Environment{
+		Send:      func(ip string, frame *rpc.Frame) { m.send(ip, frame) },
+		Persist:   func(x []consensus.Write) { m.store(life, x) },
+		QueryHost: func(q failover.HostQuery, _ statemachine.Host) { m.ask(life, q) },
+		Promote:   func(p failover.Promotion) { m.promote(life, p) },
 	})
 	m.tick(life)
 }
@@ -160,7 +160,7 @@
 		if m.f.Tick() {
 			next = 17 * ms
 		}
-		m.c.w.In(next, func() { m.tick(life) })
+		m.c.w.After(next, func() { m.tick(life) })
 	})
 }
 
@@ -172,11 +172,11 @@
 	}
 	m.order[ip] = max(m.order[ip]+1, w.Now+w.Between(ms/2, 3*ms))
 	life, resets, theirs := to.life, m.resets, to.resets
-	w.In(m.order[ip]-w.Now, func() {
+	w.After(m.order[ip]-w.Now, func() {
 		if m.cut || m.mute || to.cut || to.deaf || m.resets != resets || to.resets != theirs {
 			return
 		}
-		to.do(life, func() { to.f.Hear(m.ip, f) })
+		to.do(life, func() { to.f.HandleFrame(m.ip, f) })
 	})
 }
 
@@ -185,40 +185,40 @@
 	m.queue = append(m.queue, x...)
 	seq := x[len(x)-1].Seq
 	took := w.Between(ms/2, 8*ms)
-	if w.Odds(100) {
+	if w.OneIn(100) {
 		took = w.Between(50*ms, 600*ms)
 	}
-	w.In(took, func() {
+	w.After(took, func() {
 		m.do(life, func() {
 			for len(m.queue) > 0 && m.queue[0].Seq <= seq {
-				m.disk.Put(m.queue[0])
+				m.disk.ApplyWrite(m.queue[0])
 				m.queue = m.queue[1:]
 			}
-			m.f.Saved(seq)
+			m.f.Persisted(seq)
 		})
 	})
 }
 
 // ask brings a question to a host.
-func (m *member) ask(life int, q failover.Question) {
+func (m *member) ask(life int, q failover.HostQuery) {
 	w := m.c.w
-	w.In(w.Between(1*ms, 4*ms), func() {
-		r := failover.Reply{To: q}
+	w.After(w.Between(1*ms, 4*ms), func() {
+		r := failover.QueryResult{Query: q}
 		back := w.Between(1*ms, 4*ms)
 		switch h := w.db.Host(q.Host); {
 		case h == nil || !h.Up && !h.Dark && !m.blind:
-			r.Refused = true
+			r.ConnectionRefused = true
 		case !h.Up || h.Dark || m.blind || w.Now < w.frozen[h.ID]:
-			r.Silent, back = true, 350*ms
+			r.TimedOut, back = true, 350*ms
 			if h.Up && !h.Dark && !m.blind {
 				w.runsLate(q, h)
 			}
 		case m.c.answer != nil && m.c.answer(q, h):
-			r.Status = wire.Status{Term: h.Term, Received: h.At(len(h.Log))}
+			r.Status = wire.HostStatus{Term: h.Term, Received: h.At(len(h.Log))}
 		default:
-			r.Status = h.Control(q.Verb.Text(), q.Term)
+			r.Status = h.Control(q.Command.Text(), q.Term)
 		}
-		w.In(back, func() { m.do(life, func() { m.f.Replied(r) }) })
+		w.After(back, func() { m.do(life, func() { m.f.QueryFinished(r) }) })
 	})
 }
 
@@ -226,48 +226,48 @@
 func (m *member) promote(life int, p failover.Promotion) {
 	w, c := m.c.w, m.c
 	c.calls++
-	w.Note("%s names %s to the platform, fence %d", m.ip, p.Host, p.Fence)
-	if was := c.holders[p.Fence]; was != "" && was != p.Holder {
-		w.Broke("a fence of %s is used by %s", was, p.Holder)
+	w.Note("%s names %s to the platform, fence %d", m.ip, p.Host, p.FencingToken)
+	if was := c.holders[p.FencingToken]; was != "" && was != p.Owner {
+		w.Violate("a fence of %s is used by %s", was, p.Owner)
 	}
-	c.holders[p.Fence] = p.Holder
+	c.holders[p.FencingToken] = p.Owner
 	way := w.Between(2*ms, 20*ms)
-	if c.takes == nil && w.Odds(6) {
+	if c.takes == nil && w.OneIn(6) {
 		way = w.Between(100*ms, 2*s) // it is slow
 	}
-	o, blind := failover.Done, m.blind
-	answer := func() { m.do(life, func() { m.f.Called(p, o) }) }
+	o, blind := failover.PromotionSucceeded, m.blind
+	answer := func() { m.do(life, func() { m.f.PromotionFinished(p, o) }) }
 	if blind {
-		o = failover.Later
-		w.In(600*ms, answer)
+		o = failover.PromotionNotExecuted
+		w.After(600*ms, answer)
 		return
 	}
-	w.In(way, func() {
+	w.After(way, func() {
 		host := w.db.Host(p.Host)
 		switch {
-		case c.fencing && p.Fence < c.fences[p.Service], host == nil || !host.Up:
-			o = failover.Rejected
-		case c.takes == nil && w.Odds(10):
-			o = failover.Later
+		case c.fencing && p.FencingToken < c.fences[p.Service], host == nil || !host.Up:
+			o = failover.PromotionRejected
+		case c.takes == nil && w.OneIn(10):
+			o = failover.PromotionNotExecuted
 		default:
-			c.fences[p.Service] = max(c.fences[p.Service], p.Fence)
+			c.fences[p.Service] = max(c.fences[p.Service], p.FencingToken)
 			took := w.Between(80*ms, 400*ms)
 			if c.takes != nil {
 				took = c.takes()
 			}
-			w.In(took, func() { host.Promote() })
-			if c.takes == nil && w.Odds(5) {
-				o = failover.Unclear
+			w.After(took, func() { host.Promote() })
+			if c.takes == nil && w.OneIn(5) {
+				o = failover.PromotionUnknown
 			}
 		}
 		if way > 900*ms {
 			return
 		}
-		w.In(w.Between(2*ms, 8*ms), answer)
+		w.After(w.Between(2*ms, 8*ms), answer)
 	})
 	if way > 900*ms { // it waits no longer
-		o = failover.Unclear
-		w.In(900*ms, func() { m.do(life, func() { m.f.Called(p, failover.Unclear) }) })
+		o = failover.PromotionUnknown
+		w.After(900*ms, func() { m.do(life, func() { m.f.PromotionFinished(p, failover.PromotionUnknown) }) })
 	}
 }
 
@@ -275,7 +275,7 @@
 func (c *council) beat(h *database.Host) {
 	w := c.w
 	c.seq++
-	b := control.Beat{Service: "db", Address: c.address(h.ID), Zone: "z", Capacity: 5, State: "serving", DbRole: "follower", CallSeq: c.seq}
+	b := control.HeartbeatRequest{Service: "db", Address: c.address(h.ID), Zone: "z", Capacity: 5, State: "serving", DbRole: "follower", CallSeq: c.seq}
 	if h.Leader {
 		b.DbRole = "leader"
 	}
@@ -286,22 +286,22 @@
 	if err != nil {
 		panic(err)
 	}
-	c.call(h.ID, "/Instances.Heartbeat/"+h.ID, body, w.Chance.IntN(3), 4)
+	c.call(h.ID, "/Instances.Heartbeat/"+h.ID, body, w.Rand.IntN(3), 4)
 }
 
 func (c *council) call(id, path string, body []byte, turn, tries int) {
 	w, taken := c.w, false
-	w.In(w.Between(1*ms, 4*ms), func() {
+	w.After(w.Between(1*ms, 4*ms), func() {
 		if h := w.db.Host(id); h == nil || h.Dark {
 			return
 		}
 		m := c.members[turn%3]
 		m.do(m.life, func() {
-			m.f.Take(http.MethodPost, path, "", body, func(status int, _ []byte) {
-				taken = taken || status == http.StatusOK && !w.Odds(10) // else its answer is lost, and it is sent again
+			m.f.HandleCall(http.MethodPost, path, "", body, func(status int, _ []byte) {
+				taken = taken || status == http.StatusOK && !w.OneIn(10) // else its answer is lost, and it is sent again
 			})
 		})
-		w.In(w.Between(200*ms, s), func() {
+		w.After(w.Between(200*ms, s), func() {
 			if !taken && tries > 0 {
 				c.call(id, path, body, turn+1, tries-1)
 			}
@@ -319,9 +319,9 @@
 	old := h.ID
 	c.draining[old] = true
 	c.beat(h)
-	w.In(3*s, func() {
-		c.call(old, "/Instances.Leave/"+old, nil, w.Chance.IntN(3), 4)
-		w.In(100*ms, func() {
+	w.After(3*s, func() {
+		c.call(old, "/Instances.Leave/"+old, nil, w.Rand.IntN(3), 4)
+		w.After(100*ms, func() {
 			h.Crash(false, w.Between(200*ms, 900*ms))
 			c.renamed++
 			delete(c.draining, old)
@@ -337,7 +337,7 @@
 		return
 	}
 	c.strike()
-	c.w.In(c.w.Between(200*ms, 1500*ms), c.strikes)
+	c.w.After(c.w.Between(200*ms, 1500*ms), c.strikes)
 }
 
 // strike is a fault of one member, while all others are well.
@@ -348,8 +348,8 @@
 			return
 		}
 	}
-	at := w.Chance.IntN(3)
-	if w.Odds(2) {
+	at := w.Rand.IntN(3)
+	if w.OneIn(2) {
 		for i, l := range c.members {
 			if l.up && l.leads() {
 				at = i
@@ -361,38 +361,38 @@
 	m.outAt = w.Now + back
 	life := m.life
 	heals := func() { m.heal(life) }
-	kind := w.Chance.IntN(len(c.struck))
+	kind := w.Rand.IntN(len(c.struck))
 	c.struck[kind]++
 	switch kind {
 	case 0, 1:
-		power := w.Odds(2)
+		power := w.OneIn(2)
 		w.Note("member %s dies, power %v", m.ip, power)
 		m.crash(power)
-		w.In(back, m.start)
+		w.After(back, m.start)
 	case 2:
-		if w.Odds(3) {
+		if w.OneIn(3) {
 			back += w.Between(s, 4*s)
 			m.outAt = w.Now + back
 		}
 		w.Note("member %s stands still for %d ms", m.ip, back/ms)
 		m.frozen = true
-		w.In(back, func() { m.thaw(life) })
+		w.After(back, func() { m.thaw(life) })
 	case 3:
 		w.Note("member %s is cut off from the others", m.ip)
 		m.cut = true
-		w.In(back, heals)
+		w.After(back, heals)
 	case 4:
 		w.Note("member %s is cut off from hosts and the platform", m.ip)
 		m.blind = true
-		w.In(back, heals)
+		w.After(back, heals)
 	case 5:
 		w.Note("member %s hears no other", m.ip)
 		m.deaf = true
-		w.In(back, heals)
+		w.After(back, heals)
 	case 6:
 		w.Note("member %s is heard by no other", m.ip)
 		m.mute = true
-		w.In(back, heals)
+		w.After(back, heals)
 	case 7:
 		w.Note("connections of member %s are reset, now and then", m.ip)
 		c.reset(m, life, w.Now+back)
@@ -400,22 +400,22 @@
 		w.Note("member %s is to end, and starts anew", m.ip)
 		m.end(func() {
 			m.outAt = w.Now + back
-			w.In(back, m.start)
+			w.After(back, m.start)
 		})
 	case 9:
 		w.Note("member %s dies, and its disk is lost", m.ip)
 		m.crash(true)
 		m.outAt += 2 * s
-		w.In(back, m.wiped)
+		w.After(back, m.wiped)
 	case 10:
 		w.Note("member %s dies for good", m.ip)
 		m.crash(true)
 		m.outAt += 3 * s
-		w.In(back, func() { c.replace(at) })
+		w.After(back, func() { c.replace(at) })
 	case 11:
 		next := c.replace(at)
 		m.outAt = w.Now + 6*s
-		w.In(2*s+back, func() {
+		w.After(2*s+back, func() {
 			w.Note("member %s is to end, %s stands by", m.ip, next.ip)
 			m.end(func() {})
 		})
@@ -424,7 +424,7 @@
 
 // wiped starts a member with an empty disk.
 func (m *member) wiped() {
-	m.disk = consensus.Restored{}
+	m.disk = consensus.RestoredState{}
 	if !m.c.sameName {
 		m.id = m.c.newcomer(m.ip)
 	}
@@ -452,19 +452,19 @@
 func (m *member) end(then func()) {
 	w, life, until := m.c.w, m.life, m.c.w.Now+6*s
 	over := false
-	m.do(life, func() { m.f.End() })
+	m.do(life, func() { m.f.BeginShutdown() })
 	var look func()
 	look = func() {
 		if !m.up || m.life != life || over {
 			return
 		}
-		m.do(life, func() { over = over || m.f.Ended() })
+		m.do(life, func() { over = over || m.f.ShutdownComplete() })
 		if !over && w.Now < until {
-			w.In(50*ms, look)
+			w.After(50*ms, look)
 			return
 		}
 		over = true
-		w.In(100*ms, func() {
+		w.After(100*ms, func() {
 			if m.life == life && m.up {
 				w.Note("member %s ends", m.ip)
 				m.crash(false)
@@ -472,7 +472,7 @@
 			}
 		})
 	}
-	w.In(50*ms, look)
+	w.After(50*ms, look)
 }
 
 // reset breaks a member's connections to others and to routers; they connect anew.
@@ -483,11 +483,11 @@
 	}
 	m.resets++
 	for _, l := range m.served() {
-		if w.Odds(2) {
+		if w.OneIn(2) {
 			l.part()
 		}
 	}
-	w.In(w.Between(5*ms, 400*ms), func() { c.reset(m, life, until) })
+	w.After(w.Between(5*ms, 400*ms), func() { c.reset(m, life, until) })
 }
 
 // served are a member's links, the oldest first.
@@ -499,10 +499,10 @@
 	if m.frozen {
 		return false
 	}
-	m.f.Take(http.MethodGet, "/Member.Status", "", nil, func(_ int, body []byte) {
+	m.f.HandleCall(http.MethodGet, "/Member.Status", "", nil, func(_ int, body []byte) {
 		var st control.Status
 		if json.Unmarshal(body, &st) == nil {
-			is = st.Standing.Holds
+			is = st.Consensus.HoldsLease
 		}
 	})
 	return is
@@ -513,10 +513,10 @@
 	m.up = false
 	if !power {
 		for _, x := range m.queue {
-			if w.Odds(2) {
+			if w.OneIn(2) {
 				break
 			}
-			m.disk.Put(x)
+			m.disk.ApplyWrite(x)
 		}
 	}
 	m.queue = nil
@@ -551,7 +551,7 @@
 	life   int
 	m      *member
 	mlife  int
-	at     *control.Router
+	at     *control.ProxyConn
 	over   bool
 	torn   bool
 	leads  bool
@@ -579,14 +579,14 @@
 	l := &tie{r: r, opened: w.council.ties, life: life, m: m, mlife: m.life, asked: map[uint64]int64{}, heard: w.Now}
 	r.link = l
 	if !m.up || m.frozen || r.cut {
-		w.In(200*ms, l.part)
+		w.After(200*ms, l.part)
 		return
 	}
 	from := uint64(0)
-	r.run(life, func(h *Headstock) { from = h.from() })
+	r.run(life, func(h *Server) { from = h.from() })
 	m.links[l] = true
 	l.toMember(func() {
-		l.at = m.f.Meet(&rpc.Hello{Node: r.name, Life: uint64(life), Zone: "z", From: from}, r.name, l.send, func() { w.In(2*ms, l.part) })
+		l.at = m.f.AcceptProxy(&rpc.Hello{Node: r.name, Incarnation: uint64(life), Zone: "z", AppliedIndex: from}, r.name, l.send, func() { w.After(2*ms, l.part) })
 	})
 	l.deaf()
 }
@@ -594,7 +594,7 @@
 func (l *tie) toMember(do func()) {
 	w := l.r.w
 	l.there = max(l.there+1, w.Now+w.Between(ms/2, 3*ms))
-	w.In(l.there-w.Now, func() {
+	w.After(l.there-w.Now, func() {
 		if l.torn = l.torn || l.r.cut; !l.over && !l.torn { // what was held up holds up all behind it
 			l.m.do(l.mlife, do)
 		}
@@ -605,47 +605,47 @@
 func (l *tie) send(f *rpc.Frame) bool {
 	w, r := l.r.w, l.r
 	l.here = max(l.here+1, w.Now+w.Between(ms/2, 3*ms))
-	w.In(l.here-w.Now, func() {
+	w.After(l.here-w.Now, func() {
 		if l.torn = l.torn || r.cut; !l.over && !l.torn {
-			r.run(l.life, func(h *Headstock) { l.take(h, f) })
+			r.run(l.life, func(h *Server) { l.take(h, f) })
 		}
 	})
 	return true
 }
 
 // take is what link.follow does with a frame.
-func (l *tie) take(h *Headstock, f *rpc.Frame) {
+func (l *tie) take(h *Server, f *rpc.Frame) {
 	w, r := l.r.w, l.r
 	if l.over {
 		return
 	}
 	l.heard = w.Now
 	switch {
-	case f.Welcome != nil && !f.Welcome.Leads:
+	case f.Welcome != nil && !f.Welcome.IsLeader:
 		l.over = true
 		delete(l.m.links, l)
 		for _, m := range w.council.members {
 			if m.ip == f.Welcome.Leader {
-				w.In(1, func() { r.open(l.life, m) })
+				w.After(1, func() { r.open(l.life, m) })
 				return
 			}
 		}
-		w.In(60*ms, func() { r.seek(l.life) })
+		w.After(60*ms, func() { r.seek(l.life) })
 	case f.Welcome != nil:
 		l.leads = true
-		w.In(1, l.renews)
-	case f.News != nil:
-		if !h.news(f.News) {
+		w.After(1, l.renews)
+	case f.LogUpdate != nil:
+		if !h.news(f.LogUpdate) {
 			l.part()
 			return
 		}
 		h.nudge()
-	case f.Lease != nil && !f.Lease.Granted:
-		w.In(1, l.part)
-	case f.Lease != nil:
-		at := l.asked[f.Lease.Serial]
-		delete(l.asked, f.Lease.Serial)
-		h.leased(f.Lease, at)
+	case f.LeaseResponse != nil && !f.LeaseResponse.Granted:
+		w.After(1, l.part)
+	case f.LeaseResponse != nil:
+		at := l.asked[f.LeaseResponse.Serial]
+		delete(l.asked, f.LeaseResponse.Serial)
+		h.leased(f.LeaseResponse, at)
 	}
 }
 
@@ -657,14 +657,14 @@
 	l.over = true
 	delete(l.m.links, l)
 	if m, at := l.m, l.at; at != nil {
-		l.r.w.In(2*ms, func() { m.do(l.mlife, func() { m.f.Parted(at) }) })
+		l.r.w.After(2*ms, func() { m.do(l.mlife, func() { m.f.ProxyDisconnected(at) }) })
 	}
-	l.r.w.In(60*ms, func() { l.r.seek(l.life) })
+	l.r.w.After(60*ms, func() { l.r.seek(l.life) })
 }
 
 func (l *tie) deaf() {
 	w := l.r.w
-	w.In(20*ms, func() {
+	w.After(20*ms, func() {
 		switch {
 		case l.over:
 		case w.Now > l.heard+deaf.Milliseconds()*ms && w.Now > l.r.frozen:
@@ -678,16 +678,16 @@
 func (l *tie) renews() {
 	if !l.over && l.r.up && l.r.life == l.life {
 		l.renew()
-		l.r.w.In(300*ms, l.renews)
+		l.r.w.After(300*ms, l.renews)
 	}
 }
 
 func (l *tie) renew() {
-	l.r.run(l.life, func(h *Headstock) {
+	l.r.run(l.life, func(h *Server) {
 		l.serial++
-		n := &rpc.Renew{Serial: l.serial, Applied: h.state.Index}
+		n := &rpc.LeaseRequest{Serial: l.serial, AppliedIndex: h.state.Index}
 		l.asked[l.serial] = h.clock.Now()
-		l.toMember(func() { l.m.f.Said(l.at, &rpc.Frame{Renew: n}) })
+		l.toMember(func() { l.m.f.HandleProxyFrame(l.at, &rpc.Frame{LeaseRequest: n}) })
 	})
 }
 
@@ -697,9 +697,9 @@
 	switch {
 	case l == nil || l.over || !l.leads:
 	case f == nil:
-		r.w.In(0, l.renew)
+		r.w.After(0, l.renew)
 	default:
-		l.toMember(func() { l.m.f.Said(l.at, f) })
+		l.toMember(func() { l.m.f.HandleProxyFrame(l.at, f) })
 	}
 }
 
--- a/internal/proxy/defence_test.go
+++ b/internal/proxy/defence_test.go
@@ -23,9 +23,9 @@
 			for _, r := range w.routers {
 				do(r)
 			}
-			w.In(5*ms, again)
+			w.After(5*ms, again)
 		}
-		w.In(0, again)
+		w.After(0, again)
 	}
 	for name, out := range map[string]struct {
 		breaks  string
@@ -34,23 +34,23 @@
 	}{
 		"a lead passes on while others still act on the old one": {"STALE LOST", func(w *world) {
 			w.control.clear = func(uint64) bool { return true }
-			w.In(1500*ms, func() { w.routers[0].cut = true })
-			w.In(1600*ms, w.drain)
-			w.In(5*s, func() { w.routers[0].cut = false })
+			w.After(1500*ms, func() { w.routers[0].cut = true })
+			w.After(1600*ms, w.drain)
+			w.After(5*s, func() { w.routers[0].cut = false })
 		}, false},
 		"a lease that never ends": {"STALE LOST", func(w *world) {
-			every(w, func(r *router) { r.h.screw.Granted(1 << 50) })
+			every(w, func(r *router) { r.h.screw.Renewed(1 << 50) })
 		}, false},
 		"a replica that has less is promoted": {"LOST STALE", func(w *world) {
-			w.control.answer = func(q failover.Question, r *failover.Reply) {
-				if q.Verb == failover.Pause {
+			w.control.answer = func(q failover.HostQuery, r *failover.QueryResult) {
+				if q.Command == failover.Pause {
 					r.Status.Received = wire.Position{Term: 1} // all look alike
 				}
 			}
 		}, false},
 		"replicas are not stopped before they are asked": {"LOST STALE", func(w *world) {
-			w.control.answer = func(q failover.Question, r *failover.Reply) {
-				if q.Verb == failover.Pause {
+			w.control.answer = func(q failover.HostQuery, r *failover.QueryResult) {
+				if q.Command == failover.Pause {
 					w.db.Host(q.Host).Paused = 0
 				}
 			}
@@ -91,46 +91,46 @@
 			every(w, func(r *router) {
 				for _, n := range r.h.hosts {
 					for k := range n.all {
-						if len(k.fixture.Sum) > 0 {
-							k.fixture.Sum = ""
+						if len(k.fixture.ValuesKey) > 0 {
+							k.fixture.ValuesKey = ""
 						}
 					}
 				}
 			})
 		}, false},
 		"replicas that were PAUSEd are not told to go on": {"PAUSED", func(w *world) {
-			w.council.answer = func(q failover.Question, h *database.Host) bool { return q.Verb == failover.Resume }
+			w.council.answer = func(q failover.HostQuery, h *database.Host) bool { return q.Command == failover.Resume }
 		}, true},
 		"what a replica that left may alone have had is forgotten": {"LOST STALE", func(w *world) {
 			w.council.address = func(string) string { return "10.1.0.1:1000" } // any new host seems to have its log
-			w.In(1500*ms, func() {
+			w.After(1500*ms, func() {
 				w.db.Hosts[1].Deaf = true
 				w.council.drain(w.db.Hosts[2])
 			})
-			w.In(4700*ms, func() { w.db.Hosts[0].Crash(true, 6*s) })
-			w.In(4750*ms, func() { w.council.beat(w.db.Hosts[1]) })
+			w.After(4700*ms, func() { w.db.Hosts[0].Crash(true, 6*s) })
+			w.After(4750*ms, func() { w.council.beat(w.db.Hosts[1]) })
 		}, true},
 		"a member whose disk is lost counts as before": {"ORDER", func(w *world) {
 			c := w.council
 			c.sameName = true
-			w.In(1900*ms, func() { c.members[0].cut = true })
-			w.In(4500*ms, func() {
+			w.After(1900*ms, func() { c.members[0].cut = true })
+			w.After(4500*ms, func() {
 				c.members[1].crash(true)
 				c.members[2].crash(true)
 				c.members[1].wiped()
 				c.members[0].heal(1)
 			})
-			w.In(9*s, c.members[2].start)
+			w.After(9*s, c.members[2].start)
 		}, true},
 		"a router's clock runs slower than leases allow": {"STALE LOST", func(w *world) {
 			r := w.routers[0]
 			r.rate = -500
-			w.In(900*ms, r.kill)
-			w.In(3500*ms, func() {
+			w.After(900*ms, r.kill)
+			w.After(3500*ms, func() {
 				r.cut = true
 				w.drain()
 			})
-			w.In(9*s, func() { r.cut = false })
+			w.After(9*s, func() { r.cut = false })
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -143,7 +143,7 @@
 				w := build(uint64(seed), 3, 9)
 				out.take(w)
 				w.play()
-				for _, b := range w.Broken {
+				for _, b := range w.Violations {
 					for _, rule := range strings.Fields(out.breaks) {
 						if strings.Contains(b, rule) {
 							t.Logf("caught by seed %d: %s", seed, b)
--- a/internal/proxy/feel.go
+++ b/internal/proxy/feel.go
@@ -13,7 +13,7 @@
 const mostDatagram = 8 << 10
 
 // feel hears the datagrams of other routers until the end.
-func (h *Headstock) feel(conn net.PacketConn) {
+func (h *Server) feel(conn net.PacketConn) {
 	b := make([]byte, mostDatagram)
 	for {
 		n, from, err := conn.ReadFrom(b)
@@ -32,12 +32,12 @@
 			h.Torn.Add(1)
 			continue
 		}
-		h.queue.Put(eventloop.Outcomes, func() { h.pass(h.feeler.Heard(m, h.clock.Now())) })
+		h.queue.Put(eventloop.PriorityOutcomes, func() { h.pass(h.feeler.HandleMessage(m, h.clock.Now())) })
 	}
 }
 
 // pass sends what the feeler asks for; a datagram that can't go at once is lost, as any may be.
-func (h *Headstock) pass(all []gossip.Out) {
+func (h *Server) pass(all []gossip.Outgoing) {
 	for _, o := range all {
 		to, err := net.ResolveUDPAddr("udp4", o.To)
 		if err != nil {
@@ -52,7 +52,7 @@
 }
 
 // meet has the feeler do what is due, and know of routers that the control plane named.
-func (h *Headstock) meet(addresses []string) {
+func (h *Server) meet(addresses []string) {
 	if h.feeler == nil {
 		return
 	}
@@ -60,12 +60,12 @@
 	if len(addresses) > 0 {
 		var all []string
 		for _, ip := range addresses {
-			all = append(all, h.plate.Link(ip))
+			all = append(all, h.plate.PeerAddress(ip))
 		}
-		h.pass(h.feeler.Known(all, now))
+		h.pass(h.feeler.AddSeeds(all, now))
 	}
 	if now >= h.feelAt {
 		h.pass(h.feeler.Tick(now))
-		h.feelAt = h.feeler.Next()
+		h.feelAt = h.feeler.NextTick()
 	}
 }
--- a/internal/proxy/hosts.go
+++ b/internal/proxy/hosts.go
@@ -22,7 +22,7 @@
 // host is a database host, and this router's connections to it.
 type host struct {
 	statemachine.Host
-	h        *Headstock
+	h        *Server
 	node     *policy.Node
 	service  *service
 	idle     []*hostConn // the most recently used last
@@ -30,7 +30,7 @@
 	opening  int
 	waiting  []*call
 	gone     bool
-	line     lossdetect.Line
+	line     lossdetect.Detector
 	heardAt  time.Time // when it last answered anything
 	told     int64     // when it was last told to be suspect
 	drainAt  time.Time // when this router learned that it drains
@@ -43,7 +43,7 @@
 type hostConn struct {
 	host    *host
 	out     nonblockingConn
-	fixture session.Fixture
+	fixture session.ConnState
 	call    *call          // whose statement is out, or is being made ready
 	session *clientSession // whose transaction is open on it
 	setup   int            // statements of the router's own that are not answered yet
@@ -61,7 +61,7 @@
 		return
 	}
 	n.waiting = append(n.waiting, c)
-	if len(n.all)+n.opening < n.h.share(n).Most() && n.opening < len(n.waiting) {
+	if len(n.all)+n.opening < n.h.share(n).MaxConns() && n.opening < len(n.waiting) {
 		n.open()
 	}
 }
@@ -71,11 +71,11 @@
 	best := -1
 	for i := len(n.idle) - 1; i >= 0; i-- {
 		k := n.idle[i]
-		if k.fixture.Fits(&s.Session) {
+		if k.fixture.Matches(&s.Session) {
 			best = i
 			break
 		}
-		if best < 0 || k.fixture.Sum == "" {
+		if best < 0 || k.fixture.ValuesKey == "" {
 			best = i
 		}
 	}
@@ -97,12 +97,12 @@
 }
 
 // dialer opens a connection in a goroutine of its own, which reads from it from then on.
-func (h *Headstock) dialer(n *host, asked policy.Tenth, lead uint64) {
+func (h *Server) dialer(n *host, asked policy.Tenth, lead uint64) {
 	address, service, id := n.Address, n.Service, n.ID
 	h.tasks.Go(func() {
 		conn, err := rpc.Dial(h.ctx, h.plate.Ip, address, connectFor)
 		k := &hostConn{host: n, opened: asked}
-		var a wire.Answer
+		var a wire.Response
 		in := &lines{conn: conn}
 		if err == nil {
 			conn.SetDeadline(time.Now().Add(connectFor))
@@ -113,7 +113,7 @@
 			k.out = newBufferedConn(conn)
 		}
 		up := err == nil && a.Code == ""
-		if !h.queue.Put(eventloop.Outcomes, func() { n.opened(k, a, err, lead) }) || !up {
+		if !h.queue.Put(eventloop.PriorityOutcomes, func() { n.opened(k, a, err, lead) }) || !up {
 			if conn != nil {
 				conn.Close()
 			}
@@ -124,16 +124,16 @@
 }
 
 // gather reads one answer.
-func gather(in *lines) (a wire.Answer, err error) {
+func gather(in *lines) (a wire.Response, err error) {
 	for {
-		line, raw, err := in.next(wire.Line)
+		line, raw, err := in.next(wire.CutLine)
 		if err != nil {
-			if a.Ended() && a.Code != "" { // of CONNECT: an error and a close
+			if a.Completed() && a.Code != "" { // of CONNECT: an error and a close
 				return a, nil
 			}
 			return a, err
 		}
-		whole, err := a.Take(line, raw)
+		whole, err := a.AddLine(line, raw)
 		if err != nil || whole {
 			return a, err
 		}
@@ -146,7 +146,7 @@
 	for {
 		a, err := gather(in)
 		at := time.Now()
-		h.queue.Put(eventloop.Outcomes, func() {
+		h.queue.Put(eventloop.PriorityOutcomes, func() {
 			if err == nil {
 				h.arrived(k, &a, at)
 			}
@@ -162,7 +162,7 @@
 }
 
 // opened takes in how an opening ended. lead is what lead it was begun under.
-func (n *host) opened(k *hostConn, a wire.Answer, err error, lead uint64) {
+func (n *host) opened(k *hostConn, a wire.Response, err error, lead uint64) {
 	h := n.h
 	n.opening--
 	h.moment()
@@ -172,8 +172,8 @@
 	}
 	if err != nil || a.Code != "" {
 		h.Broken.Add(1)
-		o, refused := policy.Unreached, errors.Is(err, syscall.ECONNREFUSED) || a.Code == wire.WrongNode
-		if a.Code == wire.Overload || a.Code == wire.Retry {
+		o, refused := policy.Unreached, errors.Is(err, syscall.ECONNREFUSED) || a.Code == wire.CodeWrongNode
+		if a.Code == wire.CodeOverload || a.Code == wire.CodeRetry {
 			o = policy.Full
 			h.ConnsRefused.Add(1)
 		} else {
@@ -203,7 +203,7 @@
 	if now := n.h.clock.Now(); n.service.lead.Host == n.ID && now > n.told+150 {
 		n.told = now
 		n.h.Suspects.Add(1)
-		n.h.say(&rpc.Frame{Suspect: &rpc.Suspect{Service: n.Service, Host: n.ID, Refused: refused}})
+		n.h.say(&rpc.Frame{SuspectReport: &rpc.SuspectReport{Service: n.Service, Host: n.ID, Refused: refused}})
 	}
 }
 
@@ -211,18 +211,18 @@
 // holds; asked is when.
 func (n *host) position(pos wire.Position, asked policy.Tenth, lead uint64) (moment policy.Tenth, role policy.Role) {
 	s := n.service
-	if lead != 0 && lead == s.lead.At && s.lead.Host == n.ID {
+	if lead != 0 && lead == s.lead.ChangedAt && s.lead.Host == n.ID {
 		s.gauge.Add(asked, pos)
 		return asked, policy.Primary
 	}
-	if moment, role = s.gauge.Moment(pos), policy.Replica; s.lead.Host == n.ID && !s.lead.Moving {
+	if moment, role = s.gauge.UpToDateAsOf(pos), policy.Replica; s.lead.Host == n.ID && !s.lead.Revoked {
 		role = policy.Primary // by the log: a lease that is over says nothing else
 	}
 	return moment, role
 }
 
 // free makes a connection idle, or gives it to a call that waits.
-func (h *Headstock) free(k *hostConn) {
+func (h *Server) free(k *hostConn) {
 	n := k.host
 	k.call, k.session = nil, nil
 	if n.gone || k.closed {
@@ -243,7 +243,7 @@
 }
 
 // close ends a connection; what it had open the host rolls back.
-func (h *Headstock) close(k *hostConn) {
+func (h *Server) close(k *hostConn) {
 	n := k.host
 	if !k.closed {
 		k.closed = true
@@ -258,13 +258,13 @@
 
 // refill opens connections for what waits.
 func (n *host) refill() {
-	for !n.gone && n.opening < len(n.waiting) && len(n.all)+n.opening < n.h.share(n).Most() {
+	for !n.gone && n.opening < len(n.waiting) && len(n.all)+n.opening < n.h.share(n).MaxConns() {
 		n.open()
 	}
 }
 
 // broken takes in that a connection has ended.
-func (h *Headstock) broken(k *hostConn) {
+func (h *Server) broken(k *hostConn) {
 	if k.closed {
 		h.close(k)
 		return
@@ -314,7 +314,7 @@
 
 // listen has a primary that owes answers and gives none suspected.
 func (n *host) listen(now time.Time) {
-	if n.service.lead.Host != n.ID || n.service.lead.Moving {
+	if n.service.lead.Host != n.ID || n.service.lead.Revoked {
 		return
 	}
 	for _, k := range n.conns() {
@@ -329,7 +329,7 @@
 func (n *host) miss(now policy.Tenth) {
 	for _, k := range n.conns() {
 		c := k.call
-		if c == nil || !c.sent || c.step.Do != session.Pinned || c.step.Commit && c.session.Wrote || !n.line.Lost(c.sentAt, now) {
+		if c == nil || !c.sent || c.step.Action != session.UsePinnedConn || c.step.Commit && c.session.MayHaveWritten || !n.line.Lost(c.sentAt, now) {
 			continue
 		}
 		n.h.Overdue.Add(1)
@@ -347,7 +347,7 @@
 	share := n.h.share(n)
 	for len(n.idle) > 0 {
 		first := n.idle[0]
-		if len(n.all)+n.opening <= share.Most() && now.Sub(first.since).Milliseconds() <= share.Rest(len(n.idle)-1) {
+		if len(n.all)+n.opening <= share.MaxConns() && now.Sub(first.since).Milliseconds() <= share.IdleTimeoutMs(len(n.idle)-1) {
 			return
 		}
 		n.h.close(first)
--- a/internal/proxy/link_test.go
+++ b/internal/proxy/link_test.go
@@ -23,7 +23,7 @@
 	port := l.Addr().(*net.TCPAddr).Port
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	h := newHeadstock(&settings.Plate{Node: "n", Ip: "127.0.0.1", PortRange: []int{port, port}}, hclog.NewNullLogger(), eventloop.NewSteady(time.Now), 1)
+	h := newHeadstock(&settings.Settings{Node: "n", Ip: "127.0.0.1", PortRange: []int{port, port}}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
 	h.ctx = ctx
 	go func() {
 		for range h.queue.Ready {
--- a/internal/proxy/lossdetect/lossdetect.go
+++ b/internal/proxy/lossdetect/lossdetect.go
@@ -17,20 +17,20 @@
 
 type answer struct{ sent, took policy.Tenth }
 
-// Line is of one host. The zero value has seen nothing, and takes nothing for lost.
-type Line struct {
+// Detector is of one host. The zero value has seen nothing, and takes nothing for lost.
+type Detector struct {
 	recent [kept]answer
 	n      int
 }
 
-// Answered takes in an answer to what was sent at a moment.
-func (l *Line) Answered(sent, now policy.Tenth) {
+// ResponseReceived takes in an answer to what was sent at a moment.
+func (l *Detector) ResponseReceived(sent, now policy.Tenth) {
 	l.recent[l.n%kept] = answer{sent, now - sent}
 	l.n++
 }
 
 // Lost says whether the answer to what was sent at a moment will not come any more.
-func (l *Line) Lost(sent, now policy.Tenth) bool {
+func (l *Detector) Lost(sent, now policy.Tenth) bool {
 	longest, later := policy.Tenth(0), 0
 	for _, a := range l.recent[:min(l.n, kept)] {
 		longest = max(longest, a.took)
--- a/internal/proxy/lossdetect/lossdetect_test.go
+++ b/internal/proxy/lossdetect/lossdetect_test.go
@@ -15,7 +15,7 @@
 	found, waited := 0, policy.Tenth(0)
 	for seed := range 300 {
 		chance := rand.New(rand.NewPCG(uint64(seed), 11))
-		var l Line
+		var l Detector
 		type out struct{ sent, due policy.Tenth }
 		var all []out
 		lost := policy.Tenth(0)
@@ -45,7 +45,7 @@
 					left = append(left, o)
 					continue
 				}
-				l.Answered(o.sent, now)
+				l.ResponseReceived(o.sent, now)
 			}
 			all = left
 			if lost > 0 && l.Lost(lost, now) {
--- a/internal/proxy/moments_test.go
+++ b/internal/proxy/moments_test.go
@@ -11,11 +11,11 @@
 // reset ends a connection before, while or after a statement is written, or after it has run.
 func (c *dbConn) reset(b []byte) (n int, ok bool) {
 	w := c.r.w
-	switch moment := w.Chance.IntN(4); moment {
+	switch moment := w.Rand.IntN(4); moment {
 	case 0:
 		return 0, false
 	case 1:
-		n = 1 + w.Chance.IntN(len(b)-1)
+		n = 1 + w.Rand.IntN(len(b)-1)
 		c.later(w.Between(ms/2, 3*ms), func() { c.feed(b[:n]) })
 		return n, false
 	default:
@@ -43,7 +43,7 @@
 		w := newWorld(uint64(seed), 3, 9)
 		w.resets = 25
 		w.play()
-		require.Empty(t, w.Broken, "seed %d: %s", seed, w.report())
+		require.Empty(t, w.Violations, "seed %d: %s", seed, w.report())
 		for _, r := range w.routers {
 			if r.h != nil {
 				ended[0] += r.h.Outcomes[policy.Unreached].Load()
--- a/internal/proxy/news.go
+++ b/internal/proxy/news.go
@@ -18,7 +18,7 @@
 
 // link follows the control plane: it finds the member that leads, follows its log, and renews the lease.
 type link struct {
-	h       *Headstock
+	h       *Server
 	out     chan *rpc.Frame
 	members []string // addresses, as last told
 	next    string   // where to go next; empty: in turn
@@ -71,12 +71,12 @@
 }
 
 // seeds are addresses of the control plane's members that other routers or the settings name.
-func (h *Headstock) seeds() []string {
+func (h *Server) seeds() []string {
 	got := make(chan []string, 1)
-	if !h.queue.Put(eventloop.Lists, func() {
-		all := h.plate.Seeds()
+	if !h.queue.Put(eventloop.PriorityLists, func() {
+		all := h.plate.SeedHosts()
 		if h.feeler != nil { // the settings may be old; others may know better
-			members, _ := h.feeler.Control()
+			members, _ := h.feeler.ControlMembers()
 			all = append(slices.Clone(members), all...)
 		}
 		got <- all
@@ -96,16 +96,16 @@
 	h := l.h
 	ctx, end := context.WithCancel(h.ctx)
 	defer end()
-	socket, err := rpc.Reach(ctx, h.plate.Ip, h.plate.Link(ip), 200*time.Millisecond)
+	socket, err := rpc.DialHedged(ctx, h.plate.Ip, h.plate.PeerAddress(ip), 200*time.Millisecond)
 	if err != nil {
 		return false
 	}
-	c := rpc.Wrap(socket)
+	c := rpc.NewConn(socket)
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	from := make(chan uint64, 1)
-	if !h.queue.Put(eventloop.Lists, func() { from <- h.from() }) {
+	if !h.queue.Put(eventloop.PriorityLists, func() { from <- h.from() }) {
 		return false
 	}
 	var index uint64
@@ -114,7 +114,7 @@
 	case <-h.queue.Ended:
 		return false
 	}
-	if c.Send(&rpc.Frame{Hello: &rpc.Hello{Node: h.plate.Node, Life: h.life, Zone: h.plate.Zone, From: index}}, time.Second) != nil {
+	if c.Send(&rpc.Frame{Hello: &rpc.Hello{Node: h.plate.Node, Incarnation: h.life, Zone: h.plate.Zone, AppliedIndex: index}}, time.Second) != nil {
 		return false
 	}
 	f, err := c.Receive(greeting)
@@ -124,14 +124,14 @@
 	if len(f.Welcome.Members) > 0 {
 		l.members = f.Welcome.Members
 	}
-	if !f.Welcome.Leads {
+	if !f.Welcome.IsLeader {
 		if f.Welcome.Leader != ip {
 			l.next = f.Welcome.Leader
 		}
 		return false
 	}
 	h.Links.Add(1)
-	h.queue.Put(eventloop.Lists, func() { h.meet(f.Welcome.Routers) })
+	h.queue.Put(eventloop.PriorityLists, func() { h.meet(f.Welcome.Proxies) })
 	asked := &asks{at: map[uint64]int64{}}
 	renewed := make(chan struct{})
 	go func() {
@@ -144,29 +144,29 @@
 			break
 		}
 		switch {
-		case f.News != nil:
-			l.members = f.News.Members
-			h.queue.Put(eventloop.Lists, func() {
-				if !h.news(f.News) {
+		case f.LogUpdate != nil:
+			l.members = f.LogUpdate.Members
+			h.queue.Put(eventloop.PriorityLists, func() {
+				if !h.news(f.LogUpdate) {
 					c.Close() // the link is made anew, from where this router has come to
 					return
 				}
 				if h.feeler != nil {
-					h.feeler.SetControl(f.News.Members, f.News.Index)
+					h.feeler.SetControlMembers(f.LogUpdate.Members, f.LogUpdate.LastIndex)
 				}
 				h.nudge()
 			})
-		case f.Lease != nil:
-			if len(f.Lease.Members) > 0 {
-				l.members = f.Lease.Members
+		case f.LeaseResponse != nil:
+			if len(f.LeaseResponse.Members) > 0 {
+				l.members = f.LeaseResponse.Members
 			}
-			if !f.Lease.Granted {
+			if !f.LeaseResponse.Granted {
 				end()
 				<-renewed
 				return false
 			}
-			at := asked.take(f.Lease.Serial)
-			h.queue.Put(eventloop.Lists, func() { h.leased(f.Lease, at) })
+			at := asked.take(f.LeaseResponse.Serial)
+			h.queue.Put(eventloop.PriorityLists, func() { h.leased(f.LeaseResponse, at) })
 		}
 	}
 	end()
@@ -183,13 +183,13 @@
 	serial := uint64(0)
 	for {
 		serial++
-		filled := make(chan *rpc.Renew, 1)
-		if !h.queue.Put(eventloop.Lists, func() {
-			filled <- &rpc.Renew{Serial: serial, Applied: h.state.Index, Sessions: len(h.sessions)}
+		filled := make(chan *rpc.LeaseRequest, 1)
+		if !h.queue.Put(eventloop.PriorityLists, func() {
+			filled <- &rpc.LeaseRequest{Serial: serial, AppliedIndex: h.state.Index, Sessions: len(h.sessions)}
 		}) {
 			return
 		}
-		var r *rpc.Renew
+		var r *rpc.LeaseRequest
 		select {
 		case r = <-filled:
 		case <-h.queue.Ended:
@@ -197,7 +197,7 @@
 		}
 		asked.put(serial, h.clock.Now())
 		h.Renewals.Add(1)
-		if c.Send(&rpc.Frame{Renew: r}, time.Second) != nil {
+		if c.Send(&rpc.Frame{LeaseRequest: r}, time.Second) != nil {
 			c.Close()
 			return
 		}
@@ -220,7 +220,7 @@
 }
 
 // nudge has what was applied told at once, where a lead was taken back: another waits for it.
-func (h *Headstock) nudge() {
+func (h *Server) nudge() {
 	if h.handedBack {
 		h.handedBack = false
 		h.say(nil)
@@ -228,20 +228,20 @@
 }
 
 // leased takes in a lease; askedAt is when it was asked for.
-func (h *Headstock) leased(l *rpc.Lease, askedAt int64) {
-	if askedAt == 0 || l.Index > h.state.Index { // the log of that moment is not here yet
+func (h *Server) leased(l *rpc.LeaseResponse, askedAt int64) {
+	if askedAt == 0 || l.CommitIndex > h.state.Index { // the log of that moment is not here yet
 		return
 	}
 	h.Leases.Add(1)
-	h.screw.Granted(askedAt)
-	if l.Routers > 0 {
-		h.routers = l.Routers
+	h.screw.Renewed(askedAt)
+	if l.ProxyCount > 0 {
+		h.routers = l.ProxyCount
 	}
 	h.rounds(h.clock.Time())
 }
 
 // news takes in changes, in their order; false: some before them are missing.
-func (h *Headstock) news(n *rpc.News) bool {
+func (h *Server) news(n *rpc.LogUpdate) bool {
 	switch {
 	case n.Snapshot != nil:
 		s, err := statemachine.Restore(n.Snapshot)
@@ -250,12 +250,12 @@
 			h.Diverged.Add(1)
 			return false
 		}
-		if s.Index = max(s.Index, n.Index); s.Index < h.state.Index {
+		if s.Index = max(s.Index, n.LastIndex); s.Index < h.state.Index {
 			return true // never back
 		}
 		h.state, h.astray = s, false
 	default:
-		first := n.Index - uint64(len(n.Entries)) + 1
+		first := n.LastIndex - uint64(len(n.Entries)) + 1
 		if first > h.state.Index+1 {
 			h.Gaps.Add(1)
 			return false
@@ -266,7 +266,7 @@
 				continue
 			}
 			if len(body) > 0 {
-				if c, err := statemachine.Decode(body); err == nil && errors.Is(h.state.Apply(index, c), statemachine.ErrDiverged) { // what else it refuses all refuse
+				if c, err := statemachine.DecodeChange(body); err == nil && errors.Is(h.state.Apply(index, c), statemachine.ErrDiverged) { // what else it refuses all refuse
 					h.log.Error("the state here is not what a change builds on; a snapshot is asked for", "index", index)
 					h.Diverged.Add(1)
 					h.astray = true
@@ -281,7 +281,7 @@
 }
 
 // from is up to where the log is applied here; 0: a snapshot is wanted.
-func (h *Headstock) from() uint64 {
+func (h *Server) from() uint64 {
 	if h.astray {
 		return 0
 	}
@@ -289,7 +289,7 @@
 }
 
 // settleState works out the difference between what the state wants and what is.
-func (h *Headstock) settleState() {
+func (h *Server) settleState() {
 	h.moment()
 	h.settleServices()
 	h.settleHosts()
@@ -297,7 +297,7 @@
 	h.settleRoutes()
 }
 
-func (h *Headstock) service(name string) *service {
+func (h *Server) service(name string) *service {
 	s := h.services[name]
 	if s == nil {
 		s = &service{name: name, set: int64(len(h.services) + 1), conns: 32}
@@ -306,8 +306,8 @@
 	return s
 }
 
-func (h *Headstock) settleServices() {
-	if p := h.state.Plan(); p != nil {
+func (h *Server) settleServices() {
+	if p := h.state.Config(); p != nil {
 		for _, s := range p.Services {
 			if s.MaxConns > 0 {
 				h.service(s.Name).conns = int(s.MaxConns)
@@ -316,7 +316,7 @@
 	}
 }
 
-func (h *Headstock) settleHosts() {
+func (h *Server) settleHosts() {
 	changed := false
 	for _, id := range slices.Sorted(maps.Keys(h.state.Hosts)) {
 		want, n := h.state.Hosts[id], h.hosts[id]
@@ -336,7 +336,7 @@
 		if want.Draining && n.drainAt.IsZero() {
 			n.drainAt = h.clock.Time()
 		}
-		if want.Draining && (h.state.Leads[want.Service].Host != id || n.drained(h.clock.Time())) { // one that leads goes on until another does
+		if want.Draining && (h.state.Primaries[want.Service].Host != id || n.drained(h.clock.Time())) { // one that leads goes on until another does
 			standing = policy.Draining
 		}
 		if n.standing != standing || !n.listed {
@@ -357,24 +357,24 @@
 	}
 }
 
-func (h *Headstock) settleLeads() {
-	for _, name := range slices.Sorted(maps.Keys(h.state.Leads)) {
-		want, s := h.state.Leads[name], h.service(name)
+func (h *Server) settleLeads() {
+	for _, name := range slices.Sorted(maps.Keys(h.state.Primaries)) {
+		want, s := h.state.Primaries[name], h.service(name)
 		was := s.lead
 		if was == want {
 			continue
 		}
 		s.lead = want
-		if same := was.Host == want.Host && was.At == want.At && was.Moving == want.Moving; same && (!want.Moving || was.To == want.To) {
+		if same := was.Host == want.Host && was.ChangedAt == want.ChangedAt && was.Revoked == want.Revoked; same && (!want.Revoked || was.Nominee == want.Nominee) {
 			continue
 		}
-		if old := h.hosts[was.Host]; old != nil && (want.Moving || want.Host != was.Host) {
+		if old := h.hosts[was.Host]; old != nil && (want.Revoked || want.Host != was.Host) {
 			old.node.Leads(false)
 			h.handBack(s, old)
 		}
-		if want.Moving {
-			h.handedBack = h.handedBack || !was.Moving
-			h.module.Due(s.set, position.Due(h.now, h.state.Took, want.To != ""))
+		if want.Revoked {
+			h.handedBack = h.handedBack || !was.Revoked
+			h.module.Due(s.set, position.NextPrimaryDue(h.now, h.state.LastPromotionMs, want.Nominee != ""))
 			continue
 		}
 		s.gauge.Clear()
@@ -387,7 +387,7 @@
 
 // handBack ends what is out at a host as to the primary: what it answers from now on is not among what is looked at
 // when another takes its place.
-func (h *Headstock) handBack(s *service, n *host) {
+func (h *Server) handBack(s *service, n *host) {
 	for _, k := range n.conns() {
 		c, owner := k.call, k.session
 		switch {
@@ -408,8 +408,8 @@
 	}
 }
 
-func (h *Headstock) settleRoutes() {
-	p := h.state.Plan()
+func (h *Server) settleRoutes() {
+	p := h.state.Config()
 	if p == nil || p == h.plan {
 		return
 	}
@@ -427,23 +427,23 @@
 	}
 	maps.DeleteFunc(h.routes, func(host string, _ *route) bool { _, stays := last[host]; return !stays })
 	for _, s := range h.all() { // one whose database is no more ends as soon as it rests
-		if s.call == nil && s.At() == 'I' && h.routes[s.database] == nil {
+		if s.call == nil && s.IdleState() == 'I' && h.routes[s.database] == nil {
 			h.end(s)
 		}
 	}
 }
 
 // route readies a route: the module's groups of its reads and writes.
-func (h *Headstock) route(r config.Route) *route {
+func (h *Server) route(r config.Route) *route {
 	tenths := func(ms float64) policy.Tenth { return policy.Tenth(ms * 10) }
 	k := &route{Route: r, service: h.service(r.Service), deadline: time.Duration(r.DeadlineMs * float64(time.Millisecond)),
-		owned: r.Kind == config.Owned}
-	if r.Kind != config.Leader {
+		owned: r.Kind == config.KindOwned}
+	if r.Kind != config.KindLeader {
 		k.bound = tenths(r.StalenessMs)
 	}
-	group := func(need policy.Need, kind retry.Call) *policy.CmdGroup {
+	group := func(need policy.Need, kind retry.Operation) *policy.CmdGroup {
 		effect := policy.Mutating
-		if retry.Repeats(kind) {
+		if retry.Idempotent(kind) {
 			effect = policy.Replayable
 		}
 		target := tenths(r.TargetMs)
--- a/internal/proxy/news_test.go
+++ b/internal/proxy/news_test.go
@@ -14,41 +14,41 @@
 // A router takes in no news that does not fit what it holds: it goes on with what it has, ends the link, and begins anew
 // from a snapshot, if that is whole.
 func TestNewsThatDoNotFitEndTheLinkAndASnapshotMendsThem(t *testing.T) {
-	order := func(base, generation int64, ms int) *statemachine.Configure {
-		return &statemachine.Configure{Base: base, Body: fmt.Appendf(nil,
+	order := func(base, generation int64, ms int) *statemachine.ConfigUpdate {
+		return &statemachine.ConfigUpdate{BaseVersion: base, Body: fmt.Appendf(nil,
 			`{"Generation":%d,"Routes":[{"Name":"r","Host":"db","Kind":"leader","DeadlineMs":%d,"Service":"s"}],"Services":[{"Name":"s"}]}`, generation, ms)}
 	}
-	take := func(s *statemachine.State, c *statemachine.Configure) []byte {
-		plan, err := s.Check(c)
+	take := func(s *statemachine.State, c *statemachine.ConfigUpdate) []byte {
+		plan, err := s.CheckConfig(c)
 		require.NoError(t, err)
-		entry := statemachine.Encode(statemachine.Change{Configure: s.Pack(c, plan)})
-		change, err := statemachine.Decode(entry)
+		entry := statemachine.EncodeChange(statemachine.Change{UpdateConfig: s.Delta(c, plan)})
+		change, err := statemachine.DecodeChange(entry)
 		require.NoError(t, err)
 		require.NoError(t, s.Apply(s.Index+1, change))
 		return entry
 	}
 	w := newWorld(1, 1, 0)
-	w.Play(500 * ms)
+	w.RunFor(500 * ms)
 	h := w.routers[0].h
 	s, astray := &statemachine.State{Index: 1000}, &statemachine.State{Index: 1000}
 	take(s, order(0, 1, 100))
 	take(astray, order(0, 1, 101))
-	require.True(t, h.news(&rpc.News{Snapshot: astray.Snapshot(), Index: 1001}))
+	require.True(t, h.news(&rpc.LogUpdate{Snapshot: astray.Snapshot(), LastIndex: 1001}))
 	second, third := take(s, order(1, 2, 200)), take(s, order(2, 3, 300))
 	gaps := h.Gaps.Load()
-	require.False(t, h.news(&rpc.News{Entries: [][]byte{third}, Index: 1003}), "a gap")
+	require.False(t, h.news(&rpc.LogUpdate{Entries: [][]byte{third}, LastIndex: 1003}), "a gap")
 	require.Equal(t, gaps+1, h.Gaps.Load())
-	require.False(t, h.news(&rpc.News{Entries: [][]byte{second, third}, Index: 1003}))
+	require.False(t, h.news(&rpc.LogUpdate{Entries: [][]byte{second, third}, LastIndex: 1003}))
 	require.EqualValues(t, 1, h.Diverged.Load())
 	require.EqualValues(t, 1001, h.state.Index, "it has not come further")
 	require.Zero(t, h.from(), "a snapshot is wanted")
 	require.EqualValues(t, 101, h.routes["db"].DeadlineMs, "what it has serves on")
 	bad := bytes.Clone(s.Snapshot())
 	bad[len(bad)-9]++
-	require.False(t, h.news(&rpc.News{Snapshot: bad, Index: 1003}))
+	require.False(t, h.news(&rpc.LogUpdate{Snapshot: bad, LastIndex: 1003}))
 	require.EqualValues(t, 2, h.Diverged.Load())
-	require.True(t, h.news(&rpc.News{Snapshot: s.Snapshot(), Index: 1003}))
+	require.True(t, h.news(&rpc.LogUpdate{Snapshot: s.Snapshot(), LastIndex: 1003}))
 	require.EqualValues(t, 1003, h.from())
 	require.EqualValues(t, 300, h.routes["db"].DeadlineMs)
-	require.Equal(t, string(s.Config), string(h.state.Config))
+	require.Equal(t, string(s.ConfigBody), string(h.state.ConfigBody))
 }
--- a/internal/proxy/outage_test.go
+++ b/internal/proxy/outage_test.go
@@ -47,19 +47,19 @@
 		{"it drains", 400, func(w *world) { w.council.drain(lead(w)) }},
 		{"it drains, and a replica is down", 2600, func(w *world) {
 			other(w).Crash(false, 8*s)
-			w.In(100*ms, func() { w.council.drain(lead(w)) })
+			w.After(100*ms, func() { w.council.drain(lead(w)) })
 		}},
 		{"it ends, and a router is cut off", 2500, func(w *world) {
 			w.routers[0].cut = true
-			w.In(6*s, func() { w.routers[0].cut = false })
+			w.After(6*s, func() { w.routers[0].cut = false })
 			lead(w).Crash(false, 8*s)
 		}},
 		{"it ends, and the holder of the duty right after", 4500, func(w *world) {
 			m := holder(w)
 			lead(w).Crash(false, 8*s)
-			w.In(w.Between(40*ms, 300*ms), func() {
+			w.After(w.Between(40*ms, 300*ms), func() {
 				m.crash(true)
-				w.In(3*s, m.start)
+				w.After(3*s, m.start)
 			})
 		}},
 		{"it ends, and one member is frozen", 4500, func(w *world) {
@@ -67,7 +67,7 @@
 			m.frozen = true
 			life := m.life
 			lead(w).Crash(false, 8*s)
-			w.In(4*s, func() { m.thaw(life) })
+			w.After(4*s, func() { m.thaw(life) })
 		}},
 	} {
 		t.Run(kind.name, func(t *testing.T) {
@@ -78,16 +78,16 @@
 				w := newCouncilWorld(uint64(seed)+50000, 3, 18)
 				w.db.Losses, w.db.Refused = 0, 0
 				w.council.takes = func() int64 { return 300 * ms }
-				w.In(4*s, func() {
+				w.After(4*s, func() {
 					w.gap = 0
 					kind.strike(w)
 				})
-				w.Play(11 * s)
+				w.RunFor(11 * s)
 				if gaps = append(gaps, w.gap/ms); w.gap > worst {
 					worst, at = w.gap, seed
 				}
-				w.judge.Over()
-				require.Empty(t, w.Broken, "seed %d: %s", seed, w.report())
+				w.judge.CheckFinalLog()
+				require.Empty(t, w.Violations, "seed %d: %s", seed, w.report())
 			}
 			slices.Sort(gaps)
 			t.Logf("median %d ms, worst %d ms of %d (world %d)", gaps[len(gaps)/2], gaps[len(gaps)-1], len(gaps), at)
--- a/internal/proxy/position/position.go
+++ b/internal/proxy/position/position.go
@@ -13,8 +13,8 @@
 	"ferrypitch/policy"
 )
 
-// Margin is taken off every bound, in tenths: for the way to the host.
-const Margin = 2000
+// TransitMargin is taken off every bound, in tenths: for the way to the host.
+const TransitMargin = 2000
 
 const (
 	most   = 160
@@ -26,11 +26,11 @@
 	pos wire.Position
 }
 
-// Gauge is of one service. The zero value knows nothing.
-type Gauge struct{ samples []sample }
+// Tracker is of one service. The zero value knows nothing.
+type Tracker struct{ samples []sample }
 
 // Add takes in the primary's position in the answer to a question sent at a moment.
-func (g *Gauge) Add(sentAt policy.Tenth, pos wire.Position) {
+func (g *Tracker) Add(sentAt policy.Tenth, pos wire.Position) {
 	if !pos.Known() {
 		return
 	}
@@ -52,10 +52,10 @@
 }
 
 // Clear forgets all, for another primary: positions that only the old one had are nowhere any more.
-func (g *Gauge) Clear() { g.samples = g.samples[:0] }
+func (g *Tracker) Clear() { g.samples = g.samples[:0] }
 
 // Floor is a position that holds all that was acknowledged before a moment; ok false where none is known.
-func (g *Gauge) Floor(moment policy.Tenth) (pos wire.Position, ok bool) {
+func (g *Tracker) Floor(moment policy.Tenth) (pos wire.Position, ok bool) {
 	for _, s := range g.samples { // the oldest that will do asks least of a replica
 		if s.at >= moment {
 			return s.pos, true
@@ -64,8 +64,8 @@
 	return wire.Position{}, false
 }
 
-// Newest is the moment of the last sample, and its position.
-func (g *Gauge) Newest() (policy.Tenth, wire.Position) {
+// Latest is the moment of the last sample, and its position.
+func (g *Tracker) Latest() (policy.Tenth, wire.Position) {
 	if len(g.samples) == 0 {
 		return -1, wire.Position{}
 	}
@@ -73,8 +73,8 @@
 	return s.at, s.pos
 }
 
-// Moment says up to when a host has all that was acknowledged, if it stands at a position; -1: not known.
-func (g *Gauge) Moment(pos wire.Position) policy.Tenth {
+// UpToDateAsOf says up to when a host has all that was acknowledged, if it stands at a position; -1: not known.
+func (g *Tracker) UpToDateAsOf(pos wire.Position) policy.Tenth {
 	for i := len(g.samples) - 1; i >= 0; i-- {
 		if !pos.Before(g.samples[i].pos) {
 			return g.samples[i].at
@@ -85,28 +85,28 @@
 
 // Fence is what a read must see that may lack what was acknowledged less than bound ago, and must see a session's own
 // token; ok false where no floor is known: then only the primary will do.
-func (g *Gauge) Fence(now, bound policy.Tenth, token wire.Position) (wire.Position, bool) {
-	floor, ok := g.Floor(now - bound + Margin)
+func (g *Tracker) Fence(now, bound policy.Tenth, token wire.Position) (wire.Position, bool) {
+	floor, ok := g.Floor(now - bound + TransitMargin)
 	if floor.Before(token) {
 		floor = token
 	}
 	return floor, ok
 }
 
-// Fresh says that floors for a bound will be known for a while, so that a read may be sent to a replica.
-func (g *Gauge) Fresh(now, bound policy.Tenth) bool {
-	at, _ := g.Newest()
-	return at >= 0 && at >= now-bound+2*Margin
+// CoversBound says that floors for a bound will be known for a while, so that a read may be sent to a replica.
+func (g *Tracker) CoversBound(now, bound policy.Tenth) bool {
+	at, _ := g.Latest()
+	return at >= 0 && at >= now-bound+2*TransitMargin
 }
 
-// Usual stands for how long a promotion takes, in milliseconds, until one was seen.
-const Usual = 700
+// DefaultPromotionMs stands for how long a promotion takes, in milliseconds, until one was seen.
+const DefaultPromotionMs = 700
 
-// Due is when the next primary may be there, in tenths, by how long the platform's last promotion took (milliseconds;
+// NextPrimaryDue is when the next primary may be there, in tenths, by how long the platform's last promotion took (milliseconds;
 // 0: none was seen). named says that the platform has been told whom to promote; else that is still found out.
-func Due(now policy.Tenth, took int64, named bool) policy.Tenth {
+func NextPrimaryDue(now policy.Tenth, took int64, named bool) policy.Tenth {
 	if took <= 0 {
-		took = Usual
+		took = DefaultPromotionMs
 	}
 	if !named {
 		took += 50
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -40,11 +40,11 @@
 
 type timer = *eventloop.Timer[func()]
 
-// Headstock is one router.
-type Headstock struct {
-	plate *settings.Plate
+// Server is one router.
+type Server struct {
+	plate *settings.Settings
 	log   hclog.Logger
-	clock eventloop.Steady
+	clock eventloop.SteadyClock
 	queue *eventloop.Queue
 	ctx   context.Context
 	tasks sync.WaitGroup
@@ -56,7 +56,7 @@
 	due        eventloop.Timers[func()]
 	later      []func() // what the module asked for, once it has returned
 	state      *statemachine.State
-	screw      lease.Screw
+	screw      lease.Holder
 	routers    int
 	hosts      map[string]*host
 	nodes      map[*policy.Node]*host
@@ -66,7 +66,7 @@
 	sessions   map[*clientSession]struct{}
 	early      []early // sessions that came before this router was in touch
 	serial     uint64
-	plan       *config.Plan
+	plan       *config.Config
 	leaving    bool // SIGTERM has come
 	past       bool // the platform knows: sessions end as soon as they rest
 	trimAt     time.Time
@@ -75,7 +75,7 @@
 	handedBack bool      // a lead was, since it was last told how far the log was applied
 
 	link           *link
-	feeler         *gossip.Feeler // nil: other routers are not looked for
+	feeler         *gossip.Membership // nil: other routers are not looked for
 	feelAt         int64
 	datagrams      net.PacketConn
 	dial           func(n *host, asked policy.Tenth, lead uint64) // ends in host.opened
@@ -83,24 +83,24 @@
 	ready          atomic.Bool
 	listenerClosed chan struct{}
 
-	Counts
+	Counters
 }
 
-// Counts are of what a router did.
-type Counts struct {
+// Counters are of what a router did.
+type Counters struct {
 	Accepted, Torn, NoDB, Taken, Dispatched, Refused, Throttled, Failed, Gone                             atomic.Int64
 	Opened, Broken, ConnsRefused, Setups, SetupFaults, Stray, Lapsed, TakenBack, Overdue, Held, Floorless atomic.Int64
 	Suspects, Renewals, Leases, Links, Versions, Gaps, Diverged                                           atomic.Int64
 	Outcomes                                                                                              [policy.Missed + 1]atomic.Int64
-	Told                                                                                                  [errcode.Kinds]atomic.Int64 // answers of its own
+	Told                                                                                                  [errcode.KindCount]atomic.Int64 // answers of its own
 }
 
 // service is a set of hosts with one primary.
 type service struct {
 	name  string
 	set   int64
-	gauge position.Gauge
-	lead  statemachine.Lead
+	gauge position.Tracker
+	lead  statemachine.Primary
 	conns int  // the most at each host, of all routers
 	used  bool // a session has asked for it
 }
@@ -116,39 +116,39 @@
 }
 
 // asLead gives the lead under which a host may be treated as the primary at this moment; 0: it may not.
-func (s *service) asLead(n *host, h *Headstock) uint64 {
-	if s.lead.Host != n.ID || s.lead.Moving || !h.screw.Tight(h.clock.Now()) {
+func (s *service) asLead(n *host, h *Server) uint64 {
+	if s.lead.Host != n.ID || s.lead.Revoked || !h.screw.Valid(h.clock.Now()) {
 		return 0
 	}
-	return s.lead.At
+	return s.lead.ChangedAt
 }
 
 // same says that a lead has not been taken back.
-func (s *service) same(lead uint64) bool { return s.lead.At == lead && !s.lead.Moving }
+func (s *service) same(lead uint64) bool { return s.lead.ChangedAt == lead && !s.lead.Revoked }
 
 // holds says that a lead may be acted on at this moment.
-func (s *service) holds(lead uint64, h *Headstock) bool {
-	return s.same(lead) && h.screw.Tight(h.clock.Now())
+func (s *service) holds(lead uint64, h *Server) bool {
+	return s.same(lead) && h.screw.Valid(h.clock.Now())
 }
 
 // inTouch says that the configuration held is known to be in force.
-func (h *Headstock) inTouch() bool { return h.plan != nil && h.screw.Tight(h.clock.Now()) }
+func (h *Server) inTouch() bool { return h.plan != nil && h.screw.Valid(h.clock.Now()) }
 
 // share is this router's of a host's connections.
-func (h *Headstock) share(n *host) connlimit.Share {
+func (h *Server) share(n *host) connlimit.Share {
 	routers := h.routers
 	if h.feeler != nil {
-		routers = max(routers, len(h.feeler.Live()))
+		routers = max(routers, len(h.feeler.AliveNames()))
 	}
-	share := connlimit.Of(n.service.conns, routers)
-	if h.clock.Since().Milliseconds() < connlimit.Young {
+	share := connlimit.ShareOf(n.service.conns, routers)
+	if h.clock.Since().Milliseconds() < connlimit.WarmUpMs {
 		share = share.Halved()
 	}
 	return share
 }
 
 // Run lives until a signal to stop.
-func Run(plate *settings.Plate, signals, reload <-chan os.Signal, log hclog.Logger) error {
+func Run(plate *settings.Settings, signals, reload <-chan os.Signal, log hclog.Logger) error {
 	if plate.Listen.Front == "" {
 		return trace.BadParameter("Listen.Front: missing; this program serves clients")
 	}
@@ -157,15 +157,15 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	h := newHeadstock(plate, log, eventloop.NewSteady(time.Now), rand.Uint64())
+	h := newHeadstock(plate, log, eventloop.NewSteadyClock(time.Now), rand.Uint64())
 	h.ctx = ctx
 	h.link = &link{h: h, out: make(chan *rpc.Frame, 256)}
 	h.dial, h.say = h.dialer, h.link.say
 	var err error
-	if h.datagrams, err = net.ListenPacket("udp4", plate.Link(plate.Ip)); err != nil {
+	if h.datagrams, err = net.ListenPacket("udp4", plate.PeerAddress(plate.Ip)); err != nil {
 		return trace.Wrap(err, "PortRange")
 	}
-	h.feeler = gossip.New(plate.Node, plate.Link(plate.Ip), uint64(time.Now().UnixNano()), gossip.Usual(), rand.IntN, h.clock.Now())
+	h.feeler = gossip.New(plate.Node, plate.PeerAddress(plate.Ip), uint64(time.Now().UnixNano()), gossip.DefaultConfig(), rand.IntN, h.clock.Now())
 	lc := net.ListenConfig{KeepAlive: 15 * time.Second}
 	front, err := lc.Listen(ctx, "tcp", plate.Listen.Front)
 	if err != nil {
@@ -207,8 +207,8 @@
 }
 
 // newHeadstock readies a router without its sockets.
-func newHeadstock(plate *settings.Plate, log hclog.Logger, clock eventloop.Steady, seed uint64) *Headstock {
-	h := &Headstock{plate: plate, log: log, clock: clock, queue: eventloop.NewQueue(2048), life: seed | 1,
+func newHeadstock(plate *settings.Settings, log hclog.Logger, clock eventloop.SteadyClock, seed uint64) *Server {
+	h := &Server{plate: plate, log: log, clock: clock, queue: eventloop.NewQueue(2048), life: seed | 1,
 		state: &statemachine.State{}, routers: 12, hosts: map[string]*host{}, nodes: map[*policy.Node]*host{}, services: map[string]*service{},
 		routes: map[string]*route{}, calls: map[string]*call{}, sessions: map[*clientSession]struct{}{}, listenerClosed: make(chan struct{})}
 	h.module = policy.New(h, policy.Deployment{Seed: uint32(seed), Tick: 50, Routers: 1, Zone: plate.Zone, Dispatches: 3, Guarded: true,
@@ -218,7 +218,7 @@
 }
 
 // readiness answers the platform.
-func (h *Headstock) readiness(w http.ResponseWriter, r *http.Request) {
+func (h *Server) readiness(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/readiness" {
 		if !h.answerCall(w, r) {
 			http.NotFound(w, r)
@@ -231,8 +231,8 @@
 }
 
 // moment tells the module the time.
-func (h *Headstock) moment() policy.Tenth {
-	h.now = policy.Tenth(eventloop.Begin)*10 + policy.Tenth(h.clock.Since()/(100*time.Microsecond))
+func (h *Server) moment() policy.Tenth {
+	h.now = policy.Tenth(eventloop.ClockOrigin)*10 + policy.Tenth(h.clock.Since()/(100*time.Microsecond))
 	if h.module != nil {
 		h.module.Clock(h.now)
 	}
@@ -240,7 +240,7 @@
 }
 
 // own is the goroutine that owns all state.
-func (h *Headstock) own() {
+func (h *Server) own() {
 	defer h.queue.Close()
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -258,10 +258,10 @@
 }
 
 // dueAt is when something is due.
-func (h *Headstock) dueAt() time.Time {
+func (h *Server) dueAt() time.Time {
 	next := h.clock.Time().Add(pulse)
-	if first := h.due.First(); first != nil && first.Until.Before(next) {
-		next = first.Until
+	if first := h.due.First(); first != nil && first.Deadline.Before(next) {
+		next = first.Deadline
 	}
 	if !h.wakeAt.IsZero() && h.wakeAt.Before(next) {
 		next = h.wakeAt
@@ -270,18 +270,18 @@
 }
 
 // step does what comes first of all that is due.
-func (h *Headstock) step() bool {
+func (h *Server) step() bool {
 	defer h.after()
-	for r := eventloop.Lists; r <= eventloop.Outcomes; r++ {
+	for r := eventloop.PriorityLists; r <= eventloop.PriorityOutcomes; r++ {
 		if do := h.queue.Take(r); do != nil {
 			do()
 			return true
 		}
 	}
 	now := h.clock.Time()
-	if first := h.due.First(); first != nil && !now.Before(first.Until) {
+	if first := h.due.First(); first != nil && !now.Before(first.Deadline) {
 		h.due.Remove(first)
-		first.What()
+		first.Value()
 		return true
 	}
 	if !h.wakeAt.IsZero() && !now.Before(h.wakeAt) {
@@ -296,7 +296,7 @@
 		h.trimAt = now.Add(pulse)
 		h.rounds(now)
 	}
-	if do := h.queue.Take(eventloop.Commands); do != nil {
+	if do := h.queue.Take(eventloop.PriorityCommands); do != nil {
 		do()
 		return true
 	}
@@ -304,7 +304,7 @@
 }
 
 // after does what the module asked for in the call that has ended.
-func (h *Headstock) after() {
+func (h *Server) after() {
 	for len(h.later) > 0 {
 		do := h.later[0]
 		h.later = h.later[1:]
@@ -314,7 +314,7 @@
 }
 
 // rounds are what is looked at now and then.
-func (h *Headstock) rounds(now time.Time) {
+func (h *Server) rounds(now time.Time) {
 	ready := h.inTouch() && !h.leaving && len(h.hosts) > 0
 	if ready != h.ready.Load() {
 		h.ready.Store(ready)
@@ -335,7 +335,7 @@
 		h.touchedAt = now
 	} else if now.Sub(h.touchedAt) > aside { // others may be in touch: clients are let go there
 		for _, s := range h.all() {
-			if s.call == nil && s.At() == 'I' {
+			if s.call == nil && s.IdleState() == 'I' {
 				h.end(s)
 			}
 		}
@@ -345,36 +345,36 @@
 	}
 	rest := settings.Duration(h.plan.Limits.TxnIdleMs)
 	for _, s := range h.all() {
-		if s.At() != 'I' && s.call == nil && s.pin != nil && now.Sub(s.restAt) > rest {
+		if s.IdleState() != 'I' && s.call == nil && s.pin != nil && now.Sub(s.restAt) > rest {
 			k := s.pin
 			s.pin = nil
-			s.Drop()
+			s.ConnectionLost()
 			h.roll(k)
 		}
 	}
 }
 
 // all are the sessions, the oldest first.
-func (h *Headstock) all() []*clientSession {
+func (h *Server) all() []*clientSession {
 	return slices.SortedFunc(maps.Keys(h.sessions), func(a, b *clientSession) int { return cmp.Compare(a.serial, b.serial) })
 }
 
 // giveUp answers all that is out, as this router ends: what had not gone out has not run.
-func (h *Headstock) giveUp() {
+func (h *Server) giveUp() {
 	for _, s := range h.all() {
 		c := s.call
 		if c == nil {
 			continue
 		}
-		kind := errcode.NotSent
+		kind := errcode.WriteNotSent
 		switch {
-		case c.step.Do == session.Pinned && c.step.Commit && c.sent && s.Wrote, c.name != "" && (c.sent || c.maybe) && c.step.Writes && !c.step.Begins:
-			kind = errcode.Doubt
-		case c.step.Do == session.Pinned:
+		case c.step.Action == session.UsePinnedConn && c.step.Commit && c.sent && s.MayHaveWritten, c.name != "" && (c.sent || c.maybe) && c.step.Writes && !c.step.Begins:
+			kind = errcode.InDoubt
+		case c.step.Action == session.UsePinnedConn:
 			kind = errcode.RolledBack
 		}
-		if s.At() != 'I' {
-			s.Drop()
+		if s.IdleState() != 'I' {
+			s.ConnectionLost()
 		}
 		s.ending, s.parted = true, true
 		h.reply(c, h.tell(kind, 0))
@@ -382,7 +382,7 @@
 }
 
 // Probe has the module learn whether a host is there, and where it stands: a connection is opened, or one is there.
-func (h *Headstock) Probe(n *policy.Node) {
+func (h *Server) Probe(n *policy.Node) {
 	k := h.nodes[n]
 	if k.probing = true; h.share(k).Scarce() && !k.service.used {
 		return // all routers at once would take more than there are: it is opened with the first that needs the service
@@ -393,14 +393,14 @@
 }
 
 // Close closes a host's idle connections.
-func (h *Headstock) Close(n *policy.Node) {
+func (h *Server) Close(n *policy.Node) {
 	for _, k := range slices.Clone(h.nodes[n].idle) {
 		h.close(k)
 	}
 }
 
 // Forget drops a host that left.
-func (h *Headstock) Forget(n *policy.Node) {
+func (h *Server) Forget(n *policy.Node) {
 	if k := h.nodes[n]; k != nil {
 		k.retire()
 		delete(h.nodes, n)
@@ -411,11 +411,11 @@
 }
 
 // Watch and Tell are of the deployments that have a list on request and routers that tell each other.
-func (h *Headstock) Watch()      {}
-func (h *Headstock) Tell(string) {}
+func (h *Server) Watch()      {}
+func (h *Server) Tell(string) {}
 
 // Wake has the module called.
-func (h *Headstock) Wake(after policy.Tenth) {
+func (h *Server) Wake(after policy.Tenth) {
 	if at := h.clock.Time().Add(time.Duration(after) * 100 * time.Microsecond); h.wakeAt.IsZero() || at.Before(h.wakeAt) {
 		h.wakeAt = at
 	}
@@ -423,7 +423,7 @@
 
 // attend waits for signals. After the one to stop, the platform is told that this router is not ready, and sends
 // clients for two more looks; what they bring is served; transactions have half of the grace in which to end.
-func (h *Headstock) attend(signals, reload <-chan os.Signal, front net.Listener) {
+func (h *Server) attend(signals, reload <-chan os.Signal, front net.Listener) {
 	for {
 		select {
 		case <-h.ctx.Done():
@@ -434,21 +434,21 @@
 				h.log.Error("the settings are not taken", "error", err)
 				continue
 			}
-			h.queue.Put(eventloop.Lists, func() { h.plate.SeedPeers, h.plate.Bounds = p.SeedPeers, p.Bounds })
+			h.queue.Put(eventloop.PriorityLists, func() { h.plate.SeedPeers, h.plate.Bounds = p.SeedPeers, p.Bounds })
 			h.log.Info("settings read again", "seeds", p.SeedPeers)
 		case <-signals:
 			h.log.Info("ends")
 			grace := settings.Duration(h.plate.Bounds.GraceS * 1000)
 			began := time.Now()
-			h.queue.Put(eventloop.Lists, func() { h.leaving = true; h.rounds(h.clock.Time()) })
+			h.queue.Put(eventloop.PriorityLists, func() { h.leaving = true; h.rounds(h.clock.Time()) })
 			for {
 				time.Sleep(100 * time.Millisecond)
 				left := make(chan int, 1)
-				h.queue.Put(eventloop.Lists, func() {
+				h.queue.Put(eventloop.PriorityLists, func() {
 					if time.Since(began) > min(2500*time.Millisecond, grace/2) {
 						h.past = true
 						for s := range h.sessions {
-							if s.call == nil && s.At() == 'I' {
+							if s.call == nil && s.IdleState() == 'I' {
 								h.end(s)
 							}
 						}
@@ -458,7 +458,7 @@
 				n := <-left
 				if spent := time.Since(began); spent > grace*3/4 || n == 0 && spent > min(2500*time.Millisecond, grace/2) {
 					done := make(chan struct{})
-					h.queue.Put(eventloop.Lists, func() { h.giveUp(); close(done) })
+					h.queue.Put(eventloop.PriorityLists, func() { h.giveUp(); close(done) })
 					<-done
 					return
 				}
--- a/internal/proxy/sessions.go
+++ b/internal/proxy/sessions.go
@@ -19,7 +19,7 @@
 // clientSession is a client's connection. All but its socket belongs to the owner.
 type clientSession struct {
 	session.Session
-	h        *Headstock
+	h        *Server
 	out      nonblockingConn
 	serial   uint64
 	key      string // what the module calls it
@@ -43,7 +43,7 @@
 }
 
 // accept serves clients until the listener ends.
-func (h *Headstock) accept(l net.Listener) error {
+func (h *Server) accept(l net.Listener) error {
 	for {
 		c, err := l.Accept()
 		if h.ctx.Err() != nil {
@@ -69,14 +69,14 @@
 }
 
 // client is a session's reading goroutine.
-func (h *Headstock) client(c net.Conn) {
+func (h *Server) client(c net.Conn) {
 	s := &clientSession{h: h, out: newBufferedConn(c)}
 	in := &lines{conn: c}
 	c.SetReadDeadline(time.Now().Add(connectIn))
-	line, _, err := in.next(wire.Line)
+	line, _, err := in.next(wire.CutLine)
 	var hello wire.Request
 	if err == nil {
-		hello, err = wire.ReadRequest(line)
+		hello, err = wire.ParseRequest(line)
 	}
 	if err != nil || hello.Kind != wire.Connect {
 		h.Torn.Add(1)
@@ -84,36 +84,36 @@
 			c.Close()
 			return
 		}
-		part(c, h.tell(errcode.NoConnect, 0))
+		part(c, h.tell(errcode.ConnectExpected, 0))
 		return
 	}
 	c.SetReadDeadline(time.Time{})
-	if !h.queue.Put(eventloop.Commands, func() { h.begin(s, hello.Name) }) {
+	if !h.queue.Put(eventloop.PriorityCommands, func() { h.begin(s, hello.Name) }) {
 		c.Close()
 		return
 	}
 	for {
-		line, _, err := in.next(wire.Line)
+		line, _, err := in.next(wire.CutLine)
 		if err != nil {
 			break
 		}
 		at := time.Now()
-		r, bad := wire.ReadRequest(line)
+		r, bad := wire.ParseRequest(line)
 		if bad == nil && r.Kind == wire.Bye {
 			break
 		}
 		if bad != nil && r.ID == "" || bad == nil && r.Kind == wire.Connect {
 			h.Torn.Add(1)
-			h.queue.Put(eventloop.Commands, func() {
+			h.queue.Put(eventloop.PriorityCommands, func() {
 				h.final(s, h.tell(errcode.BadMessage, 0))
 			})
 			break
 		}
-		if !h.queue.Put(eventloop.Commands, func() { h.message(s, message{r, bad, at}) }) {
+		if !h.queue.Put(eventloop.PriorityCommands, func() { h.message(s, message{r, bad, at}) }) {
 			break
 		}
 	}
-	if !h.queue.Put(eventloop.Commands, func() { h.left(s) }) {
+	if !h.queue.Put(eventloop.PriorityCommands, func() { h.left(s) }) {
 		c.Close()
 	}
 }
@@ -133,7 +133,7 @@
 }
 
 // final says a last word to a session and lets its reader end it.
-func (h *Headstock) final(s *clientSession, word []byte) {
+func (h *Server) final(s *clientSession, word []byte) {
 	if s.closed {
 		return
 	}
@@ -143,7 +143,7 @@
 }
 
 // begin greets a session, if its database is one of a route.
-func (h *Headstock) begin(s *clientSession, database string) {
+func (h *Server) begin(s *clientSession, database string) {
 	s.database = database
 	h.serial++
 	s.serial, s.key = h.serial, number(h.serial)
@@ -167,7 +167,7 @@
 )
 
 // greetEarly greets those that wait, once this router is in touch, or when they have waited for long enough.
-func (h *Headstock) greetEarly(now time.Time) {
+func (h *Server) greetEarly(now time.Time) {
 	touch := h.inTouch()
 	for len(h.early) > 0 && (touch || now.Sub(h.early[0].at) > earlyFor) {
 		e := h.early[0]
@@ -176,17 +176,17 @@
 	}
 }
 
-func (h *Headstock) greet(s *clientSession, database string) {
+func (h *Server) greet(s *clientSession, database string) {
 	if s.closed {
 		return
 	}
 	if h.routes[database] == nil {
 		if !h.inTouch() {
-			h.final(s, h.tell(errcode.NoTouch, 0))
+			h.final(s, h.tell(errcode.NoValidLease, 0))
 			return
 		}
 		h.NoDB.Add(1)
-		h.final(s, h.tell(errcode.NoDatabase, 0))
+		h.final(s, h.tell(errcode.UnknownDatabase, 0))
 		return
 	}
 	h.sessions[s] = struct{}{}
@@ -194,13 +194,13 @@
 }
 
 // message takes in a statement; those of one session are answered in order.
-func (h *Headstock) message(s *clientSession, m message) {
+func (h *Server) message(s *clientSession, m message) {
 	if s.closed {
 		return
 	}
 	if len(s.ahead) >= mostAhead {
 		h.Torn.Add(1)
-		h.final(s, h.tell(errcode.TooFarAhead, 0))
+		h.final(s, h.tell(errcode.PipelineTooDeep, 0))
 		return
 	}
 	s.ahead = append(s.ahead, m)
@@ -210,7 +210,7 @@
 }
 
 // next takes a session's messages on until one has to be waited for.
-func (h *Headstock) next(s *clientSession) {
+func (h *Server) next(s *clientSession) {
 	for s.call == nil && len(s.ahead) > 0 && !s.closed {
 		m := s.ahead[0]
 		if s.ahead = s.ahead[1:]; len(s.ahead) == 0 {
@@ -223,25 +223,25 @@
 		switch {
 		case s.parted:
 			h.left(s)
-		case h.leaving && s.At() == 'I' && len(h.sessions) > 0 && h.past:
+		case h.leaving && s.IdleState() == 'I' && len(h.sessions) > 0 && h.past:
 			h.end(s)
 		}
 	}
 }
 
 // answer gives a session an answer and its IDLE.
-func (h *Headstock) answer(s *clientSession, lines []byte) {
+func (h *Server) answer(s *clientSession, lines []byte) {
 	if s.closed {
 		return
 	}
 	b := append(make([]byte, 0, len(lines)+32), lines...)
-	if _, ok := s.out.write(wire.AppendIdle(b, s.At(), s.last)); !ok {
+	if _, ok := s.out.write(wire.AppendIdle(b, s.IdleState(), s.last)); !ok {
 		s.out.close() // its reader notices
 	}
 }
 
 // end has a session that is at I with nothing asked end: no more is read from it, and what was read is answered first.
-func (h *Headstock) end(s *clientSession) {
+func (h *Server) end(s *clientSession) {
 	if !s.closed && !s.ending {
 		s.ending = true
 		s.out.stop()
@@ -249,7 +249,7 @@
 }
 
 // left takes in that nothing more comes from a client: it is gone, or is to end.
-func (h *Headstock) left(s *clientSession) {
+func (h *Server) left(s *clientSession) {
 	if s.ending && !s.closed && (s.call != nil || len(s.ahead) > 0) {
 		s.parted = true
 		return
@@ -268,7 +268,7 @@
 }
 
 // roll has a connection's transaction rolled back, so that it serves on.
-func (h *Headstock) roll(k *hostConn) {
+func (h *Server) roll(k *hostConn) {
 	k.session = nil
 	if k.closed {
 		return
@@ -283,7 +283,7 @@
 // dropped notes that the connection of a session's transaction is gone; c is what was out on it.
 func (s *clientSession) dropped(c *call) {
 	s.pin = nil
-	if s.At() != 'I' {
-		s.Drop()
+	if s.IdleState() != 'I' {
+		s.ConnectionLost()
 	}
 }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -11,14 +11,14 @@
 	"ferrypitch/policy"
 )
 
-// Call is one that is answered beside the platform's question, declared beside its handler. Handlers run in the owner's
+// Endpoint is one that is answered beside the platform's question, declared beside its handler. Handlers run in the owner's
 // goroutine.
-type Call struct {
+type Endpoint struct {
 	Method, Path string
-	Handle       func(h *Headstock) any
+	Handle       func(h *Server) any
 }
 
-var calls = []Call{status}
+var calls = []Endpoint{status}
 
 // Status is what a router shows of itself.
 type Status struct {
@@ -29,16 +29,16 @@
 	LeaseMs         int64 // how much longer what the log says may be acted on
 	Sessions, Calls int
 	Control         []string // addresses of the control plane's members, as last heard
-	Routers         []string // that are there, as far as known
+	Proxies         []string // that are there, as far as known
 	Services        map[string]ServiceStatus
 	Hosts           map[string]HostStatus
-	Counts          map[string]int64
+	Counters        map[string]int64
 }
 
 // ServiceStatus is a service as this router knows it.
 type ServiceStatus struct {
-	Lead    string
-	Moving  bool
+	Primary string
+	Revoked bool
 	Floor   string // the primary's last known position, and how old that is
 	FloorMs int64
 }
@@ -51,33 +51,33 @@
 
 var standings = map[policy.Standing]string{policy.In: "in", policy.Draining: "draining", policy.Gone: "gone"}
 
-var status = Call{Method: http.MethodGet, Path: "/Router.Status", Handle: func(h *Headstock) any {
+var status = Endpoint{Method: http.MethodGet, Path: "/Router.Status", Handle: func(h *Server) any {
 	now := h.moment()
-	s := Status{Node: h.plate.Node, Ready: h.ready.Load(), Version: h.state.Gen, Index: h.state.Index,
-		LeaseMs: max(0, h.screw.Until()-h.clock.Now()), Sessions: len(h.sessions), Calls: len(h.calls),
-		Services: map[string]ServiceStatus{}, Hosts: map[string]HostStatus{}, Counts: h.counts()}
+	s := Status{Node: h.plate.Node, Ready: h.ready.Load(), Version: h.state.Generation, Index: h.state.Index,
+		LeaseMs: max(0, h.screw.ExpiresAt()-h.clock.Now()), Sessions: len(h.sessions), Calls: len(h.calls),
+		Services: map[string]ServiceStatus{}, Hosts: map[string]HostStatus{}, Counters: h.counts()}
 	if h.feeler != nil {
-		s.Routers = h.feeler.Live()
-		s.Control, _ = h.feeler.Control()
+		s.Proxies = h.feeler.AliveNames()
+		s.Control, _ = h.feeler.ControlMembers()
 	}
 	for name, v := range h.services {
-		at, pos := v.gauge.Newest()
-		one := ServiceStatus{Lead: v.lead.Host, Moving: v.lead.Moving, Floor: pos.String(), FloorMs: -1}
+		at, pos := v.gauge.Latest()
+		one := ServiceStatus{Primary: v.lead.Host, Revoked: v.lead.Revoked, Floor: pos.String(), FloorMs: -1}
 		if at >= 0 {
 			one.FloorMs = (now - at) / 10
 		}
 		s.Services[name] = one
 	}
 	for id, n := range h.hosts {
-		s.Hosts[id] = HostStatus{n.Service, n.Address, n.Zone, standings[n.standing], len(n.all), len(n.idle), n.opening, h.share(n).Most(),
+		s.Hosts[id] = HostStatus{n.Service, n.Address, n.Zone, standings[n.standing], len(n.all), len(n.idle), n.opening, h.share(n).MaxConns(),
 			len(n.waiting)}
 	}
 	return s
 }}
 
 // counts are by name: what was taken, refused, tried again, held, not believed for its age, and how answers ended.
-func (h *Headstock) counts() map[string]int64 {
-	c := &h.Counts
+func (h *Server) counts() map[string]int64 {
+	c := &h.Counters
 	all := map[string]int64{
 		"sessions_accepted": c.Accepted.Load(), "sessions_torn": c.Torn.Load(), "no_database": c.NoDB.Load(),
 		"statements": c.Taken.Load(), "dispatches": c.Dispatched.Load(), "statements_held": c.Held.Load(), "refused": c.Refused.Load(),
@@ -87,10 +87,10 @@
 		"beliefs_lapsed": c.Lapsed.Load(), "floors_unknown": c.Floorless.Load(), "leads_taken_back": c.TakenBack.Load(),
 		"answers_overdue": c.Overdue.Load(), "primaries_suspected": c.Suspects.Load(), "renewals": c.Renewals.Load(),
 		"leases": c.Leases.Load(), "links": c.Links.Load(), "news_gaps": c.Gaps.Load(), "state_diverged": c.Diverged.Load(), "versions": c.Versions.Load(),
-		"link_bytes_sent": rpc.Sent.Load(), "link_bytes_received": rpc.Received.Load(),
+		"link_bytes_sent": rpc.BytesSent.Load(), "link_bytes_received": rpc.BytesReceived.Load(),
 	}
 	if h.feeler != nil {
-		all["probes"], all["probe_answers_stray"] = h.feeler.Probes, h.feeler.Strays
+		all["probes"], all["probe_answers_stray"] = h.feeler.Probes, h.feeler.DiscardedAcks
 	}
 	for o := range c.Outcomes {
 		all["ended_"+policy.Outcome(o).String()] = c.Outcomes[o].Load()
@@ -104,13 +104,13 @@
 }
 
 // answerCall answers an operator's call; ok false: there is none like it.
-func (h *Headstock) answerCall(w http.ResponseWriter, r *http.Request) (ok bool) {
+func (h *Server) answerCall(w http.ResponseWriter, r *http.Request) (ok bool) {
 	for _, c := range calls {
 		if c.Method != r.Method || c.Path != r.URL.Path {
 			continue
 		}
 		shown := make(chan any, 1)
-		h.queue.Put(eventloop.Outcomes, func() { shown <- c.Handle(h) })
+		h.queue.Put(eventloop.PriorityOutcomes, func() { shown <- c.Handle(h) })
 		select {
 		case s := <-shown:
 			w.Header().Set("Content-Type", "application/json")
--- a/internal/proxy/world_run_test.go
+++ b/internal/proxy/world_run_test.go
@@ -27,32 +27,32 @@
 }
 
 func (w *world) play() {
-	w.In(s, w.strike)
+	w.After(s, w.strike)
 	if w.council != nil {
-		w.In(w.Between(s, 3*s), w.council.strikes)
+		w.After(w.Between(s, 3*s), w.council.strikes)
 	}
 	defer func() {
 		if p := recover(); p != nil {
-			w.Broke("a panic: %v\n%s", p, debug.Stack())
+			w.Violate("a panic: %v\n%s", p, debug.Stack())
 		}
 	}()
-	w.Play(16 * s) // no more faults after the first eight
+	w.RunFor(16 * s) // no more faults after the first eight
 	if w.council != nil {
-		w.Play(6 * s) // a host that is down for six, and a platform that is slow, come on top of each other
+		w.RunFor(6 * s) // a host that is down for six, and a platform that is slow, come on top of each other
 	}
-	w.judge.Over()
+	w.judge.CheckFinalLog()
 	if w.council != nil && w.council.operator != nil {
 		w.council.operator.over()
 	}
 	for _, h := range w.db.Hosts {
 		if w.council != nil && h.Up && !h.Leader && h.Paused > 0 {
-			w.Broke("PAUSED: %s was never told to go on", h.ID)
+			w.Violate("PAUSED: %s was never told to go on", h.ID)
 		}
 	}
 }
 
 func (w *world) report() string {
-	return strings.Join(w.Broken, "\n") + "\nafter\n" + strings.Join(w.Trace, "\n")
+	return strings.Join(w.Violations, "\n") + "\nafter\n" + strings.Join(w.FaultLog, "\n")
 }
 
 // playAll plays worlds side by side, and fails with the least seed that broke a rule.
@@ -70,7 +70,7 @@
 			w.play()
 			mu.Lock()
 			defer mu.Unlock()
-			if len(w.Broken) > 0 && (least < 0 || seed < least) {
+			if len(w.Violations) > 0 && (least < 0 || seed < least) {
 				least, report = seed, w.report()
 			}
 			seen(w)
--- a/internal/proxy/world_test.go
+++ b/internal/proxy/world_test.go
@@ -29,7 +29,7 @@
 // values that its client was told.
 type world struct {
 	resets int // one write in so many meets a reset of its connection; 0: none
-	*scheduler.Stage
+	*scheduler.Scheduler
 	epoch   time.Time
 	db      *database.Group
 	frozen  map[string]int64 // hosts that stand still, until when
@@ -37,7 +37,7 @@
 	control *controlPlane // the control plane: this, or
 	council *council      // its members as they are
 	clients []*client
-	judge   *checker.Judge
+	judge   *checker.Checker
 	Served  int
 	apart   int64 // how far clocks are off at most, in thousandths
 	opens   int
@@ -62,9 +62,9 @@
 }
 
 func bareWorld(seed uint64) *world {
-	w := &world{Stage: scheduler.New(seed, 1<<40, ms), epoch: time.Unix(1e9, 0), frozen: map[string]int64{}}
-	w.db = &database.Group{Stage: w.Stage, Note: w.Note, Read: w.fresh, Losses: 300, Refused: 60, Told: w.told}
-	w.judge = &checker.Judge{Bounds: map[string]int64{"bound": 600 * ms, "own": 900 * ms}, Own: map[string]bool{"own": true}, Group: w.db, Broke: w.Broke}
+	w := &world{Scheduler: scheduler.New(seed, 1<<40, ms), epoch: time.Unix(1e9, 0), frozen: map[string]int64{}}
+	w.db = &database.Group{Scheduler: w.Scheduler, Note: w.Note, Read: w.fresh, Losses: 300, Refused: 60, Told: w.told}
+	w.judge = &checker.Checker{Bounds: map[string]int64{"bound": 600 * ms, "own": 900 * ms}, Own: map[string]bool{"own": true}, Group: w.db, Violate: w.Violate}
 	return w
 }
 
@@ -78,7 +78,7 @@
 	for i := range clients {
 		c := &client{w: w, i: i, kind: []string{"lead", "bound", "own"}[i%3]}
 		w.clients = append(w.clients, c)
-		w.In(w.Between(600*ms, 900*ms), c.connect)
+		w.After(w.Between(600*ms, 900*ms), c.connect)
 	}
 }
 
@@ -88,11 +88,11 @@
 		w.council.beat(h)
 		return
 	}
-	w.In(w.Between(1*ms, 4*ms), func() {
-		w.control.hoist.Beat(h.ID, leader, w.control.millis())
+	w.After(w.Between(1*ms, 4*ms), func() {
+		w.control.hoist.Heartbeat(h.ID, leader, w.control.millis())
 		if is := w.control.state.Hosts[h.ID]; is.Missing {
 			is.Missing = false
-			w.control.apply(statemachine.Change{Enter: &is})
+			w.control.apply(statemachine.Change{AddHost: &is})
 		}
 	})
 }
@@ -119,20 +119,20 @@
 	w     *world
 	state *statemachine.State
 	log   [][]byte
-	jaw   *lease.Jaw
-	hoist *failover.Hoist
+	jaw   *lease.Grantor
+	hoist *failover.Coordinator
 	clear func(uint64) bool
 
-	answer func(failover.Question, *failover.Reply) // a defence taken out
+	answer func(failover.HostQuery, *failover.QueryResult) // a defence taken out
 }
 
 func (c *controlPlane) millis() int64 { return c.w.Now / ms }
 
 func newControlPlane(w *world) *controlPlane {
 	c := &controlPlane{w: w, state: &statemachine.State{}}
-	c.jaw, c.hoist = lease.New(c.millis()-10*lease.Span), failover.New("control", 1, 1200, c.millis())
+	c.jaw, c.hoist = lease.NewGrantor(c.millis()-10*lease.GrantMs), failover.New("control", 1, 1200, c.millis())
 	c.hoist.Log = func(service, what, host string) { w.Note("%s: %s %s", service, what, host) }
-	c.clear = func(i uint64) bool { return c.jaw.Clear(i, c.state.RouterNames(), c.millis()) }
+	c.clear = func(i uint64) bool { return c.jaw.AllCaughtUp(i, c.state.ProxyNames(), c.millis()) }
 	return c
 }
 
@@ -144,30 +144,30 @@
 
 func (c *controlPlane) begin() {
 	for _, h := range c.w.db.Hosts {
-		c.apply(statemachine.Change{Enter: &statemachine.Host{ID: h.ID, Service: "db", Address: h.ID}})
+		c.apply(statemachine.Change{AddHost: &statemachine.Host{ID: h.ID, Service: "db", Address: h.ID}})
 	}
-	c.apply(statemachine.Change{Configure: &statemachine.Configure{Body: []byte(plan)}})
+	c.apply(statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{Body: []byte(plan)}})
 	c.tick()
 }
 
 // apply orders a change, and tells the routers.
 func (c *controlPlane) apply(x statemachine.Change) {
-	b := statemachine.Encode(x)
+	b := statemachine.EncodeChange(x)
 	c.log = append(c.log, b)
 	if err := c.state.Apply(uint64(len(c.log)), x); err != nil {
 		panic(err)
 	}
 	switch {
-	case x.Recall != nil:
-		c.hoist.Applied("db")
-	case x.Missing != "", x.Resumed != "":
-		c.hoist.Applied("db")
-	case x.Named != nil:
-		c.w.Note("named in the log: %s", x.Named.Host)
-		c.hoist.Applied("db")
-	case x.Lead != nil:
-		c.hoist.Applied("db")
-		c.w.Note("%s leads by the log, term %d", x.Lead.Host, x.Lead.Term)
+	case x.RevokePrimary != nil:
+		c.hoist.ChangeApplied("db")
+	case x.MarkMissing != "", x.ReplicationResumed != "":
+		c.hoist.ChangeApplied("db")
+	case x.NominatePrimary != nil:
+		c.w.Note("named in the log: %s", x.NominatePrimary.Host)
+		c.hoist.ChangeApplied("db")
+	case x.AppointPrimary != nil:
+		c.hoist.ChangeApplied("db")
+		c.w.Note("%s leads by the log, term %d", x.AppointPrimary.Host, x.AppointPrimary.Term)
 	}
 	for _, r := range c.w.routers {
 		r.follow()
@@ -176,71 +176,71 @@
 
 func (c *controlPlane) tick() {
 	w := c.w
-	w.In(20*ms, c.tick)
+	w.After(20*ms, c.tick)
 	c.tend()
 }
 
 func (c *controlPlane) tend() {
 	w := c.w
 	do := c.hoist.Tick(c.state, c.clear, c.millis())
-	for _, x := range do.Propose {
-		w.In(w.Between(2*ms, 12*ms), func() { c.apply(x) })
+	for _, x := range do.Proposals {
+		w.After(w.Between(2*ms, 12*ms), func() { c.apply(x) })
 	}
-	for _, q := range do.Questions {
+	for _, q := range do.Queries {
 		c.ask(q)
 	}
-	for _, p := range do.Promote {
+	for _, p := range do.Promotions {
 		w.Note("%s is named to the platform", p.Host)
-		w.In(w.Between(2*ms, 20*ms), func() {
-			o, host := failover.Done, w.db.Host(p.Host)
+		w.After(w.Between(2*ms, 20*ms), func() {
+			o, host := failover.PromotionSucceeded, w.db.Host(p.Host)
 			switch {
 			case !host.Up:
-				o = failover.Rejected
-			case w.Odds(10):
-				o = failover.Later
+				o = failover.PromotionRejected
+			case w.OneIn(10):
+				o = failover.PromotionNotExecuted
 			default:
-				w.In(w.Between(80*ms, 400*ms), func() { host.Promote() })
-				if w.Odds(5) {
-					o = failover.Unclear
+				w.After(w.Between(80*ms, 400*ms), func() { host.Promote() })
+				if w.OneIn(5) {
+					o = failover.PromotionUnknown
 				}
 			}
-			w.In(w.Between(2*ms, 8*ms), func() { c.hoist.Called(p, o, c.millis()) })
+			w.After(w.Between(2*ms, 8*ms), func() { c.hoist.PromotionFinished(p, o, c.millis()) })
 		})
 	}
 }
 
-func (c *controlPlane) ask(q failover.Question) {
+func (c *controlPlane) ask(q failover.HostQuery) {
 	w, h := c.w, c.w.db.Host(q.Host)
-	w.In(w.Between(1*ms, 4*ms), func() {
-		r := failover.Reply{To: q}
+	w.After(w.Between(1*ms, 4*ms), func() {
+		r := failover.QueryResult{Query: q}
 		back := w.Between(1*ms, 4*ms)
 		switch {
 		case !h.Up && !h.Dark:
-			r.Refused = true
+			r.ConnectionRefused = true
 		case !h.Up || h.Dark || w.Now < w.frozen[h.ID]:
-			r.Silent, back = true, 350*ms
+			r.TimedOut, back = true, 350*ms
 			if h.Up && !h.Dark {
 				w.runsLate(q, h)
 			}
 		default:
-			r.Status = h.Control(q.Verb.Text(), q.Term)
+			r.Status = h.Control(q.Command.Text(), q.Term)
 			if c.answer != nil {
 				c.answer(q, &r)
 			}
 		}
-		w.In(back, func() {
-			c.hoist.Replied(r, c.millis())
+		w.After(back, func() {
+			c.hoist.QueryFinished(r, c.millis())
 			c.tend()
 		})
 	})
 }
 
 // runsLate has a host that stands still do what it was told once it goes on, in no order.
-func (w *world) runsLate(q failover.Question, h *database.Host) {
+func (w *world) runsLate(q failover.HostQuery, h *database.Host) {
 	crashes := h.Crashes
-	w.In(w.frozen[h.ID]-w.Now+int64(q.Serial*97%300)*ms, func() {
+	w.After(w.frozen[h.ID]-w.Now+int64(q.Serial*97%300)*ms, func() {
 		if h.Up && h.Crashes == crashes {
-			h.Control(q.Verb.Text(), q.Term)
+			h.Control(q.Command.Text(), q.Term)
 		}
 	})
 }
@@ -264,7 +264,7 @@
 	}
 	b = slices.Clone(b)
 	w := c.r.w
-	if w.resets > 0 && w.Odds(w.resets) {
+	if w.resets > 0 && w.OneIn(w.resets) {
 		return c.reset(b)
 	}
 	c.later(w.Between(ms/2, 3*ms), func() { c.feed(b) })
@@ -274,30 +274,30 @@
 func (c *dbConn) later(after int64, do func()) {
 	w := c.r.w
 	c.order = max(c.order+1, w.Now+after)
-	w.In(c.order-w.Now, do)
+	w.After(c.order-w.Now, do)
 }
 
 func (c *dbConn) stop()   {}
 func (c *dbConn) finish() {}
 func (c *dbConn) close() {
 	c.closed = true
-	c.r.w.In(c.r.w.Between(1*ms, 3*ms), c.Close)
+	c.r.w.After(c.r.w.Between(1*ms, 3*ms), c.Close)
 }
 
 // broke has the router see the connection end.
 func (c *dbConn) broke() {
 	w := c.r.w
-	w.In(w.Between(ms/2, 3*ms), func() {
-		c.r.run(c.life, func(h *Headstock) { h.broken(c.k) })
+	w.After(w.Between(ms/2, 3*ms), func() {
+		c.r.run(c.life, func(h *Server) { h.broken(c.k) })
 	})
 }
 
 // answered brings an answer to the router.
-func (c *dbConn) answered(after int64, a wire.Answer) {
+func (c *dbConn) answered(after int64, a wire.Response) {
 	w := c.r.w
 	c.later(after+w.Between(ms/2, 3*ms), func() {
 		if !c.H.Dark && !c.closed && !c.mute {
-			c.r.run(c.life, func(r *Headstock) { r.arrived(c.k, &a, r.clock.Time()) })
+			c.r.run(c.life, func(r *Server) { r.arrived(c.k, &a, r.clock.Time()) })
 		}
 	})
 }
@@ -313,9 +313,9 @@
 	}
 	c.in = append(c.in, b...)
 	for {
-		line, n, err := wire.Line(c.in, 0)
+		line, n, err := wire.CutLine(c.in, 0)
 		if err != nil {
-			w.Broke("%s is sent what is no line: %v", h.ID, err)
+			w.Violate("%s is sent what is no line: %v", h.ID, err)
 		}
 		if n == 0 {
 			return
@@ -323,7 +323,7 @@
 		f := strings.SplitN(string(line), " ", 3)
 		c.in = c.in[n:]
 		if f[0] != "QUERY" || len(f) < 3 {
-			w.Broke("%s is sent %q", h.ID, line)
+			w.Violate("%s is sent %q", h.ID, line)
 			return
 		}
 		c.check(f[1], f[2])
@@ -341,27 +341,27 @@
 	}
 	if id == "-" {
 		if verb == "RESET" && c.State == 'T' {
-			w.Broke("RESET inside a transaction")
+			w.Violate("RESET inside a transaction")
 		}
 		return
 	}
 	who, now := w.owner(id)
 	switch {
 	case who == nil:
-		w.Broke("UNASKED: %s runs %s %s", c.H.ID, id, text)
+		w.Violate("UNASKED: %s runs %s %s", c.H.ID, id, text)
 	case !now: // its session is over
 	case verb == "EXECUTE":
 		name, _, _ := strings.Cut(rest, " ")
 		if shape, want := c.Names[name], who.names[who.asked.name]; shape != want {
-			w.Broke("PINNED: %s runs %q for %q", c.H.ID, shape, want)
+			w.Violate("PINNED: %s runs %q for %q", c.H.ID, shape, want)
 		}
 		fallthrough
 	case verb != "COMMIT" && verb != "ABORT":
 		if !c.Same(who.values) {
-			w.Broke("PINNED: values %v for %v", c.Values, who.values)
+			w.Violate("PINNED: values %v for %v", c.Values, who.values)
 		}
 		if owner, _ := w.owner(c.Began); c.State == 'T' && owner != who {
-			w.Broke("PINNED: a statement of %d in a transaction of another", who.i)
+			w.Violate("PINNED: a statement of %d in a transaction of another", who.i)
 		}
 	}
 }
@@ -369,7 +369,7 @@
 // fresh asserts that a read misses nothing that it must see.
 func (w *world) fresh(h *database.Host, _ *database.Conn, id string) {
 	if who, now := w.owner(id); who != nil && now && who.first > 0 {
-		w.judge.Fresh(h, checker.Reader{Kind: who.kind, Session: who.session(), First: who.first})
+		w.judge.CheckRead(h, checker.Reader{Kind: who.kind, Session: who.session(), First: who.first})
 	}
 }
 
@@ -380,7 +380,7 @@
 	w      *world
 	name   string
 	life   int
-	h      *Headstock
+	h      *Server
 	up     bool
 	cut    bool // from the control plane
 	rate   int64
@@ -396,7 +396,7 @@
 	w := r.w
 	r.life++
 	r.up, r.cut, r.frozen, r.sent, r.dueAt = true, false, 0, 0, 0
-	r.h = newHeadstock(&settings.Plate{Node: r.name, Zone: "z"}, hclog.NewNullLogger(), eventloop.NewSteady(w.clock(r.rate)), w.Chance.Uint64())
+	r.h = newHeadstock(&settings.Settings{Node: r.name, Zone: "z"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(w.clock(r.rate)), w.Rand.Uint64())
 	life := r.life
 	if w.council != nil {
 		defer r.seek(life)
@@ -407,9 +407,9 @@
 			r.tell(f)
 			return
 		}
-		if f != nil && f.Suspect != nil && !r.cut {
-			w.In(w.Between(1*ms, 4*ms), func() {
-				w.control.hoist.Suspect(r.name, f.Suspect.Service, f.Suspect.Host, w.control.millis())
+		if f != nil && f.SuspectReport != nil && !r.cut {
+			w.After(w.Between(1*ms, 4*ms), func() {
+				w.control.hoist.SuspectPrimary(r.name, f.SuspectReport.Service, f.SuspectReport.Host, w.control.millis())
 				w.control.tend()
 			})
 		}
@@ -420,30 +420,30 @@
 	if w.council != nil {
 		return
 	}
-	if _, known := w.control.state.Routers[r.name]; !known {
-		w.control.apply(statemachine.Change{Router: &statemachine.Router{Node: r.name}})
+	if _, known := w.control.state.Proxies[r.name]; !known {
+		w.control.apply(statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: r.name}})
 	}
 	r.follow()
 	r.renews(life)
 }
 
 // run runs in the router's process, later if it is frozen.
-func (r *router) run(life int, do func(h *Headstock)) {
+func (r *router) run(life int, do func(h *Server)) {
 	w := r.w
 	if !r.up || r.life != life {
 		return
 	}
 	if w.Now < r.frozen {
-		w.In(r.frozen-w.Now, func() { r.run(life, do) })
+		w.After(r.frozen-w.Now, func() { r.run(life, do) })
 		return
 	}
-	r.h.queue.Put(eventloop.Outcomes, func() { do(r.h) })
+	r.h.queue.Put(eventloop.PriorityOutcomes, func() { do(r.h) })
 	for r.h.step() {
 	}
 	after := int64(r.h.dueAt().Sub(r.h.clock.Time())/(100*time.Microsecond)) * 1000 / (1000 + r.rate)
 	if at := w.Now + max(1, after); r.dueAt <= w.Now || at < r.dueAt {
 		r.dueAt = at
-		w.In(at-w.Now, func() { r.run(life, func(*Headstock) {}) })
+		w.After(at-w.Now, func() { r.run(life, func(*Server) {}) })
 	}
 }
 
@@ -454,15 +454,15 @@
 	if !r.up || r.cut || r.sent == uint64(len(all)) {
 		return
 	}
-	n := &rpc.News{Entries: slices.Clone(all[r.sent:]), Index: uint64(len(all))}
-	r.sent = n.Index
+	n := &rpc.LogUpdate{Entries: slices.Clone(all[r.sent:]), LastIndex: uint64(len(all))}
+	r.sent = n.LastIndex
 	r.order = max(r.order, w.Now+w.Between(1*ms, 4*ms))
-	w.In(r.order-w.Now, func() {
+	w.After(r.order-w.Now, func() {
 		if r.life == life && r.cut {
-			r.sent = min(r.sent, n.Index-uint64(len(n.Entries)))
+			r.sent = min(r.sent, n.LastIndex-uint64(len(n.Entries)))
 			return
 		}
-		r.run(life, func(h *Headstock) {
+		r.run(life, func(h *Server) {
 			h.news(n)
 			h.nudge()
 		})
@@ -473,7 +473,7 @@
 	if !r.up || r.life != life {
 		return
 	}
-	r.w.In(300*ms, func() { r.renews(life) })
+	r.w.After(300*ms, func() { r.renews(life) })
 	r.follow()
 	r.renew(life)
 }
@@ -484,19 +484,19 @@
 		return
 	}
 	asked, applied := r.h.clock.Now(), r.h.state.Index
-	w.In(w.Between(1*ms, 4*ms), func() {
+	w.After(w.Between(1*ms, 4*ms), func() {
 		if r.life != life || !r.up || r.cut {
 			return
 		}
 		c := w.control
-		if !c.jaw.Renew(r.name, uint64(life), applied, c.state.Recalled(), c.millis()) {
+		if !c.jaw.Grant(r.name, uint64(life), applied, c.state.LatestRevocation(), c.millis()) {
 			c.tend()
 			return
 		}
-		l := &rpc.Lease{Granted: true, Index: c.state.Index, Routers: len(w.routers)}
+		l := &rpc.LeaseResponse{Granted: true, CommitIndex: c.state.Index, ProxyCount: len(w.routers)}
 		c.tend()
 		r.order = max(r.order, w.Now+w.Between(1*ms, 4*ms))
-		w.In(r.order-w.Now, func() { r.run(life, func(h *Headstock) { h.leased(l, asked) }) })
+		w.After(r.order-w.Now, func() { r.run(life, func(h *Server) { h.leased(l, asked) }) })
 	})
 }
 
@@ -504,10 +504,10 @@
 	w, id := r.w, n.ID
 	w.opens++
 	k := &hostConn{host: n, opened: asked}
-	w.In(w.Between(2*ms, 15*ms), func() {
+	w.After(w.Between(2*ms, 15*ms), func() {
 		h := w.db.Host(id)
 		if h == nil { // another uses its address
-			r.run(life, func(*Headstock) { n.opened(k, wire.Answer{Code: wire.WrongNode}, nil, lead) })
+			r.run(life, func(*Server) { n.opened(k, wire.Response{Code: wire.CodeWrongNode}, nil, lead) })
 			return
 		}
 		if !h.Up || h.Dark {
@@ -516,14 +516,14 @@
 			if h.Dark {
 				after, err = 1500*ms, fmt.Errorf("timed out")
 			}
-			w.In(after, func() { r.run(life, func(*Headstock) { n.opened(k, wire.Answer{}, err, lead) }) })
+			w.After(after, func() { r.run(life, func(*Server) { n.opened(k, wire.Response{}, err, lead) }) })
 			return
 		}
 		c := &dbConn{Conn: h.Connect(), r: r, life: life, k: k}
 		c.Answer, c.Broke = c.answered, c.broke
 		k.out = c
-		a := wire.Answer{State: 'I', Position: h.At(h.Seen())}
-		w.In(w.Between(1*ms, 3*ms), func() { r.run(life, func(*Headstock) { n.opened(k, a, nil, lead) }) })
+		a := wire.Response{State: 'I', Position: h.At(h.Seen())}
+		w.After(w.Between(1*ms, 3*ms), func() { r.run(life, func(*Server) { n.opened(k, a, nil, lead) }) })
 	})
 }
 
@@ -551,7 +551,7 @@
 			c.gone()
 		}
 	}
-	w.In(w.Between(100*ms, 2*s), r.start)
+	w.After(w.Between(100*ms, 2*s), r.start)
 }
 
 // client is one session after another.
@@ -600,24 +600,24 @@
 func (x clientWire) write(b []byte) (int, bool) {
 	w := x.c.w
 	b = slices.Clone(b)
-	w.In(3*ms, func() { // each way has the same delay, so the order stays
+	w.After(3*ms, func() { // each way has the same delay, so the order stays
 		if x.c.life == x.life {
 			x.c.feed(b)
 		}
 	})
 	return len(b), true
 }
-func (x clientWire) stop()   { x.c.w.In(1, func() { x.c.left(x.life) }) }
-func (x clientWire) finish() { x.c.w.In(3*ms+1, func() { x.c.over(x.life) }) }
-func (x clientWire) close()  { x.c.w.In(3*ms+1, func() { x.c.over(x.life) }) }
+func (x clientWire) stop()   { x.c.w.After(1, func() { x.c.left(x.life) }) }
+func (x clientWire) finish() { x.c.w.After(3*ms+1, func() { x.c.over(x.life) }) }
+func (x clientWire) close()  { x.c.w.After(3*ms+1, func() { x.c.over(x.life) }) }
 
 func (c *client) connect() {
 	w := c.w
 	c.life++
 	c.values, c.names, c.inTx, c.wrote, c.in, c.first = map[string]string{}, map[string]string{}, false, nil, nil, 0
-	c.router = w.routers[w.Chance.IntN(len(w.routers))]
+	c.router = w.routers[w.Rand.IntN(len(w.routers))]
 	if !c.router.up {
-		w.In(w.Between(50*ms, 300*ms), c.connect)
+		w.After(w.Between(50*ms, 300*ms), c.connect)
 		return
 	}
 	c.rlife = c.router.life
@@ -625,7 +625,7 @@
 	c.s = &clientSession{h: c.router.h, out: clientWire{c, life}}
 	c.asked, c.sentAt = asked{verb: "CONNECT"}, w.Now
 	sess, router, rlife := c.s, c.router, c.rlife
-	w.In(3*ms, func() { router.run(rlife, func(h *Headstock) { h.begin(sess, c.kind) }) })
+	w.After(3*ms, func() { router.run(rlife, func(h *Server) { h.begin(sess, c.kind) }) })
 	c.watch(life, c.asked, 2500*ms)
 }
 
@@ -633,9 +633,9 @@
 func (c *client) watch(life int, what asked, within int64) {
 	w := c.w
 	r, rlife := c.router, c.rlife
-	w.In(within, func() {
+	w.After(within, func() {
 		if c.life == life && c.asked == what && r.up && r.life == rlife && r.frozen < w.Now-within {
-			w.Broke("%s of %d at %s is not answered", what.verb, c.i, r.name)
+			w.Violate("%s of %d at %s is not answered", what.verb, c.i, r.name)
 		}
 	})
 }
@@ -643,7 +643,7 @@
 func (c *client) left(life int) {
 	if c.life == life {
 		sess := c.s
-		c.router.run(c.rlife, func(h *Headstock) { h.left(sess) })
+		c.router.run(c.rlife, func(h *Server) { h.left(sess) })
 	}
 }
 
@@ -659,7 +659,7 @@
 	c.life++
 	c.asked = asked{}
 	life := c.life
-	c.w.In(c.w.Between(20*ms, 400*ms), func() {
+	c.w.After(c.w.Between(20*ms, 400*ms), func() {
 		if c.life == life { // it may be gone twice before it comes again
 			c.connect()
 		}
@@ -668,21 +668,21 @@
 
 func (c *client) feed(b []byte) {
 	c.in = append(c.in, b...)
-	var a wire.Answer
+	var a wire.Response
 	for rest := c.in; ; {
-		line, n, err := wire.Line(rest, 0)
+		line, n, err := wire.CutLine(rest, 0)
 		if err != nil {
-			c.w.Broke("%d is sent what is no line", c.i)
+			c.w.Violate("%d is sent what is no line", c.i)
 		}
 		if n == 0 {
 			return
 		}
-		whole, err := a.Take(line, rest[:n])
+		whole, err := a.AddLine(line, rest[:n])
 		if err != nil {
-			c.w.Broke("%d is sent %q: %v", c.i, line, err)
+			c.w.Violate("%d is sent %q: %v", c.i, line, err)
 		}
 		rest = rest[n:]
-		if whole || a.Code == wire.NoDB || c.asked.verb == "CONNECT" && a.Code != "" {
+		if whole || a.Code == wire.CodeNoDB || c.asked.verb == "CONNECT" && a.Code != "" {
 			c.in = slices.Clone(rest)
 			c.answered(&a)
 			return
@@ -690,23 +690,23 @@
 	}
 }
 
-func (c *client) answered(a *wire.Answer) {
+func (c *client) answered(a *wire.Response) {
 	w, what := c.w, c.asked
 	if what.verb == "" {
-		w.Broke("%d is answered without having asked: %+v", c.i, a)
+		w.Violate("%d is answered without having asked: %+v", c.i, a)
 		return
 	}
 	c.asked = asked{}
 	if what.verb == "CONNECT" {
 		if a.Code == "" {
-			w.In(w.Between(1*ms, 20*ms), c.act(c.life))
+			w.After(w.Between(1*ms, 20*ms), c.act(c.life))
 		}
 		return
 	}
 	ok := a.Code == ""
 	if ok && (what.verb == "FETCH" || what.verb == "STORE" || what.verb == "COMMIT") {
 		if !strings.Contains(string(a.Lines), "DONE x."+what.id) {
-			w.Broke("MIXED: %d is answered %q for %s", c.i, a.Lines, what.id)
+			w.Violate("MIXED: %d is answered %q for %s", c.i, a.Lines, what.id)
 		}
 		w.Served++
 		if what.verb == "STORE" && !c.inTx {
@@ -732,26 +732,26 @@
 		case c.inTx && ok:
 			c.wrote = append(c.wrote, what.data)
 		case !c.inTx:
-			w.judge.Told(c.session(), []string{what.data}, a.Code, w.Now)
+			w.judge.ReportAnswer(c.session(), []string{what.data}, a.Code, w.Now)
 		}
 	case "COMMIT":
 		if len(c.wrote) > 0 {
-			w.judge.Told(c.session(), c.wrote, a.Code, w.Now)
+			w.judge.ReportAnswer(c.session(), c.wrote, a.Code, w.Now)
 		}
 	case "ABORT":
-		w.judge.Promised(c.wrote)
+		w.judge.ReportNothingKept(c.wrote)
 	}
 	if a.State != 'T' {
-		if a.Code.Promise() && what.verb != "COMMIT" && c.inTx {
-			w.judge.Promised(c.wrote)
+		if a.Code.NothingKept() && what.verb != "COMMIT" && c.inTx {
+			w.judge.ReportNothingKept(c.wrote)
 		}
 		if c.inTx && a.State == 'E' {
-			w.In(w.Between(1*ms, 5*ms), func() { c.send(c.life, asked{verb: "ABORT"}, "ABORT") })
+			w.After(w.Between(1*ms, 5*ms), func() { c.send(c.life, asked{verb: "ABORT"}, "ABORT") })
 			return
 		}
 		c.inTx, c.wrote, c.first = false, nil, 0
 	}
-	w.In(w.Between(1*ms, 60*ms), c.act(c.life))
+	w.After(w.Between(1*ms, 60*ms), c.act(c.life))
 }
 
 // act does what comes next in a session.
@@ -761,44 +761,44 @@
 		if c.life != life || c.asked.verb != "" {
 			return
 		}
-		if !c.inTx && w.Odds(25) { // it leaves, and another comes
+		if !c.inTx && w.OneIn(25) { // it leaves, and another comes
 			c.left(life)
 			c.gone()
 			return
 		}
-		if c.inTx && w.Odds(40) { // in the middle of a transaction
+		if c.inTx && w.OneIn(40) { // in the middle of a transaction
 			c.left(life)
 			c.gone()
 			return
 		}
 		c.id++
 		data := fmt.Sprintf("d%d.%d", c.i, c.id)
-		thing := fmt.Sprintf("t%d", w.Chance.IntN(9))
+		thing := fmt.Sprintf("t%d", w.Rand.IntN(9))
 		if !c.inTx || c.first == 0 {
 			c.first = w.Now
 		}
-		switch n := w.Chance.IntN(20); {
+		switch n := w.Rand.IntN(20); {
 		case n == 0:
-			k := fmt.Sprintf("v%d", w.Chance.IntN(2))
+			k := fmt.Sprintf("v%d", w.Rand.IntN(2))
 			c.send(life, asked{verb: "SET", name: k, data: data}, "SET "+k+" "+data)
 		case n == 1:
-			k := fmt.Sprintf("p%d", w.Chance.IntN(2))
-			shape := []string{"FETCH q", "STORE z"}[w.Chance.IntN(2)] + fmt.Sprint(w.Chance.IntN(3))
+			k := fmt.Sprintf("p%d", w.Rand.IntN(2))
+			shape := []string{"FETCH q", "STORE z"}[w.Rand.IntN(2)] + fmt.Sprint(w.Rand.IntN(3))
 			c.send(life, asked{verb: "PREPARE", name: k, data: shape}, "PREPARE "+k+" "+shape)
 		case n < 5 && !c.inTx:
 			text := "BEGIN"
-			if w.Odds(2) {
+			if w.OneIn(2) {
 				text = "BEGIN FETCH"
 			}
 			c.send(life, asked{verb: "BEGIN"}, text)
 		case n < 9 && c.inTx:
-			if w.Odds(4) {
+			if w.OneIn(4) {
 				c.send(life, asked{verb: "ABORT"}, "ABORT")
 			} else {
 				c.send(life, asked{verb: "COMMIT"}, "COMMIT")
 			}
 		case n < 12 && c.names["p0"] != "":
-			if wire.Writes(c.names["p0"]) {
+			if wire.ShapeWrites(c.names["p0"]) {
 				c.send(life, asked{verb: "STORE", name: "p0", data: data}, "EXECUTE p0 "+thing+" "+data)
 			} else {
 				c.send(life, asked{verb: "FETCH", name: "p0"}, "EXECUTE p0 "+thing)
@@ -820,16 +820,16 @@
 	a.id = fmt.Sprintf("c%d.%d.%d", c.i, c.life, c.id)
 	c.asked = a
 	if a.verb == "STORE" {
-		w.judge.Try(a.data)
+		w.judge.ReportAttempt(a.data)
 	}
-	r, err := wire.ReadRequest([]byte("QUERY " + a.id + " " + text))
+	r, err := wire.ParseRequest([]byte("QUERY " + a.id + " " + text))
 	if err != nil {
 		panic(err)
 	}
 	sess, router, rlife := c.s, c.router, c.rlife
-	w.In(3*ms, func() {
+	w.After(3*ms, func() {
 		at := w.clock(router.rate)()
-		router.run(rlife, func(h *Headstock) { h.message(sess, message{r, nil, at}) })
+		router.run(rlife, func(h *Server) { h.message(sess, message{r, nil, at}) })
 	})
 	c.watch(life, a, 4*s)
 }
@@ -838,24 +838,24 @@
 func (w *world) drain() {
 	if w.council != nil {
 		h := w.db.Lead()
-		if w.Odds(3) {
-			h = w.db.Hosts[w.Chance.IntN(3)]
+		if w.OneIn(3) {
+			h = w.db.Hosts[w.Rand.IntN(3)]
 		}
 		w.council.drain(h)
 		return
 	}
-	if l := w.control.state.Leads["db"]; l.Host != "" && !l.Moving && !w.control.state.Hosts[l.Host].Draining {
+	if l := w.control.state.Primaries["db"]; l.Host != "" && !l.Revoked && !w.control.state.Hosts[l.Host].Draining {
 		w.Note("%s drains", l.Host)
 		drained := w.control.state.Hosts[l.Host]
 		drained.Draining = true
-		w.control.apply(statemachine.Change{Enter: &drained})
-		w.In(3*s, func() { // it is replaced: the same machine serves again under its name
-			w.control.apply(statemachine.Change{Leave: drained.ID})
-			w.control.state.Gone = nil
+		w.control.apply(statemachine.Change{AddHost: &drained})
+		w.After(3*s, func() { // it is replaced: the same machine serves again under its name
+			w.control.apply(statemachine.Change{RemoveHost: drained.ID})
+			w.control.state.RemovedHosts = nil
 			drained.Draining = false
-			w.control.apply(statemachine.Change{Enter: &drained})
+			w.control.apply(statemachine.Change{AddHost: &drained})
 			for _, r := range w.routers { // they forget who left, too
-				r.run(r.life, func(h *Headstock) { h.state.Gone = nil })
+				r.run(r.life, func(h *Server) { h.state.RemovedHosts = nil })
 			}
 		})
 	}
@@ -866,7 +866,7 @@
 	if w.Now > w.Zero+8*s {
 		return
 	}
-	w.In(w.Between(200*ms, 2*s), w.strike)
+	w.After(w.Between(200*ms, 2*s), w.strike)
 	down, deaf := 0, 0
 	for _, h := range w.db.Hosts {
 		if !h.Up {
@@ -876,21 +876,21 @@
 			deaf++
 		}
 	}
-	h := w.db.Hosts[w.Chance.IntN(len(w.db.Hosts))]
-	r := w.routers[w.Chance.IntN(len(w.routers))]
+	h := w.db.Hosts[w.Rand.IntN(len(w.db.Hosts))]
+	r := w.routers[w.Rand.IntN(len(w.routers))]
 	kinds := 9
 	if w.council != nil {
 		kinds = 10
 	}
-	switch w.Chance.IntN(kinds) {
+	switch w.Rand.IntN(kinds) {
 	case 0, 1:
-		if l := w.db.Lead(); l != nil && (down == 0 || w.Odds(4)) {
-			l.Crash(w.Odds(2), w.Between(500*ms, 4*s))
+		if l := w.db.Lead(); l != nil && (down == 0 || w.OneIn(4)) {
+			l.Crash(w.OneIn(2), w.Between(500*ms, 4*s))
 		}
 	case 2:
 		if down == 0 {
-			back, dark := w.Between(500*ms, 4*s), w.Odds(2)
-			if !dark && !h.Leader && w.Odds(2) {
+			back, dark := w.Between(500*ms, 4*s), w.OneIn(2)
+			if !dark && !h.Leader && w.OneIn(2) {
 				back = 6 * s // long enough to count as gone
 			}
 			h.Crash(dark, back)
@@ -899,7 +899,7 @@
 		if deaf == 0 && !h.Leader {
 			w.Note("%s receives nothing", h.ID)
 			h.Deaf = true
-			w.In(w.Between(500*ms, 3*s), func() { h.Deaf = false })
+			w.After(w.Between(500*ms, 3*s), func() { h.Deaf = false })
 		}
 	case 4:
 		r.kill()
@@ -909,7 +909,7 @@
 	case 6:
 		w.Note("%s is cut off from the control plane", r.name)
 		r.cut = true
-		w.In(w.Between(200*ms, 4*s), func() { r.cut = false })
+		w.After(w.Between(200*ms, 4*s), func() { r.cut = false })
 	case 7:
 		w.Note("%s stands still", h.ID)
 		w.frozen[h.ID] = w.Now + w.Between(20*ms, 1200*ms)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -10,92 +10,94 @@
 // Pure.
 package retry
 
-// Call is what one process asks of another.
-type Call uint8
+// Operation is what one process asks of another.
+type Operation uint8
 
-// Calls.
+// OperationCount.
 const (
-	Read       Call = iota // a statement that only reads
-	Write                  // a single statement that writes
-	Begin                  // the first statement of a transaction
-	Within                 // a later one, COMMIT and ABORT aside
-	Commit                 // of a transaction that wrote
-	Rollback               // ABORT, and the COMMIT of what only read
-	Stat                   // a question to a host
-	Pause                  // orders to a host
-	Resume                 //
-	StepDown               //
-	Promotion              // to the platform
-	Order                  // an operator's, at any member
-	Beat                   // a host's
-	Leave                  // a host's
-	Lease                  // a router's
-	LogMessage             // between members
-	PassOn                 // of Order, Beat or Leave, to the member that leads
-	Probe                  // between routers
-	Calls                  // how many there are
+	Read                 Operation = iota // a statement that only reads
+	Write                                 // a single statement that writes
+	Begin                                 // the first statement of a transaction
+	TransactionStatement                  // a later one, COMMIT and ABORT aside
+	Commit                                // of a transaction that wrote
+	Rollback                              // ABORT, and the COMMIT of what only read
+	Stat                                  // a question to a host
+	Pause                                 // orders to a host
+	Resume                                //
+	StepDown                              //
+	Promotion                             // to the platform
+	OperatorChange                        // an operator's, at any member
+	HostHeartbeat                         // a host's
+	HostLeave                             // a host's
+	LeaseRequest                          // a router's
+	ConsensusMessage                      // between members
+	ForwardedCall                         // of Order, Beat or Leave, to the member that leads
+	GossipProbe                           // between routers
+	OperationCount                        // how many there are
 )
 
-// Moment is how far a call was written when its connection ended or its answer was given up.
-type Moment uint8
+// Progress is how far a call was written when its connection ended or its answer was given up.
+type Progress uint8
 
-// Moments.
+// ProgressCount.
 const (
-	Unsaid Moment = iota // nothing of it: the connection was found closed, or could not be made
-	Torn                 // a part, which no process takes for a message
-	Said                 // all of it; it may have run, or may yet
-	Moments
+	NotSent    Progress = iota // nothing of it: the connection was found closed, or could not be made
+	PartlySent                 // a part, which no process takes for a message
+	Sent                       // all of it; it may have run, or may yet
+	ProgressCount
 )
 
-// Wrote is the moment of a write of which n bytes of all went out.
-func Wrote(n, all int) Moment {
+// ProgressOf is the moment of a write of which n bytes of all went out.
+func ProgressOf(n, all int) Progress {
 	switch {
 	case n == 0:
-		return Unsaid
+		return NotSent
 	case n < all:
-		return Torn
+		return PartlySent
 	}
-	return Said
+	return Sent
 }
 
-// Then is what follows.
-type Then uint8
+// Action is what follows.
+type Action uint8
 
 // What follows.
 const (
-	Again   Then = iota // it is made again at once: nothing of it ran, or it changes nothing
-	Ask                 // whoever decides looks how things stand, and then says it anew under a new number
-	Dropped             // its connection's end undoes it: a promise that nothing is kept
-	Doubt               // never again; its caller is told that this is not known
-	Caller              // never again from here: its caller comes by itself, and what came before is known by its own mark
+	RetryNow      Action = iota // it is made again at once: nothing of it ran, or it changes nothing
+	Reconsider                  // whoever decides looks how things stand, and then says it anew under a new number
+	RolledBack                  // its connection's end undoes it: a promise that nothing is kept
+	InDoubt                     // never again; its caller is told that this is not known
+	CallerRetries               // never again from here: its caller comes by itself, and what came before is known by its own mark
 )
 
 // String is the word of the table in the docs.
-func (t Then) String() string { return [...]string{"again", "ask", "dropped", "doubt", "caller"}[t] }
+func (t Action) String() string { return [...]string{"again", "ask", "dropped", "doubt", "caller"}[t] }
 
-var table = [Calls][Moments]Then{
-	Read:       {Again, Again, Again},
-	Write:      {Again, Again, Doubt},
-	Begin:      {Again, Again, Again},
-	Within:     {Dropped, Dropped, Dropped},
-	Commit:     {Dropped, Dropped, Doubt},
-	Rollback:   {Dropped, Dropped, Dropped},
-	Stat:       {Again, Again, Again},
-	Pause:      {Again, Again, Ask},
-	Resume:     {Again, Again, Ask},
-	StepDown:   {Again, Again, Ask},
-	Promotion:  {Again, Ask, Ask},
-	Order:      {Caller, Caller, Caller},
-	Beat:       {Caller, Caller, Caller},
-	Leave:      {Caller, Caller, Caller},
-	Lease:      {Ask, Ask, Ask},
-	LogMessage: {Ask, Ask, Ask},
-	PassOn:     {Caller, Caller, Caller},
-	Probe:      {Ask, Ask, Ask},
+var table = [OperationCount][ProgressCount]Action{
+	Read:                 {RetryNow, RetryNow, RetryNow},
+	Write:                {RetryNow, RetryNow, InDoubt},
+	Begin:                {RetryNow, RetryNow, RetryNow},
+	TransactionStatement: {RolledBack, RolledBack, RolledBack},
+	Commit:               {RolledBack, RolledBack, InDoubt},
+	Rollback:             {RolledBack, RolledBack, RolledBack},
+	Stat:                 {RetryNow, RetryNow, RetryNow},
+	Pause:                {RetryNow, RetryNow, Reconsider},
+	Resume:               {RetryNow, RetryNow, Reconsider},
+	StepDown:             {RetryNow, RetryNow, Reconsider},
+	Promotion:            {RetryNow, Reconsider, Reconsider},
+	OperatorChange:       {CallerRetries, CallerRetries, CallerRetries},
+	HostHeartbeat:        {CallerRetries, CallerRetries, CallerRetries},
+	HostLeave:            {CallerRetries, CallerRetries, CallerRetries},
+	LeaseRequest:         {Reconsider, Reconsider, Reconsider},
+	ConsensusMessage:     {Reconsider, Reconsider, Reconsider},
+	ForwardedCall:        {CallerRetries, CallerRetries, CallerRetries},
+	GossipProbe:          {Reconsider, Reconsider, Reconsider},
 }
 
-// After says what follows a call that got no clear answer.
-func After(c Call, m Moment) Then { return table[c][m] }
+// Decide says what follows a call that got no clear answer.
+func Decide(c Operation, m Progress) Action { return table[c][m] }
 
-// Repeats says that a call may be made again whatever became of it.
-func Repeats(c Call) bool { return table[c] == [Moments]Then{Again, Again, Again} }
+// Idempotent says that a call may be made again whatever became of it.
+func Idempotent(c Operation) bool {
+	return table[c] == [ProgressCount]Action{RetryNow, RetryNow, RetryNow}
+}
--- a/internal/router/routing/list.go
+++ b/internal/router/routing/list.go
@@ -92,7 +92,7 @@
 // Told takes in what is new in a view, from any goroutine: hosts as they are now, names of those that it dropped,
 // how many routers there are, and whether any planner is there. Lists that are held are the view's alone.
 func (r *Router) Told(hosts []view.Host, dropped []string, routers int, blind bool) {
-	r.queue.Put(eventloop.Lists, func() {
+	r.queue.Put(eventloop.PriorityLists, func() {
 		for _, name := range dropped {
 			if h := r.hosts[name]; h != nil {
 				gone := h.Host
@@ -121,7 +121,7 @@
 // Report hands over what answers said of hosts since the last report, from any goroutine; nil once stopped.
 func (r *Router) Report() []link.Heard {
 	got := make(chan []link.Heard, 1)
-	if !r.queue.Put(eventloop.Lists, func() {
+	if !r.queue.Put(eventloop.PriorityLists, func() {
 		var all []link.Heard
 		for _, h := range r.hosts {
 			h.heard.Evidence = h.said
--- a/internal/router/routing/routing.go
+++ b/internal/router/routing/routing.go
@@ -106,7 +106,7 @@
 	}
 	longest := clock.Span(g.Timeout) // nobody waits for longer, whatever is said
 	until := at.Add(min(time.Duration(min(wait, 1e9)*float64(time.Millisecond)), longest) - r.start.Limits.Early)
-	if !r.queue.Put(eventloop.Commands, func() { r.command(s, statement, g, id, key, set, until, after, again) }) {
+	if !r.queue.Put(eventloop.PriorityCommands, func() { r.command(s, statement, g, id, key, set, until, after, again) }) {
 		s.Fail(protocol.Failed, errStopped.Error())
 	}
 }
@@ -118,7 +118,7 @@
 }
 
 func (r *Router) Empty(s *transport.Slot) {
-	r.queue.Put(eventloop.Commands, func() {
+	r.queue.Put(eventloop.PriorityCommands, func() {
 		if r.listed {
 			s.Empty()
 		} else {
@@ -128,7 +128,7 @@
 }
 
 func (r *Router) Left(s *transport.Slot) {
-	r.queue.Put(eventloop.Outcomes, func() {
+	r.queue.Put(eventloop.PriorityOutcomes, func() {
 		if c := r.slots[s]; c != nil {
 			r.Gone.Add(1)
 			r.final(c)
@@ -143,7 +143,7 @@
 // that speaks for the first time.
 func (r *Router) List(line []byte, anew bool) error {
 	told := make(chan error, 1)
-	if !r.queue.Put(eventloop.Lists, func() {
+	if !r.queue.Put(eventloop.PriorityLists, func() {
 		o, err := setup.Decode("", line)
 		if err == nil {
 			err = r.list(o, anew)
@@ -162,7 +162,7 @@
 
 // Unlisted tells that a list that was asked for did not come, or comes no more. What is held serves on.
 func (r *Router) Unlisted() {
-	r.queue.Put(eventloop.Lists, func() {
+	r.queue.Put(eventloop.PriorityLists, func() {
 		r.Unlists.Add(1)
 		r.moment()
 		r.trace.Unlisted()
@@ -171,7 +171,7 @@
 }
 
 func (r *Router) Heard(body string) {
-	r.queue.Put(eventloop.Commands, func() {
+	r.queue.Put(eventloop.PriorityCommands, func() {
 		r.moment()
 		r.trace.Heard(body)
 		r.rules.Heard(body)
@@ -181,7 +181,7 @@
 // Reloaded notes, for whoever captures, that the configuration was read again, and whether it was good.
 func (r *Router) Reloaded(ok bool) {
 	if r.trace != nil {
-		r.queue.Put(eventloop.Lists, func() {
+		r.queue.Put(eventloop.PriorityLists, func() {
 			r.moment()
 			r.trace.Reload(ok)
 		})
@@ -191,7 +191,7 @@
 // Stop fails what is owed, when time is up.
 func (r *Router) Stop() {
 	done := make(chan struct{})
-	if r.queue.Put(eventloop.Outcomes, func() { r.failAll(); close(done) }) {
+	if r.queue.Put(eventloop.PriorityOutcomes, func() { r.failAll(); close(done) }) {
 		select {
 		case <-done:
 		case <-r.queue.Ended:
@@ -237,8 +237,8 @@
 	if !r.wakeAt.IsZero() && r.wakeAt.Before(next) {
 		next = r.wakeAt
 	}
-	if first := r.due.First(); first != nil && first.Until.Before(next) {
-		next = first.Until
+	if first := r.due.First(); first != nil && first.Deadline.Before(next) {
+		next = first.Deadline
 	}
 	return next
 }
@@ -246,16 +246,16 @@
 // step does what comes first of all that is due now, and says whether there was anything.
 func (r *Router) step() bool {
 	r.stepAt = time.Now()
-	if do := r.queue.Take(eventloop.Lists); do != nil {
+	if do := r.queue.Take(eventloop.PriorityLists); do != nil {
 		do()
 		return true
 	}
-	if do := r.queue.Take(eventloop.Outcomes); do != nil {
+	if do := r.queue.Take(eventloop.PriorityOutcomes); do != nil {
 		do()
 		return true
 	}
-	if first := r.due.First(); first != nil && !r.stepAt.Before(first.Until) {
-		r.expire(first.What)
+	if first := r.due.First(); first != nil && !r.stepAt.Before(first.Deadline) {
+		r.expire(first.Value)
 		return true
 	}
 	if !r.wakeAt.IsZero() && !r.stepAt.Before(r.wakeAt) {
@@ -273,7 +273,7 @@
 		}
 		r.asking = nil
 	}
-	if do := r.queue.Take(eventloop.Commands); do != nil {
+	if do := r.queue.Take(eventloop.PriorityCommands); do != nil {
 		do()
 		return true
 	}
@@ -308,8 +308,8 @@
 // failAll gives up on all that is out, and answers what is owed.
 func (r *Router) failAll() {
 	for _, t := range r.due.All() {
-		t.What.over = true
-		t.What.call.Abandon()
+		t.Value.over = true
+		t.Value.call.Abandon()
 	}
 	for _, c := range r.cmds {
 		if c.slot != nil {
--- a/internal/router/routing/routing_test.go
+++ b/internal/router/routing/routing_test.go
@@ -74,7 +74,7 @@
 		t.Errorf("given up while held: %q", code)
 	}
 	left := make(chan int)
-	r.queue.Put(eventloop.Outcomes, func() { left <- len(r.cmds) + len(r.slots) })
+	r.queue.Put(eventloop.PriorityOutcomes, func() { left <- len(r.cmds) + len(r.slots) })
 	if n := <-left; n != 0 {
 		t.Errorf("%d are kept of a command that was given up while held", n)
 	}
@@ -83,7 +83,7 @@
 	for r.Taken.Load() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	r.queue.Put(eventloop.Commands, func() { panic("a fault of the module") })
+	r.queue.Put(eventloop.PriorityCommands, func() { panic("a fault of the module") })
 	if _, code := answer(); code != protocol.Failed {
 		t.Errorf("the held command ends with %q", code)
 	}
@@ -145,10 +145,10 @@
 
 func TestListsComeBeforeOutcomesAndThoseBeforeCommands(t *testing.T) {
 	q, order := eventloop.NewQueue(2), ""
-	for _, r := range []eventloop.Rank{eventloop.Commands, eventloop.Outcomes, eventloop.Outcomes, eventloop.Outcomes, eventloop.Lists} {
+	for _, r := range []eventloop.Priority{eventloop.PriorityCommands, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityLists} {
 		q.Put(r, func() { order += string(rune('0' + r)) })
 	}
-	for _, r := range []eventloop.Rank{eventloop.Lists, eventloop.Outcomes, eventloop.Commands} {
+	for _, r := range []eventloop.Priority{eventloop.PriorityLists, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
 		for do := q.Take(r); do != nil; do = q.Take(r) {
 			do()
 		}
@@ -156,21 +156,21 @@
 	if order != "01112" {
 		t.Error(order)
 	}
-	q.Put(eventloop.Commands, func() {})
-	q.Put(eventloop.Commands, func() {})
+	q.Put(eventloop.PriorityCommands, func() {})
+	q.Put(eventloop.PriorityCommands, func() {})
 	waited := make(chan bool)
-	go func() { waited <- q.Put(eventloop.Commands, func() {}) }()
+	go func() { waited <- q.Put(eventloop.PriorityCommands, func() {}) }()
 	select {
 	case <-waited:
 		t.Error("a full queue takes a command")
 	default:
 	}
-	q.Take(eventloop.Commands)
+	q.Take(eventloop.PriorityCommands)
 	if !<-waited || q.Length() != 2 {
 		t.Error("the command that waited is lost")
 	}
 	q.Close()
-	if q.Put(eventloop.Outcomes, func() {}) {
+	if q.Put(eventloop.PriorityOutcomes, func() {}) {
 		t.Error("a closed queue takes")
 	}
 }
--- a/internal/router/routing/sending.go
+++ b/internal/router/routing/sending.go
@@ -21,7 +21,7 @@
 	s := &sending{at: time.Now(), ended: ended}
 	s.due = r.due.Add(until, s)
 	s.call = h.conns.Send(statement, until, by, rewrite, func(a transport.Answer) {
-		r.queue.Put(eventloop.Outcomes, func() { r.arrived(s, a) })
+		r.queue.Put(eventloop.PriorityOutcomes, func() { r.arrived(s, a) })
 	})
 	return s
 }
--- a/internal/rpc/callers_test.go
+++ b/internal/rpc/callers_test.go
@@ -26,20 +26,20 @@
 
 func wired(t testing.TB, all ...*Frame) []byte {
 	var out tape
-	c := Wrap(&out)
+	c := NewConn(&out)
 	for _, f := range all {
 		require.NoError(t, c.Send(f, time.Second))
 	}
 	return out.out.Bytes()
 }
 
-var mark = Mark{From: "10.0.0.1+ab", Life: 1<<63 + 7, View: 9, Serial: 12}
+var mark = CallID{From: "10.0.0.1+ab", Incarnation: 1<<63 + 7, Term: 9, Serial: 12}
 
 func passedOn() []*Frame {
 	return []*Frame{
-		{Ask: &Ask{Mark: mark, To: "10.0.0.2", Method: "POST", Path: "/Config.Replace", Base: "7", Body: []byte("{}")}},
-		{Answer: &Answer{Mark: mark, By: "10.0.0.2", Status: 200, Body: []byte("{}\n")}},
-		{Core: &consensus.Message{Kind: consensus.Append, From: "10.0.0.1", Entries: []consensus.Entry{{View: 3, Body: []byte("x")}}}},
+		{ForwardRequest: &ForwardRequest{CallID: mark, To: "10.0.0.2", Method: "POST", Path: "/Config.Replace", BaseVersion: "7", Body: []byte("{}")}},
+		{ForwardResponse: &ForwardResponse{CallID: mark, By: "10.0.0.2", Status: 200, Body: []byte("{}\n")}},
+		{Consensus: &consensus.Message{Type: consensus.MsgAppend, From: "10.0.0.1", Entries: []consensus.Entry{{Term: 3, Data: []byte("x")}}}},
 	}
 }
 
@@ -47,10 +47,10 @@
 func TestACallThatIsCutAtAnyByteNeverArrives(t *testing.T) {
 	whole := wired(t, passedOn()[:1]...)
 	for n := range whole {
-		_, err := Wrap(&tape{in: bytes.NewReader(whole[:n])}).Receive(time.Second)
+		_, err := NewConn(&tape{in: bytes.NewReader(whole[:n])}).Receive(time.Second)
 		require.Error(t, err, "cut after %d of %d", n, len(whole))
 	}
-	c := Wrap(&tape{in: bytes.NewReader(wired(t, passedOn()...))})
+	c := NewConn(&tape{in: bytes.NewReader(wired(t, passedOn()...))})
 	for _, want := range passedOn() {
 		got, err := c.Receive(time.Second)
 		require.NoError(t, err)
@@ -64,7 +64,7 @@
 	f.Add([]byte{255, 255, 255, 255, 1})
 	f.Add([]byte{0, 0, 0, 2, 255, 255})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		c := Wrap(&tape{in: bytes.NewReader(b)})
+		c := NewConn(&tape{in: bytes.NewReader(b)})
 		for range 100 {
 			if _, err := c.Receive(time.Second); err != nil {
 				return
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -26,42 +26,42 @@
 	"ferrypitch/internal/control/consensus"
 )
 
-// Most is the longest frame in bytes.
-const Most = 24 << 20
+// MaxFrameBytes is the longest frame in bytes.
+const MaxFrameBytes = 24 << 20
 
 // Frame is one message; one of its fields is set.
 type Frame struct {
-	Core    *consensus.Message // between members
-	Ask     *Ask               // a member passes on what came to it
-	Answer  *Answer
-	Hello   *Hello // a router opens a connection
-	Welcome *Welcome
-	News    *News
-	Renew   *Renew
-	Lease   *Lease
-	Suspect *Suspect
+	Consensus       *consensus.Message // between members
+	ForwardRequest  *ForwardRequest    // a member passes on what came to it
+	ForwardResponse *ForwardResponse
+	Hello           *Hello // a router opens a connection
+	Welcome         *Welcome
+	LogUpdate       *LogUpdate
+	LeaseRequest    *LeaseRequest
+	LeaseResponse   *LeaseResponse
+	SuspectReport   *SuspectReport
 }
 
-// Mark names one call passed on for good: no other of any member or life has it.
-type Mark struct {
-	From   consensus.ID // who asks, and where the answer goes
-	Life   uint64       // drawn at its start
-	View   uint64       // in which it knows whom it asks as the leader
-	Serial uint64       // rises within a life
+// CallID names one call passed on for good: no other of any member or life has it.
+type CallID struct {
+	From        consensus.ID // who asks, and where the answer goes
+	Incarnation uint64       // drawn at its start
+	Term        uint64       // in which it knows whom it asks as the leader
+	Serial      uint64       // rises within a life
 }
 
-// Ask passes a call of a host or an operator on to the member that leads.
-type Ask struct {
-	Mark
+// ForwardRequest passes a call of a host or an operator on to the member that leads.
+type ForwardRequest struct {
+	CallID
 	To           consensus.ID
 	Method, Path string
-	Base         string // X-Base-Version
+	BaseVersion  string // X-Base-Version
 	Body         []byte
 }
 
-// Answer is how it went, to just that call.
-type Answer struct {
-	Mark
+// ForwardResponse is how it went, to just that call.
+type ForwardResponse struct {
+	CallID
 	By     consensus.ID
 	Status int
 	Body   []byte
@@ -69,64 +69,64 @@
 
 // Hello is a router's first frame.
 type Hello struct {
-	Node string
-	Life uint64
-	Zone string
-	From uint64 // it has applied the log up to here
+	Node         string
+	Incarnation  uint64
+	Zone         string
+	AppliedIndex uint64 // it has applied the log up to here
 }
 
 // Welcome is the member's answer. Only one that leads serves routers.
 type Welcome struct {
-	Node    string
-	Leads   bool
-	Leader  string   // where to go otherwise; empty: not known
-	Members []string // addresses of all
-	Routers []string // addresses of some that are there
+	Node     string
+	IsLeader bool
+	Leader   string   // where to go otherwise; empty: not known
+	Members  []string // addresses of all
+	Proxies  []string // addresses of some that are there
 }
 
-// News is the log from a place on, or a snapshot. Index is the last entry's.
-type News struct {
-	Snapshot []byte
-	Entries  [][]byte
-	Index    uint64
-	Members  []string
+// LogUpdate is the log from a place on, or a snapshot. Index is the last entry's.
+type LogUpdate struct {
+	Snapshot  []byte
+	Entries   [][]byte
+	LastIndex uint64
+	Members   []string
 }
 
-// Renew asks for a lease, and tells what the router sees.
-type Renew struct {
-	Serial   uint64
-	Applied  uint64
-	Seen     []Seen
-	Sessions int
+// LeaseRequest asks for a lease, and tells what the router sees.
+type LeaseRequest struct {
+	Serial           uint64
+	AppliedIndex     uint64
+	PrimaryPositions []PrimaryPosition
+	Sessions         int
 }
 
-// Seen is the position of a service's primary, in the answer to a question sent Ago milliseconds before the frame.
-type Seen struct {
+// PrimaryPosition is the position of a service's primary, in the answer to a question sent Ago milliseconds before the frame.
+type PrimaryPosition struct {
 	Service      string
 	Term, Number uint64
-	Ago          int64
+	AgeMs        int64
 }
 
-// Lease grants what a Renew asked for. Routers is how many hold leases.
-type Lease struct {
-	Serial  uint64
-	Granted bool
-	Index   uint64 // delivered, when it was granted
-	Routers int
-	Members []string
+// LeaseResponse grants what a Renew asked for. Routers is how many hold leases.
+type LeaseResponse struct {
+	Serial      uint64
+	Granted     bool
+	CommitIndex uint64 // delivered, when it was granted
+	ProxyCount  int
+	Members     []string
 }
 
-// Suspect tells that a primary can't be reached.
-type Suspect struct {
+// SuspectReport tells that a primary can't be reached.
+type SuspectReport struct {
 	Service, Host string
 	Refused       bool
 }
 
-// ErrLong is a frame longer than is taken.
-var ErrLong = errors.New("a frame longer than is taken")
+// ErrFrameTooLong is a frame longer than is taken.
+var ErrFrameTooLong = errors.New("a frame longer than is taken")
 
-// Sent and Received count bytes of all connections of this process.
-var Sent, Received atomic.Int64
+// BytesSent and Received count bytes of all connections of this process.
+var BytesSent, BytesReceived atomic.Int64
 
 // Conn is one connection. Send is safe for use by several goroutines, Receive by one.
 type Conn struct {
@@ -138,8 +138,8 @@
 	dec  *gob.Decoder
 }
 
-// Wrap makes a connection of a socket.
-func Wrap(c net.Conn) *Conn {
+// NewConn makes a connection of a socket.
+func NewConn(c net.Conn) *Conn {
 	k := &Conn{conn: c}
 	k.enc = gob.NewEncoder(&k.buf)
 	k.in = &frames{from: c}
@@ -158,7 +158,7 @@
 
 func (f *frames) fill() error {
 	n, err := f.from.Read(f.one[:])
-	Received.Add(int64(n))
+	BytesReceived.Add(int64(n))
 	f.r, f.w = 0, n
 	if n > 0 {
 		return nil
@@ -188,8 +188,8 @@
 			f.r++
 		}
 		size := binary.BigEndian.Uint32(head[:])
-		if size == 0 || size > Most {
-			return 0, ErrLong
+		if size == 0 || size > MaxFrameBytes {
+			return 0, ErrFrameTooLong
 		}
 		f.left = int(size)
 	}
@@ -213,13 +213,13 @@
 		return err
 	}
 	b := c.buf.Bytes()
-	if len(b)-4 > Most {
-		return ErrLong
+	if len(b)-4 > MaxFrameBytes {
+		return ErrFrameTooLong
 	}
 	binary.BigEndian.PutUint32(b, uint32(len(b)-4))
 	c.conn.SetWriteDeadline(time.Now().Add(within))
 	n, err := c.conn.Write(b)
-	Sent.Add(int64(n))
+	BytesSent.Add(int64(n))
 	if c.buf.Cap() > 64<<10 {
 		c.buf = bytes.Buffer{}
 	}
@@ -243,9 +243,9 @@
 	return host
 }
 
-// Control has the kernel give a connection up whose bytes are not acknowledged for a while: a machine without power or
+// SocketControl has the kernel give a connection up whose bytes are not acknowledged for a while: a machine without power or
 // behind a cut says nothing.
-func Control(within time.Duration) func(network, address string, raw syscall.RawConn) error {
+func SocketControl(within time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(within.Milliseconds()))
@@ -255,7 +255,7 @@
 
 // Dial opens a connection from an address of this machine.
 func Dial(ctx context.Context, from, to string, within time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: within, KeepAlive: -1, Control: Control(3 * time.Second)}
+	d := net.Dialer{Timeout: within, KeepAlive: -1, Control: SocketControl(3 * time.Second)}
 	if ip := net.ParseIP(from); ip != nil {
 		d.LocalAddr = &net.TCPAddr{IP: ip}
 	}
@@ -265,10 +265,10 @@
 // again is how long an attempt to connect is waited for alone.
 const again = 90 * time.Millisecond
 
-// Reach opens a connection to another of our own processes. One without power drops what opens a connection, and that is
+// DialHedged opens a connection to another of our own processes. One without power drops what opens a connection, and that is
 // sent again after a second only, by when it may long be back: so further attempts begin beside the first, and the first
 // that succeeds counts.
-func Reach(ctx context.Context, from, to string, within time.Duration) (net.Conn, error) {
+func DialHedged(ctx context.Context, from, to string, within time.Duration) (net.Conn, error) {
 	ctx, end := context.WithTimeout(ctx, within)
 	defer end()
 	type attempt struct {
@@ -315,12 +315,12 @@
 
 // Mesh sends frames to members. What can't be sent is dropped; whoever sends it sends again.
 type Mesh struct {
-	ctx   context.Context
-	ip    string
-	tasks sync.WaitGroup
-	mu    sync.Mutex
-	peers map[string]*peer
-	Drops atomic.Int64
+	ctx     context.Context
+	ip      string
+	tasks   sync.WaitGroup
+	mu      sync.Mutex
+	peers   map[string]*peer
+	Dropped atomic.Int64
 }
 
 type peer struct {
@@ -349,7 +349,7 @@
 	select {
 	case p.queue <- f:
 	default:
-		m.Drops.Add(1)
+		m.Dropped.Add(1)
 	}
 }
 
@@ -368,16 +368,16 @@
 		case f := <-p.queue:
 			if conn == nil {
 				if time.Since(failed) < 100*time.Millisecond {
-					m.Drops.Add(1)
+					m.Dropped.Add(1)
 					continue
 				}
-				c, err := Reach(m.ctx, m.ip, address, 500*time.Millisecond)
+				c, err := DialHedged(m.ctx, m.ip, address, 500*time.Millisecond)
 				if err != nil {
 					failed = time.Now()
-					m.Drops.Add(1)
+					m.Dropped.Add(1)
 					continue
 				}
-				conn = Wrap(c)
+				conn = NewConn(c)
 				opened := conn
 				m.tasks.Go(func() { // nothing comes on it but its end
 					for {
@@ -391,7 +391,7 @@
 			if err := conn.Send(f, 2*time.Second); err != nil {
 				conn.Close()
 				conn, failed = nil, time.Now()
-				m.Drops.Add(1)
+				m.Dropped.Add(1)
 			}
 		}
 	}
@@ -399,7 +399,7 @@
 
 // Listen takes connections and hands each to a goroutine until ctx ends.
 func Listen(ctx context.Context, address string, handle func(c *Conn)) (wait func(), err error) {
-	lc := net.ListenConfig{KeepAlive: -1, Control: Control(3 * time.Second)}
+	lc := net.ListenConfig{KeepAlive: -1, Control: SocketControl(3 * time.Second)}
 	l, err := lc.Listen(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -442,7 +442,7 @@
 					delete(open, c)
 					mu.Unlock()
 				}()
-				handle(Wrap(c))
+				handle(NewConn(c))
 			})
 		}
 	})
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,11 +17,11 @@
 	"github.com/gravitational/trace"
 )
 
-// Variable names the file.
-const Variable = "FERRYPITCH_NODE_FILE"
+// EnvVar names the file.
+const EnvVar = "FERRYPITCH_NODE_FILE"
 
-// Plate is the settings file. Fields that are not known here are passed over.
-type Plate struct {
+// Settings is the settings file. Fields that are not known here are passed over.
+type Settings struct {
 	Node         string `validate:"required"`
 	Role         string
 	MachineClass string
@@ -75,16 +75,16 @@
 var check = validator.New(validator.WithRequiredStructEnabled())
 
 // Read reads the file that the environment names. An error names the file and the key.
-func Read() (*Plate, error) {
-	path := os.Getenv(Variable)
+func Read() (*Settings, error) {
+	path := os.Getenv(EnvVar)
 	if path == "" {
-		return nil, trace.BadParameter("%s: not set; it names the settings file", Variable)
+		return nil, trace.BadParameter("%s: not set; it names the settings file", EnvVar)
 	}
 	return ReadFile(path)
 }
 
 // ReadFile reads a settings file of at most 1 MiB.
-func ReadFile(path string) (*Plate, error) {
+func ReadFile(path string) (*Settings, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, trace.ConvertSystemError(err)
@@ -104,8 +104,8 @@
 }
 
 // Parse reads and checks settings; the error names the key.
-func Parse(text string) (*Plate, error) {
-	p := &Plate{BeatMs: 1200}
+func Parse(text string) (*Settings, error) {
+	p := &Settings{BeatMs: 1200}
 	if _, err := toml.Decode(text, p); err != nil {
 		var at toml.ParseError
 		if errors.As(err, &at) {
@@ -137,11 +137,13 @@
 // Duration is a bound in milliseconds as a duration.
 func Duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Link is the address at which this machine's programs hear each other.
-func (p *Plate) Link(ip string) string { return net.JoinHostPort(ip, fmt.Sprint(p.PortRange[0])) }
+// PeerAddress is the address at which this machine's programs hear each other.
+func (p *Settings) PeerAddress(ip string) string {
+	return net.JoinHostPort(ip, fmt.Sprint(p.PortRange[0]))
+}
 
-// Seeds are the addresses of the machines that the settings name, without ports.
-func (p *Plate) Seeds() []string {
+// SeedHosts are the addresses of the machines that the settings name, without ports.
+func (p *Settings) SeedHosts() []string {
 	var all []string
 	for _, s := range p.SeedPeers {
 		if ip, _, err := net.SplitHostPort(s); err == nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,8 +26,8 @@
 func TestSettingsAreCheckedAndNamedByKey(t *testing.T) {
 	p, err := Parse(good)
 	require.NoError(t, err, "fields that are not known are passed over")
-	require.Equal(t, "10.1.0.8:7440", p.Link(p.Ip))
-	require.Equal(t, []string{"10.1.0.11"}, p.Seeds())
+	require.Equal(t, "10.1.0.8:7440", p.PeerAddress(p.Ip))
+	require.Equal(t, []string{"10.1.0.11"}, p.SeedHosts())
 	for key, text := range map[string]string{
 		"Ip":            "Node = \"x\"\nIp = \"here\"\nZone = \"a\"\nPortRange = [1,2]\n",
 		"Node":          "Ip = \"10.0.0.1\"\nZone = \"a\"\nPortRange = [1,2]\n",
@@ -57,8 +57,8 @@
 	f.Add("PortRange = [1]\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		if p, err := Parse(text); err == nil {
-			p.Seeds()
-			p.Link(p.Ip)
+			p.SeedHosts()
+			p.PeerAddress(p.Ip)
 		}
 	})
 }
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -9,7 +9,7 @@
 // Watch tells when the settings file was changed, with or without a signal, until ctx ends. changed has room for one
 // word; one that is not taken yet stands for all since.
 func Watch(ctx context.Context, changed chan<- os.Signal, signal os.Signal) {
-	path := os.Getenv(Variable)
+	path := os.Getenv(EnvVar)
 	seen, _ := os.Stat(path)
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -7,12 +7,12 @@
 	"ferrypitch/internal/wire"
 )
 
-// Judge is of one service. Moments are in the units of the database's stage.
-type Judge struct {
-	Bounds map[string]int64 // how old reads of a kind of route may be
-	Own    map[string]bool  // kinds whose sessions see their own writes
-	Group  *database.Group
-	Broke  func(format string, args ...any)
+// Checker is of one service. Moments are in the units of the database's stage.
+type Checker struct {
+	Bounds  map[string]int64 // how old reads of a kind of route may be
+	Own     map[string]bool  // kinds whose sessions see their own writes
+	Group   *database.Group
+	Violate func(format string, args ...any)
 
 	commits []commit
 	tries   map[string]string // data of a write -> what its client was told last
@@ -30,8 +30,8 @@
 	First         int64
 }
 
-// Fresh asserts, as a read runs, that it misses nothing that it must see.
-func (j *Judge) Fresh(h *database.Host, r Reader) {
+// CheckRead asserts, as a read runs, that it misses nothing that it must see.
+func (j *Checker) CheckRead(h *database.Host, r Reader) {
 	bounded, own := j.Bounds[r.Kind], j.Own[r.Kind]
 	for i := len(j.commits) - 1; i >= 0; i-- {
 		c, bound := &j.commits[i], bounded
@@ -42,28 +42,28 @@
 			return
 		}
 		if c.at < r.First-bound && !h.Has(c.pos) {
-			j.Broke("STALE: a read of %s (%s) at %s of %s misses %s, acknowledged %.1f ms before it", r.Session, r.Kind,
+			j.Violate("STALE: a read of %s (%s) at %s of %s misses %s, acknowledged %.1f ms before it", r.Session, r.Kind,
 				h.At(h.Seen()), h.ID, c.pos, float64(r.First-c.at)/database.Ms)
 			return
 		}
 	}
 }
 
-// Try notes that a write is sent.
-func (j *Judge) Try(data string) {
+// ReportAttempt notes that a write is sent.
+func (j *Checker) ReportAttempt(data string) {
 	if j.tries == nil {
 		j.tries = map[string]string{}
 	}
 	j.tries[data] = ""
 }
 
-// Told takes in the answer to what ends a write: the write itself, or the COMMIT of several.
-func (j *Judge) Told(session string, data []string, code wire.Code, now int64) {
+// ReportAnswer takes in the answer to what ends a write: the write itself, or the COMMIT of several.
+func (j *Checker) ReportAnswer(session string, data []string, code wire.Code, now int64) {
 	for _, d := range data {
 		switch {
 		case code == "":
 			j.tries[d] = "kept"
-		case code.Promise():
+		case code.NothingKept():
 			j.tries[d] = "promised"
 		}
 	}
@@ -72,21 +72,21 @@
 	}
 	at, ok := j.Group.Find(data[0])
 	if !ok {
-		j.Broke("LOST: %s was acknowledged and is in no log", data[0])
+		j.Violate("LOST: %s was acknowledged and is in no log", data[0])
 		return
 	}
 	j.commits = append(j.commits, commit{now, at, session})
 }
 
-// Promised takes in that nothing of some writes is to be kept.
-func (j *Judge) Promised(data []string) {
+// ReportNothingKept takes in that nothing of some writes is to be kept.
+func (j *Checker) ReportNothingKept(data []string) {
 	for _, d := range data {
 		j.tries[d] = "promised"
 	}
 }
 
-// Kept is how many writes were acknowledged.
-func (j *Judge) Kept() (n int) {
+// AcknowledgedWrites is how many writes were acknowledged.
+func (j *Checker) AcknowledgedWrites() (n int) {
 	for _, told := range j.tries {
 		if told == "kept" {
 			n++
@@ -95,22 +95,22 @@
 	return n
 }
 
-// Over asserts, once all is calm again, what the log of the primary must and must not hold.
-func (j *Judge) Over() {
+// CheckFinalLog asserts, once all is calm again, what the log of the primary must and must not hold.
+func (j *Checker) CheckFinalLog() {
 	lead := j.Group.Lead()
 	if lead == nil {
-		j.Broke("nobody leads in the end")
+		j.Violate("nobody leads in the end")
 		return
 	}
 	times := lead.Times()
 	for d, told := range j.tries {
 		switch n := times[d]; {
 		case n > 1:
-			j.Broke("TWICE: %s is in the log %d times", d, n)
+			j.Violate("TWICE: %s is in the log %d times", d, n)
 		case told == "kept" && n == 0:
-			j.Broke("LOST: %s was acknowledged", d)
+			j.Violate("LOST: %s was acknowledged", d)
 		case told == "promised" && n > 0:
-			j.Broke("REFUSED: %s is kept, its client was promised that it is not", d)
+			j.Violate("REFUSED: %s is kept, its client was promised that it is not", d)
 		}
 	}
 }
--- a/internal/simulation/cluster/client.go
+++ b/internal/simulation/cluster/client.go
@@ -65,19 +65,19 @@
 }
 
 // answer reads one; ok false where the connection ended.
-func (c *session) answer() (a wire.Answer, ok bool) {
+func (c *session) answer() (a wire.Response, ok bool) {
 	c.conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	for {
 		raw, err := c.in.ReadBytes('\n')
 		if err != nil {
 			return a, false
 		}
-		line, _, err := wire.Line(raw, 0)
+		line, _, err := wire.CutLine(raw, 0)
 		if err != nil {
 			c.s.broke("%s is sent what is no line: %q", c.name, raw)
 			return a, false
 		}
-		whole, err := a.Take(line, raw)
+		whole, err := a.AddLine(line, raw)
 		if err != nil {
 			c.s.broke("%s is sent %q: %v", c.name, line, err)
 			return a, false
@@ -89,7 +89,7 @@
 }
 
 // ask sends a statement; first is when its transaction began, 0: with it.
-func (c *session) ask(text string, first int64) (wire.Answer, bool) {
+func (c *session) ask(text string, first int64) (wire.Response, bool) {
 	c.n++
 	id := fmt.Sprintf("%s.%d", c.name, c.n)
 	if first == 0 {
@@ -99,7 +99,7 @@
 	c.s.ids[id] = checker.Reader{Kind: c.kind, Session: c.name, First: first}
 	c.s.mu.Unlock()
 	if _, err := c.conn.Write(wire.AppendQuery(nil, id, text)); err != nil {
-		return wire.Answer{}, false
+		return wire.Response{}, false
 	}
 	a, ok := c.answer()
 	if ok && a.Code == "" && a.Stamp && !slices.Contains([]string{"DONE x." + id + "\r\n"}, lastLine(a.Lines)) {
@@ -119,7 +119,7 @@
 // told takes in how a write ended.
 func (c *session) told(data []string, code wire.Code) {
 	c.s.work.Lock()
-	c.s.judge.Told(c.name, data, code, c.s.now())
+	c.s.judge.ReportAnswer(c.name, data, code, c.s.now())
 	c.s.work.Unlock()
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
@@ -131,7 +131,7 @@
 func (c *session) try(data string) {
 	c.s.work.Lock()
 	defer c.s.work.Unlock()
-	c.s.judge.Try(data)
+	c.s.judge.ReportAttempt(data)
 }
 
 // operation is a read, a write or a transaction; false ends the session.
@@ -175,9 +175,9 @@
 			return c.count("transaction", "", false)
 		}
 		if a.Code != "" {
-			if a.Code.Promise() {
+			if a.Code.NothingKept() {
 				c.s.work.Lock()
-				c.s.judge.Promised(wrote)
+				c.s.judge.ReportNothingKept(wrote)
 				c.s.work.Unlock()
 			}
 			c.count("transaction", a.Code, true)
@@ -208,9 +208,9 @@
 		row.Failed++
 	case code == "":
 		row.Answered++
-	case code.Promise():
+	case code.NothingKept():
 		row.Promised++
-	case code == wire.InDoubt:
+	case code == wire.CodeInDoubt:
 		row.InDoubt++
 	default:
 		row.Failed++
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/simulation/cluster/cluster.go
@@ -20,8 +20,8 @@
 	"ferrypitch/internal/simulation/tierfleet"
 )
 
-// Terms of a run.
-type Terms struct {
+// Options of a run.
+type Options struct {
 	For      time.Duration
 	Sessions int // at each router, of all kinds
 	Seed     uint64
@@ -48,14 +48,14 @@
 }
 
 type system struct {
-	Terms
+	Options
 	dir     string
 	net     string
 	members []*tierfleet.Process
 	routers []*tierfleet.Process
-	work    *database.Clockwork
+	work    *database.RealTimeScheduler
 	hosts   *database.Server
-	judge   *checker.Judge
+	judge   *checker.Checker
 	began   time.Time
 
 	mu     sync.Mutex // of what follows; the judge is under the work's lock
@@ -87,11 +87,11 @@
 `
 
 // Run plays once, in a folder of its own.
-func Run(ctx context.Context, dir string, t Terms) (*Result, error) {
+func Run(ctx context.Context, dir string, t Options) (*Result, error) {
 	if t.Say == nil {
 		t.Say = func(string, ...any) {}
 	}
-	s := &system{Terms: t, dir: dir, work: database.NewClockwork(t.Seed), rows: map[[2]string]*Row{}, ids: map[string]checker.Reader{}, began: time.Now()}
+	s := &system{Options: t, dir: dir, work: database.NewRealTimeScheduler(t.Seed), rows: map[[2]string]*Row{}, ids: map[string]checker.Reader{}, began: time.Now()}
 	s.net = fmt.Sprintf("127.%d.%d", 10+t.Seed%200, 1+t.Seed/200%250)
 	s.result.From, s.result.PeakKB = map[string]int{}, map[string]int{}
 	ctx, end := context.WithCancel(ctx)
@@ -152,8 +152,8 @@
 	if s.hosts, err = database.Serve(ctx, s.work, "db", hosts, s.address(4, 0, provider), calls); err != nil {
 		return err
 	}
-	s.judge = &checker.Judge{Bounds: map[string]int64{"bounded": 1000 * database.Ms, "owned": 1500 * database.Ms}, Own: map[string]bool{"owned": true},
-		Group: s.hosts.Group, Broke: s.broke}
+	s.judge = &checker.Checker{Bounds: map[string]int64{"bounded": 1000 * database.Ms, "owned": 1500 * database.Ms}, Own: map[string]bool{"owned": true},
+		Group: s.hosts.Group, Violate: s.broke}
 	s.work.Lock()
 	s.hosts.Read = s.read
 	s.hosts.Note = func(format string, args ...any) { s.Say("host "+format, args...) }
@@ -208,7 +208,7 @@
 		s.broke("UNASKED: %s runs %s", h.ID, id)
 		return
 	}
-	s.judge.Fresh(h, who)
+	s.judge.CheckRead(h, who)
 }
 
 func plan(generation int) []byte {
@@ -320,8 +320,8 @@
 		}
 	}
 	s.work.Lock()
-	s.judge.Over()
-	s.result.Kept, s.result.Leads = s.judge.Kept(), s.hosts.Promoted
+	s.judge.CheckFinalLog()
+	s.result.Kept, s.result.Leads = s.judge.AcknowledgedWrites(), s.hosts.Promoted
 	s.work.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simulation/scheduler/scheduler.go
+++ b/internal/simulation/scheduler/scheduler.go
@@ -7,22 +7,22 @@
 	"math/rand/v2"
 )
 
-// Stage is one run. Moments are in units of which PerMs make a millisecond.
-type Stage struct {
-	Now    int64
-	Zero   int64 // when the world began
-	PerMs  int64
-	Chance *rand.Rand
-	Broken []string
-	Trace  []string // the faults
+// Scheduler is one run. Moments are in units of which PerMs make a millisecond.
+type Scheduler struct {
+	Now        int64
+	Zero       int64 // when the world began
+	PerMs      int64
+	Rand       *rand.Rand
+	Violations []string
+	FaultLog   []string // the faults
 
 	events events
 	Serial int // a number drawn by whoever needs one, and by events
 }
 
 // New begins a world of a seed at a moment.
-func New(seed uint64, zero, perMs int64) *Stage {
-	return &Stage{Now: zero, Zero: zero, PerMs: perMs, Chance: rand.New(rand.NewPCG(seed, 7))}
+func New(seed uint64, zero, perMs int64) *Scheduler {
+	return &Scheduler{Now: zero, Zero: zero, PerMs: perMs, Rand: rand.New(rand.NewPCG(seed, 7))}
 }
 
 type event struct {
@@ -79,14 +79,14 @@
 	return first
 }
 
-// In has something done after a span.
-func (w *Stage) In(after int64, do func()) {
+// After has something done after a span.
+func (w *Scheduler) After(after int64, do func()) {
 	w.Serial++
 	w.events.push(event{w.Now + max(0, after), w.Serial, do})
 }
 
-// Play goes on for a span.
-func (w *Stage) Play(span int64) {
+// RunFor goes on for a span.
+func (w *Scheduler) RunFor(span int64) {
 	end := w.Now + span
 	for len(w.events) > 0 && w.events[0].at <= end {
 		e := w.events.pop()
@@ -96,24 +96,24 @@
 	w.Now = max(w.Now, end)
 }
 
-// Broke notes that a rule is broken.
-func (w *Stage) Broke(format string, args ...any) {
-	if len(w.Broken) < 10 {
-		w.Broken = append(w.Broken, w.at()+fmt.Sprintf(format, args...))
+// Violate notes that a rule is broken.
+func (w *Scheduler) Violate(format string, args ...any) {
+	if len(w.Violations) < 10 {
+		w.Violations = append(w.Violations, w.at()+fmt.Sprintf(format, args...))
 	}
 }
 
 // Note notes a fault.
-func (w *Stage) Note(format string, args ...any) {
-	w.Trace = append(w.Trace, w.at()+fmt.Sprintf(format, args...))
+func (w *Scheduler) Note(format string, args ...any) {
+	w.FaultLog = append(w.FaultLog, w.at()+fmt.Sprintf(format, args...))
 }
 
-func (w *Stage) at() string {
+func (w *Scheduler) at() string {
 	return fmt.Sprintf("%.1f ms: ", float64(w.Now-w.Zero)/float64(w.PerMs))
 }
 
 // Between draws from a to b, both included.
-func (w *Stage) Between(a, b int64) int64 { return a + w.Chance.Int64N(b-a+1) }
+func (w *Scheduler) Between(a, b int64) int64 { return a + w.Rand.Int64N(b-a+1) }
 
-// Odds says yes once in n.
-func (w *Stage) Odds(n int) bool { return w.Chance.IntN(n) == 0 }
+// OneIn says yes once in n.
+func (w *Scheduler) OneIn(n int) bool { return w.Rand.IntN(n) == 0 }
--- a/internal/simulation/statesize/statesize.go
+++ b/internal/simulation/statesize/statesize.go
@@ -9,19 +9,19 @@
 	"ferrypitch/internal/control/statemachine"
 )
 
-// Extent is a size.
-type Extent struct{ Routers, Databases int }
+// Size is a size.
+type Size struct{ Routers, Databases int }
 
 // Full is the size that docs/CAPACITY.md is worked out for.
-var Full = Extent{1200, 2600}
+var Full = Size{1200, 2600}
 
 // All are the sizes that are measured, in the proportion of Full.
-var All = []Extent{{30, 65}, {100, 217}, {300, 650}, Full}
+var All = []Size{{30, 65}, {100, 217}, {300, 650}, Full}
 
-func (e Extent) String() string { return fmt.Sprintf("routers=%d", e.Routers) }
+func (e Size) String() string { return fmt.Sprintf("routers=%d", e.Routers) }
 
 // Hosts is how many there are.
-func (e Extent) Hosts() int { return 3 * e.Databases }
+func (e Size) Hosts() int { return 3 * e.Databases }
 
 // Service is a database's name.
 func Service(i int) string { return fmt.Sprintf("lecture-core-%d", i) }
@@ -30,7 +30,7 @@
 func Host(n int) statemachine.Host {
 	return statemachine.Host{ID: fmt.Sprintf("lecture-core-%d-h%d-1", n/3, n%3), Service: Service(n / 3),
 		Address: fmt.Sprintf("10.%d.%d.%d:5432", 10+n%3, n/3/250, 1+n/3%250), Zone: "waco-hall", Generation: "g1", Capacity: 7,
-		Since: uint64(n + 1)}
+		AddedAt: uint64(n + 1)}
 }
 
 // Router is the nth.
@@ -38,7 +38,7 @@
 
 // Config is a configuration with a service for each database, and a route of each kind; the first route differs in each
 // generation.
-func (e Extent) Config(generation int64) []byte {
+func (e Size) Config(generation int64) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"Generation":%d,"Routes":[`, generation)
 	for i := range 3 * e.Databases {
@@ -65,33 +65,33 @@
 }
 
 // Order is an operator's change of one route, as the log carries it on top of a state.
-func (e Extent) Order(s *statemachine.State) statemachine.Change {
-	c := &statemachine.Configure{Base: s.Gen, Body: e.Config(s.Gen + 1)}
-	plan, err := s.Check(c)
+func (e Size) Order(s *statemachine.State) statemachine.Change {
+	c := &statemachine.ConfigUpdate{BaseVersion: s.Generation, Body: e.Config(s.Generation + 1)}
+	plan, err := s.CheckConfig(c)
 	if err != nil {
 		panic(err)
 	}
-	return statemachine.Change{Configure: s.Pack(c, plan)}
+	return statemachine.Change{UpdateConfig: s.Delta(c, plan)}
 }
 
 // State holds all that, each database led by its first host. It is put together directly: applying as many changes takes
 // time that grows with the square.
-func (e Extent) State() *statemachine.State {
+func (e Size) State() *statemachine.State {
 	s := &statemachine.State{}
-	if err := s.Apply(1, statemachine.Change{Configure: &statemachine.Configure{Body: e.Config(1)}}); err != nil {
+	if err := s.Apply(1, statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{Body: e.Config(1)}}); err != nil {
 		panic(err)
 	}
-	s.Hosts, s.Leads, s.Routers = map[string]statemachine.Host{}, map[string]statemachine.Lead{}, map[string]uint64{}
+	s.Hosts, s.Primaries, s.Proxies = map[string]statemachine.Host{}, map[string]statemachine.Primary{}, map[string]uint64{}
 	for n := range e.Hosts() {
 		h := Host(n)
 		s.Hosts[h.ID] = h
 		if s.Index++; n%3 == 0 {
-			s.Leads[h.Service] = statemachine.Lead{Host: h.ID, Term: 1, At: s.Index}
+			s.Primaries[h.Service] = statemachine.Primary{Host: h.ID, Term: 1, ChangedAt: s.Index}
 		}
 	}
 	for n := range e.Routers {
 		s.Index++
-		s.Routers[Router(n)] = s.Index
+		s.Proxies[Router(n)] = s.Index
 	}
 	return s
 }
--- a/internal/simulation/tiernet/forward.go
+++ b/internal/simulation/tiernet/forward.go
@@ -18,11 +18,11 @@
 func (f *forward) end(handle *policy.Cmd, count *int) {
 	w, c := f.w, f.open[handle.Name]
 	if c == nil || c.final {
-		w.Broke("%s: %s has a second final answer", f.name, handle.Name)
+		w.Violate("%s: %s has a second final answer", f.name, handle.Name)
 		return
 	}
 	if w.Now > c.until+4*ms {
-		w.Broke("%s: %s is answered after its client timeout", f.name, handle.Name)
+		w.Violate("%s: %s is answered after its client timeout", f.name, handle.Name)
 	}
 	c.final = true
 	*count++
@@ -41,10 +41,10 @@
 	f.settle(c)
 }
 
-func (f *forward) Probe(n *policy.Node) { f.w.Broke("%s probes %s", f.name, f.names[n]) }
+func (f *forward) Probe(n *policy.Node) { f.w.Violate("%s probes %s", f.name, f.names[n]) }
 func (f *forward) Close(n *policy.Node) { f.trace.Close(n) }
-func (f *forward) Tell(string)          { f.w.Broke("%s tells others", f.name) }
-func (f *forward) Watch()               { f.w.Broke("%s asks for a list", f.name) }
+func (f *forward) Tell(string)          { f.w.Violate("%s tells others", f.name) }
+func (f *forward) Watch()               { f.w.Violate("%s asks for a list", f.name) }
 func (f *forward) Forget(n *policy.Node) {
 	f.trace.Forget(n)
 	delete(f.nodes, f.names[n])
@@ -54,7 +54,7 @@
 func (f *forward) Wake(after policy.Tenth) {
 	life := f.life
 	f.trace.Wake(after)
-	f.w.In(max(ms, after), func() {
+	f.w.After(max(ms, after), func() {
 		if f.up && f.life == life {
 			f.moment()
 			f.trace.Woke()
@@ -66,14 +66,14 @@
 func (f *forward) Dispatch(handle *policy.Cmd, n *policy.Node, timeout policy.Tenth) {
 	w, c, h := f.w, f.open[handle.Name], f.w.host(f.names[n])
 	if c == nil || c.final {
-		w.Broke("%s: %s is sent after its final answer", f.name, handle.Name)
+		w.Violate("%s: %s is sent after its final answer", f.name, handle.Name)
 		return
 	}
 	if c.out != 0 {
-		w.Broke("%s: %s is out twice", f.name, handle.Name)
+		w.Violate("%s: %s is out twice", f.name, handle.Name)
 	}
 	if at := f.drains[h.name]; at != 0 && w.Now > at+second {
-		w.Broke("%s: %s goes to %s, drained or gone %d ms ago", f.name, handle.Name, h.name, (w.Now-at)/10)
+		w.Violate("%s: %s goes to %s, drained or gone %d ms ago", f.name, handle.Name, h.name, (w.Now-at)/10)
 	}
 	f.trace.Dispatch(handle, n, timeout)
 	w.Serial++
@@ -92,13 +92,13 @@
 	if timeout > 0 {
 		until = min(until, w.Now+timeout)
 	}
-	w.In(until-w.Now, func() { ended(policy.TimedOut, -1, policy.Unknown) })
+	w.After(until-w.Now, func() { ended(policy.TimedOut, -1, policy.Unknown) })
 	bound := policy.Tenth(0)
 	if c.group.Need == policy.Bounded {
 		bound = w.Now - c.group.Bound - 50*ms
 	}
 	excused := h.was && !f.demoted[h.name] // by the rule, until an answer tells this router that it is no primary
-	w.In(w.Between(ms/2, 3*ms), func() { h.arrive(f, handle, c, bound, excused, ended) })
+	w.After(w.Between(ms/2, 3*ms), func() { h.arrive(f, handle, c, bound, excused, ended) })
 }
 
 // arrive runs a dispatch at a host.
@@ -106,7 +106,7 @@
 	ended func(policy.Outcome, policy.Tenth, policy.Role)) {
 	w := h.w
 	if !h.up {
-		w.In(w.Between(ms/2, 3*ms), func() { ended(policy.Unreached, -1, policy.Unknown) })
+		w.After(w.Between(ms/2, 3*ms), func() { ended(policy.Unreached, -1, policy.Unknown) })
 		return
 	}
 	h.cold(f)
@@ -115,7 +115,7 @@
 		return
 	}
 	boot := h.boot
-	w.In(w.Between(2*ms, 10*ms), func() {
+	w.After(w.Between(2*ms, 10*ms), func() {
 		if !h.up || h.boot != boot {
 			ended(policy.Reset, -1, policy.Unknown)
 			return
@@ -130,14 +130,14 @@
 	pos, role, back := h.pos(), h.role(), w.Between(ms/2, 3*ms)
 	if c.group.Need == policy.Write {
 		if role != policy.Primary {
-			w.In(back, func() { ended(policy.Missed, pos, role) })
+			w.After(back, func() { ended(policy.Missed, pos, role) })
 			return
 		}
 		if w.ran[handle.Name]++; w.ran[handle.Name] > 1 {
-			w.Broke("%s ran %d times", handle.Name, w.ran[handle.Name])
+			w.Violate("%s ran %d times", handle.Name, w.ran[handle.Name])
 		}
 		set, elected := h.set, h.set.elected
-		w.In(back, func() {
+		w.After(back, func() {
 			if f.up && !c.final {
 				w.sessions[c.session] = max(w.sessions[c.session], pos)
 				if elected != 0 && set.elected == elected && set.follows != nil && !set.follows[f] {
@@ -151,9 +151,9 @@
 	}
 	need := max(c.need, bound)
 	if pos < need && !excused && role != policy.Primary {
-		w.Broke("%s: %s reads at %s %d ms too old", f.name, handle.Name, h.name, (need-pos)/10)
+		w.Violate("%s: %s reads at %s %d ms too old", f.name, handle.Name, h.name, (need-pos)/10)
 	}
-	w.In(back, func() { ended(policy.Answered, pos/10*10, role) })
+	w.After(back, func() { ended(policy.Answered, pos/10*10, role) })
 }
 
 // ended brings an outcome to the module, as the routing owner does.
--- a/internal/simulation/tiernet/world.go
+++ b/internal/simulation/tiernet/world.go
@@ -36,7 +36,7 @@
 // World is one run.
 type World struct {
 	Size
-	*scheduler.Stage
+	*scheduler.Scheduler
 	hosts      []*host
 	sets       []*set
 	planners   []*plan
@@ -59,7 +59,7 @@
 
 // NewCaptured makes one whose forwarders record what their modules decide.
 func NewCaptured(seed uint64, size Size, to func(f string, life int, d policy.Deployment) record.Sink) *World {
-	w := &World{Size: size, captured: to, Stage: scheduler.New(seed, zero, ms), ran: map[string]int{},
+	w := &World{Size: size, captured: to, Scheduler: scheduler.New(seed, zero, ms), ran: map[string]int{},
 		sessions: map[string]policy.Tenth{}}
 	for s := range size.Sets {
 		set := &set{w: w, id: int64(s + 1)}
@@ -88,14 +88,14 @@
 
 // Run plays to the end, with load and faults, and then lets what is out end.
 func (w *World) Run() {
-	w.In(500*ms, w.arrive)
+	w.After(500*ms, w.arrive)
 	for range w.Faults {
-		w.In(w.Between(second, w.For*3/4), w.fault)
+		w.After(w.Between(second, w.For*3/4), w.fault)
 	}
-	w.Play(w.For + 4*second)
+	w.RunFor(w.For + 4*second)
 	for _, f := range w.forwarders {
 		for id := range f.open {
-			w.Broke("%s: %s has no final answer", f.name, id)
+			w.Violate("%s: %s has no final answer", f.name, id)
 		}
 	}
 }
@@ -105,8 +105,8 @@
 	if w.Now > zero+w.For {
 		return
 	}
-	w.In(policy.Tenth(w.Chance.ExpFloat64()/w.Rate*float64(second)), w.arrive)
-	f := w.forwarders[w.Chance.IntN(len(w.forwarders))]
+	w.After(policy.Tenth(w.Rand.ExpFloat64()/w.Rate*float64(second)), w.arrive)
+	f := w.forwarders[w.Rand.IntN(len(w.forwarders))]
 	if f.up {
 		f.take()
 	}
@@ -204,7 +204,7 @@
 	part := coldFrom + (1-coldFrom)*float64(w.Now-fallSpan-h.boot)/float64(coldFor)
 	can := w.Rate / float64(len(w.hosts)) * 1.33 * max(coldFrom, part) * float64(fallSpan) / float64(second)
 	if n := float64(len(h.recent)); n > fall*can+6 && 3*told >= 2*len(h.recent) {
-		w.Broke("%s is pushed over: %d in %d ms, it can do %.1f", h.name, len(h.recent), fallSpan/10, can)
+		w.Violate("%s is pushed over: %d in %d ms, it can do %.1f", h.name, len(h.recent), fallSpan/10, can)
 		h.recent = nil
 	}
 }
@@ -220,7 +220,7 @@
 	if s.primary == h {
 		h.had = w.Now
 		s.primary, s.end = nil, w.Now
-		w.In(w.Between(200*ms, 1500*ms), s.elect)
+		w.After(w.Between(200*ms, 1500*ms), s.elect)
 	}
 }
 
@@ -231,7 +231,7 @@
 	h.w.Note("%s is back, cold", h.name)
 	h.up, h.boot, h.recent = true, h.w.Now, nil
 	if h.set.primary == nil && h.set.end < h.w.Now-2*second {
-		h.w.In(0, h.set.elect)
+		h.w.After(0, h.set.elect)
 	}
 	h.w.state(h, policy.In)
 }
@@ -290,7 +290,7 @@
 		return
 	}
 	rev := w.rev
-	w.In(w.Between(5*ms, 300*ms), func() {
+	w.After(w.Between(5*ms, 300*ms), func() {
 		if p.up && p.life == life {
 			p.core.Listed(p.clock(), rev, true, append([]view.Host{}, w.history[rev-1]...))
 		}
@@ -330,7 +330,7 @@
 				c = all
 			}
 			times := 1
-			switch w.Chance.IntN(200) { // what a link never does, and a follower must bear all the same
+			switch w.Rand.IntN(200) { // what a link never does, and a follower must bear all the same
 			case 0:
 				times = 0
 			case 1:
@@ -341,7 +341,7 @@
 			}
 		}
 	}
-	w.In(max(ms, do.Next-p.clock()), func() { p.tick(life) })
+	w.After(max(ms, do.Next-p.clock()), func() { p.tick(life) })
 }
 
 func (p *plan) probe(name string, life uint64) {
@@ -356,14 +356,14 @@
 			}
 		}
 	}
-	w.In(w.Between(ms/2, 3*ms), func() {
+	w.After(w.Between(ms/2, 3*ms), func() {
 		switch {
 		case !h.up:
-			w.In(ms, ended(false, -1, policy.Unknown))
+			w.After(ms, ended(false, -1, policy.Unknown))
 		case h.hung:
-			w.In(250*ms, ended(false, -1, policy.Unknown))
+			w.After(250*ms, ended(false, -1, policy.Unknown))
 		default:
-			w.In(w.Between(ms/2, 3*ms), ended(true, h.pos(), h.role()))
+			w.After(w.Between(ms/2, 3*ms), ended(true, h.pos(), h.role()))
 		}
 	})
 }
@@ -431,7 +431,7 @@
 		{Need: policy.Bounded, Bound: second, Target: 250 * ms, Timeout: second, Benefit: 1, LateShare: 0.3},
 		{Need: policy.Session, Target: 250 * ms, Timeout: second, Benefit: 1, LateShare: 0.3},
 		{Effect: policy.Mutating, Need: policy.Write, Target: 400 * ms, Timeout: 3 * second, Benefit: 3, LateShare: 0.3}}
-	seed := w.Chance.Uint64()
+	seed := w.Rand.Uint64()
 	d := policy.Deployment{Seed: uint32(seed), Tick: 5 * ms, Routers: w.Forwarders, Dispatches: 6, Told: true,
 		Comeback: 500 * ms, FallFactor: fall, FallSpan: fallSpan, ColdFrom: coldFrom, ColdFor: coldFor, Groups: f.groups}
 	if w.captured != nil {
@@ -468,7 +468,7 @@
 	if f.cut[p.i] && !reset {
 		return
 	}
-	f.w.In(f.w.Between(ms/2, 3*ms), func() {
+	f.w.After(f.w.Between(ms/2, 3*ms), func() {
 		if f.up && f.life == life {
 			f.planner(p.i).Lost(f.w.Now)
 		}
@@ -480,12 +480,12 @@
 	if f.cut[p.i] {
 		return
 	}
-	w.In(w.Between(ms/2, 4*ms), func() {
+	w.After(w.Between(ms/2, 4*ms), func() {
 		if !f.up || f.life != life || f.cut[p.i] {
 			return
 		}
 		if f.planner(p.i).Changed(w.Now, c) {
-			w.In(w.Between(ms/2, 3*ms), func() {
+			w.After(w.Between(ms/2, 3*ms), func() {
 				if mine := p.links[f]; mine != nil && p.life == theirs {
 					mine.Wanted(p.clock())
 				}
@@ -497,7 +497,7 @@
 
 func (f *forward) tick(life int) {
 	if f.up && f.life == life {
-		f.w.In(max(ms, f.step()-f.w.Now), func() { f.tick(life) })
+		f.w.After(max(ms, f.step()-f.w.Now), func() { f.tick(life) })
 	}
 }
 
@@ -516,7 +516,7 @@
 	for _, p := range do.Dial {
 		i, _ := strconv.Atoi(p.Address)
 		there := w.planners[i]
-		w.In(w.Between(ms, 6*ms), func() {
+		w.After(w.Between(ms, 6*ms), func() {
 			if !f.up || f.life != life {
 				return
 			}
@@ -606,7 +606,7 @@
 			continue
 		}
 		theirs := p.life
-		f.w.In(f.w.Between(ms/2, 3*ms), func() {
+		f.w.After(f.w.Between(ms/2, 3*ms), func() {
 			if mine := p.links[f]; mine != nil && p.life == theirs {
 				mine.Reported(p.clock(), r)
 			}
@@ -620,8 +620,8 @@
 	w.commands++
 	w.Taken++
 	id := "c" + strconv.Itoa(w.commands)
-	g := f.groups[w.Chance.IntN(len(f.groups))]
-	session := "s" + strconv.Itoa(w.Chance.IntN(40))
+	g := f.groups[w.Rand.IntN(len(f.groups))]
+	session := "s" + strconv.Itoa(w.Rand.IntN(40))
 	set := w.sets[len(session)%len(w.sets)]
 	if n, err := strconv.Atoi(session[1:]); err == nil {
 		set = w.sets[n%len(w.sets)]
@@ -636,9 +636,9 @@
 	}
 	c := &command{until: w.Now + g.Timeout - 4*ms, session: session, need: need, group: g}
 	life := f.life
-	w.In(g.Timeout, func() {
+	w.After(g.Timeout, func() {
 		if f.life == life && f.up && !c.final {
-			w.Broke("%s: %s is not answered within its client timeout", f.name, id)
+			w.Violate("%s: %s is not answered within its client timeout", f.name, id)
 		}
 	})
 	f.open[id] = c
--- a/internal/simulation/tiernet/world_test.go
+++ b/internal/simulation/tiernet/world_test.go
@@ -16,8 +16,8 @@
 
 func played(t *testing.T, w *World, seed int) {
 	t.Helper()
-	if len(w.Broken) > 0 {
-		t.Fatalf("seed %d:\n%s\nafter\n%s", seed, strings.Join(w.Broken, "\n"), strings.Join(w.Trace, "\n"))
+	if len(w.Violations) > 0 {
+		t.Fatalf("seed %d:\n%s\nafter\n%s", seed, strings.Join(w.Violations, "\n"), strings.Join(w.FaultLog, "\n"))
 	}
 	if w.Taken < 100 || w.Answered+w.Throttled+w.Failed > w.Taken {
 		t.Fatalf("seed %d: %d taken, %d answered, %d throttled, %d failed", seed, w.Taken, w.Answered, w.Throttled, w.Failed)
@@ -47,25 +47,25 @@
 	size := small
 	size.Faults, size.For = 0, span
 	w := New(seed, size)
-	w.In(500*ms, w.arrive)
-	w.Play(5 * second)
+	w.After(500*ms, w.arrive)
+	w.RunFor(5 * second)
 	return w
 }
 
 // over plays to the end and asserts.
 func (w *World) over(t *testing.T) {
 	t.Helper()
-	w.Play(w.For + 4*second - (w.Now - zero))
+	w.RunFor(w.For + 4*second - (w.Now - zero))
 	played(t, w, -1)
 }
 
 func TestAMinuteWithoutPlannersAndAPrimaryChangeInTheMiddle(t *testing.T) {
 	w := calm(1, 70*second)
 	w.noPlanners(60 * second)
-	w.In(30*second, func() { w.dies(w.sets[0].primary, 20*second) })
-	w.Play(50 * second)
+	w.After(30*second, func() { w.dies(w.sets[0].primary, 20*second) })
+	w.RunFor(50 * second)
 	before := w.Answered
-	w.Play(5 * second)
+	w.RunFor(5 * second)
 	if served := w.Answered - before; float64(served) < 0.9*5*w.Rate {
 		t.Errorf("%d answered in 5 s, long after the change", served)
 	}
@@ -87,9 +87,9 @@
 		}
 	}
 	behind(-60*second, w.planners[2])
-	w.Play(second)
+	w.RunFor(second)
 	w.hangs(old, 4*second)
-	w.Play(5 * second)
+	w.RunFor(5 * second)
 	for _, f := range w.forwarders {
 		if p, _ := f.core.View().Primary(1); p != w.sets[0].primary.name {
 			t.Errorf("%s follows %s, not %s", f.name, p, w.sets[0].primary.name)
@@ -98,9 +98,9 @@
 	// Now that one is right, and the others, clocks behind, are not.
 	behind(0, w.planners[2])
 	behind(-60*second, w.planners[:2]...)
-	w.Play(second)
+	w.RunFor(second)
 	w.hangs(w.sets[0].primary, 4*second)
-	w.Play(5 * second)
+	w.RunFor(5 * second)
 	for _, f := range w.forwarders {
 		if p, _ := f.core.View().Primary(1); p != w.sets[0].primary.name {
 			t.Errorf("%s follows %s, not %s", f.name, p, w.sets[0].primary.name)
@@ -117,10 +117,10 @@
 	h := w.hosts[1]
 	w.state(h, policy.Draining)
 	for w.forwarders[0].drains[h.name] == 0 {
-		w.Play(10 * ms)
+		w.RunFor(10 * ms)
 	}
 	w.planners[0].kill()
-	w.Play(8 * second)
+	w.RunFor(8 * second)
 	told := 0
 	for _, f := range w.forwarders {
 		if f.drains[h.name] != 0 {
@@ -142,10 +142,10 @@
 	for _, p := range w.planners {
 		p.hear()
 	}
-	w.Play(second)
+	w.RunFor(second)
 	w.planners[1].kill()
 	w.planners[1].again(true)
-	w.Play(4 * second)
+	w.RunFor(4 * second)
 	for _, f := range w.forwarders {
 		if f.nodes[h.name] != nil {
 			t.Errorf("%s has %s again", f.name, h.name)
@@ -160,13 +160,13 @@
 		w.dies(w.hosts[1], second)
 		w.dies(w.hosts[4], second)
 		for i, p := range w.planners {
-			w.In(policy.Tenth(i)*second, p.kill)
-			w.In(policy.Tenth(i)*second+1500*ms, func() { p.again(false) })
+			w.After(policy.Tenth(i)*second, p.kill)
+			w.After(policy.Tenth(i)*second+1500*ms, func() { p.again(false) })
 		}
 		for i, f := range w.forwarders[:3] {
-			w.In(second+policy.Tenth(i)*700*ms, func() {
+			w.After(second+policy.Tenth(i)*700*ms, func() {
 				f.kill()
-				w.In(50*ms, f.start)
+				w.After(50*ms, f.start)
 			})
 		}
 		w.over(t)
@@ -177,7 +177,7 @@
 	w := calm(5, 15*second)
 	f := w.forwarders[0]
 	f.cut[0] = true
-	w.Play(4 * second)
+	w.RunFor(4 * second)
 	if f.core.Blind() || f.core.Age() > second {
 		t.Error("it has lost all")
 	}
@@ -200,12 +200,12 @@
 	f := w.forwarders[0]
 	f.kill()
 	f.start()
-	w.Play(second)
+	w.RunFor(second)
 	if f.core.Ready() || len(f.nodes) > 0 {
 		t.Error("it has a view of nobody's")
 	}
 	w.planners[1].again(false)
-	w.Play(7 * second)
+	w.RunFor(7 * second)
 	if !f.core.Ready() {
 		t.Error("it is not ready once a planner is there")
 	}
@@ -222,8 +222,8 @@
 	for seed := range uint64(10) {
 		for _, blind := range []bool{false, true} {
 			w := New(200+seed, Size{Forwarders: 40, Planners: 3, Sets: 2, Members: 3, Rate: 400, For: 12 * second})
-			w.In(500*ms, w.arrive)
-			w.Play(4 * second)
+			w.After(500*ms, w.arrive)
+			w.RunFor(4 * second)
 			if blind {
 				w.noPlanners(30 * second)
 			}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -7,13 +7,13 @@
 	"strconv"
 )
 
-// Most is the longest message in bytes (PROTOCOL.md).
-const Most = 1 << 20
+// MaxMessageBytes is the longest message in bytes (PROTOCOL.md).
+const MaxMessageBytes = 1 << 20
 
 var (
-	ErrLong  = errors.New("a message longer than 1 MiB")
-	ErrForm  = errors.New("a line that is not of the wire's form")
-	ErrOrder = errors.New("an answer whose lines come out of order")
+	ErrMessageTooLong = errors.New("a message longer than 1 MiB")
+	ErrMalformed      = errors.New("a line that is not of the wire's form")
+	ErrOutOfOrder     = errors.New("an answer whose lines come out of order")
 )
 
 // Code is the word of an ERROR line. The list is closed: what a host adds to it is passed on as it came.
@@ -21,33 +21,33 @@
 
 // Codes. Those of Promises say that nothing of the try is kept.
 const (
-	Retry     Code = "RETRY"
-	Aborted   Code = "ABORTED"
-	Lagging   Code = "LAGGING"
-	ReadOnly  Code = "READONLY"
-	WrongNode Code = "WRONGNODE"
-	Overload  Code = "OVERLOAD"
-	InDoubt   Code = "INDOUBT"
-	Expired   Code = "EXPIRED"
-	Failed    Code = "FAILED"
-	Unknown   Code = "UNKNOWN"
-	Malformed Code = "MALFORMED"
-	NoDB      Code = "NODB"
+	CodeRetry     Code = "RETRY"
+	CodeAborted   Code = "ABORTED"
+	CodeLagging   Code = "LAGGING"
+	CodeReadOnly  Code = "READONLY"
+	CodeWrongNode Code = "WRONGNODE"
+	CodeOverload  Code = "OVERLOAD"
+	CodeInDoubt   Code = "INDOUBT"
+	CodeExpired   Code = "EXPIRED"
+	CodeFailed    Code = "FAILED"
+	CodeUnknown   Code = "UNKNOWN"
+	CodeMalformed Code = "MALFORMED"
+	CodeNoDB      Code = "NODB"
 )
 
-// Promise says that a code promises that nothing of the try is kept.
-func (c Code) Promise() bool {
+// NothingKept says that a code promises that nothing of the try is kept.
+func (c Code) NothingKept() bool {
 	switch c {
-	case Retry, Aborted, Lagging, ReadOnly, WrongNode, Overload:
+	case CodeRetry, CodeAborted, CodeLagging, CodeReadOnly, CodeWrongNode, CodeOverload:
 		return true
 	}
 	return false
 }
 
-// NotRun says that a host which answers so has not run the statement.
-func (c Code) NotRun() bool {
+// NotExecuted says that a host which answers so has not run the statement.
+func (c Code) NotExecuted() bool {
 	switch c {
-	case Retry, Unknown, Lagging, ReadOnly, WrongNode, Overload, Malformed:
+	case CodeRetry, CodeUnknown, CodeLagging, CodeReadOnly, CodeWrongNode, CodeOverload, CodeMalformed:
 		return true
 	}
 	return false
@@ -69,42 +69,42 @@
 	return strconv.FormatUint(p.Term, 10) + "." + strconv.FormatUint(p.Number, 10)
 }
 
-// ReadPosition reads TERM.NUMBER; "-" is the zero value.
-func ReadPosition(b []byte) (p Position, err error) {
+// ParsePosition reads TERM.NUMBER; "-" is the zero value.
+func ParsePosition(b []byte) (p Position, err error) {
 	if string(b) == "-" {
 		return p, nil
 	}
 	term, number, ok := bytes.Cut(b, []byte{'.'})
 	if !ok {
-		return p, fmt.Errorf("%w: a position %.40q", ErrForm, b)
+		return p, fmt.Errorf("%w: a position %.40q", ErrMalformed, b)
 	}
 	if p.Term, err = strconv.ParseUint(string(term), 10, 64); err == nil {
 		p.Number, err = strconv.ParseUint(string(number), 10, 64)
 	}
 	if err != nil {
-		return Position{}, fmt.Errorf("%w: a position %.40q", ErrForm, b)
+		return Position{}, fmt.Errorf("%w: a position %.40q", ErrMalformed, b)
 	}
 	return p, nil
 }
 
-// Line cuts a line without its CR LF off b. n is 0 while it is not whole; at tells where to look on for its end.
-func Line(b []byte, at int) (line []byte, n int, err error) {
+// CutLine cuts a line without its CR LF off b. n is 0 while it is not whole; at tells where to look on for its end.
+func CutLine(b []byte, at int) (line []byte, n int, err error) {
 	i := bytes.IndexByte(b[min(at, len(b)):], '\n')
 	if i < 0 {
-		if len(b) > Most {
-			return nil, 0, ErrLong
+		if len(b) > MaxMessageBytes {
+			return nil, 0, ErrMessageTooLong
 		}
 		return nil, 0, nil
 	}
 	i += min(at, len(b))
-	if i > Most {
-		return nil, 0, ErrLong
+	if i > MaxMessageBytes {
+		return nil, 0, ErrMessageTooLong
 	}
 	if i == 0 || b[i-1] != '\r' {
-		return nil, 0, fmt.Errorf("%w: no CR before LF", ErrForm)
+		return nil, 0, fmt.Errorf("%w: no CR before LF", ErrMalformed)
 	}
 	if line = b[:i-1]; bytes.IndexByte(line, '\r') >= 0 || bytes.IndexByte(line, 0) >= 0 {
-		return nil, 0, fmt.Errorf("%w: a control character", ErrForm)
+		return nil, 0, fmt.Errorf("%w: a control character", ErrMalformed)
 	}
 	return line, i + 1, nil
 }
@@ -115,12 +115,12 @@
 	return first, rest
 }
 
-// Kind is what a client's line is.
-type Kind uint8
+// RequestKind is what a client's line is.
+type RequestKind uint8
 
 // Kinds of statements and, at the end, of other messages.
 const (
-	Begin Kind = iota
+	Begin RequestKind = iota
 	BeginRead
 	Commit
 	Abort
@@ -136,7 +136,7 @@
 
 // Request is one message of a client.
 type Request struct {
-	Kind  Kind
+	Kind  RequestKind
 	ID    string // of a statement
 	Text  string // of a statement, as it came
 	Name  string // of a value or a prepared statement; the database of Connect
@@ -144,36 +144,36 @@
 	Rest  string // what EXECUTE brings
 }
 
-// ReadRequest reads a client's line. A statement that is none gives ErrForm with its id, which is to be answered by
+// ParseRequest reads a client's line. A statement that is none gives ErrForm with its id, which is to be answered by
 // MALFORMED; without an id the connection is of no use.
-func ReadRequest(line []byte) (r Request, err error) {
+func ParseRequest(line []byte) (r Request, err error) {
 	word, rest := field(line)
 	switch string(word) {
 	case "BYE":
 		if len(rest) > 0 || len(line) > len(word) {
-			return r, fmt.Errorf("%w: BYE with fields", ErrForm)
+			return r, fmt.Errorf("%w: BYE with fields", ErrMalformed)
 		}
 		r.Kind = Bye
 		return r, nil
 	case "CONNECT":
 		name, who := field(rest)
 		if len(name) == 0 || len(who) == 0 {
-			return r, fmt.Errorf("%w: CONNECT wants a database and a word for who", ErrForm)
+			return r, fmt.Errorf("%w: CONNECT wants a database and a word for who", ErrMalformed)
 		}
 		r.Kind, r.Name, r.Shape = Connect, string(name), string(who)
 		return r, nil
 	case "QUERY":
 		id, text := field(rest)
 		if len(id) == 0 || string(id) == "-" {
-			return r, fmt.Errorf("%w: QUERY without an id", ErrForm)
+			return r, fmt.Errorf("%w: QUERY without an id", ErrMalformed)
 		}
 		r.ID, r.Text = string(id), string(text)
 		if !r.statement() {
-			return r, fmt.Errorf("%w: no statement: %.40q", ErrForm, text)
+			return r, fmt.Errorf("%w: no statement: %.40q", ErrMalformed, text)
 		}
 		return r, nil
 	}
-	return r, fmt.Errorf("%w: %.40q", ErrForm, word)
+	return r, fmt.Errorf("%w: %.40q", ErrMalformed, word)
 }
 
 func (r *Request) statement() bool {
@@ -230,8 +230,8 @@
 	return s, ""
 }
 
-// Writes says whether a prepared shape stores.
-func Writes(shape string) bool { return len(shape) > 5 && shape[:5] == "STORE" }
+// ShapeWrites says whether a prepared shape stores.
+func ShapeWrites(shape string) bool { return len(shape) > 5 && shape[:5] == "STORE" }
 
 // AppendQuery appends a statement.
 func AppendQuery(b []byte, id, text string) []byte {
@@ -239,8 +239,8 @@
 	return append(append(b, text...), '\r', '\n')
 }
 
-// AppendFenced appends a statement that the host runs only where its log holds a position.
-func AppendFenced(b []byte, id string, p Position, text string) []byte {
+// AppendFencedQuery appends a statement that the host runs only where its log holds a position.
+func AppendFencedQuery(b []byte, id string, p Position, text string) []byte {
 	b = append(append(append(b, "QUERY "...), id...), " FENCE "...)
 	b = strconv.AppendUint(b, p.Term, 10)
 	b = strconv.AppendUint(append(b, '.'), p.Number, 10)
@@ -273,8 +273,8 @@
 	return append(b, '\r', '\n')
 }
 
-// Answer gathers what a host answers to one message.
-type Answer struct {
+// Response gathers what a host answers to one message.
+type Response struct {
 	Lines    []byte // rows and completion or error, as they came, without IDLE
 	Rows     int
 	Row      string // the fields of the first row, at most 256 bytes
@@ -286,52 +286,52 @@
 	ended    bool // DONE or ERROR has come
 }
 
-// Take takes a line in; raw is it with its CR LF. whole says that the answer is complete.
-func (a *Answer) Take(line, raw []byte) (whole bool, err error) {
+// AddLine takes a line in; raw is it with its CR LF. whole says that the answer is complete.
+func (a *Response) AddLine(line, raw []byte) (whole bool, err error) {
 	word, rest := field(line)
-	if string(word) != "IDLE" && len(a.Lines)+len(raw) > Most {
-		return false, ErrLong
+	if string(word) != "IDLE" && len(a.Lines)+len(raw) > MaxMessageBytes {
+		return false, ErrMessageTooLong
 	}
 	switch string(word) {
 	case "ROW":
 		if a.ended {
-			return false, ErrOrder
+			return false, ErrOutOfOrder
 		}
 		if a.Rows++; a.Rows == 1 && len(rest) <= 256 {
 			a.Row = string(rest)
 		}
 	case "DONE":
 		if a.ended || len(rest) == 0 {
-			return false, ErrOrder
+			return false, ErrOutOfOrder
 		}
 		a.ended, a.Stamp = true, string(rest) != "-"
 	case "ERROR":
 		code, text := field(rest)
 		if a.ended || len(code) == 0 {
-			return false, ErrOrder
+			return false, ErrOutOfOrder
 		}
 		a.ended, a.Code, a.Text = true, Code(code), string(text[:min(len(text), 256)])
 	case "IDLE":
 		state, at := field(rest)
 		if len(state) != 1 || state[0] != 'I' && state[0] != 'T' && state[0] != 'E' {
-			return false, fmt.Errorf("%w: IDLE %.20q", ErrForm, rest)
+			return false, fmt.Errorf("%w: IDLE %.20q", ErrMalformed, rest)
 		}
 		if a.State = state[0]; len(at) > 0 {
-			a.Position, err = ReadPosition(at)
+			a.Position, err = ParsePosition(at)
 		}
 		return err == nil, err
 	default:
-		return false, fmt.Errorf("%w: %.40q in an answer", ErrForm, word)
+		return false, fmt.Errorf("%w: %.40q in an answer", ErrMalformed, word)
 	}
 	a.Lines = append(a.Lines, raw...)
 	return false, nil
 }
 
-// Ended says that DONE or ERROR has come.
-func (a *Answer) Ended() bool { return a.ended }
+// Completed says that DONE or ERROR has come.
+func (a *Response) Completed() bool { return a.ended }
 
-// Status is the row of STAT, PAUSE and STEPDOWN.
-type Status struct {
+// HostStatus is the row of STAT, PAUSE and STEPDOWN.
+type HostStatus struct {
 	Leader      bool
 	Term        uint64
 	Received    Position
@@ -340,14 +340,14 @@
 	Busy, Conns int64
 }
 
-// ReadStatus reads the row of a status.
-func ReadStatus(row string) (s Status, err error) {
+// ParseHostStatus reads the row of a status.
+func ParseHostStatus(row string) (s HostStatus, err error) {
 	f := bytes.Fields([]byte(row))
 	if len(f) < 7 || string(f[0]) != "leader" && string(f[0]) != "follower" {
-		return s, fmt.Errorf("%w: a status %.60q", ErrForm, row)
+		return s, fmt.Errorf("%w: a status %.60q", ErrMalformed, row)
 	}
 	s.Leader = string(f[0]) == "leader"
-	if s.Received, err = ReadPosition(f[2]); err != nil {
+	if s.Received, err = ParsePosition(f[2]); err != nil {
 		return s, err
 	}
 	number := func(b []byte) (n uint64) {
@@ -359,7 +359,7 @@
 	s.Term, s.Held = number(f[1]), number(f[3])
 	s.LagMs, s.Busy, s.Conns = int64(number(f[4])), int64(number(f[5])), int64(number(f[6]))
 	if err != nil {
-		return s, fmt.Errorf("%w: a status %.60q", ErrForm, row)
+		return s, fmt.Errorf("%w: a status %.60q", ErrMalformed, row)
 	}
 	return s, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,7 +22,7 @@
 		"QUERY 5c0e COMMIT":                  {Kind: Commit, ID: "5c0e", Text: "COMMIT"},
 		"QUERY 5c0e ABORT":                   {Kind: Abort, ID: "5c0e", Text: "ABORT"},
 	} {
-		got, err := ReadRequest([]byte(line))
+		got, err := ParseRequest([]byte(line))
 		require.NoError(t, err, line)
 		require.Equal(t, want, got, line)
 	}
@@ -31,19 +31,19 @@
 		"QUERY x": true, "QUERY x FETCH": true, "QUERY x STORE a": true, "QUERY x FENCE 1.2 FETCH a": true, "QUERY x BEGIN STORE": true,
 		"QUERY x PREPARE s DROP q": true, "QUERY x COMMIT now": true, "QUERY x STAT": true, "QUERY x RESET": true, "QUERY x SET a": true,
 	} {
-		r, err := ReadRequest([]byte(line))
+		r, err := ParseRequest([]byte(line))
 		require.Error(t, err, line)
 		require.Equal(t, answered, r.ID != "", line)
 	}
 }
 
-func answer(t *testing.T, text string) (a Answer, whole bool, err error) {
+func answer(t *testing.T, text string) (a Response, whole bool, err error) {
 	rest := []byte(text)
 	for len(rest) > 0 && !whole && err == nil {
-		line, n, bad := Line(rest, 0)
+		line, n, bad := CutLine(rest, 0)
 		require.NoError(t, bad)
 		require.NotZero(t, n, "%q", rest)
-		whole, err = a.Take(line, rest[:n])
+		whole, err = a.AddLine(line, rest[:n])
 		rest = rest[n:]
 	}
 	return a, whole, err
@@ -58,17 +58,17 @@
 	require.True(t, a.Stamp)
 	a, _, err = answer(t, "ERROR READONLY i-7f\r\nIDLE E 3.1209\r\n")
 	require.NoError(t, err)
-	require.Equal(t, ReadOnly, a.Code)
+	require.Equal(t, CodeReadOnly, a.Code)
 	require.EqualValues(t, 'E', a.State)
 	for _, bad := range []string{"DONE x\r\nROW y\r\n", "DONE x\r\nDONE x\r\n", "ERROR \r\n", "IDLE X 1.2\r\n", "IDLE I 12\r\n", "NEWS\r\n", "DONE x\r\nERROR A b\r\n"} {
 		_, _, err = answer(t, bad)
 		require.Error(t, err, bad)
 	}
-	s, err := ReadStatus("follower 3 3.1209 0 12 2 17")
+	s, err := ParseHostStatus("follower 3 3.1209 0 12 2 17")
 	require.NoError(t, err)
-	require.Equal(t, Status{Term: 3, Received: Position{3, 1209}, LagMs: 12, Busy: 2, Conns: 17}, s)
+	require.Equal(t, HostStatus{Term: 3, Received: Position{3, 1209}, LagMs: 12, Busy: 2, Conns: 17}, s)
 	for _, bad := range []string{"", "follower", "boss 3 3.1 0 1 2 3", "leader x 3.1 0 1 2 3", "leader 3 31 0 1 2 3", "leader 3 3.1 0 -1 2 3"} {
-		_, err = ReadStatus(bad)
+		_, err = ParseHostStatus(bad)
 		require.Error(t, err, bad)
 	}
 }
@@ -80,12 +80,12 @@
 }
 
 func TestLongLinesAreTurnedAwayBeforeTheyAreHeld(t *testing.T) {
-	_, n, err := Line([]byte(strings.Repeat("x", Most+1)), 0)
-	require.ErrorIs(t, err, ErrLong)
+	_, n, err := CutLine([]byte(strings.Repeat("x", MaxMessageBytes+1)), 0)
+	require.ErrorIs(t, err, ErrMessageTooLong)
 	require.Zero(t, n)
 	for _, bad := range []string{"x\n", "\n", "a\rb\r\n", "a\x00\r\n"} {
-		_, _, err = Line([]byte(bad), 0)
-		require.ErrorIs(t, err, ErrForm, "%q", bad)
+		_, _, err = CutLine([]byte(bad), 0)
+		require.ErrorIs(t, err, ErrMalformed, "%q", bad)
 	}
 }
 
@@ -94,22 +94,22 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		var a Answer
+		var a Response
 		for rest := in; ; {
-			line, n, err := Line(rest, 0)
+			line, n, err := CutLine(rest, 0)
 			if err != nil || n == 0 {
 				return
 			}
-			if r, err := ReadRequest(line); err == nil && r.ID != "" {
-				again, bad := ReadRequest(line)
+			if r, err := ParseRequest(line); err == nil && r.ID != "" {
+				again, bad := ParseRequest(line)
 				if bad != nil || again != r || string(AppendQuery(nil, r.ID, r.Text)) != string(rest[:n]) {
 					t.Fatalf("%q is not written as it was read", line)
 				}
 			}
-			if whole, err := a.Take(line, rest[:n]); whole || err != nil {
-				a = Answer{}
+			if whole, err := a.AddLine(line, rest[:n]); whole || err != nil {
+				a = Response{}
 			}
-			ReadStatus(string(line))
+			ParseHostStatus(string(line))
 			rest = rest[n:]
 		}
 	})
