--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -50,7 +50,7 @@
 		f.hoist.Heartbeat(statesize.Host(n).ID, n%3 == 0, f.clock.Now()+1<<40) // none falls silent while it is measured
 	}
 	for n := range e.Routers {
-		hello := &rpc.Hello{Node: statesize.Router(n), Incarnation: 1, Zone: "waco-hall", AppliedIndex: index}
+		hello := &rpc.ProxyHello{Node: statesize.Router(n), Incarnation: 1, Zone: "waco-hall", AppliedIndex: index}
 		s.routers = append(s.routers, f.AcceptProxy(hello, fmt.Sprintf("10.1.%d.%d", n/250, 1+n%250),
 			func(*rpc.Frame) bool { s.frames++; return true }, func() {}))
 	}
@@ -118,7 +118,7 @@
 func BenchmarkGreet(b *testing.B) {
 	sizes(b, func(b *testing.B, s *sole, e statesize.Size) {
 		for b.Loop() {
-			r := s.AcceptProxy(&rpc.Hello{Node: statesize.Router(7), Incarnation: 1, Zone: "waco-hall"}, "10.1.0.8", func(*rpc.Frame) bool { s.frames++; return true }, func() {})
+			r := s.AcceptProxy(&rpc.ProxyHello{Node: statesize.Router(7), Incarnation: 1, Zone: "waco-hall"}, "10.1.0.8", func(*rpc.Frame) bool { s.frames++; return true }, func() {})
 			s.ProxyDisconnected(r)
 		}
 	})
--- a/internal/control/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -522,7 +522,7 @@
 		return
 	}
 	m.ties[t] = true
-	hello := &rpc.Hello{Node: r.name, Incarnation: r.life, Zone: "z", AppliedIndex: r.applied}
+	hello := &rpc.ProxyHello{Node: r.name, Incarnation: r.life, Zone: "z", AppliedIndex: r.applied}
 	t.toMember(func() { t.at = m.f.AcceptProxy(hello, r.name, t.send, func() { w.After(2, t.part) }) })
 	if w.OneIn(10) && !w.calm { // the same once more, by a connection that was held up
 		life := m.life
@@ -564,10 +564,10 @@
 	w, r := t.r.w, t.r
 	t.heard = w.Now
 	switch {
-	case f.Welcome != nil && !f.Welcome.IsLeader:
+	case f.ProxyWelcome != nil && !f.ProxyWelcome.IsLeader:
 		t.over = true
 		w.After(30, func() { r.seek(t.life) })
-	case f.Welcome != nil:
+	case f.ProxyWelcome != nil:
 		t.renews()
 	case f.LogUpdate != nil && f.LogUpdate.Snapshot != nil:
 		s, err := statemachine.Restore(f.LogUpdate.Snapshot)
--- a/internal/control/routers.go
+++ b/internal/control/routers.go
@@ -73,8 +73,8 @@
 	if err != nil {
 		return
 	}
-	if first.Hello != nil {
-		f.serveRouter(c, first.Hello)
+	if first.ProxyHello != nil {
+		f.serveRouter(c, first.ProxyHello)
 		return
 	}
 	for frame := first; err == nil; frame, err = c.Receive(time.Hour) {
@@ -101,7 +101,7 @@
 }
 
 // serveRouter serves one until its connection ends.
-func (f *Server) serveRouter(c *rpc.Conn, h *rpc.Hello) {
+func (f *Server) serveRouter(c *rpc.Conn, h *rpc.ProxyHello) {
 	out, closed := make(chan *rpc.Frame, 256), make(chan struct{})
 	send := func(frame *rpc.Frame) bool {
 		select {
@@ -147,10 +147,10 @@
 }
 
 // AcceptProxy greets a router, and serves it if this member leads. send never waits.
-func (f *Server) AcceptProxy(h *rpc.Hello, remote string, send func(*rpc.Frame) bool, shut func()) *ProxyConn {
+func (f *Server) AcceptProxy(h *rpc.ProxyHello, remote string, send func(*rpc.Frame) bool, shut func()) *ProxyConn {
 	f.met++
 	r := &ProxyConn{node: h.Node, life: h.Incarnation, serial: f.met, remote: remote, index: h.AppliedIndex, send: send, shut: shut}
-	w := &rpc.Welcome{Node: f.plate.Node, IsLeader: f.leads && f.core.HoldsLease(f.clock.Now()), Members: f.members()}
+	w := &rpc.ProxyWelcome{Node: f.plate.Node, IsLeader: f.leads && f.core.HoldsLease(f.clock.Now()), Members: f.members()}
 	if l := f.core.RecentLeader(f.clock.Now()); l != "" && l != f.id {
 		w.Leader = l.Address()
 	}
@@ -159,7 +159,7 @@
 			w.Proxies = append(w.Proxies, other.remote)
 		}
 	}
-	r.put(&rpc.Frame{Welcome: w})
+	r.put(&rpc.Frame{ProxyWelcome: w})
 	if w.IsLeader {
 		f.routers[r] = struct{}{}
 		f.jaw.Observe(h.Node, h.Incarnation, h.AppliedIndex, f.clock.Now())
--- a/internal/proxy/council_test.go
+++ b/internal/proxy/council_test.go
@@ -586,7 +586,7 @@
 	r.run(life, func(h *Server) { from = h.from() })
 	m.links[l] = true
 	l.toMember(func() {
-		l.at = m.f.AcceptProxy(&rpc.Hello{Node: r.name, Incarnation: uint64(life), Zone: "z", AppliedIndex: from}, r.name, l.send, func() { w.After(2*ms, l.part) })
+		l.at = m.f.AcceptProxy(&rpc.ProxyHello{Node: r.name, Incarnation: uint64(life), Zone: "z", AppliedIndex: from}, r.name, l.send, func() { w.After(2*ms, l.part) })
 	})
 	l.deaf()
 }
@@ -621,17 +621,17 @@
 	}
 	l.heard = w.Now
 	switch {
-	case f.Welcome != nil && !f.Welcome.IsLeader:
+	case f.ProxyWelcome != nil && !f.ProxyWelcome.IsLeader:
 		l.over = true
 		delete(l.m.links, l)
 		for _, m := range w.council.members {
-			if m.ip == f.Welcome.Leader {
+			if m.ip == f.ProxyWelcome.Leader {
 				w.After(1, func() { r.open(l.life, m) })
 				return
 			}
 		}
 		w.After(60*ms, func() { r.seek(l.life) })
-	case f.Welcome != nil:
+	case f.ProxyWelcome != nil:
 		l.leads = true
 		w.After(1, l.renews)
 	case f.LogUpdate != nil:
--- a/internal/proxy/news.go
+++ b/internal/proxy/news.go
@@ -114,24 +114,24 @@
 	case <-h.queue.Ended:
 		return false
 	}
-	if c.Send(&rpc.Frame{Hello: &rpc.Hello{Node: h.plate.Node, Incarnation: h.life, Zone: h.plate.Zone, AppliedIndex: index}}, time.Second) != nil {
+	if c.Send(&rpc.Frame{ProxyHello: &rpc.ProxyHello{Node: h.plate.Node, Incarnation: h.life, Zone: h.plate.Zone, AppliedIndex: index}}, time.Second) != nil {
 		return false
 	}
 	f, err := c.Receive(greeting)
-	if err != nil || f.Welcome == nil {
+	if err != nil || f.ProxyWelcome == nil {
 		return false
 	}
-	if len(f.Welcome.Members) > 0 {
-		l.members = f.Welcome.Members
+	if len(f.ProxyWelcome.Members) > 0 {
+		l.members = f.ProxyWelcome.Members
 	}
-	if !f.Welcome.IsLeader {
-		if f.Welcome.Leader != ip {
-			l.next = f.Welcome.Leader
+	if !f.ProxyWelcome.IsLeader {
+		if f.ProxyWelcome.Leader != ip {
+			l.next = f.ProxyWelcome.Leader
 		}
 		return false
 	}
 	h.Links.Add(1)
-	h.queue.Put(eventloop.PriorityLists, func() { h.meet(f.Welcome.Proxies) })
+	h.queue.Put(eventloop.PriorityLists, func() { h.meet(f.ProxyWelcome.Proxies) })
 	asked := &asks{at: map[uint64]int64{}}
 	renewed := make(chan struct{})
 	go func() {
--- a/internal/rpc/capacity_test.go
+++ b/internal/rpc/capacity_test.go
@@ -39,8 +39,8 @@
 		name  string
 		frame Frame
 	}{
-		{"hello", Frame{Hello: &Hello{Node: statesize.Router(7), Incarnation: 1 << 60, Zone: "waco-hall", AppliedIndex: 12345}}},
-		{"welcome", Frame{Welcome: &Welcome{Node: "core-waco-hall-0", IsLeader: true, Members: members, Proxies: append(members, members...)[:5]}}},
+		{"hello", Frame{ProxyHello: &ProxyHello{Node: statesize.Router(7), Incarnation: 1 << 60, Zone: "waco-hall", AppliedIndex: 12345}}},
+		{"welcome", Frame{ProxyWelcome: &ProxyWelcome{Node: "core-waco-hall-0", IsLeader: true, Members: members, Proxies: append(members, members...)[:5]}}},
 		{"renew", Frame{LeaseRequest: &LeaseRequest{Serial: 12345, AppliedIndex: 12345, Sessions: 3250}}},
 		{"lease", Frame{LeaseResponse: &LeaseResponse{Serial: 12345, Granted: true, CommitIndex: 12345, ProxyCount: 1200}}},
 		{"suspect", Frame{SuspectReport: &SuspectReport{Service: host.Service, Host: host.ID}}},
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -34,8 +34,8 @@
 	Consensus       *consensus.Message // between members
 	ForwardRequest  *ForwardRequest    // a member passes on what came to it
 	ForwardResponse *ForwardResponse
-	Hello           *Hello // a router opens a connection
-	Welcome         *Welcome
+	ProxyHello      *ProxyHello // a router opens a connection
+	ProxyWelcome    *ProxyWelcome
 	LogUpdate       *LogUpdate
 	LeaseRequest    *LeaseRequest
 	LeaseResponse   *LeaseResponse
@@ -67,16 +67,16 @@
 	Body   []byte
 }
 
-// Hello is a router's first frame.
-type Hello struct {
+// ProxyHello is a router's first frame.
+type ProxyHello struct {
 	Node         string
 	Incarnation  uint64
 	Zone         string
 	AppliedIndex uint64 // it has applied the log up to here
 }
 
-// Welcome is the member's answer. Only one that leads serves routers.
-type Welcome struct {
+// ProxyWelcome is the member's answer. Only one that leads serves routers.
+type ProxyWelcome struct {
 	Node     string
 	IsLeader bool
 	Leader   string   // where to go otherwise; empty: not known
