--- a/internal/control/callers_test.go
+++ b/internal/control/callers_test.go
@@ -159,7 +159,7 @@
 // strike ends a member, which begins anew with its disk soon after; often one that only follows, in the same view.
 func (w *ring) strike() {
 	s := w.seats[w.Rand.IntN(3)]
-	if s.up && !w.seats[0].down() && !w.seats[1].down() && !w.seats[2].down() && (w.OneIn(4) || !s.f.leads) {
+	if s.up && !w.seats[0].down() && !w.seats[1].down() && !w.seats[2].down() && (w.OneIn(4) || !s.f.leading) {
 		s.up = false
 		w.After(w.Between(20*ms, 600*ms), s.begin)
 	}
@@ -237,8 +237,8 @@
 			told[k] += n
 		}
 		for _, s := range w.seats {
-			for why, name := range strayNames {
-				strays[name] += s.f.Strays[why].Load()
+			for why, name := range discardCounterNames {
+				strays[name] += s.f.Discarded[why].Load()
 			}
 		}
 	}
@@ -310,19 +310,19 @@
 func TestAnAnswerCountsOnlyForTheCallThatIsOut(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(a *rpc.ForwardResponse, from *string)
-		why    stray
+		why    discardReason
 	}{
-		"to a call that was never made":       {func(a *rpc.ForwardResponse, _ *string) { a.Serial += 5 }, answerUnknown},
-		"to none":                             {func(a *rpc.ForwardResponse, _ *string) { a.Serial = 0 }, answerUnknown},
-		"of another life":                     {func(a *rpc.ForwardResponse, _ *string) { a.Incarnation++ }, answerLife},
-		"to another member's call":            {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.3" }, answerLife},
-		"to the old member at this address":   {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.1+ab" }, answerLife},
-		"from another member":                 {func(a *rpc.ForwardResponse, from *string) { a.By, *from = "10.0.0.3", "10.0.0.3" }, answerOther},
-		"from the address of another":         {func(_ *rpc.ForwardResponse, from *string) { *from = "10.0.0.3" }, answerOther},
-		"from an empty one at its address":    {func(a *rpc.ForwardResponse, _ *string) { a.By = "10.0.0.2+ab" }, answerOther},
-		"of another view":                     {func(a *rpc.ForwardResponse, _ *string) { a.Term++ }, answerOther},
-		"without a status":                    {func(a *rpc.ForwardResponse, _ *string) { a.Status = 0 }, answerOdd},
-		"with a status beyond all that there": {func(a *rpc.ForwardResponse, _ *string) { a.Status = 1 << 30 }, answerOdd},
+		"to a call that was never made":       {func(a *rpc.ForwardResponse, _ *string) { a.Serial += 5 }, responseUnknownCall},
+		"to none":                             {func(a *rpc.ForwardResponse, _ *string) { a.Serial = 0 }, responseUnknownCall},
+		"of another life":                     {func(a *rpc.ForwardResponse, _ *string) { a.Incarnation++ }, responseOtherIncarnation},
+		"to another member's call":            {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.3" }, responseOtherIncarnation},
+		"to the old member at this address":   {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.1+ab" }, responseOtherIncarnation},
+		"from another member":                 {func(a *rpc.ForwardResponse, from *string) { a.By, *from = "10.0.0.3", "10.0.0.3" }, responseOtherMember},
+		"from the address of another":         {func(_ *rpc.ForwardResponse, from *string) { *from = "10.0.0.3" }, responseOtherMember},
+		"from an empty one at its address":    {func(a *rpc.ForwardResponse, _ *string) { a.By = "10.0.0.2+ab" }, responseOtherMember},
+		"of another view":                     {func(a *rpc.ForwardResponse, _ *string) { a.Term++ }, responseOtherMember},
+		"without a status":                    {func(a *rpc.ForwardResponse, _ *string) { a.Status = 0 }, responseMalformed},
+		"with a status beyond all that there": {func(a *rpc.ForwardResponse, _ *string) { a.Status = 1 << 30 }, responseMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDesk("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -336,12 +336,12 @@
 			c.change(&bad, &from)
 			d.f.HandleFrame(from, &rpc.Frame{ForwardResponse: &bad})
 			require.Zero(t, n, "it counted")
-			require.EqualValues(t, 1, d.f.counts()[strayNames[c.why]])
+			require.EqualValues(t, 1, d.f.counters()[discardCounterNames[c.why]])
 			d.f.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
 			require.Equal(t, 1, n, "the right one counts still")
 			d.f.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
 			require.Equal(t, 1, n, "once")
-			require.EqualValues(t, 1, d.f.counts()["answers_late"])
+			require.EqualValues(t, 1, d.f.counters()["answers_late"])
 		})
 	}
 }
@@ -351,27 +351,27 @@
 	body := []byte(`{"Service":"db","Address":"10.1.0.1:80","State":"serving","CallSeq":1}`)
 	for name, c := range map[string]struct {
 		change func(a *rpc.ForwardRequest, from *string)
-		why    stray
+		why    discardReason
 		told   bool // that it was not carried out
 	}{
-		"an unknown process":            {func(a *rpc.ForwardRequest, from *string) { a.From, *from = "10.9.9.9", "10.9.9.9" }, askUnknown, false},
-		"one that is not where it says": {func(_ *rpc.ForwardRequest, from *string) { *from = "10.9.9.9" }, askUnknown, false},
-		"one that gives no name":        {func(a *rpc.ForwardRequest, _ *string) { a.From = "" }, askUnknown, false},
-		"meant for the old member":      {func(a *rpc.ForwardRequest, _ *string) { a.To = "10.0.0.1+ab" }, askElsewhere, true},
-		"of an older view":              {func(a *rpc.ForwardRequest, _ *string) { a.Term-- }, askElsewhere, true},
+		"an unknown process":            {func(a *rpc.ForwardRequest, from *string) { a.From, *from = "10.9.9.9", "10.9.9.9" }, requestUnknownSender, false},
+		"one that is not where it says": {func(_ *rpc.ForwardRequest, from *string) { *from = "10.9.9.9" }, requestUnknownSender, false},
+		"one that gives no name":        {func(a *rpc.ForwardRequest, _ *string) { a.From = "" }, requestUnknownSender, false},
+		"meant for the old member":      {func(a *rpc.ForwardRequest, _ *string) { a.To = "10.0.0.1+ab" }, requestMisdirected, true},
+		"of an older view":              {func(a *rpc.ForwardRequest, _ *string) { a.Term-- }, requestMisdirected, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := newDesk("10.0.0.1", "10.0.0.1")
 			d.run(2 * time.Second)
-			require.True(t, d.f.leads)
-			good := rpc.ForwardRequest{CallID: rpc.CallID{From: "10.0.0.2", Incarnation: 5, Term: d.f.core.Term(), Serial: 1}, To: "10.0.0.1",
+			require.True(t, d.f.leading)
+			good := rpc.ForwardRequest{CallID: rpc.CallID{From: "10.0.0.2", Incarnation: 5, Term: d.f.consensus.Term(), Serial: 1}, To: "10.0.0.1",
 				Method: http.MethodPost, Path: "/Instances.Heartbeat/h1", Body: body}
 			bad, from := good, "10.0.0.2"
 			c.change(&bad, &from)
 			d.f.HandleFrame(from, &rpc.Frame{ForwardRequest: &bad})
 			d.run(200 * time.Millisecond)
 			require.Empty(t, d.f.state.Hosts, "it was carried out")
-			require.EqualValues(t, 1, d.f.counts()[strayNames[c.why]])
+			require.EqualValues(t, 1, d.f.counters()[discardCounterNames[c.why]])
 			if c.told {
 				require.Len(t, d.sent, 1)
 				require.Equal(t, http.StatusServiceUnavailable, d.sent[0].ForwardResponse.Status)
@@ -384,10 +384,10 @@
 			}
 			d.run(200 * time.Millisecond)
 			require.Len(t, d.f.state.Hosts, 1)
-			require.EqualValues(t, 1, d.f.Beats.Load())
+			require.EqualValues(t, 1, d.f.Heartbeats.Load())
 			require.Len(t, d.sent, 1)
 			require.Equal(t, rpc.ForwardResponse{CallID: good.CallID, By: "10.0.0.1", Status: 200, Body: d.sent[0].ForwardResponse.Body}, *d.sent[0].ForwardResponse)
-			require.EqualValues(t, 2, d.f.counts()["asks_repeated"])
+			require.EqualValues(t, 2, d.f.counters()["asks_repeated"])
 		})
 	}
 }
@@ -397,8 +397,8 @@
 	for from, leads := range map[string]consensus.ID{"10.0.0.2": "10.0.0.2", "10.0.0.3": "", "10.9.9.9": ""} {
 		d := newDesk("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
 		d.f.HandleFrame(from, &rpc.Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: "10.0.0.2", To: "10.0.0.1", Term: 4, SentAtMs: 1}})
-		require.Equal(t, leads, d.f.core.Leader(), "from %s", from)
-		require.EqualValues(t, map[bool]int64{true: 1}[leads == ""], d.f.counts()["messages_of_another"])
+		require.Equal(t, leads, d.f.consensus.Leader(), "from %s", from)
+		require.EqualValues(t, map[bool]int64{true: 1}[leads == ""], d.f.counters()["messages_of_another"])
 	}
 }
 
@@ -407,42 +407,42 @@
 	d := newDesk("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
 	d.follows("10.0.0.2", 4)
 	refused := 0
-	for range mostPassed + 10 {
+	for range maxForwarded + 10 {
 		d.f.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { refused++ })
 	}
 	require.Equal(t, 10, refused)
-	require.EqualValues(t, 10, d.f.counts()["asks_over_limit"])
+	require.EqualValues(t, 10, d.f.counters()["asks_over_limit"])
 	d.run(3 * time.Second)
-	require.Empty(t, d.f.passed, "forgotten once nobody waits")
+	require.Empty(t, d.f.pending, "forgotten once nobody waits")
 	d.follows("10.0.0.2", 4)
 	refused = 0
-	large := make([]byte, replace.MaxBodyBytes)
-	for range mostPassedBytes/replace.MaxBodyBytes + 3 {
+	large := make([]byte, configReplace.MaxBodyBytes)
+	for range maxForwardedBytes/configReplace.MaxBodyBytes + 3 {
 		d.f.HandleCall(http.MethodPost, "/Config.Replace", "0", large, func(int, []byte) { refused++ })
 	}
 	require.Equal(t, 3, refused)
 	d.run(6 * time.Second)
-	require.Zero(t, d.f.bytes)
+	require.Zero(t, d.f.pendingBytes)
 	status := 0
 	d.f.HandleCall(http.MethodPost, "/Config.Replace", "0", append(large, 0), func(s int, _ []byte) { status = s })
 	require.Equal(t, http.StatusRequestEntityTooLarge, status)
 	for i := range 1000 {
-		require.True(t, d.f.first(asker{"10.0.0.2", uint64(i)}, 1))
+		require.True(t, d.f.firstRequest(requester{"10.0.0.2", uint64(i)}, 1))
 	}
-	require.Len(t, d.f.heard, mostAskers)
-	require.Len(t, d.f.order, mostAskers)
+	require.Len(t, d.f.served, maxRequesters)
+	require.Len(t, d.f.servedOrder, maxRequesters)
 }
 
 // The window against a set: what comes in any order counts once, and what is far behind does not count.
 func TestAWindowTakesEachSerialOnce(t *testing.T) {
 	for seed := range 200 {
 		w := scheduler.New(uint64(seed), 0, 1)
-		var win window
+		var win serialWindow
 		seen, newest := map[uint64]bool{}, uint64(0)
 		for range 500 {
 			serial := uint64(max(1, int64(newest)+int64(w.Rand.IntN(150))-100))
 			want := !seen[serial] && (newest < 64 || serial > newest-64)
-			require.Equal(t, want, win.take(serial), "seed %d: %d after %d", seed, serial, newest)
+			require.Equal(t, want, win.accept(serial), "seed %d: %d after %d", seed, serial, newest)
 			seen[serial], newest = seen[serial] || want, max(newest, serial)
 		}
 	}
--- a/internal/control/calls.go
+++ b/internal/control/calls.go
@@ -21,8 +21,8 @@
 	"ferrypitch/internal/eventloop"
 )
 
-// call is one of an operator or a host, here or passed on by another member.
-type call struct {
+// apiCall is one of an operator or a host, here or passed on by another member.
+type apiCall struct {
 	method, path, base string
 	body               []byte
 }
@@ -32,13 +32,13 @@
 	Method, Path string // a path that ends in / is followed by an id
 	MaxBodyBytes int64  // bytes of the body
 	Timeout      time.Duration
-	Handle       func(f *Server, id string, c call, answer func(status int, body []byte))
+	Handle       func(f *Server, id string, c apiCall, answer func(status int, body []byte))
 }
 
-var calls = []Endpoint{replace, amend, read, heartbeat, leave, status}
+var endpoints = []Endpoint{configReplace, configAmend, configRead, hostHeartbeat, hostLeave, memberStatus}
 
-func find(method, path string) (Endpoint, string, bool) {
-	for _, c := range calls {
+func findEndpoint(method, path string) (Endpoint, string, bool) {
+	for _, c := range endpoints {
 		if c.Method != method {
 			continue
 		}
@@ -49,9 +49,9 @@
 	return Endpoint{}, "", false
 }
 
-// serve takes calls over HTTP.
-func (f *Server) serve(l net.Listener) error {
-	s := &http.Server{Handler: http.HandlerFunc(f.http), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 15 * time.Second,
+// serveAPI takes calls over HTTP.
+func (f *Server) serveAPI(l net.Listener) error {
+	s := &http.Server{Handler: http.HandlerFunc(f.serveHTTP), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 15 * time.Second,
 		WriteTimeout: 15 * time.Second, IdleTimeout: 30 * time.Second, MaxHeaderBytes: 16 << 10}
 	stop := context.AfterFunc(f.ctx, func() { s.Close() })
 	defer stop()
@@ -61,24 +61,24 @@
 	return nil
 }
 
-func (f *Server) http(w http.ResponseWriter, r *http.Request) {
+func (f *Server) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	f.Calls.Add(1)
-	c, _, ok := find(r.Method, r.URL.Path)
+	c, _, ok := findEndpoint(r.Method, r.URL.Path)
 	if !ok {
-		tell(w, errcode.UnknownEndpoint, "")
+		rejectHTTP(w, errcode.UnknownEndpoint, "")
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, c.MaxBodyBytes+1))
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded): // this process may have stood still meanwhile: that is no judgement on the call
-		tell(w, errcode.NoLeader, "it did not come in time")
+		rejectHTTP(w, errcode.NoLeader, "it did not come in time")
 		return
 	case err != nil:
-		tell(w, errcode.InvalidBody, "it did not come whole")
+		rejectHTTP(w, errcode.InvalidBody, "it did not come whole")
 		return
 	}
 	if int64(len(body)) > c.MaxBodyBytes {
-		tell(w, errcode.BodyTooLong, "over "+strconv.FormatInt(c.MaxBodyBytes, 10)+" bytes")
+		rejectHTTP(w, errcode.BodyTooLong, "over "+strconv.FormatInt(c.MaxBodyBytes, 10)+" bytes")
 		return
 	}
 	type answer struct {
@@ -86,7 +86,7 @@
 		body   []byte
 	}
 	done := make(chan answer, 1)
-	in := call{r.Method, r.URL.Path, r.Header.Get("X-Base-Version"), body}
+	in := apiCall{r.Method, r.URL.Path, r.Header.Get("X-Base-Version"), body}
 	if !f.queue.Put(eventloop.PriorityCommands, func() {
 		f.handle(in, true, func(status int, body []byte) {
 			select {
@@ -95,7 +95,7 @@
 			}
 		})
 	}) {
-		tell(w, errcode.NoLeader, "this member ends")
+		rejectHTTP(w, errcode.NoLeader, "this member ends")
 		return
 	}
 	timer := time.NewTimer(c.Timeout)
@@ -103,42 +103,42 @@
 	select {
 	case a := <-done:
 		if a.status >= 400 {
-			f.Refusals.Add(1)
+			f.CallsRejected.Add(1)
 		}
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(a.status)
 		w.Write(a.body)
 	case <-timer.C:
-		tell(w, errcode.NoLeader, "no clear answer in time")
+		rejectHTTP(w, errcode.NoLeader, "no clear answer in time")
 	case <-f.ctx.Done():
 	}
 }
 
 // HandleCall answers a call of a host or an operator, here or by the member that leads.
 func (f *Server) HandleCall(method, path, base string, body []byte, answer func(status int, body []byte)) {
-	f.handle(call{method, path, base, body}, true, answer)
+	f.handle(apiCall{method, path, base, body}, true, answer)
 }
 
 // handle answers a call if this member leads, and else passes it on to the one that does, once.
-func (f *Server) handle(in call, pass bool, answer func(int, []byte)) {
-	c, id, ok := find(in.method, in.path)
-	leader := f.core.RecentLeader(f.clock.Now())
+func (f *Server) handle(in apiCall, pass bool, answer func(int, []byte)) {
+	c, id, ok := findEndpoint(in.method, in.path)
+	leader := f.consensus.RecentLeader(f.clock.Now())
 	switch {
 	case !ok:
-		refuse(answer, errcode.UnknownEndpoint, nil)
+		reject(answer, errcode.UnknownEndpoint, nil)
 	case int64(len(in.body)) > c.MaxBodyBytes:
-		refuse(answer, errcode.BodyTooLong, nil)
-	case f.leads && f.core.HoldsLease(f.clock.Now()) || c.Path == status.Path:
+		reject(answer, errcode.BodyTooLong, nil)
+	case f.leading && f.consensus.HoldsLease(f.clock.Now()) || c.Path == memberStatus.Path:
 		c.Handle(f, id, in, answer)
 	case pass && leader != "" && leader != f.id:
-		f.passOn(leader, in, c.Timeout.Milliseconds(), answer)
+		f.forward(leader, in, c.Timeout.Milliseconds(), answer)
 	default:
-		refuse(answer, errcode.NoLeader, nil)
+		reject(answer, errcode.NoLeader, nil)
 	}
 }
 
-// refuse answers by a kind, with more on it.
-func refuse(answer func(int, []byte), kind errcode.Kind, more error) {
+// reject answers by a kind, with more on it.
+func reject(answer func(int, []byte), kind errcode.Kind, more error) {
 	text := kind.Text()
 	if more != nil {
 		text = more.Error()
@@ -147,26 +147,26 @@
 	answer(kind.Status(), append(b, '\n'))
 }
 
-func tell(w http.ResponseWriter, kind errcode.Kind, more string) {
+func rejectHTTP(w http.ResponseWriter, kind errcode.Kind, more string) {
 	var why error
 	if more != "" {
 		why = errors.New(kind.Text() + ": " + more)
 	}
-	refuse(func(status int, b []byte) {
+	reject(func(status int, b []byte) {
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(status)
 		w.Write(b)
 	}, kind, why)
 }
 
-// control is where a member takes calls: all have alike ports.
-func (f *Server) control(ip string) string {
-	_, port, _ := net.SplitHostPort(f.plate.Listen.Control)
+// apiAddress is where a member takes calls: all have alike ports.
+func (f *Server) apiAddress(ip string) string {
+	_, port, _ := net.SplitHostPort(f.settings.Listen.Control)
 	return net.JoinHostPort(ip, port)
 }
 
-// kindOf is why a change was not made.
-func kindOf(err error) errcode.Kind {
+// errorKind is why a change was not made.
+func errorKind(err error) errcode.Kind {
 	switch {
 	case errors.Is(err, statemachine.ErrVersionConflict):
 		return errcode.VersionConflict
@@ -191,12 +191,12 @@
 	Counters         map[string]int64
 }
 
-var status = Endpoint{Method: http.MethodGet, Path: "/Member.Status", MaxBodyBytes: 0, Timeout: time.Second,
-	Handle: func(f *Server, _ string, _ call, answer func(int, []byte)) {
+var memberStatus = Endpoint{Method: http.MethodGet, Path: "/Member.Status", MaxBodyBytes: 0, Timeout: time.Second,
+	Handle: func(f *Server, _ string, _ apiCall, answer func(int, []byte)) {
 		now := f.clock.Now()
-		s := Status{Consensus: f.core.Status(now), Version: f.state.Generation, Hosts: len(f.state.Hosts), Primaries: f.state.Primaries, Counters: f.counts()}
-		if f.leads {
-			s.Proxies, s.Transitions = f.jaw.HolderCount(now), f.hoist.Transitions(f.state, now)
+		s := Status{Consensus: f.consensus.Status(now), Version: f.state.Generation, Hosts: len(f.state.Hosts), Primaries: f.state.Primaries, Counters: f.counters()}
+		if f.leading {
+			s.Proxies, s.Transitions = f.grantor.HolderCount(now), f.coordinator.Transitions(f.state, now)
 		}
 		for _, id := range slices.Sorted(maps.Keys(f.state.UnaccountedHosts)) {
 			s.UnaccountedHosts = append(s.UnaccountedHosts, f.state.UnaccountedHosts[id])
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -38,7 +38,7 @@
 	s := &sole{Server: f}
 	f.SetEnvironment(Environment{Send: func(string, *rpc.Frame) {}, QueryHost: func(failover.HostQuery, statemachine.Host) {}, Promote: func(failover.Promotion) {},
 		Persist: func(w []consensus.Write) { s.pending = append(s.pending, w...) }})
-	for !f.leads {
+	for !f.leading {
 		f.Tick()
 		s.store()
 		time.Sleep(5 * time.Millisecond)
@@ -47,7 +47,7 @@
 	f.state = e.State()
 	f.state.Index = index
 	for n := range e.Hosts() {
-		f.hoist.Heartbeat(statesize.Host(n).ID, n%3 == 0, f.clock.Now()+1<<40) // none falls silent while it is measured
+		f.coordinator.Heartbeat(statesize.Host(n).ID, n%3 == 0, f.clock.Now()+1<<40) // none falls silent while it is measured
 	}
 	for n := range e.Routers {
 		hello := &rpc.ProxyHello{Node: statesize.Router(n), Incarnation: 1, Zone: "waco-hall", AppliedIndex: index}
@@ -93,7 +93,7 @@
 		body := fmt.Appendf(nil, `{"Service":%q,"Address":%q,"Zone":%q,"Generation":%q,"Capacity":7,"State":"serving","DbRole":"replica","CallSeq":1}`,
 			h.Service, h.Address, h.Zone, h.Generation)
 		for b.Loop() {
-			s.HandleCall(http.MethodPost, heartbeat.Path+h.ID, "", body, func(status int, b2 []byte) {
+			s.HandleCall(http.MethodPost, hostHeartbeat.Path+h.ID, "", body, func(status int, b2 []byte) {
 				if status != http.StatusOK {
 					b.Fatal(status, string(b2))
 				}
--- a/internal/control/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -265,9 +265,9 @@
 				}
 				m.do(life, func() { w.After(w.Between(1, 4), func() { answer(status, b) }) })
 			}
-			if w.out == "holds" && m.f.leads { // whoever led last judges
-				c, id, _ := find(method, path)
-				c.Handle(m.f, id, call{method, path, base, body}, told)
+			if w.out == "holds" && m.f.leading { // whoever led last judges
+				c, id, _ := findEndpoint(method, path)
+				c.Handle(m.f, id, apiCall{method, path, base, body}, told)
 				return
 			}
 			m.f.HandleCall(method, path, base, body, told)
@@ -284,20 +284,20 @@
 			continue
 		}
 		w.follow(m)
-		if m.f.core.HoldsLease(m.f.clock.Now()) { // one that stands still, too: it may go on at any moment
+		if m.f.consensus.HoldsLease(m.f.clock.Now()) { // one that stands still, too: it may go on at any moment
 			if holder != nil {
 				w.Violate("%s and %s both hold a view", holder.ip, m.ip)
 			}
 			holder = m
 		}
 	}
-	if holder == nil || !holder.f.leads {
+	if holder == nil || !holder.f.leading {
 		return
 	}
 	f := holder.f
 	now, index := f.clock.Now(), f.state.Index
 	for _, r := range w.routers {
-		if r.applied < index && r.tight() && f.jaw.AllCaughtUp(index, f.state.ProxyNames(), now) {
+		if r.applied < index && r.tight() && f.grantor.AllCaughtUp(index, f.state.ProxyNames(), now) {
 			w.Violate("%s acts on %d under a lease, %s holds %d for handed back", r.name, r.applied, holder.ip, index)
 		}
 	}
@@ -667,7 +667,7 @@
 	m := w.members[w.Rand.IntN(len(w.members))]
 	if w.OneIn(2) {
 		for _, l := range w.members {
-			if l.up && l.f.core.IsLeader() {
+			if l.up && l.f.consensus.IsLeader() {
 				m = l
 			}
 		}
@@ -696,7 +696,7 @@
 		m.cutOff(w.Between(100, 5000))
 	case 7:
 		w.Note("%s hands over", m.ip)
-		m.do(m.life, func() { m.f.carry(m.f.core.TransferLeadership(m.f.clock.Now())) })
+		m.do(m.life, func() { m.f.carryOut(m.f.consensus.TransferLeadership(m.f.clock.Now())) })
 	case 8, 9:
 		r := w.routers[w.Rand.IntN(len(w.routers))]
 		if w.OneIn(2) {
@@ -765,7 +765,7 @@
 			continue
 		}
 		for _, m := range w.members {
-			if m.up && m.f.leads && !slices.ContainsFunc(m.f.state.AppliedUpdates, func(t statemachine.AppliedUpdate) bool { return t.Digest == l.sum }) && i > len(w.chain)-100 {
+			if m.up && m.f.leading && !slices.ContainsFunc(m.f.state.AppliedUpdates, func(t statemachine.AppliedUpdate) bool { return t.Digest == l.sum }) && i > len(w.chain)-100 {
 				w.Violate("LOST: %d was told and is gone", l.gen)
 			}
 		}
--- a/internal/control/growth_test.go
+++ b/internal/control/growth_test.go
@@ -33,7 +33,7 @@
 					for _, p := range w.posts {
 						sent, stored, syncs = sent+p.bytes, stored+p.stored, syncs+p.syncs
 					}
-					entries, bytes := w.posts[0].f.core.SinceSnapshot()
+					entries, bytes := w.posts[0].f.consensus.SinceSnapshot()
 					snapshot := w.posts[0].f.state.Snapshot()
 					var before, after runtime.MemStats
 					runtime.GC()
--- a/internal/control/host_client.go
+++ b/internal/control/host_client.go
@@ -21,53 +21,53 @@
 	"ferrypitch/internal/wire"
 )
 
-// tongs (they reach into the fire) ask hosts, each question on a connection that is kept for a short while.
-type tongs struct {
+// hostClient (they reach into the fire) ask hosts, each question on a connection that is kept for a short while.
+type hostClient struct {
 	f    *Server
 	dial func(address string, within time.Duration) (net.Conn, error)
 	mu   sync.Mutex
-	open map[string]*held
+	idle map[string]*hostConn
 }
 
-type held struct {
-	conn net.Conn
-	in   []byte
-	used time.Time
+type hostConn struct {
+	conn      net.Conn
+	unread    []byte
+	idleSince time.Time
 }
 
 const (
-	within = 350 * time.Millisecond
-	keep   = 3 * time.Second
+	hostQueryTimeout    = 350 * time.Millisecond
+	hostConnIdleTimeout = 3 * time.Second
 )
 
-func newTongs(f *Server) *tongs {
-	t := &tongs{f: f, open: map[string]*held{}}
-	t.dial = t.reach
+func newHostClient(f *Server) *hostClient {
+	t := &hostClient{f: f, idle: map[string]*hostConn{}}
+	t.dial = t.dialHost
 	return t
 }
 
-func (t *tongs) take(host string) *held {
+func (t *hostClient) takeIdle(host string) *hostConn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.open[host]
-	delete(t.open, host)
+	h := t.idle[host]
+	delete(t.idle, host)
 	return h
 }
 
-func (t *tongs) put(host string, h *held) {
-	h.used = time.Now()
+func (t *hostClient) keepIdle(host string, h *hostConn) {
+	h.idleSince = time.Now()
 	t.mu.Lock()
-	old := t.open[host]
-	t.open[host] = h
+	old := t.idle[host]
+	t.idle[host] = h
 	t.mu.Unlock()
 	if old != nil {
 		old.conn.Close()
 	}
-	time.AfterFunc(keep, func() {
+	time.AfterFunc(hostConnIdleTimeout, func() {
 		t.mu.Lock()
-		is := t.open[host] == h && time.Since(h.used) >= keep
+		is := t.idle[host] == h && time.Since(h.idleSince) >= hostConnIdleTimeout
 		if is {
-			delete(t.open, host)
+			delete(t.idle, host)
 		}
 		t.mu.Unlock()
 		if is {
@@ -79,18 +79,18 @@
 	})
 }
 
-// ask asks from a goroutine of its own and tells the owner how it ended.
-func (t *tongs) ask(q failover.HostQuery, host statemachine.Host) {
+// query asks from a goroutine of its own and tells the owner how it ended.
+func (t *hostClient) query(q failover.HostQuery, host statemachine.Host) {
 	f := t.f
 	text := q.Command.Text()
 	if q.Command == failover.Pause || q.Command == failover.StepDown {
 		text += " " + strconv.FormatUint(q.Term, 10)
 	}
-	until := time.Now().Add(within) // from the decision on: a process that stood still since asks nothing
+	until := time.Now().Add(hostQueryTimeout) // from the decision on: a process that stood still since asks nothing
 	f.tasks.Go(func() error {
 		r := failover.QueryResult{Query: q}
-		h := t.take(q.Host)
-		a, err := t.answer(&h, host, q.Command, text, until)
+		h := t.takeIdle(q.Host)
+		a, err := t.exchange(&h, host, q.Command, text, until)
 		var code *codeError
 		switch {
 		case errors.As(err, &code):
@@ -108,7 +108,7 @@
 			}
 		}
 		if err == nil && h != nil {
-			t.put(q.Host, h)
+			t.keepIdle(q.Host, h)
 		} else if h != nil {
 			h.conn.Close()
 		}
@@ -119,32 +119,32 @@
 
 // QueryFinished takes in how a question to a host ended.
 func (f *Server) QueryFinished(r failover.QueryResult) {
-	if !f.leads || !f.hoist.QueryFinished(r, f.clock.Now()) {
-		f.ignored(replyStray)
+	if !f.leading || !f.coordinator.QueryFinished(r, f.clock.Now()) {
+		f.discard(resultUnsolicited)
 		return
 	}
-	f.tend()
+	f.runFailover()
 }
 
 type codeError struct{ code wire.Code }
 
 func (e *codeError) Error() string { return string(e.code) }
 
-// verbs are what a verb is in the table of calls.
-var verbs = map[failover.Command]retry.Operation{failover.Stat: retry.Stat, failover.Pause: retry.Pause, failover.Resume: retry.Resume, failover.StepDown: retry.StepDown}
+// operations are what a verb is in the table of calls.
+var operations = map[failover.Command]retry.Operation{failover.Stat: retry.Stat, failover.Pause: retry.Pause, failover.Resume: retry.Resume, failover.StepDown: retry.StepDown}
 
-// answer asks on a connection that is kept, or on a new one where that has ended and the table of calls lets the question
+// exchange asks on a connection that is kept, or on a new one where that has ended and the table of calls lets the question
 // be asked again.
-func (t *tongs) answer(h **held, host statemachine.Host, verb failover.Command, text string, until time.Time) (wire.Response, error) {
+func (t *hostClient) exchange(h **hostConn, host statemachine.Host, verb failover.Command, text string, until time.Time) (wire.Response, error) {
 	if *h != nil {
-		a, moment, err := (*h).ask(text, until)
+		a, moment, err := (*h).query(text, until)
 		if err == nil {
 			return a, nil
 		}
 		(*h).conn.Close()
 		*h = nil
 		var timeout net.Error
-		if errors.As(err, &timeout) && timeout.Timeout() || retry.Decide(verbs[verb], moment) != retry.RetryNow {
+		if errors.As(err, &timeout) && timeout.Timeout() || retry.Decide(operations[verb], moment) != retry.RetryNow {
 			return wire.Response{}, err
 		}
 	}
@@ -152,16 +152,16 @@
 	if err != nil {
 		return wire.Response{}, err
 	}
-	n := &held{conn: conn}
+	n := &hostConn{conn: conn}
 	conn.SetDeadline(until)
 	var a wire.Response
 	if _, err = conn.Write(wire.AppendConnect(nil, host.Service, "control", host.ID)); err == nil {
-		if a, err = n.next(); err == nil && a.Code != "" {
+		if a, err = n.readResponse(); err == nil && a.Code != "" {
 			err = &codeError{a.Code}
 		}
 	}
 	if err == nil {
-		a, _, err = n.ask(text, until)
+		a, _, err = n.query(text, until)
 	}
 	if err != nil {
 		conn.Close()
@@ -171,40 +171,40 @@
 	return a, nil
 }
 
-// reach opens a connection to a host. What it has not acknowledged in the time of a question is given up by the kernel, and
+// dialHost opens a connection to a host. What it has not acknowledged in the time of a question is given up by the kernel, and
 // what has not gone out when the connection is closed, or this process ends, goes out no more.
-func (t *tongs) reach(address string, wait time.Duration) (net.Conn, error) {
-	c, err := rpc.Dial(t.f.ctx, t.f.plate.Ip, address, wait)
+func (t *hostClient) dialHost(address string, wait time.Duration) (net.Conn, error) {
+	c, err := rpc.Dial(t.f.ctx, t.f.settings.Ip, address, wait)
 	if err != nil {
 		return nil, err
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 		if raw, err := tcp.SyscallConn(); err == nil {
-			rpc.SocketControl(within)("", "", raw)
+			rpc.SocketControl(hostQueryTimeout)("", "", raw)
 		}
 	}
 	return c, nil
 }
 
-var errStale = errors.New("the connection that was kept has ended, or says what nobody asked")
+var errStaleConn = errors.New("the connection that was kept has ended, or says what nobody asked")
 
-// ask asks one question, and says how far it was written.
-func (h *held) ask(text string, until time.Time) (a wire.Response, m retry.Progress, err error) {
-	if len(h.in) > 0 || spoken(h.conn) {
-		return a, retry.NotSent, errStale
+// query asks one question, and says how far it was written.
+func (h *hostConn) query(text string, until time.Time) (a wire.Response, m retry.Progress, err error) {
+	if len(h.unread) > 0 || hasEndedOrReadable(h.conn) {
+		return a, retry.NotSent, errStaleConn
 	}
 	h.conn.SetDeadline(until)
 	b := wire.AppendQuery(nil, "-", text)
 	n, err := h.conn.Write(b)
 	if err == nil {
-		a, err = h.next()
+		a, err = h.readResponse()
 	}
 	return a, retry.ProgressOf(n, len(b)), err
 }
 
-// spoken says that a connection at rest has ended, or that something came on it.
-func spoken(c net.Conn) (is bool) {
+// hasEndedOrReadable says that a connection at rest has ended, or that something came on it.
+func hasEndedOrReadable(c net.Conn) (is bool) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return false
@@ -222,16 +222,16 @@
 	return is || ended != nil
 }
 
-// next reads one answer.
-func (h *held) next() (a wire.Response, err error) {
+// readResponse reads one answer.
+func (h *hostConn) readResponse() (a wire.Response, err error) {
 	at := 0
 	for {
-		line, n, err := wire.CutLine(h.in, at)
+		line, n, err := wire.CutLine(h.unread, at)
 		if err != nil {
 			return a, err
 		}
 		if n == 0 {
-			at = len(h.in)
+			at = len(h.unread)
 			var b [1024]byte
 			k, err := h.conn.Read(b[:])
 			if k == 0 && err != nil {
@@ -240,12 +240,12 @@
 				}
 				return a, err
 			}
-			h.in = append(h.in, b[:k]...)
+			h.unread = append(h.unread, b[:k]...)
 			continue
 		}
-		raw := h.in[:n]
+		raw := h.unread[:n]
 		whole, err := a.AddLine(line, raw)
-		h.in, at = h.in[n:], 0
+		h.unread, at = h.unread[n:], 0
 		if err != nil || whole {
 			return a, err
 		}
@@ -254,12 +254,12 @@
 
 // promote calls the platform, from a goroutine of its own.
 func (f *Server) promote(p failover.Promotion) {
-	address := f.plate.Provider.Address
+	address := f.settings.Provider.Address
 	f.log.Info("a host is named to the platform", "service", p.Service, "host", p.Host, "fence", p.FencingToken)
 	ctx, end := context.WithTimeout(f.ctx, 900*time.Millisecond) // from the decision on
 	f.tasks.Go(func() error {
 		defer end()
-		o := f.call(ctx, address, p)
+		o := f.requestPromotion(ctx, address, p)
 		f.queue.Put(eventloop.PriorityOutcomes, func() { f.PromotionFinished(p, o) })
 		return nil
 	})
@@ -267,14 +267,14 @@
 
 // PromotionFinished takes in how a call to the platform ended.
 func (f *Server) PromotionFinished(p failover.Promotion, o failover.PromotionOutcome) {
-	if !f.leads || !f.hoist.PromotionFinished(p, o, f.clock.Now()) {
-		f.ignored(replyStray)
+	if !f.leading || !f.coordinator.PromotionFinished(p, o, f.clock.Now()) {
+		f.discard(resultUnsolicited)
 		return
 	}
-	f.tend()
+	f.runFailover()
 }
 
-func (f *Server) call(ctx context.Context, address string, p failover.Promotion) failover.PromotionOutcome {
+func (f *Server) requestPromotion(ctx context.Context, address string, p failover.Promotion) failover.PromotionOutcome {
 	body, _ := json.Marshal(map[string]string{"Service": p.Service, "Id": p.Host})
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/promotion", address), bytes.NewReader(body))
 	if err != nil {
@@ -285,7 +285,7 @@
 	r.Header.Set("X-Fence-Token", strconv.FormatUint(p.FencingToken, 10))
 	dialed := false
 	client := &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }, Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, to string) (net.Conn, error) {
-		c, err := rpc.Dial(ctx, f.plate.Ip, to, 600*time.Millisecond)
+		c, err := rpc.Dial(ctx, f.settings.Ip, to, 600*time.Millisecond)
 		dialed = err == nil
 		return c, err
 	}}}
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -25,7 +25,7 @@
 	CallSeq                            int64
 }
 
-const mostHosts = 4096
+const maxHosts = 4096
 
 func (b *HeartbeatRequest) check(id string) error {
 	host, _, err := net.SplitHostPort(b.Address)
@@ -44,38 +44,38 @@
 	return nil
 }
 
-var heartbeat = Endpoint{Method: http.MethodPost, Path: "/Instances.Heartbeat/", MaxBodyBytes: 64 << 10, Timeout: 950 * time.Millisecond,
-	Handle: func(f *Server, id string, c call, answer func(int, []byte)) {
+var hostHeartbeat = Endpoint{Method: http.MethodPost, Path: "/Instances.Heartbeat/", MaxBodyBytes: 64 << 10, Timeout: 950 * time.Millisecond,
+	Handle: func(f *Server, id string, c apiCall, answer func(int, []byte)) {
 		var b HeartbeatRequest
 		if err := json.Unmarshal(c.body, &b); err != nil {
-			refuse(answer, errcode.InvalidBody, err)
+			reject(answer, errcode.InvalidBody, err)
 			return
 		}
 		if err := b.check(id); err != nil {
-			refuse(answer, errcode.InvalidBody, err)
+			reject(answer, errcode.InvalidBody, err)
 			return
 		}
-		f.Beats.Add(1)
+		f.Heartbeats.Add(1)
 		taken := func(err error) {
 			if err != nil && !errors.Is(err, statemachine.ErrNotFound) { // one that has left may say so once more
-				refuse(answer, kindOf(err), err)
+				reject(answer, errorKind(err), err)
 				return
 			}
-			body, _ := json.Marshal(map[string]string{"BeatTarget": f.control(f.plate.Ip)})
+			body, _ := json.Marshal(map[string]string{"BeatTarget": f.apiAddress(f.settings.Ip)})
 			answer(http.StatusOK, body)
 		}
 		was, known := f.state.Hosts[id]
-		if seq, ok := f.seqs[id]; ok && b.CallSeq < seq && known {
+		if seq, ok := f.lastCallSeq[id]; ok && b.CallSeq < seq && known {
 			taken(nil) // it came late
 			return
 		}
 		if known && (was.Address != b.Address || was.Service != b.Service) { // hosts don't move, and ids are not used again
-			refuse(answer, errcode.InvalidBody, fmt.Errorf("%s is known at %s, of %s", id, was.Address, was.Service))
+			reject(answer, errcode.InvalidBody, fmt.Errorf("%s is known at %s, of %s", id, was.Address, was.Service))
 			return
 		}
-		f.seqs[id] = b.CallSeq
-		f.hoist.Heartbeat(id, b.DbRole == "leader", f.clock.Now())
-		f.tend()
+		f.lastCallSeq[id] = b.CallSeq
+		f.coordinator.Heartbeat(id, b.DbRole == "leader", f.clock.Now())
+		f.runFailover()
 		h := statemachine.Host{ID: id, Service: b.Service, Address: b.Address, Zone: b.Zone, Generation: b.Generation,
 			Capacity: int64(b.Capacity), Draining: b.State == "draining", AddedAt: was.AddedAt}
 		if known && was.Draining {
@@ -84,16 +84,16 @@
 		switch {
 		case known && h == was:
 			taken(nil)
-		case !known && len(f.state.Hosts) >= mostHosts:
-			refuse(answer, errcode.TooManyPending, nil)
+		case !known && len(f.state.Hosts) >= maxHosts:
+			reject(answer, errcode.TooManyPending, nil)
 		default:
 			f.log.Info("a host", "id", id, "service", h.Service, "address", h.Address, "zone", h.Zone, "draining", h.Draining)
 			f.propose(statemachine.Change{AddHost: &h}, taken)
 		}
 	}}
 
-var leave = Endpoint{Method: http.MethodPost, Path: "/Instances.Leave/", MaxBodyBytes: 64 << 10, Timeout: 950 * time.Millisecond,
-	Handle: func(f *Server, id string, _ call, answer func(int, []byte)) {
+var hostLeave = Endpoint{Method: http.MethodPost, Path: "/Instances.Leave/", MaxBodyBytes: 64 << 10, Timeout: 950 * time.Millisecond,
+	Handle: func(f *Server, id string, _ apiCall, answer func(int, []byte)) {
 		if _, known := f.state.Hosts[id]; !known {
 			answer(http.StatusOK, []byte("{}\n"))
 			return
--- a/internal/control/loss_test.go
+++ b/internal/control/loss_test.go
@@ -20,7 +20,7 @@
 	w.RunFor(1500 + w.Between(0, 400))
 	var lost *cutMember
 	for _, m := range w.members {
-		if m.f.leads {
+		if m.f.leading {
 			lost = m
 		}
 	}
@@ -49,7 +49,7 @@
 	var watch func()
 	watch = func() {
 		for _, m := range w.members {
-			if m != lost && m.f.leads && led == 0 {
+			if m != lost && m.f.leading && led == 0 {
 				led = w.Now - at
 			}
 		}
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -89,8 +89,8 @@
 	require.Equal(t, map[int]int{412: 100}, beside)
 	require.Contains(t, *text, "another version")
 	require.EqualValues(t, 2, f.Proposals.Load(), "one entry for each order")
-	require.Empty(t, f.orders.waiting)
-	require.Zero(t, f.orders.bytes)
+	require.Empty(t, f.pendingUpdates.waiting)
+	require.Zero(t, f.pendingUpdates.bytes)
 	again, _ := replies(f, "/Config.Replace", "0", one, 100)
 	lost, _ := replies(f, "/Config.Replace", "0", other, 1)
 	require.Equal(t, map[int]int{200: 100}, again)
@@ -128,11 +128,11 @@
 		require.Equal(t, map[int]int{412: 2}, lost)
 	}
 	require.EqualValues(t, 10, f.state.Generation)
-	require.Zero(t, f.orders.bytes)
+	require.Zero(t, f.pendingUpdates.bytes)
 
 	r := httptest.NewRequest(http.MethodPost, "/Config.Replace", bytes.NewReader(append(great(20), ' ')))
 	a := httptest.NewRecorder()
-	f.http(a, r)
+	f.serveHTTP(a, r)
 	require.Equal(t, http.StatusRequestEntityTooLarge, a.Code)
 }
 
@@ -147,8 +147,8 @@
 	all, _ := replies(f, "/Config.Replace", "0", whole(5), 3)
 	w.play(3 * second)
 	require.Equal(t, map[int]int{503: 3}, all)
-	require.Empty(t, f.orders.waiting)
-	require.Zero(t, f.orders.bytes)
+	require.Empty(t, f.pendingUpdates.waiting)
+	require.Zero(t, f.pendingUpdates.bytes)
 	now := w.leader()
 	require.NotNil(t, now)
 	all, _ = replies(now.f, "/Config.Replace", "0", whole(5), 1)
--- a/internal/control/routers.go
+++ b/internal/control/routers.go
@@ -11,70 +11,70 @@
 	"ferrypitch/internal/rpc"
 )
 
-const quiet = 4 * time.Second // a connection that says nothing for so long is given up
+const connReadTimeout = 4 * time.Second // a connection that says nothing for so long is given up
 
 // ProxyConn is the connection of one, as its member's owner sees it.
 type ProxyConn struct {
-	node   string
-	life   uint64
-	serial uint64 // by when it came
-	remote string
-	index  uint64                // sent up to here
-	send   func(*rpc.Frame) bool // false: it does not read
-	shut   func()
-	over   bool
-
-	entering bool // the change that brings it is under way
+	node        string
+	incarnation uint64
+	serial      uint64 // by when it came
+	remote      string
+	sentIndex   uint64                // sent up to here
+	send        func(*rpc.Frame) bool // false: it does not read
+	closeConn   func()
+	closed      bool
+
+	registering bool // the change that brings it is under way
 }
 
-// served are the routers in the order in which they came, so that a member does the same each time it is given the same.
-func (f *Server) served() []*ProxyConn {
-	return slices.SortedFunc(maps.Keys(f.routers), func(a, b *ProxyConn) int { return cmp.Compare(a.serial, b.serial) })
+// sortedProxies are the routers in the order in which they came, so that a member does the same each time it is given the same.
+func (f *Server) sortedProxies() []*ProxyConn {
+	return slices.SortedFunc(maps.Keys(f.proxies), func(a, b *ProxyConn) int { return cmp.Compare(a.serial, b.serial) })
 }
 
 func (r *ProxyConn) close() {
-	if !r.over {
-		r.over = true
-		r.shut()
+	if !r.closed {
+		r.closed = true
+		r.closeConn()
 	}
 }
 
-// put sends a frame; a router that does not read is left.
-func (r *ProxyConn) put(f *rpc.Frame) {
-	if !r.over && !r.send(f) {
+// deliver sends a frame; a router that does not read is left.
+func (r *ProxyConn) deliver(f *rpc.Frame) {
+	if !r.closed && !r.send(f) {
 		r.close()
 	}
 }
 
-func (r *ProxyConn) news(f *Server, n *rpc.LogUpdate) {
-	if n.Snapshot == nil && r.index+uint64(len(n.Entries)) != n.LastIndex {
+func (r *ProxyConn) sendUpdate(f *Server, n *rpc.LogUpdate) {
+	if n.Snapshot == nil && r.sentIndex+uint64(len(n.Entries)) != n.LastIndex {
 		r.catchUp(f)
 		return
 	}
-	r.index = n.LastIndex
-	r.put(&rpc.Frame{LogUpdate: n})
+	r.sentIndex = n.LastIndex
+	r.deliver(&rpc.Frame{LogUpdate: n})
 }
 
 // catchUp sends what is missing, or a snapshot.
 func (r *ProxyConn) catchUp(f *Server) {
-	n := &rpc.LogUpdate{Members: f.members(), LastIndex: f.state.Index}
-	if bodies, ok := f.core.CommittedAfter(r.index); ok && r.index > 0 && r.index <= f.state.Index {
+	n := &rpc.LogUpdate{Members: f.memberAddresses(), LastIndex: f.state.Index}
+	if bodies, ok := f.consensus.CommittedAfter(r.sentIndex); ok && r.sentIndex > 0 && r.sentIndex <= f.state.Index {
 		n.Entries = bodies
 	} else {
 		n.Snapshot = f.state.Snapshot()
 	}
-	r.index = n.LastIndex
-	r.put(&rpc.Frame{LogUpdate: n})
+	r.sentIndex = n.LastIndex
+	r.deliver(&rpc.Frame{LogUpdate: n})
 }
 
-// accept takes a connection of a member or of a router.
-func (f *Server) accept(c *rpc.Conn) {
-	first, err := c.Receive(quiet)
+// serveConn takes a connection of a member or of a router.
+func (f *Server) serveConn(c *rpc.Conn) {
+	first, err := c.Receive(connReadTimeout)
 	if err != nil {
 		return
 	}
 	if first.ProxyHello != nil {
-		f.serveRouter(c, first.ProxyHello)
+		f.serveProxy(c, first.ProxyHello)
 		return
 	}
 	for frame := first; err == nil; frame, err = c.Receive(time.Hour) {
@@ -90,18 +90,18 @@
 func (f *Server) HandleFrame(from string, frame *rpc.Frame) {
 	switch {
 	case frame.Consensus != nil && frame.Consensus.From.Address() != from:
-		f.ignored(messageAstray)
+		f.discard(messageWrongSender)
 	case frame.Consensus != nil:
-		f.carry(f.core.Step(*frame.Consensus, f.clock.Now()))
+		f.carryOut(f.consensus.Step(*frame.Consensus, f.clock.Now()))
 	case frame.ForwardRequest != nil:
-		f.asked(from, frame.ForwardRequest)
+		f.handleForwardRequest(from, frame.ForwardRequest)
 	case frame.ForwardResponse != nil:
-		f.answered(from, frame.ForwardResponse)
+		f.handleForwardResponse(from, frame.ForwardResponse)
 	}
 }
 
-// serveRouter serves one until its connection ends.
-func (f *Server) serveRouter(c *rpc.Conn, h *rpc.ProxyHello) {
+// serveProxy serves one until its connection ends.
+func (f *Server) serveProxy(c *rpc.Conn, h *rpc.ProxyHello) {
 	out, closed := make(chan *rpc.Frame, 256), make(chan struct{})
 	send := func(frame *rpc.Frame) bool {
 		select {
@@ -137,7 +137,7 @@
 		return
 	}
 	for {
-		frame, err := c.Receive(quiet)
+		frame, err := c.Receive(connReadTimeout)
 		if err != nil {
 			break
 		}
@@ -148,21 +148,21 @@
 
 // AcceptProxy greets a router, and serves it if this member leads. send never waits.
 func (f *Server) AcceptProxy(h *rpc.ProxyHello, remote string, send func(*rpc.Frame) bool, shut func()) *ProxyConn {
-	f.met++
-	r := &ProxyConn{node: h.Node, life: h.Incarnation, serial: f.met, remote: remote, index: h.AppliedIndex, send: send, shut: shut}
-	w := &rpc.ProxyWelcome{Node: f.plate.Node, IsLeader: f.leads && f.core.HoldsLease(f.clock.Now()), Members: f.members()}
-	if l := f.core.RecentLeader(f.clock.Now()); l != "" && l != f.id {
+	f.proxiesAccepted++
+	r := &ProxyConn{node: h.Node, incarnation: h.Incarnation, serial: f.proxiesAccepted, remote: remote, sentIndex: h.AppliedIndex, send: send, closeConn: shut}
+	w := &rpc.ProxyWelcome{Node: f.settings.Node, IsLeader: f.leading && f.consensus.HoldsLease(f.clock.Now()), Members: f.memberAddresses()}
+	if l := f.consensus.RecentLeader(f.clock.Now()); l != "" && l != f.id {
 		w.Leader = l.Address()
 	}
-	for _, other := range f.served() {
+	for _, other := range f.sortedProxies() {
 		if len(w.Proxies) < 5 {
 			w.Proxies = append(w.Proxies, other.remote)
 		}
 	}
-	r.put(&rpc.Frame{ProxyWelcome: w})
+	r.deliver(&rpc.Frame{ProxyWelcome: w})
 	if w.IsLeader {
-		f.routers[r] = struct{}{}
-		f.jaw.Observe(h.Node, h.Incarnation, h.AppliedIndex, f.clock.Now())
+		f.proxies[r] = struct{}{}
+		f.grantor.Observe(h.Node, h.Incarnation, h.AppliedIndex, f.clock.Now())
 		r.catchUp(f)
 	}
 	return r
@@ -170,57 +170,57 @@
 
 // HandleProxyFrame takes in a router's frame.
 func (f *Server) HandleProxyFrame(r *ProxyConn, frame *rpc.Frame) {
-	if _, served := f.routers[r]; !served {
+	if _, served := f.proxies[r]; !served {
 		return
 	}
 	switch {
 	case frame.LeaseRequest != nil:
-		f.renew(r, frame.LeaseRequest)
+		f.renewLease(r, frame.LeaseRequest)
 	case frame.SuspectReport != nil:
-		if s := frame.SuspectReport; f.leads && f.state.Primaries[s.Service].Host == s.Host {
-			f.hoist.SuspectPrimary(r.node, s.Service, s.Host, f.clock.Now())
-			f.tend()
+		if s := frame.SuspectReport; f.leading && f.state.Primaries[s.Service].Host == s.Host {
+			f.coordinator.SuspectPrimary(r.node, s.Service, s.Host, f.clock.Now())
+			f.runFailover()
 		}
 	}
 }
 
 // ProxyDisconnected takes in that a router's connection has ended.
 func (f *Server) ProxyDisconnected(r *ProxyConn) {
-	delete(f.routers, r)
+	delete(f.proxies, r)
 	r.close()
 }
 
-// renew grants a lease, for as long as this member's view holds.
-func (f *Server) renew(r *ProxyConn, n *rpc.LeaseRequest) {
+// renewLease grants a lease, for as long as this member's view holds.
+func (f *Server) renewLease(r *ProxyConn, n *rpc.LeaseRequest) {
 	now := f.clock.Now()
-	if _, known := f.state.Proxies[r.node]; !known && f.leads {
-		if !r.entering { // the next member that leads is to know of it, before it holds a lease
-			r.entering = true
+	if _, known := f.state.Proxies[r.node]; !known && f.leading {
+		if !r.registering { // the next member that leads is to know of it, before it holds a lease
+			r.registering = true
 			f.propose(statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: r.node}}, func(err error) {
-				if r.entering = false; err == nil && !r.over {
-					f.renew(r, n)
+				if r.registering = false; err == nil && !r.closed {
+					f.renewLease(r, n)
 				}
 			})
 		}
 		return
 	}
-	l := &rpc.LeaseResponse{Serial: n.Serial, Granted: f.leads && f.core.HoldsLease(now), CommitIndex: f.state.Index}
+	l := &rpc.LeaseResponse{Serial: n.Serial, Granted: f.leading && f.consensus.HoldsLease(now), CommitIndex: f.state.Index}
 	switch {
-	case l.Granted && !f.jaw.Grant(r.node, r.life, n.AppliedIndex, f.state.LatestRevocation(), now):
-		f.LeasesHeld.Add(1) // it asks again once it has applied the news that is on its way
-		f.tend()
+	case l.Granted && !f.grantor.Grant(r.node, r.incarnation, n.AppliedIndex, f.state.LatestRevocation(), now):
+		f.LeasesPostponed.Add(1) // it asks again once it has applied the news that is on its way
+		f.runFailover()
 		return
 	case l.Granted:
-		f.Leases.Add(1)
-		l.ProxyCount = f.jaw.HolderCount(now)
+		f.LeasesGranted.Add(1)
+		l.ProxyCount = f.grantor.HolderCount(now)
 	default:
-		f.LeasesRefused.Add(1)
-		if f.jaw != nil {
-			f.jaw.Observe(r.node, r.life, n.AppliedIndex, now)
+		f.LeasesRejected.Add(1)
+		if f.grantor != nil {
+			f.grantor.Observe(r.node, r.incarnation, n.AppliedIndex, now)
 		}
 	}
-	r.put(&rpc.Frame{LeaseResponse: l})
-	if f.leads {
-		f.tend()
+	r.deliver(&rpc.Frame{LeaseResponse: l})
+	if f.leading {
+		f.runFailover()
 	}
 }
--- a/internal/control/silence_test.go
+++ b/internal/control/silence_test.go
@@ -24,7 +24,7 @@
 	w.calm = true
 	w.RunFor(3000)
 	for _, m := range w.members {
-		if m.f.leads {
+		if m.f.leading {
 			leader = m
 		} else {
 			follower = m
@@ -64,7 +64,7 @@
 	for err, want := range map[error]int{os.ErrDeadlineExceeded: http.StatusServiceUnavailable, io.ErrUnexpectedEOF: http.StatusBadRequest} {
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodPost, "/Config.Replace", io.MultiReader(&late{err}))
-		m.f.http(w, r)
+		m.f.serveHTTP(w, r)
 		require.Equal(t, want, w.Code, "%v", err)
 	}
 }
@@ -75,7 +75,7 @@
 
 // What was decided under a lease is not begun long after: a process may stand still between the two.
 func TestNothingIsAskedLongAfterItWasDecided(t *testing.T) {
-	f := &Server{ctx: context.Background(), plate: &settings.Settings{Ip: "127.0.0.1"}, log: hclog.NewNullLogger()}
+	f := &Server{ctx: context.Background(), settings: &settings.Settings{Ip: "127.0.0.1"}, log: hclog.NewNullLogger()}
 	mine, hosts := net.Pipe()
 	written := make(chan int, 1)
 	go func() {
@@ -83,8 +83,8 @@
 		n, _ := hosts.Read(b[:])
 		written <- n
 	}()
-	h := &held{conn: mine}
-	_, err := newTongs(f).answer(&h, statemachine.Host{ID: "h1", Service: "db", Address: "127.0.0.1:1"}, failover.StepDown, "STEPDOWN 7", time.Now().Add(-time.Second))
+	h := &hostConn{conn: mine}
+	_, err := newHostClient(f).exchange(&h, statemachine.Host{ID: "h1", Service: "db", Address: "127.0.0.1:1"}, failover.StepDown, "STEPDOWN 7", time.Now().Add(-time.Second))
 	require.Error(t, err)
 	hosts.Close()
 	require.Zero(t, <-written, "a host is told to step down by a decision that is over")
@@ -93,6 +93,6 @@
 	defer platform.Close()
 	ctx, end := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer end()
-	require.Equal(t, failover.PromotionNotExecuted, f.call(ctx, platform.Listener.Addr().String(), failover.Promotion{Service: "db", Host: "h1"}))
+	require.Equal(t, failover.PromotionNotExecuted, f.requestPromotion(ctx, platform.Listener.Addr().String(), failover.Promotion{Service: "db", Host: "h1"}))
 	require.Zero(t, calls)
 }
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -212,7 +212,7 @@
 
 func (w *mill) leader() *post {
 	for _, p := range w.posts {
-		if p.up && !p.cut && p.f.leads && p.f.core.HoldsLease(p.f.clock.Now()) {
+		if p.up && !p.cut && p.f.leading && p.f.consensus.HoldsLease(p.f.clock.Now()) {
 			return p
 		}
 	}
@@ -223,7 +223,7 @@
 func (w *mill) agree() {
 	for i, a := range w.posts {
 		for _, b := range w.posts[:i] {
-			if a.up && b.up && !a.f.astray && !b.f.astray && a.f.state.Index == b.f.state.Index && a.f.state.Checksum() != b.f.state.Checksum() {
+			if a.up && b.up && !a.f.diverged && !b.f.diverged && a.f.state.Index == b.f.state.Index && a.f.state.Checksum() != b.f.state.Checksum() {
 				w.Violate("%s and %s differ at %d", a.ip(), b.ip(), a.f.state.Index)
 			}
 		}
@@ -276,17 +276,17 @@
 		p.cut = false
 		was, behind, whole := w.version, w.version-p.f.state.Generation, int64(-1)
 		for at := int64(20); at <= 4000; at += 20 {
-			if w.RunFor(20); whole < 0 && p.f.state.Generation >= was && !p.f.astray {
+			if w.RunFor(20); whole < 0 && p.f.state.Generation >= was && !p.f.diverged {
 				whole = at
 			}
 		}
 		t.Logf("%s, %d routes, %d changes behind, a disk %d times as slow: whole after %d ms",
 			[]string{"empty", "restarted", "cut off", "put back to an older file"}[how], w.routes, behind, p.slow, whole)
-		if p.f.state.Generation < was || p.f.astray {
+		if p.f.state.Generation < was || p.f.diverged {
 			w.Violate("%s (how %d, %d times slow) stands at version %d, %d was before it came back", p.id.ID, how, p.slow, p.f.state.Generation, was)
 		}
 		w.agree()
-		parts += p.f.core.SnapshotsInstalled
+		parts += p.f.consensus.SnapshotsInstalled
 		for _, o := range w.posts { // all power
 			o.up, o.queue, o.slow = false, nil, 1
 		}
@@ -305,8 +305,8 @@
 		w.RunFor(1500)
 		w.agree()
 		for _, o := range w.posts {
-			if o.f.state.Generation < acked || o.f.Diverged.Load() > 0 {
-				w.Violate("%s stands at version %d of %d, diverged %d", o.id.ID, o.f.state.Generation, acked, o.f.Diverged.Load())
+			if o.f.state.Generation < acked || o.f.StateDivergences.Load() > 0 {
+				w.Violate("%s stands at version %d of %d, diverged %d", o.id.ID, o.f.state.Generation, acked, o.f.StateDivergences.Load())
 			}
 		}
 		require.Empty(t, w.Violations, "seed %d, %d routes, %d changes", seed, w.routes, acked)
@@ -326,7 +326,7 @@
 			for _, e := range p.disk.Entries {
 				bytes += len(e.Data)
 			}
-			require.Less(t, bytes, logBytes+5*w.pad)
+			require.Less(t, bytes, minLogBytes+5*w.pad)
 		}
 	}
 	require.GreaterOrEqual(t, w.version, int64(60))
@@ -351,7 +351,7 @@
 func TestAStateThatDivergedIsBuiltAnewOrFetched(t *testing.T) {
 	for _, disk := range []bool{false, true} {
 		w := newMill(7, 20, 20)
-		for w.leader() == nil || w.leader().f.core.LatestSnapshot().Index == 0 {
+		for w.leader() == nil || w.leader().f.consensus.LatestSnapshot().Index == 0 {
 			w.RunFor(500)
 		}
 		w.RunFor(1000)
@@ -372,9 +372,9 @@
 			p.f.state = other(t, p.f, p.f.state)
 		}
 		w.RunFor(12000)
-		require.Positive(t, p.f.Diverged.Load(), "disk %v", disk)
-		require.Equal(t, disk, p.f.core.SnapshotsInstalled > 0)
-		require.False(t, p.f.astray)
+		require.Positive(t, p.f.StateDivergences.Load(), "disk %v", disk)
+		require.Equal(t, disk, p.f.consensus.SnapshotsInstalled > 0)
+		require.False(t, p.f.diverged)
 		require.Greater(t, p.f.state.Generation+20, w.version)
 		w.calm = true
 		w.RunFor(2000)
--- a/internal/control/world_test.go
+++ b/internal/control/world_test.go
@@ -177,7 +177,7 @@
 
 func (w *world) leader() *member {
 	for _, m := range w.members {
-		if m.up && !m.frozen && m.f.leads && m.f.core.HoldsLease(m.f.clock.Now()) {
+		if m.up && !m.frozen && m.f.leading && m.f.consensus.HoldsLease(m.f.clock.Now()) {
 			return m
 		}
 	}
@@ -190,12 +190,12 @@
 	if l == nil {
 		return false
 	}
-	for _, id := range l.f.core.Members() {
+	for _, id := range l.f.consensus.Members() {
 		if !slices.ContainsFunc(w.members, func(m *member) bool { return m.up && !m.frozen && m.id.ID == id }) {
 			return false
 		}
 	}
-	return len(l.f.core.Members()) >= 3
+	return len(l.f.consensus.Members()) >= 3
 }
 
 // strike is one fault; faults may overlap, but a disk is lost only where all are well.
@@ -251,10 +251,10 @@
 		}
 	case 6:
 		w.Note("%s hands its view over", m.ip)
-		m.f.carry(m.f.core.TransferLeadership(m.f.clock.Now()))
+		m.f.carryOut(m.f.consensus.TransferLeadership(m.f.clock.Now()))
 	case 7:
 		w.Note("%s takes a snapshot", m.ip)
-		m.f.carry(m.f.core.Compact(m.f.state.Index, m.f.state.Snapshot(), uint64(w.Rand.IntN(20)), m.f.clock.Now()))
+		m.f.carryOut(m.f.consensus.Compact(m.f.state.Index, m.f.state.Snapshot(), uint64(w.Rand.IntN(20)), m.f.clock.Now()))
 	case 8:
 		if calm && w.whole() {
 			w.Note("%s loses its disk, down for %d ms", m.ip, back/milli)
