--- a/internal/control/host_client.go
+++ b/internal/control/host_client.go
@@ -181,7 +181,7 @@
 	if tcp, ok := c.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 		if raw, err := tcp.SyscallConn(); err == nil {
-			rpc.SocketControl(hostQueryTimeout)("", "", raw)
+			rpc.UserTimeout(hostQueryTimeout)("", "", raw)
 		}
 	}
 	return c, nil
--- a/internal/control/routers.go
+++ b/internal/control/routers.go
@@ -82,7 +82,7 @@
 		if frame.ForwardRequest != nil {
 			rank = eventloop.PriorityCommands
 		}
-		f.queue.Put(rank, func() { f.HandleFrame(c.Remote(), frame) })
+		f.queue.Put(rank, func() { f.HandleFrame(c.RemoteIP(), frame) })
 	}
 }
 
@@ -114,7 +114,7 @@
 	taken := make(chan *ProxyConn, 1)
 	var r *ProxyConn
 	if !f.queue.Put(eventloop.PriorityLists, func() {
-		taken <- f.AcceptProxy(h, c.Remote(), send, func() { close(closed); c.Close() })
+		taken <- f.AcceptProxy(h, c.RemoteIP(), send, func() { close(closed); c.Close() })
 	}) {
 		return
 	}
