--- a/internal/control/callers_test.go
+++ b/internal/control/callers_test.go
@@ -245,7 +245,7 @@
 	for _, k := range []string{"odd order 400", "order 200", "order 412", "beat 200", "odd beat 400"} {
 		require.NotZero(t, told[k], "%s: %v", k, told)
 	}
-	for _, k := range []string{"asks_repeated", "answers_late", "answers_of_other_life"} {
+	for _, k := range []string{discardCounterNames[requestRepeated], discardCounterNames[responseLate], discardCounterNames[responseOtherIncarnation]} {
 		require.NotZero(t, strays[k], "%s: %v", k, strays)
 	}
 	t.Log(told, strays)
@@ -341,7 +341,7 @@
 			require.Equal(t, 1, n, "the right one counts still")
 			d.f.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
 			require.Equal(t, 1, n, "once")
-			require.EqualValues(t, 1, d.f.counters()["answers_late"])
+			require.EqualValues(t, 1, d.f.counters()[discardCounterNames[responseLate]])
 		})
 	}
 }
@@ -364,8 +364,10 @@
 			d := newDesk("10.0.0.1", "10.0.0.1")
 			d.run(2 * time.Second)
 			require.True(t, d.f.leading)
-			good := rpc.ForwardRequest{CallID: rpc.CallID{From: "10.0.0.2", Incarnation: 5, Term: d.f.consensus.Term(), Serial: 1}, To: "10.0.0.1",
-				Method: http.MethodPost, Path: "/Instances.Heartbeat/h1", Body: body}
+			good := rpc.ForwardRequest{
+				CallID: rpc.CallID{From: "10.0.0.2", Incarnation: 5, Term: d.f.consensus.Term(), Serial: 1}, To: "10.0.0.1",
+				Method: http.MethodPost, Path: "/Instances.Heartbeat/h1", Body: body,
+			}
 			bad, from := good, "10.0.0.2"
 			c.change(&bad, &from)
 			d.f.HandleFrame(from, &rpc.Frame{ForwardRequest: &bad})
@@ -387,7 +389,7 @@
 			require.EqualValues(t, 1, d.f.Heartbeats.Load())
 			require.Len(t, d.sent, 1)
 			require.Equal(t, rpc.ForwardResponse{CallID: good.CallID, By: "10.0.0.1", Status: 200, Body: d.sent[0].ForwardResponse.Body}, *d.sent[0].ForwardResponse)
-			require.EqualValues(t, 2, d.f.counters()["asks_repeated"])
+			require.EqualValues(t, 2, d.f.counters()[discardCounterNames[requestRepeated]])
 		})
 	}
 }
@@ -398,7 +400,7 @@
 		d := newDesk("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
 		d.f.HandleFrame(from, &rpc.Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: "10.0.0.2", To: "10.0.0.1", Term: 4, SentAtMs: 1}})
 		require.Equal(t, leads, d.f.consensus.Leader(), "from %s", from)
-		require.EqualValues(t, map[bool]int64{true: 1}[leads == ""], d.f.counters()["messages_of_another"])
+		require.EqualValues(t, map[bool]int64{true: 1}[leads == ""], d.f.counters()[discardCounterNames[messageWrongSender]])
 	}
 }
 
@@ -411,26 +413,26 @@
 		d.f.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { refused++ })
 	}
 	require.Equal(t, 10, refused)
-	require.EqualValues(t, 10, d.f.counters()["asks_over_limit"])
+	require.EqualValues(t, 10, d.f.counters()[discardCounterNames[requestOverLimit]])
 	d.run(3 * time.Second)
-	require.Empty(t, d.f.pending, "forgotten once nobody waits")
+	require.Empty(t, d.f.forwarder.pending, "forgotten once nobody waits")
 	d.follows("10.0.0.2", 4)
 	refused = 0
-	large := make([]byte, configReplace.MaxBodyBytes)
-	for range maxForwardedBytes/configReplace.MaxBodyBytes + 3 {
+	large := make([]byte, configReplace.maxBodyBytes)
+	for range maxForwardedBytes/configReplace.maxBodyBytes + 3 {
 		d.f.HandleCall(http.MethodPost, "/Config.Replace", "0", large, func(int, []byte) { refused++ })
 	}
 	require.Equal(t, 3, refused)
 	d.run(6 * time.Second)
-	require.Zero(t, d.f.pendingBytes)
+	require.Zero(t, d.f.forwarder.pendingBytes)
 	status := 0
 	d.f.HandleCall(http.MethodPost, "/Config.Replace", "0", append(large, 0), func(s int, _ []byte) { status = s })
 	require.Equal(t, http.StatusRequestEntityTooLarge, status)
 	for i := range 1000 {
-		require.True(t, d.f.firstRequest(requester{"10.0.0.2", uint64(i)}, 1))
+		require.True(t, d.f.forwarder.received.first(requester{"10.0.0.2", uint64(i)}, 1))
 	}
-	require.Len(t, d.f.served, maxRequesters)
-	require.Len(t, d.f.servedOrder, maxRequesters)
+	require.Len(t, d.f.forwarder.received.windows, maxRequesters)
+	require.Len(t, d.f.forwarder.received.order, maxRequesters)
 }
 
 // The window against a set: what comes in any order counts once, and what is far behind does not count.
--- a/internal/control/capacity_test.go
+++ b/internal/control/capacity_test.go
@@ -36,8 +36,10 @@
 		b.Fatal(err)
 	}
 	s := &sole{Server: f}
-	f.SetEnvironment(Environment{Send: func(string, *rpc.Frame) {}, QueryHost: func(failover.HostQuery, statemachine.Host) {}, Promote: func(failover.Promotion) {},
-		Persist: func(w []consensus.Write) { s.pending = append(s.pending, w...) }})
+	f.SetEnvironment(Environment{
+		Send: func(string, *rpc.Frame) {}, QueryHost: func(failover.HostQuery, statemachine.Host) {}, Promote: func(failover.Promotion) {},
+		Persist: func(w []consensus.Write) { s.pending = append(s.pending, w...) },
+	})
 	for !f.leading {
 		f.Tick()
 		s.store()
@@ -93,7 +95,7 @@
 		body := fmt.Appendf(nil, `{"Service":%q,"Address":%q,"Zone":%q,"Generation":%q,"Capacity":7,"State":"serving","DbRole":"replica","CallSeq":1}`,
 			h.Service, h.Address, h.Zone, h.Generation)
 		for b.Loop() {
-			s.HandleCall(http.MethodPost, hostHeartbeat.Path+h.ID, "", body, func(status int, b2 []byte) {
+			s.HandleCall(http.MethodPost, hostHeartbeat.path+h.ID, "", body, func(status int, b2 []byte) {
 				if status != http.StatusOK {
 					b.Fatal(status, string(b2))
 				}
--- /dev/null
+++ b/internal/control/connections.go
@@ -0,0 +1,87 @@
+package control
+
+import (
+	"time"
+
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+)
+
+const (
+	connReadTimeout   = 4 * time.Second // for the first frame of a connection, and between two frames of a proxy
+	memberReadTimeout = time.Hour       // between two frames of a member, which may have nothing to send
+	proxySendTimeout  = 2 * time.Second
+	proxyQueueFrames  = 256 // frames that wait for one proxy
+)
+
+// serveConn serves a connection of a member or a proxy until it ends.
+func (p *process) serveConn(conn *rpc.Conn) {
+	first, err := conn.Receive(connReadTimeout)
+	if err != nil {
+		return
+	}
+	if first.ProxyHello != nil {
+		p.serveProxy(conn, first.ProxyHello)
+		return
+	}
+	for frame := first; err == nil; frame, err = conn.Receive(memberReadTimeout) {
+		priority := eventloop.PriorityOutcomes
+		if frame.ForwardRequest != nil {
+			priority = eventloop.PriorityCommands
+		}
+		p.queue.Put(priority, func() { p.server.HandleFrame(conn.RemoteIP(), frame) })
+	}
+}
+
+// serveProxy serves a proxy until its connection ends. Frames to it pass through a queue, since the event loop must not block.
+func (p *process) serveProxy(conn *rpc.Conn, hello *rpc.ProxyHello) {
+	outgoing, closed := make(chan *rpc.Frame, proxyQueueFrames), make(chan struct{})
+	send := func(frame *rpc.Frame) bool {
+		select {
+		case outgoing <- frame:
+			return true
+		default:
+			return false
+		}
+	}
+	closeConn := func() {
+		close(closed)
+		conn.Close()
+	}
+	accepted := make(chan *ProxyConn, 1)
+	if !p.queue.Put(eventloop.PriorityLists, func() {
+		accepted <- p.server.AcceptProxy(hello, conn.RemoteIP(), send, closeConn)
+	}) {
+		return
+	}
+	go sendFrames(conn, outgoing, closed)
+	var proxy *ProxyConn
+	select {
+	case proxy = <-accepted:
+	case <-p.queue.Ended:
+		return
+	}
+	for {
+		frame, err := conn.Receive(connReadTimeout)
+		if err != nil {
+			break
+		}
+		p.queue.Put(eventloop.PriorityLists, func() { p.server.HandleProxyFrame(proxy, frame) })
+	}
+	p.queue.Put(eventloop.PriorityLists, func() { p.server.ProxyDisconnected(proxy) })
+}
+
+// sendFrames sends the queued frames of a connection until it is closed or fails.
+func sendFrames(conn *rpc.Conn, outgoing <-chan *rpc.Frame, closed <-chan struct{}) {
+	for {
+		select {
+		case <-closed:
+			return
+		case frame := <-outgoing:
+			if conn.Send(frame, proxySendTimeout) != nil {
+				conn.Close()
+				return
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/control/counters.go
@@ -0,0 +1,112 @@
+package control
+
+import (
+	"sync/atomic"
+
+	"ferrypitch/internal/rpc"
+)
+
+// Counters count events since the start of the process.
+type Counters struct {
+	Calls            atomic.Int64 // HTTP calls of hosts and operators to this member
+	CallsRejected    atomic.Int64 // of these, answered with a status of 400 or above
+	CallsForwarded   atomic.Int64 // calls forwarded to the leader
+	Heartbeats       atomic.Int64 // valid heartbeats of hosts, processed here
+	Proposals        atomic.Int64 // changes proposed to the log
+	LeasesGranted    atomic.Int64 // to proxies
+	LeasesRejected   atomic.Int64 // this member was not the leader
+	LeasesPostponed  atomic.Int64 // the proxy had not applied the latest revocation of a primary
+	HostQueries      atomic.Int64 // commands to hosts
+	Promotions       atomic.Int64 // calls to the platform
+	TermsLed         atomic.Int64 // how often this member became the leader
+	DiskErrors       atomic.Int64 // failed writes to the write-ahead log, each of which is retried
+	StateDivergences atomic.Int64 // changes that did not fit this member's state
+
+	Discarded [discardReasonCount]atomic.Int64 // messages that were ignored or rejected, by reason
+}
+
+// discardReason is why a message of another process was ignored or rejected.
+type discardReason int
+
+const (
+	requestUnknownSender     discardReason = iota // the sender is no member, learner or seed, or comes from another address
+	requestMisdirected                            // it is for another member, or for the leader of another term
+	requestRepeated                               // it was processed before
+	requestOverLimit                              // too many calls are being forwarded from here
+	responseUnknownCall                           // no call of this process has its serial
+	responseLate                                  // the call is no longer pending: too late, or a duplicate
+	responseOtherIncarnation                      // it answers a call of an earlier process or of another member
+	responseOtherMember                           // it is not from the member that was asked
+	responseMalformed                             // its HTTP status is invalid
+	messageWrongSender                            // a consensus message that comes from another address than its sender's
+	resultUnsolicited                             // a result of a host or the platform that no pending query of this term has
+	discardReasonCount
+)
+
+// discardCounterNames are the names of the counters in the output of the status command.
+var discardCounterNames = [discardReasonCount]string{
+	requestUnknownSender:     "discarded_requests_unknown_sender",
+	requestMisdirected:       "discarded_requests_misdirected",
+	requestRepeated:          "discarded_requests_repeated",
+	requestOverLimit:         "discarded_requests_over_limit",
+	responseUnknownCall:      "discarded_responses_unknown_call",
+	responseLate:             "discarded_responses_late",
+	responseOtherIncarnation: "discarded_responses_other_incarnation",
+	responseOtherMember:      "discarded_responses_other_member",
+	responseMalformed:        "discarded_responses_malformed",
+	messageWrongSender:       "discarded_consensus_wrong_sender",
+	resultUnsolicited:        "discarded_results_unsolicited",
+}
+
+func (s *Server) discard(reason discardReason) { s.Discarded[reason].Add(1) }
+
+// counters returns all counters by their names in the output of the status command. Those of fail-over are present while this
+// member leads.
+func (s *Server) counters() map[string]int64 {
+	all := map[string]int64{
+		"calls":              s.Calls.Load(),
+		"calls_rejected":     s.CallsRejected.Load(),
+		"calls_forwarded":    s.CallsForwarded.Load(),
+		"heartbeats":         s.Heartbeats.Load(),
+		"proposals":          s.Proposals.Load(),
+		"leases_granted":     s.LeasesGranted.Load(),
+		"leases_rejected":    s.LeasesRejected.Load(),
+		"leases_postponed":   s.LeasesPostponed.Load(),
+		"host_queries":       s.HostQueries.Load(),
+		"promotion_requests": s.Promotions.Load(),
+		"terms_led":          s.TermsLed.Load(),
+		"disk_errors":        s.DiskErrors.Load(),
+		"state_divergences":  s.StateDivergences.Load(),
+
+		"snapshot_transfers":           s.consensus.SnapshotTransfers,
+		"snapshots_installed":          s.consensus.SnapshotsInstalled,
+		"snapshot_chunks_sent":         s.consensus.ChunksSent,
+		"snapshot_chunks_ignored":      s.consensus.ChunksIgnored,
+		"discarded_consensus_messages": s.consensus.DiscardedMessages,
+
+		"rpc_bytes_sent":     rpc.BytesSent.Load(),
+		"rpc_bytes_received": rpc.BytesReceived.Load(),
+	}
+	for reason, name := range discardCounterNames {
+		all[name] = s.Discarded[reason].Load()
+	}
+	if s.environment.DroppedFrames != nil {
+		all["rpc_frames_dropped"] = s.environment.DroppedFrames()
+	}
+	if s.leading {
+		s.addFailoverCounters(all)
+	}
+	return all
+}
+
+func (s *Server) addFailoverCounters(all map[string]int64) {
+	counters := &s.coordinator.Counters
+	all["primaries_suspected"] = counters.Suspected
+	all["suspicions_cleared"] = counters.Cleared
+	all["failovers_unplanned"] = counters.Lost
+	all["failovers_planned"] = counters.Planned
+	all["hosts_promoted"] = counters.Promoted
+	all["failover_waits"] = counters.Waiting
+	all["replicas_resumed"] = counters.Resumed
+	all["replicas_missing"] = counters.Missing
+}
--- a/internal/control/cutoff_test.go
+++ b/internal/control/cutoff_test.go
@@ -267,7 +267,7 @@
 			}
 			if w.out == "holds" && m.f.leading { // whoever led last judges
 				c, id, _ := findEndpoint(method, path)
-				c.Handle(m.f, id, apiCall{method, path, base, body}, told)
+				c.handle(m.f, id, apiCall{method, path, base, body}, told)
 				return
 			}
 			m.f.HandleCall(method, path, base, body, told)
--- a/internal/control/host_client.go
+++ b/internal/control/host_client.go
@@ -1,13 +1,10 @@
 package control
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
-	"net/http"
 	"strconv"
 	"sync"
 	"syscall"
@@ -15,301 +12,181 @@
 
 	"ferrypitch/internal/control/failover"
 	"ferrypitch/internal/control/statemachine"
-	"ferrypitch/internal/eventloop"
 	"ferrypitch/internal/retry"
 	"ferrypitch/internal/rpc"
 	"ferrypitch/internal/wire"
 )
 
-// hostClient (they reach into the fire) ask hosts, each question on a connection that is kept for a short while.
-type hostClient struct {
-	f    *Server
-	dial func(address string, within time.Duration) (net.Conn, error)
-	mu   sync.Mutex
-	idle map[string]*hostConn
-}
-
-type hostConn struct {
-	conn      net.Conn
-	unread    []byte
-	idleSince time.Time
-}
-
 const (
-	hostQueryTimeout    = 350 * time.Millisecond
-	hostConnIdleTimeout = 3 * time.Second
+	hostQueryTimeout    = 350 * time.Millisecond // for a command and its response, connecting included
+	hostConnIdleTimeout = 3 * time.Second        // an unused connection is closed after this
+	clientName          = "control"              // what this program calls itself to hosts
 )
 
-func newHostClient(f *Server) *hostClient {
-	t := &hostClient{f: f, idle: map[string]*hostConn{}}
-	t.dial = t.dialHost
-	return t
-}
+// hostClient sends commands to database hosts. It keeps one idle connection to each host for a short while.
+type hostClient struct {
+	dial func(address string, timeout time.Duration) (net.Conn, error)
 
-func (t *hostClient) takeIdle(host string) *hostConn {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	h := t.idle[host]
-	delete(t.idle, host)
-	return h
+	mu   sync.Mutex
+	idle map[string]*hostConn // by host ID
 }
 
-func (t *hostClient) keepIdle(host string, h *hostConn) {
-	h.idleSince = time.Now()
-	t.mu.Lock()
-	old := t.idle[host]
-	t.idle[host] = h
-	t.mu.Unlock()
-	if old != nil {
-		old.conn.Close()
+// newHostClient returns a client that connects from the address localIP until ctx ends.
+func newHostClient(ctx context.Context, localIP string) *hostClient {
+	dial := func(address string, timeout time.Duration) (net.Conn, error) {
+		return dialHost(ctx, localIP, address, timeout)
 	}
-	time.AfterFunc(hostConnIdleTimeout, func() {
-		t.mu.Lock()
-		is := t.idle[host] == h && time.Since(h.idleSince) >= hostConnIdleTimeout
-		if is {
-			delete(t.idle, host)
-		}
-		t.mu.Unlock()
-		if is {
-			if tcp, ok := h.conn.(*net.TCPConn); ok {
-				tcp.SetLinger(-1) // nothing is out: it ends in order
-			}
-			h.conn.Close()
-		}
-	})
+	return &hostClient{dial: dial, idle: map[string]*hostConn{}}
 }
 
-// query asks from a goroutine of its own and tells the owner how it ended.
-func (t *hostClient) query(q failover.HostQuery, host statemachine.Host) {
-	f := t.f
-	text := q.Command.Text()
-	if q.Command == failover.Pause || q.Command == failover.StepDown {
-		text += " " + strconv.FormatUint(q.Term, 10)
-	}
-	until := time.Now().Add(hostQueryTimeout) // from the decision on: a process that stood still since asks nothing
-	f.tasks.Go(func() error {
-		r := failover.QueryResult{Query: q}
-		h := t.takeIdle(q.Host)
-		a, err := t.exchange(&h, host, q.Command, text, until)
-		var code *codeError
+// query sends a command to a host and waits for the response until the deadline.
+func (c *hostClient) query(query failover.HostQuery, host statemachine.Host, deadline time.Time) failover.QueryResult {
+	response, conn, err := c.exchange(c.takeIdle(query.Host), host, query.Command, commandText(query), deadline)
+	result := failover.QueryResult{Query: query}
+	if err != nil {
+		var refusal *hostError
 		switch {
-		case errors.As(err, &code):
-			r.Code = code.code
-			r.ConnectionRefused = code.code == wire.CodeWrongNode // another uses its address: it is gone
-			r.TimedOut = !r.ConnectionRefused
-		case err != nil:
-			r.ConnectionRefused = errors.Is(err, syscall.ECONNREFUSED)
-			r.TimedOut = !r.ConnectionRefused
-		case a.Code != "":
-			r.Code = a.Code
+		case errors.As(err, &refusal):
+			result.Code = refusal.Code
+			result.ConnectionRefused = refusal.Code == wire.CodeWrongNode // another host has its address: it is gone
 		default:
-			if r.Status, err = wire.ParseHostStatus(a.Row); err != nil {
-				r.Code = wire.CodeFailed
-			}
-		}
-		if err == nil && h != nil {
-			t.keepIdle(q.Host, h)
-		} else if h != nil {
-			h.conn.Close()
+			result.ConnectionRefused = errors.Is(err, syscall.ECONNREFUSED)
 		}
-		f.queue.Put(eventloop.PriorityOutcomes, func() { f.QueryFinished(r) })
-		return nil
-	})
+		result.TimedOut = !result.ConnectionRefused
+		return result
+	}
+	if response.Code != "" {
+		result.Code = response.Code
+	} else if result.Status, err = wire.ParseHostStatus(response.Row); err != nil {
+		result.Code = wire.CodeFailed
+		conn.socket.Close()
+		return result
+	}
+	c.keepIdle(query.Host, conn)
+	return result
 }
 
-// QueryFinished takes in how a question to a host ended.
-func (f *Server) QueryFinished(r failover.QueryResult) {
-	if !f.leading || !f.coordinator.QueryFinished(r, f.clock.Now()) {
-		f.discard(resultUnsolicited)
+// commandText is a command as it is sent to a host.
+func commandText(query failover.HostQuery) string {
+	text := query.Command.Text()
+	if query.Command == failover.Pause || query.Command == failover.StepDown {
+		text += " " + strconv.FormatUint(query.Term, 10)
+	}
+	return text
+}
+
+func (c *hostClient) takeIdle(hostID string) *hostConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	conn := c.idle[hostID]
+	delete(c.idle, hostID)
+	return conn
+}
+
+// keepIdle keeps a connection for the next command, and closes it unless that comes soon.
+func (c *hostClient) keepIdle(hostID string, conn *hostConn) {
+	conn.idleSince = time.Now()
+	c.mu.Lock()
+	previous := c.idle[hostID]
+	c.idle[hostID] = conn
+	c.mu.Unlock()
+	if previous != nil {
+		previous.socket.Close()
+	}
+	time.AfterFunc(hostConnIdleTimeout, func() { c.closeIdle(hostID, conn) })
+}
+
+func (c *hostClient) closeIdle(hostID string, conn *hostConn) {
+	c.mu.Lock()
+	expired := c.idle[hostID] == conn && time.Since(conn.idleSince) >= hostConnIdleTimeout
+	if expired {
+		delete(c.idle, hostID)
+	}
+	c.mu.Unlock()
+	if !expired {
 		return
 	}
-	f.runFailover()
+	if tcp, ok := conn.socket.(*net.TCPConn); ok {
+		tcp.SetLinger(-1) // no command is under way: end it by FIN instead of RST
+	}
+	conn.socket.Close()
 }
 
-type codeError struct{ code wire.Code }
+// hostError is an error response of a host to CONNECT.
+type hostError struct{ Code wire.Code }
 
-func (e *codeError) Error() string { return string(e.code) }
+func (e *hostError) Error() string { return fmt.Sprintf("host rejects the connection: %s", e.Code) }
 
-// operations are what a verb is in the table of calls.
-var operations = map[failover.Command]retry.Operation{failover.Stat: retry.Stat, failover.Pause: retry.Pause, failover.Resume: retry.Resume, failover.StepDown: retry.StepDown}
+// operations are the entries of commands in the retry table.
+var operations = map[failover.Command]retry.Operation{
+	failover.Stat:     retry.Stat,
+	failover.Pause:    retry.Pause,
+	failover.Resume:   retry.Resume,
+	failover.StepDown: retry.StepDown,
+}
 
-// exchange asks on a connection that is kept, or on a new one where that has ended and the table of calls lets the question
-// be asked again.
-func (t *hostClient) exchange(h **hostConn, host statemachine.Host, verb failover.Command, text string, until time.Time) (wire.Response, error) {
-	if *h != nil {
-		a, moment, err := (*h).query(text, until)
+// exchange sends a command on an idle connection, or on a new one if there is none, or if the idle one has ended and the retry
+// table allows the command to be sent again. It returns the connection for the next command; nil after an error.
+func (c *hostClient) exchange(idle *hostConn, host statemachine.Host, command failover.Command, text string, deadline time.Time) (wire.Response, *hostConn, error) {
+	if idle != nil {
+		response, progress, err := idle.query(text, deadline)
 		if err == nil {
-			return a, nil
+			return response, idle, nil
 		}
-		(*h).conn.Close()
-		*h = nil
-		var timeout net.Error
-		if errors.As(err, &timeout) && timeout.Timeout() || retry.Decide(operations[verb], moment) != retry.RetryNow {
-			return wire.Response{}, err
+		idle.socket.Close()
+		var netErr net.Error
+		timedOut := errors.As(err, &netErr) && netErr.Timeout()
+		if timedOut || retry.Decide(operations[command], progress) != retry.RetryNow {
+			return wire.Response{}, nil, err
 		}
 	}
-	conn, err := t.dial(host.Address, time.Until(until))
+	conn, err := c.connect(host, deadline)
 	if err != nil {
-		return wire.Response{}, err
-	}
-	n := &hostConn{conn: conn}
-	conn.SetDeadline(until)
-	var a wire.Response
-	if _, err = conn.Write(wire.AppendConnect(nil, host.Service, "control", host.ID)); err == nil {
-		if a, err = n.readResponse(); err == nil && a.Code != "" {
-			err = &codeError{a.Code}
-		}
-	}
-	if err == nil {
-		a, _, err = n.query(text, until)
+		return wire.Response{}, nil, err
 	}
+	response, _, err := conn.query(text, deadline)
 	if err != nil {
-		conn.Close()
-		return a, err
+		conn.socket.Close()
+		return wire.Response{}, nil, err
 	}
-	*h = n
-	return a, nil
+	return response, conn, nil
 }
 
-// dialHost opens a connection to a host. What it has not acknowledged in the time of a question is given up by the kernel, and
-// what has not gone out when the connection is closed, or this process ends, goes out no more.
-func (t *hostClient) dialHost(address string, wait time.Duration) (net.Conn, error) {
-	c, err := rpc.Dial(t.f.ctx, t.f.settings.Ip, address, wait)
+// connect opens a connection to a host and names the host that it means, since addresses are reused.
+func (c *hostClient) connect(host statemachine.Host, deadline time.Time) (*hostConn, error) {
+	socket, err := c.dial(host.Address, time.Until(deadline))
 	if err != nil {
 		return nil, err
 	}
-	if tcp, ok := c.(*net.TCPConn); ok {
-		tcp.SetLinger(0)
-		if raw, err := tcp.SyscallConn(); err == nil {
-			rpc.UserTimeout(hostQueryTimeout)("", "", raw)
-		}
-	}
-	return c, nil
-}
-
-var errStaleConn = errors.New("the connection that was kept has ended, or says what nobody asked")
-
-// query asks one question, and says how far it was written.
-func (h *hostConn) query(text string, until time.Time) (a wire.Response, m retry.Progress, err error) {
-	if len(h.unread) > 0 || hasEndedOrReadable(h.conn) {
-		return a, retry.NotSent, errStaleConn
-	}
-	h.conn.SetDeadline(until)
-	b := wire.AppendQuery(nil, "-", text)
-	n, err := h.conn.Write(b)
+	conn := &hostConn{socket: socket}
+	socket.SetDeadline(deadline)
+	_, err = socket.Write(wire.AppendConnect(nil, host.Service, clientName, host.ID))
+	var response wire.Response
 	if err == nil {
-		a, err = h.readResponse()
+		response, err = conn.readResponse()
 	}
-	return a, retry.ProgressOf(n, len(b)), err
-}
-
-// hasEndedOrReadable says that a connection at rest has ended, or that something came on it.
-func hasEndedOrReadable(c net.Conn) (is bool) {
-	s, ok := c.(syscall.Conn)
-	if !ok {
-		return false
+	if err == nil && response.Code != "" {
+		err = &hostError{Code: response.Code}
 	}
-	raw, err := s.SyscallConn()
 	if err != nil {
-		return true
-	}
-	ended := raw.Read(func(fd uintptr) bool {
-		var b [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		is = err != syscall.EAGAIN && err != syscall.EINTR
-		return true
-	})
-	return is || ended != nil
-}
-
-// readResponse reads one answer.
-func (h *hostConn) readResponse() (a wire.Response, err error) {
-	at := 0
-	for {
-		line, n, err := wire.CutLine(h.unread, at)
-		if err != nil {
-			return a, err
-		}
-		if n == 0 {
-			at = len(h.unread)
-			var b [1024]byte
-			k, err := h.conn.Read(b[:])
-			if k == 0 && err != nil {
-				if a.Completed() && a.Code != "" { // of CONNECT: an error and a close
-					return a, nil
-				}
-				return a, err
-			}
-			h.unread = append(h.unread, b[:k]...)
-			continue
-		}
-		raw := h.unread[:n]
-		whole, err := a.AddLine(line, raw)
-		h.unread, at = h.unread[n:], 0
-		if err != nil || whole {
-			return a, err
-		}
-	}
-}
-
-// promote calls the platform, from a goroutine of its own.
-func (f *Server) promote(p failover.Promotion) {
-	address := f.settings.Provider.Address
-	f.log.Info("a host is named to the platform", "service", p.Service, "host", p.Host, "fence", p.FencingToken)
-	ctx, end := context.WithTimeout(f.ctx, 900*time.Millisecond) // from the decision on
-	f.tasks.Go(func() error {
-		defer end()
-		o := f.requestPromotion(ctx, address, p)
-		f.queue.Put(eventloop.PriorityOutcomes, func() { f.PromotionFinished(p, o) })
-		return nil
-	})
-}
-
-// PromotionFinished takes in how a call to the platform ended.
-func (f *Server) PromotionFinished(p failover.Promotion, o failover.PromotionOutcome) {
-	if !f.leading || !f.coordinator.PromotionFinished(p, o, f.clock.Now()) {
-		f.discard(resultUnsolicited)
-		return
+		socket.Close()
+		return nil, err
 	}
-	f.runFailover()
+	return conn, nil
 }
 
-func (f *Server) requestPromotion(ctx context.Context, address string, p failover.Promotion) failover.PromotionOutcome {
-	body, _ := json.Marshal(map[string]string{"Service": p.Service, "Id": p.Host})
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/promotion", address), bytes.NewReader(body))
+// dialHost opens a TCP connection whose unacknowledged bytes the kernel gives up within the time-out of a command, and drops
+// when the connection is closed or this process ends: a command must not reach its host after it was given up.
+func dialHost(ctx context.Context, localIP, address string, timeout time.Duration) (net.Conn, error) {
+	socket, err := rpc.Dial(ctx, localIP, address, timeout)
 	if err != nil {
-		return failover.PromotionNotExecuted
+		return nil, err
 	}
-	r.Header.Set("Content-Type", "application/json")
-	r.Header.Set("X-Duty-Holder", p.Owner)
-	r.Header.Set("X-Fence-Token", strconv.FormatUint(p.FencingToken, 10))
-	dialed := false
-	client := &http.Client{CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }, Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, to string) (net.Conn, error) {
-		c, err := rpc.Dial(ctx, f.settings.Ip, to, 600*time.Millisecond)
-		dialed = err == nil
-		return c, err
-	}}}
-	answer, err := client.Do(r)
-	if err != nil {
-		f.log.Info("the platform gave no clear answer", "error", err)
-		moment := retry.Sent
-		if !dialed {
-			moment = retry.NotSent
-		}
-		if retry.Decide(retry.Promotion, moment) == retry.RetryNow {
-			return failover.PromotionNotExecuted
+	if tcp, ok := socket.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
+		if raw, err := tcp.SyscallConn(); err == nil {
+			_ = rpc.UserTimeout(hostQueryTimeout)("", "", raw) // it fails only on a closed socket, as the next write does
 		}
-		return failover.PromotionUnknown
-	}
-	answer.Body.Close()
-	f.log.Info("the platform answers", "status", answer.StatusCode, "host", p.Host)
-	switch {
-	case answer.StatusCode < 300:
-		return failover.PromotionSucceeded
-	case answer.StatusCode == http.StatusConflict:
-		return failover.PromotionRejected
-	case answer.StatusCode == http.StatusTooManyRequests || answer.StatusCode == http.StatusServiceUnavailable:
-		return failover.PromotionNotExecuted
 	}
-	return failover.PromotionUnknown
+	return socket, nil
 }
--- a/internal/control/host_client_test.go
+++ b/internal/control/host_client_test.go
@@ -80,14 +80,14 @@
 				var said []string
 				kept := c.kept
 				kept.said = &said
-				h := &hostConn{conn: &kept}
+				idleConn := &hostConn{socket: &kept}
 				if kept.quiet {
-					h.unread = []byte(strings.Replace(row, "3.9", "3.2", 1)) // it came behind the answer before
+					idleConn.unread = []byte(strings.Replace(row, "3.9", "3.2", 1)) // it came behind the answer before
 				}
 				fresh := &socket{said: &said, writes: -1, comes: idle, then: row}
 				dials := 0
-				tongs := &hostClient{dial: func(string, time.Duration) (net.Conn, error) { dials++; return fresh, nil }}
-				a, err := tongs.exchange(&h, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, verb, verb.Text(), time.Now().Add(hostQueryTimeout))
+				client := &hostClient{dial: func(string, time.Duration) (net.Conn, error) { dials++; return fresh, nil }}
+				a, h, err := client.exchange(idleConn, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, verb, verb.Text(), time.Now().Add(hostQueryTimeout))
 				require.Len(t, said, want)
 				if err != nil {
 					require.Zero(t, dials, "it was given up, and nothing else begun")
@@ -100,7 +100,7 @@
 				require.NotNil(t, h)
 				require.Equal(t, dials > 0, kept.closed)
 				if dials == 0 {
-					require.Same(t, &kept, h.conn)
+					require.Same(t, &kept, h.socket)
 				}
 				require.Empty(t, h.unread)
 			})
@@ -113,16 +113,14 @@
 	var said []string
 	for comes, want := range map[string]string{"ERROR WRONGNODE i-9\r\n": "WRONGNODE", "": "EOF", "IDLE I 3": "EOF"} {
 		fresh := &socket{said: &said, writes: -1, comes: comes, fails: io.EOF}
-		tongs := &hostClient{dial: func(string, time.Duration) (net.Conn, error) { return fresh, nil }}
-		var h *hostConn
-		_, err := tongs.exchange(&h, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, failover.Pause, "PAUSE 4", time.Now().Add(hostQueryTimeout))
+		client := &hostClient{dial: func(string, time.Duration) (net.Conn, error) { return fresh, nil }}
+		_, h, err := client.exchange(nil, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, failover.Pause, "PAUSE 4", time.Now().Add(hostQueryTimeout))
 		require.ErrorContains(t, err, want)
 		require.Nil(t, h)
 		require.True(t, fresh.closed)
 	}
-	tongs := &hostClient{dial: func(string, time.Duration) (net.Conn, error) { return nil, errors.New("refused") }}
-	var h *hostConn
-	_, err := tongs.exchange(&h, statemachine.Host{}, failover.Pause, "PAUSE 4", time.Now().Add(hostQueryTimeout))
+	client := &hostClient{dial: func(string, time.Duration) (net.Conn, error) { return nil, errors.New("refused") }}
+	_, _, err := client.exchange(nil, statemachine.Host{}, failover.Pause, "PAUSE 4", time.Now().Add(hostQueryTimeout))
 	require.Error(t, err)
 	require.Empty(t, said)
 }
@@ -147,7 +145,7 @@
 			require.False(t, hasEndedOrReadable(c), "it is at rest")
 			do(host)
 			require.Eventually(t, func() bool { return hasEndedOrReadable(c) }, 5*time.Second, time.Millisecond)
-			_, m, err := (&hostConn{conn: c}).query("PAUSE 7", time.Now().Add(time.Second))
+			_, m, err := (&hostConn{socket: c}).query("PAUSE 7", time.Now().Add(time.Second))
 			require.ErrorIs(t, err, errStaleConn)
 			require.Equal(t, retry.NotSent, m)
 		})
--- /dev/null
+++ b/internal/control/leadership.go
@@ -0,0 +1,136 @@
+package control
+
+import (
+	"errors"
+	"maps"
+	"slices"
+
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/lease"
+)
+
+// errOutcomeUnknown is the result of a proposal that may or may not be committed. A caller may repeat it: changes are
+// idempotent by their request ID or base version.
+var errOutcomeUnknown = errors.New("leadership changed; whether the change is committed is unknown")
+
+// proposalResult is called once with the result of a proposal: nil, an error of applying it, or errOutcomeUnknown.
+type proposalResult func(err error)
+
+// pendingProposal waits for the log entry at its index.
+type pendingProposal struct {
+	term uint64 // an entry of another term at that index is another change
+	done proposalResult
+}
+
+// updateLeadership begins and ends acting as the leader, as the consensus node's lease says.
+func (s *Server) updateLeadership() {
+	now := s.clock.Now()
+	holds := s.consensus.HoldsLease(now)
+	switch {
+	case holds && s.diverged:
+		s.carryOut(s.consensus.TransferLeadership(now))
+	case holds && !s.leading:
+		s.becomeLeader(now)
+	case s.leading && (s.diverged || !s.consensus.IsLeader()):
+		s.loseLeadership()
+	}
+}
+
+func (s *Server) becomeLeader(now int64) {
+	term := s.consensus.Term()
+	s.leading = true
+	s.TermsLed.Add(1)
+	s.ledTimeOffsetMs = s.state.LedTimeMs - now
+	s.grantor = lease.NewGrantor(now)
+	s.coordinator = failover.New(s.settings.Node, term, s.settings.BeatMs, now)
+	s.coordinator.Log = func(service, what, host string) { s.log.Info(what, "service", service, "host", host) }
+	s.log.Info("became leader", "term", term, "members", s.consensus.Members())
+}
+
+// loseLeadership disconnects all proxies, which look for the new leader, and ends all pending proposals.
+func (s *Server) loseLeadership() {
+	s.leading = false
+	s.log.Info("lost leadership", "term", s.consensus.Term())
+	for _, proxy := range s.sortedProxies() {
+		proxy.close()
+	}
+	clear(s.proxies)
+	pending := s.pendingProposals
+	s.pendingProposals = map[uint64]pendingProposal{}
+	for _, index := range slices.Sorted(maps.Keys(pending)) {
+		pending[index].done(errOutcomeUnknown)
+	}
+}
+
+// propose appends a change to the log.
+func (s *Server) propose(change statemachine.Change, done proposalResult) {
+	now := s.clock.Now()
+	change.LedTimeMs = now + s.ledTimeOffsetMs
+	index, ready := s.consensus.Propose(statemachine.EncodeChange(change), now)
+	if index == 0 {
+		done(errOutcomeUnknown)
+		return
+	}
+	s.Proposals.Add(1)
+	s.pendingProposals[index] = pendingProposal{term: s.consensus.Term(), done: done}
+	s.carryOut(ready)
+}
+
+// completeProposal ends the proposal that waits for the index of an entry. err is the result of applying the entry.
+func (s *Server) completeProposal(entry consensus.Committed, err error) {
+	proposal, ok := s.pendingProposals[entry.Index]
+	if !ok {
+		return
+	}
+	delete(s.pendingProposals, entry.Index)
+	if proposal.term != entry.Term {
+		err = errOutcomeUnknown
+	}
+	proposal.done(err)
+}
+
+// runFailover evaluates all services and carries out what fail-over asks for, while this member holds the leader's lease.
+func (s *Server) runFailover() {
+	now := s.clock.Now()
+	if !s.holdsLease() {
+		return
+	}
+	caughtUp := func(index uint64) bool { return s.grantor.AllCaughtUp(index, s.state.ProxyNames(), now) }
+	actions := s.coordinator.Tick(s.state, caughtUp, now)
+	for _, change := range actions.Proposals {
+		s.propose(change, func(error) {})
+	}
+	for _, query := range actions.Queries {
+		s.HostQueries.Add(1)
+		host, known := s.state.Hosts[query.Host]
+		if !known { // it was removed
+			s.coordinator.QueryFinished(failover.QueryResult{Query: query, ConnectionRefused: true}, now)
+			continue
+		}
+		s.environment.QueryHost(query, host)
+	}
+	for _, promotion := range actions.Promotions {
+		s.Promotions.Add(1)
+		s.environment.Promote(promotion)
+	}
+}
+
+// QueryFinished processes the result of a query that the Environment was given.
+func (s *Server) QueryFinished(result failover.QueryResult) {
+	if !s.leading || !s.coordinator.QueryFinished(result, s.clock.Now()) {
+		s.discard(resultUnsolicited)
+		return
+	}
+	s.runFailover()
+}
+
+// PromotionFinished processes the outcome of a promotion that the Environment was given.
+func (s *Server) PromotionFinished(promotion failover.Promotion, outcome failover.PromotionOutcome) {
+	if !s.leading || !s.coordinator.PromotionFinished(promotion, outcome, s.clock.Now()) {
+		s.discard(resultUnsolicited)
+		return
+	}
+	s.runFailover()
+}
--- /dev/null
+++ b/internal/control/operator_api.go
@@ -0,0 +1,122 @@
+package control
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"strconv"
+	"time"
+
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/errcode"
+)
+
+const (
+	maxConfigBytes        = 4 << 20
+	configWriteTimeout    = 4 * time.Second
+	configReadTimeout     = time.Second
+	maxPendingUpdateBytes = 8 * maxConfigBytes // bounds the memory of configurations that are not committed yet
+)
+
+var configReplace = endpoint{
+	method:       http.MethodPost,
+	path:         "/Config.Replace",
+	maxBodyBytes: maxConfigBytes,
+	timeout:      configWriteTimeout,
+	handle: func(s *Server, _ string, call apiCall, respond Responder) {
+		s.updateConfig(call, false, respond)
+	},
+}
+
+var configAmend = endpoint{
+	method:       http.MethodPost,
+	path:         "/Config.Amend",
+	maxBodyBytes: maxConfigBytes,
+	timeout:      configWriteTimeout,
+	handle: func(s *Server, _ string, call apiCall, respond Responder) {
+		s.updateConfig(call, true, respond)
+	},
+}
+
+var configRead = endpoint{
+	method:  http.MethodGet,
+	path:    "/Config.Read",
+	timeout: configReadTimeout,
+	handle:  (*Server).handleConfigRead,
+}
+
+func (s *Server) handleConfigRead(_ string, _ apiCall, respond Responder) {
+	if len(s.state.ConfigBody) == 0 {
+		reject(respond, errcode.NotFound, errors.New("no configuration yet"))
+		return
+	}
+	respond(http.StatusOK, s.state.ConfigBody)
+}
+
+// pendingUpdates are the configuration updates that this member has proposed, with all calls that wait for each of them: an
+// update that a caller repeats while it is pending is proposed once.
+type pendingUpdates struct {
+	waiting map[statemachine.RequestID][]proposalResult
+	bytes   int // of their bodies
+}
+
+func (p *pendingUpdates) add(id statemachine.RequestID, bytes int, result proposalResult) {
+	if p.waiting == nil {
+		p.waiting = map[statemachine.RequestID][]proposalResult{}
+	}
+	p.waiting[id] = []proposalResult{result}
+	p.bytes += bytes
+}
+
+func (p *pendingUpdates) complete(id statemachine.RequestID, bytes int, err error) {
+	waiting := p.waiting[id]
+	delete(p.waiting, id)
+	p.bytes -= bytes
+	for _, result := range waiting {
+		result(err)
+	}
+}
+
+// updateConfig proposes a configuration. It is checked here, so that invalid ones do not get into the log, and again when it
+// is applied, since another update may be committed before it.
+func (s *Server) updateConfig(call apiCall, isAmendment bool, respond Responder) {
+	base, err := parseBaseVersion(call.baseVersion)
+	if err != nil {
+		reject(respond, errcode.InvalidBody, err)
+		return
+	}
+	update := &statemachine.ConfigUpdate{BaseVersion: base, IsAmendment: isAmendment, Body: call.body}
+	id, result := update.RequestID(), func(err error) { respondResult(err, respond) }
+	if waiting, pending := s.pendingUpdates.waiting[id]; pending {
+		s.pendingUpdates.waiting[id] = append(waiting, result)
+		return
+	}
+	config, err := s.state.CheckConfig(update)
+	switch {
+	case err != nil || config == nil: // invalid, or applied before
+		result(err)
+		return
+	case s.pendingUpdates.bytes+len(call.body) > maxPendingUpdateBytes:
+		reject(respond, errcode.TooManyPending, fmt.Errorf("updates of %d bytes are pending", s.pendingUpdates.bytes))
+		return
+	}
+	s.pendingUpdates.add(id, len(call.body), result)
+	s.propose(statemachine.Change{UpdateConfig: s.state.Delta(update, config)}, func(err error) {
+		if err == nil {
+			s.log.Info("configuration changed", "version", config.Generation, "routes", len(config.Routes))
+		}
+		s.pendingUpdates.complete(id, len(call.body), err)
+	})
+}
+
+// parseBaseVersion parses the header X-Base-Version: the version that an update builds on, 0 if it is missing.
+func parseBaseVersion(header string) (int64, error) {
+	if header == "" {
+		return 0, nil
+	}
+	version, err := strconv.ParseUint(header, 10, 63)
+	if err != nil {
+		return 0, fmt.Errorf("invalid X-Base-Version %.40q", header)
+	}
+	return int64(version), nil
+}
--- a/internal/control/operators_test.go
+++ b/internal/control/operators_test.go
@@ -132,7 +132,7 @@
 
 	r := httptest.NewRequest(http.MethodPost, "/Config.Replace", bytes.NewReader(append(great(20), ' ')))
 	a := httptest.NewRecorder()
-	f.serveHTTP(a, r)
+	(&apiHandler{server: f}).ServeHTTP(a, r)
 	require.Equal(t, http.StatusRequestEntityTooLarge, a.Code)
 }
 
--- /dev/null
+++ b/internal/control/proxies.go
@@ -0,0 +1,166 @@
+package control
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/rpc"
+)
+
+// maxWelcomeProxies is how many other proxies a ProxyWelcome names as first contacts for gossip.
+const maxWelcomeProxies = 5
+
+// ProxyConn is the connection of a proxy.
+type ProxyConn struct {
+	node        string
+	incarnation uint64
+	serial      uint64 // in the order of acceptance
+	remoteIP    string
+	sentIndex   uint64 // of the last log entry that was sent
+	send        func(*rpc.Frame) bool
+	closeConn   func()
+	closed      bool
+	registering bool // the change that adds the proxy to the state is proposed
+}
+
+// sortedProxies returns the served proxies in the order of acceptance, so that a simulation repeats exactly.
+func (s *Server) sortedProxies() []*ProxyConn {
+	return slices.SortedFunc(maps.Keys(s.proxies), func(a, b *ProxyConn) int { return cmp.Compare(a.serial, b.serial) })
+}
+
+func (c *ProxyConn) close() {
+	if !c.closed {
+		c.closed = true
+		c.closeConn()
+	}
+}
+
+// deliver sends a frame, or closes the connection of a proxy that does not read.
+func (c *ProxyConn) deliver(frame *rpc.Frame) {
+	if !c.closed && !c.send(frame) {
+		c.close()
+	}
+}
+
+// sendUpdate sends an update of the log if it continues what was sent before, else all that is missing.
+func (c *ProxyConn) sendUpdate(s *Server, update *rpc.LogUpdate) {
+	if update.Snapshot == nil && c.sentIndex+uint64(len(update.Entries)) != update.LastIndex {
+		c.catchUp(s)
+		return
+	}
+	c.sentIndex = update.LastIndex
+	c.deliver(&rpc.Frame{LogUpdate: update})
+}
+
+// catchUp sends all entries that are missing, or a snapshot where the log no longer has them.
+func (c *ProxyConn) catchUp(s *Server) {
+	update := &rpc.LogUpdate{Members: s.memberAddresses(), LastIndex: s.state.Index}
+	if entries, ok := s.consensus.CommittedAfter(c.sentIndex); ok && c.sentIndex > 0 && c.sentIndex <= s.state.Index {
+		update.Entries = entries
+	} else {
+		update.Snapshot = s.state.Snapshot()
+	}
+	c.sentIndex = update.LastIndex
+	c.deliver(&rpc.Frame{LogUpdate: update})
+}
+
+// AcceptProxy welcomes a proxy, and serves it from then on if this member leads. send must not block; it returns false if the
+// proxy does not read what it is sent. closeConn is called at most once; ProxyDisconnected must follow.
+func (s *Server) AcceptProxy(hello *rpc.ProxyHello, remoteIP string, send func(*rpc.Frame) bool, closeConn func()) *ProxyConn {
+	s.proxiesAccepted++
+	conn := &ProxyConn{
+		node:        hello.Node,
+		incarnation: hello.Incarnation,
+		serial:      s.proxiesAccepted,
+		remoteIP:    remoteIP,
+		sentIndex:   hello.AppliedIndex,
+		send:        send,
+		closeConn:   closeConn,
+	}
+	welcome := &rpc.ProxyWelcome{Node: s.settings.Node, IsLeader: s.holdsLease(), Members: s.memberAddresses()}
+	if leader := s.consensus.RecentLeader(s.clock.Now()); leader != "" && leader != s.id {
+		welcome.Leader = leader.Address()
+	}
+	others := s.sortedProxies()
+	for _, other := range others[:min(len(others), maxWelcomeProxies)] {
+		welcome.Proxies = append(welcome.Proxies, other.remoteIP)
+	}
+	conn.deliver(&rpc.Frame{ProxyWelcome: welcome})
+	if welcome.IsLeader {
+		s.proxies[conn] = struct{}{}
+		s.grantor.Observe(hello.Node, hello.Incarnation, hello.AppliedIndex, s.clock.Now())
+		conn.catchUp(s)
+	}
+	return conn
+}
+
+// HandleProxyFrame processes a frame of a proxy. It ignores those of proxies that are not served here any more.
+func (s *Server) HandleProxyFrame(conn *ProxyConn, frame *rpc.Frame) {
+	if _, served := s.proxies[conn]; !served {
+		return
+	}
+	switch {
+	case frame.LeaseRequest != nil:
+		s.renewLease(conn, frame.LeaseRequest)
+	case frame.SuspectReport != nil:
+		s.handleSuspectReport(conn, frame.SuspectReport)
+	}
+}
+
+// ProxyDisconnected reports that a proxy's connection has ended.
+func (s *Server) ProxyDisconnected(conn *ProxyConn) {
+	delete(s.proxies, conn)
+	conn.close()
+}
+
+func (s *Server) handleSuspectReport(conn *ProxyConn, report *rpc.SuspectReport) {
+	if s.leading && s.state.Primaries[report.Service].Host == report.Host {
+		s.coordinator.SuspectPrimary(conn.node, report.Service, report.Host, s.clock.Now())
+		s.runFailover()
+	}
+}
+
+// renewLease grants a lease if this member holds the leader's.
+func (s *Server) renewLease(conn *ProxyConn, request *rpc.LeaseRequest) {
+	if _, known := s.state.Proxies[conn.node]; !known && s.leading {
+		s.registerProxy(conn, request)
+		return
+	}
+	now := s.clock.Now()
+	response := &rpc.LeaseResponse{Serial: request.Serial, Granted: s.holdsLease(), CommitIndex: s.state.Index}
+	switch {
+	case response.Granted && !s.grantor.Grant(conn.node, conn.incarnation, request.AppliedIndex, s.state.LatestRevocation(), now):
+		s.LeasesPostponed.Add(1) // it asks again once it has applied the update that is on its way
+		s.runFailover()
+		return
+	case response.Granted:
+		s.LeasesGranted.Add(1)
+		response.ProxyCount = s.grantor.HolderCount(now)
+	default:
+		s.LeasesRejected.Add(1)
+		if s.grantor != nil {
+			s.grantor.Observe(conn.node, conn.incarnation, request.AppliedIndex, now)
+		}
+	}
+	conn.deliver(&rpc.Frame{LeaseResponse: response})
+	if s.leading {
+		s.runFailover()
+	}
+}
+
+// registerProxy adds a proxy to the state before it gets its first lease: the next leader must wait for its lease to expire.
+func (s *Server) registerProxy(conn *ProxyConn, request *rpc.LeaseRequest) {
+	if conn.registering {
+		return
+	}
+	conn.registering = true
+	change := statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: conn.node}}
+	s.propose(change, func(err error) {
+		conn.registering = false
+		if err == nil && !conn.closed {
+			s.renewLease(conn, request)
+		}
+	})
+}
--- /dev/null
+++ b/internal/control/shutdown.go
@@ -0,0 +1,36 @@
+package control
+
+const (
+	// defaultGraceMs is the time for a graceful shutdown where the settings name none.
+	defaultGraceMs = 6000
+	// transferGraceMs is how long a shutdown waits beyond its deadline for another member to take over leadership.
+	transferGraceMs = 1500
+)
+
+// BeginShutdown transfers this member's seat and leadership to others. The member serves on until ShutdownComplete.
+func (s *Server) BeginShutdown() {
+	graceMs := int64(s.settings.Bounds.GraceS * 1000)
+	if graceMs == 0 {
+		graceMs = defaultGraceMs
+	}
+	s.leaveDeadlineMs = s.clock.Now() + graceMs/2
+	s.log.Info("shutting down", "is_leader", s.consensus.IsLeader(), "members", s.consensus.Members())
+	s.carryOut(s.consensus.Leave(s.clock.Now()))
+}
+
+// ShutdownComplete reports whether the process may exit after BeginShutdown: another member has its seat, or no learner can
+// take it, another one leads, and no forwarded call is pending; or the time for this is over.
+func (s *Server) ShutdownComplete() bool {
+	now := s.clock.Now()
+	left, seatTransferred := s.consensus.LeaveProgress()
+	switch {
+	case left && now < s.leaveDeadlineMs:
+		s.leaveDeadlineMs = now
+		s.log.Info("shutdown may complete", "seat_transferred", seatTransferred, "members", s.consensus.Members())
+	case !left && now < s.leaveDeadlineMs:
+		return false
+	case !left: // no majority answers, or no learner has caught up: at least the leadership is transferred
+		s.carryOut(s.consensus.TransferLeadership(now))
+	}
+	return !s.consensus.IsLeader() && len(s.forwarder.pending) == 0 || now > s.leaveDeadlineMs+transferGraceMs
+}
--- a/internal/control/silence_test.go
+++ b/internal/control/silence_test.go
@@ -15,7 +15,6 @@
 
 	"ferrypitch/internal/control/failover"
 	"ferrypitch/internal/control/statemachine"
-	"ferrypitch/internal/settings"
 )
 
 // agreed is a calm world whose members agree, with the one that leads and one that follows.
@@ -64,7 +63,7 @@
 	for err, want := range map[error]int{os.ErrDeadlineExceeded: http.StatusServiceUnavailable, io.ErrUnexpectedEOF: http.StatusBadRequest} {
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodPost, "/Config.Replace", io.MultiReader(&late{err}))
-		m.f.serveHTTP(w, r)
+		(&apiHandler{server: m.f}).ServeHTTP(w, r)
 		require.Equal(t, want, w.Code, "%v", err)
 	}
 }
@@ -75,7 +74,6 @@
 
 // What was decided under a lease is not begun long after: a process may stand still between the two.
 func TestNothingIsAskedLongAfterItWasDecided(t *testing.T) {
-	f := &Server{ctx: context.Background(), settings: &settings.Settings{Ip: "127.0.0.1"}, log: hclog.NewNullLogger()}
 	mine, hosts := net.Pipe()
 	written := make(chan int, 1)
 	go func() {
@@ -83,16 +81,16 @@
 		n, _ := hosts.Read(b[:])
 		written <- n
 	}()
-	h := &hostConn{conn: mine}
-	_, err := newHostClient(f).exchange(&h, statemachine.Host{ID: "h1", Service: "db", Address: "127.0.0.1:1"}, failover.StepDown, "STEPDOWN 7", time.Now().Add(-time.Second))
+	_, _, err := newHostClient(context.Background(), "127.0.0.1").exchange(&hostConn{socket: mine}, statemachine.Host{ID: "h1", Service: "db", Address: "127.0.0.1:1"}, failover.StepDown, "STEPDOWN 7", time.Now().Add(-time.Second))
 	require.Error(t, err)
 	hosts.Close()
 	require.Zero(t, <-written, "a host is told to step down by a decision that is over")
 	calls := 0
 	platform := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls++ }))
 	defer platform.Close()
+	client := &platformClient{localIP: "127.0.0.1", log: hclog.NewNullLogger()}
 	ctx, end := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer end()
-	require.Equal(t, failover.PromotionNotExecuted, f.requestPromotion(ctx, platform.Listener.Addr().String(), failover.Promotion{Service: "db", Host: "h1"}))
+	require.Equal(t, failover.PromotionNotExecuted, client.requestPromotion(ctx, platform.Listener.Addr().String(), failover.Promotion{Service: "db", Host: "h1"}))
 	require.Zero(t, calls)
 }
--- /dev/null
+++ b/internal/control/status.go
@@ -0,0 +1,62 @@
+package control
+
+import (
+	"encoding/json"
+	"maps"
+	"net/http"
+	"slices"
+	"time"
+
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+)
+
+// Status is what a member reports of itself, whether it leads or not.
+type Status struct {
+	Consensus        consensus.Status
+	Version          int64 // generation of the configuration
+	Hosts            int
+	Proxies          int // that hold leases; 0 unless this member leads
+	Primaries        map[string]statemachine.Primary
+	Transitions      map[string]failover.Transition // changes of primary under way, by service; empty unless this member leads
+	UnaccountedHosts []statemachine.Host            // removed hosts whose log may have entries that no other host has
+	MissingHosts     []string                       // hosts that fail-over does not wait for
+	Counters         map[string]int64
+}
+
+var memberStatus = endpoint{
+	method:  http.MethodGet,
+	path:    "/Member.Status",
+	timeout: time.Second,
+	handle:  (*Server).handleStatus,
+}
+
+func (s *Server) handleStatus(_ string, _ apiCall, respond Responder) {
+	body, _ := json.Marshal(s.status()) // plain data: it can't fail
+	respond(http.StatusOK, append(body, '\n'))
+}
+
+func (s *Server) status() *Status {
+	now := s.clock.Now()
+	status := &Status{
+		Consensus: s.consensus.Status(now),
+		Version:   s.state.Generation,
+		Hosts:     len(s.state.Hosts),
+		Primaries: s.state.Primaries,
+		Counters:  s.counters(),
+	}
+	if s.leading {
+		status.Proxies = s.grantor.HolderCount(now)
+		status.Transitions = s.coordinator.Transitions(s.state, now)
+	}
+	for _, id := range slices.Sorted(maps.Keys(s.state.UnaccountedHosts)) {
+		status.UnaccountedHosts = append(status.UnaccountedHosts, s.state.UnaccountedHosts[id])
+	}
+	for _, id := range slices.Sorted(maps.Keys(s.state.Hosts)) {
+		if s.state.Hosts[id].Missing {
+			status.MissingHosts = append(status.MissingHosts, id)
+		}
+	}
+	return status
+}
