--- a/cmd/ferrypitch-control/disk.go
+++ b/cmd/ferrypitch-control/disk.go
@@ -5,99 +5,136 @@
 	"flag"
 	"fmt"
 	"io"
+	"maps"
 	"os"
 	"path/filepath"
+	"slices"
 
 	"github.com/google/subcommands"
 	"github.com/gravitational/trace"
 
 	"ferrypitch/internal/cli"
+	"ferrypitch/internal/control/consensus"
 	"ferrypitch/internal/control/statemachine"
 	"ferrypitch/internal/control/storage"
 )
 
-// disk shows what a stopped member holds. It reads a copy: the member's own file is not opened for writing.
-type disk struct{ json bool }
+// logFileName is the name of the write-ahead log in a data directory. It is part of the format on disk.
+const logFileName = "ratchet.db"
 
-func (*disk) Name() string     { return "disk" }
-func (*disk) Synopsis() string { return "show what a stopped member holds on its disk" }
-func (*disk) Usage() string {
-	return "ferrypitch-control disk [-json] FOLDER\n  shows identity, view, members and state of the log in a member's DataDir\n"
+// diskCommand shows what the data directory of a stopped member holds.
+type diskCommand struct{ json bool }
+
+// Name implements subcommands.Command.
+func (*diskCommand) Name() string { return "disk" }
+
+// Synopsis implements subcommands.Command.
+func (*diskCommand) Synopsis() string { return "show what a stopped member holds on its disk" }
+
+// Usage implements subcommands.Command.
+func (*diskCommand) Usage() string {
+	return program + " disk [-json] FOLDER\n  shows identity, term, log and state in a member's DataDir\n"
+}
+
+// SetFlags implements subcommands.Command.
+func (c *diskCommand) SetFlags(flags *flag.FlagSet) {
+	flags.BoolVar(&c.json, "json", false, "print as JSON")
 }
-func (d *disk) SetFlags(f *flag.FlagSet) { f.BoolVar(&d.json, "json", false, "print as JSON") }
 
-// held is what is shown.
-type held struct {
-	Identity        storage.Identity
-	View            uint64
-	Snapshot        uint64
-	Entries         int
-	Last            uint64
-	Version         int64
-	Hosts           []statemachine.Host
-	Leads           map[string]statemachine.Primary
-	Routers         []string
-	Unread, Refused int // entries that can't be read; changes that changed nothing
+// diskContents is what a data directory holds. All entries of the log count, committed or not.
+type diskContents struct {
+	Identity          storage.Identity
+	Term              uint64
+	SnapshotIndex     uint64
+	LogEntries        int // behind the snapshot
+	LastIndex         uint64
+	Version           int64 // of the configuration
+	Hosts             []statemachine.Host
+	Primaries         map[string]statemachine.Primary // by service
+	Proxies           []string
+	UnreadableEntries int
+	RejectedChanges   int // entries that do not change the state, as an outdated configuration
 }
 
-func (d *disk) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if f.NArg() != 1 {
-		return cli.Fail("ferrypitch-control", trace.BadParameter("disk: one folder is wanted"))
+// Execute implements subcommands.Command.
+func (c *diskCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	if flags.NArg() != 1 {
+		return cli.Fail(program, trace.BadParameter("disk: one folder is wanted"))
 	}
-	h, err := look(f.Arg(0))
+	contents, err := readDisk(flags.Arg(0))
 	if err != nil {
-		return cli.Fail("ferrypitch-control", err)
+		return cli.Fail(program, err)
 	}
-	return cli.Print(os.Stdout, d.json, h, func(w io.Writer) {
-		fmt.Fprintf(w, "member %s, view %d\nsnapshot up to %d, %d entries behind it, the last %d\nversion %d, %d hosts, %d routers\n",
-			h.Identity.ID, h.View, h.Snapshot, h.Entries, h.Last, h.Version, len(h.Hosts), len(h.Routers))
-		for name, l := range h.Leads {
-			fmt.Fprintf(w, "%s: led by %s, term %d, moving %v, fence %d\n", name, l.Host, l.Term, l.Revoked, l.FencingToken)
-		}
-		if h.Unread+h.Refused > 0 {
-			fmt.Fprintf(w, "%d entries can't be read, %d changed nothing\n", h.Unread, h.Refused)
-		}
-	})
+	return cli.Print(os.Stdout, c.json, contents, contents.print)
 }
 
-// look reads all of a member's log, delivered or not.
-func look(folder string) (h held, err error) {
-	body, err := os.ReadFile(filepath.Join(folder, "ratchet.db"))
+func (d *diskContents) print(w io.Writer) {
+	fmt.Fprintf(w, "member %s, term %d\n", d.Identity.ID, d.Term)
+	fmt.Fprintf(w, "snapshot at index %d, %d entries after it, last index %d\n", d.SnapshotIndex, d.LogEntries, d.LastIndex)
+	fmt.Fprintf(w, "version %d, %d hosts, %d proxies\n", d.Version, len(d.Hosts), len(d.Proxies))
+	for _, service := range slices.Sorted(maps.Keys(d.Primaries)) {
+		primary := d.Primaries[service]
+		fmt.Fprintf(w, "%s: primary %s, term %d, revoked %v, fencing token %d\n", service, primary.Host, primary.Term, primary.Revoked, primary.FencingToken)
+	}
+	if d.UnreadableEntries+d.RejectedChanges > 0 {
+		fmt.Fprintf(w, "%d entries are unreadable, %d changes were rejected\n", d.UnreadableEntries, d.RejectedChanges)
+	}
+}
+
+// readDisk reads a data directory. It opens a copy of the log, since opening it writes to it.
+func readDisk(folder string) (*diskContents, error) {
+	body, err := os.ReadFile(filepath.Join(folder, logFileName))
 	if err != nil {
-		return h, trace.ConvertSystemError(err)
+		return nil, trace.ConvertSystemError(err)
 	}
 	copied, err := os.MkdirTemp("", "ferrypitch-control-disk")
 	if err != nil {
-		return h, trace.ConvertSystemError(err)
+		return nil, trace.ConvertSystemError(err)
 	}
 	defer os.RemoveAll(copied)
-	if err := os.WriteFile(filepath.Join(copied, "ratchet.db"), body, 0o600); err != nil {
-		return h, trace.ConvertSystemError(err)
+	if err := os.WriteFile(filepath.Join(copied, logFileName), body, 0o600); err != nil {
+		return nil, trace.ConvertSystemError(err)
 	}
-	d, id, kept, err := storage.Open(copied, func() storage.Identity { return storage.Identity{ID: "(none)"} })
+	wal, identity, restored, err := storage.Open(copied, func() storage.Identity { return storage.Identity{ID: "(none)"} })
 	if err != nil {
-		return h, err
+		return nil, err
+	}
+	if err := wal.Close(); err != nil { // all of it is read
+		return nil, err
 	}
-	defer d.Close()
-	state, err := statemachine.Restore(kept.Snapshot.Data)
+	contents := &diskContents{Identity: identity}
+	if err := contents.restore(restored); err != nil {
+		return nil, trace.BadParameter("%s: its snapshot: %v", folder, err)
+	}
+	return contents, nil
+}
+
+// restore applies the snapshot and all entries of a log.
+func (d *diskContents) restore(restored consensus.RestoredState) error {
+	state, err := statemachine.Restore(restored.Snapshot.Data)
 	if err != nil {
-		return h, trace.BadParameter("%s: its snapshot: %v", folder, err)
+		return err
 	}
-	for i, e := range kept.Entries {
-		if len(e.Data) == 0 {
+	for i, entry := range restored.Entries {
+		if len(entry.Data) == 0 {
 			continue
 		}
-		c, err := statemachine.DecodeChange(e.Data)
+		change, err := statemachine.DecodeChange(entry.Data)
 		if err != nil {
-			h.Unread++
-		} else if state.Apply(kept.Snapshot.Index+uint64(i)+1, c) != nil {
-			h.Refused++
+			d.UnreadableEntries++
+		} else if state.Apply(restored.Snapshot.Index+uint64(i)+1, change) != nil {
+			d.RejectedChanges++
 		}
 	}
-	h.Identity, h.View, h.Snapshot, h.Entries = id, kept.HardState.Term, kept.Snapshot.Index, len(kept.Entries)
-	h.Last, h.Version, h.Leads, h.Routers = kept.Snapshot.Index+uint64(len(kept.Entries)), state.Generation, state.Primaries, state.ProxyNames()
-	for _, host := range state.Hosts {
-		h.Hosts = append(h.Hosts, host)
+	d.Term = restored.HardState.Term
+	d.SnapshotIndex = restored.Snapshot.Index
+	d.LogEntries = len(restored.Entries)
+	d.LastIndex = restored.Snapshot.Index + uint64(len(restored.Entries))
+	d.Version = state.Generation
+	d.Primaries = state.Primaries
+	d.Proxies = state.ProxyNames()
+	for _, id := range slices.Sorted(maps.Keys(state.Hosts)) {
+		d.Hosts = append(d.Hosts, state.Hosts[id])
 	}
-	return h, nil
+	return nil
 }
--- a/cmd/ferrypitch-control/main.go
+++ b/cmd/ferrypitch-control/main.go
@@ -1,5 +1,6 @@
-// Command ferrypitch-control is the control plane of ferrypitch: it keeps the configuration, the list of hosts and who leads each
-// service, and carries fail-over out. See docs/design/system.md.
+// Command ferrypitch-control runs a member of ferrypitch's control plane, which replicates the configuration, the hosts and the
+// primary of each service, and carries out fail-over. Its other sub-commands check a configuration, inspect a data directory and
+// ask a running member for its status. See docs/design/system.md.
 package main
 
 import (
@@ -13,9 +14,16 @@
 	"ferrypitch/internal/control"
 )
 
+const program = "ferrypitch-control"
+
 func main() {
-	cli.Register(&cli.Run{Program: "ferrypitch-control", What: "serve the control plane", Serve: control.Run}, &cli.Check{Program: "ferrypitch-control"},
-		&plan{}, &disk{}, status)
+	cli.Register(
+		&cli.Run{Program: program, What: "serve the control plane", Serve: control.Run},
+		&cli.Check{Program: program},
+		&planCommand{},
+		&diskCommand{},
+		statusCommand,
+	)
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
--- a/cmd/ferrypitch-control/plan.go
+++ b/cmd/ferrypitch-control/plan.go
@@ -14,44 +14,63 @@
 	"ferrypitch/internal/config"
 )
 
-// plan checks an operator's configuration as the control plane would.
-type plan struct {
+// planCommand checks an operator's configuration as the control plane would.
+type planCommand struct {
 	json    bool
-	current string
+	current string // file of the configuration that is amended; empty: the checked file is a whole one
 }
 
-func (*plan) Name() string     { return "plan" }
-func (*plan) Synopsis() string { return "check an operator's configuration and name the faulty key" }
-func (*plan) Usage() string {
-	return "ferrypitch-control plan [-json] [-current FILE] FILE\n  checks a whole configuration, or with -current a change of items of that one\n"
+// Name implements subcommands.Command.
+func (*planCommand) Name() string { return "plan" }
+
+// Synopsis implements subcommands.Command.
+func (*planCommand) Synopsis() string {
+	return "check an operator's configuration and name the faulty key"
 }
-func (p *plan) SetFlags(f *flag.FlagSet) {
-	f.BoolVar(&p.json, "json", false, "print the checked configuration as JSON")
-	f.StringVar(&p.current, "current", "", "the configuration that FILE changes")
+
+// Usage implements subcommands.Command.
+func (*planCommand) Usage() string {
+	return program + " plan [-json] [-current FILE] FILE\n  checks a whole configuration, or with -current an amendment of that one\n"
 }
 
-func (p *plan) Execute(_ context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if f.NArg() != 1 {
-		return cli.Fail("ferrypitch-control", trace.BadParameter("plan: one file is wanted"))
+// SetFlags implements subcommands.Command.
+func (c *planCommand) SetFlags(flags *flag.FlagSet) {
+	flags.BoolVar(&c.json, "json", false, "print the checked configuration as JSON")
+	flags.StringVar(&c.current, "current", "", "the configuration that FILE amends")
+}
+
+// Execute implements subcommands.Command.
+func (c *planCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	if flags.NArg() != 1 {
+		return cli.Fail(program, trace.BadParameter("plan: one file is wanted"))
+	}
+	path := flags.Arg(0)
+	checked, err := c.check(path)
+	if err != nil {
+		return cli.Fail(program, err)
 	}
-	body, err := os.ReadFile(f.Arg(0))
+	return cli.Print(os.Stdout, c.json, checked, func(w io.Writer) {
+		fmt.Fprintf(w, "%s: valid: version %d, %d routes, %d services\n", path, checked.Generation, len(checked.Routes), len(checked.Services))
+	})
+}
+
+func (c *planCommand) check(path string) (*config.Config, error) {
+	body, err := os.ReadFile(path)
 	if err != nil {
-		return cli.Fail("ferrypitch-control", trace.ConvertSystemError(err))
+		return nil, trace.ConvertSystemError(err)
 	}
 	var checked *config.Config
-	if p.current == "" {
+	if c.current == "" {
 		checked, err = config.Read(body)
 	} else {
 		var current []byte
-		if current, err = os.ReadFile(p.current); err != nil {
-			return cli.Fail("ferrypitch-control", trace.ConvertSystemError(err))
+		if current, err = os.ReadFile(c.current); err != nil {
+			return nil, trace.ConvertSystemError(err)
 		}
 		checked, err = config.Amend(current, body)
 	}
 	if err != nil {
-		return cli.Fail("ferrypitch-control", trace.BadParameter("%s: %v", f.Arg(0), err))
+		return nil, trace.BadParameter("%s: %v", path, err)
 	}
-	return cli.Print(os.Stdout, p.json, checked, func(w io.Writer) {
-		fmt.Fprintf(w, "%s: good: version %d, %d routes, %d services\n", f.Arg(0), checked.Generation, len(checked.Routes), len(checked.Services))
-	})
+	return checked, nil
 }
--- a/cmd/ferrypitch-control/status.go
+++ b/cmd/ferrypitch-control/status.go
@@ -9,35 +9,50 @@
 
 	"ferrypitch/internal/cli"
 	"ferrypitch/internal/control"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
 )
 
-// status asks a running member, at the address of its control calls.
-var status = &cli.Status[control.Status]{Program: "ferrypitch-control", What: "show a running member's view, leads, moves and counters",
-	Path: "/Member.Status", Text: func(w io.Writer, shown control.Status) {
-		g := shown.Consensus
-		fmt.Fprintf(w, "member %s, view %d, leader %s, holds %v\nmembers %v, learners %v\ndelivered %d of %d, on disk %d\n",
-			g.ID, g.Term, g.Leader, g.HoldsLease, g.Members, g.Learners, g.CommitIndex, g.LastIndex, g.PersistedIndex)
-		fmt.Fprintf(w, "version %d, %d hosts, %d routers\n", shown.Version, shown.Hosts, shown.Proxies)
-		for _, name := range slices.Sorted(maps.Keys(shown.Primaries)) {
-			l := shown.Primaries[name]
-			fmt.Fprintf(w, "%s: led by %s, term %d, fence %d\n", name, l.Host, l.Term, l.FencingToken)
-			switch m, moves := shown.Transitions[name]; {
-			case moves && m.Planned:
-				fmt.Fprintf(w, "  is handed over to %s, for %d ms\n", m.Nominee, m.ElapsedMs)
-			case moves:
-				fmt.Fprintf(w, "  was taken back %d ms ago, named %q, platform told %q, waits for %s\n", m.ElapsedMs, m.Nominee, m.PromotionRequested,
-					strings.Join(m.WaitingFor, " "))
-			case l.Revoked:
-				fmt.Fprintf(w, "  was taken back; the member that leads says more\n")
-			case l.ReplicasPaused:
-				fmt.Fprintf(w, "  its replicas are told to receive again\n")
-			}
-		}
-		for _, h := range shown.UnaccountedHosts {
-			fmt.Fprintf(w, "owed: the log of %s at %s, of %s\n", h.ID, h.Address, h.Service)
-		}
-		for _, id := range shown.MissingHosts {
-			fmt.Fprintf(w, "missing: %s, whose log others have\n", id)
-		}
-		cli.Counters(w, shown.Counters)
-	}}
+// statusCommand asks a running member, at the address of its API.
+var statusCommand = &cli.Status[control.Status]{
+	Program: program,
+	What:    "show a running member's log, primaries, changes of primary under way, and counters",
+	Path:    "/Member.Status",
+	Text:    printStatus,
+}
+
+func printStatus(w io.Writer, status control.Status) {
+	log := status.Consensus
+	fmt.Fprintf(w, "member %s, term %d, leader %s, holds the leader lease: %v\n", log.ID, log.Term, log.Leader, log.HoldsLease)
+	fmt.Fprintf(w, "members %v, learners %v\n", log.Members, log.Learners)
+	fmt.Fprintf(w, "committed %d of %d, persisted %d\n", log.CommitIndex, log.LastIndex, log.PersistedIndex)
+	fmt.Fprintf(w, "version %d, %d hosts, %d proxies with a lease\n", status.Version, status.Hosts, status.Proxies)
+	for _, service := range slices.Sorted(maps.Keys(status.Primaries)) {
+		primary := status.Primaries[service]
+		fmt.Fprintf(w, "%s: primary %s, term %d, fencing token %d\n", service, primary.Host, primary.Term, primary.FencingToken)
+		transition, underWay := status.Transitions[service]
+		printTransition(w, primary, transition, underWay)
+	}
+	for _, host := range status.UnaccountedHosts {
+		fmt.Fprintf(w, "unaccounted: the log of removed host %s at %s, service %s\n", host.ID, host.Address, host.Service)
+	}
+	for _, id := range status.MissingHosts {
+		fmt.Fprintf(w, "missing: %s, whose log other hosts have\n", id)
+	}
+	cli.Counters(w, status.Counters)
+}
+
+// printTransition prints a change of primary that is under way. Only the leader knows its details.
+func printTransition(w io.Writer, primary statemachine.Primary, transition failover.Transition, underWay bool) {
+	switch {
+	case underWay && transition.Planned:
+		fmt.Fprintf(w, "  switch-over to %s, for %d ms\n", transition.Nominee, transition.ElapsedMs)
+	case underWay:
+		fmt.Fprintf(w, "  revoked %d ms ago, nominee %q, promotion requested of %q, waiting for %s\n",
+			transition.ElapsedMs, transition.Nominee, transition.PromotionRequested, strings.Join(transition.WaitingFor, " "))
+	case primary.Revoked:
+		fmt.Fprintln(w, "  revoked; ask the leader for details")
+	case primary.ReplicasPaused:
+		fmt.Fprintln(w, "  resuming replication on its replicas")
+	}
+}
