--- a/internal/control/growth_test.go
+++ b/internal/control/bench_growth_test.go
@@ -10,31 +10,31 @@
 	"ferrypitch/internal/control/statemachine"
 )
 
-// BenchmarkGrowth tells what changes cost three members, by routes and changes: bytes that the one that leads sends, bytes
+// BenchmarkLogGrowth tells what changes cost three members, by routes and changes: bytes that the one that leads sends, bytes
 // and syncs on each disk, the size of a snapshot, what stands in the log in the end, and the memory of one member's state.
-func BenchmarkGrowth(b *testing.B) {
+func BenchmarkLogGrowth(b *testing.B) {
 	for _, routes := range []int{10, 100, 900, 2000} {
 		for _, changes := range []int64{10, 100, 400, 2000} {
 			b.Run(fmt.Sprintf("routes=%d/changes=%d", routes, changes), func(b *testing.B) {
 				for b.Loop() {
-					w := newMill(1, routes, 5)
-					for w.version < 1 {
+					w := newByteCostCluster(1, routes, 5)
+					for w.acknowledged < 1 {
 						w.RunFor(10)
 					}
 					sent, stored, syncs := int64(0), int64(0), int64(0)
-					for _, p := range w.posts {
-						sent, stored, syncs = sent-p.bytes, stored-p.stored, syncs-p.syncs
+					for _, p := range w.members {
+						sent, stored, syncs = sent-p.sentBytes, stored-p.storedBytes, syncs-p.syncs
 					}
-					for w.version <= changes {
+					for w.acknowledged <= changes {
 						w.RunFor(10)
 					}
-					w.calm = true
+					w.stopped = true
 					w.RunFor(500)
-					for _, p := range w.posts {
-						sent, stored, syncs = sent+p.bytes, stored+p.stored, syncs+p.syncs
+					for _, p := range w.members {
+						sent, stored, syncs = sent+p.sentBytes, stored+p.storedBytes, syncs+p.syncs
 					}
-					entries, bytes := w.posts[0].f.consensus.SinceSnapshot()
-					snapshot := w.posts[0].f.state.Snapshot()
+					entries, bytes := w.members[0].server.consensus.SinceSnapshot()
+					snapshot := w.members[0].server.state.Snapshot()
 					var before, after runtime.MemStats
 					runtime.GC()
 					runtime.ReadMemStats(&before)
--- a/internal/control/capacity_test.go
+++ b/internal/control/bench_test.go
@@ -18,16 +18,16 @@
 	"ferrypitch/internal/simulation/statesize"
 )
 
-// sole is a member that leads alone and holds a state, with all its routers linked and all hosts heard. What it sends is
+// soleLeader is a member that leads alone and holds a state, with all its routers linked and all hosts heard. What it sends is
 // counted, and not encoded: internal/rpc has the price of a frame.
-type sole struct {
+type soleLeader struct {
 	*Server
-	frames  int
-	routers []*ProxyConn
-	pending []consensus.Write
+	frames   int
+	routers  []*ProxyConn
+	unsynced []consensus.Write
 }
 
-func newSole(b *testing.B, e statesize.Size) *sole {
+func newSoleLeader(b *testing.B, e statesize.Size) *soleLeader {
 	plate := &settings.Settings{Node: "core-waco-hall-0", Ip: "10.1.0.11", Zone: "waco-hall", BeatMs: 1200}
 	plate.Listen.Control = "10.1.0.11:8782"
 	id := storage.Identity{ID: "10.1.0.11", Founders: []consensus.ID{"10.1.0.11"}}
@@ -35,14 +35,14 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := &sole{Server: f}
+	s := &soleLeader{Server: f}
 	f.SetEnvironment(Environment{
 		Send: func(string, *rpc.Frame) {}, QueryHost: func(failover.HostQuery, statemachine.Host) {}, Promote: func(failover.Promotion) {},
-		Persist: func(w []consensus.Write) { s.pending = append(s.pending, w...) },
+		Persist: func(w []consensus.Write) { s.unsynced = append(s.unsynced, w...) },
 	})
 	for !f.leading {
 		f.Tick()
-		s.store()
+		s.sync()
 		time.Sleep(5 * time.Millisecond)
 	}
 	index := f.state.Index
@@ -59,19 +59,19 @@
 	return s
 }
 
-// store has what was written be on disk.
-func (s *sole) store() {
-	for len(s.pending) > 0 {
-		seq := s.pending[len(s.pending)-1].Seq
-		s.pending = nil
+// sync has what was written be on disk.
+func (s *soleLeader) sync() {
+	for len(s.unsynced) > 0 {
+		seq := s.unsynced[len(s.unsynced)-1].Seq
+		s.unsynced = nil
 		s.Persisted(seq)
 	}
 }
 
-func sizes(b *testing.B, run func(b *testing.B, s *sole, e statesize.Size)) {
+func benchmarkSizes(b *testing.B, run func(b *testing.B, s *soleLeader, e statesize.Size)) {
 	for _, e := range statesize.All {
 		b.Run(e.String(), func(b *testing.B) {
-			s := newSole(b, e)
+			s := newSoleLeader(b, e)
 			s.frames = 0
 			run(b, s, e)
 			b.ReportMetric(float64(s.frames)/float64(b.N), "frames/op")
@@ -80,8 +80,8 @@
 }
 
 // One renewal of a lease, as the owner of the state takes it in.
-func BenchmarkRenewal(b *testing.B) {
-	sizes(b, func(b *testing.B, s *sole, e statesize.Size) {
+func BenchmarkLeaseRenewal(b *testing.B) {
+	benchmarkSizes(b, func(b *testing.B, s *soleLeader, e statesize.Size) {
 		for b.Loop() {
 			s.HandleProxyFrame(s.routers[7], &rpc.Frame{LeaseRequest: &rpc.LeaseRequest{Serial: 1, AppliedIndex: s.state.Index, Sessions: 100}})
 		}
@@ -89,8 +89,8 @@
 }
 
 // One beat of a host that tells nothing new.
-func BenchmarkBeat(b *testing.B) {
-	sizes(b, func(b *testing.B, s *sole, e statesize.Size) {
+func BenchmarkHeartbeat(b *testing.B) {
+	benchmarkSizes(b, func(b *testing.B, s *soleLeader, e statesize.Size) {
 		h := statesize.Host(10)
 		body := fmt.Appendf(nil, `{"Service":%q,"Address":%q,"Zone":%q,"Generation":%q,"Capacity":7,"State":"serving","DbRole":"replica","CallSeq":1}`,
 			h.Service, h.Address, h.Zone, h.Generation)
@@ -106,19 +106,19 @@
 
 // One change, from its proposal to a frame in each router's queue.
 func BenchmarkChange(b *testing.B) {
-	sizes(b, func(b *testing.B, s *sole, e statesize.Size) {
+	benchmarkSizes(b, func(b *testing.B, s *soleLeader, e statesize.Size) {
 		term := uint64(1)
 		for b.Loop() {
 			term++
 			s.propose(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(9).ID, Term: term}}, func(error) {})
-			s.store()
+			s.sync()
 		}
 	})
 }
 
 // A router that has nothing is greeted with a snapshot.
-func BenchmarkGreet(b *testing.B) {
-	sizes(b, func(b *testing.B, s *sole, e statesize.Size) {
+func BenchmarkProxyWelcome(b *testing.B) {
+	benchmarkSizes(b, func(b *testing.B, s *soleLeader, e statesize.Size) {
 		for b.Loop() {
 			r := s.AcceptProxy(&rpc.ProxyHello{Node: statesize.Router(7), Incarnation: 1, Zone: "waco-hall"}, "10.1.0.8", func(*rpc.Frame) bool { s.frames++; return true }, func() {})
 			s.ProxyDisconnected(r)
--- /dev/null
+++ b/internal/control/cluster_test.go
@@ -0,0 +1,286 @@
+package control
+
+import (
+	"fmt"
+	"runtime/debug"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/simulation/scheduler"
+)
+
+const (
+	unitsPerMs     = int64(10) // the stage's units
+	unitsPerSecond = 1000 * unitsPerMs
+)
+
+// A world is a control plane alone: members with disks that forget what was not synced, on a network that can be cut one
+// way, and no hosts or routers.
+type cluster struct {
+	*scheduler.Scheduler
+	members     []*clusterMember
+	blocked     map[[2]string]bool // from, to
+	faultsEndAt int64              // when the last trouble ended
+}
+
+type clusterMember struct {
+	cluster     *cluster
+	ip          string
+	server      *Server
+	up          bool
+	frozen      bool
+	incarnation int
+	identity    storage.Identity
+	disk        consensus.RestoredState
+	unsynced    []consensus.Write
+	suspended   []func()
+	arrivesAt   map[string]int64 // when what was last sent to another comes
+}
+
+func newCluster(seed uint64, members int) *cluster {
+	c := &cluster{Scheduler: scheduler.New(seed, unitsPerSecond, unitsPerMs), blocked: map[[2]string]bool{}}
+	var founders []consensus.ID
+	for i := range 3 {
+		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
+	}
+	for i := range members {
+		m := &clusterMember{cluster: c, ip: fmt.Sprintf("10.0.0.%d", i+1)}
+		m.identity = storage.Identity{ID: consensus.ID(m.ip + "+0")}
+		if i < len(founders) {
+			m.identity = storage.Identity{ID: founders[i], Founders: founders}
+		}
+		c.members = append(c.members, m)
+	}
+	for _, m := range c.members {
+		m.start()
+	}
+	return c
+}
+
+func (c *cluster) time() time.Time {
+	return time.Unix(0, 0).Add(time.Duration(c.Now) * time.Millisecond / time.Duration(unitsPerMs))
+}
+
+func (m *clusterMember) start() {
+	c := m.cluster
+	m.incarnation++
+	m.up, m.frozen, m.suspended, m.unsynced, m.arrivesAt = true, false, nil, nil, map[string]int64{}
+	nodeSettings := &settings.Settings{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
+	nodeSettings.FaultBudget.Machines = 1
+	nodeSettings.Listen.Control = m.ip + ":8080"
+	for _, seed := range c.members[:3] {
+		nodeSettings.SeedPeers = append(nodeSettings.SeedPeers, seed.ip+":8080")
+	}
+	restored := m.disk
+	restored.Entries = slices.Clone(restored.Entries)
+	server, err := New(nodeSettings, hclog.NewNullLogger(), eventloop.NewSteadyClock(c.time), m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
+	if err != nil {
+		panic(err)
+	}
+	m.server = server
+	incarnation := m.incarnation
+	server.SetEnvironment(Environment{
+		Send:      m.send,
+		Persist:   func(x []consensus.Write) { m.persist(incarnation, x) },
+		QueryHost: func(failover.HostQuery, statemachine.Host) {},
+		Promote:   func(failover.Promotion) {},
+	})
+	m.tick(incarnation)
+}
+
+// run runs in the member's process, later if it stands still.
+func (m *clusterMember) run(incarnation int, what func()) {
+	switch {
+	case !m.up || m.incarnation != incarnation:
+	case m.frozen:
+		m.suspended = append(m.suspended, what)
+	default:
+		what()
+	}
+}
+
+func (m *clusterMember) tick(incarnation int) {
+	m.run(incarnation, func() {
+		m.server.Tick()
+		m.cluster.After(50*unitsPerMs, func() { m.tick(incarnation) })
+	})
+}
+
+func (m *clusterMember) send(ip string, frame *rpc.Frame) {
+	c := m.cluster
+	for _, to := range c.members {
+		if to.ip != ip || to == m {
+			continue
+		}
+		m.arrivesAt[ip] = max(m.arrivesAt[ip]+1, c.Now+c.Between(unitsPerMs/2, 3*unitsPerMs))
+		incarnation := to.incarnation
+		c.After(m.arrivesAt[ip]-c.Now, func() {
+			if !c.blocked[[2]string{m.ip, ip}] {
+				to.run(incarnation, func() { to.server.HandleFrame(m.ip, frame) })
+			}
+		})
+	}
+}
+
+func (m *clusterMember) persist(incarnation int, writes []consensus.Write) {
+	c := m.cluster
+	m.unsynced = append(m.unsynced, writes...)
+	sequence := writes[len(writes)-1].Seq
+	duration := c.Between(unitsPerMs/2, 8*unitsPerMs)
+	if c.OneIn(100) {
+		duration = c.Between(50*unitsPerMs, 600*unitsPerMs)
+	}
+	c.After(duration, func() {
+		m.run(incarnation, func() {
+			for len(m.unsynced) > 0 && m.unsynced[0].Seq <= sequence {
+				m.disk.ApplyWrite(m.unsynced[0])
+				m.unsynced = m.unsynced[1:]
+			}
+			m.server.Persisted(sequence)
+		})
+	})
+}
+
+// crash ends a life. What was not synced is lost with the power, and else kept up to a write.
+func (m *clusterMember) crash(powerLoss bool) {
+	m.up = false
+	for _, write := range m.unsynced {
+		if powerLoss || m.cluster.OneIn(2) {
+			break
+		}
+		m.disk.ApplyWrite(write)
+	}
+	m.unsynced = nil
+}
+
+func (m *clusterMember) resume(incarnation int) {
+	if !m.up || m.incarnation != incarnation {
+		return
+	}
+	m.frozen = false
+	for len(m.suspended) > 0 && m.up && !m.frozen {
+		do := m.suspended[0]
+		m.suspended = m.suspended[1:]
+		do()
+	}
+}
+
+func (c *cluster) leader() *clusterMember {
+	for _, m := range c.members {
+		if m.up && !m.frozen && m.server.leading && m.server.consensus.HoldsLease(m.server.clock.Now()) {
+			return m
+		}
+	}
+	return nil
+}
+
+// complete says that all founders' places are taken by members that run.
+func (c *cluster) complete() bool {
+	l := c.leader()
+	if l == nil {
+		return false
+	}
+	for _, id := range l.server.consensus.Members() {
+		if !slices.ContainsFunc(c.members, func(m *clusterMember) bool { return m.up && !m.frozen && m.identity.ID == id }) {
+			return false
+		}
+	}
+	return len(l.server.consensus.Members()) >= 3
+}
+
+// injectFault is one fault; faults may overlap, but a disk is lost only where all are well.
+func (c *cluster) injectFault(until int64) {
+	if c.Now > until {
+		return
+	}
+	c.After(c.Between(100*unitsPerMs, 2*unitsPerSecond), func() { c.injectFault(until) })
+	m := c.members[c.Rand.IntN(len(c.members))]
+	if l := c.leader(); l != nil && c.OneIn(2) {
+		m = l
+	}
+	if !m.up || m.frozen {
+		return
+	}
+	back := c.Between(50*unitsPerMs, 3*unitsPerSecond)
+	if c.OneIn(4) {
+		back = c.Between(unitsPerMs, 50*unitsPerMs) // what is under way may outlive it
+	}
+	life := m.incarnation
+	calm := c.Now > c.faultsEndAt+3*unitsPerSecond
+	c.faultsEndAt = max(c.faultsEndAt, c.Now+back)
+	switch c.Rand.IntN(9) {
+	case 0, 1:
+		power := c.OneIn(2)
+		c.Note("%s dies, power %v, for %d ms", m.ip, power, back/unitsPerMs)
+		m.crash(power)
+		c.After(back, m.start)
+	case 2:
+		c.Note("%s stands still for %d ms", m.ip, back/unitsPerMs)
+		m.frozen = true
+		c.After(back, func() { m.resume(life) })
+	case 3, 4:
+		way := c.Rand.IntN(3)
+		c.Note("%s is cut off for %d ms, ways %d", m.ip, back/unitsPerMs, way)
+		for _, o := range c.members {
+			if way != 0 {
+				c.block(m.ip, o.ip, back)
+			}
+			if way != 1 {
+				c.block(o.ip, m.ip, back)
+			}
+		}
+	case 5:
+		if c.OneIn(3) {
+			c.Note("all power is lost for %d ms", back/unitsPerMs)
+			for _, o := range c.members {
+				if o.up {
+					o.crash(true)
+					c.After(back+c.Between(0, 300*unitsPerMs), o.start)
+				}
+			}
+		}
+	case 6:
+		c.Note("%s hands its view over", m.ip)
+		m.server.carryOut(m.server.consensus.TransferLeadership(m.server.clock.Now()))
+	case 7:
+		c.Note("%s takes a snapshot", m.ip)
+		m.server.carryOut(m.server.consensus.Compact(m.server.state.Index, m.server.state.Snapshot(), uint64(c.Rand.IntN(20)), m.server.clock.Now()))
+	case 8:
+		if calm && c.complete() {
+			c.Note("%s loses its disk, down for %d ms", m.ip, back/unitsPerMs)
+			m.crash(true)
+			m.disk = consensus.RestoredState{}
+			m.identity = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", m.ip, m.incarnation))}
+			c.faultsEndAt += 3 * unitsPerSecond
+			c.After(back, m.start)
+		}
+	}
+}
+
+func (c *cluster) block(from, to string, back int64) {
+	c.blocked[[2]string{from, to}] = true
+	c.After(back, func() { delete(c.blocked, [2]string{from, to}) })
+}
+
+func (c *cluster) runGuarded(span int64) {
+	defer func() {
+		if p := recover(); p != nil {
+			c.Violate("a panic: %v\n%s", p, debug.Stack())
+		}
+	}()
+	c.RunFor(span)
+}
+
+func (c *cluster) report() string {
+	return strings.Join(c.Violations, "\n") + "\nafter\n" + strings.Join(c.FaultLog, "\n")
+}
--- /dev/null
+++ b/internal/control/forwarding_test.go
@@ -0,0 +1,451 @@
+package control
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/stretchr/testify/require"
+
+	"ferrypitch/internal/config"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/simulation/scheduler"
+)
+
+const unitsPerMilli = 10
+
+// A ring is three members on a network that loses, holds back and repeats what they pass on, while they end and begin
+// anew, and callers who each know the answer to their own question.
+type forwardingCluster struct {
+	*scheduler.Scheduler
+	members   []*forwardingMember
+	lastToken int
+	logged    map[string]map[[2]uint64]bool // by token: where it stands in the log
+	responses map[string]int                // answers, by kind
+
+	reuseIncarnation bool // a defence taken out
+}
+
+type forwardingMember struct {
+	cluster     *forwardingCluster
+	ip          string
+	server      *Server
+	up          bool
+	incarnation int
+	identity    storage.Identity
+	disk        consensus.RestoredState
+	unsynced    []consensus.Write
+}
+
+func newForwardingCluster(seed uint64) *forwardingCluster {
+	c := &forwardingCluster{Scheduler: scheduler.New(seed, 1<<40, unitsPerMilli), logged: map[string]map[[2]uint64]bool{}, responses: map[string]int{}}
+	ids := []consensus.ID{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
+	for _, id := range ids {
+		c.members = append(c.members, &forwardingMember{cluster: c, ip: string(id), identity: storage.Identity{ID: id, Founders: ids}})
+	}
+	for _, s := range c.members {
+		s.start()
+	}
+	for i := range 4 {
+		c.After(int64(1000+i*17)*unitsPerMilli, c.call)
+	}
+	c.After(1500*unitsPerMilli, c.injectCrash)
+	return c
+}
+
+func settingsAt(ip string) *settings.Settings {
+	p := &settings.Settings{Node: "n" + ip, Ip: ip, Zone: "z", BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
+	p.FaultBudget.Machines = 1
+	p.Listen.Control = ip + ":8080"
+	return p
+}
+
+func (m *forwardingMember) start() {
+	c := m.cluster
+	m.incarnation++
+	m.up, m.unsynced = true, nil
+	restored := m.disk
+	restored.Entries = slices.Clone(restored.Entries)
+	incarnation := uint64(m.incarnation)
+	if c.reuseIncarnation {
+		incarnation = 1
+	}
+	clock := eventloop.NewSteadyClock(func() time.Time { return time.Unix(1e9, c.Now*int64(time.Millisecond)/unitsPerMilli) })
+	server, err := New(settingsAt(m.ip), hclog.NewNullLogger(), clock, m.identity, restored, c.Rand.Float64, incarnation)
+	if err != nil {
+		panic(err)
+	}
+	m.server = server
+	server.SetEnvironment(Environment{Send: m.send, Persist: func(x []consensus.Write) { m.persist(m.incarnation, x) }})
+	m.tick(m.incarnation)
+}
+
+func (m *forwardingMember) tick(incarnation int) {
+	if m.up && m.incarnation == incarnation {
+		m.server.Tick()
+		m.cluster.After(50*unitsPerMilli, func() { m.tick(incarnation) })
+	}
+}
+
+func (m *forwardingMember) persist(incarnation int, writes []consensus.Write) {
+	c := m.cluster
+	m.unsynced = append(m.unsynced, writes...)
+	for _, write := range writes {
+		for i, e := range write.Entries {
+			change, _ := statemachine.DecodeChange(e.Data)
+			token := ""
+			if change.AddHost != nil {
+				token = change.AddHost.ID
+			} else if change.UpdateConfig != nil {
+				token = string(change.UpdateConfig.RequestDigest[:])
+			}
+			if c.logged[token] == nil {
+				c.logged[token] = map[[2]uint64]bool{}
+			}
+			c.logged[token][[2]uint64{e.Term, write.FirstIndex + uint64(i)}] = true
+		}
+	}
+	c.After(c.Between(unitsPerMilli/2, 8*unitsPerMilli), func() {
+		if m.up && m.incarnation == incarnation && len(m.unsynced) > 0 {
+			for _, write := range m.unsynced {
+				m.disk.ApplyWrite(write)
+			}
+			sequence := m.unsynced[len(m.unsynced)-1].Seq
+			m.unsynced = nil
+			m.server.Persisted(sequence)
+		}
+	})
+}
+
+// send brings a frame to whoever is at an address by then. Before it is written it may be lost with its connection, after
+// that its connection may break, so that it comes again by another, and it may be held back for long.
+func (m *forwardingMember) send(ip string, frame *rpc.Frame) {
+	c := m.cluster
+	deliverAfter := func(after int64) {
+		c.After(after, func() {
+			for _, to := range c.members {
+				if to.ip == ip && to.up {
+					to.server.HandleFrame(m.ip, frame)
+				}
+			}
+		})
+	}
+	latency := c.Between(unitsPerMilli/2, 3*unitsPerMilli)
+	if frame.Consensus != nil {
+		deliverAfter(latency)
+		return
+	}
+	switch c.Rand.IntN(12) {
+	case 0: // reset before it was written, or in the middle
+	case 1: // silence, and it comes all the same
+		deliverAfter(c.Between(100*unitsPerMilli, 6000*unitsPerMilli))
+	case 2: // it comes by both connections
+		deliverAfter(latency)
+		deliverAfter(c.Between(unitsPerMilli, 3000*unitsPerMilli))
+	default:
+		deliverAfter(latency)
+	}
+}
+
+// injectCrash ends a member, which begins anew with its disk soon after; often one that only follows, in the same view.
+func (c *forwardingCluster) injectCrash() {
+	s := c.members[c.Rand.IntN(3)]
+	if s.up && !c.members[0].down() && !c.members[1].down() && !c.members[2].down() && (c.OneIn(4) || !s.server.leading) {
+		s.up = false
+		c.After(c.Between(20*unitsPerMilli, 600*unitsPerMilli), s.start)
+	}
+	c.After(c.Between(300*unitsPerMilli, 1500*unitsPerMilli), c.injectCrash)
+}
+
+func (m *forwardingMember) down() bool { return !m.up }
+
+// call makes one call at one member, and looks at what comes.
+func (c *forwardingCluster) call() {
+	c.After(c.Between(10*unitsPerMilli, 80*unitsPerMilli), c.call)
+	s := c.members[c.Rand.IntN(3)]
+	if !s.up {
+		return
+	}
+	c.lastToken++
+	t := fmt.Sprintf("t%d", c.lastToken)
+	kind, method, path, base, body := "", http.MethodPost, "/Config.Replace", "0", ""
+	switch c.Rand.IntN(4) {
+	case 0:
+		kind, base = "odd order", "q"+t
+	case 1:
+		kind, body = "order", fmt.Sprintf(`{"Generation":%d,"Routes":[],"Services":[]}`, c.lastToken)
+		base = fmt.Sprint(s.server.state.Generation)
+		sent := (&statemachine.State{}).Delta(&statemachine.ConfigUpdate{Body: []byte(body)}, &config.Config{}).RequestDigest // how the log knows it
+		t = string(sent[:])
+	case 2:
+		kind, path = "beat", "/Instances.Heartbeat/"+t
+		body = fmt.Sprintf(`{"Service":"db","Address":"10.1.%d.%d:80","State":"serving","CallSeq":1}`, c.lastToken/200, c.lastToken%200)
+	case 3:
+		kind, path, body = "odd beat", "/Instances.Heartbeat/"+t, `{"Service":"db","Address":"`+t+`"}`
+	}
+	n := 0
+	s.server.HandleCall(method, path, base, []byte(body), func(status int, b []byte) {
+		if n++; n > 1 {
+			c.Violate("%s is answered twice", t)
+		}
+		c.responses[fmt.Sprint(kind, " ", status)]++
+		switch got := string(b); {
+		case status == http.StatusServiceUnavailable:
+		case strings.HasPrefix(kind, "odd"):
+			if status != http.StatusBadRequest || !strings.Contains(got, t+`\"`) {
+				c.Violate("WRONG CALLER: %s %s is told %d %s", kind, t, status, got)
+			}
+		case status == http.StatusPreconditionFailed && kind == "order":
+		case status != http.StatusOK || strings.Contains(got, "BeatTarget") != (kind == "beat"):
+			c.Violate("WRONG CALLER: %s %s is told %d %s", kind, t, status, got)
+		case len(c.logged[t]) == 0:
+			c.Violate("UNEARNED: %s %s is confirmed and stands in no log", kind, t)
+		}
+	})
+}
+
+// runAndCheck goes on for a while, and looks at what was carried out.
+func (c *forwardingCluster) runAndCheck() {
+	c.RunFor(8000 * unitsPerMilli)
+	for t, at := range c.logged {
+		if len(at) > 1 && t != "" {
+			c.Violate("TWICE: %s stands in the log %d times", t, len(at))
+		}
+	}
+}
+
+func TestResponsesReachOnlyTheirCallers(t *testing.T) {
+	told, strays := map[string]int{}, map[string]int64{}
+	seeds := 24
+	if testing.Short() {
+		seeds = 8
+	}
+	for seed := range seeds {
+		w := newForwardingCluster(uint64(seed))
+		w.runAndCheck()
+		require.Empty(t, w.Violations, "seed %d", seed)
+		for k, n := range w.responses {
+			told[k] += n
+		}
+		for _, s := range w.members {
+			for why, name := range discardCounterNames {
+				strays[name] += s.server.Discarded[why].Load()
+			}
+		}
+	}
+	for _, k := range []string{"odd order 400", "order 200", "order 412", "beat 200", "odd beat 400"} {
+		require.NotZero(t, told[k], "%s: %v", k, told)
+	}
+	for _, k := range []string{discardCounterNames[requestRepeated], discardCounterNames[responseLate], discardCounterNames[responseOtherIncarnation]} {
+		require.NotZero(t, strays[k], "%s: %v", k, strays)
+	}
+	t.Log(told, strays)
+}
+
+// Each defence, taken out, is caught.
+func TestSimulationDetectsReusedIncarnations(t *testing.T) {
+	for seed := range 40 {
+		w := newForwardingCluster(uint64(seed))
+		w.reuseIncarnation = true
+		w.runAndCheck()
+		if i := slices.IndexFunc(w.Violations, func(b string) bool { return strings.Contains(b, "WRONG CALLER") }); i >= 0 {
+			t.Logf("caught by seed %d: %s", seed, w.Violations[i])
+			return
+		}
+	}
+	require.Fail(t, "40 rings saw nothing")
+}
+
+// isolatedMember is one member by itself, with all that it sends.
+type isolatedMember struct {
+	server   *Server
+	now      time.Time
+	sent     []*rpc.Frame
+	to       []string
+	unsynced []uint64
+}
+
+func newIsolatedMember(id consensus.ID, founders ...consensus.ID) *isolatedMember {
+	m := &isolatedMember{now: time.Unix(1e9, 0)}
+	server, err := New(settingsAt(id.Address()), hclog.NewNullLogger(), eventloop.NewSteadyClock(func() time.Time { return m.now }),
+		storage.Identity{ID: id, Founders: founders}, consensus.RestoredState{}, func() float64 { return 0.5 }, 77)
+	if err != nil {
+		panic(err)
+	}
+	m.server = server
+	server.SetEnvironment(Environment{Send: func(ip string, frame *rpc.Frame) {
+		if frame.Consensus == nil {
+			m.sent, m.to = append(m.sent, frame), append(m.to, ip)
+		}
+	}, Persist: func(x []consensus.Write) { m.unsynced = append(m.unsynced, x[len(x)-1].Seq) }})
+	return m
+}
+
+func (m *isolatedMember) run(span time.Duration) {
+	for end := m.now.Add(span); m.now.Before(end); m.now = m.now.Add(50 * time.Millisecond) {
+		m.server.Tick()
+		for len(m.unsynced) > 0 {
+			seq := m.unsynced[0]
+			m.unsynced = m.unsynced[1:]
+			m.server.Persisted(seq)
+		}
+	}
+}
+
+// follow has a member follow one that leads.
+func (m *isolatedMember) follow(leader consensus.ID, term uint64) {
+	m.server.HandleFrame(leader.Address(), &rpc.Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: leader, To: m.server.id, Term: term, SentAtMs: 1}})
+}
+
+// An answer counts for exactly the call that is out, from exactly the member that was asked, once.
+func TestForwardResponseMatchesOnePendingCall(t *testing.T) {
+	for name, c := range map[string]struct {
+		change func(a *rpc.ForwardResponse, from *string)
+		why    discardReason
+	}{
+		"to a call that was never made":       {func(a *rpc.ForwardResponse, _ *string) { a.Serial += 5 }, responseUnknownCall},
+		"to none":                             {func(a *rpc.ForwardResponse, _ *string) { a.Serial = 0 }, responseUnknownCall},
+		"of another life":                     {func(a *rpc.ForwardResponse, _ *string) { a.Incarnation++ }, responseOtherIncarnation},
+		"to another member's call":            {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.3" }, responseOtherIncarnation},
+		"to the old member at this address":   {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.1+ab" }, responseOtherIncarnation},
+		"from another member":                 {func(a *rpc.ForwardResponse, from *string) { a.By, *from = "10.0.0.3", "10.0.0.3" }, responseOtherMember},
+		"from the address of another":         {func(_ *rpc.ForwardResponse, from *string) { *from = "10.0.0.3" }, responseOtherMember},
+		"from an empty one at its address":    {func(a *rpc.ForwardResponse, _ *string) { a.By = "10.0.0.2+ab" }, responseOtherMember},
+		"of another view":                     {func(a *rpc.ForwardResponse, _ *string) { a.Term++ }, responseOtherMember},
+		"without a status":                    {func(a *rpc.ForwardResponse, _ *string) { a.Status = 0 }, responseMalformed},
+		"with a status beyond all that there": {func(a *rpc.ForwardResponse, _ *string) { a.Status = 1 << 30 }, responseMalformed},
+	} {
+		t.Run(name, func(t *testing.T) {
+			d := newIsolatedMember("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
+			d.follow("10.0.0.2", 4)
+			n := 0
+			d.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { n++ })
+			require.Len(t, d.sent, 1)
+			require.Equal(t, "10.0.0.2", d.to[0])
+			good := rpc.ForwardResponse{CallID: d.sent[0].ForwardRequest.CallID, By: "10.0.0.2", Status: 200}
+			bad, from := good, "10.0.0.2"
+			c.change(&bad, &from)
+			d.server.HandleFrame(from, &rpc.Frame{ForwardResponse: &bad})
+			require.Zero(t, n, "it counted")
+			require.EqualValues(t, 1, d.server.counters()[discardCounterNames[c.why]])
+			d.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
+			require.Equal(t, 1, n, "the right one counts still")
+			d.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
+			require.Equal(t, 1, n, "once")
+			require.EqualValues(t, 1, d.server.counters()[discardCounterNames[responseLate]])
+		})
+	}
+}
+
+// A call is carried out for members, asked of this one in this view, once.
+func TestForwardRequestIsProcessedOnceForPermittedSenders(t *testing.T) {
+	body := []byte(`{"Service":"db","Address":"10.1.0.1:80","State":"serving","CallSeq":1}`)
+	for name, c := range map[string]struct {
+		change func(a *rpc.ForwardRequest, from *string)
+		why    discardReason
+		told   bool // that it was not carried out
+	}{
+		"an unknown process":            {func(a *rpc.ForwardRequest, from *string) { a.From, *from = "10.9.9.9", "10.9.9.9" }, requestUnknownSender, false},
+		"one that is not where it says": {func(_ *rpc.ForwardRequest, from *string) { *from = "10.9.9.9" }, requestUnknownSender, false},
+		"one that gives no name":        {func(a *rpc.ForwardRequest, _ *string) { a.From = "" }, requestUnknownSender, false},
+		"meant for the old member":      {func(a *rpc.ForwardRequest, _ *string) { a.To = "10.0.0.1+ab" }, requestMisdirected, true},
+		"of an older view":              {func(a *rpc.ForwardRequest, _ *string) { a.Term-- }, requestMisdirected, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			d := newIsolatedMember("10.0.0.1", "10.0.0.1")
+			d.run(2 * time.Second)
+			require.True(t, d.server.leading)
+			good := rpc.ForwardRequest{
+				CallID: rpc.CallID{From: "10.0.0.2", Incarnation: 5, Term: d.server.consensus.Term(), Serial: 1}, To: "10.0.0.1",
+				Method: http.MethodPost, Path: "/Instances.Heartbeat/h1", Body: body,
+			}
+			bad, from := good, "10.0.0.2"
+			c.change(&bad, &from)
+			d.server.HandleFrame(from, &rpc.Frame{ForwardRequest: &bad})
+			d.run(200 * time.Millisecond)
+			require.Empty(t, d.server.state.Hosts, "it was carried out")
+			require.EqualValues(t, 1, d.server.counters()[discardCounterNames[c.why]])
+			if c.told {
+				require.Len(t, d.sent, 1)
+				require.Equal(t, http.StatusServiceUnavailable, d.sent[0].ForwardResponse.Status)
+			} else {
+				require.Empty(t, d.sent)
+			}
+			d.sent = nil
+			for range 3 {
+				d.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardRequest: &good})
+			}
+			d.run(200 * time.Millisecond)
+			require.Len(t, d.server.state.Hosts, 1)
+			require.EqualValues(t, 1, d.server.Heartbeats.Load())
+			require.Len(t, d.sent, 1)
+			require.Equal(t, rpc.ForwardResponse{CallID: good.CallID, By: "10.0.0.1", Status: 200, Body: d.sent[0].ForwardResponse.Body}, *d.sent[0].ForwardResponse)
+			require.EqualValues(t, 2, d.server.counters()[discardCounterNames[requestRepeated]])
+		})
+	}
+}
+
+// A message of the log counts from where its sender is.
+func TestConsensusMessageFromAnotherAddressIsDiscarded(t *testing.T) {
+	for from, leads := range map[string]consensus.ID{"10.0.0.2": "10.0.0.2", "10.0.0.3": "", "10.9.9.9": ""} {
+		d := newIsolatedMember("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
+		d.server.HandleFrame(from, &rpc.Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: "10.0.0.2", To: "10.0.0.1", Term: 4, SentAtMs: 1}})
+		require.Equal(t, leads, d.server.consensus.Leader(), "from %s", from)
+		require.EqualValues(t, map[bool]int64{true: 1}[leads == ""], d.server.counters()[discardCounterNames[messageWrongSender]])
+	}
+}
+
+// What is out is bounded in number and bytes, and what came by whom as well.
+func TestForwardedCallsAreBounded(t *testing.T) {
+	d := newIsolatedMember("10.0.0.1", "10.0.0.1", "10.0.0.2", "10.0.0.3")
+	d.follow("10.0.0.2", 4)
+	refused := 0
+	for range maxForwarded + 10 {
+		d.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { refused++ })
+	}
+	require.Equal(t, 10, refused)
+	require.EqualValues(t, 10, d.server.counters()[discardCounterNames[requestOverLimit]])
+	d.run(3 * time.Second)
+	require.Empty(t, d.server.forwarder.pending, "forgotten once nobody waits")
+	d.follow("10.0.0.2", 4)
+	refused = 0
+	large := make([]byte, configReplace.maxBodyBytes)
+	for range maxForwardedBytes/configReplace.maxBodyBytes + 3 {
+		d.server.HandleCall(http.MethodPost, "/Config.Replace", "0", large, func(int, []byte) { refused++ })
+	}
+	require.Equal(t, 3, refused)
+	d.run(6 * time.Second)
+	require.Zero(t, d.server.forwarder.pendingBytes)
+	status := 0
+	d.server.HandleCall(http.MethodPost, "/Config.Replace", "0", append(large, 0), func(s int, _ []byte) { status = s })
+	require.Equal(t, http.StatusRequestEntityTooLarge, status)
+	for i := range 1000 {
+		require.True(t, d.server.forwarder.received.first(requester{"10.0.0.2", uint64(i)}, 1))
+	}
+	require.Len(t, d.server.forwarder.received.windows, maxRequesters)
+	require.Len(t, d.server.forwarder.received.order, maxRequesters)
+}
+
+// The window against a set: what comes in any order counts once, and what is far behind does not count.
+func TestSerialWindowAcceptsEachSerialOnce(t *testing.T) {
+	for seed := range 200 {
+		w := scheduler.New(uint64(seed), 0, 1)
+		var win serialWindow
+		seen, newest := map[uint64]bool{}, uint64(0)
+		for range 500 {
+			serial := uint64(max(1, int64(newest)+int64(w.Rand.IntN(150))-100))
+			want := !seen[serial] && (newest < 64 || serial > newest-64)
+			require.Equal(t, want, win.accept(serial), "seed %d: %d after %d", seed, serial, newest)
+			seen[serial], newest = seen[serial] || want, max(newest, serial)
+		}
+	}
+}
--- a/internal/control/loss_test.go
+++ b/internal/control/leader_loss_test.go
@@ -9,18 +9,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// loss has the member that leads lost in a way, and gives how long it takes until an order that is sent at that moment, or
+// runLeaderLoss has the member that leads lost in a way, and gives how long it takes until an order that is sent at that moment, or
 // at any in the half second after, is confirmed at the majority's side: to one that goes on after a refusal with a pause
 // that grows, and after a second of silence.
-func loss(seed uint64, kind string) (took, led int64) {
-	w := newCutWorld(seed, 3, 0, 0, "")
+func runLeaderLoss(seed uint64, kind string) (took, led int64) {
+	w := newPartitionCluster(seed, 3, 0, 0, "")
 	w.calm = true
 	w.RunFor(1500)
-	w.still = true
+	w.operatorsStopped = true
 	w.RunFor(1500 + w.Between(0, 400))
-	var lost *cutMember
+	var lost *partitionMember
 	for _, m := range w.members {
-		if m.f.leading {
+		if m.server.leading {
 			lost = m
 		}
 	}
@@ -39,17 +39,17 @@
 				continue
 			}
 			if kind != "hears nobody" {
-				lost.cut[o.ip] = "silent"
+				lost.blocked[o.ip] = "silent"
 			}
 			if kind != "is not heard" {
-				o.cut[lost.ip] = "silent"
+				o.blocked[lost.ip] = "silent"
 			}
 		}
 	}
 	var watch func()
 	watch = func() {
 		for _, m := range w.members {
-			if m != lost && m.f.leading && led == 0 {
+			if m != lost && m.server.leading && led == 0 {
 				led = w.Now - at
 			}
 		}
@@ -74,7 +74,7 @@
 				w.After(50+50*int64(min(turn, 8)), func() { send(turn + 1) })
 			}
 		}
-		m.take(http.MethodPost, "/Config.Replace", fmt.Sprint(base), body, func(status int, _ []byte) {
+		m.call(http.MethodPost, "/Config.Replace", fmt.Sprint(base), body, func(status int, _ []byte) {
 			switch {
 			case over:
 			case status == http.StatusOK:
@@ -91,7 +91,7 @@
 	w.After(w.Between(0, 500), func() {
 		for _, m := range w.members {
 			if m != lost {
-				base = max(base, m.f.state.Generation)
+				base = max(base, m.server.state.Generation)
 			}
 		}
 		begun = w.Now
@@ -103,12 +103,12 @@
 }
 
 // An order that is sent as the member that leads is lost goes on at the majority's side.
-func TestOrdersGoOnAtOnceAfterALoss(t *testing.T) {
+func TestUpdatesContinueAfterLeaderLoss(t *testing.T) {
 	t.Parallel()
 	for _, kind := range []string{"killed", "powered off", "frozen", "cut off", "is not heard", "hears nobody"} {
 		var all, leds []int64
 		for seed := range uint64(60) {
-			took, led := loss(seed, kind)
+			took, led := runLeaderLoss(seed, kind)
 			if took < 0 {
 				continue
 			}
--- a/internal/control/orders_test.go
+++ b/internal/control/linearizability_test.go
@@ -12,21 +12,21 @@
 )
 
 var (
-	seeds = flag.Int("seeds", 200, "worlds to play")
-	first = flag.Int("first", 0, "the first seed")
-	only  = flag.Int("only", -1, "the one seed to play")
+	seedCount = flag.Int("seeds", 200, "worlds to play")
+	firstSeed = flag.Int("first", 0, "the first seed")
+	onlySeed  = flag.Int("only", -1, "the one seed to play")
 )
 
 // Histories of operators' calls, to any member, raced, sent again and with answers lost, while members die, lose their
 // power or disk, stand still, are cut off one way or both, hand over and take snapshots, are linearizable.
-func TestOrdersHaveOneOrder(t *testing.T) {
-	n := *seeds
+func TestUpdatesAreLinearizable(t *testing.T) {
+	n := *seedCount
 	if testing.Short() {
 		n /= 10
 	}
-	from := *first
-	if *only >= 0 {
-		from, n = *only, 1
+	from := *firstSeed
+	if *onlySeed >= 0 {
+		from, n = *onlySeed, 1
 	}
 	var mu sync.Mutex
 	least, report, clear := -1, "", map[int]int{}
@@ -35,11 +35,11 @@
 	g.SetLimit(min(3, runtime.GOMAXPROCS(0)))
 	for seed := from; seed < from+n; seed++ {
 		g.Go(func() error {
-			h := newHistory(uint64(seed))
-			h.judge()
+			h := newUpdateHistory(uint64(seed))
+			h.runAndCheck()
 			mu.Lock()
 			defer mu.Unlock()
-			for status, n := range h.clear {
+			for status, n := range h.responses {
 				clear[status] += n
 			}
 			if len(h.Violations) > 0 {
@@ -59,12 +59,12 @@
 }
 
 // The model tells apart what the letter of the operators' protocol allows and what it does not.
-func TestTheModelOfOrders(t *testing.T) {
-	one, other, same := &order{gen: 2, routes: []route{{"a", 1}}}, &order{gen: 2, routes: []route{{"b", 1}}}, &order{gen: 2, routes: []route{{"a", 1}}}
-	late, drop := &order{base: 2, gen: 2, routes: one.routes}, &order{base: 2, gen: 5, amend: true, remove: "a"}
+func TestLinearizabilityModel(t *testing.T) {
+	one, other, same := &update{generation: 2, routes: []route{{"a", 1}}}, &update{generation: 2, routes: []route{{"b", 1}}}, &update{generation: 2, routes: []route{{"a", 1}}}
+	late, drop := &update{baseVersion: 2, generation: 2, routes: one.routes}, &update{baseVersion: 2, generation: 5, amendment: true, remove: "a"}
 	type told = porcupine.Operation
 	at := func(call, back int64, in any, status int, body string) told {
-		return told{Call: call, Return: back, Input: in, Output: answer{status, body}}
+		return told{Call: call, Return: back, Input: in, Output: modelResponse{status, body}}
 	}
 	first, text := at(0, 1, one, 200, ""), string(one.body())
 	for name, c := range map[string]struct {
@@ -87,6 +87,6 @@
 		"no answer, seen, and gone again":         {false, []told{at(0, 1<<60, one, 0, ""), at(2, 3, nil, 200, text), at(4, 5, nil, 404, "")}},
 		"no answer, and another on its base wins": {false, []told{at(0, 1<<60, one, 0, ""), at(2, 3, other, 200, ""), at(4, 5, nil, 200, text)}},
 	} {
-		require.Equal(t, c.ok, porcupine.CheckOperations(model, c.ops), name)
+		require.Equal(t, c.ok, porcupine.CheckOperations(linearizabilityModel, c.ops), name)
 	}
 }
--- a/internal/control/silence_test.go
+++ b/internal/control/timeout_test.go
@@ -17,13 +17,13 @@
 	"ferrypitch/internal/control/statemachine"
 )
 
-// agreed is a calm world whose members agree, with the one that leads and one that follows.
-func agreed(t *testing.T) (w *cutWorld, leader, follower *cutMember) {
-	w = newCutWorld(5, 3, 0, 0, "")
+// newHealthyPartitionCluster is a calm world whose members agree, with the one that leads and one that follows.
+func newHealthyPartitionCluster(t *testing.T) (w *partitionCluster, leader, follower *partitionMember) {
+	w = newPartitionCluster(5, 3, 0, 0, "")
 	w.calm = true
 	w.RunFor(3000)
 	for _, m := range w.members {
-		if m.f.leading {
+		if m.server.leading {
 			leader = m
 		} else {
 			follower = m
@@ -35,45 +35,45 @@
 
 // A member that passes calls on and hears no more of the one that leads says so while its callers still wait, and
 // passes nothing on to it from then on.
-func TestACallPassedOnToASilentLeaderIsAnsweredSoon(t *testing.T) {
-	w, leader, follower := agreed(t)
-	leader.cutOff(20000)
+func TestCallForwardedToSilentLeaderIsRejectedSoon(t *testing.T) {
+	w, leader, follower := newHealthyPartitionCluster(t)
+	leader.partition(20000)
 	for _, o := range w.members { // whole
 		if o != leader {
-			leader.cut[o.ip], o.cut[leader.ip] = "silent", "silent"
+			leader.blocked[o.ip], o.blocked[leader.ip] = "silent", "silent"
 		}
 	}
 	begun, took, status := w.Now, int64(0), 0
-	follower.f.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { took, status = w.Now-begun, s })
+	follower.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { took, status = w.Now-begun, s })
 	w.RunFor(600)
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.Less(t, took, int64(600))
 	status = 0
-	follower.f.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { status = s })
+	follower.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { status = s })
 	require.Equal(t, http.StatusServiceUnavailable, status, "the leader is silent for 0.6 s, and the call is passed on to it")
 	w.RunFor(1400)
-	follower.f.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { status = s })
+	follower.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { status = s })
 	w.RunFor(100)
 	require.Equal(t, http.StatusOK, status, "orders go on at the side of the majority")
 }
 
 // A call whose body this process was too late to read is no bad one: it may have stood still meanwhile.
-func TestABodyThatWasNotReadInTimeIsNotJudged(t *testing.T) {
-	_, _, m := agreed(t)
+func TestBodyReadTimeoutIsNotAnInvalidBody(t *testing.T) {
+	_, _, m := newHealthyPartitionCluster(t)
 	for err, want := range map[error]int{os.ErrDeadlineExceeded: http.StatusServiceUnavailable, io.ErrUnexpectedEOF: http.StatusBadRequest} {
 		w := httptest.NewRecorder()
-		r := httptest.NewRequest(http.MethodPost, "/Config.Replace", io.MultiReader(&late{err}))
-		(&apiHandler{server: m.f}).ServeHTTP(w, r)
+		r := httptest.NewRequest(http.MethodPost, "/Config.Replace", io.MultiReader(&failingReader{err}))
+		(&apiHandler{server: m.server}).ServeHTTP(w, r)
 		require.Equal(t, want, w.Code, "%v", err)
 	}
 }
 
-type late struct{ err error }
+type failingReader struct{ err error }
 
-func (l *late) Read([]byte) (int, error) { return 0, l.err }
+func (l *failingReader) Read([]byte) (int, error) { return 0, l.err }
 
 // What was decided under a lease is not begun long after: a process may stand still between the two.
-func TestNothingIsAskedLongAfterItWasDecided(t *testing.T) {
+func TestExpiredDecisionsAreNotExecuted(t *testing.T) {
 	mine, hosts := net.Pipe()
 	written := make(chan int, 1)
 	go func() {
