--- a/internal/control/leader_loss_test.go
+++ b/internal/control/leader_loss_test.go
@@ -13,7 +13,7 @@
 // at any in the half second after, is confirmed at the majority's side: to one that goes on after a refusal with a pause
 // that grows, and after a second of silence.
 func runLeaderLoss(seed uint64, kind string) (took, led int64) {
-	w := newPartitionCluster(seed, 3, 0, 0, "")
+	w := newPartitionCluster(seed, 3, 0, 0, noSafeguard)
 	w.calm = true
 	w.RunFor(1500)
 	w.operatorsStopped = true
@@ -39,10 +39,10 @@
 				continue
 			}
 			if kind != "hears nobody" {
-				lost.blocked[o.ip] = "silent"
+				lost.blocked[o.ip] = dropFrames
 			}
 			if kind != "is not heard" {
-				o.blocked[lost.ip] = "silent"
+				o.blocked[lost.ip] = dropFrames
 			}
 		}
 	}
--- /dev/null
+++ b/internal/control/partition_faults_test.go
@@ -0,0 +1,113 @@
+package control
+
+// injectFault injects one fault after another. Unless wild, a majority of the members stays up and connected.
+func (c *partitionCluster) injectFault(wild bool) {
+	c.After(c.Between(150, 1500), func() { c.injectFault(wild) })
+	if c.calm || !wild && c.faultyMembers() >= len(c.members)/2 {
+		return
+	}
+	m := c.members[c.Rand.IntN(len(c.members))]
+	if c.OneIn(2) {
+		for _, other := range c.members {
+			if other.up && other.server.consensus.IsLeader() {
+				m = other
+			}
+		}
+	}
+	if !m.up {
+		return
+	}
+	switch c.Rand.IntN(10) {
+	case 0:
+		c.restartSome(m, wild)
+	case 1:
+		c.Note("%s is down for long", m.ip)
+		m.crash(true)
+		c.After(c.Between(400, 4000), m.start)
+	case 2:
+		span := c.Between(50, 4000)
+		c.Note("%s is suspended for %d", m.ip, span)
+		m.freeze(span)
+	case 3, 4, 5, 6:
+		m.partition(c.Between(100, 5000))
+	case 7:
+		c.Note("%s transfers its leadership", m.ip)
+		m.run(m.incarnation, func() { m.server.carryOut(m.server.consensus.TransferLeadership(m.server.clock.Now())) })
+	case 8, 9:
+		c.proxies[c.Rand.IntN(len(c.proxies))].injectFault(m)
+	}
+}
+
+func (c *partitionCluster) faultyMembers() (count int) {
+	for _, m := range c.members {
+		if !m.up || m.frozen || len(m.blocked) > 0 {
+			count++
+		}
+	}
+	return count
+}
+
+// restartSome restarts a member; if wild, others with it.
+func (c *partitionCluster) restartSome(m *partitionMember, wild bool) {
+	for _, other := range c.members {
+		if other == m || other.up && wild && c.OneIn(3) {
+			c.Note("%s restarts", other.ip)
+			other.crash(c.OneIn(2))
+			c.After(c.Between(60, 400), other.start)
+		}
+	}
+}
+
+// injectFault restarts a proxy or slows its connections to a member.
+func (p *partitionProxy) injectFault(m *partitionMember) {
+	c := p.cluster
+	if c.OneIn(2) {
+		c.Note("%s restarts", p.name)
+		if p.link != nil {
+			p.link.closed = true
+		}
+		p.start()
+		return
+	}
+	c.Note("frames between %s and %s are delayed", p.name, m.ip)
+	p.slow[m.ip] = true
+	c.After(c.Between(100, 4000), func() { delete(p.slow, m.ip) })
+}
+
+// partition separates a member from one or all others, one way or both, and heals.
+func (m *partitionMember) partition(span int64) {
+	c := m.cluster
+	mode, direction := []blockMode{dropFrames, delayFrames}[c.Rand.IntN(2)], c.Rand.IntN(3)
+	c.Note("%s is partitioned, %s, direction %d, for %d", m.ip, mode, direction, span)
+	only := c.members[c.Rand.IntN(len(c.members))]
+	if only == m || c.OneIn(2) {
+		only = nil
+	}
+	for _, other := range c.members {
+		if other == m || only != nil && other != only {
+			continue
+		}
+		if direction != 1 {
+			m.blocked[other.ip] = mode
+		}
+		if direction != 0 {
+			other.blocked[m.ip] = mode
+		}
+	}
+	c.After(span, m.heal)
+}
+
+// heal ends all partitions of a member. Delayed frames arrive soon after.
+func (m *partitionMember) heal() {
+	c := m.cluster
+	c.Note("%s is connected again", m.ip)
+	clear(m.blocked)
+	for _, other := range c.members {
+		delete(other.blocked, m.ip)
+	}
+	delayed := c.delayed
+	c.delayed = nil
+	for _, arrive := range delayed {
+		c.After(c.Between(1, 30), arrive)
+	}
+}
--- a/internal/control/timeout_test.go
+++ b/internal/control/timeout_test.go
@@ -19,7 +19,7 @@
 
 // newHealthyPartitionCluster is a calm world whose members agree, with the one that leads and one that follows.
 func newHealthyPartitionCluster(t *testing.T) (w *partitionCluster, leader, follower *partitionMember) {
-	w = newPartitionCluster(5, 3, 0, 0, "")
+	w = newPartitionCluster(5, 3, 0, 0, noSafeguard)
 	w.calm = true
 	w.RunFor(3000)
 	for _, m := range w.members {
@@ -40,7 +40,7 @@
 	leader.partition(20000)
 	for _, o := range w.members { // whole
 		if o != leader {
-			leader.blocked[o.ip], o.blocked[leader.ip] = "silent", "silent"
+			leader.blocked[o.ip], o.blocked[leader.ip] = dropFrames, dropFrames
 		}
 	}
 	begun, took, status := w.Now, int64(0), 0
