--- a/internal/control/failover/calls.go
+++ b/internal/control/failover/calls.go
@@ -16,10 +16,10 @@
 	StepDown
 )
 
-var words = [...]string{Stat: "STAT", Pause: "PAUSE", Resume: "RESUME", StepDown: "STEPDOWN"}
+var commandTexts = [...]string{Stat: "STAT", Pause: "PAUSE", Resume: "RESUME", StepDown: "STEPDOWN"}
 
 // Text is how a host is asked.
-func (v Command) Text() string { return words[v] }
+func (v Command) Text() string { return commandTexts[v] }
 
 // HostQuery is one to a host. No two are equal: a view has one leader, in one life, which numbers what it asks.
 type HostQuery struct {
@@ -56,136 +56,136 @@
 	PromotionNotExecuted                  // it was not
 )
 
-type told struct {
-	reply QueryResult
-	verb  Command
-	at    int64
-	sent  int64
+type hostResult struct {
+	result     QueryResult
+	command    Command
+	receivedAt int64
+	sentAt     int64
 }
 
-type asked struct {
-	question HostQuery
-	at       int64
+type pendingQuery struct {
+	query  HostQuery
+	sentAt int64
 }
 
 // QueryFinished takes in how a question ended; false: it is none that is out.
-func (h *Coordinator) QueryFinished(r QueryResult, now int64) bool {
-	s := h.services[r.Query.Service]
+func (c *Coordinator) QueryFinished(r QueryResult, now int64) bool {
+	s := c.services[r.Query.Service]
 	if s == nil {
 		return false
 	}
-	if a := s.beside; a != nil && a.question == r.Query {
-		s.beside = nil
-		if s.rows[r.Query.Host].sent < a.at {
-			s.rows[r.Query.Host] = told{r, r.Query.Command, now, a.at}
+	if a := s.hedgedQuery; a != nil && a.query == r.Query {
+		s.hedgedQuery = nil
+		if s.lastResults[r.Query.Host].sentAt < a.sentAt {
+			s.lastResults[r.Query.Host] = hostResult{r, r.Query.Command, now, a.sentAt}
 		}
 		return true
 	}
-	a := s.questions[r.Query.Host]
-	if a == nil || a.question != r.Query {
+	a := s.pendingQueries[r.Query.Host]
+	if a == nil || a.query != r.Query {
 		return false
 	}
-	delete(s.questions, r.Query.Host)
+	delete(s.pendingQueries, r.Query.Host)
 	if r.TimedOut || r.ConnectionRefused {
-		s.doubt(r.Query, now)
+		s.markUncertain(r.Query, now)
 	}
-	if s.rows[r.Query.Host].sent <= a.at {
-		s.rows[r.Query.Host] = told{r, r.Query.Command, now, a.at}
+	if s.lastResults[r.Query.Host].sentAt <= a.sentAt {
+		s.lastResults[r.Query.Host] = hostResult{r, r.Query.Command, now, a.sentAt}
 	}
 	return true
 }
 
 // PromotionFinished takes in how a promotion's call ended; false: it is not the one that is out.
-func (h *Coordinator) PromotionFinished(p Promotion, o PromotionOutcome, now int64) bool {
-	s := h.services[p.Service]
-	if s == nil || !s.calling || s.call != p {
+func (c *Coordinator) PromotionFinished(p Promotion, o PromotionOutcome, now int64) bool {
+	s := c.services[p.Service]
+	if s == nil || !s.promotionPending || s.promotion != p {
 		return false
 	}
-	s.calling, s.callEnded = false, now
+	s.promotionPending, s.promotionEndedAt = false, now
 	switch o {
 	case PromotionSucceeded:
-		h.Counters.Promoted++
+		c.Counters.Promoted++
 	case PromotionRejected:
-		s.called = ""
-		s.rejected[p.Host] = now
+		s.promotedHost = ""
+		s.rejectedAt[p.Host] = now
 	case PromotionNotExecuted:
-		s.called = ""
+		s.promotedHost = ""
 	case PromotionUnknown: // it is called again, sooner than one that was told yes
-		s.callEnded = now - settles + 2*renew
+		s.promotionEndedAt = now - promotionTimeoutMs + 2*promotionRetryMs
 	}
 	return true
 }
 
-// order is a verb that was said to a host.
-type order struct {
-	host string
-	verb Command
+// hostCommand is a verb that was said to a host.
+type hostCommand struct {
+	host    string
+	command Command
 }
 
-// doubt notes that an order may run at its host from now on still, and that what is in doubt there is so as before: a host
+// markUncertain notes that an order may run at its host from now on still, and that what is in doubt there is so as before: a host
 // that stands still, or a network that holds bytes back, gives them no order across connections.
-func (s *service) doubt(q HostQuery, now int64) {
+func (s *serviceState) markUncertain(q HostQuery, now int64) {
 	if q.Command == Pause || q.Command == Resume {
-		s.doubted[order{q.Host, q.Command}] = now
+		s.uncertainCommands[hostCommand{q.Host, q.Command}] = now
 	}
-	for o := range s.doubted {
+	for o := range s.uncertainCommands {
 		if o.host == q.Host {
-			s.doubted[o] = now
+			s.uncertainCommands[o] = now
 		}
 	}
 }
 
-// stands says that what a host did on an order holds: none that undoes it, of this holder or of the one before, can run
+// cannotBeUndone says that what a host did on an order holds: none that undoes it, of this holder or of the one before, can run
 // any more. since is when the order was sent.
-func (h *Coordinator) stands(s *service, host string, undone Command, since int64) bool {
-	return since >= max(h.since, s.doubted[order{host, undone}])+lingers
+func (c *Coordinator) cannotBeUndone(s *serviceState, host string, undone Command, since int64) bool {
+	return since >= max(c.leaderSince, s.uncertainCommands[hostCommand{host, undone}])+staleCommandMs
 }
 
-// ask asks a host, unless a question to it is out, or one like it was asked less than a while ago.
-func (h *Coordinator) ask(do *Actions, s *service, host string, v Command, term uint64, every, now int64) {
-	if a := s.questions[host]; a != nil {
-		if now < a.at+2*patience {
+// query asks a host, unless a question to it is out, or one like it was asked less than a while ago.
+func (c *Coordinator) query(do *Actions, s *serviceState, host string, v Command, term uint64, every, now int64) {
+	if a := s.pendingQueries[host]; a != nil {
+		if now < a.sentAt+2*queryTimeoutMs {
 			return
 		}
-		delete(s.questions, host)
-		s.doubt(a.question, now)
+		delete(s.pendingQueries, host)
+		s.markUncertain(a.query, now)
 	}
-	if r, ok := s.rows[host]; ok && r.verb == v && now < r.sent+every {
+	if r, ok := s.lastResults[host]; ok && r.command == v && now < r.sentAt+every {
 		return
 	}
-	h.serial++
-	q := HostQuery{s.name, host, v, term, h.view, h.serial}
-	s.questions[host] = &asked{q, now}
+	c.lastSerial++
+	q := HostQuery{s.name, host, v, term, c.leaderTerm, c.lastSerial}
+	s.pendingQueries[host] = &pendingQuery{q, now}
 	do.Queries = append(do.Queries, q)
 }
 
-// answered gives a host's row if it is of this verb and no older than a while.
-func (s *service) answered(host string, v Command, since int64) (wire.HostStatus, bool) {
-	r, ok := s.rows[host]
-	if !ok || r.verb != v || r.sent < since || r.reply.ConnectionRefused || r.reply.TimedOut || r.reply.Code != "" {
+// successSince gives a host's row if it is of this verb and no older than a while.
+func (s *serviceState) successSince(host string, v Command, since int64) (wire.HostStatus, bool) {
+	r, ok := s.lastResults[host]
+	if !ok || r.command != v || r.sentAt < since || r.result.ConnectionRefused || r.result.TimedOut || r.result.Code != "" {
 		return wire.HostStatus{}, false
 	}
-	return r.reply.Status, true
+	return r.result.Status, true
 }
 
-// look asks the host that was named to the platform whether it leads by now.
-func (h *Coordinator) look(do *Actions, state *statemachine.State, s *service, now int64) {
-	if r, ok := s.rows[s.called]; ok && r.sent >= s.calledAt && (r.reply.TimedOut || r.reply.ConnectionRefused) {
-		s.gaveNone = true
+// pollPromotedHost asks the host that was named to the platform whether it leads by now.
+func (c *Coordinator) pollPromotedHost(do *Actions, state *statemachine.State, s *serviceState, now int64) {
+	if r, ok := s.lastResults[s.promotedHost]; ok && r.sentAt >= s.promotionSentAt && (r.result.TimedOut || r.result.ConnectionRefused) {
+		s.promotedHostFailed = true
 	}
-	every := int64(quick)
-	if b := h.beats[s.called]; b.IsPrimary && b.At >= s.calledAt || state.LastPromotionMs > 0 && now >= s.calledAt+state.LastPromotionMs*4/5 {
-		every = closing
+	every := int64(nomineePollIntervalMs)
+	if h := c.heartbeats[s.promotedHost]; h.IsPrimary && h.At >= s.promotionSentAt || state.LastPromotionMs > 0 && now >= s.promotionSentAt+state.LastPromotionMs*4/5 {
+		every = fastPollIntervalMs
 	}
-	h.ask(do, s, s.called, Stat, 0, every, now)
+	c.query(do, s, s.promotedHost, Stat, 0, every, now)
 }
 
-func (h *Coordinator) call(do *Actions, s *service, lead statemachine.Primary, host string, now int64) {
-	if s.calling || s.proposed > 0 || s.calledAt > 0 && now < s.calledAt+renew && s.called == host {
+func (c *Coordinator) requestPromotion(do *Actions, s *serviceState, lead statemachine.Primary, host string, now int64) {
+	if s.promotionPending || s.proposedAt > 0 || s.promotionSentAt > 0 && now < s.promotionSentAt+promotionRetryMs && s.promotedHost == host {
 		return
 	}
-	h.serial++
-	s.calling, s.called, s.calledAt = true, host, now
-	s.call = Promotion{s.name, host, h.self, lead.FencingToken, h.view, h.serial}
-	do.Promotions = append(do.Promotions, s.call)
+	c.lastSerial++
+	s.promotionPending, s.promotedHost, s.promotionSentAt = true, host, now
+	s.promotion = Promotion{s.name, host, c.self, lead.FencingToken, c.leaderTerm, c.lastSerial}
+	do.Promotions = append(do.Promotions, s.promotion)
 }
--- a/internal/control/failover/planned.go
+++ b/internal/control/failover/planned.go
@@ -5,12 +5,12 @@
 	"ferrypitch/internal/wire"
 )
 
-// successor is the replica that takes over from a primary that leaves: one that stays, beats, and stands in order of id.
-func (h *Coordinator) successor(state *statemachine.State, s *service, lead statemachine.Primary, members []string, now int64) string {
+// chooseSuccessor is the replica that takes over from a primary that leaves: one that stays, beats, and stands in order of id.
+func (c *Coordinator) chooseSuccessor(state *statemachine.State, s *serviceState, lead statemachine.Primary, members []string, now int64) string {
 	best := ""
 	for _, m := range members {
 		host := state.Hosts[m]
-		if m == lead.Host || host.Draining || host.Missing || now > h.beats[m].At+2*h.beatMs+patience || now < s.rejected[m]+2*patience && s.rejected[m] > 0 {
+		if m == lead.Host || host.Draining || host.Missing || now > c.heartbeats[m].At+2*c.heartbeatIntervalMs+queryTimeoutMs || now < s.rejectedAt[m]+2*queryTimeoutMs && s.rejectedAt[m] > 0 {
 			continue
 		}
 		if best == "" || host.Zone == state.Hosts[lead.Host].Zone && state.Hosts[best].Zone != host.Zone {
@@ -20,50 +20,50 @@
 	return best
 }
 
-// handOver carries out a planned move up to the moment at which the successor leads.
-func (h *Coordinator) handOver(do *Actions, state *statemachine.State, s *service, lead statemachine.Primary, members []string, now int64) {
-	if s.started == 0 {
-		s.started = now
-		h.Log(s.name, "a lead is handed over", lead.Nominee)
+// switchOver carries out a planned move up to the moment at which the successor leads.
+func (c *Coordinator) switchOver(do *Actions, state *statemachine.State, s *serviceState, lead statemachine.Primary, members []string, now int64) {
+	if s.startedAt == 0 {
+		s.startedAt = now
+		c.Log(s.name, "a lead is handed over", lead.Nominee)
 	}
-	recall := statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: s.name, Owner: h.self}}
+	recall := statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: s.name, Owner: c.self}}
 	to, there := state.Hosts[lead.Nominee]
-	if h.lost(do, s, lead, now) || !there {
+	if c.primaryLost(do, s, lead, now) || !there {
 		s.propose(do, recall, now) // what follows finds out where it had come to
 		return
 	}
-	if lead.Owner != h.self {
-		s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: lead.Nominee, Owner: h.self}}, now)
+	if lead.Owner != c.self {
+		s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: lead.Nominee, Owner: c.self}}, now)
 		return
 	}
-	if st, ok := s.answered(lead.Nominee, Stat, s.started); ok && st.Leader && st.Term > lead.Term || h.beats[lead.Nominee].IsPrimary && h.beats[lead.Nominee].At >= s.started {
+	if st, ok := s.successSince(lead.Nominee, Stat, s.startedAt); ok && st.Leader && st.Term > lead.Term || c.heartbeats[lead.Nominee].IsPrimary && c.heartbeats[lead.Nominee].At >= s.startedAt {
 		s.propose(do, recall, now)
 		return
 	}
-	if s.called == "" && now > s.started+2*settles || to.Draining {
+	if s.promotedHost == "" && now > s.startedAt+2*promotionTimeoutMs || to.Draining {
 		s.propose(do, recall, now)
 		return
 	}
-	if s.called != "" {
+	if s.promotedHost != "" {
 		for _, m := range members { // one that started anew receives again, and would have more than the successor
 			if m != lead.Host && m != lead.Nominee {
-				h.ask(do, s, m, Pause, lead.Term+1, quick, now)
+				c.query(do, s, m, Pause, lead.Term+1, nomineePollIntervalMs, now)
 			}
 		}
-		h.look(do, state, s, now)
-		if !s.calling && now > s.callEnded+settles {
+		c.pollPromotedHost(do, state, s, now)
+		if !s.promotionPending && now > s.promotionEndedAt+promotionTimeoutMs {
 			s.propose(do, recall, now)
 		}
 		return
 	}
-	if r, ok := s.rows[lead.Nominee]; ok && r.sent >= s.started && (r.reply.ConnectionRefused || r.reply.TimedOut) { // another, if there is one
-		s.rejected[lead.Nominee] = now
-		s.named = h.successor(state, s, lead, members, now)
-		s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: s.named, Owner: h.self}}, now)
+	if r, ok := s.lastResults[lead.Nominee]; ok && r.sentAt >= s.startedAt && (r.result.ConnectionRefused || r.result.TimedOut) { // another, if there is one
+		s.rejectedAt[lead.Nominee] = now
+		s.nominated = c.chooseSuccessor(state, s, lead, members, now)
+		s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: s.nominated, Owner: c.self}}, now)
 		return
 	}
-	h.attend(do, s, lead.Nominee, now)
-	if now < h.since+lingers {
+	c.queryNominee(do, s, lead.Nominee, now)
+	if now < c.leaderSince+staleCommandMs {
 		return // what the holder before this one said may run still
 	}
 	// Nothing is acknowledged that the successor has not received, from here on.
@@ -72,17 +72,17 @@
 		if m == lead.Host || m == lead.Nominee {
 			continue
 		}
-		st, ok := s.answered(m, Pause, s.started)
+		st, ok := s.successSince(m, Pause, s.startedAt)
 		if !ok {
-			if r, ok := s.rows[m]; ok && r.verb == Pause && r.sent >= s.started {
+			if r, ok := s.lastResults[m]; ok && r.command == Pause && r.sentAt >= s.startedAt {
 				s.propose(do, recall, now) // it may be back before the successor leads, and acknowledge: writes are stopped first
 				return
 			}
-			h.ask(do, s, m, Pause, lead.Term+1, again, now)
+			c.query(do, s, m, Pause, lead.Term+1, queryIntervalMs, now)
 			ready = false
 			continue
 		}
-		if !h.stands(s, m, Resume, s.rows[m].sent) {
+		if !c.cannotBeUndone(s, m, Resume, s.lastResults[m].sentAt) {
 			s.propose(do, recall, now) // it may be told to receive again by what was said before: writes are stopped first
 			return
 		}
@@ -91,24 +91,24 @@
 		}
 	}
 	if !ready {
-		if now > s.started+handing { // then with writes stopped first
+		if now > s.startedAt+replicaWaitMs { // then with writes stopped first
 			s.propose(do, recall, now)
 		}
 		return
 	}
-	st, ok := s.answered(lead.Nominee, Stat, s.started)
+	st, ok := s.successSince(lead.Nominee, Stat, s.startedAt)
 	if !ok || st.Received.Before(most) {
-		h.ask(do, s, lead.Nominee, Stat, 0, 30, now)
+		c.query(do, s, lead.Nominee, Stat, 0, 30, now)
 		return
 	}
-	h.call(do, s, lead, lead.Nominee, now)
+	c.requestPromotion(do, s, lead, lead.Nominee, now)
 }
 
-// attend asks a successor where it stands, and has it receive where an earlier try PAUSEd it.
-func (h *Coordinator) attend(do *Actions, s *service, to string, now int64) {
-	if st, ok := s.answered(to, Stat, s.started); ok && st.Held > 0 {
-		h.ask(do, s, to, Resume, 0, closing, now)
+// queryNominee asks a successor where it stands, and has it receive where an earlier try PAUSEd it.
+func (c *Coordinator) queryNominee(do *Actions, s *serviceState, to string, now int64) {
+	if st, ok := s.successSince(to, Stat, s.startedAt); ok && st.Held > 0 {
+		c.query(do, s, to, Resume, 0, fastPollIntervalMs, now)
 		return
 	}
-	h.ask(do, s, to, Stat, 0, closing, now)
+	c.query(do, s, to, Stat, 0, fastPollIntervalMs, now)
 }
--- a/internal/control/failover/unplanned.go
+++ b/internal/control/failover/unplanned.go
@@ -7,79 +7,79 @@
 	"ferrypitch/internal/wire"
 )
 
-// move carries out a move whose lead was taken back.
-func (h *Coordinator) move(do *Actions, state *statemachine.State, s *service, lead statemachine.Primary, members []string, clear func(uint64) bool, now int64) {
-	if lead.Owner != h.self {
-		s.propose(do, statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: s.name, Owner: h.self}}, now)
+// failOver carries out a move whose lead was taken back.
+func (c *Coordinator) failOver(do *Actions, state *statemachine.State, s *serviceState, lead statemachine.Primary, members []string, clear func(uint64) bool, now int64) {
+	if lead.Owner != c.self {
+		s.propose(do, statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: s.name, Owner: c.self}}, now)
 		return
 	}
-	if s.started == 0 {
-		s.started = now
-		h.Log(s.name, "a lead is taken back", lead.Host)
+	if s.startedAt == 0 {
+		s.startedAt = now
+		c.Log(s.name, "a lead is taken back", lead.Host)
 	}
 	term := lead.Term + 1
-	for _, r := range s.rows {
-		if r.sent >= s.started && sane(r.reply.Status.Term, lead) {
-			term = max(term, r.reply.Status.Term+1)
+	for _, r := range s.lastResults {
+		if r.sentAt >= s.startedAt && isPlausibleTerm(r.result.Status.Term, lead) {
+			term = max(term, r.result.Status.Term+1)
 		}
 	}
-	if _, there := state.Hosts[s.called]; !there && !s.calling {
-		s.called = "" // it has left: whoever is at its address now has another id
+	if _, there := state.Hosts[s.promotedHost]; !there && !s.promotionPending {
+		s.promotedHost = "" // it has left: whoever is at its address now has another id
 	}
 	// One that was named, by whomever, may lead by now.
 	least := lead.Term + 1
 	if _, there := state.Hosts[lead.Host]; !there {
 		least = lead.Term // a new host at its address leads on with its log
 	}
-	if to, st := s.leading(least, members); to != "" {
-		h.ask(do, s, lead.Host, StepDown, st.Term, again, now)
-		r, ok := s.rows[lead.Host]
-		silent := ok && (r.reply.TimedOut || r.reply.ConnectionRefused) || !ok && now >= s.started+patience
-		if !clear(lead.ChangedAt) || !silent && (r.verb != StepDown || r.sent < s.started) {
+	if to, st := s.newestPrimary(least, members); to != "" {
+		c.query(do, s, lead.Host, StepDown, st.Term, queryIntervalMs, now)
+		r, ok := s.lastResults[lead.Host]
+		silent := ok && (r.result.TimedOut || r.result.ConnectionRefused) || !ok && now >= s.startedAt+queryTimeoutMs
+		if !clear(lead.ChangedAt) || !silent && (r.command != StepDown || r.sentAt < s.startedAt) {
 			return
 		}
 		// Where the new one was out of reach at once the old primary may have gone on and been acknowledged. Nothing was
 		// acknowledged by the new one, since nobody was granted its lead.
-		if old, ok := s.answered(lead.Host, StepDown, s.started); !ok || old.Leader || !s.gaveNone || st.Received.Number >= old.Received.Number {
-			h.Log(s.name, "leads", to)
+		if old, ok := s.successSince(lead.Host, StepDown, s.startedAt); !ok || old.Leader || !s.promotedHostFailed || st.Received.Number >= old.Received.Number {
+			c.Log(s.name, "leads", to)
 			new := statemachine.AppointPrimary{Service: s.name, Host: to, Term: st.Term}
-			if s.called == to {
-				new.PromotionMs = max(1, s.rows[to].sent-s.calledAt)
+			if s.promotedHost == to {
+				new.PromotionMs = max(1, s.lastResults[to].sentAt-s.promotionSentAt)
 			}
 			s.propose(do, statemachine.Change{AppointPrimary: &new}, now)
 			return
 		}
 	}
-	if s.called != "" && (s.calling || now < s.callEnded+settles) {
-		h.look(do, state, s, now) // none other is named before it is clear what became of the call
+	if s.promotedHost != "" && (s.promotionPending || now < s.promotionEndedAt+promotionTimeoutMs) {
+		c.pollPromotedHost(do, state, s, now) // none other is named before it is clear what became of the call
 		return
 	}
 	if !clear(lead.ChangedAt) {
 		return
 	}
-	if s.clearAt == 0 {
-		s.clearAt = now
+	if s.proxiesCaughtUpAt == 0 {
+		s.proxiesCaughtUpAt = now
 	}
 	// A planned move with writes stopped: the successor has all once it has what the old primary, where it leads on, has now.
-	if s.named != "" && s.named == lead.Nominee && s.called == "" && now < s.started+handing {
-		old, lives := s.rows[lead.Host]
-		if !lives || !old.reply.TimedOut && !old.reply.ConnectionRefused {
-			h.ask(do, s, lead.Host, Stat, 0, closing, now)
-			h.attend(do, s, lead.Nominee, now)
-			at, ok := s.answered(lead.Host, Stat, s.clearAt)
-			if st, has := s.answered(lead.Nominee, Stat, s.clearAt); ok && has && at.Leader && st.Received.Number >= at.Received.Number {
-				h.call(do, s, lead, lead.Nominee, now)
+	if s.nominated != "" && s.nominated == lead.Nominee && s.promotedHost == "" && now < s.startedAt+replicaWaitMs {
+		old, lives := s.lastResults[lead.Host]
+		if !lives || !old.result.TimedOut && !old.result.ConnectionRefused {
+			c.query(do, s, lead.Host, Stat, 0, fastPollIntervalMs, now)
+			c.queryNominee(do, s, lead.Nominee, now)
+			at, ok := s.successSince(lead.Host, Stat, s.proxiesCaughtUpAt)
+			if st, has := s.successSince(lead.Nominee, Stat, s.proxiesCaughtUpAt); ok && has && at.Leader && st.Received.Number >= at.Received.Number {
+				c.requestPromotion(do, s, lead, lead.Nominee, now)
 			}
 			return
 		}
 	}
 	// The old primary, where it can be reached, leads no more after this, and its log lacks nothing.
-	h.ask(do, s, lead.Host, StepDown, term, again, now)
-	old, oldKnown := s.answered(lead.Host, StepDown, s.started)
+	c.query(do, s, lead.Host, StepDown, term, queryIntervalMs, now)
+	old, oldKnown := s.successSince(lead.Host, StepDown, s.startedAt)
 	if oldKnown && old.Leader {
 		oldKnown = false
 	}
-	s.lacking = nil
+	s.awaitedHosts = nil
 	complete, best, most := true, "", wire.Position{}
 	consider := func(m string, at wire.Position) {
 		at.Term = min(at.Term, lead.Term) // nothing was acknowledged in a term that nobody was granted
@@ -92,14 +92,14 @@
 		if m == lead.Host {
 			continue
 		}
-		st, ok := s.answered(m, Pause, s.started)
-		if ok && s.rows[m].sent < s.clearAt && !h.stands(s, m, Resume, s.rows[m].sent) {
+		st, ok := s.successSince(m, Pause, s.startedAt)
+		if ok && s.lastResults[m].sentAt < s.proxiesCaughtUpAt && !c.cannotBeUndone(s, m, Resume, s.lastResults[m].sentAt) {
 			ok = false // it may have received since, and what it did may have been acknowledged
 		}
 		if !ok {
-			h.ask(do, s, m, Pause, term, again, now)
+			c.query(do, s, m, Pause, term, queryIntervalMs, now)
 			if !state.Hosts[m].Missing {
-				s.lacking, complete = append(s.lacking, m), false
+				s.awaitedHosts, complete = append(s.awaitedHosts, m), false
 			}
 			continue
 		}
@@ -107,7 +107,7 @@
 		consider(m, st.Received)
 	}
 	if owed := state.UnaccountedHostIDs(s.name); len(owed) > 0 {
-		s.lacking, complete = append(s.lacking, owed...), false
+		s.awaitedHosts, complete = append(s.awaitedHosts, owed...), false
 	}
 	if oldKnown && (!complete || best == "") { // its log will do in place of those that don't answer
 		if _, there := state.Hosts[lead.Host]; there {
@@ -115,31 +115,31 @@
 		}
 		complete = best != "" && most.Number >= old.Received.Number
 	}
-	if !complete || best == "" || s.rejected[best] > 0 && now < s.rejected[best]+2*patience {
-		h.Counters.Waiting++
+	if !complete || best == "" || s.rejectedAt[best] > 0 && now < s.rejectedAt[best]+2*queryTimeoutMs {
+		c.Counters.Waiting++
 		return
 	}
 	if best != lead.Nominee {
-		if _, there := state.Hosts[lead.Nominee]; there && s.named != lead.Nominee && now < s.started+2*patience {
+		if _, there := state.Hosts[lead.Nominee]; there && s.nominated != lead.Nominee && now < s.startedAt+2*queryTimeoutMs {
 			return // an earlier holder may have called: whether that one leads is seen before another is named
 		}
-		s.named = best
-		s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: best, Owner: h.self}}, now)
+		s.nominated = best
+		s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: best, Owner: c.self}}, now)
 		return
 	}
-	h.call(do, s, lead, best, now)
+	c.requestPromotion(do, s, lead, best, now)
 }
 
-// sane says that a term may follow a lead's. A host that tells of one beyond all reason is not believed.
-func sane(term uint64, lead statemachine.Primary) bool { return term < lead.Term+farOff }
+// isPlausibleTerm says that a term may follow a lead's. A host that tells of one beyond all reason is not believed.
+func isPlausibleTerm(term uint64, lead statemachine.Primary) bool { return term < lead.Term+maxTermGap }
 
-// leading is the host that was seen to lead in a term of at least so much, the greatest of all.
-func (s *service) leading(least uint64, members []string) (to string, at wire.HostStatus) {
+// newestPrimary is the host that was seen to lead in a term of at least so much, the greatest of all.
+func (s *serviceState) newestPrimary(least uint64, members []string) (to string, at wire.HostStatus) {
 	for _, m := range members {
-		r, ok := s.rows[m]
-		if ok && r.sent >= s.started-2*settles && r.reply.Code == "" && !r.reply.TimedOut && !r.reply.ConnectionRefused &&
-			r.reply.Status.Leader && r.reply.Status.Term >= max(least, at.Term+1) && r.reply.Status.Term < least+farOff {
-			to, at = m, r.reply.Status
+		r, ok := s.lastResults[m]
+		if ok && r.sentAt >= s.startedAt-2*promotionTimeoutMs && r.result.Code == "" && !r.result.TimedOut && !r.result.ConnectionRefused &&
+			r.result.Status.Leader && r.result.Status.Term >= max(least, at.Term+1) && r.result.Status.Term < least+maxTermGap {
+			to, at = m, r.result.Status
 		}
 	}
 	return to, at
@@ -155,13 +155,13 @@
 }
 
 // Transitions are the services on the move, by name.
-func (h *Coordinator) Transitions(state *statemachine.State, now int64) map[string]Transition {
+func (c *Coordinator) Transitions(state *statemachine.State, now int64) map[string]Transition {
 	all := map[string]Transition{}
 	for name, l := range state.Primaries {
-		if s := h.services[name]; s != nil && (l.Revoked || l.Nominee != "") {
-			m := Transition{From: l.Host, Nominee: l.Nominee, PromotionRequested: s.called, WaitingFor: slices.Clone(s.lacking), Planned: !l.Revoked}
-			if s.started > 0 {
-				m.ElapsedMs = now - s.started
+		if s := c.services[name]; s != nil && (l.Revoked || l.Nominee != "") {
+			m := Transition{From: l.Host, Nominee: l.Nominee, PromotionRequested: s.promotedHost, WaitingFor: slices.Clone(s.awaitedHosts), Planned: !l.Revoked}
+			if s.startedAt > 0 {
+				m.ElapsedMs = now - s.startedAt
 			}
 			all[name] = m
 		}
--- a/internal/lease/capacity_test.go
+++ b/internal/lease/capacity_test.go
@@ -8,21 +8,21 @@
 )
 
 // A renewal, and the count of those that hold leases, which goes out with each.
-func BenchmarkRenew(b *testing.B) {
-	for _, e := range statesize.All {
-		b.Run(e.String(), func(b *testing.B) {
-			j := lease.NewGrantor(0)
-			for i := range e.Routers {
-				j.Grant(statesize.Router(i), 1, 1, 0, 1)
+func BenchmarkGrant(b *testing.B) {
+	for _, size := range statesize.All {
+		b.Run(size.String(), func(b *testing.B) {
+			grantor := lease.NewGrantor(0)
+			for i := range size.Routers {
+				grantor.Grant(statesize.Router(i), 1, 1, 0, 1)
 			}
 			b.Run("grant", func(b *testing.B) {
 				for b.Loop() {
-					j.Grant("edge-waco-hall-7", 1, 1, 0, 1)
+					grantor.Grant("edge-waco-hall-7", 1, 1, 0, 1)
 				}
 			})
 			b.Run("count", func(b *testing.B) {
 				for b.Loop() {
-					j.HolderCount(1)
+					grantor.HolderCount(1)
 				}
 			})
 		})
@@ -30,15 +30,15 @@
 }
 
 // Whether a lead that was taken back is handed back by all: asked at each tick while a move goes on.
-func BenchmarkClear(b *testing.B) {
-	for _, e := range statesize.All {
-		b.Run(e.String(), func(b *testing.B) {
-			j := lease.NewGrantor(0)
-			for i := range e.Routers {
-				j.Grant(statesize.Router(i), 1, 2, 0, 5000)
+func BenchmarkAllCaughtUp(b *testing.B) {
+	for _, size := range statesize.All {
+		b.Run(size.String(), func(b *testing.B) {
+			grantor := lease.NewGrantor(0)
+			for i := range size.Routers {
+				grantor.Grant(statesize.Router(i), 1, 2, 0, 5000)
 			}
 			for b.Loop() {
-				if !j.AllCaughtUp(2, nil, 5001) {
+				if !grantor.AllCaughtUp(2, nil, 5001) {
 					b.Fatal("all have applied it")
 				}
 			}
