--- a/internal/control/failover/detection.go
+++ b/internal/control/failover/detection.go
@@ -1,206 +1,139 @@
 package failover
 
-import (
-	"ferrypitch/internal/control/statemachine"
-)
-
-// HostHeartbeat is what a host last said of itself.
-type HostHeartbeat struct {
-	At        int64
-	IsPrimary bool
+// heartbeat is what a host last said of itself.
+type heartbeat struct {
+	at        int64
+	isPrimary bool
 }
 
-// Heartbeat takes in a host's beat.
-func (c *Coordinator) Heartbeat(host string, leader bool, now int64) {
-	c.heartbeats[host] = HostHeartbeat{now, leader}
+// Heartbeat takes in a host's heartbeat, which says whether it leads its service.
+func (c *Coordinator) Heartbeat(host string, isPrimary bool, nowMs int64) {
+	c.heartbeats[host] = heartbeat{nowMs, isPrimary}
 }
 
-// LastHeartbeat is a host's last beat.
-func (c *Coordinator) LastHeartbeat(host string) HostHeartbeat { return c.heartbeats[host] }
-
-// ForgetHost drops a host that left.
+// ForgetHost drops a host that was removed.
 func (c *Coordinator) ForgetHost(host string) {
 	delete(c.heartbeats, host)
-	for _, s := range c.services {
-		delete(s.uncertainCommands, hostCommand{host, Pause})
-		delete(s.uncertainCommands, hostCommand{host, Resume})
+	for _, service := range c.services {
+		delete(service.uncertainCommands, hostCommand{host, Pause})
+		delete(service.uncertainCommands, hostCommand{host, Resume})
 	}
 }
 
-// SuspectPrimary takes in a router's word that it can't reach a service's primary; now is when it came.
-func (c *Coordinator) SuspectPrimary(router, name, host string, now int64) {
-	s := c.service(name)
-	if s.suspectedHost != host {
-		s.suspectedHost, s.failedProbes = host, 0
-		clear(s.suspicions)
-	}
-	if len(s.suspicions) == 0 {
+// SuspectPrimary takes in a proxy's report that it cannot reach a service's primary, which came at nowMs.
+func (c *Coordinator) SuspectPrimary(proxy, serviceName, host string, nowMs int64) {
+	service := c.service(serviceName)
+	service.watchHost(host)
+	if len(service.suspicions) == 0 {
 		c.Counters.Suspected++
 	}
-	s.suspicions[router] = now
+	service.suspicions[proxy] = nowMs
 }
 
-// discoverPrimary finds who leads a service that none was ever known to lead: a host says so, and is asked for its term.
-func (c *Coordinator) discoverPrimary(do *Actions, s *serviceState, members []string, now int64) {
-	best, term := "", uint64(0)
-	for _, m := range members {
-		if !c.heartbeats[m].IsPrimary {
-			continue
-		}
-		if r, ok := s.lastResults[m]; ok && now < r.receivedAt+2*queryTimeoutMs && !r.result.TimedOut && !r.result.ConnectionRefused && r.result.Status.Leader {
-			if r.result.Status.Term > term || best == "" {
-				best, term = m, r.result.Status.Term
-			}
-			continue
-		}
-		c.query(do, s, m, Stat, 0, queryIntervalMs, now)
-	}
-	if best != "" {
-		s.propose(do, statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: s.name, Host: best, Term: term}}, now)
-	}
+// lastHeard is when a host last sent a heartbeat, or answered as primary; this member's leadership begins with all heard.
+func (c *Coordinator) lastHeard(host string) int64 {
+	return max(c.heartbeats[host].at, c.leaderSince)
 }
 
-// monitorPrimary looks after a service that is led: is its primary there, and does it stay?
-func (c *Coordinator) monitorPrimary(do *Actions, state *statemachine.State, s *serviceState, lead statemachine.Primary, members []string, now int64) {
-	primary, there := state.Hosts[lead.Host]
-	s.resetTransition()
-	if !there || c.primaryLost(do, s, lead, now) {
-		c.Counters.Lost++
-		s.why = "lost"
-		s.propose(do, statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: s.name, Owner: c.self}}, now)
-		return
-	}
-	for _, m := range members { // one that was promoted late leads now, whoever is said to
-		if m == lead.Host || !c.heartbeats[m].IsPrimary || c.heartbeats[m].At < c.leaderSince {
-			continue
-		}
-		if st, ok := s.successSince(m, Stat, now-2*queryIntervalMs); ok && st.Leader && st.Term > lead.Term && isPlausibleTerm(st.Term, lead) {
-			s.propose(do, statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: s.name, Owner: c.self}}, now)
-			return
-		}
-		c.query(do, s, m, Stat, 0, 4*queryIntervalMs, now)
-	}
-	c.markMissingReplicas(do, state, s, lead, members, now)
-	if lead.ReplicasPaused && !c.resumeReplicas(do, state, s, lead, members, now) {
-		return // what is to be PAUSEd next must not be told to go on by what is still out
-	}
-	if primary.Draining && len(state.UnaccountedHostIDs(s.name)) == 0 {
-		if to := c.chooseSuccessor(state, s, lead, members, now); to != "" {
-			c.Counters.Planned++
-			s.nominated = to
-			s.why = "drains"
-			s.propose(do, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: s.name, Host: to, Owner: c.self}}, now)
-		}
-	}
+// isSilent says whether a host's heartbeats have stopped.
+func (e *evaluation) isSilent(host string) bool {
+	return e.nowMs >= e.coordinator.lastHeard(host)+e.coordinator.heartbeatTimeoutMs()
 }
 
-// markMissingReplicas finds replicas whose processes are gone, so that the loss of the primary need not wait for them: one that left,
-// and one whose machine has refused for a while. What it alone had received others must have since: another replica has
-// reached where the primary stood after that. A replica that is silent is never taken for gone.
-func (c *Coordinator) markMissingReplicas(do *Actions, state *statemachine.State, s *serviceState, lead statemachine.Primary, members []string, now int64) {
-	for _, m := range state.UnaccountedHostIDs(s.name) {
-		if s.refusingSince[m] == 0 {
-			s.refusingSince[m] = now
-		}
-		c.markMissingOnceOvertaken(do, state, s, lead, members, m, now)
-	}
-	for _, m := range members {
-		if m == lead.Host || state.Hosts[m].Missing || now < max(c.heartbeats[m].At, c.leaderSince)+2*c.heartbeatIntervalMs+queryTimeoutMs {
-			delete(s.refusingSince, m)
-			continue
-		}
-		c.query(do, s, m, Stat, 0, 4*queryIntervalMs, now)
-		r, ok := s.lastResults[m]
-		if !ok || !r.result.ConnectionRefused || now > r.receivedAt+8*queryIntervalMs {
-			delete(s.refusingSince, m)
-			continue
-		}
-		if s.refusingSince[m] == 0 {
-			s.refusingSince[m] = now
-		}
-		if now >= s.refusingSince[m]+suspicionTTLMs {
-			c.markMissingOnceOvertaken(do, state, s, lead, members, m, now)
-		}
+// watchHost begins the failure detection of a host anew if it was another that was suspected before.
+func (s *serviceState) watchHost(host string) {
+	if s.suspectedHost != host {
+		s.suspectedHost, s.failedProbes = host, 0
+		clear(s.suspicions)
 	}
 }
 
-// markMissingOnceOvertaken notes in the log that nothing is owed to a host that is gone, once another replica has all that it had.
-func (c *Coordinator) markMissingOnceOvertaken(do *Actions, state *statemachine.State, s *serviceState, lead statemachine.Primary, members []string, m string, now int64) {
-	since := s.refusingSince[m]
-	at, ok := s.successSince(lead.Host, Stat, since)
-	if !ok {
-		c.query(do, s, lead.Host, Stat, 0, queryIntervalMs, now)
-		return
-	}
-	if !at.Leader {
-		return
-	}
-	for _, o := range members {
-		if o == m || o == lead.Host || state.Hosts[o].Missing {
-			continue
-		}
-		st, ok := s.successSince(o, Stat, s.lastResults[lead.Host].sentAt)
-		if ok && !st.Received.Before(at.Received) {
-			c.Log(s.name, "a replica is gone, and others have all that it had", m)
-			c.Counters.Missing++
-			delete(s.refusingSince, m)
-			s.propose(do, statemachine.Change{MarkMissing: m}, now)
-			return
+func (s *serviceState) expireSuspicions(nowMs int64) {
+	for proxy, reportedAt := range s.suspicions {
+		if nowMs > reportedAt+suspicionTTLMs {
+			delete(s.suspicions, proxy)
 		}
-		c.query(do, s, o, Stat, 0, queryIntervalMs, now)
 	}
 }
 
-// primaryLost says whether a primary is given up. Routers that can't reach it, or beats that stopped, have it asked; it is
-// lost once it gave no answer twice in a row.
-func (c *Coordinator) primaryLost(do *Actions, s *serviceState, lead statemachine.Primary, now int64) bool {
-	if s.suspectedHost != lead.Host {
-		s.suspectedHost, s.failedProbes = lead.Host, 0
-		clear(s.suspicions)
-	}
-	for router, at := range s.suspicions {
-		if now > at+suspicionTTLMs {
-			delete(s.suspicions, router)
-		}
-	}
-	since := max(c.heartbeats[lead.Host].At, c.leaderSince)
-	if len(s.suspicions) == 0 && now < since+2*c.heartbeatIntervalMs+queryTimeoutMs {
-		s.failedProbes, s.suspectedSince = 0, 0
+// probeVerdict is what the last probe says of a suspected primary.
+type probeVerdict uint8
+
+const (
+	probePending    probeVerdict = iota // no result, or one that has counted already
+	probeAlive                          // it answered
+	probeNotPrimary                     // it answered that it does not lead any more
+	probeFailed                         // it did not answer
+)
+
+// primaryLost carries the failure detection of the primary one step on, and says whether the primary is lost. It is probed
+// while a proxy cannot reach it or its heartbeats have stopped, and lost once it failed lostProbes in a row, or answered
+// that it does not lead any more.
+func (e *evaluation) primaryLost() bool {
+	service := e.service
+	service.watchHost(e.primary.Host)
+	service.expireSuspicions(e.nowMs)
+	if len(service.suspicions) == 0 && !e.isSilent(e.primary.Host) {
+		service.failedProbes, service.suspectedSince = 0, 0
 		return false
 	}
-	if s.suspectedSince == 0 {
-		s.suspectedSince = now
+	if service.suspectedSince == 0 {
+		service.suspectedSince = e.nowMs
 	}
-	if a := s.hedgedQuery; a != nil && now >= a.sentAt+2*queryTimeoutMs {
-		s.hedgedQuery = nil
+	if hedged := service.hedgedQuery; hedged != nil && e.nowMs >= hedged.sentAt+pendingQueryTimeoutMs {
+		service.hedgedQuery = nil
 	}
-	if r, ok := s.lastResults[lead.Host]; ok && r.command == Stat && r.sentAt >= s.suspectedSince && r.sentAt > s.lastProbeSentAt {
-		s.lastProbeSentAt = r.sentAt
-		switch {
-		case !r.result.ConnectionRefused && !r.result.TimedOut:
-			s.failedProbes, s.suspectedSince = 0, 0
-			c.Counters.Cleared++
-			clear(s.suspicions)
-			if len(s.suspicions) == 0 && r.result.Status.Term == lead.Term && !r.result.Status.Leader && r.result.Code == "" {
-				return true // it leads no more
-			}
-			c.heartbeats[lead.Host] = HostHeartbeat{now, c.heartbeats[lead.Host].IsPrimary}
-			return false
-		default:
-			s.failedProbes++
-		}
-	}
-	if s.failedProbes >= 2 {
-		s.failedProbes = 0
+	switch e.probeResult() {
+	case probeAlive:
+		e.clearSuspicion()
+		e.coordinator.Heartbeat(e.primary.Host, e.coordinator.heartbeats[e.primary.Host].isPrimary, e.nowMs)
+		return false
+	case probeNotPrimary:
+		e.clearSuspicion()
 		return true
+	case probeFailed:
+		service.failedProbes++
+	case probePending:
 	}
-	if a := s.pendingQueries[lead.Host]; a != nil && a.query.Command == Stat && s.hedgedQuery == nil && now >= a.sentAt+hedgeDelayMs && now < a.sentAt+queryTimeoutMs {
-		c.lastSerial++
-		q := HostQuery{s.name, lead.Host, Stat, 0, c.leaderTerm, c.lastSerial}
-		s.hedgedQuery = &pendingQuery{q, now}
-		do.Queries = append(do.Queries, q)
-		return false
+	if service.failedProbes >= lostProbes {
+		service.failedProbes = 0
+		return true
 	}
-	c.query(do, s, lead.Host, Stat, 0, suspectProbeIntervalMs, now)
+	e.probePrimary()
 	return false
 }
+
+// probeResult evaluates the last probe of the primary, once.
+func (e *evaluation) probeResult() probeVerdict {
+	service := e.service
+	last, ok := service.lastResults[e.primary.Host]
+	if !ok || !last.isOf(Stat) || last.sentAt < service.suspectedSince || last.sentAt <= service.lastProbeSentAt {
+		return probePending
+	}
+	service.lastProbeSentAt = last.sentAt
+	switch {
+	case !last.answered():
+		return probeFailed
+	case last.Code == "" && last.Status.Term == e.primary.Term && !last.Status.Leader:
+		return probeNotPrimary
+	}
+	return probeAlive
+}
+
+func (e *evaluation) clearSuspicion() {
+	e.coordinator.Counters.Cleared++
+	e.service.failedProbes, e.service.suspectedSince = 0, 0
+	clear(e.service.suspicions)
+}
+
+// probePrimary queries the primary, or sends a hedged query beside a probe that has no answer yet.
+func (e *evaluation) probePrimary() {
+	service := e.service
+	pending := service.pendingQueries[e.primary.Host]
+	if pending != nil && pending.query.Command == Stat && service.hedgedQuery == nil &&
+		e.nowMs >= pending.sentAt+hedgeDelayMs && e.nowMs < pending.sentAt+queryTimeoutMs {
+		service.hedgedQuery = e.send(e.primary.Host, Stat, 0)
+		return
+	}
+	e.query(e.primary.Host, Stat, 0, suspectProbeIntervalMs)
+}
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -294,7 +294,7 @@
 		f.Views.Add(1)
 		f.led = f.state.LedTimeMs - now
 		f.jaw, f.hoist = lease.NewGrantor(now), failover.New(f.plate.Node, f.core.Term(), f.plate.BeatMs, now)
-		f.hoist.Log = func(service, what, host string) { f.log.Info(what, "service", service, "host", host) }
+		f.hoist.OnEvent = func(e failover.Event) { f.log.Info(e.Kind.String(), "service", e.Service, "host", e.Host) }
 		f.log.Info("leads", "view", f.core.Term(), "members", f.core.Members())
 	case (!f.core.IsLeader() || f.astray) && f.leads:
 		f.leads = false
--- a/internal/proxy/world_test.go
+++ b/internal/proxy/world_test.go
@@ -131,7 +131,7 @@
 func newControlPlane(w *world) *controlPlane {
 	c := &controlPlane{w: w, state: &statemachine.State{}}
 	c.jaw, c.hoist = lease.NewGrantor(c.millis()-10*lease.GrantMs), failover.New("control", 1, 1200, c.millis())
-	c.hoist.Log = func(service, what, host string) { w.Note("%s: %s %s", service, what, host) }
+	c.hoist.OnEvent = func(e failover.Event) { w.Note("%s", e) }
 	c.clear = func(i uint64) bool { return c.jaw.AllCaughtUp(i, c.state.ProxyNames(), c.millis()) }
 	return c
 }
