--- /dev/null
+++ b/internal/control/failover/failover_test.go
@@ -0,0 +1,207 @@
+package failover
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestFailoverPromotesTheMostAdvancedReplica(t *testing.T) {
+	for _, silent := range []bool{false, true} {
+		detectionMs := int64(0)
+		if silent {
+			detectionMs = queryTimeoutMs + hedgeDelayMs
+		}
+		h := newHarness(t)
+		h.run(500)
+		h.hosts["h1"].Received.Number = 90
+		h.stopPrimary(silent)
+		h.suspectPrimary()
+		suspectedAt := h.now
+		h.run(200 + detectionMs)
+		require.Len(t, h.promotions, 1, "silent %v, %d ms after the primary was suspected", silent, h.now-suspectedAt)
+		require.Equal(t, "h2", h.promotions[0].Host)
+		h.promote("h2")
+		h.run(200)
+		require.Equal(t, "h2", h.primary().Host)
+		h.run(300)
+		require.Contains(t, h.hosts["h1"].commands, Resume, "it was paused")
+	}
+}
+
+// Reports that cannot be right do not take a healthy primary out of service.
+func TestImplausibleReportsDoNotRevokeAHealthyPrimary(t *testing.T) {
+	for name, report := range map[string]func(h *harness){
+		"a status with a lower term":            func(h *harness) { h.hosts["h0"].Term = 2 },
+		"another that reports to lead":          func(h *harness) { h.hosts["h1"].Leader = true },
+		"another that leads an earlier term":    func(h *harness) { h.hosts["h1"].Leader, h.hosts["h1"].Term = true, 3 },
+		"a term far beyond the primary's":       func(h *harness) { h.hosts["h1"].Leader, h.hosts["h1"].Term = true, 1<<63-1 },
+		"positions that go back":                func(h *harness) { h.hosts["h1"].Received.Number, h.hosts["h0"].Received.Number = 3, 50 },
+		"heartbeats of an unknown host":         func(h *harness) { h.coordinator.Heartbeat("h9", true, h.now) },
+		"a proxy that suspects again and again": func(h *harness) { h.suspectPrimary() },
+		"a replica that is silent":              func(h *harness) { h.hosts["h2"].up, h.hosts["h2"].silent = false, true },
+		"a replica that is gone":                func(h *harness) { h.hosts["h2"].up = false },
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t)
+			for range 60 {
+				report(h)
+				h.run(200)
+			}
+			require.Zero(t, h.revocations, "the primary was revoked")
+			require.Empty(t, h.promotions)
+		})
+	}
+}
+
+// A term far beyond the primary's neither holds up a failover nor is taken over by it.
+func TestImplausibleTermDoesNotBlockFailover(t *testing.T) {
+	h := newHarness(t)
+	h.hosts["h1"].Term = 1<<63 - 1
+	h.stopPrimary(false)
+	h.suspectPrimary()
+	h.run(300)
+	require.Len(t, h.promotions, 1)
+	promoted := h.hosts[h.promotions[0].Host]
+	promoted.Leader, promoted.Term = true, 5
+	h.run(300)
+	require.Equal(t, h.promotions[0].Host, h.primary().Host)
+	require.EqualValues(t, 5, h.primary().Term)
+}
+
+// The platform's answers, one after another: it is busy, it rejects the host, its answer is lost. A promotion that may have
+// been carried out is waited for, and no other host is promoted meanwhile.
+func TestPromotionOutcomes(t *testing.T) {
+	h := newHarness(t)
+	h.outcome = func(count int) PromotionOutcome {
+		return []PromotionOutcome{PromotionNotExecuted, PromotionRejected, PromotionUnknown, PromotionSucceeded}[min(count, 3)]
+	}
+	h.stopPrimary(false)
+	h.suspectPrimary()
+	h.run(4000)
+	require.GreaterOrEqual(t, len(h.promotions), 3)
+	promoted := h.promotions[2].Host
+	count := len(h.promotions)
+	h.promote(promoted)
+	h.run(1000)
+	require.Equal(t, promoted, h.primary().Host, "the promotion of unknown outcome took effect, and is found")
+	require.Len(t, h.promotions, count, "no other was promoted")
+	for i := 1; i < len(h.promotions); i++ {
+		require.GreaterOrEqual(t, h.promotions[i].FencingToken, h.promotions[i-1].FencingToken)
+	}
+}
+
+// A promotion is accepted, and the host stops before it leads: the other replica is promoted once the position of the first
+// is known.
+func TestHostThatFailsAfterPromotionIsReplaced(t *testing.T) {
+	h := newHarness(t)
+	h.stopPrimary(false)
+	h.suspectPrimary()
+	h.run(300)
+	require.Len(t, h.promotions, 1)
+	promoted := h.promotions[0].Host
+	h.hosts[promoted].up = false
+	h.run(promotionTimeoutMs + 2000)
+	require.Contains(t, h.coordinator.Transitions(h.state, h.now)["db"].WaitingFor, promoted, "its position is needed first")
+	h.hosts[promoted].up = true
+	h.hosts[promoted].Received.Number = 80
+	h.run(1500)
+	require.Greater(t, len(h.promotions), 1)
+	require.NotEqual(t, promoted, h.promotions[len(h.promotions)-1].Host)
+}
+
+// The leader of the control plane fails at each step of a failover; the next one finds out what was done and goes on.
+func TestNextLeaderResumesFailover(t *testing.T) {
+	for after := int64(0); after < 400; after += 20 {
+		h := newHarness(t)
+		h.stopPrimary(false)
+		h.suspectPrimary()
+		h.run(after)
+		h.events = nil // what was on its way to the earlier leader is lost
+		h.startLeader("other", 2)
+		if len(h.promotions) > 0 {
+			h.after(200, func() { h.promote(h.promotions[0].Host) })
+		} else {
+			h.after(10, h.suspectPrimary)
+		}
+		promotionsBefore := len(h.promotions)
+		h.run(2500)
+		if promotionsBefore == 0 {
+			require.NotEmpty(t, h.promotions, "after %d ms", after)
+			require.Equal(t, "other", h.promotions[0].Owner)
+			h.promote(h.promotions[len(h.promotions)-1].Host)
+			h.run(1500)
+		} else {
+			for _, promotion := range h.promotions {
+				require.Equal(t, h.promotions[0].Host, promotion.Host, "after %d ms: a host that may be promoted is requested again, and no other", after)
+			}
+		}
+		require.Equal(t, h.promotions[0].Host, h.primary().Host, "after %d ms", after)
+		for id, host := range h.hosts {
+			require.False(t, host.up && !host.Leader && host.Held > 0, "after %d ms: %s stays paused", after, id)
+		}
+	}
+}
+
+// A switchover: the old primary serves until the successor leads, then it steps down.
+func TestDrainingPrimaryIsSwitchedOver(t *testing.T) {
+	h := newHarness(t)
+	h.run(1300)
+	h.drain("h0")
+	h.run(300)
+	require.Len(t, h.promotions, 1)
+	require.Zero(t, h.revocations, "the old primary serves until the successor leads")
+	successor := h.promotions[0].Host
+	h.hosts[successor].Leader, h.hosts[successor].Term = true, 5
+	h.run(400)
+	require.Equal(t, successor, h.primary().Host)
+	require.False(t, h.hosts["h0"].Leader)
+}
+
+// A switchover reports its start, a failover reports that the primary is revoked; both report the new primary.
+func TestEventsNameTheTransition(t *testing.T) {
+	h := newHarness(t)
+	h.stopPrimary(false)
+	h.suspectPrimary()
+	h.run(300)
+	h.promote("h1")
+	h.run(200)
+	require.Equal(t, Event{"db", FailoverStarted, "h0"}, h.observed[0])
+	require.Contains(t, h.observed, Event{"db", NewPrimaryObserved, "h1"})
+
+	h = newHarness(t)
+	h.run(1300)
+	h.drain("h0")
+	h.run(300)
+	successor := h.promotions[0].Host
+	h.promote(successor)
+	h.run(400)
+	require.Equal(t, Event{"db", SwitchoverStarted, successor}, h.observed[0])
+	require.Contains(t, h.observed, Event{"db", NewPrimaryObserved, successor})
+	require.NotContains(t, h.observed, Event{"db", FailoverStarted, "h0"})
+	require.Equal(t, "db: switchover started, host "+successor, h.observed[0].String())
+	require.Equal(t, "EventKind(0)", EventKind(0).String())
+}
+
+// A primary that answers that it does not lead any more is revoked without further probes.
+func TestPrimaryThatLostLeadershipIsRevoked(t *testing.T) {
+	h := newHarness(t)
+	h.hosts["h0"].Leader = false
+	h.suspectPrimary()
+	h.run(50)
+	require.Equal(t, 1, h.revocations)
+	require.EqualValues(t, 1, h.coordinator.Counters.Cleared)
+	require.EqualValues(t, 1, h.coordinator.Counters.Lost)
+}
+
+// A promotion that takes effect after its failover was over is found, and the host that leads becomes the primary.
+func TestHostThatLeadsInALaterTermBecomesPrimary(t *testing.T) {
+	h := newHarness(t)
+	h.promote("h2")
+	h.run(3 * testHeartbeatIntervalMs)
+	require.Equal(t, 1, h.revocations)
+	require.Equal(t, "h2", h.primary().Host)
+	require.EqualValues(t, 5, h.primary().Term)
+	require.False(t, h.hosts["h0"].Leader, "it was told to step down")
+	require.Empty(t, h.promotions)
+}
--- /dev/null
+++ b/internal/control/failover/late_commands_test.go
@@ -0,0 +1,167 @@
+package failover
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ferrypitch/internal/wire"
+)
+
+// lateCommands is a harness whose commands often time out and are executed late, while the primary takes writes.
+type lateCommands struct {
+	*harness
+	seed   uint64
+	random *rand.Rand
+
+	acknowledged uint64           // the greatest position that a replica had received too
+	handled      int              // promotions that were given an effect
+	revokedAt    map[uint64]int64 // when proxies were first asked whether they acted on a revocation
+	behindUntil  [3]int64         // by host: until when it receives nothing
+	frozenHost   string           // it executes nothing until frozenUntil, and then all at once
+	frozenUntil  int64
+	noDelays     bool
+
+	delayedCommands, frozenCommands, switchovers int
+}
+
+func newLateCommands(t *testing.T, seed uint64) *lateCommands {
+	l := &lateCommands{
+		harness:      newHarness(t),
+		seed:         seed,
+		random:       rand.New(rand.NewPCG(seed, 5)),
+		acknowledged: 100,
+		revokedAt:    map[uint64]int64{},
+	}
+	l.now += l.random.Int64N(1200)
+	l.allCaughtUp = l.proxiesCaughtUp
+	l.lateBy = l.commandDelay
+	return l
+}
+
+func (l *lateCommands) proxiesCaughtUp(index uint64) bool {
+	if l.revokedAt[index] == 0 {
+		l.revokedAt[index] = l.now
+	}
+	return l.now >= l.revokedAt[index]+int64(index*37+l.seed)%900
+}
+
+func (l *lateCommands) commandDelay(query HostQuery) int64 {
+	delay := 10 + int64(query.Serial*131+l.seed*17)%900
+	delayed := []Command{Resume, Pause}[l.seed%2]
+	switch {
+	case query.Host == l.frozenHost && l.now < l.frozenUntil:
+		l.frozenCommands++
+		return l.frozenUntil - l.now + delay/3
+	case l.noDelays || query.Command != delayed || (query.Serial*7+l.seed)%5 > 2:
+		return 0
+	}
+	l.delayedCommands++
+	return delay
+}
+
+func (l *lateCommands) step() {
+	l.run(testTickMs)
+	primary := l.primary()
+	for _, id := range []string{"h0", "h1", "h2"} {
+		host := l.hosts[id]
+		if !host.Leader || id != primary.Host || primary.Revoked && l.proxiesCaughtUp(primary.ChangedAt) {
+			continue
+		}
+		l.write(id, host)
+	}
+	for ; l.handled < len(l.promotions); l.handled++ {
+		hostID := l.promotions[l.handled].Host
+		l.after(100, func() { l.takeEffect(hostID) })
+	}
+}
+
+// write has a primary take a write, which is acknowledged once one replica has received it.
+func (l *lateCommands) write(id string, primary *fakeHost) {
+	primary.Received = wire.Position{Term: primary.Term, Number: primary.Received.Number + 1}
+	for n, other := range []string{"h0", "h1", "h2"} {
+		if l.now >= l.behindUntil[n] && l.random.IntN(30) == 0 {
+			l.behindUntil[n] = l.now + 30 + l.random.Int64N(400)
+		}
+		replica := l.hosts[other]
+		if other != id && !replica.Leader && replica.Held == 0 && l.now >= l.behindUntil[n] {
+			replica.Received = primary.Received
+			l.acknowledged = primary.Received.Number
+		}
+	}
+}
+
+// takeEffect promotes a host, which must have all that was acknowledged. The others follow its log.
+func (l *lateCommands) takeEffect(hostID string) {
+	promoted := l.hosts[hostID]
+	if promoted.Leader {
+		return
+	}
+	require.GreaterOrEqual(l.t, promoted.Received.Number, l.acknowledged, "seed %d: LOST by the promotion of %s", l.seed, hostID)
+	position := promoted.Received.Number
+	l.promote(hostID)
+	for id, host := range l.hosts {
+		host.Received.Number = min(host.Received.Number, position)
+		if id != hostID && host.Term < promoted.Term && !host.Leader {
+			host.Term = promoted.Term
+		}
+	}
+}
+
+func (l *lateCommands) runFor(durationMs int64) {
+	for until := l.now + durationMs; l.now < until; {
+		l.step()
+	}
+}
+
+// switchOver drains the primary until another leads, with changes of leader in the control plane now and then.
+func (l *lateCommands) switchOver() {
+	oldPrimary := l.primary().Host
+	l.frozenHost = fmt.Sprintf("h%d", l.random.IntN(3))
+	if l.frozenHost != oldPrimary && l.random.IntN(3) == 0 {
+		l.frozenUntil = l.now + 300 + l.random.Int64N(3000)
+		l.runFor(l.random.Int64N(1500))
+	}
+	if l.random.IntN(3) == 0 {
+		l.startNextLeader()
+	}
+	host := l.drain(oldPrimary)
+	for until := l.now + 25000; l.now < until && l.primary().Host == oldPrimary; {
+		l.step()
+		if l.random.IntN(300) == 0 {
+			l.startNextLeader()
+		}
+	}
+	if l.primary().Host != oldPrimary {
+		l.switchovers++
+	}
+	host.Draining = false // a new host takes its place
+	l.state.Hosts[oldPrimary] = host
+}
+
+// Three switchovers, one right after the other. Commands of the end of one time out now and then, and are executed while
+// the next one runs, perhaps under another leader: no acknowledged write is lost by it, and no replica stays paused.
+func TestLateCommandsLoseNoAcknowledgedWrite(t *testing.T) {
+	delayedCommands, frozenCommands, switchovers := 0, 0, 0
+	for seed := range uint64(400) {
+		l := newLateCommands(t, seed)
+		for range 3 {
+			l.runFor(200 + l.random.Int64N(1500))
+			l.switchOver()
+		}
+		l.noDelays = true
+		l.runFor(9000)
+		for id, host := range l.hosts {
+			require.False(t, !host.Leader && host.Held > 0, "seed %d: %s stays paused", seed, id)
+		}
+		delayedCommands += l.delayedCommands
+		frozenCommands += l.frozenCommands
+		switchovers += l.switchovers
+	}
+	t.Logf("%d delayed commands, %d frozen, %d switchovers", delayedCommands, frozenCommands, switchovers)
+	require.Greater(t, delayedCommands, 1000)
+	require.Greater(t, frozenCommands, 1000)
+	require.Greater(t, switchovers, 1000)
+}
