--- a/internal/control/failover/service.go
+++ b/internal/control/failover/service.go
@@ -6,12 +6,12 @@
 	proposedAt int64 // when a change was proposed that was not applied yet; 0: none
 
 	// Failure detection.
-	suspectedHost   string           // the primary that the fields below are about
+	suspectedHost   string           // the primary that suspicions and failedProbes are about
 	suspicions      map[string]int64 // by proxy: when it last could not reach the primary
 	suspectedSince  int64            // since when the primary must be probed; 0: it need not
 	failedProbes    int              // in a row
 	lastProbeSentAt int64            // when the last probe that counted was sent
-	refusingSince   map[string]int64 // replicas whose machines refuse connections, or that left: since when
+	refusingSince   map[string]int64 // replicas whose machines refuse connections, or that were removed: since when
 
 	// Queries.
 	pendingQueries    map[string]*pendingQuery // by host
