--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -45,7 +45,9 @@
 	s.ledTimeOffsetMs = s.state.LedTimeMs - now
 	s.grantor = lease.NewGrantor(now)
 	s.coordinator = failover.New(s.settings.Node, term, s.settings.BeatMs, now)
-	s.coordinator.Log = func(service, what, host string) { s.log.Info(what, "service", service, "host", host) }
+	s.coordinator.OnEvent = func(event failover.Event) {
+		s.log.Info(event.Kind.String(), "service", event.Service, "host", event.Host)
+	}
 	s.log.Info("became leader", "term", term, "members", s.consensus.Members())
 }
 
