--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -18,12 +18,12 @@
 	"ferrypitch/internal/simulation/statesize"
 )
 
-// soleLeader is a member that leads alone and holds a state, with all its routers linked and all hosts heard. What it sends is
-// counted, and not encoded: internal/rpc has the price of a frame.
+// soleLeader is the only member of a cluster, with a state, connected proxies and live hosts. What it sends is counted and not
+// encoded: internal/rpc measures the cost of a frame.
 type soleLeader struct {
 	*Server
 	frames   int
-	routers  []*ProxyConn
+	proxies  []*ProxyConn
 	unsynced []consensus.Write
 }
 
@@ -31,35 +31,35 @@
 	plate := &settings.Settings{Node: "core-waco-hall-0", Ip: "10.1.0.11", Zone: "waco-hall", BeatMs: 1200}
 	plate.Listen.Control = "10.1.0.11:8782"
 	id := storage.Identity{ID: "10.1.0.11", Founders: []consensus.ID{"10.1.0.11"}}
-	f, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), id, consensus.RestoredState{}, func() float64 { return 0 }, 1)
+	server, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), id, consensus.RestoredState{}, func() float64 { return 0 }, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
-	s := &soleLeader{Server: f}
-	f.SetEnvironment(Environment{
+	s := &soleLeader{Server: server}
+	server.SetEnvironment(Environment{
 		Send: func(string, *rpc.Frame) {}, QueryHost: func(failover.HostQuery, statemachine.Host) {}, Promote: func(failover.Promotion) {},
 		Persist: func(w []consensus.Write) { s.unsynced = append(s.unsynced, w...) },
 	})
-	for !f.leading {
-		f.Tick()
+	for !server.leading {
+		server.Tick()
 		s.sync()
 		time.Sleep(5 * time.Millisecond)
 	}
-	index := f.state.Index
-	f.state = e.State()
-	f.state.Index = index
+	index := server.state.Index
+	server.state = e.State()
+	server.state.Index = index
 	for n := range e.Hosts() {
-		f.coordinator.Heartbeat(statesize.Host(n).ID, n%3 == 0, f.clock.Now()+1<<40) // none falls silent while it is measured
+		server.coordinator.Heartbeat(statesize.Host(n).ID, n%3 == 0, server.clock.Now()+1<<40) // none times out during the benchmark
 	}
 	for n := range e.Routers {
 		hello := &rpc.ProxyHello{Node: statesize.Router(n), Incarnation: 1, Zone: "waco-hall", AppliedIndex: index}
-		s.routers = append(s.routers, f.AcceptProxy(hello, fmt.Sprintf("10.1.%d.%d", n/250, 1+n%250),
+		s.proxies = append(s.proxies, server.AcceptProxy(hello, fmt.Sprintf("10.1.%d.%d", n/250, 1+n%250),
 			func(*rpc.Frame) bool { s.frames++; return true }, func() {}))
 	}
 	return s
 }
 
-// sync has what was written be on disk.
+// sync reports all writes as synced.
 func (s *soleLeader) sync() {
 	for len(s.unsynced) > 0 {
 		seq := s.unsynced[len(s.unsynced)-1].Seq
@@ -79,16 +79,16 @@
 	}
 }
 
-// One renewal of a lease, as the owner of the state takes it in.
+// One renewal of a proxy's lease.
 func BenchmarkLeaseRenewal(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, s *soleLeader) {
 		for b.Loop() {
-			s.HandleProxyFrame(s.routers[7], &rpc.Frame{LeaseRequest: &rpc.LeaseRequest{Serial: 1, AppliedIndex: s.state.Index, Sessions: 100}})
+			s.HandleProxyFrame(s.proxies[7], &rpc.Frame{LeaseRequest: &rpc.LeaseRequest{Serial: 1, AppliedIndex: s.state.Index, Sessions: 100}})
 		}
 	})
 }
 
-// One beat of a host that tells nothing new.
+// One heartbeat of a host that reports nothing new.
 func BenchmarkHeartbeat(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, s *soleLeader) {
 		h := statesize.Host(10)
@@ -104,7 +104,7 @@
 	})
 }
 
-// One change, from its proposal to a frame in each router's queue.
+// One change, from its proposal to a frame for each proxy.
 func BenchmarkChange(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, s *soleLeader) {
 		term := uint64(1)
@@ -116,7 +116,7 @@
 	})
 }
 
-// A router that has nothing is greeted with a snapshot.
+// The welcome of a proxy without state, with a snapshot.
 func BenchmarkProxyWelcome(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, s *soleLeader) {
 		for b.Loop() {
--- a/internal/control/catch_up_test.go
+++ b/internal/control/catch_up_test.go
@@ -21,18 +21,18 @@
 	"ferrypitch/internal/simulation/scheduler"
 )
 
-// A mill is three members on links and disks that take their time by the byte, and an operator who changes one route
-// after another.
+// byteCostCluster is three members on links and disks whose time depends on the bytes, and an operator who changes one route
+// after another. One unit of time is 1 ms.
 type byteCostCluster struct {
 	*scheduler.Scheduler
 	members          []*byteCostMember
 	routes           int
-	acknowledged     int64  // the newest that was acknowledged
+	acknowledged     int64  // the newest acknowledged version
 	acknowledgedBody []byte // of it
-	pendingBody      []byte // under way
+	pendingBody      []byte // of the update that is not acknowledged yet
 	updateIntervalMs int64
-	paddingBytes     int  // bytes that are new in each version
-	stopped          bool // no more changes
+	paddingBytes     int  // random bytes in each version
+	stopped          bool // the operator makes no more updates
 	bytesPerMs       int64
 }
 
@@ -45,10 +45,10 @@
 	identity     storage.Identity
 	disk         consensus.RestoredState
 	unsynced     []consensus.Write
-	diskSlowdown int64 // how many times as long its disk takes
-	diskFreeAt   int64 // when its disk is done with what it was given
+	diskSlowdown int64 // factor
+	diskFreeAt   int64 // when all writes are done
 	linkFreeAt   map[string]int64
-	sentBytes    int64 // sent, without calls that were passed on
+	sentBytes    int64 // without forwarded calls
 
 	storedBytes, syncs int64
 }
@@ -157,7 +157,7 @@
 	})
 }
 
-// configuration is that of a version: one route is changed in each.
+// configuration is the body of a version. Each changes one route.
 func (c *byteCostCluster) configuration(version int64) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"Generation":%d,"Routes":[`, version)
@@ -177,7 +177,7 @@
 	return b.Bytes()
 }
 
-// update has the operator send a change, to any member, until it is acknowledged.
+// update makes an update at random members until it is acknowledged, and then the next.
 func (c *byteCostCluster) update() {
 	if c.stopped {
 		return
@@ -201,7 +201,7 @@
 					done, c.acknowledged, c.acknowledgedBody = true, next, body
 					c.After(c.updateIntervalMs, c.update)
 				case status < 500 && status != http.StatusOK:
-					c.Violate("version %d is refused: %d %s", next, status, answer)
+					c.Violate("version %d is rejected: %d %s", next, status, answer)
 				}
 			})
 		})
@@ -219,7 +219,7 @@
 	return nil
 }
 
-// checkAgreement asserts that members that stand at one place hold the same.
+// checkAgreement asserts that members at the same index have the same state.
 func (c *byteCostCluster) checkAgreement() {
 	for i, a := range c.members {
 		for _, b := range c.members[:i] {
@@ -353,71 +353,71 @@
 	require.Positive(t, snapshots, "snapshots")
 }
 
-// Where changes are long, the log is trimmed by their bytes: neither disk nor memory holds more than a few of them.
+// With large changes the log is compacted by their bytes: neither disk nor memory holds more than a few of them.
 func TestLogIsCompactedByItsBytes(t *testing.T) {
-	w := newByteCostCluster(3, 10, 20)
-	w.paddingBytes = 50_000
-	for w.acknowledged < 60 && w.Now < 60_000 {
-		w.RunFor(500)
-		for _, p := range w.members {
+	c := newByteCostCluster(3, 10, 20)
+	c.paddingBytes = 50_000
+	for c.acknowledged < 60 && c.Now < 60_000 {
+		c.RunFor(500)
+		for _, m := range c.members {
 			bytes := 0
-			for _, e := range p.disk.Entries {
+			for _, e := range m.disk.Entries {
 				bytes += len(e.Data)
 			}
-			require.Less(t, bytes, minLogBytes+5*w.paddingBytes)
+			require.Less(t, bytes, minLogBytes+5*c.paddingBytes)
 		}
 	}
-	require.GreaterOrEqual(t, w.acknowledged, int64(60))
-	w.checkAgreement()
-	require.Empty(t, w.Violations)
+	require.GreaterOrEqual(t, c.acknowledged, int64(60))
+	c.checkAgreement()
+	require.Empty(t, c.Violations)
 }
 
-// divergedState is a state at the same place and version as a member's, with another configuration.
-func divergedState(t *testing.T, s *statemachine.State) *statemachine.State {
-	spoilt, err := statemachine.Restore(s.Snapshot())
+// divergedState is a state at the same index and version as another, with another configuration.
+func divergedState(t *testing.T, state *statemachine.State) *statemachine.State {
+	diverged, err := statemachine.Restore(state.Snapshot())
 	require.NoError(t, err)
-	spoilt.Generation--
-	spoilt.Index--
-	spoilt.AppliedUpdates = spoilt.AppliedUpdates[:len(spoilt.AppliedUpdates)-1] // a base is built on once
-	body := bytes.Replace(spoilt.ConfigBody, []byte(`"TargetMs":150`), []byte(`"TargetMs":151`), 1)
-	require.NoError(t, spoilt.Apply(spoilt.Index+1, statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{BaseVersion: spoilt.Generation, Body: body}}))
-	return spoilt
+	diverged.Generation--
+	diverged.Index--
+	diverged.AppliedUpdates = diverged.AppliedUpdates[:len(diverged.AppliedUpdates)-1] // a base version has one update
+	body := bytes.Replace(diverged.ConfigBody, []byte(`"TargetMs":150`), []byte(`"TargetMs":151`), 1)
+	require.NoError(t, diverged.Apply(diverged.Index+1, statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{BaseVersion: diverged.Generation, Body: body}}))
+	return diverged
 }
 
-// A member whose state is not what the log builds does not go on with it: it builds it anew of its own log, or, where that
-// has it wrong as well, takes the leader's.
+// A member whose state diverged from the log rebuilds it from its own log, or, if its snapshot diverged too, fetches the
+// leader's.
 func TestDivergedStateIsRebuiltOrFetched(t *testing.T) {
 	for _, disk := range []bool{false, true} {
-		w := newByteCostCluster(7, 20, 20)
-		for w.leader() == nil || w.leader().server.consensus.LatestSnapshot().Index == 0 {
-			w.RunFor(500)
+		c := newByteCostCluster(7, 20, 20)
+		for c.leader() == nil || c.leader().server.consensus.LatestSnapshot().Index == 0 {
+			c.RunFor(500)
 		}
-		w.RunFor(1000)
-		var p *byteCostMember
-		for _, o := range w.members {
-			if o != w.leader() && len(o.disk.Snapshot.Data) > 0 {
-				p = o
+		c.RunFor(1000)
+		var m *byteCostMember
+		for _, other := range c.members {
+			if other != c.leader() && len(other.disk.Snapshot.Data) > 0 {
+				m = other
 			}
 		}
 		if disk {
-			p.up, p.unsynced = false, nil
-			s, err := statemachine.Restore(p.disk.Snapshot.Data)
+			m.up, m.unsynced = false, nil
+			s, err := statemachine.Restore(m.disk.Snapshot.Data)
 			require.NoError(t, err)
-			s.Index = p.disk.Snapshot.Index
-			p.disk.Snapshot.Data = divergedState(t, s).Snapshot()
-			p.start()
+			s.Index = m.disk.Snapshot.Index
+			m.disk.Snapshot.Data = divergedState(t, s).Snapshot()
+			m.start()
 		} else {
-			p.server.state = divergedState(t, p.server.state)
+			m.server.state = divergedState(t, m.server.state)
 		}
-		w.RunFor(12000)
-		require.Positive(t, p.server.StateDivergences.Load(), "disk %v", disk)
-		require.Equal(t, disk, p.server.consensus.SnapshotsInstalled > 0)
-		require.False(t, p.server.diverged)
-		require.Greater(t, p.server.state.Generation+20, w.acknowledged)
-		w.stopped = true
-		w.RunFor(2000)
-		w.checkAgreement()
-		require.Equal(t, w.leader().server.state.Checksum(), p.server.state.Checksum(), "disk %v", disk)
-		require.Empty(t, w.Violations)
+		c.RunFor(12000)
+		require.Positive(t, m.server.StateDivergences.Load(), "disk %v", disk)
+		require.Equal(t, disk, m.server.consensus.SnapshotsInstalled > 0)
+		require.False(t, m.server.diverged)
+		require.Greater(t, m.server.state.Generation+20, c.acknowledged)
+		c.stopped = true
+		c.RunFor(2000)
+		c.checkAgreement()
+		require.Equal(t, c.leader().server.state.Checksum(), m.server.state.Checksum(), "disk %v", disk)
+		require.Empty(t, c.Violations)
 	}
 }
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	unitsPerMs     = int64(10) // the stage's units
+	unitsPerMs     = int64(10) // of simulated time
 	unitsPerSecond = 1000 * unitsPerMs
 )
 
-// cluster is a control plane alone: members with disks that forget what was not synced, on a network that can be cut one
-// way, and no hosts or routers.
+// cluster simulates the members of a control plane, without hosts and proxies: their disks lose what is not synced, and their
+// network can be partitioned one way.
 type cluster struct {
 	*scheduler.Scheduler
 	members     []*clusterMember
@@ -300,12 +300,12 @@
 func (c *cluster) runGuarded(span int64) {
 	defer func() {
 		if p := recover(); p != nil {
-			c.Violate("a panic: %v\n%s", p, debug.Stack())
+			c.Violate("panic: %v\n%s", p, debug.Stack())
 		}
 	}()
 	c.RunFor(span)
 }
 
 func (c *cluster) report() string {
-	return strings.Join(c.Violations, "\n") + "\nafter\n" + strings.Join(c.FaultLog, "\n")
+	return strings.Join(c.Violations, "\n") + "\nafter these faults:\n" + strings.Join(c.FaultLog, "\n")
 }
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -103,8 +103,8 @@
 	counters := &s.coordinator.Counters
 	all["primaries_suspected"] = counters.Suspected
 	all["suspicions_cleared"] = counters.Cleared
-	all["failovers_unplanned"] = counters.Lost
-	all["failovers_planned"] = counters.Planned
+	all["failovers"] = counters.Lost
+	all["switchovers"] = counters.Planned
 	all["hosts_promoted"] = counters.Promoted
 	all["failover_waits"] = counters.Waiting
 	all["replicas_resumed"] = counters.Resumed
--- a/internal/control/forwarding_test.go
+++ b/internal/control/forwarding_test.go
@@ -21,18 +21,16 @@
 	"ferrypitch/internal/simulation/scheduler"
 )
 
-const unitsPerMilli = 10
-
-// A ring is three members on a network that loses, holds back and repeats what they pass on, while they end and begin
-// anew, and callers who each know the answer to their own question.
+// forwardingCluster is three members on a network that loses, delays and repeats forwarded calls, while members restart, and
+// callers who each know the right response to their own call.
 type forwardingCluster struct {
 	*scheduler.Scheduler
 	members   []*forwardingMember
 	lastToken int
-	logged    map[string]map[[2]uint64]bool // by token: where it stands in the log
-	responses map[string]int                // answers, by kind
+	logged    map[string]map[[2]uint64]bool // by token: term and index of its entries
+	responses map[string]int                // by kind and status
 
-	reuseIncarnation bool // a defence taken out
+	reuseIncarnation bool // takes a safeguard out
 }
 
 type forwardingMember struct {
@@ -47,7 +45,7 @@
 }
 
 func newForwardingCluster(seed uint64) *forwardingCluster {
-	c := &forwardingCluster{Scheduler: scheduler.New(seed, 1<<40, unitsPerMilli), logged: map[string]map[[2]uint64]bool{}, responses: map[string]int{}}
+	c := &forwardingCluster{Scheduler: scheduler.New(seed, 1<<40, unitsPerMs), logged: map[string]map[[2]uint64]bool{}, responses: map[string]int{}}
 	ids := []consensus.ID{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 	for _, id := range ids {
 		c.members = append(c.members, &forwardingMember{cluster: c, ip: string(id), identity: storage.Identity{ID: id, Founders: ids}})
@@ -56,9 +54,9 @@
 		s.start()
 	}
 	for i := range 4 {
-		c.After(int64(1000+i*17)*unitsPerMilli, c.call)
+		c.After(int64(1000+i*17)*unitsPerMs, c.call)
 	}
-	c.After(1500*unitsPerMilli, c.injectCrash)
+	c.After(1500*unitsPerMs, c.injectCrash)
 	return c
 }
 
@@ -79,7 +77,7 @@
 	if c.reuseIncarnation {
 		incarnation = 1
 	}
-	clock := eventloop.NewSteadyClock(func() time.Time { return time.Unix(1e9, c.Now*int64(time.Millisecond)/unitsPerMilli) })
+	clock := eventloop.NewSteadyClock(func() time.Time { return time.Unix(1e9, c.Now*int64(time.Millisecond)/unitsPerMs) })
 	server, err := New(settingsAt(m.ip), hclog.NewNullLogger(), clock, m.identity, restored, c.Rand.Float64, incarnation)
 	if err != nil {
 		panic(err)
@@ -92,7 +90,7 @@
 func (m *forwardingMember) tick(incarnation int) {
 	if m.up && m.incarnation == incarnation {
 		m.server.Tick()
-		m.cluster.After(50*unitsPerMilli, func() { m.tick(incarnation) })
+		m.cluster.After(50*unitsPerMs, func() { m.tick(incarnation) })
 	}
 }
 
@@ -114,7 +112,7 @@
 			c.logged[token][[2]uint64{e.Term, write.FirstIndex + uint64(i)}] = true
 		}
 	}
-	c.After(c.Between(unitsPerMilli/2, 8*unitsPerMilli), func() {
+	c.After(c.Between(unitsPerMs/2, 8*unitsPerMs), func() {
 		if m.up && m.incarnation == incarnation && len(m.unsynced) > 0 {
 			for _, write := range m.unsynced {
 				m.disk.ApplyWrite(write)
@@ -126,8 +124,8 @@
 	})
 }
 
-// send brings a frame to whoever is at an address by then. Before it is written it may be lost with its connection, after
-// that its connection may break, so that it comes again by another, and it may be held back for long.
+// send delivers a frame to whoever is at an address by then. A forwarded call or its response may be lost, delayed for long, or
+// delivered twice, as when a connection breaks after it was written.
 func (m *forwardingMember) send(ip string, frame *rpc.Frame) {
 	c := m.cluster
 	deliverAfter := func(after int64) {
@@ -139,31 +137,31 @@
 			}
 		})
 	}
-	latency := c.Between(unitsPerMilli/2, 3*unitsPerMilli)
+	latency := c.Between(unitsPerMs/2, 3*unitsPerMs)
 	if frame.Consensus != nil {
 		deliverAfter(latency)
 		return
 	}
 	switch c.Rand.IntN(12) {
-	case 0: // reset before it was written, or in the middle
-	case 1: // silence, and it comes all the same
-		deliverAfter(c.Between(100*unitsPerMilli, 6000*unitsPerMilli))
-	case 2: // it comes by both connections
+	case 0: // the connection is reset before all of it is written
+	case 1: // the network is silent, and delivers it after all
+		deliverAfter(c.Between(100*unitsPerMs, 6000*unitsPerMs))
+	case 2: // it arrives on two connections
 		deliverAfter(latency)
-		deliverAfter(c.Between(unitsPerMilli, 3000*unitsPerMilli))
+		deliverAfter(c.Between(unitsPerMs, 3000*unitsPerMs))
 	default:
 		deliverAfter(latency)
 	}
 }
 
-// injectCrash ends a member, which begins anew with its disk soon after; often one that only follows, in the same view.
+// injectCrash crashes a member, which restarts with its disk soon after; mostly a follower, so that the term stays the same.
 func (c *forwardingCluster) injectCrash() {
 	s := c.members[c.Rand.IntN(3)]
 	if s.up && !c.members[0].down() && !c.members[1].down() && !c.members[2].down() && (c.OneIn(4) || !s.server.leading) {
 		s.up = false
-		c.After(c.Between(20*unitsPerMilli, 600*unitsPerMilli), s.start)
+		c.After(c.Between(20*unitsPerMs, 600*unitsPerMs), s.start)
 	}
-	c.After(c.Between(300*unitsPerMilli, 1500*unitsPerMilli), c.injectCrash)
+	c.After(c.Between(300*unitsPerMs, 1500*unitsPerMs), c.injectCrash)
 }
 
 func (m *forwardingMember) down() bool { return !m.up }
@@ -187,7 +185,7 @@
 
 // call makes one call at one member and checks the response.
 func (c *forwardingCluster) call() {
-	c.After(c.Between(10*unitsPerMilli, 80*unitsPerMilli), c.call)
+	c.After(c.Between(10*unitsPerMs, 80*unitsPerMs), c.call)
 	m := c.members[c.Rand.IntN(3)]
 	if !m.up {
 		return
@@ -242,7 +240,7 @@
 
 // runAndCheck runs the cluster for 8 s and asserts that no call is in the log twice.
 func (c *forwardingCluster) runAndCheck() {
-	c.RunFor(8000 * unitsPerMilli)
+	c.RunFor(8000 * unitsPerMs)
 	for t, at := range c.logged {
 		if len(at) > 1 && t != "" {
 			c.Violate("TWICE: %s is in the log %d times", t, len(at))
@@ -257,42 +255,42 @@
 		seeds = 8
 	}
 	for seed := range seeds {
-		w := newForwardingCluster(uint64(seed))
-		w.runAndCheck()
-		require.Empty(t, w.Violations, "seed %d", seed)
-		for k, n := range w.responses {
-			responses[k] += n
+		c := newForwardingCluster(uint64(seed))
+		c.runAndCheck()
+		require.Empty(t, c.Violations, "seed %d", seed)
+		for name, n := range c.responses {
+			responses[name] += n
 		}
-		for _, s := range w.members {
-			for why, name := range discardCounterNames {
-				discarded[name] += s.server.Discarded[why].Load()
+		for _, m := range c.members {
+			for reason, name := range discardCounterNames {
+				discarded[name] += m.server.Discarded[reason].Load()
 			}
 		}
 	}
-	for _, k := range []string{"invalid update 400", "valid update 200", "valid update 412", "valid heartbeat 200", "invalid heartbeat 400"} {
-		require.NotZero(t, responses[k], "%s: %v", k, responses)
+	for _, name := range []string{"invalid update 400", "valid update 200", "valid update 412", "valid heartbeat 200", "invalid heartbeat 400"} {
+		require.NotZero(t, responses[name], "%s: %v", name, responses)
 	}
-	for _, k := range []string{discardCounterNames[requestRepeated], discardCounterNames[responseLate], discardCounterNames[responseOtherIncarnation]} {
-		require.NotZero(t, discarded[k], "%s: %v", k, discarded)
+	for _, name := range []string{discardCounterNames[requestRepeated], discardCounterNames[responseLate], discardCounterNames[responseOtherIncarnation]} {
+		require.NotZero(t, discarded[name], "%s: %v", name, discarded)
 	}
 	t.Log(responses, discarded)
 }
 
-// Each defence, taken out, is caught.
+// With its safeguard taken out, the simulation detects wrong responses.
 func TestSimulationDetectsReusedIncarnations(t *testing.T) {
 	for seed := range 40 {
-		w := newForwardingCluster(uint64(seed))
-		w.reuseIncarnation = true
-		w.runAndCheck()
-		if i := slices.IndexFunc(w.Violations, func(b string) bool { return strings.Contains(b, "WRONG CALLER") }); i >= 0 {
-			t.Logf("caught by seed %d: %s", seed, w.Violations[i])
+		c := newForwardingCluster(uint64(seed))
+		c.reuseIncarnation = true
+		c.runAndCheck()
+		if i := slices.IndexFunc(c.Violations, func(violation string) bool { return strings.Contains(violation, "WRONG CALLER") }); i >= 0 {
+			t.Logf("detected by seed %d: %s", seed, c.Violations[i])
 			return
 		}
 	}
-	require.Fail(t, "40 rings saw nothing")
+	require.Fail(t, "nothing detected in 40 clusters")
 }
 
-// isolatedMember is one member by itself, with all that it sends.
+// isolatedMember is one member by itself. What it sends is recorded.
 type isolatedMember struct {
 	server   *Server
 	now      time.Time
@@ -328,150 +326,150 @@
 	}
 }
 
-// follow has a member follow one that leads.
+// follow makes the member follow a leader.
 func (m *isolatedMember) follow(leader consensus.ID, term uint64) {
 	m.server.HandleFrame(leader.Address(), &rpc.Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: leader, To: m.server.id, Term: term, SentAtMs: 1}})
 }
 
-// An answer counts for exactly the call that is out, from exactly the member that was asked, once.
+// A response counts once, for exactly one pending call, from exactly the member that the call was forwarded to.
 func TestForwardResponseMatchesOnePendingCall(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		change func(a *rpc.ForwardResponse, from *string)
 		why    discardReason
 	}{
-		"to a call that was never made":       {func(a *rpc.ForwardResponse, _ *string) { a.Serial += 5 }, responseUnknownCall},
-		"to none":                             {func(a *rpc.ForwardResponse, _ *string) { a.Serial = 0 }, responseUnknownCall},
-		"of another life":                     {func(a *rpc.ForwardResponse, _ *string) { a.Incarnation++ }, responseOtherIncarnation},
-		"to another member's call":            {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.3" }, responseOtherIncarnation},
-		"to the old member at this address":   {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.1+ab" }, responseOtherIncarnation},
-		"from another member":                 {func(a *rpc.ForwardResponse, from *string) { a.By, *from = "10.0.0.3", "10.0.0.3" }, responseOtherMember},
-		"from the address of another":         {func(_ *rpc.ForwardResponse, from *string) { *from = "10.0.0.3" }, responseOtherMember},
-		"from an empty one at its address":    {func(a *rpc.ForwardResponse, _ *string) { a.By = "10.0.0.2+ab" }, responseOtherMember},
-		"of another view":                     {func(a *rpc.ForwardResponse, _ *string) { a.Term++ }, responseOtherMember},
-		"without a status":                    {func(a *rpc.ForwardResponse, _ *string) { a.Status = 0 }, responseMalformed},
-		"with a status beyond all that there": {func(a *rpc.ForwardResponse, _ *string) { a.Status = 1 << 30 }, responseMalformed},
+		"to a call that was never made":      {func(a *rpc.ForwardResponse, _ *string) { a.Serial += 5 }, responseUnknownCall},
+		"without a serial":                   {func(a *rpc.ForwardResponse, _ *string) { a.Serial = 0 }, responseUnknownCall},
+		"of another incarnation":             {func(a *rpc.ForwardResponse, _ *string) { a.Incarnation++ }, responseOtherIncarnation},
+		"to another member's call":           {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.3" }, responseOtherIncarnation},
+		"to a former member at this address": {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.1+ab" }, responseOtherIncarnation},
+		"from another member":                {func(a *rpc.ForwardResponse, from *string) { a.By, *from = "10.0.0.3", "10.0.0.3" }, responseOtherMember},
+		"from the address of another":        {func(_ *rpc.ForwardResponse, from *string) { *from = "10.0.0.3" }, responseOtherMember},
+		"from another member at its address": {func(a *rpc.ForwardResponse, _ *string) { a.By = "10.0.0.2+ab" }, responseOtherMember},
+		"of another term":                    {func(a *rpc.ForwardResponse, _ *string) { a.Term++ }, responseOtherMember},
+		"without a status":                   {func(a *rpc.ForwardResponse, _ *string) { a.Status = 0 }, responseMalformed},
+		"with an invalid status":             {func(a *rpc.ForwardResponse, _ *string) { a.Status = 1 << 30 }, responseMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newIsolatedMember("10.0.0.1", "10.0.0.2", "10.0.0.3")
-			d.follow("10.0.0.2", 4)
-			n := 0
-			d.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { n++ })
-			require.Len(t, d.sent, 1)
-			require.Equal(t, "10.0.0.2", d.to[0])
-			good := rpc.ForwardResponse{CallID: d.sent[0].ForwardRequest.CallID, By: "10.0.0.2", Status: 200}
+			m := newIsolatedMember("10.0.0.1", "10.0.0.2", "10.0.0.3")
+			m.follow("10.0.0.2", 4)
+			responses := 0
+			m.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { responses++ })
+			require.Len(t, m.sent, 1)
+			require.Equal(t, "10.0.0.2", m.to[0])
+			good := rpc.ForwardResponse{CallID: m.sent[0].ForwardRequest.CallID, By: "10.0.0.2", Status: 200}
 			bad, from := good, "10.0.0.2"
-			c.change(&bad, &from)
-			d.server.HandleFrame(from, &rpc.Frame{ForwardResponse: &bad})
-			require.Zero(t, n, "it counted")
-			require.EqualValues(t, 1, d.server.counters()[discardCounterNames[c.why]])
-			d.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
-			require.Equal(t, 1, n, "the right one counts still")
-			d.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
-			require.Equal(t, 1, n, "once")
-			require.EqualValues(t, 1, d.server.counters()[discardCounterNames[responseLate]])
+			test.change(&bad, &from)
+			m.server.HandleFrame(from, &rpc.Frame{ForwardResponse: &bad})
+			require.Zero(t, responses, "it is passed to the caller")
+			require.EqualValues(t, 1, m.server.counters()[discardCounterNames[test.why]])
+			m.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
+			require.Equal(t, 1, responses, "the valid response is passed to the caller")
+			m.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
+			require.Equal(t, 1, responses, "passed to the caller twice")
+			require.EqualValues(t, 1, m.server.counters()[discardCounterNames[responseLate]])
 		})
 	}
 }
 
-// A call is carried out for members, asked of this one in this view, once.
+// A forwarded call is processed once, if a member or seed sends it to this member in this term.
 func TestForwardRequestIsProcessedOnceForPermittedSenders(t *testing.T) {
 	body := []byte(`{"Service":"db","Address":"10.1.0.1:80","State":"serving","CallSeq":1}`)
-	for name, c := range map[string]struct {
-		change func(a *rpc.ForwardRequest, from *string)
-		why    discardReason
-		told   bool // that it was not carried out
+	for name, test := range map[string]struct {
+		change  func(a *rpc.ForwardRequest, from *string)
+		why     discardReason
+		rejects bool // the sender gets a response
 	}{
-		"an unknown process":            {func(a *rpc.ForwardRequest, from *string) { a.From, *from = "10.9.9.9", "10.9.9.9" }, requestUnknownSender, false},
-		"one that is not where it says": {func(_ *rpc.ForwardRequest, from *string) { *from = "10.9.9.9" }, requestUnknownSender, false},
-		"one that gives no name":        {func(a *rpc.ForwardRequest, _ *string) { a.From = "" }, requestUnknownSender, false},
-		"meant for the old member":      {func(a *rpc.ForwardRequest, _ *string) { a.To = "10.0.0.1+ab" }, requestMisdirected, true},
-		"of an older view":              {func(a *rpc.ForwardRequest, _ *string) { a.Term-- }, requestMisdirected, true},
+		"an unknown process":                 {func(a *rpc.ForwardRequest, from *string) { a.From, *from = "10.9.9.9", "10.9.9.9" }, requestUnknownSender, false},
+		"from another address":               {func(_ *rpc.ForwardRequest, from *string) { *from = "10.9.9.9" }, requestUnknownSender, false},
+		"without a sender":                   {func(a *rpc.ForwardRequest, _ *string) { a.From = "" }, requestUnknownSender, false},
+		"to a former member at this address": {func(a *rpc.ForwardRequest, _ *string) { a.To = "10.0.0.1+ab" }, requestMisdirected, true},
+		"of an older term":                   {func(a *rpc.ForwardRequest, _ *string) { a.Term-- }, requestMisdirected, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newIsolatedMember("10.0.0.1")
-			d.run(2 * time.Second)
-			require.True(t, d.server.leading)
+			m := newIsolatedMember("10.0.0.1")
+			m.run(2 * time.Second)
+			require.True(t, m.server.leading)
 			good := rpc.ForwardRequest{
-				CallID: rpc.CallID{From: "10.0.0.2", Incarnation: 5, Term: d.server.consensus.Term(), Serial: 1}, To: "10.0.0.1",
+				CallID: rpc.CallID{From: "10.0.0.2", Incarnation: 5, Term: m.server.consensus.Term(), Serial: 1}, To: "10.0.0.1",
 				Method: http.MethodPost, Path: "/Instances.Heartbeat/h1", Body: body,
 			}
 			bad, from := good, "10.0.0.2"
-			c.change(&bad, &from)
-			d.server.HandleFrame(from, &rpc.Frame{ForwardRequest: &bad})
-			d.run(200 * time.Millisecond)
-			require.Empty(t, d.server.state.Hosts, "it was carried out")
-			require.EqualValues(t, 1, d.server.counters()[discardCounterNames[c.why]])
-			if c.told {
-				require.Len(t, d.sent, 1)
-				require.Equal(t, http.StatusServiceUnavailable, d.sent[0].ForwardResponse.Status)
+			test.change(&bad, &from)
+			m.server.HandleFrame(from, &rpc.Frame{ForwardRequest: &bad})
+			m.run(200 * time.Millisecond)
+			require.Empty(t, m.server.state.Hosts, "it was processed")
+			require.EqualValues(t, 1, m.server.counters()[discardCounterNames[test.why]])
+			if test.rejects {
+				require.Len(t, m.sent, 1)
+				require.Equal(t, http.StatusServiceUnavailable, m.sent[0].ForwardResponse.Status)
 			} else {
-				require.Empty(t, d.sent)
+				require.Empty(t, m.sent)
 			}
-			d.sent = nil
+			m.sent = nil
 			for range 3 {
-				d.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardRequest: &good})
+				m.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardRequest: &good})
 			}
-			d.run(200 * time.Millisecond)
-			require.Len(t, d.server.state.Hosts, 1)
-			require.EqualValues(t, 1, d.server.Heartbeats.Load())
-			require.Len(t, d.sent, 1)
-			require.Equal(t, rpc.ForwardResponse{CallID: good.CallID, By: "10.0.0.1", Status: 200, Body: d.sent[0].ForwardResponse.Body}, *d.sent[0].ForwardResponse)
-			require.EqualValues(t, 2, d.server.counters()[discardCounterNames[requestRepeated]])
+			m.run(200 * time.Millisecond)
+			require.Len(t, m.server.state.Hosts, 1)
+			require.EqualValues(t, 1, m.server.Heartbeats.Load())
+			require.Len(t, m.sent, 1)
+			require.Equal(t, rpc.ForwardResponse{CallID: good.CallID, By: "10.0.0.1", Status: 200, Body: m.sent[0].ForwardResponse.Body}, *m.sent[0].ForwardResponse)
+			require.EqualValues(t, 2, m.server.counters()[discardCounterNames[requestRepeated]])
 		})
 	}
 }
 
-// A message of the log counts from where its sender is.
+// A consensus message is discarded unless it comes from the address of its sender.
 func TestConsensusMessageFromAnotherAddressIsDiscarded(t *testing.T) {
-	for from, leads := range map[string]consensus.ID{"10.0.0.2": "10.0.0.2", "10.0.0.3": "", "10.9.9.9": ""} {
-		d := newIsolatedMember("10.0.0.1", "10.0.0.2", "10.0.0.3")
-		d.server.HandleFrame(from, &rpc.Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: "10.0.0.2", To: "10.0.0.1", Term: 4, SentAtMs: 1}})
-		require.Equal(t, leads, d.server.consensus.Leader(), "from %s", from)
-		require.EqualValues(t, map[bool]int64{true: 1}[leads == ""], d.server.counters()[discardCounterNames[messageWrongSender]])
+	for from, leader := range map[string]consensus.ID{"10.0.0.2": "10.0.0.2", "10.0.0.3": "", "10.9.9.9": ""} {
+		m := newIsolatedMember("10.0.0.1", "10.0.0.2", "10.0.0.3")
+		m.server.HandleFrame(from, &rpc.Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: "10.0.0.2", To: "10.0.0.1", Term: 4, SentAtMs: 1}})
+		require.Equal(t, leader, m.server.consensus.Leader(), "from %s", from)
+		require.EqualValues(t, map[bool]int64{true: 1}[leader == ""], m.server.counters()[discardCounterNames[messageWrongSender]])
 	}
 }
 
-// What is out is bounded in number and bytes, and what came by whom as well.
+// Pending calls are bounded in number and bytes, and so is what is remembered of requesters.
 func TestForwardedCallsAreBounded(t *testing.T) {
-	d := newIsolatedMember("10.0.0.1", "10.0.0.2", "10.0.0.3")
-	d.follow("10.0.0.2", 4)
-	refused := 0
+	m := newIsolatedMember("10.0.0.1", "10.0.0.2", "10.0.0.3")
+	m.follow("10.0.0.2", 4)
+	rejected := 0
 	for range maxForwarded + 10 {
-		d.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { refused++ })
+		m.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(int, []byte) { rejected++ })
 	}
-	require.Equal(t, 10, refused)
-	require.EqualValues(t, 10, d.server.counters()[discardCounterNames[requestOverLimit]])
-	d.run(3 * time.Second)
-	require.Empty(t, d.server.forwarder.pending, "forgotten once nobody waits")
-	d.follow("10.0.0.2", 4)
-	refused = 0
+	require.Equal(t, 10, rejected)
+	require.EqualValues(t, 10, m.server.counters()[discardCounterNames[requestOverLimit]])
+	m.run(3 * time.Second)
+	require.Empty(t, m.server.forwarder.pending, "removed after their timeouts")
+	m.follow("10.0.0.2", 4)
+	rejected = 0
 	large := make([]byte, configReplace.maxBodyBytes)
 	for range maxForwardedBytes/configReplace.maxBodyBytes + 3 {
-		d.server.HandleCall(http.MethodPost, "/Config.Replace", "0", large, func(int, []byte) { refused++ })
+		m.server.HandleCall(http.MethodPost, "/Config.Replace", "0", large, func(int, []byte) { rejected++ })
 	}
-	require.Equal(t, 3, refused)
-	d.run(6 * time.Second)
-	require.Zero(t, d.server.forwarder.pendingBytes)
+	require.Equal(t, 3, rejected)
+	m.run(6 * time.Second)
+	require.Zero(t, m.server.forwarder.pendingBytes)
 	status := 0
-	d.server.HandleCall(http.MethodPost, "/Config.Replace", "0", append(large, 0), func(s int, _ []byte) { status = s })
+	m.server.HandleCall(http.MethodPost, "/Config.Replace", "0", append(large, 0), func(s int, _ []byte) { status = s })
 	require.Equal(t, http.StatusRequestEntityTooLarge, status)
 	for i := range 1000 {
-		require.True(t, d.server.forwarder.received.first(requester{"10.0.0.2", uint64(i)}, 1))
+		require.True(t, m.server.forwarder.received.first(requester{"10.0.0.2", uint64(i)}, 1))
 	}
-	require.Len(t, d.server.forwarder.received.windows, maxRequesters)
-	require.Len(t, d.server.forwarder.received.order, maxRequesters)
+	require.Len(t, m.server.forwarder.received.windows, maxRequesters)
+	require.Len(t, m.server.forwarder.received.order, maxRequesters)
 }
 
-// The window against a set: what comes in any order counts once, and what is far behind does not count.
+// The window against a set: each serial is accepted once in any order, and none that is older than the window.
 func TestSerialWindowAcceptsEachSerialOnce(t *testing.T) {
 	for seed := range 200 {
 		w := scheduler.New(uint64(seed), 0, 1)
-		var win serialWindow
+		var window serialWindow
 		seen, newest := map[uint64]bool{}, uint64(0)
 		for range 500 {
 			serial := uint64(max(1, int64(newest)+int64(w.Rand.IntN(150))-100))
 			want := !seen[serial] && (newest < 64 || serial > newest-64)
-			require.Equal(t, want, win.accept(serial), "seed %d: %d after %d", seed, serial, newest)
+			require.Equal(t, want, window.accept(serial), "seed %d: %d after %d", seed, serial, newest)
 			seen[serial], newest = seen[serial] || want, max(newest, serial)
 		}
 	}
--- a/internal/control/host_client_test.go
+++ b/internal/control/host_client_test.go
@@ -17,15 +17,15 @@
 	"ferrypitch/internal/retry"
 )
 
-// scriptedSocket plays one connection to a host: how much of a question is written, and what comes then.
+// scriptedSocket simulates a connection to a host: how much of a command can be written, and what is read then.
 type scriptedSocket struct {
 	net.Conn
-	sentCommands  *[]string // by all connections
-	unexpected    bool      // of the next: what it says now is of no question
-	writableBytes int       // bytes of the next question that go out; -1: all
+	sentCommands  *[]string // on all connections
+	unexpected    bool      // what is readable was received before the command
+	writableBytes int       // bytes of the command that can be written; -1: all
 	readable      string
-	responds      string // comes once it is asked
-	readError     error  // after comes
+	responds      string // becomes readable once the command is written
+	readError     error  // after readable
 	closed        bool
 }
 
@@ -58,79 +58,79 @@
 	statusResponse = "ROW follower 3 3.9 0 12 2 17\r\nDONE -\r\nIDLE I 3.7\r\n"
 )
 
-// A connection that was kept ends before, during and after a question is written, or stays silent: only what may be asked
-// again is asked again, and nothing is asked again after its time.
+// An idle connection ends before, while or after a command is written, or stays silent. A command is sent again only if the
+// retry table allows it, and never after a timeout.
 func TestCommandOnIdleConnectionFollowsRetryTable(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		kept scriptedSocket
-		stat int // how often the question is said, where it is a STAT
-		rest int // and where it is PAUSE, RESUME or STEPDOWN
+		stat int // how often the command is sent if it is STAT
+		rest int // if it is PAUSE, RESUME or STEPDOWN
 	}{
-		"answered":                    {scriptedSocket{writableBytes: -1, readable: statusResponse}, 1, 1},
-		"ended before":                {scriptedSocket{writableBytes: 0, readError: io.EOF}, 1, 1},
-		"reset in the middle":         {scriptedSocket{writableBytes: 5, readError: syscall.ECONNRESET}, 1, 1},
-		"reset after":                 {scriptedSocket{writableBytes: -1, readError: syscall.ECONNRESET}, 2, 1},
-		"reset in the answer":         {scriptedSocket{writableBytes: -1, readable: statusResponse[:20], readError: syscall.ECONNRESET}, 2, 1},
-		"silent":                      {scriptedSocket{writableBytes: -1, readError: os.ErrDeadlineExceeded}, 1, 1},
-		"an answer that is no answer": {scriptedSocket{writableBytes: -1, readable: "MUMBLE\r\n"}, 2, 1},
-		"it said something by itself": {scriptedSocket{writableBytes: -1, readable: statusResponse, unexpected: true}, 1, 1},
+		"answered":              {scriptedSocket{writableBytes: -1, readable: statusResponse}, 1, 1},
+		"ended before writing":  {scriptedSocket{writableBytes: 0, readError: io.EOF}, 1, 1},
+		"reset while writing":   {scriptedSocket{writableBytes: 5, readError: syscall.ECONNRESET}, 1, 1},
+		"reset after writing":   {scriptedSocket{writableBytes: -1, readError: syscall.ECONNRESET}, 2, 1},
+		"reset in the response": {scriptedSocket{writableBytes: -1, readable: statusResponse[:20], readError: syscall.ECONNRESET}, 2, 1},
+		"silent":                {scriptedSocket{writableBytes: -1, readError: os.ErrDeadlineExceeded}, 1, 1},
+		"malformed response":    {scriptedSocket{writableBytes: -1, readable: "MUMBLE\r\n"}, 2, 1},
+		"unexpected response":   {scriptedSocket{writableBytes: -1, readable: statusResponse, unexpected: true}, 1, 1},
 	} {
-		for verb, want := range map[failover.Command]int{failover.Stat: c.stat, failover.Pause: c.rest, failover.Resume: c.rest, failover.StepDown: c.rest} {
+		for verb, want := range map[failover.Command]int{failover.Stat: test.stat, failover.Pause: test.rest, failover.Resume: test.rest, failover.StepDown: test.rest} {
 			t.Run(name+" "+verb.Text(), func(t *testing.T) {
-				var said []string
-				kept := c.kept
-				kept.sentCommands = &said
+				var sent []string
+				kept := test.kept
+				kept.sentCommands = &sent
 				idleConn := &hostConn{socket: &kept}
 				if kept.unexpected {
-					idleConn.unread = []byte(strings.Replace(statusResponse, "3.9", "3.2", 1)) // it came behind the answer before
+					idleConn.unread = []byte(strings.Replace(statusResponse, "3.9", "3.2", 1)) // received after the previous response
 				}
-				fresh := &scriptedSocket{sentCommands: &said, writableBytes: -1, readable: idleLine, responds: statusResponse}
+				fresh := &scriptedSocket{sentCommands: &sent, writableBytes: -1, readable: idleLine, responds: statusResponse}
 				dials := 0
 				client := &hostClient{dial: func(string, time.Duration) (net.Conn, error) { dials++; return fresh, nil }}
-				a, h, err := client.exchange(idleConn, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, verb, verb.Text(), time.Now().Add(hostQueryTimeout))
-				require.Len(t, said, want)
+				response, conn, err := client.exchange(idleConn, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, verb, verb.Text(), time.Now().Add(hostQueryTimeout))
+				require.Len(t, sent, want)
 				if err != nil {
-					require.Zero(t, dials, "it was given up, and nothing else begun")
+					require.Zero(t, dials, "it connects again after giving up")
 					require.True(t, kept.closed)
-					require.Nil(t, h, "no connection is kept behind an answer that may come yet")
+					require.Nil(t, conn, "a connection is kept on which a response may still come")
 					return
 				}
-				require.True(t, a.Completed())
-				require.Contains(t, a.Row, "3.9", "the answer to something else")
-				require.NotNil(t, h)
+				require.True(t, response.Completed())
+				require.Contains(t, response.Row, "3.9", "the response to another command")
+				require.NotNil(t, conn)
 				require.Equal(t, dials > 0, kept.closed)
 				if dials == 0 {
-					require.Same(t, &kept, h.socket)
+					require.Same(t, &kept, conn.socket)
 				}
-				require.Empty(t, h.unread)
+				require.Empty(t, conn.unread)
 			})
 		}
 	}
 }
 
-// A connection that can't be made says nothing to the host, and one to another host is not asked.
+// No command is sent if the connection fails or another host answers.
 func TestNoCommandIsSentToAnotherHost(t *testing.T) {
-	var said []string
-	for comes, want := range map[string]string{"ERROR WRONGNODE i-9\r\n": "WRONGNODE", "": "EOF", "IDLE I 3": "EOF"} {
-		fresh := &scriptedSocket{sentCommands: &said, writableBytes: -1, readable: comes, readError: io.EOF}
+	var sent []string
+	for received, want := range map[string]string{"ERROR WRONGNODE i-9\r\n": "WRONGNODE", "": "EOF", "IDLE I 3": "EOF"} {
+		fresh := &scriptedSocket{sentCommands: &sent, writableBytes: -1, readable: received, readError: io.EOF}
 		client := &hostClient{dial: func(string, time.Duration) (net.Conn, error) { return fresh, nil }}
-		_, h, err := client.exchange(nil, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, failover.Pause, "PAUSE 4", time.Now().Add(hostQueryTimeout))
+		_, conn, err := client.exchange(nil, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, failover.Pause, "PAUSE 4", time.Now().Add(hostQueryTimeout))
 		require.ErrorContains(t, err, want)
-		require.Nil(t, h)
+		require.Nil(t, conn)
 		require.True(t, fresh.closed)
 	}
 	client := &hostClient{dial: func(string, time.Duration) (net.Conn, error) { return nil, errors.New("refused") }}
 	_, _, err := client.exchange(nil, statemachine.Host{}, failover.Pause, "PAUSE 4", time.Now().Add(hostQueryTimeout))
 	require.Error(t, err)
-	require.Empty(t, said)
+	require.Empty(t, sent)
 }
 
-// What is kept is looked at before it is used: whether it has ended, or says something that nobody asked for.
+// An idle connection is checked before its use: whether it has ended, or something unexpected was received.
 func TestStaleIdleConnectionIsDetected(t *testing.T) {
 	for name, do := range map[string]func(host net.Conn){
-		"ended":   func(host net.Conn) { host.Close() },
-		"reset":   func(host net.Conn) { host.(*net.TCPConn).SetLinger(0); host.Close() },
-		"talking": func(host net.Conn) { host.Write([]byte(statusResponse)) },
+		"ended":           func(host net.Conn) { host.Close() },
+		"reset":           func(host net.Conn) { host.(*net.TCPConn).SetLinger(0); host.Close() },
+		"unexpected data": func(host net.Conn) { host.Write([]byte(statusResponse)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -142,7 +142,7 @@
 			host, err := l.Accept()
 			require.NoError(t, err)
 			defer host.Close()
-			require.False(t, hasEndedOrReadable(c), "it is at rest")
+			require.False(t, hasEndedOrReadable(c), "it is idle")
 			do(host)
 			require.Eventually(t, func() bool { return hasEndedOrReadable(c) }, 5*time.Second, time.Millisecond)
 			_, m, err := (&hostConn{socket: c}).query("PAUSE 7", time.Now().Add(time.Second))
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -26,17 +26,17 @@
 		if seed%5 == 4 {
 			size = 5
 		}
-		w := newPartitionCluster(uint64(seed), size, 2, 0.05, noSafeguard)
+		c := newPartitionCluster(uint64(seed), size, 2, 0.05, noSafeguard)
 		span := int64(9000)
 		if seed%10 == 7 { // one long partition that heals between updates
-			w.After(2000, func() { w.members[w.Rand.IntN(size)].partition(20000) })
+			c.After(2000, func() { c.members[c.Rand.IntN(size)].partition(20000) })
 			span = 24000
 		}
-		w.run(span, seed%2 == 0)
-		if len(w.Violations) > 0 {
-			t.Fatalf("seed %d:\n%s", seed, w.report())
+		c.run(span, seed%2 == 0)
+		if len(c.Violations) > 0 {
+			t.Fatalf("seed %d:\n%s", seed, c.report())
 		}
-		confirms, refused, reads, answers, leased = confirms+w.confirmed, refused+w.conflicts, reads+w.reads, answers+w.delayedResponses, leased+w.leases
+		confirms, refused, reads, answers, leased = confirms+c.confirmed, refused+c.conflicts, reads+c.reads, answers+c.delayedResponses, leased+c.leases
 	}
 	n := partitionSeedCount()
 	t.Logf("%d clusters: %d updates confirmed, %d conflicts, %d reads, %d delayed responses, %d leases", n, confirms, refused, reads, answers, leased)
@@ -53,30 +53,30 @@
 	if testing.Short() {
 		all = all[:1]
 	}
-	for _, out := range all {
-		caught := ""
-		for seed := 0; seed < 1000 && caught == ""; seed++ {
+	for _, removed := range all {
+		detected := ""
+		for seed := 0; seed < 1000 && detected == ""; seed++ {
 			drift := 0.05
-			if out == clockDriftBound {
+			if removed == clockDriftBound {
 				drift = 0.3
 			}
-			w := newPartitionCluster(uint64(seed), 3, 2, drift, out)
+			c := newPartitionCluster(uint64(seed), 3, 2, drift, removed)
 			func() {
 				defer func() {
 					if p := recover(); p != nil { // an assertion of the log itself
-						w.Violate("two leaders: %v", p)
+						c.Violate("two leaders: %v", p)
 					}
 				}()
-				w.run(9000, true)
+				c.run(9000, true)
 			}()
-			for _, b := range w.Violations {
+			for _, b := range c.Violations {
 				if !strings.Contains(b, "without faults") {
-					caught = fmt.Sprintf("seed %d: %s", seed, b)
+					detected = fmt.Sprintf("seed %d: %s", seed, b)
 					break
 				}
 			}
 		}
-		require.NotEmpty(t, caught, "%s: nothing is detected", out)
-		t.Logf("%s: detected by %s", out, caught)
+		require.NotEmpty(t, detected, "%s: nothing is detected", removed)
+		t.Logf("%s: detected by %s", removed, detected)
 	}
 }
--- a/internal/control/update_history_test.go
+++ b/internal/control/update_history_test.go
@@ -15,20 +15,20 @@
 	"ferrypitch/internal/control/statemachine"
 )
 
-// The small model: one version after another, each built on the one before. It knows nothing of logs or members.
+// The model: a sequence of versions, each built on the one before. It knows nothing of logs or members.
 
 type route struct {
 	name     string
 	deadline int
 }
 
-// An order is a whole configuration or an amendment, as an operator means it.
+// update is a whole configuration or an amendment, as an operator means it.
 type update struct {
 	baseVersion, generation int64
 	amendment               bool
-	routes                  []route // all of them, or those to put in
+	routes                  []route // all, or those that an amendment adds
 	remove                  string
-	malformed               bool // its body can't be read
+	malformed               bool // its body is not JSON
 }
 
 func (u *update) body() []byte {
@@ -46,10 +46,10 @@
 	return fmt.Appendf(nil, `{"Generation":%d,"Routes":[%s],"Services":[{"Name":"db"}]}`, u.generation, list)
 }
 
-// key is the same for orders that are the same but for their base.
+// key is the same for updates that differ only in their base.
 func (u *update) key() string { return string(u.body()) }
 
-// A version is what one order made of the one before.
+// modelVersion is the result of an update of the previous version.
 type modelVersion struct {
 	previous    *modelVersion
 	generation  int64
@@ -60,11 +60,11 @@
 }
 
 func (v *modelVersion) text() string {
-	whole := update{generation: v.generation, routes: v.routes}
-	return string(whole.body())
+	complete := update{generation: v.generation, routes: v.routes}
+	return string(complete.body())
 }
 
-// applied says whether an order is among those that led here.
+// applied reports whether an update is among those that led to this version.
 func (v *modelVersion) applied(o *update) bool {
 	for ; v.previous != nil && v.baseVersion >= o.baseVersion; v = v.previous {
 		if v.baseVersion == o.baseVersion {
@@ -97,7 +97,7 @@
 }
 
 type modelResponse struct {
-	status int // 0: none that is clear
+	status int // 0: the outcome is unknown
 	body   string
 }
 
@@ -113,7 +113,7 @@
 		}
 		taken, fits := v.applied(o), v.generation == o.baseVersion
 		switch a.status {
-		case http.StatusOK, 0: // one without an answer is judged only where it was taken in the end
+		case http.StatusOK, 0: // one without a response is judged only if it was applied in the end
 			if !taken && fits && v.valid(o) {
 				return true, v.next(o)
 			}
@@ -134,7 +134,7 @@
 	},
 }
 
-// A call is one of an operator, sent until it has a clear answer or is given up.
+// operatorCall is a call of an operator, repeated until its outcome is known or it is given up.
 type operatorCall struct {
 	history   *updateHistory
 	operator  int
@@ -145,15 +145,15 @@
 	respond   func(modelResponse)
 }
 
-// A history is what operators asked in a world, and what they were told.
+// updateHistory is the history of operators' calls and their responses in a cluster.
 type updateHistory struct {
 	*cluster
 	operations   []porcupine.Operation
 	updates      []*update
-	knownVersion []int64 // by operator: the newest version that it has heard of
-	conflicted   []bool  // by operator: its last order built on another version
+	knownVersion []int64 // by operator: the newest it knows
+	conflicted   []bool  // by operator: the last update was rejected with status 412
 	endsAt       int64
-	responses    map[int]int // answers, by status
+	responses    map[int]int // by status
 }
 
 func newUpdateHistory(seed uint64) *updateHistory {
@@ -169,7 +169,7 @@
 	return h
 }
 
-// operate has an operator make a call, and another after its answer.
+// operate makes one call after another as an operator.
 func (h *updateHistory) operate(i int) {
 	if h.Now > h.endsAt {
 		return
@@ -245,9 +245,9 @@
 		return
 	}
 	m := h.members[h.Rand.IntN(len(h.members))]
-	there, life := h.Between(unitsPerMs/2, 3*unitsPerMs), m.incarnation
+	latency, incarnation := h.Between(unitsPerMs/2, 3*unitsPerMs), m.incarnation
 	if h.OneIn(20) {
-		there = h.Between(3*unitsPerMs, 600*unitsPerMs) // it may come after others of its kind
+		latency = h.Between(3*unitsPerMs, 600*unitsPerMs) // it may be overtaken by others
 	}
 	method, path, base, body := http.MethodGet, "/Config.Read", "", []byte(nil)
 	if c.update != nil {
@@ -256,11 +256,11 @@
 			path = "/Config.Amend"
 		}
 	}
-	h.After(there, func() {
-		m.run(life, func() {
+	h.After(latency, func() {
+		m.run(incarnation, func() {
 			m.server.HandleCall(method, path, base, body, func(status int, body []byte) {
 				if h.OneIn(10) {
-					return // it is lost on its way
+					return // the response is lost
 				}
 				h.After(h.Between(unitsPerMs/2, 3*unitsPerMs), func() { c.receive(modelResponse{status, string(body)}) })
 			})
@@ -303,7 +303,7 @@
 	c.respond(a)
 }
 
-// runAndCheck plays a world to its end, in which all is well again, and has its history judged.
+// runAndCheck runs the cluster until all faults have ended, and checks the history.
 func (h *updateHistory) runAndCheck() {
 	h.runGuarded(h.endsAt - h.Now + 8*unitsPerSecond)
 	served := 0
@@ -316,22 +316,22 @@
 	}
 	h.runGuarded(8 * unitsPerSecond)
 	if served < len(h.knownVersion) {
-		h.Violate("%d of %d reads were answered once all was well", served, len(h.knownVersion))
+		h.Violate("%d of %d reads got a response after all faults", served, len(h.knownVersion))
 	}
 	l := h.leader()
 	if l == nil {
-		h.Violate("nobody leads once all is well")
+		h.Violate("no leader after all faults")
 		return
 	}
 	if led := l.server.state.LedTimeMs; led > (h.Now-h.Zero)/unitsPerMs {
-		h.Violate("led time runs ahead: %d ms of %d", led, (h.Now-h.Zero)/unitsPerMs)
+		h.Violate("led time is %d ms after %d ms", led, (h.Now-h.Zero)/unitsPerMs)
 	}
 	for _, m := range h.members {
 		if m.server.state.Index == l.server.state.Index && m.server.state.Checksum() != l.server.state.Checksum() {
-			h.Violate("%s holds other than %s", m.ip, l.ip)
+			h.Violate("the states of %s and %s differ", m.ip, l.ip)
 		}
 	}
-	// What has no answer and was never taken need not be placed: it may never have had an effect.
+	// An update without a response that was never applied has no place in the order.
 	known := map[statemachine.RequestID]bool{}
 	for _, t := range l.server.state.AppliedUpdates {
 		known[t.RequestID] = true
@@ -343,9 +343,9 @@
 	})
 	switch porcupine.CheckOperationsTimeout(linearizabilityModel, judged, 20*time.Second) {
 	case porcupine.Illegal:
-		h.Violate("no order of these calls explains their answers:\n%s", describeOperations(judged))
+		h.Violate("not linearizable:\n%s", describeOperations(judged))
 	case porcupine.Unknown:
-		h.Violate("no verdict on %d calls", len(judged))
+		h.Violate("no verdict on %d calls in time", len(judged))
 	}
 }
 
