--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -163,7 +163,7 @@
 	s.carryOut(s.consensus.RequestSnapshot(s.clock.Now()))
 }
 
-// compactLog replaces the log by a snapshot once it is long.
+// compactLog replaces the log by a snapshot once it is long (Raft 5).
 func (s *Server) compactLog() {
 	entries, bytes := s.consensus.SinceSnapshot()
 	if entries > maxLogEntries || bytes > max(minLogBytes, 2*len(s.consensus.LatestSnapshot().Data)) {
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -24,7 +24,8 @@
 	done proposalResult
 }
 
-// updateLeadership begins and ends acting as the leader, as the consensus node's lease says.
+// updateLeadership begins and ends acting as the leader. A member acts only under the leader lease of its consensus node (Raft
+// 6.4.1), and, once it does, until the node follows another leader: what it may do in between is checked by holdsLease.
 func (s *Server) updateLeadership() {
 	now := s.clock.Now()
 	holds := s.consensus.HoldsLease(now)
--- a/internal/control/shutdown.go
+++ b/internal/control/shutdown.go
@@ -7,7 +7,8 @@
 	transferGraceMs = 1500
 )
 
-// BeginShutdown transfers this member's seat and leadership to others. The member serves on until ShutdownComplete.
+// BeginShutdown transfers this member's seat to a learner and its leadership to another member (Raft 4.1 and 3.10). The member
+// serves on until ShutdownComplete.
 func (s *Server) BeginShutdown() {
 	graceMs := int64(s.settings.Bounds.GraceS * 1000)
 	if graceMs == 0 {
