--- a/internal/proxy/asks.go
+++ b/internal/proxy/asks.go
@@ -2,23 +2,23 @@
 
 import "sync"
 
-// asks remember when leases were asked for.
-type asks struct {
-	mu sync.Mutex
-	at map[uint64]int64
+// leaseRequestTimes remember when leases were asked for.
+type leaseRequestTimes struct {
+	mu     sync.Mutex
+	sentAt map[uint64]int64
 }
 
-func (a *asks) put(serial uint64, at int64) {
+func (a *leaseRequestTimes) record(serial uint64, at int64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.at[serial] = at
-	delete(a.at, serial-64)
+	a.sentAt[serial] = at
+	delete(a.sentAt, serial-64)
 }
 
-func (a *asks) take(serial uint64) int64 {
+func (a *leaseRequestTimes) take(serial uint64) int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	at := a.at[serial]
-	delete(a.at, serial)
+	at := a.sentAt[serial]
+	delete(a.sentAt, serial)
 	return at
 }
--- a/internal/proxy/buffered_conn.go
+++ b/internal/proxy/buffered_conn.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	mostBacklog = 4 << 20
-	stuck       = 10 * time.Second // a peer that takes nothing for so long is left
+	maxBacklogBytes   = 4 << 20
+	writeStallTimeout = 10 * time.Second // a peer that takes nothing for so long is left
 )
 
 // nonblockingConn is one connection as the owner sees it. None of its calls waits.
@@ -77,7 +77,7 @@
 			return n, true
 		}
 	}
-	if len(o.backlog)+len(b)-n > mostBacklog {
+	if len(o.backlog)+len(b)-n > maxBacklogBytes {
 		o.broken = true
 		o.conn.Close()
 		return n, false
@@ -101,7 +101,7 @@
 			return
 		}
 		o.mu.Unlock()
-		o.conn.SetWriteDeadline(time.Now().Add(stuck))
+		o.conn.SetWriteDeadline(time.Now().Add(writeStallTimeout))
 		if _, err := o.conn.Write(b); err != nil {
 			o.mu.Lock()
 			o.broken, o.sending = true, false
@@ -113,8 +113,8 @@
 	}
 }
 
-// lines reads lines of the wire from a socket.
-type lines struct {
+// lineReader reads lines of the wire from a socket.
+type lineReader struct {
 	conn net.Conn
 	in   []byte
 	from int
@@ -122,7 +122,7 @@
 }
 
 // next gives a line without and with its end; both hold until the next call.
-func (l *lines) next(cut func(b []byte, at int) ([]byte, int, error)) (line, raw []byte, err error) {
+func (l *lineReader) next(cut func(b []byte, at int) ([]byte, int, error)) (line, raw []byte, err error) {
 	at := 0
 	for {
 		b := l.in[l.from:]
--- a/internal/proxy/capacity_test.go
+++ b/internal/proxy/capacity_test.go
@@ -24,14 +24,16 @@
 
 // following is a router that holds a state and has no sessions; none of its connections opens.
 func following(e statesize.Size) *Server {
-	h := newHeadstock(&settings.Settings{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
+	h := newServer(&settings.Settings{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
 	h.ctx = context.Background()
-	h.say = func(*rpc.Frame) {}
-	h.dial = func(n *host, asked policy.Tenth, lead uint64) {
-		h.later = append(h.later, func() { n.opened(&hostConn{host: n, opened: asked}, wire.Response{}, errors.New("not here"), lead) })
+	h.sendToLeader = func(*rpc.Frame) {}
+	h.dial = func(n *hostPool, asked policy.Tenth, lead uint64) {
+		h.deferred = append(h.deferred, func() {
+			n.connOpened(&hostConn{pool: n, dialedAt: asked}, wire.Response{}, errors.New("not here"), lead)
+		})
 	}
 	s := e.State()
-	if !h.news(&rpc.LogUpdate{Snapshot: s.Snapshot(), LastIndex: s.Index}) {
+	if !h.applyLogUpdate(&rpc.LogUpdate{Snapshot: s.Snapshot(), LastIndex: s.Index}) {
 		panic("a snapshot is not taken")
 	}
 	for h.step() {
@@ -52,7 +54,7 @@
 		for b.Loop() {
 			term++
 			c := statemachine.EncodeChange(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(9 + int(term)%3).ID, Term: term}})
-			h.news(&rpc.LogUpdate{Entries: [][]byte{c}, LastIndex: h.state.Index + 1})
+			h.applyLogUpdate(&rpc.LogUpdate{Entries: [][]byte{c}, LastIndex: h.state.Index + 1})
 		}
 	})
 }
@@ -61,7 +63,7 @@
 func BenchmarkRounds(b *testing.B) {
 	sizes(b, func(b *testing.B, h *Server, e statesize.Size) {
 		for b.Loop() {
-			h.rounds(h.clock.Time())
+			h.sweep(h.clock.Time())
 		}
 	})
 }
@@ -69,12 +71,12 @@
 // The module's look at its hosts, each 50 ms.
 func BenchmarkLook(b *testing.B) {
 	sizes(b, func(b *testing.B, h *Server, e statesize.Size) {
-		at := h.moment()
+		at := h.refreshPolicyTime()
 		for b.Loop() {
 			at += 500
-			h.module.Clock(at)
-			h.module.Woke()
-			h.later = nil
+			h.balancer.Clock(at)
+			h.balancer.Woke()
+			h.deferred = nil
 		}
 	})
 }
@@ -85,9 +87,9 @@
 		s := e.State()
 		snapshot := s.Snapshot()
 		begin := func() *Server {
-			h := newHeadstock(&settings.Settings{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
-			h.dial = func(*host, policy.Tenth, uint64) {}
-			h.news(&rpc.LogUpdate{Snapshot: snapshot, LastIndex: s.Index})
+			h := newServer(&settings.Settings{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
+			h.dial = func(*hostPool, policy.Tenth, uint64) {}
+			h.applyLogUpdate(&rpc.LogUpdate{Snapshot: snapshot, LastIndex: s.Index})
 			return h
 		}
 		var before, after runtime.MemStats
--- a/internal/proxy/council_test.go
+++ b/internal/proxy/council_test.go
@@ -74,8 +74,10 @@
 
 func newCouncilWorld(seed uint64, routers, clients int) *world {
 	w := bareWorld(seed)
-	c := &council{w: w, fencing: w.OneIn(2), fences: map[string]uint64{}, holders: map[uint64]string{}, draining: map[string]bool{},
-		address: func(id string) string { return "10.1.0.1:100" + id[1:2] }}
+	c := &council{
+		w: w, fencing: w.OneIn(2), fences: map[string]uint64{}, holders: map[uint64]string{}, draining: map[string]bool{},
+		address: func(id string) string { return "10.1.0.1:100" + id[1:2] },
+	}
 	w.council, c.places, w.apart = c, map[string]*member{}, 10
 	var founders []consensus.ID
 	for i := range 3 {
@@ -583,7 +585,7 @@
 		return
 	}
 	from := uint64(0)
-	r.run(life, func(h *Server) { from = h.from() })
+	r.run(life, func(h *Server) { from = h.resumeIndex() })
 	m.links[l] = true
 	l.toMember(func() {
 		l.at = m.f.AcceptProxy(&rpc.ProxyHello{Node: r.name, Incarnation: uint64(life), Zone: "z", AppliedIndex: from}, r.name, l.send, func() { w.After(2*ms, l.part) })
@@ -635,17 +637,17 @@
 		l.leads = true
 		w.After(1, l.renews)
 	case f.LogUpdate != nil:
-		if !h.news(f.LogUpdate) {
+		if !h.applyLogUpdate(f.LogUpdate) {
 			l.part()
 			return
 		}
-		h.nudge()
+		h.reportRevocationApplied()
 	case f.LeaseResponse != nil && !f.LeaseResponse.Granted:
 		w.After(1, l.part)
 	case f.LeaseResponse != nil:
 		at := l.asked[f.LeaseResponse.Serial]
 		delete(l.asked, f.LeaseResponse.Serial)
-		h.leased(f.LeaseResponse, at)
+		h.leaseGranted(f.LeaseResponse, at)
 	}
 }
 
@@ -667,7 +669,7 @@
 	w.After(20*ms, func() {
 		switch {
 		case l.over:
-		case w.Now > l.heard+deaf.Milliseconds()*ms && w.Now > l.r.frozen:
+		case w.Now > l.heard+controlSilenceTimeout.Milliseconds()*ms && w.Now > l.r.frozen:
 			l.part()
 		default:
 			l.deaf()
--- a/internal/proxy/defence_test.go
+++ b/internal/proxy/defence_test.go
@@ -39,7 +39,7 @@
 			w.After(5*s, func() { w.routers[0].cut = false })
 		}, false},
 		"a lease that never ends": {"STALE LOST", func(w *world) {
-			every(w, func(r *router) { r.h.screw.Renewed(1 << 50) })
+			every(w, func(r *router) { r.h.lease.Renewed(1 << 50) })
 		}, false},
 		"a replica that has less is promoted": {"LOST STALE", func(w *world) {
 			w.control.answer = func(q failover.HostQuery, r *failover.QueryResult) {
@@ -58,7 +58,7 @@
 		"a write whose answer is lost is sent again": {"TWICE", func(w *world) {
 			every(w, func(r *router) {
 				for _, k := range r.h.routes {
-					k.write.Effect = policy.Replayable
+					k.writeGroup.Effect = policy.Replayable
 				}
 			})
 		}, false},
@@ -68,9 +68,9 @@
 					s.Token = wire.Position{}
 				}
 				for _, k := range r.h.routes {
-					if k.owned {
-						k.owned = false
-						k.read.Need, k.read.Bound = policy.Bounded, k.bound
+					if k.readsOwnWrites {
+						k.readsOwnWrites = false
+						k.readGroup.Need, k.readGroup.Bound = policy.Bounded, k.stalenessBound
 					}
 				}
 			})
@@ -78,21 +78,21 @@
 		"floors count as newer than they are": {"STALE", func(w *world) {
 			every(w, func(r *router) {
 				for _, k := range r.h.routes {
-					k.bound = max(k.bound, 0) * 8
+					k.stalenessBound = max(k.stalenessBound, 0) * 8
 				}
 			})
 			every(w, func(r *router) {
 				for _, k := range r.h.routes {
-					k.bound = min(k.bound, 8000*ms)
+					k.stalenessBound = min(k.stalenessBound, 8000*ms)
 				}
 			})
 		}, false},
 		"a connection keeps what another session set": {"PINNED", func(w *world) {
 			every(w, func(r *router) {
-				for _, n := range r.h.hosts {
-					for k := range n.all {
-						if len(k.fixture.ValuesKey) > 0 {
-							k.fixture.ValuesKey = ""
+				for _, n := range r.h.pools {
+					for k := range n.conns {
+						if len(k.state.ValuesKey) > 0 {
+							k.state.ValuesKey = ""
 						}
 					}
 				}
--- a/internal/proxy/feel.go
+++ b/internal/proxy/feel.go
@@ -10,11 +10,11 @@
 	"ferrypitch/internal/gossip"
 )
 
-const mostDatagram = 8 << 10
+const maxDatagramBytes = 8 << 10
 
-// feel hears the datagrams of other routers until the end.
-func (h *Server) feel(conn net.PacketConn) {
-	b := make([]byte, mostDatagram)
+// receiveGossip hears the datagrams of other routers until the end.
+func (h *Server) receiveGossip(conn net.PacketConn) {
+	b := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := conn.ReadFrom(b)
 		if h.ctx.Err() != nil {
@@ -29,43 +29,43 @@
 		}
 		var m gossip.Message
 		if gob.NewDecoder(bytes.NewReader(b[:n])).Decode(&m) != nil || m.From != from.String() {
-			h.Torn.Add(1)
+			h.MalformedInputs.Add(1)
 			continue
 		}
-		h.queue.Put(eventloop.PriorityOutcomes, func() { h.pass(h.feeler.HandleMessage(m, h.clock.Now())) })
+		h.queue.Put(eventloop.PriorityOutcomes, func() { h.sendGossip(h.membership.HandleMessage(m, h.clock.Now())) })
 	}
 }
 
-// pass sends what the feeler asks for; a datagram that can't go at once is lost, as any may be.
-func (h *Server) pass(all []gossip.Outgoing) {
+// sendGossip sends what the feeler asks for; a datagram that can't go at once is lost, as any may be.
+func (h *Server) sendGossip(all []gossip.Outgoing) {
 	for _, o := range all {
 		to, err := net.ResolveUDPAddr("udp4", o.To)
 		if err != nil {
 			continue
 		}
 		var b bytes.Buffer
-		if gob.NewEncoder(&b).Encode(o.Message) == nil && b.Len() <= mostDatagram {
-			h.datagrams.SetWriteDeadline(time.Now().Add(time.Millisecond))
-			h.datagrams.WriteTo(b.Bytes(), to)
+		if gob.NewEncoder(&b).Encode(o.Message) == nil && b.Len() <= maxDatagramBytes {
+			h.gossipConn.SetWriteDeadline(time.Now().Add(time.Millisecond))
+			h.gossipConn.WriteTo(b.Bytes(), to)
 		}
 	}
 }
 
-// meet has the feeler do what is due, and know of routers that the control plane named.
-func (h *Server) meet(addresses []string) {
-	if h.feeler == nil {
+// tickGossip has the feeler do what is due, and know of routers that the control plane named.
+func (h *Server) tickGossip(addresses []string) {
+	if h.membership == nil {
 		return
 	}
 	now := h.clock.Now()
 	if len(addresses) > 0 {
 		var all []string
 		for _, ip := range addresses {
-			all = append(all, h.plate.PeerAddress(ip))
+			all = append(all, h.settings.PeerAddress(ip))
 		}
-		h.pass(h.feeler.AddSeeds(all, now))
+		h.sendGossip(h.membership.AddSeeds(all, now))
 	}
-	if now >= h.feelAt {
-		h.pass(h.feeler.Tick(now))
-		h.feelAt = h.feeler.NextTick()
+	if now >= h.nextGossipAt {
+		h.sendGossip(h.membership.Tick(now))
+		h.nextGossipAt = h.membership.NextTick()
 	}
 }
--- a/internal/proxy/hosts.go
+++ b/internal/proxy/hosts.go
@@ -19,63 +19,63 @@
 	"ferrypitch/policy"
 )
 
-// host is a database host, and this router's connections to it.
-type host struct {
+// hostPool is a database host, and this router's connections to it.
+type hostPool struct {
 	statemachine.Host
-	h        *Server
-	node     *policy.Node
-	service  *service
-	idle     []*hostConn // the most recently used last
-	all      map[*hostConn]struct{}
-	opening  int
-	waiting  []*call
-	gone     bool
-	line     lossdetect.Detector
-	heardAt  time.Time // when it last answered anything
-	told     int64     // when it was last told to be suspect
-	drainAt  time.Time // when this router learned that it drains
-	probing  bool      // the module waits for word of it
-	listed   bool
-	standing policy.Standing
+	server         *Server
+	node           *policy.Node
+	service        *service
+	idle           []*hostConn // the most recently used last
+	conns          map[*hostConn]struct{}
+	opening        int
+	queued         []*statement
+	retired        bool
+	lossDetector   lossdetect.Detector
+	lastResponseAt time.Time // when it last answered anything
+	lastReportedMs int64     // when it was last told to be suspect
+	drainingSince  time.Time // when this router learned that it drains
+	probePending   bool      // the module waits for word of it
+	listed         bool
+	standing       policy.Standing
 }
 
 // hostConn is a connection. All but its socket belongs to the owner.
 type hostConn struct {
-	host    *host
-	out     nonblockingConn
-	fixture session.ConnState
-	call    *call          // whose statement is out, or is being made ready
-	session *clientSession // whose transaction is open on it
-	setup   int            // statements of the router's own that are not answered yet
-	serial  uint64
-	roll    bool // an ABORT of the router's own is out
-	closed  bool
-	since   time.Time // idle since
-	opened  policy.Tenth
+	pool         *hostPool
+	out          nonblockingConn
+	state        session.ConnState
+	statement    *statement     // whose statement is out, or is being made ready
+	session      *clientSession // whose transaction is open on it
+	pendingSetup int            // statements of the router's own that are not answered yet
+	id           uint64
+	rollingBack  bool // an ABORT of the router's own is out
+	closed       bool
+	idleSince    time.Time // idle since
+	dialedAt     policy.Tenth
 }
 
-// take finds a connection for a call, or has one opened, or has the call wait.
-func (n *host) take(c *call) {
-	if k := n.pick(c.session); k != nil {
-		n.h.run(k, c)
+// assign finds a connection for a call, or has one opened, or has the call wait.
+func (n *hostPool) assign(c *statement) {
+	if k := n.takeIdle(c.session); k != nil {
+		n.server.prepareAndSend(k, c)
 		return
 	}
-	n.waiting = append(n.waiting, c)
-	if len(n.all)+n.opening < n.h.share(n).MaxConns() && n.opening < len(n.waiting) {
-		n.open()
+	n.queued = append(n.queued, c)
+	if len(n.conns)+n.opening < n.server.connShare(n).MaxConns() && n.opening < len(n.queued) {
+		n.dial()
 	}
 }
 
-// pick takes an idle connection out, first one that has the session's values, then one that has none.
-func (n *host) pick(s *clientSession) *hostConn {
+// takeIdle takes an idle connection out, first one that has the session's values, then one that has none.
+func (n *hostPool) takeIdle(s *clientSession) *hostConn {
 	best := -1
 	for i := len(n.idle) - 1; i >= 0; i-- {
 		k := n.idle[i]
-		if k.fixture.Matches(&s.Session) {
+		if k.state.Matches(&s.Session) {
 			best = i
 			break
 		}
-		if best < 0 || k.fixture.ValuesKey == "" {
+		if best < 0 || k.state.ValuesKey == "" {
 			best = i
 		}
 	}
@@ -87,44 +87,44 @@
 	return k
 }
 
-// open dials, and says CONNECT with the id that is expected there: addresses are used again.
-func (n *host) open() {
-	h := n.h
+// dial dials, and says CONNECT with the id that is expected there: addresses are used again.
+func (n *hostPool) dial() {
+	h := n.server
 	n.opening++
-	h.Opened.Add(1)
-	asked := h.moment()
-	h.dial(n, asked, n.service.asLead(n, h))
+	h.ConnsDialed.Add(1)
+	asked := h.refreshPolicyTime()
+	h.dial(n, asked, n.service.currentEpoch(n, h))
 }
 
-// dialer opens a connection in a goroutine of its own, which reads from it from then on.
-func (h *Server) dialer(n *host, asked policy.Tenth, lead uint64) {
+// dialHost opens a connection in a goroutine of its own, which reads from it from then on.
+func (h *Server) dialHost(n *hostPool, asked policy.Tenth, lead uint64) {
 	address, service, id := n.Address, n.Service, n.ID
 	h.tasks.Go(func() {
-		conn, err := rpc.Dial(h.ctx, h.plate.Ip, address, connectFor)
-		k := &hostConn{host: n, opened: asked}
+		conn, err := rpc.Dial(h.ctx, h.settings.Ip, address, connectTimeout)
+		k := &hostConn{pool: n, dialedAt: asked}
 		var a wire.Response
-		in := &lines{conn: conn}
+		in := &lineReader{conn: conn}
 		if err == nil {
-			conn.SetDeadline(time.Now().Add(connectFor))
+			conn.SetDeadline(time.Now().Add(connectTimeout))
 			if _, err = conn.Write(wire.AppendConnect(nil, service, "proxy", id)); err == nil {
-				a, err = gather(in)
+				a, err = readResponse(in)
 			}
 			conn.SetDeadline(time.Time{})
 			k.out = newBufferedConn(conn)
 		}
 		up := err == nil && a.Code == ""
-		if !h.queue.Put(eventloop.PriorityOutcomes, func() { n.opened(k, a, err, lead) }) || !up {
+		if !h.queue.Put(eventloop.PriorityOutcomes, func() { n.connOpened(k, a, err, lead) }) || !up {
 			if conn != nil {
 				conn.Close()
 			}
 			return
 		}
-		k.read(conn, in)
+		k.readResponses(conn, in)
 	})
 }
 
-// gather reads one answer.
-func gather(in *lines) (a wire.Response, err error) {
+// readResponse reads one answer.
+func readResponse(in *lineReader) (a wire.Response, err error) {
 	for {
 		line, raw, err := in.next(wire.CutLine)
 		if err != nil {
@@ -140,18 +140,18 @@
 	}
 }
 
-// read is a connection's reading goroutine.
-func (k *hostConn) read(conn net.Conn, in *lines) {
-	h := k.host.h
+// readResponses is a connection's reading goroutine.
+func (k *hostConn) readResponses(conn net.Conn, in *lineReader) {
+	h := k.pool.server
 	for {
-		a, err := gather(in)
+		a, err := readResponse(in)
 		at := time.Now()
 		h.queue.Put(eventloop.PriorityOutcomes, func() {
 			if err == nil {
-				h.arrived(k, &a, at)
+				h.handleResponse(k, &a, at)
 			}
 			if err != nil {
-				h.broken(k)
+				h.connLost(k)
 			}
 		})
 		if err != nil {
@@ -161,195 +161,195 @@
 	}
 }
 
-// opened takes in how an opening ended. lead is what lead it was begun under.
-func (n *host) opened(k *hostConn, a wire.Response, err error, lead uint64) {
-	h := n.h
+// connOpened takes in how an opening ended. lead is what lead it was begun under.
+func (n *hostPool) connOpened(k *hostConn, a wire.Response, err error, lead uint64) {
+	h := n.server
 	n.opening--
-	h.moment()
-	if n.probing {
-		n.probing = false
+	h.refreshPolicyTime()
+	if n.probePending {
+		n.probePending = false
 		defer func() { n.node.Probed(err == nil && a.Code == "") }()
 	}
 	if err != nil || a.Code != "" {
-		h.Broken.Add(1)
+		h.ConnsFailed.Add(1)
 		o, refused := policy.Unreached, errors.Is(err, syscall.ECONNREFUSED) || a.Code == wire.CodeWrongNode
 		if a.Code == wire.CodeOverload || a.Code == wire.CodeRetry {
 			o = policy.Full
 			h.ConnsRefused.Add(1)
 		} else {
-			n.suspect(refused)
+			n.reportSuspect(refused)
 		}
-		if len(n.all) == 0 || o != policy.Full { // what waits would wait for nothing
-			for _, c := range slices.Clone(n.waiting) {
-				h.outcome(c, o)
+		if len(n.conns) == 0 || o != policy.Full { // what waits would wait for nothing
+			for _, c := range slices.Clone(n.queued) {
+				h.endDispatch(c, o)
 			}
 		}
 		return
 	}
-	if n.gone {
+	if n.retired {
 		k.closed = true
 		k.out.close()
 		return
 	}
-	h.serial++
-	k.serial = h.serial
-	n.all[k] = struct{}{}
-	n.position(a.Position, k.opened, lead)
-	h.free(k)
+	h.lastID++
+	k.id = h.lastID
+	n.conns[k] = struct{}{}
+	n.recordPosition(a.Position, k.dialedAt, lead)
+	h.releaseConn(k)
 }
 
-// suspect tells the control plane that a primary can't be reached, not too often.
-func (n *host) suspect(refused bool) {
-	if now := n.h.clock.Now(); n.service.lead.Host == n.ID && now > n.told+150 {
-		n.told = now
-		n.h.Suspects.Add(1)
-		n.h.say(&rpc.Frame{SuspectReport: &rpc.SuspectReport{Service: n.Service, Host: n.ID, Refused: refused}})
+// reportSuspect tells the control plane that a primary can't be reached, not too often.
+func (n *hostPool) reportSuspect(refused bool) {
+	if now := n.server.clock.Now(); n.service.primary.Host == n.ID && now > n.lastReportedMs+150 {
+		n.lastReportedMs = now
+		n.server.SuspectReports.Add(1)
+		n.server.sendToLeader(&rpc.Frame{SuspectReport: &rpc.SuspectReport{Service: n.Service, Host: n.ID, Refused: refused}})
 	}
 }
 
-// position takes in where a host stands. As the primary's it is a sample only if it was asked under the lead that still
+// recordPosition takes in where a host stands. As the primary's it is a sample only if it was asked under the lead that still
 // holds; asked is when.
-func (n *host) position(pos wire.Position, asked policy.Tenth, lead uint64) (moment policy.Tenth, role policy.Role) {
+func (n *hostPool) recordPosition(pos wire.Position, asked policy.Tenth, lead uint64) (moment policy.Tenth, role policy.Role) {
 	s := n.service
-	if lead != 0 && lead == s.lead.ChangedAt && s.lead.Host == n.ID {
-		s.gauge.Add(asked, pos)
+	if lead != 0 && lead == s.primary.ChangedAt && s.primary.Host == n.ID {
+		s.positions.Add(asked, pos)
 		return asked, policy.Primary
 	}
-	if moment, role = s.gauge.UpToDateAsOf(pos), policy.Replica; s.lead.Host == n.ID && !s.lead.Revoked {
+	if moment, role = s.positions.UpToDateAsOf(pos), policy.Replica; s.primary.Host == n.ID && !s.primary.Revoked {
 		role = policy.Primary // by the log: a lease that is over says nothing else
 	}
 	return moment, role
 }
 
-// free makes a connection idle, or gives it to a call that waits.
-func (h *Server) free(k *hostConn) {
-	n := k.host
-	k.call, k.session = nil, nil
-	if n.gone || k.closed {
-		h.close(k)
+// releaseConn makes a connection idle, or gives it to a call that waits.
+func (h *Server) releaseConn(k *hostConn) {
+	n := k.pool
+	k.statement, k.session = nil, nil
+	if n.retired || k.closed {
+		h.closeConn(k)
 		return
 	}
-	for len(n.waiting) > 0 {
-		c := n.waiting[0]
-		n.waiting = n.waiting[1:]
-		if c.over {
+	for len(n.queued) > 0 {
+		c := n.queued[0]
+		n.queued = n.queued[1:]
+		if c.dispatchOver {
 			continue
 		}
-		h.run(k, c)
+		h.prepareAndSend(k, c)
 		return
 	}
-	k.since = h.clock.Time()
+	k.idleSince = h.clock.Time()
 	n.idle = append(n.idle, k)
 }
 
-// close ends a connection; what it had open the host rolls back.
-func (h *Server) close(k *hostConn) {
-	n := k.host
+// closeConn ends a connection; what it had open the host rolls back.
+func (h *Server) closeConn(k *hostConn) {
+	n := k.pool
 	if !k.closed {
 		k.closed = true
 		k.out.close()
 	}
-	delete(n.all, k)
+	delete(n.conns, k)
 	if i := slices.Index(n.idle, k); i >= 0 {
 		n.idle = slices.Delete(n.idle, i, i+1)
 	}
-	n.refill()
+	n.dialForQueued()
 }
 
-// refill opens connections for what waits.
-func (n *host) refill() {
-	for !n.gone && n.opening < len(n.waiting) && len(n.all)+n.opening < n.h.share(n).MaxConns() {
-		n.open()
+// dialForQueued opens connections for what waits.
+func (n *hostPool) dialForQueued() {
+	for !n.retired && n.opening < len(n.queued) && len(n.conns)+n.opening < n.server.connShare(n).MaxConns() {
+		n.dial()
 	}
 }
 
-// broken takes in that a connection has ended.
-func (h *Server) broken(k *hostConn) {
+// connLost takes in that a connection has ended.
+func (h *Server) connLost(k *hostConn) {
 	if k.closed {
-		h.close(k)
+		h.closeConn(k)
 		return
 	}
-	c, s := k.call, k.session
-	k.call, k.session = nil, nil
-	n := k.host
-	lost := n.service.lead.Host == n.ID
-	h.close(k)
-	h.moment()
+	c, s := k.statement, k.session
+	k.statement, k.session = nil, nil
+	n := k.pool
+	lost := n.service.primary.Host == n.ID
+	h.closeConn(k)
+	h.refreshPolicyTime()
 	if lost {
-		n.suspect(false)
+		n.reportSuspect(false)
 	}
 	if s != nil {
-		s.dropped(c)
+		s.pinnedConnLost(c)
 	}
-	if c != nil && !c.over {
+	if c != nil && !c.dispatchOver {
 		if c.sent {
-			h.outcome(c, policy.Reset)
+			h.endDispatch(c, policy.Reset)
 		} else {
-			h.outcome(c, policy.Unreached)
+			h.endDispatch(c, policy.Unreached)
 		}
 	}
 }
 
 // retire closes all of a host that left, or that is another by now.
-func (n *host) retire() {
-	n.gone = true
+func (n *hostPool) retire() {
+	n.retired = true
 	for _, k := range slices.Clone(n.idle) {
-		n.h.close(k)
+		n.server.closeConn(k)
 	}
-	for _, c := range slices.Clone(n.waiting) {
-		n.h.outcome(c, policy.Moot)
+	for _, c := range slices.Clone(n.queued) {
+		n.server.endDispatch(c, policy.Moot)
 	}
 }
 
-// conns are a host's connections, the oldest first: what is done to all is done in one order in each run of a seed.
-func (n *host) conns() []*hostConn {
-	return slices.SortedFunc(maps.Keys(n.all), func(a, b *hostConn) int { return cmp.Compare(a.serial, b.serial) })
+// connsByAge are a host's connections, the oldest first: what is done to all is done in one order in each run of a seed.
+func (n *hostPool) connsByAge() []*hostConn {
+	return slices.SortedFunc(maps.Keys(n.conns), func(a, b *hostConn) int { return cmp.Compare(a.id, b.id) })
 }
 
-// drained says that a host which leaves may be sent nothing more, whether it leads or not.
-func (n *host) drained(now time.Time) bool {
-	bound := settings.Duration(n.h.plate.Bounds.DrainMs)
-	return n.Draining && bound > 0 && now.Sub(n.drainAt) > max(bound/2, bound-1500*time.Millisecond)
+// drainExpired says that a host which leaves may be sent nothing more, whether it leads or not.
+func (n *hostPool) drainExpired(now time.Time) bool {
+	bound := settings.Duration(n.server.settings.Bounds.DrainMs)
+	return n.Draining && bound > 0 && now.Sub(n.drainingSince) > max(bound/2, bound-1500*time.Millisecond)
 }
 
-// listen has a primary that owes answers and gives none suspected.
-func (n *host) listen(now time.Time) {
-	if n.service.lead.Host != n.ID || n.service.lead.Revoked {
+// reportIfSilent has a primary that owes answers and gives none suspected.
+func (n *hostPool) reportIfSilent(now time.Time) {
+	if n.service.primary.Host != n.ID || n.service.primary.Revoked {
 		return
 	}
-	for _, k := range n.conns() {
-		if c := k.call; c != nil && c.sent && now.Sub(c.wroteAt) > quietFor && n.heardAt.Before(c.wroteAt) {
-			n.suspect(false)
+	for _, k := range n.connsByAge() {
+		if c := k.statement; c != nil && c.sent && now.Sub(c.writtenAt) > silentPrimaryTimeout && n.lastResponseAt.Before(c.writtenAt) {
+			n.reportSuspect(false)
 			return
 		}
 	}
 }
 
-// miss ends transactions whose answer counts as lost; what is kept of a COMMIT that writes is not known, so it is waited for.
-func (n *host) miss(now policy.Tenth) {
-	for _, k := range n.conns() {
-		c := k.call
-		if c == nil || !c.sent || c.step.Action != session.UsePinnedConn || c.step.Commit && c.session.MayHaveWritten || !n.line.Lost(c.sentAt, now) {
+// endLostTransactions ends transactions whose answer counts as lost; what is kept of a COMMIT that writes is not known, so it is waited for.
+func (n *hostPool) endLostTransactions(now policy.Tenth) {
+	for _, k := range n.connsByAge() {
+		c := k.statement
+		if c == nil || !c.sent || c.step.Action != session.UsePinnedConn || c.step.Commit && c.session.MayHaveWritten || !n.lossDetector.Lost(c.sentAt, now) {
 			continue
 		}
-		n.h.Overdue.Add(1)
-		k.call, k.session = nil, nil
-		n.h.close(k)
-		n.h.outcome(c, policy.TimedOut)
+		n.server.ResponsesLost.Add(1)
+		k.statement, k.session = nil, nil
+		n.server.closeConn(k)
+		n.server.endDispatch(c, policy.TimedOut)
 	}
 }
 
-// trim gives back connections that a host is to spare: over this router's share, or at rest for long.
-func (n *host) trim(now time.Time) {
+// closeExcessIdle gives back connections that a host is to spare: over this router's share, or at rest for long.
+func (n *hostPool) closeExcessIdle(now time.Time) {
 	if len(n.idle) == 0 {
 		return
 	}
-	share := n.h.share(n)
+	share := n.server.connShare(n)
 	for len(n.idle) > 0 {
 		first := n.idle[0]
-		if len(n.all)+n.opening <= share.MaxConns() && now.Sub(first.since).Milliseconds() <= share.IdleTimeoutMs(len(n.idle)-1) {
+		if len(n.conns)+n.opening <= share.MaxConns() && now.Sub(first.idleSince).Milliseconds() <= share.IdleTimeoutMs(len(n.idle)-1) {
 			return
 		}
-		n.h.close(first)
+		n.server.closeConn(first)
 	}
 }
--- a/internal/proxy/link_test.go
+++ b/internal/proxy/link_test.go
@@ -23,7 +23,7 @@
 	port := l.Addr().(*net.TCPAddr).Port
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	h := newHeadstock(&settings.Settings{Node: "n", Ip: "127.0.0.1", PortRange: []int{port, port}}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
+	h := newServer(&settings.Settings{Node: "n", Ip: "127.0.0.1", PortRange: []int{port, port}}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
 	h.ctx = ctx
 	go func() {
 		for range h.queue.Ready {
@@ -31,9 +31,9 @@
 			}
 		}
 	}()
-	k := &link{h: h, out: make(chan *rpc.Frame)}
+	k := &controlLink{server: h, outgoing: make(chan *rpc.Frame)}
 	begun := time.Now()
 	require.False(t, k.follow("127.0.0.1"))
 	require.Less(t, time.Since(begun), 900*time.Millisecond)
-	require.GreaterOrEqual(t, time.Since(begun), greeting)
+	require.GreaterOrEqual(t, time.Since(begun), welcomeTimeout)
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -31,55 +31,55 @@
 )
 
 const (
-	connectFor = 1500 * time.Millisecond
-	idleFor    = 45 * time.Second
-	pulse      = 50 * time.Millisecond
-	aside      = 500 * time.Millisecond // a router that is out of touch for so long lets its sessions go
-	quietFor   = 150 * time.Millisecond // a primary that owes answers and gives none for so long is suspect
+	connectTimeout       = 1500 * time.Millisecond
+	hostConnIdleTimeout  = 45 * time.Second
+	sweepInterval        = 50 * time.Millisecond
+	staleConfigGrace     = 500 * time.Millisecond // a router that is out of touch for so long lets its sessions go
+	silentPrimaryTimeout = 150 * time.Millisecond // a primary that owes answers and gives none for so long is suspect
 )
 
 type timer = *eventloop.Timer[func()]
 
 // Server is one router.
 type Server struct {
-	plate *settings.Settings
-	log   hclog.Logger
-	clock eventloop.SteadyClock
-	queue *eventloop.Queue
-	ctx   context.Context
-	tasks sync.WaitGroup
-	life  uint64
-
-	module     *policy.Router
-	now        policy.Tenth
-	wakeAt     time.Time
-	due        eventloop.Timers[func()]
-	later      []func() // what the module asked for, once it has returned
-	state      *statemachine.State
-	screw      lease.Holder
-	routers    int
-	hosts      map[string]*host
-	nodes      map[*policy.Node]*host
-	services   map[string]*service
-	routes     map[string]*route
-	calls      map[string]*call
-	sessions   map[*clientSession]struct{}
-	early      []early // sessions that came before this router was in touch
-	serial     uint64
-	plan       *config.Config
-	leaving    bool // SIGTERM has come
-	past       bool // the platform knows: sessions end as soon as they rest
-	trimAt     time.Time
-	touchedAt  time.Time // when this router was last in touch
-	astray     bool      // the state here is not the one that the log builds; a snapshot is asked for
-	handedBack bool      // a lead was, since it was last told how far the log was applied
-
-	link           *link
-	feeler         *gossip.Membership // nil: other routers are not looked for
-	feelAt         int64
-	datagrams      net.PacketConn
-	dial           func(n *host, asked policy.Tenth, lead uint64) // ends in host.opened
-	say            func(*rpc.Frame)                               // to the member that leads, if there is one
+	settings    *settings.Settings
+	log         hclog.Logger
+	clock       eventloop.SteadyClock
+	queue       *eventloop.Queue
+	ctx         context.Context
+	tasks       sync.WaitGroup
+	incarnation uint64
+
+	balancer             *policy.Router
+	policyNow            policy.Tenth
+	wakeAt               time.Time
+	timers               eventloop.Timers[func()]
+	deferred             []func() // what the module asked for, once it has returned
+	state                *statemachine.State
+	lease                lease.Holder
+	proxyCount           int
+	pools                map[string]*hostPool
+	poolByNode           map[*policy.Node]*hostPool
+	services             map[string]*service
+	routes               map[string]*route
+	statements           map[string]*statement
+	sessions             map[*clientSession]struct{}
+	waitingClients       []waitingClient // sessions that came before this router was in touch
+	lastID               uint64
+	config               *config.Config
+	shuttingDown         bool // SIGTERM has come
+	closeIdleSessions    bool // the platform knows: sessions end as soon as they rest
+	nextSweepAt          time.Time
+	leaseValidAt         time.Time // when this router was last in touch
+	diverged             bool      // the state here is not the one that the log builds; a snapshot is asked for
+	revocationUnreported bool      // a lead was, since it was last told how far the log was applied
+
+	controlLink    *controlLink
+	membership     *gossip.Membership // nil: other routers are not looked for
+	nextGossipAt   int64
+	gossipConn     net.PacketConn
+	dial           func(n *hostPool, asked policy.Tenth, lead uint64) // ends in host.opened
+	sendToLeader   func(*rpc.Frame)                                   // to the member that leads, if there is one
 	ready          atomic.Bool
 	listenerClosed chan struct{}
 
@@ -88,59 +88,59 @@
 
 // Counters are of what a router did.
 type Counters struct {
-	Accepted, Torn, NoDB, Taken, Dispatched, Refused, Throttled, Failed, Gone                             atomic.Int64
-	Opened, Broken, ConnsRefused, Setups, SetupFaults, Stray, Lapsed, TakenBack, Overdue, Held, Floorless atomic.Int64
-	Suspects, Renewals, Leases, Links, Versions, Gaps, Diverged                                           atomic.Int64
-	Outcomes                                                                                              [policy.Missed + 1]atomic.Int64
-	Told                                                                                                  [errcode.KindCount]atomic.Int64 // answers of its own
+	SessionsAccepted, MalformedInputs, UnknownDatabase, Statements, Dispatches, Rejected, Throttled, Failed, ClientDisconnects                                                            atomic.Int64
+	ConnsDialed, ConnsFailed, ConnsRefused, SetupStatements, SetupErrors, UnexpectedResponses, LeaseExpiredBeforeSend, AcksAfterRevocation, ResponsesLost, StatementsQueued, FloorUnknown atomic.Int64
+	SuspectReports, LeaseRequests, LeasesGranted, ControlLinks, ConfigUpdates, LogGaps, StateDiverged                                                                                     atomic.Int64
+	Outcomes                                                                                                                                                                              [policy.Missed + 1]atomic.Int64
+	ErrorsSent                                                                                                                                                                            [errcode.KindCount]atomic.Int64 // answers of its own
 }
 
 // service is a set of hosts with one primary.
 type service struct {
-	name  string
-	set   int64
-	gauge position.Tracker
-	lead  statemachine.Primary
-	conns int  // the most at each host, of all routers
-	used  bool // a session has asked for it
+	name      string
+	policySet int64
+	positions position.Tracker
+	primary   statemachine.Primary
+	maxConns  int  // the most at each host, of all routers
+	used      bool // a session has asked for it
 }
 
 // route is one of the configuration in force.
 type route struct {
 	config.Route
-	service            *service
-	deadline           time.Duration
-	bound              policy.Tenth // 0: a read must see all
-	owned              bool
-	read, fresh, write *policy.CmdGroup
+	service                           *service
+	deadline                          time.Duration
+	stalenessBound                    policy.Tenth // 0: a read must see all
+	readsOwnWrites                    bool
+	readGroup, freshGroup, writeGroup *policy.CmdGroup
 }
 
-// asLead gives the lead under which a host may be treated as the primary at this moment; 0: it may not.
-func (s *service) asLead(n *host, h *Server) uint64 {
-	if s.lead.Host != n.ID || s.lead.Revoked || !h.screw.Valid(h.clock.Now()) {
+// currentEpoch gives the lead under which a host may be treated as the primary at this moment; 0: it may not.
+func (s *service) currentEpoch(n *hostPool, h *Server) uint64 {
+	if s.primary.Host != n.ID || s.primary.Revoked || !h.lease.Valid(h.clock.Now()) {
 		return 0
 	}
-	return s.lead.ChangedAt
+	return s.primary.ChangedAt
 }
 
-// same says that a lead has not been taken back.
-func (s *service) same(lead uint64) bool { return s.lead.ChangedAt == lead && !s.lead.Revoked }
+// inEpoch says that a lead has not been taken back.
+func (s *service) inEpoch(lead uint64) bool { return s.primary.ChangedAt == lead && !s.primary.Revoked }
 
-// holds says that a lead may be acted on at this moment.
-func (s *service) holds(lead uint64, h *Server) bool {
-	return s.same(lead) && h.screw.Valid(h.clock.Now())
+// mayActAsPrimary says that a lead may be acted on at this moment.
+func (s *service) mayActAsPrimary(lead uint64, h *Server) bool {
+	return s.inEpoch(lead) && h.lease.Valid(h.clock.Now())
 }
 
-// inTouch says that the configuration held is known to be in force.
-func (h *Server) inTouch() bool { return h.plan != nil && h.screw.Valid(h.clock.Now()) }
+// configCurrent says that the configuration held is known to be in force.
+func (h *Server) configCurrent() bool { return h.config != nil && h.lease.Valid(h.clock.Now()) }
 
-// share is this router's of a host's connections.
-func (h *Server) share(n *host) connlimit.Share {
-	routers := h.routers
-	if h.feeler != nil {
-		routers = max(routers, len(h.feeler.AliveNames()))
+// connShare is this router's of a host's connections.
+func (h *Server) connShare(n *hostPool) connlimit.Share {
+	routers := h.proxyCount
+	if h.membership != nil {
+		routers = max(routers, len(h.membership.AliveNames()))
 	}
-	share := connlimit.ShareOf(n.service.conns, routers)
+	share := connlimit.ShareOf(n.service.maxConns, routers)
 	if h.clock.Since().Milliseconds() < connlimit.WarmUpMs {
 		share = share.Halved()
 	}
@@ -157,15 +157,15 @@
 	}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	h := newHeadstock(plate, log, eventloop.NewSteadyClock(time.Now), rand.Uint64())
+	h := newServer(plate, log, eventloop.NewSteadyClock(time.Now), rand.Uint64())
 	h.ctx = ctx
-	h.link = &link{h: h, out: make(chan *rpc.Frame, 256)}
-	h.dial, h.say = h.dialer, h.link.say
+	h.controlLink = &controlLink{server: h, outgoing: make(chan *rpc.Frame, 256)}
+	h.dial, h.sendToLeader = h.dialHost, h.controlLink.send
 	var err error
-	if h.datagrams, err = net.ListenPacket("udp4", plate.PeerAddress(plate.Ip)); err != nil {
+	if h.gossipConn, err = net.ListenPacket("udp4", plate.PeerAddress(plate.Ip)); err != nil {
 		return trace.Wrap(err, "PortRange")
 	}
-	h.feeler = gossip.New(plate.Node, plate.PeerAddress(plate.Ip), uint64(time.Now().UnixNano()), gossip.DefaultConfig(), rand.IntN, h.clock.Now())
+	h.membership = gossip.New(plate.Node, plate.PeerAddress(plate.Ip), uint64(time.Now().UnixNano()), gossip.DefaultConfig(), rand.IntN, h.clock.Now())
 	lc := net.ListenConfig{KeepAlive: 15 * time.Second}
 	front, err := lc.Listen(ctx, "tcp", plate.Listen.Front)
 	if err != nil {
@@ -175,24 +175,26 @@
 	if err != nil {
 		return trace.Wrap(err, "Listen.Readiness")
 	}
-	probe := &http.Server{Handler: http.HandlerFunc(h.readiness), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 20 * time.Second,
-		MaxHeaderBytes: 8 << 10}
-	context.AfterFunc(ctx, func() { probe.Close(); front.Close(); h.datagrams.Close() })
+	probe := &http.Server{
+		Handler: http.HandlerFunc(h.serveReadiness), ReadHeaderTimeout: 2 * time.Second, IdleTimeout: 20 * time.Second,
+		MaxHeaderBytes: 8 << 10,
+	}
+	context.AfterFunc(ctx, func() { probe.Close(); front.Close(); h.gossipConn.Close() })
 	h.tasks.Go(func() { probe.Serve(readiness) })
 	h.tasks.Go(func() { h.accept(front) })
-	h.tasks.Go(h.link.run)
-	h.tasks.Go(func() { h.feel(h.datagrams) })
+	h.tasks.Go(h.controlLink.run)
+	h.tasks.Go(func() { h.receiveGossip(h.gossipConn) })
 	owner := make(chan struct{})
-	go func() { h.own(); close(owner) }()
+	go func() { h.runEventLoop(); close(owner) }()
 	log.Info("started", "node", plate.Node, "front", plate.Listen.Front)
-	h.attend(signals, reload, front)
+	h.handleSignals(signals, reload, front)
 	end()
 	<-owner
 	for s := range h.sessions {
 		s.out.close()
 	}
-	for _, n := range h.hosts {
-		for k := range n.all {
+	for _, n := range h.pools {
+		for k := range n.conns {
 			k.out.close()
 		}
 	}
@@ -202,25 +204,29 @@
 	case <-done:
 	case <-time.After(300 * time.Millisecond):
 	}
-	log.Info("ended", "taken", h.Taken.Load(), "refused", h.Refused.Load(), "failed", h.Failed.Load(), "opened", h.Opened.Load())
+	log.Info("ended", "taken", h.Statements.Load(), "refused", h.Rejected.Load(), "failed", h.Failed.Load(), "opened", h.ConnsDialed.Load())
 	return nil
 }
 
-// newHeadstock readies a router without its sockets.
-func newHeadstock(plate *settings.Settings, log hclog.Logger, clock eventloop.SteadyClock, seed uint64) *Server {
-	h := &Server{plate: plate, log: log, clock: clock, queue: eventloop.NewQueue(2048), life: seed | 1,
-		state: &statemachine.State{}, routers: 12, hosts: map[string]*host{}, nodes: map[*policy.Node]*host{}, services: map[string]*service{},
-		routes: map[string]*route{}, calls: map[string]*call{}, sessions: map[*clientSession]struct{}{}, listenerClosed: make(chan struct{})}
-	h.module = policy.New(h, policy.Deployment{Seed: uint32(seed), Tick: 50, Routers: 1, Zone: plate.Zone, Dispatches: 3, Guarded: true,
-		Kept: true, Probes: true, Led: true, Streams: 1, IdleFor: policy.Tenth(idleFor / (100 * time.Microsecond)),
-		ConnectFor: policy.Tenth(connectFor / (100 * time.Microsecond)), Comeback: 2000, FallFactor: 1e6, ColdFrom: 1, ProbePrice: 0.01}, h.moment())
+// newServer readies a router without its sockets.
+func newServer(plate *settings.Settings, log hclog.Logger, clock eventloop.SteadyClock, seed uint64) *Server {
+	h := &Server{
+		settings: plate, log: log, clock: clock, queue: eventloop.NewQueue(2048), incarnation: seed | 1,
+		state: &statemachine.State{}, proxyCount: 12, pools: map[string]*hostPool{}, poolByNode: map[*policy.Node]*hostPool{}, services: map[string]*service{},
+		routes: map[string]*route{}, statements: map[string]*statement{}, sessions: map[*clientSession]struct{}{}, listenerClosed: make(chan struct{}),
+	}
+	h.balancer = policy.New(h, policy.Deployment{
+		Seed: uint32(seed), Tick: 50, Routers: 1, Zone: plate.Zone, Dispatches: 3, Guarded: true,
+		Kept: true, Probes: true, Led: true, Streams: 1, IdleFor: policy.Tenth(hostConnIdleTimeout / (100 * time.Microsecond)),
+		ConnectFor: policy.Tenth(connectTimeout / (100 * time.Microsecond)), Comeback: 2000, FallFactor: 1e6, ColdFrom: 1, ProbePrice: 0.01,
+	}, h.refreshPolicyTime())
 	return h
 }
 
-// readiness answers the platform.
-func (h *Server) readiness(w http.ResponseWriter, r *http.Request) {
+// serveReadiness answers the platform.
+func (h *Server) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/readiness" {
-		if !h.answerCall(w, r) {
+		if !h.serveEndpoint(w, r) {
 			http.NotFound(w, r)
 		}
 		return
@@ -230,17 +236,17 @@
 	}
 }
 
-// moment tells the module the time.
-func (h *Server) moment() policy.Tenth {
-	h.now = policy.Tenth(eventloop.ClockOrigin)*10 + policy.Tenth(h.clock.Since()/(100*time.Microsecond))
-	if h.module != nil {
-		h.module.Clock(h.now)
+// refreshPolicyTime tells the module the time.
+func (h *Server) refreshPolicyTime() policy.Tenth {
+	h.policyNow = policy.Tenth(eventloop.ClockOrigin)*10 + policy.Tenth(h.clock.Since()/(100*time.Microsecond))
+	if h.balancer != nil {
+		h.balancer.Clock(h.policyNow)
 	}
-	return h.now
+	return h.policyNow
 }
 
-// own is the goroutine that owns all state.
-func (h *Server) own() {
+// runEventLoop is the goroutine that owns all state.
+func (h *Server) runEventLoop() {
 	defer h.queue.Close()
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -253,14 +259,14 @@
 		}
 		for h.step() {
 		}
-		t.Reset(max(0, time.Until(h.dueAt())))
+		t.Reset(max(0, time.Until(h.nextDeadline())))
 	}
 }
 
-// dueAt is when something is due.
-func (h *Server) dueAt() time.Time {
-	next := h.clock.Time().Add(pulse)
-	if first := h.due.First(); first != nil && first.Deadline.Before(next) {
+// nextDeadline is when something is due.
+func (h *Server) nextDeadline() time.Time {
+	next := h.clock.Time().Add(sweepInterval)
+	if first := h.timers.First(); first != nil && first.Deadline.Before(next) {
 		next = first.Deadline
 	}
 	if !h.wakeAt.IsZero() && h.wakeAt.Before(next) {
@@ -271,7 +277,7 @@
 
 // step does what comes first of all that is due.
 func (h *Server) step() bool {
-	defer h.after()
+	defer h.runDeferred()
 	for r := eventloop.PriorityLists; r <= eventloop.PriorityOutcomes; r++ {
 		if do := h.queue.Take(r); do != nil {
 			do()
@@ -279,22 +285,22 @@
 		}
 	}
 	now := h.clock.Time()
-	if first := h.due.First(); first != nil && !now.Before(first.Deadline) {
-		h.due.Remove(first)
+	if first := h.timers.First(); first != nil && !now.Before(first.Deadline) {
+		h.timers.Remove(first)
 		first.Value()
 		return true
 	}
 	if !h.wakeAt.IsZero() && !now.Before(h.wakeAt) {
 		h.wakeAt = time.Time{}
-		h.moment()
-		if h.module.Woke(); h.wakeAt.IsZero() {
+		h.refreshPolicyTime()
+		if h.balancer.Woke(); h.wakeAt.IsZero() {
 			h.Wake(50)
 		}
 		return true
 	}
-	if now.After(h.trimAt) {
-		h.trimAt = now.Add(pulse)
-		h.rounds(now)
+	if now.After(h.nextSweepAt) {
+		h.nextSweepAt = now.Add(sweepInterval)
+		h.sweep(now)
 	}
 	if do := h.queue.Take(eventloop.PriorityCommands); do != nil {
 		do()
@@ -303,72 +309,72 @@
 	return false
 }
 
-// after does what the module asked for in the call that has ended.
-func (h *Server) after() {
-	for len(h.later) > 0 {
-		do := h.later[0]
-		h.later = h.later[1:]
+// runDeferred does what the module asked for in the call that has ended.
+func (h *Server) runDeferred() {
+	for len(h.deferred) > 0 {
+		do := h.deferred[0]
+		h.deferred = h.deferred[1:]
 		do()
 	}
-	h.later = nil
+	h.deferred = nil
 }
 
-// rounds are what is looked at now and then.
-func (h *Server) rounds(now time.Time) {
-	ready := h.inTouch() && !h.leaving && len(h.hosts) > 0
+// sweep are what is looked at now and then.
+func (h *Server) sweep(now time.Time) {
+	ready := h.configCurrent() && !h.shuttingDown && len(h.pools) > 0
 	if ready != h.ready.Load() {
 		h.ready.Store(ready)
 		h.log.Info("ready", "is", ready)
 	}
-	h.greetEarly(now)
-	h.meet(nil)
-	h.moment()
-	for _, id := range slices.Sorted(maps.Keys(h.hosts)) {
-		h.hosts[id].trim(now)
-		h.hosts[id].listen(now)
-		h.hosts[id].miss(h.now)
-		if n := h.hosts[id]; n.standing == policy.In && n.drained(now) {
-			h.settleHosts()
+	h.greetWaitingClients(now)
+	h.tickGossip(nil)
+	h.refreshPolicyTime()
+	for _, id := range slices.Sorted(maps.Keys(h.pools)) {
+		h.pools[id].closeExcessIdle(now)
+		h.pools[id].reportIfSilent(now)
+		h.pools[id].endLostTransactions(h.policyNow)
+		if n := h.pools[id]; n.standing == policy.In && n.drainExpired(now) {
+			h.reconcileHosts()
 		}
 	}
-	if h.inTouch() {
-		h.touchedAt = now
-	} else if now.Sub(h.touchedAt) > aside { // others may be in touch: clients are let go there
-		for _, s := range h.all() {
-			if s.call == nil && s.IdleState() == 'I' {
-				h.end(s)
+	if h.configCurrent() {
+		h.leaseValidAt = now
+	} else if now.Sub(h.leaseValidAt) > staleConfigGrace { // others may be in touch: clients are let go there
+		for _, s := range h.sessionsByAge() {
+			if s.statement == nil && s.IdleState() == 'I' {
+				h.endSession(s)
 			}
 		}
 	}
-	if h.plan == nil || h.plan.Limits.TxnIdleMs <= 0 {
+	if h.config == nil || h.config.Limits.TxnIdleMs <= 0 {
 		return
 	}
-	rest := settings.Duration(h.plan.Limits.TxnIdleMs)
-	for _, s := range h.all() {
-		if s.IdleState() != 'I' && s.call == nil && s.pin != nil && now.Sub(s.restAt) > rest {
-			k := s.pin
-			s.pin = nil
+	rest := settings.Duration(h.config.Limits.TxnIdleMs)
+	for _, s := range h.sessionsByAge() {
+		if s.IdleState() != 'I' && s.statement == nil && s.pinnedConn != nil && now.Sub(s.idleSince) > rest {
+			k := s.pinnedConn
+			s.pinnedConn = nil
 			s.ConnectionLost()
-			h.roll(k)
+			h.rollBack(k)
 		}
 	}
 }
 
-// all are the sessions, the oldest first.
-func (h *Server) all() []*clientSession {
-	return slices.SortedFunc(maps.Keys(h.sessions), func(a, b *clientSession) int { return cmp.Compare(a.serial, b.serial) })
+// sessionsByAge are the sessions, the oldest first.
+func (h *Server) sessionsByAge() []*clientSession {
+	return slices.SortedFunc(maps.Keys(h.sessions), func(a, b *clientSession) int { return cmp.Compare(a.id, b.id) })
 }
 
-// giveUp answers all that is out, as this router ends: what had not gone out has not run.
-func (h *Server) giveUp() {
-	for _, s := range h.all() {
-		c := s.call
+// failPendingStatements answers all that is out, as this router ends: what had not gone out has not run.
+func (h *Server) failPendingStatements() {
+	for _, s := range h.sessionsByAge() {
+		c := s.statement
 		if c == nil {
 			continue
 		}
 		kind := errcode.WriteNotSent
 		switch {
-		case c.step.Action == session.UsePinnedConn && c.step.Commit && c.sent && s.MayHaveWritten, c.name != "" && (c.sent || c.maybe) && c.step.Writes && !c.step.Begins:
+		case c.step.Action == session.UsePinnedConn && c.step.Commit && c.sent && s.MayHaveWritten, c.commandID != "" && (c.sent || c.mayHaveRun) && c.step.Writes && !c.step.Begins:
 			kind = errcode.InDoubt
 		case c.step.Action == session.UsePinnedConn:
 			kind = errcode.RolledBack
@@ -376,36 +382,36 @@
 		if s.IdleState() != 'I' {
 			s.ConnectionLost()
 		}
-		s.ending, s.parted = true, true
-		h.reply(c, h.tell(kind, 0))
+		s.ending, s.readerEnded = true, true
+		h.finishStatement(c, h.errorReply(kind, 0))
 	}
 }
 
 // Probe has the module learn whether a host is there, and where it stands: a connection is opened, or one is there.
 func (h *Server) Probe(n *policy.Node) {
-	k := h.nodes[n]
-	if k.probing = true; h.share(k).Scarce() && !k.service.used {
+	k := h.poolByNode[n]
+	if k.probePending = true; h.connShare(k).Scarce() && !k.service.used {
 		return // all routers at once would take more than there are: it is opened with the first that needs the service
 	}
 	if k.opening == 0 {
-		k.open()
+		k.dial()
 	}
 }
 
 // Close closes a host's idle connections.
 func (h *Server) Close(n *policy.Node) {
-	for _, k := range slices.Clone(h.nodes[n].idle) {
-		h.close(k)
+	for _, k := range slices.Clone(h.poolByNode[n].idle) {
+		h.closeConn(k)
 	}
 }
 
 // Forget drops a host that left.
 func (h *Server) Forget(n *policy.Node) {
-	if k := h.nodes[n]; k != nil {
+	if k := h.poolByNode[n]; k != nil {
 		k.retire()
-		delete(h.nodes, n)
-		if h.hosts[k.ID] == k {
-			delete(h.hosts, k.ID)
+		delete(h.poolByNode, n)
+		if h.pools[k.ID] == k {
+			delete(h.pools, k.ID)
 		}
 	}
 }
@@ -421,9 +427,9 @@
 	}
 }
 
-// attend waits for signals. After the one to stop, the platform is told that this router is not ready, and sends
+// handleSignals waits for signals. After the one to stop, the platform is told that this router is not ready, and sends
 // clients for two more looks; what they bring is served; transactions have half of the grace in which to end.
-func (h *Server) attend(signals, reload <-chan os.Signal, front net.Listener) {
+func (h *Server) handleSignals(signals, reload <-chan os.Signal, front net.Listener) {
 	for {
 		select {
 		case <-h.ctx.Done():
@@ -434,22 +440,22 @@
 				h.log.Error("the settings are not taken", "error", err)
 				continue
 			}
-			h.queue.Put(eventloop.PriorityLists, func() { h.plate.SeedPeers, h.plate.Bounds = p.SeedPeers, p.Bounds })
+			h.queue.Put(eventloop.PriorityLists, func() { h.settings.SeedPeers, h.settings.Bounds = p.SeedPeers, p.Bounds })
 			h.log.Info("settings read again", "seeds", p.SeedPeers)
 		case <-signals:
 			h.log.Info("ends")
-			grace := settings.Duration(h.plate.Bounds.GraceS * 1000)
+			grace := settings.Duration(h.settings.Bounds.GraceS * 1000)
 			began := time.Now()
-			h.queue.Put(eventloop.PriorityLists, func() { h.leaving = true; h.rounds(h.clock.Time()) })
+			h.queue.Put(eventloop.PriorityLists, func() { h.shuttingDown = true; h.sweep(h.clock.Time()) })
 			for {
 				time.Sleep(100 * time.Millisecond)
 				left := make(chan int, 1)
 				h.queue.Put(eventloop.PriorityLists, func() {
 					if time.Since(began) > min(2500*time.Millisecond, grace/2) {
-						h.past = true
+						h.closeIdleSessions = true
 						for s := range h.sessions {
-							if s.call == nil && s.IdleState() == 'I' {
-								h.end(s)
+							if s.statement == nil && s.IdleState() == 'I' {
+								h.endSession(s)
 							}
 						}
 					}
@@ -458,7 +464,7 @@
 				n := <-left
 				if spent := time.Since(began); spent > grace*3/4 || n == 0 && spent > min(2500*time.Millisecond, grace/2) {
 					done := make(chan struct{})
-					h.queue.Put(eventloop.PriorityLists, func() { h.giveUp(); close(done) })
+					h.queue.Put(eventloop.PriorityLists, func() { h.failPendingStatements(); close(done) })
 					<-done
 					return
 				}
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -18,7 +18,7 @@
 	Handle       func(h *Server) any
 }
 
-var calls = []Endpoint{status}
+var endpoints = []Endpoint{statusEndpoint}
 
 // Status is what a router shows of itself.
 type Status struct {
@@ -51,61 +51,65 @@
 
 var standings = map[policy.Standing]string{policy.In: "in", policy.Draining: "draining", policy.Gone: "gone"}
 
-var status = Endpoint{Method: http.MethodGet, Path: "/Router.Status", Handle: func(h *Server) any {
-	now := h.moment()
-	s := Status{Node: h.plate.Node, Ready: h.ready.Load(), Version: h.state.Generation, Index: h.state.Index,
-		LeaseMs: max(0, h.screw.ExpiresAt()-h.clock.Now()), Sessions: len(h.sessions), Calls: len(h.calls),
-		Services: map[string]ServiceStatus{}, Hosts: map[string]HostStatus{}, Counters: h.counts()}
-	if h.feeler != nil {
-		s.Proxies = h.feeler.AliveNames()
-		s.Control, _ = h.feeler.ControlMembers()
+var statusEndpoint = Endpoint{Method: http.MethodGet, Path: "/Router.Status", Handle: func(h *Server) any {
+	now := h.refreshPolicyTime()
+	s := Status{
+		Node: h.settings.Node, Ready: h.ready.Load(), Version: h.state.Generation, Index: h.state.Index,
+		LeaseMs: max(0, h.lease.ExpiresAt()-h.clock.Now()), Sessions: len(h.sessions), Calls: len(h.statements),
+		Services: map[string]ServiceStatus{}, Hosts: map[string]HostStatus{}, Counters: h.counterValues(),
+	}
+	if h.membership != nil {
+		s.Proxies = h.membership.AliveNames()
+		s.Control, _ = h.membership.ControlMembers()
 	}
 	for name, v := range h.services {
-		at, pos := v.gauge.Latest()
-		one := ServiceStatus{Primary: v.lead.Host, Revoked: v.lead.Revoked, Floor: pos.String(), FloorMs: -1}
+		at, pos := v.positions.Latest()
+		one := ServiceStatus{Primary: v.primary.Host, Revoked: v.primary.Revoked, Floor: pos.String(), FloorMs: -1}
 		if at >= 0 {
 			one.FloorMs = (now - at) / 10
 		}
 		s.Services[name] = one
 	}
-	for id, n := range h.hosts {
-		s.Hosts[id] = HostStatus{n.Service, n.Address, n.Zone, standings[n.standing], len(n.all), len(n.idle), n.opening, h.share(n).MaxConns(),
-			len(n.waiting)}
+	for id, n := range h.pools {
+		s.Hosts[id] = HostStatus{
+			n.Service, n.Address, n.Zone, standings[n.standing], len(n.conns), len(n.idle), n.opening, h.connShare(n).MaxConns(),
+			len(n.queued),
+		}
 	}
 	return s
 }}
 
-// counts are by name: what was taken, refused, tried again, held, not believed for its age, and how answers ended.
-func (h *Server) counts() map[string]int64 {
+// counterValues are by name: what was taken, refused, tried again, held, not believed for its age, and how answers ended.
+func (h *Server) counterValues() map[string]int64 {
 	c := &h.Counters
 	all := map[string]int64{
-		"sessions_accepted": c.Accepted.Load(), "sessions_torn": c.Torn.Load(), "no_database": c.NoDB.Load(),
-		"statements": c.Taken.Load(), "dispatches": c.Dispatched.Load(), "statements_held": c.Held.Load(), "refused": c.Refused.Load(),
-		"throttled": c.Throttled.Load(), "failed": c.Failed.Load(), "clients_gone": c.Gone.Load(),
-		"connections_opened": c.Opened.Load(), "connections_failed": c.Broken.Load(), "connections_refused": c.ConnsRefused.Load(),
-		"setups": c.Setups.Load(), "setup_faults": c.SetupFaults.Load(), "stray_answers": c.Stray.Load(),
-		"beliefs_lapsed": c.Lapsed.Load(), "floors_unknown": c.Floorless.Load(), "leads_taken_back": c.TakenBack.Load(),
-		"answers_overdue": c.Overdue.Load(), "primaries_suspected": c.Suspects.Load(), "renewals": c.Renewals.Load(),
-		"leases": c.Leases.Load(), "links": c.Links.Load(), "news_gaps": c.Gaps.Load(), "state_diverged": c.Diverged.Load(), "versions": c.Versions.Load(),
+		"sessions_accepted": c.SessionsAccepted.Load(), "sessions_torn": c.MalformedInputs.Load(), "no_database": c.UnknownDatabase.Load(),
+		"statements": c.Statements.Load(), "dispatches": c.Dispatches.Load(), "statements_held": c.StatementsQueued.Load(), "refused": c.Rejected.Load(),
+		"throttled": c.Throttled.Load(), "failed": c.Failed.Load(), "clients_gone": c.ClientDisconnects.Load(),
+		"connections_opened": c.ConnsDialed.Load(), "connections_failed": c.ConnsFailed.Load(), "connections_refused": c.ConnsRefused.Load(),
+		"setups": c.SetupStatements.Load(), "setup_faults": c.SetupErrors.Load(), "stray_answers": c.UnexpectedResponses.Load(),
+		"beliefs_lapsed": c.LeaseExpiredBeforeSend.Load(), "floors_unknown": c.FloorUnknown.Load(), "leads_taken_back": c.AcksAfterRevocation.Load(),
+		"answers_overdue": c.ResponsesLost.Load(), "primaries_suspected": c.SuspectReports.Load(), "renewals": c.LeaseRequests.Load(),
+		"leases": c.LeasesGranted.Load(), "links": c.ControlLinks.Load(), "news_gaps": c.LogGaps.Load(), "state_diverged": c.StateDiverged.Load(), "versions": c.ConfigUpdates.Load(),
 		"link_bytes_sent": rpc.BytesSent.Load(), "link_bytes_received": rpc.BytesReceived.Load(),
 	}
-	if h.feeler != nil {
-		all["probes"], all["probe_answers_stray"] = h.feeler.Probes, h.feeler.DiscardedAcks
+	if h.membership != nil {
+		all["probes"], all["probe_answers_stray"] = h.membership.Probes, h.membership.DiscardedAcks
 	}
 	for o := range c.Outcomes {
 		all["ended_"+policy.Outcome(o).String()] = c.Outcomes[o].Load()
 	}
-	for k := range c.Told {
-		if n := c.Told[k].Load(); n > 0 {
+	for k := range c.ErrorsSent {
+		if n := c.ErrorsSent[k].Load(); n > 0 {
 			all["told_"+errcode.Kind(k).String()] = n
 		}
 	}
 	return all
 }
 
-// answerCall answers an operator's call; ok false: there is none like it.
-func (h *Server) answerCall(w http.ResponseWriter, r *http.Request) (ok bool) {
-	for _, c := range calls {
+// serveEndpoint answers an operator's call; ok false: there is none like it.
+func (h *Server) serveEndpoint(w http.ResponseWriter, r *http.Request) (ok bool) {
+	for _, c := range endpoints {
 		if c.Method != r.Method || c.Path != r.URL.Path {
 			continue
 		}
--- a/internal/proxy/world_test.go
+++ b/internal/proxy/world_test.go
@@ -288,7 +288,7 @@
 func (c *dbConn) broke() {
 	w := c.r.w
 	w.After(w.Between(ms/2, 3*ms), func() {
-		c.r.run(c.life, func(h *Server) { h.broken(c.k) })
+		c.r.run(c.life, func(h *Server) { h.connLost(c.k) })
 	})
 }
 
@@ -297,7 +297,7 @@
 	w := c.r.w
 	c.later(after+w.Between(ms/2, 3*ms), func() {
 		if !c.H.Dark && !c.closed && !c.mute {
-			c.r.run(c.life, func(r *Server) { r.arrived(c.k, &a, r.clock.Time()) })
+			c.r.run(c.life, func(r *Server) { r.handleResponse(c.k, &a, r.clock.Time()) })
 		}
 	})
 }
@@ -396,13 +396,13 @@
 	w := r.w
 	r.life++
 	r.up, r.cut, r.frozen, r.sent, r.dueAt = true, false, 0, 0, 0
-	r.h = newHeadstock(&settings.Settings{Node: r.name, Zone: "z"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(w.clock(r.rate)), w.Rand.Uint64())
+	r.h = newServer(&settings.Settings{Node: r.name, Zone: "z"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(w.clock(r.rate)), w.Rand.Uint64())
 	life := r.life
 	if w.council != nil {
 		defer r.seek(life)
 	}
-	r.h.dial = func(n *host, asked policy.Tenth, lead uint64) { r.dial(life, n, asked, lead) }
-	r.h.say = func(f *rpc.Frame) {
+	r.h.dial = func(n *hostPool, asked policy.Tenth, lead uint64) { r.dial(life, n, asked, lead) }
+	r.h.sendToLeader = func(f *rpc.Frame) {
 		if w.council != nil {
 			r.tell(f)
 			return
@@ -440,7 +440,7 @@
 	r.h.queue.Put(eventloop.PriorityOutcomes, func() { do(r.h) })
 	for r.h.step() {
 	}
-	after := int64(r.h.dueAt().Sub(r.h.clock.Time())/(100*time.Microsecond)) * 1000 / (1000 + r.rate)
+	after := int64(r.h.nextDeadline().Sub(r.h.clock.Time())/(100*time.Microsecond)) * 1000 / (1000 + r.rate)
 	if at := w.Now + max(1, after); r.dueAt <= w.Now || at < r.dueAt {
 		r.dueAt = at
 		w.After(at-w.Now, func() { r.run(life, func(*Server) {}) })
@@ -463,8 +463,8 @@
 			return
 		}
 		r.run(life, func(h *Server) {
-			h.news(n)
-			h.nudge()
+			h.applyLogUpdate(n)
+			h.reportRevocationApplied()
 		})
 	})
 }
@@ -496,18 +496,18 @@
 		l := &rpc.LeaseResponse{Granted: true, CommitIndex: c.state.Index, ProxyCount: len(w.routers)}
 		c.tend()
 		r.order = max(r.order, w.Now+w.Between(1*ms, 4*ms))
-		w.After(r.order-w.Now, func() { r.run(life, func(h *Server) { h.leased(l, asked) }) })
+		w.After(r.order-w.Now, func() { r.run(life, func(h *Server) { h.leaseGranted(l, asked) }) })
 	})
 }
 
-func (r *router) dial(life int, n *host, asked policy.Tenth, lead uint64) {
+func (r *router) dial(life int, n *hostPool, asked policy.Tenth, lead uint64) {
 	w, id := r.w, n.ID
 	w.opens++
-	k := &hostConn{host: n, opened: asked}
+	k := &hostConn{pool: n, dialedAt: asked}
 	w.After(w.Between(2*ms, 15*ms), func() {
 		h := w.db.Host(id)
 		if h == nil { // another uses its address
-			r.run(life, func(*Server) { n.opened(k, wire.Response{Code: wire.CodeWrongNode}, nil, lead) })
+			r.run(life, func(*Server) { n.connOpened(k, wire.Response{Code: wire.CodeWrongNode}, nil, lead) })
 			return
 		}
 		if !h.Up || h.Dark {
@@ -516,14 +516,14 @@
 			if h.Dark {
 				after, err = 1500*ms, fmt.Errorf("timed out")
 			}
-			w.After(after, func() { r.run(life, func(*Server) { n.opened(k, wire.Response{}, err, lead) }) })
+			w.After(after, func() { r.run(life, func(*Server) { n.connOpened(k, wire.Response{}, err, lead) }) })
 			return
 		}
 		c := &dbConn{Conn: h.Connect(), r: r, life: life, k: k}
 		c.Answer, c.Broke = c.answered, c.broke
 		k.out = c
 		a := wire.Response{State: 'I', Position: h.At(h.Seen())}
-		w.After(w.Between(1*ms, 3*ms), func() { r.run(life, func(*Server) { n.opened(k, a, nil, lead) }) })
+		w.After(w.Between(1*ms, 3*ms), func() { r.run(life, func(*Server) { n.connOpened(k, a, nil, lead) }) })
 	})
 }
 
@@ -541,8 +541,8 @@
 	if r.link != nil {
 		r.link.part()
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.h.hosts)) {
-		for _, k := range r.h.hosts[id].conns() {
+	for _, id := range slices.Sorted(maps.Keys(r.h.pools)) {
+		for _, k := range r.h.pools[id].connsByAge() {
 			k.out.close()
 		}
 	}
@@ -622,10 +622,10 @@
 	}
 	c.rlife = c.router.life
 	life := c.life
-	c.s = &clientSession{h: c.router.h, out: clientWire{c, life}}
+	c.s = &clientSession{server: c.router.h, out: clientWire{c, life}}
 	c.asked, c.sentAt = asked{verb: "CONNECT"}, w.Now
 	sess, router, rlife := c.s, c.router, c.rlife
-	w.After(3*ms, func() { router.run(rlife, func(h *Server) { h.begin(sess, c.kind) }) })
+	w.After(3*ms, func() { router.run(rlife, func(h *Server) { h.beginSession(sess, c.kind) }) })
 	c.watch(life, c.asked, 2500*ms)
 }
 
@@ -643,7 +643,7 @@
 func (c *client) left(life int) {
 	if c.life == life {
 		sess := c.s
-		c.router.run(c.rlife, func(h *Server) { h.left(sess) })
+		c.router.run(c.rlife, func(h *Server) { h.sessionClosed(sess) })
 	}
 }
 
@@ -829,7 +829,7 @@
 	sess, router, rlife := c.s, c.router, c.rlife
 	w.After(3*ms, func() {
 		at := w.clock(router.rate)()
-		router.run(rlife, func(h *Server) { h.message(sess, message{r, nil, at}) })
+		router.run(rlife, func(h *Server) { h.enqueueMessage(sess, clientMessage{r, nil, at}) })
 	})
 	c.watch(life, a, 4*s)
 }
