--- a/cmd/ferrypitch-proxy/main.go
+++ b/cmd/ferrypitch-proxy/main.go
@@ -1,5 +1,5 @@
-// Command ferrypitch-proxy is the data plane of ferrypitch: it takes clients' sessions and sends their statements to the hosts that
-// may serve them. See docs/design/system.md.
+// Command ferrypitch-proxy is a process of the data plane: it accepts client sessions and forwards their statements to the
+// database hosts that may serve them. See docs/design/system.md.
 package main
 
 import (
@@ -14,7 +14,11 @@
 )
 
 func main() {
-	cli.Register(&cli.Run{Program: "ferrypitch-proxy", What: "serve the data plane", Serve: proxy.Run}, &cli.Check{Program: "ferrypitch-proxy"}, status)
+	cli.Register(
+		&cli.Run{Program: "ferrypitch-proxy", What: "serve the data plane", Serve: proxy.Run},
+		&cli.Check{Program: "ferrypitch-proxy"},
+		statusCommand,
+	)
 	flag.Parse()
 	os.Exit(int(subcommands.Execute(context.Background())))
 }
--- a/internal/proxy/buffered_conn.go
+++ b/internal/proxy/buffered_conn.go
@@ -9,143 +9,118 @@
 
 const (
 	maxBacklogBytes   = 4 << 20
-	writeStallTimeout = 10 * time.Second // a peer that takes nothing for so long is left
+	writeStallTimeout = 10 * time.Second // a peer that accepts no data for so long is dropped
+
+	// finishTimeout is how long a reader waits for the peer's end after the last bytes were written.
+	finishTimeout = 300 * time.Millisecond
 )
 
-// nonblockingConn is one connection as the owner sees it. None of its calls waits.
+// nonblockingConn is a connection as the event loop writes to it. None of its methods blocks.
 type nonblockingConn interface {
-	write(b []byte) (n int, ok bool) // how much went out at once, and whether the rest will be tried
-	stop()                           // no more is read from it; its reader tells when it has ended
-	finish()                         // nothing more is written; its reader ends soon
+	// write returns how many bytes went out at once; ok says that the rest, if any, will follow.
+	write(data []byte) (written int, ok bool)
+	// stopReading ends the connection's reader.
+	stopReading()
+	// finish ends the written direction; the reader ends soon after.
+	finish()
 	close()
 }
 
-func (o *bufferedConn) stop() { o.conn.SetReadDeadline(time.Unix(1, 0)) }
-
-func (o *bufferedConn) finish() {
-	if half, ok := o.conn.(interface{ CloseWrite() error }); ok {
-		half.CloseWrite()
-	}
-	o.conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
-}
-
-func (o *bufferedConn) close() { o.conn.Close() }
-
-// bufferedConn writes to a socket without ever holding up who writes: what the socket does not take at once is sent on by a
-// goroutine of its own.
+// bufferedConn is a nonblockingConn over a socket: what the socket does not accept at once is buffered and written by a
+// goroutine that ends with the backlog or the socket.
 type bufferedConn struct {
 	conn net.Conn
-	raw  syscall.RawConn
+	raw  syscall.RawConn // nil: the connection has no file descriptor, all goes by the backlog
 
-	mu      sync.Mutex
-	backlog []byte
-	sending bool
-	broken  bool
+	mu       sync.Mutex
+	backlog  []byte
+	draining bool
+	broken   bool
 }
 
-func newBufferedConn(c net.Conn) *bufferedConn {
-	o := &bufferedConn{conn: c}
-	if s, ok := c.(syscall.Conn); ok {
-		o.raw, _ = s.SyscallConn()
+func newBufferedConn(conn net.Conn) *bufferedConn {
+	b := &bufferedConn{conn: conn}
+	if withDescriptor, ok := conn.(syscall.Conn); ok {
+		b.raw, _ = withDescriptor.SyscallConn() // nil on error: the backlog serves
 	}
-	return o
+	return b
 }
 
-// write says how many bytes went out at once, and whether the rest will be tried.
-func (o *bufferedConn) write(b []byte) (n int, ok bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.broken {
+func (b *bufferedConn) write(data []byte) (written int, ok bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.broken {
 		return 0, false
 	}
-	if !o.sending && o.raw != nil {
-		var err error
-		ended := o.raw.Write(func(fd uintptr) bool {
-			for {
-				n, err = syscall.Write(int(fd), b)
-				if err != syscall.EINTR {
-					return true
-				}
-			}
-		})
-		n = max(n, 0)
-		if ended != nil || err != nil && err != syscall.EAGAIN {
-			o.broken = true
-			return n, false
-		}
-		if n == len(b) {
-			return n, true
+	if !b.draining && b.raw != nil {
+		if written, ok = b.writeNow(data); !ok || written == len(data) {
+			return written, ok
 		}
 	}
-	if len(o.backlog)+len(b)-n > maxBacklogBytes {
-		o.broken = true
-		o.conn.Close()
-		return n, false
+	rest := data[written:]
+	if len(b.backlog)+len(rest) > maxBacklogBytes {
+		b.broken = true
+		b.conn.Close()
+		return written, false
+	}
+	b.backlog = append(b.backlog, rest...)
+	if !b.draining {
+		b.draining = true
+		go b.drain()
 	}
-	o.backlog = append(o.backlog, b[n:]...)
-	if !o.sending {
-		o.sending = true
-		go o.drain() // ends with the backlog, or the socket
+	return written, true
+}
+
+// writeNow writes what the socket accepts without blocking; ok false: the socket is broken.
+func (b *bufferedConn) writeNow(data []byte) (written int, ok bool) {
+	var writeErr error
+	rawErr := b.raw.Write(func(descriptor uintptr) bool {
+		for {
+			written, writeErr = syscall.Write(int(descriptor), data)
+			if writeErr != syscall.EINTR {
+				return true
+			}
+		}
+	})
+	written = max(written, 0)
+	if rawErr != nil || writeErr != nil && writeErr != syscall.EAGAIN {
+		b.broken = true
+		return written, false
 	}
-	return n, true
+	return written, true
 }
 
-func (o *bufferedConn) drain() {
+// drain writes the backlog until none is left.
+func (b *bufferedConn) drain() {
 	for {
-		o.mu.Lock()
-		b := o.backlog
-		o.backlog = nil
-		if len(b) == 0 {
-			o.sending = false
-			o.mu.Unlock()
+		b.mu.Lock()
+		data := b.backlog
+		b.backlog = nil
+		if len(data) == 0 {
+			b.draining = false
+			b.mu.Unlock()
 			return
 		}
-		o.mu.Unlock()
-		o.conn.SetWriteDeadline(time.Now().Add(writeStallTimeout))
-		if _, err := o.conn.Write(b); err != nil {
-			o.mu.Lock()
-			o.broken, o.sending = true, false
-			o.mu.Unlock()
-			o.conn.Close()
+		b.mu.Unlock()
+		b.conn.SetWriteDeadline(time.Now().Add(writeStallTimeout))
+		if _, err := b.conn.Write(data); err != nil {
+			b.mu.Lock()
+			b.broken, b.draining = true, false
+			b.mu.Unlock()
+			b.conn.Close()
 			return
 		}
-		o.conn.SetWriteDeadline(time.Time{})
+		b.conn.SetWriteDeadline(time.Time{})
 	}
 }
 
-// lineReader reads lines of the wire from a socket.
-type lineReader struct {
-	conn net.Conn
-	in   []byte
-	from int
-	one  [2048]byte
-}
+func (b *bufferedConn) stopReading() { b.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// next gives a line without and with its end; both hold until the next call.
-func (l *lineReader) next(cut func(b []byte, at int) ([]byte, int, error)) (line, raw []byte, err error) {
-	at := 0
-	for {
-		b := l.in[l.from:]
-		line, n, err := cut(b, at)
-		if err != nil {
-			return nil, nil, err
-		}
-		if n > 0 {
-			l.from += n
-			return line, b[:n], nil
-		}
-		at = len(b)
-		if l.from > 0 {
-			l.in = append(l.in[:0], b...)
-			l.from = 0
-		}
-		if len(l.in) == 0 && cap(l.in) > 16<<10 {
-			l.in = nil
-		}
-		k, err := l.conn.Read(l.one[:])
-		if k == 0 && err != nil {
-			return nil, nil, err
-		}
-		l.in = append(l.in, l.one[:k]...)
+func (b *bufferedConn) finish() {
+	if half, ok := b.conn.(interface{ CloseWrite() error }); ok {
+		_ = half.CloseWrite() // the peer may be gone; the reader ends by its deadline
 	}
+	b.conn.SetReadDeadline(time.Now().Add(finishTimeout))
 }
+
+func (b *bufferedConn) close() { b.conn.Close() }
--- a/internal/proxy/capacity_test.go
+++ b/internal/proxy/capacity_test.go
@@ -19,7 +19,6 @@
 	"ferrypitch/internal/settings"
 	"ferrypitch/internal/simulation/statesize"
 	"ferrypitch/internal/wire"
-	"ferrypitch/policy"
 )
 
 // following is a router that holds a state and has no sessions; none of its connections opens.
@@ -27,14 +26,12 @@
 	h := newServer(&settings.Settings{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
 	h.ctx = context.Background()
 	h.sendToLeader = func(*rpc.Frame) {}
-	h.dial = func(n *hostPool, asked policy.Tenth, lead uint64) {
-		h.deferred = append(h.deferred, func() {
-			n.connOpened(&hostConn{pool: n, dialedAt: asked}, wire.Response{}, errors.New("not here"), lead)
-		})
+	h.dial = func(conn *hostConn) {
+		h.deferred.add(func() { conn.pool.connOpened(conn, wire.Response{}, errors.New("not here")) })
 	}
 	s := e.State()
-	if !h.applyLogUpdate(&rpc.LogUpdate{Snapshot: s.Snapshot(), LastIndex: s.Index}) {
-		panic("a snapshot is not taken")
+	if err := h.applyLogUpdate(&rpc.LogUpdate{Snapshot: s.Snapshot(), LastIndex: s.Index}); err != nil {
+		panic(err)
 	}
 	for h.step() {
 	}
@@ -54,7 +51,9 @@
 		for b.Loop() {
 			term++
 			c := statemachine.EncodeChange(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(9 + int(term)%3).ID, Term: term}})
-			h.applyLogUpdate(&rpc.LogUpdate{Entries: [][]byte{c}, LastIndex: h.state.Index + 1})
+			if err := h.applyLogUpdate(&rpc.LogUpdate{Entries: [][]byte{c}, LastIndex: h.state.Index + 1}); err != nil {
+				b.Fatal(err)
+			}
 		}
 	})
 }
@@ -76,7 +75,7 @@
 			at += 500
 			h.balancer.Clock(at)
 			h.balancer.Woke()
-			h.deferred = nil
+			h.deferred = actionQueue{}
 		}
 	})
 }
@@ -88,8 +87,10 @@
 		snapshot := s.Snapshot()
 		begin := func() *Server {
 			h := newServer(&settings.Settings{Node: "edge-waco-hall-0", Zone: "waco-hall"}, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
-			h.dial = func(*hostPool, policy.Tenth, uint64) {}
-			h.applyLogUpdate(&rpc.LogUpdate{Snapshot: snapshot, LastIndex: s.Index})
+			h.dial = func(*hostConn) {}
+			if err := h.applyLogUpdate(&rpc.LogUpdate{Snapshot: snapshot, LastIndex: s.Index}); err != nil {
+				b.Fatal(err)
+			}
 			return h
 		}
 		var before, after runtime.MemStats
--- /dev/null
+++ b/internal/proxy/control_link.go
@@ -0,0 +1,227 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+)
+
+const (
+	leaseRenewInterval = 300 * time.Millisecond
+
+	// controlSilenceTimeout is how long a member may send nothing before the link to it is ended.
+	controlSilenceTimeout = 700 * time.Millisecond
+
+	// welcomeTimeout bounds the wait for the first frame. The kernel of a process that stands still accepts connections.
+	welcomeTimeout = 400 * time.Millisecond
+
+	controlSendTimeout = time.Second
+	controlDialTimeout = 200 * time.Millisecond
+
+	// controlRetryInterval is waited after a member that could not be followed.
+	controlRetryInterval = 30 * time.Millisecond
+
+	// outgoingFrames may wait for the link; more are lost.
+	outgoingFrames = 256
+)
+
+var (
+	errNotLeader     = errors.New("the member is not the leader")
+	errLeaseRejected = errors.New("the member grants no lease")
+	errNoWelcome     = errors.New("the first frame is not a welcome")
+	errStopped       = errors.New("this proxy stops")
+)
+
+// controlLink follows the control plane: it finds the member that is the leader, receives its log updates and renews the lease.
+// All but outgoing belongs to the goroutine of run.
+type controlLink struct {
+	server      *Server
+	outgoing    chan *rpc.Frame
+	members     []string // addresses, as last received
+	nextAddress string   // the leader, as a member has named it; empty: members are tried in turn
+	turn        int
+}
+
+func newControlLink(s *Server) *controlLink {
+	return &controlLink{server: s, outgoing: make(chan *rpc.Frame, outgoingFrames)}
+}
+
+// send sends a frame to the leader; nil: a lease request, at once. It is lost while there is none.
+func (l *controlLink) send(frame *rpc.Frame) {
+	select {
+	case l.outgoing <- frame:
+	default:
+	}
+}
+
+// run follows one member after another until ctx ends.
+func (l *controlLink) run() {
+	ctx := l.server.ctx
+	for ctx.Err() == nil {
+		address := l.chooseMember()
+		if address != "" && l.follow(address) == nil {
+			continue
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(controlRetryInterval):
+		}
+	}
+}
+
+// chooseMember returns the address of the member to follow next; empty: none is known.
+func (l *controlLink) chooseMember() string {
+	if address := l.nextAddress; address != "" {
+		l.nextAddress = ""
+		return address
+	}
+	addresses := slices.Clone(l.members)
+	for _, address := range l.server.controlAddresses() {
+		if !slices.Contains(addresses, address) {
+			addresses = append(addresses, address)
+		}
+	}
+	if len(addresses) == 0 {
+		return ""
+	}
+	l.turn++
+	return addresses[l.turn%len(addresses)]
+}
+
+// controlAddresses are addresses of members of the control plane, as other proxies and the settings name them. Other proxies
+// come first: they may know of a change since the settings were written.
+func (s *Server) controlAddresses() []string {
+	addresses, _ := query(s.queue, func() []string {
+		seeds := s.settings.SeedHosts()
+		if s.membership == nil {
+			return seeds
+		}
+		members, _ := s.membership.ControlMembers()
+		return append(slices.Clone(members), seeds...)
+	})
+	return addresses
+}
+
+// follow connects to a member and, if it is the leader, stays with it until the connection ends, which is no error. Otherwise
+// the error says why the member was left.
+func (l *controlLink) follow(address string) error {
+	s := l.server
+	ctx, cancel := context.WithCancel(s.ctx)
+	defer cancel()
+	socket, err := rpc.DialHedged(ctx, s.settings.Ip, s.settings.PeerAddress(address), controlDialTimeout)
+	if err != nil {
+		return err
+	}
+	conn := rpc.NewConn(socket)
+	defer closeControlConn(conn)
+	stop := context.AfterFunc(ctx, func() { closeControlConn(conn) })
+	defer stop()
+
+	welcome, err := l.greetMember(conn)
+	if err != nil {
+		return err
+	}
+	if !welcome.IsLeader {
+		if welcome.Leader != address {
+			l.nextAddress = welcome.Leader
+		}
+		return errNotLeader
+	}
+	s.counters.controlLinks.Add(1)
+	s.queue.Put(eventloop.PriorityLists, func() { s.tickGossip(welcome.Proxies) })
+	return l.followLeader(ctx, cancel, conn)
+}
+
+// closeControlConn closes a connection, also one that is closed.
+func closeControlConn(conn *rpc.Conn) {
+	_ = conn.Close() // fails only if it was closed before
+}
+
+// greetMember says up to where this proxy has applied the log, and returns the member's welcome.
+func (l *controlLink) greetMember(conn *rpc.Conn) (*rpc.ProxyWelcome, error) {
+	s := l.server
+	index, ok := query(s.queue, s.resumeIndex)
+	if !ok {
+		return nil, errStopped
+	}
+	hello := &rpc.ProxyHello{Node: s.settings.Node, Incarnation: s.incarnation, Zone: s.settings.Zone, AppliedIndex: index}
+	if err := conn.Send(&rpc.Frame{ProxyHello: hello}, controlSendTimeout); err != nil {
+		return nil, fmt.Errorf("hello: %w", err)
+	}
+	frame, err := conn.Receive(welcomeTimeout)
+	if err != nil {
+		return nil, fmt.Errorf("welcome: %w", err)
+	}
+	welcome := frame.ProxyWelcome
+	if welcome == nil {
+		return nil, errNoWelcome
+	}
+	if len(welcome.Members) > 0 {
+		l.members = welcome.Members
+	}
+	return welcome, nil
+}
+
+// followLeader receives log updates and leases until the connection ends. A second goroutine requests the leases; it has ended
+// when followLeader returns.
+func (l *controlLink) followLeader(ctx context.Context, cancel context.CancelFunc, conn *rpc.Conn) error {
+	requests := newLeaseRequestTimes()
+	renewalEnded := make(chan struct{})
+	go func() {
+		defer close(renewalEnded)
+		l.renewLeases(ctx, conn, requests)
+	}()
+	defer func() {
+		cancel()
+		<-renewalEnded
+	}()
+	for {
+		frame, err := conn.Receive(controlSilenceTimeout)
+		if err != nil {
+			return nil
+		}
+		switch {
+		case frame.LogUpdate != nil:
+			l.handleLogUpdate(conn, frame.LogUpdate)
+		case frame.LeaseResponse != nil:
+			if err := l.handleLeaseResponse(frame.LeaseResponse, requests); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// handleLogUpdate has the event loop apply a log update. If it does not fit, the link is made anew, and the leader sends what
+// is missing.
+func (l *controlLink) handleLogUpdate(conn *rpc.Conn, update *rpc.LogUpdate) {
+	s := l.server
+	l.members = update.Members
+	s.queue.Put(eventloop.PriorityLists, func() {
+		if err := s.applyLogUpdate(update); err != nil {
+			closeControlConn(conn)
+			return
+		}
+		if s.membership != nil {
+			s.membership.SetControlMembers(update.Members, update.LastIndex)
+		}
+		s.reportRevocationApplied()
+	})
+}
+
+func (l *controlLink) handleLeaseResponse(response *rpc.LeaseResponse, requests *leaseRequestTimes) error {
+	if len(response.Members) > 0 {
+		l.members = response.Members
+	}
+	if !response.Granted {
+		return errLeaseRejected
+	}
+	requestedAt := requests.take(response.Serial)
+	s := l.server
+	s.queue.Put(eventloop.PriorityLists, func() { s.leaseGranted(response, requestedAt) })
+	return nil
+}
--- a/internal/proxy/council_test.go
+++ b/internal/proxy/council_test.go
@@ -637,7 +637,7 @@
 		l.leads = true
 		w.After(1, l.renews)
 	case f.LogUpdate != nil:
-		if !h.applyLogUpdate(f.LogUpdate) {
+		if h.applyLogUpdate(f.LogUpdate) != nil {
 			l.part()
 			return
 		}
--- /dev/null
+++ b/internal/proxy/counters.go
@@ -0,0 +1,97 @@
+package proxy
+
+import (
+	"sync/atomic"
+
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/gossip"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/policy"
+)
+
+// counters count since the proxy's start. Socket readers add to some of them, so they are atomic.
+type counters struct {
+	sessionsAccepted  atomic.Int64 // client sockets
+	malformedInputs   atomic.Int64 // messages and datagrams that broke a protocol
+	unknownDatabase   atomic.Int64 // sessions and statements for a database without a route
+	clientDisconnects atomic.Int64 // clients that left before their answer
+
+	statements             atomic.Int64 // that go to a host
+	statementsQueued       atomic.Int64 // for which no host was available at once
+	dispatches             atomic.Int64 // attempts; those beyond one a statement are retries
+	rejected               atomic.Int64 // statements of which nothing is kept
+	throttled              atomic.Int64 // statements for which the balancer found no host in time
+	failed                 atomic.Int64 // statements that the balancer gave up, which may have run
+	leaseExpiredBeforeSend atomic.Int64 // statements not sent, since a lease or a primary's epoch had ended
+	floorUnknown           atomic.Int64 // reads that had to go to the primary, since no position to judge replicas by was known
+	acksAfterRevocation    atomic.Int64 // writes acknowledged by a primary that was revoked meanwhile
+	responsesLost          atomic.Int64 // transactions ended since a response counts as lost
+	unexpectedResponses    atomic.Int64 // of hosts, to nothing or of the wrong form
+
+	connsDialed     atomic.Int64 // to hosts
+	connsFailed     atomic.Int64 // of these, those that did not open
+	connsRefused    atomic.Int64 // of these, those that a host refused since it is at its limit
+	setupStatements atomic.Int64 // sent to bring a connection to a session's values
+	setupErrors     atomic.Int64
+	suspectReports  atomic.Int64 // of primaries that can't be reached
+
+	leaseRequests atomic.Int64
+	leasesGranted atomic.Int64
+	controlLinks  atomic.Int64 // to a leader of the control plane
+	logGaps       atomic.Int64 // log updates that did not follow on the state
+	stateDiverged atomic.Int64 // log updates that did not fit the state
+	configUpdates atomic.Int64
+
+	outcomes   [policy.Missed + 1]atomic.Int64 // of attempts
+	errorsSent [errcode.KindCount]atomic.Int64 // of the proxy's own
+}
+
+// values are the counters by the names that the status shows. membership may be nil.
+func (c *counters) values(membership *gossip.Membership) map[string]int64 {
+	values := map[string]int64{
+		"sessions_accepted":  c.sessionsAccepted.Load(),
+		"malformed_inputs":   c.malformedInputs.Load(),
+		"unknown_database":   c.unknownDatabase.Load(),
+		"client_disconnects": c.clientDisconnects.Load(),
+
+		"statements":                c.statements.Load(),
+		"statements_queued":         c.statementsQueued.Load(),
+		"dispatches":                c.dispatches.Load(),
+		"rejected":                  c.rejected.Load(),
+		"throttled":                 c.throttled.Load(),
+		"failed":                    c.failed.Load(),
+		"lease_expired_before_send": c.leaseExpiredBeforeSend.Load(),
+		"floor_unknown":             c.floorUnknown.Load(),
+		"acks_after_revocation":     c.acksAfterRevocation.Load(),
+		"responses_lost":            c.responsesLost.Load(),
+		"unexpected_responses":      c.unexpectedResponses.Load(),
+
+		"connections_dialed":  c.connsDialed.Load(),
+		"connections_failed":  c.connsFailed.Load(),
+		"connections_refused": c.connsRefused.Load(),
+		"setup_statements":    c.setupStatements.Load(),
+		"setup_errors":        c.setupErrors.Load(),
+		"suspect_reports":     c.suspectReports.Load(),
+
+		"lease_requests":         c.leaseRequests.Load(),
+		"leases_granted":         c.leasesGranted.Load(),
+		"control_links":          c.controlLinks.Load(),
+		"control_bytes_sent":     rpc.BytesSent.Load(),
+		"control_bytes_received": rpc.BytesReceived.Load(),
+		"log_gaps":               c.logGaps.Load(),
+		"state_diverged":         c.stateDiverged.Load(),
+		"config_updates":         c.configUpdates.Load(),
+	}
+	if membership != nil {
+		values["gossip_probes"], values["gossip_acks_discarded"] = membership.Probes, membership.DiscardedAcks
+	}
+	for outcome := range c.outcomes {
+		values["outcome_"+policy.Outcome(outcome).String()] = c.outcomes[outcome].Load()
+	}
+	for kind := range c.errorsSent {
+		if sent := c.errorsSent[kind].Load(); sent > 0 {
+			values["error_"+errcode.Kind(kind).String()] = sent
+		}
+	}
+	return values
+}
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,8 +1,16 @@
-// Package proxy is a running proxy of the data plane (program ferrypitch-proxy): the
-// sockets and the goroutine that owns the decision module, the sessions and the connections to hosts. Where a statement
-// goes is decided by rules, what it must see by gauge, what a session may do by chuck, how long a lead may be acted on
-// by vise.
+// Package proxy is a process of the data plane (program ferrypitch-proxy): it accepts client sessions and forwards each
+// statement to a database host that may serve it.
 //
-//	client -> session (chuck) -> rules: which host -> host's connection -> answer -> client
-//	control plane -> news (rack) -> hosts, routes and leads -> rules
+//	client -> clientSession -> statement -> policy: which host -> hostPool -> hostConn -> host
+//	client <- clientSession <- statement <- policy: retry or finish <- hostConn <- host
+//	control plane -> controlLink -> replicated state -> reconcile -> services, routes, hostPools
+//
+// One goroutine, the event loop, owns all state but the sockets. Readers of sockets, the control link and signal handling
+// run in goroutines of their own and hand what they receive to the event loop over its queue. The event loop never blocks:
+// it writes through nonblockingConn.
+//
+// Package policy chooses hosts, package session interprets statements, package position says what a read must see, and
+// package lease says until when the replicated state may be acted on. A connection to the primary is used as such only while
+// the lease is valid and the primary is the one that was appointed (primaryEpoch): this is what keeps two proxies from
+// treating different hosts as the primary.
 package proxy
--- /dev/null
+++ b/internal/proxy/event_loop.go
@@ -0,0 +1,102 @@
+package proxy
+
+import (
+	"time"
+
+	"ferrypitch/internal/eventloop"
+)
+
+// sweepInterval is how often the sweep looks for what no event tells: silent hosts, idle connections, lost responses.
+const sweepInterval = 50 * time.Millisecond
+
+type timer = *eventloop.Timer[func()]
+
+// actionQueue is what is left to do when the current event has been handled. The balancer must not be called back from
+// within its own calls, and a connection must not be closed by the code that writes to it.
+type actionQueue struct{ actions []func() }
+
+func (q *actionQueue) add(action func()) { q.actions = append(q.actions, action) }
+
+// run runs all actions, and those that they add.
+func (q *actionQueue) run() {
+	for len(q.actions) > 0 {
+		next := q.actions[0]
+		q.actions = q.actions[1:]
+		next()
+	}
+	q.actions = nil
+}
+
+// runEventLoop is the goroutine that owns all state; it ends with ctx.
+func (s *Server) runEventLoop() {
+	defer s.queue.Close()
+	wakeUp := time.NewTimer(0)
+	defer wakeUp.Stop()
+	for {
+		select {
+		case <-s.ctx.Done():
+			return
+		case <-s.queue.Ready:
+		case <-wakeUp.C:
+		}
+		for s.step() {
+		}
+		wakeUp.Reset(max(0, time.Until(s.nextDeadline())))
+	}
+}
+
+// nextDeadline is when step is to be called at the latest.
+func (s *Server) nextDeadline() time.Time {
+	next := s.clock.Time().Add(sweepInterval)
+	if first := s.timers.First(); first != nil && first.Deadline.Before(next) {
+		next = first.Deadline
+	}
+	if !s.policyWakeAt.IsZero() && s.policyWakeAt.Before(next) {
+		next = s.policyWakeAt
+	}
+	return next
+}
+
+// step handles the most urgent event of those that are due; false: there is none.
+func (s *Server) step() bool {
+	defer s.deferred.run()
+	for priority := eventloop.PriorityLists; priority <= eventloop.PriorityOutcomes; priority++ {
+		if handle := s.queue.Take(priority); handle != nil {
+			handle()
+			return true
+		}
+	}
+	now := s.clock.Time()
+	if first := s.timers.First(); first != nil && !now.Before(first.Deadline) {
+		s.timers.Remove(first)
+		first.Value()
+		return true
+	}
+	if !s.policyWakeAt.IsZero() && !now.Before(s.policyWakeAt) {
+		s.wakePolicy()
+		return true
+	}
+	if now.After(s.nextSweepAt) {
+		s.nextSweepAt = now.Add(sweepInterval)
+		s.sweep(now)
+	}
+	if handle := s.queue.Take(eventloop.PriorityCommands); handle != nil {
+		handle()
+		return true
+	}
+	return false
+}
+
+// query runs read in the event loop and returns its result; false: the event loop has ended.
+func query[T any](queue *eventloop.Queue, read func() T) (result T, ok bool) {
+	results := make(chan T, 1)
+	if !queue.Put(eventloop.PriorityLists, func() { results <- read() }) {
+		return result, false
+	}
+	select {
+	case result = <-results:
+		return result, true
+	case <-queue.Ended:
+		return result, false
+	}
+}
--- /dev/null
+++ b/internal/proxy/host_pool.go
@@ -0,0 +1,262 @@
+package proxy
+
+import (
+	"cmp"
+	"errors"
+	"maps"
+	"slices"
+	"syscall"
+	"time"
+
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/proxy/lossdetect"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/wire"
+	"ferrypitch/policy"
+)
+
+const (
+	// silentPrimaryTimeout is how long a primary may send nothing while it owes a response, before it is reported as suspect.
+	silentPrimaryTimeout = 150 * time.Millisecond
+
+	// suspectReportIntervalMs is the shortest time between two reports of one host, in milliseconds.
+	suspectReportIntervalMs = 150
+
+	// drainReserve is left of the platform's bound for draining, or half of the bound if that is more: what the last statements
+	// and the host's own end take.
+	drainReserve = 1500 * time.Millisecond
+)
+
+// hostPool is a database host and this proxy's connections to it.
+type hostPool struct {
+	statemachine.Host
+	server  *Server
+	node    *policy.Node // the balancer's handle of it
+	service *service
+
+	conns   map[*hostConn]struct{} // all that are open
+	idle    []*hostConn            // the most recently used last
+	dialing int                    // connections that are being opened
+	queued  []*statement           // waiting for a connection, the oldest first
+
+	lossDetector   lossdetect.Detector
+	lastResponseAt time.Time
+	lastReportedMs int64 // when it was last reported as suspect, in milliseconds of the clock
+	drainingSince  time.Time
+
+	probePending bool // the balancer waits for the next connection to open or fail
+	announced    bool // the balancer knows its standing
+	standing     policy.Standing
+	retired      bool // removed, or replaced by another host of the same name: it takes no statements
+}
+
+// hostPosition is what a host's position says of it.
+type hostPosition struct {
+	asOf policy.Tenth // it has all writes acknowledged before; positionUnknown: not known
+	role policy.Role
+}
+
+// assign finds a connection for a statement, or has it wait for one.
+func (p *hostPool) assign(stmt *statement) {
+	if conn := p.takeIdle(stmt.session); conn != nil {
+		p.server.prepareAndSend(conn, stmt)
+		return
+	}
+	p.queued = append(p.queued, stmt)
+	if p.mayDial() {
+		p.dial()
+	}
+}
+
+// mayDial says that statements wait for connections which are not being opened, and that the host takes more.
+func (p *hostPool) mayDial() bool {
+	return len(p.conns)+p.dialing < p.server.connShare(p).MaxConns() && p.dialing < len(p.queued)
+}
+
+// takeIdle takes an idle connection: best one that has the session's values, next best one that has none.
+func (p *hostPool) takeIdle(client *clientSession) *hostConn {
+	best := -1
+	for i := len(p.idle) - 1; i >= 0; i-- {
+		conn := p.idle[i]
+		if conn.state.Matches(&client.Session) {
+			best = i
+			break
+		}
+		if best < 0 || conn.state.ValuesKey == "" {
+			best = i
+		}
+	}
+	if best < 0 {
+		return nil
+	}
+	conn := p.idle[best]
+	p.idle = slices.Delete(p.idle, best, best+1)
+	return conn
+}
+
+// dial opens a connection; connOpened or dialFailed receives the result.
+func (p *hostPool) dial() {
+	s := p.server
+	p.dialing++
+	s.counters.connsDialed.Add(1)
+	dialedAt := s.refreshPolicyTime()
+	s.dial(&hostConn{pool: p, dialedAt: dialedAt, dialedEpoch: s.epochOf(p)})
+}
+
+// connOpened takes in the result of dial: the host's response to CONNECT, or an error.
+func (p *hostPool) connOpened(conn *hostConn, response wire.Response, err error) {
+	s := p.server
+	p.dialing--
+	s.refreshPolicyTime()
+	succeeded := err == nil && response.Code == ""
+	if p.probePending {
+		p.probePending = false
+		defer func() { p.node.Probed(succeeded) }()
+	}
+	if !succeeded {
+		p.dialFailed(response.Code, err)
+		return
+	}
+	if p.retired {
+		conn.closed = true
+		conn.out.close()
+		return
+	}
+	conn.id = s.nextID()
+	p.conns[conn] = struct{}{}
+	p.recordPosition(response.Position, conn.dialedAt, conn.dialedEpoch)
+	s.releaseConn(conn)
+}
+
+// dialFailed ends attempts that would wait in vain. While the host only limits its connections, they go on waiting for those
+// that are open.
+func (p *hostPool) dialFailed(code wire.Code, err error) {
+	s := p.server
+	s.counters.connsFailed.Add(1)
+	outcome := policy.Unreached
+	if code == wire.CodeOverload || code == wire.CodeRetry {
+		outcome = policy.Full
+		s.counters.connsRefused.Add(1)
+	} else {
+		p.reportSuspect(errors.Is(err, syscall.ECONNREFUSED) || code == wire.CodeWrongNode)
+	}
+	if len(p.conns) == 0 || outcome != policy.Full {
+		for _, stmt := range slices.Clone(p.queued) {
+			s.endAttempt(stmt, outcome)
+		}
+	}
+}
+
+// dialForQueued opens connections for statements that wait.
+func (p *hostPool) dialForQueued() {
+	for !p.retired && p.mayDial() {
+		p.dial()
+	}
+}
+
+// recordPosition takes in a host's position from a response to what was sent at sentAt. It is a sample of the primary's
+// position only if the epoch in which it was asked for has not ended.
+func (p *hostPool) recordPosition(position wire.Position, sentAt policy.Tenth, epoch primaryEpoch) hostPosition {
+	svc := p.service
+	if epoch != noEpoch && epoch == primaryEpoch(svc.primary.ChangedAt) && svc.primary.Host == p.ID {
+		svc.positions.Add(sentAt, position)
+		return hostPosition{asOf: sentAt, role: policy.Primary}
+	}
+	asOf := svc.positions.UpToDateAsOf(position)
+	switch {
+	case asOf < 0:
+		return hostPosition{asOf: positionUnknown, role: policy.Unknown}
+	case svc.isPrimary(p.ID): // by the log: that a lease has expired says nothing of the host
+		return hostPosition{asOf: asOf, role: policy.Primary}
+	}
+	return hostPosition{asOf: asOf, role: policy.Replica}
+}
+
+// reportSuspect tells the control plane that a primary can't be reached. refused says that the host answered, but no longer
+// serves.
+func (p *hostPool) reportSuspect(refused bool) {
+	s := p.server
+	now := s.clock.Now()
+	if p.service.primary.Host != p.ID || now <= p.lastReportedMs+suspectReportIntervalMs {
+		return
+	}
+	p.lastReportedMs = now
+	s.counters.suspectReports.Add(1)
+	s.sendToLeader(&rpc.Frame{SuspectReport: &rpc.SuspectReport{Service: p.Service, Host: p.ID, Refused: refused}})
+}
+
+// reportIfSilent reports a primary that owes a response and has sent nothing since.
+func (p *hostPool) reportIfSilent(now time.Time) {
+	if !p.service.isPrimary(p.ID) {
+		return
+	}
+	for _, conn := range p.connsByAge() {
+		stmt := conn.statement
+		if stmt == nil || !stmt.attempt.sent {
+			continue
+		}
+		writtenAt := stmt.attempt.writtenAt
+		if now.Sub(writtenAt) > silentPrimaryTimeout && p.lastResponseAt.Before(writtenAt) {
+			p.reportSuspect(false)
+			return
+		}
+	}
+}
+
+// endLostTransactions ends transactions whose response counts as lost. That of a COMMIT which writes is waited for until its
+// deadline: without it nobody knows what was committed.
+func (p *hostPool) endLostTransactions(now policy.Tenth) {
+	s := p.server
+	for _, conn := range p.connsByAge() {
+		stmt := conn.statement
+		if stmt == nil || !stmt.attempt.sent || !stmt.isPinned() || stmt.step.Commit && stmt.session.MayHaveWritten {
+			continue
+		}
+		if !p.lossDetector.Lost(stmt.attempt.sentAt, now) {
+			continue
+		}
+		s.counters.responsesLost.Add(1)
+		conn.statement, conn.session = nil, nil
+		s.closeConn(conn)
+		s.endAttempt(stmt, policy.TimedOut)
+	}
+}
+
+// closeExcessIdle closes idle connections over this proxy's share of the host's, or idle for long.
+func (p *hostPool) closeExcessIdle(now time.Time) {
+	if len(p.idle) == 0 {
+		return
+	}
+	share := p.server.connShare(p)
+	for len(p.idle) > 0 {
+		oldest := p.idle[0]
+		withinShare := len(p.conns)+p.dialing <= share.MaxConns()
+		if withinShare && now.Sub(oldest.idleSince).Milliseconds() <= share.IdleTimeoutMs(len(p.idle)-1) {
+			return
+		}
+		p.server.closeConn(oldest)
+	}
+}
+
+// drainExpired says that a draining host may be sent nothing more, whether it is the primary or not.
+func (p *hostPool) drainExpired(now time.Time) bool {
+	bound := settings.Duration(p.server.settings.Bounds.DrainMs)
+	return p.Draining && bound > 0 && now.Sub(p.drainingSince) > max(bound/2, bound-drainReserve)
+}
+
+// retire ends a host that was removed, or that another has replaced. Statements that it was sent run to their end.
+func (p *hostPool) retire() {
+	p.retired = true
+	for _, conn := range slices.Clone(p.idle) {
+		p.server.closeConn(conn)
+	}
+	for _, stmt := range slices.Clone(p.queued) {
+		p.server.endAttempt(stmt, policy.Moot)
+	}
+}
+
+// connsByAge are the open connections, the oldest first, so that a seed of the simulation always runs the same.
+func (p *hostPool) connsByAge() []*hostConn {
+	return slices.SortedFunc(maps.Keys(p.conns), func(a, b *hostConn) int { return cmp.Compare(a.id, b.id) })
+}
--- /dev/null
+++ b/internal/proxy/lease_renewal.go
@@ -0,0 +1,104 @@
+package proxy
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"ferrypitch/internal/rpc"
+)
+
+// rememberedLeaseRequests is how many requests may be without a response; older ones are forgotten.
+const rememberedLeaseRequests = 64
+
+// leaseRequestTimes are the times of lease requests that have no response yet, in milliseconds of the clock. It is shared by
+// the goroutines that send requests and receive responses.
+type leaseRequestTimes struct {
+	mu     sync.Mutex
+	sentAt map[uint64]int64 // by serial
+}
+
+func newLeaseRequestTimes() *leaseRequestTimes { return &leaseRequestTimes{sentAt: map[uint64]int64{}} }
+
+func (r *leaseRequestTimes) record(serial uint64, sentAt int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sentAt[serial] = sentAt
+	delete(r.sentAt, serial-rememberedLeaseRequests)
+}
+
+// take returns when a request was sent, and forgets it; 0: it is not known.
+func (r *leaseRequestTimes) take(serial uint64) int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	sentAt := r.sentAt[serial]
+	delete(r.sentAt, serial)
+	return sentAt
+}
+
+// renewLeases requests leases and sends what is outgoing, until ctx or the connection ends. The time of a request is taken
+// before it is sent: a lease counts from then.
+func (l *controlLink) renewLeases(ctx context.Context, conn *rpc.Conn, requests *leaseRequestTimes) {
+	s := l.server
+	renewal := time.NewTicker(leaseRenewInterval)
+	defer renewal.Stop()
+	for serial := uint64(1); ; serial++ {
+		request, ok := query(s.queue, func() *rpc.LeaseRequest {
+			return &rpc.LeaseRequest{Serial: serial, AppliedIndex: s.state.Index, Sessions: len(s.sessions)}
+		})
+		if !ok {
+			return
+		}
+		requests.record(serial, s.clock.Now())
+		s.counters.leaseRequests.Add(1)
+		if conn.Send(&rpc.Frame{LeaseRequest: request}, controlSendTimeout) != nil {
+			closeControlConn(conn)
+			return
+		}
+		if !l.sendOutgoing(ctx, conn, renewal) {
+			return
+		}
+	}
+}
+
+// sendOutgoing sends frames until the next lease request is due; false: ctx or the connection has ended.
+func (l *controlLink) sendOutgoing(ctx context.Context, conn *rpc.Conn, renewal *time.Ticker) bool {
+	for {
+		select {
+		case <-ctx.Done():
+			return false
+		case <-renewal.C:
+			return true
+		case frame := <-l.outgoing:
+			if frame == nil {
+				return true
+			}
+			if conn.Send(frame, controlSendTimeout) != nil {
+				closeControlConn(conn)
+				return false
+			}
+		}
+	}
+}
+
+// leaseGranted takes in a lease. requestedAt is when it was requested, in milliseconds of the clock; 0: not known.
+func (s *Server) leaseGranted(granted *rpc.LeaseResponse, requestedAt int64) {
+	if requestedAt == 0 || granted.CommitIndex > s.state.Index { // the log up to the grant has not been received yet
+		return
+	}
+	s.counters.leasesGranted.Add(1)
+	s.lease.Renewed(requestedAt)
+	if granted.ProxyCount > 0 {
+		s.proxyCount = granted.ProxyCount
+	}
+	s.sweep(s.clock.Time())
+}
+
+// reportRevocationApplied has the leader learn at once that a revocation was applied here: the next primary is not appointed
+// before all proxies have.
+func (s *Server) reportRevocationApplied() {
+	if s.revocationUnreported {
+		s.revocationUnreported = false
+		s.sendToLeader(nil)
+	}
+}
--- a/internal/proxy/link_test.go
+++ b/internal/proxy/link_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net"
+	"os"
 	"testing"
 	"time"
 
@@ -10,7 +11,6 @@
 	"github.com/stretchr/testify/require"
 
 	"ferrypitch/internal/eventloop"
-	"ferrypitch/internal/rpc"
 	"ferrypitch/internal/settings"
 )
 
@@ -31,9 +31,9 @@
 			}
 		}
 	}()
-	k := &controlLink{server: h, outgoing: make(chan *rpc.Frame)}
+	k := newControlLink(h)
 	begun := time.Now()
-	require.False(t, k.follow("127.0.0.1"))
+	require.ErrorIs(t, k.follow("127.0.0.1"), os.ErrDeadlineExceeded)
 	require.Less(t, time.Since(begun), 900*time.Millisecond)
 	require.GreaterOrEqual(t, time.Since(begun), welcomeTimeout)
 }
--- a/internal/proxy/moments_test.go
+++ b/internal/proxy/moments_test.go
@@ -46,8 +46,8 @@
 		require.Empty(t, w.Violations, "seed %d: %s", seed, w.report())
 		for _, r := range w.routers {
 			if r.h != nil {
-				ended[0] += r.h.Outcomes[policy.Unreached].Load()
-				ended[1] += r.h.Outcomes[policy.Reset].Load()
+				ended[0] += r.h.counters.outcomes[policy.Unreached].Load()
+				ended[1] += r.h.counters.outcomes[policy.Reset].Load()
 			}
 		}
 	}
--- /dev/null
+++ b/internal/proxy/policy_caller.go
@@ -0,0 +1,179 @@
+package proxy
+
+import (
+	"slices"
+	"time"
+
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/policy"
+)
+
+const (
+	// policyUnit is what a policy.Tenth counts.
+	policyUnit = 100 * time.Microsecond
+
+	tenthsPerMillisecond = 10
+
+	// policyTick is the shortest time between two calls of policy.Router.Woke.
+	policyTick policy.Tenth = 50
+
+	// maxAttempts is how many hosts a statement may be sent to before the client is told to come again.
+	maxAttempts = 3
+
+	// maxComeback is the longest wait, in tenths of a millisecond, that a rejected client is asked for.
+	maxComeback policy.Tenth = 2000
+
+	// hostConnIdleTimeout is the span over which the balancer looks for the most connections in use at once. When an idle
+	// connection is closed, package connlimit says.
+	hostConnIdleTimeout = 45 * time.Second
+)
+
+// deployment is what the policy is told of this kind of proxy: who the primary is comes from the control plane only, hosts
+// reject reads that they are too far behind for, a connection carries one statement at a time.
+func deployment(zone string, seed uint32) policy.Deployment {
+	return policy.Deployment{
+		Seed:       seed,
+		Tick:       policyTick,
+		Routers:    1,
+		Zone:       zone,
+		Dispatches: maxAttempts,
+		Guarded:    true,
+		Kept:       true,
+		Probes:     true,
+		Led:        true,
+		Streams:    1,
+		IdleFor:    toTenths(hostConnIdleTimeout),
+		ConnectFor: toTenths(connectTimeout),
+		Comeback:   maxComeback,
+		FallFactor: 1e6, // so great that no limit is put on what a host is sent after its start
+		ColdFrom:   1,   // a host has all of its capacity from its start on
+		ProbePrice: 0.01,
+	}
+}
+
+func toTenths(span time.Duration) policy.Tenth { return policy.Tenth(span / policyUnit) }
+
+func toDuration(span policy.Tenth) time.Duration { return time.Duration(span) * policyUnit }
+
+func millisecondsToTenths(ms float64) policy.Tenth { return policy.Tenth(ms * tenthsPerMillisecond) }
+
+// refreshPolicyTime tells the balancer the present time, which it needs before any other call, and returns it.
+func (s *Server) refreshPolicyTime() policy.Tenth {
+	s.policyNow = policy.Tenth(eventloop.ClockOrigin)*tenthsPerMillisecond + toTenths(s.clock.Since())
+	if s.balancer != nil {
+		s.balancer.Clock(s.policyNow)
+	}
+	return s.policyNow
+}
+
+// wakePolicy makes the call that the balancer asked for. It is called again after policyTick if it asks for nothing.
+func (s *Server) wakePolicy() {
+	s.policyWakeAt = time.Time{}
+	s.refreshPolicyTime()
+	s.balancer.Woke()
+	if s.policyWakeAt.IsZero() {
+		s.schedulePolicyWake(policyTick)
+	}
+}
+
+func (s *Server) schedulePolicyWake(after policy.Tenth) {
+	if at := s.clock.Time().Add(toDuration(after)); s.policyWakeAt.IsZero() || at.Before(s.policyWakeAt) {
+		s.policyWakeAt = at
+	}
+}
+
+// policyCaller carries out what the balancer decides; it implements policy.Caller. All of it runs in the event loop, inside a
+// call to the balancer: what could call the balancer again is deferred until that has returned.
+type policyCaller struct{ server *Server }
+
+// Dispatch sends a statement to a host.
+func (p policyCaller) Dispatch(command *policy.Cmd, node *policy.Node, timeout policy.Tenth) {
+	s := p.server
+	stmt := s.statements[command.Name]
+	stmt.command = command
+	stmt.beginAttempt(s.poolByNode[node])
+	deadline := stmt.deadline
+	if at := s.clock.Time().Add(toDuration(timeout)); timeout > 0 && at.Before(deadline) {
+		deadline = at
+	}
+	s.counters.dispatches.Add(1)
+	stmt.attempt.timer = s.timers.Add(deadline, func() { s.expireAttempt(stmt) })
+	stmt.attempt.pool.assign(stmt)
+}
+
+// Throttle answers a statement that has not run, or that may run again.
+func (p policyCaller) Throttle(command *policy.Cmd, comeback policy.Tenth) {
+	s := p.server
+	stmt := s.statements[command.Name]
+	s.counters.throttled.Add(1)
+	s.deferred.add(func() {
+		s.forgetIfOver(stmt)
+		if stmt.hostResponse != nil && !stmt.step.Writes {
+			s.finishStatement(stmt, stmt.hostResponse)
+			return
+		}
+		s.reject(stmt, errcode.NoHostAvailable, comeback/tenthsPerMillisecond)
+	})
+}
+
+// Fail answers a statement that may have run.
+func (p policyCaller) Fail(command *policy.Cmd) {
+	s := p.server
+	stmt := s.statements[command.Name]
+	s.counters.failed.Add(1)
+	s.deferred.add(func() {
+		s.forgetIfOver(stmt)
+		switch {
+		case stmt.hostResponse != nil:
+			s.finishStatement(stmt, stmt.hostResponse)
+		case stmt.mayHaveRun:
+			s.finishStatement(stmt, s.errorReply(errcode.InDoubt, 0))
+		default:
+			s.reject(stmt, errcode.WriteNotSent, 0)
+		}
+	})
+}
+
+// Probe has the balancer learn whether a host is reachable and what it has: by opening a connection.
+func (p policyCaller) Probe(node *policy.Node) {
+	s := p.server
+	pool := s.poolByNode[node]
+	pool.probePending = true
+	if s.connShare(pool).Scarce() && !pool.service.used {
+		return // probes of all proxies would take more than the host has: the first session of the service opens it
+	}
+	if pool.dialing == 0 {
+		pool.dial()
+	}
+}
+
+// Close closes the idle connections to a host.
+func (p policyCaller) Close(node *policy.Node) {
+	for _, conn := range slices.Clone(p.server.poolByNode[node].idle) {
+		p.server.closeConn(conn)
+	}
+}
+
+// Forget drops a host that was removed and that no statement names any more.
+func (p policyCaller) Forget(node *policy.Node) {
+	s := p.server
+	pool := s.poolByNode[node]
+	if pool == nil {
+		return
+	}
+	pool.retire()
+	delete(s.poolByNode, node)
+	if s.pools[pool.ID] == pool {
+		delete(s.pools, pool.ID)
+	}
+}
+
+// Watch does nothing: the host list comes without being asked for.
+func (policyCaller) Watch() {}
+
+// Tell does nothing: proxies don't exchange what the balancer knows.
+func (policyCaller) Tell(string) {}
+
+// Wake schedules a call of policy.Router.Woke.
+func (p policyCaller) Wake(after policy.Tenth) { p.server.schedulePolicyWake(after) }
--- /dev/null
+++ b/internal/proxy/reconcile.go
@@ -0,0 +1,199 @@
+package proxy
+
+import (
+	"maps"
+	"slices"
+
+	"ferrypitch/internal/config"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/proxy/position"
+	"ferrypitch/policy"
+)
+
+// reconcile brings services, hosts, primaries and routes in line with the replicated state.
+func (s *Server) reconcile() {
+	s.refreshPolicyTime()
+	s.reconcileServices()
+	s.reconcileHosts()
+	s.reconcilePrimaries()
+	s.reconcileRoutes()
+}
+
+func (s *Server) reconcileServices() {
+	configured := s.state.Config()
+	if configured == nil {
+		return
+	}
+	for _, svc := range configured.Services {
+		if svc.MaxConns > 0 {
+			s.serviceNamed(svc.Name).maxConns = int(svc.MaxConns)
+		}
+	}
+}
+
+func (s *Server) reconcileHosts() {
+	changed := false
+	for _, id := range slices.Sorted(maps.Keys(s.state.Hosts)) {
+		changed = s.reconcileHost(s.state.Hosts[id]) || changed
+	}
+	for _, id := range slices.Sorted(maps.Keys(s.pools)) {
+		pool := s.pools[id]
+		if _, listed := s.state.Hosts[id]; !listed && pool.standing != policy.Gone {
+			pool.standing, changed = policy.Gone, true
+			pool.remove()
+		}
+	}
+	if changed {
+		s.balancer.ListDone(false)
+	}
+}
+
+// reconcileHost brings one host in line, and says whether the balancer was told something new.
+func (s *Server) reconcileHost(want statemachine.Host) (changed bool) {
+	pool := s.pools[want.ID]
+	if pool != nil && (pool.Address != want.Address || pool.Service != want.Service) { // another host under the same name
+		pool.remove()
+		pool = nil
+	}
+	if pool == nil {
+		pool = s.newPool(want)
+	}
+	pool.Host = want
+	standing := s.standingOf(pool)
+	if pool.announced && pool.standing == standing {
+		return false
+	}
+	pool.standing, pool.announced = standing, true
+	pool.announce(standing, float64(max(1, want.Capacity)))
+	return true
+}
+
+func (s *Server) newPool(host statemachine.Host) *hostPool {
+	svc := s.serviceNamed(host.Service)
+	pool := &hostPool{Host: host, server: s, service: svc, conns: map[*hostConn]struct{}{}}
+	pool.node = s.balancer.Host(host.ID, svc.policySet)
+	s.pools[host.ID], s.poolByNode[pool.node] = pool, pool
+	return pool
+}
+
+// standingOf is what the balancer is told of a host. A primary that drains is used until another is appointed, or until the
+// platform's bound for draining is nearly over.
+func (s *Server) standingOf(pool *hostPool) policy.Standing {
+	if !pool.Draining {
+		return policy.In
+	}
+	now := s.clock.Time()
+	if pool.drainingSince.IsZero() {
+		pool.drainingSince = now
+	}
+	if s.state.Primaries[pool.Service].Host == pool.ID && !pool.drainExpired(now) {
+		return policy.In
+	}
+	return policy.Draining
+}
+
+// announce tells the balancer of a host. Who the primary is it learns by Leads; kind and boot time are not known here.
+func (p *hostPool) announce(standing policy.Standing, capacity float64) {
+	p.node.Listed(standing, false, p.Zone, "", capacity, 0)
+}
+
+// remove has the balancer send nothing more to a host, and ends it.
+func (p *hostPool) remove() {
+	p.announce(policy.Gone, 1)
+	p.retire()
+}
+
+func (s *Server) reconcilePrimaries() {
+	for _, name := range slices.Sorted(maps.Keys(s.state.Primaries)) {
+		svc, want := s.serviceNamed(name), s.state.Primaries[name]
+		was := svc.primary
+		svc.primary = want
+		if primaryChanged(was, want) {
+			s.changePrimary(svc, was)
+		}
+	}
+}
+
+// primaryChanged says that a change concerns this proxy: another primary, a revocation, or during one another nominee.
+func primaryChanged(was, want statemachine.Primary) bool {
+	if was.Host != want.Host || was.ChangedAt != want.ChangedAt || was.Revoked != want.Revoked {
+		return true
+	}
+	return want.Revoked && was.Nominee != want.Nominee
+}
+
+// changePrimary makes a change of a service's primary real: the old one is no longer used as such, and then the new one is.
+func (s *Server) changePrimary(svc *service, was statemachine.Primary) {
+	want := svc.primary
+	if old := s.pools[was.Host]; old != nil && (want.Revoked || want.Host != was.Host) {
+		old.node.Leads(false)
+		s.abortPrimaryWork(old)
+	}
+	if want.Revoked {
+		s.revocationUnreported = s.revocationUnreported || !was.Revoked
+		s.balancer.Due(svc.policySet, position.NextPrimaryDue(s.policyNow, s.state.LastPromotionMs, want.Nominee != ""))
+		return
+	}
+	svc.positions.Clear()
+	if pool := s.pools[want.Host]; pool != nil {
+		pool.node.Leads(true)
+		s.log.Info("primary changed", "service", svc.name, "host", want.Host, "term", want.Term)
+	}
+}
+
+// abortPrimaryWork ends what was sent to a host as to the primary: what it acknowledges from now on is not taken into account
+// when the next primary is chosen.
+func (s *Server) abortPrimaryWork(pool *hostPool) {
+	for _, conn := range pool.connsByAge() {
+		stmt, client := conn.statement, conn.session
+		switch {
+		case client != nil && client.primaryEpoch != noEpoch:
+			conn.statement, conn.session = nil, nil
+			client.pinnedConn = nil
+			s.closeConn(conn)
+			if stmt != nil {
+				s.endAttempt(stmt, policy.Reset)
+			} else {
+				client.pinnedConnLost()
+			}
+		case stmt != nil && stmt.attempt.sent && stmt.attempt.primaryEpoch != noEpoch && stmt.step.Writes:
+			conn.statement = nil
+			s.closeConn(conn)
+			s.endAttempt(stmt, policy.Reset)
+		}
+	}
+}
+
+func (s *Server) reconcileRoutes() {
+	configured := s.state.Config()
+	if configured == nil || configured == s.config {
+		return
+	}
+	s.config = configured
+	s.counters.configUpdates.Add(1)
+	s.log.Info("configuration applied", "version", configured.Generation, "routes", len(configured.Routes))
+	s.replaceRoutes(configured.Routes)
+	for _, client := range s.sessionsByAge() {
+		if client.idle() && s.routes[client.database] == nil {
+			client.drain()
+		}
+	}
+}
+
+// replaceRoutes makes routes of the configured ones. Those that are as before keep what the balancer has learned of them.
+func (s *Server) replaceRoutes(configured []config.Route) {
+	last := make(map[string]int, len(configured)) // of several for one database the last one counts
+	for i, r := range configured {
+		last[r.Host] = i
+	}
+	for i, r := range configured {
+		was := s.routes[r.Host]
+		if last[r.Host] == i && (was == nil || was.Route != r) {
+			s.routes[r.Host] = s.newRoute(r)
+		}
+	}
+	maps.DeleteFunc(s.routes, func(database string, _ *route) bool {
+		_, stays := last[database]
+		return !stays
+	})
+}
--- /dev/null
+++ b/internal/proxy/run.go
@@ -0,0 +1,124 @@
+package proxy
+
+import (
+	"context"
+	"errors"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"time"
+
+	"github.com/gravitational/trace"
+	"github.com/hashicorp/go-hclog"
+
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/settings"
+)
+
+const (
+	clientKeepAlive = 15 * time.Second
+
+	// What a caller of the readiness server may take and send: it is the platform, or an operator.
+	readinessHeaderTimeout  = 2 * time.Second
+	readinessIdleTimeout    = 20 * time.Second
+	readinessMaxHeaderBytes = 8 << 10
+
+	// stopTimeout is how long Run waits for goroutines whose sockets are closed.
+	stopTimeout = 300 * time.Millisecond
+)
+
+// Run serves clients until a signal arrives on signals, and then shuts down gracefully. A signal on reload has the settings
+// read again. An error names the setting whose socket can't be opened.
+func Run(cfg *settings.Settings, signals, reload <-chan os.Signal, log hclog.Logger) error {
+	if cfg.Listen.Front == "" {
+		return trace.BadParameter("Listen.Front: missing; this program serves clients")
+	}
+	if cfg.Listen.Readiness == "" {
+		return trace.BadParameter("Listen.Readiness: missing; the platform asks there")
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	s := newServer(cfg, log, eventloop.NewSteadyClock(time.Now), rand.Uint64())
+	s.ctx = ctx
+	s.controlLink = newControlLink(s)
+	s.dial, s.sendToLeader = s.dialHost, s.controlLink.send
+	if err := s.listen(); err != nil {
+		return err
+	}
+	s.tasks.Go(s.controlLink.run)
+	eventLoopEnded := make(chan struct{})
+	go func() { s.runEventLoop(); close(eventLoopEnded) }()
+	log.Info("started", "node", cfg.Node, "front", cfg.Listen.Front)
+	s.handleSignals(signals, reload)
+	stop()
+	<-eventLoopEnded
+	s.closeConns()
+	s.awaitTasks()
+	log.Info("stopped", "statements", s.counters.statements.Load(), "rejected", s.counters.rejected.Load(),
+		"failed", s.counters.failed.Load(), "dialed", s.counters.connsDialed.Load())
+	return nil
+}
+
+// listen opens the sockets and starts their readers. The sockets close with ctx, also those opened before a failure.
+func (s *Server) listen() (err error) {
+	if s.gossipConn, err = net.ListenPacket("udp4", s.settings.PeerAddress(s.settings.Ip)); err != nil {
+		return trace.Wrap(err, "PortRange")
+	}
+	s.closeAtStop(s.gossipConn)
+	s.membership = s.newMembership()
+	listenConfig := net.ListenConfig{KeepAlive: clientKeepAlive}
+	clients, err := listenConfig.Listen(s.ctx, "tcp", s.settings.Listen.Front)
+	if err != nil {
+		return trace.Wrap(err, "Listen.Front")
+	}
+	s.closeAtStop(clients)
+	readiness, err := net.Listen("tcp", s.settings.Listen.Readiness)
+	if err != nil {
+		return trace.Wrap(err, "Listen.Readiness")
+	}
+	httpServer := &http.Server{
+		Handler:           http.HandlerFunc(s.serveReadiness),
+		ReadHeaderTimeout: readinessHeaderTimeout,
+		IdleTimeout:       readinessIdleTimeout,
+		MaxHeaderBytes:    readinessMaxHeaderBytes,
+	}
+	s.closeAtStop(httpServer)
+	s.tasks.Go(func() {
+		if err := httpServer.Serve(readiness); !errors.Is(err, http.ErrServerClosed) {
+			s.log.Error("readiness server failed", "error", err)
+		}
+	})
+	s.tasks.Go(func() { s.accept(clients) })
+	s.tasks.Go(s.receiveGossip)
+	return nil
+}
+
+// closeAtStop closes a socket when ctx ends, which ends its reader.
+func (s *Server) closeAtStop(socket io.Closer) {
+	context.AfterFunc(s.ctx, func() {
+		_ = socket.Close() // fails only if it was closed before
+	})
+}
+
+// closeConns closes the sockets of sessions and hosts, after the event loop has ended.
+func (s *Server) closeConns() {
+	for client := range s.sessions {
+		client.out.close()
+	}
+	for _, pool := range s.pools {
+		for conn := range pool.conns {
+			conn.out.close()
+		}
+	}
+}
+
+func (s *Server) awaitTasks() {
+	done := make(chan struct{})
+	go func() { s.tasks.Wait(); close(done) }()
+	select {
+	case <-done:
+	case <-time.After(stopTimeout):
+	}
+}
--- /dev/null
+++ b/internal/proxy/service.go
@@ -0,0 +1,129 @@
+package proxy
+
+import (
+	"time"
+
+	"ferrypitch/internal/config"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/proxy/position"
+	"ferrypitch/internal/retry"
+	"ferrypitch/policy"
+)
+
+const (
+	// defaultMaxConns is how many connections a host takes of all proxies, where the configuration does not say.
+	defaultMaxConns = 32
+
+	// lateShare is what an answer past its latency target is worth, as a part of one in time.
+	lateShare = 0.5
+
+	// defaultTargetShare of a route's deadline is its latency target, where the configuration gives none.
+	defaultTargetShare = 1.0 / 4
+)
+
+// primaryEpoch is the period in which one host is the primary of its service, named by the log index of the change that
+// appointed it.
+type primaryEpoch uint64
+
+// noEpoch stands for a host that is not treated as the primary.
+const noEpoch primaryEpoch = 0
+
+// service is a set of hosts with one primary.
+type service struct {
+	name      string
+	policySet int64 // what the balancer calls it
+	primary   statemachine.Primary
+	positions position.Tracker // of the primary
+	maxConns  int              // at each host, of all proxies
+	used      bool             // a session has asked for it
+}
+
+// serviceNamed returns a service, which it makes at its first mention.
+func (s *Server) serviceNamed(name string) *service {
+	svc := s.services[name]
+	if svc == nil {
+		svc = &service{name: name, policySet: int64(len(s.services) + 1), maxConns: defaultMaxConns}
+		s.services[name] = svc
+	}
+	return svc
+}
+
+// isPrimary says that a host is the primary by the log, whether or not the lease is valid.
+func (svc *service) isPrimary(hostID string) bool {
+	return svc.primary.Host == hostID && !svc.primary.Revoked
+}
+
+// inEpoch says that an epoch has not ended.
+func (svc *service) inEpoch(epoch primaryEpoch) bool {
+	return primaryEpoch(svc.primary.ChangedAt) == epoch && !svc.primary.Revoked
+}
+
+// epochOf returns the epoch in which a host may be treated as the primary at this moment; noEpoch: it may not.
+func (s *Server) epochOf(pool *hostPool) primaryEpoch {
+	if !pool.service.isPrimary(pool.ID) || !s.leaseValid() {
+		return noEpoch
+	}
+	return primaryEpoch(pool.service.primary.ChangedAt)
+}
+
+// mayActOn says that the primary of an epoch may be treated as such at this moment.
+func (s *Server) mayActOn(svc *service, epoch primaryEpoch) bool {
+	return svc.inEpoch(epoch) && s.leaseValid()
+}
+
+// route is a route of the configuration in force, with what the balancer needs for its statements.
+type route struct {
+	config.Route
+	service        *service
+	deadline       time.Duration
+	stalenessBound policy.Tenth // 0: a read must see every write
+	readsOwnWrites bool
+
+	readGroup  *policy.CmdGroup // reads as the route allows
+	freshGroup *policy.CmdGroup // reads that must see every write
+	writeGroup *policy.CmdGroup
+}
+
+func (s *Server) newRoute(configured config.Route) *route {
+	r := &route{
+		Route:          configured,
+		service:        s.serviceNamed(configured.Service),
+		deadline:       time.Duration(configured.DeadlineMs * float64(time.Millisecond)),
+		readsOwnWrites: configured.Kind == config.KindOwned,
+	}
+	if configured.Kind != config.KindLeader {
+		r.stalenessBound = millisecondsToTenths(configured.StalenessMs)
+	}
+	r.freshGroup = s.newGroup(r, policy.Fresh, retry.Read)
+	r.writeGroup = s.newGroup(r, policy.Write, retry.Write)
+	switch {
+	case r.stalenessBound == 0:
+		r.readGroup = r.freshGroup
+	case r.readsOwnWrites:
+		r.readGroup = s.newGroup(r, policy.Session, retry.Read)
+	default:
+		r.readGroup = s.newGroup(r, policy.Bounded, retry.Read)
+	}
+	return r
+}
+
+// newGroup readies the balancer for statements of a route that have the same needs.
+func (s *Server) newGroup(r *route, need policy.Need, operation retry.Operation) *policy.CmdGroup {
+	effect := policy.Mutating
+	if retry.Idempotent(operation) {
+		effect = policy.Replayable
+	}
+	target := millisecondsToTenths(r.TargetMs)
+	if target <= 0 {
+		target = millisecondsToTenths(r.DeadlineMs * defaultTargetShare)
+	}
+	return s.balancer.Group(&policy.CmdGroup{
+		Effect:    effect,
+		Need:      need,
+		Bound:     r.stalenessBound,
+		Target:    target,
+		Timeout:   millisecondsToTenths(r.DeadlineMs),
+		Benefit:   1 / (1 + max(0, r.Priority)),
+		LateShare: lateShare,
+	})
+}
--- /dev/null
+++ b/internal/proxy/shutdown.go
@@ -0,0 +1,113 @@
+package proxy
+
+import (
+	"os"
+	"time"
+
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/proxy/session"
+	"ferrypitch/internal/settings"
+)
+
+const (
+	// platformNoticeTime is how long the platform may take to see that this proxy is not ready and to send clients elsewhere.
+	platformNoticeTime = 2500 * time.Millisecond
+	shutdownPoll       = 100 * time.Millisecond
+)
+
+// handleSignals returns when the process is to end: after a graceful shutdown, or with ctx.
+func (s *Server) handleSignals(signals, reload <-chan os.Signal) {
+	for {
+		select {
+		case <-s.ctx.Done():
+			return
+		case <-reload:
+			s.reloadSettings()
+		case <-signals:
+			s.shutDown()
+			return
+		}
+	}
+}
+
+// reloadSettings takes over those settings that may change while the proxy runs; settings with an error change nothing.
+func (s *Server) reloadSettings() {
+	read, err := settings.Read()
+	if err != nil {
+		s.log.Error("settings rejected", "error", err)
+		return
+	}
+	s.queue.Put(eventloop.PriorityLists, func() { s.settings.SeedPeers, s.settings.Bounds = read.SeedPeers, read.Bounds })
+	s.log.Info("settings reloaded", "seeds", read.SeedPeers)
+}
+
+// shutDown ends sessions within the grace that the settings give. It first reports that this proxy is not ready and serves on
+// until the platform has noticed; then it closes sessions as they become idle; at three quarters of the grace it answers what
+// is left.
+func (s *Server) shutDown() {
+	s.log.Info("shutting down")
+	began := time.Now()
+	grace := settings.Duration(s.settings.Bounds.GraceS * 1000)
+	noticed := min(platformNoticeTime, grace/2)
+	s.queue.Put(eventloop.PriorityLists, func() {
+		s.shuttingDown = true
+		s.sweep(s.clock.Time())
+	})
+	for {
+		time.Sleep(shutdownPoll)
+		left, ok := query(s.queue, func() int {
+			if time.Since(began) > noticed {
+				s.drainIdleSessions()
+			}
+			return len(s.sessions)
+		})
+		spent := time.Since(began)
+		if !ok || spent > grace*3/4 || left == 0 && spent > noticed {
+			query(s.queue, func() struct{} {
+				s.failPendingStatements()
+				return struct{}{}
+			})
+			return
+		}
+	}
+}
+
+// drainIdleSessions ends the sessions that are idle, and from now on each one that becomes so.
+func (s *Server) drainIdleSessions() {
+	s.closeIdleSessions = true
+	for client := range s.sessions {
+		if client.idle() {
+			client.drain()
+		}
+	}
+}
+
+// failPendingStatements answers every statement that has no answer, as this proxy ends.
+func (s *Server) failPendingStatements() {
+	for _, client := range s.sessionsByAge() {
+		stmt := client.statement
+		if stmt == nil {
+			continue
+		}
+		kind := stmt.shutdownError()
+		if client.IdleState() != stateIdle {
+			client.ConnectionLost()
+		}
+		client.ending, client.readerEnded = true, true
+		s.finishStatement(stmt, s.errorReply(kind, 0))
+	}
+}
+
+// shutdownError is the answer to a statement that is still pending at the end: what was not sent has not run.
+func (stmt *statement) shutdownError() errcode.Kind {
+	switch {
+	case stmt.step.Action == session.UsePinnedConn && stmt.step.Commit && stmt.attempt.sent && stmt.session.MayHaveWritten:
+		return errcode.InDoubt
+	case stmt.commandID != "" && (stmt.attempt.sent || stmt.mayHaveRun) && stmt.isAutocommitWrite():
+		return errcode.InDoubt
+	case stmt.step.Action == session.UsePinnedConn:
+		return errcode.RolledBack
+	}
+	return errcode.WriteNotSent
+}
--- /dev/null
+++ b/internal/proxy/statement.go
@@ -0,0 +1,207 @@
+package proxy
+
+import (
+	"strconv"
+	"time"
+
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/proxy/session"
+	"ferrypitch/internal/wire"
+	"ferrypitch/policy"
+)
+
+// statement is a client's statement from its arrival to its answer.
+type statement struct {
+	session    *clientSession
+	request    wire.Request
+	step       session.Step
+	route      *route
+	group      *policy.CmdGroup
+	receivedAt time.Time
+	deadline   time.Time // when its answer is due
+
+	// The balancer's name and handle of it. Empty and nil for a statement of a transaction, whose connection is given.
+	commandID string
+	command   *policy.Cmd
+
+	attempt      attempt
+	mayHaveRun   bool   // some attempt may have run
+	finished     bool   // its client has its answer, or is gone
+	hostResponse []byte // a host's last answer, for the case that the balancer finds no host with a better one
+}
+
+// attempt is one dispatch of a statement to a host.
+type attempt struct {
+	pool      *hostPool
+	conn      *hostConn // nil: it is queued for one
+	timer     timer
+	connReady bool      // what the session has set is set on conn
+	sent      bool      // some of it may be with the host
+	writtenAt time.Time // when it was sent
+	over      bool
+
+	// These two keep the value of the attempt before until this one is sent.
+	sentAt       policy.Tenth // 0: nothing was sent yet
+	primaryEpoch primaryEpoch // under which it was sent as to the primary; noEpoch: not so
+}
+
+func (stmt *statement) beginAttempt(pool *hostPool) {
+	stmt.attempt = attempt{pool: pool, sentAt: stmt.attempt.sentAt, primaryEpoch: stmt.attempt.primaryEpoch}
+}
+
+// elapsed is how long ago the statement was sent; 0: it was not.
+func (a *attempt) elapsed(now policy.Tenth) policy.Tenth {
+	if a.sentAt > 0 {
+		return now - a.sentAt
+	}
+	return 0
+}
+
+func (stmt *statement) isPinned() bool { return stmt.step.Action == session.UsePinnedConn }
+
+// isAutocommitWrite says that the statement has an effect by itself, outside of a transaction.
+func (stmt *statement) isAutocommitWrite() bool { return stmt.step.Writes && !stmt.step.Begins }
+
+// ownWrites is what the session wrote itself and must see, where its route promises that.
+func (stmt *statement) ownWrites() wire.Position {
+	if stmt.route.readsOwnWrites {
+		return stmt.session.Token
+	}
+	return wire.Position{}
+}
+
+// formatID is an id as the balancer names statements and sessions by it. It hashes the name: the base stays.
+func formatID(id uint64) string { return strconv.FormatUint(id, 36) }
+
+// handleStatement starts on a session's next statement.
+func (s *Server) handleStatement(client *clientSession, message clientMessage) {
+	if message.err != nil {
+		s.respond(client, s.errorReply(errcode.BadStatement, 0))
+		return
+	}
+	step := client.Handle(message.request)
+	if step.Action == session.AnswerLocally || step.Action == session.FailTransaction {
+		s.respond(client, step.Reply)
+		return
+	}
+	s.counters.statements.Add(1)
+	stmt := &statement{session: client, request: message.request, step: step, receivedAt: message.receivedAt}
+	if stmt.isPinned() {
+		stmt.route = client.txnRoute
+		s.sendPinned(stmt)
+		return
+	}
+	stmt.route = s.routes[client.database]
+	if stmt.route == nil {
+		if s.configCurrent() {
+			s.counters.unknownDatabase.Add(1)
+			s.sendFinal(client, s.errorReply(errcode.RouteRemoved, 0))
+		} else {
+			s.reject(stmt, errcode.NoValidLease, 0)
+		}
+		return
+	}
+	stmt.deadline = message.receivedAt.Add(stmt.route.deadline)
+	client.statement = stmt
+	s.submit(stmt)
+}
+
+// submit has the balancer choose a host, now or when one is available.
+func (s *Server) submit(stmt *statement) {
+	now := s.refreshPolicyTime()
+	route := stmt.route
+	s.dialOnFirstUse(route.service)
+	var staleness policy.Tenth
+	stmt.group, staleness = s.readOrWriteGroup(stmt, now)
+	timeout := now + toTenths(stmt.deadline.Sub(s.clock.Time()))
+	stmt.commandID = formatID(s.nextID())
+	s.statements[stmt.commandID] = stmt
+	command := s.balancer.Take(stmt.commandID, stmt.group, route.service.policySet, stmt.session.policyKey, timeout, staleness, false)
+	stmt.command = command
+	if command.Held() {
+		s.counters.statementsQueued.Add(1)
+	}
+	s.forgetIfOver(stmt)
+}
+
+// readOrWriteGroup is what the balancer is told of a statement's needs. A read goes to the primary where the route allows no
+// staleness, and while no replica's position can be judged by.
+func (s *Server) readOrWriteGroup(stmt *statement, now policy.Tenth) (group *policy.CmdGroup, staleness policy.Tenth) {
+	route := stmt.route
+	switch {
+	case stmt.step.Writes:
+		return route.writeGroup, 0
+	case route.stalenessBound > 0 && route.service.positions.CoversBound(now, route.stalenessBound):
+		if route.readsOwnWrites {
+			staleness = route.stalenessBound
+		}
+		return route.readGroup, staleness
+	case route.stalenessBound > 0:
+		s.counters.floorUnknown.Add(1)
+	}
+	return route.freshGroup, 0
+}
+
+// dialOnFirstUse makes the probes of a service's hosts that were put off until a session needs the service.
+func (s *Server) dialOnFirstUse(svc *service) {
+	if svc.used {
+		return
+	}
+	svc.used = true
+	for _, id := range s.state.HostIDs(svc.name) {
+		if pool := s.pools[id]; pool != nil && pool.probePending && pool.dialing == 0 && len(pool.conns) == 0 {
+			pool.dial()
+		}
+	}
+}
+
+// forgetIfOver forgets a statement for which the balancer will make no more calls.
+func (s *Server) forgetIfOver(stmt *statement) {
+	if stmt.command != nil && stmt.command.Over() {
+		delete(s.statements, stmt.commandID)
+	}
+}
+
+// finishStatement gives a statement its answer, and its session goes on to the next.
+func (s *Server) finishStatement(stmt *statement, lines []byte) {
+	if stmt.finished {
+		return
+	}
+	stmt.finished = true
+	client := stmt.session
+	client.statement = nil
+	s.respond(client, lines)
+	s.processMessages(client)
+}
+
+// reject answers a statement of which nothing is kept. retryAfterMs is when to come again; 0: as the kind says.
+func (s *Server) reject(stmt *statement, kind errcode.Kind, retryAfterMs int64) {
+	s.counters.rejected.Add(1)
+	s.finishStatement(stmt, s.errorReply(kind, retryAfterMs))
+}
+
+// errorReply is an error of this proxy's own, as it goes to a client. It counts it.
+func (s *Server) errorReply(kind errcode.Kind, retryAfterMs int64) []byte {
+	s.counters.errorsSent[kind].Add(1)
+	return kind.Append(nil, retryAfterMs)
+}
+
+// abandonStatement takes in that a statement's client is gone. What was sent runs to its end, and its connection is used
+// again.
+func (s *Server) abandonStatement(stmt *statement) {
+	if stmt.finished {
+		return
+	}
+	stmt.finished = true
+	stmt.session.statement = nil
+	s.counters.clientDisconnects.Add(1)
+	if stmt.commandID == "" {
+		return
+	}
+	stmt.command.Left()
+	if stmt.attempt.conn == nil && !stmt.attempt.over && stmt.command.Node != nil {
+		s.endAttempt(stmt, policy.Moot)
+		return
+	}
+	s.forgetIfOver(stmt)
+}
--- /dev/null
+++ b/internal/proxy/statement_outcome.go
@@ -0,0 +1,89 @@
+package proxy
+
+import (
+	"slices"
+
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/wire"
+	"ferrypitch/policy"
+)
+
+// endAttempt ends an attempt that brought no response. The balancer then decides on a retry; a statement of a transaction is
+// never retried, since its transaction is gone with the connection.
+func (s *Server) endAttempt(stmt *statement, outcome policy.Outcome) {
+	attempt := &stmt.attempt
+	if attempt.over {
+		return
+	}
+	attempt.over = true
+	s.timers.Remove(attempt.timer)
+	if attempt.pool != nil {
+		attempt.pool.dequeue(stmt)
+	}
+	now := s.refreshPolicyTime()
+	s.counters.outcomes[outcome].Add(1)
+	if stmt.isPinned() {
+		s.failPinned(stmt)
+		return
+	}
+	if attempt.sent && stmt.isAutocommitWrite() && outcome != policy.Moot {
+		stmt.mayHaveRun = true
+	}
+	if !attempt.sent && outcome == policy.Reset {
+		outcome = policy.Unreached
+	}
+	stmt.command.Ended(outcome, positionUnknown, policy.Unknown, attempt.elapsed(now), stmt.finished)
+	s.forgetIfOver(stmt)
+}
+
+// failPinned answers a statement of a transaction whose connection is gone. The host has rolled the transaction back, unless a
+// COMMIT was sent.
+func (s *Server) failPinned(stmt *statement) {
+	client := stmt.session
+	client.pinnedConn = nil
+	switch {
+	case stmt.step.Commit && stmt.attempt.sent && client.MayHaveWritten:
+		client.EndTransaction()
+		s.finishStatement(stmt, s.errorReply(errcode.InDoubt, 0))
+	case stmt.step.Commit:
+		client.EndTransaction()
+		s.finishStatement(stmt, s.errorReply(errcode.RolledBack, 0))
+	case stmt.step.Ends:
+		client.EndTransaction()
+		s.finishStatement(stmt, wire.AppendDone(nil))
+	default:
+		client.ConnectionLost()
+		s.finishStatement(stmt, s.errorReply(errcode.RolledBack, 0))
+	}
+}
+
+// expireAttempt ends an attempt at its deadline. Its connection is closed: a late response could not be told from the next one.
+func (s *Server) expireAttempt(stmt *statement) {
+	attempt := &stmt.attempt
+	if attempt.over {
+		return
+	}
+	outcome := policy.Moot // it was queued
+	if conn := attempt.conn; conn != nil {
+		conn.statement, conn.session = nil, nil
+		s.closeConn(conn)
+		outcome = policy.Unreached
+		if attempt.sent {
+			outcome = policy.TimedOut
+		}
+		if attempt.primaryEpoch != noEpoch {
+			conn.pool.reportSuspect(false)
+		}
+	} else if pool := attempt.pool; pool != nil && pool.dialing > 0 && len(pool.conns) == 0 {
+		outcome = policy.Unreached
+		pool.reportSuspect(false)
+	}
+	s.endAttempt(stmt, outcome)
+}
+
+// dequeue takes a statement out of those that wait for a connection.
+func (p *hostPool) dequeue(stmt *statement) {
+	if i := slices.Index(p.queued, stmt); i >= 0 {
+		p.queued = slices.Delete(p.queued, i, i+1)
+	}
+}
--- /dev/null
+++ b/internal/proxy/statement_response.go
@@ -0,0 +1,190 @@
+package proxy
+
+import (
+	"time"
+
+	"ferrypitch/internal/errcode"
+	"ferrypitch/internal/wire"
+	"ferrypitch/policy"
+)
+
+// positionUnknown is what the balancer is told where a host's position can't be dated.
+const positionUnknown policy.Tenth = -1
+
+// handleResponse takes in a host's response: to a setup statement, or to the client's statement.
+func (s *Server) handleResponse(conn *hostConn, response *wire.Response, receivedAt time.Time) {
+	if conn.closed {
+		return
+	}
+	conn.pool.lastResponseAt = receivedAt
+	stmt := conn.statement
+	switch {
+	case conn.pendingSetup > 0:
+		s.completeSetup(conn, response)
+	case stmt == nil || !stmt.attempt.sent || !response.Completed():
+		s.counters.unexpectedResponses.Add(1)
+		s.connLost(conn)
+	default:
+		s.completeAttempt(conn, stmt, response)
+	}
+}
+
+// completeSetup takes in the response to a statement of the proxy's own. After the last one the connection is ready: for the
+// statement that waits, or after a rollback for any.
+func (s *Server) completeSetup(conn *hostConn, response *wire.Response) {
+	conn.pendingSetup--
+	rolledBack := conn.rollingBack && response.State == stateIdle
+	if response.Code != "" && !rolledBack {
+		s.counters.setupErrors.Add(1)
+		s.connLost(conn) // what is set on it is not known
+		return
+	}
+	if conn.pendingSetup > 0 {
+		return
+	}
+	if conn.rollingBack {
+		conn.rollingBack = false
+		s.releaseConn(conn)
+		return
+	}
+	if stmt := conn.statement; stmt != nil && !stmt.attempt.connReady {
+		s.sendStatement(conn, stmt)
+	}
+}
+
+// completeAttempt takes in the host's response to a client's statement.
+func (s *Server) completeAttempt(conn *hostConn, stmt *statement, response *wire.Response) {
+	now := s.refreshPolicyTime()
+	attempt := &stmt.attempt
+	attempt.over = true
+	s.timers.Remove(attempt.timer)
+	conn.statement = nil
+	conn.pool.lossDetector.ResponseReceived(attempt.sentAt, now)
+	position := conn.pool.recordPosition(response.Position, attempt.sentAt, attempt.primaryEpoch)
+	switch {
+	case stmt.acknowledgesWrite(response) && !conn.pool.service.inEpoch(attempt.primaryEpoch):
+		s.counters.acksAfterRevocation.Add(1)
+		s.withdrawAcknowledgement(conn, stmt)
+	case stmt.isPinned():
+		s.completePinned(conn, stmt, response)
+	default:
+		s.completeRouted(conn, stmt, response, position, now)
+	}
+}
+
+// acknowledgesWrite says that a response of a primary makes a write durable in the eyes of the client.
+func (stmt *statement) acknowledgesWrite(response *wire.Response) bool {
+	writes := stmt.isAutocommitWrite() || stmt.step.Commit && stmt.session.MayHaveWritten
+	return stmt.attempt.primaryEpoch != noEpoch && writes && response.Code == ""
+}
+
+// withdrawAcknowledgement answers a write that a primary acknowledged after it was revoked: the next primary was chosen without
+// that write, so it may be lost.
+func (s *Server) withdrawAcknowledgement(conn *hostConn, stmt *statement) {
+	client := stmt.session
+	conn.session = nil
+	if stmt.isPinned() && !stmt.step.Commit {
+		s.closeConn(conn)
+		client.pinnedConnLost()
+		s.finishStatement(stmt, s.errorReply(errcode.PrimaryReplaced, 0))
+		return
+	}
+	if client.pinnedConn == conn {
+		client.pinnedConn = nil
+	}
+	s.closeConn(conn)
+	client.HandleResponse(stmt.step, &wire.Response{State: stateIdle, Code: wire.CodeInDoubt})
+	if stmt.commandID != "" {
+		stmt.mayHaveRun = true
+		stmt.command.Ended(policy.TimedOut, positionUnknown, policy.Unknown, 0, true)
+		s.forgetIfOver(stmt)
+	}
+	s.finishStatement(stmt, s.errorReply(errcode.InDoubtPrimaryReplaced, 0))
+}
+
+// completePinned passes the response to a statement of a transaction on to the client. The connection stays with the session
+// while the transaction is open.
+func (s *Server) completePinned(conn *hostConn, stmt *statement, response *wire.Response) {
+	client := stmt.session
+	if client.HandleResponse(stmt.step, response) && !stmt.finished {
+		conn.session = client
+	} else {
+		client.pinnedConn, conn.session = nil, nil
+		s.releaseOrRollBack(conn, response)
+	}
+	client.lastPosition = response.Position
+	s.finishStatement(stmt, response.Lines)
+}
+
+// completeRouted tells the balancer how an attempt ended, and the client if that was its answer.
+func (s *Server) completeRouted(conn *hostConn, stmt *statement, response *wire.Response, position hostPosition, now policy.Tenth) {
+	if !stmt.isPlausible(response) {
+		s.counters.unexpectedResponses.Add(1)
+		s.closeConn(conn)
+		s.endAttempt(stmt, policy.Reset)
+		return
+	}
+	outcome := outcomeOf(response.Code)
+	if !stmt.finished && (outcome == policy.Answered || outcome == policy.Errored) {
+		stmt.hostResponse = response.Lines
+	}
+	if outcome == policy.Answered {
+		s.passOn(conn, stmt, response)
+	} else {
+		s.releaseOrRollBack(conn, response)
+	}
+	s.counters.outcomes[outcome].Add(1)
+	stmt.command.Ended(outcome, position.asOf, position.role, now-stmt.attempt.sentAt, stmt.finished)
+	s.forgetIfOver(stmt)
+}
+
+// isPlausible says that a host may answer so: a BEGIN opens a transaction, and all else is stamped and leaves none open.
+func (stmt *statement) isPlausible(response *wire.Response) bool {
+	switch {
+	case response.Code != "":
+		return true
+	case stmt.step.Begins:
+		return response.State == stateInTransaction
+	}
+	return response.State == stateIdle && response.Stamp
+}
+
+// passOn gives the client the host's answer. A BEGIN pins the connection to the session.
+func (s *Server) passOn(conn *hostConn, stmt *statement, response *wire.Response) {
+	client := stmt.session
+	client.lastPosition = response.Position
+	switch opened := client.HandleResponse(stmt.step, response); {
+	case !opened:
+		s.releaseConn(conn)
+	case stmt.finished: // its client is gone
+		client.EndTransaction()
+		s.rollBack(conn)
+	default:
+		client.pin(conn, stmt)
+	}
+	s.finishStatement(stmt, response.Lines)
+}
+
+// releaseOrRollBack makes a connection available again after its statement.
+func (s *Server) releaseOrRollBack(conn *hostConn, response *wire.Response) {
+	if response.State == stateIdle {
+		s.releaseConn(conn)
+	} else {
+		s.rollBack(conn)
+	}
+}
+
+// outcomeOf is what a host's response code means to the balancer.
+func outcomeOf(code wire.Code) policy.Outcome {
+	switch code {
+	case "":
+		return policy.Answered
+	case wire.CodeLagging, wire.CodeReadOnly:
+		return policy.Missed
+	case wire.CodeRetry, wire.CodeOverload:
+		return policy.Full
+	case wire.CodeWrongNode:
+		return policy.Unreached
+	}
+	return policy.Errored
+}
--- /dev/null
+++ b/internal/proxy/sweep.go
@@ -0,0 +1,71 @@
+package proxy
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"ferrypitch/internal/settings"
+	"ferrypitch/policy"
+)
+
+// staleConfigGrace is how long a proxy without a valid lease keeps idle sessions. Other proxies may have a lease: clients are
+// let go to them.
+const staleConfigGrace = 500 * time.Millisecond
+
+// sweep does what is due now and then rather than on an event: every sweepInterval, with each lease and at shutdown.
+func (s *Server) sweep(now time.Time) {
+	s.updateReadiness()
+	s.greetWaitingClients(now)
+	s.tickGossip(nil)
+	s.refreshPolicyTime()
+	for _, id := range slices.Sorted(maps.Keys(s.pools)) {
+		pool := s.pools[id]
+		pool.closeExcessIdle(now)
+		pool.reportIfSilent(now)
+		pool.endLostTransactions(s.policyNow)
+		if pool.standing == policy.In && pool.drainExpired(now) {
+			s.reconcileHosts()
+		}
+	}
+	if s.configCurrent() {
+		s.leaseValidAt = now
+	} else if now.Sub(s.leaseValidAt) > staleConfigGrace {
+		for _, client := range s.sessionsByAge() {
+			if client.idle() {
+				client.drain()
+			}
+		}
+	}
+	s.rollBackIdleTransactions(now)
+}
+
+func (s *Server) updateReadiness() {
+	ready := s.configCurrent() && !s.shuttingDown && len(s.pools) > 0
+	if ready != s.ready.Load() {
+		s.ready.Store(ready)
+		s.log.Info("readiness changed", "ready", ready)
+	}
+}
+
+// rollBackIdleTransactions frees connections of transactions whose client has sent nothing for too long.
+func (s *Server) rollBackIdleTransactions(now time.Time) {
+	if s.config == nil || s.config.Limits.TxnIdleMs <= 0 {
+		return
+	}
+	limit := settings.Duration(s.config.Limits.TxnIdleMs)
+	for _, client := range s.sessionsByAge() {
+		if client.IdleState() != stateIdle && client.statement == nil && client.pinnedConn != nil && now.Sub(client.idleSince) > limit {
+			conn := client.pinnedConn
+			client.pinnedConn = nil
+			client.ConnectionLost()
+			s.rollBack(conn)
+		}
+	}
+}
+
+// sessionsByAge are the sessions, the oldest first, so that a seed of the simulation always runs the same.
+func (s *Server) sessionsByAge() []*clientSession {
+	return slices.SortedFunc(maps.Keys(s.sessions), func(a, b *clientSession) int { return cmp.Compare(a.id, b.id) })
+}
--- a/internal/proxy/world_test.go
+++ b/internal/proxy/world_test.go
@@ -20,7 +20,6 @@
 	"ferrypitch/internal/simulation/checker"
 	"ferrypitch/internal/simulation/scheduler"
 	"ferrypitch/internal/wire"
-	"ferrypitch/policy"
 )
 
 // A world is whole routers without their sockets, hosts that replicate, one control plane that fails over and grants,
@@ -277,8 +276,8 @@
 	w.After(c.order-w.Now, do)
 }
 
-func (c *dbConn) stop()   {}
-func (c *dbConn) finish() {}
+func (c *dbConn) stopReading() {}
+func (c *dbConn) finish()      {}
 func (c *dbConn) close() {
 	c.closed = true
 	c.r.w.After(c.r.w.Between(1*ms, 3*ms), c.Close)
@@ -401,7 +400,7 @@
 	if w.council != nil {
 		defer r.seek(life)
 	}
-	r.h.dial = func(n *hostPool, asked policy.Tenth, lead uint64) { r.dial(life, n, asked, lead) }
+	r.h.dial = func(conn *hostConn) { r.dial(life, conn) }
 	r.h.sendToLeader = func(f *rpc.Frame) {
 		if w.council != nil {
 			r.tell(f)
@@ -463,7 +462,7 @@
 			return
 		}
 		r.run(life, func(h *Server) {
-			h.applyLogUpdate(n)
+			_ = h.applyLogUpdate(n) // what is missing comes with the next
 			h.reportRevocationApplied()
 		})
 	})
@@ -500,14 +499,14 @@
 	})
 }
 
-func (r *router) dial(life int, n *hostPool, asked policy.Tenth, lead uint64) {
-	w, id := r.w, n.ID
+func (r *router) dial(life int, k *hostConn) {
+	w, n := r.w, k.pool
+	id := n.ID
 	w.opens++
-	k := &hostConn{pool: n, dialedAt: asked}
 	w.After(w.Between(2*ms, 15*ms), func() {
 		h := w.db.Host(id)
 		if h == nil { // another uses its address
-			r.run(life, func(*Server) { n.connOpened(k, wire.Response{Code: wire.CodeWrongNode}, nil, lead) })
+			r.run(life, func(*Server) { n.connOpened(k, wire.Response{Code: wire.CodeWrongNode}, nil) })
 			return
 		}
 		if !h.Up || h.Dark {
@@ -516,14 +515,14 @@
 			if h.Dark {
 				after, err = 1500*ms, fmt.Errorf("timed out")
 			}
-			w.After(after, func() { r.run(life, func(*Server) { n.connOpened(k, wire.Response{}, err, lead) }) })
+			w.After(after, func() { r.run(life, func(*Server) { n.connOpened(k, wire.Response{}, err) }) })
 			return
 		}
 		c := &dbConn{Conn: h.Connect(), r: r, life: life, k: k}
 		c.Answer, c.Broke = c.answered, c.broke
 		k.out = c
 		a := wire.Response{State: 'I', Position: h.At(h.Seen())}
-		w.After(w.Between(1*ms, 3*ms), func() { r.run(life, func(*Server) { n.connOpened(k, a, nil, lead) }) })
+		w.After(w.Between(1*ms, 3*ms), func() { r.run(life, func(*Server) { n.connOpened(k, a, nil) }) })
 	})
 }
 
@@ -607,9 +606,9 @@
 	})
 	return len(b), true
 }
-func (x clientWire) stop()   { x.c.w.After(1, func() { x.c.left(x.life) }) }
-func (x clientWire) finish() { x.c.w.After(3*ms+1, func() { x.c.over(x.life) }) }
-func (x clientWire) close()  { x.c.w.After(3*ms+1, func() { x.c.over(x.life) }) }
+func (x clientWire) stopReading() { x.c.w.After(1, func() { x.c.left(x.life) }) }
+func (x clientWire) finish()      { x.c.w.After(3*ms+1, func() { x.c.over(x.life) }) }
+func (x clientWire) close()       { x.c.w.After(3*ms+1, func() { x.c.over(x.life) }) }
 
 func (c *client) connect() {
 	w := c.w
@@ -643,7 +642,7 @@
 func (c *client) left(life int) {
 	if c.life == life {
 		sess := c.s
-		c.router.run(c.rlife, func(h *Server) { h.sessionClosed(sess) })
+		c.router.run(c.rlife, func(h *Server) { h.handleReaderEnd(sess) })
 	}
 }
 
