--- /dev/null
+++ b/internal/proxy/conn_reset_test.go
@@ -0,0 +1,33 @@
+package proxy
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ferrypitch/policy"
+)
+
+// Connections to hosts are reset at each moment of what is sent, beside all other faults: no write runs twice, no guarantee is
+// broken, and what was never sent whole is retried.
+func TestConnectionResetsNeverRepeatAWrite(t *testing.T) {
+	seeds := 60
+	if testing.Short() {
+		seeds = 12
+	}
+	var notSent, sent int64
+	for seed := range seeds {
+		sim := newSimulation(uint64(seed), 3, 9)
+		sim.resetOneIn = 25
+		sim.run()
+		require.Empty(t, sim.Violations, "seed %d: %s", seed, sim.report())
+		for _, proxy := range sim.proxies {
+			if proxy.server != nil {
+				notSent += proxy.server.counters.outcomes[policy.Unreached].Load()
+				sent += proxy.server.counters.outcomes[policy.Reset].Load()
+			}
+		}
+	}
+	require.Greater(t, notSent, int64(10*seeds), "never sent whole")
+	require.Greater(t, sent, int64(10*seeds), "sent whole")
+}
--- /dev/null
+++ b/internal/proxy/control_link_test.go
@@ -0,0 +1,39 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/stretchr/testify/require"
+
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/settings"
+)
+
+// The kernel of a member that stands still accepts connections, and no welcome ever comes: a valid lease must not be spent on
+// waiting for one.
+func TestSilentMemberIsLeftAfterWelcomeTimeout(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer listener.Close()
+	port := listener.Addr().(*net.TCPAddr).Port
+	cfg := &settings.Settings{Node: "n", Ip: "127.0.0.1", PortRange: []int{port, port}}
+	server := newServer(cfg, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	server.ctx = ctx
+	go func() {
+		for range server.queue.Ready {
+			for server.step() {
+			}
+		}
+	}()
+	began := time.Now()
+	require.ErrorIs(t, newControlLink(server).follow("127.0.0.1"), os.ErrDeadlineExceeded)
+	require.Less(t, time.Since(began), 900*time.Millisecond)
+	require.GreaterOrEqual(t, time.Since(began), welcomeTimeout)
+}
--- /dev/null
+++ b/internal/proxy/simulation_cluster_test.go
@@ -0,0 +1,190 @@
+package proxy
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"ferrypitch/internal/control"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/fake/database"
+)
+
+const (
+	clusterSize = 3
+
+	// clockDriftThousandths is how far the clock of any process in a cluster simulation may drift.
+	clockDriftThousandths = 10
+
+	// callAttempts is how often a host sends a call again that is not acknowledged.
+	callAttempts = 4
+)
+
+// controlCluster is the control plane with its members: their log, disks that lose what was not synced, fail-over, and the
+// platform. The platform is slow, refuses, or gives no clear answer; where it checks fencing tokens, it refuses older ones.
+type controlCluster struct {
+	sim          *simulation
+	members      []*member          // that callers and proxies know of
+	memberAt     map[string]*member // every member, by address
+	machineCount int                // disks and machines that came after the first
+	connCount    int                // connections of proxies to members
+	faultCounts  [memberFaultKinds]int
+	operator     *operator
+
+	// Hosts.
+	lastCallSeq   int64
+	draining      map[string]bool
+	replacedHosts int
+
+	// The platform.
+	promotions     int
+	platformFences bool // it checks fencing tokens
+	highestToken   map[string]uint64
+	tokenOwners    map[uint64]string
+	promotionTime  func() int64 // nil: by chance
+
+	// Safeguards that a test may remove.
+	fakeAnswer    func(failover.HostQuery, *database.Host) bool // the host is not asked, and its answer made up
+	hostAddress   func(hostID string) string
+	keepsIdentity bool // a member whose disk is lost keeps its vote
+}
+
+// newClusterSimulation makes a simulation whose control plane has members that fail.
+func newClusterSimulation(seed uint64, proxies, clients int) *simulation {
+	sim := newBareSimulation(seed)
+	c := &controlCluster{
+		sim:            sim,
+		memberAt:       map[string]*member{},
+		draining:       map[string]bool{},
+		platformFences: sim.OneIn(2),
+		highestToken:   map[string]uint64{},
+		tokenOwners:    map[uint64]string{},
+		hostAddress:    func(hostID string) string { return "10.1.0.1:100" + hostID[1:2] },
+	}
+	sim.cluster, sim.maxClockDrift = c, clockDriftThousandths
+	var founders []consensus.ID
+	for i := range clusterSize {
+		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
+	}
+	for _, id := range founders {
+		m := &member{cluster: c, ip: string(id), identity: storage.Identity{ID: id, Founders: founders}, clockDrift: sim.drawClockDrift()}
+		c.members, c.memberAt[m.ip] = append(c.members, m), m
+		m.start()
+	}
+	sim.addHosts()
+	c.installConfig(0)
+	sim.addProxiesAndClients(proxies, clients)
+	c.operator = newOperator(c)
+	return sim
+}
+
+// installConfig sends the first configuration to members in turn until one has applied it.
+func (c *controlCluster) installConfig(turn int) {
+	sim, applied := c.sim, false
+	sim.After(100*millisecond, func() {
+		m := c.members[turn%clusterSize]
+		m.run(m.incarnation, func() {
+			m.server.HandleCall(http.MethodPost, "/Config.Replace", "0", []byte(initialConfig), func(status int, _ []byte) {
+				applied = applied || status == http.StatusOK
+			})
+		})
+		sim.After(300*millisecond, func() {
+			if !applied {
+				c.installConfig(turn + 1)
+			}
+		})
+	})
+}
+
+// sendHeartbeat is a host's: to members in turn, until one acknowledges it.
+func (c *controlCluster) sendHeartbeat(host *database.Host) {
+	c.lastCallSeq++
+	request := control.HeartbeatRequest{
+		Service:  "db",
+		Address:  c.hostAddress(host.ID),
+		Zone:     "z",
+		Capacity: 5,
+		State:    "serving",
+		DbRole:   "follower",
+		CallSeq:  c.lastCallSeq,
+	}
+	if host.Leader {
+		request.DbRole = "leader"
+	}
+	if c.draining[host.ID] {
+		request.State = "draining"
+	}
+	body, err := json.Marshal(request)
+	if err != nil {
+		panic(err)
+	}
+	c.callMember(host.ID, "/Instances.Heartbeat/"+host.ID, body, c.sim.Rand.IntN(clusterSize), callAttempts)
+}
+
+// callMember makes a host's call of a member, and of the next one if it is not acknowledged.
+func (c *controlCluster) callMember(hostID, path string, body []byte, turn, retries int) {
+	sim, acknowledged := c.sim, false
+	sim.After(sim.Between(1*millisecond, 4*millisecond), func() {
+		if host := sim.database.Host(hostID); host == nil || host.Dark {
+			return
+		}
+		m := c.members[turn%clusterSize]
+		m.run(m.incarnation, func() {
+			m.server.HandleCall(http.MethodPost, path, "", body, func(status int, _ []byte) {
+				if !acknowledged && status == http.StatusOK {
+					acknowledged = !sim.OneIn(10) // else the answer is lost
+				}
+			})
+		})
+		sim.After(sim.Between(200*millisecond, second), func() {
+			if !acknowledged && retries > 0 {
+				c.callMember(hostID, path, body, turn+1, retries-1)
+			}
+		})
+	})
+}
+
+// drainHost has a host leave. A new host in its place takes over its log.
+func (c *controlCluster) drainHost(host *database.Host) {
+	sim := c.sim
+	if host == nil || len(c.draining) > 0 {
+		return
+	}
+	sim.Note("%s drains", host.ID)
+	left := host.ID
+	c.draining[left] = true
+	c.sendHeartbeat(host)
+	sim.After(3*second, func() {
+		c.callMember(left, "/Instances.Leave/"+left, nil, sim.Rand.IntN(clusterSize), callAttempts)
+		sim.After(100*millisecond, func() {
+			host.Crash(false, sim.Between(200*millisecond, 900*millisecond))
+			c.replacedHosts++
+			delete(c.draining, left)
+			host.ID = fmt.Sprintf("%s.%d", left[:2], c.replacedHosts)
+			sim.Note("%s replaces %s", host.ID, left)
+		})
+	})
+}
+
+// executePromotion is the platform's part of a promotion.
+func (c *controlCluster) executePromotion(promotion failover.Promotion) failover.PromotionOutcome {
+	sim, host := c.sim, c.sim.database.Host(promotion.Host)
+	switch {
+	case c.platformFences && promotion.FencingToken < c.highestToken[promotion.Service], host == nil || !host.Up:
+		return failover.PromotionRejected
+	case c.promotionTime == nil && sim.OneIn(10):
+		return failover.PromotionNotExecuted
+	}
+	c.highestToken[promotion.Service] = max(c.highestToken[promotion.Service], promotion.FencingToken)
+	took := sim.Between(80*millisecond, 400*millisecond)
+	if c.promotionTime != nil {
+		took = c.promotionTime()
+	}
+	sim.After(took, func() { host.Promote() })
+	if c.promotionTime == nil && sim.OneIn(5) {
+		return failover.PromotionUnknown
+	}
+	return failover.PromotionSucceeded
+}
--- /dev/null
+++ b/internal/proxy/simulation_faults_test.go
@@ -0,0 +1,130 @@
+package proxy
+
+import (
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/fake/database"
+)
+
+// injectFaults injects one fault after another until faultsEnd.
+func (sim *simulation) injectFaults() {
+	if sim.Now > sim.Zero+faultsEnd {
+		return
+	}
+	sim.After(sim.Between(200*millisecond, 2*second), sim.injectFaults)
+	host := sim.database.Hosts[sim.Rand.IntN(len(sim.database.Hosts))]
+	proxy := sim.proxies[sim.Rand.IntN(len(sim.proxies))]
+	kinds := 9
+	if sim.cluster != nil {
+		kinds = 10
+	}
+	switch sim.Rand.IntN(kinds) {
+	case 0, 1:
+		sim.crashPrimary()
+	case 2:
+		sim.crashHost(host)
+	case 3:
+		sim.deafenReplica(host)
+	case 4:
+		proxy.crash()
+	case 5:
+		sim.Note("%s freezes", proxy.name)
+		proxy.frozenUntil = sim.Now + sim.Between(50*millisecond, 4*second)
+	case 6:
+		sim.Note("%s is partitioned from the control plane", proxy.name)
+		proxy.partitioned = true
+		sim.After(sim.Between(200*millisecond, 4*second), func() { proxy.partitioned = false })
+	case 7:
+		sim.Note("%s freezes", host.ID)
+		sim.frozenUntil[host.ID] = sim.Now + sim.Between(20*millisecond, 1200*millisecond)
+	case 8:
+		sim.drainPrimary()
+	case 9:
+		if proxy.memberConn != nil {
+			sim.Note("the control connection of %s is reset", proxy.name)
+			proxy.memberConn.close()
+		}
+	}
+}
+
+func (sim *simulation) crashPrimary() {
+	if primary := sim.database.Lead(); primary != nil && (sim.hostsDown() == 0 || sim.OneIn(4)) {
+		primary.Crash(sim.OneIn(2), sim.Between(500*millisecond, 4*second))
+	}
+}
+
+func (sim *simulation) crashHost(host *database.Host) {
+	if sim.hostsDown() > 0 {
+		return
+	}
+	back, dark := sim.Between(500*millisecond, 4*second), sim.OneIn(2)
+	if !dark && !host.Leader && sim.OneIn(2) {
+		back = 6 * second // long enough to count as gone
+	}
+	host.Crash(dark, back)
+}
+
+// deafenReplica has a replica receive nothing of the primary's log for a while.
+func (sim *simulation) deafenReplica(host *database.Host) {
+	for _, other := range sim.database.Hosts {
+		if other.Deaf {
+			return
+		}
+	}
+	if host.Leader {
+		return
+	}
+	sim.Note("%s receives nothing", host.ID)
+	host.Deaf = true
+	sim.After(sim.Between(500*millisecond, 3*second), func() { host.Deaf = false })
+}
+
+func (sim *simulation) hostsDown() (down int) {
+	for _, host := range sim.database.Hosts {
+		if !host.Up {
+			down++
+		}
+	}
+	return down
+}
+
+// drainPrimary has the primary leave, and come back under its name. With a controlCluster it may be a replica, and comes back
+// under another.
+func (sim *simulation) drainPrimary() {
+	if sim.cluster != nil {
+		host := sim.database.Lead()
+		if sim.OneIn(3) {
+			host = sim.database.Hosts[sim.Rand.IntN(3)]
+		}
+		sim.cluster.drainHost(host)
+		return
+	}
+	control := sim.control
+	primary := control.state.Primaries["db"]
+	if primary.Host == "" || primary.Revoked || control.state.Hosts[primary.Host].Draining {
+		return
+	}
+	sim.Note("%s drains", primary.Host)
+	drained := control.state.Hosts[primary.Host]
+	drained.Draining = true
+	control.apply(statemachine.Change{AddHost: &drained})
+	sim.After(3*second, func() { // it is replaced: the same machine serves again under its name
+		control.apply(statemachine.Change{RemoveHost: drained.ID})
+		control.state.RemovedHosts = nil
+		drained.Draining = false
+		control.apply(statemachine.Change{AddHost: &drained})
+		for _, proxy := range sim.proxies { // they forget the removal, too
+			proxy.run(proxy.incarnation, func(server *Server) { server.state.RemovedHosts = nil })
+		}
+	})
+}
+
+// executeAfterFreeze has a frozen host execute a command once it goes on; several of them in no order.
+func (sim *simulation) executeAfterFreeze(query failover.HostQuery, host *database.Host) {
+	crashes := host.Crashes
+	sim.After(sim.frozenUntil[host.ID]-sim.Now+int64(query.Serial*97%300)*millisecond, func() {
+		if host.Up && host.Crashes == crashes {
+			host.Control(query.Command.Text(), query.Term)
+		}
+	})
+}
--- /dev/null
+++ b/internal/proxy/simulation_hostconn_test.go
@@ -0,0 +1,162 @@
+package proxy
+
+import (
+	"slices"
+	"strings"
+
+	"ferrypitch/internal/fake/database"
+	"ferrypitch/internal/wire"
+)
+
+// simulatedHostConn is a proxy's connection to a host, at both ends: a nonblockingConn for the proxy.
+type simulatedHostConn struct {
+	*database.Conn
+	proxy         *proxyProcess
+	incarnation   int // of the proxy
+	conn          *hostConn
+	received      []byte // by the host, without an end of line yet
+	closed        bool
+	responsesLost bool
+	lastArrival   int64 // what goes over one connection keeps its order
+}
+
+func (c *simulatedHostConn) write(data []byte) (written int, ok bool) {
+	if c.closed {
+		return 0, false
+	}
+	data = slices.Clone(data)
+	sim := c.proxy.sim
+	if sim.resetOneIn > 0 && sim.OneIn(sim.resetOneIn) {
+		return c.resetDuringWrite(data)
+	}
+	c.deliver(sim.Between(millisecond/2, 3*millisecond), func() { c.receive(data) })
+	return len(data), true
+}
+
+func (c *simulatedHostConn) stopReading() {}
+func (c *simulatedHostConn) finish()      {}
+func (c *simulatedHostConn) close() {
+	sim := c.proxy.sim
+	c.closed = true
+	sim.After(sim.Between(1*millisecond, 3*millisecond), c.Close)
+}
+
+// resetDuringWrite ends the connection before, while or after a statement is written, or after it has run.
+func (c *simulatedHostConn) resetDuringWrite(data []byte) (written int, ok bool) {
+	const (
+		beforeWrite = iota
+		duringWrite
+		afterWrite
+		afterExecution
+		resetKinds
+	)
+	sim := c.proxy.sim
+	kind := sim.Rand.IntN(resetKinds)
+	switch kind {
+	case beforeWrite:
+		return 0, false
+	case duringWrite:
+		written = 1 + sim.Rand.IntN(len(data)-1)
+		c.deliver(sim.Between(millisecond/2, 3*millisecond), func() { c.receive(data[:written]) })
+		return written, false
+	}
+	c.responsesLost = true
+	c.deliver(sim.Between(millisecond/2, 3*millisecond), func() {
+		if kind == afterExecution {
+			c.receive(data)
+		}
+		c.Close()
+		c.notifyClosed()
+	})
+	return len(data), true
+}
+
+// deliver does what arrives after a time, behind all that was sent before.
+func (c *simulatedHostConn) deliver(after int64, do func()) {
+	sim := c.proxy.sim
+	c.lastArrival = max(c.lastArrival+1, sim.Now+after)
+	sim.After(c.lastArrival-sim.Now, do)
+}
+
+// notifyClosed has the proxy see that the host has ended the connection.
+func (c *simulatedHostConn) notifyClosed() {
+	sim := c.proxy.sim
+	sim.After(sim.Between(millisecond/2, 3*millisecond), func() {
+		c.proxy.run(c.incarnation, func(server *Server) { server.connLost(c.conn) })
+	})
+}
+
+// deliverResponse brings a response to the proxy.
+func (c *simulatedHostConn) deliverResponse(after int64, response wire.Response) {
+	sim := c.proxy.sim
+	c.deliver(after+sim.Between(millisecond/2, 3*millisecond), func() {
+		if !c.H.Dark && !c.closed && !c.responsesLost {
+			c.proxy.run(c.incarnation, func(server *Server) { server.handleResponse(c.conn, &response, server.clock.Time()) })
+		}
+	})
+}
+
+// receive is the host's end: it executes the statements that have arrived.
+func (c *simulatedHostConn) receive(data []byte) {
+	host, sim := c.H, c.proxy.sim
+	if !host.Up || host.Dark || !host.Conns[c.Conn] {
+		return
+	}
+	if until := sim.frozenUntil[host.ID]; sim.Now < until {
+		c.deliver(until-sim.Now, func() { c.receive(data) })
+		return
+	}
+	c.received = append(c.received, data...)
+	for {
+		line, length, err := wire.CutLine(c.received, 0)
+		if err != nil {
+			sim.Violate("%s is sent what is no line: %v", host.ID, err)
+		}
+		if length == 0 {
+			return
+		}
+		fields := strings.SplitN(string(line), " ", 3)
+		c.received = c.received[length:]
+		if fields[0] != "QUERY" || len(fields) < 3 {
+			sim.Violate("%s is sent %q", host.ID, line)
+			return
+		}
+		c.checkStatement(fields[1], fields[2])
+		c.Query(fields[1], fields[2])
+	}
+}
+
+// checkStatement checks that a statement is its client's, on the connection of its transaction, with its values and names.
+func (c *simulatedHostConn) checkStatement(requestID, text string) {
+	sim := c.proxy.sim
+	verb, rest, _ := strings.Cut(text, " ")
+	if verb == "FENCE" {
+		_, rest, _ = strings.Cut(rest, " ")
+		verb, rest, _ = strings.Cut(rest, " ")
+	}
+	if requestID == internalRequestID {
+		if verb == "RESET" && c.State == stateInTransaction {
+			sim.Violate("RESET inside a transaction")
+		}
+		return
+	}
+	owner, present := sim.ownerOf(requestID)
+	switch {
+	case owner == nil:
+		sim.Violate("UNASKED: %s runs %s %s", c.H.ID, requestID, text)
+	case !present: // its session is over
+	case verb == "EXECUTE":
+		name, _, _ := strings.Cut(rest, " ")
+		if shape, want := c.Names[name], owner.prepared[owner.pending.name]; shape != want {
+			sim.Violate("PINNED: %s runs %q for %q", c.H.ID, shape, want)
+		}
+		fallthrough
+	case verb != "COMMIT" && verb != "ABORT":
+		if !c.Same(owner.values) {
+			sim.Violate("PINNED: values %v for %v", c.Values, owner.values)
+		}
+		if beganBy, _ := sim.ownerOf(c.Began); c.State == stateInTransaction && beganBy != owner {
+			sim.Violate("PINNED: a statement of %d in a transaction of another", owner.index)
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/simulation_member_conn_test.go
@@ -0,0 +1,204 @@
+package proxy
+
+import (
+	"ferrypitch/internal/control"
+	"ferrypitch/internal/rpc"
+)
+
+const (
+	// reconnectDelay is how long a proxy waits before it connects to the next member.
+	reconnectDelay = 60 * millisecond
+
+	// closeNoticeDelay is how long a member takes to see that a connection has ended.
+	closeNoticeDelay = 2 * millisecond
+
+	renewInterval = 300 * millisecond
+)
+
+// memberConn is a proxy's connection to a member, at both ends.
+type memberConn struct {
+	id                int // by when it was opened
+	proxy             *proxyProcess
+	proxyIncarnation  int
+	member            *member
+	memberIncarnation int
+
+	proxyConn      *control.ProxyConn // the member's handle; nil: it has not seen the hello yet
+	welcomed       bool               // the member is the leader
+	closed         bool
+	broken         bool // by a partition: what was sent meanwhile never arrives, nor what came after it
+	lastReceivedAt int64
+
+	lastSerial  uint64
+	requestedAt map[uint64]int64 // lease requests by serial, in milliseconds of the proxy's clock
+
+	// Each direction keeps its order.
+	lastArrivalAtMember int64
+	lastArrivalAtProxy  int64
+}
+
+// connectToNextMember connects a proxy to the members in turn.
+func (p *proxyProcess) connectToNextMember(incarnation int) {
+	if !p.up || p.incarnation != incarnation {
+		return
+	}
+	p.nextMember++
+	p.connectTo(incarnation, p.sim.cluster.members[p.nextMember%clusterSize])
+}
+
+func (p *proxyProcess) connectTo(incarnation int, m *member) {
+	sim := p.sim
+	sim.cluster.connCount++
+	conn := &memberConn{
+		id:                sim.cluster.connCount,
+		proxy:             p,
+		proxyIncarnation:  incarnation,
+		member:            m,
+		memberIncarnation: m.incarnation,
+		lastReceivedAt:    sim.Now,
+		requestedAt:       map[uint64]int64{},
+	}
+	p.memberConn = conn
+	if !m.up || m.frozen || p.partitioned {
+		sim.After(200*millisecond, conn.close)
+		return
+	}
+	resumeIndex := uint64(0)
+	p.run(incarnation, func(server *Server) { resumeIndex = server.resumeIndex() })
+	m.conns[conn] = true
+	conn.sendToMember(func() {
+		hello := &rpc.ProxyHello{Node: p.name, Incarnation: uint64(incarnation), Zone: "z", AppliedIndex: resumeIndex}
+		conn.proxyConn = m.server.AcceptProxy(hello, p.name, conn.sendToProxy, func() { sim.After(closeNoticeDelay, conn.close) })
+	})
+	conn.checkSilence()
+}
+
+// sendToMember does what arrives at the member.
+func (c *memberConn) sendToMember(do func()) {
+	sim := c.proxy.sim
+	c.lastArrivalAtMember = max(c.lastArrivalAtMember+1, sim.Now+sim.Between(millisecond/2, 3*millisecond))
+	sim.After(c.lastArrivalAtMember-sim.Now, func() {
+		if c.usable() {
+			c.member.run(c.memberIncarnation, do)
+		}
+	})
+}
+
+// sendToProxy is the member's end.
+func (c *memberConn) sendToProxy(frame *rpc.Frame) bool {
+	sim := c.proxy.sim
+	c.lastArrivalAtProxy = max(c.lastArrivalAtProxy+1, sim.Now+sim.Between(millisecond/2, 3*millisecond))
+	sim.After(c.lastArrivalAtProxy-sim.Now, func() {
+		if c.usable() {
+			c.proxy.run(c.proxyIncarnation, func(server *Server) { c.receive(server, frame) })
+		}
+	})
+	return true
+}
+
+// usable says whether something arrives now. What a partition holds up holds up all that is behind it.
+func (c *memberConn) usable() bool {
+	c.broken = c.broken || c.proxy.partitioned
+	return !c.closed && !c.broken
+}
+
+// receive does what controlLink does with a frame.
+func (c *memberConn) receive(server *Server, frame *rpc.Frame) {
+	if c.closed {
+		return
+	}
+	sim := c.proxy.sim
+	c.lastReceivedAt = sim.Now
+	switch {
+	case frame.ProxyWelcome != nil && !frame.ProxyWelcome.IsLeader:
+		c.followRedirect(frame.ProxyWelcome.Leader)
+	case frame.ProxyWelcome != nil:
+		c.welcomed = true
+		sim.After(1, c.renewPeriodically)
+	case frame.LogUpdate != nil:
+		if server.applyLogUpdate(frame.LogUpdate) != nil {
+			c.close()
+			return
+		}
+		server.reportRevocationApplied()
+	case frame.LeaseResponse != nil && !frame.LeaseResponse.Granted:
+		sim.After(1, c.close)
+	case frame.LeaseResponse != nil:
+		requestedAt := c.requestedAt[frame.LeaseResponse.Serial]
+		delete(c.requestedAt, frame.LeaseResponse.Serial)
+		server.leaseGranted(frame.LeaseResponse, requestedAt)
+	}
+}
+
+// followRedirect ends the connection, and connects the proxy to the member that is the leader, if it knows of that.
+func (c *memberConn) followRedirect(leader string) {
+	sim, proxy := c.proxy.sim, c.proxy
+	c.closed = true
+	delete(c.member.conns, c)
+	for _, m := range sim.cluster.members {
+		if m.ip == leader {
+			sim.After(1, func() { proxy.connectTo(c.proxyIncarnation, m) })
+			return
+		}
+	}
+	sim.After(reconnectDelay, func() { proxy.connectToNextMember(c.proxyIncarnation) })
+}
+
+// close ends the connection at both ends; the proxy connects to the next member.
+func (c *memberConn) close() {
+	if c.closed {
+		return
+	}
+	sim, m := c.proxy.sim, c.member
+	c.closed = true
+	delete(m.conns, c)
+	if handle := c.proxyConn; handle != nil {
+		sim.After(closeNoticeDelay, func() {
+			m.run(c.memberIncarnation, func() { m.server.ProxyDisconnected(handle) })
+		})
+	}
+	sim.After(reconnectDelay, func() { c.proxy.connectToNextMember(c.proxyIncarnation) })
+}
+
+// checkSilence ends the connection when the proxy has received nothing for controlSilenceTimeout.
+func (c *memberConn) checkSilence() {
+	sim := c.proxy.sim
+	limit := controlSilenceTimeout.Milliseconds() * millisecond
+	sim.After(20*millisecond, func() {
+		switch {
+		case c.closed:
+		case sim.Now > c.lastReceivedAt+limit && sim.Now > c.proxy.frozenUntil:
+			c.close()
+		default:
+			c.checkSilence()
+		}
+	})
+}
+
+func (c *memberConn) renewPeriodically() {
+	if !c.closed && c.proxy.up && c.proxy.incarnation == c.proxyIncarnation {
+		c.renewLease()
+		c.proxy.sim.After(renewInterval, c.renewPeriodically)
+	}
+}
+
+func (c *memberConn) renewLease() {
+	c.proxy.run(c.proxyIncarnation, func(server *Server) {
+		c.lastSerial++
+		request := &rpc.LeaseRequest{Serial: c.lastSerial, AppliedIndex: server.state.Index}
+		c.requestedAt[c.lastSerial] = server.clock.Now()
+		c.sendToMember(func() { c.member.server.HandleProxyFrame(c.proxyConn, &rpc.Frame{LeaseRequest: request}) })
+	})
+}
+
+// sendToMember sends a frame to the leader; nil: a lease request.
+func (p *proxyProcess) sendToMember(frame *rpc.Frame) {
+	conn := p.memberConn
+	switch {
+	case conn == nil || conn.closed || !conn.welcomed:
+	case frame == nil:
+		p.sim.After(0, conn.renewLease)
+	default:
+		conn.sendToMember(func() { conn.member.server.HandleProxyFrame(conn.proxyConn, frame) })
+	}
+}
--- /dev/null
+++ b/internal/proxy/simulation_member_test.go
@@ -0,0 +1,300 @@
+package proxy
+
+import (
+	"cmp"
+	"encoding/json"
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+
+	"github.com/hashicorp/go-hclog"
+
+	"ferrypitch/internal/control"
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/wire"
+)
+
+// platformTimeout is how long a member waits for the platform's answer.
+const platformTimeout = 900 * millisecond
+
+// member is a process of the control plane without its sockets, through its incarnations.
+type member struct {
+	cluster     *controlCluster
+	ip          string
+	identity    storage.Identity
+	server      *control.Server
+	incarnation int
+	up          bool
+	clockDrift  int64
+	disk        consensus.RestoredState
+	unsynced    []consensus.Write // that the disk may lose
+
+	frozen     bool
+	heldEvents []func() // for the end of the freeze
+
+	// Faults of its network.
+	partitioned      bool // from the other members
+	receivesNothing  bool // of the other members
+	sendsNothing     bool // that reaches the other members
+	hostsUnreachable bool // and the platform
+	resetCount       int  // of its connections to members: what was in flight is lost
+
+	conns       map[*memberConn]bool // of proxies
+	lastArrival map[string]int64     // what goes to one member keeps its order
+
+	// faultEndsAt is when its last fault ended, and what was lost by it is repaired; 0: it had none.
+	faultEndsAt int64
+}
+
+func (m *member) start() {
+	sim := m.cluster.sim
+	m.incarnation++
+	m.up, m.frozen, m.heldEvents, m.unsynced = true, false, nil, nil
+	m.healNetwork()
+	m.conns, m.lastArrival = map[*memberConn]bool{}, map[string]int64{}
+	cfg := &settings.Settings{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: heartbeatMs}
+	cfg.FaultBudget.Machines = 1
+	cfg.Listen.Control = m.ip + ":8080"
+	for _, other := range m.cluster.members {
+		cfg.SeedPeers = append(cfg.SeedPeers, other.ip+":8080")
+	}
+	restored := m.disk
+	restored.Entries = slices.Clone(restored.Entries)
+	log := hclog.NewNullLogger()
+	if *onlySeed >= 0 {
+		log = hclog.New(&hclog.LoggerOptions{Output: faultLogWriter{sim, m.ip}, DisableTime: true})
+	}
+	server, err := control.New(cfg, log, eventloop.NewSteadyClock(sim.clock(m.clockDrift)), m.identity, restored,
+		sim.Rand.Float64, uint64(m.incarnation))
+	if err != nil {
+		panic(err)
+	}
+	incarnation := m.incarnation
+	m.server = server
+	server.SetEnvironment(control.Environment{
+		Send:      m.send,
+		Persist:   func(writes []consensus.Write) { m.persist(incarnation, writes) },
+		QueryHost: func(query failover.HostQuery, _ statemachine.Host) { m.queryHost(incarnation, query) },
+		Promote:   func(promotion failover.Promotion) { m.promote(incarnation, promotion) },
+	})
+	m.tick(incarnation)
+}
+
+// run runs do in the member's process: later if it is frozen, never if its incarnation has ended.
+func (m *member) run(incarnation int, do func()) {
+	switch {
+	case !m.up || m.incarnation != incarnation:
+	case m.frozen:
+		m.heldEvents = append(m.heldEvents, do)
+	default:
+		do()
+	}
+}
+
+func (m *member) tick(incarnation int) {
+	m.run(incarnation, func() {
+		next := int64(50 * millisecond)
+		if m.server.Tick() {
+			next = 17 * millisecond
+		}
+		m.cluster.sim.After(next, func() { m.tick(incarnation) })
+	})
+}
+
+// send brings a frame to another member.
+func (m *member) send(ip string, frame *rpc.Frame) {
+	sim, to := m.cluster.sim, m.cluster.memberAt[ip]
+	if to == nil || to == m {
+		return
+	}
+	m.lastArrival[ip] = max(m.lastArrival[ip]+1, sim.Now+sim.Between(millisecond/2, 3*millisecond))
+	incarnation, resets, resetsThere := to.incarnation, m.resetCount, to.resetCount
+	sim.After(m.lastArrival[ip]-sim.Now, func() {
+		reset := m.resetCount != resets || to.resetCount != resetsThere
+		if reset || m.partitioned || m.sendsNothing || to.partitioned || to.receivesNothing {
+			return
+		}
+		to.run(incarnation, func() { to.server.HandleFrame(m.ip, frame) })
+	})
+}
+
+// persist syncs writes to the disk.
+func (m *member) persist(incarnation int, writes []consensus.Write) {
+	sim := m.cluster.sim
+	m.unsynced = append(m.unsynced, writes...)
+	lastSeq := writes[len(writes)-1].Seq
+	took := sim.Between(millisecond/2, 8*millisecond)
+	if sim.OneIn(100) {
+		took = sim.Between(50*millisecond, 600*millisecond)
+	}
+	sim.After(took, func() {
+		m.run(incarnation, func() {
+			for len(m.unsynced) > 0 && m.unsynced[0].Seq <= lastSeq {
+				m.disk.ApplyWrite(m.unsynced[0])
+				m.unsynced = m.unsynced[1:]
+			}
+			m.server.Persisted(lastSeq)
+		})
+	})
+}
+
+func (m *member) queryHost(incarnation int, query failover.HostQuery) {
+	sim := m.cluster.sim
+	sim.After(sim.Between(1*millisecond, 4*millisecond), func() {
+		result := failover.QueryResult{Query: query}
+		wayBack := sim.Between(1*millisecond, 4*millisecond)
+		switch host := sim.database.Host(query.Host); {
+		case host == nil || !host.Up && !host.Dark && !m.hostsUnreachable:
+			result.ConnectionRefused = true
+		case !host.Up || host.Dark || m.hostsUnreachable || sim.Now < sim.frozenUntil[host.ID]:
+			result.TimedOut, wayBack = true, queryTimeout
+			if host.Up && !host.Dark && !m.hostsUnreachable {
+				sim.executeAfterFreeze(query, host)
+			}
+		case m.cluster.fakeAnswer != nil && m.cluster.fakeAnswer(query, host):
+			result.Status = wire.HostStatus{Term: host.Term, Received: host.At(len(host.Log))}
+		default:
+			result.Status = host.Control(query.Command.Text(), query.Term)
+		}
+		sim.After(wayBack, func() { m.run(incarnation, func() { m.server.QueryFinished(result) }) })
+	})
+}
+
+// promote calls the platform. It checks that a fencing token has one owner.
+func (m *member) promote(incarnation int, promotion failover.Promotion) {
+	sim, c := m.cluster.sim, m.cluster
+	c.promotions++
+	sim.Note("%s nominates %s to the platform, fencing token %d", m.ip, promotion.Host, promotion.FencingToken)
+	if owner := c.tokenOwners[promotion.FencingToken]; owner != "" && owner != promotion.Owner {
+		sim.Violate("a fencing token of %s is used by %s", owner, promotion.Owner)
+	}
+	c.tokenOwners[promotion.FencingToken] = promotion.Owner
+	way := sim.Between(2*millisecond, 20*millisecond)
+	if c.promotionTime == nil && sim.OneIn(6) {
+		way = sim.Between(100*millisecond, 2*second) // it is slow
+	}
+	finish := func(outcome failover.PromotionOutcome) {
+		m.run(incarnation, func() { m.server.PromotionFinished(promotion, outcome) })
+	}
+	if m.hostsUnreachable {
+		sim.After(600*millisecond, func() { finish(failover.PromotionNotExecuted) })
+		return
+	}
+	sim.After(way, func() {
+		outcome := c.executePromotion(promotion)
+		if way <= platformTimeout {
+			sim.After(sim.Between(2*millisecond, 8*millisecond), func() { finish(outcome) })
+		}
+	})
+	if way > platformTimeout {
+		sim.After(platformTimeout, func() { finish(failover.PromotionUnknown) })
+	}
+}
+
+func (m *member) isLeader() (leads bool) {
+	if m.frozen {
+		return false
+	}
+	m.server.HandleCall(http.MethodGet, "/Member.Status", "", nil, func(_ int, body []byte) {
+		var status control.Status
+		if json.Unmarshal(body, &status) == nil {
+			leads = status.Consensus.HoldsLease
+		}
+	})
+	return leads
+}
+
+// crash ends the process. Without a loss of power, the disk may still take some of what was not synced.
+func (m *member) crash(powerLost bool) {
+	sim := m.cluster.sim
+	m.up = false
+	if !powerLost {
+		for _, write := range m.unsynced {
+			if sim.OneIn(2) {
+				break
+			}
+			m.disk.ApplyWrite(write)
+		}
+	}
+	m.unsynced = nil
+	if !powerLost {
+		for _, conn := range m.connsByAge() {
+			conn.close()
+		}
+	}
+}
+
+// shutDown is SIGTERM: the member serves on until it says that it may stop, or for 6 s.
+func (m *member) shutDown(then func()) {
+	sim, incarnation := m.cluster.sim, m.incarnation
+	until := sim.Now + 6*second
+	complete := false
+	m.run(incarnation, func() { m.server.BeginShutdown() })
+	var poll func()
+	poll = func() {
+		if !m.up || m.incarnation != incarnation || complete {
+			return
+		}
+		m.run(incarnation, func() { complete = complete || m.server.ShutdownComplete() })
+		if !complete && sim.Now < until {
+			sim.After(50*millisecond, poll)
+			return
+		}
+		complete = true
+		sim.After(100*millisecond, func() {
+			if m.incarnation == incarnation && m.up {
+				sim.Note("member %s stops", m.ip)
+				m.crash(false)
+				then()
+			}
+		})
+	}
+	sim.After(50*millisecond, poll)
+}
+
+func (m *member) healNetwork() {
+	m.partitioned, m.receivesNothing, m.sendsNothing, m.hostsUnreachable = false, false, false, false
+}
+
+// heal ends faults of the network, if the incarnation has not ended.
+func (m *member) heal(incarnation int) {
+	if m.incarnation == incarnation {
+		m.healNetwork()
+	}
+}
+
+// thaw ends a freeze: what was held up happens now.
+func (m *member) thaw(incarnation int) {
+	if !m.up || m.incarnation != incarnation {
+		return
+	}
+	m.frozen = false
+	for len(m.heldEvents) > 0 && m.up && !m.frozen {
+		next := m.heldEvents[0]
+		m.heldEvents = m.heldEvents[1:]
+		next()
+	}
+}
+
+// connsByAge are the connections of proxies, the oldest first.
+func (m *member) connsByAge() []*memberConn {
+	return slices.SortedFunc(maps.Keys(m.conns), func(a, b *memberConn) int { return cmp.Compare(a.id, b.id) })
+}
+
+// faultLogWriter puts what a member logs among the faults, when one seed is looked at.
+type faultLogWriter struct {
+	sim *simulation
+	ip  string
+}
+
+func (w faultLogWriter) Write(line []byte) (int, error) {
+	w.sim.Note("%s: %s", w.ip, strings.TrimSpace(string(line)))
+	return len(line), nil
+}
--- /dev/null
+++ b/internal/proxy/simulation_operator_test.go
@@ -0,0 +1,118 @@
+package proxy
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"ferrypitch/internal/config"
+)
+
+// operatorEnd is when operators stop to change the configuration.
+const operatorEnd = 11 * second
+
+// operator is two people who change the configuration at once, each from the version that was last seen. Answers are lost; a
+// request without an answer is sent again to another member, and a confirmed one is repeated later. It is checked that one
+// version is confirmed to one of them only, that a confirmed request is not rejected when it is repeated, and that the final
+// version is not older than any that was confirmed.
+type operator struct {
+	cluster          *controlCluster
+	newestVersion    int64            // that anybody has seen
+	confirmed        map[int64]string // bodies by version
+	repeatedRequests int
+}
+
+// configRequest replaces the configuration.
+type configRequest struct {
+	baseVersion int64
+	version     int64
+	body        string
+	confirmed   bool
+}
+
+func newOperator(c *controlCluster) *operator {
+	o := &operator{cluster: c, confirmed: map[int64]string{}}
+	for person := range 2 {
+		c.sim.After(c.sim.Between(1500*millisecond, 2500*millisecond), func() { o.sendNextChange(person, 0) })
+	}
+	return o
+}
+
+// sendNextChange sends a person's next change.
+func (o *operator) sendNextChange(person, turn int) {
+	sim := o.cluster.sim
+	if sim.Now > sim.Zero+operatorEnd {
+		return
+	}
+	version := max(1, o.newestVersion) + 1
+	limits := fmt.Sprintf(`"Limits":{"TxnIdleMs":2000,"MaxBodyBytes":%d}`, 1000+100*turn+person) // each body is another
+	body := strings.Replace(initialConfig, `"Limits":{"TxnIdleMs":2000}`, limits, 1)
+	body = strings.Replace(body, `"Generation":1`, fmt.Sprintf(`"Generation":%d`, version), 1)
+	o.send(&configRequest{baseVersion: version - 1, version: version, body: body}, sim.Rand.IntN(clusterSize), 5)
+	sim.After(sim.Between(second, 3*second), func() { o.sendNextChange(person, turn+1) })
+}
+
+// send sends a request to a member, and again to the next one if it gets no answer.
+func (o *operator) send(request *configRequest, seat, retries int) {
+	sim := o.cluster.sim
+	sim.After(sim.Between(1*millisecond, 4*millisecond), func() {
+		answered, m := false, o.cluster.members[seat%clusterSize]
+		handle := func(status int, body []byte) {
+			if sim.OneIn(4) {
+				return // it is lost
+			}
+			answered = answered || status < http.StatusInternalServerError
+			o.handleAnswer(request, status, body)
+		}
+		m.run(m.incarnation, func() {
+			baseVersion := strconv.FormatInt(request.baseVersion, 10)
+			m.server.HandleCall(http.MethodPost, "/Config.Replace", baseVersion, []byte(request.body), handle)
+		})
+		sim.After(sim.Between(200*millisecond, second), func() {
+			switch {
+			case !answered && retries > 0:
+				o.send(request, seat+1, retries-1)
+			case answered && request.confirmed && retries > 0 && sim.OneIn(3): // once more, behind other requests
+				o.repeatedRequests++
+				sim.After(sim.Between(0, 3*second), func() { o.send(request, sim.Rand.IntN(clusterSize), 0) })
+			}
+		})
+	})
+}
+
+func (o *operator) handleAnswer(request *configRequest, status int, body []byte) {
+	sim, version := o.cluster.sim, request.version
+	switch {
+	case status == http.StatusOK:
+		if other, exists := o.confirmed[version]; exists && other != request.body {
+			sim.Violate("ORDER: two are confirmed as version %d", version)
+		}
+		o.confirmed[version], request.confirmed = request.body, true
+		o.newestVersion = max(o.newestVersion, version)
+	case status < http.StatusInternalServerError && request.confirmed:
+		sim.Violate("ORDER: version %d was confirmed, and is rejected when it is repeated: %d %s", version, status, body)
+	case status == http.StatusPreconditionFailed:
+		o.newestVersion = max(o.newestVersion, version)
+	}
+}
+
+// checkFinalConfig checks the configuration that is in force in the end.
+func (o *operator) checkFinalConfig() {
+	sim := o.cluster.sim
+	for _, m := range o.cluster.members {
+		if !m.up || m.frozen || !m.isLeader() {
+			continue
+		}
+		m.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(_ int, body []byte) {
+			final, _ := config.PeekGeneration(body)
+			for version, confirmed := range o.confirmed {
+				if version > final || version == final && confirmed != string(body) {
+					sim.Violate("ORDER: version %d was confirmed, and %d is in force", version, final)
+				}
+			}
+		})
+		return
+	}
+	sim.Violate("no member of the control plane is the leader in the end")
+}
--- /dev/null
+++ b/internal/proxy/simulation_proxy_test.go
@@ -0,0 +1,205 @@
+package proxy
+
+import (
+	"errors"
+	"maps"
+	"slices"
+
+	"github.com/hashicorp/go-hclog"
+
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/wire"
+)
+
+// proxyProcess is a whole proxy without its sockets, through its incarnations.
+type proxyProcess struct {
+	sim         *simulation
+	name        string
+	incarnation int
+	server      *Server
+	up          bool
+	partitioned bool // from the control plane
+	clockDrift  int64
+	frozenUntil int64
+	nextStepAt  int64 // when its event loop runs next
+
+	// With a reliableControl.
+	sentIndex   uint64 // up to where the log was sent to it
+	lastArrival int64  // log updates and leases keep their order
+
+	// With a controlCluster.
+	memberConn *memberConn
+	nextMember int
+}
+
+func (p *proxyProcess) start() {
+	sim := p.sim
+	p.incarnation++
+	p.up, p.partitioned, p.frozenUntil, p.sentIndex, p.nextStepAt = true, false, 0, 0, 0
+	p.server = newServer(&settings.Settings{Node: p.name, Zone: "z"}, hclog.NewNullLogger(),
+		eventloop.NewSteadyClock(sim.clock(p.clockDrift)), sim.Rand.Uint64())
+	incarnation := p.incarnation
+	p.server.dial = func(conn *hostConn) { p.dial(incarnation, conn) }
+	if sim.cluster != nil {
+		p.server.sendToLeader = p.sendToMember
+		p.connectToNextMember(incarnation)
+		return
+	}
+	p.server.sendToLeader = func(frame *rpc.Frame) { p.sendToControl(incarnation, frame) }
+	if _, known := sim.control.state.Proxies[p.name]; !known {
+		sim.control.apply(statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: p.name}})
+	}
+	p.sendLogUpdates()
+	p.renewPeriodically(incarnation)
+}
+
+// run runs do in the proxy's event loop: later if it is frozen, never if its incarnation has ended.
+func (p *proxyProcess) run(incarnation int, do func(server *Server)) {
+	sim := p.sim
+	if !p.up || p.incarnation != incarnation {
+		return
+	}
+	if sim.Now < p.frozenUntil {
+		sim.After(p.frozenUntil-sim.Now, func() { p.run(incarnation, do) })
+		return
+	}
+	p.server.queue.Put(eventloop.PriorityOutcomes, func() { do(p.server) })
+	for p.server.step() {
+	}
+	untilDeadline := p.server.nextDeadline().Sub(p.server.clock.Time())
+	after := int64(untilDeadline/unitDuration) * 1000 / (1000 + p.clockDrift)
+	if at := sim.Now + max(1, after); p.nextStepAt <= sim.Now || at < p.nextStepAt {
+		p.nextStepAt = at
+		sim.After(at-sim.Now, func() { p.run(incarnation, func(*Server) {}) })
+	}
+}
+
+// sendToControl sends a frame to a reliableControl.
+func (p *proxyProcess) sendToControl(incarnation int, frame *rpc.Frame) {
+	sim, control := p.sim, p.sim.control
+	if frame == nil {
+		p.renewLease(incarnation)
+		return
+	}
+	if frame.SuspectReport == nil || p.partitioned {
+		return
+	}
+	sim.After(sim.Between(1*millisecond, 4*millisecond), func() {
+		control.coordinator.SuspectPrimary(p.name, frame.SuspectReport.Service, frame.SuspectReport.Host, control.nowMs())
+		control.evaluate()
+	})
+}
+
+// sendLogUpdates sends a proxy the entries that it lacks, in order.
+func (p *proxyProcess) sendLogUpdates() {
+	sim, incarnation, log := p.sim, p.incarnation, p.sim.control.log
+	if !p.up || p.partitioned || p.sentIndex == uint64(len(log)) {
+		return
+	}
+	update := &rpc.LogUpdate{Entries: slices.Clone(log[p.sentIndex:]), LastIndex: uint64(len(log))}
+	p.sentIndex = update.LastIndex
+	p.lastArrival = max(p.lastArrival, sim.Now+sim.Between(1*millisecond, 4*millisecond))
+	sim.After(p.lastArrival-sim.Now, func() {
+		if p.incarnation == incarnation && p.partitioned {
+			p.sentIndex = min(p.sentIndex, update.LastIndex-uint64(len(update.Entries)))
+			return
+		}
+		p.run(incarnation, func(server *Server) {
+			_ = server.applyLogUpdate(update) // what is missing comes with the next
+			server.reportRevocationApplied()
+		})
+	})
+}
+
+func (p *proxyProcess) renewPeriodically(incarnation int) {
+	if !p.up || p.incarnation != incarnation {
+		return
+	}
+	p.sim.After(renewInterval, func() { p.renewPeriodically(incarnation) })
+	p.sendLogUpdates()
+	p.renewLease(incarnation)
+}
+
+func (p *proxyProcess) renewLease(incarnation int) {
+	sim, control := p.sim, p.sim.control
+	if p.partitioned || sim.Now < p.frozenUntil {
+		return
+	}
+	requestedAt, applied := p.server.clock.Now(), p.server.state.Index
+	sim.After(sim.Between(1*millisecond, 4*millisecond), func() {
+		if p.incarnation != incarnation || !p.up || p.partitioned {
+			return
+		}
+		if !control.grantor.Grant(p.name, uint64(incarnation), applied, control.state.LatestRevocation(), control.nowMs()) {
+			control.evaluate()
+			return
+		}
+		granted := &rpc.LeaseResponse{Granted: true, CommitIndex: control.state.Index, ProxyCount: len(sim.proxies)}
+		control.evaluate()
+		p.lastArrival = max(p.lastArrival, sim.Now+sim.Between(1*millisecond, 4*millisecond))
+		sim.After(p.lastArrival-sim.Now, func() {
+			p.run(incarnation, func(server *Server) { server.leaseGranted(granted, requestedAt) })
+		})
+	})
+}
+
+var (
+	errRefused  = errors.New("connection refused")
+	errTimedOut = errors.New("timed out")
+)
+
+// dial opens a connection to a host.
+func (p *proxyProcess) dial(incarnation int, conn *hostConn) {
+	sim, pool := p.sim, conn.pool
+	hostID := pool.ID
+	sim.dials++
+	finish := func(after int64, response wire.Response, err error) {
+		sim.After(after, func() {
+			p.run(incarnation, func(*Server) { pool.connOpened(conn, response, err) })
+		})
+	}
+	sim.After(sim.Between(2*millisecond, 15*millisecond), func() {
+		host := sim.database.Host(hostID)
+		switch {
+		case host == nil: // another uses its address
+			p.run(incarnation, func(*Server) { pool.connOpened(conn, wire.Response{Code: wire.CodeWrongNode}, nil) })
+		case host.Dark:
+			finish(1500*millisecond, wire.Response{}, errTimedOut)
+		case !host.Up:
+			finish(2*millisecond, wire.Response{}, errRefused)
+		default:
+			c := &simulatedHostConn{Conn: host.Connect(), proxy: p, incarnation: incarnation, conn: conn}
+			c.Answer, c.Broke = c.deliverResponse, c.notifyClosed
+			conn.out = c
+			response := wire.Response{State: stateIdle, Position: host.At(host.Seen())}
+			finish(sim.Between(1*millisecond, 3*millisecond), response, nil)
+		}
+	})
+}
+
+// crash ends the process; it starts again after a while.
+func (p *proxyProcess) crash() {
+	sim := p.sim
+	if !p.up {
+		return
+	}
+	sim.Note("%s crashes", p.name)
+	p.up = false
+	if p.memberConn != nil {
+		p.memberConn.close()
+	}
+	for _, id := range slices.Sorted(maps.Keys(p.server.pools)) {
+		for _, conn := range p.server.pools[id].connsByAge() {
+			conn.out.close()
+		}
+	}
+	for _, c := range sim.clients {
+		if c.proxy == p {
+			c.reconnectLater()
+		}
+	}
+	sim.After(sim.Between(100*millisecond, 2*second), p.start)
+}
--- /dev/null
+++ b/internal/proxy/simulation_run_test.go
@@ -0,0 +1,114 @@
+package proxy
+
+import (
+	"flag"
+	"os"
+	"runtime"
+	"runtime/debug"
+	"sync"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+	"golang.org/x/sync/errgroup"
+)
+
+var (
+	seeds     = flag.Int("seeds", 1000, "how many simulations with a whole control plane to run; of the wire two fifths of that")
+	firstSeed = flag.Int("first", 0, "the first seed")
+	onlySeed  = flag.Int("only", -1, "the one seed to run")
+)
+
+// Simulations make much garbage and hold little: the collector runs a quarter as often, which takes a quarter off the time.
+func TestMain(m *testing.M) {
+	flag.Parse()
+	debug.SetGCPercent(400)
+	os.Exit(m.Run())
+}
+
+// seedCount is how many seeds are run: a tenth in short runs, as under the race detector.
+func seedCount() int {
+	if testing.Short() {
+		return max(1, *seeds/10)
+	}
+	return *seeds
+}
+
+// simulateAll runs simulations in parallel, and fails with the least seed that has violations. visit sees each of them.
+func simulateAll(t *testing.T, count int, build func(seed uint64) *simulation, visit func(*simulation)) {
+	t.Helper()
+	var mu sync.Mutex
+	leastSeed, report := -1, ""
+	var group errgroup.Group
+	group.SetLimit(runtime.GOMAXPROCS(0))
+	for seed := *firstSeed; seed < *firstSeed+count; seed++ {
+		if *onlySeed >= 0 && seed != *onlySeed {
+			continue
+		}
+		group.Go(func() error {
+			sim := build(uint64(seed))
+			sim.run()
+			mu.Lock()
+			defer mu.Unlock()
+			if len(sim.Violations) > 0 && (leastSeed < 0 || seed < leastSeed) {
+				leastSeed, report = seed, sim.report()
+			}
+			visit(sim)
+			return nil
+		})
+	}
+	require.NoError(t, group.Wait())
+	if leastSeed >= 0 {
+		t.Fatalf("seed %d:\n%s", leastSeed, report)
+	}
+}
+
+func TestSimulationKeepsWireGuarantees(t *testing.T) {
+	served, count := 0, max(1, seedCount()*2/5)
+	build := func(seed uint64) *simulation { return newSimulation(seed, 3, 9) }
+	simulateAll(t, count, build, func(sim *simulation) { served += sim.served })
+	if *onlySeed >= 0 {
+		return
+	}
+	require.Greater(t, served, 300*count, "too little was served for this to prove anything")
+	t.Logf("%d simulations, %d statements served", count, served)
+}
+
+func TestSimulationKeepsGuaranteesWithFailingControlPlane(t *testing.T) {
+	served, promotions, versions, repeated := 0, 0, 0, 0
+	var faults [memberFaultKinds]int
+	build := func(seed uint64) *simulation { return newClusterSimulation(seed, 3, 9) }
+	simulateAll(t, seedCount(), build, func(sim *simulation) {
+		served += sim.served
+		promotions += sim.cluster.promotions
+		versions += len(sim.cluster.operator.confirmed)
+		repeated += sim.cluster.operator.repeatedRequests
+		for kind, count := range sim.cluster.faultCounts {
+			faults[kind] += count
+		}
+	})
+	if *onlySeed >= 0 {
+		return
+	}
+	require.Greater(t, served, 300*seedCount(), "too little was served for this to prove anything")
+	require.Greater(t, promotions, seedCount()/2, "too few fail-overs for this to prove anything")
+	require.Greater(t, versions, 3*seedCount(), "too few changes of the configuration for this to prove anything")
+	t.Logf("%d simulations, %d statements served, %d promotions; faults of members by kind: %v; %d versions confirmed, %d requests repeated",
+		seedCount(), served, promotions, faults, versions, repeated)
+}
+
+func TestSimulationIsDeterministic(t *testing.T) {
+	type result struct {
+		report         string
+		served, events int
+	}
+	for _, build := range []func(uint64, int, int) *simulation{newSimulation, newClusterSimulation} {
+		for seed := range uint64(4) {
+			run := func() result {
+				sim := build(seed+11, 3, 9)
+				sim.run()
+				return result{sim.report(), sim.served, sim.Serial}
+			}
+			require.Equal(t, run(), run())
+		}
+	}
+}
--- /dev/null
+++ b/internal/proxy/simulation_test.go
@@ -0,0 +1,182 @@
+package proxy
+
+import (
+	"fmt"
+	"runtime/debug"
+	"strings"
+	"time"
+
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/fake/database"
+	"ferrypitch/internal/simulation/checker"
+	"ferrypitch/internal/simulation/scheduler"
+)
+
+// A simulation is whole proxies without their sockets, hosts that replicate, a control plane that fails over and grants
+// leases, and clients, on one thread with seeded chance. After each statement the guarantees of the wire are checked: no stale
+// read, no write twice, none lost, nothing kept where that was answered, each statement on the connection of its transaction
+// with the values that its client has set.
+type simulation struct {
+	*scheduler.Scheduler
+	epoch         time.Time
+	maxClockDrift int64 // of any process, in thousandths
+
+	database    *database.Group
+	frozenUntil map[string]int64 // hosts that stand still, until when
+	resetOneIn  int              // one write to a host in so many meets a reset of its connection; 0: none
+
+	control *reliableControl // the control plane: this one, or
+	cluster *controlCluster  // its members
+	proxies []*proxyProcess
+	clients []*client
+	checker *checker.Checker
+
+	served          int   // statements answered without an error
+	dials           int   // of proxies to hosts
+	lastWriteAt     int64 // when a write was last acknowledged
+	longestWriteGap int64 // between two acknowledged writes
+}
+
+// Spans of simulated time, in the scheduler's units of 100 µs.
+const (
+	millisecond = 10
+	second      = 1000 * millisecond
+)
+
+// unitDuration is the scheduler's unit as a duration.
+const unitDuration = 100 * time.Microsecond
+
+const (
+	faultsEnd          = 8 * second // no fault begins later
+	simulationLength   = 16 * second
+	clusterExtraLength = 6 * second // a host that is down for six seconds and a slow platform can add up
+)
+
+// newSimulation makes a simulation whose control plane never fails.
+func newSimulation(seed uint64, proxies, clients int) *simulation {
+	sim := newBareSimulation(seed)
+	sim.control = newReliableControl(sim)
+	sim.addHosts()
+	sim.control.start()
+	sim.addProxiesAndClients(proxies, clients)
+	return sim
+}
+
+func newBareSimulation(seed uint64) *simulation {
+	sim := &simulation{
+		Scheduler:   scheduler.New(seed, 1<<40, millisecond),
+		epoch:       time.Unix(1e9, 0),
+		frozenUntil: map[string]int64{},
+	}
+	sim.database = &database.Group{
+		Scheduler: sim.Scheduler,
+		Note:      sim.Note,
+		Read:      sim.checkFreshness,
+		Losses:    300,
+		Refused:   60,
+		Told:      sim.heartbeat,
+	}
+	sim.checker = &checker.Checker{
+		Bounds:  map[string]int64{"bound": 600 * millisecond, "own": 900 * millisecond},
+		Own:     map[string]bool{"own": true},
+		Group:   sim.database,
+		Violate: sim.Violate,
+	}
+	return sim
+}
+
+func (sim *simulation) addHosts() {
+	for i := range 3 {
+		sim.database.Add(fmt.Sprintf("h%d", i))
+	}
+}
+
+func (sim *simulation) addProxiesAndClients(proxies, clients int) {
+	for i := range proxies {
+		proxy := &proxyProcess{sim: sim, name: fmt.Sprintf("r%d", i), clockDrift: sim.drawClockDrift()}
+		sim.proxies = append(sim.proxies, proxy)
+		proxy.start()
+	}
+	for i := range clients {
+		c := &client{sim: sim, index: i, routeKind: []string{"lead", "bound", "own"}[i%3]}
+		sim.clients = append(sim.clients, c)
+		sim.After(sim.Between(600*millisecond, 900*millisecond), c.connect)
+	}
+}
+
+// run runs the simulation and checks what is left in the end. A panic is a violation.
+func (sim *simulation) run() {
+	sim.After(second, sim.injectFaults)
+	if sim.cluster != nil {
+		sim.After(sim.Between(second, 3*second), sim.cluster.injectFaults)
+	}
+	defer func() {
+		if cause := recover(); cause != nil {
+			sim.Violate("a panic: %v\n%s", cause, debug.Stack())
+		}
+	}()
+	sim.RunFor(simulationLength)
+	if sim.cluster != nil {
+		sim.RunFor(clusterExtraLength)
+	}
+	sim.checker.CheckFinalLog()
+	if sim.cluster == nil {
+		return
+	}
+	if sim.cluster.operator != nil {
+		sim.cluster.operator.checkFinalConfig()
+	}
+	for _, host := range sim.database.Hosts {
+		if host.Up && !host.Leader && host.Paused > 0 {
+			sim.Violate("PAUSED: %s was never told to go on", host.ID)
+		}
+	}
+}
+
+// report is what was violated, and the faults before.
+func (sim *simulation) report() string {
+	return strings.Join(sim.Violations, "\n") + "\nafter\n" + strings.Join(sim.FaultLog, "\n")
+}
+
+// heartbeat is a host's, to the control plane.
+func (sim *simulation) heartbeat(host *database.Host) {
+	isPrimary := host.Leader
+	if sim.cluster != nil {
+		sim.cluster.sendHeartbeat(host)
+		return
+	}
+	sim.After(sim.Between(1*millisecond, 4*millisecond), func() {
+		control := sim.control
+		control.coordinator.Heartbeat(host.ID, isPrimary, control.nowMs())
+		if known := control.state.Hosts[host.ID]; known.Missing {
+			known.Missing = false
+			control.apply(statemachine.Change{AddHost: &known})
+		}
+	})
+}
+
+// clock is a steady clock with a drift in thousandths.
+func (sim *simulation) clock(drift int64) func() time.Time {
+	return func() time.Time {
+		return sim.time().Add(time.Duration((sim.Now-sim.Zero)*drift/1000) * unitDuration)
+	}
+}
+
+// drawClockDrift draws the drift of a process's clock, in thousandths.
+func (sim *simulation) drawClockDrift() int64 {
+	if sim.maxClockDrift == 0 {
+		return 0
+	}
+	return sim.Between(-sim.maxClockDrift, sim.maxClockDrift)
+}
+
+func (sim *simulation) time() time.Time {
+	return sim.epoch.Add(time.Duration(sim.Now) * unitDuration)
+}
+
+// checkFreshness checks that a read misses nothing that it must see.
+func (sim *simulation) checkFreshness(host *database.Host, _ *database.Conn, requestID string) {
+	if c, present := sim.ownerOf(requestID); c != nil && present && c.beganAt > 0 {
+		sim.checker.CheckRead(host, checker.Reader{Kind: c.routeKind, Session: c.sessionName(), First: c.beganAt})
+	}
+}
