--- /dev/null
+++ b/internal/lease/benchmark_test.go
@@ -0,0 +1,47 @@
+package lease_test
+
+import (
+	"testing"
+
+	"ferrypitch/internal/lease"
+	"ferrypitch/internal/simulation/statesize"
+)
+
+// A grant, and the count of proxies that hold leases, which goes out with each.
+func BenchmarkGrant(b *testing.B) {
+	for _, size := range statesize.All {
+		b.Run(size.String(), func(b *testing.B) {
+			grantor := lease.NewGrantor(0)
+			for i := range size.Routers {
+				grantor.Grant(statesize.Router(i), 1, 1, 0, 1)
+			}
+			b.Run("grant", func(b *testing.B) {
+				for b.Loop() {
+					grantor.Grant("edge-waco-hall-7", 1, 1, 0, 1)
+				}
+			})
+			b.Run("count", func(b *testing.B) {
+				for b.Loop() {
+					grantor.HolderCount(1)
+				}
+			})
+		})
+	}
+}
+
+// Asked at each tick while a failover runs.
+func BenchmarkAllCaughtUp(b *testing.B) {
+	for _, size := range statesize.All {
+		b.Run(size.String(), func(b *testing.B) {
+			grantor := lease.NewGrantor(0)
+			for i := range size.Routers {
+				grantor.Grant(statesize.Router(i), 1, 2, 0, 5000)
+			}
+			for b.Loop() {
+				if !grantor.AllCaughtUp(2, nil, 5001) {
+					b.Fatal("all have applied it")
+				}
+			}
+		})
+	}
+}
--- a/internal/proxy/simulation_control_test.go
+++ b/internal/proxy/simulation_control_test.go
@@ -32,7 +32,7 @@
 	c := &reliableControl{sim: sim, state: &statemachine.State{}}
 	c.grantor = lease.NewGrantor(c.nowMs() - 10*lease.GrantMs) // no lease of another member can be valid
 	c.coordinator = failover.New("control", 1, heartbeatMs, c.nowMs())
-	c.coordinator.Log = func(service, what, host string) { sim.Note("%s: %s %s", service, what, host) }
+	c.coordinator.OnEvent = func(event failover.Event) { sim.Note("%s", event) }
 	c.allCaughtUp = func(index uint64) bool { return c.grantor.AllCaughtUp(index, c.state.ProxyNames(), c.nowMs()) }
 	return c
 }
