--- a/internal/proxy/benchmark_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -23,12 +23,18 @@
 
 var benchmarkSettings = &settings.Settings{Node: "edge-waco-hall-0", Zone: "waco-hall"}
 
+// noLeader is the link to a control plane that can't be reached.
+type noLeader struct{}
+
+func (noLeader) reportSuspect(*rpc.SuspectReport) {}
+func (noLeader) renewLease()                      {}
+
 // newBenchmarkServer is a proxy with a state and without sessions; no connection to a host opens.
 func newBenchmarkServer(b *testing.B, size statesize.Size) *Server {
 	b.Helper()
 	server := newServer(benchmarkSettings, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
 	server.ctx = context.Background()
-	server.sendToLeader = func(*rpc.Frame) {}
+	server.leader = noLeader{}
 	server.dial = func(conn *hostConn) {
 		server.deferred.add(func() { conn.pool.connOpened(conn, wire.Response{}, errors.New("not here")) })
 	}
--- a/internal/proxy/client_session.go
+++ b/internal/proxy/client_session.go
@@ -38,7 +38,7 @@
 
 	closed      bool
 	ending      bool // nothing more is read from it
-	readerEnded bool // what the reader has brought is answered first
+	readerEnded bool // the reader has ended before all that it had read was answered
 }
 
 // clientMessage is one message of a client after CONNECT.
@@ -51,7 +51,7 @@
 // idle says that the session may end without a loss for its client.
 func (c *clientSession) idle() bool { return c.statement == nil && c.IdleState() == stateIdle }
 
-// enqueueMessage takes in a message; a session's messages are answered in order.
+// enqueueMessage queues a message; a session's messages are answered in order.
 func (s *Server) enqueueMessage(client *clientSession, message clientMessage) {
 	if client.closed {
 		return
@@ -147,7 +147,7 @@
 	}
 }
 
-// pinnedConnLost takes in that the connection of the session's transaction is gone.
+// pinnedConnLost handles the loss of the connection that the session's transaction is open on.
 func (c *clientSession) pinnedConnLost() {
 	c.pinnedConn = nil
 	if c.IdleState() != stateIdle {
--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -26,8 +26,8 @@
 	// controlRetryInterval is waited after a member that could not be followed.
 	controlRetryInterval = 30 * time.Millisecond
 
-	// outgoingFrames may wait for the link; more are lost.
-	outgoingFrames = 256
+	// maxLinkCommands may wait for the link; more are lost.
+	maxLinkCommands = 256
 )
 
 var (
@@ -37,25 +37,36 @@
 	errStopped       = errors.New("this proxy stops")
 )
 
+// linkCommand is what the event loop has the link send: one of the two.
+type linkCommand struct {
+	suspect    *rpc.SuspectReport
+	renewLease bool
+}
+
 // controlLink follows the control plane: it finds the member that is the leader, receives its log updates and renews the lease.
-// All but outgoing belongs to the goroutine of run.
+// All but commands belongs to the goroutine of run. It is the Server's leaderLink.
 type controlLink struct {
 	server      *Server
-	outgoing    chan *rpc.Frame
+	commands    chan linkCommand
 	members     []string // addresses, as last received
 	nextAddress string   // the leader, as a member has named it; empty: members are tried in turn
 	turn        int
 }
 
 func newControlLink(s *Server) *controlLink {
-	return &controlLink{server: s, outgoing: make(chan *rpc.Frame, outgoingFrames)}
+	return &controlLink{server: s, commands: make(chan linkCommand, maxLinkCommands)}
 }
 
-// send sends a frame to the leader; nil: a lease request, at once. It is lost while there is none.
-func (l *controlLink) send(frame *rpc.Frame) {
+func (l *controlLink) reportSuspect(report *rpc.SuspectReport) {
+	l.enqueue(linkCommand{suspect: report})
+}
+
+func (l *controlLink) renewLease() { l.enqueue(linkCommand{renewLease: true}) }
+
+func (l *controlLink) enqueue(command linkCommand) {
 	select {
-	case l.outgoing <- frame:
-	default:
+	case l.commands <- command:
+	default: // lost; the event loop must not block
 	}
 }
 
--- a/internal/proxy/gossip.go
+++ b/internal/proxy/gossip.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// tickGossip sends what is due. seeds are addresses of proxies that the control plane has named, to be looked at.
+// tickGossip sends the probes and updates that are due. seeds are addresses of proxies that the control plane has named.
 func (s *Server) tickGossip(seeds []string) {
 	if s.membership == nil {
 		return
--- a/internal/proxy/greeting.go
+++ b/internal/proxy/greeting.go
@@ -13,13 +13,13 @@
 )
 
 // waitingClient is a session that began while this proxy had no valid lease. It waits for one for a short time: a client that
-// is turned away has to connect again.
+// is rejected has to connect again.
 type waitingClient struct {
 	session   *clientSession
 	arrivedAt time.Time
 }
 
-// beginSession takes in a client's CONNECT.
+// beginSession handles a client's CONNECT.
 func (s *Server) beginSession(client *clientSession, database string) {
 	client.database = database
 	client.id = s.nextID()
--- a/internal/proxy/host_conn.go
+++ b/internal/proxy/host_conn.go
@@ -110,7 +110,7 @@
 	pool.dialForQueued()
 }
 
-// connLost takes in that the host has ended a connection, or that it can't be used any more.
+// connLost handles the end of a connection: the host has closed it, or it can't be used any more.
 func (s *Server) connLost(conn *hostConn) {
 	if conn.closed {
 		s.closeConn(conn)
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -95,7 +95,7 @@
 	return conn
 }
 
-// dial opens a connection; connOpened or dialFailed receives the result.
+// dial opens a connection in the background; connOpened receives the result.
 func (p *hostPool) dial() {
 	s := p.server
 	p.dialing++
@@ -104,7 +104,7 @@
 	s.dial(&hostConn{pool: p, dialedAt: dialedAt, dialedEpoch: s.epochOf(p)})
 }
 
-// connOpened takes in the result of dial: the host's response to CONNECT, or an error.
+// connOpened handles the result of dial: the host's response to CONNECT, or an error.
 func (p *hostPool) connOpened(conn *hostConn, response wire.Response, err error) {
 	s := p.server
 	p.dialing--
@@ -129,8 +129,8 @@
 	s.releaseConn(conn)
 }
 
-// dialFailed ends attempts that would wait in vain. While the host only limits its connections, they go on waiting for those
-// that are open.
+// dialFailed ends the attempts that are queued for a connection. Where the host has only reached its limit of connections, they
+// stay queued for those that are open.
 func (p *hostPool) dialFailed(code wire.Code, err error) {
 	s := p.server
 	s.counters.connsFailed.Add(1)
@@ -155,8 +155,8 @@
 	}
 }
 
-// recordPosition takes in a host's position from a response to what was sent at sentAt. It is a sample of the primary's
-// position only if the epoch in which it was asked for has not ended.
+// recordPosition records a host's position from a response to what was sent at sentAt in an epoch. It is a sample of the
+// primary's position only if that epoch has not ended.
 func (p *hostPool) recordPosition(position wire.Position, sentAt policy.Tenth, epoch primaryEpoch) hostPosition {
 	svc := p.service
 	if epoch != noEpoch && epoch == primaryEpoch(svc.primary.ChangedAt) && svc.primary.Host == p.ID {
@@ -183,7 +183,7 @@
 	}
 	p.lastReportedMs = now
 	s.counters.suspectReports.Add(1)
-	s.sendToLeader(&rpc.Frame{SuspectReport: &rpc.SuspectReport{Service: p.Service, Host: p.ID, Refused: refused}})
+	s.leader.reportSuspect(&rpc.SuspectReport{Service: p.Service, Host: p.ID, Refused: refused})
 }
 
 // reportIfSilent reports a primary that owes a response and has sent nothing since.
--- a/internal/proxy/lease_renewal.go
+++ b/internal/proxy/lease_renewal.go
@@ -36,7 +36,7 @@
 	return sentAt
 }
 
-// renewLeases requests leases and sends what is outgoing, until ctx or the connection ends. The time of a request is taken
+// renewLeases requests leases and sends reports, until ctx or the connection ends. The time of a request is taken
 // before it is sent: a lease counts from then.
 func (l *controlLink) renewLeases(ctx context.Context, conn *rpc.Conn, requests *leaseRequestTimes) {
 	s := l.server
@@ -55,25 +55,25 @@
 			closeControlConn(conn)
 			return
 		}
-		if !l.sendOutgoing(ctx, conn, renewal) {
+		if !l.sendReports(ctx, conn, renewal) {
 			return
 		}
 	}
 }
 
-// sendOutgoing sends frames until the next lease request is due; false: ctx or the connection has ended.
-func (l *controlLink) sendOutgoing(ctx context.Context, conn *rpc.Conn, renewal *time.Ticker) bool {
+// sendReports sends reports until the next lease request is due; false: ctx or the connection has ended.
+func (l *controlLink) sendReports(ctx context.Context, conn *rpc.Conn, renewal *time.Ticker) bool {
 	for {
 		select {
 		case <-ctx.Done():
 			return false
 		case <-renewal.C:
 			return true
-		case frame := <-l.outgoing:
-			if frame == nil {
+		case command := <-l.commands:
+			if command.renewLease {
 				return true
 			}
-			if conn.Send(frame, controlSendTimeout) != nil {
+			if conn.Send(&rpc.Frame{SuspectReport: command.suspect}, controlSendTimeout) != nil {
 				closeControlConn(conn)
 				return false
 			}
@@ -81,7 +81,7 @@
 	}
 }
 
-// leaseGranted takes in a lease. requestedAt is when it was requested, in milliseconds of the clock; 0: not known.
+// leaseGranted extends the lease. requestedAt is when it was requested, in milliseconds of the clock; 0: not known.
 func (s *Server) leaseGranted(granted *rpc.LeaseResponse, requestedAt int64) {
 	if requestedAt == 0 || granted.CommitIndex > s.state.Index { // the log up to the grant has not been received yet
 		return
@@ -99,6 +99,6 @@
 func (s *Server) reportRevocationApplied() {
 	if s.revocationUnreported {
 		s.revocationUnreported = false
-		s.sendToLeader(nil)
+		s.leader.renewLease()
 	}
 }
--- a/internal/proxy/log_update.go
+++ b/internal/proxy/log_update.go
@@ -11,8 +11,9 @@
 // errLogGap refuses a log update: entries before it are missing. The link has to be made anew.
 var errLogGap = errors.New("entries of the log are missing")
 
-// applyLogUpdate takes in a log update and makes its consequences real. An error says that it does not fit the state: errLogGap,
-// statemachine.ErrDiverged, or that of a snapshot that can't be read. The state is then as far as it could be brought.
+// applyLogUpdate applies a log update to the replicated state, and reconciles the proxy with it. It returns errLogGap,
+// statemachine.ErrDiverged or the error of a snapshot that can't be read, if the update does not fit the state; entries before
+// the one at fault stay applied, and the caller has to make the link anew.
 func (s *Server) applyLogUpdate(update *rpc.LogUpdate) error {
 	if update.Snapshot != nil {
 		restored, err := s.restoreSnapshot(update)
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -18,7 +18,7 @@
 	// policyTick is the shortest time between two calls of policy.Router.Woke.
 	policyTick policy.Tenth = 50
 
-	// maxAttempts is how many hosts a statement may be sent to before the client is told to come again.
+	// maxAttempts is how many hosts a statement may be sent to before its client is answered with an error.
 	maxAttempts = 3
 
 	// maxComeback is the longest wait, in tenths of a millisecond, that a rejected client is asked for.
--- a/internal/proxy/reconcile.go
+++ b/internal/proxy/reconcile.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// reconcileHost brings one host in line, and says whether the balancer was told something new.
+// reconcileHost brings one host in line, and says whether the balancer's host list changed.
 func (s *Server) reconcileHost(want statemachine.Host) (changed bool) {
 	pool := s.pools[want.ID]
 	if pool != nil && (pool.Address != want.Address || pool.Service != want.Service) { // another host under the same name
@@ -76,7 +76,7 @@
 	return pool
 }
 
-// standingOf is what the balancer is told of a host. A primary that drains is used until another is appointed, or until the
+// standingOf is a host's standing in the balancer's host list. A primary that drains is used until another is appointed, or until the
 // platform's bound for draining is nearly over.
 func (s *Server) standingOf(pool *hostPool) policy.Standing {
 	if !pool.Draining {
@@ -92,7 +92,7 @@
 	return policy.Draining
 }
 
-// announce tells the balancer of a host. Who the primary is it learns by Leads; kind and boot time are not known here.
+// announce updates the balancer's host list. Who the primary is it learns by Leads; kind and boot time are not known here.
 func (p *hostPool) announce(standing policy.Standing, capacity float64) {
 	p.node.Listed(standing, false, p.Zone, "", capacity, 0)
 }
@@ -122,7 +122,7 @@
 	return want.Revoked && was.Nominee != want.Nominee
 }
 
-// changePrimary makes a change of a service's primary real: the old one is no longer used as such, and then the new one is.
+// changePrimary stops using the old primary of a service as such, and then starts using the new one.
 func (s *Server) changePrimary(svc *service, was statemachine.Primary) {
 	want := svc.primary
 	if old := s.pools[was.Host]; old != nil && (want.Revoked || want.Host != was.Host) {
@@ -141,8 +141,8 @@
 	}
 }
 
-// abortPrimaryWork ends what was sent to a host as to the primary: what it acknowledges from now on is not taken into account
-// when the next primary is chosen.
+// abortPrimaryWork ends what was sent to a host in its epoch as the primary: the next primary is chosen without regard to what
+// it acknowledges from now on.
 func (s *Server) abortPrimaryWork(pool *hostPool) {
 	for _, conn := range pool.connsByAge() {
 		stmt, client := conn.statement, conn.session
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -42,12 +42,12 @@
 	defer stop()
 	s := newServer(cfg, log, eventloop.NewSteadyClock(time.Now), rand.Uint64())
 	s.ctx = ctx
-	s.controlLink = newControlLink(s)
-	s.dial, s.sendToLeader = s.dialHost, s.controlLink.send
+	link := newControlLink(s)
+	s.dial, s.leader = s.dialHost, link
 	if err := s.listen(); err != nil {
 		return err
 	}
-	s.tasks.Go(s.controlLink.run)
+	s.tasks.Go(link.run)
 	eventLoopEnded := make(chan struct{})
 	go func() { s.runEventLoop(); close(eventLoopEnded) }()
 	log.Info("started", "node", cfg.Node, "front", cfg.Listen.Front)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -28,6 +28,14 @@
 	assumedProxyCount = 12
 )
 
+// leaderLink is the way to the leader of the control plane. What is sent while no leader is known is lost.
+type leaderLink interface {
+	// reportSuspect reports a primary that can't be reached.
+	reportSuspect(report *rpc.SuspectReport)
+	// renewLease requests a lease at once. The request also says up to where the log has been applied.
+	renewLease()
+}
+
 // Server is one proxy. Its fields belong to the event loop, unless they say otherwise.
 type Server struct {
 	// Set before the event loop starts and then only read, from any goroutine.
@@ -39,15 +47,15 @@
 	tasks       sync.WaitGroup  // goroutines that end after ctx
 	incarnation uint64
 
-	// The event loop: what is due when, and what an event has left to do.
+	// The event loop.
 	timers      eventloop.Timers[func()]
 	deferred    actionQueue
 	nextSweepAt time.Time
 
 	// Placement of statements.
 	balancer     *policy.Router
-	policyNow    policy.Tenth // what the balancer was last told
-	policyWakeAt time.Time    // zero: no call is due
+	policyNow    policy.Tenth // when the balancer was last called
+	policyWakeAt time.Time    // when it is to be called; zero: it has not asked for that
 	pools        map[string]*hostPool
 	poolByNode   map[*policy.Node]*hostPool
 	services     map[string]*service
@@ -65,15 +73,14 @@
 	proxyCount           int
 	diverged             bool // state is not what the log builds: a snapshot is needed
 	revocationUnreported bool // a revocation was applied and the leader does not know it yet
-	controlLink          *controlLink
-	sendToLeader         func(*rpc.Frame) // nil: report the applied index at once. Lost while there is no leader
+	leader               leaderLink
 
 	// Other proxies.
 	membership   *gossip.Membership // nil: other proxies are not looked for
 	gossipConn   net.PacketConn
 	nextGossipAt int64 // milliseconds of clock
 
-	// dial connects in the background; hostPool.dialed receives the result in the event loop.
+	// dial connects in the background; hostPool.connOpened receives the result in the event loop.
 	dial func(*hostConn)
 
 	shuttingDown      bool // SIGTERM has come
--- a/internal/proxy/simulation_member_conn_test.go
+++ b/internal/proxy/simulation_member_conn_test.go
@@ -191,14 +191,22 @@
 	})
 }
 
-// sendToMember sends a frame to the leader; nil: a lease request.
-func (p *proxyProcess) sendToMember(frame *rpc.Frame) {
-	conn := p.memberConn
-	switch {
-	case conn == nil || conn.closed || !conn.welcomed:
-	case frame == nil:
-		p.sim.After(0, conn.renewLease)
-	default:
-		conn.sendToMember(func() { conn.member.server.HandleProxyFrame(conn.proxyConn, frame) })
+// memberLink is a proxy's leaderLink to the member that it is connected to.
+type memberLink struct{ proxy *proxyProcess }
+
+func (l memberLink) renewLease() {
+	if conn := l.proxy.memberConn; conn.toLeader() {
+		l.proxy.sim.After(0, conn.renewLease)
 	}
 }
+
+func (l memberLink) reportSuspect(report *rpc.SuspectReport) {
+	if conn := l.proxy.memberConn; conn.toLeader() {
+		conn.sendToMember(func() {
+			conn.member.server.HandleProxyFrame(conn.proxyConn, &rpc.Frame{SuspectReport: report})
+		})
+	}
+}
+
+// toLeader says that the connection is open and the member at its end is the leader. c may be nil.
+func (c *memberConn) toLeader() bool { return c != nil && !c.closed && c.welcomed }
--- a/internal/proxy/simulation_proxy_test.go
+++ b/internal/proxy/simulation_proxy_test.go
@@ -44,11 +44,11 @@
 	incarnation := p.incarnation
 	p.server.dial = func(conn *hostConn) { p.dial(incarnation, conn) }
 	if sim.cluster != nil {
-		p.server.sendToLeader = p.sendToMember
+		p.server.leader = memberLink{p}
 		p.connectToNextMember(incarnation)
 		return
 	}
-	p.server.sendToLeader = func(frame *rpc.Frame) { p.sendToControl(incarnation, frame) }
+	p.server.leader = reliableControlLink{p, incarnation}
 	if _, known := sim.control.state.Proxies[p.name]; !known {
 		sim.control.apply(statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: p.name}})
 	}
@@ -77,18 +77,21 @@
 	}
 }
 
-// sendToControl sends a frame to a reliableControl.
-func (p *proxyProcess) sendToControl(incarnation int, frame *rpc.Frame) {
-	sim, control := p.sim, p.sim.control
-	if frame == nil {
-		p.renewLease(incarnation)
-		return
-	}
-	if frame.SuspectReport == nil || p.partitioned {
+// reliableControlLink is a proxy's leaderLink to a reliableControl.
+type reliableControlLink struct {
+	proxy       *proxyProcess
+	incarnation int
+}
+
+func (l reliableControlLink) renewLease() { l.proxy.renewLease(l.incarnation) }
+
+func (l reliableControlLink) reportSuspect(report *rpc.SuspectReport) {
+	sim, control := l.proxy.sim, l.proxy.sim.control
+	if l.proxy.partitioned {
 		return
 	}
 	sim.After(sim.Between(1*millisecond, 4*millisecond), func() {
-		control.coordinator.SuspectPrimary(p.name, frame.SuspectReport.Service, frame.SuspectReport.Host, control.nowMs())
+		control.coordinator.SuspectPrimary(l.proxy.name, report.Service, report.Host, control.nowMs())
 		control.evaluate()
 	})
 }
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -18,7 +18,7 @@
 	route      *route
 	group      *policy.CmdGroup
 	receivedAt time.Time
-	deadline   time.Time // when its answer is due
+	deadline   time.Time // of its answer
 
 	// The balancer's name and handle of it. Empty and nil for a statement of a transaction, whose connection is given.
 	commandID string
@@ -27,7 +27,7 @@
 	attempt      attempt
 	mayHaveRun   bool   // some attempt may have run
 	finished     bool   // its client has its answer, or is gone
-	hostResponse []byte // a host's last answer, for the case that the balancer finds no host with a better one
+	hostResponse []byte // the last host's answer or error, for the case that no other host can be tried
 }
 
 // attempt is one dispatch of a statement to a host.
@@ -42,7 +42,7 @@
 
 	// These two keep the value of the attempt before until this one is sent.
 	sentAt       policy.Tenth // 0: nothing was sent yet
-	primaryEpoch primaryEpoch // under which it was sent as to the primary; noEpoch: not so
+	primaryEpoch primaryEpoch // in which it was sent to the primary; noEpoch: it was sent fenced, to any host
 }
 
 func (stmt *statement) beginAttempt(pool *hostPool) {
@@ -124,8 +124,8 @@
 	s.forgetIfOver(stmt)
 }
 
-// readOrWriteGroup is what the balancer is told of a statement's needs. A read goes to the primary where the route allows no
-// staleness, and while no replica's position can be judged by.
+// readOrWriteGroup is the balancer's group for a statement, and by how much a session's read may lag behind other sessions'
+// writes. A read goes to the primary where the route allows no staleness, and while no position is known to fence it with.
 func (s *Server) readOrWriteGroup(stmt *statement, now policy.Tenth) (group *policy.CmdGroup, staleness policy.Tenth) {
 	route := stmt.route
 	switch {
@@ -174,7 +174,8 @@
 	s.processMessages(client)
 }
 
-// reject answers a statement of which nothing is kept. retryAfterMs is when to come again; 0: as the kind says.
+// reject answers a statement of which nothing is kept. retryAfterMs is when the client may retry, in milliseconds; 0: as
+// the kind says.
 func (s *Server) reject(stmt *statement, kind errcode.Kind, retryAfterMs int64) {
 	s.counters.rejected.Add(1)
 	s.finishStatement(stmt, s.errorReply(kind, retryAfterMs))
@@ -186,8 +187,8 @@
 	return kind.Append(nil, retryAfterMs)
 }
 
-// abandonStatement takes in that a statement's client is gone. What was sent runs to its end, and its connection is used
-// again.
+// abandonStatement handles the end of a client that waits for its answer. What was sent runs to its end, and its connection is
+// reused.
 func (s *Server) abandonStatement(stmt *statement) {
 	if stmt.finished {
 		return
--- a/internal/proxy/statement_outcome.go
+++ b/internal/proxy/statement_outcome.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// expireAttempt ends an attempt at its deadline. Its connection is closed: a late response could not be told from the next one.
+// expireAttempt ends an attempt at its deadline. Its connection is closed: a late response would be mistaken for the next
+// statement's.
 func (s *Server) expireAttempt(stmt *statement) {
 	attempt := &stmt.attempt
 	if attempt.over {
--- a/internal/proxy/statement_response.go
+++ b/internal/proxy/statement_response.go
@@ -8,10 +8,10 @@
 	"ferrypitch/policy"
 )
 
-// positionUnknown is what the balancer is told where a host's position can't be dated.
+// positionUnknown says that it is not known as of when a host is up to date.
 const positionUnknown policy.Tenth = -1
 
-// handleResponse takes in a host's response: to a setup statement, or to the client's statement.
+// handleResponse handles a host's response: to a setup statement, or to the client's statement.
 func (s *Server) handleResponse(conn *hostConn, response *wire.Response, receivedAt time.Time) {
 	if conn.closed {
 		return
@@ -29,8 +29,8 @@
 	}
 }
 
-// completeSetup takes in the response to a statement of the proxy's own. After the last one the connection is ready: for the
-// statement that waits, or after a rollback for any.
+// completeSetup handles the response to a statement of the proxy's own. After the last one the connection is ready: for the
+// statement that waits for it, or after a rollback for any.
 func (s *Server) completeSetup(conn *hostConn, response *wire.Response) {
 	conn.pendingSetup--
 	rolledBack := conn.rollingBack && response.State == stateIdle
@@ -52,7 +52,7 @@
 	}
 }
 
-// completeAttempt takes in the host's response to a client's statement.
+// completeAttempt handles the host's response to a client's statement.
 func (s *Server) completeAttempt(conn *hostConn, stmt *statement, response *wire.Response) {
 	now := s.refreshPolicyTime()
 	attempt := &stmt.attempt
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -14,7 +14,7 @@
 // let go to them.
 const staleConfigGrace = 500 * time.Millisecond
 
-// sweep does what is due now and then rather than on an event: every sweepInterval, with each lease and at shutdown.
+// sweep checks all that is bound to time instead of an event. It runs every sweepInterval, with each lease and at shutdown.
 func (s *Server) sweep(now time.Time) {
 	s.updateReadiness()
 	s.greetWaitingClients(now)
