--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -104,7 +104,7 @@
 	switch {
 	case stmt.step.Action == session.UsePinnedConn && stmt.step.Commit && stmt.attempt.sent && stmt.session.MayHaveWritten:
 		return errcode.InDoubt
-	case stmt.commandID != "" && (stmt.attempt.sent || stmt.mayHaveRun) && stmt.isAutocommitWrite():
+	case stmt.commandID != "" && (stmt.attempt.sent || stmt.mayHaveRun) && stmt.writesData():
 		return errcode.InDoubt
 	case stmt.step.Action == session.UsePinnedConn:
 		return errcode.RolledBack
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -59,8 +59,8 @@
 
 func (stmt *statement) isPinned() bool { return stmt.step.Action == session.UsePinnedConn }
 
-// isAutocommitWrite says that the statement has an effect by itself, outside of a transaction.
-func (stmt *statement) isAutocommitWrite() bool { return stmt.step.Writes && !stmt.step.Begins }
+// writesData says that the statement itself may write. BEGIN does not, though it may ask for the primary.
+func (stmt *statement) writesData() bool { return stmt.step.Writes && !stmt.step.Begins }
 
 // ownWrites is what the session wrote itself and must see, where its route promises that.
 func (stmt *statement) ownWrites() wire.Position {
--- a/internal/proxy/statement_outcome.go
+++ b/internal/proxy/statement_outcome.go
@@ -26,7 +26,7 @@
 		s.failPinned(stmt)
 		return
 	}
-	if attempt.sent && stmt.isAutocommitWrite() && outcome != policy.Moot {
+	if attempt.sent && stmt.writesData() && outcome != policy.Moot {
 		stmt.mayHaveRun = true
 	}
 	if !attempt.sent && outcome == policy.Reset {
--- a/internal/proxy/statement_response.go
+++ b/internal/proxy/statement_response.go
@@ -74,7 +74,7 @@
 
 // acknowledgesWrite says that a response of a primary makes a write durable in the eyes of the client.
 func (stmt *statement) acknowledgesWrite(response *wire.Response) bool {
-	writes := stmt.isAutocommitWrite() || stmt.step.Commit && stmt.session.MayHaveWritten
+	writes := stmt.writesData() || stmt.step.Commit && stmt.session.MayHaveWritten
 	return stmt.attempt.primaryEpoch != noEpoch && writes && response.Code == ""
 }
 
