--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -46,7 +46,7 @@
 	}
 	closeConn := func() {
 		close(closed)
-		conn.Close()
+		_ = conn.Close()
 	}
 	accepted := make(chan *ProxyConn, 1)
 	if !p.queue.Put(eventloop.PriorityLists, func() {
@@ -79,7 +79,7 @@
 			return
 		case frame := <-outgoing:
 			if conn.Send(frame, proxySendTimeout) != nil {
-				conn.Close()
+				_ = conn.Close()
 				return
 			}
 		}
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -84,9 +84,9 @@
 	return frame, nil
 }
 
-// Close closes the socket. A Send or Receive under way returns an error. The error of closing is dropped: it only says that
-// the socket was closed before, which is usual where a cancelled context and the owner both close it.
-func (c *Conn) Close() { c.conn.Close() }
+// Close closes the socket. A Send or Receive under way returns an error. Close fails only if the socket was closed before, which
+// is usual where a cancelled context and the owner both close it; callers may ignore it.
+func (c *Conn) Close() error { return c.conn.Close() }
 
 // RemoteIP is the address of the other side without its port.
 func (c *Conn) RemoteIP() string {
--- a/internal/rpc/mesh.go
+++ b/internal/rpc/mesh.go
@@ -71,7 +71,7 @@
 		select {
 		case <-s.mesh.ctx.Done():
 			if s.conn != nil {
-				s.conn.Close()
+				_ = s.conn.Close()
 			}
 			return
 		case frame := <-s.queue:
@@ -86,7 +86,7 @@
 		return
 	}
 	if err := s.conn.Send(frame, meshSendTimeout); err != nil {
-		s.conn.Close()
+		_ = s.conn.Close()
 		s.conn, s.failedAt = nil, time.Now()
 		s.mesh.Dropped.Add(1)
 	}
@@ -111,7 +111,7 @@
 func closeAtEOF(conn *Conn) {
 	for {
 		if _, err := conn.Receive(meshReadTimeout); err != nil {
-			conn.Close()
+			_ = conn.Close()
 			return
 		}
 	}
