--- a/internal/control/catch_up_test.go
+++ b/internal/control/catch_up_test.go
@@ -17,7 +17,6 @@
 	"ferrypitch/internal/control/storage"
 	"ferrypitch/internal/eventloop"
 	"ferrypitch/internal/rpc"
-	"ferrypitch/internal/settings"
 	"ferrypitch/internal/simulation/scheduler"
 )
 
@@ -74,19 +73,21 @@
 	c := m.cluster
 	m.incarnation++
 	m.up, m.unsynced, m.linkFreeAt, m.diskFreeAt = true, nil, map[string]int64{}, 0
-	nodeSettings := &settings.Settings{Node: "n" + m.ip(), Ip: m.ip(), BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
-	nodeSettings.FaultBudget.Machines = 1
-	nodeSettings.Listen.Control = m.ip() + ":8080"
 	restored := m.disk
 	restored.Entries = slices.Clone(restored.Entries)
 	clock := eventloop.NewSteadyClock(func() time.Time { return time.UnixMilli(c.Now) })
-	server, err := New(nodeSettings, hclog.NewNullLogger(), clock, m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
+	server, err := New(settingsAt(m.ip()), hclog.NewNullLogger(), clock, m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
 	if err != nil {
 		panic(err)
 	}
 	m.server = server
 	incarnation := m.incarnation
-	server.SetEnvironment(Environment{Send: m.send, Persist: func(x []consensus.Write) { m.persist(incarnation, x) }, QueryHost: func(failover.HostQuery, statemachine.Host) {}, Promote: func(failover.Promotion) {}})
+	server.SetEnvironment(Environment{
+		Send:      m.send,
+		Persist:   func(writes []consensus.Write) { m.persist(incarnation, writes) },
+		QueryHost: func(failover.HostQuery, statemachine.Host) {},
+		Promote:   func(failover.Promotion) {},
+	})
 	m.tick(incarnation)
 }
 
@@ -100,9 +101,9 @@
 	})
 }
 
-func (m *byteCostMember) run(incarnation int, what func()) {
+func (m *byteCostMember) run(incarnation int, step func()) {
 	if m.up && m.incarnation == incarnation {
-		what()
+		step()
 	}
 }
 
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -67,6 +67,20 @@
 	return c
 }
 
+// settingsAt returns the settings of a member at an address. The seeds are 10.0.0.1 to 10.0.0.3.
+func settingsAt(ip string) *settings.Settings {
+	nodeSettings := &settings.Settings{
+		Node:      "n" + ip,
+		Ip:        ip,
+		Zone:      "z",
+		BeatMs:    1200,
+		SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"},
+	}
+	nodeSettings.FaultBudget.Machines = 1
+	nodeSettings.Listen.Control = ip + ":8080"
+	return nodeSettings
+}
+
 func (c *cluster) time() time.Time {
 	return time.Unix(0, 0).Add(time.Duration(c.Now) * time.Millisecond / time.Duration(unitsPerMs))
 }
@@ -75,15 +89,9 @@
 	c := m.cluster
 	m.incarnation++
 	m.up, m.frozen, m.suspended, m.unsynced, m.arrivesAt = true, false, nil, nil, map[string]int64{}
-	nodeSettings := &settings.Settings{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
-	nodeSettings.FaultBudget.Machines = 1
-	nodeSettings.Listen.Control = m.ip + ":8080"
-	for _, seed := range c.members[:3] {
-		nodeSettings.SeedPeers = append(nodeSettings.SeedPeers, seed.ip+":8080")
-	}
 	restored := m.disk
 	restored.Entries = slices.Clone(restored.Entries)
-	server, err := New(nodeSettings, hclog.NewNullLogger(), eventloop.NewSteadyClock(c.time), m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
+	server, err := New(settingsAt(m.ip), hclog.NewNullLogger(), eventloop.NewSteadyClock(c.time), m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
 	if err != nil {
 		panic(err)
 	}
@@ -99,13 +107,13 @@
 }
 
 // run runs a step in a member's process, later if the process is suspended.
-func (m *clusterMember) run(incarnation int, what func()) {
+func (m *clusterMember) run(incarnation int, step func()) {
 	switch {
 	case !m.up || m.incarnation != incarnation:
 	case m.frozen:
-		m.suspended = append(m.suspended, what)
+		m.suspended = append(m.suspended, step)
 	default:
-		what()
+		step()
 	}
 }
 
@@ -169,9 +177,9 @@
 	}
 	m.frozen = false
 	for len(m.suspended) > 0 && m.up && !m.frozen {
-		do := m.suspended[0]
+		step := m.suspended[0]
 		m.suspended = m.suspended[1:]
-		do()
+		step()
 	}
 }
 
--- a/internal/control/forwarding_test.go
+++ b/internal/control/forwarding_test.go
@@ -17,7 +17,6 @@
 	"ferrypitch/internal/control/storage"
 	"ferrypitch/internal/eventloop"
 	"ferrypitch/internal/rpc"
-	"ferrypitch/internal/settings"
 	"ferrypitch/internal/simulation/scheduler"
 )
 
@@ -60,13 +59,6 @@
 	return c
 }
 
-func settingsAt(ip string) *settings.Settings {
-	p := &settings.Settings{Node: "n" + ip, Ip: ip, Zone: "z", BeatMs: 1200, SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"}}
-	p.FaultBudget.Machines = 1
-	p.Listen.Control = ip + ":8080"
-	return p
-}
-
 func (m *forwardingMember) start() {
 	c := m.cluster
 	m.incarnation++
--- a/internal/control/partition_cluster_test.go
+++ b/internal/control/partition_cluster_test.go
@@ -14,7 +14,6 @@
 	"ferrypitch/internal/control/storage"
 	"ferrypitch/internal/eventloop"
 	"ferrypitch/internal/rpc"
-	"ferrypitch/internal/settings"
 	"ferrypitch/internal/simulation/scheduler"
 )
 
@@ -119,12 +118,8 @@
 	m.incarnation++
 	m.up, m.frozen, m.suspended, m.unsynced, m.links = true, false, nil, nil, map[*partitionLink]bool{}
 	m.clockRate, m.startedAt, m.checkedIndex = c.clockRate(), c.Now, 0
-	nodeSettings := &settings.Settings{Node: "n" + m.ip, Ip: m.ip, Zone: "z", BeatMs: 1200}
+	nodeSettings := settingsAt(m.ip)
 	nodeSettings.FaultBudget.Machines = len(c.members) / 2
-	nodeSettings.Listen.Control = m.ip + ":8080"
-	for _, seed := range c.members[:3] {
-		nodeSettings.SeedPeers = append(nodeSettings.SeedPeers, seed.ip+":8080")
-	}
 	restored := m.disk
 	restored.Entries = slices.Clone(restored.Entries)
 	server, err := New(nodeSettings, hclog.NewNullLogger(), eventloop.NewSteadyClock(m.time), m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
@@ -147,13 +142,13 @@
 	return time.Unix(1e9, 0).Add(time.Duration(float64(m.cluster.Now-m.startedAt) * m.clockRate * 1e6))
 }
 
-func (m *partitionMember) run(incarnation int, what func()) {
+func (m *partitionMember) run(incarnation int, step func()) {
 	switch {
 	case !m.up || m.incarnation != incarnation:
 	case m.frozen:
-		m.suspended = append(m.suspended, what)
+		m.suspended = append(m.suspended, step)
 	default:
-		what()
+		step()
 		m.cluster.checkInvariants()
 	}
 }
@@ -264,9 +259,9 @@
 		}
 		m.frozen = false
 		for len(m.suspended) > 0 && m.up && !m.frozen {
-			do := m.suspended[0]
+			step := m.suspended[0]
 			m.suspended = m.suspended[1:]
-			m.run(incarnation, do)
+			m.run(incarnation, step)
 		}
 	})
 }
