--- a/internal/control/consensus/capacity_test.go
+++ b/internal/control/consensus/capacity_test.go
@@ -61,7 +61,7 @@
 				g.carry(leads.id, o)
 				if n++; n%400 == 0 {
 					for id, c := range g.cores {
-						g.carry(id, c.Compact(c.given, nil, 200, g.now))
+						g.carry(id, c.Compact(c.appliedIndex, nil, 200, g.now))
 					}
 				}
 			}
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -14,97 +14,99 @@
 
 // HoldsLease says that no other view can have begun by now, and that all that was delivered in older ones was delivered
 // here. Only then may anything be granted or acknowledged.
-func (c *Node) HoldsLease(now int64) bool {
-	return c.role == leader && !c.transferring && c.began > 0 && c.commit >= c.began && now < c.heldUntil()
+func (n *Node) HoldsLease(nowMs int64) bool {
+	return n.role == leader && !n.transferring && n.termStartIndex > 0 && n.commitIndex >= n.termStartIndex && nowMs < n.leaseUntilMs()
 }
 
-// heldUntil is when the first lease of the majority that held out longest ends, less a tenth for clocks that drift.
-func (c *Node) heldUntil() int64 {
-	until := int64(1<<62 - 1)
-	for _, g := range c.active() {
-		var at []int64
-		for _, m := range g.members {
-			switch p := c.peers[m]; {
-			case m == c.id:
-				at = append(at, c.now)
+// leaseUntilMs is when the first lease of the majority that held out longest ends, less a tenth for clocks that drift.
+func (n *Node) leaseUntilMs() int64 {
+	earliest := int64(1<<62 - 1)
+	for _, config := range n.activeConfigurations() {
+		var confirmedAtMs []int64
+		for _, member := range config.members {
+			switch p := n.peers[member]; {
+			case member == n.id:
+				confirmedAtMs = append(confirmedAtMs, n.nowMs)
 			case p != nil:
-				at = append(at, p.confirmed)
+				confirmedAtMs = append(confirmedAtMs, p.heartbeatAckedAtMs)
 			default:
-				at = append(at, 0)
+				confirmedAtMs = append(confirmedAtMs, 0)
 			}
 		}
-		slices.SortFunc(at, func(a, b int64) int { return int(max(-1, min(1, b-a))) })
-		if len(at) == 0 {
+		slices.SortFunc(confirmedAtMs, func(a, b int64) int { return int(max(-1, min(1, b-a))) })
+		if len(confirmedAtMs) == 0 {
 			return 0
 		}
-		until = min(until, at[len(at)/2]+c.LeaseMs*9/10)
+		earliest = min(earliest, confirmedAtMs[len(confirmedAtMs)/2]+n.LeaseMs*9/10)
 	}
-	return until
+	return earliest
 }
 
-// rest draws when to ask for votes, should no leader be heard by then.
-func (c *Node) rest() {
-	c.askAt = c.now + c.LeaseMs + 50 + int64(c.chance()*float64(c.ElectionJitterMs))
-	if c.last() < c.commit { // nobody with less is to go first
-		c.askAt += c.ElectionJitterMs
+// resetElectionTimer draws when to ask for votes, should no leader be heard by then.
+func (n *Node) resetElectionTimer() {
+	n.electionAtMs = n.nowMs + n.LeaseMs + 50 + int64(n.random()*float64(n.ElectionJitterMs))
+	if n.lastIndex() < n.commitIndex { // nobody with less is to go first
+		n.electionAtMs += n.ElectionJitterMs
 	}
 }
 
-func (c *Node) lead() {
-	if c.now > max(c.heldUntil(), c.ledAt)+2*c.LeaseMs || c.transferring && c.now > c.silenced+c.LeaseMs {
-		c.fall("")
+func (n *Node) tickLeader() {
+	if n.nowMs > max(n.leaseUntilMs(), n.leaderSinceMs)+2*n.LeaseMs || n.transferring && n.nowMs > n.transferStartedAtMs+n.LeaseMs {
+		n.becomeFollower("")
 		return
 	}
-	beat := c.now >= c.beatAt
+	beat := n.nowMs >= n.nextHeartbeatAtMs
 	if beat {
-		c.beatAt = c.now + c.HeartbeatMs
+		n.nextHeartbeatAtMs = n.nowMs + n.HeartbeatMs
 	}
-	for _, id := range c.others() {
-		p := c.peers[id]
-		if beat && !c.transferring {
-			c.heartbeat(id)
+	for _, id := range n.peerIDs() {
+		p := n.peers[id]
+		if beat && !n.transferring {
+			n.sendHeartbeat(id)
 		}
-		c.feed(id, p)
-		if p.learner && c.now > p.heardAt+4*c.LeaseMs {
-			delete(c.peers, id)
+		n.replicate(id, p)
+		if p.learner && n.nowMs > p.heardAtMs+4*n.LeaseMs {
+			delete(n.peers, id)
 		}
 	}
-	c.adopt()
+	n.promoteLearner()
 }
 
-// unheard says that a member was silent for so long that a leader which has lost its majority must not bind it any
+// unresponsive says that a member was silent for so long that a leader which has lost its majority must not bind it any
 // more: it may hear well, and be heard by all others. It is only asked whether it is there.
-func (c *Node) unheard(p *progress) bool {
-	return c.now > p.heardAt+c.LeaseMs && c.now > max(c.heldUntil(), c.ledAt+c.LeaseMs)
+func (n *Node) unresponsive(p *progress) bool {
+	return n.nowMs > p.heardAtMs+n.LeaseMs && n.nowMs > max(n.leaseUntilMs(), n.leaderSinceMs+n.LeaseMs)
 }
 
-func (c *Node) heartbeat(id ID) {
-	p := c.peers[id]
-	if c.unheard(p) {
-		c.send(Message{Type: MsgVoteRequest, To: id, PreVote: true}) // as one that has nothing, it stops no other
+func (n *Node) sendHeartbeat(id ID) {
+	p := n.peers[id]
+	if n.unresponsive(p) {
+		n.send(Message{Type: MsgVoteRequest, To: id, PreVote: true}) // as one that has nothing, it stops no other
 		return
 	}
-	c.send(Message{Type: MsgHeartbeat, To: id, SentAtMs: c.now, CommitIndex: min(c.commit, p.match)})
+	n.send(Message{Type: MsgHeartbeat, To: id, SentAtMs: n.nowMs, CommitIndex: min(n.commitIndex, p.matchIndex)})
 }
 
-// ask begins an election: first whether votes would be had, then for them.
-func (c *Node) ask(preVote, transferred bool) {
-	c.role, c.leader, c.preVote, c.transferred = candidate, "", preVote, transferred
-	free := !c.promised() // its own vote is bound like any other's
-	c.votes, c.fresh = map[ID]bool{c.id: preVote && free}, map[ID]bool{c.id: !c.heard}
-	if c.rounds++; preVote { // asking whether votes would be had harms nobody
-		c.askAt = c.now + c.HeartbeatMs/2 + int64(c.chance()*float64(c.ElectionJitterMs)/2)
+// campaign begins an election: first whether votes would be had, then for them.
+func (n *Node) campaign(preVote, transferred bool) {
+	n.role, n.leaderID, n.preVote, n.transferred = candidate, "", preVote, transferred
+	free := !n.boundByLease() // its own vote is bound like any other's
+	n.votes, n.coldStarts = map[ID]bool{n.id: preVote && free}, map[ID]bool{n.id: !n.leaderSeen}
+	if n.campaignCount++; preVote { // asking whether votes would be had harms nobody
+		n.electionAtMs = n.nowMs + n.HeartbeatMs/2 + int64(n.random()*float64(n.ElectionJitterMs)/2)
 	} else { // two at once may take each other's votes; slow disks need longer each time
-		c.tries = min(c.tries+1, 8)
-		c.askAt = c.now + int64(c.tries)*c.HeartbeatMs + int64(c.chance()*float64(c.ElectionJitterMs))
+		n.electionCount = min(n.electionCount+1, 8)
+		n.electionAtMs = n.nowMs + int64(n.electionCount)*n.HeartbeatMs + int64(n.random()*float64(n.ElectionJitterMs))
 	}
-	view, _ := c.viewAt(c.last())
-	m := c.telling(Message{Type: MsgVoteRequest, Index: c.last(), PrevTerm: view, PreVote: preVote, LeadershipTransfer: transferred,
-		ColdStart: c.allFresh && !preVote})
+	term, _ := n.termAt(n.lastIndex())
+	m := n.withCommitPoint(Message{
+		Type: MsgVoteRequest, Index: n.lastIndex(), PrevTerm: term, PreVote: preVote, LeadershipTransfer: transferred,
+		ColdStart: n.clusterColdStart && !preVote,
+	})
 	to := map[ID]bool{}
-	for _, g := range c.active() {
-		for _, id := range g.members {
-			if id != c.id {
+	for _, config := range n.activeConfigurations() {
+		for _, id := range config.members {
+			if id != n.id {
 				to[id] = true
 			}
 		}
@@ -115,165 +117,167 @@
 	}
 	slices.Sort(all)
 	if preVote { // an answer of another round may be old: whoever was fresh then may have promised itself since
-		c.round++
-		m.PreVoteRound = c.round
+		n.preVoteRound++
+		m.PreVoteRound = n.preVoteRound
 		for _, id := range all {
 			m.To = id
-			c.send(m)
+			n.send(m)
 		}
-		c.elected()
+		n.countVotes()
 		return
 	}
-	c.meta.Term, c.meta.Vote = c.meta.Term+1, c.id
-	meta := c.meta
-	messages := []Message{{Type: MsgVoteResponse, To: c.id, Granted: free || transferred || m.ColdStart}}
+	n.hardState.Term, n.hardState.Vote = n.hardState.Term+1, n.id
+	meta := n.hardState
+	messages := []Message{{Type: MsgVoteResponse, To: n.id, Granted: free || transferred || m.ColdStart}}
 	for _, id := range all {
 		m.To = id
 		messages = append(messages, m)
 	}
-	c.write(Write{HardState: &meta}, messages...)
+	n.persist(Write{HardState: &meta}, messages...)
 }
 
-func (c *Node) elected() {
-	if c.role == candidate && !c.member(c.id) { // it has learnt from a vote that it is out
-		c.fall("")
+func (n *Node) countVotes() {
+	if n.role == candidate && !n.isMember(n.id) { // it has learnt from a vote that it is out
+		n.becomeFollower("")
 		return
 	}
 	// Where all members are in lives in which none has heard a leader, none leads: there is no lease to wait out.
-	c.allFresh = c.preVote && c.all(func(id ID) bool { return c.fresh[id] })
-	if c.role == candidate && c.allFresh {
-		c.ask(false, false)
+	n.clusterColdStart = n.preVote && n.everyMember(func(id ID) bool { return n.coldStarts[id] })
+	if n.role == candidate && n.clusterColdStart {
+		n.campaign(false, false)
 		return
 	}
-	if c.role != candidate || !c.majority(func(id ID) bool { return c.votes[id] }) {
+	if n.role != candidate || !n.hasQuorum(func(id ID) bool { return n.votes[id] }) {
 		return
 	}
-	if c.preVote {
-		c.ask(false, c.transferred)
+	if n.preVote {
+		n.campaign(false, n.transferred)
 		return
 	}
-	c.heard = true
-	c.role, c.leader, c.transferring, c.beatAt, c.ledAt = leader, c.id, false, c.now, c.now
-	c.peers = map[ID]*progress{}
-	c.follow()
-	c.peers[c.id].match = c.saved
-	first := Entry{Term: c.meta.Term}
-	if c.configs[len(c.configs)-1].index == 0 { // learners are told no other way who the first members were
-		first.Members = c.Members()
+	n.leaderSeen = true
+	n.role, n.leaderID, n.transferring, n.nextHeartbeatAtMs, n.leaderSinceMs = leader, n.id, false, n.nowMs, n.nowMs
+	n.peers = map[ID]*progress{}
+	n.syncPeers()
+	n.peers[n.id].matchIndex = n.persistedIndex
+	first := Entry{Term: n.hardState.Term}
+	if n.configurations[len(n.configurations)-1].index == 0 { // learners are told no other way who the first members were
+		first.Members = n.Members()
 	}
-	c.append(first)
-	c.began = c.last()
-	c.lead()
+	n.appendEntry(first)
+	n.termStartIndex = n.lastIndex()
+	n.tickLeader()
 }
 
-// fall has a member follow again.
-func (c *Node) fall(to ID) {
-	c.role, c.leader, c.peers, c.votes, c.began, c.transferring = follower, to, nil, nil, 0, false
-	c.rest()
+// becomeFollower has a member follow again.
+func (n *Node) becomeFollower(to ID) {
+	n.role, n.leaderID, n.peers, n.votes, n.termStartIndex, n.transferring = follower, to, nil, nil, 0, false
+	n.resetElectionTimer()
 }
 
 // TransferLeadership hands the view over to the member that has most, if this one leads. Nothing is granted here any more.
-func (c *Node) TransferLeadership(now int64) Ready {
-	c.clock(now)
-	c.transfer()
-	return c.take()
+func (n *Node) TransferLeadership(nowMs int64) Ready {
+	n.advanceClock(nowMs)
+	n.startTransfer()
+	return n.takeReady()
 }
 
-func (c *Node) transfer() {
-	if c.role != leader || c.transferring {
+func (n *Node) startTransfer() {
+	if n.role != leader || n.transferring {
 		return
 	}
 	best := ID("")
-	for _, id := range c.others() {
-		p := c.peers[id]
-		if p.learner || c.now >= p.heardAt+c.LeaseMs {
+	for _, id := range n.peerIDs() {
+		p := n.peers[id]
+		if p.learner || n.nowMs >= p.heardAtMs+n.LeaseMs {
 			continue
 		}
-		if best == "" || c.leaves(best) && !c.leaves(id) || c.leaves(best) == c.leaves(id) && p.match > c.peers[best].match {
+		if best == "" || n.isLeaving(best) && !n.isLeaving(id) || n.isLeaving(best) == n.isLeaving(id) && p.matchIndex > n.peers[best].matchIndex {
 			best = id
 		}
 	}
 	if best != "" {
-		c.transferring, c.silenced, c.heir = true, c.now, best
-		c.yield()
+		n.transferring, n.transferStartedAtMs, n.transferee = true, n.nowMs, best
+		n.finishTransfer()
 	}
 }
 
-// yield has the heir ask for votes once it holds all that was appended: before, others may have what it lacks, and refuse.
-func (c *Node) yield() {
-	if !c.transferring || c.heir == "" || c.peers[c.heir] == nil || c.peers[c.heir].match < c.last() {
+// finishTransfer has the heir ask for votes once it holds all that was appended: before, others may have what it lacks, and refuse.
+func (n *Node) finishTransfer() {
+	if !n.transferring || n.transferee == "" || n.peers[n.transferee] == nil || n.peers[n.transferee].matchIndex < n.lastIndex() {
 		return
 	}
-	heir := c.heir
-	c.heir = ""
-	c.send(Message{Type: MsgTimeoutNow, To: heir})
-	if !c.member(c.id) { // nobody tells it who leads now
-		c.fall(heir)
+	heir := n.transferee
+	n.transferee = ""
+	n.send(Message{Type: MsgTimeoutNow, To: heir})
+	if !n.isMember(n.id) { // nobody tells it who leads now
+		n.becomeFollower(heir)
 	}
 }
 
-// telling adds what is known here to be delivered: where a leader is lost right after a change of members, what knows
+// withCommitPoint adds what is known here to be delivered: where a leader is lost right after a change of members, what knows
 // of it and what can lead need not be the same member.
-func (c *Node) telling(m Message) Message {
-	m.CommitIndex = max(c.commit, c.meta.CommittedConfigIndex)
-	m.CommitTerm, _ = c.viewAt(m.CommitIndex)
+func (n *Node) withCommitPoint(m Message) Message {
+	m.CommitIndex = max(n.commitIndex, n.hardState.CommittedConfigIndex)
+	m.CommitTerm, _ = n.termAt(m.CommitIndex)
 	return m
 }
 
-// learn takes in what another knows to be delivered: with that entry alike, all before it are.
-func (c *Node) learn(m Message) {
-	if view, held := c.viewAt(m.CommitIndex); held && m.CommitIndex > c.commit && view == m.CommitTerm {
-		c.commitTo(m.CommitIndex)
+// learnCommitPoint takes in what another knows to be delivered: with that entry alike, all before it are.
+func (n *Node) learnCommitPoint(m Message) {
+	if term, held := n.termAt(m.CommitIndex); held && m.CommitIndex > n.commitIndex && term == m.CommitTerm {
+		n.commitTo(m.CommitIndex)
 	}
 }
 
-// promised says that a leader may count on this member: one that it has heard, or that an earlier life may have heard.
-func (c *Node) promised() bool { return c.now < max(c.heardAt, c.startedAt)+c.LeaseMs }
+// boundByLease says that a leader may count on this member: one that it has heard, or that an earlier life may have heard.
+func (n *Node) boundByLease() bool { return n.nowMs < max(n.leaderHeardAtMs, n.startedAtMs)+n.LeaseMs }
 
-// asked answers a candidate. A member that has promised itself to a view gives no vote until that is over, and takes
+// stepVoteRequest answers a candidate. A member that has promised itself to a view gives no vote until that is over, and takes
 // part in nothing newer meanwhile.
-func (c *Node) asked(m Message) {
-	view, _ := c.viewAt(c.last())
-	upToDate := m.PrevTerm > view || m.PrevTerm == view && m.Index >= c.last()
-	bound := c.promised() || c.role == leader && c.now < c.heldUntil()+c.LeaseMs/5
-	if m.LeadershipTransfer && m.From != "" && c.role == follower && c.now >= c.startedAt+c.LeaseMs {
+func (n *Node) stepVoteRequest(m Message) {
+	term, _ := n.termAt(n.lastIndex())
+	upToDate := m.PrevTerm > term || m.PrevTerm == term && m.Index >= n.lastIndex()
+	bound := n.boundByLease() || n.role == leader && n.nowMs < n.leaseUntilMs()+n.LeaseMs/5
+	if m.LeadershipTransfer && m.From != "" && n.role == follower && n.nowMs >= n.startedAtMs+n.LeaseMs {
 		bound = false
 	}
-	if m.LeadershipTransfer && c.role == leader && c.transferring || m.ColdStart && !c.heard {
+	if m.LeadershipTransfer && n.role == leader && n.transferring || m.ColdStart && !n.leaderSeen {
 		bound = false
 	}
 	if m.PreVote {
-		newer := m.Term+1 > c.meta.Term
+		newer := m.Term+1 > n.hardState.Term
 		// Two that try at once would take each other's votes. With as much each, the one that comes first by name goes on, for
 		// as long as it may yet get through.
-		if c.role == candidate && c.preVote && c.rounds <= 2 && upToDate && newer && !bound && m.PrevTerm == view && m.Index == c.last() {
-			if c.id < m.From {
+		if n.role == candidate && n.preVote && n.campaignCount <= 2 && upToDate && newer && !bound && m.PrevTerm == term && m.Index == n.lastIndex() {
+			if n.id < m.From {
 				newer = false
 			} else {
-				c.fall("")
-				c.askAt = c.now + 2*c.HeartbeatMs + int64(c.chance()*float64(c.ElectionJitterMs))
+				n.becomeFollower("")
+				n.electionAtMs = n.nowMs + 2*n.HeartbeatMs + int64(n.random()*float64(n.ElectionJitterMs))
 			}
 		}
-		c.send(c.telling(Message{Type: MsgVoteResponse, To: m.From, PreVote: true, Granted: !bound && upToDate && newer,
-			ColdStart: !c.heard && upToDate, PreVoteRound: m.PreVoteRound}))
+		n.send(n.withCommitPoint(Message{
+			Type: MsgVoteResponse, To: m.From, PreVote: true, Granted: !bound && upToDate && newer,
+			ColdStart: !n.leaderSeen && upToDate, PreVoteRound: m.PreVoteRound,
+		}))
 		return
 	}
-	if bound || m.Term < c.meta.Term {
+	if bound || m.Term < n.hardState.Term {
 		return
 	}
-	if m.Term > c.meta.Term {
-		c.meta.Term, c.meta.Vote = m.Term, ""
-		c.fall("")
-	} else if c.meta.Vote != "" && c.meta.Vote != m.From || c.role == leader {
+	if m.Term > n.hardState.Term {
+		n.hardState.Term, n.hardState.Vote = m.Term, ""
+		n.becomeFollower("")
+	} else if n.hardState.Vote != "" && n.hardState.Vote != m.From || n.role == leader {
 		return
 	}
 	if !upToDate {
-		meta := c.meta
-		c.write(Write{HardState: &meta})
+		meta := n.hardState
+		n.persist(Write{HardState: &meta})
 		return
 	}
-	c.meta.Vote = m.From
-	c.rest()
-	meta := c.meta
-	c.write(Write{HardState: &meta}, c.telling(Message{Type: MsgVoteResponse, To: m.From, Granted: true}))
+	n.hardState.Vote = m.From
+	n.resetElectionTimer()
+	meta := n.hardState
+	n.persist(Write{HardState: &meta}, n.withCommitPoint(Message{Type: MsgVoteResponse, To: m.From, Granted: true}))
 }
--- a/internal/control/consensus/explore_test.go
+++ b/internal/control/consensus/explore_test.go
@@ -63,8 +63,8 @@
 
 func cloneCore(c *Node) *Node {
 	n := *c
-	n.log, n.waiting, n.configs = slices.Clone(c.log), slices.Clone(c.waiting), slices.Clone(c.configs)
-	n.votes, n.fresh, n.peers = maps.Clone(c.votes), maps.Clone(c.fresh), maps.Clone(c.peers)
+	n.entries, n.pendingWrites, n.configurations = slices.Clone(c.entries), slices.Clone(c.pendingWrites), slices.Clone(c.configurations)
+	n.votes, n.coldStarts, n.peers = maps.Clone(c.votes), maps.Clone(c.coldStarts), maps.Clone(c.peers)
 	for id, p := range n.peers {
 		q := *p
 		n.peers[id] = &q
@@ -138,19 +138,19 @@
 }
 
 func (h *hasher) core(c *Node) {
-	h.ids(c.id, c.meta.Vote, c.leader)
-	h.num(int64(c.meta.Term), int64(c.meta.CommittedConfigIndex), int64(c.commit), int64(c.saved), int64(c.settled), int64(c.role), c.heardAt, c.askAt,
-		c.joinAt, c.tries, int64(c.rounds), int64(c.began), c.beatAt, c.ledAt, c.silenced, c.startedAt, c.departure.askAt, c.departure.begunAt)
-	h.ids(c.heir)
-	h.is(c.preVote, c.transferred, c.heard, c.allFresh, c.transferring, c.departure.begun, c.departure.over, c.departure.handed)
-	h.entries(c.log)
-	for _, p := range c.waiting {
-		h.num(int64(p.last), int64(p.settled))
+	h.ids(c.id, c.hardState.Vote, c.leaderID)
+	h.num(int64(c.hardState.Term), int64(c.hardState.CommittedConfigIndex), int64(c.commitIndex), int64(c.persistedIndex), int64(c.persistedConfigIndex), int64(c.role), c.leaderHeardAtMs, c.electionAtMs,
+		c.nextJoinAtMs, c.electionCount, int64(c.campaignCount), int64(c.termStartIndex), c.nextHeartbeatAtMs, c.leaderSinceMs, c.transferStartedAtMs, c.startedAtMs, c.leave.askAt, c.leave.begunAt)
+	h.ids(c.transferee)
+	h.is(c.preVote, c.transferred, c.leaderSeen, c.clusterColdStart, c.transferring, c.leave.begun, c.leave.over, c.leave.handed)
+	h.entries(c.entries)
+	for _, p := range c.pendingWrites {
+		h.num(int64(p.lastIndex), int64(p.configIndex))
 		for i := range p.messages {
 			h.message(&p.messages[i])
 		}
 	}
-	for _, all := range []map[ID]bool{c.votes, c.fresh} {
+	for _, all := range []map[ID]bool{c.votes, c.coldStarts} {
 		for _, id := range slices.Sorted(maps.Keys(all)) {
 			h.ids(id)
 			h.is(all[id])
@@ -160,7 +160,7 @@
 	for _, id := range slices.Sorted(maps.Keys(c.peers)) {
 		p := c.peers[id]
 		h.ids(id)
-		h.num(int64(p.next), int64(p.match), p.sentAt, p.confirmed, p.heardAt, int64(p.settled), p.leavingAt, p.leavesSince)
+		h.num(int64(p.nextIndex), int64(p.matchIndex), p.sentAtMs, p.heartbeatAckedAtMs, p.heardAtMs, int64(p.persistedConfigIndex), p.leaveRequestedAtMs, p.leavingSinceMs)
 		h.is(p.learner)
 	}
 }
@@ -220,24 +220,24 @@
 	case "early": // a learner counts as if it held all
 		for _, p := range n.core.peers {
 			if p.learner {
-				p.match = max(p.match, n.core.commit)
+				p.matchIndex = max(p.matchIndex, n.core.commitIndex)
 			}
 		}
 	case "agreed": // who knows that the change was delivered is not asked
 		for _, p := range n.core.peers {
-			p.settled = n.core.last()
+			p.persistedConfigIndex = n.core.lastIndex()
 		}
-		n.core.settled = n.core.last()
+		n.core.persistedConfigIndex = n.core.lastIndex()
 	}
 	x.carry(s, i, do(n.core))
 	if x.out == "joint" { // the newest members alone must agree
-		n.core.configs = n.core.configs[len(n.core.configs)-1:]
+		n.core.configurations = n.core.configurations[len(n.core.configurations)-1:]
 	}
 	over, handed := n.core.LeaveProgress()
 	if over && !handed {
 		s.stops(n.id)
 	}
-	if over && !n.core.IsLeader() || x.out == "asked" && n.core.departure.begun {
+	if over && !n.core.IsLeader() || x.out == "asked" && n.core.leave.begun {
 		s.what += fmt.Sprintf("; %s ends, handed on: %v", n.id, handed)
 		n.core, n.queue = nil, nil
 	}
@@ -307,7 +307,7 @@
 		}
 	case d.Index == uint64(len(s.order)):
 		s.order = append(s.order, what)
-		if e := n.core.log[d.Index-1]; len(e.Members) > 0 {
+		if e := n.core.entries[d.Index-1]; len(e.Members) > 0 {
 			s.seats = maps.Clone(s.seats)
 			s.seats[d.Index] = e.Members
 		}
@@ -392,7 +392,7 @@
 
 // counts says whether one is a member by anybody's knowledge.
 func (s *system) counts(id ID) bool {
-	return slices.ContainsFunc(s.nodes, func(n *node) bool { return n.core != nil && n.core.member(id) })
+	return slices.ContainsFunc(s.nodes, func(n *node) bool { return n.core != nil && n.core.isMember(id) })
 }
 
 // leave are all ways to leave the usual course at a moment.
@@ -427,13 +427,13 @@
 			add(fmt.Sprintf("%s loses its disk", m.id), func(n *system) { n.spent.loss++; x.off(n, i, true) })
 			add(fmt.Sprintf("%s is gone", m.id), func(n *system) { n.spent.loss++; x.off(n, i, false) })
 		}
-		if s.spent.leave < x.rare.leave && !m.core.departure.begun {
+		if s.spent.leave < x.rare.leave && !m.core.leave.begun {
 			add(fmt.Sprintf("%s is to end", m.id), func(n *system) {
 				n.spent.leave++
 				x.at(n, i, func(c *Node) Ready { return c.Leave(n.now) })
 			})
 		}
-		if s.spent.expiry < x.rare.expiry && m.core.member(m.id) && !m.core.IsLeader() {
+		if s.spent.expiry < x.rare.expiry && m.core.isMember(m.id) && !m.core.IsLeader() {
 			add(fmt.Sprintf("%s hears nobody", m.id), func(n *system) {
 				n.spent.expiry++
 				n.now += 960
@@ -521,7 +521,7 @@
 	}
 	there, know := 0, 0
 	for _, n := range s.nodes {
-		if n.core != nil && (counted(1, n.core.log) || counted(1, n.disk.Entries)) {
+		if n.core != nil && (counted(1, n.core.entries) || counted(1, n.disk.Entries)) {
 			return false
 		}
 		if n.core == nil {
@@ -624,7 +624,7 @@
 	n.nodes[i] = &gone
 	chance := rand.New(rand.NewPCG(s.key(), 1)) // not in step with each other for good
 	for j := range n.nodes {
-		x.at(n, j, func(c *Node) Ready { c.chance = chance.Float64; return Ready{} })
+		x.at(n, j, func(c *Node) Ready { c.random = chance.Float64; return Ready{} })
 	}
 	for n.beats = 0; n.beats < 240; {
 		for acts := 0; len(n.todo) > 0; acts++ {
--- a/internal/control/consensus/log.go
+++ b/internal/control/consensus/log.go
@@ -11,244 +11,246 @@
 	Members []ID   // not empty: who the members are from here on
 }
 
-type pending struct {
-	seq, last, settled uint64
-	messages           []Message
+type pendingWrite struct {
+	seq, lastIndex, configIndex uint64
+	messages                    []Message
 }
 
-func (c *Node) last() uint64 { return c.base.Index + uint64(len(c.log)) }
+func (n *Node) lastIndex() uint64 { return n.snapshot.Index + uint64(len(n.entries)) }
 
-// floor is the place behind which all entries are held.
-func (c *Node) floor() uint64 { return c.base.Index - uint64(len(c.old)) }
+// compactedIndex is the place behind which all entries are held.
+func (n *Node) compactedIndex() uint64 { return n.snapshot.Index - uint64(len(n.retained)) }
 
-// entries are those from a place on, up to one that is held.
-func (c *Node) entries(from, to uint64) []Entry {
+// entriesBetween are those from a place on, up to one that is held.
+func (n *Node) entriesBetween(from, to uint64) []Entry {
 	all := make([]Entry, 0, to-from)
 	for i := from; i < to; i++ {
-		if i < c.base.Index {
-			all = append(all, c.old[i-c.floor()])
+		if i < n.snapshot.Index {
+			all = append(all, n.retained[i-n.compactedIndex()])
 		} else {
-			all = append(all, c.log[i-c.base.Index])
+			all = append(all, n.entries[i-n.snapshot.Index])
 		}
 	}
 	return all
 }
 
-// viewAt gives the view of an entry; ok false where it is not held.
-func (c *Node) viewAt(i uint64) (uint64, bool) {
+// termAt gives the view of an entry; ok false where it is not held.
+func (n *Node) termAt(i uint64) (uint64, bool) {
 	switch {
-	case i == c.base.Index:
-		return c.base.Term, true
-	case i < c.floor() || i > c.last():
+	case i == n.snapshot.Index:
+		return n.snapshot.Term, true
+	case i < n.compactedIndex() || i > n.lastIndex():
 		return 0, false
-	case i == c.floor():
-		return c.oldView, true
-	case i < c.base.Index:
-		return c.old[i-c.floor()-1].Term, true
+	case i == n.compactedIndex():
+		return n.retainedPrevTerm, true
+	case i < n.snapshot.Index:
+		return n.retained[i-n.compactedIndex()-1].Term, true
 	}
-	return c.log[i-c.base.Index-1].Term, true
+	return n.entries[i-n.snapshot.Index-1].Term, true
 }
 
-// write puts on disk; messages go out once that is done.
-func (c *Node) write(w Write, after ...Message) {
-	c.seq++
-	w.Seq = c.seq
+// persist puts on disk; messages go out once that is done.
+func (n *Node) persist(w Write, after ...Message) {
+	n.lastWriteSeq++
+	w.Seq = n.lastWriteSeq
 	if w.FirstIndex > 0 { // what an older write was to bring past here counts no more
-		c.saved = min(c.saved, w.FirstIndex-1)
-		for i := range c.waiting {
-			c.waiting[i].last = min(c.waiting[i].last, w.FirstIndex-1)
+		n.persistedIndex = min(n.persistedIndex, w.FirstIndex-1)
+		for i := range n.pendingWrites {
+			n.pendingWrites[i].lastIndex = min(n.pendingWrites[i].lastIndex, w.FirstIndex-1)
 		}
 	}
 	for i := range after {
-		after[i].From, after[i].Term = c.id, c.meta.Term
+		after[i].From, after[i].Term = n.id, n.hardState.Term
 	}
 	settled := uint64(0)
 	if w.HardState != nil {
 		settled = w.HardState.CommittedConfigIndex
 	}
-	c.waiting = append(c.waiting, pending{c.seq, c.last(), settled, after})
-	c.out.Writes = append(c.out.Writes, w)
+	n.pendingWrites = append(n.pendingWrites, pendingWrite{n.lastWriteSeq, n.lastIndex(), settled, after})
+	n.ready.Writes = append(n.ready.Writes, w)
 }
 
 // Persisted tells that all writes up to one are on disk.
-func (c *Node) Persisted(seq uint64, now int64) Ready {
-	c.clock(now)
-	for len(c.waiting) > 0 && c.waiting[0].seq <= seq {
-		p := c.waiting[0]
-		c.waiting = c.waiting[1:]
-		c.saved = max(c.saved, min(p.last, c.last()))
-		c.settled = max(c.settled, p.settled)
+func (n *Node) Persisted(seq uint64, nowMs int64) Ready {
+	n.advanceClock(nowMs)
+	for len(n.pendingWrites) > 0 && n.pendingWrites[0].seq <= seq {
+		p := n.pendingWrites[0]
+		n.pendingWrites = n.pendingWrites[1:]
+		n.persistedIndex = max(n.persistedIndex, min(p.lastIndex, n.lastIndex()))
+		n.persistedConfigIndex = max(n.persistedConfigIndex, p.configIndex)
 		for _, m := range p.messages {
-			if m.Term == c.meta.Term { // else what it says has been taken back since
-				c.out.Messages = append(c.out.Messages, m)
-				if m.To == c.id {
-					c.out.Messages = c.out.Messages[:len(c.out.Messages)-1]
-					c.step(m)
+			if m.Term == n.hardState.Term { // else what it says has been taken back since
+				n.ready.Messages = append(n.ready.Messages, m)
+				if m.To == n.id {
+					n.ready.Messages = n.ready.Messages[:len(n.ready.Messages)-1]
+					n.step(m)
 				}
 			}
 		}
 	}
-	if c.role == leader {
-		c.peers[c.id].match = c.saved
-		c.advance()
+	if n.role == leader {
+		n.peers[n.id].matchIndex = n.persistedIndex
+		n.advanceCommitIndex()
 	}
-	return c.take()
+	return n.takeReady()
 }
 
 // UnpersistedWrites is how many writes are not on disk yet.
-func (c *Node) UnpersistedWrites() int { return len(c.waiting) }
+func (n *Node) UnpersistedWrites() int { return len(n.pendingWrites) }
 
 // Propose appends a change, if this member leads; index is its place.
-func (c *Node) Propose(body []byte, now int64) (index uint64, o Ready) {
-	c.clock(now)
-	if c.role != leader || c.transferring {
-		return 0, c.take()
+func (n *Node) Propose(body []byte, nowMs int64) (index uint64, o Ready) {
+	n.advanceClock(nowMs)
+	if n.role != leader || n.transferring {
+		return 0, n.takeReady()
 	}
-	c.append(Entry{Term: c.meta.Term, Data: body})
-	return c.last(), c.take()
+	n.appendEntry(Entry{Term: n.hardState.Term, Data: body})
+	return n.lastIndex(), n.takeReady()
 }
 
-func (c *Node) append(e Entry) {
-	c.log = append(c.log, e)
+func (n *Node) appendEntry(e Entry) {
+	n.entries = append(n.entries, e)
 	if len(e.Members) > 0 {
-		c.configs = append(c.configs, config{c.last(), e.Members})
-		c.follow()
+		n.configurations = append(n.configurations, configuration{n.lastIndex(), e.Members})
+		n.syncPeers()
 	}
-	c.write(Write{FirstIndex: c.last(), Entries: []Entry{e}})
-	c.spread()
+	n.persist(Write{FirstIndex: n.lastIndex(), Entries: []Entry{e}})
+	n.broadcastAppend()
 }
 
-// spread sends what members lack.
-func (c *Node) spread() {
-	for _, id := range c.others() {
-		c.feed(id, c.peers[id])
+// broadcastAppend sends what members lack.
+func (n *Node) broadcastAppend() {
+	for _, id := range n.peerIDs() {
+		n.replicate(id, n.peers[id])
 	}
 }
 
-func (c *Node) feed(id ID, p *progress) {
-	again := c.RetransmitMs
-	if p.transfer != nil { // a part is acknowledged before it is on disk
-		again = 2 * c.HeartbeatMs
+func (n *Node) replicate(id ID, p *progress) {
+	again := n.RetransmitMs
+	if p.outgoing != nil { // a part is acknowledged before it is on disk
+		again = 2 * n.HeartbeatMs
 	}
-	if p.sentAt != 0 && c.now < p.sentAt+again || c.unheard(p) {
+	if p.sentAtMs != 0 && n.nowMs < p.sentAtMs+again || n.unresponsive(p) {
 		return
 	}
-	if p.transfer != nil || p.refetch || p.next <= c.floor() {
-		c.sendPart(id, p)
+	if p.outgoing != nil || p.snapshotWanted || p.nextIndex <= n.compactedIndex() {
+		n.sendSnapshotChunks(id, p)
 		return
 	}
-	if p.next > c.last() && p.match == c.last() {
+	if p.nextIndex > n.lastIndex() && p.matchIndex == n.lastIndex() {
 		return
 	}
-	prev := min(p.next, c.last()+1) - 1
-	view, _ := c.viewAt(prev)
+	prev := min(p.nextIndex, n.lastIndex()+1) - 1
+	term, _ := n.termAt(prev)
 	size, to := 0, prev
-	for to < c.last() && size < 256<<10 {
+	for to < n.lastIndex() && size < 256<<10 {
 		to++
-		size += 64 + len(c.entries(to-1, to)[0].Data)
+		size += 64 + len(n.entriesBetween(to-1, to)[0].Data)
 	}
-	p.sentAt = c.now
-	c.send(Message{Type: MsgAppend, To: id, Index: prev, PrevTerm: view, CommitIndex: c.commit,
-		Entries: c.entries(prev, to)})
+	p.sentAtMs = n.nowMs
+	n.send(Message{
+		Type: MsgAppend, To: id, Index: prev, PrevTerm: term, CommitIndex: n.commitIndex,
+		Entries: n.entriesBetween(prev, to),
+	})
 }
 
-// advance delivers what a majority has on disk.
-func (c *Node) advance() {
-	for n := c.last(); n > c.commit; n-- {
-		view, _ := c.viewAt(n)
-		if view != c.meta.Term {
+// advanceCommitIndex delivers what a majority has on disk.
+func (n *Node) advanceCommitIndex() {
+	for index := n.lastIndex(); index > n.commitIndex; index-- {
+		term, _ := n.termAt(index)
+		if term != n.hardState.Term {
 			return
 		}
-		if c.majority(func(id ID) bool { p := c.peers[id]; return p != nil && p.match >= n }) {
-			c.commitTo(n)
-			for _, id := range c.others() { // they are to deliver it soon, too
-				c.heartbeat(id)
+		if n.hasQuorum(func(id ID) bool { p := n.peers[id]; return p != nil && p.matchIndex >= index }) {
+			n.commitTo(index)
+			for _, id := range n.peerIDs() { // they are to deliver it soon, too
+				n.sendHeartbeat(id)
 			}
 			return
 		}
 	}
 }
 
-func (c *Node) commitTo(n uint64) {
-	if n = min(n, c.last()); n <= c.commit {
+func (n *Node) commitTo(index uint64) {
+	if index = min(index, n.lastIndex()); index <= n.commitIndex {
 		return
 	}
-	c.commit = n
-	for c.given < c.commit {
-		c.given++
-		e := c.log[c.given-c.base.Index-1]
-		c.out.Committed = append(c.out.Committed, Committed{Index: c.given, Term: e.Term, Data: e.Data})
+	n.commitIndex = index
+	for n.appliedIndex < n.commitIndex {
+		n.appliedIndex++
+		e := n.entries[n.appliedIndex-n.snapshot.Index-1]
+		n.ready.Committed = append(n.ready.Committed, Committed{Index: n.appliedIndex, Term: e.Term, Data: e.Data})
 	}
-	for len(c.configs) > 1 && c.configs[1].index <= c.commit {
-		c.configs = c.configs[1:]
-		if at := c.configs[0].index; at > c.meta.CommittedConfigIndex { // else a new life would have to ask those who are out
-			c.meta.CommittedConfigIndex = at
-			meta := c.meta
-			c.write(Write{HardState: &meta})
+	for len(n.configurations) > 1 && n.configurations[1].index <= n.commitIndex {
+		n.configurations = n.configurations[1:]
+		if at := n.configurations[0].index; at > n.hardState.CommittedConfigIndex { // else a new life would have to ask those who are out
+			n.hardState.CommittedConfigIndex = at
+			meta := n.hardState
+			n.persist(Write{HardState: &meta})
 		}
 	}
-	c.follow()
-	if c.role == leader && !c.member(c.id) && !c.departure.begun { // it led until it was out
-		c.fall("")
+	n.syncPeers()
+	if n.role == leader && !n.isMember(n.id) && !n.leave.begun { // it led until it was out
+		n.becomeFollower("")
 	}
 }
 
-func (c *Node) replied(m Message) {
-	p := c.peers[m.From]
-	if c.role != leader || p == nil {
+func (n *Node) stepFollowerResponse(m Message) {
+	p := n.peers[m.From]
+	if n.role != leader || p == nil {
 		return
 	}
-	p.heardAt = c.now
+	p.heardAtMs = n.nowMs
 	switch m.Type {
 	case MsgHeartbeatResponse:
-		p.confirmed = max(p.confirmed, min(m.SentAtMs, c.now))
-		p.settled = max(p.settled, min(m.Index, c.last()))
+		p.heartbeatAckedAtMs = max(p.heartbeatAckedAtMs, min(m.SentAtMs, n.nowMs))
+		p.persistedConfigIndex = max(p.persistedConfigIndex, min(m.Index, n.lastIndex()))
 		if !m.Granted { // it is back, or stays after all
-			p.leavingAt = 0
+			p.leaveRequestedAtMs = 0
 		}
 	case MsgAppendAccepted:
-		p.sentAt = 0
-		if p.transfer != nil && m.Index >= p.transfer.Index {
-			p.transfer, p.refetch = nil, false
+		p.sentAtMs = 0
+		if p.outgoing != nil && m.Index >= p.outgoing.Index {
+			p.outgoing, p.snapshotWanted = nil, false
 		}
-		p.match = max(p.match, min(m.Index, c.last()))
-		p.next = max(p.next, p.match+1)
-		c.advance()
-		if c.yield(); c.role == leader {
-			c.feed(m.From, p)
+		p.matchIndex = max(p.matchIndex, min(m.Index, n.lastIndex()))
+		p.nextIndex = max(p.nextIndex, p.matchIndex+1)
+		n.advanceCommitIndex()
+		if n.finishTransfer(); n.role == leader {
+			n.replicate(m.From, p)
 		}
 	case MsgAppendRejected:
-		p.sentAt = 0
-		p.match = min(p.match, m.Index) // less than it said it had: its disk was put back to an older one
-		p.next = max(min(m.Index+1, p.next-1), 1)
-		c.feed(m.From, p)
+		p.sentAtMs = 0
+		p.matchIndex = min(p.matchIndex, m.Index) // less than it said it had: its disk was put back to an older one
+		p.nextIndex = max(min(m.Index+1, p.nextIndex-1), 1)
+		n.replicate(m.From, p)
 	case MsgSnapshotChunkAck:
-		c.taken(m, p)
+		n.stepSnapshotChunkAck(m, p)
 	case MsgSnapshotRequest:
-		p.sentAt, p.transfer, p.refetch = 0, nil, true
-		c.feed(m.From, p)
+		p.sentAtMs, p.outgoing, p.snapshotWanted = 0, nil, true
+		n.replicate(m.From, p)
 	}
 }
 
-// appended takes entries in if those before them are held, and drops what differs.
-func (c *Node) appended(m Message) {
-	view, held := c.viewAt(m.Index)
-	if m.Index < c.base.Index { // what a snapshot stands for was delivered, so it is the same
-		skip := c.base.Index - m.Index
+// stepAppend takes entries in if those before them are held, and drops what differs.
+func (n *Node) stepAppend(m Message) {
+	term, held := n.termAt(m.Index)
+	if m.Index < n.snapshot.Index { // what a snapshot stands for was delivered, so it is the same
+		skip := n.snapshot.Index - m.Index
 		if uint64(len(m.Entries)) < skip {
-			c.write(Write{}, Message{Type: MsgAppendAccepted, To: m.From, Index: c.base.Index}) // behind what is being written
+			n.persist(Write{}, Message{Type: MsgAppendAccepted, To: m.From, Index: n.snapshot.Index}) // behind what is being written
 			return
 		}
-		m.Index, m.Entries, view, held = c.base.Index, m.Entries[skip:], c.base.Term, true
-		m.PrevTerm = view
+		m.Index, m.Entries, term, held = n.snapshot.Index, m.Entries[skip:], n.snapshot.Term, true
+		m.PrevTerm = term
 	}
-	if !held || view != m.PrevTerm {
-		c.send(Message{Type: MsgAppendRejected, To: m.From, Index: max(c.commit, min(c.last(), m.Index-1))})
+	if !held || term != m.PrevTerm {
+		n.send(Message{Type: MsgAppendRejected, To: m.From, Index: max(n.commitIndex, min(n.lastIndex(), m.Index-1))})
 		return
 	}
 	at, entries := m.Index, m.Entries
 	for len(entries) > 0 {
-		if v, ok := c.viewAt(at + 1); !ok || v != entries[0].Term {
+		if v, ok := n.termAt(at + 1); !ok || v != entries[0].Term {
 			break
 		}
 		at, entries = at+1, entries[1:]
@@ -256,41 +258,41 @@
 	end := m.Index + uint64(len(m.Entries))
 	reply := Message{Type: MsgAppendAccepted, To: m.From, Index: end}
 	if len(entries) == 0 {
-		c.write(Write{}, reply) // behind what is being written
+		n.persist(Write{}, reply) // behind what is being written
 	} else {
-		if at+1 <= c.commit {
+		if at+1 <= n.commitIndex {
 			panic("ratchet: what was delivered is to be trimmed")
 		}
-		c.log = append(c.log[:at-c.base.Index], entries...)
-		c.configs = slices.DeleteFunc(c.configs, func(g config) bool { return g.index > at })
+		n.entries = append(n.entries[:at-n.snapshot.Index], entries...)
+		n.configurations = slices.DeleteFunc(n.configurations, func(config configuration) bool { return config.index > at })
 		for i, e := range entries {
 			if len(e.Members) > 0 {
-				c.configs = append(c.configs, config{at + uint64(i) + 1, e.Members})
+				n.configurations = append(n.configurations, configuration{at + uint64(i) + 1, e.Members})
 			}
 		}
-		c.write(Write{FirstIndex: at + 1, Entries: slices.Clone(entries)}, reply)
+		n.persist(Write{FirstIndex: at + 1, Entries: slices.Clone(entries)}, reply)
 	}
-	c.commitTo(min(m.CommitIndex, end))
+	n.commitTo(min(m.CommitIndex, end))
 }
 
 // CommittedAfter gives the delivered entries behind an index; ok false where a snapshot stands for some of them.
-func (c *Node) CommittedAfter(after uint64) (bodies [][]byte, ok bool) {
-	if after < c.floor() || after > c.given {
+func (n *Node) CommittedAfter(after uint64) (bodies [][]byte, ok bool) {
+	if after < n.compactedIndex() || after > n.appliedIndex {
 		return nil, false
 	}
-	for _, e := range c.entries(after, c.given) {
+	for _, e := range n.entriesBetween(after, n.appliedIndex) {
 		bodies = append(bodies, e.Data)
 	}
 	return bodies, true
 }
 
 // LatestSnapshot is the newest snapshot.
-func (c *Node) LatestSnapshot() Snapshot { return c.base }
+func (n *Node) LatestSnapshot() Snapshot { return n.snapshot }
 
 // SinceSnapshot is how many entries were delivered since the newest snapshot, and their bytes.
-func (c *Node) SinceSnapshot() (entries uint64, bytes int) {
-	for _, e := range c.log[:c.given-c.base.Index] {
+func (n *Node) SinceSnapshot() (entries uint64, bytes int) {
+	for _, e := range n.entries[:n.appliedIndex-n.snapshot.Index] {
 		bytes += len(e.Data)
 	}
-	return c.given - c.base.Index, bytes
+	return n.appliedIndex - n.snapshot.Index, bytes
 }
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -186,7 +186,7 @@
 			began := w.Now
 			for counts := false; !counts && w.Now < began+10000; w.RunFor(10) {
 				for _, l := range w.members {
-					counts = counts || l.up && l.core.HoldsLease(w.Now) && l.core.agreed() && slices.Contains(l.core.Members(), m.id)
+					counts = counts || l.up && l.core.HoldsLease(w.Now) && l.core.configurationDurable() && slices.Contains(l.core.Members(), m.id)
 				}
 			}
 			all, worst = all+w.Now-began, max(worst, w.Now-began)
@@ -216,7 +216,7 @@
 
 func TestBadMessagesOfMembershipChangeNothingAndAreCounted(t *testing.T) {
 	c := led(1 << 20)
-	now := c.now
+	now := c.nowMs
 	require.True(t, c.HoldsLease(now))
 	was, last := c.Members(), c.LastIndex()
 	strays := func(by int64, what string) {
@@ -236,12 +236,12 @@
 	for i := range 1000 {
 		c.Step(Message{Type: MsgJoin, From: ID(fmt.Sprintf("j%d+1", i)), Index: 1 << 60}, now)
 	}
-	strays(3+1000-mostLearners, "more learners than are kept account of")
-	require.Len(t, c.Status(now).Learners, mostLearners)
+	strays(3+1000-maxLearners, "more learners than are kept account of")
+	require.Len(t, c.Status(now).Learners, maxLearners)
 	for i := range 100 { // lives of one machine are one learner
 		c.Step(Message{Type: MsgJoin, From: ID(fmt.Sprintf("j1+%d", i+5)), Index: 0}, now)
 	}
-	require.Len(t, c.Status(now).Learners, mostLearners)
+	require.Len(t, c.Status(now).Learners, maxLearners)
 }
 
 func TestAnAnswerToAnEarlierLifeDoesNotEndAMember(t *testing.T) {
--- a/internal/control/consensus/node.go
+++ b/internal/control/consensus/node.go
@@ -92,237 +92,241 @@
 
 // DefaultConfig are terms for a network of a few milliseconds, where so many members may be lost at once.
 func DefaultConfig(lost int) Config {
-	return Config{LeaseMs: 700, HeartbeatMs: 130, ElectionJitterMs: 200, RetransmitMs: 400, RemovalTimeoutMs: 2000, MaxMembers: 2*max(lost, 1) + 1,
-		ChunkBytes: 128 << 10, RetainedBytes: 256 << 10, TransferRetainedBytes: 4 << 20}
+	return Config{
+		LeaseMs: 700, HeartbeatMs: 130, ElectionJitterMs: 200, RetransmitMs: 400, RemovalTimeoutMs: 2000, MaxMembers: 2*max(lost, 1) + 1,
+		ChunkBytes: 128 << 10, RetainedBytes: 256 << 10, TransferRetainedBytes: 4 << 20,
+	}
 }
 
 // Node is one member. It is not safe for use by several goroutines.
 type Node struct {
 	Config
-	id        ID
-	now       int64
-	startedAt int64
-	chance    func() float64
+	id          ID
+	nowMs       int64
+	startedAtMs int64
+	random      func() float64
 
-	meta    HardState
-	base    Snapshot // Index 0: none
-	old     []Entry  // up to base.Index, for members that lag
-	oldView uint64   // of the entry before old
-	log     []Entry  // from base.Index+1 on
-	commit  uint64
-	given   uint64 // delivered
-	saved   uint64 // on disk, as far as in the log
-	seq     uint64
-	waiting []pending
-	configs []config // the newest delivered, and those behind it
+	hardState        HardState
+	snapshot         Snapshot // Index 0: none
+	retained         []Entry  // up to base.Index, for members that lag
+	retainedPrevTerm uint64   // of the entry before old
+	entries          []Entry  // from base.Index+1 on
+	commitIndex      uint64
+	appliedIndex     uint64 // delivered
+	persistedIndex   uint64 // on disk, as far as in the log
+	lastWriteSeq     uint64
+	pendingWrites    []pendingWrite
+	configurations   []configuration // the newest delivered, and those behind it
 
-	role         role
-	leader       ID
-	heardAt      int64 // from a leader
-	askAt        int64
-	joinAt       int64
-	preVote      bool
-	transferred  bool
-	votes        map[ID]bool
-	fresh        map[ID]bool // members that have heard no leader in their present lives
-	heard        bool        // a leader was, in this life, or this one led
-	allFresh     bool
-	tries        int64  // elections since a leader was heard
-	rounds       int    // and times that this member asked at all
-	round        uint64 // of this life's pre-votes, counted from where chance put it
-	peers        map[ID]*progress
-	began        uint64 // the index of this leader's first entry
-	beatAt       int64
-	transferring bool
-	ledAt        int64 // when it began to lead
-	silenced     int64
-	heir         ID      // that is to lead next, and has not been told yet
-	taking       *taking // a snapshot that comes in parts
-	refetch      bool    // the state here is wrong
-	refetchAt    int64
-	settled      uint64 // of Meta.Settled, what is on disk
-	departure    departure
-	out          Ready
+	role                    role
+	leaderID                ID
+	leaderHeardAtMs         int64 // from a leader
+	electionAtMs            int64
+	nextJoinAtMs            int64
+	preVote                 bool
+	transferred             bool
+	votes                   map[ID]bool
+	coldStarts              map[ID]bool // members that have heard no leader in their present lives
+	leaderSeen              bool        // a leader was, in this life, or this one led
+	clusterColdStart        bool
+	electionCount           int64  // elections since a leader was heard
+	campaignCount           int    // and times that this member asked at all
+	preVoteRound            uint64 // of this life's pre-votes, counted from where chance put it
+	peers                   map[ID]*progress
+	termStartIndex          uint64 // the index of this leader's first entry
+	nextHeartbeatAtMs       int64
+	transferring            bool
+	leaderSinceMs           int64 // when it began to lead
+	transferStartedAtMs     int64
+	transferee              ID                // that is to lead next, and has not been told yet
+	incoming                *incomingSnapshot // a snapshot that comes in parts
+	snapshotWanted          bool              // the state here is wrong
+	nextSnapshotRequestAtMs int64
+	persistedConfigIndex    uint64 // of Meta.Settled, what is on disk
+	leave                   departure
+	ready                   Ready
 
 	Counters
 }
 
 // New starts a member. founders are the first members, for a first start with an empty disk; a learner has none.
-func New(id ID, t Config, kept RestoredState, founders []ID, chance func() float64, now int64) *Node {
-	c := &Node{Config: t, id: id, now: now, startedAt: now, heardAt: now, chance: chance, meta: kept.HardState, base: kept.Snapshot,
-		log: kept.Entries, oldView: kept.Snapshot.Term}
-	c.commit, c.given, c.saved, c.settled = c.base.Index, c.base.Index, c.last(), c.meta.CommittedConfigIndex
-	c.configs = []config{{c.base.Index, c.base.Members}}
-	if c.base.Index == 0 && len(c.base.Members) == 0 {
-		c.configs[0].members = slices.Clone(founders)
-		c.base.Members = slices.Clone(founders)
+func New(id ID, config Config, restored RestoredState, founders []ID, random func() float64, nowMs int64) *Node {
+	n := &Node{
+		Config: config, id: id, nowMs: nowMs, startedAtMs: nowMs, leaderHeardAtMs: nowMs, random: random, hardState: restored.HardState, snapshot: restored.Snapshot,
+		entries: restored.Entries, retainedPrevTerm: restored.Snapshot.Term,
+	}
+	n.commitIndex, n.appliedIndex, n.persistedIndex, n.persistedConfigIndex = n.snapshot.Index, n.snapshot.Index, n.lastIndex(), n.hardState.CommittedConfigIndex
+	n.configurations = []configuration{{n.snapshot.Index, n.snapshot.Members}}
+	if n.snapshot.Index == 0 && len(n.snapshot.Members) == 0 {
+		n.configurations[0].members = slices.Clone(founders)
+		n.snapshot.Members = slices.Clone(founders)
 	}
-	for i, e := range c.log {
-		if len(e.Members) > 0 {
-			c.configs = append(c.configs, config{c.base.Index + uint64(i) + 1, e.Members})
+	for i, entry := range n.entries {
+		if len(entry.Members) > 0 {
+			n.configurations = append(n.configurations, configuration{n.snapshot.Index + uint64(i) + 1, entry.Members})
 		}
 	}
-	drawn := c.chance()
-	c.askAt = now + c.HeartbeatMs/2 + int64(drawn*float64(c.ElectionJitterMs)/2)
-	c.round = uint64(drawn*(1<<50)) << 13
-	return c
+	drawn := n.random()
+	n.electionAtMs = nowMs + n.HeartbeatMs/2 + int64(drawn*float64(n.ElectionJitterMs)/2)
+	n.preVoteRound = uint64(drawn*(1<<50)) << 13
+	return n
 }
 
 // Leader is who leads, as far as known; empty: nobody.
-func (c *Node) Leader() ID { return c.leader }
+func (n *Node) Leader() ID { return n.leaderID }
 
 // RecentLeader is the leader, where it was heard lately enough to be worth asking; empty: nobody. Its lease may run longer.
-func (c *Node) RecentLeader(now int64) ID {
-	if c.role != leader && now > c.heardAt+c.LeaseMs*2/3 {
+func (n *Node) RecentLeader(nowMs int64) ID {
+	if n.role != leader && nowMs > n.leaderHeardAtMs+n.LeaseMs*2/3 {
 		return ""
 	}
-	return c.leader
+	return n.leaderID
 }
 
 // Term is the newest view that this member takes part in.
-func (c *Node) Term() uint64 { return c.meta.Term }
+func (n *Node) Term() uint64 { return n.hardState.Term }
 
 // CommitIndex is up to where changes are delivered.
-func (c *Node) CommitIndex() uint64 { return c.commit }
+func (n *Node) CommitIndex() uint64 { return n.commitIndex }
 
 // LastIndex is up to where entries are held.
-func (c *Node) LastIndex() uint64 { return c.last() }
+func (n *Node) LastIndex() uint64 { return n.lastIndex() }
 
 // IsLeader says whether this member leads its view.
-func (c *Node) IsLeader() bool { return c.role == leader }
+func (n *Node) IsLeader() bool { return n.role == leader }
 
-func (c *Node) take() Ready {
-	o := c.out
-	c.out = Ready{}
+func (n *Node) takeReady() Ready {
+	o := n.ready
+	n.ready = Ready{}
 	return o
 }
 
-func (c *Node) clock(now int64) { c.now = max(c.now, now) }
+func (n *Node) advanceClock(nowMs int64) { n.nowMs = max(n.nowMs, nowMs) }
 
-func (c *Node) send(m Message) {
-	m.From, m.Term = c.id, c.meta.Term
-	c.out.Messages = append(c.out.Messages, m)
+func (n *Node) send(m Message) {
+	m.From, m.Term = n.id, n.hardState.Term
+	n.ready.Messages = append(n.ready.Messages, m)
 }
 
 // Tick goes on to a time; it is to be called every Beat/3 or so.
-func (c *Node) Tick(now int64) Ready {
-	c.clock(now)
-	if c.refetch && c.role == follower && c.leader != "" && c.now >= c.refetchAt {
-		c.refetchAt = c.now + c.LeaseMs
-		c.send(Message{Type: MsgSnapshotRequest, To: c.leader})
+func (n *Node) Tick(nowMs int64) Ready {
+	n.advanceClock(nowMs)
+	if n.snapshotWanted && n.role == follower && n.leaderID != "" && n.nowMs >= n.nextSnapshotRequestAtMs {
+		n.nextSnapshotRequestAtMs = n.nowMs + n.LeaseMs
+		n.send(Message{Type: MsgSnapshotRequest, To: n.leaderID})
 	}
-	c.depart()
+	n.tickLeave()
 	switch {
-	case c.role == leader:
-		c.lead()
-	case c.now >= c.askAt && c.member(c.id):
-		c.ask(true, false)
-	case c.departure.begun: // it is to be called no more
-	case !c.member(c.id) || c.leader == "" && c.now > c.heardAt+3*c.LeaseMs:
-		if c.now >= c.joinAt {
-			c.joinAt = c.now + c.LeaseMs/2
-			c.send(Message{Type: MsgJoin, Index: c.last()})
+	case n.role == leader:
+		n.tickLeader()
+	case n.nowMs >= n.electionAtMs && n.isMember(n.id):
+		n.campaign(true, false)
+	case n.leave.begun: // it is to be called no more
+	case !n.isMember(n.id) || n.leaderID == "" && n.nowMs > n.leaderHeardAtMs+3*n.LeaseMs:
+		if n.nowMs >= n.nextJoinAtMs {
+			n.nextJoinAtMs = n.nowMs + n.LeaseMs/2
+			n.send(Message{Type: MsgJoin, Index: n.lastIndex()})
 		}
 	}
-	return c.take()
+	return n.takeReady()
 }
 
 // Step takes in a member's message.
-func (c *Node) Step(m Message, now int64) Ready {
-	c.clock(now)
-	if m.From == "" || m.From == c.id || m.To != "" && m.To != c.id { // for who was at this address before: what it held is not held here
-		c.DiscardedMessages++
-		return c.take()
+func (n *Node) Step(m Message, nowMs int64) Ready {
+	n.advanceClock(nowMs)
+	if m.From == "" || m.From == n.id || m.To != "" && m.To != n.id { // for who was at this address before: what it held is not held here
+		n.DiscardedMessages++
+		return n.takeReady()
 	}
-	c.step(m)
-	return c.take()
+	n.step(m)
+	return n.takeReady()
 }
 
-func (c *Node) step(m Message) {
+func (n *Node) step(m Message) {
 	switch m.Type {
 	case MsgVoteResponse, MsgVoteRequest, MsgLeaveResponse:
-		c.learn(m)
+		n.learnCommitPoint(m)
 	}
 	switch m.Type {
 	case MsgJoin:
-		c.joined(m)
+		n.stepJoin(m)
 		return
 	case MsgLeave:
-		c.left(m)
+		n.stepLeave(m)
 		return
 	case MsgLeaveResponse:
-		c.departed(m)
+		n.stepLeaveResponse(m)
 		return
 	case MsgVoteRequest:
-		c.asked(m)
+		n.stepVoteRequest(m)
 		return
 	}
 	if m.Type == MsgVoteResponse && m.PreVote {
-		if m.Term > c.meta.Term { // else one with less, in a newer view, would stop one with more for good
-			c.meta.Term, c.meta.Vote = m.Term, ""
-			meta := c.meta
-			c.write(Write{HardState: &meta})
-			c.fall("")
-			c.askAt = c.now
+		if m.Term > n.hardState.Term { // else one with less, in a newer view, would stop one with more for good
+			n.hardState.Term, n.hardState.Vote = m.Term, ""
+			meta := n.hardState
+			n.persist(Write{HardState: &meta})
+			n.becomeFollower("")
+			n.electionAtMs = n.nowMs
 			return
 		}
-		if p := c.peers[m.From]; c.role == leader && p != nil {
-			p.heardAt = c.now
+		if p := n.peers[m.From]; n.role == leader && p != nil {
+			p.heardAtMs = n.nowMs
 		}
-		if c.role == candidate && c.preVote {
-			c.votes[m.From] = c.votes[m.From] || m.Granted
-			c.fresh[m.From] = m.ColdStart && m.PreVoteRound == c.round
-			c.elected()
+		if n.role == candidate && n.preVote {
+			n.votes[m.From] = n.votes[m.From] || m.Granted
+			n.coldStarts[m.From] = m.ColdStart && m.PreVoteRound == n.preVoteRound
+			n.countVotes()
 		}
 		return
 	}
 	switch {
-	case m.Term < c.meta.Term:
+	case m.Term < n.hardState.Term:
 		if m.Type == MsgAppend || m.Type == MsgHeartbeat || m.Type == MsgSnapshotChunk {
-			c.send(Message{Type: MsgAppendRejected, To: m.From, Index: c.last()}) // its view is over
+			n.send(Message{Type: MsgAppendRejected, To: m.From, Index: n.lastIndex()}) // its view is over
 		}
 		return
-	case m.Term > c.meta.Term:
-		c.meta.Term, c.meta.Vote = m.Term, ""
-		meta := c.meta
-		c.write(Write{HardState: &meta})
-		c.fall("")
+	case m.Term > n.hardState.Term:
+		n.hardState.Term, n.hardState.Vote = m.Term, ""
+		meta := n.hardState
+		n.persist(Write{HardState: &meta})
+		n.becomeFollower("")
 	}
 	switch m.Type {
 	case MsgHeartbeat, MsgAppend, MsgSnapshotChunk, MsgTimeoutNow:
-		if c.role == leader {
+		if n.role == leader {
 			return // no view has two leaders; this is an echo of one's own
 		}
 		if m.Type == MsgTimeoutNow {
-			if m.From == c.leader && c.member(c.id) {
-				c.ask(false, true)
+			if m.From == n.leaderID && n.isMember(n.id) {
+				n.campaign(false, true)
 			}
 			return
 		}
-		if c.role != follower || c.leader != m.From {
-			c.fall(m.From)
+		if n.role != follower || n.leaderID != m.From {
+			n.becomeFollower(m.From)
 		}
-		c.heardAt, c.heard, c.tries, c.rounds = c.now, true, 0, 0
-		c.rest()
+		n.leaderHeardAtMs, n.leaderSeen, n.electionCount, n.campaignCount = n.nowMs, true, 0, 0
+		n.resetElectionTimer()
 	}
 	switch m.Type {
 	case MsgHeartbeat:
-		c.commitTo(m.CommitIndex)
-		c.send(Message{Type: MsgHeartbeatResponse, To: m.From, SentAtMs: m.SentAtMs, Index: c.settled, Granted: c.departure.begun})
-		if m.CommitIndex > c.last() { // it is told of what it had, and its disk has no more
-			c.send(Message{Type: MsgAppendRejected, To: m.From, Index: c.last()})
+		n.commitTo(m.CommitIndex)
+		n.send(Message{Type: MsgHeartbeatResponse, To: m.From, SentAtMs: m.SentAtMs, Index: n.persistedConfigIndex, Granted: n.leave.begun})
+		if m.CommitIndex > n.lastIndex() { // it is told of what it had, and its disk has no more
+			n.send(Message{Type: MsgAppendRejected, To: m.From, Index: n.lastIndex()})
 		}
 	case MsgAppend:
-		c.appended(m)
+		n.stepAppend(m)
 	case MsgSnapshotChunk:
-		c.installed(m)
+		n.stepSnapshotChunk(m)
 	case MsgVoteResponse:
-		if c.role == candidate && !c.preVote && m.Granted {
-			c.votes[m.From] = true
-			c.elected()
+		if n.role == candidate && !n.preVote && m.Granted {
+			n.votes[m.From] = true
+			n.countVotes()
 		}
 	case MsgHeartbeatResponse, MsgAppendAccepted, MsgAppendRejected, MsgSnapshotChunkAck, MsgSnapshotRequest:
-		c.replied(m)
+		n.stepFollowerResponse(m)
 	}
 }
 
@@ -339,10 +343,12 @@
 }
 
 // Status is a copy for counters and commands.
-func (c *Node) Status(now int64) Status {
-	s := Status{ID: c.id, Leader: c.leader, Term: c.meta.Term, SnapshotIndex: c.base.Index, CommitIndex: c.commit, LastIndex: c.last(), PersistedIndex: c.saved,
-		Members: slices.Clone(c.Members()), HoldsLease: c.HoldsLease(now), DiscardedMessages: c.DiscardedMessages}
-	for id, p := range c.peers {
+func (n *Node) Status(nowMs int64) Status {
+	s := Status{
+		ID: n.id, Leader: n.leaderID, Term: n.hardState.Term, SnapshotIndex: n.snapshot.Index, CommitIndex: n.commitIndex, LastIndex: n.lastIndex(), PersistedIndex: n.persistedIndex,
+		Members: slices.Clone(n.Members()), HoldsLease: n.HoldsLease(nowMs), DiscardedMessages: n.DiscardedMessages,
+	}
+	for id, p := range n.peers {
 		if p.learner {
 			s.Learners = append(s.Learners, id)
 		}
--- a/internal/control/consensus/node_test.go
+++ b/internal/control/consensus/node_test.go
@@ -84,9 +84,9 @@
 		var forget func()
 		forget = func() {
 			if m.up && m.life == life {
-				m.core.heardAt, m.core.startedAt = 0, 0
+				m.core.leaderHeardAtMs, m.core.startedAtMs = 0, 0
 				if w.OneIn(20) && !m.core.IsLeader() {
-					m.core.askAt = w.Now
+					m.core.electionAtMs = w.Now
 				}
 				w.After(10, forget)
 			}
@@ -259,7 +259,7 @@
 
 func (m *member) caughtUp() bool {
 	for _, l := range m.w.members { // by the one that leads: the change that made it a member was delivered
-		if l.up && l.core.HoldsLease(m.w.Now) && len(l.core.active()) == 1 && slices.Contains(l.core.Members(), m.id) &&
+		if l.up && l.core.HoldsLease(m.w.Now) && len(l.core.activeConfigurations()) == 1 && slices.Contains(l.core.Members(), m.id) &&
 			m.w.Now > m.outAt+4000 && m.core.CommitIndex()+2 >= uint64(len(m.w.order))-1 {
 			m.outAt = 0
 			return true
--- a/internal/control/consensus/snapshot.go
+++ b/internal/control/consensus/snapshot.go
@@ -43,41 +43,41 @@
 	Data         []byte
 }
 
-func (p *SnapshotChunk) of(o *SnapshotChunk) bool {
+func (p *SnapshotChunk) sameSnapshot(o *SnapshotChunk) bool {
 	return p.Index == o.Index && p.Digest == o.Digest && p.Size == o.Size
 }
 
 // Bounds of what is taken in.
 const (
-	partMost     = 1 << 20
-	snapshotMost = 24 << 20
-	membersMost  = 1 << 10
+	maxChunkBytes      = 1 << 20
+	maxSnapshotBytes   = 24 << 20
+	maxSnapshotMembers = 1 << 10
 )
 
-// sane says whether a part's lengths can be true.
-func (p *SnapshotChunk) sane() bool {
-	return p != nil && p.Size <= snapshotMost && p.Offset <= p.Size && len(p.Data) <= partMost &&
-		uint64(len(p.Data)) <= p.Size-p.Offset && len(p.Members) <= membersMost
+// valid says whether a part's lengths can be true.
+func (p *SnapshotChunk) valid() bool {
+	return p != nil && p.Size <= maxSnapshotBytes && p.Offset <= p.Size && len(p.Data) <= maxChunkBytes &&
+		uint64(len(p.Data)) <= p.Size-p.Offset && len(p.Members) <= maxSnapshotMembers
 }
 
-// transfer is a snapshot on its way to a member, who has it up to Offset; few parts are out at a time.
-type transfer struct {
+// outgoingSnapshot is a snapshot on its way to a member, who has it up to Offset; few parts are out at a time.
+type outgoingSnapshot struct {
 	SnapshotChunk
-	next   uint64 // what is to be sent
-	resent bool   // from Offset on, since later parts came there
-	at     int64  // when Offset last changed
-	state  []byte
+	nextOffset uint64 // what is to be sent
+	resent     bool   // from Offset on, since later parts came there
+	ackedAtMs  int64  // when Offset last changed
+	data       []byte
 }
 
-// window is how many parts are out at a time.
-const window = 4
+// maxChunksInFlight is how many parts are out at a time.
+const maxChunksInFlight = 4
 
-// taking is a snapshot of which some parts have come.
-type taking struct {
+// incomingSnapshot is a snapshot of which some parts have come.
+type incomingSnapshot struct {
 	SnapshotChunk
-	by    uint64 // the view whose leader sent of it last
-	at    int64  // when it last grew
-	state []byte
+	leaderTerm uint64 // the view whose leader sent of it last
+	grewAtMs   int64  // when it last grew
+	data       []byte
 }
 
 // Counters are of snapshots, and of messages that are no message for this member.
@@ -87,189 +87,191 @@
 
 // Compact lets a snapshot of the state up to an index that was delivered stand for the entries before; keep of them
 // stay in memory, and Kept bytes at most, for members that lag a little.
-func (c *Node) Compact(index uint64, state []byte, keep uint64, now int64) Ready {
-	c.clock(now)
-	if index > c.given || index <= c.base.Index {
-		return c.take()
+func (n *Node) Compact(index uint64, state []byte, keep uint64, nowMs int64) Ready {
+	n.advanceClock(nowMs)
+	if index > n.appliedIndex || index <= n.snapshot.Index {
+		return n.takeReady()
 	}
-	view, _ := c.viewAt(index)
-	members := c.base.Members
-	for i := c.base.Index + 1; i <= index; i++ {
-		if e := c.log[i-c.base.Index-1]; len(e.Members) > 0 {
+	term, _ := n.termAt(index)
+	members := n.snapshot.Members
+	for i := n.snapshot.Index + 1; i <= index; i++ {
+		if e := n.entries[i-n.snapshot.Index-1]; len(e.Members) > 0 {
 			members = e.Members
 		}
 	}
-	n := index - c.base.Index
-	c.old = append(c.old, c.log[:n]...)
-	c.log = slices.Clone(c.log[n:])
-	c.base = Snapshot{Index: index, Term: view, Members: members, Data: state}
-	c.forget(int(keep))
-	s := c.base
-	c.write(Write{Snapshot: &s, CompactThrough: index})
-	return c.take()
+	compacted := index - n.snapshot.Index
+	n.retained = append(n.retained, n.entries[:compacted]...)
+	n.entries = slices.Clone(n.entries[compacted:])
+	n.snapshot = Snapshot{Index: index, Term: term, Members: members, Data: state}
+	n.trimRetained(int(keep))
+	s := n.snapshot
+	n.persist(Write{Snapshot: &s, CompactThrough: index})
+	return n.takeReady()
 }
 
-// forget lets go of entries that a snapshot stands for, but for some. Those behind a snapshot that a member is taking stay
+// trimRetained lets go of entries that a snapshot stands for, but for some. Those behind a snapshot that a member is taking stay
 // for longer, so that changes do not outrun it.
-func (c *Node) forget(keep int) {
-	wanted := c.base.Index
-	for _, p := range c.peers {
-		if p.transfer != nil {
-			wanted = min(wanted, p.transfer.Index)
+func (n *Node) trimRetained(keep int) {
+	wanted := n.snapshot.Index
+	for _, p := range n.peers {
+		if p.outgoing != nil {
+			wanted = min(wanted, p.outgoing.Index)
 		}
 	}
 	bytes, drop := 0, 0
-	for i := len(c.old) - 1; i >= 0; i-- {
-		bytes += len(c.old[i].Data)
-		near := len(c.old)-i <= keep && bytes <= c.RetainedBytes
-		if taken := c.floor()+uint64(i) >= wanted && bytes <= c.TransferRetainedBytes; !near && !taken {
+	for i := len(n.retained) - 1; i >= 0; i-- {
+		bytes += len(n.retained[i].Data)
+		near := len(n.retained)-i <= keep && bytes <= n.RetainedBytes
+		if taken := n.compactedIndex()+uint64(i) >= wanted && bytes <= n.TransferRetainedBytes; !near && !taken {
 			drop = i + 1
 			break
 		}
 	}
 	if drop > 0 {
-		c.oldView = c.old[drop-1].Term
-		c.old = slices.Clone(c.old[drop:])
+		n.retainedPrevTerm = n.retained[drop-1].Term
+		n.retained = slices.Clone(n.retained[drop:])
 	}
 }
 
-// sendPart sends the next part of a snapshot, and begins anew with the newest only where entries behind it are gone.
-func (c *Node) sendPart(id ID, p *progress) {
-	if t := p.transfer; t == nil || t.Index < c.floor() {
-		c.SnapshotTransfers++
-		sum := blake3.Sum256(c.base.Data)
-		p.transfer = &transfer{state: c.base.Data, SnapshotChunk: SnapshotChunk{Index: c.base.Index, Term: c.base.Term, Members: c.base.Members,
-			Digest: [16]byte(sum[:16]), Size: uint64(len(c.base.Data))}}
+// sendSnapshotChunks sends the next part of a snapshot, and begins anew with the newest only where entries behind it are gone.
+func (n *Node) sendSnapshotChunks(id ID, p *progress) {
+	if t := p.outgoing; t == nil || t.Index < n.compactedIndex() {
+		n.SnapshotTransfers++
+		sum := blake3.Sum256(n.snapshot.Data)
+		p.outgoing = &outgoingSnapshot{data: n.snapshot.Data, SnapshotChunk: SnapshotChunk{
+			Index: n.snapshot.Index, Term: n.snapshot.Term, Members: n.snapshot.Members,
+			Digest: [16]byte(sum[:16]), Size: uint64(len(n.snapshot.Data)),
+		}}
 	}
-	t, again := p.transfer, p.sentAt != 0
+	t, again := p.outgoing, p.sentAtMs != 0
 	if again { // nothing was heard for a while
-		t.next = t.Offset
+		t.nextOffset = t.Offset
 	}
-	for ; again || t.next < min(t.Size, t.Offset+window*uint64(c.ChunkBytes)) || t.Size == 0; again = false {
+	for ; again || t.nextOffset < min(t.Size, t.Offset+maxChunksInFlight*uint64(n.ChunkBytes)) || t.Size == 0; again = false {
 		part := t.SnapshotChunk
-		part.Offset = t.next
-		part.Data = t.state[t.next:min(t.Size, t.next+uint64(c.ChunkBytes))]
-		t.next += uint64(len(part.Data))
-		c.ChunksSent++
-		c.send(Message{Type: MsgSnapshotChunk, To: id, Chunk: &part, CommitIndex: c.commit})
+		part.Offset = t.nextOffset
+		part.Data = t.data[t.nextOffset:min(t.Size, t.nextOffset+uint64(n.ChunkBytes))]
+		t.nextOffset += uint64(len(part.Data))
+		n.ChunksSent++
+		n.send(Message{Type: MsgSnapshotChunk, To: id, Chunk: &part, CommitIndex: n.commitIndex})
 		if t.Size == 0 {
 			break
 		}
 	}
-	p.sentAt = c.now
+	p.sentAtMs = n.nowMs
 }
 
-// taken goes on with a transfer, from where the other side has come to. Where it says twice that it has no more, a part
+// stepSnapshotChunkAck goes on with a transfer, from where the other side has come to. Where it says twice that it has no more, a part
 // was lost. Other parts that are lost are sent again after a while.
-func (c *Node) taken(m Message, p *progress) {
-	t := p.transfer
-	if t == nil || m.Chunk == nil || !m.Chunk.of(&t.SnapshotChunk) || m.Chunk.Offset > t.Size {
-		c.ChunksIgnored++
+func (n *Node) stepSnapshotChunkAck(m Message, p *progress) {
+	t := p.outgoing
+	if t == nil || m.Chunk == nil || !m.Chunk.sameSnapshot(&t.SnapshotChunk) || m.Chunk.Offset > t.Size {
+		n.ChunksIgnored++
 		return
 	}
 	switch at := m.Chunk.Offset; {
 	case at > t.Offset:
-		t.Offset, t.next, t.resent, t.at = at, max(t.next, at), false, c.now
-	case at < t.Offset && (at == 0 || c.now > t.at+c.RetransmitMs/2): // it began anew: this is no answer that was late
-		t.Offset, t.next, t.resent, t.at = at, at, false, c.now
-	case at == t.Offset && at < t.next && !t.resent:
-		t.next, t.resent = at, true
+		t.Offset, t.nextOffset, t.resent, t.ackedAtMs = at, max(t.nextOffset, at), false, n.nowMs
+	case at < t.Offset && (at == 0 || n.nowMs > t.ackedAtMs+n.RetransmitMs/2): // it began anew: this is no answer that was late
+		t.Offset, t.nextOffset, t.resent, t.ackedAtMs = at, at, false, n.nowMs
+	case at == t.Offset && at < t.nextOffset && !t.resent:
+		t.nextOffset, t.resent = at, true
 	default:
 		return
 	}
-	if p.sentAt = 0; t.Offset == t.Size { // its disk is at work
-		p.sentAt = c.now
+	if p.sentAtMs = 0; t.Offset == t.Size { // its disk is at work
+		p.sentAtMs = n.nowMs
 		return
 	}
-	c.feed(m.From, p)
+	n.replicate(m.From, p)
 }
 
-// installed takes in a part. What is out of order, of another snapshot, or lies about its lengths changes nothing.
-func (c *Node) installed(m Message) {
+// stepSnapshotChunk takes in a part. What is out of order, of another snapshot, or lies about its lengths changes nothing.
+func (n *Node) stepSnapshotChunk(m Message) {
 	t := m.Chunk
-	if !t.sane() {
-		c.ChunksIgnored++
+	if !t.valid() {
+		n.ChunksIgnored++
 		return
 	}
-	if t.Index <= c.commit && !(c.refetch && t.Index >= c.base.Index) {
-		c.write(Write{}, Message{Type: MsgAppendAccepted, To: m.From, Index: c.commit}) // behind what is being written
+	if t.Index <= n.commitIndex && !(n.snapshotWanted && t.Index >= n.snapshot.Index) {
+		n.persist(Write{}, Message{Type: MsgAppendAccepted, To: m.From, Index: n.commitIndex}) // behind what is being written
 		return
 	}
 	reply := func(offset int) {
-		c.send(Message{Type: MsgSnapshotChunkAck, To: m.From, Chunk: &SnapshotChunk{Index: t.Index, Digest: t.Digest, Size: t.Size, Offset: uint64(offset)}})
+		n.send(Message{Type: MsgSnapshotChunkAck, To: m.From, Chunk: &SnapshotChunk{Index: t.Index, Digest: t.Digest, Size: t.Size, Offset: uint64(offset)}})
 	}
-	have := c.taking
-	if have == nil || !have.of(t) {
+	have := n.incoming
+	if have == nil || !have.sameSnapshot(t) {
 		// A leader goes on to newer ones only, so an older one is late, unless what is held has come to a stand.
-		late := have != nil && have.by == m.Term && have.Index > t.Index && c.now < have.at+2*c.RetransmitMs
+		late := have != nil && have.leaderTerm == m.Term && have.Index > t.Index && n.nowMs < have.grewAtMs+2*n.RetransmitMs
 		if late || t.Offset != 0 {
-			if c.ChunksIgnored++; !late {
+			if n.ChunksIgnored++; !late {
 				reply(0)
 			}
 			return
 		}
-		have = &taking{SnapshotChunk: *t, at: c.now}
+		have = &incomingSnapshot{SnapshotChunk: *t, grewAtMs: n.nowMs}
 		have.Data = nil
-		c.taking = have
+		n.incoming = have
 	}
-	have.by = m.Term
-	if t.Offset != uint64(len(have.state)) {
-		c.ChunksIgnored++
-		reply(len(have.state))
+	have.leaderTerm = m.Term
+	if t.Offset != uint64(len(have.data)) {
+		n.ChunksIgnored++
+		reply(len(have.data))
 		return
 	}
-	have.state, have.at = append(have.state, t.Data...), c.now
-	if uint64(len(have.state)) < have.Size {
-		reply(len(have.state))
+	have.data, have.grewAtMs = append(have.data, t.Data...), n.nowMs
+	if uint64(len(have.data)) < have.Size {
+		reply(len(have.data))
 		return
 	}
-	c.taking = nil
-	if sum := blake3.Sum256(have.state); [16]byte(sum[:16]) != have.Digest {
-		c.ChunksIgnored++
+	n.incoming = nil
+	if sum := blake3.Sum256(have.data); [16]byte(sum[:16]) != have.Digest {
+		n.ChunksIgnored++
 		reply(0)
 		return
 	}
-	reply(len(have.state))
-	c.install(Snapshot{Index: have.Index, Term: have.Term, Members: have.Members, Data: have.state}, m.From)
+	reply(len(have.data))
+	n.installSnapshot(Snapshot{Index: have.Index, Term: have.Term, Members: have.Members, Data: have.data}, m.From)
 }
 
-// install puts a snapshot that is whole in the place of what it stands for.
-func (c *Node) install(s Snapshot, from ID) {
-	view, held := c.viewAt(s.Index)
+// installSnapshot puts a snapshot that is whole in the place of what it stands for.
+func (n *Node) installSnapshot(s Snapshot, from ID) {
+	term, held := n.termAt(s.Index)
 	tail := []Entry(nil)
-	if held = held && view == s.Term; held {
-		tail = slices.Clone(c.log[s.Index-c.base.Index:])
+	if held = held && term == s.Term; held {
+		tail = slices.Clone(n.entries[s.Index-n.snapshot.Index:])
 	}
-	again := s.Index <= c.commit // of what was delivered here already
+	again := s.Index <= n.commitIndex // of what was delivered here already
 	if again && !held {
-		c.ChunksIgnored++
+		n.ChunksIgnored++
 		return
 	}
-	c.SnapshotsInstalled++
-	c.base, c.log, c.old, c.oldView, c.refetch = s, tail, nil, s.Term, false
-	c.out.Committed = append(c.out.Committed, Committed{Index: s.Index, Term: s.Term, Snapshot: &s})
+	n.SnapshotsInstalled++
+	n.snapshot, n.entries, n.retained, n.retainedPrevTerm, n.snapshotWanted = s, tail, nil, s.Term, false
+	n.ready.Committed = append(n.ready.Committed, Committed{Index: s.Index, Term: s.Term, Snapshot: &s})
 	if again {
-		c.write(Write{Snapshot: &s, CompactThrough: s.Index}, Message{Type: MsgAppendAccepted, To: from, Index: c.commit})
-		for i, e := range tail[:c.given-s.Index] {
-			c.out.Committed = append(c.out.Committed, Committed{Index: s.Index + uint64(i) + 1, Term: e.Term, Data: e.Data})
+		n.persist(Write{Snapshot: &s, CompactThrough: s.Index}, Message{Type: MsgAppendAccepted, To: from, Index: n.commitIndex})
+		for i, e := range tail[:n.appliedIndex-s.Index] {
+			n.ready.Committed = append(n.ready.Committed, Committed{Index: s.Index + uint64(i) + 1, Term: e.Term, Data: e.Data})
 		}
 		return
 	}
-	c.commit, c.given = s.Index, s.Index
-	c.configs = []config{{s.Index, s.Members}}
+	n.commitIndex, n.appliedIndex = s.Index, s.Index
+	n.configurations = []configuration{{s.Index, s.Members}}
 	for i, e := range tail {
 		if len(e.Members) > 0 {
-			c.configs = append(c.configs, config{s.Index + uint64(i) + 1, e.Members})
+			n.configurations = append(n.configurations, configuration{s.Index + uint64(i) + 1, e.Members})
 		}
 	}
-	c.saved = max(c.saved, min(s.Index, c.last()))
-	c.write(Write{Snapshot: &s, CompactThrough: s.Index, FirstIndex: s.Index + 1, Entries: slices.Clone(tail)},
+	n.persistedIndex = max(n.persistedIndex, min(s.Index, n.lastIndex()))
+	n.persist(Write{Snapshot: &s, CompactThrough: s.Index, FirstIndex: s.Index + 1, Entries: slices.Clone(tail)},
 		Message{Type: MsgAppendAccepted, To: from, Index: s.Index})
 }
 
 // RequestSnapshot has this member ask for the leader's snapshot, since the state that its log built is wrong.
-func (c *Node) RequestSnapshot(now int64) Ready {
-	c.clock(now)
-	c.refetch, c.refetchAt = true, 0
-	return c.take()
+func (n *Node) RequestSnapshot(nowMs int64) Ready {
+	n.advanceClock(nowMs)
+	n.snapshotWanted, n.nextSnapshotRequestAtMs = true, 0
+	return n.takeReady()
 }
--- a/internal/control/consensus/snapshot_test.go
+++ b/internal/control/consensus/snapshot_test.go
@@ -96,8 +96,10 @@
 func parts(index uint64, state []byte, size int) (all []*SnapshotChunk) {
 	sum := blake3.Sum256(state)
 	for at := 0; at < len(state); at += size {
-		all = append(all, &SnapshotChunk{Index: index, Term: 1, Members: []ID{"a", "b", "c"}, Digest: [16]byte(sum[:16]), Size: uint64(len(state)),
-			Offset: uint64(at), Data: state[at:min(len(state), at+size)]})
+		all = append(all, &SnapshotChunk{
+			Index: index, Term: 1, Members: []ID{"a", "b", "c"}, Digest: [16]byte(sum[:16]), Size: uint64(len(state)),
+			Offset: uint64(at), Data: state[at:min(len(state), at+size)],
+		})
 	}
 	return all
 }
@@ -145,8 +147,10 @@
 	p := parts(9, []byte("state"), 100)[0]
 	o := c.Step(install("b", 1, p), 1010)
 	seq := o.Writes[len(o.Writes)-1].Seq
-	out := []Ready{o, c.Step(install("b", 1, p), 1020),
-		c.Step(Message{Type: MsgAppend, From: "b", To: "a", Term: 1, Index: 2, PrevTerm: 1, Entries: []Entry{{Term: 1}}}, 1030)}
+	out := []Ready{
+		o, c.Step(install("b", 1, p), 1020),
+		c.Step(Message{Type: MsgAppend, From: "b", To: "a", Term: 1, Index: 2, PrevTerm: 1, Entries: []Entry{{Term: 1}}}, 1030),
+	}
 	for _, o := range out {
 		require.False(t, slices.ContainsFunc(o.Messages, func(m Message) bool { return m.Type == MsgAppendAccepted }), "before it is on disk")
 	}
@@ -158,18 +162,18 @@
 func TestPartsThatLieChangeNothing(t *testing.T) {
 	state := bytes.Repeat([]byte("x"), 1000)
 	for name, spoil := range map[string]func(p *SnapshotChunk){
-		"a snapshot beyond reason": func(p *SnapshotChunk) { p.Size = snapshotMost + 1 },
+		"a snapshot beyond reason": func(p *SnapshotChunk) { p.Size = maxSnapshotBytes + 1 },
 		"an offset behind its end": func(p *SnapshotChunk) { p.Offset = p.Size + 1 },
 		"more than its size":       func(p *SnapshotChunk) { p.Size = 99 },
-		"a part beyond reason":     func(p *SnapshotChunk) { p.Data, p.Size = make([]byte, partMost+1), snapshotMost },
-		"members beyond reason":    func(p *SnapshotChunk) { p.Members = make([]ID, membersMost+1) },
+		"a part beyond reason":     func(p *SnapshotChunk) { p.Data, p.Size = make([]byte, maxChunkBytes+1), maxSnapshotBytes },
+		"members beyond reason":    func(p *SnapshotChunk) { p.Members = make([]ID, maxSnapshotMembers+1) },
 		"the middle first":         func(p *SnapshotChunk) { p.Offset = 100 },
 	} {
 		c := lagging()
 		p := *parts(9, state, 100)[0]
 		spoil(&p)
 		c.Step(install("b", 1, &p), 1010)
-		require.True(t, c.taking == nil, name)
+		require.True(t, c.incoming == nil, name)
 		require.EqualValues(t, 1, c.ChunksIgnored, name)
 	}
 	c := lagging()
@@ -180,7 +184,7 @@
 	o := c.Step(install("b", 1, one), 1010)
 	require.Empty(t, o.Committed, "another digest")
 	require.Equal(t, 0, offset(o), "it is asked for anew")
-	require.Nil(t, c.taking)
+	require.Nil(t, c.incoming)
 }
 
 // slowly plays a leader and a member that lacks all; a part and its answer take so long. It gives how many transfers began.
@@ -212,7 +216,7 @@
 		for _, d := range o.Committed {
 			if c == leader && d.Index%40 == 0 {
 				carry(c, c.Compact(d.Index, bytes.Repeat([]byte("s"), 3000+int(d.Index)), 10, now))
-				require.LessOrEqual(t, len(c.old)*8, max(behind, 200)+8)
+				require.LessOrEqual(t, len(c.retained)*8, max(behind, 200)+8)
 			}
 		}
 		for _, w := range o.Writes {
@@ -291,7 +295,7 @@
 			m.carry(m.core.RequestSnapshot(w.Now))
 			w.RunFor(3000)
 			require.Equal(t, was+1, m.core.SnapshotsInstalled)
-			require.False(t, m.core.refetch)
+			require.False(t, m.core.snapshotWanted)
 		}
 	}
 	w.over()
@@ -330,9 +334,9 @@
 // What a member said that it had, and has no more, counts for nothing.
 func TestWhatAnOlderDiskLacksDoesNotCount(t *testing.T) {
 	c := New("a", DefaultConfig(1), RestoredState{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
-	c.meta.Term, c.role, c.leader, c.heard, c.ledAt = 1, leader, "a", true, 2000
+	c.hardState.Term, c.role, c.leaderID, c.leaderSeen, c.leaderSinceMs = 1, leader, "a", true, 2000
 	c.peers = map[ID]*progress{}
-	c.follow()
+	c.syncPeers()
 	var o Ready
 	for range 5 {
 		_, o = c.Propose([]byte("x"), 2000)
@@ -361,7 +365,7 @@
 					t.Fatalf("%q is taken", d.Snapshot.Data)
 				}
 			}
-			if c.taking != nil && len(c.taking.state) > int(c.taking.Size) {
+			if c.incoming != nil && len(c.incoming.data) > int(c.incoming.Size) {
 				t.Fatal("more than its size")
 			}
 		}
