--- a/internal/control/consensus/cutoff_test.go
+++ b/internal/control/consensus/cutoff_test.go
@@ -116,7 +116,7 @@
 	require.True(t, old[0].ColdStart && old[1].ColdStart)
 	b.wire = nil
 	b.elect("c", "b")
-	b.cores["c"].nextHeartbeatAtMs = 0
+	b.cores["c"].leadership.nextHeartbeatAtMs = 0
 	b.tick("c")
 	b.bring(func(m Message) bool { return true })
 	b.start("a", "a", "b", "c")
@@ -136,7 +136,7 @@
 func TestTwoFreshMembersOfThreeWaitForTheirPromises(t *testing.T) {
 	b := newBare(t, "a", "b", "c")
 	b.elect("c", "a")
-	b.cores["c"].nextHeartbeatAtMs = 0
+	b.cores["c"].leadership.nextHeartbeatAtMs = 0
 	b.tick("c")
 	b.bring(func(m Message) bool { return true })
 	b.start("a", "a", "b", "c")
@@ -156,7 +156,7 @@
 		b := newBare(t, "a", "b", "c")
 		b.elect("c", "a")
 		c, a, at := b.cores["c"], b.cores["a"], b.now
-		c.nextHeartbeatAtMs = 0
+		c.leadership.nextHeartbeatAtMs = 0
 		b.tick("c")
 		b.bring(between("a", "c")) // the worst: no time passes on the way
 		for passed := range 1000 {
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -4,280 +4,291 @@
 	"slices"
 )
 
-type role uint8
+// campaignType says how a candidate asks for votes.
+type campaignType uint8
 
 const (
-	follower role = iota
-	candidate
-	leader
+	campaignElection campaignType = iota // for votes in a new term (3.4)
+	campaignPreVote                      // whether votes would be granted, in the current term (9.6)
+	campaignTransfer                     // for votes, on behalf of a leader that has ended its lease (3.10)
 )
 
-// HoldsLease says that no other view can have begun by now, and that all that was delivered in older ones was delivered
-// here. Only then may anything be granted or acknowledged.
-func (n *Node) HoldsLease(nowMs int64) bool {
-	return n.role == leader && !n.transferring && n.termStartIndex > 0 && n.commitIndex >= n.termStartIndex && nowMs < n.leaseUntilMs()
+const (
+	// electionMarginMs is added to LeaseMs in election timers, so that leases are over when the first one fires.
+	electionMarginMs = 50
+	// maxElectionBackoff is the most heartbeat intervals that a candidate adds between elections that failed.
+	maxElectionBackoff = 8
+	// maxTieBreaks is in how many campaigns a candidate gives way to, or stops, one with an equal log.
+	maxTieBreaks = 2
+)
+
+// electionState is what a follower or candidate knows of elections.
+type electionState struct {
+	timeoutAtMs   int64 // when to start a campaign
+	campaignType  campaignType
+	votes         map[ID]bool // of a candidate: who has answered, and whether with a vote
+	coldStarts    map[ID]bool // of a candidate: who has heard no leader since it started
+	allColdStarts bool        // the last Pre-Vote has shown that this is so for all members
+	campaignCount int         // campaigns since a leader was heard
+	electionCount int64       // those for votes among them, up to maxElectionBackoff
+	preVoteRound  uint64      // of the last Pre-Vote
 }
 
-// leaseUntilMs is when the first lease of the majority that held out longest ends, less a tenth for clocks that drift.
-func (n *Node) leaseUntilMs() int64 {
-	earliest := int64(1<<62 - 1)
-	for _, config := range n.activeConfigurations() {
-		var confirmedAtMs []int64
-		for _, member := range config.members {
-			switch p := n.peers[member]; {
-			case member == n.id:
-				confirmedAtMs = append(confirmedAtMs, n.nowMs)
-			case p != nil:
-				confirmedAtMs = append(confirmedAtMs, p.heartbeatAckedAtMs)
-			default:
-				confirmedAtMs = append(confirmedAtMs, 0)
-			}
-		}
-		slices.SortFunc(confirmedAtMs, func(a, b int64) int { return int(max(-1, min(1, b-a))) })
-		if len(confirmedAtMs) == 0 {
-			return 0
-		}
-		earliest = min(earliest, confirmedAtMs[len(confirmedAtMs)/2]+n.LeaseMs*9/10)
-	}
-	return earliest
+// firstPreVoteRound makes the rounds of a restarted node differ from those before: 50 bits are random, and 13 are left
+// for counting.
+func firstPreVoteRound(random float64) uint64 {
+	const randomBits, countBits = 50, 13
+	return uint64(random*(1<<randomBits)) << countBits
 }
 
-// resetElectionTimer draws when to ask for votes, should no leader be heard by then.
+// resetElectionTimer draws when to start an election if no leader is heard until then.
 func (n *Node) resetElectionTimer() {
-	n.electionAtMs = n.nowMs + n.LeaseMs + 50 + int64(n.random()*float64(n.ElectionJitterMs))
-	if n.lastIndex() < n.commitIndex { // nobody with less is to go first
-		n.electionAtMs += n.ElectionJitterMs
+	n.election.timeoutAtMs = n.nowMs + n.LeaseMs + electionMarginMs + n.jitterMs()
+	if n.log.lastIndex() < n.commitIndex { // a member with a complete log is to be first
+		n.election.timeoutAtMs += n.ElectionJitterMs
 	}
 }
 
-func (n *Node) tickLeader() {
-	if n.nowMs > max(n.leaseUntilMs(), n.leaderSinceMs)+2*n.LeaseMs || n.transferring && n.nowMs > n.transferStartedAtMs+n.LeaseMs {
-		n.becomeFollower("")
-		return
-	}
-	beat := n.nowMs >= n.nextHeartbeatAtMs
-	if beat {
-		n.nextHeartbeatAtMs = n.nowMs + n.HeartbeatMs
-	}
-	for _, id := range n.peerIDs() {
-		p := n.peers[id]
-		if beat && !n.transferring {
-			n.sendHeartbeat(id)
-		}
-		n.replicate(id, p)
-		if p.learner && n.nowMs > p.heardAtMs+4*n.LeaseMs {
-			delete(n.peers, id)
-		}
-	}
-	n.promoteLearner()
+// jitterMs draws a time of up to ElectionJitterMs.
+func (n *Node) jitterMs() int64 {
+	return int64(n.random() * float64(n.ElectionJitterMs))
 }
 
-// unresponsive says that a member was silent for so long that a leader which has lost its majority must not bind it any
-// more: it may hear well, and be heard by all others. It is only asked whether it is there.
-func (n *Node) unresponsive(p *progress) bool {
-	return n.nowMs > p.heardAtMs+n.LeaseMs && n.nowMs > max(n.leaseUntilMs(), n.leaderSinceMs+n.LeaseMs)
+// campaign makes this node a candidate.
+func (n *Node) campaign(kind campaignType) {
+	n.role, n.leaderID, n.election.campaignType = candidate, "", kind
+	n.election.campaignCount++
+	n.election.coldStarts = map[ID]bool{n.id: !n.leaderSeen}
+	n.resetCampaignTimer()
+	request := n.withCommitPoint(Message{
+		Type:               MsgVoteRequest,
+		Index:              n.log.lastIndex(),
+		PrevTerm:           n.log.lastTerm(),
+		PreVote:            kind == campaignPreVote,
+		LeadershipTransfer: kind == campaignTransfer,
+		ColdStart:          n.election.allColdStarts && kind != campaignPreVote,
+	})
+	if kind == campaignPreVote {
+		n.requestPreVotes(request)
+	} else {
+		n.requestVotes(request)
+	}
 }
 
-func (n *Node) sendHeartbeat(id ID) {
-	p := n.peers[id]
-	if n.unresponsive(p) {
-		n.send(Message{Type: MsgVoteRequest, To: id, PreVote: true}) // as one that has nothing, it stops no other
+// resetCampaignTimer draws when to campaign again. A Pre-Vote disturbs nobody and is repeated soon. Candidates that
+// compete may split the votes, and slow disks take long to grant one, so elections back off.
+func (n *Node) resetCampaignTimer() {
+	if n.election.campaignType == campaignPreVote {
+		n.election.timeoutAtMs = n.nowMs + n.HeartbeatMs/2 + int64(n.random()*float64(n.ElectionJitterMs)/2)
 		return
 	}
-	n.send(Message{Type: MsgHeartbeat, To: id, SentAtMs: n.nowMs, CommitIndex: min(n.commitIndex, p.matchIndex)})
+	n.election.electionCount = min(n.election.electionCount+1, maxElectionBackoff)
+	n.election.timeoutAtMs = n.nowMs + n.election.electionCount*n.HeartbeatMs + n.jitterMs()
 }
 
-// campaign begins an election: first whether votes would be had, then for them.
-func (n *Node) campaign(preVote, transferred bool) {
-	n.role, n.leaderID, n.preVote, n.transferred = candidate, "", preVote, transferred
-	free := !n.boundByLease() // its own vote is bound like any other's
-	n.votes, n.coldStarts = map[ID]bool{n.id: preVote && free}, map[ID]bool{n.id: !n.leaderSeen}
-	if n.campaignCount++; preVote { // asking whether votes would be had harms nobody
-		n.electionAtMs = n.nowMs + n.HeartbeatMs/2 + int64(n.random()*float64(n.ElectionJitterMs)/2)
-	} else { // two at once may take each other's votes; slow disks need longer each time
-		n.electionCount = min(n.electionCount+1, 8)
-		n.electionAtMs = n.nowMs + int64(n.electionCount)*n.HeartbeatMs + int64(n.random()*float64(n.ElectionJitterMs))
+// requestPreVotes asks all voters at once. Responses of earlier rounds do not count: their senders may have granted a
+// lease since.
+func (n *Node) requestPreVotes(request Message) {
+	n.election.votes = map[ID]bool{n.id: !n.boundByLease()}
+	n.election.preVoteRound++
+	request.PreVoteRound = n.election.preVoteRound
+	for _, voter := range n.otherVoters() {
+		request.To = voter
+		n.send(request)
 	}
-	term, _ := n.termAt(n.lastIndex())
-	m := n.withCommitPoint(Message{
-		Type: MsgVoteRequest, Index: n.lastIndex(), PrevTerm: term, PreVote: preVote, LeadershipTransfer: transferred,
-		ColdStart: n.clusterColdStart && !preVote,
-	})
-	to := map[ID]bool{}
-	for _, config := range n.activeConfigurations() {
-		for _, id := range config.members {
-			if id != n.id {
-				to[id] = true
-			}
-		}
+	n.countPreVotes()
+}
+
+// requestVotes begins a term, and asks all voters once that is on disk. The vote for itself is sent along, and like any
+// other is not granted while a lease forbids it.
+func (n *Node) requestVotes(request Message) {
+	n.election.votes = map[ID]bool{n.id: false}
+	n.hardState.Term, n.hardState.Vote = n.hardState.Term+1, n.id
+	granted := !n.boundByLease() || request.LeadershipTransfer || request.ColdStart
+	messages := []Message{{Type: MsgVoteResponse, To: n.id, Granted: granted}}
+	for _, voter := range n.otherVoters() {
+		request.To = voter
+		messages = append(messages, request)
 	}
-	var all []ID
-	for id := range to {
-		all = append(all, id)
+	n.persistHardState(messages...)
+}
+
+// otherVoters returns all members but this one, in order.
+func (n *Node) otherVoters() []ID {
+	var voters []ID
+	for _, config := range n.activeConfigurations() {
+		voters = append(voters, config.members...)
 	}
-	slices.Sort(all)
-	if preVote { // an answer of another round may be old: whoever was fresh then may have promised itself since
-		n.preVoteRound++
-		m.PreVoteRound = n.preVoteRound
-		for _, id := range all {
-			m.To = id
-			n.send(m)
-		}
-		n.countVotes()
+	slices.Sort(voters)
+	return slices.DeleteFunc(slices.Compact(voters), func(id ID) bool { return id == n.id })
+}
+
+// countPreVotes starts an election if it can be won. If no member has heard a leader since it started, there is neither a
+// leader nor a lease to wait for.
+func (n *Node) countPreVotes() {
+	if n.stopCampaignOfRemoved() {
 		return
 	}
-	n.hardState.Term, n.hardState.Vote = n.hardState.Term+1, n.id
-	meta := n.hardState
-	messages := []Message{{Type: MsgVoteResponse, To: n.id, Granted: free || transferred || m.ColdStart}}
-	for _, id := range all {
-		m.To = id
-		messages = append(messages, m)
+	n.election.allColdStarts = n.everyMember(func(id ID) bool { return n.election.coldStarts[id] })
+	if n.election.allColdStarts || n.hasQuorum(func(id ID) bool { return n.election.votes[id] }) {
+		n.campaign(campaignElection)
 	}
-	n.persist(Write{HardState: &meta}, messages...)
 }
 
+// countVotes makes this node the leader once a majority has voted for it.
 func (n *Node) countVotes() {
-	if n.role == candidate && !n.isMember(n.id) { // it has learnt from a vote that it is out
-		n.becomeFollower("")
-		return
-	}
-	// Where all members are in lives in which none has heard a leader, none leads: there is no lease to wait out.
-	n.clusterColdStart = n.preVote && n.everyMember(func(id ID) bool { return n.coldStarts[id] })
-	if n.role == candidate && n.clusterColdStart {
-		n.campaign(false, false)
+	if n.stopCampaignOfRemoved() {
 		return
 	}
-	if n.role != candidate || !n.hasQuorum(func(id ID) bool { return n.votes[id] }) {
-		return
+	n.election.allColdStarts = false
+	if n.hasQuorum(func(id ID) bool { return n.election.votes[id] }) {
+		n.becomeLeader()
 	}
-	if n.preVote {
-		n.campaign(false, n.transferred)
-		return
+}
+
+// stopCampaignOfRemoved ends the campaign of a node that has learnt from a response that it is no longer a member.
+func (n *Node) stopCampaignOfRemoved() bool {
+	if n.isMember(n.id) {
+		return false
 	}
-	n.leaderSeen = true
-	n.role, n.leaderID, n.transferring, n.nextHeartbeatAtMs, n.leaderSinceMs = leader, n.id, false, n.nowMs, n.nowMs
+	n.becomeFollower("")
+	return true
+}
+
+// becomeLeader begins to lead with an entry of the new term, since only such an entry can commit those before it
+// (3.6.2, 6.4).
+func (n *Node) becomeLeader() {
+	n.role, n.leaderID, n.leaderSeen = leader, n.id, true
+	n.leadership.transferring = false
+	n.leadership.nextHeartbeatAtMs, n.leadership.sinceMs = n.nowMs, n.nowMs
 	n.peers = map[ID]*progress{}
 	n.syncPeers()
 	n.peers[n.id].matchIndex = n.persistedIndex
 	first := Entry{Term: n.hardState.Term}
-	if n.configurations[len(n.configurations)-1].index == 0 { // learners are told no other way who the first members were
+	if n.latestConfiguration().index == 0 { // learners have no other way to learn the founders
 		first.Members = n.Members()
 	}
 	n.appendEntry(first)
-	n.termStartIndex = n.lastIndex()
+	n.leadership.termStartIndex = n.log.lastIndex()
 	n.tickLeader()
 }
 
-// becomeFollower has a member follow again.
-func (n *Node) becomeFollower(to ID) {
-	n.role, n.leaderID, n.peers, n.votes, n.termStartIndex, n.transferring = follower, to, nil, nil, 0, false
+// stepVoteRequest answers a candidate.
+func (n *Node) stepVoteRequest(m Message) {
+	n.learnCommitPoint(m)
+	if m.PreVote {
+		n.stepPreVoteRequest(m)
+		return
+	}
+	if n.leaseForbidsVote(m) || m.Term < n.hardState.Term {
+		return
+	}
+	if m.Term > n.hardState.Term {
+		n.hardState.Term, n.hardState.Vote = m.Term, ""
+		n.becomeFollower("")
+	} else if n.hardState.Vote != "" && n.hardState.Vote != m.From || n.role == leader {
+		return
+	}
+	if !n.candidateUpToDate(m) {
+		n.persistHardState()
+		return
+	}
+	n.hardState.Vote = m.From
 	n.resetElectionTimer()
+	n.persistHardState(n.withCommitPoint(Message{Type: MsgVoteResponse, To: m.From, Granted: true}))
 }
 
-// TransferLeadership hands the view over to the member that has most, if this one leads. Nothing is granted here any more.
-func (n *Node) TransferLeadership(nowMs int64) Ready {
-	n.advanceClock(nowMs)
-	n.startTransfer()
-	return n.takeReady()
+// stepPreVoteRequest tells a candidate whether it would get this node's vote. Nothing is promised by that.
+func (n *Node) stepPreVoteRequest(m Message) {
+	upToDate := n.candidateUpToDate(m)
+	granted := upToDate && !n.leaseForbidsVote(m) && m.Term+1 > n.hardState.Term
+	if granted && n.tiesWith(m) {
+		if n.id < m.From {
+			granted = false
+		} else {
+			n.becomeFollower("")
+			n.election.timeoutAtMs = n.nowMs + 2*n.HeartbeatMs + n.jitterMs()
+		}
+	}
+	n.send(n.withCommitPoint(Message{
+		Type:         MsgVoteResponse,
+		To:           m.From,
+		PreVote:      true,
+		Granted:      granted,
+		ColdStart:    !n.leaderSeen && upToDate,
+		PreVoteRound: m.PreVoteRound,
+	}))
 }
 
-func (n *Node) startTransfer() {
-	if n.role != leader || n.transferring {
+// stepVoteResponse takes in a vote, a Pre-Vote, or a refusal of one.
+func (n *Node) stepVoteResponse(m Message) {
+	n.learnCommitPoint(m)
+	if m.PreVote {
+		n.stepPreVoteResponse(m)
 		return
 	}
-	best := ID("")
-	for _, id := range n.peerIDs() {
-		p := n.peers[id]
-		if p.learner || n.nowMs >= p.heardAtMs+n.LeaseMs {
-			continue
-		}
-		if best == "" || n.isLeaving(best) && !n.isLeaving(id) || n.isLeaving(best) == n.isLeaving(id) && p.matchIndex > n.peers[best].matchIndex {
-			best = id
-		}
-	}
-	if best != "" {
-		n.transferring, n.transferStartedAtMs, n.transferee = true, n.nowMs, best
-		n.finishTransfer()
+	if n.checkTerm(m) && n.role == candidate && n.election.campaignType != campaignPreVote && m.Granted {
+		n.election.votes[m.From] = true
+		n.countVotes()
 	}
 }
 
-// finishTransfer has the heir ask for votes once it holds all that was appended: before, others may have what it lacks, and refuse.
-func (n *Node) finishTransfer() {
-	if !n.transferring || n.transferee == "" || n.peers[n.transferee] == nil || n.peers[n.transferee].matchIndex < n.lastIndex() {
+// stepPreVoteResponse takes in a Pre-Vote. A newer term is entered, and asked for again in it: else a member with a
+// shorter log in a newer term could keep one with a longer log from being elected for good.
+func (n *Node) stepPreVoteResponse(m Message) {
+	if m.Term > n.hardState.Term {
+		n.enterTerm(m.Term)
+		n.election.timeoutAtMs = n.nowMs
 		return
 	}
-	heir := n.transferee
-	n.transferee = ""
-	n.send(Message{Type: MsgTimeoutNow, To: heir})
-	if !n.isMember(n.id) { // nobody tells it who leads now
-		n.becomeFollower(heir)
+	if p := n.peers[m.From]; n.role == leader && p != nil { // it was asked by sendHeartbeat
+		p.heardAtMs = n.nowMs
+	}
+	if n.role == candidate && n.election.campaignType == campaignPreVote {
+		n.election.votes[m.From] = n.election.votes[m.From] || m.Granted
+		n.election.coldStarts[m.From] = m.ColdStart && m.PreVoteRound == n.election.preVoteRound
+		n.countPreVotes()
 	}
 }
 
-// withCommitPoint adds what is known here to be delivered: where a leader is lost right after a change of members, what knows
-// of it and what can lead need not be the same member.
+// candidateUpToDate says whether a candidate's log is at least as up to date as this node's (3.6.1).
+func (n *Node) candidateUpToDate(m Message) bool {
+	lastTerm := n.log.lastTerm()
+	return m.PrevTerm > lastTerm || m.PrevTerm == lastTerm && m.Index >= n.log.lastIndex()
+}
+
+// leaseForbidsVote says whether a lease keeps this node from voting for a candidate (4.2.3, 6.4.1). It does not if the
+// leader has ended its lease to transfer leadership, or if no member can have granted one. A leader does not vote for
+// others a little beyond its own lease.
+func (n *Node) leaseForbidsVote(m Message) bool {
+	switch {
+	case m.ColdStart && !n.leaderSeen,
+		m.LeadershipTransfer && n.role == leader && n.leadership.transferring,
+		m.LeadershipTransfer && n.role == follower && n.nowMs >= n.startedAtMs+n.LeaseMs:
+		return false
+	}
+	return n.boundByLease() || n.role == leader && n.nowMs < n.leaseUntilMs()+n.LeaseMs/5
+}
+
+// tiesWith says whether this node asks for Pre-Votes itself, with an equal log. Two that go on to an election at once
+// may split the votes; the one with the smaller ID goes first, for as long as it may still succeed.
+func (n *Node) tiesWith(m Message) bool {
+	return n.role == candidate && n.election.campaignType == campaignPreVote && n.election.campaignCount <= maxTieBreaks &&
+		m.PrevTerm == n.log.lastTerm() && m.Index == n.log.lastIndex()
+}
+
+// withCommitPoint adds what is known here to be committed. After a change of members, the one that knows of its
+// commitment and the one that can be elected need not be the same.
 func (n *Node) withCommitPoint(m Message) Message {
 	m.CommitIndex = max(n.commitIndex, n.hardState.CommittedConfigIndex)
-	m.CommitTerm, _ = n.termAt(m.CommitIndex)
+	m.CommitTerm, _ = n.log.term(m.CommitIndex)
 	return m
 }
 
-// learnCommitPoint takes in what another knows to be delivered: with that entry alike, all before it are.
+// learnCommitPoint commits what another member knows to be committed. If the entry there is the same here, so are all
+// before it (3.5, Log Matching).
 func (n *Node) learnCommitPoint(m Message) {
-	if term, held := n.termAt(m.CommitIndex); held && m.CommitIndex > n.commitIndex && term == m.CommitTerm {
+	if term, known := n.log.term(m.CommitIndex); known && m.CommitIndex > n.commitIndex && term == m.CommitTerm {
 		n.commitTo(m.CommitIndex)
 	}
 }
-
-// boundByLease says that a leader may count on this member: one that it has heard, or that an earlier life may have heard.
-func (n *Node) boundByLease() bool { return n.nowMs < max(n.leaderHeardAtMs, n.startedAtMs)+n.LeaseMs }
-
-// stepVoteRequest answers a candidate. A member that has promised itself to a view gives no vote until that is over, and takes
-// part in nothing newer meanwhile.
-func (n *Node) stepVoteRequest(m Message) {
-	term, _ := n.termAt(n.lastIndex())
-	upToDate := m.PrevTerm > term || m.PrevTerm == term && m.Index >= n.lastIndex()
-	bound := n.boundByLease() || n.role == leader && n.nowMs < n.leaseUntilMs()+n.LeaseMs/5
-	if m.LeadershipTransfer && m.From != "" && n.role == follower && n.nowMs >= n.startedAtMs+n.LeaseMs {
-		bound = false
-	}
-	if m.LeadershipTransfer && n.role == leader && n.transferring || m.ColdStart && !n.leaderSeen {
-		bound = false
-	}
-	if m.PreVote {
-		newer := m.Term+1 > n.hardState.Term
-		// Two that try at once would take each other's votes. With as much each, the one that comes first by name goes on, for
-		// as long as it may yet get through.
-		if n.role == candidate && n.preVote && n.campaignCount <= 2 && upToDate && newer && !bound && m.PrevTerm == term && m.Index == n.lastIndex() {
-			if n.id < m.From {
-				newer = false
-			} else {
-				n.becomeFollower("")
-				n.electionAtMs = n.nowMs + 2*n.HeartbeatMs + int64(n.random()*float64(n.ElectionJitterMs))
-			}
-		}
-		n.send(n.withCommitPoint(Message{
-			Type: MsgVoteResponse, To: m.From, PreVote: true, Granted: !bound && upToDate && newer,
-			ColdStart: !n.leaderSeen && upToDate, PreVoteRound: m.PreVoteRound,
-		}))
-		return
-	}
-	if bound || m.Term < n.hardState.Term {
-		return
-	}
-	if m.Term > n.hardState.Term {
-		n.hardState.Term, n.hardState.Vote = m.Term, ""
-		n.becomeFollower("")
-	} else if n.hardState.Vote != "" && n.hardState.Vote != m.From || n.role == leader {
-		return
-	}
-	if !upToDate {
-		meta := n.hardState
-		n.persist(Write{HardState: &meta})
-		return
-	}
-	n.hardState.Vote = m.From
-	n.resetElectionTimer()
-	meta := n.hardState
-	n.persist(Write{HardState: &meta}, n.withCommitPoint(Message{Type: MsgVoteResponse, To: m.From, Granted: true}))
-}
--- a/internal/control/consensus/explore_test.go
+++ b/internal/control/consensus/explore_test.go
@@ -63,8 +63,9 @@
 
 func cloneCore(c *Node) *Node {
 	n := *c
-	n.entries, n.pendingWrites, n.configurations = slices.Clone(c.entries), slices.Clone(c.pendingWrites), slices.Clone(c.configurations)
-	n.votes, n.coldStarts, n.peers = maps.Clone(c.votes), maps.Clone(c.coldStarts), maps.Clone(c.peers)
+	n.log.entries, n.pendingWrites, n.configurations = slices.Clone(c.log.entries), slices.Clone(c.pendingWrites), slices.Clone(c.configurations)
+	n.election.votes, n.election.coldStarts = maps.Clone(c.election.votes), maps.Clone(c.election.coldStarts)
+	n.peers = maps.Clone(c.peers)
 	for id, p := range n.peers {
 		q := *p
 		n.peers[id] = &q
@@ -139,18 +140,20 @@
 
 func (h *hasher) core(c *Node) {
 	h.ids(c.id, c.hardState.Vote, c.leaderID)
-	h.num(int64(c.hardState.Term), int64(c.hardState.CommittedConfigIndex), int64(c.commitIndex), int64(c.persistedIndex), int64(c.persistedConfigIndex), int64(c.role), c.leaderHeardAtMs, c.electionAtMs,
-		c.nextJoinAtMs, c.electionCount, int64(c.campaignCount), int64(c.termStartIndex), c.nextHeartbeatAtMs, c.leaderSinceMs, c.transferStartedAtMs, c.startedAtMs, c.leave.askAt, c.leave.begunAt)
-	h.ids(c.transferee)
-	h.is(c.preVote, c.transferred, c.leaderSeen, c.clusterColdStart, c.transferring, c.leave.begun, c.leave.over, c.leave.handed)
-	h.entries(c.entries)
+	h.num(int64(c.hardState.Term), int64(c.hardState.CommittedConfigIndex), int64(c.commitIndex), int64(c.persistedIndex), int64(c.persistedConfigIndex), int64(c.role), c.leaderHeardAtMs, c.election.timeoutAtMs,
+		c.nextJoinAtMs, c.election.electionCount, int64(c.election.campaignCount), int64(c.leadership.termStartIndex), c.leadership.nextHeartbeatAtMs,
+		c.leadership.sinceMs, c.leadership.transferStartedAtMs, c.startedAtMs, c.leave.nextRequestAtMs, c.leave.startedAtMs,
+		int64(c.election.campaignType), int64(c.leave.state))
+	h.ids(c.leadership.transferee)
+	h.is(c.leaderSeen, c.election.allColdStarts, c.leadership.transferring)
+	h.entries(c.log.entries)
 	for _, p := range c.pendingWrites {
 		h.num(int64(p.lastIndex), int64(p.configIndex))
 		for i := range p.messages {
 			h.message(&p.messages[i])
 		}
 	}
-	for _, all := range []map[ID]bool{c.votes, c.coldStarts} {
+	for _, all := range []map[ID]bool{c.election.votes, c.election.coldStarts} {
 		for _, id := range slices.Sorted(maps.Keys(all)) {
 			h.ids(id)
 			h.is(all[id])
@@ -225,20 +228,20 @@
 		}
 	case "agreed": // who knows that the change was delivered is not asked
 		for _, p := range n.core.peers {
-			p.persistedConfigIndex = n.core.lastIndex()
+			p.persistedConfigIndex = n.core.log.lastIndex()
 		}
-		n.core.persistedConfigIndex = n.core.lastIndex()
+		n.core.persistedConfigIndex = n.core.log.lastIndex()
 	}
 	x.carry(s, i, do(n.core))
 	if x.out == "joint" { // the newest members alone must agree
 		n.core.configurations = n.core.configurations[len(n.core.configurations)-1:]
 	}
-	over, handed := n.core.LeaveProgress()
-	if over && !handed {
+	left := n.core.LeaveState()
+	if left == LeaveUnreplaced {
 		s.stops(n.id)
 	}
-	if over && !n.core.IsLeader() || x.out == "asked" && n.core.leave.begun {
-		s.what += fmt.Sprintf("; %s ends, handed on: %v", n.id, handed)
+	if left.Done() && !n.core.IsLeader() || x.out == "asked" && left != LeaveNotStarted {
+		s.what += fmt.Sprintf("; %s ends, handed on: %v", n.id, left == LeaveReplaced)
 		n.core, n.queue = nil, nil
 	}
 	n.seal()
@@ -307,7 +310,7 @@
 		}
 	case d.Index == uint64(len(s.order)):
 		s.order = append(s.order, what)
-		if e := n.core.entries[d.Index-1]; len(e.Members) > 0 {
+		if e := n.core.log.entries[d.Index-1]; len(e.Members) > 0 {
 			s.seats = maps.Clone(s.seats)
 			s.seats[d.Index] = e.Members
 		}
@@ -427,7 +430,7 @@
 			add(fmt.Sprintf("%s loses its disk", m.id), func(n *system) { n.spent.loss++; x.off(n, i, true) })
 			add(fmt.Sprintf("%s is gone", m.id), func(n *system) { n.spent.loss++; x.off(n, i, false) })
 		}
-		if s.spent.leave < x.rare.leave && !m.core.leave.begun {
+		if s.spent.leave < x.rare.leave && m.core.LeaveState() == LeaveNotStarted {
 			add(fmt.Sprintf("%s is to end", m.id), func(n *system) {
 				n.spent.leave++
 				x.at(n, i, func(c *Node) Ready { return c.Leave(n.now) })
@@ -521,7 +524,7 @@
 	}
 	there, know := 0, 0
 	for _, n := range s.nodes {
-		if n.core != nil && (counted(1, n.core.entries) || counted(1, n.disk.Entries)) {
+		if n.core != nil && (counted(1, n.core.log.entries) || counted(1, n.disk.Entries)) {
 			return false
 		}
 		if n.core == nil {
--- a/internal/control/consensus/membership_test.go
+++ b/internal/control/consensus/membership_test.go
@@ -59,24 +59,24 @@
 	}
 	var poll func()
 	poll = func() {
-		over, handed := m.core.LeaveProgress()
+		left := m.core.LeaveState()
 		if w.out == "leave" { // it ends as one that falls silent
-			over, handed = true, true
+			left = LeaveReplaced
 		}
 		switch {
 		case !m.up || m.life != life:
 			w.leaving--
-		case over && !m.core.IsLeader() || w.Now > begun+4500:
+		case left.Done() && !m.core.IsLeader() || w.Now > begun+4500:
 			w.leaving--
 			counted := slices.ContainsFunc(w.members, func(o *member) bool { return o.up && slices.Contains(o.core.Members(), m.id) })
-			w.Note("%s ends, handed on %v", m.id, handed)
+			w.Note("%s ends, handed on %v", m.id, left == LeaveReplaced)
 			m.crash(false)
-			if gone && (handed || !counted) {
+			if gone && (left == LeaveReplaced || !counted) {
 				w.members = slices.DeleteFunc(slices.Clone(w.members), func(o *member) bool { return o == m })
 			} else {
 				w.After(w.Between(50, 1500), m.start)
 			}
-			if e.told++; !handed {
+			if e.told++; left != LeaveReplaced {
 				m.outAt = w.Now
 				return
 			}
@@ -231,8 +231,7 @@
 	c.Step(Message{Type: MsgLeave, From: "", To: "a", Term: 1}, now)
 	strays(3, "from nobody")
 	c.Step(Message{Type: MsgLeaveResponse, From: "b", To: "a", Term: 1, Granted: true}, now)
-	over, _ := c.LeaveProgress()
-	require.False(t, over, "an answer that was not asked for")
+	require.Equal(t, LeaveNotStarted, c.LeaveState(), "an answer that was not asked for")
 	for i := range 1000 {
 		c.Step(Message{Type: MsgJoin, From: ID(fmt.Sprintf("j%d+1", i)), Index: 1 << 60}, now)
 	}
@@ -255,12 +254,10 @@
 		{Type: MsgLeaveResponse, From: "b", To: "a", Term: 3, SentAtMs: 9000, Granted: true}, // to what was not asked yet
 	} {
 		c.Step(m, 2010)
-		over, _ := c.LeaveProgress()
-		require.False(t, over, "%+v", m)
+		require.Equal(t, LeavePending, c.LeaveState(), "%+v", m)
 	}
 	c.Step(Message{Type: MsgLeaveResponse, From: "b", To: "a", Term: 3, SentAtMs: 2000, Granted: true}, 2010)
-	over, handed := c.LeaveProgress()
-	require.True(t, over && handed)
+	require.Equal(t, LeaveReplaced, c.LeaveState())
 }
 
 // One that leads and ends leaves the others without a leader for no longer than it takes to elect one, also where some
@@ -290,7 +287,7 @@
 					}
 				}
 				worst = max(worst, w.Now-last)
-				if over, _ := l.core.LeaveProgress(); l.up && over && !l.core.IsLeader() {
+				if l.up && l.core.LeaveState().Done() && !l.core.IsLeader() {
 					l.crash(false)
 					w.After(700, l.start)
 				}
--- a/internal/control/consensus/node_test.go
+++ b/internal/control/consensus/node_test.go
@@ -86,7 +86,7 @@
 			if m.up && m.life == life {
 				m.core.leaderHeardAtMs, m.core.startedAtMs = 0, 0
 				if w.OneIn(20) && !m.core.IsLeader() {
-					m.core.electionAtMs = w.Now
+					m.core.election.timeoutAtMs = w.Now
 				}
 				w.After(10, forget)
 			}
@@ -526,7 +526,7 @@
 				w.run(9000)
 			}()
 			for _, b := range w.Violations {
-				if strings.Contains(b, "gone") || strings.Contains(b, "both hold") || strings.Contains(b, "delivers") || strings.Contains(b, "ratchet:") {
+				if strings.Contains(b, "gone") || strings.Contains(b, "both hold") || strings.Contains(b, "delivers") || strings.Contains(b, "consensus:") {
 					caught = fmt.Sprintf("seed %d: %s", seed, b)
 				}
 			}
--- a/internal/control/consensus/snapshot_test.go
+++ b/internal/control/consensus/snapshot_test.go
@@ -216,7 +216,7 @@
 		for _, d := range o.Committed {
 			if c == leader && d.Index%40 == 0 {
 				carry(c, c.Compact(d.Index, bytes.Repeat([]byte("s"), 3000+int(d.Index)), 10, now))
-				require.LessOrEqual(t, len(c.retained)*8, max(behind, 200)+8)
+				require.LessOrEqual(t, len(c.log.retained)*8, max(behind, 200)+8)
 			}
 		}
 		for _, w := range o.Writes {
@@ -334,7 +334,7 @@
 // What a member said that it had, and has no more, counts for nothing.
 func TestWhatAnOlderDiskLacksDoesNotCount(t *testing.T) {
 	c := New("a", DefaultConfig(1), RestoredState{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
-	c.hardState.Term, c.role, c.leaderID, c.leaderSeen, c.leaderSinceMs = 1, leader, "a", true, 2000
+	c.hardState.Term, c.role, c.leaderID, c.leaderSeen, c.leadership.sinceMs = 1, leader, "a", true, 2000
 	c.peers = map[ID]*progress{}
 	c.syncPeers()
 	var o Ready
--- /dev/null
+++ b/internal/control/consensus/transfer.go
@@ -0,0 +1,69 @@
+package consensus
+
+// TransferLeadership ends this leader's lease, and has the member with the longest log take over leadership (3.10).
+// Without a member to take over, or on a node that does not lead, nothing happens.
+func (n *Node) TransferLeadership(nowMs int64) Ready {
+	n.advanceClock(nowMs)
+	n.startTransfer()
+	return n.takeReady()
+}
+
+func (n *Node) startTransfer() {
+	if n.role != leader || n.leadership.transferring {
+		return
+	}
+	transferee := n.bestTransferee()
+	if transferee == "" {
+		return
+	}
+	n.leadership.transferring, n.leadership.transferee = true, transferee
+	n.leadership.transferStartedAtMs = n.nowMs
+	n.finishTransfer()
+}
+
+// bestTransferee returns the member that was heard lately and holds most, rather one that is not leaving; empty if there is
+// none.
+func (n *Node) bestTransferee() ID {
+	best := ID("")
+	for _, id := range n.peerIDs() {
+		p := n.peers[id]
+		if p.learner || n.nowMs >= p.heardAtMs+n.LeaseMs {
+			continue
+		}
+		if best == "" || n.betterTransferee(id, best) {
+			best = id
+		}
+	}
+	return best
+}
+
+func (n *Node) betterTransferee(id, than ID) bool {
+	if n.isLeaving(id) != n.isLeaving(than) {
+		return n.isLeaving(than)
+	}
+	return n.peers[id].matchIndex > n.peers[than].matchIndex
+}
+
+// finishTransfer has the transferee start its election once it holds the whole log. Before that, members that hold more
+// would refuse their votes.
+func (n *Node) finishTransfer() {
+	transferee := n.leadership.transferee
+	if !n.leadership.transferring || transferee == "" {
+		return
+	}
+	if p := n.peers[transferee]; p == nil || p.matchIndex < n.log.lastIndex() {
+		return
+	}
+	n.leadership.transferee = ""
+	n.send(Message{Type: MsgTimeoutNow, To: transferee})
+	if !n.isMember(n.id) { // the new leader will not contact it
+		n.becomeFollower(transferee)
+	}
+}
+
+// stepTimeoutNow starts an election on behalf of the leader. There is no Pre-Vote, since the leader's lease is over.
+func (n *Node) stepTimeoutNow(m Message) {
+	if n.role != leader && m.From == n.leaderID && n.isMember(n.id) {
+		n.campaign(campaignTransfer)
+	}
+}
