--- a/internal/simulation/statesize/statesize.go
+++ b/internal/simulation/statesize/statesize.go
@@ -1,5 +1,5 @@
-// Package statesize makes control state of a given size, for benchmarks: so many routers before so many databases of three
-// hosts each, with names and addresses as long as those of the deployments.
+// Package statesize builds control-plane states of given sizes for benchmarks: so many proxies and databases, each
+// database with three hosts, and names and addresses as long as those of the deployments.
 package statesize
 
 import (
@@ -9,7 +9,13 @@
 	"ferrypitch/internal/control/statemachine"
 )
 
-// Size is a size.
+const (
+	hostsPerDatabase  = 3
+	routesPerDatabase = 3
+	hostsPerSubnet    = 250
+)
+
+// Size is the number of proxies and databases.
 type Size struct{ Routers, Databases int }
 
 // Full is the size that docs/CAPACITY.md is worked out for.
@@ -18,80 +24,95 @@
 // All are the sizes that are measured, in the proportion of Full.
 var All = []Size{{30, 65}, {100, 217}, {300, 650}, Full}
 
-func (e Size) String() string { return fmt.Sprintf("routers=%d", e.Routers) }
+// String names the size in benchmark results.
+func (s Size) String() string { return fmt.Sprintf("proxies=%d", s.Routers) }
 
-// Hosts is how many there are.
-func (e Size) Hosts() int { return 3 * e.Databases }
+// Hosts returns the number of hosts.
+func (s Size) Hosts() int { return hostsPerDatabase * s.Databases }
 
-// Service is a database's name.
-func Service(i int) string { return fmt.Sprintf("lecture-core-%d", i) }
+// Service returns the name of the nth database's service.
+func Service(n int) string { return fmt.Sprintf("lecture-core-%d", n) }
 
-// Host is the nth of all; the first of each three leads.
+// Host returns the nth host of all. The first of each three is the primary of their service.
 func Host(n int) statemachine.Host {
-	return statemachine.Host{ID: fmt.Sprintf("lecture-core-%d-h%d-1", n/3, n%3), Service: Service(n / 3),
-		Address: fmt.Sprintf("10.%d.%d.%d:5432", 10+n%3, n/3/250, 1+n/3%250), Zone: "waco-hall", Generation: "g1", Capacity: 7,
-		AddedAt: uint64(n + 1)}
+	service, place := n/hostsPerDatabase, n%hostsPerDatabase
+	return statemachine.Host{
+		ID:         fmt.Sprintf("lecture-core-%d-h%d-1", service, place),
+		Service:    Service(service),
+		Address:    fmt.Sprintf("10.%d.%d.%d:5432", 10+place, service/hostsPerSubnet, 1+service%hostsPerSubnet),
+		Zone:       "waco-hall",
+		Generation: "g1",
+		Capacity:   7,
+		AddedAt:    uint64(n + 1),
+	}
 }
 
-// Router is the nth.
+// Router returns the nth proxy's name.
 func Router(n int) string { return fmt.Sprintf("edge-waco-hall-%d", n) }
 
-// Config is a configuration with a service for each database, and a route of each kind; the first route differs in each
-// generation.
-func (e Size) Config(generation int64) []byte {
-	var b bytes.Buffer
-	fmt.Fprintf(&b, `{"Generation":%d,"Routes":[`, generation)
-	for i := range 3 * e.Databases {
+// Config returns a configuration with a service for each database and a route of each kind to it. Generations differ in
+// the first route's deadline.
+func (s Size) Config(generation int64) []byte {
+	var body bytes.Buffer
+	fmt.Fprintf(&body, `{"Generation":%d,"Routes":[`, generation)
+	for i := range routesPerDatabase * s.Databases {
 		if i > 0 {
-			b.WriteByte(',')
-		}
-		deadline := int64(2000)
-		if i == 0 {
-			deadline += generation
+			body.WriteByte(',')
 		}
-		kind := [...]string{`"leader"`, `"bounded_staleness","StalenessMs":1500`, `"owned","StalenessMs":2500`}[i%3]
-		fmt.Fprintf(&b, `{"Name":"desk-%d","Host":"desk-%d.example","PathPrefix":"/","Kind":%s,"DeadlineMs":%d,"TargetMs":250,`+
-			`"Priority":1,"Service":%q,"MaxTries":2}`, i, i, kind, deadline, Service(i/3))
+		writeRoute(&body, i, generation)
 	}
-	b.WriteString(`],"Services":[`)
-	for i := range e.Databases {
+	body.WriteString(`],"Services":[`)
+	for i := range s.Databases {
 		if i > 0 {
-			b.WriteByte(',')
+			body.WriteByte(',')
 		}
-		fmt.Fprintf(&b, `{"Name":%q,"MaxConns":82,"SyncReplicas":1}`, Service(i))
+		fmt.Fprintf(&body, `{"Name":%q,"MaxConns":82,"SyncReplicas":1}`, Service(i))
+	}
+	body.WriteString(`],"Limits":{"TxnIdleMs":5000}}`)
+	return body.Bytes()
+}
+
+func writeRoute(body *bytes.Buffer, i int, generation int64) {
+	kinds := [routesPerDatabase]string{`"leader"`, `"bounded_staleness","StalenessMs":1500`, `"owned","StalenessMs":2500`}
+	deadlineMs := int64(2000)
+	if i == 0 {
+		deadlineMs += generation
 	}
-	b.WriteString(`],"Limits":{"TxnIdleMs":5000}}`)
-	return b.Bytes()
+	fmt.Fprintf(body, `{"Name":"desk-%d","Host":"desk-%d.example","PathPrefix":"/","Kind":%s,"DeadlineMs":%d,"TargetMs":250,`+
+		`"Priority":1,"Service":%q,"MaxTries":2}`, i, i, kinds[i%routesPerDatabase], deadlineMs, Service(i/routesPerDatabase))
 }
 
-// Order is an operator's change of one route, as the log carries it on top of a state.
-func (e Size) Order(s *statemachine.State) statemachine.Change {
-	c := &statemachine.ConfigUpdate{BaseVersion: s.Generation, Body: e.Config(s.Generation + 1)}
-	plan, err := s.CheckConfig(c)
+// Order returns an operator's change of one route on top of a state, as the log carries it. It panics if the state does
+// not accept the change.
+func (s Size) Order(state *statemachine.State) statemachine.Change {
+	update := &statemachine.ConfigUpdate{BaseVersion: state.Generation, Body: s.Config(state.Generation + 1)}
+	config, err := state.CheckConfig(update)
 	if err != nil {
 		panic(err)
 	}
-	return statemachine.Change{UpdateConfig: s.Delta(c, plan)}
+	return statemachine.Change{UpdateConfig: state.Delta(update, config)}
 }
 
-// State holds all that, each database led by its first host. It is put together directly: applying as many changes takes
-// time that grows with the square.
-func (e Size) State() *statemachine.State {
-	s := &statemachine.State{}
-	if err := s.Apply(1, statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{Body: e.Config(1)}}); err != nil {
+// State returns a state of the size, in which the first host of each database is its primary. Hosts and proxies are put
+// in directly: the time to apply a change for each would grow with the square of the size.
+func (s Size) State() *statemachine.State {
+	state := &statemachine.State{}
+	if err := state.Apply(1, statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{Body: s.Config(1)}}); err != nil {
 		panic(err)
 	}
-	s.Hosts, s.Primaries, s.Proxies = map[string]statemachine.Host{}, map[string]statemachine.Primary{}, map[string]uint64{}
-	for n := range e.Hosts() {
-		h := Host(n)
-		s.Hosts[h.ID] = h
-		if s.Index++; n%3 == 0 {
-			s.Primaries[h.Service] = statemachine.Primary{Host: h.ID, Term: 1, ChangedAt: s.Index}
+	state.Hosts, state.Primaries = map[string]statemachine.Host{}, map[string]statemachine.Primary{}
+	state.Proxies = map[string]uint64{}
+	for n := range s.Hosts() {
+		host := Host(n)
+		state.Hosts[host.ID] = host
+		state.Index++
+		if n%hostsPerDatabase == 0 {
+			state.Primaries[host.Service] = statemachine.Primary{Host: host.ID, Term: 1, ChangedAt: state.Index}
 		}
 	}
-	for n := range e.Routers {
-		s.Index++
-		s.Proxies[Router(n)] = s.Index
+	for n := range s.Routers {
+		state.Index++
+		state.Proxies[Router(n)] = state.Index
 	}
-	return s
+	return state
 }
