--- a/internal/control/consensus/doc.go
+++ b/internal/control/consensus/doc.go
@@ -12,12 +12,13 @@
 //
 //   - A leader serves under a lease (6.4.1): HoldsLease is true while a majority has promised, by answering a
 //     heartbeat, to vote for nobody else. A restarted member honours the promises that it may have made before.
-//   - Every election starts with a Pre-Vote (9.6), and a member within a lease ignores vote requests (4.2.3).
+//   - Every election but that of a leadership transfer starts with a Pre-Vote (9.6), and a member within a lease ignores
+//     vote requests (4.2.3).
 //   - Members change by joint majorities of all configurations from the newest committed one on (4.3, generalized). The
 //     index of the newest committed configuration is part of the hard state and travels with votes.
 //   - A member whose disk was lost returns under another ID as a learner (4.2.1), and becomes a voter once it holds all
 //     that is committed.
-//   - A member that shuts down asks for its seat to be given to a learner first (MsgLeave).
+//   - A member that shuts down asks to be replaced by a learner first (MsgLeave).
 //   - Snapshots travel in chunks (5) with a digest, several of them in flight.
 //
 // The package is pure: it starts no goroutine, reads no clock and draws no random number of its own. Times are
--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -1,8 +1,6 @@
 package consensus
 
-import (
-	"slices"
-)
+import "slices"
 
 // campaignType says how a candidate asks for votes.
 type campaignType uint8
@@ -155,24 +153,6 @@
 	return true
 }
 
-// becomeLeader begins to lead with an entry of the new term, since only such an entry can commit those before it
-// (3.6.2, 6.4).
-func (n *Node) becomeLeader() {
-	n.role, n.leaderID, n.leaderSeen = leader, n.id, true
-	n.leadership.transferring = false
-	n.leadership.nextHeartbeatAtMs, n.leadership.sinceMs = n.nowMs, n.nowMs
-	n.peers = map[ID]*progress{}
-	n.syncPeers()
-	n.peers[n.id].matchIndex = n.persistedIndex
-	first := Entry{Term: n.hardState.Term}
-	if n.latestConfiguration().index == 0 { // learners have no other way to learn the founders
-		first.Members = n.Members()
-	}
-	n.appendEntry(first)
-	n.leadership.termStartIndex = n.log.lastIndex()
-	n.tickLeader()
-}
-
 // stepVoteRequest answers a candidate.
 func (n *Node) stepVoteRequest(m Message) {
 	n.learnCommitPoint(m)
@@ -258,8 +238,8 @@
 }
 
 // leaseForbidsVote says whether a lease keeps this node from voting for a candidate (4.2.3, 6.4.1). It does not if the
-// leader has ended its lease to transfer leadership, or if no member can have granted one. A leader does not vote for
-// others a little beyond its own lease.
+// leader has ended its lease to transfer leadership, or if no member can have granted one. A leader waits for a fifth of
+// a lease beyond its own before it votes for another.
 func (n *Node) leaseForbidsVote(m Message) bool {
 	switch {
 	case m.ColdStart && !n.leaderSeen,
--- a/internal/control/consensus/lease.go
+++ b/internal/control/consensus/lease.go
@@ -6,15 +6,9 @@
 	"slices"
 )
 
-const (
-	// maxDriftDivisor bounds how far the members' clocks may drift apart: a leader counts on a lease for a tenth less
-	// time than its granter keeps it.
-	maxDriftDivisor = 10
-	// quorumLostLeases is how many leases after the end of its own a leader steps down.
-	quorumLostLeases = 2
-	// learnerTimeoutLeases is after how many leases of silence a leader forgets a learner.
-	learnerTimeoutLeases = 4
-)
+// maxDriftDivisor bounds how far the members' clocks may drift apart: a leader counts on a lease for a tenth less time
+// than its granter keeps it.
+const maxDriftDivisor = 10
 
 // HoldsLease says that no other leader can have been elected by now, and that everything committed in earlier terms has
 // been committed here (6.4, 6.4.1). Only then may the caller answer reads or acknowledge writes.
@@ -24,8 +18,8 @@
 		nowMs < n.leaseUntilMs()
 }
 
-// RecentLeader returns the leader if it was heard lately enough to be worth asking, else nothing. Its lease may have
-// ended before, or run for longer.
+// RecentLeader returns the leader if it was heard within two thirds of a lease, and so is worth asking, else nothing. Its
+// lease may have ended before, or run for longer.
 func (n *Node) RecentLeader(nowMs int64) ID {
 	if n.role != leader && nowMs > n.leaderHeardAtMs+n.LeaseMs*2/3 {
 		return ""
@@ -68,31 +62,6 @@
 	return n.nowMs < max(n.leaderHeardAtMs, n.startedAtMs)+n.LeaseMs
 }
 
-// tickLeader sends what is due, and steps down if the lease was lost or a transfer of leadership failed.
-func (n *Node) tickLeader() {
-	quorumLost := n.nowMs > max(n.leaseUntilMs(), n.leadership.sinceMs)+quorumLostLeases*n.LeaseMs
-	transferFailed := n.leadership.transferring && n.nowMs > n.leadership.transferStartedAtMs+n.LeaseMs
-	if quorumLost || transferFailed {
-		n.becomeFollower("")
-		return
-	}
-	heartbeatDue := n.nowMs >= n.leadership.nextHeartbeatAtMs
-	if heartbeatDue {
-		n.leadership.nextHeartbeatAtMs = n.nowMs + n.HeartbeatMs
-	}
-	for _, id := range n.peerIDs() {
-		p := n.peers[id]
-		if heartbeatDue && !n.leadership.transferring {
-			n.sendHeartbeat(id)
-		}
-		n.replicate(id, p)
-		if p.learner && n.nowMs > p.heardAtMs+learnerTimeoutLeases*n.LeaseMs {
-			delete(n.peers, id)
-		}
-	}
-	n.promoteLearner()
-}
-
 // unresponsive says that a leader that has lost its majority has not heard a member for a lease either. It must not bind
 // that member by heartbeats: the member may hear it, and be the one that all others could elect.
 func (n *Node) unresponsive(p *progress) bool {
--- a/internal/control/consensus/message.go
+++ b/internal/control/consensus/message.go
@@ -32,10 +32,10 @@
 	MsgSnapshotChunkAck
 	// MsgSnapshotRequest asks for the leader's snapshot, whatever the sender's log holds: its state is wrong.
 	MsgSnapshotRequest
-	// MsgLeave is sent by a member that shuts down and asks for its seat to be given to a learner.
+	// MsgLeave is sent by a member that is to shut down and asks to be replaced by a learner.
 	MsgLeave
-	// MsgLeaveResponse says that its receiver may shut down. Granted: another member has its seat; else there is no
-	// learner, and it keeps the seat.
+	// MsgLeaveResponse says that its receiver may shut down. Granted: a learner has replaced it; else there is none, and
+	// it remains a member.
 	MsgLeaveResponse
 )
 
--- a/internal/control/consensus/node.go
+++ b/internal/control/consensus/node.go
@@ -51,16 +51,6 @@
 	ready Ready // what has been asked for since the last call returned
 }
 
-// leadershipState is what a leader knows of its term, apart from its peers' progress.
-type leadershipState struct {
-	sinceMs             int64
-	termStartIndex      uint64 // index of the first entry of its term; 0: no leader
-	nextHeartbeatAtMs   int64
-	transferring        bool // its lease is over, and transferee is to be the next leader
-	transferStartedAtMs int64
-	transferee          ID // empty once it has been told
-}
-
 // New returns a node that continues from what its disk held. founders are the first members of the group; they count
 // only if restored is empty, and are nil for a learner. random returns numbers in [0, 1) and spreads the election timers
 // of the members.
