--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -1,279 +1,274 @@
 package consensus
 
-import (
-	"slices"
-)
+import "slices"
+
+// campaignType says how a candidate asks for votes.
+type campaignType uint8
 
-type role uint8
+const (
+	campaignElection campaignType = iota // for votes in a new term (3.4)
+	campaignPreVote                      // whether votes would be granted, in the current term (9.6)
+	campaignTransfer                     // for votes, on behalf of a leader that has ended its lease (3.10)
+)
 
 const (
-	follower role = iota
-	candidate
-	leader
+	// electionMarginMs is added to LeaseMs in election timers, so that leases are over when the first one fires.
+	electionMarginMs = 50
+	// maxElectionBackoff is the most heartbeat intervals that a candidate adds between elections that failed.
+	maxElectionBackoff = 8
+	// maxTieBreaks is in how many campaigns a candidate gives way to, or stops, one with an equal log.
+	maxTieBreaks = 2
 )
 
-// HoldsLease says that no other view can have begun by now, and that all that was delivered in older ones was delivered
-// here. Only then may anything be granted or acknowledged.
-func (c *Node) HoldsLease(now int64) bool {
-	return c.role == leader && !c.transferring && c.began > 0 && c.commit >= c.began && now < c.heldUntil()
+// electionState is what a follower or candidate knows of elections.
+type electionState struct {
+	timeoutAtMs   int64 // when to start a campaign
+	campaignType  campaignType
+	votes         map[ID]bool // of a candidate: who has answered, and whether with a vote
+	coldStarts    map[ID]bool // of a candidate: who has heard no leader since it started
+	allColdStarts bool        // the last Pre-Vote has shown that this is so for all members
+	campaignCount int         // campaigns since a leader was heard
+	electionCount int64       // those for votes among them, up to maxElectionBackoff
+	preVoteRound  uint64      // of the last Pre-Vote
 }
 
-// heldUntil is when the first lease of the majority that held out longest ends, less a tenth for clocks that drift.
-func (c *Node) heldUntil() int64 {
-	until := int64(1<<62 - 1)
-	for _, g := range c.active() {
-		var at []int64
-		for _, m := range g.members {
-			switch p := c.peers[m]; {
-			case m == c.id:
-				at = append(at, c.now)
-			case p != nil:
-				at = append(at, p.confirmed)
-			default:
-				at = append(at, 0)
-			}
-		}
-		slices.SortFunc(at, func(a, b int64) int { return int(max(-1, min(1, b-a))) })
-		if len(at) == 0 {
-			return 0
-		}
-		until = min(until, at[len(at)/2]+c.LeaseMs*9/10)
+// firstPreVoteRound makes the rounds of a restarted node differ from those before: 50 bits are random, and 13 are left
+// for counting.
+func firstPreVoteRound(random float64) uint64 {
+	const randomBits, countBits = 50, 13
+	return uint64(random*(1<<randomBits)) << countBits
+}
+
+// resetElectionTimer draws when to start an election if no leader is heard until then.
+func (n *Node) resetElectionTimer() {
+	n.election.timeoutAtMs = n.nowMs + n.LeaseMs + electionMarginMs + n.jitterMs()
+	if n.log.lastIndex() < n.commitIndex { // a member with a complete log is to be first
+		n.election.timeoutAtMs += n.ElectionJitterMs
 	}
-	return until
 }
 
-// rest draws when to ask for votes, should no leader be heard by then.
-func (c *Node) rest() {
-	c.askAt = c.now + c.LeaseMs + 50 + int64(c.chance()*float64(c.ElectionJitterMs))
-	if c.last() < c.commit { // nobody with less is to go first
-		c.askAt += c.ElectionJitterMs
+// jitterMs draws a time of up to ElectionJitterMs.
+func (n *Node) jitterMs() int64 {
+	return int64(n.random() * float64(n.ElectionJitterMs))
+}
+
+// campaign makes this node a candidate.
+func (n *Node) campaign(kind campaignType) {
+	n.role, n.leaderID, n.election.campaignType = candidate, "", kind
+	n.election.campaignCount++
+	n.election.coldStarts = map[ID]bool{n.id: !n.leaderSeen}
+	n.resetCampaignTimer()
+	request := n.withCommitPoint(Message{
+		Type:               MsgVoteRequest,
+		Index:              n.log.lastIndex(),
+		PrevTerm:           n.log.lastTerm(),
+		PreVote:            kind == campaignPreVote,
+		LeadershipTransfer: kind == campaignTransfer,
+		ColdStart:          n.election.allColdStarts && kind != campaignPreVote,
+	})
+	if kind == campaignPreVote {
+		n.requestPreVotes(request)
+	} else {
+		n.requestVotes(request)
 	}
 }
 
-func (c *Node) lead() {
-	if c.now > max(c.heldUntil(), c.ledAt)+2*c.LeaseMs || c.transferring && c.now > c.silenced+c.LeaseMs {
-		c.fall("")
+// resetCampaignTimer draws when to campaign again. A Pre-Vote disturbs nobody and is repeated soon. Candidates that
+// compete may split the votes, and slow disks take long to grant one, so elections back off.
+func (n *Node) resetCampaignTimer() {
+	if n.election.campaignType == campaignPreVote {
+		n.election.timeoutAtMs = n.nowMs + n.HeartbeatMs/2 + int64(n.random()*float64(n.ElectionJitterMs)/2)
 		return
 	}
-	beat := c.now >= c.beatAt
-	if beat {
-		c.beatAt = c.now + c.HeartbeatMs
-	}
-	for _, id := range c.others() {
-		p := c.peers[id]
-		if beat && !c.transferring {
-			c.heartbeat(id)
-		}
-		c.feed(id, p)
-		if p.learner && c.now > p.heardAt+4*c.LeaseMs {
-			delete(c.peers, id)
-		}
-	}
-	c.adopt()
+	n.election.electionCount = min(n.election.electionCount+1, maxElectionBackoff)
+	n.election.timeoutAtMs = n.nowMs + n.election.electionCount*n.HeartbeatMs + n.jitterMs()
 }
 
-// unheard says that a member was silent for so long that a leader which has lost its majority must not bind it any
-// more: it may hear well, and be heard by all others. It is only asked whether it is there.
-func (c *Node) unheard(p *progress) bool {
-	return c.now > p.heardAt+c.LeaseMs && c.now > max(c.heldUntil(), c.ledAt+c.LeaseMs)
+// requestPreVotes asks all voters at once. Responses of earlier rounds do not count: their senders may have granted a
+// lease since.
+func (n *Node) requestPreVotes(request Message) {
+	n.election.votes = map[ID]bool{n.id: !n.boundByLease()}
+	n.election.preVoteRound++
+	request.PreVoteRound = n.election.preVoteRound
+	for _, voter := range n.otherVoters() {
+		request.To = voter
+		n.send(request)
+	}
+	n.countPreVotes()
 }
 
-func (c *Node) heartbeat(id ID) {
-	p := c.peers[id]
-	if c.unheard(p) {
-		c.send(Message{Type: MsgVoteRequest, To: id, PreVote: true}) // as one that has nothing, it stops no other
-		return
+// requestVotes begins a term, and asks all voters once that is on disk. The vote for itself is sent along, and like any
+// other is not granted while a lease forbids it.
+func (n *Node) requestVotes(request Message) {
+	n.election.votes = map[ID]bool{n.id: false}
+	n.hardState.Term, n.hardState.Vote = n.hardState.Term+1, n.id
+	granted := !n.boundByLease() || request.LeadershipTransfer || request.ColdStart
+	messages := []Message{{Type: MsgVoteResponse, To: n.id, Granted: granted}}
+	for _, voter := range n.otherVoters() {
+		request.To = voter
+		messages = append(messages, request)
 	}
-	c.send(Message{Type: MsgHeartbeat, To: id, SentAtMs: c.now, CommitIndex: min(c.commit, p.match)})
+	n.persistHardState(messages...)
 }
 
-// ask begins an election: first whether votes would be had, then for them.
-func (c *Node) ask(preVote, transferred bool) {
-	c.role, c.leader, c.preVote, c.transferred = candidate, "", preVote, transferred
-	free := !c.promised() // its own vote is bound like any other's
-	c.votes, c.fresh = map[ID]bool{c.id: preVote && free}, map[ID]bool{c.id: !c.heard}
-	if c.rounds++; preVote { // asking whether votes would be had harms nobody
-		c.askAt = c.now + c.HeartbeatMs/2 + int64(c.chance()*float64(c.ElectionJitterMs)/2)
-	} else { // two at once may take each other's votes; slow disks need longer each time
-		c.tries = min(c.tries+1, 8)
-		c.askAt = c.now + int64(c.tries)*c.HeartbeatMs + int64(c.chance()*float64(c.ElectionJitterMs))
+// otherVoters returns all members but this one, in order.
+func (n *Node) otherVoters() []ID {
+	var voters []ID
+	for _, config := range n.activeConfigurations() {
+		voters = append(voters, config.members...)
 	}
-	view, _ := c.viewAt(c.last())
-	m := c.telling(Message{Type: MsgVoteRequest, Index: c.last(), PrevTerm: view, PreVote: preVote, LeadershipTransfer: transferred,
-		ColdStart: c.allFresh && !preVote})
-	to := map[ID]bool{}
-	for _, g := range c.active() {
-		for _, id := range g.members {
-			if id != c.id {
-				to[id] = true
-			}
-		}
+	slices.Sort(voters)
+	return slices.DeleteFunc(slices.Compact(voters), func(id ID) bool { return id == n.id })
+}
+
+// countPreVotes starts an election if it can be won. If no member has heard a leader since it started, there is neither a
+// leader nor a lease to wait for.
+func (n *Node) countPreVotes() {
+	if n.stopCampaignOfRemoved() {
+		return
 	}
-	var all []ID
-	for id := range to {
-		all = append(all, id)
+	n.election.allColdStarts = n.everyMember(func(id ID) bool { return n.election.coldStarts[id] })
+	if n.election.allColdStarts || n.hasQuorum(func(id ID) bool { return n.election.votes[id] }) {
+		n.campaign(campaignElection)
 	}
-	slices.Sort(all)
-	if preVote { // an answer of another round may be old: whoever was fresh then may have promised itself since
-		c.round++
-		m.PreVoteRound = c.round
-		for _, id := range all {
-			m.To = id
-			c.send(m)
-		}
-		c.elected()
+}
+
+// countVotes makes this node the leader once a majority has voted for it.
+func (n *Node) countVotes() {
+	if n.stopCampaignOfRemoved() {
 		return
 	}
-	c.meta.Term, c.meta.Vote = c.meta.Term+1, c.id
-	meta := c.meta
-	messages := []Message{{Type: MsgVoteResponse, To: c.id, Granted: free || transferred || m.ColdStart}}
-	for _, id := range all {
-		m.To = id
-		messages = append(messages, m)
+	n.election.allColdStarts = false
+	if n.hasQuorum(func(id ID) bool { return n.election.votes[id] }) {
+		n.becomeLeader()
 	}
-	c.write(Write{HardState: &meta}, messages...)
 }
 
-func (c *Node) elected() {
-	if c.role == candidate && !c.member(c.id) { // it has learnt from a vote that it is out
-		c.fall("")
-		return
+// stopCampaignOfRemoved ends the campaign of a node that has learnt from a response that it is no longer a member.
+func (n *Node) stopCampaignOfRemoved() bool {
+	if n.isMember(n.id) {
+		return false
 	}
-	// Where all members are in lives in which none has heard a leader, none leads: there is no lease to wait out.
-	c.allFresh = c.preVote && c.all(func(id ID) bool { return c.fresh[id] })
-	if c.role == candidate && c.allFresh {
-		c.ask(false, false)
+	n.becomeFollower("")
+	return true
+}
+
+// stepVoteRequest answers a candidate.
+func (n *Node) stepVoteRequest(m Message) {
+	n.learnCommitPoint(m)
+	if m.PreVote {
+		n.stepPreVoteRequest(m)
 		return
 	}
-	if c.role != candidate || !c.majority(func(id ID) bool { return c.votes[id] }) {
+	if n.leaseForbidsVote(m) || m.Term < n.hardState.Term {
 		return
 	}
-	if c.preVote {
-		c.ask(false, c.transferred)
+	if m.Term > n.hardState.Term {
+		n.hardState.Term, n.hardState.Vote = m.Term, ""
+		n.becomeFollower("")
+	} else if n.hardState.Vote != "" && n.hardState.Vote != m.From || n.role == leader {
 		return
 	}
-	c.heard = true
-	c.role, c.leader, c.transferring, c.beatAt, c.ledAt = leader, c.id, false, c.now, c.now
-	c.peers = map[ID]*progress{}
-	c.follow()
-	c.peers[c.id].match = c.saved
-	first := Entry{Term: c.meta.Term}
-	if c.configs[len(c.configs)-1].index == 0 { // learners are told no other way who the first members were
-		first.Members = c.Members()
+	if !n.candidateUpToDate(m) {
+		n.persistHardState()
+		return
 	}
-	c.append(first)
-	c.began = c.last()
-	c.lead()
-}
-
-// fall has a member follow again.
-func (c *Node) fall(to ID) {
-	c.role, c.leader, c.peers, c.votes, c.began, c.transferring = follower, to, nil, nil, 0, false
-	c.rest()
+	n.hardState.Vote = m.From
+	n.resetElectionTimer()
+	n.persistHardState(n.withCommitPoint(Message{Type: MsgVoteResponse, To: m.From, Granted: true}))
 }
 
-// TransferLeadership hands the view over to the member that has most, if this one leads. Nothing is granted here any more.
-func (c *Node) TransferLeadership(now int64) Ready {
-	c.clock(now)
-	c.transfer()
-	return c.take()
+// stepPreVoteRequest tells a candidate whether it would get this node's vote. Nothing is promised by that.
+func (n *Node) stepPreVoteRequest(m Message) {
+	upToDate := n.candidateUpToDate(m)
+	granted := upToDate && !n.leaseForbidsVote(m) && m.Term+1 > n.hardState.Term
+	if granted && n.tiesWith(m) {
+		if n.id < m.From {
+			granted = false
+		} else {
+			n.becomeFollower("")
+			n.election.timeoutAtMs = n.nowMs + 2*n.HeartbeatMs + n.jitterMs()
+		}
+	}
+	n.send(n.withCommitPoint(Message{
+		Type:         MsgVoteResponse,
+		To:           m.From,
+		PreVote:      true,
+		Granted:      granted,
+		ColdStart:    !n.leaderSeen && upToDate,
+		PreVoteRound: m.PreVoteRound,
+	}))
 }
 
-func (c *Node) transfer() {
-	if c.role != leader || c.transferring {
+// stepVoteResponse takes in a vote, a Pre-Vote, or a refusal of one.
+func (n *Node) stepVoteResponse(m Message) {
+	n.learnCommitPoint(m)
+	if m.PreVote {
+		n.stepPreVoteResponse(m)
 		return
 	}
-	best := ID("")
-	for _, id := range c.others() {
-		p := c.peers[id]
-		if p.learner || c.now >= p.heardAt+c.LeaseMs {
-			continue
-		}
-		if best == "" || c.leaves(best) && !c.leaves(id) || c.leaves(best) == c.leaves(id) && p.match > c.peers[best].match {
-			best = id
-		}
-	}
-	if best != "" {
-		c.transferring, c.silenced, c.heir = true, c.now, best
-		c.yield()
+	if n.checkTerm(m) && n.role == candidate && n.election.campaignType != campaignPreVote && m.Granted {
+		n.election.votes[m.From] = true
+		n.countVotes()
 	}
 }
 
-// yield has the heir ask for votes once it holds all that was appended: before, others may have what it lacks, and refuse.
-func (c *Node) yield() {
-	if !c.transferring || c.heir == "" || c.peers[c.heir] == nil || c.peers[c.heir].match < c.last() {
+// stepPreVoteResponse takes in a Pre-Vote. A newer term is entered, and asked for again in it: else a member with a
+// shorter log in a newer term could keep one with a longer log from being elected for good.
+func (n *Node) stepPreVoteResponse(m Message) {
+	if m.Term > n.hardState.Term {
+		n.enterTerm(m.Term)
+		n.election.timeoutAtMs = n.nowMs
 		return
 	}
-	heir := c.heir
-	c.heir = ""
-	c.send(Message{Type: MsgTimeoutNow, To: heir})
-	if !c.member(c.id) { // nobody tells it who leads now
-		c.fall(heir)
+	if p := n.peers[m.From]; n.role == leader && p != nil { // it was asked by sendHeartbeat
+		p.heardAtMs = n.nowMs
+	}
+	if n.role == candidate && n.election.campaignType == campaignPreVote {
+		n.election.votes[m.From] = n.election.votes[m.From] || m.Granted
+		n.election.coldStarts[m.From] = m.ColdStart && m.PreVoteRound == n.election.preVoteRound
+		n.countPreVotes()
 	}
 }
 
-// telling adds what is known here to be delivered: where a leader is lost right after a change of members, what knows
-// of it and what can lead need not be the same member.
-func (c *Node) telling(m Message) Message {
-	m.CommitIndex = max(c.commit, c.meta.CommittedConfigIndex)
-	m.CommitTerm, _ = c.viewAt(m.CommitIndex)
-	return m
+// candidateUpToDate says whether a candidate's log is at least as up to date as this node's (3.6.1).
+func (n *Node) candidateUpToDate(m Message) bool {
+	lastTerm := n.log.lastTerm()
+	return m.PrevTerm > lastTerm || m.PrevTerm == lastTerm && m.Index >= n.log.lastIndex()
 }
 
-// learn takes in what another knows to be delivered: with that entry alike, all before it are.
-func (c *Node) learn(m Message) {
-	if view, held := c.viewAt(m.CommitIndex); held && m.CommitIndex > c.commit && view == m.CommitTerm {
-		c.commitTo(m.CommitIndex)
+// leaseForbidsVote says whether a lease keeps this node from voting for a candidate (4.2.3, 6.4.1). It does not if the
+// leader has ended its lease to transfer leadership, or if no member can have granted one. A leader waits for a fifth of
+// a lease beyond its own before it votes for another.
+func (n *Node) leaseForbidsVote(m Message) bool {
+	switch {
+	case m.ColdStart && !n.leaderSeen,
+		m.LeadershipTransfer && n.role == leader && n.leadership.transferring,
+		m.LeadershipTransfer && n.role == follower && n.nowMs >= n.startedAtMs+n.LeaseMs:
+		return false
 	}
+	return n.boundByLease() || n.role == leader && n.nowMs < n.leaseUntilMs()+n.LeaseMs/5
 }
 
-// promised says that a leader may count on this member: one that it has heard, or that an earlier life may have heard.
-func (c *Node) promised() bool { return c.now < max(c.heardAt, c.startedAt)+c.LeaseMs }
+// tiesWith says whether this node asks for Pre-Votes itself, with an equal log. Two that go on to an election at once
+// may split the votes; the one with the smaller ID goes first, for as long as it may still succeed.
+func (n *Node) tiesWith(m Message) bool {
+	return n.role == candidate && n.election.campaignType == campaignPreVote && n.election.campaignCount <= maxTieBreaks &&
+		m.PrevTerm == n.log.lastTerm() && m.Index == n.log.lastIndex()
+}
 
-// asked answers a candidate. A member that has promised itself to a view gives no vote until that is over, and takes
-// part in nothing newer meanwhile.
-func (c *Node) asked(m Message) {
-	view, _ := c.viewAt(c.last())
-	upToDate := m.PrevTerm > view || m.PrevTerm == view && m.Index >= c.last()
-	bound := c.promised() || c.role == leader && c.now < c.heldUntil()+c.LeaseMs/5
-	if m.LeadershipTransfer && m.From != "" && c.role == follower && c.now >= c.startedAt+c.LeaseMs {
-		bound = false
-	}
-	if m.LeadershipTransfer && c.role == leader && c.transferring || m.ColdStart && !c.heard {
-		bound = false
-	}
-	if m.PreVote {
-		newer := m.Term+1 > c.meta.Term
-		// Two that try at once would take each other's votes. With as much each, the one that comes first by name goes on, for
-		// as long as it may yet get through.
-		if c.role == candidate && c.preVote && c.rounds <= 2 && upToDate && newer && !bound && m.PrevTerm == view && m.Index == c.last() {
-			if c.id < m.From {
-				newer = false
-			} else {
-				c.fall("")
-				c.askAt = c.now + 2*c.HeartbeatMs + int64(c.chance()*float64(c.ElectionJitterMs))
-			}
-		}
-		c.send(c.telling(Message{Type: MsgVoteResponse, To: m.From, PreVote: true, Granted: !bound && upToDate && newer,
-			ColdStart: !c.heard && upToDate, PreVoteRound: m.PreVoteRound}))
-		return
-	}
-	if bound || m.Term < c.meta.Term {
-		return
-	}
-	if m.Term > c.meta.Term {
-		c.meta.Term, c.meta.Vote = m.Term, ""
-		c.fall("")
-	} else if c.meta.Vote != "" && c.meta.Vote != m.From || c.role == leader {
-		return
-	}
-	if !upToDate {
-		meta := c.meta
-		c.write(Write{HardState: &meta})
-		return
+// withCommitPoint adds what is known here to be committed. After a change of members, the one that knows of its
+// commitment and the one that can be elected need not be the same.
+func (n *Node) withCommitPoint(m Message) Message {
+	m.CommitIndex = max(n.commitIndex, n.hardState.CommittedConfigIndex)
+	m.CommitTerm, _ = n.log.term(m.CommitIndex)
+	return m
+}
+
+// learnCommitPoint commits what another member knows to be committed. If the entry there is the same here, so are all
+// before it (3.5, Log Matching).
+func (n *Node) learnCommitPoint(m Message) {
+	if term, known := n.log.term(m.CommitIndex); known && m.CommitIndex > n.commitIndex && term == m.CommitTerm {
+		n.commitTo(m.CommitIndex)
 	}
-	c.meta.Vote = m.From
-	c.rest()
-	meta := c.meta
-	c.write(Write{HardState: &meta}, c.telling(Message{Type: MsgVoteResponse, To: m.From, Granted: true}))
 }
