--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -49,10 +49,10 @@
 	server.state = e.State()
 	server.state.Index = index
 	for n := range e.Hosts() {
-		server.coordinator.Heartbeat(statesize.Host(n).ID, n%3 == 0, server.clock.Now()+1<<40) // none times out during the benchmark
+		server.coordinator.Heartbeat(statesize.HostAt(n).ID, n%3 == 0, server.clock.Now()+1<<40) // none times out during the benchmark
 	}
-	for n := range e.Routers {
-		hello := &rpc.ProxyHello{Node: statesize.Router(n), Incarnation: 1, Zone: "waco-hall", AppliedIndex: index}
+	for n := range e.Proxies {
+		hello := &rpc.ProxyHello{Node: statesize.ProxyName(n), Incarnation: 1, Zone: "waco-hall", AppliedIndex: index}
 		s.proxies = append(s.proxies, server.AcceptProxy(hello, fmt.Sprintf("10.1.%d.%d", n/250, 1+n%250),
 			func(*rpc.Frame) bool { s.frames++; return true }, func() {}))
 	}
@@ -69,7 +69,7 @@
 }
 
 func benchmarkSizes(b *testing.B, run func(b *testing.B, s *soleLeader)) {
-	for _, e := range statesize.All {
+	for _, e := range statesize.Sizes {
 		b.Run(e.String(), func(b *testing.B) {
 			s := newSoleLeader(b, e)
 			s.frames = 0
@@ -91,7 +91,7 @@
 // One heartbeat of a host that reports nothing new.
 func BenchmarkHeartbeat(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, s *soleLeader) {
-		h := statesize.Host(10)
+		h := statesize.HostAt(10)
 		body := fmt.Appendf(nil, `{"Service":%q,"Address":%q,"Zone":%q,"Generation":%q,"Capacity":7,"State":"serving","DbRole":"replica","CallSeq":1}`,
 			h.Service, h.Address, h.Zone, h.Generation)
 		for b.Loop() {
@@ -110,7 +110,7 @@
 		term := uint64(1)
 		for b.Loop() {
 			term++
-			s.propose(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(9).ID, Term: term}}, func(error) {})
+			s.propose(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.ServiceName(3), Host: statesize.HostAt(9).ID, Term: term}}, func(error) {})
 			s.sync()
 		}
 	})
@@ -120,7 +120,7 @@
 func BenchmarkProxyWelcome(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, s *soleLeader) {
 		for b.Loop() {
-			r := s.AcceptProxy(&rpc.ProxyHello{Node: statesize.Router(7), Incarnation: 1, Zone: "waco-hall"}, "10.1.0.8", func(*rpc.Frame) bool { s.frames++; return true }, func() {})
+			r := s.AcceptProxy(&rpc.ProxyHello{Node: statesize.ProxyName(7), Incarnation: 1, Zone: "waco-hall"}, "10.1.0.8", func(*rpc.Frame) bool { s.frames++; return true }, func() {})
 			s.ProxyDisconnected(r)
 		}
 	})
--- a/internal/control/consensus/leave.go
+++ b/internal/control/consensus/leave.go
@@ -48,11 +48,6 @@
 // LeaveState returns how far this member's graceful shutdown has come.
 func (n *Node) LeaveState() LeaveState { return n.leave.state }
 
-// LeaveProgress returns LeaveState as two flags, for callers that do not use it yet.
-func (n *Node) LeaveProgress() (over, handed bool) {
-	return n.leave.state.Done(), n.leave.state == LeaveReplaced
-}
-
 // tickLeave asks the leader to replace this member, again and again, since the leader may change. A leader has itself
 // replaced before it transfers its leadership: so leadership moves only once, and to a member that stays.
 func (n *Node) tickLeave() {
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -104,9 +104,9 @@
 	all["primaries_suspected"] = counters.Suspected
 	all["suspicions_cleared"] = counters.Cleared
 	all["failovers"] = counters.Lost
-	all["switchovers"] = counters.Planned
+	all["switchovers"] = counters.Switchovers
 	all["hosts_promoted"] = counters.Promoted
-	all["failover_waits"] = counters.Waiting
+	all["failover_waits"] = counters.WaitingTicks
 	all["replicas_resumed"] = counters.Resumed
-	all["replicas_missing"] = counters.Missing
+	all["replicas_missing"] = counters.MarkedMissing
 }
--- a/internal/control/failover/benchmark_test.go
+++ b/internal/control/failover/benchmark_test.go
@@ -9,11 +9,11 @@
 
 // A tick over all services where nothing is wrong: at each heartbeat, at each request for a lease and 20 times a second.
 func BenchmarkTick(b *testing.B) {
-	for _, size := range statesize.All {
+	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) {
 			state, coordinator := size.State(), failover.New("control", 1, 1200, 0)
 			for n := range size.Hosts() {
-				coordinator.Heartbeat(statesize.Host(n).ID, n%3 == 0, 1)
+				coordinator.Heartbeat(statesize.HostAt(n).ID, n%3 == 0, 1)
 			}
 			for b.Loop() {
 				if actions := coordinator.Tick(state, func(uint64) bool { return true }, 2); len(actions.Proposals)+len(actions.Queries) > 0 {
--- a/internal/control/failover/coordinator.go
+++ b/internal/control/failover/coordinator.go
@@ -15,14 +15,14 @@
 
 // Counters count since the coordinator was created.
 type Counters struct {
-	Suspected int64 // primaries that a proxy reported as unreachable
-	Cleared   int64 // suspected primaries that answered a probe
-	Lost      int64 // ticks that found a primary lost
-	Planned   int64 // ticks that nominated the successor of a draining primary
-	Promoted  int64 // promotions that the platform accepted
-	Resumed   int64 // ticks that found all replicas of a service receiving again
-	Missing   int64 // ticks that marked a replica as missing
-	Waiting   int64 // ticks of failovers in which no host could be chosen yet
+	Suspected     int64 // primaries that a proxy reported as unreachable
+	Cleared       int64 // suspected primaries that answered a probe
+	Lost          int64 // ticks that found a primary lost
+	Switchovers   int64 // ticks that nominated the successor of a draining primary
+	Promoted      int64 // promotions that the platform accepted
+	Resumed       int64 // ticks that found all replicas of a service receiving again
+	MarkedMissing int64 // ticks that marked a replica as missing
+	WaitingTicks  int64 // ticks of failovers in which no host could be chosen yet
 }
 
 // Coordinator decides on failover for the member that leads the control plane. It is created with each leadership and
--- a/internal/control/failover/failover.go
+++ b/internal/control/failover/failover.go
@@ -152,7 +152,7 @@
 	chosen, complete := e.choosePromotion()
 	switch {
 	case !complete || e.service.recentlyRejected(chosen.host, e.nowMs):
-		e.coordinator.Counters.Waiting++
+		e.coordinator.Counters.WaitingTicks++
 	case chosen.host != e.primary.Nominee:
 		e.nominate(chosen.host)
 	default:
--- a/internal/control/failover/monitor.go
+++ b/internal/control/failover/monitor.go
@@ -73,7 +73,7 @@
 	if successor == "" {
 		return stop
 	}
-	e.coordinator.Counters.Planned++
+	e.coordinator.Counters.Switchovers++
 	e.service.nominated = successor
 	e.proposeNomination(successor)
 	return stop
--- a/internal/control/failover/replicas.go
+++ b/internal/control/failover/replicas.go
@@ -57,7 +57,7 @@
 		status, ok := e.service.statusSince(host, Stat, primaryAskedAt)
 		if ok && !status.Received.Before(primaryStatus.Received) {
 			e.emit(ReplicaMarkedMissing, gone)
-			e.coordinator.Counters.Missing++
+			e.coordinator.Counters.MarkedMissing++
 			delete(e.service.refusingSince, gone)
 			e.propose(statemachine.Change{MarkMissing: gone})
 			return
--- a/internal/control/host_api.go
+++ b/internal/control/host_api.go
@@ -38,7 +38,7 @@
 	Capacity   float64
 	State      string // serving or draining
 	ColdLeftMs float64
-	DbRole     string `json:"DbRole"` // leader or follower
+	DBRole     string `json:"DbRole"` // leader or follower
 	CallSeq    int64  // increases with each call of a host; older ones are ignored
 }
 
@@ -83,7 +83,7 @@
 		return
 	}
 	s.lastCallSeq[hostID] = heartbeat.CallSeq
-	s.coordinator.Heartbeat(hostID, heartbeat.DbRole == rolePrimary, s.clock.Now())
+	s.coordinator.Heartbeat(hostID, heartbeat.DBRole == rolePrimary, s.clock.Now())
 	s.runFailover()
 	host := heartbeat.host(hostID, previous)
 	switch {
--- a/internal/control/partition_proxy_test.go
+++ b/internal/control/partition_proxy_test.go
@@ -121,7 +121,7 @@
 	case frame.LeaseResponse != nil && !frame.LeaseResponse.Granted:
 		l.close()
 	case frame.LeaseResponse != nil && frame.LeaseResponse.CommitIndex <= p.applied:
-		p.lease.Renewed(l.requestedAt[frame.LeaseResponse.Serial])
+		p.lease.Renew(l.requestedAt[frame.LeaseResponse.Serial])
 		c.leases++
 	}
 	p.checkLease()
--- a/internal/control/shutdown.go
+++ b/internal/control/shutdown.go
@@ -1,5 +1,7 @@
 package control
 
+import "ferrypitch/internal/control/consensus"
+
 const (
 	// defaultGraceMs is the time for a graceful shutdown where the settings name none.
 	defaultGraceMs = 6000
@@ -23,14 +25,14 @@
 // take it, another one leads, and no forwarded call is pending; or the time for this is over.
 func (s *Server) ShutdownComplete() bool {
 	now := s.clock.Now()
-	left, seatTransferred := s.consensus.LeaveProgress()
+	leave := s.consensus.LeaveState()
 	switch {
-	case left && now < s.leaveDeadlineMs:
+	case leave.Done() && now < s.leaveDeadlineMs:
 		s.leaveDeadlineMs = now
-		s.log.Info("shutdown may complete", "seat_transferred", seatTransferred, "members", s.consensus.Members())
-	case !left && now < s.leaveDeadlineMs:
+		s.log.Info("shutdown may complete", "seat_transferred", leave == consensus.LeaveReplaced, "members", s.consensus.Members())
+	case !leave.Done() && now < s.leaveDeadlineMs:
 		return false
-	case !left: // no majority answers, or no learner has caught up: at least the leadership is transferred
+	case !leave.Done(): // no majority answers, or no learner has caught up: at least the leadership is transferred
 		s.carryOut(s.consensus.TransferLeadership(now))
 	}
 	return !s.consensus.IsLeader() && len(s.forwarder.pending) == 0 || now > s.leaveDeadlineMs+transferGraceMs
--- a/internal/control/statemachine/capacity_test.go
+++ b/internal/control/statemachine/capacity_test.go
@@ -13,7 +13,7 @@
 // The figures of docs/CAPACITY.md: what the replicated state costs at a size.
 
 func sizes(b *testing.B, run func(b *testing.B, e statesize.Size)) {
-	for _, e := range statesize.All {
+	for _, e := range statesize.Sizes {
 		b.Run(e.String(), func(b *testing.B) { run(b, e) })
 	}
 }
@@ -52,7 +52,7 @@
 	sizes(b, func(b *testing.B, e statesize.Size) {
 		s := e.State()
 		for b.Loop() {
-			b.ReportMetric(float64(len(statemachine.EncodeChange(e.Order(s)))), "bytes")
+			b.ReportMetric(float64(len(statemachine.EncodeChange(e.ConfigUpdate(s)))), "bytes")
 		}
 		b.ReportMetric(float64(len(s.ConfigBody)), "bytes-sent")
 	})
@@ -64,7 +64,7 @@
 		other := e.State()
 		var bodies [][]byte
 		for i := range 20 {
-			c := e.Order(other)
+			c := e.ConfigUpdate(other)
 			bodies = append(bodies, statemachine.EncodeChange(c))
 			require.NoError(b, other.Apply(other.Index+uint64(i)+1, c))
 		}
@@ -87,7 +87,7 @@
 func BenchmarkEnter(b *testing.B) {
 	sizes(b, func(b *testing.B, e statesize.Size) {
 		s := e.State()
-		h := statesize.Host(e.Hosts())
+		h := statesize.HostAt(e.Hosts())
 		body := statemachine.EncodeChange(statemachine.Change{AddHost: &h})
 		for b.Loop() {
 			c, err := statemachine.DecodeChange(body)
@@ -102,7 +102,7 @@
 func BenchmarkLead(b *testing.B) {
 	sizes(b, func(b *testing.B, e statesize.Size) {
 		s := e.State()
-		body := statemachine.EncodeChange(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(10).ID, Term: 2}})
+		body := statemachine.EncodeChange(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.ServiceName(3), Host: statesize.HostAt(10).ID, Term: 2}})
 		for b.Loop() {
 			c, err := statemachine.DecodeChange(body)
 			require.NoError(b, err)
--- a/internal/lease/benchmark_test.go
+++ b/internal/lease/benchmark_test.go
@@ -9,11 +9,11 @@
 
 // A grant, and the count of proxies that hold leases, which goes out with each.
 func BenchmarkGrant(b *testing.B) {
-	for _, size := range statesize.All {
+	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) {
 			grantor := lease.NewGrantor(0)
-			for i := range size.Routers {
-				grantor.Grant(statesize.Router(i), 1, 1, 0, 1)
+			for i := range size.Proxies {
+				grantor.Grant(statesize.ProxyName(i), 1, 1, 0, 1)
 			}
 			b.Run("grant", func(b *testing.B) {
 				for b.Loop() {
@@ -31,11 +31,11 @@
 
 // Asked at each tick while a failover runs.
 func BenchmarkAllCaughtUp(b *testing.B) {
-	for _, size := range statesize.All {
+	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) {
 			grantor := lease.NewGrantor(0)
-			for i := range size.Routers {
-				grantor.Grant(statesize.Router(i), 1, 2, 0, 5000)
+			for i := range size.Proxies {
+				grantor.Grant(statesize.ProxyName(i), 1, 2, 0, 5000)
 			}
 			for b.Loop() {
 				if !grantor.AllCaughtUp(2, nil, 5001) {
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -1,7 +1,7 @@
 // Package lease keeps the leases under which proxies may treat a host as a service's primary.
 //
 //	proxy: asks at t0 ---- request, with the applied index --->  control plane: Grantor.Grant at t1
-//	proxy: Holder.Renewed(t0)  <------------ answer -----------
+//	proxy: Holder.Renew(t0)  <------------ answer -----------
 //
 // Both sides count from their own clock: the holder from when it asked, the grantor from the later moment at which it
 // granted, and the holder's time is shorter. So a holder's lease always ends before the grantor counts it as expired. Who
--- a/internal/lease/grantor_test.go
+++ b/internal/lease/grantor_test.go
@@ -40,7 +40,7 @@
 				now += random.Int64N(30)
 				grantor.Grant(name, 1, current.appliedIndex, 0, now)
 				if random.IntN(4) > 0 {
-					current.holder.Renewed(asked)
+					current.holder.Renew(asked)
 				}
 			}
 			if grantor.AllCaughtUp(index, names, now) {
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -10,8 +10,8 @@
 	expiresAt int64
 }
 
-// Renewed takes in a lease that was granted to a request sent at askedAtMs. It never shortens the lease.
-func (h *Holder) Renewed(askedAtMs int64) { h.expiresAt = max(h.expiresAt, askedAtMs+holderValidityMs) }
+// Renew takes in a lease that was granted to a request sent at askedAtMs. It never shortens the lease.
+func (h *Holder) Renew(askedAtMs int64) { h.expiresAt = max(h.expiresAt, askedAtMs+holderValidityMs) }
 
 // ExpiresAt returns when the lease ends, in milliseconds of the proxy's clock. Zero: none was held.
 func (h *Holder) ExpiresAt() int64 { return h.expiresAt }
--- a/internal/lease/holder_test.go
+++ b/internal/lease/holder_test.go
@@ -12,7 +12,7 @@
 		for delay := range int64(40) { // from the request to the grant
 			asked, granted := int64(1000), 1000+delay
 			var holder Holder
-			holder.Renewed(int64(float64(asked) * proxyRate))
+			holder.Renew(int64(float64(asked) * proxyRate))
 			grantor := NewGrantor(-10 * GrantMs)
 			grantor.Grant("a", 1, 1, 0, int64(float64(granted)*controlRate))
 			for now := granted; now < granted+2*GrantMs; now++ {
--- a/internal/proxy/benchmark_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -48,7 +48,7 @@
 }
 
 func forEachSize(b *testing.B, run func(b *testing.B, server *Server)) {
-	for _, size := range statesize.All {
+	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) { run(b, newBenchmarkServer(b, size)) })
 	}
 }
@@ -59,7 +59,7 @@
 		term := uint64(1)
 		for b.Loop() {
 			term++
-			appoint := &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(9 + int(term)%3).ID, Term: term}
+			appoint := &statemachine.AppointPrimary{Service: statesize.ServiceName(3), Host: statesize.HostAt(9 + int(term)%3).ID, Term: term}
 			entry := statemachine.EncodeChange(statemachine.Change{AppointPrimary: appoint})
 			if err := server.applyLogUpdate(&rpc.LogUpdate{Entries: [][]byte{entry}, LastIndex: server.state.Index + 1}); err != nil {
 				b.Fatal(err)
@@ -92,7 +92,7 @@
 
 // A start with a snapshot, and the memory that a proxy has then.
 func BenchmarkSnapshotRestore(b *testing.B) {
-	for _, size := range statesize.All {
+	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) {
 			state := size.State()
 			snapshot := state.Snapshot()
@@ -121,13 +121,13 @@
 
 // A datagram between proxies, made, encoded and decoded; each proxy sends about four a second.
 func BenchmarkGossipDatagram(b *testing.B) {
-	for _, size := range statesize.All {
+	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) {
 			address := func(n int) string { return fmt.Sprintf("10.1.%d.%d:7440", n/250, 1+n%250) }
-			membership := gossip.New(statesize.Router(0), address(0), 1, gossip.DefaultConfig(), func(n int) int { return n / 2 }, 0)
+			membership := gossip.New(statesize.ProxyName(0), address(0), 1, gossip.DefaultConfig(), func(n int) int { return n / 2 }, 0)
 			membership.SetControlMembers([]string{"10.1.0.11", "10.2.0.8", "10.3.0.9"}, 12345)
-			for n := 1; n < size.Routers; n++ {
-				update := gossip.Update{Name: statesize.Router(n), Address: address(n), Incarnation: 1 << 60}
+			for n := 1; n < size.Proxies; n++ {
+				update := gossip.Update{Name: statesize.ProxyName(n), Address: address(n), Incarnation: 1 << 60}
 				membership.HandleMessage(gossip.Message{Type: gossip.Ack, From: address(n), Updates: []gossip.Update{update}}, 0)
 			}
 			encodedBytes := 0
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -73,14 +73,14 @@
 		"setup_errors":        c.setupErrors.Load(),
 		"suspect_reports":     c.suspectReports.Load(),
 
-		"lease_requests":         c.leaseRequests.Load(),
-		"leases_granted":         c.leasesGranted.Load(),
-		"control_links":          c.controlLinks.Load(),
-		"control_bytes_sent":     rpc.BytesSent.Load(),
-		"control_bytes_received": rpc.BytesReceived.Load(),
-		"log_gaps":               c.logGaps.Load(),
-		"state_diverged":         c.stateDiverged.Load(),
-		"config_updates":         c.configUpdates.Load(),
+		"lease_requests":     c.leaseRequests.Load(),
+		"leases_granted":     c.leasesGranted.Load(),
+		"control_links":      c.controlLinks.Load(),
+		"rpc_bytes_sent":     rpc.BytesSent.Load(),
+		"rpc_bytes_received": rpc.BytesReceived.Load(),
+		"log_gaps":           c.logGaps.Load(),
+		"state_divergences":  c.stateDiverged.Load(),
+		"config_updates":     c.configUpdates.Load(),
 	}
 	if membership != nil {
 		values["gossip_probes"], values["gossip_acks_discarded"] = membership.Probes, membership.DiscardedAcks
--- a/internal/proxy/lease_renewal.go
+++ b/internal/proxy/lease_renewal.go
@@ -87,7 +87,7 @@
 		return
 	}
 	s.counters.leasesGranted.Add(1)
-	s.lease.Renewed(requestedAt)
+	s.lease.Renew(requestedAt)
 	if granted.ProxyCount > 0 {
 		s.proxyCount = granted.ProxyCount
 	}
--- a/internal/proxy/simulation_cluster_test.go
+++ b/internal/proxy/simulation_cluster_test.go
@@ -107,11 +107,11 @@
 		Zone:     "z",
 		Capacity: 5,
 		State:    "serving",
-		DbRole:   "follower",
+		DBRole:   "follower",
 		CallSeq:  c.lastCallSeq,
 	}
 	if host.Leader {
-		request.DbRole = "leader"
+		request.DBRole = "leader"
 	}
 	if c.draining[host.ID] {
 		request.State = "draining"
--- a/internal/rpc/bench_test.go
+++ b/internal/rpc/bench_test.go
@@ -30,7 +30,7 @@
 func BenchmarkFrame(b *testing.B) {
 	body := func(c statemachine.Change) [][]byte { return [][]byte{statemachine.EncodeChange(c)} }
 	members := []string{"10.1.0.11", "10.2.0.8", "10.3.0.9"}
-	host := statesize.Host(10)
+	host := statesize.HostAt(10)
 	state := statesize.Full.State()
 	heartbeat := []byte(`{"Service":"lecture-core-3","Address":"10.11.0.4:5432","Zone":"waco-hall","Generation":"g1","Capacity":7,` +
 		`"State":"serving","ColdLeftMs":0,"DbRole":"replica","CallSeq":123456}`)
@@ -39,7 +39,7 @@
 		name  string
 		frame Frame
 	}{
-		{"hello", Frame{ProxyHello: &ProxyHello{Node: statesize.Router(7), Incarnation: 1 << 60, Zone: "waco-hall", AppliedIndex: 12345}}},
+		{"hello", Frame{ProxyHello: &ProxyHello{Node: statesize.ProxyName(7), Incarnation: 1 << 60, Zone: "waco-hall", AppliedIndex: 12345}}},
 		{"welcome", Frame{ProxyWelcome: &ProxyWelcome{Node: "core-waco-hall-0", IsLeader: true, Members: members, Proxies: append(members, members...)[:5]}}},
 		{"lease-request", Frame{LeaseRequest: &LeaseRequest{Serial: 12345, AppliedIndex: 12345, Sessions: 3250}}},
 		{"lease-response", Frame{LeaseResponse: &LeaseResponse{Serial: 12345, Granted: true, CommitIndex: 12345, ProxyCount: 1200}}},
@@ -51,7 +51,7 @@
 		{"update/host", Frame{LogUpdate: &LogUpdate{LastIndex: 12345, Members: members, Entries: body(statemachine.Change{AddHost: &host})}}},
 		{"update/configuration", Frame{LogUpdate: &LogUpdate{
 			LastIndex: 12345, Members: members,
-			Entries: body(statesize.Full.Order(state)),
+			Entries: body(statesize.Full.ConfigUpdate(state)),
 		}}},
 		{"update/snapshot", Frame{LogUpdate: &LogUpdate{LastIndex: 12345, Members: members, Snapshot: state.Snapshot()}}},
 		{"heartbeat", Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: "10.1.0.11", To: "10.2.0.8", Term: 3, SentAtMs: 1 << 40, CommitIndex: 12345}}},
--- a/internal/simulation/statesize/statesize.go
+++ b/internal/simulation/statesize/statesize.go
@@ -16,29 +16,29 @@
 )
 
 // Size is the number of proxies and databases.
-type Size struct{ Routers, Databases int }
+type Size struct{ Proxies, Databases int }
 
 // Full is the size that docs/CAPACITY.md is worked out for.
 var Full = Size{1200, 2600}
 
-// All are the sizes that are measured, in the proportion of Full.
-var All = []Size{{30, 65}, {100, 217}, {300, 650}, Full}
+// Sizes are the sizes that are measured, in the proportion of Full.
+var Sizes = []Size{{30, 65}, {100, 217}, {300, 650}, Full}
 
 // String names the size in benchmark results.
-func (s Size) String() string { return fmt.Sprintf("proxies=%d", s.Routers) }
+func (s Size) String() string { return fmt.Sprintf("proxies=%d", s.Proxies) }
 
 // Hosts returns the number of hosts.
 func (s Size) Hosts() int { return hostsPerDatabase * s.Databases }
 
-// Service returns the name of the nth database's service.
-func Service(n int) string { return fmt.Sprintf("lecture-core-%d", n) }
+// ServiceName returns the name of the nth database's service.
+func ServiceName(n int) string { return fmt.Sprintf("lecture-core-%d", n) }
 
-// Host returns the nth host of all. The first of each three is the primary of their service.
-func Host(n int) statemachine.Host {
+// HostAt returns the nth host of all. The first of each three is the primary of their service.
+func HostAt(n int) statemachine.Host {
 	service, place := n/hostsPerDatabase, n%hostsPerDatabase
 	return statemachine.Host{
 		ID:         fmt.Sprintf("lecture-core-%d-h%d-1", service, place),
-		Service:    Service(service),
+		Service:    ServiceName(service),
 		Address:    fmt.Sprintf("10.%d.%d.%d:5432", 10+place, service/hostsPerSubnet, 1+service%hostsPerSubnet),
 		Zone:       "waco-hall",
 		Generation: "g1",
@@ -47,8 +47,8 @@
 	}
 }
 
-// Router returns the nth proxy's name.
-func Router(n int) string { return fmt.Sprintf("edge-waco-hall-%d", n) }
+// ProxyName returns the nth proxy's name.
+func ProxyName(n int) string { return fmt.Sprintf("edge-waco-hall-%d", n) }
 
 // Config returns a configuration with a service for each database and a route of each kind to it. Generations differ in
 // the first route's deadline.
@@ -66,7 +66,7 @@
 		if i > 0 {
 			body.WriteByte(',')
 		}
-		fmt.Fprintf(&body, `{"Name":%q,"MaxConns":82,"SyncReplicas":1}`, Service(i))
+		fmt.Fprintf(&body, `{"Name":%q,"MaxConns":82,"SyncReplicas":1}`, ServiceName(i))
 	}
 	body.WriteString(`],"Limits":{"TxnIdleMs":5000}}`)
 	return body.Bytes()
@@ -79,12 +79,12 @@
 		deadlineMs += generation
 	}
 	fmt.Fprintf(body, `{"Name":"desk-%d","Host":"desk-%d.example","PathPrefix":"/","Kind":%s,"DeadlineMs":%d,"TargetMs":250,`+
-		`"Priority":1,"Service":%q,"MaxTries":2}`, i, i, kinds[i%routesPerDatabase], deadlineMs, Service(i/routesPerDatabase))
+		`"Priority":1,"Service":%q,"MaxTries":2}`, i, i, kinds[i%routesPerDatabase], deadlineMs, ServiceName(i/routesPerDatabase))
 }
 
-// Order returns an operator's change of one route on top of a state, as the log carries it. It panics if the state does
+// ConfigUpdate returns an operator's change of one route on top of a state, as the log carries it. It panics if the state does
 // not accept the change.
-func (s Size) Order(state *statemachine.State) statemachine.Change {
+func (s Size) ConfigUpdate(state *statemachine.State) statemachine.Change {
 	update := &statemachine.ConfigUpdate{BaseVersion: state.Generation, Body: s.Config(state.Generation + 1)}
 	config, err := state.CheckConfig(update)
 	if err != nil {
@@ -103,16 +103,16 @@
 	state.Hosts, state.Primaries = map[string]statemachine.Host{}, map[string]statemachine.Primary{}
 	state.Proxies = map[string]uint64{}
 	for n := range s.Hosts() {
-		host := Host(n)
+		host := HostAt(n)
 		state.Hosts[host.ID] = host
 		state.Index++
 		if n%hostsPerDatabase == 0 {
 			state.Primaries[host.Service] = statemachine.Primary{Host: host.ID, Term: 1, ChangedAt: state.Index}
 		}
 	}
-	for n := range s.Routers {
+	for n := range s.Proxies {
 		state.Index++
-		state.Proxies[Router(n)] = state.Index
+		state.Proxies[ProxyName(n)] = state.Index
 	}
 	return state
 }
