--- a/internal/router/routing/list.go
+++ b/internal/router/routing/list.go
@@ -64,7 +64,7 @@
 	r.listDone(whole)
 	r.listed = true
 	for _, s := range r.asking {
-		s.Empty()
+		s.AnswerEmptyQuery()
 	}
 	r.asking = nil
 }
--- a/internal/router/routing/routing.go
+++ b/internal/router/routing/routing.go
@@ -90,7 +90,7 @@
 
 // Command, Empty, Left, List, Unlisted and Heard are called from other goroutines.
 
-func (r *Router) Command(s *transport.Slot, statement []byte, at time.Time) {
+func (r *Router) HandleCommand(s *transport.Slot, statement []byte, at time.Time) {
 	id, group, key, set, wait, after, again, writes, err := protocol.Comment(statement)
 	g := r.start.Terms.Groups[group]
 	switch {
@@ -114,20 +114,20 @@
 // refuse answers what is no command; it costs less than serving one.
 func (r *Router) refuse(s *transport.Slot, why string) {
 	r.Refused.Add(1)
-	s.Refuse(protocol.Unknown, why)
+	s.Reject(protocol.Unknown, why)
 }
 
-func (r *Router) Empty(s *transport.Slot) {
+func (r *Router) HandleEmptyQuery(s *transport.Slot) {
 	r.queue.Put(eventloop.PriorityCommands, func() {
 		if r.listed {
-			s.Empty()
+			s.AnswerEmptyQuery()
 		} else {
 			r.asking = append(r.asking, s)
 		}
 	})
 }
 
-func (r *Router) Left(s *transport.Slot) {
+func (r *Router) ClientDisconnected(s *transport.Slot) {
 	r.queue.Put(eventloop.PriorityOutcomes, func() {
 		if c := r.slots[s]; c != nil {
 			r.Gone.Add(1)
@@ -345,7 +345,7 @@
 		r.refuse(s, "the id of a command that is open")
 		return
 	}
-	s.Taken()
+	s.CommandAccepted()
 	now := r.moment()
 	since := policy.Tenth(0)
 	if written > 0 { // a commit's time is rounded up, so this errs towards fresh
@@ -372,9 +372,9 @@
 		c.slot.Answer(a.Frames)
 		r.final(c)
 	}
-	r.report(c.handle.Node, a.Load)
+	r.report(c.handle.Node, a.LoadReport)
 	pos, role := setup.Words(a.Position, a.Role, r.ahead())
-	took := policy.Tenth(a.Took / clock.Tenth)
+	took := policy.Tenth(a.Elapsed / clock.Tenth)
 	if h := r.nodes[c.handle.Node]; h != nil && r.start.Deployment.Told {
 		now := r.clock.Now()
 		h.answered(c.handle, a.Outcome, pos, role, now-took, now, took)
--- a/internal/router/routing/sending.go
+++ b/internal/router/routing/sending.go
@@ -33,7 +33,7 @@
 	}
 	s.over = true
 	r.due.Remove(s.due)
-	a.Took = a.At.Sub(s.at)
+	a.Elapsed = a.ReceivedAt.Sub(s.at)
 	r.moment()
 	s.ended(a)
 }
@@ -42,6 +42,6 @@
 func (r *Router) expire(s *sending) {
 	r.due.Remove(s.due)
 	if o, ok := s.call.Abandon(); ok { // else how it ended is in the queue
-		r.arrived(s, transport.Answer{Outcome: o, At: time.Now()})
+		r.arrived(s, transport.Answer{Outcome: o, ReceivedAt: time.Now()})
 	}
 }
--- a/internal/router/service/service.go
+++ b/internal/router/service/service.go
@@ -62,7 +62,7 @@
 		if p.peers, err = transport.NewPeers(start); err != nil {
 			return fmt.Errorf("peer_listen: %w", err)
 		}
-		tell = p.peers.Tell
+		tell = p.peers.Broadcast
 	}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -85,7 +85,7 @@
 		})
 		if start.Deployment.AskWithin > 0 {
 			p.watch.OnRequest(p.router.Unlisted)
-			p.router.Watching(p.watch.Ask)
+			p.router.Watching(p.watch.Request)
 		}
 	}
 	tasks.Go(func() error { return p.router.Run(ctx) })
@@ -143,7 +143,7 @@
 				p.reload()
 			}
 		case <-arrived:
-			p.clients.Close()
+			p.clients.StopAccepting()
 		case <-drain:
 			if drain = time.After(p.limits.Again); p.clients.Drain() == 0 {
 				return
@@ -170,21 +170,21 @@
 	p.reloads++
 	p.log.Info("configuration read again", zap.String("discovery", next.Discovery),
 		zap.Strings("from the next start only", kept))
-	p.watch.Move(next.Discovery)
+	p.watch.SetAddress(next.Discovery)
 	p.start = next
 }
 
 func (p *program) counts() []zap.Field {
 	fields := append(p.router.Fields(),
-		zap.Int64("clients_accepted", p.clients.Accepted.Load()), zap.Int("clients_open", p.clients.Open()),
-		zap.Int64("clients_made_way", p.clients.Evicted.Load()), zap.Int64("clients_torn", p.clients.Torn.Load()),
-		zap.Int64("clients_slow", p.clients.Slow.Load()), zap.Int64("clients_wild", p.clients.Wild.Load()),
-		zap.Int64("clients_no_room", p.clients.Cramped.Load()), zap.Int64("clients_left", p.clients.Gone.Load()),
-		zap.Int64("commands_shed", p.clients.Shed.Load()), zap.Int64("messages_foreign", p.clients.Foreign.Load()),
+		zap.Int64("clients_accepted", p.clients.Accepted.Load()), zap.Int("clients_open", p.clients.OpenConns()),
+		zap.Int64("clients_made_way", p.clients.Evicted.Load()), zap.Int64("clients_torn", p.clients.Malformed.Load()),
+		zap.Int64("clients_slow", p.clients.TimedOut.Load()), zap.Int64("clients_wild", p.clients.RejectedOnly.Load()),
+		zap.Int64("clients_no_room", p.clients.OutOfBuffers.Load()), zap.Int64("clients_left", p.clients.Disconnected.Load()),
+		zap.Int64("commands_shed", p.clients.Shed.Load()), zap.Int64("messages_foreign", p.clients.Unsupported.Load()),
 		zap.Int64("hosts_opened", p.hosts.Opened.Load()), zap.Int64("hosts_reused", p.hosts.Reused.Load()),
-		zap.Int64("hosts_not_up", p.hosts.Broken.Load()), zap.Int64("hosts_no_descriptor", p.hosts.Refused.Load()),
-		zap.Int("host_connections", p.hosts.Open()), zap.Int64("answers_spoilt", p.hosts.Spoilt.Load()),
-		zap.Int64("answers_stray", p.hosts.Stray.Load()), zap.Int64("buffers", p.room.Used()),
+		zap.Int64("hosts_not_up", p.hosts.StartupFailed.Load()), zap.Int64("hosts_no_descriptor", p.hosts.NoDescriptor.Load()),
+		zap.Int("host_connections", p.hosts.OpenConns()), zap.Int64("answers_spoilt", p.hosts.InvalidAnswers.Load()),
+		zap.Int64("answers_stray", p.hosts.UnsolicitedData.Load()), zap.Int64("buffers", p.room.Used()),
 		zap.Int("reloads", p.reloads), zap.Int("reloads_refused", p.refused))
 	if p.watch != nil {
 		fields = append(fields, zap.Int64("watches", p.watch.Started.Load()), zap.Int64("list_lines", p.watch.Lines.Load()))
@@ -197,8 +197,8 @@
 	}
 	if p.peers != nil {
 		fields = append(fields, zap.Int64("datagrams_sent", p.peers.Sent.Load()),
-			zap.Int64("datagrams_heard", p.peers.Heard.Load()), zap.Int64("datagrams_dropped", p.peers.Dropped.Load()),
-			zap.Int64("datagram_bursts", p.peers.Bursts.Load()))
+			zap.Int64("datagrams_heard", p.peers.Received.Load()), zap.Int64("datagrams_dropped", p.peers.Dropped.Load()),
+			zap.Int64("datagram_bursts", p.peers.Batches.Load()))
 	}
 	return fields
 }
--- a/internal/router/transport/buffer.go
+++ b/internal/router/transport/buffer.go
@@ -13,68 +13,68 @@
 
 // Room is what all buffers together may take past their first size.
 type Room struct {
-	most int64
-	used atomic.Int64
+	capacity int64
+	used     atomic.Int64
 }
 
 // NewRoom is shared by all connections.
-func NewRoom(l *setup.Limits) *Room { return &Room{most: l.Buffers} }
+func NewRoom(limits *setup.Limits) *Room { return &Room{capacity: limits.Buffers} }
 
 // Used is what they take now.
-func (r *Room) Used() int64 { return r.used.Load() }
+func (b *Room) Used() int64 { return b.used.Load() }
 
-func (r *Room) take(n int) bool {
-	if r.used.Add(int64(n)) <= r.most {
+func (b *Room) reserve(n int) bool {
+	if b.used.Add(int64(n)) <= b.capacity {
 		return true
 	}
-	r.used.Add(int64(-n))
+	b.used.Add(int64(-n))
 	return false
 }
 
-func (r *Room) give(n int) { r.used.Add(int64(-n)) }
+func (b *Room) release(n int) { b.used.Add(int64(-n)) }
 
-var errRoom = errors.New("no room left for buffers")
+var errBudgetExhausted = errors.New("no room left for buffers")
 
 // buffer holds what was read and not used yet. It grows as needed, is
 // compacted in place, and goes back to its first size when it is empty.
 type buffer struct {
-	room        *Room
-	first, most int
-	data        []byte
-	from        int // what is before it was used
+	budget               *Room
+	initialSize, maxSize int
+	data                 []byte
+	consumed             int // what is before it was used
 }
 
-func newBuffer(room *Room, first, most int) *buffer {
-	return &buffer{room: room, first: first, most: most, data: make([]byte, 0, first)}
+func newBuffer(budget *Room, initialSize, maxSize int) *buffer {
+	return &buffer{budget: budget, initialSize: initialSize, maxSize: maxSize, data: make([]byte, 0, initialSize)}
 }
 
-func (b *buffer) bytes() []byte { return b.data[b.from:] }
+func (b *buffer) unread() []byte { return b.data[b.consumed:] }
 
-func (b *buffer) use(n int) {
-	if b.from += n; b.from < len(b.data) {
+func (b *buffer) consume(n int) {
+	if b.consumed += n; b.consumed < len(b.data) {
 		return
 	}
-	b.from, b.data = 0, b.data[:0]
-	if cap(b.data) > b.first {
-		b.room.give(cap(b.data) - b.first)
-		b.data = make([]byte, 0, b.first)
+	b.consumed, b.data = 0, b.data[:0]
+	if cap(b.data) > b.initialSize {
+		b.budget.release(cap(b.data) - b.initialSize)
+		b.data = make([]byte, 0, b.initialSize)
 	}
 }
 
-// fill reads once, making space for it first.
-func (b *buffer) fill(from io.Reader) error {
-	if len(b.data) == cap(b.data) && b.from > 0 {
-		n := copy(b.data, b.data[b.from:])
-		b.data, b.from = b.data[:n], 0
+// readFrom reads once, making space for it first.
+func (b *buffer) readFrom(source io.Reader) error {
+	if len(b.data) == cap(b.data) && b.consumed > 0 {
+		n := copy(b.data, b.data[b.consumed:])
+		b.data, b.consumed = b.data[:n], 0
 	}
 	if len(b.data) == cap(b.data) {
-		size := min(2*cap(b.data), b.most)
-		if size <= cap(b.data) || !b.room.take(size-cap(b.data)) {
-			return errRoom
+		size := min(2*cap(b.data), b.maxSize)
+		if size <= cap(b.data) || !b.budget.reserve(size-cap(b.data)) {
+			return errBudgetExhausted
 		}
 		b.data = append(make([]byte, 0, size), b.data...)
 	}
-	n, err := from.Read(b.data[len(b.data):cap(b.data)])
+	n, err := source.Read(b.data[len(b.data):cap(b.data)])
 	b.data = b.data[:len(b.data)+n]
 	if n > 0 {
 		return nil // an error, if there is one, comes again
@@ -82,9 +82,9 @@
 	return err
 }
 
-// free gives its room back; the buffer is done with.
-func (b *buffer) free() {
-	b.room.give(cap(b.data) - b.first)
-	b.data, b.from = nil, 0
-	b.first = 0
+// release gives its room back; the buffer is done with.
+func (b *buffer) release() {
+	b.budget.release(cap(b.data) - b.initialSize)
+	b.data, b.consumed = nil, 0
+	b.initialSize = 0
 }
--- a/internal/router/transport/hosts.go
+++ b/internal/router/transport/hosts.go
@@ -17,90 +17,90 @@
 
 // Answer is what came back for a dispatch or a probe.
 type Answer struct {
-	Outcome  policy.Outcome
-	Frames   []byte // of an answer: row description, row and completion, as they came
-	Value    string // the row's one value, for a probe
-	Position string // empty where the host gave none
-	Role     string
-	Load     string
-	Code     string        // of an error
-	At       time.Time     // when its last byte was read
-	Took     time.Duration // since it was asked for; whoever asked fills it in
+	Outcome    policy.Outcome
+	Frames     []byte // of an answer: row description, row and completion, as they came
+	Value      string // the row's one value, for a probe
+	Position   string // empty where the host gave none
+	Role       string
+	LoadReport string
+	Code       string        // of an error
+	ReceivedAt time.Time     // when its last byte was read
+	Elapsed    time.Duration // since it was asked for; whoever asked fills it in
 }
 
 // Hosts are the connections to all database hosts.
 type Hosts struct {
 	limits *setup.Limits
-	room   *Room
+	budget *Room
 	ctx    context.Context
 	tasks  sync.WaitGroup
 
-	mu   sync.Mutex
-	open int
-	all  map[*Host]struct{}
+	mu    sync.Mutex
+	open  int
+	hosts map[*Host]struct{}
 
-	Opened, Reused, Refused, Broken atomic.Int64 // connections opened, used again; none left; not come up
-	Spoilt, Stray                   atomic.Int64 // answers that make no sense; bytes that belong to none
+	Opened, Reused, NoDescriptor, StartupFailed atomic.Int64 // connections opened, used again; none left; not come up
+	InvalidAnswers, UnsolicitedData             atomic.Int64 // answers that make no sense; bytes that belong to none
 }
 
 // NewHosts lets connections live until ctx ends.
-func NewHosts(ctx context.Context, l *setup.Limits, room *Room) *Hosts {
-	return &Hosts{limits: l, room: room, ctx: ctx, all: map[*Host]struct{}{}}
+func NewHosts(ctx context.Context, limits *setup.Limits, budget *Room) *Hosts {
+	return &Hosts{limits: limits, budget: budget, ctx: ctx, hosts: map[*Host]struct{}{}}
 }
 
 // Wait waits for all connections to end, once the context has.
-func (h *Hosts) Wait() { h.tasks.Wait() }
+func (p *Hosts) Wait() { p.tasks.Wait() }
 
-// Open counts the connections that are held.
-func (h *Hosts) Open() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.open
+// OpenConns counts the connections that are held.
+func (p *Hosts) OpenConns() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.open
 }
 
 // Host is one database host: its address and its idle connections.
 type Host struct {
-	hosts   *Hosts
+	pool    *Hosts
 	address string
 	idle    []*hostConn // the most recently used last
-	gone    bool        // none is kept idle
+	removed bool        // none is kept idle
 }
 
 // Add adds a host.
-func (h *Hosts) Add(address string) *Host {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	n := &Host{hosts: h, address: address}
-	h.all[n] = struct{}{}
-	return n
+func (p *Hosts) Add(address string) *Host {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	host := &Host{pool: p, address: address}
+	p.hosts[host] = struct{}{}
+	return host
 }
 
 // Move gives a host another address; connections to the old one are not used again.
-func (n *Host) Move(address string) {
-	n.hosts.mu.Lock()
-	same := n.address == address
-	n.address = address
-	n.hosts.mu.Unlock()
-	if !same {
-		n.CloseIdle()
+func (h *Host) Move(address string) {
+	h.pool.mu.Lock()
+	unchanged := h.address == address
+	h.address = address
+	h.pool.mu.Unlock()
+	if !unchanged {
+		h.CloseIdle()
 	}
 }
 
 // Remove forgets a host; what is still out to it ends as it does.
-func (n *Host) Remove() {
-	n.hosts.mu.Lock()
-	n.gone = true
-	delete(n.hosts.all, n)
-	n.hosts.mu.Unlock()
-	n.CloseIdle()
+func (h *Host) Remove() {
+	h.pool.mu.Lock()
+	h.removed = true
+	delete(h.pool.hosts, h)
+	h.pool.mu.Unlock()
+	h.CloseIdle()
 }
 
 // CloseIdle closes the idle connections.
-func (n *Host) CloseIdle() {
-	n.hosts.mu.Lock()
-	idle := n.idle
-	n.idle = nil
-	n.hosts.mu.Unlock()
+func (h *Host) CloseIdle() {
+	h.pool.mu.Lock()
+	idle := h.idle
+	h.idle = nil
+	h.pool.mu.Unlock()
 	for _, c := range idle {
 		c.close()
 	}
@@ -108,109 +108,109 @@
 
 // Call is one statement on its way.
 type Call struct {
-	statement []byte
-	until     time.Time // when the router stops waiting
-	by        time.Time // when its last byte must be written, lest what was decided no longer holds
-	rewrite   bool      // the statement names the time that is left
-	done      func(Answer)
-
-	conn *hostConn
-	sent bool // some bytes, perhaps all, are on their way; guarded by conn.mu
-	over bool
+	statement      []byte
+	deadline       time.Time // when the router stops waiting
+	sendBy         time.Time // when its last byte must be written, lest what was decided no longer holds
+	rewriteTimeout bool      // the statement names the time that is left
+	onAnswer       func(Answer)
+
+	conn  *hostConn
+	sent  bool // some bytes, perhaps all, are on their way; guarded by conn.mu
+	ended bool
 }
 
 // Send starts a call on an idle connection or a new one. done is called once,
 // from another goroutine, unless Abandon says how it ended. Nothing is sent again on its own,
 // and nothing at all past by.
-func (n *Host) Send(statement []byte, until, by time.Time, rewrite bool, done func(Answer)) *Call {
-	h := n.hosts
-	call := &Call{statement: statement, until: until, by: by, rewrite: rewrite, done: done}
+func (h *Host) Send(statement []byte, deadline, sendBy time.Time, rewriteTimeout bool, onAnswer func(Answer)) *Call {
+	pool := h.pool
+	call := &Call{statement: statement, deadline: deadline, sendBy: sendBy, rewriteTimeout: rewriteTimeout, onAnswer: onAnswer}
 	now := time.Now()
-	h.mu.Lock()
-	for i := len(n.idle) - 1; i >= 0; i = min(i, len(n.idle)) - 1 {
-		c := n.idle[i]
-		if now.Sub(c.since) < h.limits.Rest {
+	pool.mu.Lock()
+	for i := len(h.idle) - 1; i >= 0; i = min(i, len(h.idle)) - 1 {
+		c := h.idle[i]
+		if now.Sub(c.lastAnswer) < pool.limits.Rest {
 			continue // what does not belong to its last answer may be on its way still
 		}
-		n.idle = slices.Delete(n.idle, i, i+1)
-		h.mu.Unlock()
-		if now.Sub(c.since) < h.limits.Idle && c.give(call) {
-			h.Reused.Add(1)
+		h.idle = slices.Delete(h.idle, i, i+1)
+		pool.mu.Unlock()
+		if now.Sub(c.lastAnswer) < pool.limits.Idle && c.assign(call) {
+			pool.Reused.Add(1)
 			return call
 		}
 		c.close()
-		h.mu.Lock()
+		pool.mu.Lock()
 	}
-	var spare *hostConn
-	if h.open >= h.limits.Hosts {
-		if spare = h.oldestIdle(); spare == nil {
-			h.mu.Unlock()
-			h.Refused.Add(1)
-			h.tasks.Go(func() { done(Answer{Outcome: policy.Moot, At: now}) })
+	var evicted *hostConn
+	if pool.open >= pool.limits.Hosts {
+		if evicted = pool.oldestIdle(); evicted == nil {
+			pool.mu.Unlock()
+			pool.NoDescriptor.Add(1)
+			pool.tasks.Go(func() { onAnswer(Answer{Outcome: policy.Moot, ReceivedAt: now}) })
 			return call
 		}
 	}
-	h.open++
-	address := n.address
-	h.mu.Unlock()
-	if spare != nil {
-		spare.close()
+	pool.open++
+	address := h.address
+	pool.mu.Unlock()
+	if evicted != nil {
+		evicted.close()
 	}
-	h.Opened.Add(1)
-	c := &hostConn{host: n, call: call, next: make(chan *Call, 1)}
+	pool.Opened.Add(1)
+	c := &hostConn{host: h, call: call, calls: make(chan *Call, 1)}
 	call.conn = c
-	c.ctx, c.cancel = context.WithCancel(h.ctx)
-	h.tasks.Go(func() { c.run(address, call) })
+	c.ctx, c.cancel = context.WithCancel(pool.ctx)
+	pool.tasks.Go(func() { c.run(address, call) })
 	return call
 }
 
 // oldestIdle takes the connection that was idle for longest. Guards against
 // hosts of the past holding the descriptors that others need.
-func (h *Hosts) oldestIdle() *hostConn {
-	var from *Host
-	for n := range h.all {
-		if len(n.idle) > 0 && (from == nil || n.idle[0].since.Before(from.idle[0].since)) {
-			from = n
+func (p *Hosts) oldestIdle() *hostConn {
+	var owner *Host
+	for host := range p.hosts {
+		if len(host.idle) > 0 && (owner == nil || host.idle[0].lastAnswer.Before(owner.idle[0].lastAnswer)) {
+			owner = host
 		}
 	}
-	if from == nil {
+	if owner == nil {
 		return nil
 	}
-	c := from.idle[0]
-	from.idle = from.idle[1:]
+	c := owner.idle[0]
+	owner.idle = owner.idle[1:]
 	return c
 }
 
 // Abandon stops waiting and closes the connection. It says how the call ended,
 // or ok false where its answer has come and done is or was called.
-func (call *Call) Abandon() (o policy.Outcome, ok bool) {
+func (call *Call) Abandon() (outcome policy.Outcome, ok bool) {
 	c := call.conn
 	if c == nil {
 		return 0, false // there was no connection for it
 	}
 	c.mu.Lock()
-	if call.over {
+	if call.ended {
 		c.mu.Unlock()
 		return 0, false
 	}
-	call.over, c.call = true, nil
-	o = policy.TimedOut
+	call.ended, c.call = true, nil
+	outcome = policy.TimedOut
 	if !call.sent {
-		o = policy.Unreached
+		outcome = policy.Unreached
 	}
 	c.mu.Unlock()
 	c.close()
-	return o, true
+	return outcome, true
 }
 
 // hostConn is a connection to a host, with one call at a time.
 type hostConn struct {
-	host   *Host
-	ctx    context.Context
-	cancel context.CancelFunc
-	next   chan *Call
-	since  time.Time // when it became idle
-	used   bool      // an answer has come on it
+	host       *Host
+	ctx        context.Context
+	cancel     context.CancelFunc
+	calls      chan *Call
+	lastAnswer time.Time // when it became idle
+	answered   bool      // an answer has come on it
 
 	mu     sync.Mutex
 	conn   net.Conn
@@ -218,16 +218,16 @@
 	call   *Call
 }
 
-// give hands an idle connection its next call, unless something has come that nobody asked for.
-func (c *hostConn) give(call *Call) bool {
+// assign hands an idle connection its next call, unless something has come that nobody asked for.
+func (c *hostConn) assign(call *Call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || waiting(c.conn) {
+	if c.closed || hasUnreadInput(c.conn) {
 		return false
 	}
 	call.conn, c.call = c, call
 	c.conn.SetReadDeadline(time.Time{})
-	c.next <- call
+	c.calls <- call
 	return true
 }
 
@@ -247,24 +247,24 @@
 
 // run is the life of a connection. Its first call may be given up on before it begins.
 func (c *hostConn) run(address string, first *Call) {
-	h := c.host.hosts
+	pool := c.host.pool
 	defer func() {
 		c.close()
-		h.mu.Lock()
-		h.open--
+		pool.mu.Lock()
+		pool.open--
 		for i, idle := range c.host.idle {
 			if idle == c {
 				c.host.idle = append(c.host.idle[:i], c.host.idle[i+1:]...)
 				break
 			}
 		}
-		h.mu.Unlock()
+		pool.mu.Unlock()
 	}()
-	up, cancel := context.WithTimeout(c.ctx, min(h.limits.Connect, time.Until(first.until)))
+	startupCtx, cancel := context.WithTimeout(c.ctx, min(pool.limits.Connect, time.Until(first.deadline)))
 	defer cancel()
-	conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(up, "tcp", address)
+	conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(startupCtx, "tcp", address)
 	if err != nil {
-		c.end(first, Answer{Outcome: policy.Unreached})
+		c.failCall(first, Answer{Outcome: policy.Unreached})
 		return
 	}
 	c.mu.Lock()
@@ -273,25 +273,25 @@
 		conn.Close()
 	}
 	c.mu.Unlock()
-	in := newBuffer(h.room, h.limits.Buffer, h.limits.Answer)
-	defer in.free()
-	deadline, _ := up.Deadline()
+	in := newBuffer(pool.budget, pool.limits.Buffer, pool.limits.Answer)
+	defer in.release()
+	deadline, _ := startupCtx.Deadline()
 	conn.SetDeadline(deadline)
-	if outcome, ok := greet(conn, in); !ok {
-		h.Broken.Add(1)
-		c.end(first, Answer{Outcome: outcome})
+	if outcome, ok := startSession(conn, in); !ok {
+		pool.StartupFailed.Add(1)
+		c.failCall(first, Answer{Outcome: outcome})
 		return
 	}
 	conn.SetDeadline(time.Time{})
-	writer := make(chan struct{})
-	h.tasks.Go(func() {
-		defer close(writer)
-		c.write()
+	writerDone := make(chan struct{})
+	pool.tasks.Go(func() {
+		defer close(writerDone)
+		c.writeCalls()
 	})
-	c.next <- first
-	c.read(in)
+	c.calls <- first
+	c.readAnswers(in)
 	c.close()
-	<-writer
+	<-writerDone
 	// What is left has no answer, and nobody who could still send it. Guards against a call that
 	// is given to the connection, or on its way, while that ends.
 	c.mu.Lock()
@@ -300,26 +300,26 @@
 	switch {
 	case call == nil:
 	case call.sent:
-		c.end(call, Answer{Outcome: policy.Reset})
-	case c.used: // it had been up, which tells nothing of the host now
-		c.end(call, Answer{Outcome: policy.Moot})
+		c.failCall(call, Answer{Outcome: policy.Reset})
+	case c.answered: // it had been up, which tells nothing of the host now
+		c.failCall(call, Answer{Outcome: policy.Moot})
 	default:
-		c.end(call, Answer{Outcome: policy.Unreached})
+		c.failCall(call, Answer{Outcome: policy.Unreached})
 	}
 }
 
-// greet brings a connection up. Whatever fails, no command has been sent yet.
-func greet(conn net.Conn, in *buffer) (policy.Outcome, bool) {
+// startSession brings a connection up. Whatever fails, no command has been sent yet.
+func startSession(conn net.Conn, in *buffer) (policy.Outcome, bool) {
 	if _, err := conn.Write(protocol.AppendStartup(nil, "svc", "main")); err != nil {
 		return policy.Unreached, false
 	}
 	for {
-		kind, body, n, err := protocol.Next(in.bytes(), in.most)
+		kind, body, n, err := protocol.Next(in.unread(), in.maxSize)
 		if err != nil {
 			return policy.Unreached, false
 		}
 		if n == 0 {
-			if in.fill(conn) != nil {
+			if in.readFrom(conn) != nil {
 				return policy.Unreached, false
 			}
 			continue
@@ -328,7 +328,7 @@
 		if kind == protocol.ErrorResponse {
 			code = protocol.Code(body)
 		}
-		in.use(n)
+		in.consume(n)
 		switch {
 		case code == protocol.TooMany:
 			return policy.Full, false
@@ -340,83 +340,83 @@
 	}
 }
 
-// write sends the calls that the connection is given.
-func (c *hostConn) write() {
+// writeCalls sends the calls that the connection is given.
+func (c *hostConn) writeCalls() {
 	defer c.close() // without it the connection is of no use
-	var out []byte
+	var message []byte
 	for {
 		var call *Call
 		select {
-		case call = <-c.next:
+		case call = <-c.calls:
 		case <-c.ctx.Done():
 			return
 		}
 		// A decision is not carried out much later: the host may have begun to drain, or its data
 		// be too old by now. Guards against slow connections, and against this router standing still.
 		now := time.Now()
-		left := call.until.Sub(now).Milliseconds()
-		if left < 1 || now.After(call.by) {
-			c.end(call, Answer{Outcome: policy.Moot})
+		leftMs := call.deadline.Sub(now).Milliseconds()
+		if leftMs < 1 || now.After(call.sendBy) {
+			c.failCall(call, Answer{Outcome: policy.Moot})
 			return
 		}
-		if out = out[:0]; call.rewrite {
-			out = protocol.AppendQuery(out, protocol.AppendFor(nil, call.statement, left))
+		if message = message[:0]; call.rewriteTimeout {
+			message = protocol.AppendQuery(message, protocol.AppendFor(nil, call.statement, leftMs))
 		} else {
-			out = protocol.AppendQuery(out, call.statement)
+			message = protocol.AppendQuery(message, call.statement)
 		}
 		c.mu.Lock()
-		if c.closed || call.over {
+		if c.closed || call.ended {
 			c.mu.Unlock()
 			return
 		}
 		// What has come by now belongs to no command, and would be taken for this one's answer. Guards
 		// against answers with more behind them, whichever goroutine runs first.
-		if waiting(c.conn) {
+		if hasUnreadInput(c.conn) {
 			c.mu.Unlock()
 			return
 		}
 		call.sent = true
 		c.mu.Unlock()
-		if n, _ := c.conn.Write(out); n < len(out) {
+		if n, _ := c.conn.Write(message); n < len(message) {
 			c.mu.Lock()
 			call.sent = false // never whole, so it never ran
 			c.mu.Unlock()
 			return
 		}
-		if cap(out) > c.host.hosts.limits.Buffer {
-			out = nil
+		if cap(message) > c.host.pool.limits.Buffer {
+			message = nil
 		}
 	}
 }
 
-// read takes the answers in, and sees at once when an idle connection closes or brings what nobody
+// readAnswers takes the answers in, and sees at once when an idle connection closes or brings what nobody
 // asked for. An answer is one row's description, the row and its completion, or an error; what is
 // anything else may have run, and nothing of it is believed.
-func (c *hostConn) read(in *buffer) {
+func (c *hostConn) readAnswers(in *buffer) {
 	var a Answer
 	var last byte // of an answer's parts
-	from := inTurn{conn: c}
+	from := callReader{conn: c}
 	from.raw, _ = c.conn.(syscall.Conn).SyscallConn()
 	for {
-		kind, body, n, err := protocol.Next(in.bytes(), in.most)
+		kind, body, n, err := protocol.Next(in.unread(), in.maxSize)
 		torn := err != nil
 		if err == nil && n == 0 {
-			err = in.fill(&from)
+			err = in.readFrom(&from)
 		}
 		call := from.call
 		switch {
-		case call == nil && len(in.bytes()) > 0:
-			c.host.hosts.Stray.Add(1)
+		case call == nil && len(in.unread()) > 0:
+			c.host.pool.UnsolicitedData.Add(1)
 			return // it would be taken for the next command's
 		case err != nil && call != nil && last == protocol.CommandComplete:
 			a = Answer{Outcome: policy.Answered, Frames: a.Frames, Value: a.Value}
-			c.end(call, finish(a)) // all of it had come
+			c.failCall(call, classify(a)) // all of it had come
 			return
 		case err != nil && call != nil && a.Code != "" && !torn:
-			c.end(call, finish(a))
+			c.failCall(call, classify(a))
 			return
 		case torn && call != nil:
-			c.spoilt(call)
+			c.rejectAnswer(call)
 			return
 		case err != nil:
 			return
@@ -445,13 +445,13 @@
 			case "node_role":
 				a.Role = value
 			case "server_load":
-				a.Load = value
+				a.LoadReport = value
 			}
 		case protocol.Notice:
 		case protocol.Ready:
 			if good = last == protocol.CommandComplete || last == protocol.ErrorResponse; good {
-				in.use(n)
-				if !c.ended(finish(a), len(in.bytes()) > 0) {
+				in.consume(n)
+				if !c.completeCall(classify(a), len(in.unread()) > 0) {
 					return
 				}
 				a, last = Answer{}, 0
@@ -461,35 +461,35 @@
 			good = false
 		}
 		if !good {
-			c.spoilt(call)
+			c.rejectAnswer(call)
 			return
 		}
 		switch kind {
 		case protocol.RowDescription, protocol.DataRow, protocol.CommandComplete:
-			a.Frames = append(a.Frames, in.bytes()[:n]...)
+			a.Frames = append(a.Frames, in.unread()[:n]...)
 			last = kind
 		case protocol.ErrorResponse:
 			last = kind
 		}
-		in.use(n)
+		in.consume(n)
 	}
 }
 
-// spoilt ends a call whose answer makes no sense.
-func (c *hostConn) spoilt(call *Call) {
-	c.host.hosts.Spoilt.Add(1)
-	c.end(call, Answer{Outcome: policy.Reset})
+// rejectAnswer ends a call whose answer makes no sense.
+func (c *hostConn) rejectAnswer(call *Call) {
+	c.host.pool.InvalidAnswers.Add(1)
+	c.failCall(call, Answer{Outcome: policy.Reset})
 }
 
-// inTurn reads a host connection and tells for which call, if for any, what it brought was sent: by the
+// callReader reads a host connection and tells for which call, if for any, what it brought was sent: by the
 // lock, bytes that came before a call was on its way are known from those after.
-type inTurn struct {
+type callReader struct {
 	conn *hostConn
 	raw  syscall.RawConn
 	call *Call
 }
 
-func (t *inTurn) Read(b []byte) (n int, err error) {
+func (t *callReader) Read(b []byte) (n int, err error) {
 	ended := t.raw.Read(func(fd uintptr) bool {
 		c := t.conn
 		c.mu.Lock()
@@ -513,52 +513,52 @@
 	return n, nil
 }
 
-// finish says what an answer amounts to.
-func finish(a Answer) Answer {
-	switch a.Code {
+// classify says what an answer amounts to.
+func classify(answer Answer) Answer {
+	switch answer.Code {
 	case "":
 	case protocol.ReadOnly, protocol.Behind:
-		a.Outcome = policy.Missed
+		answer.Outcome = policy.Missed
 	case protocol.TooMany:
-		a.Outcome = policy.Full
+		answer.Outcome = policy.Full
 	default:
-		a.Outcome = policy.Errored
+		answer.Outcome = policy.Errored
 	}
-	a.At = time.Now()
-	return a
+	answer.ReceivedAt = time.Now()
+	return answer
 }
 
-// ended hands an answer over and makes the connection idle, unless more came than belongs to it.
-func (c *hostConn) ended(a Answer, more bool) bool {
-	h, n := c.host.hosts, c.host
+// completeCall hands an answer over and makes the connection idle, unless more came than belongs to it.
+func (c *hostConn) completeCall(answer Answer, extraData bool) bool {
+	pool, host := c.host.pool, c.host
 	c.mu.Lock()
 	call := c.call
-	if call == nil || call.over || !call.sent || c.closed {
+	if call == nil || call.ended || !call.sent || c.closed {
 		c.mu.Unlock()
 		return false // nobody asked
 	}
-	call.over, c.call = true, nil
-	c.since, c.used = a.At, true
-	c.conn.SetReadDeadline(a.At.Add(h.limits.Idle))
+	call.ended, c.call = true, nil
+	c.lastAnswer, c.answered = answer.ReceivedAt, true
+	c.conn.SetReadDeadline(answer.ReceivedAt.Add(pool.limits.Idle))
 	c.mu.Unlock()
-	h.mu.Lock()
-	if more = more || n.gone; !more {
-		n.idle = append(n.idle, c)
+	pool.mu.Lock()
+	if extraData = extraData || host.removed; !extraData {
+		host.idle = append(host.idle, c)
 	}
-	h.mu.Unlock()
-	call.done(a)
-	return !more
+	pool.mu.Unlock()
+	call.onAnswer(answer)
+	return !extraData
 }
 
-// end ends a call once.
-func (c *hostConn) end(call *Call, a Answer) {
+// failCall ends a call once.
+func (c *hostConn) failCall(call *Call, answer Answer) {
 	c.mu.Lock()
-	if call.over {
+	if call.ended {
 		c.mu.Unlock()
 		return
 	}
-	call.over, c.call = true, nil
+	call.ended, c.call = true, nil
 	c.mu.Unlock()
-	a.At = time.Now()
-	call.done(a)
+	answer.ReceivedAt = time.Now()
+	call.onAnswer(answer)
 }
--- a/internal/router/transport/peers.go
+++ b/internal/router/transport/peers.go
@@ -13,20 +13,20 @@
 
 // Peers carries datagrams between the routers.
 type Peers struct {
-	limits  *setup.Limits
-	conn    *net.UDPConn
-	all     netip.AddrPort
-	from    map[netip.AddrPort]bool
-	out     chan string
-	Sent    atomic.Int64
-	Heard   atomic.Int64
-	Bursts  atomic.Int64 // how often some were read together
-	Dropped atomic.Int64 // foreign, too long, or more than can be sent
+	limits           *setup.Limits
+	conn             *net.UDPConn
+	broadcastAddress netip.AddrPort
+	allowed          map[netip.AddrPort]bool
+	outgoing         chan string
+	Sent             atomic.Int64
+	Received         atomic.Int64
+	Batches          atomic.Int64 // how often some were read together
+	Dropped          atomic.Int64 // foreign, too long, or more than can be sent
 }
 
 // NewPeers listens. Datagrams of this router itself, or of none of its peers, are dropped.
-func NewPeers(s *setup.Start) (*Peers, error) {
-	listen, err := netip.ParseAddrPort(s.PeerListen)
+func NewPeers(start *setup.Start) (*Peers, error) {
+	listen, err := netip.ParseAddrPort(start.PeerListen)
 	if err != nil {
 		return nil, err
 	}
@@ -34,23 +34,23 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Peers{limits: &s.Limits, conn: conn, from: map[netip.AddrPort]bool{}, out: make(chan string, 64)}
-	if p.all, err = netip.ParseAddrPort(s.PeersAll); err != nil {
+	p := &Peers{limits: &start.Limits, conn: conn, allowed: map[netip.AddrPort]bool{}, outgoing: make(chan string, 64)}
+	if p.broadcastAddress, err = netip.ParseAddrPort(start.PeersAll); err != nil {
 		return nil, err
 	}
-	for _, text := range s.Peers {
+	for _, text := range start.Peers {
 		if a, err := netip.ParseAddrPort(text); err == nil && a != listen {
-			p.from[a] = true
+			p.allowed[a] = true
 		}
 	}
 	return p, nil
 }
 
-// Tell sends to all others, unless too much waits to be sent already.
-func (p *Peers) Tell(body string) {
+// Broadcast sends to all others, unless too much waits to be sent already.
+func (p *Peers) Broadcast(body string) {
 	if len(body) <= p.limits.Datagram {
 		select {
-		case p.out <- body:
+		case p.outgoing <- body:
 			return
 		default:
 		}
@@ -60,60 +60,60 @@
 
 // Receive hands on what the others say, until the context ends. With hundreds of routers a datagram comes every few
 // milliseconds: they are taken in together, since being woken for each costs several times what reading it does.
-func (p *Peers) Receive(ctx context.Context, heard func(body string)) error {
+func (p *Peers) Receive(ctx context.Context, handle func(body string)) error {
 	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
 	raw, err := p.conn.SyscallConn()
 	if err != nil {
 		return err
 	}
-	b := make([]byte, p.limits.Datagram+1)
+	datagram := make([]byte, p.limits.Datagram+1)
 	for {
-		err := raw.Read(func(fd uintptr) bool { return p.burst(int(fd), b, heard) })
+		err := raw.Read(func(fd uintptr) bool { return p.readBatch(int(fd), datagram, handle) })
 		if ctx.Err() != nil {
 			return nil
 		}
-		p.Bursts.Add(1)
-		wait := p.limits.Gather
+		p.Batches.Add(1)
+		pause := p.limits.Gather
 		if err != nil { // it must not spin
-			wait = p.limits.Again
+			pause = p.limits.Again
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(wait):
+		case <-time.After(pause):
 		}
 	}
 }
 
-// burst reads what has come, and says whether anything had. It is bounded: a flood must not keep it from the context's end.
-func (p *Peers) burst(fd int, b []byte, heard func(body string)) (any bool) {
+// readBatch reads what has come, and says whether anything had. It is bounded: a flood must not keep it from the context's end.
+func (p *Peers) readBatch(fd int, datagram []byte, handle func(body string)) (received bool) {
 	for range 1024 {
-		n, sender, err := syscall.Recvfrom(fd, b, syscall.MSG_DONTWAIT)
+		n, sender, err := syscall.Recvfrom(fd, datagram, syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EINTR:
 			continue
 		case err == syscall.EAGAIN:
-			return any
+			return received
 		case err != nil:
 			p.Dropped.Add(1)
 			return true
 		}
-		any = true
+		received = true
 		var from netip.AddrPort
-		switch a := sender.(type) {
+		switch address := sender.(type) {
 		case *syscall.SockaddrInet4:
-			from = netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
+			from = netip.AddrPortFrom(netip.AddrFrom4(address.Addr), uint16(address.Port))
 		case *syscall.SockaddrInet6:
-			from = netip.AddrPortFrom(netip.AddrFrom16(a.Addr).Unmap(), uint16(a.Port))
+			from = netip.AddrPortFrom(netip.AddrFrom16(address.Addr).Unmap(), uint16(address.Port))
 		}
-		if n == 0 || n > p.limits.Datagram || !p.from[from] {
+		if n == 0 || n > p.limits.Datagram || !p.allowed[from] {
 			p.Dropped.Add(1)
 			continue
 		}
-		p.Heard.Add(1)
-		heard(string(b[:n]))
+		p.Received.Add(1)
+		handle(string(datagram[:n]))
 	}
-	return any
+	return received
 }
 
 // Send sends until the context ends.
@@ -122,8 +122,8 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case body := <-p.out:
-			if _, err := p.conn.WriteToUDPAddrPort([]byte(body), p.all); err != nil {
+		case body := <-p.outgoing:
+			if _, err := p.conn.WriteToUDPAddrPort([]byte(body), p.broadcastAddress); err != nil {
 				p.Dropped.Add(1)
 			} else {
 				p.Sent.Add(1)
--- a/internal/router/transport/transport_test.go
+++ b/internal/router/transport/transport_test.go
@@ -62,13 +62,13 @@
 	conn.Write(protocol.AppendGreeting(nil))
 }
 
-func (n *Host) ask(by time.Time) (*Call, chan Answer) {
+func (h *Host) ask(by time.Time) (*Call, chan Answer) {
 	got := make(chan Answer, 2)
-	return n.Send([]byte("x"), time.Now().Add(long), by, false, func(a Answer) { got <- a }), got
+	return h.Send([]byte("x"), time.Now().Add(long), by, false, func(a Answer) { got <- a }), got
 }
 
-func (n *Host) asked() policy.Outcome {
-	_, got := n.ask(time.Now().Add(long))
+func (h *Host) asked() policy.Outcome {
+	_, got := h.ask(time.Now().Add(long))
 	return (<-got).Outcome
 }
 
@@ -163,7 +163,7 @@
 			t.Errorf("outcome %d %t", o, ok)
 		}
 	}
-	for h.Open() > 0 {
+	for h.OpenConns() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -220,8 +220,8 @@
 		let <- true
 		<-done
 	}
-	if h.Stray.Load()+h.Opened.Load() < 100 {
-		t.Errorf("%d strays on %d connections", h.Stray.Load(), h.Opened.Load())
+	if h.UnsolicitedData.Load()+h.Opened.Load() < 100 {
+		t.Errorf("%d strays on %d connections", h.UnsolicitedData.Load(), h.Opened.Load())
 	}
 }
 
@@ -240,21 +240,21 @@
 	if a := <-got; a.Outcome != policy.Answered {
 		t.Errorf("what was out ended as %d", a.Outcome)
 	}
-	for h.Open() > 0 { // its connection is not kept
+	for h.OpenConns() > 0 { // its connection is not kept
 		time.Sleep(time.Millisecond)
 	}
-	if len(h.all) != 0 || len(n.idle) != 0 {
-		t.Errorf("%d hosts are held, %d connections", len(h.all), len(n.idle))
+	if len(h.hosts) != 0 || len(n.idle) != 0 {
+		t.Errorf("%d hosts are held, %d connections", len(h.hosts), len(n.idle))
 	}
 }
 
 // mute takes nothing that clients bring.
-type mute struct{ Taker }
+type mute struct{ CommandHandler }
 
-func (mute) Empty(s *Slot) { s.Empty() }
-func (mute) Left(*Slot)    {}
-func (mute) Command(s *Slot, statement []byte, _ time.Time) {
-	s.Refuse(protocol.Unknown, "not served")
+func (mute) HandleEmptyQuery(s *Slot) { s.AnswerEmptyQuery() }
+func (mute) ClientDisconnected(*Slot)    {}
+func (mute) HandleCommand(s *Slot, statement []byte, _ time.Time) {
+	s.Reject(protocol.Unknown, "not served")
 }
 
 // front serves clients by the limits.
@@ -272,8 +272,8 @@
 	t.Cleanup(func() {
 		end()
 		<-done
-		if s.room.Used() != 0 || s.Open() != 0 {
-			t.Errorf("%d bytes and %d connections are held at the end", s.room.Used(), s.Open())
+		if s.budget.Used() != 0 || s.OpenConns() != 0 {
+			t.Errorf("%d bytes and %d connections are held at the end", s.budget.Used(), s.OpenConns())
 		}
 	})
 	return s, func() net.Conn {
@@ -289,7 +289,7 @@
 
 // empty waits for all connections to be gone, and counted.
 func (s *Clients) empty() {
-	for s.Open() > 0 {
+	for s.OpenConns() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -338,8 +338,8 @@
 		c.Close()
 	}
 	s.empty()
-	if s.Torn.Load() != 8 || s.Wild.Load() != 1 {
-		t.Errorf("%d torn, %d wild", s.Torn.Load(), s.Wild.Load())
+	if s.Malformed.Load() != 8 || s.RejectedOnly.Load() != 1 {
+		t.Errorf("%d torn, %d wild", s.Malformed.Load(), s.RejectedOnly.Load())
 	}
 }
 
@@ -363,8 +363,8 @@
 	code := told(idle)
 	idle.Close()
 	s.empty()
-	if code != protocol.Bad || s.Wild.Load() != 1 || s.Slow.Load() != 5 {
-		t.Errorf("%q, %d wild, %d slow", code, s.Wild.Load(), s.Slow.Load())
+	if code != protocol.Bad || s.RejectedOnly.Load() != 1 || s.TimedOut.Load() != 5 {
+		t.Errorf("%q, %d wild, %d slow", code, s.RejectedOnly.Load(), s.TimedOut.Load())
 	}
 }
 
@@ -381,14 +381,14 @@
 			t.Fatal("it is not served")
 		}
 	}
-	if code := told(silent[0]); code != "" || s.Evicted.Load() < 200 || s.Open() > 8 {
-		t.Errorf("%q, %d made way, %d are open", code, s.Evicted.Load(), s.Open())
+	if code := told(silent[0]); code != "" || s.Evicted.Load() < 200 || s.OpenConns() > 8 {
+		t.Errorf("%q, %d made way, %d are open", code, s.Evicted.Load(), s.OpenConns())
 	}
 }
 
 func TestIdleConnectionsOfUseMakeWayBesideThoseOfNone(t *testing.T) {
 	s, dial := front(t, &setup.Limits{Clients: 8, Spare: 8, Refusals: 9, Unused: long, Whole: long})
-	s.taker = kind{}
+	s.handler = kind{}
 	hello := append(protocol.AppendStartup(nil, "svc", "main"), protocol.AppendQuery(nil, []byte("x"))...)
 	var first net.Conn
 	for range 4 { // they leave their connections idle, and may have no more of them
@@ -409,7 +409,7 @@
 		s.mu.Lock()
 		for c := range s.open {
 			c.mu.Lock()
-			owed = owed || c.owed()
+			owed = owed || c.hasPending()
 			c.mu.Unlock()
 		}
 		s.mu.Unlock()
@@ -426,8 +426,8 @@
 // kind takes all commands, and answers that now is no time for them.
 type kind struct{ mute }
 
-func (kind) Command(s *Slot, _ []byte, _ time.Time) {
-	s.Taken()
+func (kind) HandleCommand(s *Slot, _ []byte, _ time.Time) {
+	s.CommandAccepted()
 	s.Fail(protocol.NotNow, "not now")
 }
 
@@ -445,7 +445,7 @@
 		t.Errorf("%d %d on %d connections", first, second, h.Opened.Load())
 	}
 	ends <- true
-	for h.Open() > 0 { // seen without being used
+	for h.OpenConns() > 0 { // seen without being used
 		time.Sleep(time.Millisecond)
 	}
 	if got := n.asked(); got != policy.Answered || h.Opened.Load() != 2 {
@@ -472,7 +472,7 @@
 		t.Errorf("the idle one did not make way: %d", got)
 	}
 	other.ask(time.Now().Add(long)) // stays out
-	if got := n.asked(); got != policy.Moot || h.Refused.Load() != 1 {
+	if got := n.asked(); got != policy.Moot || h.NoDescriptor.Load() != 1 {
 		t.Errorf("no descriptor is left: %d", got)
 	}
 }
@@ -509,11 +509,11 @@
 			t.Errorf("%q, %d dropped", body, p.Dropped.Load())
 		}
 	}
-	if p.Bursts.Load() > 1 {
+	if p.Batches.Load() > 1 {
 		t.Error("what had come together woke the router more than once")
 	}
-	p.Tell(string(make([]byte, 257)))
-	p.Tell("told")
+	p.Broadcast(string(make([]byte, 257)))
+	p.Broadcast("told")
 	b := make([]byte, 300)
 	if n, _, _ := peer.ReadFrom(b); string(b[:n]) != "told" {
 		t.Errorf("%q was told", b[:n])
--- a/internal/router/transport/waiting.go
+++ b/internal/router/transport/waiting.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// waiting says whether a connection has something to read that was not read yet, its end included. It
+// hasUnreadInput says whether a connection has something to read that was not read yet, its end included. It
 // takes no turn from a goroutine that reads.
-func waiting(conn net.Conn) (is bool) {
+func hasUnreadInput(conn net.Conn) (unread bool) {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -18,7 +18,7 @@
 	}
 	err = raw.Control(func(fd uintptr) {
 		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		is = err != syscall.EAGAIN && err != syscall.EINTR
+		unread = err != syscall.EAGAIN && err != syscall.EINTR
 	})
-	return is || err != nil
+	return unread || err != nil
 }
--- a/internal/router/transport/watch.go
+++ b/internal/router/transport/watch.go
@@ -16,50 +16,50 @@
 
 // Watch follows discovery's list.
 type Watch struct {
-	limits *setup.Limits
-	room   *Room
-	rev    func() int64                       // the version that is held
-	line   func(text []byte, anew bool) error // a list or its changes, owned by whoever is told
-	fault  func(error)
+	limits      *setup.Limits
+	budget      *Room
+	heldVersion func() int64                       // the version that is held
+	handleLine  func(text []byte, anew bool) error // a list or its changes, owned by whoever is told
+	onError     func(error)
 
-	asks  chan struct{} // nil: it asks by itself, whenever a watch has ended
-	ended func()        // to whoever asks
+	requests chan struct{} // nil: it asks by itself, whenever a watch has ended
+	onEnd    func()        // to whoever asks
 
-	mu      sync.Mutex
-	address string
-	fresh   bool               // nothing has come from this address yet, whose versions may be others
-	leave   context.CancelFunc // ends the watch that is open
+	mu           sync.Mutex
+	address      string
+	addressIsNew bool               // nothing has come from this address yet, whose versions may be others
+	cancel       context.CancelFunc // ends the watch that is open
 
 	Started, Lines atomic.Int64
 }
 
 // NewWatch asks for what came after rev, each time it has to ask anew. line's anew says that an
 // address speaks for the first time, whatever version it names.
-func NewWatch(l *setup.Limits, room *Room, address string, rev func() int64, line func([]byte, bool) error,
-	fault func(error)) *Watch {
-	return &Watch{limits: l, room: room, address: address, rev: rev, line: line, fault: fault}
+func NewWatch(limits *setup.Limits, budget *Room, address string, heldVersion func() int64, handleLine func([]byte, bool) error,
+	onError func(error)) *Watch {
+	return &Watch{limits: limits, budget: budget, address: address, heldVersion: heldVersion, handleLine: handleLine, onError: onError}
 }
 
 // OnRequest has it ask only when Ask is called, and tell ended whenever a watch was refused or is over. Called before Run.
-func (w *Watch) OnRequest(ended func()) { w.asks, w.ended = make(chan struct{}, 1), ended }
+func (w *Watch) OnRequest(onEnd func()) { w.requests, w.onEnd = make(chan struct{}, 1), onEnd }
 
-// Ask opens a watch, unless one is open.
-func (w *Watch) Ask() {
+// Request opens a watch, unless one is open.
+func (w *Watch) Request() {
 	select {
-	case w.asks <- struct{}{}:
+	case w.requests <- struct{}{}:
 	default:
 	}
 }
 
-// Move follows another address from now on; the list is kept until that one speaks.
-func (w *Watch) Move(address string) {
+// SetAddress follows another address from now on; the list is kept until that one speaks.
+func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if address == w.address {
 		return
 	}
-	if w.address, w.fresh = address, true; w.leave != nil {
-		w.leave()
+	if w.address, w.addressIsNew = address, true; w.cancel != nil {
+		w.cancel()
 	}
 }
 
@@ -67,9 +67,9 @@
 func (w *Watch) Run(ctx context.Context) error {
 	moved := false
 	for wait := w.limits.Again; ctx.Err() == nil; wait = min(2*wait, w.limits.Quiet/8) {
-		if w.asks != nil && !moved {
+		if w.requests != nil && !moved {
 			select {
-			case <-w.asks:
+			case <-w.requests:
 			case <-ctx.Done():
 				return nil
 			}
@@ -77,8 +77,8 @@
 		w.Started.Add(1)
 		watch, leave := context.WithCancel(ctx)
 		w.mu.Lock()
-		w.leave = leave
-		address, fresh := w.address, w.fresh
+		w.cancel = leave
+		address, fresh := w.address, w.addressIsNew
 		w.mu.Unlock()
 		told, err := w.follow(watch, address, fresh)
 		moved = watch.Err() != nil
@@ -89,15 +89,15 @@
 		if told || moved {
 			wait = w.limits.Again
 		}
-		if !moved && w.asks != nil {
+		if !moved && w.requests != nil {
 			select { // what was asked while it was open is over with it
-			case <-w.asks:
+			case <-w.requests:
 			default:
 			}
-			w.fault(err)
-			w.ended()
+			w.onError(err)
+			w.onEnd()
 		} else if !moved {
-			w.fault(err)
+			w.onError(err)
 			select { // a move ends the wait, as it ends a watch
 			case <-watch.Done():
 			case <-time.After(wait):
@@ -108,28 +108,28 @@
 	return nil
 }
 
-// hand tells of a line, unless the address it came from is followed no more.
-func (w *Watch) hand(ctx context.Context, text []byte) error {
+// deliver tells of a line, unless the address it came from is followed no more.
+func (w *Watch) deliver(ctx context.Context, text []byte) error {
 	w.mu.Lock()
-	fresh, err := w.fresh, ctx.Err()
+	addressIsNew, err := w.addressIsNew, ctx.Err()
 	w.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	w.Lines.Add(1)
-	if err := w.line(bytes.Clone(text), fresh); err != nil {
+	if err := w.handleLine(bytes.Clone(text), addressIsNew); err != nil {
 		return err
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if ctx.Err() == nil {
-		w.fresh = false
+		w.addressIsNew = false
 	}
 	return nil
 }
 
 // follow is one watch, up to its end. told says that it brought anything.
-func (w *Watch) follow(ctx context.Context, address string, fresh bool) (told bool, err error) {
+func (w *Watch) follow(ctx context.Context, address string, fresh bool) (received bool, err error) {
 	conn, err := (&net.Dialer{Timeout: w.limits.Quiet / 4}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return false, err
@@ -139,63 +139,63 @@
 	// Discovery that says nothing, not even that nothing has changed, may be cut off: a
 	// connection that stays open tells nothing.
 	conn.SetDeadline(time.Now().Add(w.limits.Quiet))
-	rev := w.rev()
+	rev := w.heldVersion()
 	if fresh { // what that version held at this address nobody knows
 		rev = 0
 	}
 	if _, err := conn.Write(protocol.AppendWatch(nil, address, rev)); err != nil {
 		return false, err
 	}
-	in := newBuffer(w.room, w.limits.Buffer, w.limits.Line)
-	defer in.free()
+	in := newBuffer(w.budget, w.limits.Buffer, w.limits.Line)
+	defer in.release()
 	for {
-		status, chunked, n, err := protocol.Head(in.bytes())
+		status, chunked, n, err := protocol.Head(in.unread())
 		if err != nil {
 			return false, err
 		}
 		if n > 0 {
-			in.use(n)
+			in.consume(n)
 			if status != 200 || !chunked {
 				return false, fmt.Errorf("discovery answers with status %d, chunked %t", status, chunked)
 			}
 			break
 		}
-		if err := in.fill(conn); err != nil {
+		if err := in.readFrom(conn); err != nil {
 			return false, err
 		}
 	}
 	var line []byte
 	for {
-		data, n, err := protocol.Chunk(in.bytes(), w.limits.Line)
+		data, n, err := protocol.Chunk(in.unread(), w.limits.Line)
 		switch {
 		case err != nil:
-			return told, err
+			return received, err
 		case n > 0 && len(data) == 0:
-			return told, errors.New("discovery ended the watch")
+			return received, errors.New("discovery ended the watch")
 		case n == 0:
-			if err := in.fill(conn); err != nil {
-				return told, err
+			if err := in.readFrom(conn); err != nil {
+				return received, err
 			}
 			conn.SetDeadline(time.Now().Add(w.limits.Quiet))
 			continue
 		}
 		line = append(line, data...)
-		in.use(n)
+		in.consume(n)
 		for {
 			text, rest, whole := bytes.Cut(line, []byte{'\n'})
 			if !whole {
 				break
 			}
 			if text = bytes.TrimSpace(text); len(text) > 0 {
-				if err := w.hand(ctx, text); err != nil {
+				if err := w.deliver(ctx, text); err != nil {
 					return false, err // what it told is asked for again
 				}
 			}
-			told = true
+			received = true
 			line = append(line[:0], rest...)
 		}
 		if len(line) > w.limits.Line {
-			return told, protocol.ErrLong
+			return received, protocol.ErrLong
 		}
 	}
 }
--- a/internal/router/transport/watch_test.go
+++ b/internal/router/transport/watch_test.go
@@ -39,7 +39,7 @@
 func TestDiscoveryThatMovesIsNotWaitedFor(t *testing.T) {
 	w, faults := watching(t, time.Hour)
 	<-faults
-	w.Move("127.0.0.1:2")
+	w.SetAddress("127.0.0.1:2")
 	select {
 	case <-faults:
 	case <-time.After(long):
