--- a/internal/router/protocol/message.go
+++ b/internal/router/protocol/message.go
@@ -12,11 +12,25 @@
 	"strings"
 )
 
-// Message kinds that are looked at.
+// Message kinds that clients send.
+const (
+	Query        = 'Q'
+	Terminate    = 'X'
+	Sync         = 'S'
+	CopyData     = 'd'
+	CopyDone     = 'c'
+	CopyFail     = 'f'
+	Flush        = 'H'
+	Parse        = 'P'
+	Bind         = 'B'
+	Describe     = 'D'
+	Execute      = 'E'
+	Close        = 'C'
+	FunctionCall = 'F'
+)
+
+// Message kinds that servers send.
 const (
-	Query           = 'Q'
-	Terminate       = 'X'
-	Sync            = 'S'
 	Ready           = 'Z'
 	ErrorResponse   = 'E'
 	ParameterStatus = 'S'
@@ -26,8 +40,12 @@
 	EmptyResponse   = 'I'
 	Notice          = 'N'
 	Authentication  = 'R'
+	BackendKeyData  = 'K'
 )
 
+// EncryptionDeclined is the byte that answers a request for encryption by none.
+const EncryptionDeclined = 'N'
+
 // What a startup message asks for.
 const (
 	Version = 3 << 16
--- a/internal/router/transport/buffer.go
+++ b/internal/router/transport/buffer.go
@@ -1,6 +1,3 @@
-// Package transport holds the sockets: clients, hosts, discovery's watch and
-// the datagrams of other routers. It carries bytes and tells what became of
-// them; what to do is asked for from above.
 package transport
 
 import (
@@ -11,18 +8,19 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// Room is what all buffers together may take past their first size.
+// Room limits the bytes that all buffers together may take past their initial sizes. It is safe for concurrent use.
 type Room struct {
 	capacity int64
 	used     atomic.Int64
 }
 
-// NewRoom is shared by all connections.
+// NewRoom returns a budget of limits.Buffers bytes, to be shared by all connections.
 func NewRoom(limits *setup.Limits) *Room { return &Room{capacity: limits.Buffers} }
 
-// Used is what they take now.
+// Used returns the number of bytes that are reserved now.
 func (b *Room) Used() int64 { return b.used.Load() }
 
+// reserve takes n bytes, or nothing and returns false if that would exceed the budget.
 func (b *Room) reserve(n int) bool {
 	if b.used.Add(int64(n)) <= b.capacity {
 		return true
@@ -33,15 +31,16 @@
 
 func (b *Room) release(n int) { b.used.Add(int64(-n)) }
 
+// errBudgetExhausted tells that a buffer may not grow, by its own limit or by the budget. Clients read its text.
 var errBudgetExhausted = errors.New("no room left for buffers")
 
-// buffer holds what was read and not used yet. It grows as needed, is
-// compacted in place, and goes back to its first size when it is empty.
+// buffer holds bytes that were read and not consumed yet. It grows as needed, is compacted in place, and returns to its
+// initial size when it is empty.
 type buffer struct {
 	budget               *Room
 	initialSize, maxSize int
 	data                 []byte
-	consumed             int // what is before it was used
+	consumed             int // offset in data of the first byte that was not consumed
 }
 
 func newBuffer(budget *Room, initialSize, maxSize int) *buffer {
@@ -50,6 +49,7 @@
 
 func (b *buffer) unread() []byte { return b.data[b.consumed:] }
 
+// consume drops the first n unread bytes.
 func (b *buffer) consume(n int) {
 	if b.consumed += n; b.consumed < len(b.data) {
 		return
@@ -61,18 +61,16 @@
 	}
 }
 
-// readFrom reads once, making space for it first.
+// readFrom reads once, after making space. It fails with errBudgetExhausted or the source's error.
 func (b *buffer) readFrom(source io.Reader) error {
 	if len(b.data) == cap(b.data) && b.consumed > 0 {
 		n := copy(b.data, b.data[b.consumed:])
 		b.data, b.consumed = b.data[:n], 0
 	}
 	if len(b.data) == cap(b.data) {
-		size := min(2*cap(b.data), b.maxSize)
-		if size <= cap(b.data) || !b.budget.reserve(size-cap(b.data)) {
-			return errBudgetExhausted
+		if err := b.grow(); err != nil {
+			return err
 		}
-		b.data = append(make([]byte, 0, size), b.data...)
 	}
 	n, err := source.Read(b.data[len(b.data):cap(b.data)])
 	b.data = b.data[:len(b.data)+n]
@@ -82,7 +80,17 @@
 	return err
 }
 
-// release gives its room back; the buffer is done with.
+// grow doubles the buffer, up to its limit.
+func (b *buffer) grow() error {
+	size := min(2*cap(b.data), b.maxSize)
+	if size <= cap(b.data) || !b.budget.reserve(size-cap(b.data)) {
+		return errBudgetExhausted
+	}
+	b.data = append(make([]byte, 0, size), b.data...)
+	return nil
+}
+
+// release returns what was reserved. The buffer must not be used again.
 func (b *buffer) release() {
 	b.budget.release(cap(b.data) - b.initialSize)
 	b.data, b.consumed = nil, 0
--- /dev/null
+++ b/internal/router/transport/client_reader.go
@@ -0,0 +1,248 @@
+package transport
+
+import (
+	"cmp"
+	"errors"
+	"os"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"ferrypitch/internal/router/protocol"
+)
+
+const (
+	discardBufferBytes = 16 << 10
+	discardPause       = time.Millisecond // after a full buffer, which slows a client that floods
+)
+
+var discardBuffers = sync.Pool{New: func() any { return new([discardBufferBytes]byte) }}
+
+// readCommands is the goroutine that reads commands. It owns the end of the connection.
+func (c *clientConn) readCommands() {
+	limits := c.server.limits
+	in := newBuffer(c.server.budget, limits.Buffer, limits.Message)
+	if c.startSession(in) {
+		for c.readMessage(in) {
+		}
+	}
+	in.release()
+	if c.awaitLastAnswers() {
+		c.lingerClose()
+	}
+	unanswered, endCause := c.abandon()
+	for _, slot := range unanswered {
+		if !slot.done {
+			c.server.handler.ClientDisconnected(slot)
+		}
+	}
+	c.server.remove(c, endCause)
+}
+
+// awaitLastAnswers waits for what is pending to be written if the router ends the connection. It reports whether the
+// client was told why.
+func (c *clientConn) awaitLastAnswers() (notified bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.partialMessage = false
+	for c.ending && !c.closed && c.hasPending() {
+		c.changed.Wait()
+	}
+	return c.ending && !c.closed
+}
+
+// abandon closes the connection and returns the slots that were not written, and the counter of why it ended.
+func (c *clientConn) abandon() (unanswered []*Slot, endCause *atomic.Int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closeLocked()
+	for _, answer := range c.outgoing {
+		c.releaseAnswer(answer)
+	}
+	unanswered = c.pending
+	for _, slot := range unanswered {
+		slot.release()
+		c.releaseAnswer(slot.answer)
+	}
+	c.pending, c.outgoing = nil, nil
+	return unanswered, cmp.Or(c.endCause, &c.server.Disconnected)
+}
+
+// lingerClose lets a client that is still sending read why its connection ends: closing a socket with unread input would
+// reset it. What comes is read slowly and discarded.
+func (c *clientConn) lingerClose() {
+	c.server.markNotified(c)
+	if writeCloser, ok := c.conn.(interface{ CloseWrite() error }); ok {
+		_ = writeCloser.CloseWrite() // a socket that failed ends the reads below
+	}
+	c.conn.SetReadDeadline(time.Now().Add(c.server.limits.Part))
+	discard := discardBuffers.Get().(*[discardBufferBytes]byte)
+	defer discardBuffers.Put(discard)
+	for {
+		n, err := c.conn.Read(discard[:])
+		if err != nil {
+			return
+		}
+		if n == len(discard) {
+			time.Sleep(discardPause)
+		}
+	}
+}
+
+// startSession reads the startup message. Encryption is declined, and cancel requests are not served.
+func (c *clientConn) startSession(in *buffer) bool {
+	for {
+		code, n, err := protocol.First(in.unread(), min(in.maxSize, protocol.LongestStartup))
+		if err != nil {
+			c.endSession(&c.server.Malformed, protocol.Bad, err.Error())
+			return false
+		}
+		if n == 0 {
+			if !c.readMore(in, len(in.unread()) > 0) {
+				return false
+			}
+			continue
+		}
+		in.consume(n)
+		switch {
+		case code == protocol.SSL || code == protocol.GSS:
+			c.send([]byte{protocol.EncryptionDeclined})
+		case code>>16 == protocol.Version>>16:
+			c.send(protocol.AppendGreeting(nil))
+			return true
+		case code == protocol.Cancel:
+			return false
+		default:
+			c.endSession(&c.server.Malformed, protocol.NoSuch, "a version of the protocol that is not spoken")
+			return false
+		}
+	}
+}
+
+// readMore reads once, within the time that the client has; false ends the connection.
+func (c *clientConn) readMore(in *buffer, partial bool) bool {
+	for c.setReadDeadline(partial); ; {
+		err := in.readFrom(c.conn)
+		switch {
+		case err == nil:
+			return true
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			switch c.onReadTimeout() {
+			case keepReading:
+				continue
+			case closeTimedOut:
+				c.endSession(&c.server.TimedOut, protocol.NotNow, "no whole command came in time")
+			case closeQuietly:
+			}
+		case errors.Is(err, errBudgetExhausted):
+			c.endSession(&c.server.OutOfBuffers, protocol.TooMany, err.Error())
+		}
+		return false
+	}
+}
+
+// readMessage reads one message and handles it; false ends the connection. A command's time starts when its last byte
+// was read.
+func (c *clientConn) readMessage(in *buffer) bool {
+	receivedAt := time.Now()
+	for {
+		kind, body, n, err := protocol.Next(in.unread(), in.maxSize)
+		if err != nil {
+			c.endSession(&c.server.Malformed, protocol.Bad, err.Error())
+			return false
+		}
+		if n > 0 {
+			ok := c.handleMessage(kind, body, receivedAt)
+			in.consume(n)
+			return ok && !c.tooManyRejections()
+		}
+		if !c.readMore(in, len(in.unread()) > 0) {
+			return false
+		}
+		receivedAt = time.Now()
+	}
+}
+
+// tooManyRejections ends a connection that sends nothing but commands that are rejected. Guards against clients that
+// retry a rejected command at once, at full speed.
+func (c *clientConn) tooManyRejections() bool {
+	c.mu.Lock()
+	exceeded := c.rejectedInARow > c.server.limits.Refusals
+	c.receivedMessage, c.partialMessage = true, false
+	c.mu.Unlock()
+	if exceeded {
+		c.endSession(&c.server.RejectedOnly, protocol.Bad, "nothing but commands that are not served")
+	}
+	return exceeded
+}
+
+// handleMessage handles one message; false ends the connection. After a message of the extended protocol it skips all up
+// to the next Sync, as the protocol demands after an error.
+func (c *clientConn) handleMessage(kind byte, body []byte, receivedAt time.Time) bool {
+	if c.skippingToSync && kind != protocol.Sync && kind != protocol.Terminate {
+		return true
+	}
+	switch kind {
+	case protocol.Terminate:
+		return false
+	case protocol.Sync:
+		c.skippingToSync = false
+		c.addSlot().complete(protocol.AppendReady(nil))
+	case protocol.Query:
+		c.handleQuery(body, receivedAt)
+	case protocol.CopyData, protocol.CopyDone, protocol.CopyFail, protocol.Flush:
+		// No copy was begun, and there is nothing to flush.
+	case protocol.Parse, protocol.Bind, protocol.Describe, protocol.Execute, protocol.Close:
+		c.server.Unsupported.Add(1)
+		c.skippingToSync = true
+		c.addSlot().complete(protocol.AppendError(nil, severityError, protocol.NoSuch, "only simple queries are served", ""))
+	case protocol.FunctionCall:
+		c.server.Unsupported.Add(1)
+		c.addSlot().Reject(protocol.NoSuch, "only simple queries are served")
+	default:
+		c.endSession(&c.server.Malformed, protocol.Bad, "a message that is not known")
+		return false
+	}
+	return true
+}
+
+// handleQuery hands a simple query on, or answers it where it is not a command or there is no capacity for it.
+func (c *clientConn) handleQuery(body []byte, receivedAt time.Time) {
+	statement, ok := protocol.Statement(body)
+	slot := c.addSlot()
+	switch {
+	case !ok:
+		c.server.Unsupported.Add(1)
+		slot.Reject(protocol.Bad, "a query that does not end where its message does")
+	case protocol.Empty(statement):
+		c.server.handler.HandleEmptyQuery(slot)
+	case c.server.exceedsLimit(c): // otherwise it would wait unread until its time-out
+		c.server.Shed.Add(1)
+		slot.Throttle(0)
+	case len(statement) > c.server.limits.Buffer && !c.reserveCommand(slot, len(statement)):
+		slot.Throttle(0) // nothing of it was sent, so a retry is safe
+	default:
+		c.server.handler.HandleCommand(slot, slices.Clone(statement), receivedAt)
+	}
+}
+
+// reserveCommand reserves budget for a long command until it is answered.
+func (c *clientConn) reserveCommand(slot *Slot, size int) bool {
+	if !c.server.budget.reserve(size) {
+		return false
+	}
+	c.mu.Lock()
+	slot.reserved = size
+	c.mu.Unlock()
+	return true
+}
+
+// endSession tells the client why its connection ends, after the answers before it, and counts the cause.
+func (c *clientConn) endSession(counter *atomic.Int64, code, text string) {
+	slot := c.addSlot()
+	c.mu.Lock()
+	c.ending, c.endCause = true, counter
+	c.mu.Unlock()
+	slot.complete(protocol.AppendError(nil, severityFatal, code, text, ""))
+}
--- a/internal/router/transport/peers.go
+++ b/internal/router/transport/peers.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"net/netip"
 	"sync/atomic"
@@ -11,20 +12,26 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// Peers carries datagrams between the routers.
+const (
+	peerSendQueue = 64   // datagrams that wait to be sent; further ones are dropped
+	maxBatch      = 1024 // datagrams that are read together
+)
+
+// Peers exchanges datagrams with the other routers. They may be lost.
 type Peers struct {
 	limits           *setup.Limits
 	conn             *net.UDPConn
 	broadcastAddress netip.AddrPort
 	allowed          map[netip.AddrPort]bool
 	outgoing         chan string
-	Sent             atomic.Int64
-	Received         atomic.Int64
-	Batches          atomic.Int64 // how often some were read together
-	Dropped          atomic.Int64 // foreign, too long, or more than can be sent
+
+	Sent     atomic.Int64
+	Received atomic.Int64
+	Batches  atomic.Int64 // reads of one or more datagrams together
+	Dropped  atomic.Int64 // from others than peers, too long, or more than can be sent
 }
 
-// NewPeers listens. Datagrams of this router itself, or of none of its peers, are dropped.
+// NewPeers opens the socket. Datagrams of this router itself, or of none of its peers, are dropped.
 func NewPeers(start *setup.Start) (*Peers, error) {
 	listen, err := netip.ParseAddrPort(start.PeerListen)
 	if err != nil {
@@ -34,19 +41,21 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Peers{limits: &start.Limits, conn: conn, allowed: map[netip.AddrPort]bool{}, outgoing: make(chan string, 64)}
+	p := &Peers{
+		limits: &start.Limits, conn: conn, allowed: map[netip.AddrPort]bool{}, outgoing: make(chan string, peerSendQueue),
+	}
 	if p.broadcastAddress, err = netip.ParseAddrPort(start.PeersAll); err != nil {
 		return nil, err
 	}
 	for _, text := range start.Peers {
-		if a, err := netip.ParseAddrPort(text); err == nil && a != listen {
-			p.allowed[a] = true
+		if peer, err := netip.ParseAddrPort(text); err == nil && peer != listen {
+			p.allowed[peer] = true
 		}
 	}
 	return p, nil
 }
 
-// Broadcast sends to all others, unless too much waits to be sent already.
+// Broadcast sends to all peers, unless the body is too long or too many wait to be sent already. It does not block.
 func (p *Peers) Broadcast(body string) {
 	if len(body) <= p.limits.Datagram {
 		select {
@@ -58,15 +67,16 @@
 	p.Dropped.Add(1)
 }
 
-// Receive hands on what the others say, until the context ends. With hundreds of routers a datagram comes every few
-// milliseconds: they are taken in together, since being woken for each costs several times what reading it does.
+// Receive calls handle with each datagram of a peer until ctx ends, and closes the socket. With hundreds of routers a
+// datagram comes every few milliseconds: they are read in batches, since waking up for each costs several times what
+// reading it does.
 func (p *Peers) Receive(ctx context.Context, handle func(body string)) error {
 	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
 	raw, err := p.conn.SyscallConn()
 	if err != nil {
 		return err
 	}
-	datagram := make([]byte, p.limits.Datagram+1)
+	datagram := make([]byte, p.limits.Datagram+1) // one byte more shows that a datagram is too long
 	for {
 		err := raw.Read(func(fd uintptr) bool { return p.readBatch(int(fd), datagram, handle) })
 		if ctx.Err() != nil {
@@ -85,28 +95,22 @@
 	}
 }
 
-// readBatch reads what has come, and says whether anything had. It is bounded: a flood must not keep it from the context's end.
+// readBatch reads the datagrams that have come, and reports whether there were any. It is bounded, so that a flood does
+// not keep the caller from noticing the end of its context.
 func (p *Peers) readBatch(fd int, datagram []byte, handle func(body string)) (received bool) {
-	for range 1024 {
+	for range maxBatch {
 		n, sender, err := syscall.Recvfrom(fd, datagram, syscall.MSG_DONTWAIT)
 		switch {
-		case err == syscall.EINTR:
+		case errors.Is(err, syscall.EINTR):
 			continue
-		case err == syscall.EAGAIN:
+		case errors.Is(err, syscall.EAGAIN):
 			return received
 		case err != nil:
 			p.Dropped.Add(1)
 			return true
 		}
 		received = true
-		var from netip.AddrPort
-		switch address := sender.(type) {
-		case *syscall.SockaddrInet4:
-			from = netip.AddrPortFrom(netip.AddrFrom4(address.Addr), uint16(address.Port))
-		case *syscall.SockaddrInet6:
-			from = netip.AddrPortFrom(netip.AddrFrom16(address.Addr).Unmap(), uint16(address.Port))
-		}
-		if n == 0 || n > p.limits.Datagram || !p.allowed[from] {
+		if n == 0 || n > p.limits.Datagram || !p.allowed[senderAddress(sender)] {
 			p.Dropped.Add(1)
 			continue
 		}
@@ -116,7 +120,18 @@
 	return received
 }
 
-// Send sends until the context ends.
+// senderAddress converts a socket address; the result is invalid for families other than IP.
+func senderAddress(sender syscall.Sockaddr) netip.AddrPort {
+	switch address := sender.(type) {
+	case *syscall.SockaddrInet4:
+		return netip.AddrPortFrom(netip.AddrFrom4(address.Addr), uint16(address.Port))
+	case *syscall.SockaddrInet6:
+		return netip.AddrPortFrom(netip.AddrFrom16(address.Addr).Unmap(), uint16(address.Port))
+	}
+	return netip.AddrPort{}
+}
+
+// Send sends what Broadcast took, until ctx ends.
 func (p *Peers) Send(ctx context.Context) error {
 	for {
 		select {
--- a/internal/router/transport/waiting.go
+++ b/internal/router/transport/unread.go
@@ -1,12 +1,13 @@
 package transport
 
 import (
+	"errors"
 	"net"
 	"syscall"
 )
 
-// hasUnreadInput says whether a connection has something to read that was not read yet, its end included. It
-// takes no turn from a goroutine that reads.
+// hasUnreadInput reports whether a connection has input that was not read yet, its end included. It peeks at the socket
+// directly and so never waits for a goroutine that is blocked in Read.
 func hasUnreadInput(conn net.Conn) (unread bool) {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
@@ -18,7 +19,7 @@
 	}
 	err = raw.Control(func(fd uintptr) {
 		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		unread = err != syscall.EAGAIN && err != syscall.EINTR
+		unread = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 	})
 	return unread || err != nil
 }
--- a/internal/router/transport/watch.go
+++ b/internal/router/transport/watch.go
@@ -14,36 +14,48 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// Watch follows discovery's list.
+const (
+	statusOK     = 200 // of HTTP
+	dialShare    = 4   // connecting to discovery may take limits.Quiet divided by this
+	backoffShare = 8   // the backoff grows to limits.Quiet divided by this
+)
+
+// Watch follows discovery's endpoint list by a long-lived HTTP request, which it repeats with backoff when it ends.
 type Watch struct {
 	limits      *setup.Limits
 	budget      *Room
-	heldVersion func() int64                       // the version that is held
-	handleLine  func(text []byte, anew bool) error // a list or its changes, owned by whoever is told
+	heldVersion func() int64
+	handleLine  func(text []byte, addressIsNew bool) error
 	onError     func(error)
 
-	requests chan struct{} // nil: it asks by itself, whenever a watch has ended
-	onEnd    func()        // to whoever asks
+	requests chan struct{} // nil: each watch that ends is followed by the next
+	onEnd    func()        // with requests only
 
 	mu           sync.Mutex
 	address      string
-	addressIsNew bool               // nothing has come from this address yet, whose versions may be others
+	addressIsNew bool               // nothing has come from this address yet, whose versions may be unrelated
 	cancel       context.CancelFunc // ends the watch that is open
 
-	Started, Lines atomic.Int64
+	Started atomic.Int64 // watches
+	Lines   atomic.Int64 // lists and changes received
 }
 
-// NewWatch asks for what came after rev, each time it has to ask anew. line's anew says that an
-// address speaks for the first time, whatever version it names.
-func NewWatch(limits *setup.Limits, budget *Room, address string, heldVersion func() int64, handleLine func([]byte, bool) error,
-	onError func(error)) *Watch {
-	return &Watch{limits: limits, budget: budget, address: address, heldVersion: heldVersion, handleLine: handleLine, onError: onError}
+// NewWatch returns a watch of the discovery service at address. It asks for what came after heldVersion each time it
+// starts anew. handleLine takes a complete list or its changes, and owns the text; addressIsNew tells that an address
+// sends its first, whose version is not comparable to those before. onError is told why a watch ended.
+func NewWatch(limits *setup.Limits, budget *Room, address string, heldVersion func() int64,
+	handleLine func(text []byte, addressIsNew bool) error, onError func(error),
+) *Watch {
+	return &Watch{
+		limits: limits, budget: budget, address: address, heldVersion: heldVersion, handleLine: handleLine, onError: onError,
+	}
 }
 
-// OnRequest has it ask only when Ask is called, and tell ended whenever a watch was refused or is over. Called before Run.
+// OnRequest has a watch start only when Request is called, and onEnd called whenever a watch failed or ended. It must be
+// called before Run.
 func (w *Watch) OnRequest(onEnd func()) { w.requests, w.onEnd = make(chan struct{}, 1), onEnd }
 
-// Request opens a watch, unless one is open.
+// Request starts a watch, unless one is open.
 func (w *Watch) Request() {
 	select {
 	case w.requests <- struct{}{}:
@@ -51,7 +63,7 @@
 	}
 }
 
-// SetAddress follows another address from now on; the list is kept until that one speaks.
+// SetAddress follows another address from now on. The list that is held stays until that one sends its own.
 func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -63,55 +75,54 @@
 	}
 }
 
-// Run watches until the context ends.
+// Run watches until ctx ends, and then returns nil.
 func (w *Watch) Run(ctx context.Context) error {
-	moved := false
-	for wait := w.limits.Again; ctx.Err() == nil; wait = min(2*wait, w.limits.Quiet/8) {
-		if w.requests != nil && !moved {
+	addressChanged := false
+	for backoff := w.limits.Again; ctx.Err() == nil; backoff = min(2*backoff, w.limits.Quiet/backoffShare) {
+		if w.requests != nil && !addressChanged {
 			select {
 			case <-w.requests:
 			case <-ctx.Done():
 				return nil
 			}
 		}
-		w.Started.Add(1)
-		watch, leave := context.WithCancel(ctx)
-		w.mu.Lock()
-		w.cancel = leave
-		address, fresh := w.address, w.addressIsNew
-		w.mu.Unlock()
-		told, err := w.follow(watch, address, fresh)
-		moved = watch.Err() != nil
-		if ctx.Err() != nil {
-			leave()
-			break
-		}
-		if told || moved {
-			wait = w.limits.Again
+		watchCtx, cancel := context.WithCancel(ctx)
+		received, err := w.follow(watchCtx, cancel)
+		addressChanged = watchCtx.Err() != nil
+		if received || addressChanged {
+			backoff = w.limits.Again
 		}
-		if !moved && w.requests != nil {
-			select { // what was asked while it was open is over with it
-			case <-w.requests:
-			default:
-			}
-			w.onError(err)
-			w.onEnd()
-		} else if !moved {
-			w.onError(err)
-			select { // a move ends the wait, as it ends a watch
-			case <-watch.Done():
-			case <-time.After(wait):
-			}
+		if !addressChanged && ctx.Err() == nil {
+			w.handleEnd(watchCtx, err, backoff)
 		}
-		leave()
+		cancel()
 	}
 	return nil
 }
 
-// deliver tells of a line, unless the address it came from is followed no more.
-func (w *Watch) deliver(ctx context.Context, text []byte) error {
+// handleEnd reports why a watch ended, and waits for the backoff unless watches are started by requests. A change of the
+// address ends the wait, as it ends a watch.
+func (w *Watch) handleEnd(watchCtx context.Context, err error, backoff time.Duration) {
+	if w.requests != nil {
+		select { // a request from while the watch was open is done with it
+		case <-w.requests:
+		default:
+		}
+		w.onError(err)
+		w.onEnd()
+		return
+	}
+	w.onError(err)
+	select {
+	case <-watchCtx.Done():
+	case <-time.After(backoff):
+	}
+}
+
+// deliver hands a line on, unless the address that it came from is not followed any more.
+func (w *Watch) deliver(watchCtx context.Context, text []byte) error {
 	w.mu.Lock()
-	addressIsNew, err := w.addressIsNew, ctx.Err()
+	addressIsNew, err := w.addressIsNew, watchCtx.Err()
 	w.mu.Unlock()
 	if err != nil {
 		return err
@@ -122,55 +133,72 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if ctx.Err() == nil {
+	if watchCtx.Err() == nil {
 		w.addressIsNew = false
 	}
 	return nil
 }
 
-// follow is one watch, up to its end. told says that it brought anything.
-func (w *Watch) follow(ctx context.Context, address string, fresh bool) (received bool, err error) {
-	conn, err := (&net.Dialer{Timeout: w.limits.Quiet / 4}).DialContext(ctx, "tcp", address)
+// follow is one watch, up to its end, which cancel brings about. received tells that a line has come.
+func (w *Watch) follow(watchCtx context.Context, cancel context.CancelFunc) (received bool, err error) {
+	w.Started.Add(1)
+	w.mu.Lock()
+	w.cancel = cancel
+	address, addressIsNew := w.address, w.addressIsNew
+	w.mu.Unlock()
+	conn, err := (&net.Dialer{Timeout: w.limits.Quiet / dialShare}).DialContext(watchCtx, "tcp", address)
 	if err != nil {
 		return false, err
 	}
 	defer conn.Close()
-	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	// Discovery that says nothing, not even that nothing has changed, may be cut off: a
-	// connection that stays open tells nothing.
+	defer context.AfterFunc(watchCtx, func() { conn.Close() })()
+	// Discovery sends something even when nothing changes. One that is silent may be partitioned from here, which an
+	// open connection does not show.
 	conn.SetDeadline(time.Now().Add(w.limits.Quiet))
-	rev := w.heldVersion()
-	if fresh { // what that version held at this address nobody knows
-		rev = 0
+	version := w.heldVersion()
+	if addressIsNew { // its versions may be unrelated to the one that is held
+		version = 0
 	}
-	if _, err := conn.Write(protocol.AppendWatch(nil, address, rev)); err != nil {
+	if _, err := conn.Write(protocol.AppendWatch(nil, address, version)); err != nil {
 		return false, err
 	}
 	in := newBuffer(w.budget, w.limits.Buffer, w.limits.Line)
 	defer in.release()
+	if err := awaitWatchResponse(conn, in); err != nil {
+		return false, err
+	}
+	return w.readLines(watchCtx, conn, in)
+}
+
+// awaitWatchResponse reads the head of discovery's response.
+func awaitWatchResponse(conn net.Conn, in *buffer) error {
 	for {
 		status, chunked, n, err := protocol.Head(in.unread())
 		if err != nil {
-			return false, err
+			return err
 		}
 		if n > 0 {
 			in.consume(n)
-			if status != 200 || !chunked {
-				return false, fmt.Errorf("discovery answers with status %d, chunked %t", status, chunked)
+			if status != statusOK || !chunked {
+				return fmt.Errorf("discovery answers with status %d, chunked %t", status, chunked)
 			}
-			break
+			return nil
 		}
 		if err := in.readFrom(conn); err != nil {
-			return false, err
+			return err
 		}
 	}
-	var line []byte
+}
+
+// readLines reads the body of discovery's response, line by line, until the watch ends.
+func (w *Watch) readLines(watchCtx context.Context, conn net.Conn, in *buffer) (received bool, err error) {
+	var partial []byte // of a line
 	for {
-		data, n, err := protocol.Chunk(in.unread(), w.limits.Line)
+		chunk, n, err := protocol.Chunk(in.unread(), w.limits.Line)
 		switch {
 		case err != nil:
 			return received, err
-		case n > 0 && len(data) == 0:
+		case n > 0 && len(chunk) == 0:
 			return received, errors.New("discovery ended the watch")
 		case n == 0:
 			if err := in.readFrom(conn); err != nil {
@@ -179,23 +207,33 @@
 			conn.SetDeadline(time.Now().Add(w.limits.Quiet))
 			continue
 		}
-		line = append(line, data...)
+		partial = append(partial, chunk...)
 		in.consume(n)
-		for {
-			text, rest, whole := bytes.Cut(line, []byte{'\n'})
-			if !whole {
-				break
-			}
-			if text = bytes.TrimSpace(text); len(text) > 0 {
-				if err := w.deliver(ctx, text); err != nil {
-					return false, err // what it told is asked for again
-				}
-			}
-			received = true
-			line = append(line[:0], rest...)
+		var complete int
+		if partial, complete, err = w.deliverLines(watchCtx, partial); err != nil {
+			return false, err // the list that was not taken in is requested again, with backoff
 		}
-		if len(line) > w.limits.Line {
+		received = received || complete > 0
+		if len(partial) > w.limits.Line {
 			return received, protocol.ErrLong
 		}
 	}
 }
+
+// deliverLines hands on the complete lines that text begins with. It returns the rest and their number, blank lines
+// included, which discovery sends to show that it is there.
+func (w *Watch) deliverLines(watchCtx context.Context, text []byte) (rest []byte, complete int, err error) {
+	for {
+		line, after, found := bytes.Cut(text, []byte{'\n'})
+		if !found {
+			return text, complete, nil
+		}
+		if line = bytes.TrimSpace(line); len(line) > 0 {
+			if err := w.deliver(watchCtx, line); err != nil {
+				return nil, complete, err
+			}
+		}
+		complete++
+		text = append(text[:0], after...)
+	}
+}
--- a/internal/router/transport/watch_test.go
+++ b/internal/router/transport/watch_test.go
@@ -8,41 +8,43 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// watching runs a watch of an address where nobody listens.
-func watching(t *testing.T, again time.Duration) (w *Watch, faults chan time.Time) {
-	limits := &setup.Limits{Buffer: 1 << 10, Buffers: 1 << 20, Line: 1 << 10, Quiet: 1000 * again, Again: again}
-	faults = make(chan time.Time, 99)
+// startWatch runs a watch of an address where nobody listens.
+func startWatch(t *testing.T, backoff time.Duration) (w *Watch, failures chan time.Time) {
+	limits := &setup.Limits{Buffer: 1 << 10, Buffers: 1 << 20, Line: 1 << 10, Quiet: 1000 * backoff, Again: backoff}
+	failures = make(chan time.Time, 99)
 	w = NewWatch(limits, NewRoom(limits), "127.0.0.1:1", func() int64 { return 0 }, func([]byte, bool) error { return nil },
-		func(error) { faults <- time.Now() })
+		func(error) { failures <- time.Now() })
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- w.Run(ctx) }()
 	t.Cleanup(func() {
 		end()
-		<-ended
+		if err := <-ended; err != nil {
+			t.Errorf("Run: %v", err)
+		}
 	})
-	return w, faults
+	return w, failures
 }
 
-func TestDiscoveryThatIsDownIsAskedEverMoreSeldom(t *testing.T) {
-	const again = 40 * time.Millisecond
-	_, faults := watching(t, again)
-	first := <-faults
+func TestUnavailableDiscoveryIsRetriedWithBackoff(t *testing.T) {
+	const backoff = 40 * time.Millisecond
+	_, failures := startWatch(t, backoff)
+	first := <-failures
 	for range 2 {
-		<-faults
+		<-failures
 	}
-	if took := (<-faults).Sub(first); took < 7*again { // one, two and four times the first wait
+	if took := (<-failures).Sub(first); took < 7*backoff { // one, two and four times the first wait
 		t.Errorf("asked four times within %v", took)
 	}
 }
 
-func TestDiscoveryThatMovesIsNotWaitedFor(t *testing.T) {
-	w, faults := watching(t, time.Hour)
-	<-faults
+func TestAddressChangeEndsTheBackoff(t *testing.T) {
+	w, failures := startWatch(t, time.Hour)
+	<-failures
 	w.SetAddress("127.0.0.1:2")
 	select {
-	case <-faults:
-	case <-time.After(long):
-		t.Error("the new address is not asked")
+	case <-failures:
+	case <-time.After(testTimeout):
+		t.Error("the new address is not tried")
 	}
 }
