--- a/internal/router/routing/list.go
+++ b/internal/router/routing/list.go
@@ -14,79 +14,79 @@
 
 // host is a database host as the list has it, and what it said of itself since the last report.
 type host struct {
-	node  *policy.Node
-	conns *transport.Host
+	node        *policy.Node
+	connections *transport.Host
 	view.Host
-	said  view.Evidence
-	heard link.Heard
-	at    policy.Tenth // when its last answer came
+	evidence   view.Evidence
+	report     link.Heard
+	lastAnswer policy.Tenth // when its last answer came
 }
 
-// list takes in a list, whole or the changes since the last. One that has a fault changes nothing.
+// applyList takes in a list, whole or the changes since the last. One that has a fault changes nothing.
 // anew: versions are counted otherwise than before.
-func (r *Router) list(o setup.Object, anew bool) error {
+func (r *Router) applyList(o setup.Object, anew bool) error {
 	rev, whole, entries, err := catalog.Read(o)
 	if err != nil {
 		return err
 	}
-	if rev < r.rev.Load() && !anew {
-		r.Stale.Add(1)
-		r.log.Warn("a list that is older than the one held", zap.Int64("rev", rev), zap.Int64("held", r.rev.Load()))
+	if rev < r.version.Load() && !anew {
+		r.StaleLists.Add(1)
+		r.log.Warn("a list that is older than the one held", zap.Int64("rev", rev), zap.Int64("held", r.version.Load()))
 		return nil
 	}
-	r.take(entries, whole)
+	r.applyHosts(entries, whole)
 	r.trace.List(rev, whole, len(entries))
-	r.rev.Store(rev)
+	r.version.Store(rev)
 	r.Lists.Add(1)
 	r.log.Info("list", zap.Int64("rev", rev), zap.Bool("whole", whole), zap.Int("entries", len(entries)))
 	return nil
 }
 
-// take tells the module of hosts, and answers those who waited for a first list.
-func (r *Router) take(entries []view.Host, whole bool) {
-	r.moment()
+// applyHosts tells the module of hosts, and answers those who waited for a first list.
+func (r *Router) applyHosts(entries []view.Host, whole bool) {
+	r.advanceClock()
 	for _, e := range entries {
 		h := r.hosts[e.Name]
 		if h == nil && e.Standing == policy.Gone {
 			continue
 		}
 		if h == nil {
-			r.Held.Add(1)
-			h = &host{conns: r.pool.Add(e.Address), Host: e}
+			r.HostsAdded.Add(1)
+			h = &host{connections: r.pool.Add(e.Address), Host: e}
 			r.introduce(h)
 			r.sets[h.Set] = true
 		}
 		e.Set = h.Set // a host does not move between sets
 		h.Host = e
-		h.conns.Move(e.Address)
+		h.connections.Move(e.Address)
 		r.listHost(h)
 	}
-	r.listDone(whole)
-	r.listed = true
-	for _, s := range r.asking {
+	r.finishList(whole)
+	r.hasList = true
+	for _, s := range r.awaitingList {
 		s.AnswerEmptyQuery()
 	}
-	r.asking = nil
+	r.awaitingList = nil
 }
 
 // introduce tells the module that there is a host.
 func (r *Router) introduce(h *host) {
-	h.node = r.rules.Host(h.Name, h.Set)
+	h.node = r.policy.Host(h.Name, h.Set)
 	r.hosts[h.Name], r.nodes[h.node] = h, h
 	r.trace.Host(h.node, h.Set)
 }
 
 // listHost tells the module of a host, as the list has it.
 func (r *Router) listHost(h *host) {
-	r.shape.listed(h.Standing)
+	r.preview.listed(h.Standing)
 	r.trace.Listed(h.node, h.Standing, h.Leader, h.Zone, h.Kind, h.Size, h.Boot)
 	h.node.Listed(h.Standing, h.Leader, h.Zone, h.Kind, h.Size, h.Boot)
 }
 
-func (r *Router) listDone(whole bool) {
-	r.shape.list()
+func (r *Router) finishList(whole bool) {
+	r.preview.list()
 	r.trace.ListDone(whole)
-	r.rules.ListDone(whole)
+	r.policy.ListDone(whole)
 }
 
 // Told takes in what is new in a view, from any goroutine: hosts as they are now, names of those that it dropped,
@@ -101,13 +101,13 @@
 			}
 		}
 		if len(hosts) > 0 {
-			r.take(hosts, false)
+			r.applyHosts(hosts, false)
 			r.Lists.Add(1)
 		}
-		r.moment()
+		r.advanceClock()
 		r.trace.View(len(hosts), len(dropped), routers, blind)
 		r.trace.Count(routers, blind)
-		r.rules.Count(routers, blind)
+		r.policy.Count(routers, blind)
 		for _, e := range hosts {
 			if h := r.hosts[e.Name]; h != nil {
 				word := policy.Lateness(e.Late)
@@ -124,11 +124,11 @@
 	if !r.queue.Put(eventloop.PriorityLists, func() {
 		var all []link.Heard
 		for _, h := range r.hosts {
-			h.heard.Evidence = h.said
-			if h.heard.Evidence.Name = h.Name; h.heard.Count > 0 || h.heard.Cold > 0 {
-				all = append(all, h.heard)
+			h.report.Evidence = h.evidence
+			if h.report.Evidence.Name = h.Name; h.report.Count > 0 || h.report.Cold > 0 {
+				all = append(all, h.report)
 			}
-			h.heard.Count, h.heard.Sum = 0, 0
+			h.report.Count, h.report.Sum = 0, 0
 		}
 		got <- all
 	}) {
@@ -142,25 +142,25 @@
 	}
 }
 
-// answered notes what an answer said, for a report.
-func (h *host) answered(c *policy.Cmd, o policy.Outcome, pos policy.Tenth, role policy.Role, asked, now, took policy.Tenth) {
+// noteAnswer notes what an answer said, for a report.
+func (h *host) noteAnswer(c *policy.Cmd, o policy.Outcome, pos policy.Tenth, role policy.Role, asked, now, took policy.Tenth) {
 	if pos >= 0 && o != policy.Reset {
-		h.said.Said(pos, role, asked >= h.at)
-		h.at = now
+		h.evidence.Said(pos, role, asked >= h.lastAnswer)
+		h.lastAnswer = now
 	}
 	if o == policy.Answered {
-		h.heard.Count++
-		h.heard.Sum += uint32(min(10, c.Spent(took)) * 1000)
+		h.report.Count++
+		h.report.Sum += uint32(min(10, c.Spent(took)) * 1000)
 	}
 }
 
-// sent notes work sent to a cold host.
-func (h *host) sent(c *policy.Cmd) {
+// noteDispatch notes work sent to a cold host.
+func (h *host) noteDispatch(c *policy.Cmd) {
 	boot := h.node.Cold()
-	if boot != h.heard.Boot {
-		h.heard.Boot, h.heard.Cold = boot, 0
+	if boot != h.report.Boot {
+		h.report.Boot, h.report.Cold = boot, 0
 	}
 	if boot != 0 {
-		h.heard.Cold += int64(c.Work() * 1000)
+		h.report.Cold += int64(c.Work() * 1000)
 	}
 }
--- a/internal/router/routing/routing_test.go
+++ b/internal/router/routing/routing_test.go
@@ -74,7 +74,7 @@
 		t.Errorf("given up while held: %q", code)
 	}
 	left := make(chan int)
-	r.queue.Put(eventloop.PriorityOutcomes, func() { left <- len(r.cmds) + len(r.slots) })
+	r.queue.Put(eventloop.PriorityOutcomes, func() { left <- len(r.commands) + len(r.slots) })
 	if n := <-left; n != 0 {
 		t.Errorf("%d are kept of a command that was given up while held", n)
 	}
@@ -94,8 +94,8 @@
 	end()
 	<-done
 	<-done
-	if r.Panics.Load() != 1 || r.Failed.Load() != 1 || len(r.nodes) != 1 || len(r.cmds)+len(r.slots)+len(r.due.All()) != 0 {
-		t.Errorf("%d panics, %d failed, %d nodes, %d commands", r.Panics.Load(), r.Failed.Load(), len(r.nodes), len(r.cmds))
+	if r.Panics.Load() != 1 || r.Failed.Load() != 1 || len(r.nodes) != 1 || len(r.commands)+len(r.slots)+len(r.timeouts.All()) != 0 {
+		t.Errorf("%d panics, %d failed, %d nodes, %d commands", r.Panics.Load(), r.Failed.Load(), len(r.nodes), len(r.commands))
 	}
 }
 
@@ -114,31 +114,31 @@
 			{"uid":"h%d","endpoint":"127.0.0.1:1","pod_group":1,"state":"up"},
 			{"uid":"h%d","endpoint":"127.0.0.1:1","pod_group":1,"state":"removed"}]}`, i+1, i%100, (i+97)%100))
 		if err == nil {
-			err = r.list(o, false)
+			err = r.applyList(o, false)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 		at = at.Add(time.Second)
-		r.moment()
-		r.rules.Woke()
+		r.advanceClock()
+		r.policy.Woke()
 	}
-	if len(r.hosts) != 3 || len(r.nodes) != 3 || r.Held.Load()-r.Forgotten.Load() != 3 {
-		t.Errorf("%d hosts, %d nodes; %d held, %d forgotten", len(r.hosts), len(r.nodes), r.Held.Load(), r.Forgotten.Load())
+	if len(r.hosts) != 3 || len(r.nodes) != 3 || r.HostsAdded.Load()-r.HostsForgotten.Load() != 3 {
+		t.Errorf("%d hosts, %d nodes; %d held, %d forgotten", len(r.hosts), len(r.nodes), r.HostsAdded.Load(), r.HostsForgotten.Load())
 	}
 }
 
 func TestAStandstillIsNoticedAndLetsSocketsBeReadFirst(t *testing.T) {
 	r := &Router{start: &setup.Start{Limits: setup.Limits{Pulse: time.Minute, Settle: time.Millisecond}}}
-	r.stepAt = time.Now().Add(-time.Hour)
+	r.lastStep = time.Now().Add(-time.Hour)
 	at := time.Now()
-	if r.catchUp(); r.Stalls.Load() != 1 || time.Since(at) < time.Millisecond {
+	if r.detectStall(); r.Stalls.Load() != 1 || time.Since(at) < time.Millisecond {
 		t.Errorf("%d stalls after an hour", r.Stalls.Load())
 	}
-	if r.catchUp(); r.Stalls.Load() != 1 {
+	if r.detectStall(); r.Stalls.Load() != 1 {
 		t.Error("going on at once counts as a stall")
 	}
-	if next := r.next(); next.After(time.Now().Add(time.Minute)) {
+	if next := r.nextWakeUp(); next.After(time.Now().Add(time.Minute)) {
 		t.Errorf("the owner rests until %v", next)
 	}
 }
--- a/internal/router/routing/watching.go
+++ b/internal/router/routing/watching.go
@@ -9,9 +9,9 @@
 	"ferrypitch/policy"
 )
 
-// watching holds what comes against settings that are not in force yet, and counts by kind where they would have
+// preview holds what comes against settings that are not in force yet, and counts by kind where they would have
 // decided otherwise. It decides nothing and sends nothing. A nil one does nothing.
-type watching struct {
+type preview struct {
 	shape      *policy.Shape
 	groups     map[*policy.CmdGroup]*policy.CmdGroup // as they would be
 	drainAlone bool
@@ -24,12 +24,12 @@
 	Comeback, Gone, Lists atomic.Int64 // times to come back, hosts called gone, lists that came unasked
 }
 
-// watch readies the settings that a start names beside those in force.
-func watch(s *setup.Start, now policy.Tenth) *watching {
+// newPreview readies the settings that a start names beside those in force.
+func newPreview(s *setup.Start, now policy.Tenth) *preview {
 	if s.Next == nil {
 		return nil
 	}
-	w := &watching{shape: policy.NewShape(s.Next.Deployment, now), groups: map[*policy.CmdGroup]*policy.CmdGroup{},
+	w := &preview{shape: policy.NewShape(s.Next.Deployment, now), groups: map[*policy.CmdGroup]*policy.CmdGroup{},
 		drainAlone: s.Next.Deployment.DrainAlone != s.Deployment.DrainAlone,
 		onRequest:  s.Next.Deployment.AskWithin > 0 && s.Deployment.AskWithin == 0}
 	for name, g := range s.Terms.Groups {
@@ -39,7 +39,7 @@
 }
 
 // command is called before the module takes a command, and what it gives with the handle.
-func (w *watching) command(r *policy.Router, g *policy.CmdGroup, set int64, session string, timeout, since policy.Tenth,
+func (w *preview) command(r *policy.Router, g *policy.CmdGroup, set int64, session string, timeout, since policy.Tenth,
 	again bool) (taken func(*policy.Cmd)) {
 	if w == nil {
 		return func(*policy.Cmd) {}
@@ -48,7 +48,7 @@
 	return func(c *policy.Cmd) { w.compare(c, would, there) }
 }
 
-func (w *watching) compare(c *policy.Cmd, would policy.Course, there *policy.Node) {
+func (w *preview) compare(c *policy.Cmd, would policy.Course, there *policy.Node) {
 	w.Compared.Add(1)
 	switch is, to := c.Course(); {
 	case is == would && to == there:
@@ -66,27 +66,27 @@
 }
 
 // throttled is called with the time that a throttled command is given.
-func (w *watching) throttled(comeback policy.Tenth) {
+func (w *preview) throttled(comeback policy.Tenth) {
 	if w != nil && (comeback > 0) != (w.shape.Comeback() > 0) {
 		w.Comeback.Add(1)
 	}
 }
 
 // listed is called for each entry of a list, list for each whole one and each change.
-func (w *watching) listed(standing policy.Standing) {
+func (w *preview) listed(standing policy.Standing) {
 	if w != nil && w.drainAlone && standing == policy.Gone {
 		w.Gone.Add(1)
 	}
 }
 
-func (w *watching) list() {
+func (w *preview) list() {
 	if w != nil && w.onRequest {
 		w.Lists.Add(1)
 	}
 }
 
 // fields are the counts for a line of the log.
-func (w *watching) fields() []zap.Field {
+func (w *preview) fields() []zap.Field {
 	if w == nil {
 		return nil
 	}
--- a/internal/router/service/service.go
+++ b/internal/router/service/service.go
@@ -80,12 +80,12 @@
 	}
 	p.clients = transport.NewClients(p.limits, p.room, p.router)
 	if section == nil {
-		p.watch = transport.NewWatch(p.limits, p.room, start.Discovery, p.router.Rev, p.router.List, func(err error) {
+		p.watch = transport.NewWatch(p.limits, p.room, start.Discovery, p.router.Version, p.router.HandleListLine, func(err error) {
 			log.Warn("the watch of the list ended", zap.Error(err))
 		})
 		if start.Deployment.AskWithin > 0 {
-			p.watch.OnRequest(p.router.Unlisted)
-			p.router.Watching(p.watch.Request)
+			p.watch.OnRequest(p.router.ListRequestFailed)
+			p.router.SetListRequester(p.watch.Request)
 		}
 	}
 	tasks.Go(func() error { return p.router.Run(ctx) })
@@ -100,7 +100,7 @@
 	}
 	tasks.Go(func() error { return p.clients.Serve(ctx, listener) })
 	if p.peers != nil {
-		tasks.Go(func() error { return p.peers.Receive(ctx, p.router.Heard) })
+		tasks.Go(func() error { return p.peers.Receive(ctx, p.router.HandlePeerMessage) })
 		tasks.Go(func() error { return p.peers.Send(ctx) })
 	}
 	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Int("clients", p.limits.Clients),
@@ -149,7 +149,7 @@
 				return
 			}
 		case <-stop:
-			p.router.Stop()
+			p.router.FailPending()
 			for till := time.Now().Add(p.limits.Again); p.clients.Drain() > 0 && time.Now().Before(till); {
 				time.Sleep(time.Millisecond) // for the last answers to be written
 			}
@@ -175,7 +175,7 @@
 }
 
 func (p *program) counts() []zap.Field {
-	fields := append(p.router.Fields(),
+	fields := append(p.router.LogFields(),
 		zap.Int64("clients_accepted", p.clients.Accepted.Load()), zap.Int("clients_open", p.clients.OpenConns()),
 		zap.Int64("clients_made_way", p.clients.Evicted.Load()), zap.Int64("clients_torn", p.clients.Malformed.Load()),
 		zap.Int64("clients_slow", p.clients.TimedOut.Load()), zap.Int64("clients_wild", p.clients.RejectedOnly.Load()),
