--- a/internal/router/protocol/command.go
+++ b/internal/router/protocol/command.go
@@ -7,132 +7,182 @@
 )
 
 var (
+	// ErrComment tells that a statement's leading comment lacks a field or has one that cannot be read.
 	ErrComment = errors.New("no comment with id, c, d and cluster before the statement")
-	ErrForm    = errors.New("a statement of another form than is served")
+	// ErrForm tells that a statement is neither the read nor the write that is served.
+	ErrForm = errors.New("a statement of another form than is served")
 )
 
-const longestName = 1 << 10 // of an id or a key
+const (
+	maxNameBytes = 1 << 10 // of an id or a key
+	maxNumber    = 1e15    // in a comment; beyond, a float64 has no fractions that count
+)
+
+// Command is what a statement and its leading comment say.
+type Command struct {
+	ID          string  // unique among the commands that are open
+	Group       string  // the command group's name
+	Key         string  // of the record that is read or written
+	ReplicaSet  int64   // the replica set that owns the key
+	TimeoutMs   float64 // how long the client waits, over 0
+	WrittenAtMs float64 // Unix time of the commit that a read must see; 0 for none
+	IsRetry     bool    // the client has sent the command before
+	IsWrite     bool    // the statement is the write, not the read
+}
 
-// Comment reads what a statement's leading comment and the statement itself say. wait is in milliseconds,
-// after a Unix time in them, 0 where there is none; writes says which of the two forms it has.
-func Comment(statement []byte) (id, group, key string, set int64, wait, after float64, again, writes bool,
-	err error) {
+// ParseCommand parses a statement. It fails with ErrComment or ErrForm.
+func ParseCommand(statement []byte) (Command, error) {
 	inside, rest, ok := comment(statement)
-	for ok && len(inside) > 0 {
+	if !ok {
+		return Command{}, ErrComment
+	}
+	command, err := parseComment(inside)
+	if err != nil {
+		return Command{}, err
+	}
+	if command.Key, command.IsWrite, ok = form(rest); !ok {
+		return Command{}, ErrForm
+	}
+	return command, nil
+}
+
+// parseComment parses the name=value items of a comment. Unknown names are ignored.
+func parseComment(inside []byte) (command Command, err error) {
+	for len(inside) > 0 {
 		var item []byte
 		item, inside, _ = bytes.Cut(inside, []byte{','})
-		name, value, cut := bytes.Cut(bytes.TrimSpace(item), []byte{'='})
-		ok = cut
-		var bad error
+		name, value, ok := bytes.Cut(bytes.TrimSpace(item), []byte{'='})
+		if !ok {
+			return Command{}, ErrComment
+		}
 		switch string(name) {
 		case "id":
-			id = string(value)
+			command.ID = string(value)
 		case "c":
-			group = string(value)
+			command.Group = string(value)
 		case "d":
-			wait, bad = figure(value)
+			command.TimeoutMs, err = number(value)
 		case "cluster":
-			set, bad = strconv.ParseInt(string(value), 10, 64)
+			command.ReplicaSet, err = strconv.ParseInt(string(value), 10, 64)
 		case "after":
-			after, bad = figure(value)
+			command.WrittenAtMs, err = number(value)
 		case "r":
-			again = string(value) == "1"
+			command.IsRetry = string(value) == "1"
+		}
+		if err != nil {
+			return Command{}, ErrComment
 		}
-		ok = ok && bad == nil
-	}
-	if !ok || id == "" || len(id) > longestName || group == "" || wait <= 0 {
-		return "", "", "", 0, 0, 0, false, false, ErrComment
 	}
-	if key, writes, ok = form(rest); !ok {
-		return "", "", "", 0, 0, 0, false, false, ErrForm
+	if command.ID == "" || len(command.ID) > maxNameBytes || command.Group == "" || command.TimeoutMs <= 0 {
+		return Command{}, ErrComment
 	}
-	return id, group, key, set, wait, after, again, writes, nil
+	return command, nil
+}
+
+// Comment is ParseCommand with its results apart.
+func Comment(statement []byte) (id, group, key string, set int64, wait, after float64, again, writes bool, err error) {
+	c, err := ParseCommand(statement)
+	return c.ID, c.Group, c.Key, c.ReplicaSet, c.TimeoutMs, c.WrittenAtMs, c.IsRetry, c.IsWrite, err
 }
 
-// form reads the two forms that statements have: of a read and of a write.
-func form(s []byte) (key string, writes, ok bool) {
-	s = bytes.TrimRight(bytes.TrimSpace(s), "; ")
-	if inside, read := bytes.CutPrefix(s, []byte("SELECT v FROM records WHERE k = ")); read {
-		key, rest, ok := quoted(inside)
+// The two statements that are served, around their literals.
+const (
+	readPrefix   = "SELECT v FROM records WHERE k = "
+	writePrefix  = "INSERT INTO records (k, v) VALUES ("
+	valuePrefix  = `, '\x`
+	writeSuffix  = "') RETURNING v"
+	trailingText = "; " // characters that may follow a statement
+)
+
+// form reads which of the two statements a text is, and the key in it.
+func form(statement []byte) (key string, isWrite, ok bool) {
+	statement = bytes.TrimRight(bytes.TrimSpace(statement), trailingText)
+	if literal, isRead := bytes.CutPrefix(statement, []byte(readPrefix)); isRead {
+		key, rest, ok := quoted(literal)
 		return key, false, ok && len(rest) == 0
 	}
-	inside, write := bytes.CutPrefix(s, []byte("INSERT INTO records (k, v) VALUES ("))
-	if !write {
+	literals, isWrite := bytes.CutPrefix(statement, []byte(writePrefix))
+	if !isWrite {
 		return "", false, false
 	}
-	key, rest, ok := quoted(inside)
-	value, lead := bytes.CutPrefix(rest, []byte(`, '\x`))
-	value, tail := bytes.CutSuffix(value, []byte("') RETURNING v"))
-	for _, d := range value {
-		if !(d >= '0' && d <= '9' || d >= 'a' && d <= 'f' || d >= 'A' && d <= 'F') {
-			return "", true, false
+	key, rest, ok := quoted(literals)
+	value, hasPrefix := bytes.CutPrefix(rest, []byte(valuePrefix))
+	value, hasSuffix := bytes.CutSuffix(value, []byte(writeSuffix))
+	return key, true, ok && hasPrefix && hasSuffix && isHex(value)
+}
+
+// isHex reports whether a text is bytes in hexadecimal digits.
+func isHex(text []byte) bool {
+	for _, c := range text {
+		if (c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F') {
+			return false
 		}
 	}
-	return key, true, ok && lead && tail && len(value)%2 == 0
+	return len(text)%2 == 0
 }
 
-// AppendFor appends a statement with the time in its comment replaced; all
-// else stays as it came.
-func AppendFor(b, statement []byte, wait int64) []byte {
+// AppendFor appends a statement with the time-out in its comment replaced by timeoutMs. All else stays as it came.
+func AppendFor(b, statement []byte, timeoutMs int64) []byte {
 	inside, rest, ok := comment(statement)
 	if !ok {
 		return append(b, statement...)
 	}
-	from := len(statement) - len(rest) - 2 - len(inside)
-	b = append(b, statement[:from]...)
-	for i := 0; len(inside) > 0; i++ {
-		item, more, cut := bytes.Cut(inside, []byte{','})
-		if name := bytes.TrimLeft(item, " "); bytes.HasPrefix(name, []byte("d=")) {
-			b = append(b, item[:len(item)-len(name)+2]...)
-			b = strconv.AppendInt(b, wait, 10)
+	start := len(statement) - len(rest) - len("*/") - len(inside)
+	b = append(b, statement[:start]...)
+	for len(inside) > 0 {
+		item, after, hasMore := bytes.Cut(inside, []byte{','})
+		if trimmed := bytes.TrimLeft(item, " "); bytes.HasPrefix(trimmed, []byte("d=")) {
+			b = append(b, item[:len(item)-len(trimmed)+len("d=")]...)
+			b = strconv.AppendInt(b, timeoutMs, 10)
 			b = append(b, item[len(bytes.TrimRight(item, " ")):]...)
 		} else {
 			b = append(b, item...)
 		}
-		if inside = more; cut {
+		if inside = after; hasMore {
 			b = append(b, ',')
 		}
 	}
 	return append(append(b, "*/"...), rest...)
 }
 
-// Empty says whether a statement has nothing to run.
+// Empty reports whether a statement has nothing to run.
 func Empty(statement []byte) bool { return len(bytes.Trim(statement, " \t\r\n;")) == 0 }
 
+// comment cuts the leading comment off a statement.
 func comment(statement []byte) (inside, rest []byte, ok bool) {
-	s := bytes.TrimLeft(statement, " \t\r\n")
-	if !bytes.HasPrefix(s, []byte("/*")) {
+	text := bytes.TrimLeft(statement, " \t\r\n")
+	if !bytes.HasPrefix(text, []byte("/*")) {
 		return nil, nil, false
 	}
-	return bytes.Cut(s[2:], []byte("*/"))
+	return bytes.Cut(text[len("/*"):], []byte("*/"))
 }
 
-// figure reads digits, perhaps with a fraction.
-func figure(b []byte) (float64, error) {
-	for _, d := range b {
-		if (d < '0' || d > '9') && d != '.' {
+// number reads digits, which may have a fraction, but no sign or exponent.
+func number(text []byte) (float64, error) {
+	for _, c := range text {
+		if (c < '0' || c > '9') && c != '.' {
 			return 0, ErrComment
 		}
 	}
-	v, err := strconv.ParseFloat(string(b), 64)
-	if err == nil && v > 1e15 {
+	value, err := strconv.ParseFloat(string(text), 64)
+	if err == nil && value > maxNumber {
 		err = ErrComment
 	}
-	return v, err
+	return value, err
 }
 
-// quoted reads the quoted word that s begins with.
-func quoted(s []byte) (word string, rest []byte, ok bool) {
-	s, ok = bytes.CutPrefix(s, []byte{'\''})
+// quoted reads the string literal that a text begins with, in which a quote is doubled. It may not be empty.
+func quoted(text []byte) (word string, rest []byte, ok bool) {
+	text, ok = bytes.CutPrefix(text, []byte{'\''})
 	for ok {
 		var part []byte
-		if part, s, ok = bytes.Cut(s, []byte{'\''}); !ok || len(word)+len(part) > longestName {
+		if part, text, ok = bytes.Cut(text, []byte{'\''}); !ok || len(word)+len(part) > maxNameBytes {
 			return "", nil, false
 		}
-		if word += string(part); len(s) == 0 || s[0] != '\'' {
-			return word, s, word != ""
+		if word += string(part); len(text) == 0 || text[0] != '\'' {
+			return word, text, word != ""
 		}
-		word, s = word+"'", s[1:]
+		word, text = word+"'", text[1:]
 	}
 	return "", nil, false
 }
--- a/internal/router/protocol/message.go
+++ b/internal/router/protocol/message.go
@@ -143,8 +143,13 @@
 // AppendGreeting appends what a client is told before its first command.
 func AppendGreeting(b []byte) []byte {
 	b = message(b, Authentication, func(b []byte) []byte { return append(b, 0, 0, 0, 0) })
-	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
-		{"client_encoding", "UTF8"}, {"standard_conforming_strings", "on"}, {"integer_datetimes", "on"}} {
+	for _, p := range [][2]string{
+		{"server_version", "15.0"},
+		{"server_encoding", "UTF8"},
+		{"client_encoding", "UTF8"},
+		{"standard_conforming_strings", "on"},
+		{"integer_datetimes", "on"},
+	} {
 		b = message(b, ParameterStatus, func(b []byte) []byte { return text(text(b, p[0]), p[1]) })
 	}
 	b = message(b, 'K', func(b []byte) []byte { return append(b, 0, 0, 0, 0, 0, 0, 0, 0) })
--- a/internal/router/protocol/protocol_test.go
+++ b/internal/router/protocol/protocol_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"strings"
 	"testing"
 )
@@ -49,9 +50,11 @@
 }
 
 func TestACommentIsReadAndOnlyItsTimeReplaced(t *testing.T) {
-	id, group, key, set, wait, after, again, writes, err := Comment([]byte(read))
-	if id != "9b1f03aa5c7e2d41" || writes || group != "basket" || key != "7f3a'b" || set != 2 || wait != 480 || after != 1767225600123 || again || err != nil {
-		t.Error(group, key, set, wait, after, again, err)
+	want := Command{
+		ID: "9b1f03aa5c7e2d41", Group: "basket", Key: "7f3a'b", ReplicaSet: 2, TimeoutMs: 480, WrittenAtMs: 1767225600123,
+	}
+	if got, err := ParseCommand([]byte(read)); got != want || err != nil {
+		t.Errorf("%+v, %v", got, err)
 	}
 	for given, want := range map[string]string{
 		read: `/* id=9b1f03aa5c7e2d41,c=basket,d=77,cluster=2,after=1767225600123 */ ` +
@@ -64,11 +67,13 @@
 			t.Errorf("%s became %s", given, got)
 		}
 	}
-	for _, bad := range []string{"", "/*", "SELECT 1", "/* */ x", "/* c=a,d=1,cluster=1 */", "/* id=1,d=1,cluster=1 */",
+	for _, bad := range []string{
+		"", "/*", "SELECT 1", "/* */ x", "/* c=a,d=1,cluster=1 */", "/* id=1,d=1,cluster=1 */",
 		"/* id=1,c=a,cluster=1 */", "/* id=1,c=a,d=-1 */", "/* id=1,c=a,d=NaN */", "/* id=1,c=a,d=1,cluster=x */",
 		"/* id=1,c=a,d=1,oops */", "/* id=1,c=a,d=1,after=1e99 */", "/* id=1,c=a,d= */", "/* id=1,c=a,d=soon */",
-		"/* id=1,c=a,d=0x10 */", "/* id=1,c=a,d=0 */", "/* id=" + strings.Repeat("1", 2000) + ",c=a,d=1 */"} {
-		if _, _, _, _, _, _, _, _, err := Comment([]byte(bad + " SELECT v FROM records WHERE k = 'a'")); err != ErrComment {
+		"/* id=1,c=a,d=0x10 */", "/* id=1,c=a,d=0 */", "/* id=" + strings.Repeat("1", 2000) + ",c=a,d=1 */",
+	} {
+		if _, err := ParseCommand([]byte(bad + " SELECT v FROM records WHERE k = 'a'")); !errors.Is(err, ErrComment) {
 			t.Errorf("%q has a usable comment", bad)
 		}
 	}
@@ -76,17 +81,19 @@
 
 func TestOnlyTheTwoFormsOfAStatementAreCommands(t *testing.T) {
 	comment := "/* id=1,c=a,d=1 */ "
-	if _, _, key, _, _, _, _, writes, err := Comment([]byte(comment +
-		`INSERT INTO records (k, v) VALUES ('a''b', '\x9f03') RETURNING v`)); key != "a'b" || !writes || err != nil {
-		t.Error(key, writes, err)
+	insert := `INSERT INTO records (k, v) VALUES ('a''b', '\x9f03') RETURNING v`
+	if got, err := ParseCommand([]byte(comment + insert)); got.Key != "a'b" || !got.IsWrite || err != nil {
+		t.Errorf("%+v, %v", got, err)
 	}
-	for _, bad := range []string{"", "SELECT 1", "DROP TABLE records", "SELECT v FROM records WHERE k = 'a",
+	for _, bad := range []string{
+		"", "SELECT 1", "DROP TABLE records", "SELECT v FROM records WHERE k = 'a",
 		"SELECT v FROM records WHERE k = 'a' OR 1=1", "SELECT v FROM records WHERE k = 'a'; DROP TABLE records",
 		"SELECT v FROM records WHERE k = ''", "SELECT v FROM records WHERE k = '" + strings.Repeat("k", 2000) + "'",
 		`INSERT INTO records (k, v) VALUES ('a', '\x9f0') RETURNING v`,
 		`INSERT INTO records (k, v) VALUES ('a', '\x9f0g') RETURNING v`,
-		`INSERT INTO records (k, v) VALUES ('a', '\x9f03')`, `INSERT INTO records (k, v) VALUES ('a'`} {
-		if _, _, _, _, _, _, _, _, err := Comment([]byte(comment + bad)); err != ErrForm {
+		`INSERT INTO records (k, v) VALUES ('a', '\x9f03')`, `INSERT INTO records (k, v) VALUES ('a'`,
+	} {
+		if _, err := ParseCommand([]byte(comment + bad)); !errors.Is(err, ErrForm) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -195,13 +202,13 @@
 	f.Add([]byte(read))
 	f.Add([]byte("/* id=1,c=a,d=1 */''''"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		id, group, key, set, _, after, again, writes, err := Comment(b)
+		want, err := ParseCommand(b)
 		if err != nil {
 			return
 		}
-		i, g, k, s, wait, a, r, w, err := Comment(AppendFor(nil, b, 7))
-		if err != nil || i != id || w != writes || g != group || k != key || s != set || a != after || r != again || wait != 7 {
-			t.Errorf("%q: %q %q %d %v %v, %v", b, g, k, s, wait, a, err)
+		want.TimeoutMs = 7
+		if got, err := ParseCommand(AppendFor(nil, b, 7)); got != want || err != nil {
+			t.Errorf("%q: %+v, %v", b, got, err)
 		}
 	})
 }
--- /dev/null
+++ b/internal/router/routing/policy_caller.go
@@ -0,0 +1,114 @@
+package routing
+
+import (
+	"time"
+
+	"ferrypitch/internal/router/clock"
+	"ferrypitch/internal/router/protocol"
+	"ferrypitch/internal/router/transport"
+	"ferrypitch/policy"
+)
+
+var _ policy.Caller = (*Router)(nil)
+
+// What a host is sent as a health check.
+const (
+	probeStatement      = "SELECT 1"
+	loadReportStatement = "SHOW server_load" // where load reports tell positions
+)
+
+// Dispatch implements policy.Caller: it sends a command to a host.
+func (r *Router) Dispatch(handle *policy.Cmd, node *policy.Node, timeout policy.Tenth) {
+	c, now := r.commands[handle.Name], time.Now()
+	deadline, sendBy := c.deadline, now.Add(r.start.Limits.Connect)
+	if at := now.Add(clock.Span(timeout)); timeout > 0 && at.Before(deadline) {
+		deadline = at
+	}
+	if handle.SendBy > 0 {
+		if at := now.Add(clock.Span(handle.SendBy - r.clock.Now())); at.Before(sendBy) {
+			sendBy = at
+		}
+	}
+	r.Dispatched.Add(1)
+	r.trace.Dispatch(handle, node, timeout)
+	if r.start.Deployment.Told {
+		r.nodes[node].noteDispatch(handle)
+	}
+	c.inFlight = r.send(r.nodes[node], c.statement, deadline, sendBy, true, func(answer transport.Answer) { r.commandEnded(c, answer) })
+}
+
+// Throttle implements policy.Caller: it tells a client to retry later.
+func (r *Router) Throttle(handle *policy.Cmd, retryAfter policy.Tenth) {
+	r.trace.Throttle(handle, retryAfter)
+	r.preview.throttled(retryAfter)
+	if c := r.commands[handle.Name]; c.slot != nil {
+		r.Throttled.Add(1)
+		c.slot.Throttle(retryAfter / 10) // in milliseconds
+		r.forgetSlot(c)
+		r.forgetIfOver(handle)
+	}
+}
+
+// Fail implements policy.Caller: it tells a client that its command failed.
+func (r *Router) Fail(handle *policy.Cmd) {
+	r.trace.Fail(handle)
+	if c := r.commands[handle.Name]; c.slot != nil {
+		r.Failed.Add(1)
+		c.slot.Fail(protocol.Failed, "no answer from a host")
+		r.forgetSlot(c)
+		r.forgetIfOver(handle)
+	}
+}
+
+// Probe implements policy.Caller: it sends a host a health check.
+func (r *Router) Probe(node *policy.Node) {
+	statement := probeStatement
+	if r.start.Deployment.Reports {
+		statement = loadReportStatement
+	}
+	deadline := time.Now().Add(r.start.Limits.Connect)
+	r.Probes.Add(1)
+	r.trace.Probe(node)
+	r.send(r.nodes[node], []byte(statement), deadline, deadline, false, func(answer transport.Answer) {
+		answered := answer.Outcome == policy.Answered
+		if answered {
+			r.applyLoadReport(node, answer.Value)
+		}
+		r.trace.Probed(node, answered)
+		node.Probed(answered)
+	})
+}
+
+// Close implements policy.Caller: it closes the idle connections to a host.
+func (r *Router) Close(node *policy.Node) {
+	r.trace.Close(node)
+	r.nodes[node].connections.CloseIdle()
+}
+
+// Forget implements policy.Caller: the host has left the list, and the module will not name it again.
+func (r *Router) Forget(node *policy.Node) {
+	r.HostsForgotten.Add(1)
+	r.trace.Forget(node)
+	r.nodes[node].connections.Remove()
+	delete(r.nodes, node)
+	delete(r.hosts, node.Name)
+}
+
+// Watch implements policy.Caller: it requests the list.
+func (r *Router) Watch() {
+	r.ListRequests.Add(1)
+	r.trace.Watch()
+	r.requestList()
+}
+
+// Tell implements policy.Caller: it sends a message to every other router.
+func (r *Router) Tell(body string) {
+	r.trace.Tell(body)
+	r.broadcast(body)
+}
+
+// Wake implements policy.Caller: it schedules a call of the module.
+func (r *Router) Wake(after policy.Tenth) {
+	r.trace.Wake(after)
+	r.scheduleWakeUp(after)
+}
--- /dev/null
+++ b/internal/router/routing/request.go
@@ -0,0 +1,49 @@
+package routing
+
+import (
+	"time"
+
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/router/transport"
+)
+
+// request is a dispatch or a health check in flight.
+type request struct {
+	call      *transport.Call
+	startedAt time.Time
+	onAnswer  func(transport.Answer) // called once, by Run's goroutine
+	ended     bool
+	timeout   *eventloop.Timer[*request]
+}
+
+// send sends a statement to a host; see transport.Host.Send.
+func (r *Router) send(h *host, statement []byte, deadline, sendBy time.Time, rewriteTimeout bool,
+	onAnswer func(transport.Answer),
+) *request {
+	req := &request{startedAt: time.Now(), onAnswer: onAnswer}
+	req.timeout = r.timeouts.Add(deadline, req)
+	req.call = h.connections.Send(statement, deadline, sendBy, rewriteTimeout, func(answer transport.Answer) {
+		r.queue.Put(eventloop.PriorityOutcomes, func() { r.finishRequest(req, answer) })
+	})
+	return req
+}
+
+// finishRequest takes in how a request ended, unless it was abandoned.
+func (r *Router) finishRequest(req *request, answer transport.Answer) {
+	if req.ended {
+		return
+	}
+	req.ended = true
+	r.timeouts.Remove(req.timeout)
+	answer.Elapsed = answer.ReceivedAt.Sub(req.startedAt)
+	r.advanceClock()
+	req.onAnswer(answer)
+}
+
+// timeOut ends a request that has reached its deadline.
+func (r *Router) timeOut(req *request) {
+	r.timeouts.Remove(req.timeout)
+	if outcome, ok := req.call.Abandon(); ok { // otherwise its answer is in the queue
+		r.finishRequest(req, transport.Answer{Outcome: outcome, ReceivedAt: time.Now()})
+	}
+}
--- a/internal/router/routing/routing_test.go
+++ b/internal/router/routing/routing_test.go
@@ -17,89 +17,129 @@
 	"ferrypitch/policy"
 )
 
-func TestAPanicFailsWhatIsOutAndTheRouterServesOn(t *testing.T) {
+// testClient is a client's connection.
+type testClient struct {
+	t    *testing.T
+	conn net.Conn
+	in   []byte // read and not consumed yet
+}
+
+// dial connects a client and starts its session.
+func dial(t *testing.T, address string) *testClient {
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	c := &testClient{t: t, conn: conn}
+	conn.Write(protocol.AppendStartup(nil, "svc", "main"))
+	c.answer()
+	return c
+}
+
+func (c *testClient) query(statement string) {
+	c.conn.Write(protocol.AppendQuery(nil, []byte(statement)))
+}
+
+// answer reads the messages of one answer, and returns their kinds and the code of its error.
+func (c *testClient) answer() (kinds, code string) {
+	for b := make([]byte, 1<<10); ; {
+		kind, body, n, _ := protocol.Next(c.in, 1<<10)
+		if n == 0 {
+			k, err := c.conn.Read(b)
+			if err != nil {
+				c.t.Fatal(err)
+			}
+			c.in = append(c.in, b[:k]...)
+			continue
+		}
+		if kinds += string(kind); kind == protocol.ErrorResponse {
+			code = protocol.Code(body)
+		}
+		if c.in = c.in[n:]; kind == protocol.Ready {
+			return kinds, code
+		}
+	}
+}
+
+// startWithDrainingHost returns what a router starts with that has one group, of writes, and a host that drains, so that
+// commands are held.
+func startWithDrainingHost(t *testing.T) *setup.Start {
 	order := &policy.CmdGroup{Effect: policy.Mutating, Need: policy.Write, Target: 5000, Timeout: 900000, Benefit: 1}
 	known, err := setup.Decode("", []byte(`{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1",
 		"pod_group":1,"state":"draining"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	second := time.Second
-	s := &setup.Start{Known: known, Deployment: policy.Deployment{Tick: 50, Routers: 1, Dispatches: 4,
-		Groups: []*policy.CmdGroup{order}}, Terms: setup.Terms{Groups: map[string]*policy.CmdGroup{"order": order},
-		Position: -1}, Limits: setup.Limits{Clients: 9, Hosts: 9, Backlog: 9, Ahead: 9, Message: 1 << 10,
-		Buffer: 1 << 10, Whole: 20 * second, Stuck: 20 * second, Ready: 20 * second, Pulse: second / 20}}
+	const second = time.Second
+	return &setup.Start{
+		Known:      known,
+		Deployment: policy.Deployment{Tick: 50, Routers: 1, Dispatches: 4, Groups: []*policy.CmdGroup{order}},
+		Terms:      setup.Terms{Groups: map[string]*policy.CmdGroup{"order": order}, Position: -1},
+		Limits: setup.Limits{
+			Clients: 9, Hosts: 9, Backlog: 9, Ahead: 9, Message: 1 << 10, Buffer: 1 << 10,
+			Whole: 20 * second, Stuck: 20 * second, Ready: 20 * second, Pulse: second / 20,
+		},
+	}
+}
+
+// serve runs a router with its clients, and returns its address and what ends both.
+func serve(t *testing.T, start *setup.Start) (r *Router, address string, stop func()) {
 	ctx, end := context.WithCancel(context.Background())
-	room := transport.NewRoom(&s.Limits)
-	r, err := New(s, transport.NewHosts(ctx, &s.Limits, room), func(string) {}, nil, zap.NewNop())
+	t.Cleanup(end)
+	budget := transport.NewRoom(&start.Limits)
+	r, err := New(start, transport.NewHosts(ctx, &start.Limits, budget), func(string) {}, nil, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	clients, done := transport.NewClients(&s.Limits, room, r), make(chan error, 2)
-	go func() { done <- clients.Serve(ctx, l) }()
+	clients, done := transport.NewClients(&start.Limits, budget, r), make(chan error, 2)
+	go func() { done <- clients.Serve(ctx, listener) }()
 	go func() { done <- r.Run(ctx) }()
-	conn, err := net.Dial("tcp", l.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	var in []byte
-	answer := func() (kinds, code string) {
-		for b := make([]byte, 1<<10); ; {
-			kind, body, n, _ := protocol.Next(in, 1<<10)
-			if n == 0 {
-				k, err := conn.Read(b)
-				if err != nil {
-					t.Fatal(err)
-				}
-				in = append(in, b[:k]...)
-				continue
-			}
-			if kinds += string(kind); kind == protocol.ErrorResponse {
-				code = protocol.Code(body)
-			}
-			if in = in[n:]; kind == protocol.Ready {
-				return kinds, code
+	return r, listener.Addr().String(), func() {
+		end()
+		for range 2 {
+			if err := <-done; err != nil {
+				t.Error(err)
 			}
 		}
 	}
-	conn.Write(protocol.AppendStartup(nil, "svc", "main"))
-	answer()
-	brief := "/* id=0,c=order,d=80,cluster=1 */ INSERT INTO records (k, v) VALUES ('k', '\\x') RETURNING v"
-	conn.Write(protocol.AppendQuery(nil, []byte(brief)))
-	if _, code := answer(); code != protocol.TooMany {
-		t.Errorf("given up while held: %q", code)
+}
+
+func TestPanicFailsOpenCommandsAndTheRouterServesOn(t *testing.T) {
+	r, address, stop := serve(t, startWithDrainingHost(t))
+	client := dial(t, address)
+	client.query("/* id=0,c=order,d=80,cluster=1 */ INSERT INTO records (k, v) VALUES ('k', '\\x') RETURNING v")
+	if _, code := client.answer(); code != protocol.TooMany {
+		t.Errorf("timed out while held: %q", code)
 	}
 	left := make(chan int)
 	r.queue.Put(eventloop.PriorityOutcomes, func() { left <- len(r.commands) + len(r.slots) })
 	if n := <-left; n != 0 {
-		t.Errorf("%d are kept of a command that was given up while held", n)
+		t.Errorf("%d are kept of a command that timed out while held", n)
 	}
-	held := "/* id=1,c=order,d=900000,cluster=1 */ INSERT INTO records (k, v) VALUES ('k', '\\x') RETURNING v"
-	conn.Write(protocol.AppendQuery(nil, []byte(held))) // no host takes it, so it is held
-	for r.Taken.Load() < 2 {
+	client.query("/* id=1,c=order,d=900000,cluster=1 */ INSERT INTO records (k, v) VALUES ('k', '\\x') RETURNING v")
+	for r.Taken.Load() < 2 { // no host takes it, so it is held
 		time.Sleep(time.Millisecond)
 	}
 	r.queue.Put(eventloop.PriorityCommands, func() { panic("a fault of the module") })
-	if _, code := answer(); code != protocol.Failed {
+	if _, code := client.answer(); code != protocol.Failed {
 		t.Errorf("the held command ends with %q", code)
 	}
-	conn.Write(protocol.AppendQuery(nil, nil))
-	if kinds, _ := answer(); kinds != "IZ" {
+	client.query("")
+	if kinds, _ := client.answer(); kinds != "IZ" {
 		t.Errorf("an empty query is answered by %q", kinds)
 	}
-	end()
-	<-done
-	<-done
+	stop()
 	if r.Panics.Load() != 1 || r.Failed.Load() != 1 || len(r.nodes) != 1 || len(r.commands)+len(r.slots)+len(r.timeouts.All()) != 0 {
 		t.Errorf("%d panics, %d failed, %d nodes, %d commands", r.Panics.Load(), r.Failed.Load(), len(r.nodes), len(r.commands))
 	}
 }
 
-func TestThousandsOfGenerationsOfHostsLeaveNothing(t *testing.T) {
+func TestThousandsOfGenerationsOfHostsAreForgotten(t *testing.T) {
 	s := &setup.Start{Deployment: policy.Deployment{Tick: 10, Routers: 1, Dispatches: 4}, Terms: setup.Terms{Position: -1}}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
@@ -124,11 +164,11 @@
 		r.policy.Woke()
 	}
 	if len(r.hosts) != 3 || len(r.nodes) != 3 || r.HostsAdded.Load()-r.HostsForgotten.Load() != 3 {
-		t.Errorf("%d hosts, %d nodes; %d held, %d forgotten", len(r.hosts), len(r.nodes), r.HostsAdded.Load(), r.HostsForgotten.Load())
+		t.Errorf("%d hosts, %d nodes; %d added, %d forgotten", len(r.hosts), len(r.nodes), r.HostsAdded.Load(), r.HostsForgotten.Load())
 	}
 }
 
-func TestAStandstillIsNoticedAndLetsSocketsBeReadFirst(t *testing.T) {
+func TestStallIsDetectedAndSocketsAreReadFirst(t *testing.T) {
 	r := &Router{start: &setup.Start{Limits: setup.Limits{Pulse: time.Minute, Settle: time.Millisecond}}}
 	r.lastStep = time.Now().Add(-time.Hour)
 	at := time.Now()
@@ -139,18 +179,20 @@
 		t.Error("going on at once counts as a stall")
 	}
 	if next := r.nextWakeUp(); next.After(time.Now().Add(time.Minute)) {
-		t.Errorf("the owner rests until %v", next)
+		t.Errorf("the next wake-up is at %v", next)
 	}
 }
 
 func TestListsComeBeforeOutcomesAndThoseBeforeCommands(t *testing.T) {
 	q, order := eventloop.NewQueue(2), ""
-	for _, r := range []eventloop.Priority{eventloop.PriorityCommands, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityLists} {
-		q.Put(r, func() { order += string(rune('0' + r)) })
-	}
-	for _, r := range []eventloop.Priority{eventloop.PriorityLists, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
-		for do := q.Take(r); do != nil; do = q.Take(r) {
-			do()
+	for _, p := range []eventloop.Priority{
+		eventloop.PriorityCommands, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityLists,
+	} {
+		q.Put(p, func() { order += string(rune('0' + p)) })
+	}
+	for _, p := range []eventloop.Priority{eventloop.PriorityLists, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
+		for run := q.Take(p); run != nil; run = q.Take(p) {
+			run()
 		}
 	}
 	if order != "01112" {
