--- a/cmd/ferrypitch/plan.go
+++ b/cmd/ferrypitch/plan.go
@@ -62,7 +62,7 @@
 	defer finish()
 	written := make(chan error, 1)
 	if o.Trace != nil {
-		if writer, err = service.Capture(o.Start, o.Trace, log); err != nil {
+		if writer, err = service.NewTraceWriter(o.Start, o.Trace, log); err != nil {
 			return fmt.Errorf("trace: %w", err)
 		}
 		recorder = record.NewPlanner(writer, o.Trace.Block)
--- /dev/null
+++ b/internal/router/service/trace.go
@@ -0,0 +1,68 @@
+package service
+
+import (
+	"crypto/rand"
+	"math"
+	"math/big"
+	"runtime/debug"
+	"slices"
+	"time"
+
+	"go.uber.org/zap"
+
+	"ferrypitch/internal/router/clock"
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/trace/file"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/record"
+)
+
+// NewTraceWriter returns what writes trace files by the operator's section. Nothing is written before its Run.
+func NewTraceWriter(start *setup.Start, section *setup.Trace, log *zap.Logger) (*file.Writer, error) {
+	deployment, err := record.Deployment(start.Deployment)
+	if err != nil {
+		return nil, err
+	}
+	names := make([]string, len(start.Deployment.Groups))
+	for name, group := range start.Terms.Groups {
+		if i := slices.Index(start.Deployment.Groups, group); i >= 0 {
+			names[i] = name
+		}
+	}
+	groups, err := record.Groups(names)
+	if err != nil {
+		return nil, err
+	}
+	header := format.Header{
+		Router: start.Name, Life: Life(), Began: time.Now().UnixNano() / int64(clock.Tenth), Build: buildRevision(),
+		Part: section.Part, Schema: record.Schema, More: map[string][]byte{"deployment": deployment, "groups": groups},
+	}
+	terms := file.Terms{
+		Dir: section.Dir, Name: start.Name, Size: section.Size, Age: section.Age, Budget: section.Budget,
+		Flush: section.Flush, Blocks: section.Blocks,
+	}
+	return file.New(terms, file.Disk{}, header, time.Now, log), nil
+}
+
+// buildRevision returns the revision that the program was built from, as far as it knows.
+func buildRevision() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return ""
+	}
+	for _, s := range info.Settings {
+		if s.Key == "vcs.revision" {
+			return s.Value
+		}
+	}
+	return info.Main.Version
+}
+
+// Life returns a random number that tells this run of a process from all others. It is odd, and so never 0.
+func Life() uint64 {
+	n, err := rand.Int(rand.Reader, new(big.Int).SetUint64(math.MaxUint64))
+	if err != nil {
+		panic(err) // crypto/rand's Reader never fails
+	}
+	return n.Uint64() | 1
+}
