--- a/cmd/ferrypitch/check.go
+++ b/cmd/ferrypitch/check.go
@@ -20,7 +20,7 @@
 			if err != nil {
 				return err
 			}
-			can := o.Serves()
+			can := o.Subcommands()
 			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"file": args[0], "serves": can})
 			}
--- a/cmd/ferrypitch/command.go
+++ b/cmd/ferrypitch/command.go
@@ -61,7 +61,7 @@
 					return nil, err
 				}
 				o.Forward = nil
-				return o, o.Alone(args[0])
+				return o, o.CheckStandalone(args[0])
 			}))
 		}}
 }
--- a/cmd/ferrypitch/main.go
+++ b/cmd/ferrypitch/main.go
@@ -30,7 +30,7 @@
 		start, err := setup.Load(os.Getenv)
 		o := &setup.Operator{Start: start}
 		if dir := os.Getenv("GW_TRACE"); dir != "" {
-			o.Trace = setup.TraceTo(dir)
+			o.Trace = setup.FullTrace(dir)
 		}
 		return o, err
 	}))
--- a/internal/router/routing/commands.go
+++ b/internal/router/routing/commands.go
@@ -44,7 +44,7 @@
 	}
 	// The group's time-out is the longest, whatever the client names.
 	timeout := min(time.Duration(min(parsed.TimeoutMs, maxTimeoutMs)*float64(time.Millisecond)), clock.Span(group.Timeout))
-	deadline := receivedAt.Add(timeout - r.start.Limits.Early)
+	deadline := receivedAt.Add(timeout - r.start.Limits.AnswerMargin)
 	if !r.queue.Put(eventloop.PriorityCommands, func() { r.takeCommand(slot, statement, group, parsed, deadline) }) {
 		slot.Fail(protocol.Failed, errStopped.Error())
 	}
--- a/internal/router/routing/preview.go
+++ b/internal/router/routing/preview.go
@@ -30,7 +30,7 @@
 
 // newPreview returns the preview of the settings that start names beside those in force, or nil if it names none.
 func newPreview(start *setup.Start, now policy.Tenth) *preview {
-	next := start.Next
+	next := start.NextSettings
 	if next == nil {
 		return nil
 	}
--- a/internal/router/routing/router.go
+++ b/internal/router/routing/router.go
@@ -64,7 +64,7 @@
 // recorder may be nil. It fails if that list cannot be read.
 func New(start *setup.Start, pool *transport.Hosts, broadcast func(string), recorder *record.Recorder, log *zap.Logger) (*Router, error) {
 	r := &Router{
-		start: start, log: log, queue: eventloop.NewQueue(start.Limits.Backlog), clock: clock.New(time.Now), pool: pool,
+		start: start, log: log, queue: eventloop.NewQueue(start.Limits.CommandQueueSize), clock: clock.New(time.Now), pool: pool,
 		broadcast: broadcast, trace: recorder,
 		hosts: map[string]*host{}, nodes: map[*policy.Node]*host{}, replicaSets: map[int64]bool{},
 		groups:   map[*policy.CmdGroup]int{},
@@ -78,10 +78,10 @@
 	now := r.clock.Now()
 	recorder.Now(now)
 	r.policy, r.preview = policy.New(r, start.Deployment, now), newPreview(start, now)
-	if !start.Known.Has("targets") {
+	if !start.InitialList.Has("targets") {
 		return r, nil
 	}
-	return r, r.applyList(start.Known, false)
+	return r, r.applyList(start.InitialList, false)
 }
 
 // SetListRequester sets what requests the list. It must be called before Run.
@@ -114,17 +114,17 @@
 // detectStall lets the sockets be read first after the process stood still, so that lists and answers that came
 // meanwhile are taken in before anything is sent or times out.
 func (r *Router) detectStall() {
-	if time.Since(r.lastStep) > stallPulses*r.start.Limits.Pulse {
+	if time.Since(r.lastStep) > stallPulses*r.start.Limits.StepInterval {
 		r.Stalls.Add(1)
 		r.trace.Stall(policy.Tenth(time.Since(r.lastStep) / clock.Tenth))
-		time.Sleep(r.start.Limits.Settle)
+		time.Sleep(r.start.Limits.StallRecoveryDelay)
 	}
 	r.lastStep = time.Now()
 }
 
 // nextWakeUp returns when something is due, and at the latest a pulse from now, by which stalls are noticed.
 func (r *Router) nextWakeUp() time.Time {
-	next := r.lastStep.Add(r.start.Limits.Pulse)
+	next := r.lastStep.Add(r.start.Limits.StepInterval)
 	if !r.wakeAt.IsZero() && r.wakeAt.Before(next) {
 		next = r.wakeAt
 	}
@@ -149,7 +149,7 @@
 		r.wakePolicy()
 		return true
 	}
-	if len(r.awaitingList) > 0 && r.lastStep.Sub(r.startedAt) > r.start.Limits.Ready {
+	if len(r.awaitingList) > 0 && r.lastStep.Sub(r.startedAt) > r.start.Limits.FirstListTimeout {
 		for _, slot := range r.awaitingList {
 			slot.Fail(protocol.NotNow, "no list of hosts yet")
 		}
--- a/internal/router/routing/routing_test.go
+++ b/internal/router/routing/routing_test.go
@@ -73,12 +73,12 @@
 	}
 	const second = time.Second
 	return &setup.Start{
-		Known:      known,
-		Deployment: policy.Deployment{Tick: 50, Routers: 1, Dispatches: 4, Groups: []*policy.CmdGroup{order}},
-		Terms:      setup.Terms{Groups: map[string]*policy.CmdGroup{"order": order}, Position: -1},
+		InitialList: known,
+		Deployment:  policy.Deployment{Tick: 50, Routers: 1, Dispatches: 4, Groups: []*policy.CmdGroup{order}},
+		Terms:       setup.Terms{Groups: map[string]*policy.CmdGroup{"order": order}, PositionField: -1},
 		Limits: setup.Limits{
-			Clients: 9, Hosts: 9, Backlog: 9, Ahead: 9, Message: 1 << 10, Buffer: 1 << 10,
-			Whole: 20 * second, Stuck: 20 * second, Ready: 20 * second, Pulse: second / 20,
+			MaxClientConns: 9, Hosts: 9, CommandQueueSize: 9, MaxPipelined: 9, MaxClientMessage: 1 << 10, Buffer: 1 << 10,
+			CommandReadTimeout: 20 * second, ClientWriteTimeout: 20 * second, FirstListTimeout: 20 * second, StepInterval: second / 20,
 		},
 	}
 }
@@ -140,7 +140,7 @@
 }
 
 func TestThousandsOfGenerationsOfHostsAreForgotten(t *testing.T) {
-	s := &setup.Start{Deployment: policy.Deployment{Tick: 10, Routers: 1, Dispatches: 4}, Terms: setup.Terms{Position: -1}}
+	s := &setup.Start{Deployment: policy.Deployment{Tick: 10, Routers: 1, Dispatches: 4}, Terms: setup.Terms{PositionField: -1}}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	r, err := New(s, transport.NewHosts(ctx, &s.Limits, transport.NewRoom(&s.Limits)), func(string) {}, nil, zap.NewNop())
@@ -169,7 +169,7 @@
 }
 
 func TestStallIsDetectedAndSocketsAreReadFirst(t *testing.T) {
-	r := &Router{start: &setup.Start{Limits: setup.Limits{Pulse: time.Minute, Settle: time.Millisecond}}}
+	r := &Router{start: &setup.Start{Limits: setup.Limits{StepInterval: time.Minute, StallRecoveryDelay: time.Millisecond}}}
 	r.lastStep = time.Now().Add(-time.Hour)
 	at := time.Now()
 	if r.detectStall(); r.Stalls.Load() != 1 || time.Since(at) < time.Millisecond {
--- a/internal/router/service/service.go
+++ b/internal/router/service/service.go
@@ -62,7 +62,7 @@
 		}
 	}
 	p.startTasks(ctx, tasks, listener)
-	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Int("clients", p.limits.Clients),
+	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Int("clients", p.limits.MaxClientConns),
 		zap.Int("hosts", p.limits.Hosts))
 	finishTrace := p.startTrace()
 	p.handleSignals(ctx, signals, reload)
@@ -119,8 +119,8 @@
 // newForwarder returns a router's links to its planners. The list that the router was given is the first view.
 func newForwarder(start *setup.Start, section *setup.Forward, router *routing.Router, log *zap.Logger) (*forward.Forward, error) {
 	f := forward.New(section, start.Name, Life(), start.Deployment.Routers, router, log)
-	if start.Given.Has("targets") {
-		version, complete, hosts, err := catalog.Read(start.Given)
+	if start.InitialView.Has("targets") {
+		version, complete, hosts, err := catalog.Read(start.InitialView)
 		if err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
--- a/internal/router/service/signals.go
+++ b/internal/router/service/signals.go
@@ -26,7 +26,7 @@
 				p.log.Info("counts", p.counters()...)
 			} else if stop == nil {
 				p.log.Info("stopping", zap.String("signal", signal.String()))
-				stopAccepting, drain, stop = time.After(p.limits.Arrive), time.After(p.limits.Linger), time.After(p.limits.End)
+				stopAccepting, drain, stop = time.After(p.limits.AcceptPeriod), time.After(p.limits.DrainDelay), time.After(p.limits.ShutdownTimeout)
 			}
 		case <-reload:
 			if p.watch != nil { // a forwarder has no discovery whose address could change
@@ -56,7 +56,7 @@
 
 // reload reads the configuration again. An invalid one changes nothing.
 func (p *program) reload() {
-	next, fromNextStart, err := p.start.Again(os.Getenv)
+	next, fromNextStart, err := p.start.Reload(os.Getenv)
 	p.router.Reloaded(err == nil)
 	if err != nil {
 		p.rejectedReloads++
--- a/internal/router/setup/deployment.go
+++ b/internal/router/setup/deployment.go
@@ -8,10 +8,10 @@
 
 // Terms is how commands, answers and load reports of a deployment are read.
 type Terms struct {
-	Groups         map[string]*policy.CmdGroup
-	Fields         []string // of a load report, in order
-	Position, Role int      // the fields of a load report that hold them; -1: none
-	Positions      bool     // every answer carries one
+	Groups                   map[string]*policy.CmdGroup
+	Fields                   []string // of a load report, in order
+	PositionField, RoleField int      // the fields of a load report that hold them; -1: none
+	Positions                bool     // every answer carries one
 }
 
 // Deployment decodes the settings, once at start.
@@ -20,20 +20,20 @@
 	prices, tele := env.Within("prices"), env.Within("telemetry")
 	info := env.Within("family_info")
 	terms = Terms{Groups: map[string]*policy.CmdGroup{},
-		Position: -1, Role: -1, Positions: info.Flag("stamps")}
+		PositionField: -1, RoleField: -1, Positions: info.Flag("stamps")}
 	for i, f := range tele.MaybeList("fields") {
 		name, _ := f.(string)
 		switch name {
 		case "x0":
-			terms.Position = i
+			terms.PositionField = i
 		case "x1":
-			terms.Role = i
+			terms.RoleField = i
 		}
 		terms.Fields = append(terms.Fields, name)
 	}
-	how, guards := tele.MaybeText("how"), info.one("guards", "none", "bounce", "await")
-	if info.atLeast("wait", 0) > 0 && guards != "await" {
-		info.fault("wait", "there is nothing to wait for, since guards is not await")
+	how, guards := tele.MaybeText("how"), info.oneOf("guards", "none", "bounce", "await")
+	if info.optionalAtLeast("wait", 0) > 0 && guards != "await" {
+		info.fail("wait", "there is nothing to wait for, since guards is not await")
 	}
 	dep = policy.Deployment{
 		Seed: seed, Zero: Down(info.MaybeNumber("origin_time")),
@@ -42,20 +42,20 @@
 		Guarded: guards == "bounce" || guards == "await",
 		Wait:    Down(info.MaybeNumber("wait")),
 		Kept:    info.MaybeText("session_marks") == "kept",
-		Reports: (how == "answers" || how == "probe") && terms.Position >= 0,
+		Reports: (how == "answers" || how == "probe") && terms.PositionField >= 0,
 		Probes:  bounds.Flag("probes"),
 		Peers:   bounds.Flag("peers"), PeerPrice: prices.MaybeNumber("peer"),
 		ProbePrice: prices.MaybeNumber("probe"),
 		FallFactor: limits.MaybeNumber("overload_factor"), FallSpan: Down(limits.MaybeNumber("fall")),
 		ColdFrom: limits.MaybeNumber("cold_from"), ColdFor: Up(limits.MaybeNumber("cold")),
 		DrainAlone: limits.Flag("drain_binds_alone"),
-		Streams:    int(max(1, bounds.atLeast("streams_per_conn", 0))),
-		IdleFor:    Down(bounds.atLeast("conn_idle", 0)), ConnectFor: Down(bounds.atLeast("connect_timeout", 0)),
+		Streams:    int(max(1, bounds.optionalAtLeast("streams_per_conn", 0))),
+		IdleFor:    Down(bounds.optionalAtLeast("conn_idle", 0)), ConnectFor: Down(bounds.optionalAtLeast("connect_timeout", 0)),
 	}
-	within := Down(limits.atLeast("ask_within", 0))
-	if env.one("discovery", "pushed", "on_request") == "on_request" {
+	within := Down(limits.optionalAtLeast("ask_within", 0))
+	if env.oneOf("discovery", "pushed", "on_request") == "on_request" {
 		if dep.AskWithin = within; within == 0 {
-			limits.fault("ask_within", "not over 0, where the list comes only on request")
+			limits.fail("ask_within", "not over 0, where the list comes only on request")
 		}
 	}
 	if bounds.Flag("retry_after") {
@@ -76,7 +76,7 @@
 		if i < len(bound) {
 			ms, ok := AsNumber(bound[i])
 			if !ok {
-				info.fault("class_bound["+strconv.Itoa(i)+"]", "not a number")
+				info.fail("class_bound["+strconv.Itoa(i)+"]", "not a number")
 			}
 			g.Bound = Down(ms)
 		}
@@ -88,16 +88,16 @@
 
 // Report is what a load report says of position and role, if it says anything.
 func (t Terms) Report(field func(i int) (float64, bool)) (pos policy.Tenth, role policy.Role, ok bool) {
-	if t.Position < 0 {
+	if t.PositionField < 0 {
 		return 0, policy.Unknown, false
 	}
-	seconds, ok := field(t.Position)
+	seconds, ok := field(t.PositionField)
 	if !ok || seconds < 0 || seconds > 1e12 { // not even as a whole number of tenths
 
 		return 0, policy.Unknown, false
 	}
-	if t.Role >= 0 {
-		if is, known := field(t.Role); known {
+	if t.RoleField >= 0 {
+		if is, known := field(t.RoleField); known {
 			role = policy.Replica
 			if is == 1 {
 				role = policy.Primary
--- a/internal/router/setup/object.go
+++ b/internal/router/setup/object.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func (o Object) fault(field, what string) {
+func (o Object) fail(field, what string) {
 	if o.path != "" {
 		field = o.path + "." + field
 	}
@@ -61,7 +61,7 @@
 func (o Object) Number(field string) float64 {
 	f, ok := AsNumber(o.fields[field])
 	if !ok {
-		o.wrong(field, "a number")
+		o.failKind(field, "a number")
 	}
 	return f
 }
@@ -91,14 +91,14 @@
 			return int64(uint64(f))
 		}
 	}
-	o.wrong(field, "a whole number")
+	o.failKind(field, "a whole number")
 	return 0
 }
 
 func (o Object) Text(field string) string {
 	s, ok := o.fields[field].(string)
 	if !ok {
-		o.wrong(field, "a text")
+		o.failKind(field, "a text")
 	}
 	return s
 }
@@ -108,23 +108,23 @@
 	return s
 }
 
-// atLeast is a number that may be left out, and is not under the floor.
-func (o Object) atLeast(field string, floor float64) float64 {
+// optionalAtLeast is a number that may be left out, and is not under the floor.
+func (o Object) optionalAtLeast(field string, floor float64) float64 {
 	v := o.MaybeNumber(field)
 	if o.Has(field) && v < floor {
-		o.fault(field, "less than "+strconv.FormatFloat(floor, 'f', -1, 64))
+		o.fail(field, "less than "+strconv.FormatFloat(floor, 'f', -1, 64))
 	}
 	return v
 }
 
-// one is one of some words; left out, it is the first.
-func (o Object) one(field string, words ...string) string {
+// oneOf is one of some words; left out, it is the first.
+func (o Object) oneOf(field string, words ...string) string {
 	if !o.Has(field) {
 		return words[0]
 	}
 	word := o.Text(field)
 	if !slices.Contains(words, word) {
-		o.fault(field, "none of "+strings.Join(words, ", ")+": "+strconv.Quote(word))
+		o.fail(field, "none of "+strings.Join(words, ", ")+": "+strconv.Quote(word))
 	}
 	return word
 }
@@ -132,7 +132,7 @@
 func (o Object) Flag(field string) bool {
 	b, ok := o.fields[field].(bool)
 	if !ok && o.Has(field) {
-		o.wrong(field, "a bool")
+		o.failKind(field, "a bool")
 	}
 	return b
 }
@@ -140,7 +140,7 @@
 func (o Object) List(field string) []any {
 	l, ok := o.fields[field].([]any)
 	if !ok {
-		o.wrong(field, "an array")
+		o.failKind(field, "an array")
 	}
 	return l
 }
@@ -159,7 +159,7 @@
 	for i, v := range l {
 		m, ok := v.(map[string]any)
 		if !ok {
-			o.fault(field+"["+strconv.Itoa(i)+"]", "not an object")
+			o.fail(field+"["+strconv.Itoa(i)+"]", "not an object")
 		}
 		all[i] = Object{field + "[" + strconv.Itoa(i) + "]", m}
 		if o.path != "" {
@@ -172,7 +172,7 @@
 func (o Object) Within(field string) Object {
 	m, ok := o.fields[field].(map[string]any)
 	if !ok {
-		o.wrong(field, "an object")
+		o.failKind(field, "an object")
 	}
 	if o.path != "" {
 		field = o.path + "." + field
@@ -180,11 +180,11 @@
 	return Object{field, m}
 }
 
-func (o Object) wrong(field, kind string) {
+func (o Object) failKind(field, kind string) {
 	if !o.Has(field) {
-		o.fault(field, "missing")
+		o.fail(field, "missing")
 	}
-	o.fault(field, "not "+kind)
+	o.fail(field, "not "+kind)
 }
 
 // Up and Down round milliseconds to the module's tenths.
--- a/internal/router/setup/operator.go
+++ b/internal/router/setup/operator.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, errors.Unwrap(err)
 	}
-	if err := conform(text); err != nil {
+	if err := checkSchema(text); err != nil {
 		return nil, err
 	}
 	top, err := Decode("", text)
@@ -104,26 +104,26 @@
 	}
 	defer Catch(&err)
 	if o = (&Operator{}); top.Has("forward") {
-		if o.Forward, err = forward(top.Within("forward"), filepath.Dir(path)); err != nil {
+		if o.Forward, err = readForward(top.Within("forward"), filepath.Dir(path)); err != nil {
 			return nil, err
 		}
 	}
 	if top.Has("plan") {
-		if o.Plan, err = plan(top.Within("plan"), filepath.Dir(path)); err != nil {
+		if o.Plan, err = readPlan(top.Within("plan"), filepath.Dir(path)); err != nil {
 			return nil, err
 		}
 	}
 	if top.Has("trace") {
-		if o.Trace, err = trace(top.Within("trace"), filepath.Dir(path)); err != nil {
+		if o.Trace, err = readTrace(top.Within("trace"), filepath.Dir(path)); err != nil {
 			return nil, err
 		}
 	}
-	o.Start, err = start(top, getenv, o.Forward == nil && o.Plan == nil)
+	o.Start, err = readStart(top, getenv, o.Forward == nil && o.Plan == nil)
 	return o, err
 }
 
-// conform holds a file against the schema; the first fault is named by its key.
-func conform(text []byte) error {
+// checkSchema holds a file against the schema; the first fault is named by its key.
+func checkSchema(text []byte) error {
 	s, err := schema()
 	if err != nil {
 		return fmt.Errorf("the schema: %w", err)
@@ -141,14 +141,14 @@
 		for len(bad.Causes) > 0 {
 			bad = bad.Causes[0]
 		}
-		return fault(bad)
+		return schemaError(bad)
 	} else if err != nil {
 		return err
 	}
 	return nil
 }
 
-func fault(bad *jsonschema.ValidationError) error {
+func schemaError(bad *jsonschema.ValidationError) error {
 	key := ""
 	for _, part := range bad.InstanceLocation {
 		switch _, err := strconv.Atoi(part); {
@@ -206,8 +206,8 @@
 	return k, nil
 }
 
-// key reads the key that a section names.
-func key(o Object, dir string) (k [32]byte, err error) {
+// readSectionKey reads the key that a section names.
+func readSectionKey(o Object, dir string) (k [32]byte, err error) {
 	path := o.Text("key_file")
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(dir, path)
@@ -218,24 +218,24 @@
 	return k, err
 }
 
-// milliseconds is a field in them, or what stands for it.
-func (o Object) milliseconds(field string, otherwise time.Duration) time.Duration {
+// optionalMilliseconds is a field in them, or what stands for it.
+func (o Object) optionalMilliseconds(field string, otherwise time.Duration) time.Duration {
 	if !o.Has(field) {
 		return otherwise
 	}
 	return time.Duration(o.Integer(field)) * time.Millisecond
 }
 
-func (o Object) count(field string, otherwise int) int {
+func (o Object) optionalInt(field string, otherwise int) int {
 	if !o.Has(field) {
 		return otherwise
 	}
 	return int(o.Integer(field))
 }
 
-func forward(o Object, dir string) (*Forward, error) {
-	f := &Forward{Again: 50 * time.Millisecond, Most: 5 * time.Second, Report: o.milliseconds("report_ms", 200*time.Millisecond),
-		Silent: o.milliseconds("silent_ms", 2*time.Second), Dial: 2 * time.Second, Queue: 16, Write: 2 * time.Second, Frame: link.FrameMost}
+func readForward(o Object, dir string) (*Forward, error) {
+	f := &Forward{Again: 50 * time.Millisecond, Most: 5 * time.Second, Report: o.optionalMilliseconds("report_ms", 200*time.Millisecond),
+		Silent: o.optionalMilliseconds("silent_ms", 2*time.Second), Dial: 2 * time.Second, Queue: 16, Write: 2 * time.Second, Frame: link.FrameMost}
 	if f.Kept = time.Second; o.Has("keep") {
 		if f.Keep = o.Text("keep"); !filepath.IsAbs(f.Keep) {
 			f.Keep = filepath.Join(dir, f.Keep)
@@ -246,11 +246,11 @@
 	}
 	for i, p := range o.List("planners") {
 		a, _ := p.(string)
-		address(a, o.path+".planners["+strconv.Itoa(i)+"]")
+		requireAddress(a, o.path+".planners["+strconv.Itoa(i)+"]")
 		f.Planners = append(f.Planners, a)
 	}
 	var err error
-	f.Key, err = key(o, dir)
+	f.Key, err = readSectionKey(o, dir)
 	return f, err
 }
 
@@ -267,15 +267,15 @@
 	Blocks       int // that there are in all
 }
 
-// TraceTo is full capture into a folder that may be memory, as a router without an operator's file has it.
-func TraceTo(dir string) *Trace {
+// FullTrace is full capture into a folder that may be memory, as a router without an operator's file has it.
+func FullTrace(dir string) *Trace {
 	return &Trace{Dir: dir, Part: 1000, Size: 4 << 20, Budget: 12 << 20, Age: time.Hour, Flush: time.Second, Block: 128 << 10, Blocks: 3}
 }
 
-func trace(o Object, dir string) (*Trace, error) {
+func readTrace(o Object, dir string) (*Trace, error) {
 	t := &Trace{Dir: o.Text("dir"), Part: 1000, Detail: !o.Has("detail") || o.Flag("detail"),
-		Size: int64(o.count("file_mb", 64)) << 20, Budget: int64(o.count("budget_mb", 1024)) << 20,
-		Age: o.milliseconds("file_ms", time.Hour), Flush: time.Second, Block: 256 << 10, Blocks: 4}
+		Size: int64(o.optionalInt("file_mb", 64)) << 20, Budget: int64(o.optionalInt("budget_mb", 1024)) << 20,
+		Age: o.optionalMilliseconds("file_ms", time.Hour), Flush: time.Second, Block: 256 << 10, Blocks: 4}
 	if !filepath.IsAbs(t.Dir) {
 		t.Dir = filepath.Join(dir, t.Dir)
 	}
@@ -291,30 +291,30 @@
 	t.Part = uint32(o.Number("part") * 1000)
 	var err error
 	if t.Part < 1000 {
-		t.Key, err = key(o, dir)
+		t.Key, err = readSectionKey(o, dir)
 	}
 	return t, err
 }
 
-func plan(o Object, dir string) (*Plan, error) {
-	p := &Plan{Listen: o.Text("listen"), Forwarders: o.count("forwarders", 5000), Probes: o.count("probes", 64),
-		PerSecond: o.count("probes_per_second", 400), Reports: o.count("reports_per_second", 1000),
-		Frames: o.count("frames_per_second", 20000), Bytes: o.count("position_bytes_per_second", 20_000_000),
-		Beat: o.milliseconds("beat_ms", 100*time.Millisecond), Probe: o.milliseconds("probe_ms", 500*time.Millisecond),
-		Search: o.milliseconds("search_ms", 50*time.Millisecond), Greet: 2 * time.Second, Greeting: 256, Queue: 32,
+func readPlan(o Object, dir string) (*Plan, error) {
+	p := &Plan{Listen: o.Text("listen"), Forwarders: o.optionalInt("forwarders", 5000), Probes: o.optionalInt("probes", 64),
+		PerSecond: o.optionalInt("probes_per_second", 400), Reports: o.optionalInt("reports_per_second", 1000),
+		Frames: o.optionalInt("frames_per_second", 20000), Bytes: o.optionalInt("position_bytes_per_second", 20_000_000),
+		Beat: o.optionalMilliseconds("beat_ms", 100*time.Millisecond), Probe: o.optionalMilliseconds("probe_ms", 500*time.Millisecond),
+		Search: o.optionalMilliseconds("search_ms", 50*time.Millisecond), Greet: 2 * time.Second, Greeting: 256, Queue: 32,
 		Write: 2 * time.Second, Frame: link.ReportMost}
-	address(p.Listen, o.path+".listen")
+	requireAddress(p.Listen, o.path+".listen")
 	if o.Has("generation") {
 		p.Generation = uint64(o.Integer("generation"))
 	}
 	var err error
-	p.Key, err = key(o, dir)
+	p.Key, err = readSectionKey(o, dir)
 	return p, err
 }
 
-// Serves names the sub-commands that the file is good for.
-func (o *Operator) Serves() (names []string) {
-	if o.Alone("") == nil {
+// Subcommands names the sub-commands that the file is good for.
+func (o *Operator) Subcommands() (names []string) {
+	if o.CheckStandalone("") == nil {
 		names = append(names, "serve")
 	}
 	if o.Forward != nil && o.Start.Listen != "" {
@@ -326,8 +326,8 @@
 	return names
 }
 
-// Alone says what a router without planners lacks.
-func (o *Operator) Alone(path string) error {
+// CheckStandalone says what a router without planners lacks.
+func (o *Operator) CheckStandalone(path string) error {
 	switch {
 	case o.Start.Listen == "":
 		return fmt.Errorf("%s: listen: missing", path)
@@ -341,11 +341,11 @@
 // known is for the view.
 func (s *Start) AsForwarder() {
 	all := []*policy.Deployment{&s.Deployment}
-	if s.Next != nil {
-		all = append(all, &s.Next.Deployment)
+	if s.NextSettings != nil {
+		all = append(all, &s.NextSettings.Deployment)
 	}
 	for _, d := range all {
 		d.Told, d.Probes, d.Peers, d.AskWithin = true, false, false, 0
 	}
-	s.Given, s.Known = s.Known, Object{}
+	s.InitialView, s.InitialList = s.InitialList, Object{}
 }
--- a/internal/router/setup/setup.go
+++ b/internal/router/setup/setup.go
@@ -18,19 +18,19 @@
 type Start struct {
 	Name, Listen, Discovery, PeerListen, PeersAll string
 	Peers                                         []string
-	Known, Given                                  Object // the last list, for the module and for views; Has("targets") is false without one
+	InitialList, InitialView                      Object // the last list, for the module and for views; Has("targets") is false without one
 	Deployment                                    policy.Deployment
 	Terms                                         Terms
-	Next                                          *Next // settings that are watched, not in force; nil: none
+	NextSettings                                  *NextSettings // settings that are watched, not in force; nil: none
 	Limits                                        Limits
 
-	load      func(getenv func(string) string) (*Start, error) // reads and checks the same file once more
-	discovery string                                           // what the file said of it
-	fields    map[string]any                                   // of the file
+	load          func(getenv func(string) string) (*Start, error) // reads and checks the same file once more
+	fileDiscovery string                                           // what the file said of it
+	fileFields    map[string]any                                   // of the file
 }
 
-// Next is what settings that are not in force yet would make of a deployment.
-type Next struct {
+// NextSettings is what settings that are not in force yet would make of a deployment.
+type NextSettings struct {
 	Deployment policy.Deployment
 	Terms      Terms
 }
@@ -40,36 +40,36 @@
 	Cores  int
 	Memory int64 // what the collector is told, in bytes
 
-	Clients, Hosts int   // descriptors for each
-	Spare          int   // descriptors for clients past theirs, whose commands are throttled
-	Backlog        int   // commands waiting for the owner of the module
-	Ahead          int   // commands taken from one client connection and not answered
-	Refusals       int   // commands in a row that are not served, before a client's connection ends
-	Message        int   // the longest message taken from a client
-	Answer         int   // the longest message taken from a host
-	Line           int   // the longest line taken from discovery
-	Datagram       int   // the longest message between routers
-	Buffer         int   // what a connection's buffer starts with, and returns to
-	Buffers        int64 // what all buffers may take together past that
+	MaxClientConns, Hosts int   // descriptors for each
+	SpareClientConns      int   // descriptors for clients past theirs, whose commands are throttled
+	CommandQueueSize      int   // commands waiting for the owner of the module
+	MaxPipelined          int   // commands taken from one client connection and not answered
+	MaxRejectedInARow     int   // commands in a row that are not served, before a client's connection ends
+	MaxClientMessage      int   // the longest message taken from a client
+	Answer                int   // the longest message taken from a host
+	Line                  int   // the longest line taken from discovery
+	MaxDatagram           int   // the longest message between routers
+	Buffer                int   // what a connection's buffer starts with, and returns to
+	Buffers               int64 // what all buffers may take together past that
 
-	Connect time.Duration // for a host connection to come up
-	Idle    time.Duration // after which an idle host connection is no longer used
-	Early   time.Duration // how long before the client timeout a last answer is sent
-	Ready   time.Duration // for a first list to come, before an empty query is refused
-	Whole   time.Duration // for a client to finish what it began, and for its first command
-	Unused  time.Duration // for a client to do so, before its connection may make way
-	Free    time.Duration // after which an idle client connection may make way once half of Clients are open
-	Part    time.Duration // for a client to read why its connection ends
-	Rest    time.Duration // for what is behind an answer to come, before the host connection is used again
-	Stuck   time.Duration // for a client to read some of its answers
-	Quiet   time.Duration // of discovery, before it is asked anew
-	Again   time.Duration // the first wait before asking anew; it doubles
-	Gather  time.Duration // in which datagrams come together, before they are read
-	Pulse   time.Duration // the longest time that the owner of the module rests
-	Settle  time.Duration // for sockets to be read after this router stood still
-	Arrive  time.Duration // after SIGTERM, in which connections are still taken
-	Linger  time.Duration // after SIGTERM, in which they are kept: for as long as can be served
-	End     time.Duration // after SIGTERM, at which the program exits at the latest
+	Connect            time.Duration // for a host connection to come up
+	Idle               time.Duration // after which an idle host connection is no longer used
+	AnswerMargin       time.Duration // how long before the client timeout a last answer is sent
+	FirstListTimeout   time.Duration // for a first list to come, before an empty query is refused
+	CommandReadTimeout time.Duration // for a client to finish what it began, and for its first command
+	NewConnGrace       time.Duration // for a client to do so, before its connection may make way
+	EvictionIdleTime   time.Duration // after which an idle client connection may make way once half of Clients are open
+	LingerTimeout      time.Duration // for a client to read why its connection ends
+	ReuseDelay         time.Duration // for what is behind an answer to come, before the host connection is used again
+	ClientWriteTimeout time.Duration // for a client to read some of its answers
+	Quiet              time.Duration // of discovery, before it is asked anew
+	Again              time.Duration // the first wait before asking anew; it doubles
+	DatagramBatchDelay time.Duration // in which datagrams come together, before they are read
+	StepInterval       time.Duration // the longest time that the owner of the module rests
+	StallRecoveryDelay time.Duration // for sockets to be read after this router stood still
+	AcceptPeriod       time.Duration // after SIGTERM, in which connections are still taken
+	DrainDelay         time.Duration // after SIGTERM, in which they are kept: for as long as can be served
+	ShutdownTimeout    time.Duration // after SIGTERM, at which the program exits at the latest
 }
 
 // Load reads the environment and the file that it names.
@@ -86,14 +86,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %s: %w", path, err)
 	}
-	if s, err = start(top, getenv, true); err == nil {
+	if s, err = readStart(top, getenv, true); err == nil {
 		s.load = Load
 	}
 	return s, err
 }
 
-// start checks what a router, or with alone false one of another tier, starts with.
-func start(top Object, getenv func(string) string, alone bool) (s *Start, err error) {
+// readStart checks what a router, or with alone false one of another tier, starts with.
+func readStart(top Object, getenv func(string) string, alone bool) (s *Start, err error) {
 	defer Catch(&err)
 	given := func(variable, key string) string {
 		if v := getenv(variable); v != "" {
@@ -109,7 +109,7 @@
 		PeersAll: top.MaybeText("peers_all")}
 	seed, err := strconv.ParseUint(top.Text("seed"), 16, 64)
 	if err != nil {
-		top.fault("seed", "not a number in hexadecimal digits")
+		top.fail("seed", "not a number in hexadecimal digits")
 	}
 	deployment := func(key string) (d policy.Deployment, t Terms) {
 		d, t = Deployment(top.Within(key), uint32(seed)^uint32(seed>>32))
@@ -119,10 +119,10 @@
 	}
 	s.Deployment, s.Terms = deployment("settings")
 	if top.Has("next_settings") {
-		s.Next = &Next{}
-		s.Next.Deployment, s.Next.Terms = deployment("next_settings")
+		s.NextSettings = &NextSettings{}
+		s.NextSettings.Deployment, s.NextSettings.Terms = deployment("next_settings")
 		for name := range s.Terms.Groups {
-			if s.Next.Terms.Groups[name] == nil {
+			if s.NextSettings.Terms.Groups[name] == nil {
 				panic(Fault("next_settings.classes: none of the name " + strconv.Quote(name)))
 			}
 		}
@@ -132,65 +132,65 @@
 		s.Peers = append(s.Peers, peer)
 	}
 	if s.Deployment.Peers {
-		address(s.PeerListen, "peer_listen")
-		address(s.PeersAll, "peers_all")
+		requireAddress(s.PeerListen, "peer_listen")
+		requireAddress(s.PeersAll, "peers_all")
 		for i, p := range s.Peers {
-			address(p, "peers["+strconv.Itoa(i)+"]")
+			requireAddress(p, "peers["+strconv.Itoa(i)+"]")
 		}
 	}
 	if s.Name == "" {
 		panic(Fault("GW_NAME: missing, and no name in the file"))
 	}
 	if alone || s.Listen != "" {
-		address(s.Listen, "GW_LISTEN (listen)")
+		requireAddress(s.Listen, "GW_LISTEN (listen)")
 	}
 	if alone || s.Discovery != "" {
-		address(s.Discovery, "GW_DISCOVERY (discovery)")
+		requireAddress(s.Discovery, "GW_DISCOVERY (discovery)")
 	}
 	if top.Has("known") {
-		s.Known = top.Within("known")
-		if s.Known.Has("targets") {
-			s.Known.Objects("targets")
-			s.Known.Integer("rev")
+		s.InitialList = top.Within("known")
+		if s.InitialList.Has("targets") {
+			s.InitialList.Objects("targets")
+			s.InitialList.Integer("rev")
 		}
 	}
-	s.Limits = limits(top)
-	s.discovery, s.fields = top.MaybeText("discovery"), top.fields
+	s.Limits = computeLimits(top)
+	s.fileDiscovery, s.fileFields = top.MaybeText("discovery"), top.fields
 	return s, nil
 }
 
-// Again reads and checks the same file once more, while the program runs. Discovery's address is
+// Reload reads and checks the same file once more, while the program runs. Discovery's address is
 // followed: one that the file has changed goes before the environment, which cannot have changed. kept
 // names the keys whose new values count from the next start only.
-func (s *Start) Again(getenv func(string) string) (next *Start, kept []string, err error) {
+func (s *Start) Reload(getenv func(string) string) (next *Start, kept []string, err error) {
 	if next, err = s.load(getenv); err != nil {
 		return nil, nil, err
 	}
-	if next.discovery != "" && next.discovery != s.discovery {
-		if err := valid(next.discovery, "discovery"); err != nil {
+	if next.fileDiscovery != "" && next.fileDiscovery != s.fileDiscovery {
+		if err := checkAddress(next.fileDiscovery, "discovery"); err != nil {
 			return nil, nil, err
 		}
-		next.Discovery = next.discovery
+		next.Discovery = next.fileDiscovery
 	} else {
 		next.Discovery = s.Discovery
 	}
-	for key := range next.fields {
-		if key != "discovery" && key != "known" && !reflect.DeepEqual(next.fields[key], s.fields[key]) {
+	for key := range next.fileFields {
+		if key != "discovery" && key != "known" && !reflect.DeepEqual(next.fileFields[key], s.fileFields[key]) {
 			kept = append(kept, key)
 		}
 	}
 	slices.Sort(kept)
-	next.fields = s.fields // what is in force
+	next.fileFields = s.fileFields // what is in force
 	return next, kept, nil
 }
 
-func valid(text, key string) (err error) {
+func checkAddress(text, key string) (err error) {
 	defer Catch(&err)
-	address(text, key)
+	requireAddress(text, key)
 	return nil
 }
 
-func address(text, key string) {
+func requireAddress(text, key string) {
 	if text == "" {
 		panic(Fault(key + ": missing"))
 	}
@@ -199,13 +199,13 @@
 	}
 }
 
-// limits divides what the platform allows.
-func limits(top Object) Limits {
+// computeLimits divides what the platform allows.
+func computeLimits(top Object) Limits {
 	given, bounds := top.Within("limits"), top.Within("settings").Within("bounds")
 	least := func(o Object, field string, floor float64) float64 {
 		v := o.Number(field)
 		if v < floor {
-			o.fault(field, "less than "+strconv.FormatFloat(floor, 'f', -1, 64))
+			o.fail(field, "less than "+strconv.FormatFloat(floor, 'f', -1, 64))
 		}
 		return v
 	}
@@ -220,21 +220,21 @@
 	idle := ms("conn_idle", 1)
 	l := Limits{
 		Cores: int(max(1, cores+0.5)), Memory: memory * 3 / 4,
-		Hosts: (sockets - reserve) * 2 / 5, Spare: min(reserve/2, reserve-own), Backlog: 1024, Ahead: 32, Refusals: 16,
-		Message: 160 << 10, Answer: 96 << 10, Line: 4 << 20, Datagram: 256, Buffer: 4 << 10, Buffers: memory / 4,
+		Hosts: (sockets - reserve) * 2 / 5, SpareClientConns: min(reserve/2, reserve-own), CommandQueueSize: 1024, MaxPipelined: 32, MaxRejectedInARow: 16,
+		MaxClientMessage: 160 << 10, Answer: 96 << 10, Line: 4 << 20, MaxDatagram: 256, Buffer: 4 << 10, Buffers: memory / 4,
 		Connect: ms("connect_timeout", 1), Idle: idle - min(idle/4, 2*time.Second),
-		Early: 4 * time.Millisecond, Ready: 10 * time.Second, Whole: 2500 * time.Millisecond,
-		Unused: 250 * time.Millisecond, Free: 250 * time.Millisecond, Part: time.Second, Rest: time.Millisecond, Stuck: 15 * time.Second,
+		AnswerMargin: 4 * time.Millisecond, FirstListTimeout: 10 * time.Second, CommandReadTimeout: 2500 * time.Millisecond,
+		NewConnGrace: 250 * time.Millisecond, EvictionIdleTime: 250 * time.Millisecond, LingerTimeout: time.Second, ReuseDelay: time.Millisecond, ClientWriteTimeout: 15 * time.Second,
 		Quiet: 4500 * time.Millisecond, Again: 50 * time.Millisecond,
-		Gather: 15 * time.Millisecond, Pulse: 50 * time.Millisecond, Settle: 5 * time.Millisecond, Arrive: 500 * time.Millisecond,
+		DatagramBatchDelay: 15 * time.Millisecond, StepInterval: 50 * time.Millisecond, StallRecoveryDelay: 5 * time.Millisecond, AcceptPeriod: 500 * time.Millisecond,
 	}
 	var target time.Duration
 	for _, c := range top.Within("settings").Objects("classes") { // SIGKILL comes 0.2 s after End at the soonest
 		longest := time.Duration(c.Number("give_up")) * time.Millisecond
 		target = max(target, time.Duration(c.Number("promise"))*time.Millisecond)
-		l.End = max(l.End, min(longest, 3*time.Second)+l.Arrive)
+		l.ShutdownTimeout = max(l.ShutdownTimeout, min(longest, 3*time.Second)+l.AcceptPeriod)
 	}
-	l.Linger = max(l.Arrive, l.End-target) // clients may have nowhere else to go for now
-	l.Clients = sockets - reserve - l.Hosts
+	l.DrainDelay = max(l.AcceptPeriod, l.ShutdownTimeout-target) // clients may have nowhere else to go for now
+	l.MaxClientConns = sockets - reserve - l.Hosts
 	return l
 }
--- a/internal/router/setup/setup_test.go
+++ b/internal/router/setup/setup_test.go
@@ -17,15 +17,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, given := limits(top), int(top.Within("limits").Number("sockets"))
-		if l.Clients < 16 || l.Hosts < 16 || l.Spare < 8 || l.Clients+l.Hosts+l.Spare > given-16 {
-			t.Errorf("%s: %d for clients, %d for hosts", sockets, l.Clients, l.Hosts)
+		l, given := computeLimits(top), int(top.Within("limits").Number("sockets"))
+		if l.MaxClientConns < 16 || l.Hosts < 16 || l.SpareClientConns < 8 || l.MaxClientConns+l.Hosts+l.SpareClientConns > given-16 {
+			t.Errorf("%s: %d for clients, %d for hosts", sockets, l.MaxClientConns, l.Hosts)
 		}
-		if l.Cores != 1 || l.Memory >= 192<<20 || l.Idle >= 30*time.Second || l.End != 1400*time.Millisecond ||
-			l.Linger != 1200*time.Millisecond {
+		if l.Cores != 1 || l.Memory >= 192<<20 || l.Idle >= 30*time.Second || l.ShutdownTimeout != 1400*time.Millisecond ||
+			l.DrainDelay != 1200*time.Millisecond {
 			t.Errorf("%+v", l)
 		}
-		if most := l.Buffers + int64(l.Hosts*l.Answer) + int64((l.Hosts+l.Clients)*l.Buffer); sockets == "1024" && most > l.Memory {
+		if most := l.Buffers + int64(l.Hosts*l.Answer) + int64((l.Hosts+l.MaxClientConns)*l.Buffer); sockets == "1024" && most > l.Memory {
 			t.Errorf("buffers may take %d of %d", most, l.Memory)
 		}
 	}
--- a/internal/router/transport/client_conn.go
+++ b/internal/router/transport/client_conn.go
@@ -69,7 +69,7 @@
 	betweenMessages := c.receivedMessage && !c.partialMessage
 	return idleState{
 		evictable: !c.closed && !c.leaving && !c.ending && !c.hasPending() &&
-			(betweenMessages || time.Since(since) > c.server.limits.Unused),
+			(betweenMessages || time.Since(since) > c.server.limits.NewConnGrace),
 		proven: c.proven && !c.partialMessage,
 		since:  since,
 	}
@@ -80,7 +80,7 @@
 // isClosable reports whether the connection may close: nothing is pending, and no command is being read.
 func (c *clientConn) isClosable() bool {
 	betweenMessages := !c.partialMessage && c.receivedMessage
-	return !c.closed && !c.hasPending() && (betweenMessages || time.Since(c.partialSince) > c.server.limits.Unused)
+	return !c.closed && !c.hasPending() && (betweenMessages || time.Since(c.partialSince) > c.server.limits.NewConnGrace)
 }
 
 // requestClose has a connection close if nothing is pending; a partial message that was just read counts as pending,
@@ -117,7 +117,7 @@
 	c.partialMessage = partial
 	deadline := time.Time{}
 	if partial || !c.receivedMessage {
-		deadline = c.partialSince.Add(c.server.limits.Whole)
+		deadline = c.partialSince.Add(c.server.limits.CommandReadTimeout)
 	}
 	if !c.leaving && !deadline.Equal(c.readDeadline) {
 		c.conn.SetReadDeadline(deadline)
@@ -149,7 +149,7 @@
 	}
 	c.conn.SetReadDeadline(c.readDeadline)
 	if c.hasPending() && !c.readDeadline.IsZero() { // what is pending comes first
-		c.readDeadline = time.Now().Add(c.server.limits.Whole)
+		c.readDeadline = time.Now().Add(c.server.limits.CommandReadTimeout)
 		c.conn.SetReadDeadline(c.readDeadline)
 	}
 	return keepReading
@@ -177,7 +177,7 @@
 func (c *clientConn) addSlot() *Slot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for !c.closed && len(c.pending)+len(c.outgoing) >= c.server.limits.Ahead {
+	for !c.closed && len(c.pending)+len(c.outgoing) >= c.server.limits.MaxPipelined {
 		c.changed.Wait()
 	}
 	slot := &Slot{client: c}
@@ -200,7 +200,7 @@
 		if !ok {
 			return
 		}
-		c.conn.SetWriteDeadline(time.Now().Add(c.server.limits.Stuck))
+		c.conn.SetWriteDeadline(time.Now().Add(c.server.limits.ClientWriteTimeout))
 		unwritten := slices.Clone(batch) // WriteTo consumes what it writes
 		_, err := unwritten.WriteTo(c.conn)
 		for _, answer := range batch {
--- a/internal/router/transport/client_reader.go
+++ b/internal/router/transport/client_reader.go
@@ -22,7 +22,7 @@
 // readCommands is the goroutine that reads commands. It owns the end of the connection.
 func (c *clientConn) readCommands() {
 	limits := c.server.limits
-	in := newBuffer(c.server.budget, limits.Buffer, limits.Message)
+	in := newBuffer(c.server.budget, limits.Buffer, limits.MaxClientMessage)
 	if c.startSession(in) {
 		for c.readMessage(in) {
 		}
@@ -76,7 +76,7 @@
 	if writeCloser, ok := c.conn.(interface{ CloseWrite() error }); ok {
 		_ = writeCloser.CloseWrite() // a socket that failed ends the reads below
 	}
-	c.conn.SetReadDeadline(time.Now().Add(c.server.limits.Part))
+	c.conn.SetReadDeadline(time.Now().Add(c.server.limits.LingerTimeout))
 	discard := discardBuffers.Get().(*[discardBufferBytes]byte)
 	defer discardBuffers.Put(discard)
 	for {
@@ -168,7 +168,7 @@
 // retry a rejected command at once, at full speed.
 func (c *clientConn) tooManyRejections() bool {
 	c.mu.Lock()
-	exceeded := c.rejectedInARow > c.server.limits.Refusals
+	exceeded := c.rejectedInARow > c.server.limits.MaxRejectedInARow
 	c.receivedMessage, c.partialMessage = true, false
 	c.mu.Unlock()
 	if exceeded {
--- a/internal/router/transport/clients.go
+++ b/internal/router/transport/clients.go
@@ -117,16 +117,16 @@
 	s.open[c] = struct{}{}
 	// Clients may be limited to a number of connections of their own, so those that they leave idle are evicted
 	// before all descriptors are taken.
-	if 2*len(s.open) > s.limits.Clients {
-		s.evict(c, true, s.limits.Free)
+	if 2*len(s.open) > s.limits.MaxClientConns {
+		s.evict(c, true, s.limits.EvictionIdleTime)
 	}
-	if len(s.open) > s.limits.Clients {
+	if len(s.open) > s.limits.MaxClientConns {
 		s.evict(c, false, 0)
 	}
-	c.overLimit = len(s.open) > s.limits.Clients
+	c.overLimit = len(s.open) > s.limits.MaxClientConns
 	s.tasks.Go(c.readCommands)
 	s.tasks.Go(c.writeAnswers)
-	for len(s.open)+len(s.closing) >= s.limits.Clients+s.limits.Spare && ctx.Err() == nil {
+	for len(s.open)+len(s.closing) >= s.limits.MaxClientConns+s.limits.SpareClientConns && ctx.Err() == nil {
 		if s.closeOneNotified() {
 			continue
 		}
@@ -237,7 +237,7 @@
 		}
 		other.mu.Unlock()
 	}
-	c.overLimit = busy > s.limits.Clients
+	c.overLimit = busy > s.limits.MaxClientConns
 	return c.overLimit
 }
 
--- a/internal/router/transport/clients_test.go
+++ b/internal/router/transport/clients_test.go
@@ -31,8 +31,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits.Buffer, limits.Buffers, limits.Message, limits.Ahead = 1<<10, 1<<20, 1<<16, 9
-	limits.Part, limits.Stuck, limits.Again = testTimeout, testTimeout, time.Millisecond
+	limits.Buffer, limits.Buffers, limits.MaxClientMessage, limits.MaxPipelined = 1<<10, 1<<20, 1<<16, 9
+	limits.LingerTimeout, limits.ClientWriteTimeout, limits.Again = testTimeout, testTimeout, time.Millisecond
 	s := NewClients(limits, NewRoom(limits), rejectingHandler{})
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan error)
@@ -86,7 +86,7 @@
 }
 
 func TestClientsWithMalformedInputAreToldWhyAndClosed(t *testing.T) {
-	s, dial := startClients(t, &setup.Limits{Clients: 99, Spare: 9, Refusals: 3, Unused: testTimeout, Whole: testTimeout})
+	s, dial := startClients(t, &setup.Limits{MaxClientConns: 99, SpareClientConns: 9, MaxRejectedInARow: 3, NewConnGrace: testTimeout, CommandReadTimeout: testTimeout})
 	hello := string(protocol.AppendStartup(nil, "svc", "main"))
 	query := string(protocol.AppendQuery(nil, []byte("nothing of use")))
 	for name, test := range map[string][2]string{
@@ -116,7 +116,7 @@
 }
 
 func TestSilentAndPartialClientsTimeOut(t *testing.T) {
-	s, dial := startClients(t, &setup.Limits{Clients: 99, Spare: 9, Refusals: 9, Unused: testTimeout, Whole: 50 * time.Millisecond})
+	s, dial := startClients(t, &setup.Limits{MaxClientConns: 99, SpareClientConns: 9, MaxRejectedInARow: 9, NewConnGrace: testTimeout, CommandReadTimeout: 50 * time.Millisecond})
 	hello := string(protocol.AppendStartup(nil, "svc", "main"))
 	idle := dial() // between commands there is no limit
 	idle.Write([]byte(hello + string(protocol.AppendQuery(nil, nil))))
@@ -143,7 +143,7 @@
 }
 
 func TestClientsWithoutCommandsAreEvictedFirst(t *testing.T) {
-	s, dial := startClients(t, &setup.Limits{Clients: 4, Spare: 4, Refusals: 9, Whole: testTimeout, Free: testTimeout})
+	s, dial := startClients(t, &setup.Limits{MaxClientConns: 4, SpareClientConns: 4, MaxRejectedInARow: 9, CommandReadTimeout: testTimeout, EvictionIdleTime: testTimeout})
 	var silent []net.Conn
 	for range 200 { // all are held open by their clients
 		silent = append(silent, dial())
@@ -161,7 +161,7 @@
 }
 
 func TestProvenIdleConnectionsAreEvictedWhereOthersAreTooNew(t *testing.T) {
-	s, dial := startClients(t, &setup.Limits{Clients: 8, Spare: 8, Refusals: 9, Unused: testTimeout, Whole: testTimeout})
+	s, dial := startClients(t, &setup.Limits{MaxClientConns: 8, SpareClientConns: 8, MaxRejectedInARow: 9, NewConnGrace: testTimeout, CommandReadTimeout: testTimeout})
 	s.handler = notNowHandler{}
 	hello := append(protocol.AppendStartup(nil, "svc", "main"), protocol.AppendQuery(nil, []byte("x"))...)
 	var first net.Conn
--- a/internal/router/transport/hosts.go
+++ b/internal/router/transport/hosts.go
@@ -163,7 +163,7 @@
 	limits := h.pool.limits
 	for i := len(h.idle) - 1; i >= 0; i = min(i, len(h.idle)) - 1 {
 		c := h.idle[i]
-		if now.Sub(c.lastAnswer) < limits.Rest {
+		if now.Sub(c.lastAnswer) < limits.ReuseDelay {
 			continue // data that does not belong to its last answer may still be on its way
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
--- a/internal/router/transport/peers.go
+++ b/internal/router/transport/peers.go
@@ -57,7 +57,7 @@
 
 // Broadcast sends to all peers, unless the body is too long or too many wait to be sent already. It does not block.
 func (p *Peers) Broadcast(body string) {
-	if len(body) <= p.limits.Datagram {
+	if len(body) <= p.limits.MaxDatagram {
 		select {
 		case p.outgoing <- body:
 			return
@@ -76,14 +76,14 @@
 	if err != nil {
 		return err
 	}
-	datagram := make([]byte, p.limits.Datagram+1) // one byte more shows that a datagram is too long
+	datagram := make([]byte, p.limits.MaxDatagram+1) // one byte more shows that a datagram is too long
 	for {
 		err := raw.Read(func(fd uintptr) bool { return p.readBatch(int(fd), datagram, handle) })
 		if ctx.Err() != nil {
 			return nil
 		}
 		p.Batches.Add(1)
-		pause := p.limits.Gather
+		pause := p.limits.DatagramBatchDelay
 		if err != nil { // it must not spin
 			pause = p.limits.Again
 		}
@@ -110,7 +110,7 @@
 			return true
 		}
 		received = true
-		if n == 0 || n > p.limits.Datagram || !p.allowed[senderAddress(sender)] {
+		if n == 0 || n > p.limits.MaxDatagram || !p.allowed[senderAddress(sender)] {
 			p.Dropped.Add(1)
 			continue
 		}
