--- a/internal/router/setup/deployment.go
+++ b/internal/router/setup/deployment.go
@@ -6,100 +6,175 @@
 	"ferrypitch/policy"
 )
 
-// Terms is how commands, answers and load reports of a deployment are read.
+// maxReportSeconds limits the positions in load reports: more seconds do not fit a policy.Tenth.
+const maxReportSeconds = 1e12
+
+// Names of the fields of a load report that the router uses.
+const (
+	reportFieldPosition = "x0"
+	reportFieldRole     = "x1"
+)
+
+// What a deployment does with a read that a host cannot answer at its position (family_info.guards).
+const (
+	guardsNone   = "none"
+	guardsBounce = "bounce" // the host rejects it
+	guardsAwait  = "await"  // the host waits for the position first
+)
+
+// How the list comes (discovery).
+const (
+	discoveryPushed    = "pushed"
+	discoveryOnRequest = "on_request"
+)
+
+// effects are the values of a class's effect; others are idempotent.
+var effects = map[string]policy.Effect{
+	"deduplicated": policy.Keyed,
+	"at_most_once": policy.Mutating,
+}
+
+// needs are the values of family_info.class_read; others may read anything.
+var needs = map[string]policy.Need{
+	"lag_bound": policy.Bounded,
+	"causal":    policy.Session,
+	"strong":    policy.Fresh,
+	"mutate":    policy.Write,
+}
+
+// Terms tells how commands, answers and load reports of a deployment are read.
 type Terms struct {
-	Groups                   map[string]*policy.CmdGroup
-	Fields                   []string // of a load report, in order
-	PositionField, RoleField int      // the fields of a load report that hold them; -1: none
-	Positions                bool     // every answer carries one
+	Groups        map[string]*policy.CmdGroup // by the name in a command's comment
+	Fields        []string                    // of a load report, in order
+	PositionField int                         // index in Fields of the host's position; -1 for none
+	RoleField     int                         // index in Fields of the host's role; -1 for none
+	Positions     bool                        // every answer carries a position
 }
 
-// Deployment decodes the settings, once at start.
-func Deployment(env Object, seed uint32) (dep policy.Deployment, terms Terms) {
+// Deployment reads a deployment's settings. It raises a Fault.
+func Deployment(env Object, seed uint32) (deployment policy.Deployment, terms Terms) {
 	bounds, limits := env.Within("bounds"), env.Within("rules")
-	prices, tele := env.Within("prices"), env.Within("telemetry")
+	prices, telemetry := env.Within("prices"), env.Within("telemetry")
 	info := env.Within("family_info")
-	terms = Terms{Groups: map[string]*policy.CmdGroup{},
-		PositionField: -1, RoleField: -1, Positions: info.Flag("stamps")}
-	for i, f := range tele.MaybeList("fields") {
-		name, _ := f.(string)
+	terms = readTerms(telemetry, info)
+	reportsBy := telemetry.MaybeText("how")
+	guards := readGuards(info)
+	deployment = policy.Deployment{
+		Seed:       seed,
+		Zero:       Down(info.MaybeNumber("origin_time")),
+		Tick:       Up(env.MaybeNumber("tick")),
+		Routers:    int(max(1, env.MaybeNumber("peers_total"))),
+		Zone:       env.MaybeText("zone"),
+		Dispatches: int(bounds.MaybeNumber("send_cap")),
+		Guarded:    guards == guardsBounce || guards == guardsAwait,
+		Wait:       Down(info.MaybeNumber("wait")),
+		Kept:       info.MaybeText("session_marks") == "kept",
+		Reports:    (reportsBy == "answers" || reportsBy == "probe") && terms.PositionField >= 0,
+		Probes:     bounds.Flag("probes"),
+		Peers:      bounds.Flag("peers"),
+		PeerPrice:  prices.MaybeNumber("peer"),
+		ProbePrice: prices.MaybeNumber("probe"),
+		FallFactor: limits.MaybeNumber("overload_factor"),
+		FallSpan:   Down(limits.MaybeNumber("fall")),
+		ColdFrom:   limits.MaybeNumber("cold_from"),
+		ColdFor:    Up(limits.MaybeNumber("cold")),
+		DrainAlone: limits.Flag("drain_binds_alone"),
+		Streams:    int(max(1, bounds.optionalNotNegative("streams_per_conn"))),
+		IdleFor:    Down(bounds.optionalNotNegative("conn_idle")),
+		ConnectFor: Down(bounds.optionalNotNegative("connect_timeout")),
+	}
+	deployment.AskWithin = readAskWithin(env, limits)
+	if bounds.Flag("retry_after") {
+		deployment.Comeback = Down(bounds.MaybeNumber("max_retry_after"))
+	}
+	deployment.Groups = readGroups(env, info, terms.Groups)
+	return deployment, terms
+}
+
+// readTerms reads all of the terms but the groups, which it leaves empty.
+func readTerms(telemetry, info Object) Terms {
+	terms := Terms{
+		Groups:        map[string]*policy.CmdGroup{},
+		PositionField: -1, RoleField: -1,
+		Positions: info.Flag("stamps"),
+	}
+	for i, field := range telemetry.MaybeList("fields") {
+		name, _ := field.(string)
 		switch name {
-		case "x0":
+		case reportFieldPosition:
 			terms.PositionField = i
-		case "x1":
+		case reportFieldRole:
 			terms.RoleField = i
 		}
 		terms.Fields = append(terms.Fields, name)
 	}
-	how, guards := tele.MaybeText("how"), info.oneOf("guards", "none", "bounce", "await")
-	if info.optionalAtLeast("wait", 0) > 0 && guards != "await" {
+	return terms
+}
+
+func readGuards(info Object) string {
+	guards := info.oneOf("guards", guardsNone, guardsBounce, guardsAwait)
+	if info.optionalNotNegative("wait") > 0 && guards != guardsAwait {
 		info.fail("wait", "there is nothing to wait for, since guards is not await")
 	}
-	dep = policy.Deployment{
-		Seed: seed, Zero: Down(info.MaybeNumber("origin_time")),
-		Tick: Up(env.MaybeNumber("tick")), Routers: int(max(1, env.MaybeNumber("peers_total"))),
-		Zone: env.MaybeText("zone"), Dispatches: int(bounds.MaybeNumber("send_cap")),
-		Guarded: guards == "bounce" || guards == "await",
-		Wait:    Down(info.MaybeNumber("wait")),
-		Kept:    info.MaybeText("session_marks") == "kept",
-		Reports: (how == "answers" || how == "probe") && terms.PositionField >= 0,
-		Probes:  bounds.Flag("probes"),
-		Peers:   bounds.Flag("peers"), PeerPrice: prices.MaybeNumber("peer"),
-		ProbePrice: prices.MaybeNumber("probe"),
-		FallFactor: limits.MaybeNumber("overload_factor"), FallSpan: Down(limits.MaybeNumber("fall")),
-		ColdFrom: limits.MaybeNumber("cold_from"), ColdFor: Up(limits.MaybeNumber("cold")),
-		DrainAlone: limits.Flag("drain_binds_alone"),
-		Streams:    int(max(1, bounds.optionalAtLeast("streams_per_conn", 0))),
-		IdleFor:    Down(bounds.optionalAtLeast("conn_idle", 0)), ConnectFor: Down(bounds.optionalAtLeast("connect_timeout", 0)),
-	}
-	within := Down(limits.optionalAtLeast("ask_within", 0))
-	if env.oneOf("discovery", "pushed", "on_request") == "on_request" {
-		if dep.AskWithin = within; within == 0 {
-			limits.fail("ask_within", "not over 0, where the list comes only on request")
-		}
+	return guards
+}
+
+// readAskWithin reads the longest time in which a requested list is waited for; 0 where lists come without a request.
+func readAskWithin(env, limits Object) policy.Tenth {
+	within := Down(limits.optionalNotNegative("ask_within"))
+	if env.oneOf("discovery", discoveryPushed, discoveryOnRequest) != discoveryOnRequest {
+		return 0
 	}
-	if bounds.Flag("retry_after") {
-		dep.Comeback = Down(bounds.MaybeNumber("max_retry_after"))
+	if within == 0 {
+		limits.fail("ask_within", "not over 0, where the list comes only on request")
 	}
-	reads, bound := info.MaybeList("class_read"), info.MaybeList("class_bound")
-	for i, c := range env.Objects("classes") {
-		g := &policy.CmdGroup{Target: Down(c.Number("promise")), Timeout: Down(c.Number("give_up")),
-			Memory: Down(c.MaybeNumber("memory_span")), EverySet: c.MaybeText("group") == "all",
-			Benefit: c.Number("worth"), LateShare: c.MaybeNumber("late_share")}
-		g.Effect = map[string]policy.Effect{
-			"deduplicated": policy.Keyed, "at_most_once": policy.Mutating}[c.Text("effect")]
+	return within
+}
+
+// readGroups reads the command groups, which it also enters into byName.
+func readGroups(env, info Object, byName map[string]*policy.CmdGroup) (groups []*policy.CmdGroup) {
+	reads, bounds := info.MaybeList("class_read"), info.MaybeList("class_bound")
+	for i, class := range env.Objects("classes") {
+		group := &policy.CmdGroup{
+			Target:    Down(class.Number("promise")),
+			Timeout:   Down(class.Number("give_up")),
+			Memory:    Down(class.MaybeNumber("memory_span")),
+			EverySet:  class.MaybeText("group") == "all",
+			Benefit:   class.Number("worth"),
+			LateShare: class.MaybeNumber("late_share"),
+		}
+		group.Effect = effects[class.Text("effect")]
 		if i < len(reads) {
 			word, _ := reads[i].(string)
-			g.Need = map[string]policy.Need{"lag_bound": policy.Bounded, "causal": policy.Session,
-				"strong": policy.Fresh, "mutate": policy.Write}[word]
+			group.Need = needs[word]
 		}
-		if i < len(bound) {
-			ms, ok := AsNumber(bound[i])
+		if i < len(bounds) {
+			ms, ok := AsNumber(bounds[i])
 			if !ok {
 				info.fail("class_bound["+strconv.Itoa(i)+"]", "not a number")
 			}
-			g.Bound = Down(ms)
+			group.Bound = Down(ms)
 		}
-		dep.Groups = append(dep.Groups, g)
-		terms.Groups[c.Text("name")] = g
+		groups = append(groups, group)
+		byName[class.Text("name")] = group
 	}
-	return dep, terms
+	return groups
 }
 
-// Report is what a load report says of position and role, if it says anything.
-func (t Terms) Report(field func(i int) (float64, bool)) (pos policy.Tenth, role policy.Role, ok bool) {
+// Report reads the position and role that a load report tells; ok is false if it tells no position. field returns the
+// value of a field by its index in Fields.
+func (t Terms) Report(field func(i int) (float64, bool)) (position policy.Tenth, role policy.Role, ok bool) {
 	if t.PositionField < 0 {
 		return 0, policy.Unknown, false
 	}
 	seconds, ok := field(t.PositionField)
-	if !ok || seconds < 0 || seconds > 1e12 { // not even as a whole number of tenths
-
+	if !ok || seconds < 0 || seconds > maxReportSeconds {
 		return 0, policy.Unknown, false
 	}
 	if t.RoleField >= 0 {
-		if is, known := field(t.RoleField); known {
+		if value, known := field(t.RoleField); known {
 			role = policy.Replica
-			if is == 1 {
+			if value == 1 {
 				role = policy.Primary
 			}
 		}
@@ -107,18 +182,18 @@
 	return Down(1000 * seconds), role, true
 }
 
-// Words are what a host says beside an answer: its position in milliseconds, of which one past ahead can't be
-// true, and its role. The position is -1 where there is none.
-func Words(position, is string, ahead float64) (pos policy.Tenth, role policy.Role) {
-	pos = -1
-	if v, err := strconv.ParseFloat(position, 64); err == nil && v > 0 && v <= ahead {
-		pos = Down(v)
+// Words reads the position and role that a host sends beside an answer. The position is -1 where there is none; one beyond
+// maxMs milliseconds cannot be true and counts as none.
+func Words(positionText, roleText string, maxMs float64) (position policy.Tenth, role policy.Role) {
+	position = -1
+	if ms, err := strconv.ParseFloat(positionText, 64); err == nil && ms > 0 && ms <= maxMs {
+		position = Down(ms)
 	}
-	switch is {
+	switch roleText {
 	case "leader":
 		role = policy.Primary
 	case "follower":
 		role = policy.Replica
 	}
-	return pos, role
+	return position, role
 }
--- a/internal/router/setup/object.go
+++ b/internal/router/setup/object.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"math"
 	"slices"
@@ -12,60 +13,79 @@
 	"ferrypitch/policy"
 )
 
-// Object is an object of JSON that is read field by field. A field that is
-// missing or of the wrong kind is raised as a Fault.
+// Object is a JSON object that is read field by field. Its methods raise a Fault, by panic, for a field that is missing or
+// of the wrong kind, so that a reader of dozens of fields needs one Catch. Methods named Maybe take the zero value for a
+// field that is missing.
 type Object struct {
-	path   string
+	path   string // of the object within the file, for faults; empty for the file itself
 	fields map[string]any
 }
 
-// Fault names a field and what is wrong with it.
+// Fault is the error of an invalid configuration or list. It names the field and what is wrong with it.
 type Fault string
 
-// Decode reads one object; name stands for it in faults.
+// Error implements error.
+func (f Fault) Error() string { return string(f) }
+
+// Decode decodes a JSON object; name stands for it in faults.
 func Decode(name string, text []byte) (Object, error) {
-	dec := json.NewDecoder(bytes.NewReader(text))
-	dec.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
 	o := Object{path: name}
-	if err := dec.Decode(&o.fields); err != nil {
+	if err := decoder.Decode(&o.fields); err != nil {
 		return o, fmt.Errorf("not an object of JSON: %w", err)
 	}
 	if o.fields == nil {
-		return o, fmt.Errorf("not an object of JSON: null")
+		return o, errors.New("not an object of JSON: null")
 	}
 	return o, nil
 }
 
-// Catch makes an error of a Fault, to be deferred by whoever reads objects.
+// Catch recovers from a Fault and sets it as the error. It is to be deferred by whoever reads objects.
 func Catch(err *error) {
-	switch p := recover().(type) {
+	switch cause := recover().(type) {
 	case nil:
 	case Fault:
-		*err = fmt.Errorf("%s", string(p))
+		*err = cause
 	default:
-		panic(p)
+		panic(cause)
+	}
+}
+
+// fail raises a Fault about a field.
+func (o Object) fail(field, text string) {
+	panic(Fault(o.within(field) + ": " + text))
+}
+
+// failKind raises a Fault about a field that is missing or not of a kind.
+func (o Object) failKind(field, kind string) {
+	if !o.Has(field) {
+		o.fail(field, "missing")
 	}
+	o.fail(field, "not "+kind)
 }
 
-func (o Object) fail(field, what string) {
-	if o.path != "" {
-		field = o.path + "." + field
+// within returns the path of a field.
+func (o Object) within(field string) string {
+	if o.path == "" {
+		return field
 	}
-	panic(Fault(field + ": " + what))
+	return o.path + "." + field
 }
 
-// Has says whether a field is there and not null.
+// Has reports whether a field is present and not null.
 func (o Object) Has(field string) bool { return o.fields[field] != nil }
 
-// Number takes a field that must be there; MaybeNumber takes 0 for one that is not.
+// Number returns a number.
 func (o Object) Number(field string) float64 {
-	f, ok := AsNumber(o.fields[field])
+	number, ok := AsNumber(o.fields[field])
 	if !ok {
 		o.failKind(field, "a number")
 	}
-	return f
+	return number
 }
 
+// MaybeNumber returns a number, or 0 for a field that is missing.
 func (o Object) MaybeNumber(field string) float64 {
 	if !o.Has(field) {
 		return 0
@@ -73,21 +93,21 @@
 	return o.Number(field)
 }
 
-// AsNumber reads an item of a list as a number.
-func AsNumber(v any) (float64, bool) {
-	n, ok := v.(json.Number)
-	f, err := n.Float64()
-	return f, ok && err == nil
+// AsNumber converts an item of a list to a number.
+func AsNumber(item any) (float64, bool) {
+	text, ok := item.(json.Number)
+	number, err := text.Float64()
+	return number, ok && err == nil
 }
 
-// Integer takes what 64 bits hold, with or without a sign.
+// Integer returns an integer that fits 64 bits, signed or unsigned; the upper half of the unsigned ones becomes negative.
 func (o Object) Integer(field string) int64 {
-	n, ok := o.fields[field].(json.Number)
+	text, ok := o.fields[field].(json.Number)
 	if ok {
-		if i, err := n.Int64(); err == nil {
+		if i, err := text.Int64(); err == nil {
 			return i
 		}
-		if f, err := n.Float64(); err == nil && f == math.Trunc(f) && f >= 0 && f < math.MaxUint64 {
+		if f, err := text.Float64(); err == nil && f == math.Trunc(f) && f >= 0 && f < math.MaxUint64 {
 			return int64(uint64(f))
 		}
 	}
@@ -95,29 +115,39 @@
 	return 0
 }
 
+// Text returns a string.
 func (o Object) Text(field string) string {
-	s, ok := o.fields[field].(string)
+	text, ok := o.fields[field].(string)
 	if !ok {
 		o.failKind(field, "a text")
 	}
-	return s
+	return text
 }
 
+// MaybeText returns a string, or "" for a field that is missing or of another kind.
 func (o Object) MaybeText(field string) string {
-	s, _ := o.fields[field].(string)
-	return s
+	text, _ := o.fields[field].(string)
+	return text
+}
+
+// atLeast returns a number that is not less than a minimum.
+func (o Object) atLeast(field string, minimum float64) float64 {
+	value := o.Number(field)
+	if value < minimum {
+		o.fail(field, "less than "+strconv.FormatFloat(minimum, 'f', -1, 64))
+	}
+	return value
 }
 
-// optionalAtLeast is a number that may be left out, and is not under the floor.
-func (o Object) optionalAtLeast(field string, floor float64) float64 {
-	v := o.MaybeNumber(field)
-	if o.Has(field) && v < floor {
-		o.fail(field, "less than "+strconv.FormatFloat(floor, 'f', -1, 64))
+// optionalNotNegative returns a number that is not negative, or 0 for a field that is missing.
+func (o Object) optionalNotNegative(field string) float64 {
+	if !o.Has(field) {
+		return 0
 	}
-	return v
+	return o.atLeast(field, 0)
 }
 
-// oneOf is one of some words; left out, it is the first.
+// oneOf returns one of some words, or the first for a field that is missing.
 func (o Object) oneOf(field string, words ...string) string {
 	if !o.Has(field) {
 		return words[0]
@@ -129,22 +159,25 @@
 	return word
 }
 
+// Flag returns a bool, or false for a field that is missing.
 func (o Object) Flag(field string) bool {
-	b, ok := o.fields[field].(bool)
+	flag, ok := o.fields[field].(bool)
 	if !ok && o.Has(field) {
 		o.failKind(field, "a bool")
 	}
-	return b
+	return flag
 }
 
+// List returns an array.
 func (o Object) List(field string) []any {
-	l, ok := o.fields[field].([]any)
+	list, ok := o.fields[field].([]any)
 	if !ok {
 		o.failKind(field, "an array")
 	}
-	return l
+	return list
 }
 
+// MaybeList returns an array, or nil for a field that is missing.
 func (o Object) MaybeList(field string) []any {
 	if !o.Has(field) {
 		return nil
@@ -152,41 +185,35 @@
 	return o.List(field)
 }
 
-// Objects takes a list of objects.
+// Objects returns an array of objects.
 func (o Object) Objects(field string) []Object {
-	l := o.List(field)
-	all := make([]Object, len(l))
-	for i, v := range l {
-		m, ok := v.(map[string]any)
+	list := o.List(field)
+	objects := make([]Object, len(list))
+	for i, item := range list {
+		name := field + "[" + strconv.Itoa(i) + "]"
+		fields, ok := item.(map[string]any)
 		if !ok {
-			o.fail(field+"["+strconv.Itoa(i)+"]", "not an object")
-		}
-		all[i] = Object{field + "[" + strconv.Itoa(i) + "]", m}
-		if o.path != "" {
-			all[i].path = o.path + "." + all[i].path
+			o.fail(name, "not an object")
 		}
+		objects[i] = Object{path: o.within(name), fields: fields}
 	}
-	return all
+	return objects
 }
 
+// Within returns an object.
 func (o Object) Within(field string) Object {
-	m, ok := o.fields[field].(map[string]any)
+	fields, ok := o.fields[field].(map[string]any)
 	if !ok {
 		o.failKind(field, "an object")
 	}
-	if o.path != "" {
-		field = o.path + "." + field
-	}
-	return Object{field, m}
+	return Object{path: o.within(field), fields: fields}
 }
 
-func (o Object) failKind(field, kind string) {
-	if !o.Has(field) {
-		o.fail(field, "missing")
-	}
-	o.fail(field, "not "+kind)
-}
+// roundingTenths absorbs the error of a float64 in the conversion to tenths of a millisecond.
+const roundingTenths = 1e-3
+
+// Up converts milliseconds to the policy's unit, rounding up.
+func Up(ms float64) policy.Tenth { return policy.Tenth(math.Ceil(ms*10 - roundingTenths)) }
 
-// Up and Down round milliseconds to the module's tenths.
-func Up(ms float64) policy.Tenth   { return policy.Tenth(math.Ceil(ms*10 - 1e-3)) }
-func Down(ms float64) policy.Tenth { return policy.Tenth(math.Floor(ms*10 + 1e-3)) }
+// Down converts milliseconds to the policy's unit, rounding down.
+func Down(ms float64) policy.Tenth { return policy.Tenth(math.Floor(ms*10 + roundingTenths)) }
--- a/internal/router/setup/setup_test.go
+++ b/internal/router/setup/setup_test.go
@@ -1,6 +1,7 @@
 package setup
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -11,7 +12,7 @@
 	`"rules":{},"telemetry":{"how":"answers","fields":["rif","x1","x0"]},"family_info":{"class_read":["causal"]},` +
 	`"classes":[{"name":"own","effect":"idempotent","give_up":900,"promise":200,"worth":1}]}`
 
-func TestDescriptorsAndMemoryAreDividedWithinWhatIsAllowed(t *testing.T) {
+func TestLimitsDivideDescriptorsAndMemory(t *testing.T) {
 	for _, sockets := range []string{"64", "1024", "65536"} {
 		top, err := Decode("", []byte(`{"limits":{"cores":0.5,"memory_mb":192,"sockets":`+sockets+`},"settings":`+settings+`}`))
 		if err != nil {
@@ -31,7 +32,7 @@
 	}
 }
 
-func TestALoadReportIsReadByItsFields(t *testing.T) {
+func TestLoadReportIsReadByFieldNames(t *testing.T) {
 	env, err := Decode("", []byte(settings))
 	if err != nil {
 		t.Fatal(err)
@@ -55,3 +56,19 @@
 		}
 	}
 }
+
+func TestInvalidFieldIsATypedError(t *testing.T) {
+	read := func() (err error) {
+		defer Catch(&err)
+		top, err := Decode("", []byte(`{"settings":{"classes":[{"give_up":"soon"}]}}`))
+		if err != nil {
+			return err
+		}
+		top.Within("settings").Objects("classes")[0].Number("give_up")
+		return nil
+	}
+	var fault Fault
+	if err := read(); !errors.As(err, &fault) || fault != "settings.classes[0].give_up: not a number" {
+		t.Errorf("%T %v", err, err)
+	}
+}
