--- a/cmd/ferrypitch/program_test.go
+++ b/cmd/ferrypitch/program_test.go
@@ -106,7 +106,7 @@
 	c, other := s.client(), s.client()
 	c.send(write("order", "3000"))
 	<-asked
-	if code, _, _ := other.ask(write("order", "3000")); code != protocol.Unknown {
+	if code, _, _ := other.ask(write("order", "3000")); code != protocol.SyntaxError {
 		t.Errorf("the second ends with %q", code)
 	}
 	close(let)
@@ -120,7 +120,7 @@
 	c := s.client()
 	for _, q := range []string{write("list", "800"), look("order", "800", ""),
 		strings.Replace(look("list", "800", ""), "v FROM", "* FROM", 1)} {
-		if code, _, err := c.ask(q); code != protocol.Unknown || err != nil {
+		if code, _, err := c.ask(q); code != protocol.SyntaxError || err != nil {
 			t.Errorf("%s: %q %v", q, code, err)
 		}
 	}
@@ -149,7 +149,7 @@
 	}
 	s.hosts[0].answer(spoil)
 	before := len(s.statements())
-	if code, _, _ := c.ask(write("order", "3000")); code != protocol.Failed || len(s.statements()) != before+1 {
+	if code, _, _ := c.ask(write("order", "3000")); code != protocol.SystemError || len(s.statements()) != before+1 {
 		t.Errorf("a spoilt write: %s, sent %d times", code, len(s.statements())-before)
 	}
 }
@@ -204,7 +204,7 @@
 	})
 	at := time.Now()
 	code, _, _ := s.client().ask(write("order", "400"))
-	if took := time.Since(at); code != protocol.Failed || took > patience/2 {
+	if took := time.Since(at); code != protocol.SystemError || took > patience/2 {
 		t.Errorf("code %q after %v", code, took)
 	}
 	<-gone
@@ -546,7 +546,7 @@
 	c.send(write("order", "60000"))
 	<-asked
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	if code, _, err := c.answer(); code != protocol.Failed || err != nil {
+	if code, _, err := c.answer(); code != protocol.SystemError || err != nil {
 		t.Errorf("code %q, %v", code, err)
 	}
 	if err := s.cmd.Wait(); err != nil {
@@ -595,11 +595,11 @@
 		t.Errorf("empty query: %s %q %v", code, value, err)
 	}
 	for _, what := range []string{"comment", "command group", "replica set"} {
-		if code, _, _ := c.answer(); code != protocol.Unknown {
+		if code, _, _ := c.answer(); code != protocol.SyntaxError {
 			t.Errorf("no known %s: %s", what, code)
 		}
 	}
-	if code, _, _ := c.answer(); code != protocol.NoSuch {
+	if code, _, _ := c.answer(); code != protocol.FeatureNotSupported {
 		t.Errorf("another message: %s", code)
 	}
 	if n := len(s.statements()); n != 5 {
@@ -623,7 +623,7 @@
 	half.conn.Write([]byte{0xff})
 	bad := s.client()
 	bad.conn.Write([]byte{protocol.Query, 0xff, 0xff, 0xff, 0xff})
-	if code, _, _ := bad.answer(); code != protocol.Bad {
+	if code, _, _ := bad.answer(); code != protocol.ProtocolViolation {
 		t.Errorf("an impossible length: %s", code)
 	}
 }
@@ -940,7 +940,7 @@
 			return
 		}
 		if !greeted {
-			if _, cut, _ := protocol.First(in[:n], 1<<10); cut > 0 {
+			if _, cut, _ := protocol.NextStartup(in[:n], 1<<10); cut > 0 {
 				b.conn.Write(protocol.AppendGreeting(nil))
 				n, greeted = copy(in, in[cut:n]), true
 			}
--- a/internal/router/protocol/command.go
+++ b/internal/router/protocol/command.go
@@ -32,7 +32,7 @@
 
 // ParseCommand parses a statement. It fails with ErrComment or ErrForm.
 func ParseCommand(statement []byte) (Command, error) {
-	inside, rest, ok := comment(statement)
+	inside, rest, ok := cutComment(statement)
 	if !ok {
 		return Command{}, ErrComment
 	}
@@ -40,7 +40,7 @@
 	if err != nil {
 		return Command{}, err
 	}
-	if command.Key, command.IsWrite, ok = form(rest); !ok {
+	if command.Key, command.IsWrite, ok = parseStatement(rest); !ok {
 		return Command{}, ErrForm
 	}
 	return command, nil
@@ -61,11 +61,11 @@
 		case "c":
 			command.Group = string(value)
 		case "d":
-			command.TimeoutMs, err = number(value)
+			command.TimeoutMs, err = parseNumber(value)
 		case "cluster":
 			command.ReplicaSet, err = strconv.ParseInt(string(value), 10, 64)
 		case "after":
-			command.WrittenAtMs, err = number(value)
+			command.WrittenAtMs, err = parseNumber(value)
 		case "r":
 			command.IsRetry = string(value) == "1"
 		}
@@ -94,18 +94,18 @@
 	trailingText = "; " // characters that may follow a statement
 )
 
-// form reads which of the two statements a text is, and the key in it.
-func form(statement []byte) (key string, isWrite, ok bool) {
+// parseStatement reads which of the two statements a text is, and the key in it.
+func parseStatement(statement []byte) (key string, isWrite, ok bool) {
 	statement = bytes.TrimRight(bytes.TrimSpace(statement), trailingText)
 	if literal, isRead := bytes.CutPrefix(statement, []byte(readPrefix)); isRead {
-		key, rest, ok := quoted(literal)
+		key, rest, ok := cutLiteral(literal)
 		return key, false, ok && len(rest) == 0
 	}
 	literals, isWrite := bytes.CutPrefix(statement, []byte(writePrefix))
 	if !isWrite {
 		return "", false, false
 	}
-	key, rest, ok := quoted(literals)
+	key, rest, ok := cutLiteral(literals)
 	value, hasPrefix := bytes.CutPrefix(rest, []byte(valuePrefix))
 	value, hasSuffix := bytes.CutSuffix(value, []byte(writeSuffix))
 	return key, true, ok && hasPrefix && hasSuffix && isHex(value)
@@ -121,9 +121,9 @@
 	return len(text)%2 == 0
 }
 
-// AppendFor appends a statement with the time-out in its comment replaced by timeoutMs. All else stays as it came.
-func AppendFor(b, statement []byte, timeoutMs int64) []byte {
-	inside, rest, ok := comment(statement)
+// AppendWithTimeout appends a statement with the time-out in its comment replaced by timeoutMs. All else stays as it came.
+func AppendWithTimeout(b, statement []byte, timeoutMs int64) []byte {
+	inside, rest, ok := cutComment(statement)
 	if !ok {
 		return append(b, statement...)
 	}
@@ -145,11 +145,11 @@
 	return append(append(b, "*/"...), rest...)
 }
 
-// Empty reports whether a statement has nothing to run.
-func Empty(statement []byte) bool { return len(bytes.Trim(statement, " \t\r\n;")) == 0 }
+// IsEmptyStatement reports whether a statement has nothing to run.
+func IsEmptyStatement(statement []byte) bool { return len(bytes.Trim(statement, " \t\r\n;")) == 0 }
 
-// comment cuts the leading comment off a statement.
-func comment(statement []byte) (inside, rest []byte, ok bool) {
+// cutComment cuts the leading comment off a statement.
+func cutComment(statement []byte) (inside, rest []byte, ok bool) {
 	text := bytes.TrimLeft(statement, " \t\r\n")
 	if !bytes.HasPrefix(text, []byte("/*")) {
 		return nil, nil, false
@@ -157,8 +157,8 @@
 	return bytes.Cut(text[len("/*"):], []byte("*/"))
 }
 
-// number reads digits, which may have a fraction, but no sign or exponent.
-func number(text []byte) (float64, error) {
+// parseNumber reads digits, which may have a fraction, but no sign or exponent.
+func parseNumber(text []byte) (float64, error) {
 	for _, c := range text {
 		if (c < '0' || c > '9') && c != '.' {
 			return 0, ErrComment
@@ -171,8 +171,8 @@
 	return value, err
 }
 
-// quoted reads the string literal that a text begins with, in which a quote is doubled. It may not be empty.
-func quoted(text []byte) (word string, rest []byte, ok bool) {
+// cutLiteral reads the string literal that a text begins with, in which a quote is doubled. It may not be empty.
+func cutLiteral(text []byte) (word string, rest []byte, ok bool) {
 	text, ok = bytes.CutPrefix(text, []byte{'\''})
 	for ok {
 		var part []byte
--- a/internal/router/protocol/http.go
+++ b/internal/router/protocol/http.go
@@ -10,16 +10,16 @@
 // ErrHTTP tells of an answer that is no HTTP/1.1 that is understood here.
 var ErrHTTP = errors.New("not an HTTP answer that is understood")
 
-// AppendWatch appends the request for the list and its changes after a version.
-func AppendWatch(b []byte, host string, rev int64) []byte {
+// AppendWatchRequest appends the request for the list and its changes after a version.
+func AppendWatchRequest(b []byte, host string, rev int64) []byte {
 	b = append(b, "GET /catalog/members?follow=1&since="...)
 	b = strconv.AppendInt(b, rev, 10)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	return append(append(b, host...), "\r\nAccept: application/json\r\n\r\n"...)
 }
 
-// Head reads the head of an answer. n is 0 while it is not whole.
-func Head(b []byte) (status int, chunked bool, n int, err error) {
+// NextResponseHead reads the head of an answer. n is 0 while it is not whole.
+func NextResponseHead(b []byte) (status int, chunked bool, n int, err error) {
 	end := bytes.Index(b, []byte("\r\n\r\n"))
 	if end < 0 {
 		return 0, false, 0, nil
@@ -42,9 +42,9 @@
 	return status, chunked, end + 4, nil
 }
 
-// Chunk cuts the first chunk off b. n is 0 while it is not whole; a chunk of
+// NextChunk cuts the first chunk off b. n is 0 while it is not whole; a chunk of
 // nothing is the last.
-func Chunk(b []byte, most int) (data []byte, n int, err error) {
+func NextChunk(b []byte, maxSize int) (data []byte, n int, err error) {
 	head, _, ok := bytes.Cut(b, []byte("\r\n"))
 	if !ok {
 		if len(b) > 256 {
@@ -58,8 +58,8 @@
 	switch {
 	case err != nil:
 		return nil, 0, ErrHTTP
-	case int(size) > most:
-		return nil, 0, ErrLong
+	case int(size) > maxSize:
+		return nil, 0, ErrTooLong
 	case len(b) < from+int(size)+2:
 		return nil, 0, nil
 	case b[from+int(size)] != '\r' || b[from+int(size)+1] != '\n':
--- a/internal/router/protocol/message.go
+++ b/internal/router/protocol/message.go
@@ -38,7 +38,7 @@
 	DataRow         = 'D'
 	CommandComplete = 'C'
 	EmptyResponse   = 'I'
-	Notice          = 'N'
+	NoticeResponse  = 'N'
 	Authentication  = 'R'
 	BackendKeyData  = 'K'
 )
@@ -48,10 +48,10 @@
 
 // What a startup message asks for.
 const (
-	Version = 3 << 16
-	Cancel  = 1234<<16 | 5678
-	SSL     = 1234<<16 | 5679
-	GSS     = 1234<<16 | 5680
+	Version       = 3 << 16
+	CancelRequest = 1234<<16 | 5678
+	SSLRequest    = 1234<<16 | 5679
+	GSSEncRequest = 1234<<16 | 5680
 )
 
 // LongestStartup is what PostgreSQL takes at most.
@@ -59,36 +59,36 @@
 
 // SQLSTATE codes with a meaning of their own.
 const (
-	TooMany  = "53300"
-	NotNow   = "57P03"
-	ReadOnly = "25006"
-	Behind   = "72000"
-	Failed   = "58000"
-	Bad      = "08P01"
-	Unknown  = "42601"
-	NoSuch   = "0A000"
+	TooMany             = "53300"
+	NotNow              = "57P03"
+	ReadOnly            = "25006"
+	ReplicaBehind       = "72000"
+	SystemError         = "58000"
+	ProtocolViolation   = "08P01"
+	SyntaxError         = "42601"
+	FeatureNotSupported = "0A000"
 )
 
 var (
-	ErrLength = errors.New("a message of impossible length")
-	ErrLong   = errors.New("a message of more than is taken")
+	ErrLength  = errors.New("a message of impossible length")
+	ErrTooLong = errors.New("a message of more than is taken")
 )
 
 // Next cuts the first message off b. n is 0 while it is not whole.
-func Next(b []byte, most int) (kind byte, body []byte, n int, err error) {
+func Next(b []byte, maxSize int) (kind byte, body []byte, n int, err error) {
 	if len(b) < 5 {
 		return 0, nil, 0, nil
 	}
-	body, n, err = framed(b[1:], most)
+	body, n, err = cutFrame(b[1:], maxSize)
 	if n > 0 {
 		n++
 	}
 	return b[0], body, n, err
 }
 
-// First cuts a startup message off b, which has no kind.
-func First(b []byte, most int) (code uint32, n int, err error) {
-	body, n, err := framed(b, most)
+// NextStartup cuts a startup message off b, which has no kind.
+func NextStartup(b []byte, maxSize int) (code uint32, n int, err error) {
+	body, n, err := cutFrame(b, maxSize)
 	if n == 0 || err != nil {
 		return 0, 0, err
 	}
@@ -98,7 +98,7 @@
 	return binary.BigEndian.Uint32(body), n, nil
 }
 
-func framed(b []byte, most int) (body []byte, n int, err error) {
+func cutFrame(b []byte, maxSize int) (body []byte, n int, err error) {
 	if len(b) < 4 {
 		return nil, 0, nil
 	}
@@ -106,16 +106,16 @@
 	switch {
 	case size < 4 || size > 1<<31-1:
 		return nil, 0, ErrLength
-	case int(size) > most:
-		return nil, 0, ErrLong
+	case int(size) > maxSize:
+		return nil, 0, ErrTooLong
 	case int(size) > len(b):
 		return nil, 0, nil
 	}
 	return b[4:size], int(size), nil
 }
 
-// message appends one message; fill appends its body.
-func message(b []byte, kind byte, fill func([]byte) []byte) []byte {
+// appendMessage appends one message; fill appends its body.
+func appendMessage(b []byte, kind byte, fill func([]byte) []byte) []byte {
 	b = append(b, kind, 0, 0, 0, 0)
 	at := len(b)
 	b = fill(b)
@@ -123,26 +123,26 @@
 	return b
 }
 
-func text(b []byte, s string) []byte { return append(append(b, s...), 0) }
+func appendText(b []byte, s string) []byte { return append(append(b, s...), 0) }
 
 // AppendStartup appends the message that opens a connection to a host.
 func AppendStartup(b []byte, user, database string) []byte {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0, 0, 3, 0, 0)
-	b = text(text(b, "user"), user)
-	b = text(text(b, "database"), database)
+	b = appendText(appendText(b, "user"), user)
+	b = appendText(appendText(b, "database"), database)
 	b = append(b, 0)
 	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at))
 	return b
 }
 
 func AppendQuery(b []byte, statement []byte) []byte {
-	return message(b, Query, func(b []byte) []byte { return append(append(b, statement...), 0) })
+	return appendMessage(b, Query, func(b []byte) []byte { return append(append(b, statement...), 0) })
 }
 
 // AppendGreeting appends what a client is told before its first command.
 func AppendGreeting(b []byte) []byte {
-	b = message(b, Authentication, func(b []byte) []byte { return append(b, 0, 0, 0, 0) })
+	b = appendMessage(b, Authentication, func(b []byte) []byte { return append(b, 0, 0, 0, 0) })
 	for _, p := range [][2]string{
 		{"server_version", "15.0"},
 		{"server_encoding", "UTF8"},
@@ -150,29 +150,29 @@
 		{"standard_conforming_strings", "on"},
 		{"integer_datetimes", "on"},
 	} {
-		b = message(b, ParameterStatus, func(b []byte) []byte { return text(text(b, p[0]), p[1]) })
+		b = appendMessage(b, ParameterStatus, func(b []byte) []byte { return appendText(appendText(b, p[0]), p[1]) })
 	}
-	b = message(b, 'K', func(b []byte) []byte { return append(b, 0, 0, 0, 0, 0, 0, 0, 0) })
+	b = appendMessage(b, 'K', func(b []byte) []byte { return append(b, 0, 0, 0, 0, 0, 0, 0, 0) })
 	return AppendReady(b)
 }
 
 func AppendReady(b []byte) []byte {
-	return message(b, Ready, func(b []byte) []byte { return append(b, 'I') })
+	return appendMessage(b, Ready, func(b []byte) []byte { return append(b, 'I') })
 }
 
-func AppendEmpty(b []byte) []byte {
-	return message(b, EmptyResponse, func(b []byte) []byte { return b })
+func AppendEmptyQueryResponse(b []byte) []byte {
+	return appendMessage(b, EmptyResponse, func(b []byte) []byte { return b })
 }
 
 // AppendError appends an ErrorResponse; detail may be empty.
 func AppendError(b []byte, severity, code, say, detail string) []byte {
-	return message(b, ErrorResponse, func(b []byte) []byte {
-		b = text(append(b, 'S'), severity)
-		b = text(append(b, 'V'), severity)
-		b = text(append(b, 'C'), code)
-		b = text(append(b, 'M'), say)
+	return appendMessage(b, ErrorResponse, func(b []byte) []byte {
+		b = appendText(append(b, 'S'), severity)
+		b = appendText(append(b, 'V'), severity)
+		b = appendText(append(b, 'C'), code)
+		b = appendText(append(b, 'M'), say)
 		if detail != "" {
-			b = text(append(b, 'D'), detail)
+			b = appendText(append(b, 'D'), detail)
 		}
 		return append(b, 0)
 	})
@@ -216,8 +216,8 @@
 	return body[6:], true
 }
 
-// Row says whether a RowDescription's body describes one column.
-func Row(body []byte) bool {
+// IsSingleColumn says whether a RowDescription's body describes one column.
+func IsSingleColumn(body []byte) bool {
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 {
 		return false
 	}
@@ -225,8 +225,8 @@
 	return whole && len(rest) == 18
 }
 
-// Tag says whether a CommandComplete's body is a tag, as in INSERT 0 1.
-func Tag(body []byte) bool {
+// IsCommandTag says whether a CommandComplete's body is a tag, as in INSERT 0 1.
+func IsCommandTag(body []byte) bool {
 	tag, rest, whole := bytes.Cut(body, []byte{0})
 	for _, b := range tag {
 		if b < ' ' || b > '~' {
--- a/internal/router/protocol/protocol_test.go
+++ b/internal/router/protocol/protocol_test.go
@@ -25,11 +25,11 @@
 	}
 	start := AppendStartup(nil, "svc", "main")
 	for cut := range start {
-		if _, n, err := First(start[:cut], 1<<16); n != 0 || err != nil {
+		if _, n, err := NextStartup(start[:cut], 1<<16); n != 0 || err != nil {
 			t.Fatalf("startup cut at %d: %d, %v", cut, n, err)
 		}
 	}
-	if code, n, err := First(start, 1<<16); code != Version || n != len(start) || err != nil {
+	if code, n, err := NextStartup(start, 1<<16); code != Version || n != len(start) || err != nil {
 		t.Errorf("%d %d %v", code, n, err)
 	}
 }
@@ -40,11 +40,11 @@
 		if _, _, _, err := Next(b, 1<<16); err == nil {
 			t.Errorf("a message of length %d is taken", size)
 		}
-		if _, _, err := First(b[1:], 1<<16); err == nil {
+		if _, _, err := NextStartup(b[1:], 1<<16); err == nil {
 			t.Errorf("a startup message of length %d is taken", size)
 		}
 	}
-	if _, _, err := First([]byte{0, 0, 0, 4}, 1<<16); err == nil {
+	if _, _, err := NextStartup([]byte{0, 0, 0, 4}, 1<<16); err == nil {
 		t.Error("a startup message without a version is taken")
 	}
 }
@@ -63,7 +63,7 @@
 		`/* id=x, d=480 */ SELECT 1`:       `/* id=x, d=77 */ SELECT 1`,
 		`SELECT 1`:                         `SELECT 1`,
 	} {
-		if got := string(AppendFor(nil, []byte(given), 77)); got != want {
+		if got := string(AppendWithTimeout(nil, []byte(given), 77)); got != want {
 			t.Errorf("%s became %s", given, got)
 		}
 	}
@@ -101,16 +101,16 @@
 
 func TestPartsOfAnAnswerAreToldFromWhatOnlyLooksLikeThem(t *testing.T) {
 	column := "\x00\x01v\x00" + strings.Repeat("\x00", 18)
-	if !Row([]byte(column)) || !Tag([]byte("INSERT 0 1\x00")) {
+	if !IsSingleColumn([]byte(column)) || !IsCommandTag([]byte("INSERT 0 1\x00")) {
 		t.Error("good parts are not taken")
 	}
 	for _, bad := range []string{"", "\x00\x01", "\x00\x02" + column[2:], column + "x", column[:20], "\x00\x01vvvvvvvvvvvvvvvvvvvvv"} {
-		if Row([]byte(bad)) {
+		if IsSingleColumn([]byte(bad)) {
 			t.Errorf("%q describes one column", bad)
 		}
 	}
 	for _, bad := range []string{"", "\x00", "SELECT 1", "SELECT 1\x00x", "\xff\x01\x00"} {
-		if Tag([]byte(bad)) {
+		if IsCommandTag([]byte(bad)) {
 			t.Errorf("%q is a tag", bad)
 		}
 	}
@@ -151,27 +151,27 @@
 func TestHTTPIsWholeOnlyWithItsLastByte(t *testing.T) {
 	head := []byte("HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\nX: y\r\n\r\n")
 	for cut := range head {
-		if _, _, n, err := Head(head[:cut]); n != 0 || err != nil {
+		if _, _, n, err := NextResponseHead(head[:cut]); n != 0 || err != nil {
 			t.Fatalf("cut at %d: %d, %v", cut, n, err)
 		}
 	}
-	if status, chunked, n, err := Head(head); status != 200 || !chunked || n != len(head) || err != nil {
+	if status, chunked, n, err := NextResponseHead(head); status != 200 || !chunked || n != len(head) || err != nil {
 		t.Error(status, chunked, n, err)
 	}
-	if _, _, _, err := Head([]byte("SSH-2.0\r\n\r\n")); err == nil {
+	if _, _, _, err := NextResponseHead([]byte("SSH-2.0\r\n\r\n")); err == nil {
 		t.Error("anything is an answer")
 	}
 	chunk := []byte("a;x=y\r\n{\"rev\":1}\n\r\n")
 	for cut := range chunk {
-		if _, n, err := Chunk(chunk[:cut], 100); n != 0 || err != nil {
+		if _, n, err := NextChunk(chunk[:cut], 100); n != 0 || err != nil {
 			t.Fatalf("cut at %d: %d, %v", cut, n, err)
 		}
 	}
-	if data, n, err := Chunk(chunk, 100); string(data) != "{\"rev\":1}\n" || n != len(chunk) || err != nil {
+	if data, n, err := NextChunk(chunk, 100); string(data) != "{\"rev\":1}\n" || n != len(chunk) || err != nil {
 		t.Errorf("%q %d %v", data, n, err)
 	}
 	for _, bad := range []string{"x\r\n", "-1\r\n", "ffffffffff\r\n", "65\r\n", "1\r\nabc", "\r\n"} {
-		if _, _, err := Chunk([]byte(bad), 100); err == nil {
+		if _, _, err := NextChunk([]byte(bad), 100); err == nil {
 			t.Errorf("%q is a chunk", bad)
 		}
 	}
@@ -191,7 +191,7 @@
 				Value(body)
 				Statement(body)
 			}
-			if _, n, _ := First(part, 1<<10); n < 0 || n > len(part) {
+			if _, n, _ := NextStartup(part, 1<<10); n < 0 || n > len(part) {
 				t.Error(n)
 			}
 		}
@@ -207,7 +207,7 @@
 			return
 		}
 		want.TimeoutMs = 7
-		if got, err := ParseCommand(AppendFor(nil, b, 7)); got != want || err != nil {
+		if got, err := ParseCommand(AppendWithTimeout(nil, b, 7)); got != want || err != nil {
 			t.Errorf("%q: %+v, %v", b, got, err)
 		}
 	})
@@ -217,10 +217,10 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n1\r\nx\r\n"))
 	f.Add([]byte("5\r\nhello\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if _, _, n, err := Head(b); n < 0 || n > len(b) || err != nil && n != 0 {
+		if _, _, n, err := NextResponseHead(b); n < 0 || n > len(b) || err != nil && n != 0 {
 			t.Error(n, err)
 		}
-		if data, n, err := Chunk(b, 100); n < 0 || n > len(b) || len(data) > 100 || err != nil && n != 0 {
+		if data, n, err := NextChunk(b, 100); n < 0 || n > len(b) || len(data) > 100 || err != nil && n != 0 {
 			t.Error(n, err)
 		}
 	})
--- a/internal/router/routing/commands.go
+++ b/internal/router/routing/commands.go
@@ -46,7 +46,7 @@
 	timeout := min(time.Duration(min(parsed.TimeoutMs, maxTimeoutMs)*float64(time.Millisecond)), clock.Span(group.Timeout))
 	deadline := receivedAt.Add(timeout - r.start.Limits.AnswerMargin)
 	if !r.queue.Put(eventloop.PriorityCommands, func() { r.takeCommand(slot, statement, group, parsed, deadline) }) {
-		slot.Fail(protocol.Failed, errStopped.Error())
+		slot.Fail(protocol.SystemError, errStopped.Error())
 	}
 }
 
@@ -77,7 +77,7 @@
 // reject answers what is not a command, which costs less than serving one.
 func (r *Router) reject(slot *transport.Slot, reason string) {
 	r.Rejected.Add(1)
-	slot.Reject(protocol.Unknown, reason)
+	slot.Reject(protocol.SyntaxError, reason)
 }
 
 // takeCommand brings a command to the module.
--- a/internal/router/routing/policy_caller.go
+++ b/internal/router/routing/policy_caller.go
@@ -54,7 +54,7 @@
 	r.trace.Fail(handle)
 	if c := r.commands[handle.Name]; c.slot != nil {
 		r.Failed.Add(1)
-		c.slot.Fail(protocol.Failed, "no answer from a host")
+		c.slot.Fail(protocol.SystemError, "no answer from a host")
 		r.forgetSlot(c)
 		r.forgetIfOver(handle)
 	}
--- a/internal/router/routing/router.go
+++ b/internal/router/routing/router.go
@@ -247,7 +247,7 @@
 	for _, c := range r.commands {
 		if c.slot != nil {
 			r.Failed.Add(1)
-			c.slot.Fail(protocol.Failed, "the router has given up on the command")
+			c.slot.Fail(protocol.SystemError, "the router has given up on the command")
 		}
 	}
 	r.timeouts.Clear()
--- a/internal/router/routing/routing_test.go
+++ b/internal/router/routing/routing_test.go
@@ -126,7 +126,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	r.queue.Put(eventloop.PriorityCommands, func() { panic("a fault of the module") })
-	if _, code := client.answer(); code != protocol.Failed {
+	if _, code := client.answer(); code != protocol.SystemError {
 		t.Errorf("the held command ends with %q", code)
 	}
 	client.query("")
--- a/internal/router/transport/client_reader.go
+++ b/internal/router/transport/client_reader.go
@@ -93,9 +93,9 @@
 // startSession reads the startup message. Encryption is declined, and cancel requests are not served.
 func (c *clientConn) startSession(in *buffer) bool {
 	for {
-		code, n, err := protocol.First(in.unread(), min(in.maxSize, protocol.LongestStartup))
+		code, n, err := protocol.NextStartup(in.unread(), min(in.maxSize, protocol.LongestStartup))
 		if err != nil {
-			c.endSession(&c.server.Malformed, protocol.Bad, err.Error())
+			c.endSession(&c.server.Malformed, protocol.ProtocolViolation, err.Error())
 			return false
 		}
 		if n == 0 {
@@ -106,15 +106,15 @@
 		}
 		in.consume(n)
 		switch {
-		case code == protocol.SSL || code == protocol.GSS:
+		case code == protocol.SSLRequest || code == protocol.GSSEncRequest:
 			c.send([]byte{protocol.EncryptionDeclined})
 		case code>>16 == protocol.Version>>16:
 			c.send(protocol.AppendGreeting(nil))
 			return true
-		case code == protocol.Cancel:
+		case code == protocol.CancelRequest:
 			return false
 		default:
-			c.endSession(&c.server.Malformed, protocol.NoSuch, "a version of the protocol that is not spoken")
+			c.endSession(&c.server.Malformed, protocol.FeatureNotSupported, "a version of the protocol that is not spoken")
 			return false
 		}
 	}
@@ -149,7 +149,7 @@
 	for {
 		kind, body, n, err := protocol.Next(in.unread(), in.maxSize)
 		if err != nil {
-			c.endSession(&c.server.Malformed, protocol.Bad, err.Error())
+			c.endSession(&c.server.Malformed, protocol.ProtocolViolation, err.Error())
 			return false
 		}
 		if n > 0 {
@@ -172,7 +172,7 @@
 	c.receivedMessage, c.partialMessage = true, false
 	c.mu.Unlock()
 	if exceeded {
-		c.endSession(&c.server.RejectedOnly, protocol.Bad, "nothing but commands that are not served")
+		c.endSession(&c.server.RejectedOnly, protocol.ProtocolViolation, "nothing but commands that are not served")
 	}
 	return exceeded
 }
@@ -196,12 +196,12 @@
 	case protocol.Parse, protocol.Bind, protocol.Describe, protocol.Execute, protocol.Close:
 		c.server.Unsupported.Add(1)
 		c.skippingToSync = true
-		c.addSlot().complete(protocol.AppendError(nil, severityError, protocol.NoSuch, "only simple queries are served", ""))
+		c.addSlot().complete(protocol.AppendError(nil, severityError, protocol.FeatureNotSupported, "only simple queries are served", ""))
 	case protocol.FunctionCall:
 		c.server.Unsupported.Add(1)
-		c.addSlot().Reject(protocol.NoSuch, "only simple queries are served")
+		c.addSlot().Reject(protocol.FeatureNotSupported, "only simple queries are served")
 	default:
-		c.endSession(&c.server.Malformed, protocol.Bad, "a message that is not known")
+		c.endSession(&c.server.Malformed, protocol.ProtocolViolation, "a message that is not known")
 		return false
 	}
 	return true
@@ -214,8 +214,8 @@
 	switch {
 	case !ok:
 		c.server.Unsupported.Add(1)
-		slot.Reject(protocol.Bad, "a query that does not end where its message does")
-	case protocol.Empty(statement):
+		slot.Reject(protocol.ProtocolViolation, "a query that does not end where its message does")
+	case protocol.IsEmptyStatement(statement):
 		c.server.handler.HandleEmptyQuery(slot)
 	case c.server.exceedsLimit(c): // otherwise it would wait unread until its time-out
 		c.server.Shed.Add(1)
--- a/internal/router/transport/clients_test.go
+++ b/internal/router/transport/clients_test.go
@@ -22,7 +22,7 @@
 func (rejectingHandler) ClientDisconnected(*Slot) {}
 
 func (rejectingHandler) HandleCommand(s *Slot, _ []byte, _ time.Time) {
-	s.Reject(protocol.Unknown, "not served")
+	s.Reject(protocol.SyntaxError, "not served")
 }
 
 // startClients serves clients by the limits, and returns what dials it.
@@ -90,15 +90,15 @@
 	hello := string(protocol.AppendStartup(nil, "svc", "main"))
 	query := string(protocol.AppendQuery(nil, []byte("nothing of use")))
 	for name, test := range map[string][2]string{
-		"noise":                    {"frob and more of it", protocol.Bad},
-		"a startup too long":       {"\x00\x04\x93\xe8\x00\x03\x00\x00" + strings.Repeat("k", 300000), protocol.Bad},
-		"a version of its own":     {"\x00\x00\x00\x08\x00\x09\x00\x00", protocol.NoSuch},
-		"a negative length":        {hello + "Q\xff\xff\xff\xfc/* id", protocol.Bad},
-		"a length of nothing":      {hello + "Q\x00\x00\x00\x00/* id", protocol.Bad},
-		"a length beyond all":      {hello + "XXQ\x00\x00\x00r/* id", protocol.Bad},
-		"a message not known":      {hello + "?\x00\x00\x00\x09frob\x00", protocol.Bad},
-		"the same again and again": {hello + strings.Repeat(query, 600), protocol.Bad},
-		"60 MB":                    {hello + "Q\x03\x93\x87\x04" + strings.Repeat("v", 60<<20), protocol.Bad},
+		"noise":                    {"frob and more of it", protocol.ProtocolViolation},
+		"a startup too long":       {"\x00\x04\x93\xe8\x00\x03\x00\x00" + strings.Repeat("k", 300000), protocol.ProtocolViolation},
+		"a version of its own":     {"\x00\x00\x00\x08\x00\x09\x00\x00", protocol.FeatureNotSupported},
+		"a negative length":        {hello + "Q\xff\xff\xff\xfc/* id", protocol.ProtocolViolation},
+		"a length of nothing":      {hello + "Q\x00\x00\x00\x00/* id", protocol.ProtocolViolation},
+		"a length beyond all":      {hello + "XXQ\x00\x00\x00r/* id", protocol.ProtocolViolation},
+		"a message not known":      {hello + "?\x00\x00\x00\x09frob\x00", protocol.ProtocolViolation},
+		"the same again and again": {hello + strings.Repeat(query, 600), protocol.ProtocolViolation},
+		"60 MB":                    {hello + "Q\x03\x93\x87\x04" + strings.Repeat("v", 60<<20), protocol.ProtocolViolation},
 	} {
 		c := dial()
 		go func() {
@@ -137,7 +137,7 @@
 	code := lastErrorCode(idle)
 	idle.Close()
 	s.awaitNoConns()
-	if code != protocol.Bad || s.RejectedOnly.Load() != 1 || s.TimedOut.Load() != 5 {
+	if code != protocol.ProtocolViolation || s.RejectedOnly.Load() != 1 || s.TimedOut.Load() != 5 {
 		t.Errorf("%q, %d rejected only, %d timed out", code, s.RejectedOnly.Load(), s.TimedOut.Load())
 	}
 }
--- a/internal/router/transport/host_call.go
+++ b/internal/router/transport/host_call.go
@@ -24,7 +24,7 @@
 func classify(answer Answer) Answer {
 	switch answer.Code {
 	case "":
-	case protocol.ReadOnly, protocol.Behind:
+	case protocol.ReadOnly, protocol.ReplicaBehind:
 		answer.Outcome = policy.Missed
 	case protocol.TooMany:
 		answer.Outcome = policy.Full
--- a/internal/router/transport/host_conn.go
+++ b/internal/router/transport/host_conn.go
@@ -232,7 +232,7 @@
 // appendMessage appends the query message of a call, whose time-out ends in leftMs.
 func (call *Call) appendMessage(message []byte, leftMs int64) []byte {
 	if call.rewriteTimeout {
-		return protocol.AppendQuery(message, protocol.AppendFor(nil, call.statement, leftMs))
+		return protocol.AppendQuery(message, protocol.AppendWithTimeout(nil, call.statement, leftMs))
 	}
 	return protocol.AppendQuery(message, call.statement)
 }
--- a/internal/router/transport/host_reader.go
+++ b/internal/router/transport/host_reader.go
@@ -89,7 +89,7 @@
 func (p *answerParser) accept(kind byte, body, frame []byte) bool {
 	switch kind {
 	case protocol.RowDescription:
-		return p.acceptPart(kind, frame, p.last == 0 && protocol.Row(body))
+		return p.acceptPart(kind, frame, p.last == 0 && protocol.IsSingleColumn(body))
 	case protocol.DataRow:
 		value, ok := protocol.Value(body)
 		if len(value) <= maxValueBytes {
@@ -98,7 +98,7 @@
 		return p.acceptPart(kind, frame, p.last == protocol.RowDescription && ok)
 	case protocol.CommandComplete:
 		p.answer.Outcome = policy.Answered
-		return p.acceptPart(kind, frame, p.last == protocol.DataRow && protocol.Tag(body))
+		return p.acceptPart(kind, frame, p.last == protocol.DataRow && protocol.IsCommandTag(body))
 	case protocol.ErrorResponse:
 		p.answer.Code = protocol.Code(body)
 		ok := p.last != protocol.CommandComplete && p.last != protocol.ErrorResponse && p.answer.Code != ""
@@ -107,7 +107,7 @@
 	case protocol.ParameterStatus:
 		p.acceptParameter(body)
 		return true
-	case protocol.Notice:
+	case protocol.NoticeResponse:
 		return true
 	case protocol.Ready:
 		return p.last == protocol.CommandComplete || p.last == protocol.ErrorResponse
--- a/internal/router/transport/slot.go
+++ b/internal/router/transport/slot.go
@@ -55,7 +55,9 @@
 }
 
 // AnswerEmptyQuery answers a query without a statement.
-func (s *Slot) AnswerEmptyQuery() { s.complete(protocol.AppendReady(protocol.AppendEmpty(nil))) }
+func (s *Slot) AnswerEmptyQuery() {
+	s.complete(protocol.AppendReady(protocol.AppendEmptyQueryResponse(nil)))
+}
 
 // complete has an answer written as soon as those before it are.
 func (s *Slot) complete(answer []byte) {
--- a/internal/router/transport/watch.go
+++ b/internal/router/transport/watch.go
@@ -159,7 +159,7 @@
 	if addressIsNew { // its versions may be unrelated to the one that is held
 		version = 0
 	}
-	if _, err := conn.Write(protocol.AppendWatch(nil, address, version)); err != nil {
+	if _, err := conn.Write(protocol.AppendWatchRequest(nil, address, version)); err != nil {
 		return false, err
 	}
 	in := newBuffer(w.budget, w.limits.Buffer, w.limits.Line)
@@ -173,7 +173,7 @@
 // awaitWatchResponse reads the head of discovery's response.
 func awaitWatchResponse(conn net.Conn, in *buffer) error {
 	for {
-		status, chunked, n, err := protocol.Head(in.unread())
+		status, chunked, n, err := protocol.NextResponseHead(in.unread())
 		if err != nil {
 			return err
 		}
@@ -194,7 +194,7 @@
 func (w *Watch) readLines(watchCtx context.Context, conn net.Conn, in *buffer) (received bool, err error) {
 	var partial []byte // of a line
 	for {
-		chunk, n, err := protocol.Chunk(in.unread(), w.limits.Line)
+		chunk, n, err := protocol.NextChunk(in.unread(), w.limits.Line)
 		switch {
 		case err != nil:
 			return received, err
@@ -215,7 +215,7 @@
 		}
 		received = received || complete > 0
 		if len(partial) > w.limits.Line {
-			return received, protocol.ErrLong
+			return received, protocol.ErrTooLong
 		}
 	}
 }
