--- a/internal/router/catalog/catalog.go
+++ b/internal/router/catalog/catalog.go
@@ -1,4 +1,4 @@
-// Package catalog reads discovery's lists, for whoever watches it.
+// Package catalog reads the endpoint lists of the discovery service, for whoever watches it.
 package catalog
 
 import (
@@ -7,25 +7,44 @@
 	"ferrypitch/policy"
 )
 
-// Read reads a list, whole or the changes since the last. A fault names its
-// field, and nothing of the list counts.
-func Read(o setup.Object) (rev int64, whole bool, hosts []view.Host, err error) {
+// States and roles of an entry.
+const (
+	stateUp      = "up"
+	stateRemoved = "removed"
+	roleLeader   = "leader"
+)
+
+// Read reads a list, which is complete or has the changes since the last. Versions grow. An invalid list is a setup.Fault
+// that names the field, and nothing of it is used.
+func Read(list setup.Object) (version int64, complete bool, hosts []view.Host, err error) {
 	defer setup.Catch(&err)
-	rev, whole = o.Integer("rev"), o.Flag("all")
-	targets := o.Objects("targets")
-	hosts = make([]view.Host, len(targets))
-	for i, e := range targets {
-		h := view.Host{Name: e.Text("uid"), Address: e.Text("endpoint"), Set: e.Integer("pod_group"),
-			Standing: policy.Draining, // nothing new in a state not known
-			Leader:   e.MaybeText("role") == "leader", Zone: e.MaybeText("az"), Kind: e.MaybeText("model"),
-			Size: e.MaybeNumber("capacity_hint"), Boot: setup.Up(e.MaybeNumber("boot_ms"))}
-		switch e.Text("state") {
-		case "up":
-			h.Standing = policy.In
-		case "removed":
-			h.Standing = policy.Gone
-		}
-		hosts[i] = h
+	version, complete = list.Integer("rev"), list.Flag("all")
+	entries := list.Objects("targets")
+	hosts = make([]view.Host, len(entries))
+	for i, entry := range entries {
+		hosts[i] = readHost(entry)
+	}
+	return version, complete, hosts, nil
+}
+
+func readHost(entry setup.Object) view.Host {
+	host := view.Host{
+		Name:    entry.Text("uid"),
+		Address: entry.Text("endpoint"),
+		Set:     entry.Integer("pod_group"),
+		Leader:  entry.MaybeText("role") == roleLeader,
+		Zone:    entry.MaybeText("az"),
+		Kind:    entry.MaybeText("model"),
+		Size:    entry.MaybeNumber("capacity_hint"),
+		Boot:    setup.Up(entry.MaybeNumber("boot_ms")),
+	}
+	switch entry.Text("state") {
+	case stateUp:
+		host.Standing = policy.In
+	case stateRemoved:
+		host.Standing = policy.Gone
+	default: // a state that is not known gets nothing new
+		host.Standing = policy.Draining
 	}
-	return rev, whole, hosts, nil
+	return host
 }
--- a/internal/router/clock/clock.go
+++ b/internal/router/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock gives the module's moments.
+// Package clock tells the decision module the time.
 package clock
 
 import (
@@ -7,41 +7,42 @@
 	"ferrypitch/policy"
 )
 
-// Tenth is the module's unit.
+// Tenth is the module's unit of time, a tenth of a millisecond.
 const Tenth = 100 * time.Microsecond
 
-// Clock gives the module's moments: Unix time in tenths of a millisecond, so
-// that positions need no conversion but of their unit. It runs by the monotonic
-// clock. Where the system's clock is ahead it is followed at once, since a
-// moment too early would call old data new; where that is behind, at a tenth of
-// the time that passes, so that moments never go back.
+// slewShare is the share of the elapsed time by which the clock lags to meet a system clock that is behind: a tenth.
+const slewShare = 10
+
+// Clock tells Unix time in the module's unit, so that positions, which are Unix times, need no conversion but of their
+// unit. It runs by the monotonic clock and follows the system clock: at once where that is ahead, since a moment too early
+// would make old data look new; slowly where it is behind, so that time never goes back. It is not safe for concurrent use.
 type Clock struct {
-	read func() time.Time
-	last time.Time
-	at   int64 // nanoseconds
+	read   func() time.Time
+	last   time.Time // reading
+	unixNs int64     // the clock's time at the last reading
 }
 
-// New reads time by read, as time.Now.
+// New returns a clock that reads the system's clock by read, as time.Now.
 func New(read func() time.Time) *Clock {
 	c := &Clock{read: read, last: read()}
-	c.at = c.last.UnixNano()
+	c.unixNs = c.last.UnixNano()
 	return c
 }
 
-// Now is never before what it was.
+// Now returns the time, which never goes back.
 func (c *Clock) Now() policy.Tenth {
-	t := c.read()
-	passed := int64(t.Sub(c.last))
-	c.last = t
-	c.at += passed
-	switch ahead := t.UnixNano() - c.at; {
+	reading := c.read()
+	elapsed := int64(reading.Sub(c.last)) // monotonic
+	c.last = reading
+	c.unixNs += elapsed
+	switch ahead := reading.UnixNano() - c.unixNs; {
 	case ahead > 0:
-		c.at += ahead
+		c.unixNs += ahead
 	case ahead < 0:
-		c.at -= min(-ahead, passed/10)
+		c.unixNs -= min(-ahead, elapsed/slewShare)
 	}
-	return c.at / int64(Tenth)
+	return c.unixNs / int64(Tenth)
 }
 
-// Span is a span of the module's as a duration.
-func Span(t policy.Tenth) time.Duration { return time.Duration(t) * Tenth }
+// Span converts a span of the module's time.
+func Span(span policy.Tenth) time.Duration { return time.Duration(span) * Tenth }
--- a/internal/router/clock/clock_test.go
+++ b/internal/router/clock/clock_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-func TestMomentsFollowTheSystemClockForwardAtOnceAndNeverGoBack(t *testing.T) {
+func TestTimeFollowsTheSystemClockForwardAtOnceAndNeverGoesBack(t *testing.T) {
 	at := time.Now()
-	mono := at
+	start := at
 	c := New(func() time.Time { return at })
 	first := c.Now()
-	at = mono.Add(time.Second)
+	at = start.Add(time.Second)
 	if got := c.Now() - first; got != 10000 {
 		t.Errorf("a second is %d", got)
 	}
 	// A clock that was set back: only the system's reading changes.
-	c.at += int64(time.Hour)
+	c.unixNs += int64(time.Hour)
 	before := c.Now()
 	at = at.Add(time.Second)
 	if got := c.Now() - before; got != 9000 {
 		t.Errorf("a second behind the system's clock is %d", got)
 	}
-	c.at -= int64(2 * time.Hour)
+	c.unixNs -= int64(2 * time.Hour)
 	if got := c.Now(); got < at.UnixNano()/int64(Tenth) {
 		t.Errorf("a clock set forward is followed to %d", got)
 	}
