--- a/cmd/ferrypitch/check.go
+++ b/cmd/ferrypitch/check.go
@@ -12,44 +12,64 @@
 	"ferrypitch/internal/router/setup"
 )
 
+// checkResult is what check prints as JSON.
+type checkResult struct {
+	File        string   `json:"file"`
+	Subcommands []string `json:"serves"`
+}
+
 func checkCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{Use: "check FILE", Short: "Check an operator's file, and name the key that is wrong", Args: cobra.ExactArgs(1),
+	check := &cobra.Command{
+		Use:   "check FILE",
+		Short: "Check an operator's file, and name the key that is wrong",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			o, err := setup.LoadOperator(args[0], os.Getenv)
+			operator, err := setup.LoadOperator(args[0], os.Getenv)
 			if err != nil {
 				return err
 			}
-			can := o.Subcommands()
+			subcommands := operator.Subcommands()
 			if asJSON {
-				return json.NewEncoder(c.OutOrStdout()).Encode(map[string]any{"file": args[0], "serves": can})
+				return json.NewEncoder(c.OutOrStdout()).Encode(checkResult{File: args[0], Subcommands: subcommands})
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: good for %v\n", args[0], can)
+			fmt.Fprintf(c.OutOrStdout(), "%s: good for %v\n", args[0], subcommands)
 			return nil
-		}}
-	c.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
-	schema := &cobra.Command{Use: "schema", Short: "Print the JSON schema of the operator's file", Args: cobra.NoArgs,
+		},
+	}
+	check.Flags().BoolVar(&asJSON, "json", false, "print as JSON")
+	check.AddCommand(&cobra.Command{
+		Use:   "schema",
+		Short: "Print the JSON schema of the operator's file",
+		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			_, err := c.OutOrStdout().Write(setup.Schema)
 			return err
-		}}
-	c.AddCommand(schema)
-	return c
+		},
+	})
+	return check
 }
 
 func keyCommand() *cobra.Command {
-	return &cobra.Command{Use: "key FILE", Short: "Write a new shared key for planners and forwarders", Args: cobra.ExactArgs(1),
-		RunE: func(_ *cobra.Command, args []string) error {
-			var k [32]byte
-			rand.Read(k[:])
-			f, err := os.OpenFile(args[0], os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
-			if err != nil {
-				return err
-			}
-			_, err = fmt.Fprintln(f, hex.EncodeToString(k[:]))
-			if bad := f.Close(); err == nil {
-				err = bad
-			}
-			return err
-		}}
+	return &cobra.Command{
+		Use:   "key FILE",
+		Short: "Write a new shared key for planners and forwarders",
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(_ *cobra.Command, args []string) error { return writeKey(args[0]) },
+	}
+}
+
+// writeKey writes a random key to a new file that only its owner may read. It does not overwrite a file.
+func writeKey(path string) error {
+	var key [32]byte
+	rand.Read(key[:])
+	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintln(f, hex.EncodeToString(key[:]))
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
+	}
+	return err
 }
--- a/cmd/ferrypitch/command.go
+++ b/cmd/ferrypitch/command.go
@@ -10,6 +10,7 @@
 	"ferrypitch/internal/router/setup"
 )
 
+// environment is the part of the help on the program without a sub-command.
 const environment = `Without a sub-command it serves as the platform starts it, and reads:
 
   GW_CONFIG      the configuration file; must be there
@@ -20,48 +21,86 @@
 
 Status 0: done; 1: failed; 2: wrong use or configuration.`
 
-// status is an end other than done, of which all has been said.
-type status int
+// exitStatus is an error that ends the program with a status. Whatever is to be said about it has been printed.
+type exitStatus int
 
-func (s status) Error() string { return fmt.Sprintf("status %d", int(s)) }
+// Error implements error.
+func (s exitStatus) Error() string { return fmt.Sprintf("status %d", int(s)) }
 
-// command runs a sub-command.
-func command(args []string) int {
-	root := &cobra.Command{Use: "ferrypitch", Short: "A query router for sharded, replicated databases",
-		Long: "A query router for sharded, replicated databases.\n\n" + environment, SilenceErrors: true, SilenceUsage: true,
-		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
+// exitError converts an exit status to an error; exitOK is nil.
+func exitError(status int) error {
+	if status == exitOK {
+		return nil
+	}
+	return exitStatus(status)
+}
+
+// runCommand runs a sub-command and returns the exit status.
+func runCommand(args []string) int {
+	root := &cobra.Command{
+		Use:           "ferrypitch",
+		Short:         "A query router for sharded, replicated databases",
+		Long:          "A query router for sharded, replicated databases.\n\n" + environment,
+		SilenceErrors: true,
+		SilenceUsage:  true,
+		Args:          cobra.NoArgs,
+		RunE:          func(c *cobra.Command, _ []string) error { return c.Help() },
+	}
 	root.CompletionOptions.HiddenDefaultCmd = true
 	root.AddCommand(serveCommand(), forwardCommand(), planCommand(), checkCommand(), keyCommand(), traceCommand())
 	root.SetArgs(args)
 	err := root.Execute()
-	var end status
+	var status exitStatus
 	switch {
 	case err == nil:
-		return done
-	case errors.As(err, &end):
-		return int(end)
+		return exitOK
+	case errors.As(err, &status):
+		return int(status)
 	}
-	return complain(err)
-}
-
-// ended makes an error of a status.
-func ended(s int) error {
-	if s == done {
-		return nil
-	}
-	return status(s)
+	return reportUsage(err)
 }
 
 func serveCommand() *cobra.Command {
-	return &cobra.Command{Use: "serve FILE", Short: "Serve clients alone: watch discovery, probe, decide", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use:   "serve FILE",
+		Short: "Serve clients alone: watch discovery, probe, decide",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return ended(serve(func() (*setup.Operator, error) {
-				o, err := setup.LoadOperator(args[0], os.Getenv)
+			return exitError(runRouter(func() (*setup.Operator, error) {
+				operator, err := setup.LoadOperator(args[0], os.Getenv)
 				if err != nil {
 					return nil, err
 				}
-				o.Forward = nil
-				return o, o.CheckStandalone(args[0])
+				operator.Forward = nil
+				return operator, operator.CheckStandalone(args[0])
 			}))
-		}}
+		},
+	}
+}
+
+func forwardCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "forward FILE",
+		Short: "Serve clients on the views of planners",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			return exitError(runRouter(func() (*setup.Operator, error) { return loadForwarder(args[0]) }))
+		},
+	}
+}
+
+// loadForwarder loads what a forwarder starts with.
+func loadForwarder(path string) (*setup.Operator, error) {
+	operator, err := setup.LoadOperator(path, os.Getenv)
+	if err != nil {
+		return nil, err
+	}
+	if operator.Forward == nil {
+		return nil, fmt.Errorf("%s: forward: missing", path)
+	}
+	if operator.Start.Listen == "" {
+		return nil, fmt.Errorf("%s: listen: missing", path)
+	}
+	operator.Start.AsForwarder()
+	return operator, nil
 }
--- a/cmd/ferrypitch/command_test.go
+++ b/cmd/ferrypitch/command_test.go
@@ -32,8 +32,10 @@
 	if err := json.Unmarshal(text, &all); err != nil {
 		t.Fatal(err)
 	}
-	for _, at := range []func(string){func(a string) { all["listen"] = a }, func(a string) { all["plan"].(map[string]any)["listen"] = a },
-		func(a string) { all["discovery"] = a }} {
+	for _, at := range []func(string){
+		func(a string) { all["listen"] = a }, func(a string) { all["plan"].(map[string]any)["listen"] = a },
+		func(a string) { all["discovery"] = a },
+	} {
 		a, err := tierfleet.Free()
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/ferrypitch/main.go
+++ b/cmd/ferrypitch/main.go
@@ -1,4 +1,5 @@
-// Ferrypitch routes the commands of a sharded, replicated database.
+// Ferrypitch routes the commands of a sharded, replicated database. Without arguments it serves as the platform starts it;
+// sub-commands serve by an operator's file, check that file, and work on trace files.
 package main
 
 import (
@@ -15,52 +16,67 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// Statuses of the program's end.
+// Exit statuses.
 const (
-	done = iota
-	failed
-	wrong // use or configuration
+	exitOK     = iota
+	exitFailed // while running, or by a file that is worked on
+	exitUsage  // wrong arguments or configuration
 )
 
+// signalQueue is the number of signals that wait to be handled; further ones are dropped.
+const signalQueue = 4
+
 func main() {
 	if len(os.Args) > 1 {
-		os.Exit(command(os.Args[1:]))
+		os.Exit(runCommand(os.Args[1:]))
 	}
-	os.Exit(serve(func() (*setup.Operator, error) {
-		start, err := setup.Load(os.Getenv)
-		o := &setup.Operator{Start: start}
-		if dir := os.Getenv("GW_TRACE"); dir != "" {
-			o.Trace = setup.FullTrace(dir)
-		}
-		return o, err
-	}))
+	os.Exit(runRouter(loadFromEnvironment))
 }
 
-// serve is a router from its configuration to its end.
-func serve(load func() (*setup.Operator, error)) int {
-	signals, reload := make(chan os.Signal, 4), make(chan os.Signal, 1)
+// loadFromEnvironment loads what the platform starts a router with.
+func loadFromEnvironment() (*setup.Operator, error) {
+	start, err := setup.Load(os.Getenv)
+	operator := &setup.Operator{Start: start}
+	if dir := os.Getenv("GW_TRACE"); dir != "" {
+		operator.Trace = setup.FullTrace(dir)
+	}
+	return operator, err
+}
+
+// runRouter runs a router until it ends, and returns the exit status.
+func runRouter(load func() (*setup.Operator, error)) int {
+	signals, reload := make(chan os.Signal, signalQueue), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
-	signal.Notify(reload, syscall.SIGHUP) // never the end of the program, and no other signal's place
-	o, err := load()
+	// SIGHUP has a channel of its own: it never ends the program, and never displaces another signal.
+	signal.Notify(reload, syscall.SIGHUP)
+	operator, err := load()
 	if err != nil {
-		return complain(err)
+		return reportUsage(err)
 	}
-	log, err := zap.NewProduction()
+	log, err := startProcess(operator.Start)
 	if err != nil {
-		return complain(err)
+		return reportUsage(err)
 	}
-	log = log.Named(o.Start.Name)
-	runtime.GOMAXPROCS(o.Start.Limits.Cores)
-	debug.SetMemoryLimit(o.Start.Limits.Memory)
-	if err := service.Run(o, signals, reload, log); err != nil {
+	if err := service.Run(operator, signals, reload, log); err != nil {
 		log.Error("ended", zap.Error(err))
-		return failed
+		return exitFailed
+	}
+	return exitOK
+}
+
+// startProcess applies the limits of the process, and returns its logger.
+func startProcess(start *setup.Start) (*zap.Logger, error) {
+	log, err := zap.NewProduction()
+	if err != nil {
+		return nil, err
 	}
-	return done
+	runtime.GOMAXPROCS(start.Limits.Cores)
+	debug.SetMemoryLimit(start.Limits.Memory)
+	return log.Named(start.Name), nil
 }
 
-// complain says in one line what is wrong with the use or the configuration.
-func complain(err error) int {
+// reportUsage prints, in one line, what is wrong with the arguments or the configuration.
+func reportUsage(err error) int {
 	fmt.Fprintln(os.Stderr, "ferrypitch:", err)
-	return wrong
+	return exitUsage
 }
--- a/cmd/ferrypitch/plan.go
+++ b/cmd/ferrypitch/plan.go
@@ -2,12 +2,11 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net"
 	"os"
 	"os/signal"
-	"runtime"
-	"runtime/debug"
 	"syscall"
 
 	"github.com/spf13/cobra"
@@ -21,84 +20,85 @@
 )
 
 func planCommand() *cobra.Command {
-	return &cobra.Command{Use: "plan FILE", Short: "Make views and hand them to forwarders", Args: cobra.ExactArgs(1),
+	return &cobra.Command{
+		Use:   "plan FILE",
+		Short: "Make views and hand them to forwarders",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			o, err := setup.LoadOperator(args[0], os.Getenv)
+			operator, err := setup.LoadOperator(args[0], os.Getenv)
 			if err != nil {
 				return err
 			}
 			switch {
-			case o.Plan == nil:
+			case operator.Plan == nil:
 				return fmt.Errorf("%s: plan: missing", args[0])
-			case o.Start.Discovery == "":
+			case operator.Start.Discovery == "":
 				return fmt.Errorf("%s: discovery: missing", args[0])
 			}
-			return planning(o)
-		}}
+			return runPlanner(operator)
+		},
+	}
 }
 
-// planning is a planner from its listener to the signal that ends it.
-func planning(o *setup.Operator) error {
-	signals := make(chan os.Signal, 4)
+// runPlanner runs a planner until a signal ends it, or it fails.
+func runPlanner(operator *setup.Operator) error {
+	signals := make(chan os.Signal, signalQueue)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	signal.Ignore(syscall.SIGHUP)
-	log, err := zap.NewProduction()
+	log, err := startProcess(operator.Start)
 	if err != nil {
 		return err
 	}
-	log = log.Named(o.Start.Name)
-	runtime.GOMAXPROCS(o.Start.Limits.Cores)
-	debug.SetMemoryLimit(o.Start.Limits.Memory)
-	listener, err := net.Listen("tcp", o.Plan.Listen)
+	listener, err := net.Listen("tcp", operator.Plan.Listen)
 	if err != nil {
 		log.Error("ended", zap.Error(fmt.Errorf("plan.listen: %w", err)))
-		return status(failed)
+		return exitStatus(exitFailed)
 	}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
 	var recorder *record.Planner
 	var writer *file.Writer
-	last, finish := context.WithCancel(context.Background()) // capture outlives what it captures
-	defer finish()
-	written := make(chan error, 1)
-	if o.Trace != nil {
-		if writer, err = service.NewTraceWriter(o.Start, o.Trace, log); err != nil {
+	if section := operator.Trace; section != nil {
+		if writer, err = service.NewTraceWriter(operator.Start, section, log); err != nil {
 			return fmt.Errorf("trace: %w", err)
 		}
-		recorder = record.NewPlanner(writer, o.Trace.Block)
-		go func() { written <- writer.Run(last) }()
+		recorder = record.NewPlanner(writer, section.Block)
+	}
+	finishTrace := service.StartTrace(writer)
+	planner := plan.New(operator.Start, operator.Plan, service.Life(), recorder, log)
+	counters := func() []zap.Field {
+		fields := planner.Fields()
+		if writer != nil {
+			fields = append(fields, writer.Fields()...)
+		}
+		return fields
 	}
-	p := plan.New(o.Start, o.Plan, service.Life(), recorder, log)
-	ran := make(chan error, 1)
-	go func() { ran <- p.Run(ctx, listener) }()
+	ctx, end := context.WithCancel(context.Background())
+	defer end()
+	ended := make(chan error, 1)
+	go func() { ended <- planner.Run(ctx, listener) }()
 	log.Info("started", zap.Stringer("listen", listener.Addr()))
+	err = awaitPlanner(ended, signals, end, counters, log)
+	err = errors.Join(err, finishTrace())
+	log.Info("counts", counters()...)
+	if err != nil && ctx.Err() == nil {
+		log.Error("ended", zap.Error(err))
+		return exitStatus(exitFailed)
+	}
+	return nil
+}
+
+// awaitPlanner handles signals until the planner has ended, which end brings about, and returns its error.
+func awaitPlanner(ended <-chan error, signals <-chan os.Signal, end func(), counters func() []zap.Field, log *zap.Logger) error {
 	for {
 		select {
-		case s := <-signals:
-			if s == syscall.SIGUSR1 {
-				log.Info("counts", counts(p, writer)...)
+		case received := <-signals:
+			if received == syscall.SIGUSR1 {
+				log.Info("counts", counters()...)
 				continue
 			}
-			log.Info("stopping", zap.String("signal", s.String()))
+			log.Info("stopping", zap.String("signal", received.String()))
 			end()
-		case err := <-ran:
-			if finish(); writer != nil {
-				<-written
-			}
-			log.Info("counts", counts(p, writer)...)
-			if err != nil && ctx.Err() == nil {
-				log.Error("ended", zap.Error(err))
-				return status(failed)
-			}
-			return nil
+		case err := <-ended:
+			return err
 		}
 	}
 }
-
-func counts(p *plan.Plan, w *file.Writer) []zap.Field {
-	fields := p.Fields()
-	if w != nil {
-		fields = append(fields, w.Fields()...)
-	}
-	return fields
-}
--- a/cmd/ferrypitch/program_test.go
+++ b/cmd/ferrypitch/program_test.go
@@ -118,8 +118,10 @@
 func TestAStatementThatItsGroupDoesNotHaveIsRefused(t *testing.T) {
 	s := begin(t, 1, nil)
 	c := s.client()
-	for _, q := range []string{write("list", "800"), look("order", "800", ""),
-		strings.Replace(look("list", "800", ""), "v FROM", "* FROM", 1)} {
+	for _, q := range []string{
+		write("list", "800"), look("order", "800", ""),
+		strings.Replace(look("list", "800", ""), "v FROM", "* FROM", 1),
+	} {
 		if code, _, err := c.ask(q); code != protocol.SyntaxError || err != nil {
 			t.Errorf("%s: %q %v", q, code, err)
 		}
@@ -361,9 +363,12 @@
 func TestAFaultyFileAtSIGHUPChangesNothing(t *testing.T) {
 	s := begin(t, 1, nil)
 	whole := s.config
-	for _, wrong := range [][2]string{{"{", "GW_CONFIG"}, {whole[:len(whole)/2], "GW_CONFIG"},
+	for _, wrong := range [][2]string{
+		{"{", "GW_CONFIG"},
+		{whole[:len(whole)/2], "GW_CONFIG"},
 		{strings.Replace(whole, `"send_cap":8,"probes":true`, `"send_cap":8,"probes":"yes"`, 1), "settings.bounds.probes"},
-		{strings.Replace(whole, s.discovery, "nowhere", 1), "discovery: not an address"}} {
+		{strings.Replace(whole, s.discovery, "nowhere", 1), "discovery: not an address"},
+	} {
 		os.WriteFile(s.path, []byte(wrong[0]), 0o600)
 		s.cmd.Process.Signal(syscall.SIGHUP)
 		if line := s.logged("the configuration stays as it was"); !strings.Contains(line, wrong[1]) {
--- /dev/null
+++ b/cmd/ferrypitch/trace_merge.go
@@ -0,0 +1,101 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/tool"
+)
+
+func traceMergeCommand() *cobra.Command {
+	var out string
+	c := &cobra.Command{
+		Use:   "merge FILE... --out OUT",
+		Short: "Put several routers' files in the order of the first one's clock",
+		Args:  cobra.MinimumNArgs(2),
+		RunE: func(_ *cobra.Command, args []string) error {
+			inputs := make([]*mergeInput, len(args))
+			for i, path := range args {
+				var err error
+				if inputs[i], err = readMergeInput(path); err != nil {
+					return err
+				}
+			}
+			skews, err := estimateSkews(inputs)
+			if err != nil {
+				return reportFailure(err)
+			}
+			return writeAtomically(out, func(to io.Writer) error { return writeMerged(to, inputs, skews) })
+		},
+	}
+	c.Flags().StringVar(&out, "out", "", "the file to write; - is standard output")
+	requireFlag(c, "out")
+	return c
+}
+
+// mergeInput is one of the files that are merged.
+type mergeInput struct {
+	path   string
+	header format.Header
+	delays *tool.Delays // by which clocks are compared
+	feed   tool.Feed    // its events, to be read again
+}
+
+func readMergeInput(path string) (*mergeInput, error) {
+	input := &mergeInput{path: path}
+	err := readEvents(path, allEvents, func(source *tool.Source) (err error) {
+		input.header = source.Header
+		input.delays = tool.NewDelays(source.Header.Schema)
+		input.feed, err = source.Feed()
+		return err
+	}, func(event format.Event) error {
+		input.delays.Add(event)
+		return nil
+	})
+	return input, err
+}
+
+// estimateSkews estimates how each clock differs from that of the first file, and prints it.
+func estimateSkews(inputs []*mergeInput) ([]tool.Skew, error) {
+	first := inputs[0]
+	skews := []tool.Skew{{Router: first.header.Router}}
+	for _, input := range inputs[1:] {
+		skew, err := tool.Estimate(input.header.Router, first.delays, input.delays)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", input.path, err)
+		}
+		fmt.Fprintf(os.Stderr, "%s: router %s is %.1f ms ahead and drifts by %.1f ppm, within %.1f ms, by %d windows\n",
+			input.path, skew.Router, skew.Offset/10, skew.Drift*1e6, skew.Bound/10, skew.Seen)
+		skews = append(skews, skew)
+	}
+	return skews, nil
+}
+
+// writeMerged writes the events of all files in order, after one event for each router that names it.
+func writeMerged(to io.Writer, inputs []*mergeInput, skews []tool.Skew) error {
+	header := inputs[0].header
+	header.Part, header.Schema = 0, tool.Merged(header.Schema)
+	output, err := tool.NewOutput(to, header)
+	if err != nil {
+		return err
+	}
+	routerNamed := len(header.Schema) - 1 // the kind that Merged adds
+	for i, skew := range skews {
+		event := format.Event{At: header.Began, Kind: routerNamed, Ints: []int64{int64(i)}, Texts: []string{skew.Router}}
+		if err := output.Add(event); err != nil {
+			return err
+		}
+	}
+	feeds := make([]tool.Feed, len(inputs))
+	for i, input := range inputs {
+		feeds[i] = input.feed
+	}
+	if err := tool.Merge(feeds, skews, output.Add); err != nil {
+		return err
+	}
+	return output.Close()
+}
--- /dev/null
+++ b/cmd/ferrypitch/trace_rewrite.go
@@ -0,0 +1,99 @@
+package main
+
+import (
+	"errors"
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"ferrypitch/internal/router/setup"
+	"ferrypitch/internal/router/trace/format"
+	"ferrypitch/internal/router/trace/tool"
+)
+
+// rewrite writes a file anew: its header as changeHeader returns it, and of the events in a window those that changeEvent
+// keeps, as it returns them. What could not be read is printed, and is no failure: the rest is written.
+func rewrite(in, out string, window tool.Window, changeHeader func(format.Header) (format.Header, error),
+	changeEvent func(format.Event) (changed format.Event, keep bool),
+) error {
+	return writeAtomically(out, func(to io.Writer) error {
+		var output *tool.Output
+		readErr := readEvents(in, window, func(source *tool.Source) error {
+			header, err := changeHeader(source.Header)
+			if err == nil {
+				output, err = tool.NewOutput(to, header)
+			}
+			return err
+		}, func(event format.Event) error {
+			if changed, keep := changeEvent(event); keep {
+				return output.Add(changed)
+			}
+			return nil
+		})
+		var reported exitStatus
+		if readErr != nil && (output == nil || !errors.As(readErr, &reported)) {
+			return readErr
+		}
+		return output.Close()
+	})
+}
+
+// keepHeader and keepEvent change nothing.
+func keepHeader(header format.Header) (format.Header, error) { return header, nil }
+func keepEvent(event format.Event) (format.Event, bool)      { return event, true }
+
+func traceCutCommand() *cobra.Command {
+	var flags filterFlags
+	c := &cobra.Command{
+		Use:   "cut FILE OUT",
+		Short: "Write a window, sessions, sets or groups of a file",
+		Args:  cobra.ExactArgs(2),
+		RunE: func(_ *cobra.Command, args []string) error {
+			window, err := flags.window()
+			if err != nil {
+				return err
+			}
+			var filter *tool.Filter
+			return rewrite(args[0], args[1], window, func(header format.Header) (format.Header, error) {
+				header.Part = 0 // without all events it cannot be replayed
+				var err error
+				filter, err = flags.filter(header)
+				return header, err
+			}, func(event format.Event) (format.Event, bool) { return event, filter.Has(event) })
+		},
+	}
+	flags.register(c)
+	return c
+}
+
+func traceRepairCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "repair FILE OUT",
+		Short: "Write what can be read of a file, with its index",
+		Args:  cobra.ExactArgs(2),
+		RunE: func(_ *cobra.Command, args []string) error {
+			return rewrite(args[0], args[1], allEvents, keepHeader, keepEvent)
+		},
+	}
+}
+
+func traceAnonymiseCommand() *cobra.Command {
+	var keyPath string
+	c := &cobra.Command{
+		Use:   "anonymise FILE OUT",
+		Short: "Replace who and where by pseudonyms under a key, and drop free text",
+		Args:  cobra.ExactArgs(2),
+		RunE: func(_ *cobra.Command, args []string) error {
+			key, err := setup.ReadKey(keyPath)
+			if err != nil {
+				return err
+			}
+			anonymous := tool.NewAnonymous(key)
+			return rewrite(args[0], args[1], allEvents, anonymous.Header,
+				func(event format.Event) (format.Event, bool) { return anonymous.Event(event), true })
+		},
+	}
+	c.Flags().StringVar(&keyPath, "key", "", "a key file, as ferrypitch key writes it")
+	requireFlag(c, "key")
+	return c
+}
--- a/cmd/ferrypitch/trace_test.go
+++ b/cmd/ferrypitch/trace_test.go
@@ -48,8 +48,10 @@
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
 	}
-	workload.Run(ctx, workload.Terms{Routers: []string{listen}, Sets: []int64{1}, Clients: 4, Rate: 150, For: time.Second, Writes: 0.2, Sessions: 2,
-		Timeout: time.Second, Seed: 5}, nil)
+	workload.Run(ctx, workload.Terms{
+		Routers: []string{listen}, Sets: []int64{1}, Clients: 4, Rate: 150, For: time.Second, Writes: 0.2, Sessions: 2,
+		Timeout: time.Second, Seed: 5,
+	}, nil)
 	cmd.Process.Signal(syscall.SIGHUP)
 	client, err := net.Dial("tcp", listen) // keeps it there for a moment
 	if err == nil {
--- a/internal/router/service/service.go
+++ b/internal/router/service/service.go
@@ -64,7 +64,7 @@
 	p.startTasks(ctx, tasks, listener)
 	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Int("clients", p.limits.MaxClientConns),
 		zap.Int("hosts", p.limits.Hosts))
-	finishTrace := p.startTrace()
+	finishTrace := StartTrace(p.trace)
 	p.handleSignals(ctx, signals, reload)
 	end()
 	err = tasks.Wait()
@@ -143,18 +143,3 @@
 		tasks.Go(func() error { return p.peers.Send(ctx) })
 	}
 }
-
-// startTrace starts to write the trace, if one is captured. finish ends that; it is called last, since a trace outlives
-// what it records.
-func (p *program) startTrace() (finish func() error) {
-	if p.trace == nil {
-		return func() error { return nil }
-	}
-	ctx, end := context.WithCancel(context.Background())
-	written := make(chan error, 1)
-	go func() { written <- p.trace.Run(ctx) }()
-	return func() error {
-		end()
-		return <-written
-	}
-}
--- a/internal/router/service/trace.go
+++ b/internal/router/service/trace.go
@@ -1,6 +1,7 @@
 package service
 
 import (
+	"context"
 	"crypto/rand"
 	"math"
 	"math/big"
@@ -44,6 +45,21 @@
 	return file.New(terms, file.Disk{}, header, time.Now, log), nil
 }
 
+// StartTrace starts to write a trace; a nil writer writes none. finish writes what is buffered and returns once that is done.
+// It is to be called last, since a trace outlives what it records.
+func StartTrace(writer *file.Writer) (finish func() error) {
+	if writer == nil {
+		return func() error { return nil }
+	}
+	ctx, end := context.WithCancel(context.Background())
+	written := make(chan error, 1)
+	go func() { written <- writer.Run(ctx) }()
+	return func() error {
+		end()
+		return <-written
+	}
+}
+
 // buildRevision returns the revision that the program was built from, as far as it knows.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
