--- a/cmd/ferrypitch/command_test.go
+++ b/cmd/ferrypitch/command_test.go
@@ -21,8 +21,8 @@
 	"ferrypitch/internal/simulation/tierfleet"
 )
 
-// example writes the repository's example with free addresses and a key, changed as a test wants.
-func example(t *testing.T, change func(all map[string]any)) string {
+// writeExample writes the repository's example with free addresses and a key, changed as a test wants.
+func writeExample(t *testing.T, change func(all map[string]any)) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/example.json")
 	if err != nil {
@@ -53,8 +53,8 @@
 	return path
 }
 
-// call runs a sub-command to its end.
-func call(args ...string) (out string, status int) {
+// runBinary runs a sub-command to its end.
+func runBinary(args ...string) (out string, status int) {
 	var b bytes.Buffer
 	cmd := exec.Command(binary, args...)
 	cmd.Stdout, cmd.Stderr = &b, &b
@@ -63,10 +63,10 @@
 }
 
 func TestTheExampleIsGoodForAllSubCommands(t *testing.T) {
-	if out, status := call("check", example(t, nil)); status != 0 || !strings.Contains(out, "[serve forward plan]") {
+	if out, status := runBinary("check", writeExample(t, nil)); status != 0 || !strings.Contains(out, "[serve forward plan]") {
 		t.Errorf("%d: %s", status, out)
 	}
-	if out, status := call("check", "--json", example(t, func(all map[string]any) { delete(all, "plan") })); status != 0 ||
+	if out, status := runBinary("check", "--json", writeExample(t, func(all map[string]any) { delete(all, "plan") })); status != 0 ||
 		!strings.Contains(out, `"serves":["serve","forward"]`) {
 		t.Errorf("%d: %s", status, out)
 	}
@@ -88,46 +88,46 @@
 		"limits.memory_mb: less than 32":           func(all map[string]any) { all["limits"].(map[string]any)["memory_mb"] = 16 },
 		"seed: ":                                   func(all map[string]any) { all["seed"] = "not hexadecimal" },
 	} {
-		path := example(t, change)
-		out, status := call("check", path)
+		path := writeExample(t, change)
+		out, status := runBinary("check", path)
 		if status != 2 || !strings.HasPrefix(out, "ferrypitch: "+path+": "+key) || strings.Count(out, "\n") != 1 {
 			t.Errorf("%s: status %d, %q", key, status, out)
 		}
 	}
-	path := example(t, nil)
+	path := writeExample(t, nil)
 	os.WriteFile(path, []byte("{\n\"name\": \"f1\",\n}"), 0o600)
-	if out, status := call("check", path); status != 2 || !strings.Contains(out, "line 3") {
+	if out, status := runBinary("check", path); status != 2 || !strings.Contains(out, "line 3") {
 		t.Errorf("%d: %s", status, out)
 	}
 	os.Chmod(filepath.Join(filepath.Dir(path), "example.key"), 0o644)
-	for _, args := range [][]string{{"check"}, {"nonsense"}, {"forward", example(t, func(all map[string]any) { delete(all, "forward") })}} {
-		if out, status := call(args...); status != 2 || out == "" {
+	for _, args := range [][]string{{"check"}, {"nonsense"}, {"forward", writeExample(t, func(all map[string]any) { delete(all, "forward") })}} {
+		if out, status := runBinary(args...); status != 2 || out == "" {
 			t.Errorf("%v: %d %s", args, status, out)
 		}
 	}
 }
 
 func TestAKeyThatOthersMayReadIsRefusedAndANewOneIsNot(t *testing.T) {
-	path := example(t, nil)
+	path := writeExample(t, nil)
 	key := filepath.Join(filepath.Dir(path), "example.key")
 	os.Chmod(key, 0o644)
-	if out, status := call("check", path); status != 2 || !strings.Contains(out, "others than its owner may read it") {
+	if out, status := runBinary("check", path); status != 2 || !strings.Contains(out, "others than its owner may read it") {
 		t.Errorf("%d: %s", status, out)
 	}
 	os.Remove(key)
-	if out, status := call("key", key); status != 0 {
+	if out, status := runBinary("key", key); status != 0 {
 		t.Errorf("%d: %s", status, out)
 	}
-	if out, status := call("check", path); status != 0 {
+	if out, status := runBinary("check", path); status != 0 {
 		t.Errorf("%d: %s", status, out)
 	}
-	if _, status := call("key", key); status == 0 {
+	if _, status := runBinary("key", key); status == 0 {
 		t.Error("a key is written over")
 	}
 }
 
 func TestHelpListsSubCommandsAndTheEnvironment(t *testing.T) {
-	out, status := call("--help")
+	out, status := runBinary("--help")
 	for _, word := range []string{"forward", "plan", "check", "serve", "GW_CONFIG", "GW_LISTEN"} {
 		if !strings.Contains(out, word) {
 			t.Errorf("no %s", word)
@@ -138,11 +138,11 @@
 	}
 }
 
-// running starts a sub-command that goes on until the test ends.
-func running(t *testing.T, args ...string) {
+// startBinary starts a sub-command that goes on until the test ends.
+func startBinary(t *testing.T, args ...string) {
 	t.Helper()
 	cmd := exec.Command(binary, args...)
-	cmd.Stderr = &lines{t: t}
+	cmd.Stderr = &logWriter{t: t}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -154,9 +154,9 @@
 	})
 }
 
-type lines struct{ t *testing.T }
+type logWriter struct{ t *testing.T }
 
-func (l *lines) Write(b []byte) (int, error) { l.t.Logf("%s", b); return len(b), nil }
+func (l *logWriter) Write(b []byte) (int, error) { l.t.Logf("%s", b); return len(b), nil }
 
 func TestTheExampleStartsAndAPgxClientIsServed(t *testing.T) {
 	f, err := tierfleet.New(t.TempDir(), 1, 3, 1, 0)
@@ -165,15 +165,15 @@
 	}
 	defer f.Stop()
 	listen := ""
-	path := example(t, func(all map[string]any) {
+	path := writeExample(t, func(all map[string]any) {
 		all["discovery"] = f.Discovery.Address()
 		all["forward"].(map[string]any)["planners"] = []any{all["plan"].(map[string]any)["listen"]}
 		delete(all, "known")
 		listen = all["listen"].(string)
 	})
-	running(t, "plan", path)
-	running(t, "forward", path)
-	ctx, stop := context.WithTimeout(t.Context(), patience)
+	startBinary(t, "plan", path)
+	startBinary(t, "forward", path)
+	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
@@ -209,7 +209,7 @@
 	}
 	defer f.Stop()
 	listen := ""
-	path := example(t, func(all map[string]any) {
+	path := writeExample(t, func(all map[string]any) {
 		all["discovery"], listen = f.Discovery.Address(), all["listen"].(string)
 		forward := all["forward"].(map[string]any)
 		forward["planners"], forward["keep"] = []any{all["plan"].(map[string]any)["listen"]}, "view"
@@ -223,7 +223,7 @@
 		return cmd
 	}
 	planner, forwarder := start("plan"), start("forward")
-	ctx, stop := context.WithTimeout(t.Context(), patience)
+	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
@@ -237,7 +237,7 @@
 		cmd.Process.Kill()
 		cmd.Wait()
 	}
-	running(t, "forward", path)
+	startBinary(t, "forward", path)
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Errorf("with no planner: %v", err)
 	}
@@ -255,13 +255,13 @@
 	}
 	for _, known := range []bool{true, false} {
 		listen := ""
-		path := example(t, func(all map[string]any) {
+		path := writeExample(t, func(all map[string]any) {
 			listen = all["listen"].(string)
 			if delete(all, "known"); known {
 				all["known"] = map[string]any{"rev": 1, "all": true, "targets": targets}
 			}
 		})
-		running(t, "forward", path)
+		startBinary(t, "forward", path)
 		ctx, stop := context.WithTimeout(t.Context(), 3*time.Second)
 		err := tierfleet.Ready(ctx, listen)
 		stop()
--- a/cmd/ferrypitch/program_test.go
+++ b/cmd/ferrypitch/program_test.go
@@ -20,22 +20,22 @@
 	"ferrypitch/internal/router/protocol"
 )
 
-// patience is how long a test waits for what must come about. Nothing is proved by waiting.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must come about. Nothing is proved by waiting.
+const testTimeout = 20 * time.Second
 
 func TestACalmWriteAndRead(t *testing.T) {
-	s := begin(t, 3, nil)
-	c := s.client()
-	if code, value, _ := c.ask(write("order", "3000")); code != "" || value != "from a" {
+	s := startSystem(t, 3, nil)
+	c := s.connect()
+	if code, value, _ := c.query(writeCommand("order", "3000")); code != "" || value != "from a" {
 		t.Errorf("write: %s %q", code, value)
 	}
-	if code, value, _ := c.ask(look("list", "800", "")); code != "" || !strings.HasPrefix(value, "from ") {
+	if code, value, _ := c.query(readCommand("list", "800", "")); code != "" || !strings.HasPrefix(value, "from ") {
 		t.Errorf("read: %s %q", code, value)
 	}
 	for _, got := range s.statements() {
-		want := write("order", "")
+		want := writeCommand("order", "")
 		if strings.Contains(got, "SELECT") {
-			want = look("list", "", "")
+			want = readCommand("list", "", "")
 		}
 		before, rest, _ := strings.Cut(got, ",d=")
 		wait, after, _ := strings.Cut(rest, ",")
@@ -46,11 +46,11 @@
 }
 
 func TestAValueOfSixtyFourKiBGoesBothWaysAndACancelRequestIsClosed(t *testing.T) {
-	s := begin(t, 1, nil)
+	s := startSystem(t, 1, nil)
 	big := strings.Repeat("v", 1<<16)
-	s.hosts[0].answer(func(b *box, q string) { b.row(big, "leader") })
-	long := strings.Replace(write("order", "3000"), `\x9f03`, `\x`+strings.Repeat("9f", 1<<16), 1)
-	if code, value, err := s.client().ask(long); code != "" || value != big || err != nil {
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) { b.sendRow(big, "leader") })
+	long := strings.Replace(writeCommand("order", "3000"), `\x9f03`, `\x`+strings.Repeat("9f", 1<<16), 1)
+	if code, value, err := s.connect().query(long); code != "" || value != big || err != nil {
 		t.Errorf("%s, %d bytes, %v", code, len(value), err)
 	}
 	if got := s.statements(); len(got) != 1 || len(got[0]) != len(long) {
@@ -61,7 +61,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	conn.Write([]byte{0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 2})
 	if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("a cancel request: %v", err)
@@ -69,44 +69,44 @@
 }
 
 func TestASessionReadIsHeldToItsToken(t *testing.T) {
-	s := prepared(t, 3, nil, func(s *stand) {
+	s := startPreparedSystem(t, 3, nil, func(s *testSystem) {
 		for _, h := range s.hosts[1:] {
-			h.behind(10 * time.Minute)
+			h.setLag(10 * time.Minute)
 		}
 	})
-	c := s.client()
+	c := s.connect()
 	after := strconv.FormatInt(time.Now().Add(-time.Minute).UnixMilli(), 10)
 	for range 5 {
-		if code, value, _ := c.ask(look("own", "800", after)); code != "" || value != "from a" {
+		if code, value, _ := c.query(readCommand("own", "800", after)); code != "" || value != "from a" {
 			t.Errorf("%s %q", code, value)
 		}
 	}
 }
 
 func TestAPositionOfTheFutureIsNotBelieved(t *testing.T) {
-	s := begin(t, 2, nil)
-	s.hosts[1].behind(-10 * time.Minute) // in each report and each answer
-	c := s.client()
+	s := startSystem(t, 2, nil)
+	s.hosts[1].setLag(-10 * time.Minute) // in each report and each answer
+	c := s.connect()
 	for range 30 {
 		after := strconv.FormatInt(time.Now().UnixMilli(), 10)
-		if code, value, _ := c.ask(look("own", "800", after)); code != "" || value != "from a" {
+		if code, value, _ := c.query(readCommand("own", "800", after)); code != "" || value != "from a" {
 			t.Errorf("%s %q", code, value)
 		}
 	}
 }
 
 func TestAnIdThatIsOpenIsNotTakenAgain(t *testing.T) {
-	s := begin(t, 1, nil)
+	s := startSystem(t, 1, nil)
 	asked, let := make(chan bool, 9), make(chan bool)
-	s.hosts[0].answer(func(b *box, q string) {
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) {
 		asked <- true
 		<-let
-		b.row("first", "leader")
+		b.sendRow("first", "leader")
 	})
-	c, other := s.client(), s.client()
-	c.send(write("order", "3000"))
+	c, other := s.connect(), s.connect()
+	c.send(writeCommand("order", "3000"))
 	<-asked
-	if code, _, _ := other.ask(write("order", "3000")); code != protocol.SyntaxError {
+	if code, _, _ := other.query(writeCommand("order", "3000")); code != protocol.SyntaxError {
 		t.Errorf("the second ends with %q", code)
 	}
 	close(let)
@@ -116,13 +116,13 @@
 }
 
 func TestAStatementThatItsGroupDoesNotHaveIsRefused(t *testing.T) {
-	s := begin(t, 1, nil)
-	c := s.client()
+	s := startSystem(t, 1, nil)
+	c := s.connect()
 	for _, q := range []string{
-		write("list", "800"), look("order", "800", ""),
-		strings.Replace(look("list", "800", ""), "v FROM", "* FROM", 1),
+		writeCommand("list", "800"), readCommand("order", "800", ""),
+		strings.Replace(readCommand("list", "800", ""), "v FROM", "* FROM", 1),
 	} {
-		if code, _, err := c.ask(q); code != protocol.SyntaxError || err != nil {
+		if code, _, err := c.query(q); code != protocol.SyntaxError || err != nil {
 			t.Errorf("%s: %q %v", q, code, err)
 		}
 	}
@@ -132,52 +132,52 @@
 }
 
 func TestASpoiltAnswerGoesElsewhereAndTellsNothing(t *testing.T) {
-	s := begin(t, 2, nil)
-	spoil := func(b *box, q string) { // it says that it is the primary, and knows all
-		b.conn.Write(append(row("spoilt")[:27], ready("leader", time.Now().UnixMilli())...))
+	s := startSystem(t, 2, nil)
+	spoil := func(b *hostConn, q string) { // it says that it is the primary, and knows all
+		b.conn.Write(append(rowMessages("spoilt")[:27], readyMessages("leader", time.Now().UnixMilli())...))
 	}
-	s.hosts[1].answer(spoil)
-	c := s.client()
+	s.hosts[1].setOnQuery(spoil)
+	c := s.connect()
 	for range 20 {
-		if code, value, _ := c.ask(look("list", "800", "")); code != "" || value != "from a" {
+		if code, value, _ := c.query(readCommand("list", "800", "")); code != "" || value != "from a" {
 			t.Errorf("a read: %s %q", code, value)
 		}
 	}
-	if s.hosts[1].count() == 0 {
+	if s.hosts[1].queryCount() == 0 {
 		t.Error("the host that spoils was never asked")
 	}
-	if code, value, _ := c.ask(write("order", "3000")); code != "" || value != "from a" {
+	if code, value, _ := c.query(writeCommand("order", "3000")); code != "" || value != "from a" {
 		t.Errorf("a write: %s %q", code, value)
 	}
-	s.hosts[0].answer(spoil)
+	s.hosts[0].setOnQuery(spoil)
 	before := len(s.statements())
-	if code, _, _ := c.ask(write("order", "3000")); code != protocol.SystemError || len(s.statements()) != before+1 {
+	if code, _, _ := c.query(writeCommand("order", "3000")); code != protocol.SystemError || len(s.statements()) != before+1 {
 		t.Errorf("a spoilt write: %s, sent %d times", code, len(s.statements())-before)
 	}
 }
 
 func TestAMissIsTakenToAnotherMember(t *testing.T) {
-	s := begin(t, 3, nil)
-	s.hosts[0].answer(func(b *box, q string) { b.refuse(protocol.ReadOnly, "follower") })
-	s.hosts[1].answer(func(b *box, q string) { b.row("from b", "leader") })
-	if code, value, _ := s.client().ask(write("order", "3000")); code != "" || value != "from b" {
+	s := startSystem(t, 3, nil)
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) { b.sendError(protocol.ReadOnly, "follower") })
+	s.hosts[1].setOnQuery(func(b *hostConn, q string) { b.sendRow("from b", "leader") })
+	if code, value, _ := s.connect().query(writeCommand("order", "3000")); code != "" || value != "from b" {
 		t.Errorf("%s %q", code, value)
 	}
 }
 
 func TestAMutatingCommandThatMayHaveRunIsNotRepeated(t *testing.T) {
-	for name, end := range map[string]func(*box){
-		"the connection breaks":        func(b *box) { b.conn.Close() },
-		"half a row comes":             func(b *box) { b.conn.Write(row("x")[:20]); b.conn.Close() },
-		"two rows come":                func(b *box) { b.conn.Write(protocol.AppendReady(append(row("x"), row("y")...))) },
-		"an error comes":               func(b *box) { b.refuse("XX000", "leader") },
-		"a code comes that is unknown": func(b *box) { b.refuse("99999", "leader") },
+	for name, end := range map[string]func(*hostConn){
+		"the connection breaks":        func(b *hostConn) { b.conn.Close() },
+		"half a row comes":             func(b *hostConn) { b.conn.Write(rowMessages("x")[:20]); b.conn.Close() },
+		"two rows come":                func(b *hostConn) { b.conn.Write(protocol.AppendReady(append(rowMessages("x"), rowMessages("y")...))) },
+		"an error comes":               func(b *hostConn) { b.sendError("XX000", "leader") },
+		"a code comes that is unknown": func(b *hostConn) { b.sendError("99999", "leader") },
 	} {
-		s := begin(t, 3, nil)
+		s := startSystem(t, 3, nil)
 		for _, h := range s.hosts {
-			h.answer(func(b *box, q string) { end(b) })
+			h.setOnQuery(func(b *hostConn, q string) { end(b) })
 		}
-		code, _, _ := s.client().ask(write("order", "3000"))
+		code, _, _ := s.connect().query(writeCommand("order", "3000"))
 		if code == "" || code == protocol.TooMany || code == protocol.NotNow || len(s.statements()) != 1 {
 			t.Errorf("%s: code %q after %d statements", name, code, len(s.statements()))
 		}
@@ -186,27 +186,27 @@
 }
 
 func TestAHostThatIsNotThereCostsNoCommand(t *testing.T) {
-	s := begin(t, 3, nil)
+	s := startSystem(t, 3, nil)
 	s.hosts[1].listener.Close()
 	s.hosts[1].closeAll()
-	c := s.client()
+	c := s.connect()
 	for range 20 {
-		if code, _, _ := c.ask(look("list", "800", "")); code != "" {
+		if code, _, _ := c.query(readCommand("list", "800", "")); code != "" {
 			t.Errorf("code %s", code)
 		}
 	}
 }
 
 func TestASilentHostIsGivenUpOnInTime(t *testing.T) {
-	s := begin(t, 1, nil)
+	s := startSystem(t, 1, nil)
 	gone := make(chan struct{}, 9)
-	s.hosts[0].answer(func(b *box, q string) {
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) {
 		io.Copy(io.Discard, b.conn) // until the router closes the connection
 		gone <- struct{}{}
 	})
 	at := time.Now()
-	code, _, _ := s.client().ask(write("order", "400"))
-	if took := time.Since(at); code != protocol.SystemError || took > patience/2 {
+	code, _, _ := s.connect().query(writeCommand("order", "400"))
+	if took := time.Since(at); code != protocol.SystemError || took > testTimeout/2 {
 		t.Errorf("code %q after %v", code, took)
 	}
 	<-gone
@@ -214,21 +214,21 @@
 
 func TestNothingNewGoesToAHostThatDrainsOrLeft(t *testing.T) {
 	for _, state := range []string{"draining", "removed", "a state not known", "missing from a whole list"} {
-		s := begin(t, 3, nil)
+		s := startSystem(t, 3, nil)
 		if state == "missing from a whole list" {
-			s.lines <- fmt.Sprintf(`{"rev":2,"all":true,"targets":[%s,%s]}`, s.entry(0, "up"), s.entry(2, "up"))
-			s.logged(`"rev":2,`)
+			s.listLines <- fmt.Sprintf(`{"rev":2,"all":true,"targets":[%s,%s]}`, s.listEntry(0, "up"), s.listEntry(2, "up"))
+			s.awaitLog(`"rev":2,`)
 		} else {
-			s.list(2, s.entry(1, state))
+			s.sendList(2, s.listEntry(1, state))
 		}
-		before := s.hosts[1].count()
-		c := s.client()
+		before := s.hosts[1].queryCount()
+		c := s.connect()
 		for range 30 {
-			if code, _, _ := c.ask(look("list", "800", "")); code != "" {
+			if code, _, _ := c.query(readCommand("list", "800", "")); code != "" {
 				t.Errorf("code %s", code)
 			}
 		}
-		if n := s.hosts[1].count() - before; n != 0 {
+		if n := s.hosts[1].queryCount() - before; n != 0 {
 			t.Errorf("%s: %d statements", state, n)
 		}
 		s.stop()
@@ -236,61 +236,61 @@
 }
 
 func TestAHostIsFoundAtItsNewAddress(t *testing.T) {
-	s := begin(t, 1, nil)
-	c := s.client()
-	c.ask(look("list", "800", ""))
-	moved := s.host("a")
+	s := startSystem(t, 1, nil)
+	c := s.connect()
+	c.query(readCommand("list", "800", ""))
+	moved := s.startHost("a")
 	moved.primary = true
 	s.hosts = append(s.hosts, moved)
-	entry := strings.Replace(s.entry(0, "up"), s.hosts[0].address(), moved.address(), 1)
-	s.list(2, entry)
-	before := s.hosts[0].count()
-	if code, _, _ := c.ask(write("order", "3000")); code != "" || moved.count() != 1 || s.hosts[0].count() != before {
-		t.Errorf("code %q, %d at the new address", code, moved.count())
+	entry := strings.Replace(s.listEntry(0, "up"), s.hosts[0].address(), moved.address(), 1)
+	s.sendList(2, entry)
+	before := s.hosts[0].queryCount()
+	if code, _, _ := c.query(writeCommand("order", "3000")); code != "" || moved.queryCount() != 1 || s.hosts[0].queryCount() != before {
+		t.Errorf("code %q, %d at the new address", code, moved.queryCount())
 	}
 }
 
 func TestAnOlderOrTornListChangesNothingAndIsAskedForAgain(t *testing.T) {
-	s := begin(t, 3, nil)
-	s.list(5, s.entry(1, "draining"))
-	s.lines <- fmt.Sprintf(`{"rev":4,"all":false,"targets":[%s]}`, s.entry(1, "up"))
-	s.logged("older than the one held")
-	s.lines <- `{"rev":6,"all":false,"targets":[{"uid":"b"}]}`
-	s.logged("targets[0].endpoint: missing")
-	if since := s.watched(); since != "5" {
+	s := startSystem(t, 3, nil)
+	s.sendList(5, s.listEntry(1, "draining"))
+	s.listLines <- fmt.Sprintf(`{"rev":4,"all":false,"targets":[%s]}`, s.listEntry(1, "up"))
+	s.awaitLog("older than the one held")
+	s.listLines <- `{"rev":6,"all":false,"targets":[{"uid":"b"}]}`
+	s.awaitLog("targets[0].endpoint: missing")
+	if since := s.secondWatchVersion(); since != "5" {
 		t.Errorf("asked for what came after %s", since)
 	}
-	<-s.ended // the watch that brought the fault takes no more lines
-	s.list(6, s.entry(2, "draining"))
-	before := s.hosts[1].count() + s.hosts[2].count()
-	c := s.client()
+	<-s.watchEnded // the watch that brought the fault takes no more lines
+	s.sendList(6, s.listEntry(2, "draining"))
+	before := s.hosts[1].queryCount() + s.hosts[2].queryCount()
+	c := s.connect()
 	for range 10 {
-		if code, value, _ := c.ask(look("list", "800", "")); code != "" || value != "from a" {
+		if code, value, _ := c.query(readCommand("list", "800", "")); code != "" || value != "from a" {
 			t.Errorf("%s %q", code, value)
 		}
 	}
-	if s.hosts[1].count()+s.hosts[2].count() != before {
+	if s.hosts[1].queryCount()+s.hosts[2].queryCount() != before {
 		t.Error("a host that drains was sent to")
 	}
 }
 
 func TestAfterSIGTERMItServesOnAndAnswersWhatIsOut(t *testing.T) {
 	t.Parallel()
-	s := begin(t, 1, nil)
+	s := startSystem(t, 1, nil)
 	asked, let := make(chan struct{}), make(chan struct{})
-	s.hosts[0].answer(func(b *box, q string) {
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) {
 		if strings.Contains(q, "id=1,") {
 			close(asked)
 			<-let
 		}
-		b.row("late but whole", "leader")
+		b.sendRow("late but whole", "leader")
 	})
-	c, idle := s.client(), s.client()
-	c.send(write("order", "3000"))
+	c, idle := s.connect(), s.connect()
+	c.send(writeCommand("order", "3000"))
 	<-asked
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	s.logged("stopping")
-	if code, _, err := idle.ask(as(2, write("order", "3000"))); code != "" || err != nil {
+	s.awaitLog("stopping")
+	if code, _, err := idle.query(withID(2, writeCommand("order", "3000"))); code != "" || err != nil {
 		t.Errorf("after SIGTERM: %s %v", code, err)
 	}
 	close(let)
@@ -305,7 +305,7 @@
 		conn.Close()
 		time.Sleep(10 * time.Millisecond)
 	}
-	if code, _, err := idle.ask(as(3, write("order", "3000"))); code != "" || err != nil {
+	if code, _, err := idle.query(withID(3, writeCommand("order", "3000"))); code != "" || err != nil {
 		t.Errorf("after the last has come: %s %v", code, err)
 	}
 	if _, err := idle.conn.Read(make([]byte, 1)); err != io.EOF {
@@ -317,51 +317,51 @@
 }
 
 func TestKilledAndStartedAgainItServesFromTheOldList(t *testing.T) {
-	s := begin(t, 3, nil)
-	s.client().ask(write("order", "3000"))
+	s := startSystem(t, 3, nil)
+	s.connect().query(writeCommand("order", "3000"))
 	s.cmd.Process.Kill()
 	s.cmd.Wait()
-	s.silent = true // discovery is down
+	s.discoverySilent = true // discovery is down
 	s.start()
-	if code, value, _ := s.client().ask(write("order", "3000")); code != "" || value != "from a" {
+	if code, value, _ := s.connect().query(writeCommand("order", "3000")); code != "" || value != "from a" {
 		t.Errorf("%s %q", code, value)
 	}
 }
 
 func TestSIGHUPFollowsDiscoveryToANewAddress(t *testing.T) {
-	s := begin(t, 2, nil)
+	s := startSystem(t, 2, nil)
 	old := s.discovery
-	s.list(41, s.entry(1, "draining"))
+	s.sendList(41, s.listEntry(1, "draining"))
 	asked, let := make(chan bool), make(chan bool)
-	s.hosts[0].answer(func(b *box, q string) {
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) {
 		asked <- true
 		<-let
-		b.row("x", "leader")
+		b.sendRow("x", "leader")
 	})
-	c := s.client()
-	c.send(write("order", "3000"))
+	c := s.connect()
+	c.send(writeCommand("order", "3000"))
 	<-asked
-	s.moved = make(chan string)
-	next := hear(t)
-	go s.discover(next, s.moved)
-	s.configure(old, next.Addr().String())
+	s.movedListLines = make(chan string)
+	next := listen(t)
+	go s.serveDiscovery(next, s.movedListLines)
+	s.replaceInConfig(old, next.Addr().String())
 	s.cmd.Process.Signal(syscall.SIGHUP)
-	s.logged("configuration read again")
-	s.moved <- fmt.Sprintf(`{"rev":3,"all":true,"targets":[%s,%s]}`, s.entry(0, "up"), s.entry(1, "up"))
-	s.logged(`"rev":3,`)
-	s.moved <- fmt.Sprintf(`{"rev":4,"all":false,"targets":[%s]}`, s.entry(1, "draining"))
-	s.logged(`"rev":4,`)
+	s.awaitLog("configuration read again")
+	s.movedListLines <- fmt.Sprintf(`{"rev":3,"all":true,"targets":[%s,%s]}`, s.listEntry(0, "up"), s.listEntry(1, "up"))
+	s.awaitLog(`"rev":3,`)
+	s.movedListLines <- fmt.Sprintf(`{"rev":4,"all":false,"targets":[%s]}`, s.listEntry(1, "draining"))
+	s.awaitLog(`"rev":4,`)
 	close(let)
 	if code, value, err := c.answer(); code != "" || value != "x" || err != nil {
 		t.Errorf("in flight meanwhile: %s %q %v", code, value, err)
 	}
-	<-s.ended // the old address's watch
-	s.moved <- fmt.Sprintf(`{"rev":2,"all":false,"targets":[%s]}`, s.entry(1, "up"))
-	s.logged("older than the one held")
+	<-s.watchEnded // the old address's watch
+	s.movedListLines <- fmt.Sprintf(`{"rev":2,"all":false,"targets":[%s]}`, s.listEntry(1, "up"))
+	s.awaitLog("older than the one held")
 }
 
 func TestAFaultyFileAtSIGHUPChangesNothing(t *testing.T) {
-	s := begin(t, 1, nil)
+	s := startSystem(t, 1, nil)
 	whole := s.config
 	for _, wrong := range [][2]string{
 		{"{", "GW_CONFIG"},
@@ -371,39 +371,39 @@
 	} {
 		os.WriteFile(s.path, []byte(wrong[0]), 0o600)
 		s.cmd.Process.Signal(syscall.SIGHUP)
-		if line := s.logged("the configuration stays as it was"); !strings.Contains(line, wrong[1]) {
+		if line := s.awaitLog("the configuration stays as it was"); !strings.Contains(line, wrong[1]) {
 			t.Errorf("%s is not named: %s", wrong[1], line)
 		}
 	}
-	s.configure(`"memory_mb":192`, `"memory_mb":64`)
+	s.replaceInConfig(`"memory_mb":192`, `"memory_mb":64`)
 	s.cmd.Process.Signal(syscall.SIGHUP)
-	if line := s.logged("configuration read again"); !strings.Contains(line, `"limits"`) {
+	if line := s.awaitLog("configuration read again"); !strings.Contains(line, `"limits"`) {
 		t.Errorf("what needs a restart is not named: %s", line)
 	}
-	s.list(2, s.entry(0, "up"))
-	if code, _, _ := s.client().ask(write("order", "3000")); code != "" {
+	s.sendList(2, s.listEntry(0, "up"))
+	if code, _, _ := s.connect().query(writeCommand("order", "3000")); code != "" {
 		t.Errorf("code %s", code)
 	}
 }
 
 func TestSIGHUPNeverEndsTheProgramAndNeverHidesSIGTERM(t *testing.T) {
-	s := begin(t, 1, nil)
+	s := startSystem(t, 1, nil)
 	asked, let := make(chan bool), make(chan bool)
-	s.hosts[0].answer(func(b *box, q string) {
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) {
 		asked <- true
 		<-let
-		b.row("x", "leader")
+		b.sendRow("x", "leader")
 	})
-	c := s.client()
-	c.send(write("order", "3000"))
+	c := s.connect()
+	c.send(writeCommand("order", "3000"))
 	<-asked
 	for range 50 {
 		s.cmd.Process.Signal(syscall.SIGHUP)
 	}
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	s.logged("stopping")
+	s.awaitLog("stopping")
 	s.cmd.Process.Signal(syscall.SIGHUP)
-	s.logged("configuration read again")
+	s.awaitLog("configuration read again")
 	close(let)
 	if code, value, err := c.answer(); code != "" || value != "x" || err != nil {
 		t.Errorf("%s %q %v", code, value, err)
@@ -414,17 +414,17 @@
 }
 
 func TestWhatIsWrongAtStartIsNamedInOneLine(t *testing.T) {
-	taken := hear(t)
+	taken := listen(t)
 	for name, wrong := range map[string]func(map[string]any, []string) ([]string, string){
 		"GW_CONFIG": func(c map[string]any, env []string) ([]string, string) { return nil, "" },
 		"JSON":      func(c map[string]any, env []string) ([]string, string) { return env, "{" },
 		"seed":      func(c map[string]any, env []string) ([]string, string) { c["seed"] = "x"; return env, "" },
 		"limits.sockets": func(c map[string]any, env []string) ([]string, string) {
-			within(c, "limits")["sockets"] = 0
+			object(c, "limits")["sockets"] = 0
 			return env, ""
 		},
 		"settings.bounds.probes: not a bool": func(c map[string]any, env []string) ([]string, string) {
-			within(c, "settings", "bounds")["probes"] = "yes"
+			object(c, "settings", "bounds")["probes"] = "yes"
 			return env, ""
 		},
 		"settings.classes[0].give_up: missing": func(c map[string]any, env []string) ([]string, string) {
@@ -442,7 +442,7 @@
 			return append(env, "GW_LISTEN="+taken.Addr().String()), ""
 		},
 		"known.rev: missing": func(c map[string]any, env []string) ([]string, string) {
-			delete(within(c, "known"), "rev")
+			delete(object(c, "known"), "rev")
 			return env, ""
 		},
 	} {
@@ -455,14 +455,14 @@
 			text = string(b)
 		}
 		os.WriteFile(path, []byte(text), 0o600)
-		if out, status := refused(env); status == 0 || strings.Count(out, "\n") != 1 || !strings.Contains(out, name) {
+		if out, status := runRejected(env); status == 0 || strings.Count(out, "\n") != 1 || !strings.Contains(out, name) {
 			t.Errorf("%s: status %d, %s", name, status, out)
 		}
 	}
 }
 
-// refused starts the program where it can't start, and gives what it says and its status.
-func refused(env []string) (string, int) {
+// runRejected starts the program where it can't start, and gives what it says and its status.
+func runRejected(env []string) (string, int) {
 	cmd := exec.Command(binary)
 	cmd.Env = env
 	out, _ := cmd.CombinedOutput()
@@ -470,16 +470,16 @@
 }
 
 func TestMoreClientsThanDescriptors(t *testing.T) {
-	s := begin(t, 1, func(c map[string]any) {
-		within(c, "limits")["sockets"] = 64
-		within(c, "settings")["classes"].([]any)[2].(map[string]any)["give_up"] = 20000 // those that are out stay so until the end
+	s := startSystem(t, 1, func(c map[string]any) {
+		object(c, "limits")["sockets"] = 64
+		object(c, "settings")["classes"].([]any)[2].(map[string]any)["give_up"] = 20000 // those that are out stay so until the end
 	})
-	var silent []*client
+	var silent []*testClient
 	for range 24 { // all that there are
-		silent = append(silent, s.client())
+		silent = append(silent, s.connect())
 	}
 	for range 100 { // held open; those who ask for nothing make way first, then the idle
-		if code, _, err := s.client().ask(look("list", "800", "")); code != "" || err != nil {
+		if code, _, err := s.connect().query(readCommand("list", "800", "")); code != "" || err != nil {
 			t.Fatalf("code %q, %v", code, err)
 		}
 	}
@@ -488,35 +488,35 @@
 			t.Fatal("a connection that asked for nothing stayed")
 		}
 	}
-	behind := func(q string) *client { // the first command right behind the startup
+	behind := func(q string) *testClient { // the first command right behind the startup
 		conn, err := net.Dial("tcp", s.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		conn.Write(protocol.AppendQuery(protocol.AppendStartup(nil, "svc", "main"), []byte(q)))
-		return &client{t: t, conn: conn}
+		return &testClient{t: t, conn: conn}
 	}
-	var fresh []*client
+	var fresh []*testClient
 	for i := range 100 {
-		fresh = append(fresh, behind(as(10+i, look("list", "800", ""))))
+		fresh = append(fresh, behind(withID(10+i, readCommand("list", "800", ""))))
 	}
 	for _, c := range fresh {
-		c.greet()
+		c.readGreeting()
 		if _, _, err := c.answer(); err != nil {
 			t.Fatalf("a first command was lost: %v", err)
 		}
 	}
 	asked, let := make(chan bool, 99), make(chan bool)
-	s.hosts[0].answer(func(b *box, q string) {
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) {
 		asked <- true
 		<-let
-		b.row("x", "leader")
+		b.sendRow("x", "leader")
 	})
-	before, _ := s.counted()
+	before, _ := s.counters()
 	for i := range 24 { // as many as it serves; the module has no more than four out at once
-		c := behind(as(i, write("order", "20000"))) // one that asks for nothing for a while would make way
+		c := behind(withID(i, writeCommand("order", "20000"))) // one that asks for nothing for a while would make way
 		defer c.answer()
 	}
 	defer close(let)
@@ -527,28 +527,28 @@
 	shed := func(counts map[string]float64) float64 { return counts["commands_shed"] + counts["throttled"] }
 	for got, since := before, time.Now(); got["taken"] < before["taken"]+24; { // what was sent may not have been read yet
 		var line string
-		if got, line = s.counted(); ended(got) > ended(before) || shed(got) > shed(before) || time.Since(since) > patience {
+		if got, line = s.counters(); ended(got) > ended(before) || shed(got) > shed(before) || time.Since(since) > testTimeout {
 			t.Fatal(line)
 		}
 	}
-	if code, _, err := s.client().ask(as(99, look("list", "800", ""))); code != protocol.TooMany || err != nil {
+	if code, _, err := s.connect().query(withID(99, readCommand("list", "800", ""))); code != protocol.TooMany || err != nil {
 		t.Errorf("with all connections busy: %q, %v", code, err)
 	}
-	if got, line := s.counted(); got["out"] != 24 || ended(got) != ended(before) || shed(got) != shed(before)+1 {
+	if got, line := s.counters(); got["out"] != 24 || ended(got) != ended(before) || shed(got) != shed(before)+1 {
 		t.Error("with all connections busy: ", line)
 	}
 }
 
 func TestWhatIsOwedWhenTheTimeAfterSIGTERMIsUpFails(t *testing.T) {
 	t.Parallel()
-	s := begin(t, 1, nil)
+	s := startSystem(t, 1, nil)
 	asked := make(chan bool, 9)
-	s.hosts[0].answer(func(b *box, q string) {
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) {
 		asked <- true
 		io.Copy(io.Discard, b.conn)
 	})
-	c := s.client()
-	c.send(write("order", "60000"))
+	c := s.connect()
+	c.send(writeCommand("order", "60000"))
 	<-asked
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	if code, _, err := c.answer(); code != protocol.SystemError || err != nil {
@@ -560,11 +560,11 @@
 }
 
 func TestCommandsWrittenAheadAreAnsweredInOrderHoweverTheyAreSplit(t *testing.T) {
-	s := begin(t, 1, nil)
-	s.hosts[0].answer(func(b *box, q string) {
+	s := startSystem(t, 1, nil)
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) {
 		_, rest, _ := strings.Cut(q, "id=")
 		id, _, _ := strings.Cut(rest, ",")
-		b.row(id, "leader")
+		b.sendRow(id, "leader")
 	})
 	conn, err := net.Dial("tcp", s.listen)
 	if err != nil {
@@ -579,18 +579,18 @@
 	}
 	all = protocol.AppendStartup(nil, "svc", "main")
 	for i := range 5 {
-		all = protocol.AppendQuery(all, []byte(as(i, write("order", "3000"))))
+		all = protocol.AppendQuery(all, []byte(withID(i, writeCommand("order", "3000"))))
 	}
 	all = protocol.AppendQuery(all, []byte(" ;"))
 	all = protocol.AppendQuery(all, []byte("SELECT 1"))
-	all = protocol.AppendQuery(all, []byte(write("nothing", "3000")))
-	all = protocol.AppendQuery(all, []byte(strings.Replace(write("order", "3000"), "cluster=2", "cluster=9", 1)))
+	all = protocol.AppendQuery(all, []byte(writeCommand("nothing", "3000")))
+	all = protocol.AppendQuery(all, []byte(strings.Replace(writeCommand("order", "3000"), "cluster=2", "cluster=9", 1)))
 	all = append(all, 'P', 0, 0, 0, 4, 'B', 0, 0, 0, 4, 'S', 0, 0, 0, 4)
 	for i := range all {
 		conn.Write(all[i : i+1])
 	}
-	c := &client{t: t, conn: conn}
-	c.greet()
+	c := &testClient{t: t, conn: conn}
+	c.readGreeting()
 	for i := range 5 {
 		if code, value, err := c.answer(); code != "" || value != fmt.Sprint(i) || err != nil {
 			t.Errorf("%d: %s %q %v", i, code, value, err)
@@ -613,20 +613,20 @@
 }
 
 func TestASlowReaderAndAHalfMessageHoldUpNobody(t *testing.T) {
-	s := begin(t, 1, nil)
-	s.hosts[0].answer(func(b *box, q string) { b.row(strings.Repeat("v", 60000), "leader") })
-	slow, half, c := s.client(), s.client(), s.client()
+	s := startSystem(t, 1, nil)
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) { b.sendRow(strings.Repeat("v", 60000), "leader") })
+	slow, half, c := s.connect(), s.connect(), s.connect()
 	for i := range 100 {
-		go slow.conn.Write(protocol.AppendQuery(nil, []byte(as(10+i, look("list", "800", "")))))
+		go slow.conn.Write(protocol.AppendQuery(nil, []byte(withID(10+i, readCommand("list", "800", "")))))
 	}
 	half.conn.Write([]byte{protocol.Query, 0, 1, 0, 0, 'x'})
 	for range 5 {
-		if code, value, err := c.ask(look("list", "800", "")); code != "" || len(value) != 60000 || err != nil {
+		if code, value, err := c.query(readCommand("list", "800", "")); code != "" || len(value) != 60000 || err != nil {
 			t.Errorf("%s, %d bytes, %v", code, len(value), err)
 		}
 	}
 	half.conn.Write([]byte{0xff})
-	bad := s.client()
+	bad := s.connect()
 	bad.conn.Write([]byte{protocol.Query, 0xff, 0xff, 0xff, 0xff})
 	if code, _, _ := bad.answer(); code != protocol.ProtocolViolation {
 		t.Errorf("an impossible length: %s", code)
@@ -634,30 +634,30 @@
 }
 
 func TestTheCountsAgree(t *testing.T) {
-	s := begin(t, 2, nil)
+	s := startSystem(t, 2, nil)
 	asked := make(chan struct{}, 9)
-	s.hosts[0].answer(func(b *box, q string) {
+	s.hosts[0].setOnQuery(func(b *hostConn, q string) {
 		if strings.Contains(q, "id=1,") {
-			b.row("x", "leader")
+			b.sendRow("x", "leader")
 			return
 		}
 		asked <- struct{}{}
 		io.Copy(io.Discard, b.conn)
 	})
-	c, leaves := s.client(), s.client()
+	c, leaves := s.connect(), s.connect()
 	for range 3 {
-		c.ask(write("order", "3000"))
+		c.query(writeCommand("order", "3000"))
 	}
-	c.ask("SELECT without a comment")
-	lost := as(2, write("order", "200"))
-	c.ask(lost)
+	c.query("SELECT without a comment")
+	lost := withID(2, writeCommand("order", "200"))
+	c.query(lost)
 	<-asked
-	leaves.send(as(3, write("order", "3000")))
+	leaves.send(withID(3, writeCommand("order", "3000")))
 	<-asked
 	leaves.conn.Close()
 	for got := map[string]float64{}; got["left"] != 1; { // a client that left is seen at some time
 		var line string
-		if got, line = s.counted(); got["taken"] != 5 || got["answered"] != 3 || got["failed"] != 1 || got["refused"] != 1 ||
+		if got, line = s.counters(); got["taken"] != 5 || got["answered"] != 3 || got["failed"] != 1 || got["refused"] != 1 ||
 			got["out"]+got["left"] != 1 || got["hosts_held"] != 2 || got["clients_accepted"] != got["clients_open"]+
 			got["clients_left"]+got["clients_made_way"]+got["clients_torn"]+got["clients_slow"]+got["clients_wild"]+
 			got["clients_no_room"] {
@@ -666,10 +666,10 @@
 	}
 }
 
-// counted is what the program counts, and the line in which it says so.
-func (s *stand) counted() (got map[string]float64, line string) {
+// counters is what the program counts, and the line in which it says so.
+func (s *testSystem) counters() (got map[string]float64, line string) {
 	s.cmd.Process.Signal(syscall.SIGUSR1)
-	_, line, _ = strings.Cut(s.logged(`"msg":"counts"`), "{")
+	_, line, _ = strings.Cut(s.awaitLog(`"msg":"counts"`), "{")
 	json.Unmarshal([]byte("{"+line), &got)
 	return got, line
 }
@@ -692,43 +692,43 @@
 	os.Exit(code)
 }
 
-type stand struct {
-	t      *testing.T
-	hosts  []*host
-	config string
-	path   string // of its file
-	env    []string
-	listen string
-	cmd    *exec.Cmd
-	log    chan string
-	lines  chan string // of discovery
-	moved  chan string // of discovery at another address
+type testSystem struct {
+	t              *testing.T
+	hosts          []*fakeHost
+	config         string
+	path           string // of its file
+	env            []string
+	listen         string
+	cmd            *exec.Cmd
+	logLines       chan string
+	listLines      chan string // of discovery
+	movedListLines chan string // of discovery at another address
 
-	discovery string
-	watches   chan string
-	ended     chan bool // a watch that its client closed
-	silent    bool
+	discovery       string
+	watchVersions   chan string
+	watchEnded      chan bool // a watch that its client closed
+	discoverySilent bool
 }
 
-// begin starts hosts a (the primary), b, c..., discovery and the program.
-func begin(t *testing.T, hosts int, change func(map[string]any)) *stand {
-	return prepared(t, hosts, change, func(*stand) {})
+// startSystem starts hosts a (the primary), b, c..., discovery and the program.
+func startSystem(t *testing.T, hosts int, change func(map[string]any)) *testSystem {
+	return startPreparedSystem(t, hosts, change, func(*testSystem) {})
 }
 
-// prepared has its hosts as the test wants them before the program can ask where they stand.
-func prepared(t *testing.T, hosts int, change func(map[string]any), ready func(*stand)) *stand {
-	s := &stand{t: t, lines: make(chan string), watches: make(chan string, 99), ended: make(chan bool, 99)}
+// startPreparedSystem has its hosts as the test wants them before the program can ask where they stand.
+func startPreparedSystem(t *testing.T, hosts int, change func(map[string]any), ready func(*testSystem)) *testSystem {
+	s := &testSystem{t: t, listLines: make(chan string), watchVersions: make(chan string, 99), watchEnded: make(chan bool, 99)}
 	for i := range hosts {
-		s.hosts = append(s.hosts, s.host(string(rune('a'+i))))
+		s.hosts = append(s.hosts, s.startHost(string(rune('a'+i))))
 	}
 	s.hosts[0].primary = true
-	discovery := hear(t)
+	discovery := listen(t)
 	s.discovery = discovery.Addr().String()
 	s.env = []string{"GW_DISCOVERY=" + s.discovery}
-	go s.discover(discovery, s.lines)
+	go s.serveDiscovery(discovery, s.listLines)
 	var entries []string
 	for i := range s.hosts {
-		entries = append(entries, s.entry(i, "up"))
+		entries = append(entries, s.listEntry(i, "up"))
 	}
 	s.config = configuration(discovery.Addr().String(), strings.Join(entries, ","))
 	if change != nil {
@@ -743,7 +743,7 @@
 	return s
 }
 
-func hear(t *testing.T) net.Listener {
+func listen(t *testing.T) net.Listener {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -767,14 +767,14 @@
 		discovery, targets)
 }
 
-func within(c map[string]any, path ...string) map[string]any {
+func object(c map[string]any, path ...string) map[string]any {
 	for _, p := range path {
 		c = c[p].(map[string]any)
 	}
 	return c
 }
 
-func (s *stand) start() {
+func (s *testSystem) start() {
 	s.path = filepath.Join(s.t.TempDir(), "config.json")
 	os.WriteFile(s.path, []byte(s.config), 0o600)
 	s.cmd = exec.Command(binary)
@@ -788,7 +788,7 @@
 	}
 	s.t.Cleanup(s.stop)
 	lines := make(chan string, 1000)
-	s.log = lines
+	s.logLines = lines
 	go func() {
 		for in := bufio.NewScanner(out); in.Scan(); {
 			lines <- in.Text()
@@ -796,12 +796,12 @@
 		close(lines)
 	}()
 	var started struct{ Listen string }
-	line := s.logged(`"msg":"started"`)
+	line := s.awaitLog(`"msg":"started"`)
 	json.Unmarshal([]byte(line), &started)
 	s.listen = started.Listen
 }
 
-func (s *stand) stop() {
+func (s *testSystem) stop() {
 	s.cmd.Process.Kill()
 	s.cmd.Wait()
 	for _, h := range s.hosts {
@@ -810,43 +810,43 @@
 	}
 }
 
-// logged waits for a line of the log.
-func (s *stand) logged(part string) string {
+// awaitLog waits for a line of the log.
+func (s *testSystem) awaitLog(part string) string {
 	for {
 		select {
-		case line, ok := <-s.log:
+		case line, ok := <-s.logLines:
 			if strings.Contains(line, part) {
 				return line
 			}
 			if !ok {
 				s.t.Fatalf("the program ended without saying %s", part)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			s.t.Fatalf("the program does not say %s", part)
 		}
 	}
 }
 
-func (s *stand) entry(i int, state string) string {
+func (s *testSystem) listEntry(i int, state string) string {
 	h := s.hosts[i]
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"z","model":"m","pod_group":2,"state":%q,"capacity_hint":1,`+
 		`"boot_ms":0,"role":%q}`, h.name, h.address(), state, h.role())
 }
 
-// list tells of changes, and returns when the program knows them.
-func (s *stand) list(rev int, entries ...string) {
-	s.lines <- fmt.Sprintf(`{"rev":%d,"all":false,"targets":[%s]}`, rev, strings.Join(entries, ","))
-	s.logged(fmt.Sprintf(`"rev":%d,`, rev))
+// sendList tells of changes, and returns when the program knows them.
+func (s *testSystem) sendList(rev int, entries ...string) {
+	s.listLines <- fmt.Sprintf(`{"rev":%d,"all":false,"targets":[%s]}`, rev, strings.Join(entries, ","))
+	s.awaitLog(fmt.Sprintf(`"rev":%d,`, rev))
 }
 
-// configure replaces a part of the program's file.
-func (s *stand) configure(old, now string) {
+// replaceInConfig replaces a part of the program's file.
+func (s *testSystem) replaceInConfig(old, now string) {
 	s.config = strings.Replace(s.config, old, now, 1)
 	os.WriteFile(s.path+".new", []byte(s.config), 0o600)
 	os.Rename(s.path+".new", s.path)
 }
 
-func (s *stand) discover(l net.Listener, lines <-chan string) {
+func (s *testSystem) serveDiscovery(l net.Listener, lines <-chan string) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -856,8 +856,8 @@
 			defer conn.Close()
 			line, _ := bufio.NewReader(conn).ReadString('\n')
 			_, since, _ := strings.Cut(line, "since=")
-			s.watches <- strings.Fields(since + " ")[0]
-			if s.silent {
+			s.watchVersions <- strings.Fields(since + " ")[0]
+			if s.discoverySilent {
 				io.Copy(io.Discard, conn)
 				return
 			}
@@ -873,7 +873,7 @@
 				case text = <-lines:
 				case <-beat.C:
 				case <-left:
-					s.ended <- true
+					s.watchEnded <- true
 					return
 				}
 				if _, err := fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(text)+1, text); err != nil {
@@ -884,42 +884,42 @@
 	}
 }
 
-// watched is what the second watch asked for.
-func (s *stand) watched() string {
-	<-s.watches
-	return <-s.watches
+// secondWatchVersion is what the second watch asked for.
+func (s *testSystem) secondWatchVersion() string {
+	<-s.watchVersions
+	return <-s.watchVersions
 }
 
-func (s *stand) statements() (all []string) {
+func (s *testSystem) statements() (all []string) {
 	for _, h := range s.hosts {
 		h.mu.Lock()
-		all = append(all, h.got...)
+		all = append(all, h.queries...)
 		h.mu.Unlock()
 	}
 	return all
 }
 
-// host is a stand-in that answers every statement with its name, unless told otherwise.
-type host struct {
+// fakeHost is a stand-in that answers every statement with its name, unless told otherwise.
+type fakeHost struct {
 	name     string
 	listener net.Listener
 	primary  bool
 
-	mu    sync.Mutex
-	got   []string
-	reply func(b *box, q string)
-	lag   time.Duration
-	conns []net.Conn
+	mu      sync.Mutex
+	queries []string
+	onQuery func(b *hostConn, q string)
+	lag     time.Duration
+	conns   []net.Conn
 }
 
-// box is one connection to a host.
-type box struct {
-	host *host
+// hostConn is one connection to a host.
+type hostConn struct {
+	host *fakeHost
 	conn net.Conn
 }
 
-func (s *stand) host(name string) *host {
-	h := &host{name: name, listener: hear(s.t)}
+func (s *testSystem) startHost(name string) *fakeHost {
+	h := &fakeHost{name: name, listener: listen(s.t)}
 	go func() {
 		for {
 			conn, err := h.listener.Accept()
@@ -929,13 +929,13 @@
 			h.mu.Lock()
 			h.conns = append(h.conns, conn)
 			h.mu.Unlock()
-			go h.serve(&box{h, conn})
+			go h.serve(&hostConn{h, conn})
 		}
 	}()
 	return h
 }
 
-func (h *host) serve(b *box) {
+func (h *fakeHost) serve(b *hostConn) {
 	defer b.conn.Close()
 	in := make([]byte, 1<<18)
 	n := 0
@@ -957,58 +957,58 @@
 			}
 			q := string(bytes.TrimRight(body, "\x00"))
 			h.mu.Lock()
-			reply := h.reply
+			reply := h.onQuery
 			if !strings.HasPrefix(q, "SHOW") {
-				h.got = append(h.got, q)
+				h.queries = append(h.queries, q)
 			}
 			h.mu.Unlock()
 			switch {
 			case strings.HasPrefix(q, "SHOW"):
-				b.row(fmt.Sprintf("x0=%.3f,x1=%d", float64(h.position())/1000, map[bool]int{true: 1}[h.primary]), h.role())
+				b.sendRow(fmt.Sprintf("x0=%.3f,x1=%d", float64(h.position())/1000, map[bool]int{true: 1}[h.primary]), h.role())
 			case reply != nil:
 				reply(b, q)
 			default:
-				b.row("from "+h.name, h.role())
+				b.sendRow("from "+h.name, h.role())
 			}
 			n = copy(in, in[cut:n])
 		}
 	}
 }
 
-func (h *host) address() string { return h.listener.Addr().String() }
+func (h *fakeHost) address() string { return h.listener.Addr().String() }
 
-func (h *host) role() string {
+func (h *fakeHost) role() string {
 	if h.primary {
 		return "leader"
 	}
 	return "follower"
 }
 
-func (h *host) position() int64 {
+func (h *fakeHost) position() int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return time.Now().Add(-h.lag).UnixMilli()
 }
 
-func (h *host) behind(lag time.Duration) {
+func (h *fakeHost) setLag(lag time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lag = lag
 }
 
-func (h *host) answer(reply func(b *box, q string)) {
+func (h *fakeHost) setOnQuery(reply func(b *hostConn, q string)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.reply = reply
+	h.onQuery = reply
 }
 
-func (h *host) count() int {
+func (h *fakeHost) queryCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.got)
+	return len(h.queries)
 }
 
-func (h *host) closeAll() {
+func (h *fakeHost) closeAll() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.conns {
@@ -1021,61 +1021,61 @@
 	return append([]byte{kind, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, body...)
 }
 
-func row(value string) []byte {
+func rowMessages(value string) []byte {
 	n := len(value)
 	b := message(protocol.RowDescription, "\x00\x01v\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
 	b = append(b, message(protocol.DataRow, "\x00\x01"+string([]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)})+value)...)
 	return append(b, message(protocol.CommandComplete, "SELECT 1\x00")...)
 }
 
-func ready(role string, position int64) []byte {
+func readyMessages(role string, position int64) []byte {
 	b := message(protocol.ParameterStatus, "node_role\x00"+role+"\x00")
 	b = append(b, message(protocol.ParameterStatus, fmt.Sprintf("replay_position\x00%d\x00", position))...)
 	return protocol.AppendReady(b)
 }
 
-func (b *box) row(value, role string) {
-	b.conn.Write(append(row(value), ready(role, b.host.position())...))
+func (b *hostConn) sendRow(value, role string) {
+	b.conn.Write(append(rowMessages(value), readyMessages(role, b.host.position())...))
 }
 
-func (b *box) refuse(code, role string) {
-	b.conn.Write(append(protocol.AppendError(nil, "ERROR", code, "no", ""), ready(role, b.host.position())...))
+func (b *hostConn) sendError(code, role string) {
+	b.conn.Write(append(protocol.AppendError(nil, "ERROR", code, "no", ""), readyMessages(role, b.host.position())...))
 }
 
-type client struct {
+type testClient struct {
 	t    *testing.T
 	conn net.Conn
 	in   []byte
 }
 
-func (s *stand) client() *client {
+func (s *testSystem) connect() *testClient {
 	conn, err := net.Dial("tcp", s.listen)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	conn.Write(protocol.AppendStartup(nil, "svc", "main"))
-	c := &client{t: s.t, conn: conn}
-	c.greet()
+	c := &testClient{t: s.t, conn: conn}
+	c.readGreeting()
 	return c
 }
 
-func (c *client) greet() {
+func (c *testClient) readGreeting() {
 	if code, _, err := c.answer(); code != "" || err != nil {
 		c.t.Fatalf("greeting: %s %v", code, err)
 	}
 }
 
-func (c *client) send(q string) { c.conn.Write(protocol.AppendQuery(nil, []byte(q))) }
+func (c *testClient) send(q string) { c.conn.Write(protocol.AppendQuery(nil, []byte(q))) }
 
-func (c *client) ask(q string) (code, value string, err error) {
+func (c *testClient) query(q string) (code, value string, err error) {
 	c.send(q)
 	return c.answer()
 }
 
 // answer reads up to ReadyForQuery, or to the end.
-func (c *client) answer() (code, value string, err error) {
+func (c *testClient) answer() (code, value string, err error) {
 	b := make([]byte, 1<<17)
 	for {
 		kind, body, n, err := protocol.Next(c.in, 1<<20)
@@ -1103,14 +1103,16 @@
 	}
 }
 
-func write(group, wait string) string {
+func writeCommand(group, wait string) string {
 	return "/* id=1,c=" + group + ",d=" + wait + `,cluster=2 */ INSERT INTO records (k, v) VALUES ('k1', '\x9f03') RETURNING v`
 }
 
-// as gives a statement another id.
-func as(id int, q string) string { return strings.Replace(q, "id=1,", fmt.Sprintf("id=%d,", id), 1) }
+// withID gives a statement another id.
+func withID(id int, q string) string {
+	return strings.Replace(q, "id=1,", fmt.Sprintf("id=%d,", id), 1)
+}
 
-func look(group, wait, after string) string {
+func readCommand(group, wait, after string) string {
 	if after != "" {
 		after = ",after=" + after
 	}
--- a/cmd/ferrypitch/shape_test.go
+++ b/cmd/ferrypitch/shape_test.go
@@ -10,85 +10,85 @@
 	"ferrypitch/internal/router/protocol"
 )
 
-// counts holds commands against the program until its counters are as wanted.
-func (s *stand) counts(wanted func(map[string]float64) bool) {
-	for got, line := s.counted(); !wanted(got); got, line = s.counted() {
+// awaitCounters holds commands against the program until its counters are as wanted.
+func (s *testSystem) awaitCounters(wanted func(map[string]float64) bool) {
+	for got, line := s.counters(); !wanted(got); got, line = s.counters() {
 		if got["taken"] > 5000 {
 			s.t.Fatal(line)
 		}
-		s.client().ask(look("list", "800", ""))
+		s.connect().query(readCommand("list", "800", ""))
 	}
 }
 
 func TestSettingsThatAreWatchedAreCountedAndChangeNothing(t *testing.T) {
-	s := prepared(t, 3, func(c map[string]any) {
+	s := startPreparedSystem(t, 3, func(c map[string]any) {
 		b, _ := json.Marshal(c["settings"])
 		var next map[string]any
 		json.Unmarshal(b, &next)
 		next["discovery"] = "on_request"
-		within(next, "bounds")["retry_after"] = false
-		rules := within(next, "rules")
+		object(next, "bounds")["retry_after"] = false
+		rules := object(next, "rules")
 		rules["ask_within"], rules["drain_binds_alone"] = 10000, true
 		next["family_info"].(map[string]any)["class_read"] = []string{"eventual", "causal", "mutate"}
 		c["next_settings"] = next
-	}, func(s *stand) {
+	}, func(s *testSystem) {
 		for _, h := range s.hosts[1:] {
-			h.behind(10_000_000_000) // past the bound: today each read asks one, then goes to the primary
+			h.setLag(10_000_000_000) // past the bound: today each read asks one, then goes to the primary
 		}
 	})
-	c := s.client()
+	c := s.connect()
 	for range 10 {
-		if code, value, _ := c.ask(look("list", "800", "")); code != "" || value != "from a" {
+		if code, value, _ := c.query(readCommand("list", "800", "")); code != "" || value != "from a" {
 			t.Errorf("%s %q", code, value)
 		}
 	}
-	s.list(2, s.entry(2, "removed"))
-	s.counts(func(got map[string]float64) bool {
+	s.sendList(2, s.listEntry(2, "removed"))
+	s.awaitCounters(func(got map[string]float64) bool {
 		return got["next_compared"] >= 10 && got["next_sent"] >= 10 && got["next_gone"] == 1 && got["next_lists"] >= 1 &&
 			got["list_asks"] == 0 && got["answered"] == got["taken"]
 	})
-	if s.hosts[2].count() > 0 {
+	if s.hosts[2].queryCount() > 0 {
 		t.Error("a host that only the watched settings would use was sent to")
 	}
 }
 
-func onRequest(ms int) func(map[string]any) {
+func listOnRequest(ms int) func(map[string]any) {
 	return func(c map[string]any) {
-		within(c, "settings")["discovery"] = "on_request"
-		within(c, "settings", "rules")["ask_within"] = ms
+		object(c, "settings")["discovery"] = "on_request"
+		object(c, "settings", "rules")["ask_within"] = ms
 	}
 }
 
 func TestAListOnRequestIsAskedForAgainAfterARefusal(t *testing.T) {
-	s := begin(t, 2, onRequest(400))
-	s.list(2, s.entry(1, "draining"))
-	s.lines <- `{"rev":3,"all":false,"targets":[{"uid":"b"}]}` // a fault ends the watch
-	s.logged("the watch of the list ended")
-	if since := s.watched(); since != "2" {
+	s := startSystem(t, 2, listOnRequest(400))
+	s.sendList(2, s.listEntry(1, "draining"))
+	s.listLines <- `{"rev":3,"all":false,"targets":[{"uid":"b"}]}` // a fault ends the watch
+	s.awaitLog("the watch of the list ended")
+	if since := s.secondWatchVersion(); since != "2" {
 		t.Errorf("asked for what came after %s", since)
 	}
-	s.list(3, s.entry(1, "up"))
-	s.counts(func(got map[string]float64) bool { return got["list_asks"] == 2 && got["list_asks_failed"] == 1 })
+	s.sendList(3, s.listEntry(1, "up"))
+	s.awaitCounters(func(got map[string]float64) bool { return got["list_asks"] == 2 && got["list_asks_failed"] == 1 })
 }
 
 func TestAListThatCallsAllGoneWhereOnlyADrainBindsServesOn(t *testing.T) {
-	s := begin(t, 2, func(c map[string]any) {
-		within(c, "settings", "rules")["drain_binds_alone"] = true
+	s := startSystem(t, 2, func(c map[string]any) {
+		object(c, "settings", "rules")["drain_binds_alone"] = true
 	})
-	s.list(2, s.entry(0, "removed"), s.entry(1, "removed"))
-	s.lines <- `{"rev":3,"all":true,"targets":[]}`
-	s.logged(`"rev":3,`)
+	s.sendList(2, s.listEntry(0, "removed"), s.listEntry(1, "removed"))
+	s.listLines <- `{"rev":3,"all":true,"targets":[]}`
+	s.awaitLog(`"rev":3,`)
 	for range 5 {
-		if code, value, _ := s.client().ask(write("order", "3000")); code != "" || value != "from a" {
+		if code, value, _ := s.connect().query(writeCommand("order", "3000")); code != "" || value != "from a" {
 			t.Errorf("%s %q", code, value)
 		}
 	}
-	s.list(4, s.entry(0, "draining"))
-	before := s.hosts[0].count()
+	s.sendList(4, s.listEntry(0, "draining"))
+	before := s.hosts[0].queryCount()
 	for range 5 {
-		s.client().ask(write("order", "500"))
+		s.connect().query(writeCommand("order", "500"))
 	}
-	if s.hosts[0].count() != before {
+	if s.hosts[0].queryCount() != before {
 		t.Error("a host that drains was sent to")
 	}
 }
@@ -111,13 +111,13 @@
 		json.Unmarshal([]byte(configuration("127.0.0.1:1", "")), &c)
 		at := c
 		if wrong.path != "" {
-			at = within(c, strings.Split(wrong.path, ".")...)
+			at = object(c, strings.Split(wrong.path, ".")...)
 		}
 		at[wrong.key] = json.RawMessage(wrong.value)
 		text, _ := json.Marshal(c)
 		path := filepath.Join(t.TempDir(), "c.json")
 		os.WriteFile(path, text, 0o600)
-		out, code := refused([]string{"GW_CONFIG=" + path})
+		out, code := runRejected([]string{"GW_CONFIG=" + path})
 		if code != 2 || strings.Count(out, "\n") != 1 || !strings.Contains(out, wrong.says) {
 			t.Errorf("%s.%s = %s: status %d, %s", wrong.path, wrong.key, wrong.value, code, out)
 		}
@@ -125,34 +125,34 @@
 }
 
 func TestRolesThatDisagreeAndAnswersThatLackAField(t *testing.T) {
-	s := begin(t, 3, nil)
+	s := startSystem(t, 3, nil)
 	for _, h := range s.hosts {
-		h.answer(func(b *box, q string) {
+		h.setOnQuery(func(b *hostConn, q string) {
 			switch inserts := strings.Contains(q, "INSERT"); {
 			case inserts && !h.primary:
-				b.refuse("25006", "follower")
+				b.sendError("25006", "follower")
 			case h.primary: // neither position nor role
-				b.conn.Write(protocol.AppendReady(row("from " + h.name)))
+				b.conn.Write(protocol.AppendReady(rowMessages("from " + h.name)))
 			default:
-				b.row("from "+h.name, "follower")
+				b.sendRow("from "+h.name, "follower")
 			}
 		})
 	}
 	lie := func(i int, role string) string {
-		entry := s.entry(i, "up")
+		entry := s.listEntry(i, "up")
 		return strings.Replace(strings.Replace(entry, `"leader"`, `"?"`, 1), `"role":"`+s.hosts[i].role()+`"`, `"role":"`+role+`"`, 1)
 	}
-	c := s.client()
+	c := s.connect()
 	for rev, entries := range [][]string{
 		{lie(0, "follower"), lie(1, "follower"), lie(2, "leader")}, // not what answers and reports say
 		{lie(0, "follower"), lie(1, "follower"), lie(2, "follower")},
 	} {
-		s.list(rev+2, entries...)
+		s.sendList(rev+2, entries...)
 		for range 5 {
-			if code, value, _ := c.ask(write("order", "3000")); code != "" || value != "from a" {
+			if code, value, _ := c.query(writeCommand("order", "3000")); code != "" || value != "from a" {
 				t.Errorf("list %d: write: %s %q", rev+2, code, value)
 			}
-			if code, value, _ := c.ask(look("list", "800", "")); code != "" || !strings.HasPrefix(value, "from ") {
+			if code, value, _ := c.query(readCommand("list", "800", "")); code != "" || !strings.HasPrefix(value, "from ") {
 				t.Errorf("list %d: read: %s %q", rev+2, code, value)
 			}
 		}
@@ -160,11 +160,11 @@
 }
 
 func TestAListCallThatIsNeverAnsweredIsMadeAgain(t *testing.T) {
-	s := begin(t, 1, onRequest(20000)) // asked for within 5 s
-	s.silent = true
-	if code, value, _ := s.client().ask(write("order", "3000")); code != "" || value != "from a" {
+	s := startSystem(t, 1, listOnRequest(20000)) // asked for within 5 s
+	s.discoverySilent = true
+	if code, value, _ := s.connect().query(writeCommand("order", "3000")); code != "" || value != "from a" {
 		t.Errorf("with no list since the start: %s %q", code, value)
 	}
-	s.watched() // the second call, once the first had no answer for as long as discovery may be quiet
-	s.counts(func(got map[string]float64) bool { return got["list_asks"] >= 2 && got["list_asks_failed"] >= 1 })
+	s.secondWatchVersion() // the second call, once the first had no answer for as long as discovery may be quiet
+	s.awaitCounters(func(got map[string]float64) bool { return got["list_asks"] >= 2 && got["list_asks_failed"] >= 1 })
 }
--- a/cmd/ferrypitch/trace_test.go
+++ b/cmd/ferrypitch/trace_test.go
@@ -15,8 +15,8 @@
 	"ferrypitch/internal/simulation/workload"
 )
 
-// only is the one trace file of a folder.
-func only(t *testing.T, dir string) string {
+// onlyTrace is the one trace file of a folder.
+func onlyTrace(t *testing.T, dir string) string {
 	t.Helper()
 	files, _ := filepath.Glob(filepath.Join(dir, "*.fptrace"))
 	if len(files) != 1 {
@@ -25,8 +25,8 @@
 	return files[0]
 }
 
-// traced is the file of a router that served a load for a moment.
-func traced(t *testing.T) string {
+// captureTrace is the file of a router that served a load for a moment.
+func captureTrace(t *testing.T) string {
 	t.Helper()
 	f, err := tierfleet.New(t.TempDir(), 1, 3, 1, 0)
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	defer f.Stop()
 	dir, listen := t.TempDir(), ""
-	path := example(t, func(all map[string]any) {
+	path := writeExample(t, func(all map[string]any) {
 		all["discovery"], all["trace"] = f.Discovery.Address(), map[string]any{"dir": dir}
 		delete(all, "known")
 		listen = all["listen"].(string)
@@ -43,7 +43,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithTimeout(t.Context(), patience)
+	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
@@ -61,11 +61,11 @@
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	return only(t, dir)
+	return onlyTrace(t, dir)
 }
 
 func TestATraceIsReadCutAnonymisedRepairedAndReplayed(t *testing.T) {
-	file, dir := traced(t), t.TempDir()
+	file, dir := captureTrace(t), t.TempDir()
 	for _, want := range []struct {
 		args   []string
 		status int
@@ -83,7 +83,7 @@
 		{[]string{"diff", file, filepath.Join(dir, "cut")}, 0, []string{"→"}},
 		{[]string{"info", filepath.Join(dir, "not there")}, 1, []string{"no such file"}},
 	} {
-		out, status := call(append([]string{"trace"}, want.args...)...)
+		out, status := runBinary(append([]string{"trace"}, want.args...)...)
 		for _, w := range want.words {
 			if !strings.Contains(out, w) {
 				t.Errorf("%v: no %q in %s", want.args, w, out)
@@ -99,26 +99,26 @@
 		t.Errorf("through pipes: %d bytes, %v", len(cut), err)
 	}
 	key := filepath.Join(dir, "key")
-	call("key", key)
-	if out, status := call("trace", "anonymise", "--key", key, file, filepath.Join(dir, "nobody")); status != 0 {
+	runBinary("key", key)
+	if out, status := runBinary("trace", "anonymise", "--key", key, file, filepath.Join(dir, "nobody")); status != 0 {
 		t.Error(out)
 	}
-	if out, _ := call("trace", "cat", filepath.Join(dir, "nobody")); strings.Contains(out, "set1-") || strings.Contains(out, "session=s") ||
+	if out, _ := runBinary("trace", "cat", filepath.Join(dir, "nobody")); strings.Contains(out, "set1-") || strings.Contains(out, "session=s") ||
 		!strings.Contains(out, " take command=") {
 		t.Errorf("%.400s", out)
 	}
 	whole, _ := os.ReadFile(file)
 	broken := filepath.Join(dir, "broken")
 	os.WriteFile(broken, whole[:len(whole)-7], 0o600)
-	if out, status := call("trace", "repair", broken, filepath.Join(dir, "mended")); status != 0 {
+	if out, status := runBinary("trace", "repair", broken, filepath.Join(dir, "mended")); status != 0 {
 		t.Errorf("%d %s", status, out)
 	}
-	if out, status := call("trace", "replay", filepath.Join(dir, "mended")); status != 0 || !strings.Contains(out, " 0 apart") {
+	if out, status := runBinary("trace", "replay", filepath.Join(dir, "mended")); status != 0 || !strings.Contains(out, " 0 apart") {
 		t.Errorf("%d %s", status, out)
 	}
 	whole[8] = 9
 	os.WriteFile(broken, whole, 0o600)
-	if out, status := call("trace", "info", broken); status != 1 || !strings.Contains(out, "trace version 9; this program reads up to version 1") {
+	if out, status := runBinary("trace", "info", broken); status != 1 || !strings.Contains(out, "trace version 9; this program reads up to version 1") {
 		t.Errorf("%d %s", status, out)
 	}
 }
@@ -130,22 +130,22 @@
 	}
 	defer f.Stop()
 	dir := t.TempDir()
-	path := example(t, func(all map[string]any) {
+	path := writeExample(t, func(all map[string]any) {
 		all["discovery"], all["trace"] = f.Discovery.Address(), map[string]any{"dir": dir}
 	})
 	cmd := exec.Command(binary, "plan", path)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for till := time.Now().Add(patience); f.Hosts.Seen().Probes < 4 && time.Now().Before(till); {
+	for till := time.Now().Add(testTimeout); f.Hosts.Seen().Probes < 4 && time.Now().Before(till); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	file := only(t, dir)
-	out, status := call("trace", "info", file)
+	file := onlyTrace(t, dir)
+	out, status := runBinary("trace", "info", file)
 	for _, kind := range []string{"plan_list", "plan_probe ", "plan_probed", "plan_change"} {
 		if !strings.Contains(out, kind) || status != 0 {
 			t.Errorf("status %d, no %s in %s", status, kind, out)
