--- /dev/null
+++ b/cmd/ferrypitch/client_test.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"ferrypitch/internal/router/protocol"
+)
+
+type testClient struct {
+	t    *testing.T
+	conn net.Conn
+	in   []byte
+}
+
+func (s *testSystem) connect() *testClient {
+	conn, err := net.Dial("tcp", s.listen)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	conn.Write(protocol.AppendStartup(nil, "svc", "main"))
+	c := &testClient{t: s.t, conn: conn}
+	c.readGreeting()
+	return c
+}
+
+func (c *testClient) readGreeting() {
+	if code, _, err := c.answer(); code != "" || err != nil {
+		c.t.Fatalf("greeting: %s %v", code, err)
+	}
+}
+
+func (c *testClient) send(q string) { c.conn.Write(protocol.AppendQuery(nil, []byte(q))) }
+
+func (c *testClient) query(q string) (code, value string, err error) {
+	c.send(q)
+	return c.answer()
+}
+
+// answer reads up to ReadyForQuery, or to the end of the connection.
+func (c *testClient) answer() (code, value string, err error) {
+	b := make([]byte, 1<<17)
+	for {
+		kind, body, n, err := protocol.Next(c.in, 1<<20)
+		if err != nil {
+			return code, value, err
+		}
+		if n == 0 {
+			k, err := c.conn.Read(b)
+			if c.in = append(c.in, b[:k]...); err != nil {
+				return code, value, err
+			}
+			continue
+		}
+		switch kind {
+		case protocol.ErrorResponse:
+			code = protocol.Code(body)
+		case protocol.DataRow:
+			v, _ := protocol.Value(body)
+			value = string(v)
+		}
+		c.in = c.in[n:]
+		if kind == protocol.Ready {
+			return code, value, nil
+		}
+	}
+}
+
+func writeCommand(group, wait string) string {
+	return "/* id=1,c=" + group + ",d=" + wait + `,cluster=2 */ INSERT INTO records (k, v) VALUES ('k1', '\x9f03') RETURNING v`
+}
+
+// withID returns a command with another id.
+func withID(id int, q string) string {
+	return strings.Replace(q, "id=1,", fmt.Sprintf("id=%d,", id), 1)
+}
+
+func readCommand(group, wait, after string) string {
+	if after != "" {
+		after = ",after=" + after
+	}
+	return "/* id=1,c=" + group + ",d=" + wait + ",cluster=2" + after + " */ SELECT v FROM records WHERE k = 'k1'"
+}
--- a/cmd/ferrypitch/command_test.go
+++ b/cmd/ferrypitch/command_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
@@ -11,7 +10,6 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
@@ -21,48 +19,7 @@
 	"ferrypitch/internal/simulation/tierfleet"
 )
 
-// writeExample writes the repository's example with free addresses and a key, changed as a test wants.
-func writeExample(t *testing.T, change func(all map[string]any)) string {
-	t.Helper()
-	text, err := os.ReadFile("../../deploy/example.json")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var all map[string]any
-	if err := json.Unmarshal(text, &all); err != nil {
-		t.Fatal(err)
-	}
-	for _, at := range []func(string){
-		func(a string) { all["listen"] = a }, func(a string) { all["plan"].(map[string]any)["listen"] = a },
-		func(a string) { all["discovery"] = a },
-	} {
-		a, err := tierfleet.Free()
-		if err != nil {
-			t.Fatal(err)
-		}
-		at(a)
-	}
-	if change != nil {
-		change(all)
-	}
-	dir := t.TempDir()
-	os.WriteFile(filepath.Join(dir, "example.key"), []byte(strings.Repeat("0f", 32)), 0o600)
-	text, _ = json.Marshal(all)
-	path := filepath.Join(dir, "example.json")
-	os.WriteFile(path, text, 0o600)
-	return path
-}
-
-// runBinary runs a sub-command to its end.
-func runBinary(args ...string) (out string, status int) {
-	var b bytes.Buffer
-	cmd := exec.Command(binary, args...)
-	cmd.Stdout, cmd.Stderr = &b, &b
-	cmd.Run()
-	return b.String(), cmd.ProcessState.ExitCode()
-}
-
-func TestTheExampleIsGoodForAllSubCommands(t *testing.T) {
+func TestExampleIsCompleteForAllSubcommands(t *testing.T) {
 	if out, status := runBinary("check", writeExample(t, nil)); status != 0 || !strings.Contains(out, "[serve forward plan]") {
 		t.Errorf("%d: %s", status, out)
 	}
@@ -72,7 +29,7 @@
 	}
 }
 
-func TestAFaultNamesItsKeyInOneLineWithStatusTwo(t *testing.T) {
+func TestCheckErrorIsOneLineThatNamesTheKeyWithStatusTwo(t *testing.T) {
 	section := func(name string) func(map[string]any) map[string]any {
 		return func(all map[string]any) map[string]any { return all[name].(map[string]any) }
 	}
@@ -95,11 +52,13 @@
 		}
 	}
 	path := writeExample(t, nil)
-	os.WriteFile(path, []byte("{\n\"name\": \"f1\",\n}"), 0o600)
+	writeFile(t, path, "{\n\"name\": \"f1\",\n}")
 	if out, status := runBinary("check", path); status != 2 || !strings.Contains(out, "line 3") {
 		t.Errorf("%d: %s", status, out)
 	}
-	os.Chmod(filepath.Join(filepath.Dir(path), "example.key"), 0o644)
+	if err := os.Chmod(filepath.Join(filepath.Dir(path), "example.key"), 0o644); err != nil {
+		t.Fatal(err)
+	}
 	for _, args := range [][]string{{"check"}, {"nonsense"}, {"forward", writeExample(t, func(all map[string]any) { delete(all, "forward") })}} {
 		if out, status := runBinary(args...); status != 2 || out == "" {
 			t.Errorf("%v: %d %s", args, status, out)
@@ -107,14 +66,18 @@
 	}
 }
 
-func TestAKeyThatOthersMayReadIsRefusedAndANewOneIsNot(t *testing.T) {
+func TestKeyThatOthersMayReadIsRejected(t *testing.T) {
 	path := writeExample(t, nil)
 	key := filepath.Join(filepath.Dir(path), "example.key")
-	os.Chmod(key, 0o644)
+	if err := os.Chmod(key, 0o644); err != nil {
+		t.Fatal(err)
+	}
 	if out, status := runBinary("check", path); status != 2 || !strings.Contains(out, "others than its owner may read it") {
 		t.Errorf("%d: %s", status, out)
 	}
-	os.Remove(key)
+	if err := os.Remove(key); err != nil {
+		t.Fatal(err)
+	}
 	if out, status := runBinary("key", key); status != 0 {
 		t.Errorf("%d: %s", status, out)
 	}
@@ -126,7 +89,7 @@
 	}
 }
 
-func TestHelpListsSubCommandsAndTheEnvironment(t *testing.T) {
+func TestHelpListsSubcommandsAndTheEnvironment(t *testing.T) {
 	out, status := runBinary("--help")
 	for _, word := range []string{"forward", "plan", "check", "serve", "GW_CONFIG", "GW_LISTEN"} {
 		if !strings.Contains(out, word) {
@@ -138,27 +101,7 @@
 	}
 }
 
-// startBinary starts a sub-command that goes on until the test ends.
-func startBinary(t *testing.T, args ...string) {
-	t.Helper()
-	cmd := exec.Command(binary, args...)
-	cmd.Stderr = &logWriter{t: t}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		cmd.Process.Signal(syscall.SIGTERM)
-		if err := cmd.Wait(); err != nil {
-			t.Errorf("%v: %v", args, err)
-		}
-	})
-}
-
-type logWriter struct{ t *testing.T }
-
-func (l *logWriter) Write(b []byte) (int, error) { l.t.Logf("%s", b); return len(b), nil }
-
-func TestTheExampleStartsAndAPgxClientIsServed(t *testing.T) {
+func TestExampleServesAPgxClient(t *testing.T) {
 	f, err := tierfleet.New(t.TempDir(), 1, 3, 1, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -183,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer client.Close(ctx)
+	defer func() { _ = client.Close(ctx) }()
 	var value []byte
 	write := `/* id=w1,c=order,d=2000,cluster=1 */ INSERT INTO records (k, v) VALUES ('s', '\x9f03') RETURNING v`
 	if err := client.QueryRow(ctx, write).Scan(&value); err != nil || !bytes.HasPrefix(value, []byte("set1-a w1")) {
@@ -202,7 +145,7 @@
 	}
 }
 
-func TestAForwarderThatRestartsWithoutPlannersServesFromTheViewItKept(t *testing.T) {
+func TestForwarderRestartedWithoutPlannersServesFromItsViewFile(t *testing.T) {
 	f, err := tierfleet.New(t.TempDir(), 1, 2, 1, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -234,8 +177,7 @@
 		}
 	}
 	for _, cmd := range []*exec.Cmd{planner, forwarder} {
-		cmd.Process.Kill()
-		cmd.Wait()
+		killProcess(cmd)
 	}
 	startBinary(t, "forward", path)
 	if err := tierfleet.Ready(ctx, listen); err != nil {
@@ -243,7 +185,7 @@
 	}
 }
 
-func TestAForwarderWithoutPlannersServesFromTheListItIsGivenOrSaysThatItIsNotReady(t *testing.T) {
+func TestForwarderWithoutPlannersServesFromTheGivenListOrIsNotReady(t *testing.T) {
 	f, err := tierfleet.New(t.TempDir(), 1, 2, 1, 0)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/cmd/ferrypitch/fake_discovery_test.go
@@ -0,0 +1,67 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"strings"
+	"time"
+)
+
+// listEntry is the entry of a host in a list.
+func (s *testSystem) listEntry(i int, state string) string {
+	h := s.hosts[i]
+	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"z","model":"m","pod_group":2,"state":%q,"capacity_hint":1,`+
+		`"boot_ms":0,"role":%q}`, h.name, h.address(), state, h.role())
+}
+
+// sendList sends changes of the list, and returns when the program knows them.
+func (s *testSystem) sendList(rev int, entries ...string) {
+	s.listLines <- fmt.Sprintf(`{"rev":%d,"all":false,"targets":[%s]}`, rev, strings.Join(entries, ","))
+	s.awaitLog(fmt.Sprintf(`"rev":%d,`, rev))
+}
+
+// serveDiscovery serves watches, which share the lines; each second without one it sends an empty line.
+func (s *testSystem) serveDiscovery(l net.Listener, lines <-chan string) {
+	for {
+		conn, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			defer conn.Close()
+			line, _ := bufio.NewReader(conn).ReadString('\n')
+			_, since, _ := strings.Cut(line, "since=")
+			s.watchVersions <- strings.Fields(since + " ")[0]
+			if s.discoverySilent {
+				discard(conn)
+				return
+			}
+			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+			closed := make(chan bool)
+			go func() {
+				discard(conn)
+				close(closed)
+			}()
+			for heartbeat := time.NewTicker(time.Second); ; {
+				text := ""
+				select {
+				case text = <-lines:
+				case <-heartbeat.C:
+				case <-closed:
+					s.watchEnded <- true
+					return
+				}
+				if _, err := fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(text)+1, text); err != nil {
+					return
+				}
+			}
+		}()
+	}
+}
+
+// secondWatchVersion is the version that the second watch asked for.
+func (s *testSystem) secondWatchVersion() string {
+	<-s.watchVersions
+	return <-s.watchVersions
+}
--- /dev/null
+++ b/cmd/ferrypitch/overload_test.go
@@ -0,0 +1,103 @@
+package main
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"ferrypitch/internal/router/protocol"
+)
+
+// connectWith connects a client that sends its first command right behind its startup message. It has read nothing yet.
+func (s *testSystem) connectWith(command string) *testClient {
+	conn, err := net.Dial("tcp", s.listen)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	conn.Write(protocol.AppendQuery(protocol.AppendStartup(nil, "svc", "main"), []byte(command)))
+	return &testClient{t: s.t, conn: conn}
+}
+
+// endedCommands counts the commands that are answered, failed or rejected, or whose client has gone.
+func endedCommands(counters map[string]float64) float64 {
+	return counters["answered"] + counters["failed"] + counters["refused"] + counters["left"]
+}
+
+func shedCommands(counters map[string]float64) float64 {
+	return counters["commands_shed"] + counters["throttled"]
+}
+
+// awaitTaken waits until some more commands than before are taken, of which none may end or be shed.
+func (s *testSystem) awaitTaken(before map[string]float64, more float64) {
+	for got, since := before, time.Now(); got["taken"] < before["taken"]+more; {
+		var line string
+		if got, line = s.counters(); endedCommands(got) > endedCommands(before) || shedCommands(got) > shedCommands(before) ||
+			time.Since(since) > testTimeout {
+			s.t.Fatal(line)
+		}
+	}
+}
+
+// startWithFewDescriptors starts the program with descriptors for 24 clients.
+func startWithFewDescriptors(t *testing.T) *testSystem {
+	return startSystem(t, 1, func(c map[string]any) {
+		object(c, "limits")["sockets"] = 64
+		object(c, "settings")["classes"].([]any)[2].(map[string]any)["give_up"] = 20000 // commands in flight stay so until the end
+	})
+}
+
+func TestMoreClientsThanDescriptors(t *testing.T) {
+	s := startWithFewDescriptors(t)
+	var silent []*testClient
+	for range 24 {
+		silent = append(silent, s.connect())
+	}
+	for range 100 { // held open; those without a command are evicted first, then the idle ones
+		if code, _, err := s.connect().query(readCommand("list", "800", "")); code != "" || err != nil {
+			t.Fatalf("code %q, %v", code, err)
+		}
+	}
+	for _, c := range silent {
+		if _, _, err := c.answer(); err == nil {
+			t.Fatal("a connection without a command stayed")
+		}
+	}
+	var fresh []*testClient
+	for i := range 100 {
+		fresh = append(fresh, s.connectWith(withID(10+i, readCommand("list", "800", ""))))
+	}
+	for _, c := range fresh {
+		c.readGreeting()
+		if _, _, err := c.answer(); err != nil {
+			t.Fatalf("a first command was lost: %v", err)
+		}
+	}
+	s.expectShedWithAllBusy()
+}
+
+// expectShedWithAllBusy occupies all connections, and expects a further command to be throttled.
+func (s *testSystem) expectShedWithAllBusy() {
+	asked, let := make(chan bool, 99), make(chan bool)
+	s.hosts[0].setOnQuery(func(conn *hostConn, _ string) {
+		asked <- true
+		<-let
+		conn.sendRow("x", "leader")
+	})
+	before, _ := s.counters()
+	for i := range 24 { // the module has no more than four in flight at once
+		c := s.connectWith(withID(i, writeCommand("order", "20000"))) // without a command it would be evicted
+		defer func() { _, _, _ = c.answer() }()
+	}
+	defer close(let)
+	<-asked
+	s.awaitTaken(before, 24)
+	if code, _, err := s.connect().query(withID(99, readCommand("list", "800", ""))); code != protocol.TooMany || err != nil {
+		s.t.Errorf("with all connections busy: %q, %v", code, err)
+	}
+	got, line := s.counters()
+	if got["out"] != 24 || endedCommands(got) != endedCommands(before) || shedCommands(got) != shedCommands(before)+1 {
+		s.t.Error("with all connections busy: ", line)
+	}
+}
--- a/cmd/ferrypitch/trace_test.go
+++ b/cmd/ferrypitch/trace_test.go
@@ -52,19 +52,19 @@
 		Routers: []string{listen}, Sets: []int64{1}, Clients: 4, Rate: 150, For: time.Second, Writes: 0.2, Sessions: 2,
 		Timeout: time.Second, Seed: 5,
 	}, nil)
-	cmd.Process.Signal(syscall.SIGHUP)
+	signalProcess(t, cmd, syscall.SIGHUP)
 	client, err := net.Dial("tcp", listen) // keeps it there for a moment
 	if err == nil {
 		defer client.Close()
 	}
-	cmd.Process.Signal(syscall.SIGTERM)
+	signalProcess(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
 	return onlyTrace(t, dir)
 }
 
-func TestATraceIsReadCutAnonymisedRepairedAndReplayed(t *testing.T) {
+func TestTraceIsReadCutAnonymisedRepairedAndReplayed(t *testing.T) {
 	file, dir := captureTrace(t), t.TempDir()
 	for _, want := range []struct {
 		args   []string
@@ -83,47 +83,71 @@
 		{[]string{"diff", file, filepath.Join(dir, "cut")}, 0, []string{"→"}},
 		{[]string{"info", filepath.Join(dir, "not there")}, 1, []string{"no such file"}},
 	} {
-		out, status := runBinary(append([]string{"trace"}, want.args...)...)
-		for _, w := range want.words {
-			if !strings.Contains(out, w) {
-				t.Errorf("%v: no %q in %s", want.args, w, out)
-			}
-		}
-		if status != want.status {
-			t.Errorf("%v: status %d, %s", want.args, status, out)
+		expectTraceOutput(t, want.status, want.words, want.args...)
+	}
+	expectCutThroughPipes(t, file)
+	expectAnonymised(t, file, dir)
+	expectRepaired(t, file, dir)
+}
+
+// expectTraceOutput runs a trace sub-command, and expects its status, and words in its output, which it returns.
+func expectTraceOutput(t *testing.T, wantStatus int, words []string, args ...string) string {
+	t.Helper()
+	out, status := runBinary(append([]string{"trace"}, args...)...)
+	for _, word := range words {
+		if !strings.Contains(out, word) {
+			t.Errorf("%v: no %q in %s", args, word, out)
 		}
 	}
-	piped := exec.Command(binary, "trace", "cut", "-", "-")
-	piped.Stdin, _ = os.Open(file)
-	if cut, err := piped.Output(); err != nil || len(cut) < 1000 {
-		t.Errorf("through pipes: %d bytes, %v", len(cut), err)
+	if status != wantStatus {
+		t.Errorf("%v: status %d, %s", args, status, out)
 	}
-	key := filepath.Join(dir, "key")
-	runBinary("key", key)
-	if out, status := runBinary("trace", "anonymise", "--key", key, file, filepath.Join(dir, "nobody")); status != 0 {
-		t.Error(out)
+	return out
+}
+
+func expectCutThroughPipes(t *testing.T, file string) {
+	t.Helper()
+	cut := exec.Command(binary, "trace", "cut", "-", "-")
+	in, err := os.Open(file)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if out, _ := runBinary("trace", "cat", filepath.Join(dir, "nobody")); strings.Contains(out, "set1-") || strings.Contains(out, "session=s") ||
-		!strings.Contains(out, " take command=") {
-		t.Errorf("%.400s", out)
+	defer func() { _ = in.Close() }()
+	cut.Stdin = in
+	if out, err := cut.Output(); err != nil || len(out) < 1000 {
+		t.Errorf("through pipes: %d bytes, %v", len(out), err)
 	}
-	whole, _ := os.ReadFile(file)
-	broken := filepath.Join(dir, "broken")
-	os.WriteFile(broken, whole[:len(whole)-7], 0o600)
-	if out, status := runBinary("trace", "repair", broken, filepath.Join(dir, "mended")); status != 0 {
-		t.Errorf("%d %s", status, out)
+}
+
+func expectAnonymised(t *testing.T, file, dir string) {
+	t.Helper()
+	key, anonymous := filepath.Join(dir, "key"), filepath.Join(dir, "anonymous")
+	if out, status := runBinary("key", key); status != 0 {
+		t.Error(out)
 	}
-	if out, status := runBinary("trace", "replay", filepath.Join(dir, "mended")); status != 0 || !strings.Contains(out, " 0 apart") {
-		t.Errorf("%d %s", status, out)
+	expectTraceOutput(t, 0, nil, "anonymise", "--key", key, file, anonymous)
+	out := expectTraceOutput(t, 0, []string{" take command="}, "cat", anonymous)
+	if strings.Contains(out, "set1-") || strings.Contains(out, "session=s") {
+		t.Errorf("%.400s", out)
 	}
-	whole[8] = 9
-	os.WriteFile(broken, whole, 0o600)
-	if out, status := runBinary("trace", "info", broken); status != 1 || !strings.Contains(out, "trace version 9; this program reads up to version 1") {
-		t.Errorf("%d %s", status, out)
+}
+
+func expectRepaired(t *testing.T, file, dir string) {
+	t.Helper()
+	complete, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
 	}
+	broken, repaired := filepath.Join(dir, "broken"), filepath.Join(dir, "repaired")
+	writeFile(t, broken, string(complete[:len(complete)-7]))
+	expectTraceOutput(t, 0, nil, "repair", broken, repaired)
+	expectTraceOutput(t, 0, []string{" 0 apart"}, "replay", repaired)
+	complete[8] = 9 // the version
+	writeFile(t, broken, string(complete))
+	expectTraceOutput(t, 1, []string{"trace version 9; this program reads up to version 1"}, "info", broken)
 }
 
-func TestAPlannerCapturesWhatItHeardAndAsked(t *testing.T) {
+func TestPlannerCapturesATrace(t *testing.T) {
 	f, err := tierfleet.New(t.TempDir(), 1, 2, 1, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +164,7 @@
 	for till := time.Now().Add(testTimeout); f.Hosts.Seen().Probes < 4 && time.Now().Before(till); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	cmd.Process.Signal(syscall.SIGTERM)
+	signalProcess(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
