--- a/internal/router/clock/clock.go
+++ b/internal/router/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock tells the decision module the time.
+// Package clock is the time source of the decision module.
 package clock
 
 import (
@@ -13,7 +13,7 @@
 // slewShare is the share of the elapsed time by which the clock lags to meet a system clock that is behind: a tenth.
 const slewShare = 10
 
-// Clock tells Unix time in the module's unit, so that positions, which are Unix times, need no conversion but of their
+// Clock returns Unix time in the module's unit, so that positions, which are Unix times, need no conversion but of their
 // unit. It runs by the monotonic clock and follows the system clock: at once where that is ahead, since a moment too early
 // would make old data look new; slowly where it is behind, so that time never goes back. It is not safe for concurrent use.
 type Clock struct {
--- a/internal/router/protocol/command.go
+++ b/internal/router/protocol/command.go
@@ -7,9 +7,9 @@
 )
 
 var (
-	// ErrComment tells that a statement's leading comment lacks a field or has one that cannot be read.
+	// ErrComment reports that a statement's leading comment lacks a field or has one that cannot be read.
 	ErrComment = errors.New("no comment with id, c, d and cluster before the statement")
-	// ErrForm tells that a statement is neither the read nor the write that is served.
+	// ErrForm reports that a statement is neither the read nor the write that is served.
 	ErrForm = errors.New("a statement of another form than is served")
 )
 
@@ -172,17 +172,17 @@
 }
 
 // cutLiteral reads the string literal that a text begins with, in which a quote is doubled. It may not be empty.
-func cutLiteral(text []byte) (word string, rest []byte, ok bool) {
+func cutLiteral(text []byte) (value string, rest []byte, ok bool) {
 	text, ok = bytes.CutPrefix(text, []byte{'\''})
 	for ok {
 		var part []byte
-		if part, text, ok = bytes.Cut(text, []byte{'\''}); !ok || len(word)+len(part) > maxNameBytes {
+		if part, text, ok = bytes.Cut(text, []byte{'\''}); !ok || len(value)+len(part) > maxNameBytes {
 			return "", nil, false
 		}
-		if word += string(part); len(text) == 0 || text[0] != '\'' {
-			return word, text, word != ""
+		if value += string(part); len(text) == 0 || text[0] != '\'' {
+			return value, text, value != ""
 		}
-		word, text = word+"'", text[1:]
+		value, text = value+"'", text[1:]
 	}
 	return "", nil, false
 }
--- a/internal/router/protocol/http.go
+++ b/internal/router/protocol/http.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// ErrHTTP tells that a response is not HTTP/1.1 of the kind that discovery sends.
+// ErrHTTP reports that a response is not HTTP/1.1 of the kind that discovery sends.
 var ErrHTTP = errors.New("not an HTTP answer that is understood")
 
 const (
--- a/internal/router/protocol/message.go
+++ b/internal/router/protocol/message.go
@@ -63,9 +63,9 @@
 )
 
 var (
-	// ErrLength tells that a message has a length that the protocol does not allow.
+	// ErrLength reports that a message has a length that the protocol does not allow.
 	ErrLength = errors.New("a message of impossible length")
-	// ErrTooLong tells that a message, or a chunk or line of HTTP, exceeds the caller's limit.
+	// ErrTooLong reports that a message, or a chunk or line of HTTP, exceeds the caller's limit.
 	ErrTooLong = errors.New("a message of more than is taken")
 )
 
--- a/internal/router/routing/commands.go
+++ b/internal/router/routing/commands.go
@@ -129,7 +129,7 @@
 	r.forgetIfOver(c.handle)
 }
 
-// applyLoadReport tells the module the position and role of a load report.
+// applyLoadReport passes the position and role of a load report to the module.
 func (r *Router) applyLoadReport(node *policy.Node, report string) {
 	terms := r.start.Terms
 	position, role, ok := terms.Report(func(i int) (float64, bool) { return protocol.Field(report, terms.Fields[i]) })
--- a/internal/router/routing/counters.go
+++ b/internal/router/routing/counters.go
@@ -13,7 +13,7 @@
 type Counters struct {
 	Taken        atomic.Int64 // commands that the module has taken
 	Answered     atomic.Int64 // commands answered with a row
-	Throttled    atomic.Int64 // commands whose client was told to retry later
+	Throttled    atomic.Int64 // commands answered with an error that says to retry later
 	Failed       atomic.Int64 // commands answered with an error
 	Disconnected atomic.Int64 // commands whose client has gone
 	Rejected     atomic.Int64 // commands that cannot be parsed, or are not served here
@@ -23,7 +23,7 @@
 	Outcomes   [policy.Missed + 1]atomic.Int64
 
 	Lists              atomic.Int64 // lists and changes taken in
-	StaleLists         atomic.Int64 // older than the one that is held, and ignored
+	StaleLists         atomic.Int64 // older than the current one, and ignored
 	ListRequests       atomic.Int64
 	ListRequestsFailed atomic.Int64 // requests that brought no list or broke off
 	HostsAdded         atomic.Int64
--- a/internal/router/routing/hosts.go
+++ b/internal/router/routing/hosts.go
@@ -18,7 +18,7 @@
 	maxReportedSpent = 10   // times its latency target that one command counts for at most
 )
 
-// host is a database host as the list has it, and what it has told since the last report.
+// host is a database host as the list has it, and what its answers have shown since the last report.
 type host struct {
 	view.Host
 	node        *policy.Node
@@ -28,8 +28,8 @@
 	lastAnswer  policy.Tenth
 }
 
-// HandleListLine takes a list of discovery's, or changes of it, and returns when the module knows it. addressIsNew tells
-// that the line is the first of a new address, whose versions are not comparable to those before. An invalid line changes
+// HandleListLine takes a list of discovery's, or changes of it, and returns when the module knows it. addressIsNew is
+// true if the line is the first of a new address, whose versions are not comparable to those before. An invalid line changes
 // nothing.
 func (r *Router) HandleListLine(line []byte, addressIsNew bool) error {
 	result := make(chan error, 1)
@@ -50,8 +50,8 @@
 	}
 }
 
-// ListRequestFailed tells that a list which was requested did not come, or that its changes come no more. The list that is
-// held stays in use.
+// ListRequestFailed notes that a list which was requested did not come, or that its changes have ended. The current list
+// stays in use.
 func (r *Router) ListRequestFailed() {
 	r.queue.Put(eventloop.PriorityLists, func() {
 		r.ListRequestsFailed.Add(1)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// applyHosts tells the module of hosts, and answers the empty queries that waited for a first list.
+// applyHosts passes hosts to the module, and answers the empty queries that waited for a first list.
 func (r *Router) applyHosts(entries []view.Host, complete bool) {
 	r.advanceClock()
 	for _, entry := range entries {
@@ -107,21 +107,21 @@
 	r.awaitingList = nil
 }
 
-// introduce tells the module that a host exists.
+// introduce registers a host with the module.
 func (r *Router) introduce(h *host) {
 	h.node = r.policy.Host(h.Name, h.Set)
 	r.hosts[h.Name], r.nodes[h.node] = h, h
 	r.trace.Host(h.node, h.Set)
 }
 
-// announceHost tells the module of a host's state, as the list has it.
+// announceHost passes a host's state to the module, as the list has it.
 func (r *Router) announceHost(h *host) {
 	r.preview.hostListed(h.Standing)
 	r.trace.Listed(h.node, h.Standing, h.Leader, h.Zone, h.Kind, h.Size, h.Boot)
 	h.node.Listed(h.Standing, h.Leader, h.Zone, h.Kind, h.Size, h.Boot)
 }
 
-// finishList tells the module that all of a list, or of its changes, has been announced.
+// finishList marks the end of a list, or of its changes, for the module.
 func (r *Router) finishList(complete bool) {
 	r.preview.listFinished()
 	r.trace.ListDone(complete)
@@ -157,7 +157,7 @@
 	})
 }
 
-// Report returns what answers have told of hosts since the last report, from any goroutine; nil once Run has ended.
+// Report returns what answers have shown of hosts since the last report, from any goroutine; nil once Run has ended.
 func (r *Router) Report() []link.Heard {
 	result := make(chan []link.Heard, 1)
 	if !r.queue.Put(eventloop.PriorityLists, func() { result <- r.takeReports() }) {
@@ -183,7 +183,7 @@
 	return reports
 }
 
-// noteAnswer notes what an answer to a command has told, for a report.
+// noteAnswer notes what an answer to a command shows, for a report.
 func (h *host) noteAnswer(c *policy.Cmd, outcome policy.Outcome, position policy.Tenth, role policy.Role, sentAt, now, elapsed policy.Tenth) {
 	if position >= 0 && outcome != policy.Reset {
 		h.evidence.Said(position, role, sentAt >= h.lastAnswer)
--- a/internal/router/routing/policy_caller.go
+++ b/internal/router/routing/policy_caller.go
@@ -14,7 +14,7 @@
 // What a host is sent as a health check.
 const (
 	probeStatement      = "SELECT 1"
-	loadReportStatement = "SHOW server_load" // where load reports tell positions
+	loadReportStatement = "SHOW server_load" // where load reports have positions
 )
 
 // Dispatch implements policy.Caller: it sends a command to a host.
@@ -37,7 +37,7 @@
 	c.inFlight = r.send(r.nodes[node], c.statement, deadline, sendBy, true, func(answer transport.Answer) { r.commandEnded(c, answer) })
 }
 
-// Throttle implements policy.Caller: it tells a client to retry later.
+// Throttle implements policy.Caller: it answers that the client may retry later.
 func (r *Router) Throttle(handle *policy.Cmd, retryAfter policy.Tenth) {
 	r.trace.Throttle(handle, retryAfter)
 	r.preview.throttled(retryAfter)
@@ -49,7 +49,7 @@
 	}
 }
 
-// Fail implements policy.Caller: it tells a client that its command failed.
+// Fail implements policy.Caller: it answers that the command failed.
 func (r *Router) Fail(handle *policy.Cmd) {
 	r.trace.Fail(handle)
 	if c := r.commands[handle.Name]; c.slot != nil {
--- a/internal/router/routing/preview.go
+++ b/internal/router/routing/preview.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// hostListed is called for each host that the module is told of.
+// hostListed is called for each host that is passed to the module.
 func (p *preview) hostListed(standing policy.Standing) {
 	if p != nil && p.drainBindsAlone && standing == policy.Gone {
 		p.RemovedHosts.Add(1)
--- a/internal/router/routing/router.go
+++ b/internal/router/routing/router.go
@@ -53,7 +53,7 @@
 	hasList      bool
 	awaitingList []*transport.Slot // empty queries from before the first list
 
-	version atomic.Int64 // of the list that is held
+	version atomic.Int64 // of the current list
 
 	Counters
 }
@@ -87,7 +87,7 @@
 // SetListRequester sets what requests the list. It must be called before Run.
 func (r *Router) SetListRequester(requestList func()) { r.requestList = requestList }
 
-// Version returns the version of the list that is held, or 0 before the first.
+// Version returns the version of the current list, or 0 before the first.
 func (r *Router) Version() int64 { return max(0, r.version.Load()) }
 
 // Run owns the module until ctx ends, and then returns nil.
@@ -185,7 +185,7 @@
 	}
 }
 
-// advanceClock tells the module the time of the calls that follow.
+// advanceClock sets the module's time for the calls that follow.
 func (r *Router) advanceClock() policy.Tenth {
 	now := r.clock.Now()
 	r.policy.Clock(now)
--- a/internal/router/service/trace.go
+++ b/internal/router/service/trace.go
@@ -74,7 +74,7 @@
 	return info.Main.Version
 }
 
-// Life returns a random number that tells this run of a process from all others. It is odd, and so never 0.
+// Life returns a random number that distinguishes this run of a process from all others. It is odd, and so never 0.
 func Life() uint64 {
 	n, err := rand.Int(rand.Reader, new(big.Int).SetUint64(math.MaxUint64))
 	if err != nil {
--- a/internal/router/setup/deployment.go
+++ b/internal/router/setup/deployment.go
@@ -42,7 +42,7 @@
 	"mutate":    policy.Write,
 }
 
-// Terms tells how commands, answers and load reports of a deployment are read.
+// Terms describes how commands, answers and load reports of a deployment are read.
 type Terms struct {
 	Groups        map[string]*policy.CmdGroup // by the name in a command's comment
 	Fields        []string                    // of a load report, in order
@@ -161,7 +161,7 @@
 	return groups
 }
 
-// Report reads the position and role that a load report tells; ok is false if it tells no position. field returns the
+// Report reads the position and role in a load report; ok is false if it has no position. field returns the
 // value of a field by its index in Fields.
 func (t Terms) Report(field func(i int) (float64, bool)) (position policy.Tenth, role policy.Role, ok bool) {
 	if t.PositionField < 0 {
--- a/internal/router/setup/limits.go
+++ b/internal/router/setup/limits.go
@@ -5,7 +5,7 @@
 // Limits holds all sizes, counts and time-outs of the sockets, and of the process. Sizes are in bytes.
 type Limits struct {
 	Cores  int
-	Memory int64 // limit that the garbage collector is told
+	Memory int64 // soft limit for the garbage collector
 
 	MaxClientConns    int // file descriptors for clients
 	Hosts             int // file descriptors for connections to hosts
--- a/internal/router/transport/buffer.go
+++ b/internal/router/transport/buffer.go
@@ -31,7 +31,7 @@
 
 func (b *Room) release(n int) { b.used.Add(int64(-n)) }
 
-// errBudgetExhausted tells that a buffer may not grow, by its own limit or by the budget. Clients read its text.
+// errBudgetExhausted reports that a buffer may not grow, by its own limit or by the budget. Clients are sent its text.
 var errBudgetExhausted = errors.New("no room left for buffers")
 
 // buffer holds bytes that were read and not consumed yet. It grows as needed, is compacted in place, and returns to its
--- a/internal/router/transport/client_conn.go
+++ b/internal/router/transport/client_conn.go
@@ -57,7 +57,7 @@
 	return i.since.Before(other.since)
 }
 
-// idleState tells how idle the connection is. A client may write its first command right behind its startup message, so
+// idleState returns how idle the connection is. A client may write its first command right behind its startup message, so
 // a new connection is not evictable for a while.
 func (c *clientConn) idleState() idleState {
 	c.mu.Lock()
@@ -131,7 +131,7 @@
 const (
 	keepReading timeoutAction = iota
 	closeQuietly
-	closeTimedOut // the client is told that its command did not come in time
+	closeTimedOut // with an error: its command did not come in time
 )
 
 // onReadTimeout is the reader's side of requestClose and setReadDeadline.
--- a/internal/router/transport/client_reader.go
+++ b/internal/router/transport/client_reader.go
@@ -41,7 +41,7 @@
 }
 
 // awaitLastAnswers waits for what is pending to be written if the router ends the connection. It reports whether the
-// client was told why.
+// client was notified of the cause.
 func (c *clientConn) awaitLastAnswers() (notified bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 	return unanswered, cmp.Or(c.endCause, &c.server.Disconnected)
 }
 
-// lingerClose lets a client that is still sending read why its connection ends: closing a socket with unread input would
+// lingerClose lets a client that is still sending read the error message: closing a socket with unread input would
 // reset it. What comes is read slowly and discarded.
 func (c *clientConn) lingerClose() {
 	c.server.markNotified(c)
@@ -238,7 +238,7 @@
 	return true
 }
 
-// endSession tells the client why its connection ends, after the answers before it, and counts the cause.
+// endSession ends the connection with an error message to the client, after the answers before it, and counts the cause.
 func (c *clientConn) endSession(counter *atomic.Int64, code, text string) {
 	slot := c.addSlot()
 	c.mu.Lock()
--- a/internal/router/transport/clients.go
+++ b/internal/router/transport/clients.go
@@ -20,16 +20,16 @@
 	HandleCommand(slot *Slot, statement []byte, receivedAt time.Time)
 	// HandleEmptyQuery takes a query without a statement.
 	HandleEmptyQuery(slot *Slot)
-	// ClientDisconnected tells that the client has gone before its command was answered.
+	// ClientDisconnected is called when the client has gone before its command was answered.
 	ClientDisconnected(slot *Slot)
 }
 
-// closingStage is how far a connection that was told to end has come.
+// closingStage is the progress of a connection that is to end.
 type closingStage int
 
 const (
 	closeRequested closingStage = iota // its reader is about to end it
-	closeNotified                      // its client was told why, and what it still sends is discarded
+	closeNotified                      // its client was sent the error message, and what it still sends is discarded
 )
 
 // Clients accepts and serves the connections of all clients.
@@ -158,7 +158,7 @@
 	}
 }
 
-// closeOneNotified closes a connection whose client has been told why it ends.
+// closeOneNotified closes a connection whose client was sent the error message.
 func (s *Clients) closeOneNotified() bool {
 	for c, stage := range s.closing {
 		if stage == closeNotified {
@@ -250,7 +250,7 @@
 	}
 }
 
-// markNotified notes that a client was told why its connection ends.
+// markNotified notes that a client was sent the error message that ends its connection.
 func (s *Clients) markNotified(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/router/transport/clients_test.go
+++ b/internal/router/transport/clients_test.go
@@ -86,7 +86,10 @@
 }
 
 func TestClientsWithMalformedInputAreToldWhyAndClosed(t *testing.T) {
-	s, dial := startClients(t, &setup.Limits{MaxClientConns: 99, SpareClientConns: 9, MaxRejectedInARow: 3, NewConnGrace: testTimeout, CommandReadTimeout: testTimeout})
+	s, dial := startClients(t, &setup.Limits{
+		MaxClientConns: 99, SpareClientConns: 9, MaxRejectedInARow: 3,
+		NewConnGrace: testTimeout, CommandReadTimeout: testTimeout,
+	})
 	hello := string(protocol.AppendStartup(nil, "svc", "main"))
 	query := string(protocol.AppendQuery(nil, []byte("nothing of use")))
 	for name, test := range map[string][2]string{
@@ -116,7 +119,10 @@
 }
 
 func TestSilentAndPartialClientsTimeOut(t *testing.T) {
-	s, dial := startClients(t, &setup.Limits{MaxClientConns: 99, SpareClientConns: 9, MaxRejectedInARow: 9, NewConnGrace: testTimeout, CommandReadTimeout: 50 * time.Millisecond})
+	s, dial := startClients(t, &setup.Limits{
+		MaxClientConns: 99, SpareClientConns: 9, MaxRejectedInARow: 9,
+		NewConnGrace: testTimeout, CommandReadTimeout: 50 * time.Millisecond,
+	})
 	hello := string(protocol.AppendStartup(nil, "svc", "main"))
 	idle := dial() // between commands there is no limit
 	idle.Write([]byte(hello + string(protocol.AppendQuery(nil, nil))))
@@ -143,7 +149,10 @@
 }
 
 func TestClientsWithoutCommandsAreEvictedFirst(t *testing.T) {
-	s, dial := startClients(t, &setup.Limits{MaxClientConns: 4, SpareClientConns: 4, MaxRejectedInARow: 9, CommandReadTimeout: testTimeout, EvictionIdleTime: testTimeout})
+	s, dial := startClients(t, &setup.Limits{
+		MaxClientConns: 4, SpareClientConns: 4, MaxRejectedInARow: 9,
+		CommandReadTimeout: testTimeout, EvictionIdleTime: testTimeout,
+	})
 	var silent []net.Conn
 	for range 200 { // all are held open by their clients
 		silent = append(silent, dial())
@@ -161,7 +170,10 @@
 }
 
 func TestProvenIdleConnectionsAreEvictedWhereOthersAreTooNew(t *testing.T) {
-	s, dial := startClients(t, &setup.Limits{MaxClientConns: 8, SpareClientConns: 8, MaxRejectedInARow: 9, NewConnGrace: testTimeout, CommandReadTimeout: testTimeout})
+	s, dial := startClients(t, &setup.Limits{
+		MaxClientConns: 8, SpareClientConns: 8, MaxRejectedInARow: 9,
+		NewConnGrace: testTimeout, CommandReadTimeout: testTimeout,
+	})
 	s.handler = notNowHandler{}
 	hello := append(protocol.AppendStartup(nil, "svc", "main"), protocol.AppendQuery(nil, []byte("x"))...)
 	var first net.Conn
--- a/internal/router/transport/doc.go
+++ b/internal/router/transport/doc.go
@@ -3,5 +3,5 @@
 //
 // Commands flow from Clients to a CommandHandler, each with the Slot that its answer goes into; Slots of one connection
 // are written in the order of their commands. The handler sends statements by Host.Send and learns the outcome by a
-// callback. All buffers draw on one Room.
+// callback. All buffers share one budget.
 package transport
--- a/internal/router/transport/host_conn.go
+++ b/internal/router/transport/host_conn.go
@@ -142,7 +142,7 @@
 	case call == nil:
 	case call.sent:
 		c.endCall(call, Answer{Outcome: policy.Reset})
-	case c.answered: // the host was up before, so this tells nothing of its health
+	case c.answered: // the host was up before, so this is no sign of its health
 		c.endCall(call, Answer{Outcome: policy.Moot})
 	default:
 		c.endCall(call, Answer{Outcome: policy.Unreached})
--- a/internal/router/transport/host_reader.go
+++ b/internal/router/transport/host_reader.go
@@ -59,7 +59,7 @@
 }
 
 // endBrokenOff ends a call when the connection fails before the answer is complete. A row's completion, or an error,
-// still tells the outcome.
+// still determines the outcome.
 func (c *hostConn) endBrokenOff(call *Call, parser *answerParser, malformed bool) {
 	partial := parser.answer
 	switch {
@@ -85,7 +85,7 @@
 	last   byte // the kind of the last message that is a part of the answer itself; 0 for none
 }
 
-// accept takes in one message, of which frame is the whole. It returns false if the message does not belong here.
+// accept takes in one message, whose encoding is frame. It returns false if the message does not belong here.
 func (p *answerParser) accept(kind byte, body, frame []byte) bool {
 	switch kind {
 	case protocol.RowDescription:
@@ -135,7 +135,7 @@
 	}
 }
 
-// callReader reads a host connection and tells which call, if any, had been sent when the bytes came. It reads under the
+// callReader reads a host connection and records which call, if any, had been sent when the bytes came. It reads under the
 // connection's lock, so that bytes from before a call was sent are known from those after.
 type callReader struct {
 	conn *hostConn
--- a/internal/router/transport/hosts.go
+++ b/internal/router/transport/hosts.go
@@ -125,7 +125,7 @@
 }
 
 // Send starts a call on an idle connection or a new one, and returns at once. onAnswer is called once, from another
-// goroutine, unless Abandon tells how the call ended. The router waits for an answer until deadline. Nothing is sent
+// goroutine, unless Abandon reports how the call ended. The router waits for an answer until deadline. Nothing is sent
 // after sendBy, and nothing is retried here. With rewriteTimeout, the time-out in the statement's comment becomes the
 // time that is left when it is sent.
 func (h *Host) Send(statement []byte, deadline, sendBy time.Time, rewriteTimeout bool, onAnswer func(Answer)) *Call {
--- a/internal/router/transport/hosts_test.go
+++ b/internal/router/transport/hosts_test.go
@@ -113,7 +113,12 @@
 			c.Write(append(rowAnswer('a')[:26], "D\xb2\xd0\x5e\x00"...))
 			readSome(c)
 		}, policy.Reset},
-		"an error without a code": {func(c net.Conn) { acceptStartup(c); readSome(c); c.Write([]byte("E\x00\x00\x00\x05\x00")); readSome(c) }, policy.Reset},
+		"an error without a code": {func(c net.Conn) {
+			acceptStartup(c)
+			readSome(c)
+			c.Write([]byte("E\x00\x00\x00\x05\x00"))
+			readSome(c)
+		}, policy.Reset},
 		"noise after an error": {func(c net.Conn) {
 			acceptStartup(c)
 			readSome(c)
--- a/internal/router/transport/slot.go
+++ b/internal/router/transport/slot.go
@@ -40,7 +40,7 @@
 	s.client.proven, s.client.rejectedInARow = true, 0
 }
 
-// Throttle tells the client that it may safely retry the command, after so many milliseconds; 0 names no time.
+// Throttle tells the client that it may safely retry the command, after so many milliseconds; 0 for no time.
 func (s *Slot) Throttle(retryAfterMs int64) {
 	detail := ""
 	if retryAfterMs > 0 {
--- a/internal/router/transport/watch.go
+++ b/internal/router/transport/watch.go
@@ -41,8 +41,8 @@
 }
 
 // NewWatch returns a watch of the discovery service at address. It asks for what came after heldVersion each time it
-// starts anew. handleLine takes a complete list or its changes, and owns the text; addressIsNew tells that an address
-// sends its first, whose version is not comparable to those before. onError is told why a watch ended.
+// starts anew. handleLine takes a complete list or its changes, and owns the text; addressIsNew is true if an address
+// sends its first, whose version is not comparable to those before. onError takes the reason why a watch ended.
 func NewWatch(limits *setup.Limits, budget *Room, address string, heldVersion func() int64,
 	handleLine func(text []byte, addressIsNew bool) error, onError func(error),
 ) *Watch {
@@ -63,7 +63,7 @@
 	}
 }
 
-// SetAddress follows another address from now on. The list that is held stays until that one sends its own.
+// SetAddress follows another address from now on. The current list stays until that one sends its own.
 func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// follow is one watch, up to its end, which cancel brings about. received tells that a line has come.
+// follow is one watch, up to its end, which cancel brings about. received is true if a line has come.
 func (w *Watch) follow(watchCtx context.Context, cancel context.CancelFunc) (received bool, err error) {
 	w.Started.Add(1)
 	w.mu.Lock()
@@ -156,7 +156,7 @@
 	// open connection does not show.
 	conn.SetDeadline(time.Now().Add(w.limits.Quiet))
 	version := w.heldVersion()
-	if addressIsNew { // its versions may be unrelated to the one that is held
+	if addressIsNew { // its versions may be unrelated to the current one
 		version = 0
 	}
 	if _, err := conn.Write(protocol.AppendWatchRequest(nil, address, version)); err != nil {
