--- a/cmd/ferrypitch/command_test.go
+++ b/cmd/ferrypitch/command_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net"
@@ -11,7 +10,6 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 
@@ -21,56 +19,17 @@
 	"ferrypitch/internal/simulation/tierfleet"
 )
 
-// example writes the repository's example with free addresses and a key, changed as a test wants.
-func example(t *testing.T, change func(all map[string]any)) string {
-	t.Helper()
-	text, err := os.ReadFile("../../deploy/example.json")
-	if err != nil {
-		t.Fatal(err)
-	}
-	var all map[string]any
-	if err := json.Unmarshal(text, &all); err != nil {
-		t.Fatal(err)
-	}
-	for _, at := range []func(string){func(a string) { all["listen"] = a }, func(a string) { all["plan"].(map[string]any)["listen"] = a },
-		func(a string) { all["discovery"] = a }} {
-		a, err := tierfleet.Free()
-		if err != nil {
-			t.Fatal(err)
-		}
-		at(a)
-	}
-	if change != nil {
-		change(all)
-	}
-	dir := t.TempDir()
-	os.WriteFile(filepath.Join(dir, "example.key"), []byte(strings.Repeat("0f", 32)), 0o600)
-	text, _ = json.Marshal(all)
-	path := filepath.Join(dir, "example.json")
-	os.WriteFile(path, text, 0o600)
-	return path
-}
-
-// call runs a sub-command to its end.
-func call(args ...string) (out string, status int) {
-	var b bytes.Buffer
-	cmd := exec.Command(binary, args...)
-	cmd.Stdout, cmd.Stderr = &b, &b
-	cmd.Run()
-	return b.String(), cmd.ProcessState.ExitCode()
-}
-
-func TestTheExampleIsGoodForAllSubCommands(t *testing.T) {
-	if out, status := call("check", example(t, nil)); status != 0 || !strings.Contains(out, "[serve forward plan]") {
+func TestExampleIsCompleteForAllSubcommands(t *testing.T) {
+	if out, status := runBinary("check", writeExample(t, nil)); status != 0 || !strings.Contains(out, "[serve forward plan]") {
 		t.Errorf("%d: %s", status, out)
 	}
-	if out, status := call("check", "--json", example(t, func(all map[string]any) { delete(all, "plan") })); status != 0 ||
+	if out, status := runBinary("check", "--json", writeExample(t, func(all map[string]any) { delete(all, "plan") })); status != 0 ||
 		!strings.Contains(out, `"serves":["serve","forward"]`) {
 		t.Errorf("%d: %s", status, out)
 	}
 }
 
-func TestAFaultNamesItsKeyInOneLineWithStatusTwo(t *testing.T) {
+func TestCheckErrorIsOneLineThatNamesTheKeyWithStatusTwo(t *testing.T) {
 	section := func(name string) func(map[string]any) map[string]any {
 		return func(all map[string]any) map[string]any { return all[name].(map[string]any) }
 	}
@@ -86,46 +45,52 @@
 		"limits.memory_mb: less than 32":           func(all map[string]any) { all["limits"].(map[string]any)["memory_mb"] = 16 },
 		"seed: ":                                   func(all map[string]any) { all["seed"] = "not hexadecimal" },
 	} {
-		path := example(t, change)
-		out, status := call("check", path)
+		path := writeExample(t, change)
+		out, status := runBinary("check", path)
 		if status != 2 || !strings.HasPrefix(out, "ferrypitch: "+path+": "+key) || strings.Count(out, "\n") != 1 {
 			t.Errorf("%s: status %d, %q", key, status, out)
 		}
 	}
-	path := example(t, nil)
-	os.WriteFile(path, []byte("{\n\"name\": \"f1\",\n}"), 0o600)
-	if out, status := call("check", path); status != 2 || !strings.Contains(out, "line 3") {
+	path := writeExample(t, nil)
+	writeFile(t, path, "{\n\"name\": \"f1\",\n}")
+	if out, status := runBinary("check", path); status != 2 || !strings.Contains(out, "line 3") {
 		t.Errorf("%d: %s", status, out)
 	}
-	os.Chmod(filepath.Join(filepath.Dir(path), "example.key"), 0o644)
-	for _, args := range [][]string{{"check"}, {"nonsense"}, {"forward", example(t, func(all map[string]any) { delete(all, "forward") })}} {
-		if out, status := call(args...); status != 2 || out == "" {
+	if err := os.Chmod(filepath.Join(filepath.Dir(path), "example.key"), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	for _, args := range [][]string{{"check"}, {"nonsense"}, {"forward", writeExample(t, func(all map[string]any) { delete(all, "forward") })}} {
+		if out, status := runBinary(args...); status != 2 || out == "" {
 			t.Errorf("%v: %d %s", args, status, out)
 		}
 	}
 }
 
-func TestAKeyThatOthersMayReadIsRefusedAndANewOneIsNot(t *testing.T) {
-	path := example(t, nil)
+func TestKeyThatOthersMayReadIsRejected(t *testing.T) {
+	path := writeExample(t, nil)
 	key := filepath.Join(filepath.Dir(path), "example.key")
-	os.Chmod(key, 0o644)
-	if out, status := call("check", path); status != 2 || !strings.Contains(out, "others than its owner may read it") {
+	if err := os.Chmod(key, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	if out, status := runBinary("check", path); status != 2 || !strings.Contains(out, "others than its owner may read it") {
 		t.Errorf("%d: %s", status, out)
 	}
-	os.Remove(key)
-	if out, status := call("key", key); status != 0 {
+	if err := os.Remove(key); err != nil {
+		t.Fatal(err)
+	}
+	if out, status := runBinary("key", key); status != 0 {
 		t.Errorf("%d: %s", status, out)
 	}
-	if out, status := call("check", path); status != 0 {
+	if out, status := runBinary("check", path); status != 0 {
 		t.Errorf("%d: %s", status, out)
 	}
-	if _, status := call("key", key); status == 0 {
+	if _, status := runBinary("key", key); status == 0 {
 		t.Error("a key is written over")
 	}
 }
 
-func TestHelpListsSubCommandsAndTheEnvironment(t *testing.T) {
-	out, status := call("--help")
+func TestHelpListsSubcommandsAndTheEnvironment(t *testing.T) {
+	out, status := runBinary("--help")
 	for _, word := range []string{"forward", "plan", "check", "serve", "GW_CONFIG", "GW_LISTEN"} {
 		if !strings.Contains(out, word) {
 			t.Errorf("no %s", word)
@@ -136,42 +101,22 @@
 	}
 }
 
-// running starts a sub-command that goes on until the test ends.
-func running(t *testing.T, args ...string) {
-	t.Helper()
-	cmd := exec.Command(binary, args...)
-	cmd.Stderr = &lines{t: t}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		cmd.Process.Signal(syscall.SIGTERM)
-		if err := cmd.Wait(); err != nil {
-			t.Errorf("%v: %v", args, err)
-		}
-	})
-}
-
-type lines struct{ t *testing.T }
-
-func (l *lines) Write(b []byte) (int, error) { l.t.Logf("%s", b); return len(b), nil }
-
-func TestTheExampleStartsAndAPgxClientIsServed(t *testing.T) {
+func TestExampleServesAPgxClient(t *testing.T) {
 	f, err := tierfleet.New(t.TempDir(), 1, 3, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Stop()
 	listen := ""
-	path := example(t, func(all map[string]any) {
+	path := writeExample(t, func(all map[string]any) {
 		all["discovery"] = f.Discovery.Address()
 		all["forward"].(map[string]any)["planners"] = []any{all["plan"].(map[string]any)["listen"]}
 		delete(all, "known")
 		listen = all["listen"].(string)
 	})
-	running(t, "plan", path)
-	running(t, "forward", path)
-	ctx, stop := context.WithTimeout(t.Context(), patience)
+	startBinary(t, "plan", path)
+	startBinary(t, "forward", path)
+	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
@@ -181,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer client.Close(ctx)
+	defer func() { _ = client.Close(ctx) }()
 	var value []byte
 	write := `/* id=w1,c=order,d=2000,cluster=1 */ INSERT INTO records (k, v) VALUES ('s', '\x9f03') RETURNING v`
 	if err := client.QueryRow(ctx, write).Scan(&value); err != nil || !bytes.HasPrefix(value, []byte("set1-a w1")) {
@@ -200,14 +145,14 @@
 	}
 }
 
-func TestAForwarderThatRestartsWithoutPlannersServesFromTheViewItKept(t *testing.T) {
+func TestForwarderRestartedWithoutPlannersServesFromItsViewFile(t *testing.T) {
 	f, err := tierfleet.New(t.TempDir(), 1, 2, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Stop()
 	listen := ""
-	path := example(t, func(all map[string]any) {
+	path := writeExample(t, func(all map[string]any) {
 		all["discovery"], listen = f.Discovery.Address(), all["listen"].(string)
 		forward := all["forward"].(map[string]any)
 		forward["planners"], forward["keep"] = []any{all["plan"].(map[string]any)["listen"]}, "view"
@@ -221,7 +166,7 @@
 		return cmd
 	}
 	planner, forwarder := start("plan"), start("forward")
-	ctx, stop := context.WithTimeout(t.Context(), patience)
+	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
@@ -232,16 +177,15 @@
 		}
 	}
 	for _, cmd := range []*exec.Cmd{planner, forwarder} {
-		cmd.Process.Kill()
-		cmd.Wait()
+		killProcess(cmd)
 	}
-	running(t, "forward", path)
+	startBinary(t, "forward", path)
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Errorf("with no planner: %v", err)
 	}
 }
 
-func TestAForwarderWithoutPlannersServesFromTheListItIsGivenOrSaysThatItIsNotReady(t *testing.T) {
+func TestForwarderWithoutPlannersServesFromTheGivenListOrIsNotReady(t *testing.T) {
 	f, err := tierfleet.New(t.TempDir(), 1, 2, 1, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -253,13 +197,13 @@
 	}
 	for _, known := range []bool{true, false} {
 		listen := ""
-		path := example(t, func(all map[string]any) {
+		path := writeExample(t, func(all map[string]any) {
 			listen = all["listen"].(string)
 			if delete(all, "known"); known {
 				all["known"] = map[string]any{"rev": 1, "all": true, "targets": targets}
 			}
 		})
-		running(t, "forward", path)
+		startBinary(t, "forward", path)
 		ctx, stop := context.WithTimeout(t.Context(), 3*time.Second)
 		err := tierfleet.Ready(ctx, listen)
 		stop()
--- a/cmd/ferrypitch/trace_test.go
+++ b/cmd/ferrypitch/trace_test.go
@@ -15,8 +15,8 @@
 	"ferrypitch/internal/simulation/workload"
 )
 
-// only is the one trace file of a folder.
-func only(t *testing.T, dir string) string {
+// onlyTrace is the one trace file of a folder.
+func onlyTrace(t *testing.T, dir string) string {
 	t.Helper()
 	files, _ := filepath.Glob(filepath.Join(dir, "*.fptrace"))
 	if len(files) != 1 {
@@ -25,8 +25,8 @@
 	return files[0]
 }
 
-// traced is the file of a router that served a load for a moment.
-func traced(t *testing.T) string {
+// captureTrace is the file of a router that served a load for a moment.
+func captureTrace(t *testing.T) string {
 	t.Helper()
 	f, err := tierfleet.New(t.TempDir(), 1, 3, 1, 0)
 	if err != nil {
@@ -34,7 +34,7 @@
 	}
 	defer f.Stop()
 	dir, listen := t.TempDir(), ""
-	path := example(t, func(all map[string]any) {
+	path := writeExample(t, func(all map[string]any) {
 		all["discovery"], all["trace"] = f.Discovery.Address(), map[string]any{"dir": dir}
 		delete(all, "known")
 		listen = all["listen"].(string)
@@ -43,27 +43,29 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithTimeout(t.Context(), patience)
+	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
 	}
-	workload.Run(ctx, workload.Terms{Routers: []string{listen}, Sets: []int64{1}, Clients: 4, Rate: 150, For: time.Second, Writes: 0.2, Sessions: 2,
-		Timeout: time.Second, Seed: 5}, nil)
-	cmd.Process.Signal(syscall.SIGHUP)
+	workload.Run(ctx, workload.Terms{
+		Routers: []string{listen}, Sets: []int64{1}, Clients: 4, Rate: 150, For: time.Second, Writes: 0.2, Sessions: 2,
+		Timeout: time.Second, Seed: 5,
+	}, nil)
+	signalProcess(t, cmd, syscall.SIGHUP)
 	client, err := net.Dial("tcp", listen) // keeps it there for a moment
 	if err == nil {
 		defer client.Close()
 	}
-	cmd.Process.Signal(syscall.SIGTERM)
+	signalProcess(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	return only(t, dir)
+	return onlyTrace(t, dir)
 }
 
-func TestATraceIsReadCutAnonymisedRepairedAndReplayed(t *testing.T) {
-	file, dir := traced(t), t.TempDir()
+func TestTraceIsReadCutAnonymisedRepairedAndReplayed(t *testing.T) {
+	file, dir := captureTrace(t), t.TempDir()
 	for _, want := range []struct {
 		args   []string
 		status int
@@ -81,69 +83,93 @@
 		{[]string{"diff", file, filepath.Join(dir, "cut")}, 0, []string{"→"}},
 		{[]string{"info", filepath.Join(dir, "not there")}, 1, []string{"no such file"}},
 	} {
-		out, status := call(append([]string{"trace"}, want.args...)...)
-		for _, w := range want.words {
-			if !strings.Contains(out, w) {
-				t.Errorf("%v: no %q in %s", want.args, w, out)
-			}
-		}
-		if status != want.status {
-			t.Errorf("%v: status %d, %s", want.args, status, out)
+		expectTraceOutput(t, want.status, want.words, want.args...)
+	}
+	expectCutThroughPipes(t, file)
+	expectAnonymised(t, file, dir)
+	expectRepaired(t, file, dir)
+}
+
+// expectTraceOutput runs a trace sub-command, and expects its status, and words in its output, which it returns.
+func expectTraceOutput(t *testing.T, wantStatus int, words []string, args ...string) string {
+	t.Helper()
+	out, status := runBinary(append([]string{"trace"}, args...)...)
+	for _, word := range words {
+		if !strings.Contains(out, word) {
+			t.Errorf("%v: no %q in %s", args, word, out)
 		}
 	}
-	piped := exec.Command(binary, "trace", "cut", "-", "-")
-	piped.Stdin, _ = os.Open(file)
-	if cut, err := piped.Output(); err != nil || len(cut) < 1000 {
-		t.Errorf("through pipes: %d bytes, %v", len(cut), err)
+	if status != wantStatus {
+		t.Errorf("%v: status %d, %s", args, status, out)
 	}
-	key := filepath.Join(dir, "key")
-	call("key", key)
-	if out, status := call("trace", "anonymise", "--key", key, file, filepath.Join(dir, "nobody")); status != 0 {
-		t.Error(out)
+	return out
+}
+
+func expectCutThroughPipes(t *testing.T, file string) {
+	t.Helper()
+	cut := exec.Command(binary, "trace", "cut", "-", "-")
+	in, err := os.Open(file)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if out, _ := call("trace", "cat", filepath.Join(dir, "nobody")); strings.Contains(out, "set1-") || strings.Contains(out, "session=s") ||
-		!strings.Contains(out, " take command=") {
-		t.Errorf("%.400s", out)
+	defer func() { _ = in.Close() }()
+	cut.Stdin = in
+	if out, err := cut.Output(); err != nil || len(out) < 1000 {
+		t.Errorf("through pipes: %d bytes, %v", len(out), err)
 	}
-	whole, _ := os.ReadFile(file)
-	broken := filepath.Join(dir, "broken")
-	os.WriteFile(broken, whole[:len(whole)-7], 0o600)
-	if out, status := call("trace", "repair", broken, filepath.Join(dir, "mended")); status != 0 {
-		t.Errorf("%d %s", status, out)
+}
+
+func expectAnonymised(t *testing.T, file, dir string) {
+	t.Helper()
+	key, anonymous := filepath.Join(dir, "key"), filepath.Join(dir, "anonymous")
+	if out, status := runBinary("key", key); status != 0 {
+		t.Error(out)
 	}
-	if out, status := call("trace", "replay", filepath.Join(dir, "mended")); status != 0 || !strings.Contains(out, " 0 apart") {
-		t.Errorf("%d %s", status, out)
+	expectTraceOutput(t, 0, nil, "anonymise", "--key", key, file, anonymous)
+	out := expectTraceOutput(t, 0, []string{" take command="}, "cat", anonymous)
+	if strings.Contains(out, "set1-") || strings.Contains(out, "session=s") {
+		t.Errorf("%.400s", out)
 	}
-	whole[8] = 9
-	os.WriteFile(broken, whole, 0o600)
-	if out, status := call("trace", "info", broken); status != 1 || !strings.Contains(out, "trace version 9; this program reads up to version 1") {
-		t.Errorf("%d %s", status, out)
+}
+
+func expectRepaired(t *testing.T, file, dir string) {
+	t.Helper()
+	complete, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
 	}
+	broken, repaired := filepath.Join(dir, "broken"), filepath.Join(dir, "repaired")
+	writeFile(t, broken, string(complete[:len(complete)-7]))
+	expectTraceOutput(t, 0, nil, "repair", broken, repaired)
+	expectTraceOutput(t, 0, []string{" 0 apart"}, "replay", repaired)
+	complete[8] = 9 // the version
+	writeFile(t, broken, string(complete))
+	expectTraceOutput(t, 1, []string{"trace version 9; this program reads up to version 1"}, "info", broken)
 }
 
-func TestAPlannerCapturesWhatItHeardAndAsked(t *testing.T) {
+func TestPlannerCapturesATrace(t *testing.T) {
 	f, err := tierfleet.New(t.TempDir(), 1, 2, 1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Stop()
 	dir := t.TempDir()
-	path := example(t, func(all map[string]any) {
+	path := writeExample(t, func(all map[string]any) {
 		all["discovery"], all["trace"] = f.Discovery.Address(), map[string]any{"dir": dir}
 	})
 	cmd := exec.Command(binary, "plan", path)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for till := time.Now().Add(patience); f.Hosts.Seen().Probes < 4 && time.Now().Before(till); {
+	for till := time.Now().Add(testTimeout); f.Hosts.Seen().Probes < 4 && time.Now().Before(till); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	cmd.Process.Signal(syscall.SIGTERM)
+	signalProcess(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	file := only(t, dir)
-	out, status := call("trace", "info", file)
+	file := onlyTrace(t, dir)
+	out, status := runBinary("trace", "info", file)
 	for _, kind := range []string{"plan_list", "plan_probe ", "plan_probed", "plan_change"} {
 		if !strings.Contains(out, kind) || status != 0 {
 			t.Errorf("status %d, no %s in %s", status, kind, out)
--- /dev/null
+++ b/internal/router/transport/unread.go
@@ -0,0 +1,25 @@
+package transport
+
+import (
+	"errors"
+	"net"
+	"syscall"
+)
+
+// hasUnreadInput reports whether a connection has input that was not read yet, its end included. It peeks at the socket
+// directly and so never waits for a goroutine that is blocked in Read.
+func hasUnreadInput(conn net.Conn) (unread bool) {
+	c, ok := conn.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := c.SyscallConn()
+	if err != nil {
+		return true
+	}
+	err = raw.Control(func(fd uintptr) {
+		_, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		unread = !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
+	})
+	return unread || err != nil
+}
