--- a/internal/control/statemachine/config_update.go
+++ b/internal/control/statemachine/config_update.go
@@ -19,23 +19,23 @@
 	Diff          []byte   // see jig.Diff; empty: the result is in Body
 }
 
-// marked begins a snapshot that carries its digest; no gob stream begins so.
-const marked = "\x00rack1"
+// snapshotMagic begins a snapshot that carries its digest; no gob stream begins so.
+const snapshotMagic = "\x00rack1"
 
-// packed begins a Configure in the log; no gob stream begins so.
-const packed = 0
+// configUpdateMarker begins a Configure in the log; no gob stream begins so.
+const configUpdateMarker = 0
 
 func digestOf(b []byte) (sum [16]byte) {
-	whole := blake3.Sum256(b)
-	copy(sum[:], whole[:])
+	full := blake3.Sum256(b)
+	copy(sum[:], full[:])
 	return sum
 }
 
-func (c *ConfigUpdate) isPacked() bool { return c.ResultDigest != [16]byte{} }
+func (c *ConfigUpdate) hasDelta() bool { return c.ResultDigest != [16]byte{} }
 
 // Delta is an order, checked here with this plan for a result, as the log is to carry it.
 func (s *State) Delta(c *ConfigUpdate, plan *config.Config) *ConfigUpdate {
-	p := &ConfigUpdate{BaseVersion: c.BaseVersion, IsAmendment: c.IsAmendment, Body: plan.Body, ConfigDelta: ConfigDelta{RequestDigest: c.RequestID().Digest, BaseDigest: s.sum, ResultDigest: digestOf(plan.Body)}}
+	p := &ConfigUpdate{BaseVersion: c.BaseVersion, IsAmendment: c.IsAmendment, Body: plan.Body, ConfigDelta: ConfigDelta{RequestDigest: c.RequestID().Digest, BaseDigest: s.configDigest, ResultDigest: digestOf(plan.Body)}}
 	if s.config != nil {
 		if d := config.Diff(s.config, plan); len(d) < len(plan.Body) {
 			p.Body, p.Diff = nil, d
@@ -46,11 +46,11 @@
 
 // diverged says that a change builds on the version that is here, but on other bytes.
 func (s *State) diverged(c *ConfigUpdate) bool {
-	return c.isPacked() && c.BaseVersion == s.Generation && c.BaseDigest != s.sum
+	return c.hasDelta() && c.BaseVersion == s.Generation && c.BaseDigest != s.configDigest
 }
 
-// unpack makes the result of a packed order. What fails here fails at all that hold the same state.
-func (s *State) unpack(c *ConfigUpdate) (*config.Config, error) {
+// applyDelta makes the result of a packed order. What fails here fails at all that hold the same state.
+func (s *State) applyDelta(c *ConfigUpdate) (*config.Config, error) {
 	body := c.Body
 	if len(c.Diff) > 0 {
 		var err error
@@ -65,7 +65,7 @@
 }
 
 func (c *ConfigUpdate) encode(led int64) []byte {
-	b := append(make([]byte, 0, 80+len(c.Body)+len(c.Diff)), packed, 1, 0)
+	b := append(make([]byte, 0, 80+len(c.Body)+len(c.Diff)), configUpdateMarker, 1, 0)
 	if c.IsAmendment {
 		b[2] = 1
 	}
@@ -77,8 +77,8 @@
 	return append(append(b, c.Diff...), c.Body...)
 }
 
-// decodeConfigure refuses what no Configure gives.
-func decodeConfigure(b []byte) (c *ConfigUpdate, led int64, err error) {
+// decodeConfigUpdate refuses what no Configure gives.
+func decodeConfigUpdate(b []byte) (c *ConfigUpdate, led int64, err error) {
 	bad := fmt.Errorf("a configuration of %d bytes in the log: not whole", len(b))
 	if len(b) < 3 || b[1] != 1 || b[2] > 1 {
 		return nil, 0, bad
@@ -112,9 +112,9 @@
 	return c, led, nil
 }
 
-// whole is the digest of what a change made, which unpack has checked where the change brings it.
-func whole(c *ConfigUpdate, plan *config.Config) [16]byte {
-	if c.isPacked() {
+// resultDigest is the digest of what a change made, which unpack has checked where the change brings it.
+func resultDigest(c *ConfigUpdate, plan *config.Config) [16]byte {
+	if c.hasDelta() {
 		return c.ResultDigest
 	}
 	return digestOf(plan.Body)
--- a/internal/control/statemachine/config_update_test.go
+++ b/internal/control/statemachine/config_update_test.go
@@ -138,7 +138,7 @@
 		if err != nil {
 			return
 		}
-		if c.UpdateConfig != nil && !bytes.Equal(EncodeChange(c), b) && b[0] == packed {
+		if c.UpdateConfig != nil && !bytes.Equal(EncodeChange(c), b) && b[0] == configUpdateMarker {
 			t.Fatalf("%x is written as %x", b, EncodeChange(c))
 		}
 		s, _ := Restore(base)
--- a/internal/control/statemachine/retention.go
+++ b/internal/control/statemachine/retention.go
@@ -27,7 +27,7 @@
 
 // RequestID of an order. It does not hang on how the log carries the change.
 func (c *ConfigUpdate) RequestID() RequestID {
-	if c.isPacked() {
+	if c.hasDelta() {
 		return RequestID{c.BaseVersion, c.RequestDigest}
 	}
 	h := blake3.New()
@@ -52,31 +52,31 @@
 	LedTimeMs int64 // led time
 }
 
-func (s *State) taken(id RequestID) bool {
+func (s *State) alreadyApplied(id RequestID) bool {
 	i := sort.Search(len(s.AppliedUpdates), func(i int) bool { return s.AppliedUpdates[i].BaseVersion >= id.BaseVersion })
 	return i < len(s.AppliedUpdates) && s.AppliedUpdates[i].RequestID == id
 }
 
-func (s *State) hasLeft(id string) bool {
+func (s *State) wasRemoved(id string) bool {
 	return slices.ContainsFunc(s.RemovedHosts, func(d RemovedHost) bool { return d.ID == id })
 }
 
-// remember is the rule: all of the newest Remembered of led time, Least at least, Most at most.
-func remember[T any](all []T, at func(T) int64, led int64) []T {
+// retain is the rule: all of the newest Remembered of led time, Least at least, Most at most.
+func retain[T any](all []T, at func(T) int64, led int64) []T {
 	old := sort.Search(len(all), func(i int) bool { return at(all[i]) >= led-RetentionMs })
 	return all[max(min(old, len(all)-MinRetained), len(all)-MaxRetained, 0):]
 }
 
-func (s *State) take(id RequestID) {
-	s.AppliedUpdates = remember(append(s.AppliedUpdates, AppliedUpdate{id, s.LedTimeMs}), func(t AppliedUpdate) int64 { return t.LedTimeMs }, s.LedTimeMs)
+func (s *State) recordUpdate(id RequestID) {
+	s.AppliedUpdates = retain(append(s.AppliedUpdates, AppliedUpdate{id, s.LedTimeMs}), func(t AppliedUpdate) int64 { return t.LedTimeMs }, s.LedTimeMs)
 }
 
-func (s *State) depart(id string) {
-	s.RemovedHosts = remember(append(s.RemovedHosts, RemovedHost{id, s.LedTimeMs}), func(d RemovedHost) int64 { return d.LedTimeMs }, s.LedTimeMs)
+func (s *State) recordRemoval(id string) {
+	s.RemovedHosts = retain(append(s.RemovedHosts, RemovedHost{id, s.LedTimeMs}), func(d RemovedHost) int64 { return d.LedTimeMs }, s.LedTimeMs)
 }
 
-// packTaken writes orders as steps from one to the next: some 20 bytes each.
-func packTaken(all []AppliedUpdate) (b []byte) {
+// encodeAppliedUpdates writes orders as steps from one to the next: some 20 bytes each.
+func encodeAppliedUpdates(all []AppliedUpdate) (b []byte) {
 	var last AppliedUpdate
 	for _, t := range all {
 		b = binary.AppendUvarint(b, uint64(t.BaseVersion-last.BaseVersion))
@@ -87,24 +87,24 @@
 	return b
 }
 
-var errPacked = errors.New("a snapshot: its orders")
+var errBadAppliedUpdates = errors.New("a snapshot: its orders")
 
-func unpackTaken(b []byte) (all []AppliedUpdate, err error) {
+func decodeAppliedUpdates(b []byte) (all []AppliedUpdate, err error) {
 	var t AppliedUpdate
 	for len(b) > 0 {
 		base, n := binary.Uvarint(b)
 		if n <= 0 {
-			return nil, errPacked
+			return nil, errBadAppliedUpdates
 		}
 		at, m := binary.Uvarint(b[n:])
 		if m <= 0 || len(b) < n+m+len(t.Digest) {
-			return nil, errPacked
+			return nil, errBadAppliedUpdates
 		}
 		first := len(all) == 0
 		was := t
 		t.BaseVersion, t.LedTimeMs = t.BaseVersion+int64(base), t.LedTimeMs+int64(at)
 		if t.BaseVersion < was.BaseVersion || t.BaseVersion == was.BaseVersion && !first || t.LedTimeMs < was.LedTimeMs || len(all) == MaxRetained {
-			return nil, errPacked
+			return nil, errBadAppliedUpdates
 		}
 		copy(t.Digest[:], b[n+m:])
 		b, all = b[n+m+len(t.Digest):], append(all, t)
--- a/internal/control/statemachine/retention_test.go
+++ b/internal/control/statemachine/retention_test.go
@@ -38,7 +38,7 @@
 		_, err = s.CheckConfig(&other)
 		require.ErrorIs(t, err, ErrVersionConflict, "another call")
 	}
-	bytes := len(packTaken(s.AppliedUpdates))
+	bytes := len(encodeAppliedUpdates(s.AppliedUpdates))
 	t.Logf("%d orders are remembered in %d bytes, of a snapshot of %d", len(s.AppliedUpdates), bytes, len(s.Snapshot()))
 	require.Less(t, bytes, 2000*22)
 }
@@ -65,14 +65,14 @@
 	s := &State{}
 	for i := range int64(MaxRetained + 100) {
 		s.LedTimeMs++
-		s.take(RequestID{BaseVersion: i})
-		s.depart(fmt.Sprint("i-", i))
+		s.recordUpdate(RequestID{BaseVersion: i})
+		s.recordRemoval(fmt.Sprint("i-", i))
 	}
 	require.Len(t, s.AppliedUpdates, MaxRetained)
 	require.Len(t, s.RemovedHosts, MaxRetained)
-	require.LessOrEqual(t, len(packTaken(s.AppliedUpdates)), 32*MaxRetained, "the most in bytes, as the page has it")
-	require.True(t, s.taken(RequestID{BaseVersion: MaxRetained + 99}))
-	require.False(t, s.taken(RequestID{BaseVersion: 99}))
+	require.LessOrEqual(t, len(encodeAppliedUpdates(s.AppliedUpdates)), 32*MaxRetained, "the most in bytes, as the page has it")
+	require.True(t, s.alreadyApplied(RequestID{BaseVersion: MaxRetained + 99}))
+	require.False(t, s.alreadyApplied(RequestID{BaseVersion: 99}))
 }
 
 // A beat that comes after its host's leave brings nobody back, however many left since.
@@ -102,12 +102,12 @@
 
 func TestOrdersOfASnapshotThatDoNotFitAreRefused(t *testing.T) {
 	good := []AppliedUpdate{{RequestID{BaseVersion: 3, Digest: [16]byte{1}}, 5}, {RequestID{BaseVersion: 900, Digest: [16]byte{2}}, 5}}
-	b := packTaken(good)
-	back, err := unpackTaken(b)
+	b := encodeAppliedUpdates(good)
+	back, err := decodeAppliedUpdates(b)
 	require.NoError(t, err)
 	require.Equal(t, good, back)
 	for cut := 1; cut < len(b); cut++ {
-		if all, err := unpackTaken(b[:cut]); err == nil {
+		if all, err := decodeAppliedUpdates(b[:cut]); err == nil {
 			require.Equal(t, good[:1], all, "cut at %d", cut)
 		}
 	}
@@ -122,7 +122,7 @@
 				bad[i].BaseVersion = int64(i)
 			}
 		}
-		_, err := unpackTaken(packTaken(bad))
+		_, err := decodeAppliedUpdates(encodeAppliedUpdates(bad))
 		require.Error(t, err, name)
 		snapshot := &State{AppliedUpdates: bad}
 		_, err = Restore(snapshot.Snapshot())
@@ -132,19 +132,19 @@
 
 func FuzzUnpackTaken(f *testing.F) {
 	f.Add([]byte{})
-	f.Add(packTaken([]AppliedUpdate{{RequestID{BaseVersion: 0, Digest: [16]byte{7}}, 0}, {RequestID{BaseVersion: 1 << 62}, 1 << 40}}))
+	f.Add(encodeAppliedUpdates([]AppliedUpdate{{RequestID{BaseVersion: 0, Digest: [16]byte{7}}, 0}, {RequestID{BaseVersion: 1 << 62}, 1 << 40}}))
 	f.Add([]byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		all, err := unpackTaken(b)
+		all, err := decodeAppliedUpdates(b)
 		if err != nil {
 			return
 		}
-		again, err := unpackTaken(packTaken(all))
+		again, err := decodeAppliedUpdates(encodeAppliedUpdates(all))
 		require.NoError(t, err)
 		require.Equal(t, all, again)
 		s := &State{AppliedUpdates: all}
 		for _, t := range all {
-			s.taken(t.RequestID)
+			s.alreadyApplied(t.RequestID)
 		}
 	})
 }
--- a/internal/control/statemachine/state.go
+++ b/internal/control/statemachine/state.go
@@ -61,8 +61,8 @@
 	// Proxies are those that may hold leases, with the change that brought each.
 	Proxies map[string]uint64
 
-	config *config.Config
-	sum    [16]byte // of Config
+	config       *config.Config
+	configDigest [16]byte // of Config
 }
 
 // Change is one entry; one of its fields is set, beside Led.
@@ -133,8 +133,8 @@
 
 // DecodeChange reads a change.
 func DecodeChange(b []byte) (c Change, err error) {
-	if len(b) > 0 && b[0] == packed {
-		c.UpdateConfig, c.LedTimeMs, err = decodeConfigure(b)
+	if len(b) > 0 && b[0] == configUpdateMarker {
+		c.UpdateConfig, c.LedTimeMs, err = decodeConfigUpdate(b)
 		return c, err
 	}
 	var stored diskformat.Change
@@ -146,15 +146,15 @@
 
 // Snapshot is the state as bytes behind their digest; maps are written in order, so equal states give equal bytes.
 func (s *State) Snapshot() []byte {
-	flat := diskformat.State{Index: s.Index, Config: s.ConfigBody, Gen: s.Generation, Led: s.LedTimeMs, Orders: packTaken(s.AppliedUpdates), Took: s.LastPromotionMs}
+	flat := diskformat.State{Index: s.Index, Config: s.ConfigBody, Gen: s.Generation, Led: s.LedTimeMs, Orders: encodeAppliedUpdates(s.AppliedUpdates), Took: s.LastPromotionMs}
 	for _, d := range s.RemovedHosts {
-		flat.Left = append(flat.Left, departureToStored(d))
+		flat.Left = append(flat.Left, removedHostToStored(d))
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.Hosts)) {
 		flat.Hosts = append(flat.Hosts, hostToStored(s.Hosts[id]))
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Primaries)) {
-		flat.Names, flat.Leads = append(flat.Names, name), append(flat.Leads, leadToStored(s.Primaries[name]))
+		flat.Names, flat.Leads = append(flat.Names, name), append(flat.Leads, primaryToStored(s.Primaries[name]))
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.UnaccountedHosts)) {
 		flat.Owed = append(flat.Owed, hostToStored(s.UnaccountedHosts[id]))
@@ -163,13 +163,13 @@
 		flat.Routers, flat.Since = append(flat.Routers, name), append(flat.Since, s.Proxies[name])
 	}
 	var b bytes.Buffer
-	b.Write(make([]byte, len(marked)+16))
+	b.Write(make([]byte, len(snapshotMagic)+16))
 	if err := gob.NewEncoder(&b).Encode(flat); err != nil {
 		panic(err)
 	}
-	sum := digestOf(b.Bytes()[len(marked)+16:])
-	copy(b.Bytes(), marked)
-	copy(b.Bytes()[len(marked):], sum[:])
+	sum := digestOf(b.Bytes()[len(snapshotMagic)+16:])
+	copy(b.Bytes(), snapshotMagic)
+	copy(b.Bytes()[len(snapshotMagic):], sum[:])
 	return b.Bytes()
 }
 
@@ -179,7 +179,7 @@
 	if len(b) == 0 {
 		return s, nil
 	}
-	if rest, ok := bytes.CutPrefix(b, []byte(marked)); ok { // those of older versions have none
+	if rest, ok := bytes.CutPrefix(b, []byte(snapshotMagic)); ok { // those of older versions have none
 		if len(rest) < 16 || digestOf(rest[16:]) != [16]byte(rest[:16]) {
 			return nil, errors.New("a snapshot: its digest is another")
 		}
@@ -194,30 +194,30 @@
 	}
 	s.Index, s.ConfigBody, s.Generation, s.LedTimeMs, s.LastPromotionMs = flat.Index, flat.Config, flat.Gen, flat.Led, flat.Took
 	for _, d := range flat.Left {
-		s.RemovedHosts = append(s.RemovedHosts, departureFromStored(d))
+		s.RemovedHosts = append(s.RemovedHosts, removedHostFromStored(d))
 	}
 	var err error
-	if s.AppliedUpdates, err = unpackTaken(flat.Orders); err != nil {
+	if s.AppliedUpdates, err = decodeAppliedUpdates(flat.Orders); err != nil {
 		return nil, err
 	}
 	for _, h := range flat.Hosts {
-		s.host(hostFromStored(h))
+		s.putHost(hostFromStored(h))
 	}
 	for _, h := range flat.Owed {
-		s.owe(hostFromStored(h))
+		s.putUnaccountedHost(hostFromStored(h))
 	}
 	for i, n := range flat.Names {
-		s.lead(n, leadFromStored(flat.Leads[i]))
+		s.putPrimary(n, primaryFromStored(flat.Leads[i]))
 	}
 	for i, n := range flat.Routers {
-		s.router(n, flat.Since[i])
+		s.putProxy(n, flat.Since[i])
 	}
 	if len(s.ConfigBody) > 0 {
 		p, err := config.Read(s.ConfigBody)
 		if err != nil {
 			return nil, fmt.Errorf("a snapshot: its configuration: %w", err)
 		}
-		s.config, s.sum = p, digestOf(s.ConfigBody)
+		s.config, s.configDigest = p, digestOf(s.ConfigBody)
 	}
 	return s, nil
 }
@@ -228,28 +228,28 @@
 // Config is the configuration in force; nil: none.
 func (s *State) Config() *config.Config { return s.config }
 
-func (s *State) host(h Host) {
+func (s *State) putHost(h Host) {
 	if s.Hosts == nil {
 		s.Hosts = map[string]Host{}
 	}
 	s.Hosts[h.ID] = h
 }
 
-func (s *State) owe(h Host) {
+func (s *State) putUnaccountedHost(h Host) {
 	if s.UnaccountedHosts == nil {
 		s.UnaccountedHosts = map[string]Host{}
 	}
 	s.UnaccountedHosts[h.ID] = h
 }
 
-func (s *State) lead(name string, l Primary) {
+func (s *State) putPrimary(name string, l Primary) {
 	if s.Primaries == nil {
 		s.Primaries = map[string]Primary{}
 	}
 	s.Primaries[name] = l
 }
 
-func (s *State) router(name string, since uint64) {
+func (s *State) putProxy(name string, since uint64) {
 	if s.Proxies == nil {
 		s.Proxies = map[string]uint64{}
 	}
@@ -294,7 +294,7 @@
 // CheckConfig says what a configuration sent now would meet, without taking it: nil and the plan; nil and none where the
 // same was taken before; or why not.
 func (s *State) CheckConfig(c *ConfigUpdate) (*config.Config, error) {
-	if s.taken(c.RequestID()) {
+	if s.alreadyApplied(c.RequestID()) {
 		return nil, nil
 	}
 	if c.BaseVersion != s.Generation {
@@ -303,8 +303,8 @@
 	var plan *config.Config
 	var err error
 	switch {
-	case c.isPacked():
-		plan, err = s.unpack(c)
+	case c.hasDelta():
+		plan, err = s.applyDelta(c)
 	case c.IsAmendment && len(s.ConfigBody) == 0:
 		err = errors.New("nothing to amend")
 	case c.IsAmendment:
@@ -337,11 +337,11 @@
 		if err != nil || plan == nil {
 			return err
 		}
-		s.config, s.ConfigBody, s.Generation, s.sum = plan, plan.Body, plan.Generation, whole(c.UpdateConfig, plan)
-		s.take(c.UpdateConfig.RequestID())
+		s.config, s.ConfigBody, s.Generation, s.configDigest = plan, plan.Body, plan.Generation, resultDigest(c.UpdateConfig, plan)
+		s.recordUpdate(c.UpdateConfig.RequestID())
 	case c.AddHost != nil:
 		h := *c.AddHost
-		if s.hasLeft(h.ID) {
+		if s.wasRemoved(h.ID) {
 			return fmt.Errorf("%w: %s has left", ErrNotFound, h.ID)
 		}
 		was, known := s.Hosts[h.ID]
@@ -352,7 +352,7 @@
 		if !known { // whoever was at its address has ended, whether it could say so or not
 			for _, id := range slices.Sorted(maps.Keys(s.Hosts)) {
 				if s.Hosts[id].Address == h.Address {
-					s.leave(id)
+					s.removeHost(id)
 				}
 			}
 		}
@@ -361,16 +361,16 @@
 				delete(s.UnaccountedHosts, id)
 			}
 		}
-		s.host(h)
+		s.putHost(h)
 	case c.DrainHost != "":
 		h, known := s.Hosts[c.DrainHost]
 		if !known {
 			return fmt.Errorf("%w: %s", ErrNotFound, c.DrainHost)
 		}
 		h.Draining = true
-		s.host(h)
+		s.putHost(h)
 	case c.RemoveHost != "":
-		s.leave(c.RemoveHost)
+		s.removeHost(c.RemoveHost)
 	case c.RevokePrimary != nil:
 		l := s.Primaries[c.RevokePrimary.Service]
 		if !l.Revoked {
@@ -380,51 +380,51 @@
 			l.Owner, l.FencingToken = c.RevokePrimary.Owner, index
 		}
 		l.ReplicasPaused = true
-		s.lead(c.RevokePrimary.Service, l)
+		s.putPrimary(c.RevokePrimary.Service, l)
 	case c.NominatePrimary != nil:
 		l := s.Primaries[c.NominatePrimary.Service]
 		l.Nominee, l.ReplicasPaused = c.NominatePrimary.Host, true
 		if l.Owner != c.NominatePrimary.Owner || l.FencingToken == 0 {
 			l.Owner, l.FencingToken = c.NominatePrimary.Owner, index
 		}
-		s.lead(c.NominatePrimary.Service, l)
+		s.putPrimary(c.NominatePrimary.Service, l)
 	case c.ReplicationResumed != "":
 		if l, known := s.Primaries[c.ReplicationResumed]; known && !l.Revoked && l.Nominee == "" {
 			l.ReplicasPaused = false
-			s.lead(c.ReplicationResumed, l)
+			s.putPrimary(c.ReplicationResumed, l)
 		}
 	case c.MarkMissing != "":
 		delete(s.UnaccountedHosts, c.MarkMissing)
 		if h, known := s.Hosts[c.MarkMissing]; known {
 			h.Missing = true
-			s.host(h)
+			s.putHost(h)
 		}
 	case c.Proxy != nil && c.Proxy.Removed:
 		delete(s.Proxies, c.Proxy.Node)
 	case c.Proxy != nil:
-		s.router(c.Proxy.Node, index)
+		s.putProxy(c.Proxy.Node, index)
 	case c.AppointPrimary != nil:
 		if c.AppointPrimary.PromotionMs > 0 {
 			s.LastPromotionMs = c.AppointPrimary.PromotionMs
 		}
 		l := s.Primaries[c.AppointPrimary.Service]
 		l.Host, l.Term, l.Revoked, l.Nominee, l.ChangedAt = c.AppointPrimary.Host, max(l.Term, c.AppointPrimary.Term), false, "", index
-		s.lead(c.AppointPrimary.Service, l)
+		s.putPrimary(c.AppointPrimary.Service, l)
 	}
 	return nil
 }
 
-// leave takes a host out.
-func (s *State) leave(id string) {
+// removeHost takes a host out.
+func (s *State) removeHost(id string) {
 	h, known := s.Hosts[id]
 	if !known {
 		return
 	}
 	if l, led := s.Primaries[h.Service]; led && l.Host != id && !h.Missing { // what a primary acknowledged another has received
-		s.owe(h)
+		s.putUnaccountedHost(h)
 	}
 	delete(s.Hosts, id)
-	s.depart(id)
+	s.recordRemoval(id)
 }
 
 // CompareHosts orders hosts of a service by id, for where nothing else does.
--- a/internal/control/statemachine/stored.go
+++ b/internal/control/statemachine/stored.go
@@ -12,25 +12,25 @@
 		Capacity: s.Capacity, Draining: s.Draining, Missing: s.Missing, AddedAt: s.Since}
 }
 
-func leadToStored(l Primary) diskformat.Lead {
+func primaryToStored(l Primary) diskformat.Lead {
 	return diskformat.Lead{Host: l.Host, Term: l.Term, Moving: l.Revoked, Fence: l.FencingToken, Holder: l.Owner, At: l.ChangedAt, To: l.Nominee,
 		Paused: l.ReplicasPaused}
 }
 
-func leadFromStored(s diskformat.Lead) Primary {
+func primaryFromStored(s diskformat.Lead) Primary {
 	return Primary{Host: s.Host, Term: s.Term, Revoked: s.Moving, FencingToken: s.Fence, Owner: s.Holder, ChangedAt: s.At, Nominee: s.To,
 		ReplicasPaused: s.Paused}
 }
 
-func departureToStored(d RemovedHost) diskformat.Departure {
+func removedHostToStored(d RemovedHost) diskformat.Departure {
 	return diskformat.Departure{ID: d.ID, At: d.LedTimeMs}
 }
 
-func departureFromStored(s diskformat.Departure) RemovedHost {
+func removedHostFromStored(s diskformat.Departure) RemovedHost {
 	return RemovedHost{ID: s.ID, LedTimeMs: s.At}
 }
 
-func configureFromStored(s diskformat.Configure) ConfigUpdate {
+func configUpdateFromStored(s diskformat.Configure) ConfigUpdate {
 	return ConfigUpdate{BaseVersion: s.Base, IsAmendment: s.Amend, Body: s.Body,
 		ConfigDelta: ConfigDelta{RequestDigest: s.Packed.Sent, BaseDigest: s.Packed.Was, ResultDigest: s.Packed.Whole, Diff: s.Packed.Diff}}
 }
@@ -60,7 +60,7 @@
 func changeFromStored(s diskformat.Change) Change {
 	c := Change{LedTimeMs: s.Led, DrainHost: s.Drain, RemoveHost: s.Leave, MarkMissing: s.Missing, ReplicationResumed: s.Resumed}
 	if s.Configure != nil {
-		u := configureFromStored(*s.Configure)
+		u := configUpdateFromStored(*s.Configure)
 		c.UpdateConfig = &u
 	}
 	if s.Enter != nil {
--- a/internal/control/storage/recovery.go
+++ b/internal/control/storage/recovery.go
@@ -8,10 +8,10 @@
 	"github.com/gravitational/trace"
 )
 
-// salvage cuts a file after the last change that is whole. Each change was synced before the next was written, so
+// truncateTornTail cuts a file after the last change that is whole. Each change was synced before the next was written, so
 // only the last can be torn, and that was acknowledged to nobody. Without this a torn end could make buntdb turn the
 // whole file away.
-func salvage(path string) error {
+func truncateTornTail(path string) error {
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
 		return nil
@@ -19,7 +19,7 @@
 	if err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	n := whole(text)
+	n := validPrefix(text)
 	if n == len(text) {
 		return nil
 	}
@@ -34,10 +34,10 @@
 	return trace.ConvertSystemError(f.Sync())
 }
 
-// whole is how many bytes at the start are changes that are whole, by their form and their seals.
-func whole(text []byte) (n int) {
+// validPrefix is how many bytes at the start are changes that are whole, by their form and their seals.
+func validPrefix(text []byte) (n int) {
 	for rest := text; len(rest) > 0; {
-		parts, size := change(rest)
+		parts, size := parseCommand(rest)
 		if size == 0 || len(parts) < 2 {
 			return n
 		}
@@ -46,7 +46,7 @@
 			if len(parts) != 3 {
 				return n
 			}
-			if _, err := unseal(string(parts[2])); err != nil {
+			if _, err := decodeSealed(string(parts[2])); err != nil {
 				return n
 			}
 		case "del":
@@ -58,14 +58,14 @@
 	return n
 }
 
-// change reads one of buntdb's commands: *PARTS, then $LENGTH and so many bytes for each, each line ended by CR LF.
-func change(b []byte) (parts [][]byte, size int) {
-	count, n := number(b, '*')
+// parseCommand reads one of buntdb's commands: *PARTS, then $LENGTH and so many bytes for each, each line ended by CR LF.
+func parseCommand(b []byte) (parts [][]byte, size int) {
+	count, n := parseLength(b, '*')
 	if n == 0 || count > 8 {
 		return nil, 0
 	}
 	for range count {
-		length, k := number(b[n:], '$')
+		length, k := parseLength(b[n:], '$')
 		if k == 0 || length > len(b)-n-k-2 {
 			return nil, 0
 		}
@@ -79,8 +79,8 @@
 	return parts, n
 }
 
-// number reads a mark, a number and CR LF; n is 0 where there is no such thing.
-func number(b []byte, mark byte) (value, n int) {
+// parseLength reads a mark, a number and CR LF; n is 0 where there is no such thing.
+func parseLength(b []byte, mark byte) (value, n int) {
 	end := bytes.Index(b[:min(len(b), 24)], []byte("\r\n"))
 	if end < 2 || b[0] != mark {
 		return 0, 0
--- a/internal/control/storage/wal.go
+++ b/internal/control/storage/wal.go
@@ -23,12 +23,12 @@
 
 // WAL is an open file. Its calls are made by one goroutine.
 type WAL struct {
-	db   *buntdb.DB
-	file *os.File // the same file, to sync it: buntdb passes over a sync that fails
-	path string
-	torn bool   // a write broke off in a way that buntdb can't take back
-	last uint64 // the last entry that is held
-	size int64  // of the file after it was last made small
+	db             *buntdb.DB
+	file           *os.File // the same file, to sync it: buntdb passes over a sync that fails
+	path           string
+	needsReopen    bool   // a write broke off in a way that buntdb can't take back
+	lastIndex      uint64 // the last entry that is held
+	compactedBytes int64  // of the file after it was last made small
 }
 
 // Identity is who a member is, for as long as its disk lives.
@@ -38,10 +38,10 @@
 }
 
 const (
-	keyIdentity = "identity"
-	keyMeta     = "meta"
-	keySnapshot = "snapshot"
-	prefixEntry = "n"
+	keyIdentity  = "identity"
+	keyHardState = "meta"
+	keySnapshot  = "snapshot"
+	prefixEntry  = "n"
 )
 
 func entryKey(i uint64) string { return fmt.Sprintf("%s%016x", prefixEntry, i) }
@@ -53,11 +53,11 @@
 		return nil, id, kept, trace.ConvertSystemError(err)
 	}
 	d = &WAL{path: path}
-	if err := salvage(path); err != nil {
+	if err := truncateTornTail(path); err != nil {
 		return nil, id, kept, err
 	}
 	if err = d.open(); err == nil {
-		id, kept, err = d.read()
+		id, kept, err = d.load()
 	}
 	if err != nil || id.ID == "" {
 		d.close()
@@ -70,7 +70,7 @@
 			return nil, id, kept, err
 		}
 		id, kept = fresh(), consensus.RestoredState{}
-		err := d.update(func(tx *buntdb.Tx) error {
+		err := d.commit(func(tx *buntdb.Tx) error {
 			return put(tx, keyIdentity, diskformat.Identity{ID: id.ID, Founders: id.Founders})
 		})
 		if err != nil {
@@ -115,24 +115,24 @@
 	return nil
 }
 
-// update makes one change and returns once it is on disk. A change that fails may be made again.
-func (d *WAL) update(do func(*buntdb.Tx) error) (err error) {
-	if d.torn || d.db == nil {
+// commit makes one change and returns once it is on disk. A change that fails may be made again.
+func (d *WAL) commit(do func(*buntdb.Tx) error) (err error) {
+	if d.needsReopen || d.db == nil {
 		d.close()
-		if err := salvage(d.path); err != nil {
+		if err := truncateTornTail(d.path); err != nil {
 			return err
 		}
 		if err := d.open(); err != nil {
 			return err
 		}
-		d.torn = false
-		if _, _, err := d.read(); err != nil {
+		d.needsReopen = false
+		if _, _, err := d.load(); err != nil {
 			return err
 		}
 	}
 	defer func() {
 		if p := recover(); p != nil { // a write broke off, and what of it is there could not be cut off
-			d.torn, err = true, trace.Errorf("%v", p)
+			d.needsReopen, err = true, trace.Errorf("%v", p)
 		}
 	}()
 	if err := d.db.Update(do); err != nil {
@@ -149,7 +149,7 @@
 	if err := gob.NewEncoder(&b).Encode(v); err != nil {
 		return err
 	}
-	_, _, err := tx.Set(key, seal(b.Bytes()), nil)
+	_, _, err := tx.Set(key, encodeSealed(b.Bytes()), nil)
 	return err
 }
 
@@ -161,14 +161,14 @@
 	if err != nil {
 		return false, err
 	}
-	body, err := unseal(text)
+	body, err := decodeSealed(text)
 	if err != nil {
 		return false, fmt.Errorf("%s: %w", key, err)
 	}
 	return true, gob.NewDecoder(bytes.NewReader(body)).Decode(v)
 }
 
-func (d *WAL) read() (id Identity, kept consensus.RestoredState, err error) {
+func (d *WAL) load() (id Identity, kept consensus.RestoredState, err error) {
 	var identity diskformat.Identity
 	var meta diskformat.Meta
 	var snapshot diskformat.Snapshot
@@ -176,7 +176,7 @@
 		if _, err := get(tx, keyIdentity, &identity); err != nil {
 			return err
 		}
-		if _, err := get(tx, keyMeta, &meta); err != nil {
+		if _, err := get(tx, keyHardState, &meta); err != nil {
 			return err
 		}
 		_, err := get(tx, keySnapshot, &snapshot)
@@ -196,8 +196,8 @@
 		kept.Entries, next, view = append(kept.Entries, e.Value()), next+1, e.View
 	}
 	if err == nil { // what lies behind a gap is of a change that was torn
-		d.last = next - 1
-		err = d.drop(func(i uint64) bool { return i >= next || i <= kept.Snapshot.Index })
+		d.lastIndex = next - 1
+		err = d.deleteEntries(func(i uint64) bool { return i >= next || i <= kept.Snapshot.Index })
 	}
 	return id, kept, err
 }
@@ -212,7 +212,7 @@
 		}
 		todo := sets
 		sets = nil
-		return d.update(func(tx *buntdb.Tx) error {
+		return d.commit(func(tx *buntdb.Tx) error {
 			for _, do := range todo {
 				if err := do(tx); err != nil {
 					return err
@@ -226,23 +226,23 @@
 	}
 	for _, w := range writes {
 		if w.HardState != nil {
-			set(keyMeta, diskformat.FromMeta(*w.HardState))
+			set(keyHardState, diskformat.FromMeta(*w.HardState))
 		}
 		if w.Snapshot != nil {
 			set(keySnapshot, diskformat.FromSnapshot(*w.Snapshot))
 			if err := flush(); err != nil {
 				return trace.Wrap(err)
 			}
-			if err := d.drop(func(i uint64) bool { return i <= w.CompactThrough }); err != nil {
+			if err := d.deleteEntries(func(i uint64) bool { return i <= w.CompactThrough }); err != nil {
 				return trace.Wrap(err)
 			}
-			d.last = max(d.last, w.Snapshot.Index)
+			d.lastIndex = max(d.lastIndex, w.Snapshot.Index)
 		}
-		if w.FirstIndex > 0 && w.FirstIndex <= d.last {
+		if w.FirstIndex > 0 && w.FirstIndex <= d.lastIndex {
 			if err := flush(); err != nil {
 				return trace.Wrap(err)
 			}
-			if err := d.drop(func(i uint64) bool { return i >= w.FirstIndex }); err != nil {
+			if err := d.deleteEntries(func(i uint64) bool { return i >= w.FirstIndex }); err != nil {
 				return trace.Wrap(err)
 			}
 		}
@@ -250,14 +250,14 @@
 			set(entryKey(w.FirstIndex+uint64(i)), diskformat.FromEntry(e))
 		}
 		if w.FirstIndex > 0 {
-			d.last = w.FirstIndex + uint64(len(w.Entries)) - 1
+			d.lastIndex = w.FirstIndex + uint64(len(w.Entries)) - 1
 		}
 	}
 	return trace.Wrap(flush())
 }
 
-// drop takes entries away.
-func (d *WAL) drop(which func(uint64) bool) error {
+// deleteEntries takes entries away.
+func (d *WAL) deleteEntries(which func(uint64) bool) error {
 	var keys []string
 	err := d.db.View(func(tx *buntdb.Tx) error {
 		return tx.AscendGreaterOrEqual("", prefixEntry, func(key, _ string) bool {
@@ -272,7 +272,7 @@
 	if err != nil || len(keys) == 0 {
 		return err
 	}
-	return d.update(func(tx *buntdb.Tx) error {
+	return d.commit(func(tx *buntdb.Tx) error {
 		for _, key := range keys {
 			if _, err := tx.Delete(key); err != nil {
 				return err
@@ -286,7 +286,7 @@
 // beside it, synced, renamed over it, and its folder synced. At each moment the file is whole under its name.
 func (d *WAL) Compact(least int64) error {
 	info, err := os.Stat(d.path)
-	if err != nil || info.Size() < least || info.Size() < 3*d.size {
+	if err != nil || info.Size() < least || info.Size() < 3*d.compactedBytes {
 		return trace.ConvertSystemError(err)
 	}
 	return d.rewrite()
@@ -314,7 +314,7 @@
 		return trace.Wrap(err)
 	}
 	if err := (snapshotfile.Disk{}).SyncFolder(filepath.Dir(d.path)); err != nil {
-		d.torn = true // what is open has no name any more
+		d.needsReopen = true // what is open has no name any more
 		return trace.ConvertSystemError(err)
 	}
 	d.close()
@@ -323,7 +323,7 @@
 	}
 	info, err := os.Stat(d.path)
 	if err == nil {
-		d.size = info.Size()
+		d.compactedBytes = info.Size()
 	}
 	return trace.ConvertSystemError(err)
 }
--- a/internal/control/storage/wal_test.go
+++ b/internal/control/storage/wal_test.go
@@ -168,7 +168,7 @@
 		_, err = f.WriteString("*3\r\n$3\r\nset\r\n$4\r\nme")
 		require.NoError(t, err)
 		require.NoError(t, f.Close())
-		d.torn = true
+		d.needsReopen = true
 		require.NoError(t, d.Save([]consensus.Write{steps[n+1].write}))
 		require.NoError(t, d.Close())
 		got, id := held(t, folder)
@@ -213,9 +213,9 @@
 	f.Add([]byte("*3\r\n$3\r\nset\r\n$1\r\nk\r\n$3\r\na.b\r\n"))
 	f.Add([]byte("*2\r\n$3\r\ndel\r\n$1\r\nk\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		n := whole(text)
-		if n > len(text) || whole(text[:n]) != n {
-			t.Fatalf("%d of %d bytes are whole, and then %d", n, len(text), whole(text[:n]))
+		n := validPrefix(text)
+		if n > len(text) || validPrefix(text[:n]) != n {
+			t.Fatalf("%d of %d bytes are whole, and then %d", n, len(text), validPrefix(text[:n]))
 		}
 	})
 }
--- a/internal/snapshotfile/snapshot.go
+++ b/internal/snapshotfile/snapshot.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	magic    = "FPSNAP\r\n"
-	version  = 1
-	headSize = len(magic) + 4 + 4 + 8
-	most     = 64 << 20
+	magic        = "FPSNAP\r\n"
+	version      = 1
+	headerBytes  = len(magic) + 4 + 4 + 8
+	maxBodyBytes = 64 << 20
 )
 
 var (
@@ -30,8 +30,8 @@
 	ErrNewer  = errors.New("a snapshot of a newer version")
 )
 
-// Layer is what snapshots are kept on, so that a test can have it fail and forget.
-type Layer interface {
+// FileSystem is what snapshots are kept on, so that a test can have it fail and forget.
+type FileSystem interface {
 	Create(path string) (File, error)
 	Rename(from, to string) error
 	SyncFolder(path string) error
@@ -63,11 +63,11 @@
 }
 
 // Write keeps a body at a path.
-func Write(on Layer, path string, body []byte) error {
-	if len(body) > most {
-		return fmt.Errorf("%s: a snapshot of %d bytes, over %d", path, len(body), most)
+func Write(on FileSystem, path string, body []byte) error {
+	if len(body) > maxBodyBytes {
+		return fmt.Errorf("%s: a snapshot of %d bytes, over %d", path, len(body), maxBodyBytes)
 	}
-	b := append(make([]byte, 0, headSize+len(body)), magic...)
+	b := append(make([]byte, 0, headerBytes+len(body)), magic...)
 	b = binary.LittleEndian.AppendUint32(b, version)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.LittleEndian.AppendUint64(b, xxhash.Sum64(body))
@@ -94,21 +94,21 @@
 }
 
 // Read gives what was kept; fs.ErrNotExist where nothing was.
-func Read(on Layer, path string) ([]byte, error) {
+func Read(on FileSystem, path string) ([]byte, error) {
 	f, err := on.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
 	var all bytes.Buffer
-	if _, err := io.Copy(&all, io.LimitReader(f, most+int64(headSize)+1)); err != nil {
+	if _, err := io.Copy(&all, io.LimitReader(f, maxBodyBytes+int64(headerBytes)+1)); err != nil {
 		return nil, err
 	}
 	b := all.Bytes()
-	if len(b) < headSize || string(b[:len(magic)]) != magic {
+	if len(b) < headerBytes || string(b[:len(magic)]) != magic {
 		return nil, fmt.Errorf("%s: %w", path, ErrBroken)
 	}
-	head, body := b[len(magic):], b[headSize:]
+	head, body := b[len(magic):], b[headerBytes:]
 	if v := binary.LittleEndian.Uint32(head); v > version {
 		return nil, fmt.Errorf("%s: %w: version %d; this program reads up to %d", path, ErrNewer, v, version)
 	}
