--- a/internal/control/storage/growth_test.go
+++ b/internal/control/storage/growth_test.go
@@ -6,35 +6,42 @@
 	"path/filepath"
 	"testing"
 
+	"github.com/stretchr/testify/require"
+
 	"ferrypitch/internal/control/consensus"
 )
 
-// BenchmarkGrowth tells what a file costs by entries and their size: bytes and time of one more, and of a new life.
+// BenchmarkGrowth measures what a file costs by the number and size of its entries: bytes of one more, and time of an Open.
 func BenchmarkGrowth(b *testing.B) {
-	for _, size := range []int{100, 300_000} {
-		for _, n := range []int{10, 400} {
-			if size*n > 40_000_000 {
+	const maxFileBytes, entryBytes = 40_000_000, 85
+	for _, stateBytes := range []int{100, 300_000} {
+		for _, entries := range []int{10, 400} {
+			if stateBytes*entries > maxFileBytes {
 				continue
 			}
-			b.Run(fmt.Sprintf("state=%d/entries=%d", size, n), func(b *testing.B) {
+			b.Run(fmt.Sprintf("state=%d/entries=%d", stateBytes, entries), func(b *testing.B) {
 				folder := b.TempDir()
-				d, _, _, _ := Open(folder, fresh)
-				s := consensus.Snapshot{Index: 1, Term: 1, Data: make([]byte, size)}
-				d.Save([]consensus.Write{{Snapshot: &s, CompactThrough: 1}})
-				before, _ := os.Stat(filepath.Join(folder, "ratchet.db"))
-				for i := range n {
-					d.Save([]consensus.Write{{FirstIndex: uint64(i + 2), Entries: []consensus.Entry{entry(1, string(make([]byte, 85)))}}})
+				path := filepath.Join(folder, fileName)
+				wal, _, _, err := Open(folder, newFounder)
+				require.NoError(b, err)
+				snapshot := consensus.Snapshot{Index: 1, Term: 1, Data: make([]byte, stateBytes)}
+				require.NoError(b, wal.Save([]consensus.Write{{Snapshot: &snapshot, CompactThrough: 1}}))
+				before, err := os.Stat(path)
+				require.NoError(b, err)
+				for i := range entries {
+					added := []consensus.Entry{entry(1, string(make([]byte, entryBytes)))}
+					require.NoError(b, wal.Save([]consensus.Write{{FirstIndex: uint64(i + 2), Entries: added}}))
 				}
-				after, _ := os.Stat(filepath.Join(folder, "ratchet.db"))
-				d.Close()
+				after, err := os.Stat(path)
+				require.NoError(b, err)
+				require.NoError(b, wal.Close())
 				for b.Loop() {
-					d, _, kept, err := Open(folder, fresh)
-					if err != nil || len(kept.Entries) != n {
-						b.Fatal(err, len(kept.Entries))
-					}
-					d.Close()
+					wal, _, restored, err := Open(folder, newFounder)
+					require.NoError(b, err)
+					require.Len(b, restored.Entries, entries)
+					require.NoError(b, wal.Close())
 				}
-				b.ReportMetric(float64(after.Size()-before.Size())/float64(n), "B/entry")
+				b.ReportMetric(float64(after.Size()-before.Size())/float64(entries), "B/entry")
 				b.ReportMetric(float64(after.Size()), "file_B")
 			})
 		}
--- a/internal/control/storage/recovery.go
+++ b/internal/control/storage/recovery.go
@@ -2,92 +2,134 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"strconv"
 
 	"github.com/gravitational/trace"
 )
 
-// truncateTornTail cuts a file after the last change that is whole. Each change was synced before the next was written, so
-// only the last can be torn, and that was acknowledged to nobody. Without this a torn end could make buntdb turn the
-// whole file away.
-func truncateTornTail(path string) error {
-	text, err := os.ReadFile(path)
-	if os.IsNotExist(err) {
-		return nil
+const (
+	maxCommandParts   = 8  // more than any of buntdb's commands has
+	maxLengthLine     = 24 // bytes of a mark, a number of up to 20 digits, and CR LF
+	lineEnd           = "\r\n"
+	commandMark       = '*' // before the number of parts
+	partMark          = '$' // before the length of a part
+	operationSet      = "set"
+	operationDelete   = "del"
+	partsOfSet        = 3
+	minPartsOfCommand = 2
+)
+
+// truncateTornTail cuts a file after its last valid command, and reports whether there was anything in it. Each commit was
+// synced before the next was written, so only the last can be torn, and that one was not acknowledged. Without the cut
+// buntdb might refuse the whole file.
+func truncateTornTail(path string) (hadContent bool, err error) {
+	content, err := os.ReadFile(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return false, nil
 	}
 	if err != nil {
-		return trace.ConvertSystemError(err)
+		return false, trace.ConvertSystemError(err)
 	}
-	n := validPrefix(text)
-	if n == len(text) {
-		return nil
+	hadContent = len(content) > 0
+	valid := validPrefix(content)
+	if valid == len(content) {
+		return hadContent, nil
 	}
-	f, err := os.OpenFile(path, os.O_RDWR, 0o600)
+	file, err := os.OpenFile(path, os.O_RDWR, 0o600)
 	if err != nil {
-		return trace.ConvertSystemError(err)
+		return hadContent, trace.ConvertSystemError(err)
+	}
+	err = file.Truncate(int64(valid))
+	if err == nil {
+		err = file.Sync()
 	}
-	defer f.Close()
-	if err := f.Truncate(int64(n)); err != nil {
-		return trace.ConvertSystemError(err)
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
-	return trace.ConvertSystemError(f.Sync())
+	return hadContent, trace.ConvertSystemError(err)
 }
 
-// validPrefix is how many bytes at the start are changes that are whole, by their form and their seals.
-func validPrefix(text []byte) (n int) {
-	for rest := text; len(rest) > 0; {
-		parts, size := parseCommand(rest)
-		if size == 0 || len(parts) < 2 {
-			return n
+// command is one of buntdb's commands: a record that is set or deleted.
+type command struct {
+	operation, key string
+	body           []byte // of a record that is set
+}
+
+// validPrefix returns how many bytes at the start of a file are valid commands, by their form and their checksums.
+func validPrefix(content []byte) int { return scanCommands(content, func(command) {}) }
+
+// scanCommands calls visit for each valid command at the start of a file, and returns how many bytes they have.
+func scanCommands(content []byte, visit func(command)) (valid int) {
+	for valid < len(content) {
+		parts, size := parseCommand(content[valid:])
+		if size == 0 {
+			return valid
 		}
-		switch string(parts[0]) {
-		case "set":
-			if len(parts) != 3 {
-				return n
-			}
-			if _, err := decodeSealed(string(parts[2])); err != nil {
-				return n
-			}
-		case "del":
-		default:
-			return n
+		next, err := decodeCommand(parts)
+		if err != nil {
+			return valid
+		}
+		visit(next)
+		valid += size
+	}
+	return valid
+}
+
+var errCommand = errors.New("not a command of this package")
+
+func decodeCommand(parts [][]byte) (command, error) {
+	if len(parts) < minPartsOfCommand {
+		return command{}, errCommand
+	}
+	next := command{operation: string(parts[0]), key: string(parts[1])}
+	switch next.operation {
+	case operationDelete:
+		return next, nil
+	case operationSet:
+		if len(parts) != partsOfSet {
+			return command{}, errCommand
 		}
-		n, rest = n+size, rest[size:]
+		body, err := decodeSealed(string(parts[2]))
+		next.body = body
+		return next, err
 	}
-	return n
+	return command{}, errCommand
 }
 
-// parseCommand reads one of buntdb's commands: *PARTS, then $LENGTH and so many bytes for each, each line ended by CR LF.
-func parseCommand(b []byte) (parts [][]byte, size int) {
-	count, n := parseLength(b, '*')
-	if n == 0 || count > 8 {
+// parseCommand reads the parts of a command: *PARTS, then $LENGTH and so many bytes for each, each line ended by CR LF. size
+// is 0 where there is no complete command.
+func parseCommand(content []byte) (parts [][]byte, size int) {
+	count, size := parseLength(content, commandMark)
+	if size == 0 || count > maxCommandParts {
 		return nil, 0
 	}
 	for range count {
-		length, k := parseLength(b[n:], '$')
-		if k == 0 || length > len(b)-n-k-2 {
+		length, lineBytes := parseLength(content[size:], partMark)
+		if lineBytes == 0 || length > len(content)-size-lineBytes-len(lineEnd) {
 			return nil, 0
 		}
-		n += k
-		parts = append(parts, b[n:n+length])
-		if n += length; b[n] != '\r' || b[n+1] != '\n' {
+		size += lineBytes
+		parts = append(parts, content[size:size+length])
+		size += length
+		if !bytes.HasPrefix(content[size:], []byte(lineEnd)) {
 			return nil, 0
 		}
-		n += 2
+		size += len(lineEnd)
 	}
-	return parts, n
+	return parts, size
 }
 
-// parseLength reads a mark, a number and CR LF; n is 0 where there is no such thing.
-func parseLength(b []byte, mark byte) (value, n int) {
-	end := bytes.Index(b[:min(len(b), 24)], []byte("\r\n"))
-	if end < 2 || b[0] != mark {
+// parseLength reads a line of a mark and a number. size is 0 where there is no such line.
+func parseLength(content []byte, mark byte) (value, size int) {
+	end := bytes.Index(content[:min(len(content), maxLengthLine)], []byte(lineEnd))
+	if end < 2 || content[0] != mark {
 		return 0, 0
 	}
-	value, err := strconv.Atoi(string(b[1:end]))
+	value, err := strconv.Atoi(string(content[1:end]))
 	if err != nil || value < 0 {
 		return 0, 0
 	}
-	return value, end + 2
+	return value, end + len(lineEnd)
 }
--- a/internal/control/storage/wal.go
+++ b/internal/control/storage/wal.go
@@ -1,17 +1,23 @@
-// Package storage holds a member's part of the ordered log on disk, in
-// buntdb. What is acknowledged was synced; a file that can't be read whole is put aside, and its member starts as a
-// learner.
+// Package storage keeps a member's consensus state on disk: who the member is, its term and vote, its newest snapshot and
+// the log entries behind it.
 //
-//	Open -> Restored       Store(writes) returns when they are on disk
+//	Open -> Identity, RestoredState    Save(writes) -> on disk    Compact -> a smaller file
+//
+// Everything is in one file, the append-only file of buntdb. Each of its records is one of buntdb's commands, whose value
+// carries a checksum. A commit writes a group of records and syncs the file; what Save returned for is on disk. A commit that
+// was cut short leaves a torn end, which Open cuts off. A file of which nothing can be read is renamed to *.broken, and the
+// member starts as one without a disk: it acknowledges nothing before it has learned the log from the others.
+//
+// The files of this package: wal.go writes, load.go reads what is there, recovery.go finds the torn end, record.go encodes a
+// record.
 package storage
 
 import (
 	"bytes"
 	"encoding/gob"
-	"fmt"
+	"errors"
 	"os"
 	"path/filepath"
-	"strconv"
 
 	"github.com/gravitational/trace"
 	"github.com/tidwall/buntdb"
@@ -21,250 +27,252 @@
 	"ferrypitch/internal/snapshotfile"
 )
 
-// WAL is an open file. Its calls are made by one goroutine.
+const (
+	fileName        = "ratchet.db"
+	temporarySuffix = ".new"    // a copy that is being written
+	brokenSuffix    = ".broken" // a file of which nothing could be read
+)
+
+// compactionRatio is the multiple of its size after the last compaction that a file reaches before it is compacted again.
+const compactionRatio = 3
+
+// WAL is an open file. Its methods must be called from one goroutine at a time.
 type WAL struct {
 	db             *buntdb.DB
-	file           *os.File // the same file, to sync it: buntdb passes over a sync that fails
+	file           syncedFile
 	path           string
-	needsReopen    bool   // a write broke off in a way that buntdb can't take back
-	lastIndex      uint64 // the last entry that is held
-	compactedBytes int64  // of the file after it was last made small
+	needsReopen    bool   // a write failed in a way that buntdb can't undo
+	lastIndex      uint64 // of the newest entry that is held, or of the snapshot
+	compactedBytes int64  // size of the file after the last compaction
+}
+
+// syncedFile is a second handle of buntdb's file. It makes syncs that fail visible, which buntdb ignores.
+type syncedFile interface {
+	Sync() error
+	Close() error
 }
 
-// Identity is who a member is, for as long as its disk lives.
+// Identity is who a member is. It is written once, before anything else, and stays for as long as the disk lives.
 type Identity struct {
 	ID       consensus.ID
-	Founders []consensus.ID // the first members, of one that was there at the first start
+	Founders []consensus.ID // the first members, on the disk of one of them; otherwise empty
 }
 
-const (
-	keyIdentity  = "identity"
-	keyHardState = "meta"
-	keySnapshot  = "snapshot"
-	prefixEntry  = "n"
-)
-
-func entryKey(i uint64) string { return fmt.Sprintf("%s%016x", prefixEntry, i) }
-
-// Open opens or makes the file in a folder. fresh makes the identity of a member that has none.
-func Open(folder string, fresh func() Identity) (d *WAL, id Identity, kept consensus.RestoredState, err error) {
-	path := filepath.Join(folder, "ratchet.db")
+// Open opens the file in a folder, and makes both where they are missing. It returns the identity and the state that were
+// stored last. Where there is no file, or none that can be read, it stores the identity that fresh returns, and the state is
+// zero.
+//
+// Errors are the operating system's, converted by package trace. After an error nothing is open, and Open may be called again.
+func Open(folder string, fresh func() Identity) (*WAL, Identity, consensus.RestoredState, error) {
+	none := consensus.RestoredState{}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		return nil, id, kept, trace.ConvertSystemError(err)
+		return nil, Identity{}, none, trace.ConvertSystemError(err)
 	}
-	d = &WAL{path: path}
-	if err := truncateTornTail(path); err != nil {
-		return nil, id, kept, err
+	wal := &WAL{path: filepath.Join(folder, fileName)}
+	if _, err := truncateTornTail(wal.path); err != nil {
+		return nil, Identity{}, none, err
 	}
-	if err = d.open(); err == nil {
-		id, kept, err = d.load()
+	identity, restored, err := wal.openExisting()
+	if err == nil && identity.ID != "" {
+		return wal, identity, restored, nil
 	}
-	if err != nil || id.ID == "" {
-		d.close()
-		if _, bad := os.Stat(path); bad == nil { // what can't be read whole counts for nothing
-			if bad := os.Rename(path, path+".broken"); bad != nil {
-				return nil, id, kept, trace.ConvertSystemError(bad)
-			}
-		}
-		if err := d.open(); err != nil {
-			return nil, id, kept, err
-		}
-		id, kept = fresh(), consensus.RestoredState{}
-		err := d.commit(func(tx *buntdb.Tx) error {
-			return put(tx, keyIdentity, diskformat.Identity{ID: id.ID, Founders: id.Founders})
-		})
-		if err != nil {
-			return nil, id, kept, trace.Wrap(err)
-		}
-		if err := (snapshotfile.Disk{}).SyncFolder(folder); err != nil {
-			return nil, id, kept, trace.ConvertSystemError(err)
-		}
+	_ = wal.Close() // it holds nothing that counts
+	if err := putAside(wal.path); err != nil {
+		return nil, Identity{}, none, err
+	}
+	identity = fresh()
+	if err := wal.create(identity); err != nil {
+		return nil, Identity{}, none, errors.Join(err, wal.Close())
+	}
+	return wal, identity, none, nil
+}
+
+// putAside renames a file of which nothing can be read, if it is there, so that it can be looked at.
+func putAside(path string) error {
+	err := os.Rename(path, path+brokenSuffix)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
+	}
+	return trace.ConvertSystemError(err)
+}
+
+func (w *WAL) openExisting() (Identity, consensus.RestoredState, error) {
+	if err := w.openFiles(); err != nil {
+		return Identity{}, consensus.RestoredState{}, err
 	}
-	return d, id, kept, nil
+	return w.load()
 }
 
-func (d *WAL) open() error {
-	db, err := buntdb.Open(d.path)
+// create makes the file of a member that has none.
+func (w *WAL) create(identity Identity) error {
+	if err := w.openFiles(); err != nil {
+		return err
+	}
+	err := w.commit(func(tx *buntdb.Tx) error {
+		return put(tx, keyIdentity, diskformat.Identity{ID: identity.ID, Founders: identity.Founders})
+	})
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if err := db.SetConfig(buntdb.Config{SyncPolicy: buntdb.Never, AutoShrinkDisabled: true}); err != nil {
-		db.Close()
+	return trace.ConvertSystemError(snapshotfile.Disk{}.SyncFolder(filepath.Dir(w.path)))
+}
+
+func (w *WAL) openFiles() error {
+	db, err := buntdb.Open(w.path)
+	if err != nil {
 		return trace.Wrap(err)
 	}
-	file, err := os.OpenFile(d.path, os.O_RDWR, 0o600)
+	if err := db.SetConfig(buntdb.Config{SyncPolicy: buntdb.Never, AutoShrinkDisabled: true}); err != nil {
+		return errors.Join(err, db.Close())
+	}
+	file, err := os.OpenFile(w.path, os.O_RDWR, 0o600)
 	if err != nil {
-		db.Close()
-		return trace.ConvertSystemError(err)
+		return errors.Join(trace.ConvertSystemError(err), db.Close())
 	}
-	d.db, d.file = db, file
+	w.db, w.file = db, file
 	return nil
 }
 
-func (d *WAL) close() {
-	if d.db != nil {
-		d.db.Close()
-		d.file.Close()
-		d.db = nil
+// Close closes the file. What Save returned for is on disk whether Close fails or not.
+func (w *WAL) Close() error {
+	if w.db == nil {
+		return nil
 	}
+	err := errors.Join(w.db.Close(), w.file.Close())
+	w.db, w.file = nil, nil
+	return trace.Wrap(err)
 }
 
-// Close closes the file.
-func (d *WAL) Close() error {
-	d.close()
-	return nil
+// reopen reads the file anew after a write that failed, without the torn end that it left.
+func (w *WAL) reopen() error {
+	_ = w.Close() // the failed write was reported already, and was not acknowledged
+	if _, err := truncateTornTail(w.path); err != nil {
+		return err
+	}
+	if err := w.openFiles(); err != nil {
+		return err
+	}
+	w.needsReopen = false
+	_, _, err := w.load()
+	return err
 }
 
 // commit makes one change and returns once it is on disk. A change that fails may be made again.
-func (d *WAL) commit(do func(*buntdb.Tx) error) (err error) {
-	if d.needsReopen || d.db == nil {
-		d.close()
-		if err := truncateTornTail(d.path); err != nil {
-			return err
-		}
-		if err := d.open(); err != nil {
-			return err
-		}
-		d.needsReopen = false
-		if _, _, err := d.load(); err != nil {
+func (w *WAL) commit(change func(*buntdb.Tx) error) (err error) {
+	if w.needsReopen || w.db == nil {
+		if err := w.reopen(); err != nil {
 			return err
 		}
 	}
 	defer func() {
-		if p := recover(); p != nil { // a write broke off, and what of it is there could not be cut off
-			d.needsReopen, err = true, trace.Errorf("%v", p)
+		if cause := recover(); cause != nil { // buntdb panics where it can't cut off a write that failed
+			w.needsReopen, err = true, trace.Errorf("%v", cause)
 		}
 	}()
-	if err := d.db.Update(do); err != nil {
+	if err := w.db.Update(change); err != nil {
 		return err
 	}
-	if d.file.Sync() == nil {
+	if w.file.Sync() == nil {
 		return nil
 	}
-	return d.rewrite() // what a failed sync covered may never reach the disk, even if a later one does not fail
+	// What a failed sync covered may never reach the disk, even if the next sync succeeds.
+	return w.rewrite()
 }
 
-func put(tx *buntdb.Tx, key string, v any) error {
-	var b bytes.Buffer
-	if err := gob.NewEncoder(&b).Encode(v); err != nil {
-		return err
+// batch is the records that the next commit will write.
+type batch struct{ records []record }
+
+type record struct {
+	key   string
+	value any // of a type of package diskformat
+}
+
+func (b *batch) add(key string, value any) { b.records = append(b.records, record{key, value}) }
+
+// Save writes to disk in the order given, and returns once all of it is synced. After an error none, some or all of the
+// writes are on disk; Save may be called with the same writes again.
+//
+// A commit may be torn between any two of its records, in any order. So the removal of entries is a commit of its own: torn,
+// it leaves a gap, and load ignores the entries behind a gap.
+func (w *WAL) Save(writes []consensus.Write) error {
+	pending := &batch{}
+	for _, write := range writes {
+		if err := w.addWrite(pending, write); err != nil {
+			return trace.Wrap(err)
+		}
 	}
-	_, _, err := tx.Set(key, encodeSealed(b.Bytes()), nil)
-	return err
+	return trace.Wrap(w.flush(pending))
 }
 
-func get(tx *buntdb.Tx, key string, v any) (bool, error) {
-	text, err := tx.Get(key, true)
-	if err == buntdb.ErrNotFound {
-		return false, nil
+// addWrite adds a write to the batch; commits go first where the write removes entries.
+func (w *WAL) addWrite(pending *batch, write consensus.Write) error {
+	if write.HardState != nil {
+		pending.add(keyHardState, diskformat.FromMeta(*write.HardState))
 	}
-	if err != nil {
-		return false, err
+	if write.Snapshot != nil {
+		if err := w.saveSnapshot(pending, *write.Snapshot, write.CompactThrough); err != nil {
+			return err
+		}
 	}
-	body, err := decodeSealed(text)
-	if err != nil {
-		return false, fmt.Errorf("%s: %w", key, err)
+	if write.FirstIndex == 0 {
+		return nil
 	}
-	return true, gob.NewDecoder(bytes.NewReader(body)).Decode(v)
+	return w.addEntries(pending, write.FirstIndex, write.Entries)
 }
 
-func (d *WAL) load() (id Identity, kept consensus.RestoredState, err error) {
-	var identity diskformat.Identity
-	var meta diskformat.Meta
-	var snapshot diskformat.Snapshot
-	err = d.db.View(func(tx *buntdb.Tx) error {
-		if _, err := get(tx, keyIdentity, &identity); err != nil {
-			return err
-		}
-		if _, err := get(tx, keyHardState, &meta); err != nil {
+func (w *WAL) saveSnapshot(pending *batch, snapshot consensus.Snapshot, compactThrough uint64) error {
+	pending.add(keySnapshot, diskformat.FromSnapshot(snapshot))
+	if err := w.flush(pending); err != nil {
+		return err
+	}
+	if err := w.deleteEntries(func(index uint64) bool { return index <= compactThrough }); err != nil {
+		return err
+	}
+	w.lastIndex = max(w.lastIndex, snapshot.Index)
+	return nil
+}
+
+// addEntries replaces all entries from firstIndex on.
+func (w *WAL) addEntries(pending *batch, firstIndex uint64, entries []consensus.Entry) error {
+	if firstIndex <= w.lastIndex {
+		if err := w.flush(pending); err != nil {
 			return err
 		}
-		_, err := get(tx, keySnapshot, &snapshot)
-		return err
-	})
-	id, kept.HardState, kept.Snapshot = Identity{ID: identity.ID, Founders: identity.Founders}, meta.Value(), snapshot.Value()
-	next, view := kept.Snapshot.Index+1, kept.Snapshot.Term
-	for more := err == nil; more; {
-		var e diskformat.Entry
-		if err = d.db.View(func(tx *buntdb.Tx) error {
-			var err error
-			more, err = get(tx, entryKey(next), &e)
+		if err := w.deleteEntries(func(index uint64) bool { return index >= firstIndex }); err != nil {
 			return err
-		}); err != nil || !more || e.View < view {
-			break
 		}
-		kept.Entries, next, view = append(kept.Entries, e.Value()), next+1, e.View
 	}
-	if err == nil { // what lies behind a gap is of a change that was torn
-		d.lastIndex = next - 1
-		err = d.deleteEntries(func(i uint64) bool { return i >= next || i <= kept.Snapshot.Index })
+	for offset, entry := range entries {
+		pending.add(entryKey(firstIndex+uint64(offset)), diskformat.FromEntry(entry))
 	}
-	return id, kept, err
+	w.lastIndex = firstIndex + uint64(len(entries)) - 1
+	return nil
 }
 
-// Save puts writes on disk in their order. A change of buntdb's may be torn between any two of its keys, in any order,
-// so what takes entries away is a change of its own: torn, it leaves a gap, and what is behind a gap counts for nothing.
-func (d *WAL) Save(writes []consensus.Write) error {
-	var sets []func(*buntdb.Tx) error
-	flush := func() error {
-		if len(sets) == 0 {
-			return nil
-		}
-		todo := sets
-		sets = nil
-		return d.commit(func(tx *buntdb.Tx) error {
-			for _, do := range todo {
-				if err := do(tx); err != nil {
-					return err
-				}
-			}
-			return nil
-		})
-	}
-	set := func(key string, v any) {
-		sets = append(sets, func(tx *buntdb.Tx) error { return put(tx, key, v) })
+// flush commits what the batch holds and empties it.
+func (w *WAL) flush(pending *batch) error {
+	records := pending.records
+	pending.records = nil
+	if len(records) == 0 {
+		return nil
 	}
-	for _, w := range writes {
-		if w.HardState != nil {
-			set(keyHardState, diskformat.FromMeta(*w.HardState))
-		}
-		if w.Snapshot != nil {
-			set(keySnapshot, diskformat.FromSnapshot(*w.Snapshot))
-			if err := flush(); err != nil {
-				return trace.Wrap(err)
-			}
-			if err := d.deleteEntries(func(i uint64) bool { return i <= w.CompactThrough }); err != nil {
-				return trace.Wrap(err)
-			}
-			d.lastIndex = max(d.lastIndex, w.Snapshot.Index)
-		}
-		if w.FirstIndex > 0 && w.FirstIndex <= d.lastIndex {
-			if err := flush(); err != nil {
-				return trace.Wrap(err)
-			}
-			if err := d.deleteEntries(func(i uint64) bool { return i >= w.FirstIndex }); err != nil {
-				return trace.Wrap(err)
+	return w.commit(func(tx *buntdb.Tx) error {
+		for _, record := range records {
+			if err := put(tx, record.key, record.value); err != nil {
+				return err
 			}
 		}
-		for i, e := range w.Entries {
-			set(entryKey(w.FirstIndex+uint64(i)), diskformat.FromEntry(e))
-		}
-		if w.FirstIndex > 0 {
-			d.lastIndex = w.FirstIndex + uint64(len(w.Entries)) - 1
-		}
-	}
-	return trace.Wrap(flush())
+		return nil
+	})
 }
 
-// deleteEntries takes entries away.
-func (d *WAL) deleteEntries(which func(uint64) bool) error {
+// deleteEntries removes the entries whose index is selected, in one commit.
+func (w *WAL) deleteEntries(selected func(index uint64) bool) error {
 	var keys []string
-	err := d.db.View(func(tx *buntdb.Tx) error {
-		return tx.AscendGreaterOrEqual("", prefixEntry, func(key, _ string) bool {
-			if len(key) == 17 && key[:1] == prefixEntry {
-				if i, err := strconv.ParseUint(key[1:], 16, 64); err == nil && which(i) {
-					keys = append(keys, key)
-				}
+	err := w.db.View(func(tx *buntdb.Tx) error {
+		return tx.AscendGreaterOrEqual("", entryKeyPrefix, func(key, _ string) bool {
+			if index, isEntry := entryIndex(key); isEntry && selected(index) {
+				keys = append(keys, key)
 			}
 			return true
 		})
@@ -272,7 +280,7 @@
 	if err != nil || len(keys) == 0 {
 		return err
 	}
-	return d.commit(func(tx *buntdb.Tx) error {
+	return w.commit(func(tx *buntdb.Tx) error {
 		for _, key := range keys {
 			if _, err := tx.Delete(key); err != nil {
 				return err
@@ -282,48 +290,65 @@
 	})
 }
 
-// Compact makes the file small once it has grown to a multiple of what it holds and past least bytes: a copy is written
-// beside it, synced, renamed over it, and its folder synced. At each moment the file is whole under its name.
-func (d *WAL) Compact(least int64) error {
-	info, err := os.Stat(d.path)
-	if err != nil || info.Size() < least || info.Size() < 3*d.compactedBytes {
+// Compact makes the file smaller if it has at least minBytes bytes and has grown to compactionRatio times its size after the
+// last compaction. It writes a copy of what is held, syncs it, renames it over the file and syncs the folder, so that at each
+// moment a complete file has the name. After an error the file is as it was, and Compact may be called again.
+func (w *WAL) Compact(minBytes int64) error {
+	info, err := os.Stat(w.path)
+	if err != nil || info.Size() < minBytes || info.Size() < compactionRatio*w.compactedBytes {
 		return trace.ConvertSystemError(err)
 	}
-	return d.rewrite()
+	return w.rewrite()
 }
 
-// rewrite puts a copy of all that is held in the file's place.
-func (d *WAL) rewrite() error {
-	beside := d.path + ".new"
-	f, err := os.OpenFile(beside, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
-	if err != nil {
-		return trace.ConvertSystemError(err)
-	}
-	err = d.db.Save(f)
+// rewrite replaces the file by a copy of all that is held.
+func (w *WAL) rewrite() error {
+	temporary := w.path + temporarySuffix
+	err := w.writeCopy(temporary)
 	if err == nil {
-		err = f.Sync()
-	}
-	if bad := f.Close(); err == nil {
-		err = bad
-	}
-	if err == nil {
-		err = os.Rename(beside, d.path)
+		err = os.Rename(temporary, w.path)
 	}
 	if err != nil {
-		os.Remove(beside)
+		_ = os.Remove(temporary) // the next rewrite truncates it anyway
 		return trace.Wrap(err)
 	}
-	if err := (snapshotfile.Disk{}).SyncFolder(filepath.Dir(d.path)); err != nil {
-		d.needsReopen = true // what is open has no name any more
+	if err := (snapshotfile.Disk{}).SyncFolder(filepath.Dir(w.path)); err != nil {
+		w.needsReopen = true // the open file has no name any more
 		return trace.ConvertSystemError(err)
 	}
-	d.close()
-	if err := d.open(); err != nil {
+	_ = w.Close() // the old file, which has no name any more
+	if err := w.openFiles(); err != nil {
 		return err
 	}
-	info, err := os.Stat(d.path)
+	info, err := os.Stat(w.path)
 	if err == nil {
-		d.compactedBytes = info.Size()
+		w.compactedBytes = info.Size()
 	}
 	return trace.ConvertSystemError(err)
 }
+
+// writeCopy writes all that is held to a new file, and syncs it.
+func (w *WAL) writeCopy(path string) error {
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	if err != nil {
+		return trace.ConvertSystemError(err)
+	}
+	err = w.db.Save(file)
+	if err == nil {
+		err = file.Sync()
+	}
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
+	}
+	return err
+}
+
+// put writes a record in a commit.
+func put(tx *buntdb.Tx, key string, value any) error {
+	var body bytes.Buffer
+	if err := gob.NewEncoder(&body).Encode(value); err != nil {
+		return err
+	}
+	_, _, err := tx.Set(key, encodeSealed(body.Bytes()), nil)
+	return err
+}
--- a/internal/control/storage/wal_test.go
+++ b/internal/control/storage/wal_test.go
@@ -12,14 +12,14 @@
 	"ferrypitch/internal/control/consensus"
 )
 
-func fresh() Identity { return Identity{ID: "a", Founders: []consensus.ID{"a", "b"}} }
+func newFounder() Identity { return Identity{ID: "a", Founders: []consensus.ID{"a", "b"}} }
 
-func entry(view uint64, body string) consensus.Entry {
-	return consensus.Entry{Term: view, Data: []byte(body)}
+func entry(term uint64, body string) consensus.Entry {
+	return consensus.Entry{Term: term, Data: []byte(body)}
 }
 
-// steps are writes as a member makes them: appended, trimmed, a snapshot; and what must be there after each.
-var steps = []struct {
+// saveSteps are writes as a member makes them: appended, trimmed, a snapshot; and what must be there after each.
+var saveSteps = []struct {
 	write consensus.Write
 	want  string
 }{
@@ -34,45 +34,45 @@
 	{consensus.Write{FirstIndex: 10, Entries: []consensus.Entry{entry(4, "r")}, HardState: &consensus.HardState{Term: 4, Vote: "a", CommittedConfigIndex: 2}}, "v4 a s9 [4r]"},
 }
 
-func show(k consensus.RestoredState) string {
+func describe(restored consensus.RestoredState) string {
 	var entries []string
-	for _, e := range k.Entries {
+	for _, e := range restored.Entries {
 		entries = append(entries, fmt.Sprintf("%d%s", e.Term, e.Data))
 	}
-	return fmt.Sprintf("v%d %s s%d %v", k.HardState.Term, k.HardState.Vote, k.Snapshot.Index, entries)
+	return fmt.Sprintf("v%d %s s%d %v", restored.HardState.Term, restored.HardState.Vote, restored.Snapshot.Index, entries)
 }
 
-func held(t *testing.T, folder string) (string, consensus.ID) {
+func reopened(t *testing.T, folder string) (string, consensus.ID) {
 	t.Helper()
-	d, id, kept, err := Open(folder, func() Identity { return Identity{ID: "learner"} })
+	wal, identity, restored, err := Open(folder, func() Identity { return Identity{ID: "learner"} })
 	require.NoError(t, err)
-	defer d.Close()
-	return show(kept), id.ID
+	require.NoError(t, wal.Close())
+	return describe(restored), identity.ID
 }
 
 // A loss of power leaves what was synced; of the write after that, any part, torn or missing.
-func TestWhatWasStoredOutlastsAnyCutOfWhatCameAfter(t *testing.T) {
+func TestSyncedWritesSurviveTornWrites(t *testing.T) {
 	chance := rand.New(rand.NewPCG(1, 2))
-	for n := range steps {
+	for n := range saveSteps {
 		folder := t.TempDir()
-		path := filepath.Join(folder, "ratchet.db")
-		d, _, _, err := Open(folder, fresh)
+		path := filepath.Join(folder, fileName)
+		d, _, _, err := Open(folder, newFounder)
 		require.NoError(t, err)
-		for _, s := range steps[:n] {
+		for _, s := range saveSteps[:n] {
 			require.NoError(t, d.Save([]consensus.Write{s.write}))
 		}
 		before, err := os.ReadFile(path)
 		require.NoError(t, err)
-		require.NoError(t, d.Save([]consensus.Write{steps[n].write}))
+		require.NoError(t, d.Save([]consensus.Write{saveSteps[n].write}))
 		after, err := os.ReadFile(path)
 		require.NoError(t, err)
 		require.NoError(t, d.Close())
 		was := "v0  s0 []"
 		if n > 0 {
-			was = steps[n-1].want
+			was = saveSteps[n-1].want
 		}
-		got, _ := held(t, folder)
-		require.Equal(t, steps[n].want, got, "step %d", n)
+		got, _ := reopened(t, folder)
+		require.Equal(t, saveSteps[n].want, got, "step %d", n)
 		for range 40 {
 			torn := append([]byte{}, after...)
 			switch at := len(before) + chance.IntN(len(after)-len(before)+1); chance.IntN(3) {
@@ -88,11 +88,11 @@
 				}
 			}
 			other := t.TempDir()
-			require.NoError(t, os.WriteFile(filepath.Join(other, "ratchet.db"), torn, 0o600))
-			got, id := held(t, other)
+			require.NoError(t, os.WriteFile(filepath.Join(other, fileName), torn, 0o600))
+			got, id := reopened(t, other)
 			require.EqualValues(t, "a", id, "step %d: who it is was lost", n)
-			require.True(t, reached(got, was, n), "step %d: %s, after %s was stored", n, got, was)
-			again, _ := held(t, other)
+			require.True(t, isIntermediate(got, was, n), "step %d: %s, after %s was stored", n, got, was)
+			again, _ := reopened(t, other)
 			require.Equal(t, got, again, "what was read once is read again")
 		}
 	}
@@ -100,47 +100,47 @@
 
 // A file that was cut anywhere, also in what was synced, is what was there after an earlier step, or that of a member that
 // knows nothing and has a name of its own; and it takes what comes.
-func TestAFileCutAnywhereIsAnEarlierOneOrNone(t *testing.T) {
+func TestTruncatedFileHoldsAnEarlierStateOrNone(t *testing.T) {
 	folder := t.TempDir()
-	d, _, _, err := Open(folder, fresh)
+	d, _, _, err := Open(folder, newFounder)
 	require.NoError(t, err)
-	for _, s := range steps {
+	for _, s := range saveSteps {
 		require.NoError(t, d.Save([]consensus.Write{s.write}))
 	}
 	require.NoError(t, d.Close())
-	whole, err := os.ReadFile(filepath.Join(folder, "ratchet.db"))
+	whole, err := os.ReadFile(filepath.Join(folder, fileName))
 	require.NoError(t, err)
 	earlier, none := 0, 0
 	for at := 0; at < len(whole); at += 1 + len(whole)/30 {
 		other := t.TempDir()
-		require.NoError(t, os.WriteFile(filepath.Join(other, "ratchet.db"), whole[:at], 0o600))
-		got, id := held(t, other)
+		require.NoError(t, os.WriteFile(filepath.Join(other, fileName), whole[:at], 0o600))
+		got, id := reopened(t, other)
 		found := id == "learner" && got == "v0  s0 []"
 		none += map[bool]int{true: 1}[found]
-		for n, was := 0, "v0  s0 []"; n < len(steps) && !found; n++ {
-			found, was = id == "a" && reached(got, was, n), steps[n].want
+		for n, was := 0, "v0  s0 []"; n < len(saveSteps) && !found; n++ {
+			found, was = id == "a" && isIntermediate(got, was, n), saveSteps[n].want
 			earlier += map[bool]int{true: 1}[found]
 		}
 		require.True(t, found, "cut at %d of %d: %s holds %s", at, len(whole), id, got)
-		d, _, kept, err := Open(other, fresh)
+		d, _, kept, err := Open(other, newFounder)
 		require.NoError(t, err)
 		next := kept.Snapshot.Index + uint64(len(kept.Entries)) + 1
 		require.NoError(t, d.Save([]consensus.Write{{FirstIndex: next, Entries: []consensus.Entry{entry(9, "after")}}}))
 		require.NoError(t, d.Close())
-		got, _ = held(t, other)
+		got, _ = reopened(t, other)
 		require.Contains(t, got, "9after")
 	}
 	require.Positive(t, none)
 	require.Greater(t, earlier, 12)
 }
 
-// reached says whether what is held is what a torn step may leave: as before, as after, or on the way, which takes only
+// isIntermediate says whether what is held is what a torn step may leave: as before, as after, or on the way, which takes only
 // what that step was to take.
-func reached(got, was string, n int) bool {
-	if got == was || got == steps[n].want {
+func isIntermediate(got, before string, step int) bool {
+	if got == before || got == saveSteps[step].want {
 		return true
 	}
-	switch n {
+	switch step {
 	case 1:
 		return got == "v1 b s0 [1x]" || got == "v1 b s0 [1x 1y]"
 	case 3: // entries that differ from the leader's go first
@@ -148,46 +148,46 @@
 	case 4:
 		return got == "v2  s0 [1x 2n 2o]"
 	case 5, 7: // a snapshot first, then what it stands for goes
-		return got == steps[n].want
+		return got == saveSteps[step].want
 	case 8:
 		return got == "v2  s9 [4r]" || got == "v4 a s9 []"
 	}
 	return false
 }
 
-func TestAfterAWriteThatBrokeOffTheFileIsReadAnewAndServesOn(t *testing.T) {
-	for n := range steps[:len(steps)-1] {
+func TestSaveAfterFailedWriteReopensTheFile(t *testing.T) {
+	for n := range saveSteps[:len(saveSteps)-1] {
 		folder := t.TempDir()
-		d, _, _, err := Open(folder, fresh)
+		d, _, _, err := Open(folder, newFounder)
 		require.NoError(t, err)
-		for _, s := range steps[:n+1] {
+		for _, s := range saveSteps[:n+1] {
 			require.NoError(t, d.Save([]consensus.Write{s.write}))
 		}
-		f, err := os.OpenFile(filepath.Join(folder, "ratchet.db"), os.O_APPEND|os.O_WRONLY, 0)
+		f, err := os.OpenFile(filepath.Join(folder, fileName), os.O_APPEND|os.O_WRONLY, 0)
 		require.NoError(t, err)
 		_, err = f.WriteString("*3\r\n$3\r\nset\r\n$4\r\nme")
 		require.NoError(t, err)
 		require.NoError(t, f.Close())
 		d.needsReopen = true
-		require.NoError(t, d.Save([]consensus.Write{steps[n+1].write}))
+		require.NoError(t, d.Save([]consensus.Write{saveSteps[n+1].write}))
 		require.NoError(t, d.Close())
-		got, id := held(t, folder)
+		got, id := reopened(t, folder)
 		require.EqualValues(t, "a", id)
-		require.Equal(t, steps[n+1].want, got)
+		require.Equal(t, saveSteps[n+1].want, got)
 	}
 }
 
-func TestAFileThatIsNotOursMakesALearner(t *testing.T) {
+func TestForeignFileIsPutAside(t *testing.T) {
 	folder := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(folder, "ratchet.db"), []byte("*2\r\n$3\r\nset\r\n"), 0o600))
-	got, id := held(t, folder)
+	require.NoError(t, os.WriteFile(filepath.Join(folder, fileName), []byte("*2\r\n$3\r\nset\r\n"), 0o600))
+	got, id := reopened(t, folder)
 	require.Equal(t, "v0  s0 []", got)
 	require.EqualValues(t, "learner", id)
 }
 
-func TestTheFileStaysSmallAndKeepsAll(t *testing.T) {
+func TestCompactKeepsTheFileSmallAndComplete(t *testing.T) {
 	folder := t.TempDir()
-	d, _, _, err := Open(folder, fresh)
+	d, _, _, err := Open(folder, newFounder)
 	require.NoError(t, err)
 	for i := range 300 {
 		body := make([]byte, 400)
@@ -198,18 +198,18 @@
 			require.NoError(t, d.Compact(16<<10))
 		}
 	}
-	info, err := os.Stat(filepath.Join(folder, "ratchet.db"))
+	info, err := os.Stat(filepath.Join(folder, fileName))
 	require.NoError(t, err)
 	require.Less(t, info.Size(), int64(64<<10))
 	require.NoError(t, d.Close())
-	_, id, kept, err := Open(folder, fresh)
+	_, id, kept, err := Open(folder, newFounder)
 	require.NoError(t, err)
 	require.EqualValues(t, "a", id.ID)
 	require.EqualValues(t, 299, kept.Snapshot.Index)
 	require.Len(t, kept.Entries, 1)
 }
 
-func FuzzWhole(f *testing.F) {
+func FuzzValidPrefix(f *testing.F) {
 	f.Add([]byte("*3\r\n$3\r\nset\r\n$1\r\nk\r\n$3\r\na.b\r\n"))
 	f.Add([]byte("*2\r\n$3\r\ndel\r\n$1\r\nk\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
--- a/internal/snapshotfile/snapshot_test.go
+++ b/internal/snapshotfile/snapshot_test.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"errors"
-	"fmt"
 	"io"
 	"io/fs"
 	"os"
@@ -11,122 +10,136 @@
 	"testing"
 )
 
-// forgetful is a disk in memory that loses, when the power goes, all that was not synced. It goes at a step.
-type forgetful struct {
-	files, synced map[string][]byte // by name; what a crash leaves
-	names         map[string]string // renames that the folder has not synced: to, from
-	steps, at     int               // the power goes at this step; 0: never
+// volatileDisk is a disk in memory that loses everything that was not synced when the power fails.
+type volatileDisk struct {
+	files, synced   map[string][]byte // content by path; synced is what a loss of power leaves
+	unsyncedRenames map[string]string // from the new name to the old one
+	steps           int               // calls so far
+	failAtStep      int               // the power fails at this call and stays off; 0: never
 }
 
-var errPower = errors.New("the power is gone")
+var errPowerLoss = errors.New("power loss")
 
-func (d *forgetful) step() error {
-	if d.steps++; d.at != 0 && d.steps >= d.at {
-		return errPower
+func newVolatileDisk() *volatileDisk {
+	return &volatileDisk{files: map[string][]byte{}, synced: map[string][]byte{}, unsyncedRenames: map[string]string{}}
+}
+
+func (disk *volatileDisk) step() error {
+	if disk.steps++; disk.failAtStep != 0 && disk.steps >= disk.failAtStep {
+		return errPowerLoss
 	}
 	return nil
 }
 
-type sheet struct {
-	d    *forgetful
+type volatileFile struct {
+	disk *volatileDisk
 	path string
 }
 
-func (d *forgetful) Create(path string) (File, error) {
-	if err := d.step(); err != nil {
+func (disk *volatileDisk) Create(path string) (File, error) {
+	if err := disk.step(); err != nil {
 		return nil, err
 	}
-	d.files[path] = nil
-	return &sheet{d, path}, nil
+	disk.files[path] = nil
+	return &volatileFile{disk, path}, nil
 }
 
-func (s *sheet) Write(b []byte) (int, error) {
-	if err := s.d.step(); err != nil {
-		s.d.files[s.path] = append(s.d.files[s.path], b[:len(b)/2]...)
-		return len(b) / 2, err
+func (file *volatileFile) Write(content []byte) (int, error) {
+	written, err := len(content), file.disk.step()
+	if err != nil {
+		written /= 2
 	}
-	s.d.files[s.path] = append(s.d.files[s.path], b...)
-	return len(b), nil
+	file.disk.files[file.path] = append(file.disk.files[file.path], content[:written]...)
+	return written, err
 }
 
-func (s *sheet) Sync() error {
-	if err := s.d.step(); err != nil {
+func (file *volatileFile) Sync() error {
+	if err := file.disk.step(); err != nil {
 		return err
 	}
-	s.d.synced[s.path] = bytes.Clone(s.d.files[s.path])
+	file.disk.synced[file.path] = bytes.Clone(file.disk.files[file.path])
 	return nil
 }
 
-func (s *sheet) Close() error { return s.d.step() }
+func (file *volatileFile) Close() error { return file.disk.step() }
 
-func (d *forgetful) Rename(from, to string) error {
-	if err := d.step(); err != nil {
+func (disk *volatileDisk) Rename(from, to string) error {
+	if err := disk.step(); err != nil {
 		return err
 	}
-	d.files[to], d.names[to] = d.files[from], from
+	disk.files[to], disk.unsyncedRenames[to] = disk.files[from], from
 	return nil
 }
 
-func (d *forgetful) SyncFolder(string) error {
-	if err := d.step(); err != nil {
+func (disk *volatileDisk) SyncFolder(string) error {
+	if err := disk.step(); err != nil {
 		return err
 	}
-	for to, from := range d.names {
-		d.synced[to] = d.synced[from]
+	for to, from := range disk.unsyncedRenames {
+		disk.synced[to] = disk.synced[from]
 	}
-	clear(d.names)
+	clear(disk.unsyncedRenames)
 	return nil
 }
 
-func (d *forgetful) Open(path string) (io.ReadCloser, error) {
-	b, ok := d.synced[path]
-	if !ok {
+func (disk *volatileDisk) Open(path string) (io.ReadCloser, error) {
+	content, found := disk.synced[path]
+	if !found {
 		return nil, fs.ErrNotExist
 	}
-	return io.NopCloser(bytes.NewReader(b)), nil
+	return io.NopCloser(bytes.NewReader(content)), nil
 }
 
-func TestAfterACrashAtAnyStepTheOldOrTheNewIsThereWhole(t *testing.T) {
-	for at := 1; at < 16; at++ {
-		d := &forgetful{files: map[string][]byte{}, synced: map[string][]byte{}, names: map[string]string{}}
-		if err := Write(d, "x/view", []byte("old")); err != nil {
+func TestPowerLossAtAnyStepLeavesTheOldOrTheNewBody(t *testing.T) {
+	const path, oldBody, newBody = "folder/snapshot", "old", "new and longer"
+	for failAfter := 1; failAfter < 16; failAfter++ {
+		disk := newVolatileDisk()
+		if err := Write(disk, path, []byte(oldBody)); err != nil {
 			t.Fatal(err)
 		}
-		d.at = d.steps + at
-		wrote := Write(d, "x/view", []byte("new and longer"))
-		got, err := Read(d, "x/view")
-		if err != nil || string(got) != "old" && string(got) != "new and longer" {
-			t.Errorf("the power goes at step %d: %q %v", at, got, err)
+		disk.failAtStep = disk.steps + failAfter
+		writeErr := Write(disk, path, []byte(newBody))
+		got, err := Read(disk, path)
+		if err != nil || string(got) != oldBody && string(got) != newBody {
+			t.Errorf("power loss at step %d: %q %v", failAfter, got, err)
 		}
-		if wrote == nil && string(got) != "new and longer" {
-			t.Errorf("at step %d: kept, it was said, and %q is there", at, got)
+		if writeErr == nil && string(got) != newBody {
+			t.Errorf("power loss at step %d: Write succeeded, but %q is there", failAfter, got)
 		}
 	}
 }
 
-func TestWhatIsBrokenNewerOrMissingIsTold(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "view")
+func TestBrokenNewerAndMissingFilesAreReported(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "snapshot")
 	if _, err := Read(Disk{}, path); !None(err) {
 		t.Error(err)
 	}
 	if err := Write(Disk{}, path, []byte("what was learned")); err != nil {
 		t.Fatal(err)
 	}
-	whole, _ := os.ReadFile(path)
-	for cut := range whole {
-		os.WriteFile(path, whole[:cut], 0o600)
-		if _, err := Read(Disk{}, path); !errors.Is(err, ErrBroken) {
-			t.Fatalf("cut at %d: %v", cut, err)
+	content, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	readContent := func(content []byte) ([]byte, error) {
+		t.Helper()
+		if err := os.WriteFile(path, content, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return Read(Disk{}, path)
+	}
+	for size := range content {
+		if _, err := readContent(content[:size]); !errors.Is(err, ErrBroken) {
+			t.Fatalf("cut at %d: %v", size, err)
 		}
 	}
-	for at := range whole {
-		bad := bytes.Clone(whole)
-		bad[at] ^= 0x40
-		os.WriteFile(path, bad, 0o600)
-		if got, err := Read(Disk{}, path); err == nil {
+	for at := range content {
+		flipped := bytes.Clone(content)
+		flipped[at] ^= 0x40
+		if got, err := readContent(flipped); err == nil {
 			t.Fatalf("byte %d flipped: %q", at, got)
 		} else if at == len(magic) && !errors.Is(err, ErrNewer) {
-			t.Fatal(fmt.Sprint("a newer version: ", err))
+			t.Fatalf("a newer version: %v", err)
 		}
 	}
 }
