--- a/internal/control/storage/wal.go
+++ b/internal/control/storage/wal.go
@@ -69,7 +69,8 @@
 		return nil, Identity{}, none, trace.ConvertSystemError(err)
 	}
 	wal := &WAL{path: filepath.Join(folder, fileName)}
-	if _, err := truncateTornTail(wal.path); err != nil {
+	hadContent, err := truncateTornTail(wal.path)
+	if err != nil {
 		return nil, Identity{}, none, err
 	}
 	identity, restored, err := wal.openExisting()
@@ -77,8 +78,10 @@
 		return wal, identity, restored, nil
 	}
 	_ = wal.Close() // it holds nothing that counts
-	if err := putAside(wal.path); err != nil {
-		return nil, Identity{}, none, err
+	if hadContent || err != nil {
+		if err := putAside(wal.path); err != nil {
+			return nil, Identity{}, none, err
+		}
 	}
 	identity = fresh()
 	if err := wal.create(identity); err != nil {
--- a/internal/control/storage/wal_test.go
+++ b/internal/control/storage/wal_test.go
@@ -177,12 +177,48 @@
 	}
 }
 
+// A file called *.broken means a fault: the first start of a member makes none, nor does the next one after a first start
+// that ended before the identity was on disk.
+func TestFirstStartPutsNothingAside(t *testing.T) {
+	for name, prepare := range map[string]func(path string) error{
+		"no file":    func(string) error { return nil },
+		"empty file": func(path string) error { return os.WriteFile(path, nil, 0o600) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			folder := t.TempDir()
+			require.NoError(t, prepare(filepath.Join(folder, fileName)))
+			wal, identity, restored, err := Open(folder, newFounder)
+			require.NoError(t, err)
+			require.Equal(t, newFounder(), identity)
+			require.Zero(t, restored)
+			require.NoError(t, wal.Save([]consensus.Write{saveSteps[0].write}))
+			require.NoError(t, wal.Close())
+			require.Equal(t, []string{fileName}, fileNames(t, folder))
+			got, id := reopened(t, folder)
+			require.EqualValues(t, "a", id)
+			require.Equal(t, saveSteps[0].want, got)
+			require.Equal(t, []string{fileName}, fileNames(t, folder))
+		})
+	}
+}
+
+func fileNames(t *testing.T, folder string) (names []string) {
+	t.Helper()
+	files, err := os.ReadDir(folder)
+	require.NoError(t, err)
+	for _, file := range files {
+		names = append(names, file.Name())
+	}
+	return names
+}
+
 func TestForeignFileIsPutAside(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, fileName), []byte("*2\r\n$3\r\nset\r\n"), 0o600))
 	got, id := reopened(t, folder)
 	require.Equal(t, "v0  s0 []", got)
 	require.EqualValues(t, "learner", id)
+	require.Equal(t, []string{fileName, fileName + brokenSuffix}, fileNames(t, folder))
 }
 
 func TestCompactKeepsTheFileSmallAndComplete(t *testing.T) {
