--- a/cmd/ferrypitch-control/disk.go
+++ b/cmd/ferrypitch-control/disk.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"os"
-	"path/filepath"
 
 	"github.com/google/subcommands"
 	"github.com/gravitational/trace"
@@ -62,23 +61,13 @@
 
 // look reads all of a member's log, delivered or not.
 func look(folder string) (h held, err error) {
-	body, err := os.ReadFile(filepath.Join(folder, "ratchet.db"))
-	if err != nil {
-		return h, trace.ConvertSystemError(err)
-	}
-	copied, err := os.MkdirTemp("", "ferrypitch-control-disk")
-	if err != nil {
-		return h, trace.ConvertSystemError(err)
-	}
-	defer os.RemoveAll(copied)
-	if err := os.WriteFile(filepath.Join(copied, "ratchet.db"), body, 0o600); err != nil {
-		return h, trace.ConvertSystemError(err)
-	}
-	d, id, kept, err := storage.Open(copied, func() storage.Identity { return storage.Identity{ID: "(none)"} })
+	id, kept, err := storage.ReadFolder(folder)
 	if err != nil {
 		return h, err
 	}
-	defer d.Close()
+	if id.ID == "" {
+		id.ID = "(none)"
+	}
 	state, err := statemachine.Restore(kept.Snapshot.Data)
 	if err != nil {
 		return h, trace.BadParameter("%s: its snapshot: %v", folder, err)
--- a/internal/control/storage/load.go
+++ b/internal/control/storage/load.go
@@ -5,7 +5,10 @@
 	"encoding/gob"
 	"errors"
 	"fmt"
+	"os"
+	"path/filepath"
 
+	"github.com/gravitational/trace"
 	"github.com/tidwall/buntdb"
 
 	"ferrypitch/internal/control/consensus"
@@ -77,3 +80,34 @@
 	}
 	return true, gob.NewDecoder(bytes.NewReader(body)).Decode(value)
 }
+
+// ReadFolder returns what Open would return for the folder of a member that is stopped, and writes nothing there: it opens a
+// copy. The identity is zero where there is nothing that can be read. Errors: fs.ErrNotExist as trace converts it where there
+// is no file, and those of Open.
+func ReadFolder(folder string) (identity Identity, restored consensus.RestoredState, err error) {
+	plan, err := planTakeover(folder)
+	if err != nil {
+		return identity, restored, err
+	}
+	name := fileName
+	if plan == renameLegacy || plan == supersedeCurrent {
+		name = legacyFileName
+	}
+	content, err := os.ReadFile(filepath.Join(folder, name))
+	if err != nil {
+		return identity, restored, trace.ConvertSystemError(err)
+	}
+	copied, err := os.MkdirTemp("", "ferrypitch-consensus")
+	if err != nil {
+		return identity, restored, trace.ConvertSystemError(err)
+	}
+	defer os.RemoveAll(copied)
+	if err := os.WriteFile(filepath.Join(copied, fileName), content, 0o600); err != nil {
+		return identity, restored, trace.ConvertSystemError(err)
+	}
+	wal, identity, restored, err := Open(copied, func() Identity { return Identity{} })
+	if err != nil {
+		return identity, restored, err
+	}
+	return identity, restored, trace.Wrap(wal.Close())
+}
--- a/internal/control/storage/wal.go
+++ b/internal/control/storage/wal.go
@@ -9,7 +9,7 @@
 // member starts as one without a disk: it acknowledges nothing before it has learned the log from the others.
 //
 // The files of this package: wal.go writes, load.go reads what is there, recovery.go finds the torn end, record.go encodes a
-// record.
+// record, filename.go takes over a file that has the name that older releases used.
 package storage
 
 import (
@@ -27,12 +27,6 @@
 	"ferrypitch/internal/snapshotfile"
 )
 
-const (
-	fileName        = "ratchet.db"
-	temporarySuffix = ".new"    // a copy that is being written
-	brokenSuffix    = ".broken" // a file of which nothing could be read
-)
-
 // compactionRatio is the multiple of its size after the last compaction that a file reaches before it is compacted again.
 const compactionRatio = 3
 
@@ -62,12 +56,16 @@
 // stored last. Where there is no file, or none that can be read, it stores the identity that fresh returns, and the state is
 // zero.
 //
-// Errors are the operating system's, converted by package trace. After an error nothing is open, and Open may be called again.
+// Errors: a *ConflictingFilesError where two files could be the member's; otherwise those of the operating system, converted
+// by package trace. After an error nothing is open, and Open may be called again.
 func Open(folder string, fresh func() Identity) (*WAL, Identity, consensus.RestoredState, error) {
 	none := consensus.RestoredState{}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, Identity{}, none, trace.ConvertSystemError(err)
 	}
+	if err := takeOverLegacyFile(snapshotfile.Disk{}, folder); err != nil {
+		return nil, Identity{}, none, err
+	}
 	wal := &WAL{path: filepath.Join(folder, fileName)}
 	hadContent, err := truncateTornTail(wal.path)
 	if err != nil {
