--- a/internal/control/statemachine/capacity_test.go
+++ b/internal/control/statemachine/capacity_test.go
@@ -10,84 +10,85 @@
 	"ferrypitch/internal/simulation/statesize"
 )
 
-// The figures of docs/CAPACITY.md: what the replicated state costs at a size.
+// The figures of docs/CAPACITY.md: what the replicated state costs, by the size of the deployment.
 
-func sizes(b *testing.B, run func(b *testing.B, e statesize.Size)) {
-	for _, e := range statesize.All {
-		b.Run(e.String(), func(b *testing.B) { run(b, e) })
+func forEachSize(b *testing.B, run func(b *testing.B, size statesize.Size)) {
+	for _, size := range statesize.All {
+		b.Run(size.String(), func(b *testing.B) { run(b, size) })
 	}
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Size) {
-		s := e.State()
+	forEachSize(b, func(b *testing.B, size statesize.Size) {
+		s := size.State()
 		for b.Loop() {
 			b.ReportMetric(float64(len(s.Snapshot())), "bytes")
 		}
 	})
 }
 
-// What a router or a member does with a snapshot, and what the state that comes of it holds of memory.
+// What a proxy or a member does with a snapshot, and how much memory the restored state has.
 func BenchmarkRestore(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Size) {
-		snapshot := e.State().Snapshot()
+	forEachSize(b, func(b *testing.B, size statesize.Size) {
+		snapshot := size.State().Snapshot()
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		held, err := statemachine.Restore(snapshot)
+		restored, err := statemachine.Restore(snapshot)
 		require.NoError(b, err)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		for b.Loop() {
-			statemachine.Restore(snapshot)
+			_, err := statemachine.Restore(snapshot)
+			require.NoError(b, err)
 		}
 		b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "heap-bytes")
-		runtime.KeepAlive(held)
+		runtime.KeepAlive(restored)
 	})
 }
 
-// A whole configuration in which one route differs: what its order costs where it is checked, and what it costs each
-// member and each router that applies it.
-func BenchmarkOrder(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Size) {
-		s := e.State()
+// A complete configuration in which one route differs: what it costs to check and encode the update, and below, what it costs
+// each member and each proxy to apply it.
+func BenchmarkEncodeConfigUpdate(b *testing.B) {
+	forEachSize(b, func(b *testing.B, size statesize.Size) {
+		s := size.State()
 		for b.Loop() {
-			b.ReportMetric(float64(len(statemachine.EncodeChange(e.Order(s)))), "bytes")
+			b.ReportMetric(float64(len(statemachine.EncodeChange(size.Order(s)))), "bytes")
 		}
 		b.ReportMetric(float64(len(s.ConfigBody)), "bytes-sent")
 	})
 }
 
-func BenchmarkConfigure(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Size) {
-		s := e.State()
-		other := e.State()
+func BenchmarkApplyConfigUpdate(b *testing.B) {
+	forEachSize(b, func(b *testing.B, size statesize.Size) {
+		s := size.State()
+		other := size.State()
 		var bodies [][]byte
 		for i := range 20 {
-			c := e.Order(other)
+			c := size.Order(other)
 			bodies = append(bodies, statemachine.EncodeChange(c))
 			require.NoError(b, other.Apply(other.Index+uint64(i)+1, c))
 		}
-		n := 0
+		next := 0
 		for b.Loop() {
-			if n == len(bodies) {
+			if next == len(bodies) {
 				b.StopTimer()
-				s, n = e.State(), 0
+				s, next = size.State(), 0
 				b.StartTimer()
 			}
-			c, err := statemachine.DecodeChange(bodies[n])
+			c, err := statemachine.DecodeChange(bodies[next])
 			require.NoError(b, err)
 			require.NoError(b, s.Apply(s.Index+1, c))
-			n++
+			next++
 		}
 	})
 }
 
-// A host enters a state that holds all others.
-func BenchmarkEnter(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Size) {
-		s := e.State()
-		h := statesize.Host(e.Hosts())
+// A host is added to a state that has all others.
+func BenchmarkAddHost(b *testing.B) {
+	forEachSize(b, func(b *testing.B, size statesize.Size) {
+		s := size.State()
+		h := statesize.Host(size.Hosts())
 		body := statemachine.EncodeChange(statemachine.Change{AddHost: &h})
 		for b.Loop() {
 			c, err := statemachine.DecodeChange(body)
@@ -99,9 +100,9 @@
 	})
 }
 
-func BenchmarkLead(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Size) {
-		s := e.State()
+func BenchmarkAppointPrimary(b *testing.B) {
+	forEachSize(b, func(b *testing.B, size statesize.Size) {
+		s := size.State()
 		body := statemachine.EncodeChange(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(10).ID, Term: 2}})
 		for b.Loop() {
 			c, err := statemachine.DecodeChange(body)
@@ -112,10 +113,10 @@
 	})
 }
 
-// Each renewal of a lease asks for this.
-func BenchmarkRecalled(b *testing.B) {
-	sizes(b, func(b *testing.B, e statesize.Size) {
-		s := e.State()
+// This is asked for at each renewal of a lease.
+func BenchmarkLatestRevocation(b *testing.B) {
+	forEachSize(b, func(b *testing.B, size statesize.Size) {
+		s := size.State()
 		for b.Loop() {
 			s.LatestRevocation()
 		}
--- a/internal/control/statemachine/config_update.go
+++ b/internal/control/statemachine/config_update.go
@@ -5,117 +5,167 @@
 	"errors"
 	"fmt"
 
-	"github.com/zeebo/blake3"
-
 	"ferrypitch/internal/config"
 )
 
-// ConfigDelta is what the log carries of a configuration beside Base and Amend: the result, whole in Body or as a difference to
-// the configuration that it builds on. Whoever applies it never works out an amendment, so all hold the same bytes.
+// ConfigDelta is what the log carries of an update of the configuration beside BaseVersion and IsAmendment: the result,
+// complete in Body or as a difference to the configuration that it builds on. Whoever applies it never works out an
+// amendment, so all replicas have the same bytes.
 type ConfigDelta struct {
-	RequestDigest [16]byte // digest of the order as it was sent: one that is sent again is known by it
-	BaseDigest    [16]byte // of the configuration that it builds on
-	ResultDigest  [16]byte // of the result
-	Diff          []byte   // see jig.Diff; empty: the result is in Body
+	RequestDigest [digestBytes]byte // of the update as it was sent, by which one that is sent again is known
+	BaseDigest    [digestBytes]byte // of the configuration that it builds on
+	ResultDigest  [digestBytes]byte // of the result
+	Diff          []byte            // see config.Diff; empty: the result is in Body
 }
 
-// snapshotMagic begins a snapshot that carries its digest; no gob stream begins so.
-const snapshotMagic = "\x00rack1"
+// Errors with which a delta or a snapshot is refused.
+var (
+	errDigest          = errors.New("digest mismatch")
+	errNothingToAmend  = errors.New("there is no configuration to amend")
+	errTruncatedVarint = errors.New("truncated number")
+	errTruncatedDigest = errors.New("truncated digest")
+	errTruncatedDiff   = errors.New("truncated difference")
+	errUnknownForm     = errors.New("unknown form")
+)
 
-// configUpdateMarker begins a Configure in the log; no gob stream begins so.
-const configUpdateMarker = 0
+func (c *ConfigUpdate) hasDelta() bool { return c.ResultDigest != [digestBytes]byte{} }
 
-func digestOf(b []byte) (sum [16]byte) {
-	full := blake3.Sum256(b)
-	copy(sum[:], full[:])
-	return sum
+// Delta returns the form in which the log carries an update that CheckConfig accepted, with the configuration that it
+// returned.
+func (s *State) Delta(update *ConfigUpdate, result *config.Config) *ConfigUpdate {
+	delta := &ConfigUpdate{BaseVersion: update.BaseVersion, IsAmendment: update.IsAmendment, Body: result.Body, ConfigDelta: ConfigDelta{
+		RequestDigest: update.RequestID().Digest,
+		BaseDigest:    s.configDigest,
+		ResultDigest:  digestOf(result.Body),
+	}}
+	if s.config == nil {
+		return delta
+	}
+	if diff := config.Diff(s.config, result); len(diff) < len(result.Body) {
+		delta.Body, delta.Diff = nil, diff
+	}
+	return delta
 }
 
-func (c *ConfigUpdate) hasDelta() bool { return c.ResultDigest != [16]byte{} }
+// CheckConfig tries an update of the configuration without applying it. It returns the resulting configuration; nil where
+// the same update was applied before; or a *VersionConflictError or an *InvalidConfigError.
+func (s *State) CheckConfig(update *ConfigUpdate) (*config.Config, error) {
+	if s.wasApplied(update.RequestID()) {
+		return nil, nil
+	}
+	if update.BaseVersion != s.Generation {
+		return nil, &VersionConflictError{InForce: s.Generation, Base: update.BaseVersion}
+	}
+	result, err := s.resultOf(update)
+	if err == nil && result.Generation <= s.Generation {
+		err = fmt.Errorf("field Generation: %d is not above %d", result.Generation, s.Generation)
+	}
+	if err != nil {
+		return nil, &InvalidConfigError{Base: update.BaseVersion, Cause: err}
+	}
+	return result, nil
+}
 
-// Delta is an order, checked here with this plan for a result, as the log is to carry it.
-func (s *State) Delta(c *ConfigUpdate, plan *config.Config) *ConfigUpdate {
-	p := &ConfigUpdate{BaseVersion: c.BaseVersion, IsAmendment: c.IsAmendment, Body: plan.Body, ConfigDelta: ConfigDelta{RequestDigest: c.RequestID().Digest, BaseDigest: s.configDigest, ResultDigest: digestOf(plan.Body)}}
-	if s.config != nil {
-		if d := config.Diff(s.config, plan); len(d) < len(plan.Body) {
-			p.Body, p.Diff = nil, d
-		}
+func (s *State) resultOf(update *ConfigUpdate) (*config.Config, error) {
+	switch {
+	case update.hasDelta():
+		return s.applyDelta(update)
+	case update.IsAmendment && len(s.ConfigBody) == 0:
+		return nil, errNothingToAmend
+	case update.IsAmendment:
+		return s.config.Amend(update.Body)
 	}
-	return p
+	return config.ReadNext(s.config, update.Body)
 }
 
-// diverged says that a change builds on the version that is here, but on other bytes.
-func (s *State) diverged(c *ConfigUpdate) bool {
-	return c.hasDelta() && c.BaseVersion == s.Generation && c.BaseDigest != s.configDigest
+// hasDiverged reports whether an update builds on the version in force, but on other bytes.
+func (s *State) hasDiverged(update *ConfigUpdate) bool {
+	return update.hasDelta() && update.BaseVersion == s.Generation && update.BaseDigest != s.configDigest
 }
 
-// applyDelta makes the result of a packed order. What fails here fails at all that hold the same state.
-func (s *State) applyDelta(c *ConfigUpdate) (*config.Config, error) {
-	body := c.Body
-	if len(c.Diff) > 0 {
+// applyDelta makes the result of an update in the log's form. What fails here fails in every replica.
+func (s *State) applyDelta(update *ConfigUpdate) (*config.Config, error) {
+	body := update.Body
+	if len(update.Diff) > 0 {
 		var err error
-		if body, err = config.Patch(s.ConfigBody, c.Diff); err != nil {
+		if body, err = config.Patch(s.ConfigBody, update.Diff); err != nil {
 			return nil, err
 		}
 	}
-	if digestOf(body) != c.ResultDigest {
-		return nil, errors.New("its digest is another")
+	if digestOf(body) != update.ResultDigest {
+		return nil, errDigest
 	}
 	return config.ReadNext(s.config, body)
 }
 
-func (c *ConfigUpdate) encode(led int64) []byte {
-	b := append(make([]byte, 0, 80+len(c.Body)+len(c.Diff)), configUpdateMarker, 1, 0)
-	if c.IsAmendment {
-		b[2] = 1
+// digestOfResult is the digest of what the update made; applyDelta has checked the one that the update brings.
+func (c *ConfigUpdate) digestOfResult(result *config.Config) [digestBytes]byte {
+	if c.hasDelta() {
+		return c.ResultDigest
 	}
-	b = binary.AppendVarint(binary.AppendVarint(b, led), c.BaseVersion)
-	for _, sum := range [][16]byte{c.RequestDigest, c.BaseDigest, c.ResultDigest} {
-		b = append(b, sum[:]...)
+	return digestOf(result.Body)
+}
+
+// The log's form of an update: the marker, the version of the form, the flag of an amendment, the leader time and the base
+// version as varints, the digests of request, base and result, the length of the difference as an uvarint, the difference,
+// and the body up to the end.
+const (
+	configUpdateMarker  = 0 // no gob stream begins so
+	configUpdateVersion = 1
+	configUpdateHeader  = 3  // bytes of marker, version and flag
+	configUpdateExtra   = 80 // bytes that everything but difference and body usually needs; only sizes the allocation
+)
+
+func (c *ConfigUpdate) encode(ledTimeMs int64) []byte {
+	content := make([]byte, 0, configUpdateExtra+len(c.Body)+len(c.Diff))
+	content = append(content, configUpdateMarker, configUpdateVersion, 0)
+	if c.IsAmendment {
+		content[2] = 1
 	}
-	b = binary.AppendUvarint(b, uint64(len(c.Diff)))
-	return append(append(b, c.Diff...), c.Body...)
+	content = binary.AppendVarint(content, ledTimeMs)
+	content = binary.AppendVarint(content, c.BaseVersion)
+	content = append(content, c.RequestDigest[:]...)
+	content = append(content, c.BaseDigest[:]...)
+	content = append(content, c.ResultDigest[:]...)
+	content = binary.AppendUvarint(content, uint64(len(c.Diff)))
+	content = append(content, c.Diff...)
+	return append(content, c.Body...)
 }
 
-// decodeConfigUpdate refuses what no Configure gives.
-func decodeConfigUpdate(b []byte) (c *ConfigUpdate, led int64, err error) {
-	bad := fmt.Errorf("a configuration of %d bytes in the log: not whole", len(b))
-	if len(b) < 3 || b[1] != 1 || b[2] > 1 {
-		return nil, 0, bad
-	}
-	c = &ConfigUpdate{IsAmendment: b[2] == 1}
-	b = b[3:]
-	for _, v := range []*int64{&led, &c.BaseVersion} {
-		n := 0
-		if *v, n = binary.Varint(b); n <= 0 {
-			return nil, 0, bad
+// decodeConfigUpdate reads what encode writes, and refuses everything else with ErrBadChange.
+func decodeConfigUpdate(content []byte) (update *ConfigUpdate, ledTimeMs int64, err error) {
+	if len(content) < configUpdateHeader || content[1] != configUpdateVersion || content[2] > 1 {
+		return nil, 0, badConfigUpdate(content, errUnknownForm)
+	}
+	update = &ConfigUpdate{IsAmendment: content[2] == 1}
+	rest := content[configUpdateHeader:]
+	for _, number := range []*int64{&ledTimeMs, &update.BaseVersion} {
+		value, size := binary.Varint(rest)
+		if size <= 0 {
+			return nil, 0, badConfigUpdate(content, errTruncatedVarint)
 		}
-		b = b[n:]
+		*number, rest = value, rest[size:]
 	}
-	for _, sum := range []*[16]byte{&c.RequestDigest, &c.BaseDigest, &c.ResultDigest} {
-		if len(b) < 16 {
-			return nil, 0, bad
+	for _, digest := range []*[digestBytes]byte{&update.RequestDigest, &update.BaseDigest, &update.ResultDigest} {
+		if len(rest) < digestBytes {
+			return nil, 0, badConfigUpdate(content, errTruncatedDigest)
 		}
-		*sum, b = [16]byte(b[:16]), b[16:]
+		*digest, rest = [digestBytes]byte(rest[:digestBytes]), rest[digestBytes:]
 	}
-	size, n := binary.Uvarint(b)
-	if n <= 0 || size > uint64(len(b)-n) {
-		return nil, 0, bad
+	diffBytes, size := binary.Uvarint(rest)
+	if size <= 0 || diffBytes > uint64(len(rest)-size) {
+		return nil, 0, badConfigUpdate(content, errTruncatedDiff)
 	}
-	b = b[n:]
-	if size > 0 {
-		c.Diff = b[:size:size]
+	rest = rest[size:]
+	if diffBytes > 0 {
+		update.Diff = rest[:diffBytes:diffBytes]
 	}
-	if rest := b[size:]; len(rest) > 0 {
-		c.Body = rest
+	if body := rest[diffBytes:]; len(body) > 0 {
+		update.Body = body
 	}
-	return c, led, nil
+	return update, ledTimeMs, nil
 }
 
-// resultDigest is the digest of what a change made, which unpack has checked where the change brings it.
-func resultDigest(c *ConfigUpdate, plan *config.Config) [16]byte {
-	if c.hasDelta() {
-		return c.ResultDigest
-	}
-	return digestOf(plan.Body)
+func badConfigUpdate(content []byte, cause error) error {
+	return fmt.Errorf("%w: update of the configuration, %d bytes: %w", ErrBadChange, len(content), cause)
 }
--- a/internal/control/statemachine/retention.go
+++ b/internal/control/statemachine/retention.go
@@ -1,113 +1,151 @@
 package statemachine
 
 import (
+	"cmp"
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"slices"
 	"sort"
 
 	"github.com/zeebo/blake3"
 )
 
-// What is remembered of the past, so that a call that comes again or late finds its answer: the orders that were taken,
-// and the hosts that left. Both go by led time, in milliseconds: each leader stamps what it proposes with the last
-// stamp of the log and its own steady clock's time since it began to lead. It stands still while nobody leads and after
-// what a leader proposed last, so it never runs ahead of the time that has passed, and is the same for all who apply the log.
+// What is remembered of the past, so that a request that is sent again, or an announcement that comes late, is recognised:
+// the updates of the configuration that were applied, and the hosts that were removed.
+//
+// Both are forgotten by leader time: each leader stamps what it proposes with the last stamp of the log, plus the time on its
+// monotonic clock since it began to lead. It stands still while there is no leader, and what passed after a leader's last
+// proposal is lost. So it never runs ahead of the time that has passed, and it is the same for all who apply the log.
 const (
-	RetentionMs = 15 * 60 * 1000 // led time for which all are remembered
-	MinRetained = 1 << 10        // the newest, remembered whatever their age
-	MaxRetained = 1 << 15        // never more: one each 27 ms for all of Remembered, or the oldest go before their time
+	RetentionMs = 15 * 60 * 1000 // milliseconds of leader time for which everything is remembered
+	MinRetained = 1 << 10        // of the newest, remembered whatever their age
+	MaxRetained = 1 << 15        // one every 27 ms for all of RetentionMs; of more, the oldest are forgotten before their time
 )
 
-// RequestID is what makes an order sent again the same order: the version it builds on and the body as sent.
+// RequestID identifies an update of the configuration that may be sent more than once.
 type RequestID struct {
-	BaseVersion int64
-	Digest      [16]byte
+	BaseVersion int64             // the version that it builds on
+	Digest      [digestBytes]byte // of the body as it was sent
 }
 
-// RequestID of an order. It does not hang on how the log carries the change.
+// amendmentPrefix tells the digest of an amendment from that of a configuration with the same bytes. No valid body begins so.
+const amendmentPrefix = 1
+
+// RequestID returns the update's identity, which does not depend on the form in which the log carries it.
 func (c *ConfigUpdate) RequestID() RequestID {
 	if c.hasDelta() {
 		return RequestID{c.BaseVersion, c.RequestDigest}
 	}
-	h := blake3.New()
+	hash := blake3.New()
 	if c.IsAmendment {
-		h.Write([]byte{1}) // no body that can be read begins so
+		hash.Write([]byte{amendmentPrefix})
 	}
-	h.Write(c.Body)
+	hash.Write(c.Body)
 	id := RequestID{BaseVersion: c.BaseVersion}
-	copy(id.Digest[:], h.Sum(nil))
+	copy(id.Digest[:], hash.Sum(nil))
 	return id
 }
 
-// AppliedUpdate notes an order that was taken. Versions only rise, so each base is built on once at most.
+// AppliedUpdate notes an update of the configuration that was applied. Versions only rise, so at most one builds on each.
 type AppliedUpdate struct {
 	RequestID
-	LedTimeMs int64 // led time
+	LedTimeMs int64 // leader time
 }
 
-// RemovedHost notes a host that left. Its id is not used again, so a beat of it is one that comes late.
+// RemovedHost notes a host that was removed. Its id is not used again, so an announcement by it is one that comes late.
 type RemovedHost struct {
 	ID        string
-	LedTimeMs int64 // led time
+	LedTimeMs int64 // leader time
 }
 
-func (s *State) alreadyApplied(id RequestID) bool {
-	i := sort.Search(len(s.AppliedUpdates), func(i int) bool { return s.AppliedUpdates[i].BaseVersion >= id.BaseVersion })
-	return i < len(s.AppliedUpdates) && s.AppliedUpdates[i].RequestID == id
+func (s *State) wasApplied(id RequestID) bool {
+	place, found := slices.BinarySearchFunc(s.AppliedUpdates, id.BaseVersion, func(update AppliedUpdate, base int64) int {
+		return cmp.Compare(update.BaseVersion, base)
+	})
+	return found && s.AppliedUpdates[place].RequestID == id
 }
 
 func (s *State) wasRemoved(id string) bool {
-	return slices.ContainsFunc(s.RemovedHosts, func(d RemovedHost) bool { return d.ID == id })
+	return slices.ContainsFunc(s.RemovedHosts, func(removed RemovedHost) bool { return removed.ID == id })
 }
 
-// retain is the rule: all of the newest Remembered of led time, Least at least, Most at most.
-func retain[T any](all []T, at func(T) int64, led int64) []T {
-	old := sort.Search(len(all), func(i int) bool { return at(all[i]) >= led-RetentionMs })
-	return all[max(min(old, len(all)-MinRetained), len(all)-MaxRetained, 0):]
+// retain returns what is still remembered at a leader time, of notes of which the newest is last: all of the last
+// RetentionMs, at least MinRetained, at most MaxRetained.
+func retain[T any](notes []T, timeOf func(T) int64, nowMs int64) []T {
+	recent := sort.Search(len(notes), func(place int) bool { return timeOf(notes[place]) >= nowMs-RetentionMs })
+	first := max(min(recent, len(notes)-MinRetained), len(notes)-MaxRetained, 0)
+	return notes[first:]
 }
 
 func (s *State) recordUpdate(id RequestID) {
-	s.AppliedUpdates = retain(append(s.AppliedUpdates, AppliedUpdate{id, s.LedTimeMs}), func(t AppliedUpdate) int64 { return t.LedTimeMs }, s.LedTimeMs)
+	updates := append(s.AppliedUpdates, AppliedUpdate{id, s.LedTimeMs})
+	s.AppliedUpdates = retain(updates, func(update AppliedUpdate) int64 { return update.LedTimeMs }, s.LedTimeMs)
 }
 
 func (s *State) recordRemoval(id string) {
-	s.RemovedHosts = retain(append(s.RemovedHosts, RemovedHost{id, s.LedTimeMs}), func(d RemovedHost) int64 { return d.LedTimeMs }, s.LedTimeMs)
+	removed := append(s.RemovedHosts, RemovedHost{id, s.LedTimeMs})
+	s.RemovedHosts = retain(removed, func(host RemovedHost) int64 { return host.LedTimeMs }, s.LedTimeMs)
 }
 
-// encodeAppliedUpdates writes orders as steps from one to the next: some 20 bytes each.
-func encodeAppliedUpdates(all []AppliedUpdate) (b []byte) {
-	var last AppliedUpdate
-	for _, t := range all {
-		b = binary.AppendUvarint(b, uint64(t.BaseVersion-last.BaseVersion))
-		b = binary.AppendUvarint(b, uint64(t.LedTimeMs-last.LedTimeMs))
-		b = append(b, t.Digest[:]...)
-		last = t
+// encodeAppliedUpdates writes each update as its difference to the one before: base version and leader time as uvarints, and
+// the digest; some 20 bytes.
+func encodeAppliedUpdates(updates []AppliedUpdate) (content []byte) {
+	var previous AppliedUpdate
+	for _, update := range updates {
+		content = binary.AppendUvarint(content, uint64(update.BaseVersion-previous.BaseVersion))
+		content = binary.AppendUvarint(content, uint64(update.LedTimeMs-previous.LedTimeMs))
+		content = append(content, update.Digest[:]...)
+		previous = update
 	}
-	return b
+	return content
 }
 
-var errBadAppliedUpdates = errors.New("a snapshot: its orders")
+// Errors of decodeAppliedUpdates.
+var (
+	errTruncatedUpdates = errors.New("truncated")
+	errUpdateOrder      = errors.New("not in order")
+	errTooManyUpdates   = fmt.Errorf("more than %d", MaxRetained)
+)
 
-func decodeAppliedUpdates(b []byte) (all []AppliedUpdate, err error) {
-	var t AppliedUpdate
-	for len(b) > 0 {
-		base, n := binary.Uvarint(b)
-		if n <= 0 {
-			return nil, errBadAppliedUpdates
-		}
-		at, m := binary.Uvarint(b[n:])
-		if m <= 0 || len(b) < n+m+len(t.Digest) {
-			return nil, errBadAppliedUpdates
+// decodeAppliedUpdates reads what encodeAppliedUpdates wrote.
+func decodeAppliedUpdates(content []byte) (updates []AppliedUpdate, err error) {
+	var previous AppliedUpdate
+	for len(content) > 0 {
+		update, size := decodeAppliedUpdate(content, previous)
+		switch {
+		case size == 0:
+			return nil, errTruncatedUpdates
+		case !isNext(update, previous, len(updates) == 0):
+			return nil, errUpdateOrder
+		case len(updates) == MaxRetained:
+			return nil, errTooManyUpdates
 		}
-		first := len(all) == 0
-		was := t
-		t.BaseVersion, t.LedTimeMs = t.BaseVersion+int64(base), t.LedTimeMs+int64(at)
-		if t.BaseVersion < was.BaseVersion || t.BaseVersion == was.BaseVersion && !first || t.LedTimeMs < was.LedTimeMs || len(all) == MaxRetained {
-			return nil, errBadAppliedUpdates
-		}
-		copy(t.Digest[:], b[n+m:])
-		b, all = b[n+m+len(t.Digest):], append(all, t)
+		updates = append(updates, update)
+		content, previous = content[size:], update
+	}
+	return updates, nil
+}
+
+// decodeAppliedUpdate reads one update behind another. size is 0 where there is none that is complete.
+func decodeAppliedUpdate(content []byte, previous AppliedUpdate) (update AppliedUpdate, size int) {
+	versions, versionBytes := binary.Uvarint(content)
+	if versionBytes <= 0 {
+		return update, 0
+	}
+	elapsedMs, timeBytes := binary.Uvarint(content[versionBytes:])
+	numberBytes := versionBytes + timeBytes
+	if timeBytes <= 0 || len(content) < numberBytes+digestBytes {
+		return update, 0
 	}
-	return all, nil
+	update.BaseVersion = previous.BaseVersion + int64(versions)
+	update.LedTimeMs = previous.LedTimeMs + int64(elapsedMs)
+	copy(update.Digest[:], content[numberBytes:])
+	return update, numberBytes + digestBytes
+}
+
+// isNext reports whether an update may follow another; a sum that overflowed may not. The first may build on version 0.
+func isNext(update, previous AppliedUpdate, isFirst bool) bool {
+	return update.LedTimeMs >= previous.LedTimeMs &&
+		(update.BaseVersion > previous.BaseVersion || isFirst && update.BaseVersion == previous.BaseVersion)
 }
--- a/internal/control/statemachine/retention_test.go
+++ b/internal/control/statemachine/retention_test.go
@@ -7,28 +7,28 @@
 	"github.com/stretchr/testify/require"
 )
 
-// storm takes orders, each so many milliseconds after the one before, with snapshots between.
-func storm(t testing.TB, s *State, orders int, every int64) (*State, []ConfigUpdate) {
-	var all []ConfigUpdate
-	for i := range orders {
-		c := ConfigUpdate{BaseVersion: s.Generation, Body: configBody(int(s.Generation)+1+i%3, fmt.Sprint("h", i))}
-		require.NoError(t, s.Apply(s.Index+1, Change{LedTimeMs: s.LedTimeMs + every, UpdateConfig: &c}))
-		all = append(all, c)
+// applyBurst applies updates, each intervalMs after the one before, with snapshots in between.
+func applyBurst(t testing.TB, state *State, count int, intervalMs int64) (*State, []ConfigUpdate) {
+	var updates []ConfigUpdate
+	for i := range count {
+		update := ConfigUpdate{BaseVersion: state.Generation, Body: configBody(int(state.Generation)+1+i%3, fmt.Sprint("h", i))}
+		require.NoError(t, state.Apply(state.Index+1, Change{LedTimeMs: state.LedTimeMs + intervalMs, UpdateConfig: &update}))
+		updates = append(updates, update)
 		if i%500 == 7 {
 			var err error
-			s, err = Restore(s.Snapshot())
+			state, err = Restore(state.Snapshot())
 			require.NoError(t, err)
 		}
 	}
-	return s, all
+	return state, updates
 }
 
-func TestAllOrdersOfAStormAreTakenOnce(t *testing.T) {
-	s, all := storm(t, &State{}, 2000, 60)
+func TestEachUpdateOfABurstIsAppliedOnce(t *testing.T) {
+	s, all := applyBurst(t, &State{}, 2000, 60)
 	for i := range all {
-		plan, err := s.CheckConfig(&all[i])
-		require.NoError(t, err, "order %d of %d", i, len(all))
-		require.Nil(t, plan)
+		result, err := s.CheckConfig(&all[i])
+		require.NoError(t, err, "update %d of %d", i, len(all))
+		require.Nil(t, result)
 		other := all[i]
 		other.Body = append([]byte(" "), other.Body...)
 		_, err = s.CheckConfig(&other)
@@ -38,18 +38,18 @@
 		_, err = s.CheckConfig(&other)
 		require.ErrorIs(t, err, ErrVersionConflict, "another call")
 	}
-	bytes := len(encodeAppliedUpdates(s.AppliedUpdates))
-	t.Logf("%d orders are remembered in %d bytes, of a snapshot of %d", len(s.AppliedUpdates), bytes, len(s.Snapshot()))
-	require.Less(t, bytes, 2000*22)
+	encodedBytes := len(encodeAppliedUpdates(s.AppliedUpdates))
+	t.Logf("%d updates are remembered in %d bytes, of a snapshot of %d", len(s.AppliedUpdates), encodedBytes, len(s.Snapshot()))
+	require.Less(t, encodedBytes, 2000*22)
 }
 
-// What is remembered goes by led time, and never is less than the newest Least, nor more than Most.
-func TestOrdersAreForgottenByLedTime(t *testing.T) {
-	s, all := storm(t, &State{}, MinRetained+10, 0)
-	s, late := storm(t, s, 1, RetentionMs-2)
+// Updates are remembered for RetentionMs of leader time, but never fewer than MinRetained nor more than MaxRetained.
+func TestUpdatesAreForgottenByLeaderTime(t *testing.T) {
+	s, all := applyBurst(t, &State{}, MinRetained+10, 0)
+	s, late := applyBurst(t, s, 1, RetentionMs-2)
 	_, err := s.CheckConfig(&all[9])
 	require.NoError(t, err, "within the time")
-	s, _ = storm(t, s, 3, 3)
+	s, _ = applyBurst(t, s, 3, 3)
 	_, err = s.CheckConfig(&all[9])
 	require.ErrorIs(t, err, ErrVersionConflict, "older, and not among the newest")
 	_, err = s.CheckConfig(&all[MinRetained+9])
@@ -58,10 +58,10 @@
 	require.NoError(t, err)
 	led := s.LedTimeMs
 	require.NoError(t, s.Apply(s.Index+1, Change{LedTimeMs: 5, Proxy: &ProxyMembership{Node: "r"}}))
-	require.Equal(t, led, s.LedTimeMs, "led time never goes back")
+	require.Equal(t, led, s.LedTimeMs, "leader time never goes back")
 }
 
-func TestMemoryIsBoundedWhateverThePace(t *testing.T) {
+func TestRetentionIsBounded(t *testing.T) {
 	s := &State{}
 	for i := range int64(MaxRetained + 100) {
 		s.LedTimeMs++
@@ -70,13 +70,13 @@
 	}
 	require.Len(t, s.AppliedUpdates, MaxRetained)
 	require.Len(t, s.RemovedHosts, MaxRetained)
-	require.LessOrEqual(t, len(encodeAppliedUpdates(s.AppliedUpdates)), 32*MaxRetained, "the most in bytes, as the page has it")
-	require.True(t, s.alreadyApplied(RequestID{BaseVersion: MaxRetained + 99}))
-	require.False(t, s.alreadyApplied(RequestID{BaseVersion: 99}))
+	require.LessOrEqual(t, len(encodeAppliedUpdates(s.AppliedUpdates)), 32*MaxRetained, "the bound in bytes that the documentation states")
+	require.True(t, s.wasApplied(RequestID{BaseVersion: MaxRetained + 99}))
+	require.False(t, s.wasApplied(RequestID{BaseVersion: 99}))
 }
 
-// A beat that comes after its host's leave brings nobody back, however many left since.
-func TestAHostThatLeftStaysAway(t *testing.T) {
+// An announcement that comes after its host was removed does not add it again, however many were removed since.
+func TestRemovedHostIsNotAddedAgain(t *testing.T) {
 	s := &State{}
 	do := func(led int64, c Change) error { c.LedTimeMs = s.LedTimeMs + led; return s.Apply(s.Index+1, c) }
 	enter := func(id, address string) Change {
@@ -96,11 +96,11 @@
 	}
 	require.NoError(t, do(1, enter("new", "1.1.1.1:1")))
 	require.ErrorIs(t, do(1, enter("first", "1.1.1.1:1")), ErrNotFound)
-	require.Contains(t, s.Hosts, "new", "whoever is at its address stays")
+	require.Contains(t, s.Hosts, "new", "the host that is at its address now stays")
 	require.NotContains(t, s.Hosts, "first")
 }
 
-func TestOrdersOfASnapshotThatDoNotFitAreRefused(t *testing.T) {
+func TestInvalidAppliedUpdatesAreRejected(t *testing.T) {
 	good := []AppliedUpdate{{RequestID{BaseVersion: 3, Digest: [16]byte{1}}, 5}, {RequestID{BaseVersion: 900, Digest: [16]byte{2}}, 5}}
 	b := encodeAppliedUpdates(good)
 	back, err := decodeAppliedUpdates(b)
@@ -130,7 +130,7 @@
 	}
 }
 
-func FuzzUnpackTaken(f *testing.F) {
+func FuzzDecodeAppliedUpdates(f *testing.F) {
 	f.Add([]byte{})
 	f.Add(encodeAppliedUpdates([]AppliedUpdate{{RequestID{BaseVersion: 0, Digest: [16]byte{7}}, 0}, {RequestID{BaseVersion: 1 << 62}, 1 << 40}}))
 	f.Add([]byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 0})
@@ -144,7 +144,7 @@
 		require.Equal(t, all, again)
 		s := &State{AppliedUpdates: all}
 		for _, t := range all {
-			s.alreadyApplied(t.RequestID)
+			s.wasApplied(t.RequestID)
 		}
 	})
 }
--- a/internal/control/statemachine/state_test.go
+++ b/internal/control/statemachine/state_test.go
@@ -13,7 +13,7 @@
 	return fmt.Appendf(nil, `{"Generation":%d,"Routes":[{"Name":"r","Host":%q,"Kind":"leader","DeadlineMs":9,"Service":"s"}],"Services":[{"Name":"s"}]}`, generation, host)
 }
 
-func TestOfTwoChangesOnOneVersionOneWinsAndALostAnswerIsFoundAgain(t *testing.T) {
+func TestConcurrentUpdatesConflictAndResentOnesAreRecognised(t *testing.T) {
 	s := &State{}
 	first := ConfigUpdate{BaseVersion: 0, Body: configBody(3, "a")}
 	require.NoError(t, s.Apply(1, Change{UpdateConfig: &first}))
@@ -21,9 +21,9 @@
 	require.NoError(t, s.Apply(2, Change{UpdateConfig: &one}))
 	require.ErrorIs(t, s.Apply(3, Change{UpdateConfig: &other}), ErrVersionConflict)
 	require.EqualValues(t, 5, s.Generation)
-	plan, err := s.CheckConfig(&first) // sent again after an answer was lost, and after others
+	result, err := s.CheckConfig(&first) // sent again after its answer was lost, and after other updates
 	require.NoError(t, err)
-	require.Nil(t, plan)
+	require.Nil(t, result)
 	_, err = s.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: configBody(5, "d")})
 	require.ErrorIs(t, err, ErrInvalid)
 	_, err = s.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: []byte("{")})
@@ -32,13 +32,13 @@
 	require.ErrorIs(t, err, ErrInvalid)
 }
 
-func TestAFenceRisesWithEachHolderAndALeadIsNotedOnce(t *testing.T) {
+func TestFencingTokenRisesWithEachOwner(t *testing.T) {
 	s := &State{}
 	require.NoError(t, s.Apply(1, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h0", Term: 1}}))
 	require.NoError(t, s.Apply(2, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
 	require.NoError(t, s.Apply(3, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
 	require.EqualValues(t, 2, s.Primaries["db"].FencingToken)
-	require.EqualValues(t, 2, s.Primaries["db"].ChangedAt, "what was taken back once is handed back once")
+	require.EqualValues(t, 2, s.Primaries["db"].ChangedAt, "a primary that is revoked already is not revoked again")
 	require.NoError(t, s.Apply(4, Change{RevokePrimary: &RevokePrimary{"db", "b"}}))
 	require.EqualValues(t, 4, s.Primaries["db"].FencingToken)
 	require.NoError(t, s.Apply(5, Change{NominatePrimary: &NominatePrimary{"db", "h1", "b"}}))
@@ -52,8 +52,8 @@
 	require.True(t, errors.Is(s.Apply(10, Change{DrainHost: "nobody"}), ErrNotFound))
 }
 
-// What a replica that left may alone have had is owed until its log is elsewhere.
-func TestAReplicaThatLeavesIsOwedUntilItsLogIsElsewhere(t *testing.T) {
+// A replica that was removed may be the only one that received a write, until its log is known to be elsewhere.
+func TestRemovedReplicaIsUnaccountedUntilItsLogIsElsewhere(t *testing.T) {
 	s := &State{}
 	enter := func(i uint64, id, address string) {
 		require.NoError(t, s.Apply(i, Change{AddHost: &Host{ID: id, Service: "db", Address: address}}))
@@ -72,15 +72,15 @@
 	require.NoError(t, err)
 	require.Equal(t, s.UnaccountedHostIDs("db"), again.UnaccountedHostIDs("db"))
 	require.NoError(t, s.Apply(10, Change{MarkMissing: "h2"}))
-	require.Empty(t, s.UnaccountedHostIDs("db"), "others have reached it")
+	require.Empty(t, s.UnaccountedHostIDs("db"), "other hosts have all of its log")
 	enter(11, "h5", "1.1.1.1:3")
-	require.NotContains(t, s.Hosts, "h3", "one whose address is used again has ended, whether it could say so or not")
-	require.Error(t, s.Apply(12, Change{AddHost: &Host{ID: "h3", Service: "db", Address: "1.1.1.1:3"}}), "a beat that came late")
+	require.NotContains(t, s.Hosts, "h3", "a host whose address is used again has ended, whether it could say so or not")
+	require.Error(t, s.Apply(12, Change{AddHost: &Host{ID: "h3", Service: "db", Address: "1.1.1.1:3"}}), "an announcement that came late")
 	require.Contains(t, s.Hosts, "h5")
 }
 
-// Members that apply the same changes hold the same, wherever each took a snapshot.
-func TestSnapshotsStandForAllBefore(t *testing.T) {
+// Replicas that apply the same changes have the same state, wherever one of them was restored from a snapshot.
+func TestReplicasAgreeAcrossSnapshots(t *testing.T) {
 	for seed := range 200 {
 		chance := rand.New(rand.NewPCG(uint64(seed), 1))
 		a, b := &State{}, &State{}
@@ -107,7 +107,7 @@
 			require.NoError(t, err)
 			wantErr, gotErr := a.Apply(uint64(i), c), b.Apply(uint64(i), decoded)
 			require.Equal(t, wantErr == nil, gotErr == nil)
-			require.NoError(t, b.Apply(uint64(i), Change{RemoveHost: "h0"}), "what was applied is passed over")
+			require.NoError(t, b.Apply(uint64(i), Change{RemoveHost: "h0"}), "a change that was applied already is ignored")
 			if chance.IntN(5) == 0 {
 				b, err = Restore(b.Snapshot())
 				require.NoError(t, err)
@@ -118,13 +118,73 @@
 	}
 }
 
-func FuzzDecode(f *testing.F) {
+func FuzzDecodeChangeAndRestore(f *testing.F) {
 	f.Add(EncodeChange(Change{RemoveHost: "x"}))
 	f.Add((&State{Generation: 3}).Snapshot())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if c, err := DecodeChange(b); err == nil {
-			(&State{}).Apply(1, c)
+		if change, err := DecodeChange(b); err == nil {
+			if err := (&State{}).Apply(1, change); err != nil && !isKnownReason(err) {
+				t.Fatalf("a change is refused without a reason of this package: %v", err)
+			}
+		} else if !errors.Is(err, ErrBadChange) {
+			t.Fatalf("not an ErrBadChange: %v", err)
+		}
+		if _, err := Restore(b); err != nil && !errors.Is(err, ErrBadSnapshot) {
+			t.Fatalf("not an ErrBadSnapshot: %v", err)
 		}
-		Restore(b)
 	})
 }
+
+func isKnownReason(err error) bool {
+	return errors.Is(err, ErrVersionConflict) || errors.Is(err, ErrInvalid) || errors.Is(err, ErrNotFound) || errors.Is(err, ErrDiverged)
+}
+
+// An error is of one kind, and says about what it is.
+func TestErrorsNameTheirSubject(t *testing.T) {
+	state := &State{}
+	applyUpdate(t, state, ConfigUpdate{Body: configBody(3, "a")})
+	require.NoError(t, state.Apply(2, Change{AddHost: &Host{ID: "h1", Service: "s", Address: "1.1.1.1:1"}}))
+	require.NoError(t, state.Apply(3, Change{RemoveHost: "h1"}))
+
+	var conflict *VersionConflictError
+	err := state.Apply(4, Change{UpdateConfig: &ConfigUpdate{BaseVersion: 2, Body: configBody(9, "b")}})
+	require.ErrorAs(t, err, &conflict)
+	require.ErrorIs(t, err, ErrVersionConflict)
+	require.NotErrorIs(t, err, ErrInvalid)
+	require.Equal(t, VersionConflictError{InForce: 3, Base: 2}, *conflict)
+	require.EqualError(t, err, "version conflict: version 3 is in force, the update builds on 2")
+
+	var invalid *InvalidConfigError
+	err = state.Apply(5, Change{UpdateConfig: &ConfigUpdate{BaseVersion: 3, Body: configBody(3, "b")}})
+	require.ErrorAs(t, err, &invalid)
+	require.ErrorIs(t, err, ErrInvalid)
+	require.EqualValues(t, 3, invalid.Base)
+	require.ErrorContains(t, err, "Generation: 3 is not above 3")
+
+	var host *HostError
+	for i, c := range []struct {
+		change Change
+		want   HostError
+	}{
+		{Change{AddHost: &Host{ID: "h1"}}, HostError{Host: "h1", Removed: true}},
+		{Change{DrainHost: "h2"}, HostError{Host: "h2"}},
+	} {
+		err := state.Apply(uint64(6+i), c.change)
+		require.ErrorAs(t, err, &host)
+		require.ErrorIs(t, err, ErrNotFound)
+		require.Equal(t, c.want, *host)
+		require.ErrorContains(t, err, c.want.Host)
+	}
+
+	var diverged *DivergedError
+	other := &State{}
+	applyUpdate(t, other, ConfigUpdate{Body: configBody(3, "other")})
+	update := ConfigUpdate{BaseVersion: 3, Body: configBody(4, "other")}
+	result, err := other.CheckConfig(&update)
+	require.NoError(t, err)
+	err = state.Apply(8, Change{UpdateConfig: other.Delta(&update, result)})
+	require.ErrorAs(t, err, &diverged)
+	require.ErrorIs(t, err, ErrDiverged)
+	require.Equal(t, DivergedError{Index: 8, Version: 3}, *diverged)
+	require.EqualValues(t, 7, state.Index)
+}
--- a/internal/control/statemachine/stored.go
+++ b/internal/control/statemachine/stored.go
@@ -1,83 +1,170 @@
 package statemachine
 
-import "ferrypitch/internal/control/statemachine/diskformat"
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+
+	"ferrypitch/internal/control/statemachine/diskformat"
+)
+
+// errPairs says that a list of keys and the list of their values differ in length.
+var errPairs = errors.New("keys without values")
+
+// stateToStored gives the stored form of the state; its maps become lists in the order of their keys.
+func stateToStored(s *State) diskformat.State {
+	stored := diskformat.State{
+		Index: s.Index, Config: s.ConfigBody, Gen: s.Generation, Led: s.LedTimeMs,
+		Orders: encodeAppliedUpdates(s.AppliedUpdates), Took: s.LastPromotionMs,
+	}
+	for _, removed := range s.RemovedHosts {
+		stored.Left = append(stored.Left, removedHostToStored(removed))
+	}
+	for _, id := range slices.Sorted(maps.Keys(s.Hosts)) {
+		stored.Hosts = append(stored.Hosts, hostToStored(s.Hosts[id]))
+	}
+	for _, service := range slices.Sorted(maps.Keys(s.Primaries)) {
+		stored.Names = append(stored.Names, service)
+		stored.Leads = append(stored.Leads, primaryToStored(s.Primaries[service]))
+	}
+	for _, id := range slices.Sorted(maps.Keys(s.UnaccountedHosts)) {
+		stored.Owed = append(stored.Owed, hostToStored(s.UnaccountedHosts[id]))
+	}
+	for _, name := range s.ProxyNames() {
+		stored.Routers = append(stored.Routers, name)
+		stored.Since = append(stored.Since, s.Proxies[name])
+	}
+	return stored
+}
+
+// stateFromStored is the state without the configuration that its body stands for.
+func stateFromStored(stored diskformat.State) (*State, error) {
+	if len(stored.Names) != len(stored.Leads) || len(stored.Routers) != len(stored.Since) {
+		return nil, fmt.Errorf("%d services, %d primaries, %d proxies, %d indices: %w",
+			len(stored.Names), len(stored.Leads), len(stored.Routers), len(stored.Since), errPairs)
+	}
+	updates, err := decodeAppliedUpdates(stored.Orders)
+	if err != nil {
+		return nil, fmt.Errorf("applied updates: %w", err)
+	}
+	s := &State{
+		Index: stored.Index, ConfigBody: stored.Config, Generation: stored.Gen, LedTimeMs: stored.Led,
+		AppliedUpdates: updates, LastPromotionMs: stored.Took,
+	}
+	for _, removed := range stored.Left {
+		s.RemovedHosts = append(s.RemovedHosts, removedHostFromStored(removed))
+	}
+	for _, host := range stored.Hosts {
+		s.putHost(hostFromStored(host))
+	}
+	for _, host := range stored.Owed {
+		s.putUnaccountedHost(hostFromStored(host))
+	}
+	for place, service := range stored.Names {
+		s.putPrimary(service, primaryFromStored(stored.Leads[place]))
+	}
+	for place, name := range stored.Routers {
+		s.putProxy(name, stored.Since[place])
+	}
+	return s, nil
+}
 
 func hostToStored(h Host) diskformat.Host {
-	return diskformat.Host{ID: h.ID, Service: h.Service, Address: h.Address, Zone: h.Zone, Generation: h.Generation,
-		Capacity: h.Capacity, Draining: h.Draining, Missing: h.Missing, Since: h.AddedAt}
+	return diskformat.Host{
+		ID: h.ID, Service: h.Service, Address: h.Address, Zone: h.Zone, Generation: h.Generation,
+		Capacity: h.Capacity, Draining: h.Draining, Missing: h.Missing, Since: h.AddedAt,
+	}
 }
 
-func hostFromStored(s diskformat.Host) Host {
-	return Host{ID: s.ID, Service: s.Service, Address: s.Address, Zone: s.Zone, Generation: s.Generation,
-		Capacity: s.Capacity, Draining: s.Draining, Missing: s.Missing, AddedAt: s.Since}
+func hostFromStored(stored diskformat.Host) Host {
+	return Host{
+		ID: stored.ID, Service: stored.Service, Address: stored.Address, Zone: stored.Zone, Generation: stored.Generation,
+		Capacity: stored.Capacity, Draining: stored.Draining, Missing: stored.Missing, AddedAt: stored.Since,
+	}
 }
 
-func primaryToStored(l Primary) diskformat.Lead {
-	return diskformat.Lead{Host: l.Host, Term: l.Term, Moving: l.Revoked, Fence: l.FencingToken, Holder: l.Owner, At: l.ChangedAt, To: l.Nominee,
-		Paused: l.ReplicasPaused}
+func primaryToStored(p Primary) diskformat.Lead {
+	return diskformat.Lead{
+		Host: p.Host, Term: p.Term, Moving: p.Revoked, Fence: p.FencingToken, Holder: p.Owner,
+		At: p.ChangedAt, To: p.Nominee, Paused: p.ReplicasPaused,
+	}
 }
 
-func primaryFromStored(s diskformat.Lead) Primary {
-	return Primary{Host: s.Host, Term: s.Term, Revoked: s.Moving, FencingToken: s.Fence, Owner: s.Holder, ChangedAt: s.At, Nominee: s.To,
-		ReplicasPaused: s.Paused}
+func primaryFromStored(stored diskformat.Lead) Primary {
+	return Primary{
+		Host: stored.Host, Term: stored.Term, Revoked: stored.Moving, FencingToken: stored.Fence, Owner: stored.Holder,
+		ChangedAt: stored.At, Nominee: stored.To, ReplicasPaused: stored.Paused,
+	}
 }
 
-func removedHostToStored(d RemovedHost) diskformat.Departure {
-	return diskformat.Departure{ID: d.ID, At: d.LedTimeMs}
+func removedHostToStored(removed RemovedHost) diskformat.Departure {
+	return diskformat.Departure{ID: removed.ID, At: removed.LedTimeMs}
 }
 
-func removedHostFromStored(s diskformat.Departure) RemovedHost {
-	return RemovedHost{ID: s.ID, LedTimeMs: s.At}
+func removedHostFromStored(stored diskformat.Departure) RemovedHost {
+	return RemovedHost{ID: stored.ID, LedTimeMs: stored.At}
 }
 
-func configUpdateFromStored(s diskformat.Configure) ConfigUpdate {
-	return ConfigUpdate{BaseVersion: s.Base, IsAmendment: s.Amend, Body: s.Body,
-		ConfigDelta: ConfigDelta{RequestDigest: s.Packed.Sent, BaseDigest: s.Packed.Was, ResultDigest: s.Packed.Whole, Diff: s.Packed.Diff}}
+// configUpdateFromStored reads the form of logs that are older than the one that encode writes.
+func configUpdateFromStored(stored diskformat.Configure) ConfigUpdate {
+	return ConfigUpdate{BaseVersion: stored.Base, IsAmendment: stored.Amend, Body: stored.Body, ConfigDelta: ConfigDelta{
+		RequestDigest: stored.Packed.Sent,
+		BaseDigest:    stored.Packed.Was,
+		ResultDigest:  stored.Packed.Whole,
+		Diff:          stored.Packed.Diff,
+	}}
 }
 
-// changeToStored gives the stored form of a change. One of the configuration has a form of its own; see encode.
-func changeToStored(c Change) diskformat.Change {
-	s := diskformat.Change{Led: c.LedTimeMs, Drain: c.DrainHost, Leave: c.RemoveHost, Missing: c.MarkMissing, Resumed: c.ReplicationResumed}
-	if c.AddHost != nil {
-		h := hostToStored(*c.AddHost)
-		s.Enter = &h
+// changeToStored gives the stored form of a change that is not an update of the configuration; see ConfigUpdate.encode.
+func changeToStored(change Change) diskformat.Change {
+	stored := diskformat.Change{
+		Led: change.LedTimeMs, Drain: change.DrainHost, Leave: change.RemoveHost,
+		Missing: change.MarkMissing, Resumed: change.ReplicationResumed,
+	}
+	if host := change.AddHost; host != nil {
+		storedHost := hostToStored(*host)
+		stored.Enter = &storedHost
 	}
-	if c.RevokePrimary != nil {
-		s.Recall = &diskformat.Recall{Service: c.RevokePrimary.Service, Holder: c.RevokePrimary.Owner}
+	if revoke := change.RevokePrimary; revoke != nil {
+		stored.Recall = &diskformat.Recall{Service: revoke.Service, Holder: revoke.Owner}
 	}
-	if c.NominatePrimary != nil {
-		s.Named = &diskformat.Named{Service: c.NominatePrimary.Service, Host: c.NominatePrimary.Host, Holder: c.NominatePrimary.Owner}
+	if nominate := change.NominatePrimary; nominate != nil {
+		stored.Named = &diskformat.Named{Service: nominate.Service, Host: nominate.Host, Holder: nominate.Owner}
 	}
-	if c.AppointPrimary != nil {
-		s.Lead = &diskformat.NewLead{Service: c.AppointPrimary.Service, Host: c.AppointPrimary.Host, Term: c.AppointPrimary.Term, Took: c.AppointPrimary.PromotionMs}
+	if appoint := change.AppointPrimary; appoint != nil {
+		stored.Lead = &diskformat.NewLead{Service: appoint.Service, Host: appoint.Host, Term: appoint.Term, Took: appoint.PromotionMs}
 	}
-	if c.Proxy != nil {
-		s.Router = &diskformat.Router{Node: c.Proxy.Node, Gone: c.Proxy.Removed}
+	if proxy := change.Proxy; proxy != nil {
+		stored.Router = &diskformat.Router{Node: proxy.Node, Gone: proxy.Removed}
 	}
-	return s
+	return stored
 }
 
-func changeFromStored(s diskformat.Change) Change {
-	c := Change{LedTimeMs: s.Led, DrainHost: s.Drain, RemoveHost: s.Leave, MarkMissing: s.Missing, ReplicationResumed: s.Resumed}
-	if s.Configure != nil {
-		u := configUpdateFromStored(*s.Configure)
-		c.UpdateConfig = &u
+func changeFromStored(stored diskformat.Change) Change {
+	change := Change{
+		LedTimeMs: stored.Led, DrainHost: stored.Drain, RemoveHost: stored.Leave,
+		MarkMissing: stored.Missing, ReplicationResumed: stored.Resumed,
+	}
+	if stored.Configure != nil {
+		update := configUpdateFromStored(*stored.Configure)
+		change.UpdateConfig = &update
 	}
-	if s.Enter != nil {
-		h := hostFromStored(*s.Enter)
-		c.AddHost = &h
+	if stored.Enter != nil {
+		host := hostFromStored(*stored.Enter)
+		change.AddHost = &host
 	}
-	if s.Recall != nil {
-		c.RevokePrimary = &RevokePrimary{Service: s.Recall.Service, Owner: s.Recall.Holder}
+	if revoke := stored.Recall; revoke != nil {
+		change.RevokePrimary = &RevokePrimary{Service: revoke.Service, Owner: revoke.Holder}
 	}
-	if s.Named != nil {
-		c.NominatePrimary = &NominatePrimary{Service: s.Named.Service, Host: s.Named.Host, Owner: s.Named.Holder}
+	if nominate := stored.Named; nominate != nil {
+		change.NominatePrimary = &NominatePrimary{Service: nominate.Service, Host: nominate.Host, Owner: nominate.Holder}
 	}
-	if s.Lead != nil {
-		c.AppointPrimary = &AppointPrimary{Service: s.Lead.Service, Host: s.Lead.Host, Term: s.Lead.Term, PromotionMs: s.Lead.Took}
+	if appoint := stored.Lead; appoint != nil {
+		change.AppointPrimary = &AppointPrimary{Service: appoint.Service, Host: appoint.Host, Term: appoint.Term, PromotionMs: appoint.Took}
 	}
-	if s.Router != nil {
-		c.Proxy = &ProxyMembership{Node: s.Router.Node, Removed: s.Router.Gone}
+	if proxy := stored.Router; proxy != nil {
+		change.Proxy = &ProxyMembership{Node: proxy.Node, Removed: proxy.Gone}
 	}
-	return c
+	return change
 }
