--- a/internal/control/statemachine/config_update.go
+++ b/internal/control/statemachine/config_update.go
@@ -22,7 +22,7 @@
 var (
 	errDigest          = errors.New("digest mismatch")
 	errNothingToAmend  = errors.New("there is no configuration to amend")
-	errTruncatedVarint = errors.New("truncated number")
+	errVarint          = errors.New("truncated number")
 	errTruncatedDigest = errors.New("truncated digest")
 	errTruncatedDiff   = errors.New("truncated difference")
 	errUnknownForm     = errors.New("unknown form")
@@ -141,8 +141,8 @@
 	rest := content[configUpdateHeader:]
 	for _, number := range []*int64{&ledTimeMs, &update.BaseVersion} {
 		value, size := binary.Varint(rest)
-		if size <= 0 {
-			return nil, 0, badConfigUpdate(content, errTruncatedVarint)
+		if size <= 0 || isOverlong(rest[:size]) {
+			return nil, 0, badConfigUpdate(content, errVarint)
 		}
 		*number, rest = value, rest[size:]
 	}
@@ -153,7 +153,7 @@
 		*digest, rest = [digestBytes]byte(rest[:digestBytes]), rest[digestBytes:]
 	}
 	diffBytes, size := binary.Uvarint(rest)
-	if size <= 0 || diffBytes > uint64(len(rest)-size) {
+	if size <= 0 || isOverlong(rest[:size]) || diffBytes > uint64(len(rest)-size) {
 		return nil, 0, badConfigUpdate(content, errTruncatedDiff)
 	}
 	rest = rest[size:]
@@ -166,6 +166,11 @@
 	return update, ledTimeMs, nil
 }
 
+// isOverlong reports whether a varint has more bytes than its value needs, which no encoder writes.
+func isOverlong(varint []byte) bool {
+	return len(varint) > 1 && varint[len(varint)-1] == 0
+}
+
 func badConfigUpdate(content []byte, cause error) error {
 	return fmt.Errorf("%w: update of the configuration, %d bytes: %w", ErrBadChange, len(content), cause)
 }
