--- a/internal/control/storage/wal.go
+++ b/internal/control/storage/wal.go
@@ -35,7 +35,7 @@
 	db             *buntdb.DB
 	file           syncedFile
 	path           string
-	needsReopen    bool   // a write failed in a way that buntdb can't undo
+	needsReopen    bool   // the open file has lost its name
 	lastIndex      uint64 // of the newest entry that is held, or of the snapshot
 	compactedBytes int64  // size of the file after the last compaction
 }
@@ -144,7 +144,15 @@
 	return trace.Wrap(err)
 }
 
-// reopen reads the file anew after a write that failed, without the torn end that it left.
+// ensureOpen reopens the file if a write failed before in a way that can't be taken back.
+func (w *WAL) ensureOpen() error {
+	if w.db != nil && !w.needsReopen {
+		return nil
+	}
+	return w.reopen()
+}
+
+// reopen reads the file anew, without the torn end that a failed write left.
 func (w *WAL) reopen() error {
 	_ = w.Close() // the failed write was reported already, and was not acknowledged
 	if _, err := truncateTornTail(w.path); err != nil {
@@ -160,14 +168,10 @@
 
 // commit makes one change and returns once it is on disk. A change that fails may be made again.
 func (w *WAL) commit(change func(*buntdb.Tx) error) (err error) {
-	if w.needsReopen || w.db == nil {
-		if err := w.reopen(); err != nil {
-			return err
-		}
-	}
 	defer func() {
-		if cause := recover(); cause != nil { // buntdb panics where it can't cut off a write that failed
-			w.needsReopen, err = true, trace.Errorf("%v", cause)
+		if cause := recover(); cause != nil {
+			w.abandon()
+			err = trace.Errorf("%v", cause)
 		}
 	}()
 	if err := w.db.Update(change); err != nil {
@@ -180,6 +184,13 @@
 	return w.rewrite()
 }
 
+// abandon drops the open file after buntdb panicked, which it does where it can't cut off a write that failed. It does so with
+// its lock taken, so it can't even be closed: its handle of the file and a goroutine are lost.
+func (w *WAL) abandon() {
+	_ = w.file.Close() // nothing is written by this handle
+	w.db, w.file = nil, nil
+}
+
 // batch is the records that the next commit will write.
 type batch struct{ records []record }
 
@@ -196,6 +207,9 @@
 // A commit may be torn between any two of its records, in any order. So the removal of entries is a commit of its own: torn,
 // it leaves a gap, and load ignores the entries behind a gap.
 func (w *WAL) Save(writes []consensus.Write) error {
+	if err := w.ensureOpen(); err != nil {
+		return trace.Wrap(err)
+	}
 	pending := &batch{}
 	for _, write := range writes {
 		if err := w.addWrite(pending, write); err != nil {
@@ -295,6 +309,9 @@
 // last compaction. It writes a copy of what is held, syncs it, renames it over the file and syncs the folder, so that at each
 // moment a complete file has the name. After an error the file is as it was, and Compact may be called again.
 func (w *WAL) Compact(minBytes int64) error {
+	if err := w.ensureOpen(); err != nil {
+		return err
+	}
 	info, err := os.Stat(w.path)
 	if err != nil || info.Size() < minBytes || info.Size() < compactionRatio*w.compactedBytes {
 		return trace.ConvertSystemError(err)
--- a/internal/control/storage/wal_test.go
+++ b/internal/control/storage/wal_test.go
@@ -2,11 +2,15 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"math/rand/v2"
 	"os"
 	"path/filepath"
+	"reflect"
 	"testing"
+	"time"
+	"unsafe"
 
 	"github.com/stretchr/testify/require"
 
@@ -282,6 +286,57 @@
 	}
 }
 
+// breakDatabase makes the next write of the database fail so that it can't be taken back: its file becomes a pipe that takes a
+// part of the write and can't be truncated.
+func breakDatabase(t *testing.T, wal *WAL) {
+	t.Helper()
+	reader, writer, err := os.Pipe()
+	require.NoError(t, err)
+	t.Cleanup(func() { _ = errors.Join(reader.Close(), writer.Close()) }) // the database may have closed its end
+	require.NoError(t, writer.SetWriteDeadline(time.Now().Add(20*time.Millisecond)))
+	field := reflect.ValueOf(wal.db).Elem().FieldByName("file")
+	file := (**os.File)(unsafe.Pointer(field.UnsafeAddr()))
+	require.NoError(t, (*file).Close())
+	*file = writer
+}
+
+// The database panics with its lock taken where it can't take back a write that failed. No later call may wait for that lock.
+func TestCallsAfterAPanicOfTheDatabaseReopenTheFile(t *testing.T) {
+	const moreThanAPipeHolds = 1 << 17
+	kept := saveSteps[1].want
+	for name, c := range map[string]struct {
+		call func(*WAL) error
+		want string
+	}{
+		"append":   {func(wal *WAL) error { return wal.Save([]consensus.Write{saveSteps[2].write}) }, saveSteps[2].want},
+		"truncate": {func(wal *WAL) error { return wal.Save([]consensus.Write{saveSteps[2].write, saveSteps[3].write}) }, saveSteps[3].want},
+		"remove":   {func(wal *WAL) error { return wal.Save([]consensus.Write{{FirstIndex: 1}}) }, "v1 b s0 []"},
+		"compact":  {func(wal *WAL) error { return wal.Compact(0) }, kept},
+		"close":    {(*WAL).Close, kept},
+	} {
+		t.Run(name, func(t *testing.T) {
+			folder := t.TempDir()
+			wal, _, _, err := Open(folder, newFounder)
+			require.NoError(t, err)
+			require.NoError(t, wal.Save([]consensus.Write{saveSteps[0].write, saveSteps[1].write}))
+			breakDatabase(t, wal)
+			large := consensus.Entry{Term: 1, Data: make([]byte, moreThanAPipeHolds)}
+			require.Error(t, wal.Save([]consensus.Write{{FirstIndex: 4, Entries: []consensus.Entry{large}}}))
+
+			done := make(chan error, 1)
+			go func() { done <- errors.Join(c.call(wal), wal.Close()) }()
+			select {
+			case err := <-done:
+				require.NoError(t, err)
+			case <-time.After(5 * time.Second):
+				require.Fail(t, "it waits for the lock")
+			}
+			got, _ := reopened(t, folder)
+			require.Equal(t, c.want, got)
+		})
+	}
+}
+
 // A file called *.broken means a fault: the first start of a member makes none, nor does the next one after a first start
 // that ended before the identity was on disk.
 func TestFirstStartPutsNothingAside(t *testing.T) {
