--- a/internal/control/statemachine/diskformat/diskformat.go
+++ b/internal/control/statemachine/diskformat/diskformat.go
@@ -1,9 +1,11 @@
-// Package diskformat holds the form in which changes and snapshots of the control plane's state rest in the log and on disk.
+// Package diskformat holds the form in which changes and snapshots of the control plane's state are stored in the log and on
+// disk.
 //
 // encoding/gob writes the names of types and fields into the bytes and drops, without an error, what it reads under a name
 // that the type does not have. So no name here ever changes, whatever the values are called elsewhere: a field that is no
-// longer needed stays, and a new one gets a name that was never used. The order of fields is part of the form too: equal
-// states give equal bytes.
+// longer needed stays, and a new one gets a name that was never used. A type that lists have is in package
+// rack, since gob writes the name of its package too. The order of fields is part of the form as well: equal states give equal
+// bytes.
 package diskformat
 
 import "ferrypitch/internal/control/statemachine/diskformat/rack"
--- a/internal/control/storage/diskformat/diskformat.go
+++ b/internal/control/storage/diskformat/diskformat.go
@@ -2,7 +2,8 @@
 //
 // encoding/gob writes the names of types and fields into the file and drops, without an error, what it reads under a name
 // that the type does not have. So no name here ever changes, whatever the values are called elsewhere: a field that is no
-// longer needed stays, and a new one gets a name that was never used.
+// longer needed stays, and a new one gets a name that was never used. A type that lists have is in package ratchet, since gob
+// writes the name of its package too.
 package diskformat
 
 import (
--- a/internal/control/storage/wal_test.go
+++ b/internal/control/storage/wal_test.go
@@ -23,7 +23,8 @@
 	return consensus.Entry{Term: term, Data: []byte(body)}
 }
 
-// saveSteps are writes as a member makes them: appended, trimmed, a snapshot; and what must be there after each.
+// saveSteps are writes as a member makes them: entries appended and replaced, snapshots; and the state that must be there after
+// each, as describe writes it.
 var saveSteps = []struct {
 	write consensus.Write
 	want  string
@@ -39,6 +40,7 @@
 	{consensus.Write{FirstIndex: 10, Entries: []consensus.Entry{entry(4, "r")}, HardState: &consensus.HardState{Term: 4, Vote: "a", CommittedConfigIndex: 2}}, "v4 a s9 [4r]"},
 }
 
+// describe writes a state as "vTERM VOTE sSNAPSHOT [ENTRIES]".
 func describe(restored consensus.RestoredState) string {
 	var entries []string
 	for _, e := range restored.Entries {
@@ -47,6 +49,7 @@
 	return fmt.Sprintf("v%d %s s%d %v", restored.HardState.Term, restored.HardState.Vote, restored.Snapshot.Index, entries)
 }
 
+// reopened opens a folder and closes it again. It returns the state and the member's id, which is "learner" for a new one.
 func reopened(t *testing.T, folder string) (string, consensus.ID) {
 	t.Helper()
 	wal, identity, restored, err := Open(folder, func() Identity { return Identity{ID: "learner"} })
@@ -207,44 +210,49 @@
 	require.True(t, replacesSyncedEntry(commit, append(bytes.Clone(commit.content[:commit.syncedBytes]), unsynced...)))
 }
 
-// A file that was cut anywhere, also in what was synced, is what was there after an earlier step, or that of a member that
-// knows nothing and has a name of its own; and it takes what comes.
+// A file that is truncated anywhere, also in what was synced, holds the state after an earlier step, or nothing; then its member
+// is a learner of another name. Either way it takes further writes.
 func TestTruncatedFileHoldsAnEarlierStateOrNone(t *testing.T) {
-	folder := t.TempDir()
-	d, _, _, err := Open(folder, newFounder)
-	require.NoError(t, err)
-	for _, s := range saveSteps {
-		require.NoError(t, d.Save([]consensus.Write{s.write}))
-	}
-	require.NoError(t, d.Close())
-	whole, err := os.ReadFile(filepath.Join(folder, fileName))
-	require.NoError(t, err)
+	const trials = 30
+	contents := contentAfterSteps(t, newFounder())
+	complete := contents[len(contents)-1]
 	earlier, none := 0, 0
-	for at := 0; at < len(whole); at += 1 + len(whole)/30 {
-		other := t.TempDir()
-		require.NoError(t, os.WriteFile(filepath.Join(other, fileName), whole[:at], 0o600))
-		got, id := reopened(t, other)
-		found := id == "learner" && got == "v0  s0 []"
-		none += map[bool]int{true: 1}[found]
-		for n, was := 0, "v0  s0 []"; n < len(saveSteps) && !found; n++ {
-			found, was = id == "a" && isIntermediate(got, was, n), saveSteps[n].want
-			earlier += map[bool]int{true: 1}[found]
+	for size := 0; size < len(complete); size += 1 + len(complete)/trials {
+		folder := t.TempDir()
+		writeFiles(t, folder, files{fileName: complete[:size]})
+		got, id := reopened(t, folder)
+		switch {
+		case id == "learner" && got == stateBefore(0):
+			none++
+		case id == "a" && isEarlier(got):
+			earlier++
+		default:
+			require.Fail(t, "no earlier state", "cut at %d of %d: %s holds %s", size, len(complete), id, got)
 		}
-		require.True(t, found, "cut at %d of %d: %s holds %s", at, len(whole), id, got)
-		d, _, kept, err := Open(other, newFounder)
+		wal, _, restored, err := Open(folder, newFounder)
 		require.NoError(t, err)
-		next := kept.Snapshot.Index + uint64(len(kept.Entries)) + 1
-		require.NoError(t, d.Save([]consensus.Write{{FirstIndex: next, Entries: []consensus.Entry{entry(9, "after")}}}))
-		require.NoError(t, d.Close())
-		got, _ = reopened(t, other)
+		next := restored.Snapshot.Index + uint64(len(restored.Entries)) + 1
+		require.NoError(t, wal.Save([]consensus.Write{{FirstIndex: next, Entries: []consensus.Entry{entry(9, "after")}}}))
+		require.NoError(t, wal.Close())
+		got, _ = reopened(t, folder)
 		require.Contains(t, got, "9after")
 	}
 	require.Positive(t, none)
 	require.Greater(t, earlier, 12)
 }
 
-// isIntermediate says whether what is held is what a torn step may leave: as before, as after, or on the way, which takes only
-// what that step was to take.
+// isEarlier reports whether a state is one that some step, complete or torn, may have left.
+func isEarlier(got string) bool {
+	for step := range saveSteps {
+		if isIntermediate(got, stateBefore(step), step) {
+			return true
+		}
+	}
+	return false
+}
+
+// isIntermediate reports whether a state is one that a torn step may leave: the one before, the one after, or one in between,
+// which lacks only what the step removes.
 func isIntermediate(got, before string, step int) bool {
 	if got == before || got == saveSteps[step].want {
 		return true
@@ -252,11 +260,11 @@
 	switch step {
 	case 1:
 		return got == "v1 b s0 [1x]" || got == "v1 b s0 [1x 1y]"
-	case 3: // entries that differ from the leader's go first
+	case 3: // entries that differ from the leader's are removed first
 		return got == "v2  s0 [1x]" || got == "v2  s0 [1x 1y]"
 	case 4:
 		return got == "v2  s0 [1x 2n 2o]"
-	case 5, 7: // a snapshot first, then what it stands for goes
+	case 5, 7: // the snapshot is stored first, then the entries that it covers are removed
 		return got == saveSteps[step].want
 	case 8:
 		return got == "v2  s9 [4r]" || got == "v4 a s9 []"
@@ -265,24 +273,24 @@
 }
 
 func TestSaveAfterFailedWriteReopensTheFile(t *testing.T) {
-	for n := range saveSteps[:len(saveSteps)-1] {
+	for step := range saveSteps[:len(saveSteps)-1] {
 		folder := t.TempDir()
-		d, _, _, err := Open(folder, newFounder)
+		wal, _, _, err := Open(folder, newFounder)
 		require.NoError(t, err)
-		for _, s := range saveSteps[:n+1] {
-			require.NoError(t, d.Save([]consensus.Write{s.write}))
+		for _, earlier := range saveSteps[:step+1] {
+			require.NoError(t, wal.Save([]consensus.Write{earlier.write}))
 		}
-		f, err := os.OpenFile(filepath.Join(folder, fileName), os.O_APPEND|os.O_WRONLY, 0)
+		file, err := os.OpenFile(filepath.Join(folder, fileName), os.O_APPEND|os.O_WRONLY, 0)
 		require.NoError(t, err)
-		_, err = f.WriteString("*3\r\n$3\r\nset\r\n$4\r\nme")
+		_, err = file.WriteString("*3\r\n$3\r\nset\r\n$4\r\nme")
 		require.NoError(t, err)
-		require.NoError(t, f.Close())
-		d.needsReopen = true
-		require.NoError(t, d.Save([]consensus.Write{saveSteps[n+1].write}))
-		require.NoError(t, d.Close())
+		require.NoError(t, file.Close())
+		wal.needsReopen = true
+		require.NoError(t, wal.Save([]consensus.Write{saveSteps[step+1].write}))
+		require.NoError(t, wal.Close())
 		got, id := reopened(t, folder)
 		require.EqualValues(t, "a", id)
-		require.Equal(t, saveSteps[n+1].want, got)
+		require.Equal(t, saveSteps[step+1].want, got)
 	}
 }
 
@@ -382,36 +390,38 @@
 }
 
 func TestCompactKeepsTheFileSmallAndComplete(t *testing.T) {
+	const entries, entryBytes, compactEvery, minBytes, maxBytes = 300, 400, 50, 16 << 10, 64 << 10
 	folder := t.TempDir()
-	d, _, _, err := Open(folder, newFounder)
+	wal, _, _, err := Open(folder, newFounder)
 	require.NoError(t, err)
-	for i := range 300 {
-		body := make([]byte, 400)
-		require.NoError(t, d.Save([]consensus.Write{{FirstIndex: uint64(i + 1), Entries: []consensus.Entry{entry(1, string(body))}}}))
-		if i%50 == 49 {
-			s := consensus.Snapshot{Index: uint64(i), Term: 1}
-			require.NoError(t, d.Save([]consensus.Write{{Snapshot: &s, CompactThrough: s.Index}}))
-			require.NoError(t, d.Compact(16<<10))
+	for i := range uint64(entries) {
+		added := []consensus.Entry{entry(1, string(make([]byte, entryBytes)))}
+		require.NoError(t, wal.Save([]consensus.Write{{FirstIndex: i + 1, Entries: added}}))
+		if i%compactEvery == compactEvery-1 {
+			snapshot := consensus.Snapshot{Index: i, Term: 1}
+			require.NoError(t, wal.Save([]consensus.Write{{Snapshot: &snapshot, CompactThrough: snapshot.Index}}))
+			require.NoError(t, wal.Compact(minBytes))
 		}
 	}
 	info, err := os.Stat(filepath.Join(folder, fileName))
 	require.NoError(t, err)
-	require.Less(t, info.Size(), int64(64<<10))
-	require.NoError(t, d.Close())
-	_, id, kept, err := Open(folder, newFounder)
+	require.Less(t, info.Size(), int64(maxBytes))
+	require.NoError(t, wal.Close())
+	wal, identity, restored, err := Open(folder, newFounder)
 	require.NoError(t, err)
-	require.EqualValues(t, "a", id.ID)
-	require.EqualValues(t, 299, kept.Snapshot.Index)
-	require.Len(t, kept.Entries, 1)
+	require.NoError(t, wal.Close())
+	require.EqualValues(t, "a", identity.ID)
+	require.EqualValues(t, entries-1, restored.Snapshot.Index)
+	require.Len(t, restored.Entries, 1)
 }
 
 func FuzzValidPrefix(f *testing.F) {
 	f.Add([]byte("*3\r\n$3\r\nset\r\n$1\r\nk\r\n$3\r\na.b\r\n"))
 	f.Add([]byte("*2\r\n$3\r\ndel\r\n$1\r\nk\r\n"))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		n := validPrefix(text)
-		if n > len(text) || validPrefix(text[:n]) != n {
-			t.Fatalf("%d of %d bytes are whole, and then %d", n, len(text), validPrefix(text[:n]))
+	f.Fuzz(func(t *testing.T, content []byte) {
+		valid := validPrefix(content)
+		if valid > len(content) || validPrefix(content[:valid]) != valid {
+			t.Fatalf("%d of %d bytes are valid, and then %d", valid, len(content), validPrefix(content[:valid]))
 		}
 	})
 }
--- a/internal/snapshotfile/snapshot.go
+++ b/internal/snapshotfile/snapshot.go
@@ -124,8 +124,8 @@
 	return append(content, body...)
 }
 
-// Read returns the body that was stored at a path. Errors: fs.ErrNotExist where there is none (see NotFound), ErrBroken,
-// ErrNewer, and those of the file system.
+// Read returns the body that was stored at a path. Errors: fs.ErrNotExist where there is none, ErrBroken, ErrNewer, and those of
+// the file system.
 func Read(files FileSystem, path string) ([]byte, error) {
 	file, err := files.Open(path)
 	if err != nil {
@@ -161,5 +161,5 @@
 	return body, nil
 }
 
-// None says that an error of Read means that nothing was stored.
+// None reports whether an error of Read means that nothing was stored.
 func None(err error) bool { return errors.Is(err, fs.ErrNotExist) }
