--- a/internal/control/statemachine/errors.go
+++ b/internal/control/statemachine/errors.go
@@ -6,11 +6,12 @@
 )
 
 // Reasons why a change changed nothing, for errors.Is. The errors that Apply and CheckConfig return say more, see the types
-// below. The same change gives the same error on a later attempt, unless other changes come in between.
+// below. The same change gives the same error on a later attempt, unless other changes come in between. The texts go to
+// operators in the answers of the control plane, and so don't change.
 var (
-	ErrVersionConflict = errors.New("version conflict")
-	ErrInvalid         = errors.New("invalid configuration")
-	ErrNotFound        = errors.New("not found")
+	ErrVersionConflict = errors.New("another version is in place")
+	ErrInvalid         = errors.New("not valid")
+	ErrNotFound        = errors.New("not known")
 	// ErrDiverged is about the state, not about the change: the state takes in nothing more, and has to be restored from a
 	// snapshot.
 	ErrDiverged = errors.New("state has diverged")
@@ -30,7 +31,7 @@
 
 // Error names both versions.
 func (e *VersionConflictError) Error() string {
-	return fmt.Sprintf("%v: version %d is in force, the update builds on %d", ErrVersionConflict, e.InForce, e.Base)
+	return fmt.Sprintf("%v: %d is, the change builds on %d", ErrVersionConflict, e.InForce, e.Base)
 }
 
 // Unwrap returns ErrVersionConflict.
@@ -57,9 +58,9 @@
 // Error names the host.
 func (e *HostError) Error() string {
 	if e.Removed {
-		return fmt.Sprintf("%v: host %s was removed", ErrNotFound, e.Host)
+		return fmt.Sprintf("%v: %s has left", ErrNotFound, e.Host)
 	}
-	return fmt.Sprintf("%v: host %s", ErrNotFound, e.Host)
+	return fmt.Sprintf("%v: %s", ErrNotFound, e.Host)
 }
 
 // Unwrap returns ErrNotFound.
