--- a/internal/control/statemachine/capacity_test.go
+++ b/internal/control/statemachine/capacity_test.go
@@ -20,9 +20,9 @@
 
 func BenchmarkSnapshot(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
-		s := size.State()
+		state := size.State()
 		for b.Loop() {
-			b.ReportMetric(float64(len(s.Snapshot())), "bytes")
+			b.ReportMetric(float64(len(state.Snapshot())), "bytes")
 		}
 	})
 }
@@ -51,17 +51,17 @@
 // each member and each proxy to apply it.
 func BenchmarkEncodeConfigUpdate(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
-		s := size.State()
+		state := size.State()
 		for b.Loop() {
-			b.ReportMetric(float64(len(statemachine.EncodeChange(size.Order(s)))), "bytes")
+			b.ReportMetric(float64(len(statemachine.EncodeChange(size.Order(state)))), "bytes")
 		}
-		b.ReportMetric(float64(len(s.ConfigBody)), "bytes-sent")
+		b.ReportMetric(float64(len(state.ConfigBody)), "bytes-sent")
 	})
 }
 
 func BenchmarkApplyConfigUpdate(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
-		s := size.State()
+		state := size.State()
 		other := size.State()
 		var bodies [][]byte
 		for i := range 20 {
@@ -73,12 +73,12 @@
 		for b.Loop() {
 			if next == len(bodies) {
 				b.StopTimer()
-				s, next = size.State(), 0
+				state, next = size.State(), 0
 				b.StartTimer()
 			}
 			c, err := statemachine.DecodeChange(bodies[next])
 			require.NoError(b, err)
-			require.NoError(b, s.Apply(s.Index+1, c))
+			require.NoError(b, state.Apply(state.Index+1, c))
 			next++
 		}
 	})
@@ -87,14 +87,14 @@
 // A host is added to a state that has all others.
 func BenchmarkAddHost(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
-		s := size.State()
+		state := size.State()
 		h := statesize.Host(size.Hosts())
 		body := statemachine.EncodeChange(statemachine.Change{AddHost: &h})
 		for b.Loop() {
 			c, err := statemachine.DecodeChange(body)
 			require.NoError(b, err)
-			require.NoError(b, s.Apply(s.Index+1, c))
-			delete(s.Hosts, h.ID)
+			require.NoError(b, state.Apply(state.Index+1, c))
+			delete(state.Hosts, h.ID)
 		}
 		b.ReportMetric(float64(len(body)), "bytes")
 	})
@@ -102,12 +102,12 @@
 
 func BenchmarkAppointPrimary(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
-		s := size.State()
+		state := size.State()
 		body := statemachine.EncodeChange(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.Service(3), Host: statesize.Host(10).ID, Term: 2}})
 		for b.Loop() {
 			c, err := statemachine.DecodeChange(body)
 			require.NoError(b, err)
-			require.NoError(b, s.Apply(s.Index+1, c))
+			require.NoError(b, state.Apply(state.Index+1, c))
 		}
 		b.ReportMetric(float64(len(body)), "bytes")
 	})
@@ -116,9 +116,9 @@
 // This is asked for at each renewal of a lease.
 func BenchmarkLatestRevocation(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
-		s := size.State()
+		state := size.State()
 		for b.Loop() {
-			s.LatestRevocation()
+			state.LatestRevocation()
 		}
 	})
 }
--- a/internal/control/statemachine/config_update_test.go
+++ b/internal/control/statemachine/config_update_test.go
@@ -77,14 +77,14 @@
 // A delta that does not fit changes nothing, and a state that is not the one that a delta builds on does not even take its
 // index.
 func TestDeltaIsAppliedCompletelyOrNotAtAll(t *testing.T) {
-	s := &State{}
-	applyUpdate(t, s, ConfigUpdate{Body: configWithRoutes(1, 20, 0, 800)})
+	state := &State{}
+	applyUpdate(t, state, ConfigUpdate{Body: configWithRoutes(1, 20, 0, 800)})
 	update := ConfigUpdate{BaseVersion: 1, Body: configWithRoutes(2, 20, 3, 9)}
-	result, err := s.CheckConfig(&update)
+	result, err := state.CheckConfig(&update)
 	require.NoError(t, err)
-	good := s.Delta(&update, result)
+	good := state.Delta(&update, result)
 	require.NotEmpty(t, good.Diff)
-	before := s.Snapshot()
+	before := state.Snapshot()
 	for name, damage := range map[string]func(*ConfigUpdate){
 		"another digest of the result": func(c *ConfigUpdate) { c.ResultDigest[3]++ },
 		"a cut difference":             func(c *ConfigUpdate) { c.Diff = c.Diff[:len(c.Diff)-1] },
@@ -93,35 +93,35 @@
 	} {
 		c := *good
 		damage(&c)
-		one, err := Restore(before)
+		replica, err := Restore(before)
 		require.NoError(t, err)
-		require.ErrorIs(t, one.Apply(2, Change{UpdateConfig: &c}), ErrInvalid, name)
-		one.Index = 1
-		require.Equal(t, before, one.Snapshot(), name)
+		require.ErrorIs(t, replica.Apply(2, Change{UpdateConfig: &c}), ErrInvalid, name)
+		replica.Index = 1
+		require.Equal(t, before, replica.Snapshot(), name)
 	}
 	late := *good
 	late.BaseVersion = 7
-	one, _ := Restore(before)
-	require.ErrorIs(t, one.Apply(2, Change{UpdateConfig: &late}), ErrVersionConflict)
+	replica, _ := Restore(before)
+	require.ErrorIs(t, replica.Apply(2, Change{UpdateConfig: &late}), ErrVersionConflict)
 	diverged := &State{}
 	applyUpdate(t, diverged, ConfigUpdate{Body: configWithRoutes(1, 20, 1, 801)})
 	require.ErrorIs(t, diverged.Apply(2, Change{UpdateConfig: good}), ErrDiverged)
 	require.EqualValues(t, 1, diverged.Index)
-	require.NoError(t, s.Apply(2, Change{UpdateConfig: good}))
-	require.Equal(t, string(update.Body), string(s.ConfigBody))
+	require.NoError(t, state.Apply(2, Change{UpdateConfig: good}))
+	require.Equal(t, string(update.Body), string(state.ConfigBody))
 }
 
 func TestDamagedSnapshotIsRejected(t *testing.T) {
-	s := &State{}
-	applyUpdate(t, s, ConfigUpdate{Body: configWithRoutes(1, 20, 0, 800)})
-	good := s.Snapshot()
-	chance := rand.New(rand.NewPCG(1, 1))
+	state := &State{}
+	applyUpdate(t, state, ConfigUpdate{Body: configWithRoutes(1, 20, 0, 800)})
+	good := state.Snapshot()
+	random := rand.New(rand.NewPCG(1, 1))
 	for range 500 {
 		bad := bytes.Clone(good)
-		if k := chance.IntN(len(bad)); chance.IntN(2) == 0 {
+		if k := random.IntN(len(bad)); random.IntN(2) == 0 {
 			bad = bad[:max(k, 1)]
 		} else {
-			bad[k] ^= byte(1 + chance.IntN(255))
+			bad[k] ^= byte(1 + random.IntN(255))
 		}
 		_, err := Restore(bad)
 		require.Error(t, err)
@@ -129,11 +129,11 @@
 }
 
 func FuzzDecodeConfigUpdate(f *testing.F) {
-	s := &State{}
-	f.Add(applyUpdate(f, s, ConfigUpdate{Body: configWithRoutes(1, 20, 0, 800)}))
-	f.Add(applyUpdate(f, s, ConfigUpdate{BaseVersion: 1, Body: configWithRoutes(2, 20, 1, 9)}))
+	state := &State{}
+	f.Add(applyUpdate(f, state, ConfigUpdate{Body: configWithRoutes(1, 20, 0, 800)}))
+	f.Add(applyUpdate(f, state, ConfigUpdate{BaseVersion: 1, Body: configWithRoutes(2, 20, 1, 9)}))
 	f.Add([]byte{0, 1, 0, 2})
-	base := s.Snapshot()
+	base := state.Snapshot()
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c, err := DecodeChange(b)
 		if err != nil {
@@ -142,37 +142,44 @@
 		if c.UpdateConfig != nil && !bytes.Equal(EncodeChange(c), b) && b[0] == configUpdateMarker {
 			t.Fatalf("%x is written as %x", b, EncodeChange(c))
 		}
-		s, _ := Restore(base)
-		before := s.ConfigBody
-		if s.Apply(s.Index+1, c) != nil && !bytes.Equal(before, s.ConfigBody) {
+		state, _ := Restore(base)
+		before := state.ConfigBody
+		if state.Apply(state.Index+1, c) != nil && !bytes.Equal(before, state.ConfigBody) {
 			t.Fatal("applied partly")
 		}
 	})
 }
 
 func BenchmarkChange(b *testing.B) {
-	for _, n := range []int{10, 100, 900, 2000} {
+	for _, routes := range []int{10, 100, 900, 2000} {
 		for _, changes := range []int{10, 100, 400, 2000} {
-			b.Run(fmt.Sprintf("routes=%d/changes=%d", n, changes), func(b *testing.B) {
-				s := &State{}
-				applyUpdate(b, s, ConfigUpdate{Body: configWithRoutes(1, n, 0, 800)})
-				base, entries, size := s.Snapshot(), []Change{}, 0
-				for i := range changes {
-					e := applyUpdate(b, s, ConfigUpdate{BaseVersion: int64(i + 1), Body: configWithRoutes(int64(i+2), n, i%n, 9+i)})
-					c, _ := DecodeChange(e)
-					entries, size = append(entries, c), size+len(e)
-				}
-				one, _ := Restore(base)
-				for b.Loop() { // as a restarted process does
-					one, _ = Restore(base)
-					for i, c := range entries {
-						require.NoError(b, one.Apply(uint64(i+2), c))
-					}
-				}
-				b.ReportMetric(float64(size)/float64(changes), "entry_B")
-				b.ReportMetric(float64(len(one.Snapshot())), "snapshot_B")
-				b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(changes), "µs/change")
-			})
+			b.Run(fmt.Sprintf("routes=%d/changes=%d", routes, changes), func(b *testing.B) { benchmarkChanges(b, routes, changes) })
+		}
+	}
+}
+
+// benchmarkChanges restores a snapshot and applies changes of one route each, as a restarted process does.
+func benchmarkChanges(b *testing.B, routes, changes int) {
+	state := &State{}
+	applyUpdate(b, state, ConfigUpdate{Body: configWithRoutes(1, routes, 0, 800)})
+	base, decoded, entryBytes := state.Snapshot(), []Change{}, 0
+	for i := range changes {
+		update := ConfigUpdate{BaseVersion: int64(i + 1), Body: configWithRoutes(int64(i+2), routes, i%routes, 9+i)}
+		entry := applyUpdate(b, state, update)
+		change, err := DecodeChange(entry)
+		require.NoError(b, err)
+		decoded, entryBytes = append(decoded, change), entryBytes+len(entry)
+	}
+	var restored *State
+	for b.Loop() {
+		var err error
+		restored, err = Restore(base)
+		require.NoError(b, err)
+		for i, change := range decoded {
+			require.NoError(b, restored.Apply(uint64(i+2), change))
 		}
 	}
+	b.ReportMetric(float64(entryBytes)/float64(changes), "entry_B")
+	b.ReportMetric(float64(len(restored.Snapshot())), "snapshot_B")
+	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/float64(changes), "µs/change")
 }
--- a/internal/control/statemachine/retention_test.go
+++ b/internal/control/statemachine/retention_test.go
@@ -24,61 +24,64 @@
 }
 
 func TestEachUpdateOfABurstIsAppliedOnce(t *testing.T) {
-	s, all := applyBurst(t, &State{}, 2000, 60)
+	state, all := applyBurst(t, &State{}, 2000, 60)
 	for i := range all {
-		result, err := s.CheckConfig(&all[i])
+		result, err := state.CheckConfig(&all[i])
 		require.NoError(t, err, "update %d of %d", i, len(all))
 		require.Nil(t, result)
 		other := all[i]
 		other.Body = append([]byte(" "), other.Body...)
-		_, err = s.CheckConfig(&other)
+		_, err = state.CheckConfig(&other)
 		require.ErrorIs(t, err, ErrVersionConflict, "not as it was sent")
 		other = all[i]
 		other.IsAmendment = true
-		_, err = s.CheckConfig(&other)
+		_, err = state.CheckConfig(&other)
 		require.ErrorIs(t, err, ErrVersionConflict, "another call")
 	}
-	encodedBytes := len(encodeAppliedUpdates(s.AppliedUpdates))
-	t.Logf("%d updates are remembered in %d bytes, of a snapshot of %d", len(s.AppliedUpdates), encodedBytes, len(s.Snapshot()))
+	encodedBytes := len(encodeAppliedUpdates(state.AppliedUpdates))
+	t.Logf("%d updates are remembered in %d bytes, of a snapshot of %d", len(state.AppliedUpdates), encodedBytes, len(state.Snapshot()))
 	require.Less(t, encodedBytes, 2000*22)
 }
 
 // Updates are remembered for RetentionMs of leader time, but never fewer than MinRetained nor more than MaxRetained.
 func TestUpdatesAreForgottenByLeaderTime(t *testing.T) {
-	s, all := applyBurst(t, &State{}, MinRetained+10, 0)
-	s, late := applyBurst(t, s, 1, RetentionMs-2)
-	_, err := s.CheckConfig(&all[9])
+	state, all := applyBurst(t, &State{}, MinRetained+10, 0)
+	state, late := applyBurst(t, state, 1, RetentionMs-2)
+	_, err := state.CheckConfig(&all[9])
 	require.NoError(t, err, "within the time")
-	s, _ = applyBurst(t, s, 3, 3)
-	_, err = s.CheckConfig(&all[9])
+	state, _ = applyBurst(t, state, 3, 3)
+	_, err = state.CheckConfig(&all[9])
 	require.ErrorIs(t, err, ErrVersionConflict, "older, and not among the newest")
-	_, err = s.CheckConfig(&all[MinRetained+9])
+	_, err = state.CheckConfig(&all[MinRetained+9])
 	require.NoError(t, err, "older, but among the newest")
-	_, err = s.CheckConfig(&late[0])
+	_, err = state.CheckConfig(&late[0])
 	require.NoError(t, err)
-	led := s.LedTimeMs
-	require.NoError(t, s.Apply(s.Index+1, Change{LedTimeMs: 5, Proxy: &ProxyMembership{Node: "r"}}))
-	require.Equal(t, led, s.LedTimeMs, "leader time never goes back")
+	led := state.LedTimeMs
+	require.NoError(t, state.Apply(state.Index+1, Change{LedTimeMs: 5, Proxy: &ProxyMembership{Node: "r"}}))
+	require.Equal(t, led, state.LedTimeMs, "leader time never goes back")
 }
 
 func TestRetentionIsBounded(t *testing.T) {
-	s := &State{}
+	state := &State{}
 	for i := range int64(MaxRetained + 100) {
-		s.LedTimeMs++
-		s.recordUpdate(RequestID{BaseVersion: i})
-		s.recordRemoval(fmt.Sprint("i-", i))
+		state.LedTimeMs++
+		state.recordUpdate(RequestID{BaseVersion: i})
+		state.recordRemoval(fmt.Sprint("i-", i))
 	}
-	require.Len(t, s.AppliedUpdates, MaxRetained)
-	require.Len(t, s.RemovedHosts, MaxRetained)
-	require.LessOrEqual(t, len(encodeAppliedUpdates(s.AppliedUpdates)), 32*MaxRetained, "the bound in bytes that the documentation states")
-	require.True(t, s.wasApplied(RequestID{BaseVersion: MaxRetained + 99}))
-	require.False(t, s.wasApplied(RequestID{BaseVersion: 99}))
+	require.Len(t, state.AppliedUpdates, MaxRetained)
+	require.Len(t, state.RemovedHosts, MaxRetained)
+	require.LessOrEqual(t, len(encodeAppliedUpdates(state.AppliedUpdates)), 32*MaxRetained, "the bound in bytes that the documentation states")
+	require.True(t, state.wasApplied(RequestID{BaseVersion: MaxRetained + 99}))
+	require.False(t, state.wasApplied(RequestID{BaseVersion: 99}))
 }
 
 // An announcement that comes after its host was removed does not add it again, however many were removed since.
 func TestRemovedHostIsNotAddedAgain(t *testing.T) {
-	s := &State{}
-	do := func(led int64, c Change) error { c.LedTimeMs = s.LedTimeMs + led; return s.Apply(s.Index+1, c) }
+	state := &State{}
+	do := func(led int64, c Change) error {
+		c.LedTimeMs = state.LedTimeMs + led
+		return state.Apply(state.Index+1, c)
+	}
 	enter := func(id, address string) Change {
 		return Change{AddHost: &Host{ID: id, Service: "db", Address: address}}
 	}
@@ -90,14 +93,14 @@
 		require.NoError(t, do(10, Change{RemoveHost: id}))
 		if i%1000 == 7 {
 			var err error
-			s, err = Restore(s.Snapshot())
+			state, err = Restore(state.Snapshot())
 			require.NoError(t, err)
 		}
 	}
 	require.NoError(t, do(1, enter("new", "1.1.1.1:1")))
 	require.ErrorIs(t, do(1, enter("first", "1.1.1.1:1")), ErrNotFound)
-	require.Contains(t, s.Hosts, "new", "the host that is at its address now stays")
-	require.NotContains(t, s.Hosts, "first")
+	require.Contains(t, state.Hosts, "new", "the host that is at its address now stays")
+	require.NotContains(t, state.Hosts, "first")
 }
 
 func TestInvalidAppliedUpdatesAreRejected(t *testing.T) {
@@ -142,9 +145,9 @@
 		again, err := decodeAppliedUpdates(encodeAppliedUpdates(all))
 		require.NoError(t, err)
 		require.Equal(t, all, again)
-		s := &State{AppliedUpdates: all}
+		state := &State{AppliedUpdates: all}
 		for _, t := range all {
-			s.wasApplied(t.RequestID)
+			state.wasApplied(t.RequestID)
 		}
 	})
 }
--- a/internal/control/statemachine/state_test.go
+++ b/internal/control/statemachine/state_test.go
@@ -14,84 +14,84 @@
 }
 
 func TestConcurrentUpdatesConflictAndResentOnesAreRecognised(t *testing.T) {
-	s := &State{}
+	state := &State{}
 	first := ConfigUpdate{BaseVersion: 0, Body: configBody(3, "a")}
-	require.NoError(t, s.Apply(1, Change{UpdateConfig: &first}))
-	one, other := ConfigUpdate{BaseVersion: 3, Body: configBody(5, "b")}, ConfigUpdate{BaseVersion: 3, Body: configBody(6, "c")}
-	require.NoError(t, s.Apply(2, Change{UpdateConfig: &one}))
-	require.ErrorIs(t, s.Apply(3, Change{UpdateConfig: &other}), ErrVersionConflict)
-	require.EqualValues(t, 5, s.Generation)
-	result, err := s.CheckConfig(&first) // sent again after its answer was lost, and after other updates
+	require.NoError(t, state.Apply(1, Change{UpdateConfig: &first}))
+	replica, other := ConfigUpdate{BaseVersion: 3, Body: configBody(5, "b")}, ConfigUpdate{BaseVersion: 3, Body: configBody(6, "c")}
+	require.NoError(t, state.Apply(2, Change{UpdateConfig: &replica}))
+	require.ErrorIs(t, state.Apply(3, Change{UpdateConfig: &other}), ErrVersionConflict)
+	require.EqualValues(t, 5, state.Generation)
+	result, err := state.CheckConfig(&first) // sent again after its answer was lost, and after other updates
 	require.NoError(t, err)
 	require.Nil(t, result)
-	_, err = s.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: configBody(5, "d")})
+	_, err = state.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: configBody(5, "d")})
 	require.ErrorIs(t, err, ErrInvalid)
-	_, err = s.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: []byte("{")})
+	_, err = state.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: []byte("{")})
 	require.ErrorIs(t, err, ErrInvalid)
 	_, err = (&State{}).CheckConfig(&ConfigUpdate{IsAmendment: true, Body: []byte(`{"Generation":1}`)})
 	require.ErrorIs(t, err, ErrInvalid)
 }
 
 func TestFencingTokenRisesWithEachOwner(t *testing.T) {
-	s := &State{}
-	require.NoError(t, s.Apply(1, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h0", Term: 1}}))
-	require.NoError(t, s.Apply(2, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
-	require.NoError(t, s.Apply(3, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
-	require.EqualValues(t, 2, s.Primaries["db"].FencingToken)
-	require.EqualValues(t, 2, s.Primaries["db"].ChangedAt, "a primary that is revoked already is not revoked again")
-	require.NoError(t, s.Apply(4, Change{RevokePrimary: &RevokePrimary{"db", "b"}}))
-	require.EqualValues(t, 4, s.Primaries["db"].FencingToken)
-	require.NoError(t, s.Apply(5, Change{NominatePrimary: &NominatePrimary{"db", "h1", "b"}}))
-	require.NoError(t, s.Apply(6, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h1", Term: 2}}))
-	require.Equal(t, Primary{Host: "h1", Term: 2, FencingToken: 4, Owner: "b", ChangedAt: 6, ReplicasPaused: true}, s.Primaries["db"])
-	require.NoError(t, s.Apply(7, Change{ReplicationResumed: "db"}))
-	require.False(t, s.Primaries["db"].ReplicasPaused)
-	require.NoError(t, s.Apply(8, Change{NominatePrimary: &NominatePrimary{"db", "h2", "b"}}))
-	require.NoError(t, s.Apply(9, Change{ReplicationResumed: "db"}), "one that comes late changes nothing")
-	require.True(t, s.Primaries["db"].ReplicasPaused)
-	require.True(t, errors.Is(s.Apply(10, Change{DrainHost: "nobody"}), ErrNotFound))
+	state := &State{}
+	require.NoError(t, state.Apply(1, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h0", Term: 1}}))
+	require.NoError(t, state.Apply(2, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
+	require.NoError(t, state.Apply(3, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
+	require.EqualValues(t, 2, state.Primaries["db"].FencingToken)
+	require.EqualValues(t, 2, state.Primaries["db"].ChangedAt, "a primary that is revoked already is not revoked again")
+	require.NoError(t, state.Apply(4, Change{RevokePrimary: &RevokePrimary{"db", "b"}}))
+	require.EqualValues(t, 4, state.Primaries["db"].FencingToken)
+	require.NoError(t, state.Apply(5, Change{NominatePrimary: &NominatePrimary{"db", "h1", "b"}}))
+	require.NoError(t, state.Apply(6, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h1", Term: 2}}))
+	require.Equal(t, Primary{Host: "h1", Term: 2, FencingToken: 4, Owner: "b", ChangedAt: 6, ReplicasPaused: true}, state.Primaries["db"])
+	require.NoError(t, state.Apply(7, Change{ReplicationResumed: "db"}))
+	require.False(t, state.Primaries["db"].ReplicasPaused)
+	require.NoError(t, state.Apply(8, Change{NominatePrimary: &NominatePrimary{"db", "h2", "b"}}))
+	require.NoError(t, state.Apply(9, Change{ReplicationResumed: "db"}), "one that comes late changes nothing")
+	require.True(t, state.Primaries["db"].ReplicasPaused)
+	require.True(t, errors.Is(state.Apply(10, Change{DrainHost: "nobody"}), ErrNotFound))
 }
 
 // A replica that was removed may be the only one that received a write, until its log is known to be elsewhere.
 func TestRemovedReplicaIsUnaccountedUntilItsLogIsElsewhere(t *testing.T) {
-	s := &State{}
+	state := &State{}
 	enter := func(i uint64, id, address string) {
-		require.NoError(t, s.Apply(i, Change{AddHost: &Host{ID: id, Service: "db", Address: address}}))
+		require.NoError(t, state.Apply(i, Change{AddHost: &Host{ID: id, Service: "db", Address: address}}))
 	}
 	for i, id := range []string{"h0", "h1", "h2", "h3"} {
 		enter(uint64(i)+1, id, "1.1.1.1:"+id[1:])
 	}
-	require.NoError(t, s.Apply(5, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h0", Term: 1}}))
+	require.NoError(t, state.Apply(5, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h0", Term: 1}}))
 	for i, id := range []string{"h1", "h2", "h0"} {
-		require.NoError(t, s.Apply(6+uint64(i), Change{RemoveHost: id}))
+		require.NoError(t, state.Apply(6+uint64(i), Change{RemoveHost: id}))
 	}
-	require.Equal(t, []string{"h1", "h2"}, s.UnaccountedHostIDs("db"), "a primary acknowledges what another has received")
+	require.Equal(t, []string{"h1", "h2"}, state.UnaccountedHostIDs("db"), "a primary acknowledges what another has received")
 	enter(9, "h4", "1.1.1.1:1")
-	require.Equal(t, []string{"h2"}, s.UnaccountedHostIDs("db"), "a new host takes the log that is at its address")
-	again, err := Restore(s.Snapshot())
+	require.Equal(t, []string{"h2"}, state.UnaccountedHostIDs("db"), "a new host takes the log that is at its address")
+	again, err := Restore(state.Snapshot())
 	require.NoError(t, err)
-	require.Equal(t, s.UnaccountedHostIDs("db"), again.UnaccountedHostIDs("db"))
-	require.NoError(t, s.Apply(10, Change{MarkMissing: "h2"}))
-	require.Empty(t, s.UnaccountedHostIDs("db"), "other hosts have all of its log")
+	require.Equal(t, state.UnaccountedHostIDs("db"), again.UnaccountedHostIDs("db"))
+	require.NoError(t, state.Apply(10, Change{MarkMissing: "h2"}))
+	require.Empty(t, state.UnaccountedHostIDs("db"), "other hosts have all of its log")
 	enter(11, "h5", "1.1.1.1:3")
-	require.NotContains(t, s.Hosts, "h3", "a host whose address is used again has ended, whether it could say so or not")
-	require.Error(t, s.Apply(12, Change{AddHost: &Host{ID: "h3", Service: "db", Address: "1.1.1.1:3"}}), "an announcement that came late")
-	require.Contains(t, s.Hosts, "h5")
+	require.NotContains(t, state.Hosts, "h3", "a host whose address is used again has ended, whether it could say so or not")
+	require.Error(t, state.Apply(12, Change{AddHost: &Host{ID: "h3", Service: "db", Address: "1.1.1.1:3"}}), "an announcement that came late")
+	require.Contains(t, state.Hosts, "h5")
 }
 
 // Replicas that apply the same changes have the same state, wherever one of them was restored from a snapshot.
 func TestReplicasAgreeAcrossSnapshots(t *testing.T) {
 	for seed := range 200 {
-		chance := rand.New(rand.NewPCG(uint64(seed), 1))
+		random := rand.New(rand.NewPCG(uint64(seed), 1))
 		a, b := &State{}, &State{}
 		for i := 1; i < 60; i++ {
 			var c Change
-			id := fmt.Sprintf("h%d", chance.IntN(5))
-			switch chance.IntN(8) {
+			id := fmt.Sprintf("h%d", random.IntN(5))
+			switch random.IntN(8) {
 			case 0:
-				c.UpdateConfig = &ConfigUpdate{BaseVersion: a.Generation, Body: configBody(int(a.Generation)+1+chance.IntN(3), id)}
+				c.UpdateConfig = &ConfigUpdate{BaseVersion: a.Generation, Body: configBody(int(a.Generation)+1+random.IntN(3), id)}
 			case 1, 2:
-				c.AddHost = &Host{ID: id, Service: "s", Address: "1.1.1.1:" + id[1:], Draining: chance.IntN(3) == 0}
+				c.AddHost = &Host{ID: id, Service: "s", Address: "1.1.1.1:" + id[1:], Draining: random.IntN(3) == 0}
 			case 3:
 				c.RemoveHost = id
 			case 4:
@@ -99,7 +99,7 @@
 			case 5:
 				c.AppointPrimary = &AppointPrimary{Service: "s", Host: id, Term: uint64(i)}
 			case 6:
-				c.Proxy = &ProxyMembership{Node: id, Removed: chance.IntN(3) == 0}
+				c.Proxy = &ProxyMembership{Node: id, Removed: random.IntN(3) == 0}
 			case 7:
 				c.NominatePrimary = &NominatePrimary{"s", id, "m"}
 			}
@@ -108,7 +108,7 @@
 			wantErr, gotErr := a.Apply(uint64(i), c), b.Apply(uint64(i), decoded)
 			require.Equal(t, wantErr == nil, gotErr == nil)
 			require.NoError(t, b.Apply(uint64(i), Change{RemoveHost: "h0"}), "a change that was applied already is ignored")
-			if chance.IntN(5) == 0 {
+			if random.IntN(5) == 0 {
 				b, err = Restore(b.Snapshot())
 				require.NoError(t, err)
 			}
