--- /dev/null
+++ b/internal/compatibility/trace_test.go
@@ -0,0 +1,124 @@
+package compatibility
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"ferrypitch/internal/router/trace/record"
+	"ferrypitch/internal/router/trace/replay"
+	"ferrypitch/internal/router/trace/tool"
+	"ferrypitch/policy"
+)
+
+// openTraceFile opens the trace fixture.
+func openTraceFile() (*tool.Source, error) {
+	return tool.Open(filepath.Join(*fixturesFolder, "router.fptrace"))
+}
+
+// openTrace opens the trace fixture for a test.
+func openTrace(t *testing.T) *tool.Source {
+	t.Helper()
+	source, err := openTraceFile()
+	require.NoError(t, err)
+	t.Cleanup(func() { require.NoError(t, source.Close()) })
+	return source
+}
+
+// deploymentObject renders every field of the deployment in a trace's header, which is stored by the names of its fields.
+func deploymentObject(deployment policy.Deployment) object {
+	groups := []object{}
+	for _, group := range deployment.Groups {
+		groups = append(groups, object{
+			"effect": group.Effect, "need": group.Need, "bound": group.Bound, "target": group.Target,
+			"timeout": group.Timeout, "memory": group.Memory, "every_set": group.EverySet, "benefit": group.Benefit, "late_share": group.LateShare,
+		})
+	}
+	return object{
+		"seed": deployment.Seed, "zero": deployment.Zero, "tick": deployment.Tick, "routers": deployment.Routers,
+		"zone": deployment.Zone, "dispatches": deployment.Dispatches, "guarded": deployment.Guarded, "wait": deployment.Wait,
+		"kept": deployment.Kept, "reports": deployment.Reports, "probes": deployment.Probes, "led": deployment.Led, "told": deployment.Told,
+		"peers": deployment.Peers, "peer_price": deployment.PeerPrice, "probe_price": deployment.ProbePrice,
+		"streams": deployment.Streams, "idle_for": deployment.IdleFor, "connect_for": deployment.ConnectFor, "comeback": deployment.Comeback,
+		"fall_factor": deployment.FallFactor, "fall_span": deployment.FallSpan, "cold_from": deployment.ColdFrom, "cold_for": deployment.ColdFor,
+		"drain_alone": deployment.DrainAlone, "ask_within": deployment.AskWithin, "groups": groups,
+	}
+}
+
+// renderTrace renders a trace completely: a line for its header, one for each event, and one for its counts.
+func renderTrace(source *tool.Source) ([]byte, error) {
+	header := source.Header
+	deployment, err := record.ReadDeployment(header.More["deployment"])
+	if err != nil {
+		return nil, err
+	}
+	var out bytes.Buffer
+	line := func(value any) {
+		body, err := json.Marshal(value)
+		if err != nil {
+			panic(err) // objects, texts and numbers alone
+		}
+		out.Write(append(body, '\n'))
+	}
+	line(object{
+		"router": header.Router, "life": header.Life, "began": header.Began, "build": header.Build, "part": header.Part,
+		"key": hex.EncodeToString(header.Key), "deployment": deploymentObject(deployment), "groups": tool.Groups(header),
+	})
+	for _, kind := range header.Schema {
+		columns := []string{}
+		for _, column := range kind.Columns {
+			columns = append(columns, fmt.Sprintf("%s/%d/%d", column.Name, column.Type, column.Mark))
+		}
+		line(object{"schema": kind.Name, "columns": columns})
+	}
+	events := 0
+	if err := source.Each(tool.Window{}, nil, func(event traceEvent) error {
+		events++
+		line(tool.Object(header.Schema, event))
+		return nil
+	}); err != nil {
+		return nil, err
+	}
+	line(object{"events": events, "blocks": source.Blocks, "lost": source.Lost, "faults": len(source.Faults)})
+	return out.Bytes(), nil
+}
+
+// A trace file is read completely, by its index and from its beginning; its deployment still makes a replay.
+func TestTraceFileIsReadCompletely(t *testing.T) {
+	source := openTrace(t)
+	rendered, err := renderTrace(source)
+	require.NoError(t, err)
+	requireExpected(t, "router.jsonl", rendered)
+	require.NoError(t, source.Broken)
+	require.Len(t, source.Spans, 2)
+	require.Equal(t, 2, source.Blocks)
+	require.EqualValues(t, 5, source.Lost)
+	lines := strings.Split(strings.TrimSuffix(string(rendered), "\n"), "\n")
+	require.Len(t, lines, 1+35+2*35+1, "a header, the kinds, two events of each, the counts")
+	require.Equal(t, `{"blocks":2,"events":70,"faults":0,"lost":5}`, lines[len(lines)-1])
+	_, err = replay.New(source.Header, 10)
+	require.NoError(t, err)
+	for place, kind := range source.Header.Schema { // tools look columns up by name, a replay by place
+		require.Equal(t, kind.Name, record.Schema[place].Name)
+		require.Equal(t, kind.Columns, record.Schema[place].Columns[:len(kind.Columns)], kind.Name)
+	}
+
+	body, err := os.ReadFile(filepath.Join("testdata", "router.fptrace"))
+	require.NoError(t, err)
+	cut := filepath.Join(t.TempDir(), "cut.fptrace") // without its index: what a crash leaves
+	require.NoError(t, os.WriteFile(cut, body[:len(body)-8], 0o600))
+	source, err = tool.Open(cut)
+	require.NoError(t, err)
+	t.Cleanup(func() { require.NoError(t, source.Close()) })
+	require.Empty(t, source.Spans)
+	again, err := renderTrace(source)
+	require.NoError(t, err)
+	require.Equal(t, string(rendered), string(again))
+}
