--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -6,297 +6,223 @@
 	"strings"
 )
 
-// ID names a member in one life of its disk: its address, and for a learner a mark behind "+".
+// maxLearners is how many learners a leader tracks.
+const maxLearners = 32
+
+// ID identifies a member for as long as it has the same disk: an address or, if the member joined as a learner, an address
+// and a random suffix behind "+".
 type ID string
 
-// Address is where a member is reached.
-func (i ID) Address() string { at, _, _ := strings.Cut(string(i), "+"); return at }
+// Address returns the address where the member is reached.
+func (id ID) Address() string {
+	address, _, _ := strings.Cut(string(id), "+")
+	return address
+}
 
-type config struct {
+// configuration is the set of voting members from an entry on (4.1).
+type configuration struct {
 	index   uint64
 	members []ID
 }
 
-type progress struct {
-	next, match uint64
-	sentAt      int64 // when entries were sent that are not acknowledged; 0: none
-	confirmed   int64 // the newest heartbeat that came back
-	heardAt     int64
-	learner     bool
-	transfer    *transfer // a snapshot on its way there
-	refetch     bool      // it asked for one, whatever it holds
-	settled     uint64    // the newest change of members that it knows, on disk, to be delivered
-	leavingAt   int64     // when it last said that it is to end; 0: it is not
-	leavesSince int64     // and when first
-}
-
-// departure is how far a member that is to end has come.
-type departure struct {
-	begun, over, handed bool
-	begunAt, askAt      int64
+func (c configuration) hasQuorum(has func(ID) bool) bool {
+	count := 0
+	for _, member := range c.members {
+		if has(member) {
+			count++
+		}
+	}
+	return 2*count > len(c.members)
 }
 
-const mostLearners = 32
+// latestConfiguration is the newest one in the log, committed or not: it counts from when it is appended (4.1).
+func (n *Node) latestConfiguration() configuration { return n.configurations[len(n.configurations)-1] }
 
-// Members are who counts, by the newest entry held.
-func (c *Node) Members() []ID { return c.configs[len(c.configs)-1].members }
+// Members returns the voting members by the newest configuration in the log. The slice must not be changed.
+func (n *Node) Members() []ID { return n.latestConfiguration().members }
 
-// active are the configurations that must each agree: the newest delivered one and all behind it.
-func (c *Node) active() []config {
-	i := 0
-	for i+1 < len(c.configs) && c.configs[i+1].index <= max(c.commit, c.meta.CommittedConfigIndex) {
-		i++
+// activeConfigurations are the newest committed one and all behind it. Majorities of each are needed (4.3).
+func (n *Node) activeConfigurations() []configuration {
+	committed := max(n.commitIndex, n.hardState.CommittedConfigIndex)
+	first := 0
+	for first+1 < len(n.configurations) && n.configurations[first+1].index <= committed {
+		first++
 	}
-	return c.configs[i:]
+	return n.configurations[first:]
 }
 
-func (c *Node) majority(has func(ID) bool) bool {
-	for _, g := range c.active() {
-		n := 0
-		for _, m := range g.members {
-			if has(m) {
-				n++
-			}
-		}
-		if 2*n <= len(g.members) {
-			return false
+// addConfigurations notes the configurations among entries that follow the log's entry at index.
+func (n *Node) addConfigurations(index uint64, entries []Entry) {
+	for _, entry := range entries {
+		index++
+		if len(entry.Members) > 0 {
+			n.configurations = append(n.configurations, configuration{index, entry.Members})
 		}
 	}
-	return true
 }
 
-func (c *Node) all(has func(ID) bool) bool {
-	n := 0
-	for _, g := range c.active() {
-		for _, m := range g.members {
-			if n++; !has(m) {
-				return false
-			}
+// commitConfigurations forgets those before the newest committed one. Its index is written to disk: a node that did not
+// know it after a restart would need votes of members that are removed.
+func (n *Node) commitConfigurations() {
+	for len(n.configurations) > 1 && n.configurations[1].index <= n.commitIndex {
+		n.configurations = n.configurations[1:]
+		if index := n.configurations[0].index; index > n.hardState.CommittedConfigIndex {
+			n.hardState.CommittedConfigIndex = index
+			n.persistHardState()
 		}
 	}
-	return n > 0
 }
 
-func (c *Node) member(id ID) bool {
-	for _, g := range c.active() {
-		if slices.Contains(g.members, id) {
-			return true
+// configurationDurable says that no change of members is under way, and that a majority has on disk that the last one was
+// committed. Before that, the loss of a member could leave only such as would still need votes of those removed.
+func (n *Node) configurationDurable() bool {
+	active := n.activeConfigurations()
+	return len(active) == 1 && active[0].hasQuorum(func(id ID) bool {
+		if id == n.id {
+			return n.persistedConfigIndex >= active[0].index
 		}
-	}
-	return false
+		p := n.peers[id]
+		return p != nil && p.persistedConfigIndex >= active[0].index
+	})
 }
 
-// follow has a leader keep account of all that count.
-func (c *Node) follow() {
-	if c.role != leader {
-		return
-	}
-	for _, g := range c.active() {
-		for _, m := range g.members {
-			if c.peers[m] == nil {
-				c.peers[m] = &progress{next: c.last() + 1, heardAt: c.now}
-			}
-			c.peers[m].learner = false
+// hasQuorum says whether a majority of each active configuration has something.
+func (n *Node) hasQuorum(has func(ID) bool) bool {
+	for _, config := range n.activeConfigurations() {
+		if !config.hasQuorum(has) {
+			return false
 		}
 	}
-	for id, p := range c.peers {
-		if !c.member(id) && !p.learner && id != c.id {
-			delete(c.peers, id)
+	return true
+}
+
+// everyMember says whether all members of all active configurations have something; false if there are no members.
+func (n *Node) everyMember(has func(ID) bool) bool {
+	count := 0
+	for _, config := range n.activeConfigurations() {
+		for _, member := range config.members {
+			count++
+			if !has(member) {
+				return false
+			}
 		}
 	}
+	return count > 0
 }
 
-func (c *Node) others() []ID {
-	all := make([]ID, 0, len(c.peers))
-	for id := range c.peers {
-		if id != c.id {
-			all = append(all, id)
+// isMember says whether an ID is in an active configuration.
+func (n *Node) isMember(id ID) bool {
+	for _, config := range n.activeConfigurations() {
+		if slices.Contains(config.members, id) {
+			return true
 		}
 	}
-	slices.Sort(all)
-	return all
+	return false
 }
 
-// adopt makes a learner that holds all that was delivered a member, in the place of one at its address, of one that is
-// to end, or of one that is silent, or beside the others while they are fewer than must be there. More than that would only make majorities
-// greater: a member that is gone for good would count in them. One change at a time.
-func (c *Node) adopt() {
-	if len(c.active()) > 1 || !c.HoldsLease(c.now) {
-		return
-	}
-	members := c.Members()
-	for _, id := range c.standby() {
-		if c.peers[id].match < c.commit {
-			continue
-		}
-		next := slices.DeleteFunc(slices.Clone(members), func(m ID) bool { return m != c.id && m.Address() == id.Address() })
-		if len(next) == len(members) {
-			i := slices.IndexFunc(next, c.leaves)
-			if i < 0 {
-				i = slices.IndexFunc(next, func(m ID) bool {
-					return m != c.id && c.peers[m] != nil && c.now > c.peers[m].heardAt+c.RemovalTimeoutMs
-				})
-			}
-			switch {
-			case i >= 0:
-				next = slices.Delete(next, i, i+1)
-			case len(members) >= c.MaxMembers:
-				continue // it stands by
-			}
-		}
-		next = append(next, id)
-		slices.Sort(next)
-		c.append(Entry{Term: c.meta.Term, Members: next})
-		return
+// tickJoin asks a leader, wherever it is, to track this node.
+func (n *Node) tickJoin() {
+	if n.nowMs >= n.nextJoinAtMs {
+		n.nextJoinAtMs = n.nowMs + n.LeaseMs/2
+		n.send(Message{Type: MsgJoin, Index: n.log.lastIndex()})
 	}
 }
 
-// joined has a leader call a learner. Who joins knows its seeds only, and the leader need be none of them, nor be in
-// reach of it: a follower passes on, once, what was sent to all.
-func (c *Node) joined(m Message) {
-	if c.role == follower && c.leader != "" && m.To == "" {
-		m.To = c.leader
-		c.out.Messages = append(c.out.Messages, m)
+// stepJoin has a leader track a learner. Its sender knows only its seeds, of which none need lead or reach the leader, so
+// a follower forwards the message, once.
+func (n *Node) stepJoin(m Message) {
+	if n.role == follower && n.leaderID != "" && m.To == "" {
+		m.To = n.leaderID
+		n.ready.Messages = append(n.ready.Messages, m)
 		return
 	}
-	if c.role != leader || c.member(m.From) || c.transferring {
+	if n.role != leader || n.isMember(m.From) || n.leadership.transferring {
 		return
 	}
-	if c.peers[m.From] == nil {
-		learners := 0
-		for id, p := range c.peers {
-			switch {
-			case !p.learner:
-			case id.Address() == m.From.Address(): // an older life
-				delete(c.peers, id)
-			default:
-				learners++
-			}
-		}
-		if learners >= mostLearners {
-			c.DiscardedMessages++
-			return
-		}
-		c.peers[m.From] = &progress{next: min(m.Index, c.last()) + 1, heardAt: c.now, learner: true}
+	if n.peers[m.From] == nil && !n.addLearner(m) {
+		return
 	}
-	p := c.peers[m.From]
-	c.heartbeat(m.From)
-	c.feed(m.From, p)
+	p := n.peers[m.From]
+	n.sendHeartbeat(m.From)
+	n.replicate(m.From, p)
 }
 
-// standby are the learners that are heard of, those that hold most first. One that is to end is forgotten when it says so.
-func (c *Node) standby() (all []ID) {
-	for _, id := range c.others() {
-		if p := c.peers[id]; p.learner && c.now <= p.heardAt+c.LeaseMs {
-			all = append(all, id)
+// addLearner tracks the sender of a MsgJoin, in place of earlier learners at its address, unless there are too many.
+func (n *Node) addLearner(m Message) bool {
+	others := 0
+	for id, p := range n.peers {
+		switch {
+		case !p.learner:
+		case id.Address() == m.From.Address():
+			delete(n.peers, id)
+		default:
+			others++
 		}
 	}
-	slices.SortStableFunc(all, func(a, b ID) int { return cmp.Compare(c.peers[b].match, c.peers[a].match) })
-	return all
-}
-
-func (p *progress) leaves(now int64) {
-	if p.leavingAt == 0 {
-		p.leavesSince = now
+	if others >= maxLearners {
+		n.DiscardedMessages++
+		return false
 	}
-	p.leavingAt = now
-}
-
-// leaves says that a member is to end: it has said so, and was not heard of otherwise since.
-func (c *Node) leaves(id ID) bool {
-	p := c.peers[id]
-	return p != nil && p.leavingAt > 0 && c.now <= p.leavingAt+c.RemovalTimeoutMs
+	n.peers[m.From] = &progress{nextIndex: min(m.Index, n.log.lastIndex()) + 1, heardAtMs: n.nowMs, learner: true}
+	return true
 }
 
-// Leave has this member ask for its seat to be handed on, until Left. It goes on counting, voting and answering until then.
-func (c *Node) Leave(now int64) Ready {
-	c.clock(now)
-	if d := &c.departure; !d.begun {
-		d.begun, d.begunAt = true, c.now
+// responsiveLearners returns the learners that were heard lately, those with the longest logs first.
+func (n *Node) responsiveLearners() (learners []ID) {
+	for _, id := range n.peerIDs() {
+		if p := n.peers[id]; p.learner && n.nowMs <= p.heardAtMs+n.LeaseMs {
+			learners = append(learners, id)
+		}
 	}
-	c.depart()
-	return c.take()
+	slices.SortStableFunc(learners, func(a, b ID) int { return cmp.Compare(n.peers[b].matchIndex, n.peers[a].matchIndex) })
+	return learners
 }
 
-// LeaveProgress says whether a member that leaves may end, and whether another has its seat. Where none stands by it keeps the
-// seat: it may come back with all that it holds, and a configuration without it would need all the others.
-func (c *Node) LeaveProgress() (over, handed bool) { return c.departure.over, c.departure.handed }
-
-// depart asks the one that leads, again and again: it may change. One that leads itself hands its seat on first, so that
-// its view is left once, and by a member that goes on.
-func (c *Node) depart() {
-	d := &c.departure
-	if !d.begun || d.over || c.now < d.askAt {
+// promoteLearner makes a learner that holds all committed entries a member (4.2.1), one change at a time.
+func (n *Node) promoteLearner() {
+	if len(n.activeConfigurations()) > 1 || !n.HoldsLease(n.nowMs) {
 		return
 	}
-	d.askAt = c.now + c.HeartbeatMs/2
-	if p := c.peers[c.id]; p != nil {
-		p.leaves(c.now)
-	}
-	switch {
-	case c.role != leader:
-		if c.leader != "" {
-			c.send(Message{Type: MsgLeave, To: c.leader, SentAtMs: c.now})
+	for _, id := range n.responsiveLearners() {
+		if n.peers[id].matchIndex < n.commitIndex {
+			continue
+		}
+		if members, ok := n.membersWith(id); ok {
+			n.appendEntry(Entry{Term: n.hardState.Term, Members: members})
+			return
 		}
-	case c.transferring:
-	case c.member(c.id) && c.awaits(c.id):
-		c.adopt()
-	case c.member(c.id) || c.agreed():
-		d.over, d.handed = true, !c.member(c.id)
-		c.transfer()
 	}
 }
 
-// awaits says that a member should not end yet: its seat may still be handed on (a learner is there, or has had no time
-// to call, or a change is under way), or those that have been heard of since it said so are no majority without it.
-func (c *Node) awaits(id ID) bool {
-	since := c.peers[id].leavesSince
-	return len(c.active()) > 1 || len(c.standby()) > 0 || !c.HoldsLease(c.now) || c.now < c.ledAt+c.LeaseMs ||
-		!c.majority(func(m ID) bool {
-			p := c.peers[m]
-			return m != id && (m == c.id || p != nil && p.confirmed > since && !c.leaves(m))
-		})
-}
-
-// agreed says that a majority of the members has on disk that the last change of members was delivered. Before that, a
-// loss could leave none but such as would still ask those who are out.
-func (c *Node) agreed() bool {
-	all := c.active()
-	return len(all) == 1 && c.majority(func(id ID) bool {
-		if id == c.id {
-			return c.settled >= all[0].index
-		}
-		p := c.peers[id]
-		return p != nil && p.settled >= all[0].index
+// membersWith returns the members with a learner among them: in the place of an earlier member at its address, of one
+// that is leaving, or of one that is silent, or in addition while there are fewer than MaxMembers. Beyond that, an
+// addition would only enlarge the majorities. It returns false if there is no place.
+func (n *Node) membersWith(learner ID) ([]ID, bool) {
+	current := n.Members()
+	next := slices.DeleteFunc(slices.Clone(current), func(member ID) bool {
+		return member != n.id && member.Address() == learner.Address()
 	})
-}
-
-// left has a leader hand on the seat of a member that is to end, and tell it once it may.
-func (c *Node) left(m Message) {
-	if !c.HoldsLease(c.now) {
-		return
-	}
-	p := c.peers[m.From]
-	switch {
-	case !c.member(m.From):
-		if p == nil {
-			c.DiscardedMessages++
-		}
-		delete(c.peers, m.From)
-		if c.agreed() {
-			c.send(c.telling(Message{Type: MsgLeaveResponse, To: m.From, SentAtMs: m.SentAtMs, Granted: true}))
+	if len(next) == len(current) {
+		replaced := n.replaceableMember(next)
+		switch {
+		case replaced >= 0:
+			next = slices.Delete(next, replaced, replaced+1)
+		case len(current) >= n.MaxMembers:
+			return nil, false
 		}
-	default: // where it ends, a learner that comes before it is back need not wait until it is silent for long
-		if p.leaves(c.now); c.awaits(m.From) {
-			c.adopt()
-			return
-		}
-		c.send(c.telling(Message{Type: MsgLeaveResponse, To: m.From, SentAtMs: m.SentAtMs}))
 	}
+	next = append(next, learner)
+	slices.Sort(next)
+	return next, true
 }
 
-func (c *Node) departed(m Message) {
-	if d := &c.departure; d.begun && m.From == c.leader && m.Term == c.meta.Term && m.SentAtMs >= d.begunAt && m.SentAtMs <= c.now {
-		d.over, d.handed = true, m.Granted
+// replaceableMember returns the place of a member that is leaving, else of one that has been silent for long, else -1.
+func (n *Node) replaceableMember(members []ID) int {
+	if leaving := slices.IndexFunc(members, n.isLeaving); leaving >= 0 {
+		return leaving
 	}
+	return slices.IndexFunc(members, func(member ID) bool {
+		p := n.peers[member]
+		return member != n.id && p != nil && n.nowMs > p.heardAtMs+n.RemovalTimeoutMs
+	})
 }
--- /dev/null
+++ b/internal/control/partition_test.go
@@ -0,0 +1,82 @@
+package control
+
+import (
+	"flag"
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+var partitionSeeds = flag.Int("partitionseeds", 100, "clusters to simulate with partitions")
+
+func partitionSeedCount() int {
+	if testing.Short() {
+		return max(1, *partitionSeeds/10)
+	}
+	return *partitionSeeds
+}
+
+func TestPartitionedMembersGiveNoWrongResponses(t *testing.T) {
+	t.Parallel()
+	confirms, refused, reads, answers, leased := 0, 0, 0, 0, 0
+	for seed := range partitionSeedCount() {
+		size := 3
+		if seed%5 == 4 {
+			size = 5
+		}
+		c := newPartitionCluster(uint64(seed), size, 2, 0.05, noSafeguard)
+		span := int64(9000)
+		if seed%10 == 7 { // one long partition that heals between updates
+			c.After(2000, func() { c.members[c.Rand.IntN(size)].partition(20000) })
+			span = 24000
+		}
+		c.run(span, seed%2 == 0)
+		if len(c.Violations) > 0 {
+			t.Fatalf("seed %d:\n%s", seed, c.report())
+		}
+		confirms, refused, reads, answers, leased = confirms+c.confirmed, refused+c.conflicts, reads+c.reads, answers+c.delayedResponses, leased+c.leases
+	}
+	n := partitionSeedCount()
+	t.Logf("%d clusters: %d updates confirmed, %d conflicts, %d reads, %d delayed responses, %d leases", n, confirms, refused, reads, answers, leased)
+	require.Greater(t, confirms, 10*n)
+	require.Greater(t, refused, n/2)
+	require.Greater(t, reads, 10*n)
+	require.Greater(t, leased, 20*n)
+}
+
+// Each safeguard, taken out, is detected; so is a clock that drifts by more than a tenth.
+func TestPartitionSimulationDetectsEachRemovedSafeguard(t *testing.T) {
+	t.Parallel()
+	all := []safeguard{leaderLeaseCheck, clockDriftBound, heartbeatSendTimes, leaderStickiness}
+	if testing.Short() {
+		all = all[:1]
+	}
+	for _, removed := range all {
+		detected := ""
+		for seed := 0; seed < 1000 && detected == ""; seed++ {
+			drift := 0.05
+			if removed == clockDriftBound {
+				drift = 0.3
+			}
+			c := newPartitionCluster(uint64(seed), 3, 2, drift, removed)
+			func() {
+				defer func() {
+					if p := recover(); p != nil { // an assertion of the log itself
+						c.Violate("two leaders: %v", p)
+					}
+				}()
+				c.run(9000, true)
+			}()
+			for _, b := range c.Violations {
+				if !strings.Contains(b, "without faults") {
+					detected = fmt.Sprintf("seed %d: %s", seed, b)
+					break
+				}
+			}
+		}
+		require.NotEmpty(t, detected, "%s: nothing is detected", removed)
+		t.Logf("%s: detected by %s", removed, detected)
+	}
+}
