--- a/cmd/ferrypitch-control/disk.go
+++ b/cmd/ferrypitch-control/disk.go
@@ -7,7 +7,6 @@
 	"io"
 	"maps"
 	"os"
-	"path/filepath"
 	"slices"
 
 	"github.com/google/subcommands"
@@ -19,9 +18,6 @@
 	"ferrypitch/internal/control/storage"
 )
 
-// logFileName is the name of the write-ahead log in a data directory. It is part of the format on disk.
-const logFileName = "ratchet.db"
-
 // diskCommand shows what the data directory of a stopped member holds.
 type diskCommand struct{ json bool }
 
@@ -81,26 +77,14 @@
 	}
 }
 
-// readDisk reads a data directory. It opens a copy of the log, since opening it writes to it.
+// readDisk reads a data directory, and writes nothing to it.
 func readDisk(folder string) (*diskContents, error) {
-	body, err := os.ReadFile(filepath.Join(folder, logFileName))
-	if err != nil {
-		return nil, trace.ConvertSystemError(err)
-	}
-	copied, err := os.MkdirTemp("", "ferrypitch-control-disk")
-	if err != nil {
-		return nil, trace.ConvertSystemError(err)
-	}
-	defer os.RemoveAll(copied)
-	if err := os.WriteFile(filepath.Join(copied, logFileName), body, 0o600); err != nil {
-		return nil, trace.ConvertSystemError(err)
-	}
-	wal, identity, restored, err := storage.Open(copied, func() storage.Identity { return storage.Identity{ID: "(none)"} })
+	identity, restored, err := storage.ReadFolder(folder)
 	if err != nil {
 		return nil, err
 	}
-	if err := wal.Close(); err != nil { // all of it is read
-		return nil, err
+	if identity.ID == "" {
+		identity.ID = "(none)"
 	}
 	contents := &diskContents{Identity: identity}
 	if err := contents.restore(restored); err != nil {
--- a/internal/control/statemachine/state_test.go
+++ b/internal/control/statemachine/state_test.go
@@ -13,85 +13,85 @@
 	return fmt.Appendf(nil, `{"Generation":%d,"Routes":[{"Name":"r","Host":%q,"Kind":"leader","DeadlineMs":9,"Service":"s"}],"Services":[{"Name":"s"}]}`, generation, host)
 }
 
-func TestOfTwoChangesOnOneVersionOneWinsAndALostAnswerIsFoundAgain(t *testing.T) {
-	s := &State{}
+func TestConcurrentUpdatesConflictAndResentOnesAreRecognised(t *testing.T) {
+	state := &State{}
 	first := ConfigUpdate{BaseVersion: 0, Body: configBody(3, "a")}
-	require.NoError(t, s.Apply(1, Change{UpdateConfig: &first}))
-	one, other := ConfigUpdate{BaseVersion: 3, Body: configBody(5, "b")}, ConfigUpdate{BaseVersion: 3, Body: configBody(6, "c")}
-	require.NoError(t, s.Apply(2, Change{UpdateConfig: &one}))
-	require.ErrorIs(t, s.Apply(3, Change{UpdateConfig: &other}), ErrVersionConflict)
-	require.EqualValues(t, 5, s.Generation)
-	plan, err := s.CheckConfig(&first) // sent again after an answer was lost, and after others
+	require.NoError(t, state.Apply(1, Change{UpdateConfig: &first}))
+	replica, other := ConfigUpdate{BaseVersion: 3, Body: configBody(5, "b")}, ConfigUpdate{BaseVersion: 3, Body: configBody(6, "c")}
+	require.NoError(t, state.Apply(2, Change{UpdateConfig: &replica}))
+	require.ErrorIs(t, state.Apply(3, Change{UpdateConfig: &other}), ErrVersionConflict)
+	require.EqualValues(t, 5, state.Generation)
+	result, err := state.CheckConfig(&first) // sent again after its answer was lost, and after other updates
 	require.NoError(t, err)
-	require.Nil(t, plan)
-	_, err = s.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: configBody(5, "d")})
+	require.Nil(t, result)
+	_, err = state.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: configBody(5, "d")})
 	require.ErrorIs(t, err, ErrInvalid)
-	_, err = s.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: []byte("{")})
+	_, err = state.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: []byte("{")})
 	require.ErrorIs(t, err, ErrInvalid)
 	_, err = (&State{}).CheckConfig(&ConfigUpdate{IsAmendment: true, Body: []byte(`{"Generation":1}`)})
 	require.ErrorIs(t, err, ErrInvalid)
 }
 
-func TestAFenceRisesWithEachHolderAndALeadIsNotedOnce(t *testing.T) {
-	s := &State{}
-	require.NoError(t, s.Apply(1, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h0", Term: 1}}))
-	require.NoError(t, s.Apply(2, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
-	require.NoError(t, s.Apply(3, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
-	require.EqualValues(t, 2, s.Primaries["db"].FencingToken)
-	require.EqualValues(t, 2, s.Primaries["db"].ChangedAt, "what was taken back once is handed back once")
-	require.NoError(t, s.Apply(4, Change{RevokePrimary: &RevokePrimary{"db", "b"}}))
-	require.EqualValues(t, 4, s.Primaries["db"].FencingToken)
-	require.NoError(t, s.Apply(5, Change{NominatePrimary: &NominatePrimary{"db", "h1", "b"}}))
-	require.NoError(t, s.Apply(6, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h1", Term: 2}}))
-	require.Equal(t, Primary{Host: "h1", Term: 2, FencingToken: 4, Owner: "b", ChangedAt: 6, ReplicasPaused: true}, s.Primaries["db"])
-	require.NoError(t, s.Apply(7, Change{ReplicationResumed: "db"}))
-	require.False(t, s.Primaries["db"].ReplicasPaused)
-	require.NoError(t, s.Apply(8, Change{NominatePrimary: &NominatePrimary{"db", "h2", "b"}}))
-	require.NoError(t, s.Apply(9, Change{ReplicationResumed: "db"}), "one that comes late changes nothing")
-	require.True(t, s.Primaries["db"].ReplicasPaused)
-	require.True(t, errors.Is(s.Apply(10, Change{DrainHost: "nobody"}), ErrNotFound))
+func TestFencingTokenRisesWithEachOwner(t *testing.T) {
+	state := &State{}
+	require.NoError(t, state.Apply(1, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h0", Term: 1}}))
+	require.NoError(t, state.Apply(2, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
+	require.NoError(t, state.Apply(3, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
+	require.EqualValues(t, 2, state.Primaries["db"].FencingToken)
+	require.EqualValues(t, 2, state.Primaries["db"].ChangedAt, "a primary that is revoked already is not revoked again")
+	require.NoError(t, state.Apply(4, Change{RevokePrimary: &RevokePrimary{"db", "b"}}))
+	require.EqualValues(t, 4, state.Primaries["db"].FencingToken)
+	require.NoError(t, state.Apply(5, Change{NominatePrimary: &NominatePrimary{"db", "h1", "b"}}))
+	require.NoError(t, state.Apply(6, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h1", Term: 2}}))
+	require.Equal(t, Primary{Host: "h1", Term: 2, FencingToken: 4, Owner: "b", ChangedAt: 6, ReplicasPaused: true}, state.Primaries["db"])
+	require.NoError(t, state.Apply(7, Change{ReplicationResumed: "db"}))
+	require.False(t, state.Primaries["db"].ReplicasPaused)
+	require.NoError(t, state.Apply(8, Change{NominatePrimary: &NominatePrimary{"db", "h2", "b"}}))
+	require.NoError(t, state.Apply(9, Change{ReplicationResumed: "db"}), "one that comes late changes nothing")
+	require.True(t, state.Primaries["db"].ReplicasPaused)
+	require.True(t, errors.Is(state.Apply(10, Change{DrainHost: "nobody"}), ErrNotFound))
 }
 
-// What a replica that left may alone have had is owed until its log is elsewhere.
-func TestAReplicaThatLeavesIsOwedUntilItsLogIsElsewhere(t *testing.T) {
-	s := &State{}
+// A replica that was removed may be the only one that received a write, until its log is known to be elsewhere.
+func TestRemovedReplicaIsUnaccountedUntilItsLogIsElsewhere(t *testing.T) {
+	state := &State{}
 	enter := func(i uint64, id, address string) {
-		require.NoError(t, s.Apply(i, Change{AddHost: &Host{ID: id, Service: "db", Address: address}}))
+		require.NoError(t, state.Apply(i, Change{AddHost: &Host{ID: id, Service: "db", Address: address}}))
 	}
 	for i, id := range []string{"h0", "h1", "h2", "h3"} {
 		enter(uint64(i)+1, id, "1.1.1.1:"+id[1:])
 	}
-	require.NoError(t, s.Apply(5, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h0", Term: 1}}))
+	require.NoError(t, state.Apply(5, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h0", Term: 1}}))
 	for i, id := range []string{"h1", "h2", "h0"} {
-		require.NoError(t, s.Apply(6+uint64(i), Change{RemoveHost: id}))
+		require.NoError(t, state.Apply(6+uint64(i), Change{RemoveHost: id}))
 	}
-	require.Equal(t, []string{"h1", "h2"}, s.UnaccountedHostIDs("db"), "a primary acknowledges what another has received")
+	require.Equal(t, []string{"h1", "h2"}, state.UnaccountedHostIDs("db"), "a primary acknowledges what another has received")
 	enter(9, "h4", "1.1.1.1:1")
-	require.Equal(t, []string{"h2"}, s.UnaccountedHostIDs("db"), "a new host takes the log that is at its address")
-	again, err := Restore(s.Snapshot())
+	require.Equal(t, []string{"h2"}, state.UnaccountedHostIDs("db"), "a new host takes the log that is at its address")
+	again, err := Restore(state.Snapshot())
 	require.NoError(t, err)
-	require.Equal(t, s.UnaccountedHostIDs("db"), again.UnaccountedHostIDs("db"))
-	require.NoError(t, s.Apply(10, Change{MarkMissing: "h2"}))
-	require.Empty(t, s.UnaccountedHostIDs("db"), "others have reached it")
+	require.Equal(t, state.UnaccountedHostIDs("db"), again.UnaccountedHostIDs("db"))
+	require.NoError(t, state.Apply(10, Change{MarkMissing: "h2"}))
+	require.Empty(t, state.UnaccountedHostIDs("db"), "other hosts have all of its log")
 	enter(11, "h5", "1.1.1.1:3")
-	require.NotContains(t, s.Hosts, "h3", "one whose address is used again has ended, whether it could say so or not")
-	require.Error(t, s.Apply(12, Change{AddHost: &Host{ID: "h3", Service: "db", Address: "1.1.1.1:3"}}), "a beat that came late")
-	require.Contains(t, s.Hosts, "h5")
+	require.NotContains(t, state.Hosts, "h3", "a host whose address is used again has ended, whether it could say so or not")
+	require.Error(t, state.Apply(12, Change{AddHost: &Host{ID: "h3", Service: "db", Address: "1.1.1.1:3"}}), "an announcement that came late")
+	require.Contains(t, state.Hosts, "h5")
 }
 
-// Members that apply the same changes hold the same, wherever each took a snapshot.
-func TestSnapshotsStandForAllBefore(t *testing.T) {
+// Replicas that apply the same changes have the same state, wherever one of them was restored from a snapshot.
+func TestReplicasAgreeAcrossSnapshots(t *testing.T) {
 	for seed := range 200 {
-		chance := rand.New(rand.NewPCG(uint64(seed), 1))
+		random := rand.New(rand.NewPCG(uint64(seed), 1))
 		a, b := &State{}, &State{}
 		for i := 1; i < 60; i++ {
 			var c Change
-			id := fmt.Sprintf("h%d", chance.IntN(5))
-			switch chance.IntN(8) {
+			id := fmt.Sprintf("h%d", random.IntN(5))
+			switch random.IntN(8) {
 			case 0:
-				c.UpdateConfig = &ConfigUpdate{BaseVersion: a.Generation, Body: configBody(int(a.Generation)+1+chance.IntN(3), id)}
+				c.UpdateConfig = &ConfigUpdate{BaseVersion: a.Generation, Body: configBody(int(a.Generation)+1+random.IntN(3), id)}
 			case 1, 2:
-				c.AddHost = &Host{ID: id, Service: "s", Address: "1.1.1.1:" + id[1:], Draining: chance.IntN(3) == 0}
+				c.AddHost = &Host{ID: id, Service: "s", Address: "1.1.1.1:" + id[1:], Draining: random.IntN(3) == 0}
 			case 3:
 				c.RemoveHost = id
 			case 4:
@@ -99,7 +99,7 @@
 			case 5:
 				c.AppointPrimary = &AppointPrimary{Service: "s", Host: id, Term: uint64(i)}
 			case 6:
-				c.Proxy = &ProxyMembership{Node: id, Removed: chance.IntN(3) == 0}
+				c.Proxy = &ProxyMembership{Node: id, Removed: random.IntN(3) == 0}
 			case 7:
 				c.NominatePrimary = &NominatePrimary{"s", id, "m"}
 			}
@@ -107,8 +107,8 @@
 			require.NoError(t, err)
 			wantErr, gotErr := a.Apply(uint64(i), c), b.Apply(uint64(i), decoded)
 			require.Equal(t, wantErr == nil, gotErr == nil)
-			require.NoError(t, b.Apply(uint64(i), Change{RemoveHost: "h0"}), "what was applied is passed over")
-			if chance.IntN(5) == 0 {
+			require.NoError(t, b.Apply(uint64(i), Change{RemoveHost: "h0"}), "a change that was applied already is ignored")
+			if random.IntN(5) == 0 {
 				b, err = Restore(b.Snapshot())
 				require.NoError(t, err)
 			}
@@ -118,13 +118,76 @@
 	}
 }
 
-func FuzzDecode(f *testing.F) {
+func FuzzDecodeChangeAndRestore(f *testing.F) {
 	f.Add(EncodeChange(Change{RemoveHost: "x"}))
 	f.Add((&State{Generation: 3}).Snapshot())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if c, err := DecodeChange(b); err == nil {
-			(&State{}).Apply(1, c)
+		if change, err := DecodeChange(b); err == nil {
+			if err := (&State{}).Apply(1, change); err != nil && !isKnownReason(err) {
+				t.Fatalf("a change is refused without a reason of this package: %v", err)
+			}
+		} else if !errors.Is(err, ErrBadChange) {
+			t.Fatalf("not an ErrBadChange: %v", err)
+		}
+		if _, err := Restore(b); err != nil && !errors.Is(err, ErrBadSnapshot) {
+			t.Fatalf("not an ErrBadSnapshot: %v", err)
 		}
-		Restore(b)
 	})
 }
+
+func isKnownReason(err error) bool {
+	return errors.Is(err, ErrVersionConflict) || errors.Is(err, ErrInvalid) || errors.Is(err, ErrNotFound) || errors.Is(err, ErrDiverged)
+}
+
+// An error is of one kind, and says about what it is.
+func TestErrorsNameTheirSubject(t *testing.T) {
+	state := &State{}
+	applyUpdate(t, state, ConfigUpdate{Body: configBody(3, "a")})
+	require.NoError(t, state.Apply(2, Change{AddHost: &Host{ID: "h1", Service: "s", Address: "1.1.1.1:1"}}))
+	require.NoError(t, state.Apply(3, Change{RemoveHost: "h1"}))
+
+	var conflict *VersionConflictError
+	err := state.Apply(4, Change{UpdateConfig: &ConfigUpdate{BaseVersion: 2, Body: configBody(9, "b")}})
+	require.ErrorAs(t, err, &conflict)
+	require.ErrorIs(t, err, ErrVersionConflict)
+	require.NotErrorIs(t, err, ErrInvalid)
+	require.Equal(t, VersionConflictError{InForce: 3, Base: 2}, *conflict)
+	require.EqualError(t, err, "another version is in place: 3 is, the change builds on 2")
+
+	var invalid *InvalidConfigError
+	err = state.Apply(5, Change{UpdateConfig: &ConfigUpdate{BaseVersion: 3, Body: configBody(3, "b")}})
+	require.ErrorAs(t, err, &invalid)
+	require.ErrorIs(t, err, ErrInvalid)
+	require.EqualValues(t, 3, invalid.Base)
+	require.EqualError(t, err, "not valid: Generation: 3: not above 3")
+
+	var host *HostError
+	for i, c := range []struct {
+		change Change
+		want   HostError
+		text   string
+	}{
+		{Change{AddHost: &Host{ID: "h1"}}, HostError{Host: "h1", Removed: true}, "not known: h1 has left"},
+		{Change{DrainHost: "h2"}, HostError{Host: "h2"}, "not known: h2"},
+	} {
+		err := state.Apply(uint64(6+i), c.change)
+		require.ErrorAs(t, err, &host)
+		require.ErrorIs(t, err, ErrNotFound)
+		require.Equal(t, c.want, *host)
+		require.EqualError(t, err, c.text)
+	}
+
+	var diverged *DivergedError
+	other := &State{}
+	applyUpdate(t, other, ConfigUpdate{Body: configBody(3, "other")})
+	update := ConfigUpdate{BaseVersion: 3, Body: configBody(4, "other")}
+	result, err := other.CheckConfig(&update)
+	require.NoError(t, err)
+	_, err = (&State{}).CheckConfig(&ConfigUpdate{IsAmendment: true})
+	require.EqualError(t, err, "not valid: nothing to amend")
+	err = state.Apply(8, Change{UpdateConfig: other.Delta(&update, result)})
+	require.ErrorAs(t, err, &diverged)
+	require.ErrorIs(t, err, ErrDiverged)
+	require.Equal(t, DivergedError{Index: 8, Version: 3}, *diverged)
+	require.EqualValues(t, 7, state.Index)
+}
