--- /dev/null
+++ b/internal/proxy/session/connstate.go
@@ -0,0 +1,98 @@
+package session
+
+import (
+	"hash/crc32"
+	"maps"
+	"slices"
+	"strconv"
+
+	"ferrypitch/internal/wire"
+)
+
+// maxPrepared is how many prepared statements a host connection keeps before it is reset.
+const maxPrepared = 128
+
+// ConnState is the session state that a host connection has at its host. The zero value is a new connection.
+type ConnState struct {
+	ValuesKey string            // Session.ValuesKey of the variables that are set
+	Prepared  map[string]string // texts of the prepared statements by PreparedName
+}
+
+// PreparedName returns the name under which a statement is prepared on host connections. It depends on the text alone, so that
+// sessions with the same statement share it, whatever names their clients gave it. Texts of one length may have the same name.
+func PreparedName(text string) string {
+	const base = 36
+	checksum := crc32.ChecksumIEEE([]byte(text))
+	return "f" + strconv.FormatUint(uint64(checksum), base) + strconv.FormatInt(int64(len(text)), base)
+}
+
+// Matches reports whether the connection has exactly the session's variables.
+func (c *ConnState) Matches(session *Session) bool { return c.ValuesKey == session.ValuesKey() }
+
+// Prepare returns the statements to run on the connection before the request's own, so that it has the session's variables and
+// the prepared statement that the request executes. It records them as executed; if one of them fails, the connection must be
+// closed.
+//
+// A connection inside the session's transaction can't be reset, so what is missing is added to what it has.
+func (c *ConnState) Prepare(session *Session, request wire.Request) (statements []string) {
+	var text string
+	if request.Kind == wire.Execute {
+		text = session.Prepared[request.Name]
+	}
+	if session.IdleState() == wire.StateInTransaction {
+		statements = c.closeConflicting(statements, text)
+		if !c.Matches(session) {
+			statements = c.setVariables(statements, session)
+		}
+	} else if !c.Matches(session) || c.conflicts(text) || len(c.Prepared) >= maxPrepared {
+		statements = c.reset(statements)
+		statements = c.setVariables(statements, session)
+	}
+	return c.prepare(statements, text)
+}
+
+// conflicts reports whether another text is prepared under the name of this one.
+func (c *ConnState) conflicts(text string) bool {
+	prepared, ok := c.Prepared[PreparedName(text)]
+	return text != "" && ok && prepared != text
+}
+
+func (c *ConnState) closeConflicting(statements []string, text string) []string {
+	if !c.conflicts(text) {
+		return statements
+	}
+	name := PreparedName(text)
+	delete(c.Prepared, name)
+	return append(statements, "CLOSE "+name)
+}
+
+func (c *ConnState) reset(statements []string) []string {
+	if c.ValuesKey == "" && len(c.Prepared) == 0 {
+		return statements
+	}
+	c.ValuesKey, c.Prepared = "", nil
+	return append(statements, "RESET")
+}
+
+func (c *ConnState) setVariables(statements []string, session *Session) []string {
+	for _, name := range slices.Sorted(maps.Keys(session.Variables)) {
+		statements = append(statements, "SET "+name+" "+session.Variables[name])
+	}
+	c.ValuesKey = session.ValuesKey()
+	return statements
+}
+
+func (c *ConnState) prepare(statements []string, text string) []string {
+	if text == "" {
+		return statements
+	}
+	name := PreparedName(text)
+	if _, ok := c.Prepared[name]; ok {
+		return statements
+	}
+	if c.Prepared == nil {
+		c.Prepared = map[string]string{}
+	}
+	c.Prepared[name] = text
+	return append(statements, "PREPARE "+name+" "+text)
+}
--- a/internal/proxy/session/session.go
+++ b/internal/proxy/session/session.go
@@ -1,251 +1,195 @@
-// Package session is a client's session: its values and prepared names, its
-// transaction, its token, and what each of its statements asks for. What was acknowledged to a client is put in place
-// on whatever host connection serves it next.
-//
-//	Request -> Session.Take -> Step (answer here, place, go on where it is)
-//	Session, Fixture -> Prepare -> statements that make a host connection the session's
-//
-// Pure: no socket, no clock.
 package session
 
 import (
-	"hash/crc32"
 	"maps"
 	"slices"
-	"strconv"
 	"strings"
 
 	"ferrypitch/internal/errcode"
 	"ferrypitch/internal/wire"
 )
 
-// Action is what a statement asks for.
-type Action uint8
-
-// What to do.
+// Bounds of what one session may keep.
 const (
-	AnswerLocally   Action = iota // it is answered here: Reply
-	RouteToHost                   // it wants a place: a host and a connection
-	UsePinnedConn                 // it goes to the connection of its transaction
-	FailTransaction               // it ends a failed transaction whose connection is gone: Reply
+	maxNames = 256       // variables, and as many prepared statements
+	maxBytes = 256 << 10 // names and values of both
 )
 
-// Step is what a statement comes to.
-type Step struct {
-	Action Action
-	Reply  []byte // of Here and End, without IDLE
-	Writes bool   // it may have an effect, or wants the primary
-	Begins bool
-	Reads  bool // of Begins: it only reads
-	Ends   bool // COMMIT or ABORT
-	Commit bool
-	Text   string // as it goes to a host
-}
-
-// Session is one connection of a client. The zero value is at I, with nothing set.
+// Session is the state of one client connection. The zero value is a new session, idle and with nothing set.
 type Session struct {
-	Values         map[string]string
-	Prepared       map[string]string // prepared: shapes by the client's names
-	Token          wire.Position     // the greatest position of its writes
+	Variables      map[string]string     // variables by name
+	Prepared       map[string]string     // texts of prepared statements by the client's names
+	Token          wire.Position         // greatest position of the session's writes, which its reads must include
 	State          wire.TransactionState // zero is StateIdle
-	ReadOnly       bool              // its transaction began with BEGIN FETCH
-	TxnConnLost    bool              // its transaction's connection is gone
-	MayHaveWritten bool              // its transaction may have written
-	sum            string            // of Values, made anew when they change
-	stale          bool
-}
+	ReadOnly       bool                  // the transaction was begun read-only
+	TxnConnLost    bool                  // the connection of the transaction was lost
+	MayHaveWritten bool                  // the transaction may have written
 
-// most bounds what one session may have set and prepared, and the bytes of it.
-const (
-	mostNames = 256
-	mostBytes = 256 << 10
-)
+	variablesKey     string // of Variables, if it is not outdated
+	variablesChanged bool   // variablesKey is outdated
+}
 
-// IdleState is the session's state for IDLE.
+// IdleState returns the transaction state that IDLE reports to the client.
 func (s *Session) IdleState() wire.TransactionState {
 	if s.State == 0 {
-		return 'I'
+		return wire.StateIdle
 	}
 	return s.State
 }
 
-func here(reply []byte) Step { return Step{Action: AnswerLocally, Reply: reply} }
-
-func wrong(kind errcode.Kind) Step { return here(kind.Append(nil, 0)) }
-
-// Handle says what a statement asks for. Only what is answered here changes the session.
-func (s *Session) Handle(r wire.Request) Step {
-	state := s.IdleState()
-	switch r.Kind {
+// Handle returns what a statement needs. It changes the session only if the statement is answered here; for the others,
+// HandleResponse does.
+func (s *Session) Handle(request wire.Request) Step {
+	switch request.Kind {
 	case wire.Commit, wire.Abort:
-		switch {
-		case state == 'I':
-			return wrong(errcode.NoTransaction)
-		case s.TxnConnLost:
-			s.EndTransaction()
-			if r.Kind == wire.Commit {
-				return Step{Action: FailTransaction, Reply: errcode.RolledBack.Append(nil, 0)}
-			}
-			return Step{Action: FailTransaction, Reply: wire.AppendDone(nil)}
-		}
-		return Step{Action: UsePinnedConn, Ends: true, Commit: r.Kind == wire.Commit, Text: r.Text}
+		return s.handleTransactionEnd(request)
 	}
-	if state == 'E' {
-		return wrong(errcode.FailedTransaction)
+	if s.IdleState() == wire.StateFailed {
+		return reject(errcode.FailedTransaction)
 	}
-	switch r.Kind {
+	switch request.Kind {
 	case wire.Begin, wire.BeginRead:
-		if state == 'T' {
-			return wrong(errcode.AlreadyInTransaction)
-		}
-		return Step{Action: RouteToHost, Begins: true, Reads: r.Kind == wire.BeginRead, Writes: r.Kind == wire.Begin, Text: r.Text}
+		return s.handleBegin(request)
 	case wire.Set:
-		if !s.room(len(s.Values), r.Name, r.Shape) {
-			return wrong(errcode.SessionTooLarge)
-		}
-		if s.Values == nil {
-			s.Values = map[string]string{}
-		}
-		s.Values[r.Name], s.stale = r.Shape, true
-		return here(wire.AppendDone(nil))
+		return s.handleSet(request)
 	case wire.Prepare:
-		if !s.room(len(s.Prepared), r.Name, r.Shape) {
-			return wrong(errcode.SessionTooLarge)
-		}
-		if s.Prepared == nil {
-			s.Prepared = map[string]string{}
-		}
-		s.Prepared[r.Name] = r.Shape
-		return here(wire.AppendDone(nil))
+		return s.handlePrepare(request)
 	case wire.CloseName:
-		if _, ok := s.Prepared[r.Name]; !ok {
-			return wrong(errcode.UnknownPreparedName)
-		}
-		delete(s.Prepared, r.Name)
-		return here(wire.AppendDone(nil))
-	}
-	step := Step{Action: RouteToHost, Text: r.Text, Writes: r.Kind == wire.Store}
-	if r.Kind == wire.Execute {
-		shape, ok := s.Prepared[r.Name]
-		if !ok {
-			return wrong(errcode.UnknownPreparedName)
-		}
-		step.Writes = wire.ShapeWrites(shape)
-		step.Text = "EXECUTE " + PreparedName(shape) + " " + r.Rest
+		return s.handleClose(request)
+	case wire.Execute:
+		return s.handleExecute(request)
+	}
+	return s.execute(request.Text, request.Kind == wire.Store)
+}
+
+func (s *Session) handleTransactionEnd(request wire.Request) Step {
+	isCommit := request.Kind == wire.Commit
+	if s.IdleState() == wire.StateIdle {
+		return reject(errcode.NoTransaction)
+	}
+	if !s.TxnConnLost {
+		return Step{Action: UsePinnedConn, Ends: true, Commit: isCommit, Text: request.Text}
+	}
+	s.EndTransaction()
+	if isCommit {
+		return Step{Action: FailTransaction, Reply: errcode.RolledBack.Append(nil, 0)}
+	}
+	return Step{Action: FailTransaction, Reply: wire.AppendDone(nil)}
+}
+
+func (s *Session) handleBegin(request wire.Request) Step {
+	if s.IdleState() == wire.StateInTransaction {
+		return reject(errcode.AlreadyInTransaction)
+	}
+	readOnly := request.Kind == wire.BeginRead
+	return Step{Action: RouteToHost, Begins: true, Reads: readOnly, Writes: !readOnly, Text: request.Text}
+}
+
+func (s *Session) handleSet(request wire.Request) Step {
+	if !s.hasCapacity(len(s.Variables), request.Name, request.Shape) {
+		return reject(errcode.SessionTooLarge)
+	}
+	if s.Variables == nil {
+		s.Variables = map[string]string{}
+	}
+	s.Variables[request.Name] = request.Shape
+	s.variablesChanged = true
+	return done()
+}
+
+func (s *Session) handlePrepare(request wire.Request) Step {
+	if !s.hasCapacity(len(s.Prepared), request.Name, request.Shape) {
+		return reject(errcode.SessionTooLarge)
+	}
+	if s.Prepared == nil {
+		s.Prepared = map[string]string{}
+	}
+	s.Prepared[request.Name] = request.Shape
+	return done()
+}
+
+func (s *Session) handleClose(request wire.Request) Step {
+	if _, ok := s.Prepared[request.Name]; !ok {
+		return reject(errcode.UnknownPreparedName)
 	}
-	if state == 'T' {
+	delete(s.Prepared, request.Name)
+	return done()
+}
+
+func (s *Session) handleExecute(request wire.Request) Step {
+	text, ok := s.Prepared[request.Name]
+	if !ok {
+		return reject(errcode.UnknownPreparedName)
+	}
+	return s.execute("EXECUTE "+PreparedName(text)+" "+request.Rest, wire.ShapeWrites(text))
+}
+
+// execute returns the step of a statement that a host is to execute.
+func (s *Session) execute(text string, writes bool) Step {
+	step := Step{Action: RouteToHost, Text: text, Writes: writes}
+	if s.IdleState() == wire.StateInTransaction {
 		step.Action = UsePinnedConn
 	}
 	return step
 }
 
-func (s *Session) room(n int, name, what string) bool {
-	size := len(name) + len(what)
-	for k, v := range s.Values {
-		size += len(k) + len(v)
-	}
-	for k, v := range s.Prepared {
-		size += len(k) + len(v)
+// hasCapacity reports whether the session may keep one more name, where count are kept.
+func (s *Session) hasCapacity(count int, name, value string) bool {
+	size := len(name) + len(value)
+	for _, kept := range []map[string]string{s.Variables, s.Prepared} {
+		for keptName, keptValue := range kept {
+			size += len(keptName) + len(keptValue)
+		}
 	}
-	return n < mostNames && size <= mostBytes
+	return count < maxNames && size <= maxBytes
 }
 
-// EndTransaction ends a transaction.
+// EndTransaction makes the session idle.
 func (s *Session) EndTransaction() {
-	s.State, s.TxnConnLost, s.ReadOnly, s.MayHaveWritten = 'I', false, false, false
+	s.State, s.TxnConnLost, s.ReadOnly, s.MayHaveWritten = wire.StateIdle, false, false, false
 }
 
-// HandleResponse takes in what a host answered to a step that was placed or pinned, and says whether the connection stays
-// with the session.
-func (s *Session) HandleResponse(step Step, a *wire.Response) (stays bool) {
-	if step.Writes && !step.Begins || step.Ends && s.MayHaveWritten {
-		if a.Code == "" && s.Token.Before(a.Position) {
-			s.Token = a.Position // replaced only by a greater one
+// HandleResponse applies a host's response to a step of RouteToHost or UsePinnedConn. It returns whether the session is in a
+// transaction and so keeps the connection.
+func (s *Session) HandleResponse(step Step, response *wire.Response) (keepsConnection bool) {
+	executedWrite := step.Writes && !step.Begins
+	if executedWrite || step.Ends && s.MayHaveWritten {
+		if response.Code == "" && s.Token.Before(response.Position) {
+			s.Token = response.Position
 		}
 	}
-	if step.Writes && !step.Begins && a.State != 'I' {
+	if executedWrite && response.State != wire.StateIdle {
 		s.MayHaveWritten = true
 	}
-	if step.Begins && a.State == 'T' {
+	if step.Begins && response.State == wire.StateInTransaction {
 		s.ReadOnly = step.Reads
 	}
-	if a.State == 'I' {
+	if response.State == wire.StateIdle {
 		s.EndTransaction()
 		return false
 	}
-	s.State = a.State
+	s.State = response.State
 	return true
 }
 
-// ConnectionLost notes that the connection of a transaction is gone: the host has rolled it back, or will.
-func (s *Session) ConnectionLost() { s.State, s.TxnConnLost = 'E', true }
+// ConnectionLost records that the connection of the transaction was lost. The host rolls the transaction back.
+func (s *Session) ConnectionLost() { s.State, s.TxnConnLost = wire.StateFailed, true }
 
-// ValuesKey is the same for sessions with the same values.
+// ValuesKey returns a string that sessions have in common if and only if they have the same variables.
 func (s *Session) ValuesKey() string {
-	if s.stale {
-		s.sum, s.stale = sum(s.Values), false
+	if s.variablesChanged {
+		s.variablesKey, s.variablesChanged = variablesKey(s.Variables), false
 	}
-	return s.sum
-}
-
-func sum(values map[string]string) string {
-	var b strings.Builder
-	for _, k := range slices.Sorted(maps.Keys(values)) {
-		b.WriteString(k)
-		b.WriteByte(' ')
-		b.WriteString(values[k])
-		b.WriteByte('\n')
-	}
-	return b.String()
-}
-
-// PreparedName is what a shape is prepared as on host connections: one name for one shape, whoever prepared it.
-func PreparedName(shape string) string {
-	return "f" + strconv.FormatUint(uint64(crc32.ChecksumIEEE([]byte(shape))), 36) + strconv.FormatInt(int64(len(shape)), 36)
+	return s.variablesKey
 }
 
-// ConnState is what a host connection has been set to. The zero value is a new connection.
-type ConnState struct {
-	ValuesKey string            // of the values set on it
-	Prepared  map[string]string // prepared, by name
-}
-
-// mostPrepared is how many names a host connection keeps before it is made new.
-const mostPrepared = 128
-
-// Matches says whether a connection has just the session's values.
-func (f *ConnState) Matches(s *Session) bool { return f.ValuesKey == s.ValuesKey() }
-
-// Prepare gives the statements that make a connection the session's, for what its next statement runs, and notes them
-// as done: a connection on which one of them fails is to be closed.
-func (f *ConnState) Prepare(s *Session, r wire.Request) (texts []string) {
-	shape := ""
-	if r.Kind == wire.Execute {
-		shape = s.Prepared[r.Name]
-	}
-	name := PreparedName(shape)
-	held, prepared := f.Prepared[name]
-	clash := shape != "" && prepared && held != shape
-	open := s.IdleState() == 'T' // what is set then only adds to what is there
-	if open && clash {
-		texts, prepared = append(texts, "CLOSE "+name), false
-	}
-	if !f.Matches(s) || !open && (clash || len(f.Prepared) >= mostPrepared) {
-		if !open && (f.ValuesKey != "" || len(f.Prepared) > 0) {
-			texts = append(texts, "RESET")
-			f.Prepared, prepared = nil, false
-		}
-		for _, k := range slices.Sorted(maps.Keys(s.Values)) {
-			texts = append(texts, "SET "+k+" "+s.Values[k])
-		}
-		f.ValuesKey = s.ValuesKey()
-	}
-	if shape != "" && !prepared {
-		texts = append(texts, "PREPARE "+name+" "+shape)
-		if f.Prepared == nil {
-			f.Prepared = map[string]string{}
-		}
-		f.Prepared[name] = shape
+func variablesKey(variables map[string]string) string {
+	var key strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(variables)) {
+		key.WriteString(name)
+		key.WriteByte(' ')
+		key.WriteString(variables[name])
+		key.WriteByte('\n')
 	}
-	return texts
+	return key.String()
 }
