--- a/internal/proxy/connlimit/connlimit.go
+++ b/internal/proxy/connlimit/connlimit.go
@@ -1,53 +1,61 @@
-// Package connlimit says how a host's connections, which are fewer than
-// would be held if each router kept its own, are shared: how many one router may have, and how long one may rest.
+// Package connlimit divides the connections that a database host accepts among the proxies, which together would otherwise open
+// more than there are. It gives the number that one proxy may open, and how long each may stay idle.
 //
-// Each router counts on a share: what the host takes, less a reserve, over the routers that there are. Where the share is
-// one or more, the few that the usual load needs may rest for long, others within the share for a short while, and what is
-// over it for a moment: a router that loses power leaves its connections at the host for seconds, and when all do at once,
-// the new lives' connections must fit beside the old ones'. Where there are fewer connections than
-// routers, the share is a part of one: a router may open what it needs, and lets each connection rest for that part of a
-// second, so that all routers' resting connections together stay within the host's.
+//	connections of the host, number of proxies -> ShareOf -> Share -> MaxConns, IdleTimeoutMs
 //
-// Pure.
+// Each proxy computes the same share: the host's connections, less a reserve, divided by the number of proxies and one more.
+//
+// A share of one or more: the few connections that the usual load needs may be idle for long, others within the share for some
+// seconds, and those beyond it for a moment. The short time-outs matter when all proxies lose power at once: a host keeps the
+// connections of a dead proxy for some seconds, and those of the restarted ones must fit beside them.
+//
+// A share below one, with fewer connections than proxies: a proxy may still open what it needs, and the idle time-out of each
+// connection is that fraction of a second, so that the idle connections of all proxies together stay within the host's limit.
+//
+// The package is pure: it holds no connection and reads no clock.
 package connlimit
 
 const (
-	reserve = 2     // for the control plane's questions
-	few     = 3     // that one router may have, whatever its share
-	steady  = 2     // resting connections that serve the usual load
-	long    = 45000 // milliseconds, for those within the share
-	short   = 3000  // for others within it, opened for a peak
-	moment  = 900
+	reservedConns = 2 // of a host's, for the queries of the control plane
+	minConns      = 3 // that a proxy may open, however small its share
+	steadyConns   = 2 // idle connections that serve the usual load
+)
+
+// Idle time-outs, in milliseconds.
+const (
+	steadyIdleMs = 45000 // of the steady connections
+	burstIdleMs  = 3000  // of others within the share, opened for a burst of load
+	excessIdleMs = 900   // of those beyond the share
 )
 
-// Share is of one router at one host.
+// WarmUpMs is how long after its start a proxy counts on half its share, in milliseconds: a host may keep the connections of
+// the proxy's previous incarnation for that long.
+const WarmUpMs = 3500
+
+// Share is one proxy's part of a host's connections; it may be below one.
 type Share float64
 
-// ShareOf is the share where a host takes so many connections and so many routers are there, this one included.
-func ShareOf(conns, routers int) Share {
-	return Share(float64(max(1, conns-reserve)) / float64(max(1, routers)+1))
+// ShareOf returns the share if the host accepts conns connections and there are that many proxies, this one included.
+func ShareOf(conns, proxies int) Share {
+	return Share(float64(max(1, conns-reservedConns)) / float64(max(1, proxies)+1))
 }
 
-// WarmUpMs is how long, in milliseconds, a router counts on half its share after its start: for so long a host may hold on to
-// the connections of its last life.
-const WarmUpMs = 3500
-
-// Halved is the share of a router that is young.
+// Halved returns the share of a proxy that is warming up.
 func (s Share) Halved() Share { return s / 2 }
 
-// MaxConns is how many connections this router may have to the host.
-func (s Share) MaxConns() int { return max(few, int(s)) }
+// MaxConns returns how many connections the proxy may have to the host.
+func (s Share) MaxConns() int { return max(minConns, int(s)) }
 
-// IdleTimeoutMs is how many milliseconds the nth resting connection, from 0, may go on resting.
-func (s Share) IdleTimeoutMs(n int) int64 {
+// IdleTimeoutMs returns how long the idle connection with the given index, from 0, may stay open, in milliseconds.
+func (s Share) IdleTimeoutMs(index int) int64 {
 	switch {
-	case n < min(int(s), steady):
-		return long
-	case n < int(s):
-		return short
+	case index < min(int(s), steadyConns):
+		return steadyIdleMs
+	case index < int(s):
+		return burstIdleMs
 	}
-	return int64(min(1, float64(s)) * moment)
+	return int64(min(1, float64(s)) * excessIdleMs)
 }
 
-// Scarce says that there are fewer connections than routers: none is opened before it is needed.
+// Scarce reports whether there are fewer connections than proxies, so that none should be opened before it is needed.
 func (s Share) Scarce() bool { return s < 1 }
--- a/internal/proxy/connlimit/connlimit_test.go
+++ b/internal/proxy/connlimit/connlimit_test.go
@@ -8,55 +8,90 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Routers that need a host now and then: resting and busy connections together stay within what it takes, but for a
-// moment now and then; what is turned away comes again.
-func TestAllRoutersTogetherStayWithinWhatAHostTakes(t *testing.T) {
-	for _, c := range []struct {
-		conns, routers int
-		perSecond      float64 // uses of the host, all routers together
-		busy           time.Duration
-	}{{35, 63, 25, 60 * time.Millisecond}, {57, 83, 30, 60 * time.Millisecond}, {82, 9, 120, 30 * time.Millisecond}, {57, 9, 100, 30 * time.Millisecond}} {
-		chance := rand.New(rand.NewPCG(1, 2))
-		share := ShareOf(c.conns, c.routers)
-		type conn struct{ busyTo, restTo time.Duration }
-		held := make([][]conn, c.routers)
-		over, uses, opened := 0, 0, 0
-		for now := time.Duration(0); now < 60*time.Second; now += time.Duration(chance.ExpFloat64() / c.perSecond * float64(time.Second)) {
-			uses++
-			total := 0
-			for r := range held {
-				var kept []conn
-				for _, k := range held[r] {
-					if now < k.restTo {
-						kept = append(kept, k)
-					}
-				}
-				held[r] = kept
-				total += len(kept)
-			}
-			r := chance.IntN(c.routers)
-			use := -1
-			for i, k := range held[r] {
-				if now >= k.busyTo {
-					use = i
-				}
-			}
-			if use < 0 {
-				if len(held[r]) >= share.MaxConns() {
-					continue
-				}
-				if total >= c.conns-reserve {
-					over++
-					continue
-				}
-				opened++
-				held[r] = append(held[r], conn{})
-				use = len(held[r]) - 1
+// conn is a connection: busy until a time, then idle until another.
+type conn struct{ busyUntil, idleUntil time.Duration }
+
+// load is the use that all proxies together make of one host.
+type load struct {
+	conns, proxies int
+	usesPerSecond  float64
+	busy           time.Duration // for one use
+}
+
+// simulation has the connections of each proxy, and what became of the uses.
+type simulation struct {
+	load
+	share Share
+	held  [][]conn
+
+	uses, opened, rejected int
+}
+
+// expire closes connections that were idle for too long, and returns how many remain at all proxies.
+func (s *simulation) expire(now time.Duration) (total int) {
+	for proxy, conns := range s.held {
+		var kept []conn
+		for _, c := range conns {
+			if now < c.idleUntil {
+				kept = append(kept, c)
 			}
-			held[r][use].busyTo = now + c.busy
-			held[r][use].restTo = now + c.busy + time.Duration(share.IdleTimeoutMs(use))*time.Millisecond
 		}
-		require.Less(t, over*200, uses, "%d of %d uses of a host of %d connections by %d routers were turned away", over, uses, c.conns, c.routers)
-		require.Greater(t, opened, 0)
+		s.held[proxy] = kept
+		total += len(kept)
+	}
+	return total
+}
+
+// idle returns the index of the last idle connection of a proxy, or -1.
+func (s *simulation) idle(proxy int, now time.Duration) int {
+	index := -1
+	for i, c := range s.held[proxy] {
+		if now >= c.busyUntil {
+			index = i
+		}
+	}
+	return index
+}
+
+func (s *simulation) use(proxy int, now time.Duration) {
+	s.uses++
+	total := s.expire(now)
+	index := s.idle(proxy, now)
+	if index < 0 {
+		if len(s.held[proxy]) >= s.share.MaxConns() {
+			return
+		}
+		if total >= s.conns-reservedConns {
+			s.rejected++
+			return
+		}
+		s.opened++
+		s.held[proxy] = append(s.held[proxy], conn{})
+		index = len(s.held[proxy]) - 1
+	}
+	c := &s.held[proxy][index]
+	c.busyUntil = now + s.busy
+	c.idleUntil = c.busyUntil + time.Duration(s.share.IdleTimeoutMs(index))*time.Millisecond
+}
+
+// Proxies that need a host now and then: busy and idle connections together stay within the host's limit, except for a moment
+// now and then, when a connection is rejected and tried again.
+func TestProxiesTogetherStayWithinAHostsLimit(t *testing.T) {
+	for _, l := range []load{
+		{35, 63, 25, 60 * time.Millisecond},
+		{57, 83, 30, 60 * time.Millisecond},
+		{82, 9, 120, 30 * time.Millisecond},
+		{57, 9, 100, 30 * time.Millisecond},
+	} {
+		random := rand.New(rand.NewPCG(1, 2))
+		s := &simulation{load: l, share: ShareOf(l.conns, l.proxies), held: make([][]conn, l.proxies)}
+		now := time.Duration(0)
+		for now < 60*time.Second {
+			s.use(random.IntN(l.proxies), now)
+			now += time.Duration(random.ExpFloat64() / l.usesPerSecond * float64(time.Second))
+		}
+		require.Less(t, s.rejected*200, s.uses, "%d of %d uses of a host of %d connections by %d proxies were rejected",
+			s.rejected, s.uses, l.conns, l.proxies)
+		require.Greater(t, s.opened, 0)
 	}
 }
--- a/internal/proxy/session/connstate.go
+++ b/internal/proxy/session/connstate.go
@@ -14,7 +14,7 @@
 
 // ConnState is the session state that a host connection has at its host. The zero value is a new connection.
 type ConnState struct {
-	ValuesKey string            // Session.ValuesKey of the variables that are set
+	ValuesKey string            // key of the variables that are set, as a session with the same has
 	Prepared  map[string]string // texts of the prepared statements by PreparedName
 }
 
