--- a/internal/proxy/position/position.go
+++ b/internal/proxy/position/position.go
@@ -1,115 +1,116 @@
-// Package position holds what a service's primary was known to have at
-// which moment, and from that says which position a read must see, and how new a host is that stands at a position.
+// Package position tracks which log positions the primary of a service was known to have at which time. From these samples it
+// derives the position that a read must include to be fresh enough, and how up to date a host is that has reached a position.
 //
-// A sample is the position in the answer to a question that was sent while the router might take that host for the
-// primary. All that was acknowledged before the question was sent is at or before that position, whenever the answer
-// comes and whatever became of the host meanwhile: a successor can't have been granted to anybody before.
+//	position in a response, time of its query -> Tracker.Add
+//	staleness bound, session token            -> Tracker.Fence        -> position to wait for at the host
+//	position of a host                        -> Tracker.UpToDateAsOf -> how fresh its data is
 //
-// Pure: moments are the decision module's, in tenths of a millisecond.
+// A sample is the position in the response to a query that was sent while the proxy could take the host for the primary. All
+// writes that were acknowledged before the query was sent are at or before that position, whenever the response arrives and
+// whatever happened to the host meanwhile, because no successor can have been appointed before.
+//
+// The package is pure. Times are the policy package's, in tenths of a millisecond.
 package position
 
 import (
+	"slices"
+
 	"ferrypitch/internal/wire"
 	"ferrypitch/policy"
 )
 
-// TransitMargin is taken off every bound, in tenths: for the way to the host.
-const TransitMargin = 2000
+const tenthsPerMs = 10
+
+// TransitMargin is subtracted from every staleness bound, for the time that a read takes to reach the host.
+const TransitMargin policy.Tenth = 200 * tenthsPerMs
+
+// unknown is the time that stands for none.
+const unknown policy.Tenth = -1
 
 const (
-	most   = 160
-	spaced = 200 // tenths between samples that are kept
+	maxSamples              = 160
+	minSpacing policy.Tenth = 20 * tenthsPerMs // between samples that are kept
 )
 
 type sample struct {
-	at  policy.Tenth
-	pos wire.Position
+	sentAt   policy.Tenth // when the query was sent
+	position wire.Position
 }
 
-// Tracker is of one service. The zero value knows nothing.
+// Tracker has the samples of one service in the order of their times. The zero value has none.
 type Tracker struct{ samples []sample }
 
-// Add takes in the primary's position in the answer to a question sent at a moment.
-func (g *Tracker) Add(sentAt policy.Tenth, pos wire.Position) {
-	if !pos.Known() {
+// Add adds the position in the primary's response to a query sent at a time. An unknown position, and one older than the last
+// sample by time or position, is ignored.
+func (t *Tracker) Add(sentAt policy.Tenth, position wire.Position) {
+	if !position.Known() {
 		return
 	}
-	n := len(g.samples)
-	if n > 0 {
-		if last := g.samples[n-1]; sentAt <= last.at || pos.Before(last.pos) {
-			return // an older question, or an answer overtaken by a newer one
-		}
-		if n > 1 && sentAt < g.samples[n-2].at+spaced {
-			g.samples[n-1] = sample{sentAt, pos}
+	added := sample{sentAt, position}
+	count := len(t.samples)
+	if count > 0 {
+		last := t.samples[count-1]
+		if sentAt <= last.sentAt || position.Before(last.position) {
 			return
 		}
 	}
-	if n == most {
-		copy(g.samples, g.samples[1:])
-		g.samples = g.samples[:n-1]
+	if count > 1 && sentAt < t.samples[count-2].sentAt+minSpacing {
+		t.samples[count-1] = added
+		return
+	}
+	if count == maxSamples {
+		t.samples = slices.Delete(t.samples, 0, 1)
 	}
-	g.samples = append(g.samples, sample{sentAt, pos})
+	t.samples = append(t.samples, added)
 }
 
-// Clear forgets all, for another primary: positions that only the old one had are nowhere any more.
-func (g *Tracker) Clear() { g.samples = g.samples[:0] }
+// Clear removes all samples. It is called for another primary, which may lack positions that only the old one had.
+func (t *Tracker) Clear() { t.samples = t.samples[:0] }
 
-// Floor is a position that holds all that was acknowledged before a moment; ok false where none is known.
-func (g *Tracker) Floor(moment policy.Tenth) (pos wire.Position, ok bool) {
-	for _, s := range g.samples { // the oldest that will do asks least of a replica
-		if s.at >= moment {
-			return s.pos, true
+// Floor returns a position that includes all writes acknowledged before a time; ok is false if none is known. Of those known it
+// is the lowest, since that asks least of a replica.
+func (t *Tracker) Floor(before policy.Tenth) (floor wire.Position, ok bool) {
+	for _, s := range t.samples {
+		if s.sentAt >= before {
+			return s.position, true
 		}
 	}
 	return wire.Position{}, false
 }
 
-// Latest is the moment of the last sample, and its position.
-func (g *Tracker) Latest() (policy.Tenth, wire.Position) {
-	if len(g.samples) == 0 {
-		return -1, wire.Position{}
+// Latest returns the last sample's time and position; the time is -1 if there is no sample.
+func (t *Tracker) Latest() (policy.Tenth, wire.Position) {
+	if len(t.samples) == 0 {
+		return unknown, wire.Position{}
 	}
-	s := g.samples[len(g.samples)-1]
-	return s.at, s.pos
+	last := t.samples[len(t.samples)-1]
+	return last.sentAt, last.position
 }
 
-// UpToDateAsOf says up to when a host has all that was acknowledged, if it stands at a position; -1: not known.
-func (g *Tracker) UpToDateAsOf(pos wire.Position) policy.Tenth {
-	for i := len(g.samples) - 1; i >= 0; i-- {
-		if !pos.Before(g.samples[i].pos) {
-			return g.samples[i].at
+// UpToDateAsOf returns a time before which all acknowledged writes are at or before a position, the latest that is known, or -1.
+func (t *Tracker) UpToDateAsOf(position wire.Position) policy.Tenth {
+	for _, s := range slices.Backward(t.samples) {
+		if !position.Before(s.position) {
+			return s.sentAt
 		}
 	}
-	return -1
+	return unknown
 }
 
-// Fence is what a read must see that may lack what was acknowledged less than bound ago, and must see a session's own
-// token; ok false where no floor is known: then only the primary will do.
-func (g *Tracker) Fence(now, bound policy.Tenth, token wire.Position) (wire.Position, bool) {
-	floor, ok := g.Floor(now - bound + TransitMargin)
-	if floor.Before(token) {
-		floor = token
+// Fence returns the position that a host must have reached for a read that may miss only writes acknowledged less than
+// stalenessBound ago, and none of its own session's, whose last write is at token. If ok is false no such position is known, and
+// only the primary can execute the read.
+func (t *Tracker) Fence(now, stalenessBound policy.Tenth, token wire.Position) (fence wire.Position, ok bool) {
+	fence, ok = t.Floor(now - stalenessBound + TransitMargin)
+	if fence.Before(token) {
+		fence = token
 	}
-	return floor, ok
-}
-
-// CoversBound says that floors for a bound will be known for a while, so that a read may be sent to a replica.
-func (g *Tracker) CoversBound(now, bound policy.Tenth) bool {
-	at, _ := g.Latest()
-	return at >= 0 && at >= now-bound+2*TransitMargin
+	return fence, ok
 }
 
-// DefaultPromotionMs stands for how long a promotion takes, in milliseconds, until one was seen.
-const DefaultPromotionMs = 700
-
-// NextPrimaryDue is when the next primary may be there, in tenths, by how long the platform's last promotion took (milliseconds;
-// 0: none was seen). named says that the platform has been told whom to promote; else that is still found out.
-func NextPrimaryDue(now policy.Tenth, took int64, named bool) policy.Tenth {
-	if took <= 0 {
-		took = DefaultPromotionMs
-	}
-	if !named {
-		took += 50
-	}
-	return now + (took+took/4)*10
+// CoversBound reports whether the samples are recent enough for fences of a staleness bound now and for a while longer, so that
+// a read may be sent to a replica.
+func (t *Tracker) CoversBound(now, stalenessBound policy.Tenth) bool {
+	latest, _ := t.Latest()
+	return latest >= 0 && latest >= now-stalenessBound+2*TransitMargin
 }
