--- a/internal/proxy/lossdetect/lossdetect.go
+++ b/internal/proxy/lossdetect/lossdetect.go
@@ -1,42 +1,45 @@
-// Package lossdetect tells when an answer of a host counts as lost: when
-// others that were asked later have come, and it is out for several times as long as any of late. A transaction whose answer
-// is lost is ended at once, so that its client may begin anew while there is time; a host that is slow with all that it is
-// asked loses nothing by it.
+// Package lossdetect decides when the response of a database host is considered lost: responses to several later requests have
+// arrived, and it is outstanding for several times as long as the slowest recent response took. A transaction whose response is
+// lost can then be ended early, while its client has time to retry. A host that is slow with everything does not lose responses
+// by this rule.
 //
-// Pure: moments are the decision module's, in tenths of a millisecond.
+//	response times -> Detector.ResponseReceived;  outstanding request -> Detector.Lost
+//
+// The package is pure. Times are the policy package's, in tenths of a millisecond.
 package lossdetect
 
 import "ferrypitch/policy"
 
 const (
-	kept     = 16
-	overtook = 3   // answers to what was sent later
-	times    = 4   // as long as the longest of late
-	least    = 800 // tenths that any answer is given
+	recentResponses = 16  // that are remembered
+	minOvertaking   = 3   // responses to later requests before one is considered lost
+	slownessFactor  = 4   // by which it must be slower than the slowest recent response
+	minOutstanding  = 800 // tenths of a millisecond for which no response is considered lost
 )
 
-type answer struct{ sent, took policy.Tenth }
+type response struct{ requestedAt, duration policy.Tenth }
 
-// Detector is of one host. The zero value has seen nothing, and takes nothing for lost.
+// Detector observes the responses of one host. The zero value has observed none and considers none lost.
 type Detector struct {
-	recent [kept]answer
-	n      int
+	recent   [recentResponses]response // a ring buffer
+	received int                       // responses so far
 }
 
-// ResponseReceived takes in an answer to what was sent at a moment.
-func (l *Detector) ResponseReceived(sent, now policy.Tenth) {
-	l.recent[l.n%kept] = answer{sent, now - sent}
-	l.n++
+// ResponseReceived records a response that arrived at now to a request sent at requestedAt.
+func (d *Detector) ResponseReceived(requestedAt, now policy.Tenth) {
+	d.recent[d.received%recentResponses] = response{requestedAt, now - requestedAt}
+	d.received++
 }
 
-// Lost says whether the answer to what was sent at a moment will not come any more.
-func (l *Detector) Lost(sent, now policy.Tenth) bool {
-	longest, later := policy.Tenth(0), 0
-	for _, a := range l.recent[:min(l.n, kept)] {
-		longest = max(longest, a.took)
-		if a.sent > sent {
-			later++
+// Lost reports whether the outstanding response to a request sent at requestedAt is considered lost.
+func (d *Detector) Lost(requestedAt, now policy.Tenth) bool {
+	var slowest policy.Tenth
+	overtaking := 0
+	for _, r := range d.recent[:min(d.received, recentResponses)] {
+		slowest = max(slowest, r.duration)
+		if r.requestedAt > requestedAt {
+			overtaking++
 		}
 	}
-	return later >= overtook && now-sent > max(least, times*longest)
+	return overtaking >= minOvertaking && now-requestedAt > max(minOutstanding, slownessFactor*slowest)
 }
--- a/internal/proxy/lossdetect/lossdetect_test.go
+++ b/internal/proxy/lossdetect/lossdetect_test.go
@@ -9,50 +9,78 @@
 	"ferrypitch/policy"
 )
 
-// Hosts with queues whose answers take their time, some slowed in the middle: none that is on its way counts as lost, and
-// one that never comes does in good time.
-func TestAnAnswerIsLostOnlyWhenOthersOvertookItByFar(t *testing.T) {
+// Times of the simulation, in tenths of a millisecond.
+const (
+	end      = 60000
+	step     = 10
+	lossFrom = 8000 // the first response after this never arrives
+	never    = 1 << 50
+)
+
+type request struct{ sentAt, dueAt policy.Tenth }
+
+// host executes requests in a few slots; it is slower from 20000 to 40000.
+type host struct {
+	seed        int
+	random      *rand.Rand
+	slotFreeAt  [4]policy.Tenth
+	outstanding []request
+	lostSentAt  policy.Tenth // of the request whose response never arrives; 0: none yet
+	detector    Detector
+}
+
+// send sends a request, unless it is the one whose response is lost; that one is only noted.
+func (h *host) send(now policy.Tenth) {
+	work := policy.Tenth(40 + h.random.ExpFloat64()*60)
+	if now > 20000 && now < 40000 {
+		work *= 5
+	}
+	slot := 0
+	for i := range h.slotFreeAt {
+		if h.slotFreeAt[i] < h.slotFreeAt[slot] {
+			slot = i
+		}
+	}
+	h.slotFreeAt[slot] = max(h.slotFreeAt[slot], now) + min(work, 600)
+	if h.lostSentAt == 0 && now > lossFrom {
+		h.lostSentAt = now
+		return
+	}
+	h.outstanding = append(h.outstanding, request{now, h.slotFreeAt[slot]})
+}
+
+// receive receives the responses that are due. None that is outstanding may be considered lost.
+func (h *host) receive(t *testing.T, now policy.Tenth) {
+	var remaining []request
+	for _, r := range h.outstanding {
+		if now < r.dueAt {
+			require.False(t, h.detector.Lost(r.sentAt, now), "seed %d: one outstanding for %d is considered lost", h.seed, now-r.sentAt)
+			remaining = append(remaining, r)
+			continue
+		}
+		h.detector.ResponseReceived(r.sentAt, now)
+	}
+	h.outstanding = remaining
+}
+
+// Hosts with queues, some slowed in the middle: a response that is outstanding is not considered lost, and one that never
+// arrives is, in good time.
+func TestOnlyAResponseThatOthersOvertookByFarIsLost(t *testing.T) {
 	found, waited := 0, policy.Tenth(0)
 	for seed := range 300 {
-		chance := rand.New(rand.NewPCG(uint64(seed), 11))
-		var l Detector
-		type out struct{ sent, due policy.Tenth }
-		var all []out
-		lost := policy.Tenth(0)
-		free := make([]policy.Tenth, 4) // when each of a host's slots is free
-		for now := policy.Tenth(0); now < 60000; now += 10 {
-			if chance.IntN(30) == 0 {
-				work := policy.Tenth(40 + chance.ExpFloat64()*60)
-				if now > 20000 && now < 40000 {
-					work *= 5
-				}
-				slot := 0
-				for i := range free {
-					if free[i] < free[slot] {
-						slot = i
-					}
-				}
-				free[slot] = max(free[slot], now) + min(work, 600)
-				all = append(all, out{now, free[slot]})
-				if lost == 0 && now > 8000 {
-					lost, all = now, all[:len(all)-1] // its answer never comes
-				}
-			}
-			left := all[:0]
-			for _, o := range all {
-				if now < o.due {
-					require.False(t, l.Lost(o.sent, now), "seed %d: one on its way for %d counts as lost", seed, now-o.sent)
-					left = append(left, o)
-					continue
-				}
-				l.ResponseReceived(o.sent, now)
+		h := &host{seed: seed, random: rand.New(rand.NewPCG(uint64(seed), 11))}
+		for now := policy.Tenth(0); now < end; now += step {
+			if h.random.IntN(30) == 0 {
+				h.send(now)
 			}
-			all = left
-			if lost > 0 && l.Lost(lost, now) {
-				found, waited, lost = found+1, waited+now-lost, 1<<50
+			h.receive(t, now)
+			if h.lostSentAt > 0 && h.detector.Lost(h.lostSentAt, now) {
+				found++
+				waited += now - h.lostSentAt
+				h.lostSentAt = never
 			}
 		}
 	}
 	require.Greater(t, found, 290)
-	require.Less(t, waited/policy.Tenth(found), policy.Tenth(5000), "tenths")
+	require.Less(t, waited/policy.Tenth(found), policy.Tenth(5000), "tenths of a millisecond")
 }
