--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,11 +1,3 @@
-// Package config reads and checks the operator's configurations: a whole one, or a change
-// of items by name. What the operator sent is kept byte for byte, with fields that are not known here, beside the
-// checked form.
-//
-//	body -> Read -> Plan          a whole configuration
-//	body, current -> Amend -> Plan    items put in and taken out by name
-//
-// Pure: no socket, no clock.
 package config
 
 import (
@@ -13,272 +5,112 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
-	"slices"
-	"strings"
-
-	"github.com/go-playground/validator/v10"
 )
 
-// Kinds of routes, by what their reads must see (RULES.md).
+// MaxBodyBytes is the largest body of a configuration, in bytes (8 MiB).
+const MaxBodyBytes = 8 << 20
+
+// The kinds of routes, by the freshness of their reads.
 const (
-	KindLeader  = "leader"
-	KindBounded = "bounded_staleness"
-	KindOwned   = "owned"
+	KindLeader  = "leader"            // reads go to the primary
+	KindBounded = "bounded_staleness" // reads may miss writes of the last StalenessMs
+	KindOwned   = "owned"             // a session's reads include its own writes
 )
 
-// Config is a checked configuration. Body is what Config.Read answers.
+// Config is a checked configuration.
 type Config struct {
 	Generation int64 `validate:"min=0"`
 	Routes     []Route
 	Services   []Service
 	Limits     Limits
-	Body       []byte `json:"-"`
+	Body       []byte `json:"-"` // as received
 
-	at layout
+	layout layout // of Body; empty if it was not split
 }
 
-// Route says which service a database's sessions go to, and how. Times in milliseconds.
+// Route assigns the sessions of a database, which is named by Host, to a service.
 type Route struct {
 	Name        string `validate:"required"`
 	Host        string `validate:"required,printascii"`
 	PathPrefix  string
 	Kind        string  `validate:"oneof=leader bounded_staleness owned"`
-	DeadlineMs  float64 `validate:"gt=0"`
-	TargetMs    float64 `validate:"min=0"`
-	Priority    float64
+	DeadlineMs  float64 `validate:"gt=0"`  // of a statement
+	TargetMs    float64 `validate:"min=0"` // latency target of an operation
+	Priority    float64 // 0 is the highest
 	Service     string  `validate:"required"`
 	MaxTries    float64 `validate:"min=0"`
-	StalenessMs float64 `validate:"min=0"`
+	StalenessMs float64 `validate:"min=0"` // of KindBounded
 }
 
-// Service is a set of hosts of one database.
+// Service is a set of database hosts, one primary and its replicas.
 type Service struct {
 	Name         string `validate:"required"`
 	HealthPath   string
-	MaxConns     float64 `validate:"min=0"`
+	MaxConns     float64 `validate:"min=0"` // of one host, from all proxies
 	SyncReplicas float64 `validate:"min=0"`
 }
 
-// Limits bind all routes.
+// Limits apply to all routes.
 type Limits struct {
 	MaxBodyBytes  float64 `validate:"min=0"`
 	IdleTimeoutMs float64 `validate:"min=0"`
-	TxnIdleMs     float64 `validate:"min=0"`
+	TxnIdleMs     float64 `validate:"min=0"` // after which an idle transaction may be ended
 }
 
-var check = validator.New(validator.WithRequiredStructEnabled())
-
-// Read reads a whole configuration; the error names the fault.
+// Read reads and checks a whole configuration. An error about a field is a *FieldError.
 func Read(body []byte) (*Config, error) { return ReadNext(nil, body) }
 
-// whole reads a configuration of any shape.
-func whole(body []byte) (*Config, error) {
+// PeekGeneration returns the generation of a body that need not be a valid configuration.
+func PeekGeneration(body []byte) (generation int64, ok bool) {
+	var config struct{ Generation *int64 }
+	if json.Unmarshal(body, &config) != nil || config.Generation == nil {
+		return 0, false
+	}
+	return *config.Generation, true
+}
+
+// readWhole reads a configuration of any layout, without use of a previous one.
+func readWhole(body []byte) (*Config, error) {
 	if len(body) > MaxBodyBytes {
-		return nil, tooLong(len(body))
+		return nil, fmt.Errorf("the body: %d bytes, %d at most", len(body), MaxBodyBytes)
 	}
-	p := &Config{Body: body}
-	if err := top(body, p); err != nil {
+	config := &Config{Body: body}
+	if err := decode(body, config); err != nil {
 		return nil, err
 	}
-	return p, p.check()
+	return config, config.validate()
 }
 
-// top reads an object into a plan.
-func top(body []byte, p *Config) error {
-	d := json.NewDecoder(bytes.NewReader(body))
-	if err := d.Decode(p); err != nil {
-		return fault(err)
+// decode decodes a configuration, or one without the items of its lists.
+func decode(body []byte, config *Config) error {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	if err := decoder.Decode(config); err != nil {
+		return decodeError(err)
 	}
-	if rest, _ := d.Token(); rest != nil || d.More() {
+	if rest, _ := decoder.Token(); rest != nil || decoder.More() {
 		return errors.New("the body: more behind the configuration")
 	}
-	var keys map[string]json.RawMessage
-	if err := json.Unmarshal(body, &keys); err != nil {
-		return fault(err)
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(body, &fields); err != nil {
+		return decodeError(err)
 	}
 	for _, key := range []string{"Generation", "Routes", "Services"} {
-		if _, ok := keys[key]; !ok {
-			return fmt.Errorf("%s: missing", key)
+		if _, ok := fields[key]; !ok {
+			return &FieldError{Key: key, Reason: "missing"}
 		}
 	}
 	return nil
 }
 
-func fault(err error) error {
-	var kind *json.UnmarshalTypeError
-	var syntax *json.SyntaxError
+// decodeError adds the field or the offset to an error of encoding/json.
+func decodeError(err error) error {
+	var typeError *json.UnmarshalTypeError
+	var syntaxError *json.SyntaxError
 	switch {
-	case errors.As(err, &kind):
-		return fmt.Errorf("%s: %s does not fit (byte %d)", kind.Field, kind.Value, kind.Offset)
-	case errors.As(err, &syntax):
-		return fmt.Errorf("the body: byte %d: %w", syntax.Offset, err)
+	case errors.As(err, &typeError):
+		return &FieldError{Key: typeError.Field, Reason: fmt.Sprintf("%s does not fit (byte %d)", typeError.Value, typeError.Offset)}
+	case errors.As(err, &syntaxError):
+		return fmt.Errorf("the body: byte %d: %w", syntaxError.Offset, err)
 	}
 	return fmt.Errorf("the body: %w", err)
 }
-
-func (p *Config) check() error {
-	if err := tags("", p); err != nil {
-		return err
-	}
-	if err := tags("Limits.", &p.Limits); err != nil {
-		return err
-	}
-	for i := range p.Services {
-		if err := tags(fmt.Sprintf("Services[%d].", i), &p.Services[i]); err != nil {
-			return err
-		}
-	}
-	for i := range p.Routes {
-		if err := tags(fmt.Sprintf("Routes[%d].", i), &p.Routes[i]); err != nil {
-			return err
-		}
-	}
-	return p.cross(nil, false)
-}
-
-func tags(at string, v any) error {
-	err := check.Struct(v)
-	var bad validator.ValidationErrors
-	if errors.As(err, &bad) && len(bad) > 0 {
-		_, key, _ := strings.Cut(bad[0].Namespace(), ".")
-		return fmt.Errorf("%s%s: %v: %s %s is wanted", at, key, bad[0].Value(), bad[0].Tag(), bad[0].Param())
-	}
-	return err
-}
-
-// amendment is a change of items by name.
-type amendment struct {
-	Generation *int64
-	Upsert     map[string][]json.RawMessage
-	Remove     map[string][]string
-}
-
-// Amend puts items into a configuration, or in the place of those of the same name, and takes out those that are
-// named. All other bytes of the items stay as they were sent.
-func Amend(current []byte, body []byte) (*Config, error) { return (&Config{Body: current}).Amend(body) }
-
-// Amend is a plan's own: items that stay are not read and checked again.
-func (p *Config) Amend(body []byte) (*Config, error) {
-	current := p.Body
-	var a amendment
-	if err := json.Unmarshal(body, &a); err != nil {
-		return nil, fault(err)
-	}
-	if a.Generation == nil {
-		return nil, errors.New("Generation: missing")
-	}
-	keys, top, err := ordered(current)
-	if err != nil {
-		return nil, err
-	}
-	top["Generation"], _ = json.Marshal(*a.Generation)
-	lists := map[string]bool{}
-	for list := range a.Upsert {
-		lists[list] = true
-	}
-	for list := range a.Remove {
-		lists[list] = true
-	}
-	for _, list := range slices.Sorted(maps.Keys(lists)) { // in one order, whoever works it out
-		var items []json.RawMessage
-		if raw, ok := top[list]; ok {
-			if err := json.Unmarshal(raw, &items); err != nil {
-				return nil, fmt.Errorf("%s: no list of items", list)
-			}
-		} else {
-			keys = append(keys, list)
-		}
-		kept, err := amend(list, items, a.Upsert[list], a.Remove[list])
-		if err != nil {
-			return nil, err
-		}
-		top[list] = append(append([]byte{'['}, bytes.Join(kept, []byte(","))...), ']')
-	}
-	whole := []byte{'{'}
-	for i, k := range keys {
-		if i > 0 {
-			whole = append(whole, ',')
-		}
-		name, _ := json.Marshal(k)
-		whole = append(append(append(whole, name...), ':'), top[k]...)
-	}
-	return ReadNext(p, append(whole, '}'))
-}
-
-func name(item json.RawMessage) (string, error) {
-	var named struct{ Name string }
-	if err := json.Unmarshal(item, &named); err != nil || named.Name == "" {
-		return "", errors.New("an item without a Name")
-	}
-	return named.Name, nil
-}
-
-func amend(list string, items, upsert []json.RawMessage, remove []string) ([][]byte, error) {
-	at := map[string]int{}
-	for i, item := range items {
-		n, err := name(item)
-		if err != nil {
-			return nil, fmt.Errorf("%s[%d]: %w", list, i, err)
-		}
-		at[n] = i
-	}
-	for _, n := range remove {
-		if i, ok := at[n]; ok {
-			items[i] = nil
-			delete(at, n)
-		}
-	}
-	for i, item := range upsert {
-		n, err := name(item)
-		if err != nil {
-			return nil, fmt.Errorf("Upsert.%s[%d]: %w", list, i, err)
-		}
-		if k, ok := at[n]; ok {
-			items[k] = item
-			continue
-		}
-		at[n], items = len(items), append(items, item)
-	}
-	kept := make([][]byte, 0, len(items))
-	for _, item := range items {
-		if item != nil {
-			kept = append(kept, item)
-		}
-	}
-	return kept, nil
-}
-
-// ordered gives an object's keys in the order in which they stand, and their values.
-func ordered(body []byte) (keys []string, top map[string]json.RawMessage, err error) {
-	if err := json.Unmarshal(body, &top); err != nil {
-		return nil, nil, fault(err)
-	}
-	d := json.NewDecoder(bytes.NewReader(body))
-	if _, err := d.Token(); err != nil {
-		return nil, nil, err
-	}
-	for d.More() {
-		k, err := d.Token()
-		if err != nil {
-			return nil, nil, err
-		}
-		var skip json.RawMessage
-		if err := d.Decode(&skip); err != nil {
-			return nil, nil, err
-		}
-		if key, ok := k.(string); ok {
-			keys = append(keys, key)
-		}
-	}
-	return keys, top, nil
-}
-
-// PeekGeneration reads the generation of a body that may be no whole configuration.
-func PeekGeneration(body []byte) (generation int64, ok bool) {
-	var p struct{ Generation *int64 }
-	if json.Unmarshal(body, &p) != nil || p.Generation == nil {
-		return 0, false
-	}
-	return *p.Generation, true
-}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,10 +13,10 @@
 	`"TargetMs":150,"Priority":2,"Service":"s2","MaxTries":2,"StalenessMs":2500}],"Services":[{"Name":"s1","MaxConns":57,"SyncReplicas":1},` +
 	`{"Name":"s2","MaxConns":57,"Later":true}],"Limits":{"TxnIdleMs":3000},"More":"kept"}`
 
-func TestFaultsAreNamedByTheirKeys(t *testing.T) {
-	p, err := Read([]byte(good))
+func TestErrorsNameTheKey(t *testing.T) {
+	config, err := Read([]byte(good))
 	require.NoError(t, err)
-	require.Equal(t, good, string(p.Body), "what was sent is kept byte for byte")
+	require.Equal(t, good, string(config.Body), "what was received is kept byte for byte")
 	for key, body := range map[string]string{
 		"the body":             good[:len(good)/2],
 		"Generation":           strings.Replace(good, `"Generation":7,`, "", 1),
@@ -37,19 +37,24 @@
 	require.Error(t, err, "more behind the configuration")
 }
 
-func TestAmendingKeepsWhatItDoesNotName(t *testing.T) {
-	p, err := Amend([]byte(good), []byte(`{"Generation":9,"Upsert":{"Routes":[{"Name":"r3","Host":"db3","PathPrefix":"/","Kind":"leader",
+func TestAmendKeepsWhatItDoesNotName(t *testing.T) {
+	config, err := Amend([]byte(good), []byte(`{"Generation":9,"Upsert":{"Routes":[{"Name":"r3","Host":"db3","PathPrefix":"/","Kind":"leader",
 		"DeadlineMs":5,"Service":"s2"}]},"Remove":{"Routes":["r2","nobody"]}}`))
 	require.NoError(t, err)
-	require.EqualValues(t, 9, p.Generation)
-	require.Len(t, p.Routes, 2)
-	var whole map[string]any
-	require.NoError(t, json.Unmarshal(p.Body, &whole))
-	require.Equal(t, "kept", whole["More"])
-	require.Contains(t, string(p.Body), `"New":{"x":[1]}`)
-	require.NotContains(t, string(p.Body), "db2")
-	for _, bad := range []string{`{`, `{"Upsert":{}}`, `{"Generation":9,"Upsert":{"Routes":[{"Host":"x"}]}}`, `{"Generation":9,"Remove":{"Services":["s1"]}}`,
-		`{"Generation":9,"Upsert":{"Generation":[{"Name":"x"}]}}`} {
+	require.EqualValues(t, 9, config.Generation)
+	require.Len(t, config.Routes, 2)
+	var fields map[string]any
+	require.NoError(t, json.Unmarshal(config.Body, &fields))
+	require.Equal(t, "kept", fields["More"])
+	require.Contains(t, string(config.Body), `"New":{"x":[1]}`)
+	require.NotContains(t, string(config.Body), "db2")
+	for _, bad := range []string{
+		`{`,
+		`{"Upsert":{}}`,
+		`{"Generation":9,"Upsert":{"Routes":[{"Host":"x"}]}}`,
+		`{"Generation":9,"Remove":{"Services":["s1"]}}`,
+		`{"Generation":9,"Upsert":{"Generation":[{"Name":"x"}]}}`,
+	} {
 		_, err := Amend([]byte(good), []byte(bad))
 		require.Error(t, err, bad)
 	}
@@ -59,12 +64,12 @@
 	f.Add([]byte(good), []byte(`{"Generation":9,"Remove":{"Routes":["r2"]}}`))
 	f.Add([]byte(`{"Generation":1,"Routes":[],"Services":[]}`), []byte(`{"Generation":2,"Upsert":{"Services":[{"Name":"a"}]}}`))
 	f.Fuzz(func(t *testing.T, body, change []byte) {
-		p, err := Read(body)
+		config, err := Read(body)
 		if err != nil {
 			return
 		}
-		if q, err := Amend(p.Body, change); err == nil {
-			if _, err := Read(q.Body); err != nil {
+		if amended, err := Amend(config.Body, change); err == nil {
+			if _, err := Read(amended.Body); err != nil {
 				t.Fatalf("an amended configuration can't be read back: %v", err)
 			}
 		}
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -3,117 +3,87 @@
 import (
 	"cmp"
 	"encoding/binary"
-	"errors"
-	"fmt"
 	"slices"
 )
 
-// MaxBodyBytes is the longest body in bytes.
-const MaxBodyBytes = 8 << 20
+// minCopyBytes is the shortest part that is worth copying from the old body.
+const minCopyBytes = 12
 
-// least is how many bytes a copy must stand for.
-const least = 12
-
-// Diff is how a body is made of an older one's bytes: its length, then in turn new bytes (their number before them) and a
-// copy (where it begins, and how many). Items that stood in the older body are copied wherever they stand now.
-func Diff(old, p *Config) []byte {
-	type anchor struct{ at, old int }
-	anchors := []anchor{{0, 0}}
-	for _, l := range [][2][]span{{old.at.routes, p.at.routes}, {old.at.services, p.at.services}} {
-		f := finder{body: old.Body, items: l[0]}
-		for _, s := range l[1] {
-			k := f.begins(p.Body[s.from:])
-			if k < 0 {
-				k = f.find(p.Body[s.from:s.to])
-			}
-			if k < 0 { // it may have taken the place of one
-				k = f.at - 1
-			}
-			if k < len(l[0]) {
-				anchors = append(anchors, anchor{s.from, l[0][k].from})
-			}
-		}
-	}
-	slices.SortFunc(anchors, func(a, b anchor) int { return cmp.Compare(a.at, b.at) })
-	anchors = append(anchors, anchor{len(p.Body), len(old.Body)})
-	d, done := binary.AppendUvarint(nil, uint64(len(p.Body))), 0
-	literal := func(to int) {
-		d = binary.AppendUvarint(d, uint64(to-done))
-		d = append(d, p.Body[done:to]...)
+// Diff returns how the body of updated is made from the body of old: the length of the body, and then in turn a literal part (its
+// length and bytes) and a copied part (its offset in the old body and its length), until the body is complete. All numbers are
+// unsigned varints. Items that the old body has are copied, also if their order changed.
+func Diff(old, updated *Config) []byte {
+	encoder := diffEncoder{old: old.Body, updated: updated.Body}
+	encoder.appendNumber(len(updated.Body))
+	for _, a := range anchors(old, updated) {
+		encoder.copyAround(a)
 	}
-	for _, a := range anchors {
-		if a.at < done {
-			continue
-		}
-		from, at := a.at, a.old
-		for from > done && at > 0 && p.Body[from-1] == old.Body[at-1] {
-			from, at = from-1, at-1
-		}
-		end := a.at
-		for k := a.old; end < len(p.Body) && k < len(old.Body) && p.Body[end] == old.Body[k]; k++ {
-			end++
-		}
-		if end-from < least {
-			continue
-		}
-		literal(from)
-		d = binary.AppendUvarint(d, uint64(at))
-		d = binary.AppendUvarint(d, uint64(end-from))
-		done = end
-	}
-	if done < len(p.Body) {
-		literal(len(p.Body))
+	if encoder.encoded < len(updated.Body) {
+		encoder.appendLiteral(len(updated.Body))
 	}
-	return d
+	return encoder.diff
 }
 
-var errDiff = errors.New("a difference that does not fit")
+// anchor is a pair of offsets at which the two bodies are probably alike.
+type anchor struct{ updatedOffset, oldOffset int }
 
-// Patch makes a body of an older one by a difference. All lengths are checked before anything is made.
-func Patch(old, diff []byte) ([]byte, error) {
-	size, rest, ok := number(diff, MaxBodyBytes)
-	if !ok {
-		return nil, errDiff
-	}
-	walk := func(take func([]byte)) bool {
-		rest, left := rest, size
-		for left > 0 {
-			n, r, ok := number(rest, min(left, len(rest)))
-			if !ok || n > len(r) {
-				return false
+// anchors returns the beginnings of both bodies, those of each item and the old one that it equals or replaces, and the ends.
+func anchors(old, updated *Config) []anchor {
+	found := []anchor{{0, 0}}
+	finders := old.finders()
+	for list, items := range updated.layout {
+		finder, oldItems := finders[list], old.layout[list]
+		for _, item := range items {
+			index := finder.matchPrefix(updated.Body[item.from:])
+			if index == newItem {
+				index = finder.find(item.of(updated.Body))
 			}
-			take(r[:n])
-			if rest, left = r[n:], left-n; left == 0 {
-				break
+			if index == newItem {
+				index = finder.next - 1 // the one that it may replace
 			}
-			from, r, ok := number(rest, len(old))
-			if !ok {
-				return false
+			if index < len(oldItems) {
+				found = append(found, anchor{item.from, oldItems[index].from})
 			}
-			n, r, ok = number(r, min(left, len(old)-from))
-			if !ok || n == 0 {
-				return false
-			}
-			take(old[from : from+n])
-			rest, left = r, left-n
 		}
-		return len(rest) == 0
-	}
-	if !walk(func([]byte) {}) {
-		return nil, errDiff
 	}
-	body := make([]byte, 0, size)
-	walk(func(b []byte) { body = append(body, b...) })
-	return body, nil
+	slices.SortFunc(found, func(a, b anchor) int { return cmp.Compare(a.updatedOffset, b.updatedOffset) })
+	return append(found, anchor{len(updated.Body), len(old.Body)})
 }
 
-// number reads one that is at most so great.
-func number(b []byte, most int) (n int, rest []byte, ok bool) {
-	u, k := binary.Uvarint(b)
-	if k <= 0 || u > uint64(most) {
-		return 0, nil, false
-	}
-	return int(u), b[k:], true
+type diffEncoder struct {
+	old, updated []byte
+	diff         []byte
+	encoded      int // bytes of updated that the diff makes so far
+}
+
+func (e *diffEncoder) appendNumber(number int) {
+	e.diff = binary.AppendUvarint(e.diff, uint64(number))
+}
+
+func (e *diffEncoder) appendLiteral(to int) {
+	e.appendNumber(to - e.encoded)
+	e.diff = append(e.diff, e.updated[e.encoded:to]...)
+	e.encoded = to
 }
 
-func tooLong(n int) error { return fmt.Errorf("the body: %d bytes, %d at most", n, MaxBodyBytes) }
+// copyAround copies the longest part around an anchor that both bodies have, if it is long enough.
+func (e *diffEncoder) copyAround(a anchor) {
+	if a.updatedOffset < e.encoded {
+		return
+	}
+	from, oldFrom := a.updatedOffset, a.oldOffset
+	for from > e.encoded && oldFrom > 0 && e.updated[from-1] == e.old[oldFrom-1] {
+		from, oldFrom = from-1, oldFrom-1
+	}
+	to, oldTo := a.updatedOffset, a.oldOffset
+	for to < len(e.updated) && oldTo < len(e.old) && e.updated[to] == e.old[oldTo] {
+		to, oldTo = to+1, oldTo+1
+	}
+	if to-from < minCopyBytes {
+		return
+	}
+	e.appendLiteral(from)
+	e.appendNumber(oldFrom)
+	e.appendNumber(to - from)
+	e.encoded = to
+}
