--- /dev/null
+++ b/internal/settings/read.go
@@ -0,0 +1,88 @@
+package settings
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"strings"
+
+	"github.com/BurntSushi/toml"
+	"github.com/go-playground/validator/v10"
+	"github.com/gravitational/trace"
+)
+
+// maxFileBytes is the largest settings file that is read (1 MiB).
+const maxFileBytes = 1 << 20
+
+var validate = validator.New(validator.WithRequiredStructEnabled())
+
+// Read reads the file that EnvVar names.
+func Read() (*Settings, error) {
+	path := os.Getenv(EnvVar)
+	if path == "" {
+		return nil, trace.BadParameter("%s: not set; it names the settings file", EnvVar)
+	}
+	return ReadFile(path)
+}
+
+// ReadFile reads a settings file. The error names the file and, for invalid content, the key; it is one of trace's NotFound,
+// LimitExceeded and BadParameter, or another error of the file system.
+func ReadFile(path string) (*Settings, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, trace.ConvertSystemError(err)
+	}
+	if info.Size() > maxFileBytes {
+		return nil, trace.LimitExceeded("%s: %d bytes, over 1 MiB", path, info.Size())
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, trace.ConvertSystemError(err)
+	}
+	settings, err := Parse(string(text))
+	if err != nil {
+		return nil, trace.BadParameter("%s: %v", path, err)
+	}
+	return settings, nil
+}
+
+// Parse parses and checks the text of a settings file. The error begins with the key, or with the line where there is none.
+func Parse(text string) (*Settings, error) {
+	settings := &Settings{BeatMs: defaultBeatMs}
+	if _, err := toml.Decode(text, settings); err != nil {
+		return nil, decodeError(err)
+	}
+	if err := validate.Struct(settings); err != nil {
+		return nil, validationError(err)
+	}
+	if first, last := settings.PortRange[0], settings.PortRange[1]; last < first {
+		return nil, fmt.Errorf("PortRange: %v: the second is to be no less than the first", settings.PortRange)
+	}
+	return settings, nil
+}
+
+func decodeError(err error) error {
+	var syntaxError toml.ParseError
+	if !errors.As(err, &syntaxError) {
+		return err
+	}
+	if syntaxError.LastKey != "" {
+		return fmt.Errorf("%s: line %d: %s", syntaxError.LastKey, syntaxError.Position.Line, syntaxError.Message)
+	}
+	return fmt.Errorf("line %d: %s", syntaxError.Position.Line, syntaxError.Message)
+}
+
+// validationError names the first invalid key and the rule that it breaks.
+func validationError(err error) error {
+	var faults validator.ValidationErrors
+	if !errors.As(err, &faults) || len(faults) == 0 {
+		return err
+	}
+	fault := faults[0]
+	_, key, _ := strings.Cut(fault.Namespace(), ".") // without the name of the struct type
+	rule := fault.Tag()
+	if fault.Param() != "" {
+		rule += " " + fault.Param()
+	}
+	return fmt.Errorf("%s: %v: %s is wanted", key, fault.Value(), rule)
+}
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -6,27 +6,34 @@
 	"time"
 )
 
-// Watch tells when the settings file was changed, with or without a signal, until ctx ends. changed has room for one
-// word; one that is not taken yet stands for all since.
+// watchInterval is how often Watch looks at the file.
+const watchInterval = time.Second
+
+// Watch sends signal on changed whenever the settings file has changed, until ctx ends. It never blocks: while a signal is
+// waiting in the channel, which must be buffered, none is added.
 func Watch(ctx context.Context, changed chan<- os.Signal, signal os.Signal) {
 	path := os.Getenv(EnvVar)
-	seen, _ := os.Stat(path)
-	t := time.NewTicker(time.Second)
-	defer t.Stop()
+	last, _ := os.Stat(path)
+	ticker := time.NewTicker(watchInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
-		now, err := os.Stat(path)
-		if err != nil || seen != nil && now.ModTime().Equal(seen.ModTime()) && now.Size() == seen.Size() {
+		current, err := os.Stat(path)
+		if err != nil || last != nil && sameVersion(current, last) {
 			continue
 		}
-		seen = now
+		last = current
 		select {
 		case changed <- signal:
 		default:
 		}
 	}
 }
+
+func sameVersion(a, b os.FileInfo) bool {
+	return a.ModTime().Equal(b.ModTime()) && a.Size() == b.Size()
+}
