--- /dev/null
+++ b/internal/eventloop/eventloop_test.go
@@ -0,0 +1,92 @@
+package eventloop
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestQueueIsTakenByPriorityAndInOrder(t *testing.T) {
+	queue := NewQueue(2)
+	var order []string
+	put := func(priority Priority, name string) {
+		require.True(t, queue.Put(priority, func() { order = append(order, name) }))
+	}
+	put(PriorityCommands, "command")
+	put(PriorityOutcomes, "outcome 1")
+	put(PriorityOutcomes, "outcome 2")
+	put(PriorityOutcomes, "outcome 3") // beyond the capacity, and does not block
+	put(PriorityLists, "list")
+	require.Equal(t, 5, queue.Length())
+	<-queue.Ready
+	for priority := range priorityCount {
+		for function := queue.Take(priority); function != nil; function = queue.Take(priority) {
+			function()
+		}
+	}
+	require.Equal(t, []string{"list", "outcome 1", "outcome 2", "outcome 3", "command"}, order)
+	require.Zero(t, queue.Length())
+}
+
+func TestPutBlocksWhileTheQueueIsFull(t *testing.T) {
+	queue := NewQueue(1)
+	queue.Put(PriorityCommands, func() {})
+	accepted := make(chan bool)
+	put := func() { accepted <- queue.Put(PriorityCommands, func() {}) }
+	requireBlocked := func() {
+		select {
+		case <-accepted:
+			t.Fatal("a full queue accepted a command")
+		case <-time.After(20 * time.Millisecond):
+		}
+	}
+
+	go put()
+	requireBlocked()
+	queue.Take(PriorityCommands)
+	require.True(t, <-accepted)
+
+	go put()
+	requireBlocked()
+	queue.Close()
+	require.False(t, <-accepted, "blocked when the queue was closed")
+	require.False(t, queue.Put(PriorityOutcomes, func() {}))
+	<-queue.Ended
+	require.Equal(t, 1, queue.Length())
+}
+
+func TestTimersAreOrderedByDeadline(t *testing.T) {
+	var timers Timers[int]
+	require.Nil(t, timers.First())
+	start := time.Now()
+	var added []*Timer[int]
+	for _, seconds := range []int{5, 1, 4, 2, 3} {
+		added = append(added, timers.Add(start.Add(time.Duration(seconds)*time.Second), seconds))
+	}
+	require.Len(t, timers.All(), 5)
+	timers.Remove(added[2])
+	timers.Remove(added[2])
+	timers.Remove(nil)
+	var order []int
+	for first := timers.First(); first != nil; first = timers.First() {
+		order = append(order, first.Value)
+		timers.Remove(first)
+	}
+	require.Equal(t, []int{1, 2, 3, 5}, order)
+
+	cleared := timers.Add(start, 6)
+	timers.Clear()
+	timers.Remove(cleared)
+	require.Empty(t, timers.All())
+}
+
+func TestClockStartsAtItsOriginInMilliseconds(t *testing.T) {
+	now := time.Now()
+	clock := NewSteadyClock(func() time.Time { return now })
+	require.EqualValues(t, ClockOrigin, clock.Now())
+	now = now.Add(1500 * time.Millisecond)
+	require.EqualValues(t, ClockOrigin+1500, clock.Now())
+	require.Equal(t, 1500*time.Millisecond, clock.Since())
+	require.Equal(t, now, clock.Time())
+}
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -1,93 +1,101 @@
-// Package eventloop is the one goroutine that owns a program's state, and the queue
-// that is the only way to it.
-//
-//	any goroutine -> Queue.Put -> Loop.Run -> what is to be done, in the order of its rank
-//
-// A shell: it has a clock and a goroutine, and decides nothing.
 package eventloop
 
 import "sync"
 
-// Priority orders what is due at one moment: lists, then outcomes, then the rest.
+// Priority is the order in which the owner takes what is in the queue.
 type Priority int
 
+// The priorities, the most urgent first.
 const (
-	PriorityLists Priority = iota
-	PriorityOutcomes
-	PriorityCommands
-	ranks
+	PriorityLists    Priority = iota // updates of what the owner decides by, as the membership
+	PriorityOutcomes                 // results of what the owner started
+	PriorityCommands                 // new work
+	priorityCount
 )
 
-// Queue is the only way to the goroutine that owns a state. Commands wait
-// outside while it is full, which holds their clients back and loses none; an
-// outcome never waits, and there are no more of them than dispatches.
+// Queue hands functions to the goroutine that owns a state. Functions of one priority are taken in the order in which they were
+// put. Put blocks while as many of its priority are waiting as the queue's capacity, which slows down the callers and loses
+// nothing. PriorityOutcomes never blocks; the work in flight bounds their number.
 type Queue struct {
-	most  int
-	Ready chan struct{}
-	Ended chan struct{}
+	capacity int
+	Ready    chan struct{} // receives after Put; one value may stand for several functions
+	Ended    chan struct{} // closed with the queue
 
-	mu      sync.Mutex
-	room    *sync.Cond
-	waiting [ranks][]func()
-	closed  bool
+	mu       sync.Mutex
+	notFull  *sync.Cond
+	waiting  [priorityCount][]func()
+	isClosed bool
 }
 
-func NewQueue(most int) *Queue {
-	q := &Queue{most: most, Ready: make(chan struct{}, 1), Ended: make(chan struct{})}
-	q.room = sync.NewCond(&q.mu)
+// NewQueue returns a queue with a capacity for each priority.
+func NewQueue(capacity int) *Queue {
+	q := &Queue{capacity: capacity, Ready: make(chan struct{}, 1), Ended: make(chan struct{})}
+	q.notFull = sync.NewCond(&q.mu)
 	return q
 }
 
-// Put hands over what the owner is to do; false once it has stopped.
-func (q *Queue) Put(r Priority, do func()) bool {
-	q.mu.Lock()
-	for r != PriorityOutcomes && len(q.waiting[r]) >= q.most && !q.closed {
-		q.room.Wait()
-	}
-	closed := q.closed
-	if !closed {
-		q.waiting[r] = append(q.waiting[r], do)
-	}
-	q.mu.Unlock()
+// Put hands a function to the owner. It returns false, and the function will not be called, if the queue is closed.
+func (q *Queue) Put(priority Priority, function func()) bool {
+	accepted := q.append(priority, function)
 	select {
 	case q.Ready <- struct{}{}:
 	default:
 	}
-	return !closed
+	return accepted
+}
+
+func (q *Queue) append(priority Priority, function func()) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for q.isFull(priority) && !q.isClosed {
+		q.notFull.Wait()
+	}
+	if q.isClosed {
+		return false
+	}
+	q.waiting[priority] = append(q.waiting[priority], function)
+	return true
+}
+
+func (q *Queue) isFull(priority Priority) bool {
+	return priority != PriorityOutcomes && len(q.waiting[priority]) >= q.capacity
 }
 
-// Take gives the first of a rank, if there is one.
-func (q *Queue) Take(r Priority) func() {
+// Take removes the first function of a priority; it returns nil if there is none.
+func (q *Queue) Take(priority Priority) func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	w := q.waiting[r]
-	if len(w) == 0 {
+	waiting := q.waiting[priority]
+	if len(waiting) == 0 {
 		return nil
 	}
-	do := w[0]
-	w[0] = nil
-	if q.waiting[r] = w[1:]; len(w) == 1 {
-		q.waiting[r] = nil
+	function := waiting[0]
+	waiting[0] = nil // so that it can be collected
+	q.waiting[priority] = waiting[1:]
+	if len(waiting) == 1 {
+		q.waiting[priority] = nil // and the array too
 	}
-	if r != PriorityOutcomes {
-		q.room.Signal()
+	if priority != PriorityOutcomes {
+		q.notFull.Signal()
 	}
-	return do
+	return function
 }
 
-func (q *Queue) Length() (n int) {
+// Length returns how many functions of all priorities are waiting.
+func (q *Queue) Length() (length int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, w := range q.waiting {
-		n += len(w)
+	for _, waiting := range q.waiting {
+		length += len(waiting)
 	}
-	return n
+	return length
 }
 
+// Close makes Put return false, also where it is blocked, and closes the channel that tells of it. It must be called once only.
 func (q *Queue) Close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.closed = true
+	q.isClosed = true
 	close(q.Ended)
-	q.room.Broadcast()
+	q.notFull.Broadcast()
 }
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -5,69 +5,76 @@
 	"time"
 )
 
-// Timer is something due at a time.
+// removed is the index of a timer that is not among the Timers.
+const removed = -1
+
+// Timer is a value with the time at which it is due.
 type Timer[T any] struct {
 	Deadline time.Time
 	Value    T
-	index    int // among the timers; -1: not there
+	index    int // in the heap, or removed
 }
 
-// Timers hold what is due, the first first. The zero value is empty. They belong to one goroutine.
-type Timers[T any] struct{ all timers[T] }
+// Timers is a set of timers, ordered by deadline. It belongs to one goroutine, which looks at First when it has nothing else to do;
+// no timer calls anything by itself. The zero value is empty.
+type Timers[T any] struct{ heap timerHeap[T] }
 
-// Add adds what is due at a time.
-func (t *Timers[T]) Add(until time.Time, what T) *Timer[T] {
-	k := &Timer[T]{Deadline: until, Value: what}
-	heap.Push(&t.all, k)
-	return k
+// Add adds a timer.
+func (t *Timers[T]) Add(deadline time.Time, value T) *Timer[T] {
+	timer := &Timer[T]{Deadline: deadline, Value: value}
+	heap.Push(&t.heap, timer)
+	return timer
 }
 
-// Remove takes a timer out, if it is there.
-func (t *Timers[T]) Remove(k *Timer[T]) {
-	if k != nil && k.index >= 0 {
-		heap.Remove(&t.all, k.index)
+// Remove removes a timer. Nil, and a timer that was removed before, is ignored.
+func (t *Timers[T]) Remove(timer *Timer[T]) {
+	if timer != nil && timer.index != removed {
+		heap.Remove(&t.heap, timer.index)
 	}
 }
 
-// First is due before all others; nil: nothing is.
+// First returns the timer with the earliest deadline, or nil.
 func (t *Timers[T]) First() *Timer[T] {
-	if len(t.all) == 0 {
+	if len(t.heap) == 0 {
 		return nil
 	}
-	return t.all[0]
+	return t.heap[0]
 }
 
-// All are in no order; they are not to be changed meanwhile.
-func (t *Timers[T]) All() []*Timer[T] { return t.all }
+// All returns all timers in no particular order. The slice is valid until the next change of the set, and must not be modified.
+func (t *Timers[T]) All() []*Timer[T] { return t.heap }
 
-// Clear takes all out.
+// Clear removes all timers.
 func (t *Timers[T]) Clear() {
-	for _, k := range t.all {
-		k.index = -1
+	for _, timer := range t.heap {
+		timer.index = removed
 	}
-	t.all = nil
+	t.heap = nil
 }
 
-type timers[T any] []*Timer[T]
+// timerHeap implements heap.Interface.
+type timerHeap[T any] []*Timer[T]
+
+func (h timerHeap[T]) Len() int { return len(h) }
+
+func (h timerHeap[T]) Less(i, j int) bool { return h[i].Deadline.Before(h[j].Deadline) }
 
-func (d timers[T]) Len() int           { return len(d) }
-func (d timers[T]) Less(i, j int) bool { return d[i].Deadline.Before(d[j].Deadline) }
-func (d timers[T]) Swap(i, j int) {
-	d[i], d[j] = d[j], d[i]
-	d[i].index, d[j].index = i, j
+func (h timerHeap[T]) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
 
-func (d *timers[T]) Push(v any) {
-	k := v.(*Timer[T])
-	k.index = len(*d)
-	*d = append(*d, k)
+func (h *timerHeap[T]) Push(added any) {
+	timer := added.(*Timer[T])
+	timer.index = len(*h)
+	*h = append(*h, timer)
 }
 
-func (d *timers[T]) Pop() any {
-	last := len(*d) - 1
-	k := (*d)[last]
-	(*d)[last] = nil
-	*d = (*d)[:last]
-	k.index = -1
-	return k
+func (h *timerHeap[T]) Pop() any {
+	last := len(*h) - 1
+	timer := (*h)[last]
+	(*h)[last] = nil // so that it can be collected
+	*h = (*h)[:last]
+	timer.index = removed
+	return timer
 }
--- a/internal/proxy/session/step.go
+++ b/internal/proxy/session/step.go
@@ -19,10 +19,10 @@
 // Step is what a statement needs, as the session stands.
 type Step struct {
 	Action Action
-	Reply  []byte // of AnswerLocally and FailTransaction, without IDLE
+	Reply  []byte // if no host is needed; without IDLE
 	Writes bool   // it may write, or begins a transaction that may
 	Begins bool   // it begins a transaction
-	Reads  bool   // with Begins: the transaction is read-only
+	Reads  bool   // the transaction that it begins is read-only
 	Ends   bool   // it is COMMIT or ABORT
 	Commit bool   // it is COMMIT
 	Text   string // as sent to a host
--- a/internal/wire/code.go
+++ b/internal/wire/code.go
@@ -3,7 +3,7 @@
 // Code is the first field of an ERROR line. Hosts may send codes that are not listed here; they are forwarded unchanged.
 type Code string
 
-// The codes that the protocol defines. CodeUnknown is sent for a prepared statement that the connection does not have.
+// The codes that the protocol defines.
 const (
 	CodeRetry     Code = "RETRY"
 	CodeAborted   Code = "ABORTED"
@@ -11,12 +11,12 @@
 	CodeReadOnly  Code = "READONLY"
 	CodeWrongNode Code = "WRONGNODE"
 	CodeOverload  Code = "OVERLOAD"
-	CodeInDoubt   Code = "INDOUBT"
+	CodeInDoubt   Code = "INDOUBT" // the outcome is unknown
 	CodeExpired   Code = "EXPIRED"
 	CodeFailed    Code = "FAILED"
-	CodeUnknown   Code = "UNKNOWN"
+	CodeUnknown   Code = "UNKNOWN" // no such prepared statement
 	CodeMalformed Code = "MALFORMED"
-	CodeNoDB      Code = "NODB"
+	CodeNoDB      Code = "NODB" // no such database
 )
 
 // NothingKept reports whether the code guarantees that no effect of the attempt remains, so that the client may retry the whole
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -36,7 +36,7 @@
 	Kind  RequestKind
 	ID    string // the client's id of a statement; empty for other messages
 	Text  string // a statement exactly as received
-	Name  string // the variable of Set, the prepared statement of Prepare, Execute and CloseName, the database of Connect
+	Name  string // of the variable or prepared statement; the database of Connect
 	Shape string // the value of Set, the prepared text of Prepare (FETCH or STORE and a shape), the client's identity of Connect
 	Rest  string // the arguments of Execute
 }
