--- /dev/null
+++ b/internal/cli/cli_test.go
@@ -0,0 +1,89 @@
+package cli
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/subcommands"
+	"github.com/gravitational/trace"
+	"github.com/stretchr/testify/require"
+)
+
+func execute(t *testing.T, command subcommands.Command, arguments ...string) subcommands.ExitStatus {
+	t.Helper()
+	flags := flag.NewFlagSet(command.Name(), flag.ContinueOnError)
+	command.SetFlags(flags)
+	require.NoError(t, flags.Parse(arguments))
+	return command.Execute(context.Background(), flags)
+}
+
+func TestFailTellsWrongUseFromFailure(t *testing.T) {
+	for _, err := range []error{trace.BadParameter("x"), trace.NotFound("x"), trace.LimitExceeded("x")} {
+		require.Equal(t, subcommands.ExitUsageError, Fail("test", err), "%T", err)
+	}
+	require.Equal(t, subcommands.ExitFailure, Fail("test", errors.New("x")))
+}
+
+func TestPrintPrintsJSONOrText(t *testing.T) {
+	var out bytes.Buffer
+	text := func(w io.Writer) { Counters(w, map[string]int64{"b": 2, "a": 1}) }
+	require.Equal(t, subcommands.ExitSuccess, Print(&out, false, nil, text))
+	require.Equal(t, "a 1\nb 2\n", out.String())
+	out.Reset()
+	require.Equal(t, subcommands.ExitSuccess, Print(&out, true, []int{1}, text))
+	require.Equal(t, "[\n  1\n]\n", out.String())
+	require.Equal(t, subcommands.ExitFailure, Print(&out, true, func() {}, text), "what can't be JSON")
+}
+
+func TestCheckEndsByTheFile(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "local.toml")
+	check := func(arguments ...string) subcommands.ExitStatus {
+		return execute(t, &Check{Program: "test"}, arguments...)
+	}
+	require.Equal(t, subcommands.ExitUsageError, check())
+	require.Equal(t, subcommands.ExitUsageError, check(path), "there is no file")
+	require.NoError(t, os.WriteFile(path, []byte("Node = 3\n"), 0o600))
+	require.Equal(t, subcommands.ExitUsageError, check(path))
+	valid := "Node = \"edge-1\"\nIp = \"10.1.0.8\"\nZone = \"a\"\nPortRange = [7440,7455]\n"
+	require.NoError(t, os.WriteFile(path, []byte(valid), 0o600))
+	require.Equal(t, subcommands.ExitSuccess, check(path))
+	require.Equal(t, subcommands.ExitSuccess, check("-json", path))
+}
+
+func TestStatusAsksARunningProcess(t *testing.T) {
+	type shown struct{ Sessions int }
+	body, code := `{"Sessions":7}`, http.StatusOK
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path != "/Status" {
+			w.WriteHeader(http.StatusNotFound)
+			return
+		}
+		w.WriteHeader(code)
+		fmt.Fprint(w, body)
+	}))
+	defer server.Close()
+	address := strings.TrimPrefix(server.URL, "http://")
+	sessions := 0
+	status := func(arguments ...string) subcommands.ExitStatus {
+		return execute(t, &Status[shown]{Program: "test", Path: "/Status", Text: func(_ io.Writer, s shown) { sessions = s.Sessions }}, arguments...)
+	}
+	require.Equal(t, subcommands.ExitSuccess, status(address))
+	require.Equal(t, 7, sessions)
+	require.Equal(t, subcommands.ExitUsageError, status())
+	body = "not JSON"
+	require.Equal(t, subcommands.ExitFailure, status(address))
+	code = http.StatusServiceUnavailable
+	require.Equal(t, subcommands.ExitFailure, status(address))
+	server.Close()
+	require.Equal(t, subcommands.ExitFailure, status(address))
+}
--- /dev/null
+++ b/internal/cli/run.go
@@ -0,0 +1,56 @@
+package cli
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/google/subcommands"
+	"github.com/hashicorp/go-hclog"
+
+	"ferrypitch/internal/settings"
+)
+
+// Run is the sub-command that runs the server until it is stopped by a signal.
+type Run struct {
+	Program string
+	What    string // synopsis
+
+	// Serve returns when the server has ended. stop receives SIGTERM and SIGINT; reload receives SIGHUP, and also a value whenever
+	// the settings file has changed.
+	Serve func(loaded *settings.Settings, stop, reload <-chan os.Signal, log hclog.Logger) error
+}
+
+// Name implements subcommands.Command.
+func (*Run) Name() string { return "run" }
+
+// Synopsis implements subcommands.Command.
+func (r *Run) Synopsis() string { return r.What }
+
+// Usage implements subcommands.Command.
+func (r *Run) Usage() string {
+	return fmt.Sprintf("%s run\n  serves as the settings file of $%s says\n", r.Program, settings.EnvVar)
+}
+
+// SetFlags implements subcommands.Command.
+func (*Run) SetFlags(*flag.FlagSet) {}
+
+// Execute implements subcommands.Command.
+func (r *Run) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	loaded, err := settings.Read()
+	if err != nil {
+		return Fail(r.Program, err)
+	}
+	log := hclog.New(&hclog.LoggerOptions{Name: r.Program, Level: hclog.Info, Output: os.Stderr})
+	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(reload, syscall.SIGHUP)
+	go settings.Watch(ctx, reload, syscall.SIGHUP) // ends with the process
+	if err := r.Serve(loaded, stop, reload, log); err != nil {
+		return Fail(r.Program, err)
+	}
+	return subcommands.ExitSuccess
+}
--- /dev/null
+++ b/internal/cli/status.go
@@ -0,0 +1,77 @@
+package cli
+
+import (
+	"context"
+	"encoding/json"
+	"flag"
+	"io"
+	"net/http"
+	"os"
+	"time"
+
+	"github.com/google/subcommands"
+	"github.com/gravitational/trace"
+)
+
+const (
+	statusTimeout  = 3 * time.Second
+	maxStatusBytes = 8 << 20
+)
+
+// Status is the sub-command that prints the status of a running process, which serves it over HTTP as the JSON of T.
+type Status[T any] struct {
+	Program string
+	What    string // synopsis
+	Path    string // of the HTTP endpoint
+	Text    func(w io.Writer, shown T)
+	asJSON  bool
+}
+
+// Name implements subcommands.Command.
+func (*Status[T]) Name() string { return "status" }
+
+// Synopsis implements subcommands.Command.
+func (s *Status[T]) Synopsis() string { return s.What }
+
+// Usage implements subcommands.Command.
+func (s *Status[T]) Usage() string {
+	return s.Program + " status [-json] ADDRESS\n  asks the one that answers at ADDRESS (host:port): " + s.What + "\n"
+}
+
+// SetFlags implements subcommands.Command.
+func (s *Status[T]) SetFlags(flags *flag.FlagSet) {
+	flags.BoolVar(&s.asJSON, "json", false, "print as JSON")
+}
+
+// Execute implements subcommands.Command.
+func (s *Status[T]) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+	if flags.NArg() != 1 {
+		return Fail(s.Program, trace.BadParameter("status: one address is wanted"))
+	}
+	status, err := s.get(ctx, flags.Arg(0))
+	if err != nil {
+		return Fail(s.Program, err)
+	}
+	return Print(os.Stdout, s.asJSON, status, func(w io.Writer) { s.Text(w, status) })
+}
+
+func (s *Status[T]) get(ctx context.Context, address string) (status T, err error) {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+s.Path, nil)
+	if err != nil {
+		return status, trace.ConnectionProblem(err, "%v", err)
+	}
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return status, trace.ConnectionProblem(err, "%v", err)
+	}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return status, trace.Errorf("%s answers %s to %s", address, response.Status, s.Path)
+	}
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&status); err != nil {
+		return status, trace.Wrap(err, "the answer")
+	}
+	return status, nil
+}
