--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Drill runs the decision module on the simulator's wire, from standard input
-// to standard output.
+// Command simadapter runs the routing policy for the simulator: it reads batches of events from standard input and writes the
+// resulting actions to standard output.
 package main
 
 import (
@@ -10,10 +10,13 @@
 	"ferrypitch/internal/simadapter"
 )
 
+// gcPercent is higher than Go's default: hundreds of instances share the process, and their garbage is small.
+const gcPercent = 400
+
 func main() {
-	debug.SetGCPercent(400) // hundreds of instances share the process here; their garbage is small
+	debug.SetGCPercent(gcPercent)
 	if err := simadapter.Run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/simadapter/simadapter_test.go
+++ b/internal/simadapter/simadapter_test.go
@@ -30,12 +30,12 @@
 	}
 }
 
-func TestACommandIsDispatchedAndItsAnswerEndsIt(t *testing.T) {
-	ask := `{"t":"ingress","who":3,"req":"c:<&>","tier_class":"look","group_no":1,"give_up_at":2800.0,"user":null}`
-	end := `{"t":"attempt_end","who":3,"req":"c:<&>","leg":0,"host":"10.0.0.1:7000","how":1,"cost_time":9.5,` +
+func TestCommandIsDispatchedOnceAndEndsWithItsResponse(t *testing.T) {
+	ingress := `{"t":"ingress","who":3,"req":"c:<&>","tier_class":"look","group_no":1,"give_up_at":2800.0,"user":null}`
+	attemptEnd := `{"t":"attempt_end","who":3,"req":"c:<&>","leg":0,"host":"10.0.0.1:7000","how":1,"cost_time":9.5,` +
 		`"ended":true,"stamp":8002,"telemetry":null}`
-	old := strings.Replace(end, `"leg":0`, `"leg":-1`, 1)
-	out, err := run(t, spawn+","+hosts, ask, old+","+end+","+end+`,{"t":"dropped","who":3,"req":"c:<&>"},{"t":"news","who":3}`)
+	earlierAttemptEnd := strings.Replace(attemptEnd, `"leg":0`, `"leg":-1`, 1)
+	out, err := run(t, spawn+","+hosts, ingress, earlierAttemptEnd+","+attemptEnd+","+attemptEnd+`,{"t":"dropped","who":3,"req":"c:<&>"},{"t":"news","who":3}`)
 	if err != nil || strings.Count(out, "call_out") != 1 || !strings.Contains(out, `"req":"c:<&>"`) {
 		t.Errorf("%s, %v", out, err)
 	}
@@ -44,16 +44,16 @@
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
-	for bad, field := range map[string]string{
+func TestErrorsNameTheBatchAndField(t *testing.T) {
+	for malformed, field := range map[string]string{
 		`{"t":"ingress","who":3,"req":"c:1","tier_class":"look","group_no":1}`:                  "give_up_at",
 		`{"t":"ingress","who":3,"req":"c:1","tier_class":"other","group_no":1,"give_up_at":1}`:  "tier_class",
 		`{"t":"ingress","who":3,"req":5,"tier_class":"look","group_no":1,"give_up_at":2800.0}`:  "req",
 		`{"t":"ingress","who":"x","req":"c","tier_class":"look","group_no":1,"give_up_at":2.0}`: "who",
 	} {
-		_, err := run(t, spawn+","+hosts, bad)
+		_, err := run(t, spawn+","+hosts, malformed)
 		if err == nil || !strings.Contains(err.Error(), "batch 2") || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: %v", bad, err)
+			t.Errorf("%s: %v", malformed, err)
 		}
 	}
 	if _, err := run(t, `{"t":"destroy"`); err == nil || !strings.Contains(err.Error(), "batch 1") {
