--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/stretchr/testify/require"
@@ -30,30 +31,27 @@
 }
 
 func TestPutBlocksWhileTheQueueIsFull(t *testing.T) {
-	queue := NewQueue(1)
-	queue.Put(PriorityCommands, func() {})
-	accepted := make(chan bool)
-	put := func() { accepted <- queue.Put(PriorityCommands, func() {}) }
-	requireBlocked := func() {
-		select {
-		case <-accepted:
-			t.Fatal("a full queue accepted a command")
-		case <-time.After(20 * time.Millisecond):
+	synctest.Test(t, func(t *testing.T) {
+		queue := NewQueue(1)
+		queue.Put(PriorityCommands, func() {})
+		accepted := make(chan bool, 1)
+		putAndBlock := func() {
+			go func() { accepted <- queue.Put(PriorityCommands, func() {}) }()
+			synctest.Wait()
+			require.Empty(t, accepted, "a full queue accepted a command")
 		}
-	}
 
-	go put()
-	requireBlocked()
-	queue.Take(PriorityCommands)
-	require.True(t, <-accepted)
+		putAndBlock()
+		queue.Take(PriorityCommands)
+		require.True(t, <-accepted)
 
-	go put()
-	requireBlocked()
-	queue.Close()
-	require.False(t, <-accepted, "blocked when the queue was closed")
-	require.False(t, queue.Put(PriorityOutcomes, func() {}))
-	<-queue.Ended
-	require.Equal(t, 1, queue.Length())
+		putAndBlock()
+		queue.Close()
+		require.False(t, <-accepted, "blocked when the queue was closed")
+		require.False(t, queue.Put(PriorityOutcomes, func() {}))
+		<-queue.Ended
+		require.Equal(t, 1, queue.Length())
+	})
 }
 
 func TestTimersAreOrderedByDeadline(t *testing.T) {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -1,12 +1,12 @@
 package settings
 
 import (
-	"context"
 	"os"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
+	"testing/synctest"
 	"time"
 
 	"github.com/stretchr/testify/require"
@@ -69,28 +69,24 @@
 
 func TestWatchReportsAChangedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.toml")
-	require.NoError(t, os.WriteFile(path, []byte(good), 0o600))
+	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
+	write(good)
 	t.Setenv(EnvVar, path)
-	ctx, cancel := context.WithCancel(t.Context())
-	changed, ended := make(chan os.Signal, 1), make(chan struct{})
-	go func() {
-		defer close(ended)
-		Watch(ctx, changed, syscall.SIGHUP)
-	}()
-	// Written until it is reported: Watch may not have read the first version yet.
-	for reported := false; !reported; {
-		file, err := os.OpenFile(path, os.O_APPEND|os.O_WRONLY, 0)
-		require.NoError(t, err)
-		_, err = file.WriteString("# more\n")
-		require.NoError(t, err)
-		require.NoError(t, file.Close())
-		select {
-		case got := <-changed:
-			require.Equal(t, syscall.SIGHUP, got)
-			reported = true
-		case <-time.After(100 * time.Millisecond):
-		}
-	}
-	cancel()
-	<-ended
+	synctest.Test(t, func(t *testing.T) { // on its clock
+		changed := make(chan os.Signal, 1)
+		go Watch(t.Context(), changed, syscall.SIGHUP)
+		time.Sleep(10 * watchInterval)
+		require.Empty(t, changed, "nothing changed")
+
+		write(good + "# more\n")
+		time.Sleep(10 * watchInterval)
+		require.Equal(t, syscall.SIGHUP, <-changed)
+		require.Empty(t, changed, "one change is reported once")
+
+		write(good)
+		time.Sleep(2 * watchInterval)
+		write(good + "# more\n")
+		time.Sleep(2 * watchInterval) // Watch does not block, though the channel is full
+		require.Len(t, changed, 1)
+	})
 }
