--- a/internal/fake/postgres/postgres.go
+++ b/internal/fake/postgres/postgres.go
@@ -369,10 +369,11 @@
 		f.Probes++
 		return h.row("1", h.applied(now)), true
 	}
-	id, group, key, _, _, after, _, writes, err := protocol.Comment([]byte(q))
+	command, err := protocol.ParseCommand([]byte(q))
 	if err != nil {
 		return h.refuse("08P01", now), true
 	}
+	id, group, key, after, writes := command.ID, command.Group, command.Key, command.WrittenAtMs, command.IsWrite
 	f.Commands++
 	if !h.drainAt.IsZero() && now.After(h.drainAt.Add(f.Grace)) {
 		f.Drained++
--- a/internal/router/protocol/command.go
+++ b/internal/router/protocol/command.go
@@ -79,12 +79,6 @@
 	return command, nil
 }
 
-// Comment is ParseCommand with its results apart.
-func Comment(statement []byte) (id, group, key string, set int64, wait, after float64, again, writes bool, err error) {
-	c, err := ParseCommand(statement)
-	return c.ID, c.Group, c.Key, c.ReplicaSet, c.TimeoutMs, c.WrittenAtMs, c.IsRetry, c.IsWrite, err
-}
-
 // The two statements that are served, around their literals.
 const (
 	readPrefix   = "SELECT v FROM records WHERE k = "
