--- a/internal/router/tier/follower/follower.go
+++ b/internal/router/tier/follower/follower.go
@@ -27,38 +27,38 @@
 // Follower is the state of one forwarder.
 type Follower struct {
 	Terms
-	seed, draws       uint64
-	now               policy.Tenth
-	planners          []*Planner
-	view              view.View
-	changed           map[string]bool // lateness that moved
-	routers           int
-	blind             bool
-	heardAt, reportAt policy.Tenth
-	told              bool
+	seed, randomDraws          uint64
+	now                        policy.Tenth
+	planners                   []*Planner
+	view                       view.View
+	changedLateness            map[string]bool // lateness that moved
+	routerCount                int
+	noPlanner                  bool
+	lastChangeAt, nextReportAt policy.Tenth
+	reported                   bool
 
-	Gaps, Digests, Restarts, Silences int64 // whole views asked for, by why; links left
+	GapResyncs, DigestResyncs, RestartResyncs, Silences int64 // whole views asked for, by why; links left
 }
 
 // Planner is the handle of one planner.
 type Planner struct {
-	Address string
-	f       *Follower
-	copy    view.Copy
-	up      bool
-	dialing bool
-	dialAt  policy.Tenth
-	wait    policy.Tenth
-	heardAt policy.Tenth
-	every   policy.Tenth
-	late    map[string]uint8
+	Address        string
+	follower       *Follower
+	replica        view.Copy
+	connected      bool
+	dialing        bool
+	nextDialAt     policy.Tenth
+	backoff        policy.Tenth
+	lastChangeAt   policy.Tenth
+	reportInterval policy.Tenth
+	lateness       map[string]uint8
 }
 
 // New starts a forwarder that dials all planners. routers is the count until one tells.
 func New(seed uint64, t Terms, planners []string, routers int, now policy.Tenth) *Follower {
-	f := &Follower{Terms: t, seed: seed, now: now, routers: routers, blind: true, changed: map[string]bool{}}
+	f := &Follower{Terms: t, seed: seed, now: now, routerCount: routers, noPlanner: true, changedLateness: map[string]bool{}}
 	for _, a := range planners {
-		f.planners = append(f.planners, &Planner{Address: a, f: f, wait: t.Again})
+		f.planners = append(f.planners, &Planner{Address: a, follower: f, backoff: t.Again})
 	}
 	return f
 }
@@ -88,90 +88,92 @@
 func (f *Follower) Ready() bool { return f.view.Len() > 0 }
 
 // Blind says that no planner is there.
-func (f *Follower) Blind() bool { return f.blind }
+func (f *Follower) Blind() bool { return f.noPlanner }
 
 // Age is how long ago any planner last spoke; -1: never.
 func (f *Follower) Age() policy.Tenth {
-	if f.heardAt == 0 {
+	if f.lastChangeAt == 0 {
 		return -1
 	}
-	return f.now - f.heardAt
+	return f.now - f.lastChangeAt
 }
 
-func (f *Follower) clock(now policy.Tenth) { f.now = max(f.now, now) }
+func (f *Follower) advance(now policy.Tenth) { f.now = max(f.now, now) }
 
-func (f *Follower) chance() float64 {
-	f.draws++
-	return float64(crc32.ChecksumIEEE(strconv.AppendUint(strconv.AppendUint(nil, f.seed, 36), f.draws, 10))) / (1 << 32)
+func (f *Follower) randomFraction() float64 {
+	f.randomDraws++
+	return float64(crc32.ChecksumIEEE(strconv.AppendUint(strconv.AppendUint(nil, f.seed, 36), f.randomDraws, 10))) / (1 << 32)
 }
 
 // Connected begins a link; the planner sends a whole view unasked.
 func (p *Planner) Connected(now policy.Tenth) {
-	p.f.clock(now)
-	p.up, p.dialing, p.heardAt, p.every = true, false, p.f.now, 0
-	p.copy = view.Copy{}
+	p.follower.advance(now)
+	p.connected, p.dialing, p.lastChangeAt, p.reportInterval = true, false, p.follower.now, 0
+	p.replica = view.Copy{}
 }
 
 // Lost ends a link, or a dialling. Waits double, by a part that chance decides,
 // lest all forwarders come back to a planner at once.
 func (p *Planner) Lost(now policy.Tenth) {
-	f := p.f
-	f.clock(now)
-	p.up, p.dialing = false, false
-	p.dialAt = f.now + policy.Tenth((0.5+f.chance()/2)*float64(p.wait))
-	p.wait = min(2*p.wait, f.Most)
-	f.forget(p)
+	f := p.follower
+	f.advance(now)
+	p.connected, p.dialing = false, false
+	p.nextDialAt = f.now + policy.Tenth((0.5+f.randomFraction()/2)*float64(p.backoff))
+	p.backoff = min(2*p.backoff, f.Most)
+	f.dropLateness(p)
 }
 
 // Changed takes in what a planner says. want: a whole view is to be asked for.
 func (p *Planner) Changed(now policy.Tenth, c view.Change) (want bool) {
-	f := p.f
-	f.clock(now)
-	p.heardAt, f.heardAt, p.every, p.wait = f.now, f.now, c.Every, f.Again
-	switch fresh, err := p.copy.Follow(c); {
-	case err == view.ErrDigest:
-		f.Digests++
+	f := p.follower
+	f.advance(now)
+	p.lastChangeAt, f.lastChangeAt, p.reportInterval, p.backoff = f.now, f.now, c.Every, f.Again
+	switch fresh, err := p.replica.Follow(c); {
+	case err == view.ErrDigestMismatch:
+		f.DigestResyncs++
 		return true
-	case err == view.ErrLife:
-		f.Restarts++
+	case err == view.ErrRestarted:
+		f.RestartResyncs++
 		return true
 	case err != nil:
-		f.Gaps++
+		f.GapResyncs++
 		return true
 	case !fresh:
 		return false
 	}
 	ahead := f.now + 20 // positions of the future are nobody's
 	if c.Whole {
-		f.view.Join(&p.copy.View, ahead)
+		f.view.Join(&p.replica.View, ahead)
 	} else {
-		f.view.Join(p.copy.Part(c), ahead)
+		f.view.Join(p.replica.Part(c), ahead)
 	}
 	for _, h := range c.Hosts {
-		if p.late[h.Name] != h.Late {
-			if p.late == nil {
-				p.late = map[string]uint8{}
+		if p.lateness[h.Name] != h.Late {
+			if p.lateness == nil {
+				p.lateness = map[string]uint8{}
 			}
-			p.late[h.Name] = h.Late
-			f.changed[h.Name] = true
+			p.lateness[h.Name] = h.Late
+			f.changedLateness[h.Name] = true
 		}
 	}
 	return false
 }
 
-// forget lets go of what one planner held of lateness, which counts only while it is there.
-func (f *Follower) forget(p *Planner) {
-	for name := range p.late {
-		f.changed[name] = true
+// dropLateness lets go of what one planner held of lateness, which counts only while it is there.
+func (f *Follower) dropLateness(p *Planner) {
+	for name := range p.lateness {
+		f.changedLateness[name] = true
 	}
-	p.late = nil
+	p.lateness = nil
 }
 
-// silent is how long a planner may say nothing.
-func (p *Planner) silent() policy.Tenth { return max(p.f.Silent, 3*p.every) }
+// silenceTimeout is how long a planner may say nothing.
+func (p *Planner) silenceTimeout() policy.Tenth { return max(p.follower.Silent, 3*p.reportInterval) }
 
-// there says that a planner's word is fresh.
-func (p *Planner) there() bool { return p.up && p.copy.Whole() && p.f.now < p.heardAt+p.silent() }
+// isCurrent says that a planner's word is fresh.
+func (p *Planner) isCurrent() bool {
+	return p.connected && p.replica.Whole() && p.follower.now < p.lastChangeAt+p.silenceTimeout()
+}
 
 // Todo is what a Tick asks for.
 type Todo struct {
@@ -188,61 +190,61 @@
 
 // Tick goes on to a time.
 func (f *Follower) Tick(now policy.Tenth) (do Todo) {
-	f.clock(now)
+	f.advance(now)
 	do.Next = f.now + f.Report
 	routers, blind, every := 0, true, f.Report
 	for _, p := range f.planners {
-		if p.up && f.now >= p.heardAt+p.silent() { // half-open: cut off, hung, or a host that vanished
+		if p.connected && f.now >= p.lastChangeAt+p.silenceTimeout() { // half-open: cut off, hung, or a host that vanished
 			f.Silences++
 			do.Cut = append(do.Cut, p)
 			continue
 		}
-		if p.there() {
-			blind, every, routers = false, max(every, p.every), max(routers, p.copy.Routers)
+		if p.isCurrent() {
+			blind, every, routers = false, max(every, p.reportInterval), max(routers, p.replica.Routers)
 		}
-		if !p.up && !p.dialing {
-			if f.now >= p.dialAt {
+		if !p.connected && !p.dialing {
+			if f.now >= p.nextDialAt {
 				p.dialing = true
 				do.Dial = append(do.Dial, p)
 			} else {
-				do.Next = min(do.Next, p.dialAt)
+				do.Next = min(do.Next, p.nextDialAt)
 			}
 		}
 	}
 	if routers == 0 {
-		routers = f.routers // the last that was told, while nobody tells
+		routers = f.routerCount // the last that was told, while nobody tells
 	}
-	if f.now >= f.reportAt {
-		f.reportAt, do.Report = f.now+every, !blind
+	if f.now >= f.nextReportAt {
+		f.nextReportAt, do.Report = f.now+every, !blind
 	}
-	for _, name := range f.names() {
+	for _, name := range f.takeChangedNames() {
 		if h, held := f.view.Host(name); held {
-			h.Late = f.lateness(name)
+			h.Late = f.worstLateness(name)
 			do.Hosts = append(do.Hosts, h)
 		} else {
 			do.Dropped = append(do.Dropped, name)
 		}
 	}
-	do.Told = !f.told || len(do.Hosts)+len(do.Dropped) > 0 || routers != f.routers || blind != f.blind
-	f.routers, f.blind, f.told = routers, blind, true
+	do.Told = !f.reported || len(do.Hosts)+len(do.Dropped) > 0 || routers != f.routerCount || blind != f.noPlanner
+	f.routerCount, f.noPlanner, f.reported = routers, blind, true
 	do.Routers, do.Blind = routers, blind
 	return do
 }
 
-func (f *Follower) names() []string {
-	names := f.view.Names()
-	for name := range f.changed {
+func (f *Follower) takeChangedNames() []string {
+	names := f.view.TakeChangedNames()
+	for name := range f.changedLateness {
 		names = append(names, name)
 	}
-	clear(f.changed)
+	clear(f.changedLateness)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// lateness is the worst that a planner says.
-func (f *Follower) lateness(name string) (late uint8) {
+// worstLateness is the worst that a planner says.
+func (f *Follower) worstLateness(name string) (late uint8) {
 	for _, p := range f.planners {
-		late = max(late, p.late[name])
+		late = max(late, p.lateness[name])
 	}
 	return late
 }
--- a/internal/router/tier/follower/follower_test.go
+++ b/internal/router/tier/follower/follower_test.go
@@ -140,7 +140,7 @@
 	s.list(6, false, view.Host{Name: "b"})
 	s.next() // is lost
 	s.list(7, false, view.Host{Name: "c"})
-	if want := p.Changed(start+ms, s.next()); !want || f.Gaps != 1 {
+	if want := p.Changed(start+ms, s.next()); !want || f.GapResyncs != 1 {
 		t.Error("a gap goes unnoticed")
 	}
 	if want := p.Changed(start+2*ms, s.whole()); want || f.View().Len() != 3 {
--- a/internal/router/tier/forward/forward.go
+++ b/internal/router/tier/forward/forward.go
@@ -30,27 +30,27 @@
 
 // Forward keeps one forwarder's view.
 type Forward struct {
-	section *setup.Forward
-	name    string
-	life    uint64
-	router  Router
-	log     *zap.Logger
-	clock   *clock.Clock
-	core    *follower.Follower
-	in      chan func()
-	lines   map[*follower.Planner]*line.Line
-	keeping chan []byte // to the writer of kept views
-	keepAt  int64
-
-	Unkept, Links, Changes, Wholes, Faults, Reports, Age, Routers atomic.Int64 // Age in milliseconds, -1: never heard
-	Blind                                                         atomic.Bool
+	settings       *setup.Forward
+	name           string
+	incarnation    uint64
+	router         Router
+	log            *zap.Logger
+	clock          *clock.Clock
+	core           *follower.Follower
+	events         chan func()
+	conns          map[*follower.Planner]*line.Line
+	snapshots      chan []byte // to the writer of kept views
+	nextSnapshotAt int64
+
+	SnapshotFailures, OpenLinks, Changes, FullViews, Faults, Reports, Age, Routers atomic.Int64 // Age in milliseconds, -1: never heard
+	Blind                                                                          atomic.Bool
 }
 
 // New makes a forwarder of a life that no other has; known is the list that it starts with, if any.
 func New(section *setup.Forward, name string, life uint64, routers int, router Router, log *zap.Logger) *Forward {
-	f := &Forward{section: section, name: name, life: life, router: router, log: log, clock: clock.New(time.Now),
-		in: make(chan func(), 64), lines: map[*follower.Planner]*line.Line{},
-		keeping: make(chan []byte, 1)}
+	f := &Forward{settings: section, name: name, incarnation: life, router: router, log: log, clock: clock.New(time.Now),
+		events: make(chan func(), 64), conns: map[*follower.Planner]*line.Line{},
+		snapshots: make(chan []byte, 1)}
 	t := func(d time.Duration) int64 { return int64(d / clock.Tenth) }
 	f.core = follower.New(life, follower.Terms{Again: t(section.Again), Most: t(section.Most), Report: t(section.Report),
 		Silent: t(section.Silent)}, section.Planners, routers, f.clock.Now())
@@ -64,10 +64,10 @@
 
 // Kept takes in what an earlier life kept, before Run. What is wrong with it costs no more than not having it.
 func (f *Forward) Kept() {
-	if f.section.Keep == "" {
+	if f.settings.Keep == "" {
 		return
 	}
-	body, err := snapshotfile.Read(snapshotfile.Disk{}, f.section.Keep)
+	body, err := snapshotfile.Read(snapshotfile.Disk{}, f.settings.Keep)
 	if snapshotfile.None(err) {
 		return
 	}
@@ -83,16 +83,16 @@
 	f.log.Info("began with a kept view", zap.Int("hosts", len(c.Hosts)))
 }
 
-// keep writes views until the context ends. Only the newest waits; a disk that fails costs the next start, not service.
-func (f *Forward) keep(ctx context.Context) {
+// writeSnapshots writes views until the context ends. Only the newest waits; a disk that fails costs the next start, not service.
+func (f *Forward) writeSnapshots(ctx context.Context) {
 	failing := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case body := <-f.keeping:
-			if err := snapshotfile.Write(snapshotfile.Disk{}, f.section.Keep, body); err != nil {
-				if f.Unkept.Add(1); !failing {
+		case body := <-f.snapshots:
+			if err := snapshotfile.Write(snapshotfile.Disk{}, f.settings.Keep, body); err != nil {
+				if f.SnapshotFailures.Add(1); !failing {
 					f.log.Warn("the view is not kept", zap.Error(err))
 				}
 				failing = true
@@ -103,19 +103,19 @@
 	}
 }
 
-// offer gives the writer the view as it is, unless it is still writing.
-func (f *Forward) offer(now int64) {
-	if f.section.Keep == "" || now < f.keepAt || !f.core.Ready() || len(f.keeping) > 0 {
+// offerSnapshot gives the writer the view as it is, unless it is still writing.
+func (f *Forward) offerSnapshot(now int64) {
+	if f.settings.Keep == "" || now < f.nextSnapshotAt || !f.core.Ready() || len(f.snapshots) > 0 {
 		return
 	}
-	f.keepAt = now + int64(f.section.Kept/clock.Tenth)
-	f.keeping <- link.Body(f.core.View().Whole(f.life, 0))
+	f.nextSnapshotAt = now + int64(f.settings.Kept/clock.Tenth)
+	f.snapshots <- link.Body(f.core.View().Whole(f.incarnation, 0))
 }
 
-// put hands the owner what to do.
-func (f *Forward) put(ctx context.Context, do func()) {
+// enqueue hands the owner what to do.
+func (f *Forward) enqueue(ctx context.Context, do func()) {
 	select {
-	case f.in <- do:
+	case f.events <- do:
 	case <-ctx.Done():
 	}
 }
@@ -124,28 +124,28 @@
 func (f *Forward) Run(ctx context.Context) error {
 	links, ctx := errgroup.WithContext(ctx)
 	defer links.Wait()
-	links.Go(func() error { f.keep(ctx); return nil })
+	links.Go(func() error { f.writeSnapshots(ctx); return nil })
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			for _, l := range f.lines {
+			for _, l := range f.conns {
 				l.End(ctx.Err())
 			}
 			return nil
-		case do := <-f.in:
+		case do := <-f.events:
 			do()
 		case <-timer.C:
 		}
 		do := f.core.Tick(f.clock.Now())
 		for _, p := range do.Cut {
-			if l := f.lines[p]; l != nil {
+			if l := f.conns[p]; l != nil {
 				l.End(errors.New("the planner says nothing"))
 			}
 		}
 		for _, p := range do.Dial {
-			links.Go(func() error { f.follow(ctx, p); return nil })
+			links.Go(func() error { f.followPlanner(ctx, p); return nil })
 		}
 		if do.Told {
 			f.router.Told(do.Hosts, do.Dropped, do.Routers, do.Blind)
@@ -154,10 +154,10 @@
 			}
 		}
 		if do.Told {
-			f.offer(f.clock.Now())
+			f.offerSnapshot(f.clock.Now())
 		}
 		if do.Report {
-			f.report()
+			f.sendReport()
 		}
 		f.Blind.Store(do.Blind)
 		f.Routers.Store(int64(do.Routers))
@@ -168,21 +168,21 @@
 	}
 }
 
-func (f *Forward) report() {
-	body := link.Body(link.Report{Every: int64(f.section.Report / clock.Tenth), Heard: f.router.Report()})
-	for _, l := range f.lines {
+func (f *Forward) sendReport() {
+	body := link.Body(link.Report{Every: int64(f.settings.Report / clock.Tenth), Heard: f.router.Report()})
+	for _, l := range f.conns {
 		l.Send(link.KindReport, body)
 	}
 	f.Reports.Add(1)
 }
 
-// follow is one link, from its dialling to its end.
-func (f *Forward) follow(ctx context.Context, p *follower.Planner) {
-	err := f.link(ctx, p)
-	f.put(ctx, func() {
-		if f.lines[p] != nil {
-			f.Links.Add(-1)
-			delete(f.lines, p)
+// followPlanner is one link, from its dialling to its end.
+func (f *Forward) followPlanner(ctx context.Context, p *follower.Planner) {
+	err := f.runLink(ctx, p)
+	f.enqueue(ctx, func() {
+		if f.conns[p] != nil {
+			f.OpenLinks.Add(-1)
+			delete(f.conns, p)
 		}
 		p.Lost(f.clock.Now())
 	})
@@ -191,24 +191,24 @@
 	}
 }
 
-func (f *Forward) link(ctx context.Context, p *follower.Planner) error {
-	conn, err := (&net.Dialer{Timeout: f.section.Dial}).DialContext(ctx, "tcp", p.Address)
+func (f *Forward) runLink(ctx context.Context, p *follower.Planner) error {
+	conn, err := (&net.Dialer{Timeout: f.settings.Dial}).DialContext(ctx, "tcp", p.Address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	conn.SetDeadline(time.Now().Add(f.section.Dial))
-	l, err := line.Call(conn, &f.section.Key, f.name, f.life, f.section.Queue, f.section.Frame, f.section.Write)
+	conn.SetDeadline(time.Now().Add(f.settings.Dial))
+	l, err := line.Call(conn, &f.settings.Key, f.name, f.incarnation, f.settings.Queue, f.settings.Frame, f.settings.Write)
 	if err != nil {
 		return err
 	}
 	l.Start()
 	defer l.Wait()
 	defer l.End(net.ErrClosed)
-	f.put(ctx, func() {
-		f.lines[p] = l
-		f.Links.Add(1)
+	f.enqueue(ctx, func() {
+		f.conns[p] = l
+		f.OpenLinks.Add(1)
 		p.Connected(f.clock.Now())
 	})
 	for {
@@ -226,11 +226,11 @@
 		}
 		f.Changes.Add(1)
 		if c.Whole {
-			f.Wholes.Add(1)
+			f.FullViews.Add(1)
 		}
-		f.put(ctx, func() {
-			if f.lines[p] == l && p.Changed(f.clock.Now(), c) {
-				l.Send(link.KindWant, nil)
+		f.enqueue(ctx, func() {
+			if f.conns[p] == l && p.Changed(f.clock.Now(), c) {
+				l.Send(link.KindViewRequest, nil)
 			}
 		})
 	}
@@ -238,8 +238,8 @@
 
 // Fields are the counts for a line of the log.
 func (f *Forward) Fields() []zap.Field {
-	return []zap.Field{zap.Int64("planners", f.Links.Load()), zap.Bool("blind", f.Blind.Load()),
+	return []zap.Field{zap.Int64("planners", f.OpenLinks.Load()), zap.Bool("blind", f.Blind.Load()),
 		zap.Int64("view_age_ms", f.Age.Load()), zap.Int64("routers", f.Routers.Load()), zap.Int64("changes", f.Changes.Load()),
-		zap.Int64("whole_views", f.Wholes.Load()), zap.Int64("faulty_changes", f.Faults.Load()),
-		zap.Int64("reports", f.Reports.Load()), zap.Int64("views_not_kept", f.Unkept.Load())}
+		zap.Int64("whole_views", f.FullViews.Load()), zap.Int64("faulty_changes", f.Faults.Load()),
+		zap.Int64("reports", f.Reports.Load()), zap.Int64("views_not_kept", f.SnapshotFailures.Load())}
 }
--- a/internal/router/tier/line/line.go
+++ b/internal/router/tier/line/line.go
@@ -13,23 +13,23 @@
 	"ferrypitch/internal/router/tier/link"
 )
 
-// ErrSlow tells of a reader that was cut.
-var ErrSlow = errors.New("the other side reads too slowly")
+// ErrSlowReader tells of a reader that was cut.
+var ErrSlowReader = errors.New("the other side reads too slowly")
 
 // Line is a connection whose greetings are exchanged.
 type Line struct {
 	Peer link.Greeting
 
-	conn  net.Conn
-	side  *link.Side
-	in    []byte
-	most  int
-	write time.Duration
-	out   chan frame
-	once  sync.Once
-	done  chan struct{}
-	why   error
-	tasks sync.WaitGroup
+	conn          net.Conn
+	session       *link.Session
+	inbound       []byte
+	maxFrameBytes int
+	writeTimeout  time.Duration
+	queue         chan frame
+	closeOnce     sync.Once
+	closed        chan struct{}
+	closeErr      error
+	writer        sync.WaitGroup
 }
 
 type frame struct {
@@ -39,18 +39,18 @@
 
 // Call greets as a forwarder, within the connection's deadline.
 func Call(conn net.Conn, key *[32]byte, name string, life uint64, queue, most int, write time.Duration) (*Line, error) {
-	mine := greeting(name, life)
+	mine := newGreeting(name, life)
 	if _, err := conn.Write(link.AppendGreeting(nil, mine, key)); err != nil {
 		return nil, err
 	}
-	l := newLine(conn, queue, most, write)
-	if err := l.greeting(key); err != nil {
+	l := newConn(conn, queue, most, write)
+	if err := l.readGreeting(key); err != nil {
 		return nil, err
 	}
 	if err := l.Peer.Refused(); err != nil {
 		return nil, err
 	}
-	l.side = link.NewSide(key, mine.Nonce, l.Peer.Nonce, true)
+	l.session = link.NewSession(key, mine.Nonce, l.Peer.Nonce, true)
 	return l, nil
 }
 
@@ -58,59 +58,59 @@
 // the forwarder; one of another version is told so.
 func Answer(conn net.Conn, key *[32]byte, name string, life uint64, queue, most int, write time.Duration,
 	take func(link.Greeting) bool) (*Line, error) {
-	l, mine := newLine(conn, queue, most, write), greeting(name, life)
-	err := l.greeting(key)
+	l, mine := newConn(conn, queue, most, write), newGreeting(name, life)
+	err := l.readGreeting(key)
 	switch {
-	case err != nil && l.Peer.Version != 0 && l.Peer.Version != link.Spoken:
-		mine.Refusal = link.BadVersion
+	case err != nil && l.Peer.Version != 0 && l.Peer.Version != link.ProtocolVersion:
+		mine.Refusal = link.RefusalVersion
 	case err != nil:
 		return nil, err
 	case !take(l.Peer):
 		mine.Refusal = link.TooMany
 		err = errors.New("as many forwarders as are taken are there")
 	}
-	l.side = link.NewSide(key, l.Peer.Nonce, mine.Nonce, false)
+	l.session = link.NewSession(key, l.Peer.Nonce, mine.Nonce, false)
 	if _, bad := conn.Write(link.AppendGreeting(nil, mine, key)); err == nil {
 		err = bad
 	}
 	return l, err
 }
 
-func greeting(name string, life uint64) link.Greeting {
-	g := link.Greeting{Version: link.Spoken, Life: life, Name: name}
+func newGreeting(name string, life uint64) link.Greeting {
+	g := link.Greeting{Version: link.ProtocolVersion, Life: life, Name: name}
 	rand.Read(g.Nonce[:])
 	return g
 }
 
-func newLine(conn net.Conn, queue, most int, write time.Duration) *Line {
-	return &Line{conn: conn, most: most, write: write, out: make(chan frame, queue), done: make(chan struct{})}
+func newConn(conn net.Conn, queue, most int, write time.Duration) *Line {
+	return &Line{conn: conn, maxFrameBytes: most, writeTimeout: write, queue: make(chan frame, queue), closed: make(chan struct{})}
 }
 
-func (l *Line) greeting(key *[32]byte) error {
+func (l *Line) readGreeting(key *[32]byte) error {
 	for {
-		g, n, err := link.ReadGreeting(l.in, key)
+		g, n, err := link.ParseGreeting(l.inbound, key)
 		if l.Peer = g; err != nil {
 			return err
 		}
 		if n > 0 {
-			l.in = l.in[n:]
+			l.inbound = l.inbound[n:]
 			return nil
 		}
-		if err := l.fill(link.GreetingMost); err != nil {
+		if err := l.readMore(link.MaxGreetingBytes); err != nil {
 			return err
 		}
 	}
 }
 
-// fill reads once. Space grows with what has come, never by what a length claims.
-func (l *Line) fill(want int) error {
-	if len(l.in) == cap(l.in) {
-		grown := make([]byte, len(l.in), max(512, min(2*cap(l.in), want+4096)))
-		copy(grown, l.in)
-		l.in = grown
+// readMore reads once. Space grows with what has come, never by what a length claims.
+func (l *Line) readMore(want int) error {
+	if len(l.inbound) == cap(l.inbound) {
+		grown := make([]byte, len(l.inbound), max(512, min(2*cap(l.inbound), want+4096)))
+		copy(grown, l.inbound)
+		l.inbound = grown
 	}
-	n, err := l.conn.Read(l.in[len(l.in):cap(l.in)])
-	l.in = l.in[:len(l.in)+n]
+	n, err := l.conn.Read(l.inbound[len(l.inbound):cap(l.inbound)])
+	l.inbound = l.inbound[:len(l.inbound)+n]
 	if n > 0 {
 		return nil
 	}
@@ -120,13 +120,13 @@
 // Start begins to write what Send is given.
 func (l *Line) Start() {
 	l.conn.SetDeadline(time.Time{})
-	l.tasks.Go(func() {
+	l.writer.Go(func() {
 		var b []byte
 		for {
 			select {
-			case f := <-l.out:
-				b = l.side.Seal(b[:0], f.kind, f.body)
-				l.conn.SetWriteDeadline(time.Now().Add(l.write))
+			case f := <-l.queue:
+				b = l.session.Seal(b[:0], f.kind, f.body)
+				l.conn.SetWriteDeadline(time.Now().Add(l.writeTimeout))
 				if _, err := l.conn.Write(b); err != nil {
 					l.End(fmt.Errorf("writing: %w", err))
 					return
@@ -134,7 +134,7 @@
 				if cap(b) > 1<<20 {
 					b = nil
 				}
-			case <-l.done:
+			case <-l.closed:
 				return
 			}
 		}
@@ -144,29 +144,29 @@
 // Send queues a frame, whose body is not changed after, or ends the line when too many wait.
 func (l *Line) Send(kind byte, body []byte) {
 	select {
-	case l.out <- frame{kind, body}:
+	case l.queue <- frame{kind, body}:
 	default:
-		l.End(ErrSlow)
+		l.End(ErrSlowReader)
 	}
 }
 
 // Read reads the next frame; its body holds until the next call.
 func (l *Line) Read() (kind byte, body []byte, err error) {
 	for {
-		kind, body, n, want, err := l.side.Open(l.in, l.most)
+		kind, body, n, want, err := l.session.Open(l.inbound, l.maxFrameBytes)
 		if err != nil {
 			return 0, nil, err
 		}
 		if n > 0 {
-			if l.in = l.in[n:]; len(l.in) == 0 && n > 1<<20 {
-				l.in = nil
+			if l.inbound = l.inbound[n:]; len(l.inbound) == 0 && n > 1<<20 {
+				l.inbound = nil
 			}
 			return kind, body, nil
 		}
-		if err := l.fill(want); err != nil {
+		if err := l.readMore(want); err != nil {
 			select {
-			case <-l.done:
-				return 0, nil, l.why
+			case <-l.closed:
+				return 0, nil, l.closeErr
 			default:
 				return 0, nil, err
 			}
@@ -176,12 +176,12 @@
 
 // End closes the line for a reason, once.
 func (l *Line) End(why error) {
-	l.once.Do(func() {
-		l.why = why
-		close(l.done)
+	l.closeOnce.Do(func() {
+		l.closeErr = why
+		close(l.closed)
 		l.conn.Close()
 	})
 }
 
 // Wait waits for what Start began, after End.
-func (l *Line) Wait() { l.tasks.Wait() }
+func (l *Line) Wait() { l.writer.Wait() }
--- a/internal/router/tier/link/link.go
+++ b/internal/router/tier/link/link.go
@@ -21,19 +21,19 @@
 	"ferrypitch/internal/router/tier/view"
 )
 
-// Spoken is the version that is spoken here.
-const Spoken = 1
+// ProtocolVersion is the version that is spoken here.
+const ProtocolVersion = 1
 
 const (
-	magic      = "fpln"
-	macSize    = 16
-	nonceSize  = 16
-	headSize   = 5
-	greetFixed = len(magic) + 2 + 8 + nonceSize + 1
-	longName   = 64
-
-	// GreetingMost is the longest greeting in bytes.
-	GreetingMost = greetFixed + longName + macSize
+	magic              = "fpln"
+	macBytes           = 16
+	nonceBytes         = 16
+	frameHeaderBytes   = 5
+	greetingFixedBytes = len(magic) + 2 + 8 + nonceBytes + 1
+	maxNameBytes       = 64
+
+	// MaxGreetingBytes is the longest greeting in bytes.
+	MaxGreetingBytes = greetingFixedBytes + maxNameBytes + macBytes
 	// FrameMost is the longest frame in bytes: a whole view of some 50,000 hosts.
 	FrameMost = 16 << 20
 	// ReportMost is the longest that a planner takes from a forwarder.
@@ -42,23 +42,23 @@
 
 // Kinds of frames.
 const (
-	KindChange = byte(1) // of the view, by planners
-	KindReport = byte(2) // what a forwarder heard of hosts
-	KindWant   = byte(3) // a whole view, by forwarders
+	KindChange      = byte(1) // of the view, by planners
+	KindReport      = byte(2) // what a forwarder heard of hosts
+	KindViewRequest = byte(3) // a whole view, by forwarders
 )
 
 // Refusals, in a greeting's place for them.
 const (
-	Fine       = byte(0)
-	BadVersion = byte(1)
-	TooMany    = byte(2)
+	RefusalNone    = byte(0)
+	RefusalVersion = byte(1)
+	TooMany        = byte(2)
 )
 
 var (
-	ErrForm    = errors.New("not the link's form")
-	ErrKey     = errors.New("the MAC is wrong: another key, or a changed message")
-	ErrLong    = errors.New("longer than is taken")
-	ErrKeySize = errors.New("a key has 32 bytes, written as 64 hexadecimal digits")
+	ErrMalformed      = errors.New("not the link's form")
+	ErrAuthentication = errors.New("the MAC is wrong: another key, or a changed message")
+	ErrTooLong        = errors.New("longer than is taken")
+	ErrKeySize        = errors.New("a key has 32 bytes, written as 64 hexadecimal digits")
 )
 
 // Greeting opens a connection.
@@ -66,7 +66,7 @@
 	Version byte
 	Refusal byte
 	Life    uint64 // of the process, new with each start
-	Nonce   [nonceSize]byte
+	Nonce   [nonceBytes]byte
 	Name    string // at most 64 bytes
 }
 
@@ -76,36 +76,36 @@
 	b = append(append(b, magic...), g.Version, g.Refusal)
 	b = binary.BigEndian.AppendUint64(b, g.Life)
 	b = append(b, g.Nonce[:]...)
-	name := g.Name[:min(len(g.Name), longName)]
+	name := g.Name[:min(len(g.Name), maxNameBytes)]
 	b = append(append(b, byte(len(name))), name...)
 	return append(b, mac(key, b[at:])...)
 }
 
-// ReadGreeting cuts a greeting off b. n is 0 while it is not whole. Of another
+// ParseGreeting cuts a greeting off b. n is 0 while it is not whole. Of another
 // version only that is known; of the right one, the MAC holds.
-func ReadGreeting(b []byte, key *[32]byte) (g Greeting, n int, err error) {
+func ParseGreeting(b []byte, key *[32]byte) (g Greeting, n int, err error) {
 	if k := min(len(b), len(magic)); !bytes.Equal(b[:k], []byte(magic)[:k]) {
-		return g, 0, ErrForm
+		return g, 0, ErrMalformed
 	}
-	if len(b) < greetFixed {
+	if len(b) < greetingFixedBytes {
 		return g, 0, nil
 	}
 	g.Version, g.Refusal = b[4], b[5]
-	if g.Version != Spoken {
-		return g, greetFixed, fmt.Errorf("the other side speaks version %d of the link, this one version %d", g.Version, Spoken)
+	if g.Version != ProtocolVersion {
+		return g, greetingFixedBytes, fmt.Errorf("the other side speaks version %d of the link, this one version %d", g.Version, ProtocolVersion)
 	}
 	g.Life = binary.BigEndian.Uint64(b[6:])
 	copy(g.Nonce[:], b[14:])
-	size := int(b[greetFixed-1])
-	if size > longName {
-		return g, 0, ErrLong
+	size := int(b[greetingFixedBytes-1])
+	if size > maxNameBytes {
+		return g, 0, ErrTooLong
 	}
-	if n = greetFixed + size + macSize; len(b) < n {
+	if n = greetingFixedBytes + size + macBytes; len(b) < n {
 		return g, 0, nil
 	}
-	g.Name = string(b[greetFixed : greetFixed+size])
-	if subtle.ConstantTimeCompare(mac(key, b[:n-macSize]), b[n-macSize:n]) != 1 {
-		return g, 0, ErrKey
+	g.Name = string(b[greetingFixedBytes : greetingFixedBytes+size])
+	if subtle.ConstantTimeCompare(mac(key, b[:n-macBytes]), b[n-macBytes:n]) != 1 {
+		return g, 0, ErrAuthentication
 	}
 	return g, n, nil
 }
@@ -113,10 +113,10 @@
 // Refused is the reason that a greeting gives for ending the connection, if any.
 func (g Greeting) Refused() error {
 	switch g.Refusal {
-	case Fine:
+	case RefusalNone:
 		return nil
-	case BadVersion:
-		return fmt.Errorf("refused: version %d of the link is not spoken there", Spoken)
+	case RefusalVersion:
+		return fmt.Errorf("refused: version %d of the link is not spoken there", ProtocolVersion)
 	case TooMany:
 		return errors.New("refused: as many forwarders as it takes are there")
 	}
@@ -131,59 +131,59 @@
 	for _, p := range parts {
 		h.Write(p)
 	}
-	return h.Sum(nil)[:macSize]
+	return h.Sum(nil)[:macBytes]
 }
 
-// Side seals what one side sends, and opens what the other does.
-type Side struct {
-	out, in     [32]byte
-	sent, taken uint64
+// Session seals what one side sends, and opens what the other does.
+type Session struct {
+	sendKey, receiveKey        [32]byte
+	sentFrames, receivedFrames uint64
 }
 
-// NewSide derives a connection's keys; forwarder says which side this is.
-func NewSide(key *[32]byte, forwarder, planner [nonceSize]byte, isForwarder bool) *Side {
-	var s Side
+// NewSession derives a connection's keys; forwarder says which side this is.
+func NewSession(key *[32]byte, forwarder, planner [nonceBytes]byte, isForwarder bool) *Session {
+	var s Session
 	up := append(append(append([]byte{}, key[:]...), forwarder[:]...), planner[:]...)
-	blake3.DeriveKey("ferrypitch link 1 forwarder to planner", up, s.out[:])
-	blake3.DeriveKey("ferrypitch link 1 planner to forwarder", up, s.in[:])
+	blake3.DeriveKey("ferrypitch link 1 forwarder to planner", up, s.sendKey[:])
+	blake3.DeriveKey("ferrypitch link 1 planner to forwarder", up, s.receiveKey[:])
 	if !isForwarder {
-		s.out, s.in = s.in, s.out
+		s.sendKey, s.receiveKey = s.receiveKey, s.sendKey
 	}
 	return &s
 }
 
 // Seal appends a frame: its length, kind, body and MAC.
-func (s *Side) Seal(b []byte, kind byte, body []byte) []byte {
+func (s *Session) Seal(b []byte, kind byte, body []byte) []byte {
 	at := len(b)
-	b = binary.BigEndian.AppendUint32(b, uint32(1+len(body)+macSize))
+	b = binary.BigEndian.AppendUint32(b, uint32(1+len(body)+macBytes))
 	b = append(append(b, kind), body...)
-	number := binary.BigEndian.AppendUint64(nil, s.sent)
-	s.sent++
-	return append(b, mac(&s.out, number, b[at:])...)
+	number := binary.BigEndian.AppendUint64(nil, s.sentFrames)
+	s.sentFrames++
+	return append(b, mac(&s.sendKey, number, b[at:])...)
 }
 
 // Open cuts a frame off b. n is 0 while it is not whole; want is then how many
 // bytes it has, if that much is known.
-func (s *Side) Open(b []byte, most int) (kind byte, body []byte, n, want int, err error) {
-	if len(b) < headSize {
-		return 0, nil, 0, headSize, nil
+func (s *Session) Open(b []byte, most int) (kind byte, body []byte, n, want int, err error) {
+	if len(b) < frameHeaderBytes {
+		return 0, nil, 0, frameHeaderBytes, nil
 	}
 	size := binary.BigEndian.Uint32(b)
-	if size < 1+macSize {
-		return 0, nil, 0, 0, ErrForm
+	if size < 1+macBytes {
+		return 0, nil, 0, 0, ErrMalformed
 	}
 	if uint64(size)+4 > uint64(most) {
-		return 0, nil, 0, 0, ErrLong
+		return 0, nil, 0, 0, ErrTooLong
 	}
 	if n = int(size) + 4; len(b) < n {
 		return 0, nil, 0, n, nil
 	}
-	number := binary.BigEndian.AppendUint64(nil, s.taken)
-	if subtle.ConstantTimeCompare(mac(&s.in, number, b[:n-macSize]), b[n-macSize:n]) != 1 {
-		return 0, nil, 0, 0, ErrKey
+	number := binary.BigEndian.AppendUint64(nil, s.receivedFrames)
+	if subtle.ConstantTimeCompare(mac(&s.receiveKey, number, b[:n-macBytes]), b[n-macBytes:n]) != 1 {
+		return 0, nil, 0, 0, ErrAuthentication
 	}
-	s.taken++
-	return b[4], b[headSize : n-macSize], n, n, nil
+	s.receivedFrames++
+	return b[4], b[frameHeaderBytes : n-macBytes], n, n, nil
 }
 
 // Report is what a forwarder tells of the time since its last.
@@ -235,8 +235,8 @@
 	return c, nil
 }
 
-// ReadReport reads a forwarder's report and checks what it holds.
-func ReadReport(body []byte) (r Report, err error) {
+// DecodeReport reads a forwarder's report and checks what it holds.
+func DecodeReport(body []byte) (r Report, err error) {
 	if err := decoder.Unmarshal(body, &r); err != nil {
 		return r, fmt.Errorf("a report: %w", err)
 	}
--- a/internal/router/tier/link/link_test.go
+++ b/internal/router/tier/link/link_test.go
@@ -13,9 +13,9 @@
 
 var key, other = [32]byte{1}, [32]byte{2}
 
-func pair() (forwarder, planner *Side) {
+func pair() (forwarder, planner *Session) {
 	f, p := [16]byte{3}, [16]byte{4}
-	return NewSide(&key, f, p, true), NewSide(&key, f, p, false)
+	return NewSession(&key, f, p, true), NewSession(&key, f, p, false)
 }
 
 func TestAMessageComesThroughAndIsReadByItsFields(t *testing.T) {
@@ -34,7 +34,7 @@
 	}
 	r := Report{Every: 2000, Heard: []Heard{{Evidence: view.Evidence{Name: "a", Pos: 4}, Count: 2, Sum: 300, Boot: 8, Cold: 1500}}}
 	_, body, _, _, _ = p.Open(f.Seal(nil, KindReport, Body(r)), ReportMost)
-	if got, err := ReadReport(body); err != nil || !reflect.DeepEqual(got, r) {
+	if got, err := DecodeReport(body); err != nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("%v %+v", err, got)
 	}
 }
@@ -53,36 +53,36 @@
 		for _, frame := range frames {
 			_, _, _, _, err = f.Open(frame, FrameMost)
 		}
-		if !errors.Is(err, ErrKey) {
+		if !errors.Is(err, ErrAuthentication) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
 func TestAGreetingOfAnotherKeyOrVersionIsRefusedClearly(t *testing.T) {
-	g := Greeting{Version: Spoken, Life: 5, Nonce: [16]byte{6}, Name: "f1"}
+	g := Greeting{Version: ProtocolVersion, Life: 5, Nonce: [16]byte{6}, Name: "f1"}
 	wire := AppendGreeting(nil, g, &key)
-	if got, n, err := ReadGreeting(wire, &key); got != g || n != len(wire) || err != nil {
+	if got, n, err := ParseGreeting(wire, &key); got != g || n != len(wire) || err != nil {
 		t.Errorf("%+v %d %v", got, n, err)
 	}
-	if _, _, err := ReadGreeting(wire, &other); !errors.Is(err, ErrKey) {
+	if _, _, err := ParseGreeting(wire, &other); !errors.Is(err, ErrAuthentication) {
 		t.Errorf("another key: %v", err)
 	}
 	g.Version = 9
-	if _, n, err := ReadGreeting(AppendGreeting(nil, g, &key), &key); n == 0 || err == nil || !strings.Contains(err.Error(), "version 9") {
+	if _, n, err := ParseGreeting(AppendGreeting(nil, g, &key), &key); n == 0 || err == nil || !strings.Contains(err.Error(), "version 9") {
 		t.Errorf("another version: %v", err)
 	}
-	if err := (Greeting{Refusal: BadVersion}).Refused(); err == nil {
+	if err := (Greeting{Refusal: RefusalVersion}).Refused(); err == nil {
 		t.Error("a refusal goes unsaid")
 	}
 }
 
 func TestALengthIsRefusedBeforeItIsAllocated(t *testing.T) {
 	f, _ := pair()
-	if _, _, _, _, err := f.Open([]byte{0xff, 0xff, 0xff, 0xff, 1}, ReportMost); !errors.Is(err, ErrLong) {
+	if _, _, _, _, err := f.Open([]byte{0xff, 0xff, 0xff, 0xff, 1}, ReportMost); !errors.Is(err, ErrTooLong) {
 		t.Error(err)
 	}
-	if _, _, _, _, err := f.Open([]byte{0, 0, 0, 3, 1}, ReportMost); !errors.Is(err, ErrForm) {
+	if _, _, _, _, err := f.Open([]byte{0, 0, 0, 3, 1}, ReportMost); !errors.Is(err, ErrMalformed) {
 		t.Error(err)
 	}
 }
@@ -99,8 +99,8 @@
 				}
 			}
 		}
-		if r, err := ReadReport(body); err == nil {
-			again, err := ReadReport(Body(r))
+		if r, err := DecodeReport(body); err == nil {
+			again, err := DecodeReport(Body(r))
 			if err != nil || len(again.Heard) != len(r.Heard) {
 				t.Fatalf("%+v does not come back: %v", r, err)
 			}
@@ -109,10 +109,10 @@
 }
 
 func FuzzGreeting(f *testing.F) {
-	f.Add(AppendGreeting(nil, Greeting{Version: Spoken, Name: "f"}, &key))
+	f.Add(AppendGreeting(nil, Greeting{Version: ProtocolVersion, Name: "f"}, &key))
 	f.Add([]byte("fpln"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		g, n, err := ReadGreeting(b, &key)
+		g, n, err := ParseGreeting(b, &key)
 		if err == nil && n > 0 && !bytes.Equal(AppendGreeting(nil, g, &key), b[:n]) {
 			t.Fatalf("%+v", g)
 		}
--- a/internal/router/tier/plan/plan.go
+++ b/internal/router/tier/plan/plan.go
@@ -27,29 +27,29 @@
 
 // Plan is one planner.
 type Plan struct {
-	start   *setup.Start
-	section *setup.Plan
-	life    uint64
-	log     *zap.Logger
-	clock   *clock.Clock
-	core    *planner.Planner
-	room    *transport.Room
-	pool    *transport.Hosts
-	hosts   map[string]*transport.Host
-	lines   map[*planner.Forwarder]*line.Line
-	trace   *record.Planner // nil while nothing is captured
-	in      chan func()
-	rev     atomic.Int64
+	start        *setup.Start
+	settings     *setup.Plan
+	incarnation  uint64
+	log          *zap.Logger
+	clock        *clock.Clock
+	core         *planner.Planner
+	buffers      *transport.Room
+	pool         *transport.Hosts
+	hosts        map[string]*transport.Host
+	conns        map[*planner.Forwarder]*line.Line
+	trace        *record.Planner // nil while nothing is captured
+	events       chan func()
+	listRevision atomic.Int64
 
-	Accepted, Refused, Broken, Probes, Wholes, Changes, Bytes, Reports, Lists, Stale atomic.Int64
-	open, routers, doubles, overdue, silent, cold, hostCount                         atomic.Int64
+	Accepted, Refused, Broken, Probes, FullViews, Changes, Bytes, Reports, Lists, Stale      atomic.Int64
+	openLinks, leaseCount, duplicateLeases, timedOutLinks, failedProbes, coldWork, hostCount atomic.Int64
 }
 
 // New makes a planner of a life that no other has; trace may be nil.
 func New(start *setup.Start, section *setup.Plan, life uint64, trace *record.Planner, log *zap.Logger) *Plan {
-	p := &Plan{start: start, section: section, life: life, trace: trace, log: log, clock: clock.New(time.Now),
-		room: transport.NewRoom(&start.Limits), hosts: map[string]*transport.Host{},
-		lines: map[*planner.Forwarder]*line.Line{}, in: make(chan func(), 1024)}
+	p := &Plan{start: start, settings: section, incarnation: life, trace: trace, log: log, clock: clock.New(time.Now),
+		buffers: transport.NewRoom(&start.Limits), hosts: map[string]*transport.Host{},
+		conns: map[*planner.Forwarder]*line.Line{}, events: make(chan func(), 1024)}
 	t := func(d time.Duration) int64 { return int64(d / clock.Tenth) }
 	terms := planner.Terms{Gen: section.Generation, Beat: t(section.Beat), Probe: t(section.Probe), Search: t(section.Search),
 		Probes: section.Probes, PerSecond: section.PerSecond, Forwarders: section.Forwarders, Reports: section.Reports,
@@ -61,9 +61,9 @@
 	return p
 }
 
-func (p *Plan) put(ctx context.Context, do func()) {
+func (p *Plan) enqueue(ctx context.Context, do func()) {
 	select {
-	case p.in <- do:
+	case p.events <- do:
 	case <-ctx.Done():
 	}
 }
@@ -71,20 +71,20 @@
 // Run serves forwarders on the listener until the context ends.
 func (p *Plan) Run(ctx context.Context, listener net.Listener) error {
 	tasks, ctx := errgroup.WithContext(ctx)
-	p.pool = transport.NewHosts(ctx, &p.start.Limits, p.room)
-	watch := transport.NewWatch(&p.start.Limits, p.room, p.start.Discovery, p.rev.Load, func(text []byte, _ bool) error {
-		return p.list(ctx, text)
+	p.pool = transport.NewHosts(ctx, &p.start.Limits, p.buffers)
+	watch := transport.NewWatch(&p.start.Limits, p.buffers, p.start.Discovery, p.listRevision.Load, func(text []byte, _ bool) error {
+		return p.applyList(ctx, text)
 	}, func(err error) { p.log.Warn("the watch of the list ended", zap.Error(err)) })
 	tasks.Go(func() error { return watch.Run(ctx) })
 	tasks.Go(func() error { return p.accept(ctx, listener) })
-	tasks.Go(func() error { return p.own(ctx) })
+	tasks.Go(func() error { return p.runOwner(ctx) })
 	err := tasks.Wait()
 	p.pool.Wait()
 	return err
 }
 
-// list hands over one line of discovery's, and returns when it is known.
-func (p *Plan) list(ctx context.Context, text []byte) error {
+// applyList hands over one line of discovery's, and returns when it is known.
+func (p *Plan) applyList(ctx context.Context, text []byte) error {
 	o, err := setup.Decode("", text)
 	if err != nil {
 		return err
@@ -94,7 +94,7 @@
 		return err
 	}
 	known := make(chan struct{})
-	p.put(ctx, func() {
+	p.enqueue(ctx, func() {
 		defer close(known)
 		held := p.core.Listed(p.clock.Now(), rev, whole, entries)
 		p.trace.List(rev, whole, len(entries), held)
@@ -103,10 +103,10 @@
 			p.log.Warn("a list that is older than the one held", zap.Int64("rev", rev))
 			return
 		}
-		p.rev.Store(rev)
+		p.listRevision.Store(rev)
 		p.Lists.Add(1)
 		p.log.Info("list", zap.Int64("rev", rev), zap.Bool("whole", whole), zap.Int("entries", len(entries)))
-		p.connect()
+		p.updateHostPool()
 	})
 	select {
 	case <-known:
@@ -116,8 +116,8 @@
 	}
 }
 
-// connect has a place for each host's connections, and none for those that are held no more.
-func (p *Plan) connect() {
+// updateHostPool has a place for each host's connections, and none for those that are held no more.
+func (p *Plan) updateHostPool() {
 	held := map[string]bool{}
 	for _, h := range p.core.View().Hosts() {
 		if h.Standing != policy.In {
@@ -138,8 +138,8 @@
 	p.hostCount.Store(int64(len(held)))
 }
 
-// own is the goroutine of the core.
-func (p *Plan) own(ctx context.Context) error {
+// runOwner is the goroutine of the core.
+func (p *Plan) runOwner(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -147,61 +147,61 @@
 		case <-ctx.Done():
 			p.trace.Flush()
 			return nil
-		case do := <-p.in:
-			p.moment()
+		case do := <-p.events:
+			p.traceTime()
 			do()
-			for range len(p.in) { // what is there already costs one tick
-				(<-p.in)()
+			for range len(p.events) { // what is there already costs one tick
+				(<-p.events)()
 			}
 		case <-timer.C:
 		}
-		p.moment()
+		p.traceTime()
 		do := p.core.Tick(p.clock.Now())
 		for _, name := range do.Probe {
 			p.probe(ctx, name)
 		}
 		for _, f := range do.Cut {
-			if l := p.lines[f]; l != nil {
-				delete(p.lines, f)
+			if l := p.conns[f]; l != nil {
+				delete(p.conns, f)
 				l.End(errors.New("the forwarder says nothing"))
 			}
 		}
 		if do.Change != nil {
-			p.tell(&do)
+			p.broadcast(&do)
 		}
-		p.open.Store(int64(len(p.lines)))
-		p.routers.Store(int64(p.core.Routers()))
-		p.doubles.Store(p.core.Doubles)
-		p.overdue.Store(p.core.Overdue)
-		p.silent.Store(p.core.Silent)
-		p.cold.Store(p.core.Cold)
+		p.openLinks.Store(int64(len(p.conns)))
+		p.leaseCount.Store(int64(p.core.Routers()))
+		p.duplicateLeases.Store(p.core.DuplicateLeases)
+		p.timedOutLinks.Store(p.core.TimedOutLinks)
+		p.failedProbes.Store(p.core.Silent)
+		p.coldWork.Store(p.core.Cold)
 		timer.Reset(max(time.Millisecond, clock.Span(do.Next-p.clock.Now())))
 	}
 }
 
-func (p *Plan) moment() {
+func (p *Plan) traceTime() {
 	if p.trace != nil {
 		p.trace.Now(p.clock.Now(), time.Now().UnixNano()/int64(clock.Tenth))
 	}
 }
 
-// tell encodes a change once for all.
-func (p *Plan) tell(do *planner.Todo) {
-	p.trace.Change(do.Change, len(do.Whole), len(p.lines))
+// broadcast encodes a change once for all.
+func (p *Plan) broadcast(do *planner.Todo) {
+	p.trace.Change(do.Change, len(do.Whole), len(p.conns))
 	skip := map[*planner.Forwarder]bool{}
 	if len(do.Whole) > 0 {
 		body := link.Body(p.core.Whole())
 		for _, f := range do.Whole {
 			skip[f] = true
-			if l := p.lines[f]; l != nil {
+			if l := p.conns[f]; l != nil {
 				l.Send(link.KindChange, body)
-				p.Wholes.Add(1)
+				p.FullViews.Add(1)
 				p.Bytes.Add(int64(len(body)))
 			}
 		}
 	}
 	body := link.Body(do.Change)
-	for f, l := range p.lines {
+	for f, l := range p.conns {
 		if !skip[f] {
 			l.Send(link.KindChange, body)
 			p.Changes.Add(1)
@@ -227,7 +227,7 @@
 	var once sync.Once
 	done := func(a transport.Answer) {
 		once.Do(func() {
-			p.put(ctx, func() {
+			p.enqueue(ctx, func() {
 				now := p.clock.Now()
 				ahead := float64(now)/10 + 2
 				pos, role := setup.Words(a.Position, a.Role, ahead)
@@ -256,7 +256,7 @@
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	var links errgroup.Group
 	defer links.Wait()
-	greeting := make(chan struct{}, p.section.Greeting)
+	greeting := make(chan struct{}, p.settings.Greeting)
 	for {
 		conn, err := listener.Accept()
 		if ctx.Err() != nil {
@@ -287,29 +287,29 @@
 			defer conn.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
 			var f *planner.Forwarder
-			conn.SetDeadline(time.Now().Add(p.section.Greet))
-			l, err := line.Answer(conn, &p.section.Key, p.start.Name, p.life, p.section.Queue, p.section.Frame, p.section.Write,
-				func(g link.Greeting) bool { f = p.greeted(ctx, g); return f != nil })
+			conn.SetDeadline(time.Now().Add(p.settings.Greet))
+			l, err := line.Answer(conn, &p.settings.Key, p.start.Name, p.incarnation, p.settings.Queue, p.settings.Frame, p.settings.Write,
+				func(g link.Greeting) bool { f = p.admit(ctx, g); return f != nil })
 			<-greeting
 			if err != nil {
 				p.Refused.Add(1)
 				p.log.Warn("a forwarder is refused", zap.String("from", conn.RemoteAddr().String()), zap.Error(err))
 				if f != nil {
-					p.put(ctx, f.Left)
+					p.enqueue(ctx, f.Left)
 				}
 				return nil
 			}
 			l.Start()
-			p.put(ctx, func() {
-				p.lines[f] = l
+			p.enqueue(ctx, func() {
+				p.conns[f] = l
 				f.Begun()
 				p.trace.Forwarder(l.Peer.Name, l.Peer.Life, true, "")
 			})
-			err = p.read(ctx, f, l)
+			err = p.readFrames(ctx, f, l)
 			l.End(err)
 			l.Wait()
-			p.put(ctx, func() {
-				delete(p.lines, f)
+			p.enqueue(ctx, func() {
+				delete(p.conns, f)
 				f.Left()
 				p.trace.Forwarder(l.Peer.Name, l.Peer.Life, false, err.Error())
 			})
@@ -321,9 +321,9 @@
 	}
 }
 
-func (p *Plan) greeted(ctx context.Context, g link.Greeting) *planner.Forwarder {
+func (p *Plan) admit(ctx context.Context, g link.Greeting) *planner.Forwarder {
 	got := make(chan *planner.Forwarder, 1)
-	p.put(ctx, func() { got <- p.core.Greeted(p.clock.Now(), g.Name, g.Life) })
+	p.enqueue(ctx, func() { got <- p.core.Greeted(p.clock.Now(), g.Name, g.Life) })
 	select {
 	case f := <-got:
 		return f
@@ -332,7 +332,7 @@
 	}
 }
 
-func (p *Plan) read(ctx context.Context, f *planner.Forwarder, l *line.Line) error {
+func (p *Plan) readFrames(ctx context.Context, f *planner.Forwarder, l *line.Line) error {
 	for {
 		kind, body, err := l.Read()
 		if err != nil {
@@ -341,30 +341,30 @@
 		}
 		switch kind {
 		case link.KindReport:
-			r, err := link.ReadReport(body)
+			r, err := link.DecodeReport(body)
 			if err != nil {
 				p.Broken.Add(1)
 				return err
 			}
 			p.Reports.Add(1)
-			p.put(ctx, func() {
+			p.enqueue(ctx, func() {
 				p.trace.Report(l.Peer.Name, r)
 				f.Reported(p.clock.Now(), r)
 			})
-		case link.KindWant:
-			p.put(ctx, func() { f.Wanted(p.clock.Now()) })
+		case link.KindViewRequest:
+			p.enqueue(ctx, func() { f.Wanted(p.clock.Now()) })
 		}
 	}
 }
 
 // Fields are the counts for a line of the log.
 func (p *Plan) Fields() []zap.Field {
-	return []zap.Field{zap.Int64("forwarders_open", p.open.Load()), zap.Int64("forwarders_counted", p.routers.Load()),
-		zap.Int64("names_twice", p.doubles.Load()), zap.Int64("links_overdue", p.overdue.Load()),
+	return []zap.Field{zap.Int64("forwarders_open", p.openLinks.Load()), zap.Int64("forwarders_counted", p.leaseCount.Load()),
+		zap.Int64("names_twice", p.duplicateLeases.Load()), zap.Int64("links_overdue", p.timedOutLinks.Load()),
 		zap.Int64("links_accepted", p.Accepted.Load()), zap.Int64("links_refused", p.Refused.Load()),
 		zap.Int64("links_broken", p.Broken.Load()), zap.Int64("hosts", p.hostCount.Load()), zap.Int64("lists", p.Lists.Load()),
 		zap.Int64("stale_lists", p.Stale.Load()), zap.Int64("probes", p.Probes.Load()),
-		zap.Int64("probes_unanswered", p.silent.Load()), zap.Int64("changes", p.Changes.Load()),
-		zap.Int64("whole_views", p.Wholes.Load()), zap.Int64("bytes", p.Bytes.Load()), zap.Int64("reports", p.Reports.Load()),
-		zap.Float64("cold_work", float64(p.cold.Load())/1000)}
+		zap.Int64("probes_unanswered", p.failedProbes.Load()), zap.Int64("changes", p.Changes.Load()),
+		zap.Int64("whole_views", p.FullViews.Load()), zap.Int64("bytes", p.Bytes.Load()), zap.Int64("reports", p.Reports.Load()),
+		zap.Float64("cold_work", float64(p.coldWork.Load())/1000)}
 }
--- a/internal/router/tier/plan/plan_test.go
+++ b/internal/router/tier/plan/plan_test.go
@@ -120,7 +120,7 @@
 	conn := dial(t, address)
 	conn.Write(link.AppendGreeting(nil, link.Greeting{Version: 9, Name: "f"}, &key))
 	answer, _ := io.ReadAll(conn)
-	if g, _, err := link.ReadGreeting(answer, &key); err != nil || g.Refusal != link.BadVersion {
+	if g, _, err := link.ParseGreeting(answer, &key); err != nil || g.Refusal != link.RefusalVersion {
 		t.Errorf("%+v %v", g, err)
 	}
 	logged(t, log, "a forwarder is refused", "version 9")
@@ -157,7 +157,7 @@
 	defer quick.End(nil)
 	go func() {
 		for { // asks for the whole view over and over, and reads nothing
-			slow.Send(link.KindWant, nil)
+			slow.Send(link.KindViewRequest, nil)
 			select {
 			case <-time.After(5 * time.Millisecond):
 			case <-t.Context().Done():
@@ -169,7 +169,7 @@
 		for {
 			select {
 			case <-time.After(300 * time.Millisecond):
-				quick.Send(link.KindWant, nil)
+				quick.Send(link.KindViewRequest, nil)
 			case <-t.Context().Done():
 				return
 			}
--- a/internal/router/tier/planner/planner.go
+++ b/internal/router/tier/planner/planner.go
@@ -36,47 +36,47 @@
 // Planner is the state of one.
 type Planner struct {
 	Terms
-	life, seq, seed uint64
-	draws           uint64
-	now, beatAt     policy.Tenth
-	turnAt, fillAt  policy.Tenth // of lateness' buckets; of the probes' allowance
-	credit          float64
-	out             int
-	view            view.View
-	hosts           map[string]*host
-	forwarders      map[*Forwarder]bool
-	leases          map[lease]policy.Tenth // until when a forwarder counts
-
-	Doubles, Overdue, Silent, Cold int64 // leases of a name that held one, a restart's too; links cut; probes without answer; work sent to cold hosts
+	incarnation, sequence, seed uint64
+	randomDraws                 uint64
+	now, nextChangeAt           policy.Tenth
+	nextLatenessAt, creditedAt  policy.Tenth // of lateness' buckets; of the probes' allowance
+	probeCredit                 float64
+	probesInFlight              int
+	view                        view.View
+	hosts                       map[string]*host
+	forwarders                  map[*Forwarder]bool
+	leases                      map[leaseKey]policy.Tenth // until when a forwarder counts
+
+	DuplicateLeases, TimedOutLinks, Silent, Cold int64 // leases of a name that held one, a restart's too; links cut; probes without answer; work sent to cold hosts
 }
 
-type lease struct {
-	name string
-	life uint64
+type leaseKey struct {
+	name        string
+	incarnation uint64
 }
 
 // host is what a planner holds of a host beside the view.
 type host struct {
-	name               string
-	set                int64
-	said               view.Evidence
-	heardAt, askedAt   policy.Tenth // when anybody last heard of it; when it was last asked
-	wordAt             policy.Tenth // when its last word came, of any kind
-	published          policy.Tenth
-	wait               policy.Tenth // between askings while it is silent; 0: it answers
-	probing, waiting   bool         // waiting: said is ahead of the view
-	count, sum         uint32       // this bucket
-	late               uint8
-	role               policy.Role // that was published
-	lastCount, lastSum uint32      // and the one before
-	boot               policy.Tenth
-	cold               map[uint64]int64 // by forwarders' lives
+	name                                   string
+	set                                    int64
+	evidence                               view.Evidence
+	lastResponseAt, probedAt               policy.Tenth // when anybody last heard of it; when it was last asked
+	evidenceAt                             policy.Tenth // when its last word came, of any kind
+	publishedAt                            policy.Tenth
+	backoff                                policy.Tenth // between askings while it is silent; 0: it answers
+	probing, unpublished                   bool         // waiting: said is ahead of the view
+	responses, latenessSum                 uint32       // this bucket
+	lateness                               uint8
+	publishedRole                          policy.Role // that was published
+	previousResponses, previousLatenessSum uint32      // and the one before
+	bootedAt                               policy.Tenth
+	coldWork                               map[uint64]int64 // by forwarders' lives
 }
 
 // New starts a planner that knows nothing.
 func New(life uint64, t Terms, now policy.Tenth) *Planner {
-	return &Planner{Terms: t, life: life, seed: life, now: now, beatAt: now, turnAt: now, fillAt: now,
-		hosts: map[string]*host{}, forwarders: map[*Forwarder]bool{}, leases: map[lease]policy.Tenth{}}
+	return &Planner{Terms: t, incarnation: life, seed: life, now: now, nextChangeAt: now, nextLatenessAt: now, creditedAt: now,
+		hosts: map[string]*host{}, forwarders: map[*Forwarder]bool{}, leases: map[leaseKey]policy.Tenth{}}
 }
 
 // View is the view as it stands; not to be changed.
@@ -88,17 +88,17 @@
 // Open is how many forwarders are connected.
 func (p *Planner) Open() int { return len(p.forwarders) }
 
-func (p *Planner) clock(now policy.Tenth) { p.now = max(p.now, now) }
+func (p *Planner) advance(now policy.Tenth) { p.now = max(p.now, now) }
 
-// chance is a number from 0 to 1, by the planner's life and a counter.
-func (p *Planner) chance() float64 {
-	p.draws++
-	return float64(crc32.ChecksumIEEE(strconv.AppendUint(strconv.AppendUint(nil, p.seed, 36), p.draws, 10))) / (1 << 32)
+// randomFraction is a number from 0 to 1, by the planner's life and a counter.
+func (p *Planner) randomFraction() float64 {
+	p.randomDraws++
+	return float64(crc32.ChecksumIEEE(strconv.AppendUint(strconv.AppendUint(nil, p.seed, 36), p.randomDraws, 10))) / (1 << 32)
 }
 
 // Listed takes in a list of discovery's, and says whether it was not older than the one held.
 func (p *Planner) Listed(now policy.Tenth, rev int64, whole bool, entries []view.Host) bool {
-	p.clock(now)
+	p.advance(now)
 	for i := range entries {
 		entries[i].Boot = max(0, min(entries[i].Boot, now)) // a clock that is ahead keeps nothing cold for longer
 	}
@@ -112,7 +112,7 @@
 	}
 	for _, e := range entries {
 		if h, known := p.view.Host(e.Name); known && h.Standing == policy.In {
-			p.host(h)
+			p.trackHost(h)
 		} else {
 			delete(p.hosts, e.Name)
 		}
@@ -123,22 +123,22 @@
 	return true
 }
 
-func (p *Planner) host(h view.Host) {
+func (p *Planner) trackHost(h view.Host) {
 	mine := p.hosts[h.Name]
 	if mine == nil {
-		mine = &host{name: h.Name, set: h.Set, said: view.Evidence{Name: h.Name}, cold: map[uint64]int64{}}
+		mine = &host{name: h.Name, set: h.Set, evidence: view.Evidence{Name: h.Name}, coldWork: map[uint64]int64{}}
 		p.hosts[h.Name] = mine
 	}
-	if h.Boot > mine.boot { // what was said before a start says nothing of what came after
-		mine.boot, mine.wait, mine.askedAt, mine.heardAt = h.Boot, 0, 0, 0
-		clear(mine.cold)
+	if h.Boot > mine.bootedAt { // what was said before a start says nothing of what came after
+		mine.bootedAt, mine.backoff, mine.probedAt, mine.lastResponseAt = h.Boot, 0, 0, 0
+		clear(mine.coldWork)
 	}
 }
 
 // Probed ends a probe that was asked for at a time. pos is -1 where there is none.
 func (p *Planner) Probed(now policy.Tenth, name string, ok bool, pos policy.Tenth, role policy.Role, asked policy.Tenth) {
-	p.clock(now)
-	p.out--
+	p.advance(now)
+	p.probesInFlight--
 	h := p.hosts[name]
 	if h == nil {
 		return
@@ -146,110 +146,110 @@
 	h.probing = false
 	if !ok {
 		p.Silent++
-		h.wait = min(max(p.Search, 2*h.wait), 4*p.Probe)
+		h.backoff = min(max(p.Search, 2*h.backoff), 4*p.Probe)
 		return
 	}
-	h.wait, h.heardAt = 0, p.now
-	if pos >= 0 && pos <= p.ahead() {
-		h.waiting = h.said.Said(pos, role, asked >= h.wordAt) || h.waiting
-		h.wordAt = p.now
+	h.backoff, h.lastResponseAt = 0, p.now
+	if pos >= 0 && pos <= p.maxPosition() {
+		h.unpublished = h.evidence.Said(pos, role, asked >= h.evidenceAt) || h.unpublished
+		h.evidenceAt = p.now
 	}
 }
 
-// ahead is the greatest position that can be true: of a commit now, rounded up.
-func (p *Planner) ahead() policy.Tenth { return p.now + 20 }
+// maxPosition is the greatest position that can be true: of a commit now, rounded up.
+func (p *Planner) maxPosition() policy.Tenth { return p.now + 20 }
 
 // Forwarder is the handle of a connected one.
 type Forwarder struct {
-	p       *Planner
-	id      lease
-	heardAt policy.Tenth
-	want    bool
+	planner       *Planner
+	key           leaseKey
+	lastFrameAt   policy.Tenth
+	needsFullView bool
 }
 
 // Greeted takes a forwarder that showed the key, or nil when there are too many. It
 // counts from its first frame on, which a repeated greeting can't bring.
 func (p *Planner) Greeted(now policy.Tenth, name string, life uint64) *Forwarder {
-	p.clock(now)
+	p.advance(now)
 	if len(p.forwarders) >= p.Forwarders {
 		return nil
 	}
-	f := &Forwarder{p: p, id: lease{name, life}, heardAt: p.now}
+	f := &Forwarder{planner: p, key: leaseKey{name, life}, lastFrameAt: p.now}
 	p.forwarders[f] = true
 	return f
 }
 
 // Begun says that the connection can carry a view; it is sent one.
-func (f *Forwarder) Begun() { f.want = true }
+func (f *Forwarder) Begun() { f.needsFullView = true }
 
 // Left ends a connection. Its lease runs on: it may be cut off from here alone.
-func (f *Forwarder) Left() { delete(f.p.forwarders, f) }
+func (f *Forwarder) Left() { delete(f.planner.forwarders, f) }
 
 // Wanted is a forwarder's wish for a whole view.
 func (f *Forwarder) Wanted(now policy.Tenth) {
-	f.p.clock(now)
-	f.want = true
-	f.renew()
+	f.planner.advance(now)
+	f.needsFullView = true
+	f.renewLease()
 }
 
-// renew counts a forwarder by name and life: after a restart both count until the old lease ends, and two of
+// renewLease counts a forwarder by name and life: after a restart both count until the old lease ends, and two of
 // one name count twice, since each takes its share.
-func (f *Forwarder) renew() {
-	p := f.p
-	f.heardAt = p.now
-	if _, held := p.leases[f.id]; !held {
+func (f *Forwarder) renewLease() {
+	p := f.planner
+	f.lastFrameAt = p.now
+	if _, held := p.leases[f.key]; !held {
 		for other := range p.leases {
-			if other.name == f.id.name {
-				p.Doubles++
+			if other.name == f.key.name {
+				p.DuplicateLeases++
 				break
 			}
 		}
 	}
-	p.leases[f.id] = p.now + 3*p.every() + second
+	p.leases[f.key] = p.now + 3*p.reportInterval() + second
 }
 
 // Reported takes in what a forwarder heard of hosts. What no host can have said is passed over.
 func (f *Forwarder) Reported(now policy.Tenth, r link.Report) {
-	p := f.p
-	p.clock(now)
-	f.renew()
+	p := f.planner
+	p.advance(now)
+	f.renewLease()
 	for _, s := range r.Heard {
 		h := p.hosts[s.Name]
 		if h == nil {
 			continue
 		}
-		if s.Pos >= 0 && s.Pos <= p.ahead() && s.RoleAt >= 0 && s.RoleAt <= p.ahead() {
-			was := h.said
-			if h.said.Join(s.Evidence); h.said != was {
-				h.waiting = true
+		if s.Pos >= 0 && s.Pos <= p.maxPosition() && s.RoleAt >= 0 && s.RoleAt <= p.maxPosition() {
+			was := h.evidence
+			if h.evidence.Join(s.Evidence); h.evidence != was {
+				h.unpublished = true
 			}
 		}
 		if s.Count > 0 {
-			h.heardAt, h.wait = p.now, 0
-			h.count += min(s.Count, 1<<16)
-			h.sum += min(s.Sum, 10000*min(s.Count, 1<<16))
+			h.lastResponseAt, h.backoff = p.now, 0
+			h.responses += min(s.Count, 1<<16)
+			h.latenessSum += min(s.Sum, 10000*min(s.Count, 1<<16))
 		}
-		if s.Boot > 0 && s.Boot == h.boot {
-			if more := s.Cold - h.cold[f.id.life]; more > 0 {
-				h.cold[f.id.life] = s.Cold
+		if s.Boot > 0 && s.Boot == h.bootedAt {
+			if more := s.Cold - h.coldWork[f.key.incarnation]; more > 0 {
+				h.coldWork[f.key.incarnation] = s.Cold
 				p.Cold += more
 			}
 		}
 	}
 }
 
-// every is how often forwarders report: so often that all together keep to Reports a second.
-func (p *Planner) every() policy.Tenth {
-	return max(2*p.beat(), policy.Tenth(len(p.forwarders))*second/policy.Tenth(p.Reports))
+// reportInterval is how often forwarders report: so often that all together keep to Reports a second.
+func (p *Planner) reportInterval() policy.Tenth {
+	return max(2*p.changeInterval(), policy.Tenth(len(p.forwarders))*second/policy.Tenth(p.Reports))
 }
 
-// beat is the time between two changes: so long that all together keep to Frames a second.
-func (p *Planner) beat() policy.Tenth {
+// changeInterval is the time between two changes: so long that all together keep to Frames a second.
+func (p *Planner) changeInterval() policy.Tenth {
 	return max(p.Beat, policy.Tenth(len(p.forwarders))*second/policy.Tenth(p.Frames))
 }
 
-// spread is the time between two positions told of one host, so long that all keep to Bytes a second.
-func (p *Planner) spread() policy.Tenth {
+// positionInterval is the time between two positions told of one host, so long that all keep to Bytes a second.
+func (p *Planner) positionInterval() policy.Tenth {
 	const entry = 96 // bytes, about
 	return policy.Tenth(float64(len(p.hosts)*len(p.forwarders)*entry) * float64(second) / float64(p.Bytes))
 }
@@ -265,98 +265,98 @@
 
 // Tick goes on to a time.
 func (p *Planner) Tick(now policy.Tenth) (do Todo) {
-	p.clock(now)
+	p.advance(now)
 	for id, until := range p.leases {
 		if p.now >= until {
 			delete(p.leases, id)
 		}
 	}
 	for f := range p.forwarders {
-		if p.now >= f.heardAt+4*p.every()+second { // half-open, or hanging
-			p.Overdue++
+		if p.now >= f.lastFrameAt+4*p.reportInterval()+second { // half-open, or hanging
+			p.TimedOutLinks++
 			delete(p.forwarders, f)
 			do.Cut = append(do.Cut, f)
 		}
 	}
-	do.Probe = p.probe()
-	if p.now >= p.beatAt {
-		p.beatAt = p.now + p.beat()
+	do.Probe = p.startProbes()
+	if p.now >= p.nextChangeAt {
+		p.nextChangeAt = p.now + p.changeInterval()
 		p.publish()
-		p.seq++
-		c := p.view.Changes(p.life, p.seq)
-		c.Every = p.every()
+		p.sequence++
+		c := p.view.Changes(p.incarnation, p.sequence)
+		c.Every = p.reportInterval()
 		do.Change = &c
 		for f := range p.forwarders {
-			if f.want {
-				f.want = false
+			if f.needsFullView {
+				f.needsFullView = false
 				do.Whole = append(do.Whole, f)
 			}
 		}
 	}
-	do.Next = min(p.beatAt, p.now+p.Search/2)
+	do.Next = min(p.nextChangeAt, p.now+p.Search/2)
 	return do
 }
 
 // Whole is the view for those that Tick named.
 func (p *Planner) Whole() view.Change {
-	c := p.view.Whole(p.life, p.seq)
-	c.Every = p.every()
+	c := p.view.Whole(p.incarnation, p.sequence)
+	c.Every = p.reportInterval()
 	return c
 }
 
 // publish moves into the view what is known: a primary's coming and going at once, all else as often as there is
 // room for.
 func (p *Planner) publish() {
-	turn := p.now >= p.turnAt
+	turn := p.now >= p.nextLatenessAt
 	if turn {
-		p.turnAt = p.now + max(second, p.every())
+		p.nextLatenessAt = p.now + max(second, p.reportInterval())
 	}
-	spread := p.spread()
+	spread := p.positionInterval()
 	for _, h := range p.hosts {
 		if turn {
 			late := uint8(0)
-			if n := h.count + h.lastCount; n > 0 {
-				late = 1 + uint8(min(12, (h.sum+h.lastSum)/n/100))
+			if n := h.responses + h.previousResponses; n > 0 {
+				late = 1 + uint8(min(12, (h.latenessSum+h.previousLatenessSum)/n/100))
 			}
-			h.waiting = h.waiting || late != h.late
-			h.late, h.lastCount, h.lastSum, h.count, h.sum = late, h.count, h.sum, 0, 0
+			h.unpublished = h.unpublished || late != h.lateness
+			h.lateness, h.previousResponses, h.previousLatenessSum, h.responses, h.latenessSum = late, h.responses, h.latenessSum, 0, 0
 		}
-		if !h.waiting {
+		if !h.unpublished {
 			continue
 		}
-		turned := h.role != h.said.Role && (h.role == policy.Primary || h.said.Role == policy.Primary)
-		if turned || p.now >= h.published+spread {
-			p.view.Believe(h.said, p.ahead())
-			p.view.Lateness(h.name, h.late)
-			h.published, h.waiting, h.role = p.now, false, h.said.Role
+		turned := h.publishedRole != h.evidence.Role && (h.publishedRole == policy.Primary || h.evidence.Role == policy.Primary)
+		if turned || p.now >= h.publishedAt+spread {
+			p.view.Believe(h.evidence, p.maxPosition())
+			p.view.Lateness(h.name, h.lateness)
+			h.publishedAt, h.unpublished, h.publishedRole = p.now, false, h.evidence.Role
 		}
 	}
 	p.view.Routers = len(p.leases)
 }
 
-// probe names the hosts to ask now: where a set's primary is not known or does not answer, its members, often;
+// startProbes names the hosts to ask now: where a set's primary is not known or does not answer, its members, often;
 // else whoever nobody has heard of for some time. What forwarders hear of is not asked.
-func (p *Planner) probe() (ask []string) {
-	p.credit = min(float64(p.PerSecond)/4, p.credit+float64(p.PerSecond)*float64(p.now-p.fillAt)/float64(second))
-	p.fillAt = p.now
-	room := min(p.Probes-p.out, int(p.credit))
+func (p *Planner) startProbes() (ask []string) {
+	p.probeCredit = min(float64(p.PerSecond)/4, p.probeCredit+float64(p.PerSecond)*float64(p.now-p.creditedAt)/float64(second))
+	p.creditedAt = p.now
+	room := min(p.Probes-p.probesInFlight, int(p.probeCredit))
 	if room <= 0 {
 		return nil
 	}
-	headless := p.headless()
+	headless := p.setsWithoutPrimary()
 	before := func(a, b *host) int {
-		return cmp.Or(p.first(headless, b)-p.first(headless, a), cmp.Compare(a.askedAt, b.askedAt), strings.Compare(a.name, b.name))
+		return cmp.Or(p.probeUrgency(headless, b)-p.probeUrgency(headless, a), cmp.Compare(a.probedAt, b.probedAt), strings.Compare(a.name, b.name))
 	}
 	var due []*host // the first few, in order
 	for _, h := range p.hosts {
 		rest := p.Probe
 		switch {
-		case headless[h.set] && h.said.Role != policy.Primary:
+		case headless[h.set] && h.evidence.Role != policy.Primary:
 			rest = p.Search
-		case h.wait > 0:
-			rest = h.wait
+		case h.backoff > 0:
+			rest = h.backoff
 		}
-		if h.probing || h.askedAt != 0 && p.now < max(h.heardAt, h.askedAt)+rest ||
+		if h.probing || h.probedAt != 0 && p.now < max(h.lastResponseAt, h.probedAt)+rest ||
 			len(due) == room && before(h, due[room-1]) > 0 {
 			continue
 		}
@@ -366,38 +366,38 @@
 		}
 	}
 	for _, h := range due {
-		p.out++
-		p.credit--
+		p.probesInFlight++
+		p.probeCredit--
 		h.probing = true
-		h.askedAt = max(1, p.now-policy.Tenth(p.chance()*float64(p.Search)/4)) // planners don't ask in step
+		h.probedAt = max(1, p.now-policy.Tenth(p.randomFraction()*float64(p.Search)/4)) // planners don't ask in step
 		ask = append(ask, h.name)
 	}
 	return ask
 }
 
-func (p *Planner) first(headless map[int64]bool, h *host) int {
+func (p *Planner) probeUrgency(headless map[int64]bool, h *host) int {
 	switch {
 	case headless[h.set]:
 		return 2
-	case h.wait == 0:
+	case h.backoff == 0:
 		return 1
 	}
 	return 0
 }
 
-// headless are the sets in which no host is followed as the primary, or only one that does not answer.
-func (p *Planner) headless() map[int64]bool {
+// setsWithoutPrimary are the sets in which no host is followed as the primary, or only one that does not answer.
+func (p *Planner) setsWithoutPrimary() map[int64]bool {
 	best, is := map[int64]*host{}, map[int64]bool{}
 	for _, h := range p.hosts {
-		if is[h.set] = true; h.said.Role != policy.Primary {
+		if is[h.set] = true; h.evidence.Role != policy.Primary {
 			continue
 		}
-		if b := best[h.set]; b == nil || h.said.RoleAt > b.said.RoleAt || h.said.RoleAt == b.said.RoleAt && h.name < b.name {
+		if b := best[h.set]; b == nil || h.evidence.RoleAt > b.evidence.RoleAt || h.evidence.RoleAt == b.evidence.RoleAt && h.name < b.name {
 			best[h.set] = h
 		}
 	}
 	for set, h := range best {
-		is[set] = h.wait > 0 || p.now > h.heardAt+2*p.Probe
+		is[set] = h.backoff > 0 || p.now > h.lastResponseAt+2*p.Probe
 	}
 	return is
 }
--- a/internal/router/tier/planner/planner_test.go
+++ b/internal/router/tier/planner/planner_test.go
@@ -68,7 +68,7 @@
 		t.Errorf("asked %v in a second", asked)
 	}
 	p.Probed(now+2*ms, "b", true, now+ms, policy.Primary, now+ms)
-	p.out++
+	p.probesInFlight++
 	if c := p.Tick(now + 200*ms); c.Change == nil || len(c.Change.Hosts) == 0 {
 		t.Error("the new primary is not told at once")
 	}
@@ -85,8 +85,8 @@
 	}
 	one.Wanted(now)
 	two.Wanted(now)
-	if p.Tick(now); p.Routers() != 2 || p.Doubles != 1 {
-		t.Errorf("%d count, %d of one name", p.Routers(), p.Doubles)
+	if p.Tick(now); p.Routers() != 2 || p.DuplicateLeases != 1 {
+		t.Errorf("%d count, %d of one name", p.Routers(), p.DuplicateLeases)
 	}
 	one.Left() // cut off from here alone, perhaps: it counts for a while
 	if p.Tick(now + second); p.Routers() != 2 {
@@ -175,7 +175,7 @@
 							if now < due[i] {
 								continue
 							}
-							due[i] = now + p.every()
+							due[i] = now + p.reportInterval()
 							reports++
 							r := link.Report{}
 							for k := range 10 {
--- a/internal/router/tier/view/change.go
+++ b/internal/router/tier/view/change.go
@@ -46,8 +46,8 @@
 	return c
 }
 
-// Names are of the hosts touched since the last Changes or Names.
-func (v *View) Names() []string {
+// TakeChangedNames are of the hosts touched since the last Changes or Names.
+func (v *View) TakeChangedNames() []string {
 	names := make([]string, 0, len(v.touched))
 	for name := range v.touched {
 		names = append(names, name)
@@ -59,56 +59,56 @@
 
 // Why a copy can't go on, and a whole view is to be asked for.
 var (
-	ErrGap    = errors.New("a change before this one is missing")
-	ErrLife   = errors.New("the planner has started anew")
-	ErrDigest = errors.New("the view's digest differs")
+	ErrGap            = errors.New("a change before this one is missing")
+	ErrRestarted      = errors.New("the planner has started anew")
+	ErrDigestMismatch = errors.New("the view's digest differs")
 )
 
 // Copy follows one planner's view by its changes.
 type Copy struct {
 	View
-	life, seq uint64
-	whole     bool
+	incarnation, sequence uint64
+	complete              bool
 }
 
 // Whole says whether the copy holds a view.
-func (c *Copy) Whole() bool { return c.whole }
+func (c *Copy) Whole() bool { return c.complete }
 
 // Seq is the number that it stands at.
-func (c *Copy) Seq() uint64 { return c.seq }
+func (c *Copy) Seq() uint64 { return c.sequence }
 
 // Follow takes a change in. A doubled or older one is passed over; an error
 // says that a whole view is needed, and the copy holds none until it comes.
 func (c *Copy) Follow(ch Change) (fresh bool, err error) {
 	switch {
-	case ch.Whole && c.whole && ch.Life == c.life && ch.Seq < c.seq:
+	case ch.Whole && c.complete && ch.Life == c.incarnation && ch.Seq < c.sequence:
 		return false, nil
 	case ch.Whole:
 		c.View = View{}
-	case !c.whole:
+	case !c.complete:
 		return false, ErrGap
-	case ch.Life != c.life:
-		c.whole = false
-		return false, ErrLife
-	case ch.Seq <= c.seq:
+	case ch.Life != c.incarnation:
+		c.complete = false
+		return false, ErrRestarted
+	case ch.Seq <= c.sequence:
 		return false, nil
-	case ch.Seq != c.seq+1:
-		c.whole = false
-		return false, fmt.Errorf("%w: %d after %d", ErrGap, ch.Seq, c.seq)
+	case ch.Seq != c.sequence+1:
+		c.complete = false
+		return false, fmt.Errorf("%w: %d after %d", ErrGap, ch.Seq, c.sequence)
 	}
-	c.life, c.seq, c.whole = ch.Life, ch.Seq, true
+	c.incarnation, c.sequence, c.complete = ch.Life, ch.Seq, true
 	c.Floor, c.Listed, c.Routers = ch.Floor, ch.Listed, ch.Routers
 	for _, h := range ch.Hosts {
-		c.change(h.Name, func(mine *Host) bool { was := *mine; *mine = h; return was != h })
+		c.updateHost(h.Name, func(mine *Host) bool { was := *mine; *mine = h; return was != h })
 	}
 	for _, name := range ch.Dropped {
 		if c.hosts[name] != nil {
-			c.drop(name)
+			c.removeHost(name)
 		}
 	}
 	if c.Digest() != ch.Digest {
-		c.whole = false
-		return false, ErrDigest
+		c.complete = false
+		return false, ErrDigestMismatch
 	}
 	return true, nil
 }
--- a/internal/router/tier/view/view.go
+++ b/internal/router/tier/view/view.go
@@ -92,7 +92,7 @@
 
 func (h *Host) evidence() Evidence { return Evidence{h.Name, h.Pos, h.Role, h.RoleAt, h.Turn} }
 
-func (h *Host) believe(e Evidence) bool {
+func (h *Host) mergeEvidence(e Evidence) bool {
 	mine := h.evidence()
 	if !mine.Join(e) {
 		return false
@@ -101,21 +101,21 @@
 	return true
 }
 
-// join takes in another view's host. Of two lists the newer binds; at one
+// merge takes in another view's host. Of two lists the newer binds; at one
 // version the one that allows less does, and of what else differs there (which
 // lists of one discovery never do) the greater, so that order does not matter.
-func (h *Host) join(o Host) bool {
+func (h *Host) merge(o Host) bool {
 	was := *h
-	if h.Version.Before(o.Version) || h.Version == o.Version && h.less(o) {
+	if h.Version.Before(o.Version) || h.Version == o.Version && h.listedBefore(o) {
 		h.Address, h.Zone, h.Kind, h.Set, h.Size = o.Address, o.Zone, o.Kind, o.Set, o.Size
 		h.Leader, h.Standing, h.Version, h.Boot = o.Leader, o.Standing, o.Version, o.Boot
 	}
-	h.believe(o.evidence())
+	h.mergeEvidence(o.evidence())
 	h.Late = max(h.Late, o.Late)
 	return *h != was
 }
 
-func (h *Host) less(o Host) bool {
+func (h *Host) listedBefore(o Host) bool {
 	flag := func(b bool) int {
 		if b {
 			return 1
@@ -144,20 +144,20 @@
 
 // View is a fleet. The zero value holds nothing and works.
 type View struct {
-	Floor   Version // hosts that no list since has named are gone
-	Listed  Version // of the newest list
-	Routers int     // how many take commands; 0: not known
-	hosts   map[string]*Host
-	gone    int
-	sum     uint64
-	touched map[string]bool // since the last Changes
+	Floor         Version // hosts that no list since has named are gone
+	Listed        Version // of the newest list
+	Routers       int     // how many take commands; 0: not known
+	hosts         map[string]*Host
+	goneHosts     int
+	hostDigestSum uint64
+	touched       map[string]bool // since the last Changes
 }
 
 // Len is how many hosts are held, those that are gone included.
 func (v *View) Len() int { return len(v.hosts) }
 
 // Gone is how many of them are gone.
-func (v *View) Gone() int { return v.gone }
+func (v *View) Gone() int { return v.goneHosts }
 
 // Host is a copy of a host.
 func (v *View) Host(name string) (Host, bool) {
@@ -180,7 +180,7 @@
 
 // Digest is the same for views that hold the same, whatever came in which order.
 func (v *View) Digest() uint64 {
-	b := binary.LittleEndian.AppendUint64(nil, v.sum)
+	b := binary.LittleEndian.AppendUint64(nil, v.hostDigestSum)
 	for _, n := range []uint64{v.Floor.Gen, uint64(v.Floor.Rev), v.Listed.Gen, uint64(v.Listed.Rev), uint64(v.Routers)} {
 		b = binary.LittleEndian.AppendUint64(b, n)
 	}
@@ -204,8 +204,8 @@
 	return xxhash.Sum64(b)
 }
 
-// change runs do on a host, which it may make, and books what that changed.
-func (v *View) change(name string, do func(h *Host) bool) bool {
+// updateHost runs do on a host, which it may make, and books what that changed.
+func (v *View) updateHost(name string, do func(h *Host) bool) bool {
 	h, known := v.hosts[name]
 	if !known {
 		h = &Host{Name: name}
@@ -223,28 +223,28 @@
 		}
 		v.hosts[name] = h
 	}
-	v.sum += h.digest() - before
+	v.hostDigestSum += h.digest() - before
 	switch is := h.Standing == policy.Gone; {
 	case is && !(known && was):
-		v.gone++
+		v.goneHosts++
 	case !is && known && was:
-		v.gone--
+		v.goneHosts--
 	}
-	v.touch(name)
+	v.markTouched(name)
 	return true
 }
 
-func (v *View) drop(name string) {
+func (v *View) removeHost(name string) {
 	h := v.hosts[name]
-	v.sum -= h.digest()
+	v.hostDigestSum -= h.digest()
 	if h.Standing == policy.Gone {
-		v.gone--
+		v.goneHosts--
 	}
 	delete(v.hosts, name)
-	v.touch(name)
+	v.markTouched(name)
 }
 
-func (v *View) touch(name string) {
+func (v *View) markTouched(name string) {
 	if v.touched == nil {
 		v.touched = map[string]bool{}
 	}
@@ -260,10 +260,10 @@
 	v.Listed = at
 	for _, e := range entries {
 		e.Version, e.Pos, e.Role, e.RoleAt, e.Turn, e.Late = at, 0, policy.Unknown, 0, 0, 0
-		v.change(e.Name, func(h *Host) bool { return h.join(e) })
+		v.updateHost(e.Name, func(h *Host) bool { return h.merge(e) })
 	}
 	if whole {
-		v.settle(func(h *Host) bool { return h.Version != at })
+		v.confirmHosts(func(h *Host) bool { return h.Version != at })
 	}
 	return true
 }
@@ -271,16 +271,16 @@
 // Settle says of all hosts that are held that the newest list still has them so,
 // and drops those that are gone. Guards against a planner that comes back with a
 // list from before they went: what is older than the floor counts no more.
-func (v *View) Settle() { v.settle(func(h *Host) bool { return h.Standing == policy.Gone }) }
+func (v *View) Settle() { v.confirmHosts(func(h *Host) bool { return h.Standing == policy.Gone }) }
 
-func (v *View) settle(gone func(*Host) bool) {
+func (v *View) confirmHosts(gone func(*Host) bool) {
 	v.Floor = v.Listed
 	for name, h := range v.hosts {
 		if gone(h) {
-			v.drop(name)
+			v.removeHost(name)
 			continue
 		}
-		v.change(name, func(h *Host) bool { h.Version = v.Listed; return true })
+		v.updateHost(name, func(h *Host) bool { h.Version = v.Listed; return true })
 	}
 }
 
@@ -290,13 +290,13 @@
 	if v.hosts[e.Name] == nil || e.Pos > ahead || e.RoleAt > ahead || e.Pos < 0 || e.RoleAt < 0 {
 		return false
 	}
-	return v.change(e.Name, func(h *Host) bool { return h.believe(e) })
+	return v.updateHost(e.Name, func(h *Host) bool { return h.mergeEvidence(e) })
 }
 
 // Lateness sets what answers of a host take, for what it is worth.
 func (v *View) Lateness(name string, late uint8) {
 	if v.hosts[name] != nil {
-		v.change(name, func(h *Host) bool { was := h.Late; h.Late = late; return was != late })
+		v.updateHost(name, func(h *Host) bool { was := h.Late; h.Late = late; return was != late })
 	}
 }
 
@@ -312,7 +312,7 @@
 		v.Floor = o.Floor
 		for name, h := range v.hosts {
 			if h.Version.Before(v.Floor) {
-				v.drop(name)
+				v.removeHost(name)
 			}
 		}
 	}
@@ -330,7 +330,7 @@
 		h.Pos, h.Role, h.RoleAt, h.Turn = 0, policy.Unknown, 0, 0
 	}
 	h.Boot = max(0, min(h.Boot, ahead))
-	return v.change(h.Name, func(mine *Host) bool { return mine.join(h) })
+	return v.updateHost(h.Name, func(mine *Host) bool { return mine.merge(h) })
 }
 
 // Primary is the host of a set that follows as its primary: of those that say
--- a/internal/router/tier/view/view_test.go
+++ b/internal/router/tier/view/view_test.go
@@ -171,14 +171,14 @@
 	c.Follow(first)
 	cut := all[0]
 	cut.Hosts = nil
-	if _, err := c.Follow(cut); !errors.Is(err, ErrDigest) || c.Whole() {
+	if _, err := c.Follow(cut); !errors.Is(err, ErrDigestMismatch) || c.Whole() {
 		t.Errorf("a change without its hosts: %v", err)
 	}
 	if _, err := c.Follow(all[1]); !errors.Is(err, ErrGap) {
 		t.Errorf("the next one: %v", err)
 	}
 	c.Follow(v.Whole(1, 2))
-	if _, err := c.Follow(Change{Life: 2, Seq: 3}); !errors.Is(err, ErrLife) || c.Whole() {
+	if _, err := c.Follow(Change{Life: 2, Seq: 3}); !errors.Is(err, ErrRestarted) || c.Whole() {
 		t.Errorf("another life's change: %v", err)
 	}
 	if fresh, err := c.Follow(v.Whole(2, 0)); !fresh || err != nil || !c.Whole() {
