--- a/internal/router/tier/follower/follower.go
+++ b/internal/router/tier/follower/follower.go
@@ -44,7 +44,7 @@
 type Planner struct {
 	Address        string
 	follower       *Follower
-	replica        view.Copy
+	replica        view.Replica
 	connected      bool
 	dialing        bool
 	nextDialAt     policy.Tenth
@@ -63,17 +63,17 @@
 	return f
 }
 
-// Known takes in the list that a forwarder is given at start.
-func (f *Follower) Known(rev int64, whole bool, hosts []view.Host) {
+// LoadList takes in the list that a forwarder is given at start.
+func (f *Follower) LoadList(rev int64, whole bool, hosts []view.Host) {
 	f.view.List(view.Version{Rev: rev}, whole, hosts)
 }
 
 // Kept takes in a view that an earlier life kept: joined like a planner's, so that whatever is newer goes before it,
 // and what no host can have said by now is passed over.
 func (f *Follower) Kept(c view.Change) {
-	var kept view.Copy
+	var kept view.Replica
 	c.Whole = true
-	if _, err := kept.Follow(c); err == nil {
+	if _, err := kept.Apply(c); err == nil {
 		f.view.Join(&kept.View, f.now+20)
 	}
 }
@@ -109,7 +109,7 @@
 func (p *Planner) Connected(now policy.Tenth) {
 	p.follower.advance(now)
 	p.connected, p.dialing, p.lastChangeAt, p.reportInterval = true, false, p.follower.now, 0
-	p.replica = view.Copy{}
+	p.replica = view.Replica{}
 }
 
 // Lost ends a link, or a dialling. Waits double, by a part that chance decides,
@@ -128,7 +128,7 @@
 	f := p.follower
 	f.advance(now)
 	p.lastChangeAt, f.lastChangeAt, p.reportInterval, p.backoff = f.now, f.now, c.Every, f.Again
-	switch fresh, err := p.replica.Follow(c); {
+	switch fresh, err := p.replica.Apply(c); {
 	case err == view.ErrDigestMismatch:
 		f.DigestResyncs++
 		return true
@@ -145,7 +145,7 @@
 	if c.Whole {
 		f.view.Join(&p.replica.View, ahead)
 	} else {
-		f.view.Join(p.replica.Part(c), ahead)
+		f.view.Join(p.replica.TouchedPart(c), ahead)
 	}
 	for _, h := range c.Hosts {
 		if p.lateness[h.Name] != h.Late {
@@ -172,7 +172,7 @@
 
 // isCurrent says that a planner's word is fresh.
 func (p *Planner) isCurrent() bool {
-	return p.connected && p.replica.Whole() && p.follower.now < p.lastChangeAt+p.silenceTimeout()
+	return p.connected && p.replica.Complete() && p.follower.now < p.lastChangeAt+p.silenceTimeout()
 }
 
 // Todo is what a Tick asks for.
--- a/internal/router/tier/follower/follower_test.go
+++ b/internal/router/tier/follower/follower_test.go
@@ -24,7 +24,7 @@
 
 func (s *source) next() view.Change {
 	s.seq++
-	return s.Changes(s.life, s.seq)
+	return s.TakeChanges(s.life, s.seq)
 }
 
 func (s *source) list(rev int64, whole bool, hosts ...view.Host) {
--- a/internal/router/tier/forward/forward.go
+++ b/internal/router/tier/forward/forward.go
@@ -38,29 +38,29 @@
 	clock          *clock.Clock
 	core           *follower.Follower
 	events         chan func()
-	conns          map[*follower.Planner]*line.Line
+	conns          map[*follower.Planner]*line.Conn
 	snapshots      chan []byte // to the writer of kept views
 	nextSnapshotAt int64
 
-	SnapshotFailures, OpenLinks, Changes, FullViews, Faults, Reports, Age, Routers atomic.Int64 // Age in milliseconds, -1: never heard
-	Blind                                                                          atomic.Bool
+	SnapshotFailures, OpenLinks, Changes, FullViews, InvalidChanges, Reports, ViewAgeMs, RouterCount atomic.Int64 // Age in milliseconds, -1: never heard
+	NoPlanner                                                                                        atomic.Bool
 }
 
 // New makes a forwarder of a life that no other has; known is the list that it starts with, if any.
 func New(section *setup.Forward, name string, life uint64, routers int, router Router, log *zap.Logger) *Forward {
 	f := &Forward{settings: section, name: name, incarnation: life, router: router, log: log, clock: clock.New(time.Now),
-		events: make(chan func(), 64), conns: map[*follower.Planner]*line.Line{},
+		events: make(chan func(), 64), conns: map[*follower.Planner]*line.Conn{},
 		snapshots: make(chan []byte, 1)}
 	t := func(d time.Duration) int64 { return int64(d / clock.Tenth) }
 	f.core = follower.New(life, follower.Terms{Again: t(section.Again), Most: t(section.Most), Report: t(section.Report),
 		Silent: t(section.Silent)}, section.Planners, routers, f.clock.Now())
-	f.Age.Store(-1)
-	f.Blind.Store(true)
+	f.ViewAgeMs.Store(-1)
+	f.NoPlanner.Store(true)
 	return f
 }
 
 // Known takes in the list that a forwarder starts with, before Run.
-func (f *Forward) Known(rev int64, whole bool, hosts []view.Host) { f.core.Known(rev, whole, hosts) }
+func (f *Forward) Known(rev int64, whole bool, hosts []view.Host) { f.core.LoadList(rev, whole, hosts) }
 
 // Kept takes in what an earlier life kept, before Run. What is wrong with it costs no more than not having it.
 func (f *Forward) Kept() {
@@ -131,7 +131,7 @@
 		select {
 		case <-ctx.Done():
 			for _, l := range f.conns {
-				l.End(ctx.Err())
+				l.CloseWithError(ctx.Err())
 			}
 			return nil
 		case do := <-f.events:
@@ -141,7 +141,7 @@
 		do := f.core.Tick(f.clock.Now())
 		for _, p := range do.Cut {
 			if l := f.conns[p]; l != nil {
-				l.End(errors.New("the planner says nothing"))
+				l.CloseWithError(errors.New("the planner says nothing"))
 			}
 		}
 		for _, p := range do.Dial {
@@ -149,7 +149,7 @@
 		}
 		if do.Told {
 			f.router.Told(do.Hosts, do.Dropped, do.Routers, do.Blind)
-			if f.Blind.Load() != do.Blind {
+			if f.NoPlanner.Load() != do.Blind {
 				f.log.Info("planners", zap.Bool("none is there", do.Blind), zap.Int("routers", do.Routers))
 			}
 		}
@@ -159,10 +159,10 @@
 		if do.Report {
 			f.sendReport()
 		}
-		f.Blind.Store(do.Blind)
-		f.Routers.Store(int64(do.Routers))
+		f.NoPlanner.Store(do.Blind)
+		f.RouterCount.Store(int64(do.Routers))
 		if age := f.core.Age(); age >= 0 {
-			f.Age.Store(age / 10)
+			f.ViewAgeMs.Store(age / 10)
 		}
 		timer.Reset(max(time.Millisecond, clock.Span(do.Next-f.clock.Now())))
 	}
@@ -199,20 +199,20 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	conn.SetDeadline(time.Now().Add(f.settings.Dial))
-	l, err := line.Call(conn, &f.settings.Key, f.name, f.incarnation, f.settings.Queue, f.settings.Frame, f.settings.Write)
+	l, err := line.ForwarderHandshake(conn, &f.settings.Key, f.name, f.incarnation, f.settings.Queue, f.settings.Frame, f.settings.Write)
 	if err != nil {
 		return err
 	}
-	l.Start()
+	l.StartWriter()
 	defer l.Wait()
-	defer l.End(net.ErrClosed)
+	defer l.CloseWithError(net.ErrClosed)
 	f.enqueue(ctx, func() {
 		f.conns[p] = l
 		f.OpenLinks.Add(1)
 		p.Connected(f.clock.Now())
 	})
 	for {
-		kind, body, err := l.Read()
+		kind, body, err := l.ReadFrame()
 		if err != nil {
 			return err
 		}
@@ -221,7 +221,7 @@
 		}
 		c, err := link.ReadChange(body)
 		if err != nil {
-			f.Faults.Add(1)
+			f.InvalidChanges.Add(1)
 			return err
 		}
 		f.Changes.Add(1)
@@ -238,8 +238,8 @@
 
 // Fields are the counts for a line of the log.
 func (f *Forward) Fields() []zap.Field {
-	return []zap.Field{zap.Int64("planners", f.OpenLinks.Load()), zap.Bool("blind", f.Blind.Load()),
-		zap.Int64("view_age_ms", f.Age.Load()), zap.Int64("routers", f.Routers.Load()), zap.Int64("changes", f.Changes.Load()),
-		zap.Int64("whole_views", f.FullViews.Load()), zap.Int64("faulty_changes", f.Faults.Load()),
+	return []zap.Field{zap.Int64("planners", f.OpenLinks.Load()), zap.Bool("blind", f.NoPlanner.Load()),
+		zap.Int64("view_age_ms", f.ViewAgeMs.Load()), zap.Int64("routers", f.RouterCount.Load()), zap.Int64("changes", f.Changes.Load()),
+		zap.Int64("whole_views", f.FullViews.Load()), zap.Int64("faulty_changes", f.InvalidChanges.Load()),
 		zap.Int64("reports", f.Reports.Load()), zap.Int64("views_not_kept", f.SnapshotFailures.Load())}
 }
--- a/internal/router/tier/line/line.go
+++ b/internal/router/tier/line/line.go
@@ -16,8 +16,8 @@
 // ErrSlowReader tells of a reader that was cut.
 var ErrSlowReader = errors.New("the other side reads too slowly")
 
-// Line is a connection whose greetings are exchanged.
-type Line struct {
+// Conn is a connection whose greetings are exchanged.
+type Conn struct {
 	Peer link.Greeting
 
 	conn          net.Conn
@@ -37,8 +37,8 @@
 	body []byte
 }
 
-// Call greets as a forwarder, within the connection's deadline.
-func Call(conn net.Conn, key *[32]byte, name string, life uint64, queue, most int, write time.Duration) (*Line, error) {
+// ForwarderHandshake greets as a forwarder, within the connection's deadline.
+func ForwarderHandshake(conn net.Conn, key *[32]byte, name string, life uint64, queue, most int, write time.Duration) (*Conn, error) {
 	mine := newGreeting(name, life)
 	if _, err := conn.Write(link.AppendGreeting(nil, mine, key)); err != nil {
 		return nil, err
@@ -47,17 +47,17 @@
 	if err := l.readGreeting(key); err != nil {
 		return nil, err
 	}
-	if err := l.Peer.Refused(); err != nil {
+	if err := l.Peer.RefusalError(); err != nil {
 		return nil, err
 	}
 	l.session = link.NewSession(key, mine.Nonce, l.Peer.Nonce, true)
 	return l, nil
 }
 
-// Answer greets as a planner, within the connection's deadline. take says whether there is room for
+// PlannerHandshake greets as a planner, within the connection's deadline. take says whether there is room for
 // the forwarder; one of another version is told so.
-func Answer(conn net.Conn, key *[32]byte, name string, life uint64, queue, most int, write time.Duration,
-	take func(link.Greeting) bool) (*Line, error) {
+func PlannerHandshake(conn net.Conn, key *[32]byte, name string, life uint64, queue, most int, write time.Duration,
+	take func(link.Greeting) bool) (*Conn, error) {
 	l, mine := newConn(conn, queue, most, write), newGreeting(name, life)
 	err := l.readGreeting(key)
 	switch {
@@ -66,7 +66,7 @@
 	case err != nil:
 		return nil, err
 	case !take(l.Peer):
-		mine.Refusal = link.TooMany
+		mine.Refusal = link.RefusalCapacity
 		err = errors.New("as many forwarders as are taken are there")
 	}
 	l.session = link.NewSession(key, l.Peer.Nonce, mine.Nonce, false)
@@ -77,16 +77,16 @@
 }
 
 func newGreeting(name string, life uint64) link.Greeting {
-	g := link.Greeting{Version: link.ProtocolVersion, Life: life, Name: name}
+	g := link.Greeting{Version: link.ProtocolVersion, Incarnation: life, Name: name}
 	rand.Read(g.Nonce[:])
 	return g
 }
 
-func newConn(conn net.Conn, queue, most int, write time.Duration) *Line {
-	return &Line{conn: conn, maxFrameBytes: most, writeTimeout: write, queue: make(chan frame, queue), closed: make(chan struct{})}
+func newConn(conn net.Conn, queue, most int, write time.Duration) *Conn {
+	return &Conn{conn: conn, maxFrameBytes: most, writeTimeout: write, queue: make(chan frame, queue), closed: make(chan struct{})}
 }
 
-func (l *Line) readGreeting(key *[32]byte) error {
+func (l *Conn) readGreeting(key *[32]byte) error {
 	for {
 		g, n, err := link.ParseGreeting(l.inbound, key)
 		if l.Peer = g; err != nil {
@@ -103,7 +103,7 @@
 }
 
 // readMore reads once. Space grows with what has come, never by what a length claims.
-func (l *Line) readMore(want int) error {
+func (l *Conn) readMore(want int) error {
 	if len(l.inbound) == cap(l.inbound) {
 		grown := make([]byte, len(l.inbound), max(512, min(2*cap(l.inbound), want+4096)))
 		copy(grown, l.inbound)
@@ -117,8 +117,8 @@
 	return err
 }
 
-// Start begins to write what Send is given.
-func (l *Line) Start() {
+// StartWriter begins to write what Send is given.
+func (l *Conn) StartWriter() {
 	l.conn.SetDeadline(time.Time{})
 	l.writer.Go(func() {
 		var b []byte
@@ -128,7 +128,7 @@
 				b = l.session.Seal(b[:0], f.kind, f.body)
 				l.conn.SetWriteDeadline(time.Now().Add(l.writeTimeout))
 				if _, err := l.conn.Write(b); err != nil {
-					l.End(fmt.Errorf("writing: %w", err))
+					l.CloseWithError(fmt.Errorf("writing: %w", err))
 					return
 				}
 				if cap(b) > 1<<20 {
@@ -142,16 +142,16 @@
 }
 
 // Send queues a frame, whose body is not changed after, or ends the line when too many wait.
-func (l *Line) Send(kind byte, body []byte) {
+func (l *Conn) Send(kind byte, body []byte) {
 	select {
 	case l.queue <- frame{kind, body}:
 	default:
-		l.End(ErrSlowReader)
+		l.CloseWithError(ErrSlowReader)
 	}
 }
 
-// Read reads the next frame; its body holds until the next call.
-func (l *Line) Read() (kind byte, body []byte, err error) {
+// ReadFrame reads the next frame; its body holds until the next call.
+func (l *Conn) ReadFrame() (kind byte, body []byte, err error) {
 	for {
 		kind, body, n, want, err := l.session.Open(l.inbound, l.maxFrameBytes)
 		if err != nil {
@@ -174,8 +174,8 @@
 	}
 }
 
-// End closes the line for a reason, once.
-func (l *Line) End(why error) {
+// CloseWithError closes the line for a reason, once.
+func (l *Conn) CloseWithError(why error) {
 	l.closeOnce.Do(func() {
 		l.closeErr = why
 		close(l.closed)
@@ -184,4 +184,4 @@
 }
 
 // Wait waits for what Start began, after End.
-func (l *Line) Wait() { l.writer.Wait() }
+func (l *Conn) Wait() { l.writer.Wait() }
--- a/internal/router/tier/link/link.go
+++ b/internal/router/tier/link/link.go
@@ -49,9 +49,9 @@
 
 // Refusals, in a greeting's place for them.
 const (
-	RefusalNone    = byte(0)
-	RefusalVersion = byte(1)
-	TooMany        = byte(2)
+	RefusalNone     = byte(0)
+	RefusalVersion  = byte(1)
+	RefusalCapacity = byte(2)
 )
 
 var (
@@ -63,18 +63,18 @@
 
 // Greeting opens a connection.
 type Greeting struct {
-	Version byte
-	Refusal byte
-	Life    uint64 // of the process, new with each start
-	Nonce   [nonceBytes]byte
-	Name    string // at most 64 bytes
+	Version     byte
+	Refusal     byte
+	Incarnation uint64 // of the process, new with each start
+	Nonce       [nonceBytes]byte
+	Name        string // at most 64 bytes
 }
 
 // AppendGreeting appends a greeting with its MAC under the shared key.
 func AppendGreeting(b []byte, g Greeting, key *[32]byte) []byte {
 	at := len(b)
 	b = append(append(b, magic...), g.Version, g.Refusal)
-	b = binary.BigEndian.AppendUint64(b, g.Life)
+	b = binary.BigEndian.AppendUint64(b, g.Incarnation)
 	b = append(b, g.Nonce[:]...)
 	name := g.Name[:min(len(g.Name), maxNameBytes)]
 	b = append(append(b, byte(len(name))), name...)
@@ -94,7 +94,7 @@
 	if g.Version != ProtocolVersion {
 		return g, greetingFixedBytes, fmt.Errorf("the other side speaks version %d of the link, this one version %d", g.Version, ProtocolVersion)
 	}
-	g.Life = binary.BigEndian.Uint64(b[6:])
+	g.Incarnation = binary.BigEndian.Uint64(b[6:])
 	copy(g.Nonce[:], b[14:])
 	size := int(b[greetingFixedBytes-1])
 	if size > maxNameBytes {
@@ -110,14 +110,14 @@
 	return g, n, nil
 }
 
-// Refused is the reason that a greeting gives for ending the connection, if any.
-func (g Greeting) Refused() error {
+// RefusalError is the reason that a greeting gives for ending the connection, if any.
+func (g Greeting) RefusalError() error {
 	switch g.Refusal {
 	case RefusalNone:
 		return nil
 	case RefusalVersion:
 		return fmt.Errorf("refused: version %d of the link is not spoken there", ProtocolVersion)
-	case TooMany:
+	case RefusalCapacity:
 		return errors.New("refused: as many forwarders as it takes are there")
 	}
 	return fmt.Errorf("refused for a reason not known here: %d", g.Refusal)
@@ -225,7 +225,7 @@
 		return c, fmt.Errorf("a change: %w", err)
 	}
 	for i := range c.Hosts {
-		if bad := c.Hosts[i].Bad(); bad != "" {
+		if bad := c.Hosts[i].Validate(); bad != "" {
 			return c, fmt.Errorf("a change: host %d: %s", i, bad)
 		}
 	}
@@ -241,7 +241,7 @@
 		return r, fmt.Errorf("a report: %w", err)
 	}
 	for i, h := range r.Heard {
-		if bad := (&view.Host{Name: h.Name, Role: h.Role}).Bad(); bad != "" {
+		if bad := (&view.Host{Name: h.Name, Role: h.Role}).Validate(); bad != "" {
 			return r, fmt.Errorf("a report: host %d: %s", i, bad)
 		}
 		if h.Cold < 0 || h.Cold > 1<<40 {
--- a/internal/router/tier/link/link_test.go
+++ b/internal/router/tier/link/link_test.go
@@ -60,7 +60,7 @@
 }
 
 func TestAGreetingOfAnotherKeyOrVersionIsRefusedClearly(t *testing.T) {
-	g := Greeting{Version: ProtocolVersion, Life: 5, Nonce: [16]byte{6}, Name: "f1"}
+	g := Greeting{Version: ProtocolVersion, Incarnation: 5, Nonce: [16]byte{6}, Name: "f1"}
 	wire := AppendGreeting(nil, g, &key)
 	if got, n, err := ParseGreeting(wire, &key); got != g || n != len(wire) || err != nil {
 		t.Errorf("%+v %d %v", got, n, err)
@@ -72,7 +72,7 @@
 	if _, n, err := ParseGreeting(AppendGreeting(nil, g, &key), &key); n == 0 || err == nil || !strings.Contains(err.Error(), "version 9") {
 		t.Errorf("another version: %v", err)
 	}
-	if err := (Greeting{Refusal: RefusalVersion}).Refused(); err == nil {
+	if err := (Greeting{Refusal: RefusalVersion}).RefusalError(); err == nil {
 		t.Error("a refusal goes unsaid")
 	}
 }
@@ -94,7 +94,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		if c, err := ReadChange(body); err == nil {
 			for _, h := range c.Hosts {
-				if h.Bad() != "" {
+				if h.Validate() != "" {
 					t.Fatalf("%+v", h)
 				}
 			}
--- a/internal/router/tier/plan/plan.go
+++ b/internal/router/tier/plan/plan.go
@@ -36,20 +36,20 @@
 	buffers      *transport.Room
 	pool         *transport.Hosts
 	hosts        map[string]*transport.Host
-	conns        map[*planner.Forwarder]*line.Line
+	conns        map[*planner.Forwarder]*line.Conn
 	trace        *record.Planner // nil while nothing is captured
 	events       chan func()
 	listRevision atomic.Int64
 
-	Accepted, Refused, Broken, Probes, FullViews, Changes, Bytes, Reports, Lists, Stale      atomic.Int64
-	openLinks, leaseCount, duplicateLeases, timedOutLinks, failedProbes, coldWork, hostCount atomic.Int64
+	AcceptedLinks, RejectedLinks, BrokenLinks, Probes, FullViews, Changes, Bytes, Reports, AppliedLists, StaleLists atomic.Int64
+	openLinks, leaseCount, duplicateLeases, timedOutLinks, failedProbes, coldWork, hostCount                        atomic.Int64
 }
 
 // New makes a planner of a life that no other has; trace may be nil.
 func New(start *setup.Start, section *setup.Plan, life uint64, trace *record.Planner, log *zap.Logger) *Plan {
 	p := &Plan{start: start, settings: section, incarnation: life, trace: trace, log: log, clock: clock.New(time.Now),
 		buffers: transport.NewRoom(&start.Limits), hosts: map[string]*transport.Host{},
-		conns: map[*planner.Forwarder]*line.Line{}, events: make(chan func(), 1024)}
+		conns: map[*planner.Forwarder]*line.Conn{}, events: make(chan func(), 1024)}
 	t := func(d time.Duration) int64 { return int64(d / clock.Tenth) }
 	terms := planner.Terms{Gen: section.Generation, Beat: t(section.Beat), Probe: t(section.Probe), Search: t(section.Search),
 		Probes: section.Probes, PerSecond: section.PerSecond, Forwarders: section.Forwarders, Reports: section.Reports,
@@ -99,12 +99,12 @@
 		held := p.core.Listed(p.clock.Now(), rev, whole, entries)
 		p.trace.List(rev, whole, len(entries), held)
 		if !held {
-			p.Stale.Add(1)
+			p.StaleLists.Add(1)
 			p.log.Warn("a list that is older than the one held", zap.Int64("rev", rev))
 			return
 		}
 		p.listRevision.Store(rev)
-		p.Lists.Add(1)
+		p.AppliedLists.Add(1)
 		p.log.Info("list", zap.Int64("rev", rev), zap.Bool("whole", whole), zap.Int("entries", len(entries)))
 		p.updateHostPool()
 	})
@@ -163,7 +163,7 @@
 		for _, f := range do.Cut {
 			if l := p.conns[f]; l != nil {
 				delete(p.conns, f)
-				l.End(errors.New("the forwarder says nothing"))
+				l.CloseWithError(errors.New("the forwarder says nothing"))
 			}
 		}
 		if do.Change != nil {
@@ -173,8 +173,8 @@
 		p.leaseCount.Store(int64(p.core.Routers()))
 		p.duplicateLeases.Store(p.core.DuplicateLeases)
 		p.timedOutLinks.Store(p.core.TimedOutLinks)
-		p.failedProbes.Store(p.core.Silent)
-		p.coldWork.Store(p.core.Cold)
+		p.failedProbes.Store(p.core.FailedProbes)
+		p.coldWork.Store(p.core.ColdWork)
 		timer.Reset(max(time.Millisecond, clock.Span(do.Next-p.clock.Now())))
 	}
 }
@@ -275,11 +275,11 @@
 			}
 			continue
 		}
-		p.Accepted.Add(1)
+		p.AcceptedLinks.Add(1)
 		select {
 		case greeting <- struct{}{}:
 		default:
-			p.Refused.Add(1)
+			p.RejectedLinks.Add(1)
 			conn.Close()
 			continue
 		}
@@ -288,30 +288,30 @@
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
 			var f *planner.Forwarder
 			conn.SetDeadline(time.Now().Add(p.settings.Greet))
-			l, err := line.Answer(conn, &p.settings.Key, p.start.Name, p.incarnation, p.settings.Queue, p.settings.Frame, p.settings.Write,
+			l, err := line.PlannerHandshake(conn, &p.settings.Key, p.start.Name, p.incarnation, p.settings.Queue, p.settings.Frame, p.settings.Write,
 				func(g link.Greeting) bool { f = p.admit(ctx, g); return f != nil })
 			<-greeting
 			if err != nil {
-				p.Refused.Add(1)
+				p.RejectedLinks.Add(1)
 				p.log.Warn("a forwarder is refused", zap.String("from", conn.RemoteAddr().String()), zap.Error(err))
 				if f != nil {
 					p.enqueue(ctx, f.Left)
 				}
 				return nil
 			}
-			l.Start()
+			l.StartWriter()
 			p.enqueue(ctx, func() {
 				p.conns[f] = l
 				f.Begun()
-				p.trace.Forwarder(l.Peer.Name, l.Peer.Life, true, "")
+				p.trace.Forwarder(l.Peer.Name, l.Peer.Incarnation, true, "")
 			})
 			err = p.readFrames(ctx, f, l)
-			l.End(err)
+			l.CloseWithError(err)
 			l.Wait()
 			p.enqueue(ctx, func() {
 				delete(p.conns, f)
 				f.Left()
-				p.trace.Forwarder(l.Peer.Name, l.Peer.Life, false, err.Error())
+				p.trace.Forwarder(l.Peer.Name, l.Peer.Incarnation, false, err.Error())
 			})
 			if ctx.Err() == nil {
 				p.log.Info("a forwarder left", zap.String("name", l.Peer.Name), zap.Error(err))
@@ -323,7 +323,7 @@
 
 func (p *Plan) admit(ctx context.Context, g link.Greeting) *planner.Forwarder {
 	got := make(chan *planner.Forwarder, 1)
-	p.enqueue(ctx, func() { got <- p.core.Greeted(p.clock.Now(), g.Name, g.Life) })
+	p.enqueue(ctx, func() { got <- p.core.Greeted(p.clock.Now(), g.Name, g.Incarnation) })
 	select {
 	case f := <-got:
 		return f
@@ -332,18 +332,18 @@
 	}
 }
 
-func (p *Plan) readFrames(ctx context.Context, f *planner.Forwarder, l *line.Line) error {
+func (p *Plan) readFrames(ctx context.Context, f *planner.Forwarder, l *line.Conn) error {
 	for {
-		kind, body, err := l.Read()
+		kind, body, err := l.ReadFrame()
 		if err != nil {
-			p.Broken.Add(1)
+			p.BrokenLinks.Add(1)
 			return err
 		}
 		switch kind {
 		case link.KindReport:
 			r, err := link.DecodeReport(body)
 			if err != nil {
-				p.Broken.Add(1)
+				p.BrokenLinks.Add(1)
 				return err
 			}
 			p.Reports.Add(1)
@@ -361,9 +361,9 @@
 func (p *Plan) Fields() []zap.Field {
 	return []zap.Field{zap.Int64("forwarders_open", p.openLinks.Load()), zap.Int64("forwarders_counted", p.leaseCount.Load()),
 		zap.Int64("names_twice", p.duplicateLeases.Load()), zap.Int64("links_overdue", p.timedOutLinks.Load()),
-		zap.Int64("links_accepted", p.Accepted.Load()), zap.Int64("links_refused", p.Refused.Load()),
-		zap.Int64("links_broken", p.Broken.Load()), zap.Int64("hosts", p.hostCount.Load()), zap.Int64("lists", p.Lists.Load()),
-		zap.Int64("stale_lists", p.Stale.Load()), zap.Int64("probes", p.Probes.Load()),
+		zap.Int64("links_accepted", p.AcceptedLinks.Load()), zap.Int64("links_refused", p.RejectedLinks.Load()),
+		zap.Int64("links_broken", p.BrokenLinks.Load()), zap.Int64("hosts", p.hostCount.Load()), zap.Int64("lists", p.AppliedLists.Load()),
+		zap.Int64("stale_lists", p.StaleLists.Load()), zap.Int64("probes", p.Probes.Load()),
 		zap.Int64("probes_unanswered", p.failedProbes.Load()), zap.Int64("changes", p.Changes.Load()),
 		zap.Int64("whole_views", p.FullViews.Load()), zap.Int64("bytes", p.Bytes.Load()), zap.Int64("reports", p.Reports.Load()),
 		zap.Float64("cold_work", float64(p.coldWork.Load())/1000)}
--- a/internal/router/tier/plan/plan_test.go
+++ b/internal/router/tier/plan/plan_test.go
@@ -72,8 +72,8 @@
 	return conn
 }
 
-func call(conn net.Conn, k *[32]byte) (*line.Line, error) {
-	return line.Call(conn, k, "f", 3, 4, link.FrameMost, time.Second)
+func call(conn net.Conn, k *[32]byte) (*line.Conn, error) {
+	return line.ForwarderHandshake(conn, k, "f", 3, 4, link.FrameMost, time.Second)
 }
 
 // logged waits for a line of the log.
@@ -95,9 +95,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var c view.Copy
-	for c.Seq() < 5 || c.Len() < 3 || !c.Whole() {
-		_, body, err := l.Read()
+	var c view.Replica
+	for c.Sequence() < 5 || c.Len() < 3 || !c.Complete() {
+		_, body, err := l.ReadFrame()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -105,7 +105,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := c.Follow(ch); err != nil {
+		if _, err := c.Apply(ch); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -124,8 +124,8 @@
 		t.Errorf("%+v %v", g, err)
 	}
 	logged(t, log, "a forwarder is refused", "version 9")
-	if p.Refused.Load() != 2 {
-		t.Errorf("%d refused", p.Refused.Load())
+	if p.RejectedLinks.Load() != 2 {
+		t.Errorf("%d refused", p.RejectedLinks.Load())
 	}
 }
 
@@ -147,14 +147,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	slow.Start()
+	slow.StartWriter()
 	quick, err := call(dial(t, address), &key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	quick.Start()
-	defer slow.End(nil)
-	defer quick.End(nil)
+	quick.StartWriter()
+	defer slow.CloseWithError(nil)
+	defer quick.CloseWithError(nil)
 	go func() {
 		for { // asks for the whole view over and over, and reads nothing
 			slow.Send(link.KindViewRequest, nil)
@@ -181,7 +181,7 @@
 		close(cut)
 	}()
 	for read := 0; ; read++ {
-		if _, _, err := quick.Read(); err != nil {
+		if _, _, err := quick.ReadFrame(); err != nil {
 			t.Fatalf("after %d frames: %v", read, err)
 		}
 		select {
--- a/internal/router/tier/planner/planner.go
+++ b/internal/router/tier/planner/planner.go
@@ -47,7 +47,7 @@
 	forwarders                  map[*Forwarder]bool
 	leases                      map[leaseKey]policy.Tenth // until when a forwarder counts
 
-	DuplicateLeases, TimedOutLinks, Silent, Cold int64 // leases of a name that held one, a restart's too; links cut; probes without answer; work sent to cold hosts
+	DuplicateLeases, TimedOutLinks, FailedProbes, ColdWork int64 // leases of a name that held one, a restart's too; links cut; probes without answer; work sent to cold hosts
 }
 
 type leaseKey struct {
@@ -85,8 +85,8 @@
 // Routers is how many forwarders hold a lease.
 func (p *Planner) Routers() int { return len(p.leases) }
 
-// Open is how many forwarders are connected.
-func (p *Planner) Open() int { return len(p.forwarders) }
+// ForwarderCount is how many forwarders are connected.
+func (p *Planner) ForwarderCount() int { return len(p.forwarders) }
 
 func (p *Planner) advance(now policy.Tenth) { p.now = max(p.now, now) }
 
@@ -117,8 +117,8 @@
 			delete(p.hosts, e.Name)
 		}
 	}
-	if p.view.Gone() > 64+p.view.Len()/4 {
-		p.view.Settle()
+	if p.view.GoneCount() > 64+p.view.Len()/4 {
+		p.view.Compact()
 	}
 	return true
 }
@@ -145,7 +145,7 @@
 	}
 	h.probing = false
 	if !ok {
-		p.Silent++
+		p.FailedProbes++
 		h.backoff = min(max(p.Search, 2*h.backoff), 4*p.Probe)
 		return
 	}
@@ -220,7 +220,7 @@
 		}
 		if s.Pos >= 0 && s.Pos <= p.maxPosition() && s.RoleAt >= 0 && s.RoleAt <= p.maxPosition() {
 			was := h.evidence
-			if h.evidence.Join(s.Evidence); h.evidence != was {
+			if h.evidence.Merge(s.Evidence); h.evidence != was {
 				h.unpublished = true
 			}
 		}
@@ -232,7 +232,7 @@
 		if s.Boot > 0 && s.Boot == h.bootedAt {
 			if more := s.Cold - h.coldWork[f.key.incarnation]; more > 0 {
 				h.coldWork[f.key.incarnation] = s.Cold
-				p.Cold += more
+				p.ColdWork += more
 			}
 		}
 	}
@@ -283,7 +283,7 @@
 		p.nextChangeAt = p.now + p.changeInterval()
 		p.publish()
 		p.sequence++
-		c := p.view.Changes(p.incarnation, p.sequence)
+		c := p.view.TakeChanges(p.incarnation, p.sequence)
 		c.Every = p.reportInterval()
 		do.Change = &c
 		for f := range p.forwarders {
--- a/internal/router/tier/planner/planner_test.go
+++ b/internal/router/tier/planner/planner_test.go
@@ -107,7 +107,7 @@
 	f.Wanted(now)
 	for end := now + 4*second; now < end; now += 100 * ms {
 		if cut := p.Tick(now).Cut; len(cut) > 0 {
-			if cut[0] != f || p.Open() != 0 {
+			if cut[0] != f || p.ForwarderCount() != 0 {
 				t.Error("another was cut")
 			}
 			return
@@ -144,8 +144,8 @@
 	cold(now, 3000)
 	cold(now, 5000)
 	cold(now-ms, 90000) // of another start
-	if p.Cold != 5000 {
-		t.Errorf("%d", p.Cold)
+	if p.ColdWork != 5000 {
+		t.Errorf("%d", p.ColdWork)
 	}
 }
 
--- a/internal/router/tier/view/change.go
+++ b/internal/router/tier/view/change.go
@@ -30,8 +30,8 @@
 		Hosts: v.Hosts(), Digest: v.Digest()}
 }
 
-// Changes is what came since the last call, in the order of names.
-func (v *View) Changes(life, seq uint64) Change {
+// TakeChanges is what came since the last call, in the order of names.
+func (v *View) TakeChanges(life, seq uint64) Change {
 	c := Change{Life: life, Seq: seq, Floor: v.Floor, Listed: v.Listed, Routers: v.Routers, Digest: v.Digest()}
 	for name := range v.touched {
 		if h := v.hosts[name]; h != nil {
@@ -64,22 +64,22 @@
 	ErrDigestMismatch = errors.New("the view's digest differs")
 )
 
-// Copy follows one planner's view by its changes.
-type Copy struct {
+// Replica follows one planner's view by its changes.
+type Replica struct {
 	View
 	incarnation, sequence uint64
 	complete              bool
 }
 
-// Whole says whether the copy holds a view.
-func (c *Copy) Whole() bool { return c.complete }
+// Complete says whether the copy holds a view.
+func (c *Replica) Complete() bool { return c.complete }
 
-// Seq is the number that it stands at.
-func (c *Copy) Seq() uint64 { return c.sequence }
+// Sequence is the number that it stands at.
+func (c *Replica) Sequence() uint64 { return c.sequence }
 
-// Follow takes a change in. A doubled or older one is passed over; an error
+// Apply takes a change in. A doubled or older one is passed over; an error
 // says that a whole view is needed, and the copy holds none until it comes.
-func (c *Copy) Follow(ch Change) (fresh bool, err error) {
+func (c *Replica) Apply(ch Change) (fresh bool, err error) {
 	switch {
 	case ch.Whole && c.complete && ch.Life == c.incarnation && ch.Seq < c.sequence:
 		return false, nil
@@ -113,8 +113,8 @@
 	return true, nil
 }
 
-// Bad says why a host that came over a link can't be one, or nothing.
-func (h *Host) Bad() string {
+// Validate says why a host that came over a link can't be one, or nothing.
+func (h *Host) Validate() string {
 	switch {
 	case h.Name == "" || len(h.Name) > 256:
 		return "a name of no or too many bytes"
@@ -128,8 +128,8 @@
 	return ""
 }
 
-// Part is what of a copy a change that it followed has touched, as a view to join.
-func (c *Copy) Part(ch Change) *View {
+// TouchedPart is what of a copy a change that it followed has touched, as a view to join.
+func (c *Replica) TouchedPart(ch Change) *View {
 	part := &View{Floor: c.Floor, Listed: c.Listed, hosts: make(map[string]*Host, len(ch.Hosts))}
 	for i := range ch.Hosts {
 		part.hosts[ch.Hosts[i].Name] = &ch.Hosts[i]
--- a/internal/router/tier/view/view.go
+++ b/internal/router/tier/view/view.go
@@ -79,9 +79,9 @@
 	return *e != was
 }
 
-// Join takes in another's evidence of the same host. Equal turns with different
+// Merge takes in another's evidence of the same host. Equal turns with different
 // roles can't come of one host's words; a replica is the claim that costs less.
-func (e *Evidence) Join(o Evidence) bool {
+func (e *Evidence) Merge(o Evidence) bool {
 	was := *e
 	e.Pos = max(e.Pos, o.Pos)
 	if o.RoleAt > e.RoleAt || o.RoleAt == e.RoleAt && (o.Turn > e.Turn || o.Turn == e.Turn && o.Role > e.Role) {
@@ -94,7 +94,7 @@
 
 func (h *Host) mergeEvidence(e Evidence) bool {
 	mine := h.evidence()
-	if !mine.Join(e) {
+	if !mine.Merge(e) {
 		return false
 	}
 	h.Pos, h.Role, h.RoleAt, h.Turn = mine.Pos, mine.Role, mine.RoleAt, mine.Turn
@@ -156,8 +156,8 @@
 // Len is how many hosts are held, those that are gone included.
 func (v *View) Len() int { return len(v.hosts) }
 
-// Gone is how many of them are gone.
-func (v *View) Gone() int { return v.goneHosts }
+// GoneCount is how many of them are gone.
+func (v *View) GoneCount() int { return v.goneHosts }
 
 // Host is a copy of a host.
 func (v *View) Host(name string) (Host, bool) {
@@ -268,10 +268,10 @@
 	return true
 }
 
-// Settle says of all hosts that are held that the newest list still has them so,
+// Compact says of all hosts that are held that the newest list still has them so,
 // and drops those that are gone. Guards against a planner that comes back with a
 // list from before they went: what is older than the floor counts no more.
-func (v *View) Settle() { v.confirmHosts(func(h *Host) bool { return h.Standing == policy.Gone }) }
+func (v *View) Compact() { v.confirmHosts(func(h *Host) bool { return h.Standing == policy.Gone }) }
 
 func (v *View) confirmHosts(gone func(*Host) bool) {
 	v.Floor = v.Listed
@@ -317,12 +317,12 @@
 		}
 	}
 	for _, h := range o.hosts {
-		v.Take(*h, ahead)
+		v.MergeHost(*h, ahead)
 	}
 }
 
-// Take takes in one host of another view.
-func (v *View) Take(h Host, ahead policy.Tenth) bool {
+// MergeHost takes in one host of another view.
+func (v *View) MergeHost(h Host, ahead policy.Tenth) bool {
 	if h.Version.Before(v.Floor) {
 		return false
 	}
--- a/internal/router/tier/view/view_test.go
+++ b/internal/router/tier/view/view_test.go
@@ -26,7 +26,7 @@
 		v.List(Version{uint64(rapid.IntRange(0, 1).Draw(t, "gen")), int64(rapid.IntRange(0, 9).Draw(t, "rev"))},
 			rapid.Bool().Draw(t, "whole"), entries)
 		if rapid.Bool().Draw(t, "settle") {
-			v.Settle()
+			v.Compact()
 		}
 	}
 	return v
@@ -88,7 +88,7 @@
 	knows.List(Version{Rev: 10}, true, []Host{{Name: "a"}, {Name: "b"}})
 	old.Join(knows, ahead)
 	knows.List(Version{Rev: 11}, false, []Host{{Name: "b", Standing: policy.Gone}})
-	knows.Settle() // its tombstone too
+	knows.Compact() // its tombstone too
 	v := joined(knows, old)
 	if _, known := v.Host("b"); known || v.Len() != 1 {
 		t.Errorf("%+v", v.Hosts())
@@ -128,11 +128,11 @@
 func feed(n int) (first Change, all []Change, v *View) {
 	v = &View{}
 	v.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
-	v.Changes(1, 0)
+	v.TakeChanges(1, 0)
 	first = v.Whole(1, 0)
 	for i := range n {
 		v.Believe(Evidence{Name: string(rune('a' + i%2)), Pos: int64(10 + i)}, ahead) // in turn, so that a gap shows
-		all = append(all, v.Changes(1, uint64(i+1)))
+		all = append(all, v.TakeChanges(1, uint64(i+1)))
 	}
 	return first, all, v
 }
@@ -140,26 +140,26 @@
 func TestDoubledAndReorderedChangesNeverSkip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, all, v := feed(5)
-		c := Copy{}
-		if _, err := c.Follow(first); err != nil {
+		c := Replica{}
+		if _, err := c.Apply(first); err != nil {
 			t.Fatal(err)
 		}
 		for range 12 {
 			ch := rapid.SampledFrom(all).Draw(t, "change")
-			before := c.Seq()
-			if _, err := c.Follow(ch); err != nil {
+			before := c.Sequence()
+			if _, err := c.Apply(ch); err != nil {
 				if !errors.Is(err, ErrGap) || ch.Seq == before+1 {
 					t.Fatalf("%d after %d: %v", ch.Seq, before, err)
 				}
-				c.Follow(first)
+				c.Apply(first)
 			}
 			a, _ := c.Host("a")
 			b, _ := c.Host("b")
-			if at := int64(c.Seq()); at > 0 && max(a.Pos, b.Pos) != 9+at || at > 1 && min(a.Pos, b.Pos) != 8+at {
+			if at := int64(c.Sequence()); at > 0 && max(a.Pos, b.Pos) != 9+at || at > 1 && min(a.Pos, b.Pos) != 8+at {
 				t.Fatalf("at %d the positions are %d and %d", at, a.Pos, b.Pos)
 			}
 		}
-		if c.Follow(v.Whole(1, 5)); c.Digest() != v.Digest() {
+		if c.Apply(v.Whole(1, 5)); c.Digest() != v.Digest() {
 			t.Fatal("the copy differs after a whole view")
 		}
 	})
@@ -167,21 +167,21 @@
 
 func TestAPlannerThatRestartedOrAChangeCutShortLeadsToAWholeView(t *testing.T) {
 	first, all, v := feed(2)
-	c := Copy{}
-	c.Follow(first)
+	c := Replica{}
+	c.Apply(first)
 	cut := all[0]
 	cut.Hosts = nil
-	if _, err := c.Follow(cut); !errors.Is(err, ErrDigestMismatch) || c.Whole() {
+	if _, err := c.Apply(cut); !errors.Is(err, ErrDigestMismatch) || c.Complete() {
 		t.Errorf("a change without its hosts: %v", err)
 	}
-	if _, err := c.Follow(all[1]); !errors.Is(err, ErrGap) {
+	if _, err := c.Apply(all[1]); !errors.Is(err, ErrGap) {
 		t.Errorf("the next one: %v", err)
 	}
-	c.Follow(v.Whole(1, 2))
-	if _, err := c.Follow(Change{Life: 2, Seq: 3}); !errors.Is(err, ErrRestarted) || c.Whole() {
+	c.Apply(v.Whole(1, 2))
+	if _, err := c.Apply(Change{Life: 2, Seq: 3}); !errors.Is(err, ErrRestarted) || c.Complete() {
 		t.Errorf("another life's change: %v", err)
 	}
-	if fresh, err := c.Follow(v.Whole(2, 0)); !fresh || err != nil || !c.Whole() {
+	if fresh, err := c.Apply(v.Whole(2, 0)); !fresh || err != nil || !c.Complete() {
 		t.Errorf("its whole view: %v", err)
 	}
 }
