--- a/internal/router/tier/doc.go
+++ b/internal/router/tier/doc.go
@@ -1,9 +1,18 @@
-// Package tier is the two levels of a large installation. Planners watch
-// discovery, probe hosts and take what forwarders heard; forwarders serve clients
-// by the decision module on the join of the planners' views.
+// Package tier documents the two tiers of a large installation. Planners watch
+// discovery, probe hosts and collect what forwarders observe; forwarders serve
+// clients, and decide on the merged views of all planners.
 //
-//	discovery -> plan (planner: pure) -> link over line -> forward (follower: pure) -> routing -> rules
-//	hosts' answers -> routing -> forward -> link -> plan
+// Each tier is a pure core in a shell with sockets:
 //
-// view is the data that goes down, with its join; link is its form on the wire.
+//   - planner is the core of a planner, and plan its shell.
+//   - follower is the core of a forwarder's side, and forward its shell.
+//   - view is the data that planners send: the state of the fleet, its changes
+//     and how views are merged.
+//   - link is the protocol between the tiers, on bytes alone; line carries it
+//     over a connection.
+//
+// Data flows in both directions:
+//
+//	discovery -> plan (planner) -> line (link) -> forward (follower) -> routing
+//	responses of hosts -> routing -> forward -> line (link) -> plan (planner)
 package tier
--- a/internal/router/tier/follower/follower.go
+++ b/internal/router/tier/follower/follower.go
@@ -1,11 +1,18 @@
 // Package follower decides for one forwarder which planners to dial and when,
-// and what of their views is believed: the join of all that any of them ever
-// said, which no loss of a planner takes away and no order of arrival changes.
-// It has no sockets and no clock: calls bring what came in with the time in
-// tenths, Tick returns what is to be done.
+// and what of their views is accepted.
+//
+// A caller reports each event (a connection, a change, a lost link) by the
+// methods of Planner, with the time of the event, and then calls Tick, which
+// returns the actions that are due. Every change is merged into one view. The
+// merge is commutative and idempotent, so that neither the loss of a planner nor
+// the order of arrival takes anything away.
+//
+// The package is pure: it has no sockets and no clock. All times are
+// policy.Tenth, tenths of a millisecond.
 package follower
 
 import (
+	"errors"
 	"hash/crc32"
 	"slices"
 	"strconv"
@@ -14,83 +21,86 @@
 	"ferrypitch/policy"
 )
 
-const second = policy.Tenth(10000)
+const (
+	second = policy.Tenth(10000)
 
-// Terms are what one forwarder keeps to; times in tenths.
+	// missedIntervals is how many report intervals that a planner named may pass
+	// without a change before its link counts as silent.
+	missedIntervals = 3
+)
+
+// Terms are the intervals and limits of one forwarder. None has a default here.
 type Terms struct {
-	Again  policy.Tenth // the first wait before dialling anew; it doubles
-	Most   policy.Tenth // up to this
-	Report policy.Tenth // between reports, unless planners ask for longer
-	Silent policy.Tenth // a planner that says nothing for so long is left, unless it said it speaks seldom
+	Again  policy.Tenth // the first delay before a planner is dialled again; it doubles with each failure
+	Most   policy.Tenth // the upper bound of that delay
+	Report policy.Tenth // between two reports, unless a planner asks for a longer interval
+	Silent policy.Tenth // after which a link without changes is closed; a planner's own interval may lengthen it
 }
 
-// Follower is the state of one forwarder.
+// Follower is the state of one forwarder. It is not safe for concurrent use.
 type Follower struct {
-	Terms
-	seed, randomDraws          uint64
-	now                        policy.Tenth
-	planners                   []*Planner
-	view                       view.View
-	changedLateness            map[string]bool // lateness that moved
-	routerCount                int
-	noPlanner                  bool
-	lastChangeAt, nextReportAt policy.Tenth
-	reported                   bool
-
-	GapResyncs, DigestResyncs, RestartResyncs, Silences int64 // whole views asked for, by why; links left
-}
-
-// Planner is the handle of one planner.
-type Planner struct {
-	Address        string
-	follower       *Follower
-	replica        view.Replica
-	connected      bool
-	dialing        bool
-	nextDialAt     policy.Tenth
-	backoff        policy.Tenth
-	lastChangeAt   policy.Tenth
-	reportInterval policy.Tenth
-	lateness       map[string]uint8
-}
-
-// New starts a forwarder that dials all planners. routers is the count until one tells.
-func New(seed uint64, t Terms, planners []string, routers int, now policy.Tenth) *Follower {
-	f := &Follower{Terms: t, seed: seed, now: now, routerCount: routers, noPlanner: true, changedLateness: map[string]bool{}}
-	for _, a := range planners {
-		f.planners = append(f.planners, &Planner{Address: a, follower: f, backoff: t.Again})
+	config          Terms
+	seed            uint64
+	randomDraws     uint64
+	now             policy.Tenth
+	planners        []*Planner
+	view            view.View
+	changedLateness map[string]bool // hosts whose lateness changed since the last Tick
+	routerCount     int
+	noPlanner       bool
+	lastChangeAt    policy.Tenth // 0: no change has come yet
+	nextReportAt    policy.Tenth
+	reported        bool // a Tick has returned the state at least once
+
+	// Counters of full views that were requested, by cause: a missing change, a
+	// digest that differs, a planner that restarted.
+	GapResyncs, DigestResyncs, RestartResyncs int64
+	// Silences counts links that were closed because the planner sent nothing.
+	Silences int64
+}
+
+// New starts a forwarder that dials all planners, given by address. routers is
+// the number of routers to assume until a planner states one.
+func New(seed uint64, config Terms, planners []string, routers int, now policy.Tenth) *Follower {
+	f := &Follower{
+		config: config, seed: seed, now: now, routerCount: routers, noPlanner: true,
+		changedLateness: map[string]bool{},
+	}
+	for _, address := range planners {
+		f.planners = append(f.planners, &Planner{Address: address, follower: f, backoff: config.Again})
 	}
 	return f
 }
 
-// LoadList takes in the list that a forwarder is given at start.
-func (f *Follower) LoadList(rev int64, whole bool, hosts []view.Host) {
-	f.view.List(view.Version{Rev: rev}, whole, hosts)
+// LoadList applies the host list that a forwarder is given at start.
+func (f *Follower) LoadList(revision int64, whole bool, hosts []view.Host) {
+	f.view.List(view.Version{Rev: revision}, whole, hosts)
 }
 
-// Kept takes in a view that an earlier life kept: joined like a planner's, so that whatever is newer goes before it,
-// and what no host can have said by now is passed over.
-func (f *Follower) Kept(c view.Change) {
-	var kept view.Replica
-	c.Whole = true
-	if _, err := kept.Apply(c); err == nil {
-		f.view.Join(&kept.View, f.now+20)
+// Kept merges a view that an earlier process stored. Whatever a planner knows to
+// be newer replaces it, and positions that no host can have reached by now are
+// ignored. A view that does not match its digest is not used.
+func (f *Follower) Kept(change view.Change) {
+	var stored view.Replica
+	change.Whole = true
+	if _, err := stored.Apply(change); err == nil {
+		f.view.Join(&stored.View, view.MaxPosition(f.now))
 	}
 }
 
-// View is the join of all that was told; not to be changed.
+// View returns the merged view. The caller must not change it.
 func (f *Follower) View() *view.View { return &f.view }
 
-// Planners are the handles, in the order of their addresses in New.
+// Planners returns the planners in the order of the addresses given to New.
 func (f *Follower) Planners() []*Planner { return f.planners }
 
-// Ready says whether there is anything to decide on.
+// Ready reports whether any host is known.
 func (f *Follower) Ready() bool { return f.view.Len() > 0 }
 
-// Blind says that no planner is there.
+// Blind reports whether no planner was current at the last Tick.
 func (f *Follower) Blind() bool { return f.noPlanner }
 
-// Age is how long ago any planner last spoke; -1: never.
+// Age returns the time since any planner last sent a change, or -1 if none has.
 func (f *Follower) Age() policy.Tenth {
 	if f.lastChangeAt == 0 {
 		return -1
@@ -98,139 +108,98 @@
 	return f.now - f.lastChangeAt
 }
 
+// advance moves the time forward; a time that is older than the last changes nothing.
 func (f *Follower) advance(now policy.Tenth) { f.now = max(f.now, now) }
 
+// randomFraction returns a number in [0, 1) that depends on the seed and the number of draws alone.
 func (f *Follower) randomFraction() float64 {
 	f.randomDraws++
-	return float64(crc32.ChecksumIEEE(strconv.AppendUint(strconv.AppendUint(nil, f.seed, 36), f.randomDraws, 10))) / (1 << 32)
-}
-
-// Connected begins a link; the planner sends a whole view unasked.
-func (p *Planner) Connected(now policy.Tenth) {
-	p.follower.advance(now)
-	p.connected, p.dialing, p.lastChangeAt, p.reportInterval = true, false, p.follower.now, 0
-	p.replica = view.Replica{}
+	text := strconv.AppendUint(nil, f.seed, 36)
+	text = strconv.AppendUint(text, f.randomDraws, 10)
+	return float64(crc32.ChecksumIEEE(text)) / (1 << 32)
 }
 
-// Lost ends a link, or a dialling. Waits double, by a part that chance decides,
-// lest all forwarders come back to a planner at once.
-func (p *Planner) Lost(now policy.Tenth) {
-	f := p.follower
-	f.advance(now)
-	p.connected, p.dialing = false, false
-	p.nextDialAt = f.now + policy.Tenth((0.5+f.randomFraction()/2)*float64(p.backoff))
-	p.backoff = min(2*p.backoff, f.Most)
-	f.dropLateness(p)
-}
-
-// Changed takes in what a planner says. want: a whole view is to be asked for.
-func (p *Planner) Changed(now policy.Tenth, c view.Change) (want bool) {
-	f := p.follower
-	f.advance(now)
-	p.lastChangeAt, f.lastChangeAt, p.reportInterval, p.backoff = f.now, f.now, c.Every, f.Again
-	switch fresh, err := p.replica.Apply(c); {
-	case err == view.ErrDigestMismatch:
-		f.DigestResyncs++
-		return true
-	case err == view.ErrRestarted:
-		f.RestartResyncs++
-		return true
-	case err != nil:
-		f.GapResyncs++
-		return true
-	case !fresh:
-		return false
-	}
-	ahead := f.now + 20 // positions of the future are nobody's
-	if c.Whole {
-		f.view.Join(&p.replica.View, ahead)
-	} else {
-		f.view.Join(p.replica.TouchedPart(c), ahead)
-	}
-	for _, h := range c.Hosts {
-		if p.lateness[h.Name] != h.Late {
-			if p.lateness == nil {
-				p.lateness = map[string]uint8{}
-			}
-			p.lateness[h.Name] = h.Late
-			f.changedLateness[h.Name] = true
-		}
-	}
-	return false
-}
-
-// dropLateness lets go of what one planner held of lateness, which counts only while it is there.
-func (f *Follower) dropLateness(p *Planner) {
-	for name := range p.lateness {
+// dropLateness withdraws the lateness that one planner stated, which counts only
+// while the planner is connected.
+func (f *Follower) dropLateness(planner *Planner) {
+	for name := range planner.lateness {
 		f.changedLateness[name] = true
 	}
-	p.lateness = nil
+	planner.lateness = nil
 }
 
-// silenceTimeout is how long a planner may say nothing.
-func (p *Planner) silenceTimeout() policy.Tenth { return max(p.follower.Silent, 3*p.reportInterval) }
-
-// isCurrent says that a planner's word is fresh.
-func (p *Planner) isCurrent() bool {
-	return p.connected && p.replica.Complete() && p.follower.now < p.lastChangeAt+p.silenceTimeout()
-}
-
-// Todo is what a Tick asks for.
+// Todo is what a Tick asks its caller to do.
 type Todo struct {
-	Dial    []*Planner
-	Cut     []*Planner  // are silent on an open link; Lost is to be called for them
-	Report  bool        // what was heard is due at all planners that are connected
-	Hosts   []view.Host // changed, as the view has them, with lateness
-	Dropped []string
-	Told    bool // Hosts, Dropped, Routers or Blind are new
-	Routers int
-	Blind   bool
+	Dial    []*Planner  // to be dialled now
+	Cut     []*Planner  // silent on an open link; the caller closes it and reports the planner as lost
+	Report  bool        // a report of what was observed is due at all connected planners
+	Hosts   []view.Host // changed since the last Tick, with their lateness
+	Dropped []string    // names of hosts that were removed since the last Tick
+	Told    bool        // Hosts, Dropped, Routers or Blind differ from the last Tick, or this is the first
+	Routers int         // routers that share the hosts' capacity
+	Blind   bool        // no planner is current
 	Next    policy.Tenth
 }
 
-// Tick goes on to a time.
-func (f *Follower) Tick(now policy.Tenth) (do Todo) {
+// Tick advances to a time and returns what is due. Next in the result is the
+// latest time of the next call.
+func (f *Follower) Tick(now policy.Tenth) Todo {
 	f.advance(now)
-	do.Next = f.now + f.Report
-	routers, blind, every := 0, true, f.Report
-	for _, p := range f.planners {
-		if p.connected && f.now >= p.lastChangeAt+p.silenceTimeout() { // half-open: cut off, hung, or a host that vanished
+	actions := Todo{Blind: true, Next: f.now + f.config.Report}
+	reportInterval := f.config.Report
+	for _, planner := range f.planners {
+		if planner.connected && f.now >= planner.lastChangeAt+planner.silenceTimeout() {
+			// The link is half-open, or the planner hangs.
 			f.Silences++
-			do.Cut = append(do.Cut, p)
+			actions.Cut = append(actions.Cut, planner)
 			continue
 		}
-		if p.isCurrent() {
-			blind, every, routers = false, max(every, p.reportInterval), max(routers, p.replica.Routers)
-		}
-		if !p.connected && !p.dialing {
-			if f.now >= p.nextDialAt {
-				p.dialing = true
-				do.Dial = append(do.Dial, p)
-			} else {
-				do.Next = min(do.Next, p.nextDialAt)
-			}
+		if planner.isCurrent() {
+			actions.Blind = false
+			actions.Routers = max(actions.Routers, planner.replica.Routers)
+			reportInterval = max(reportInterval, planner.reportInterval)
 		}
+		f.dialIfDue(planner, &actions)
 	}
-	if routers == 0 {
-		routers = f.routerCount // the last that was told, while nobody tells
+	if actions.Routers == 0 {
+		actions.Routers = f.routerCount // the last number stated holds until there is another
 	}
 	if f.now >= f.nextReportAt {
-		f.nextReportAt, do.Report = f.now+every, !blind
+		f.nextReportAt = f.now + reportInterval
+		actions.Report = !actions.Blind
+	}
+	f.collectChanges(&actions)
+	return actions
+}
+
+// dialIfDue asks for a connection to a planner that has none, once its backoff has passed.
+func (f *Follower) dialIfDue(planner *Planner, actions *Todo) {
+	switch {
+	case planner.connected || planner.dialing:
+	case f.now >= planner.nextDialAt:
+		planner.dialing = true
+		actions.Dial = append(actions.Dial, planner)
+	default:
+		actions.Next = min(actions.Next, planner.nextDialAt)
 	}
+}
+
+// collectChanges adds what differs from the last Tick. Routers and Blind are already set.
+func (f *Follower) collectChanges(actions *Todo) {
 	for _, name := range f.takeChangedNames() {
-		if h, held := f.view.Host(name); held {
-			h.Late = f.worstLateness(name)
-			do.Hosts = append(do.Hosts, h)
+		if host, known := f.view.Host(name); known {
+			host.Late = f.worstLateness(name)
+			actions.Hosts = append(actions.Hosts, host)
 		} else {
-			do.Dropped = append(do.Dropped, name)
+			actions.Dropped = append(actions.Dropped, name)
 		}
 	}
-	do.Told = !f.reported || len(do.Hosts)+len(do.Dropped) > 0 || routers != f.routerCount || blind != f.noPlanner
-	f.routerCount, f.noPlanner, f.reported = routers, blind, true
-	do.Routers, do.Blind = routers, blind
-	return do
+	actions.Told = !f.reported || len(actions.Hosts)+len(actions.Dropped) > 0 ||
+		actions.Routers != f.routerCount || actions.Blind != f.noPlanner
+	f.routerCount, f.noPlanner, f.reported = actions.Routers, actions.Blind, true
 }
 
+// takeChangedNames returns, sorted, the hosts that changed since the last call.
 func (f *Follower) takeChangedNames() []string {
 	names := f.view.TakeChangedNames()
 	for name := range f.changedLateness {
@@ -241,10 +210,22 @@
 	return slices.Compact(names)
 }
 
-// worstLateness is the worst that a planner says.
-func (f *Follower) worstLateness(name string) (late uint8) {
-	for _, p := range f.planners {
-		late = max(late, p.lateness[name])
+// worstLateness returns the greatest lateness that any planner states for a host.
+func (f *Follower) worstLateness(name string) (lateness uint8) {
+	for _, planner := range f.planners {
+		lateness = max(lateness, planner.lateness[name])
+	}
+	return lateness
+}
+
+// countResync counts the cause of a change that could not be applied.
+func (f *Follower) countResync(cause error) {
+	switch {
+	case errors.Is(cause, view.ErrDigestMismatch):
+		f.DigestResyncs++
+	case errors.Is(cause, view.ErrRestarted):
+		f.RestartResyncs++
+	default:
+		f.GapResyncs++
 	}
-	return late
 }
--- a/internal/router/tier/forward/forward.go
+++ b/internal/router/tier/forward/forward.go
@@ -1,12 +1,15 @@
-// Package forward is a forwarder's side of the links: one goroutine owns the
-// follower, each link has one that dials and reads, and what is new in the view
-// goes to the router's own queue.
+// Package forward runs a forwarder's side of the links to the planners.
+//
+// One goroutine, Run, owns the follower and executes the actions that it
+// returns. Each link has a goroutine that dials and reads; what it receives
+// reaches the owner as functions on a channel. What changes in the view is passed
+// to the router, and what the router observed of hosts is reported to the
+// planners. One more goroutine stores the view for the next start.
 package forward
 
 import (
 	"context"
 	"errors"
-	"net"
 	"sync/atomic"
 	"time"
 
@@ -19,16 +22,30 @@
 	"ferrypitch/internal/router/tier/line"
 	"ferrypitch/internal/router/tier/link"
 	"ferrypitch/internal/router/tier/view"
-	"ferrypitch/internal/snapshotfile"
+	"ferrypitch/policy"
 )
 
-// Router is told what is new, and asked for what was heard.
+const (
+	// eventQueueLength is how many events of links may wait for the owner.
+	eventQueueLength = 64
+	// minTickDelay keeps the owner from spinning when the next tick is overdue.
+	minTickDelay = time.Millisecond
+	// tenthsPerMillisecond converts policy.Tenth, tenths of a millisecond.
+	tenthsPerMillisecond = 10
+)
+
+var errPlannerSilent = errors.New("the planner says nothing")
+
+// Router is what the view is for. Both methods are called by the owner's goroutine.
 type Router interface {
+	// Told passes what changed in the view: hosts, names of removed hosts, the
+	// number of routers that share the hosts, and whether no planner is current.
 	Told(hosts []view.Host, dropped []string, routers int, blind bool)
+	// Report returns what was observed of hosts since the last call.
 	Report() []link.Heard
 }
 
-// Forward keeps one forwarder's view.
+// Forward is one forwarder's client of the planners.
 type Forward struct {
 	settings       *setup.Forward
 	name           string
@@ -39,207 +56,132 @@
 	core           *follower.Follower
 	events         chan func()
 	conns          map[*follower.Planner]*line.Conn
-	snapshots      chan []byte // to the writer of kept views
-	nextSnapshotAt int64
-
-	SnapshotFailures, OpenLinks, Changes, FullViews, InvalidChanges, Reports, ViewAgeMs, RouterCount atomic.Int64 // Age in milliseconds, -1: never heard
-	NoPlanner                                                                                        atomic.Bool
+	snapshots      chan []byte // encoded views for the goroutine that stores them
+	nextSnapshotAt policy.Tenth
+
+	// Counters, which any goroutine may read. ViewAgeMs is in milliseconds, -1
+	// while no planner has sent a change.
+	SnapshotFailures, OpenLinks, Changes, FullViews, InvalidChanges, Reports, ViewAgeMs, RouterCount atomic.Int64
+	// NoPlanner says that no planner is current.
+	NoPlanner atomic.Bool
 }
 
-// New makes a forwarder of a life that no other has; known is the list that it starts with, if any.
-func New(section *setup.Forward, name string, life uint64, routers int, router Router, log *zap.Logger) *Forward {
-	f := &Forward{settings: section, name: name, incarnation: life, router: router, log: log, clock: clock.New(time.Now),
-		events: make(chan func(), 64), conns: map[*follower.Planner]*line.Conn{},
-		snapshots: make(chan []byte, 1)}
-	t := func(d time.Duration) int64 { return int64(d / clock.Tenth) }
-	f.core = follower.New(life, follower.Terms{Again: t(section.Again), Most: t(section.Most), Report: t(section.Report),
-		Silent: t(section.Silent)}, section.Planners, routers, f.clock.Now())
+// New makes a forwarder. incarnation differs from that of any other process;
+// routers is the number of routers to assume until a planner states one.
+func New(settings *setup.Forward, name string, incarnation uint64, routers int, router Router, log *zap.Logger) *Forward {
+	forwardClock := clock.New(time.Now)
+	config := follower.Terms{
+		Again:  tenths(settings.Again),
+		Most:   tenths(settings.Most),
+		Report: tenths(settings.Report),
+		Silent: tenths(settings.Silent),
+	}
+	f := &Forward{
+		settings: settings, name: name, incarnation: incarnation, router: router, log: log,
+		clock:     forwardClock,
+		core:      follower.New(incarnation, config, settings.Planners, routers, forwardClock.Now()),
+		events:    make(chan func(), eventQueueLength),
+		conns:     map[*follower.Planner]*line.Conn{},
+		snapshots: make(chan []byte, 1),
+	}
 	f.ViewAgeMs.Store(-1)
 	f.NoPlanner.Store(true)
 	return f
 }
 
-// Known takes in the list that a forwarder starts with, before Run.
-func (f *Forward) Known(rev int64, whole bool, hosts []view.Host) { f.core.LoadList(rev, whole, hosts) }
-
-// Kept takes in what an earlier life kept, before Run. What is wrong with it costs no more than not having it.
-func (f *Forward) Kept() {
-	if f.settings.Keep == "" {
-		return
-	}
-	body, err := snapshotfile.Read(snapshotfile.Disk{}, f.settings.Keep)
-	if snapshotfile.None(err) {
-		return
-	}
-	var c view.Change
-	if err == nil {
-		c, err = link.ReadChange(body)
-	}
-	if err != nil {
-		f.log.Warn("the kept view is not used", zap.Error(err))
-		return
-	}
-	f.core.Kept(c)
-	f.log.Info("began with a kept view", zap.Int("hosts", len(c.Hosts)))
-}
-
-// writeSnapshots writes views until the context ends. Only the newest waits; a disk that fails costs the next start, not service.
-func (f *Forward) writeSnapshots(ctx context.Context) {
-	failing := false
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case body := <-f.snapshots:
-			if err := snapshotfile.Write(snapshotfile.Disk{}, f.settings.Keep, body); err != nil {
-				if f.SnapshotFailures.Add(1); !failing {
-					f.log.Warn("the view is not kept", zap.Error(err))
-				}
-				failing = true
-				continue
-			}
-			failing = false
-		}
-	}
-}
+func tenths(duration time.Duration) policy.Tenth { return policy.Tenth(duration / clock.Tenth) }
 
-// offerSnapshot gives the writer the view as it is, unless it is still writing.
-func (f *Forward) offerSnapshot(now int64) {
-	if f.settings.Keep == "" || now < f.nextSnapshotAt || !f.core.Ready() || len(f.snapshots) > 0 {
-		return
-	}
-	f.nextSnapshotAt = now + int64(f.settings.Kept/clock.Tenth)
-	f.snapshots <- link.Body(f.core.View().Whole(f.incarnation, 0))
+// Known applies the list that a forwarder starts with. It must be called before Run.
+func (f *Forward) Known(revision int64, whole bool, hosts []view.Host) {
+	f.core.LoadList(revision, whole, hosts)
 }
 
-// enqueue hands the owner what to do.
-func (f *Forward) enqueue(ctx context.Context, do func()) {
+// enqueue passes an event to the owner, unless the context ends first.
+func (f *Forward) enqueue(ctx context.Context, event func()) {
 	select {
-	case f.events <- do:
+	case f.events <- event:
 	case <-ctx.Done():
 	}
 }
 
-// Run follows the planners until the context ends.
+// Run follows the planners until the context ends, and returns once all its
+// goroutines have ended. The error is always nil.
 func (f *Forward) Run(ctx context.Context) error {
 	links, ctx := errgroup.WithContext(ctx)
-	defer links.Wait()
 	links.Go(func() error { f.writeSnapshots(ctx); return nil })
+	f.runOwner(ctx, links)
+	return links.Wait()
+}
+
+// runOwner is the loop of the goroutine that owns the follower.
+func (f *Forward) runOwner(ctx context.Context, links *errgroup.Group) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			for _, l := range f.conns {
-				l.CloseWithError(ctx.Err())
+			for _, conn := range f.conns {
+				conn.CloseWithError(ctx.Err())
 			}
-			return nil
-		case do := <-f.events:
-			do()
+			return
+		case event := <-f.events:
+			event()
 		case <-timer.C:
 		}
-		do := f.core.Tick(f.clock.Now())
-		for _, p := range do.Cut {
-			if l := f.conns[p]; l != nil {
-				l.CloseWithError(errors.New("the planner says nothing"))
-			}
-		}
-		for _, p := range do.Dial {
-			links.Go(func() error { f.followPlanner(ctx, p); return nil })
-		}
-		if do.Told {
-			f.router.Told(do.Hosts, do.Dropped, do.Routers, do.Blind)
-			if f.NoPlanner.Load() != do.Blind {
-				f.log.Info("planners", zap.Bool("none is there", do.Blind), zap.Int("routers", do.Routers))
-			}
-		}
-		if do.Told {
-			f.offerSnapshot(f.clock.Now())
-		}
-		if do.Report {
-			f.sendReport()
-		}
-		f.NoPlanner.Store(do.Blind)
-		f.RouterCount.Store(int64(do.Routers))
-		if age := f.core.Age(); age >= 0 {
-			f.ViewAgeMs.Store(age / 10)
-		}
-		timer.Reset(max(time.Millisecond, clock.Span(do.Next-f.clock.Now())))
+		next := f.tick(ctx, links)
+		timer.Reset(max(minTickDelay, clock.Span(next-f.clock.Now())))
 	}
 }
 
-func (f *Forward) sendReport() {
-	body := link.Body(link.Report{Every: int64(f.settings.Report / clock.Tenth), Heard: f.router.Report()})
-	for _, l := range f.conns {
-		l.Send(link.KindReport, body)
+// tick executes what is due and returns the time of the next tick.
+func (f *Forward) tick(ctx context.Context, links *errgroup.Group) policy.Tenth {
+	actions := f.core.Tick(f.clock.Now())
+	for _, planner := range actions.Cut {
+		if conn := f.conns[planner]; conn != nil {
+			conn.CloseWithError(errPlannerSilent)
+		}
 	}
-	f.Reports.Add(1)
-}
-
-// followPlanner is one link, from its dialling to its end.
-func (f *Forward) followPlanner(ctx context.Context, p *follower.Planner) {
-	err := f.runLink(ctx, p)
-	f.enqueue(ctx, func() {
-		if f.conns[p] != nil {
-			f.OpenLinks.Add(-1)
-			delete(f.conns, p)
+	for _, planner := range actions.Dial {
+		links.Go(func() error { f.followPlanner(ctx, planner); return nil })
+	}
+	if actions.Told {
+		f.router.Told(actions.Hosts, actions.Dropped, actions.Routers, actions.Blind)
+		if f.NoPlanner.Load() != actions.Blind {
+			f.log.Info("planners", zap.Bool("no_planner", actions.Blind), zap.Int("routers", actions.Routers))
 		}
-		p.Lost(f.clock.Now())
-	})
-	if ctx.Err() == nil {
-		f.log.Warn("a planner is not followed", zap.String("planner", p.Address), zap.Error(err))
+		f.offerSnapshot(f.clock.Now())
 	}
-}
-
-func (f *Forward) runLink(ctx context.Context, p *follower.Planner) error {
-	conn, err := (&net.Dialer{Timeout: f.settings.Dial}).DialContext(ctx, "tcp", p.Address)
-	if err != nil {
-		return err
+	if actions.Report {
+		f.sendReport()
 	}
-	defer conn.Close()
-	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	conn.SetDeadline(time.Now().Add(f.settings.Dial))
-	l, err := line.ForwarderHandshake(conn, &f.settings.Key, f.name, f.incarnation, f.settings.Queue, f.settings.Frame, f.settings.Write)
-	if err != nil {
-		return err
+	f.NoPlanner.Store(actions.Blind)
+	f.RouterCount.Store(int64(actions.Routers))
+	if age := f.core.Age(); age >= 0 {
+		f.ViewAgeMs.Store(age / tenthsPerMillisecond)
 	}
-	l.StartWriter()
-	defer l.Wait()
-	defer l.CloseWithError(net.ErrClosed)
-	f.enqueue(ctx, func() {
-		f.conns[p] = l
-		f.OpenLinks.Add(1)
-		p.Connected(f.clock.Now())
-	})
-	for {
-		kind, body, err := l.ReadFrame()
-		if err != nil {
-			return err
-		}
-		if kind != link.KindChange {
-			continue // of a later version that shares this one's frames
-		}
-		c, err := link.ReadChange(body)
-		if err != nil {
-			f.InvalidChanges.Add(1)
-			return err
-		}
-		f.Changes.Add(1)
-		if c.Whole {
-			f.FullViews.Add(1)
-		}
-		f.enqueue(ctx, func() {
-			if f.conns[p] == l && p.Changed(f.clock.Now(), c) {
-				l.Send(link.KindViewRequest, nil)
-			}
-		})
+	return actions.Next
+}
+
+// sendReport sends all connected planners what the router observed.
+func (f *Forward) sendReport() {
+	body := link.Body(link.Report{Every: tenths(f.settings.Report), Heard: f.router.Report()})
+	for _, conn := range f.conns {
+		conn.Send(link.KindReport, body)
 	}
+	f.Reports.Add(1)
 }
 
-// Fields are the counts for a line of the log.
+// Fields returns the counters for a log line.
 func (f *Forward) Fields() []zap.Field {
-	return []zap.Field{zap.Int64("planners", f.OpenLinks.Load()), zap.Bool("blind", f.NoPlanner.Load()),
-		zap.Int64("view_age_ms", f.ViewAgeMs.Load()), zap.Int64("routers", f.RouterCount.Load()), zap.Int64("changes", f.Changes.Load()),
-		zap.Int64("whole_views", f.FullViews.Load()), zap.Int64("faulty_changes", f.InvalidChanges.Load()),
-		zap.Int64("reports", f.Reports.Load()), zap.Int64("views_not_kept", f.SnapshotFailures.Load())}
+	return []zap.Field{
+		zap.Int64("planners", f.OpenLinks.Load()),
+		zap.Bool("blind", f.NoPlanner.Load()),
+		zap.Int64("view_age_ms", f.ViewAgeMs.Load()),
+		zap.Int64("routers", f.RouterCount.Load()),
+		zap.Int64("changes", f.Changes.Load()),
+		zap.Int64("whole_views", f.FullViews.Load()),
+		zap.Int64("faulty_changes", f.InvalidChanges.Load()),
+		zap.Int64("reports", f.Reports.Load()),
+		zap.Int64("views_not_kept", f.SnapshotFailures.Load()),
+	}
 }
--- /dev/null
+++ b/internal/router/tier/forward/link.go
@@ -0,0 +1,90 @@
+package forward
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"go.uber.org/zap"
+
+	"ferrypitch/internal/router/tier/follower"
+	"ferrypitch/internal/router/tier/line"
+	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/view"
+)
+
+// followPlanner runs one link, from dialling to its end, and reports the end to the owner.
+func (f *Forward) followPlanner(ctx context.Context, planner *follower.Planner) {
+	err := f.runLink(ctx, planner)
+	f.enqueue(ctx, func() {
+		if f.conns[planner] != nil {
+			f.OpenLinks.Add(-1)
+			delete(f.conns, planner)
+		}
+		planner.Lost(f.clock.Now())
+	})
+	if ctx.Err() == nil {
+		f.log.Warn("a planner is not followed", zap.String("planner", planner.Address), zap.Error(err))
+	}
+}
+
+// runLink connects to a planner and reads its frames until the link ends, and returns why it did.
+func (f *Forward) runLink(ctx context.Context, planner *follower.Planner) error {
+	socket, err := (&net.Dialer{Timeout: f.settings.Dial}).DialContext(ctx, "tcp", planner.Address)
+	if err != nil {
+		return err
+	}
+	defer socket.Close()
+	defer context.AfterFunc(ctx, func() { socket.Close() })()
+	socket.SetDeadline(time.Now().Add(f.settings.Dial))
+	conn, err := line.ForwarderHandshake(socket, &f.settings.Key, f.name, f.incarnation,
+		f.settings.Queue, f.settings.Frame, f.settings.Write)
+	if err != nil {
+		return err
+	}
+	conn.StartWriter()
+	defer conn.Wait()
+	defer conn.CloseWithError(net.ErrClosed)
+	f.enqueue(ctx, func() {
+		f.conns[planner] = conn
+		f.OpenLinks.Add(1)
+		planner.Connected(f.clock.Now())
+	})
+	for {
+		frame, err := conn.ReadFrame()
+		if err != nil {
+			return err
+		}
+		if frame.Kind != link.KindChange {
+			continue // a later version may add kinds that this one does not know
+		}
+		if err := f.receiveChange(ctx, planner, conn, frame.Body); err != nil {
+			return err
+		}
+	}
+}
+
+// receiveChange decodes a change and passes it to the owner.
+func (f *Forward) receiveChange(ctx context.Context, planner *follower.Planner, conn *line.Conn, body []byte) error {
+	change, err := link.ReadChange(body)
+	if err != nil {
+		f.InvalidChanges.Add(1)
+		return err
+	}
+	f.Changes.Add(1)
+	if change.Whole {
+		f.FullViews.Add(1)
+	}
+	f.enqueue(ctx, func() { f.applyChange(planner, conn, change) })
+	return nil
+}
+
+// applyChange runs on the owner's goroutine. A change of a link that has ended meanwhile is ignored.
+func (f *Forward) applyChange(planner *follower.Planner, conn *line.Conn, change view.Change) {
+	if f.conns[planner] != conn {
+		return
+	}
+	if needFullView := planner.Changed(f.clock.Now(), change); needFullView {
+		conn.Send(link.KindViewRequest, nil)
+	}
+}
--- a/internal/router/tier/line/line.go
+++ b/internal/router/tier/line/line.go
@@ -1,9 +1,12 @@
-// Package line carries the link's frames over a connection: one goroutine reads,
-// one writes from a bounded queue, and a side that reads too slowly is cut.
+// Package line carries the frames of package link over a connection.
+//
+// A handshake exchanges greetings and yields a Conn. One goroutine of the caller
+// reads frames; one that StartWriter begins writes them from a bounded queue. A
+// peer that reads so slowly that the queue is full is disconnected, so that it
+// costs the others nothing.
 package line
 
 import (
-	"crypto/rand"
 	"errors"
 	"fmt"
 	"net"
@@ -13,175 +16,145 @@
 	"ferrypitch/internal/router/tier/link"
 )
 
-// ErrSlowReader tells of a reader that was cut.
+// ErrSlowReader is why a link ends whose peer reads more slowly than frames are sent.
 var ErrSlowReader = errors.New("the other side reads too slowly")
 
-// Conn is a connection whose greetings are exchanged.
+const (
+	// minBufferBytes is the first size of the receive buffer.
+	minBufferBytes = 512
+	// readAheadBytes is how far the receive buffer may exceed the frame that is awaited.
+	readAheadBytes = 4 << 10
+	// maxIdleBufferBytes is the size above which an empty buffer is released.
+	maxIdleBufferBytes = 1 << 20
+)
+
+// Conn is a connection whose greetings have been exchanged.
 type Conn struct {
-	Peer link.Greeting
+	Peer link.Greeting // what the other side sent
 
-	conn          net.Conn
+	socket        net.Conn
 	session       *link.Session
-	inbound       []byte
+	inbound       []byte // received and not read yet
 	maxFrameBytes int
 	writeTimeout  time.Duration
-	queue         chan frame
-	closeOnce     sync.Once
-	closed        chan struct{}
-	closeErr      error
-	writer        sync.WaitGroup
-}
+	queue         chan link.Frame
 
-type frame struct {
-	kind byte
-	body []byte
+	closeOnce sync.Once
+	closed    chan struct{}
+	closeErr  error // set before closed is closed
+	writer    sync.WaitGroup
 }
 
-// ForwarderHandshake greets as a forwarder, within the connection's deadline.
-func ForwarderHandshake(conn net.Conn, key *[32]byte, name string, life uint64, queue, most int, write time.Duration) (*Conn, error) {
-	mine := newGreeting(name, life)
-	if _, err := conn.Write(link.AppendGreeting(nil, mine, key)); err != nil {
-		return nil, err
-	}
-	l := newConn(conn, queue, most, write)
-	if err := l.readGreeting(key); err != nil {
-		return nil, err
-	}
-	if err := l.Peer.RefusalError(); err != nil {
-		return nil, err
+func newConn(socket net.Conn, queueLength, maxFrameBytes int, writeTimeout time.Duration) *Conn {
+	return &Conn{
+		socket: socket, maxFrameBytes: maxFrameBytes, writeTimeout: writeTimeout,
+		queue: make(chan link.Frame, queueLength), closed: make(chan struct{}),
 	}
-	l.session = link.NewSession(key, mine.Nonce, l.Peer.Nonce, true)
-	return l, nil
 }
 
-// PlannerHandshake greets as a planner, within the connection's deadline. take says whether there is room for
-// the forwarder; one of another version is told so.
-func PlannerHandshake(conn net.Conn, key *[32]byte, name string, life uint64, queue, most int, write time.Duration,
-	take func(link.Greeting) bool) (*Conn, error) {
-	l, mine := newConn(conn, queue, most, write), newGreeting(name, life)
-	err := l.readGreeting(key)
-	switch {
-	case err != nil && l.Peer.Version != 0 && l.Peer.Version != link.ProtocolVersion:
-		mine.Refusal = link.RefusalVersion
-	case err != nil:
-		return nil, err
-	case !take(l.Peer):
-		mine.Refusal = link.RefusalCapacity
-		err = errors.New("as many forwarders as are taken are there")
+// readMore reads once from the socket. The buffer grows with what has come, never
+// by what a length field claims: wanted bounds it.
+func (c *Conn) readMore(wanted int) error {
+	if len(c.inbound) == cap(c.inbound) {
+		size := max(minBufferBytes, min(2*cap(c.inbound), wanted+readAheadBytes))
+		grown := make([]byte, len(c.inbound), size)
+		copy(grown, c.inbound)
+		c.inbound = grown
 	}
-	l.session = link.NewSession(key, l.Peer.Nonce, mine.Nonce, false)
-	if _, bad := conn.Write(link.AppendGreeting(nil, mine, key)); err == nil {
-		err = bad
+	n, err := c.socket.Read(c.inbound[len(c.inbound):cap(c.inbound)])
+	c.inbound = c.inbound[:len(c.inbound)+n]
+	if n > 0 {
+		return nil // an error comes again with the next read
 	}
-	return l, err
-}
-
-func newGreeting(name string, life uint64) link.Greeting {
-	g := link.Greeting{Version: link.ProtocolVersion, Incarnation: life, Name: name}
-	rand.Read(g.Nonce[:])
-	return g
+	return err
 }
 
-func newConn(conn net.Conn, queue, most int, write time.Duration) *Conn {
-	return &Conn{conn: conn, maxFrameBytes: most, writeTimeout: write, queue: make(chan frame, queue), closed: make(chan struct{})}
+// StartWriter lifts the deadline of the handshake and starts the goroutine that
+// writes what Send queues. It ends with CloseWithError.
+func (c *Conn) StartWriter() {
+	c.socket.SetDeadline(time.Time{})
+	c.writer.Go(c.writeQueue)
 }
 
-func (l *Conn) readGreeting(key *[32]byte) error {
+func (c *Conn) writeQueue() {
+	var buffer []byte
 	for {
-		g, n, err := link.ParseGreeting(l.inbound, key)
-		if l.Peer = g; err != nil {
-			return err
-		}
-		if n > 0 {
-			l.inbound = l.inbound[n:]
-			return nil
-		}
-		if err := l.readMore(link.MaxGreetingBytes); err != nil {
-			return err
-		}
-	}
-}
-
-// readMore reads once. Space grows with what has come, never by what a length claims.
-func (l *Conn) readMore(want int) error {
-	if len(l.inbound) == cap(l.inbound) {
-		grown := make([]byte, len(l.inbound), max(512, min(2*cap(l.inbound), want+4096)))
-		copy(grown, l.inbound)
-		l.inbound = grown
-	}
-	n, err := l.conn.Read(l.inbound[len(l.inbound):cap(l.inbound)])
-	l.inbound = l.inbound[:len(l.inbound)+n]
-	if n > 0 {
-		return nil
-	}
-	return err
-}
-
-// StartWriter begins to write what Send is given.
-func (l *Conn) StartWriter() {
-	l.conn.SetDeadline(time.Time{})
-	l.writer.Go(func() {
-		var b []byte
-		for {
-			select {
-			case f := <-l.queue:
-				b = l.session.Seal(b[:0], f.kind, f.body)
-				l.conn.SetWriteDeadline(time.Now().Add(l.writeTimeout))
-				if _, err := l.conn.Write(b); err != nil {
-					l.CloseWithError(fmt.Errorf("writing: %w", err))
-					return
-				}
-				if cap(b) > 1<<20 {
-					b = nil
-				}
-			case <-l.closed:
+		select {
+		case next := <-c.queue:
+			buffer = c.session.Seal(buffer[:0], next.Kind, next.Body)
+			c.socket.SetWriteDeadline(time.Now().Add(c.writeTimeout))
+			if _, err := c.socket.Write(buffer); err != nil {
+				c.CloseWithError(fmt.Errorf("writing: %w", err))
 				return
 			}
+			if cap(buffer) > maxIdleBufferBytes {
+				buffer = nil
+			}
+		case <-c.closed:
+			return
 		}
-	})
+	}
 }
 
-// Send queues a frame, whose body is not changed after, or ends the line when too many wait.
-func (l *Conn) Send(kind byte, body []byte) {
+// Send queues a frame; the caller must not change the body afterwards. A full
+// queue ends the connection with ErrSlowReader.
+func (c *Conn) Send(kind link.FrameKind, body []byte) {
 	select {
-	case l.queue <- frame{kind, body}:
+	case c.queue <- link.Frame{Kind: kind, Body: body}:
 	default:
-		l.CloseWithError(ErrSlowReader)
+		c.CloseWithError(ErrSlowReader)
 	}
 }
 
-// ReadFrame reads the next frame; its body holds until the next call.
-func (l *Conn) ReadFrame() (kind byte, body []byte, err error) {
+// ReadFrame reads the next frame, whose body is valid until the next call. After
+// CloseWithError it returns the error given there.
+func (c *Conn) ReadFrame() (link.Frame, error) {
 	for {
-		kind, body, n, want, err := l.session.Open(l.inbound, l.maxFrameBytes)
+		size, err := link.FrameSize(c.inbound, c.maxFrameBytes)
 		if err != nil {
-			return 0, nil, err
+			return link.Frame{}, err
 		}
-		if n > 0 {
-			if l.inbound = l.inbound[n:]; len(l.inbound) == 0 && n > 1<<20 {
-				l.inbound = nil
-			}
-			return kind, body, nil
+		if len(c.inbound) >= size {
+			return c.openFrame(size)
 		}
-		if err := l.readMore(want); err != nil {
-			select {
-			case <-l.closed:
-				return 0, nil, l.closeErr
-			default:
-				return 0, nil, err
-			}
+		if err := c.readMore(size); err != nil {
+			return link.Frame{}, c.readError(err)
 		}
 	}
 }
 
-// CloseWithError closes the line for a reason, once.
-func (l *Conn) CloseWithError(why error) {
-	l.closeOnce.Do(func() {
-		l.closeErr = why
-		close(l.closed)
-		l.conn.Close()
+// openFrame takes a complete frame from what was received.
+func (c *Conn) openFrame(size int) (link.Frame, error) {
+	frame, err := c.session.Open(c.inbound[:size])
+	if err != nil {
+		return link.Frame{}, err
+	}
+	c.inbound = c.inbound[size:]
+	if len(c.inbound) == 0 && size > maxIdleBufferBytes {
+		c.inbound = nil
+	}
+	return frame, nil
+}
+
+// readError prefers the reason that the connection was closed for to what the socket reports.
+func (c *Conn) readError(err error) error {
+	select {
+	case <-c.closed:
+		return c.closeErr
+	default:
+		return err
+	}
+}
+
+// CloseWithError closes the connection; err is what ReadFrame returns from then
+// on. Only the first call has an effect.
+func (c *Conn) CloseWithError(err error) {
+	c.closeOnce.Do(func() {
+		c.closeErr = err
+		close(c.closed)
+		c.socket.Close()
 	})
 }
 
-// Wait waits for what Start began, after End.
-func (l *Conn) Wait() { l.writer.Wait() }
+// Wait waits for the writer's goroutine. It must be called after CloseWithError.
+func (c *Conn) Wait() { c.writer.Wait() }
--- a/internal/router/tier/link/link_test.go
+++ b/internal/router/tier/link/link_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"reflect"
 	"strings"
 	"testing"
@@ -11,47 +12,77 @@
 	"ferrypitch/policy"
 )
 
-var key, other = [32]byte{1}, [32]byte{2}
+var key, otherKey = [32]byte{1}, [32]byte{2}
 
-func pair() (forwarder, planner *Session) {
-	f, p := [16]byte{3}, [16]byte{4}
-	return NewSession(&key, f, p, true), NewSession(&key, f, p, false)
+// sessions returns both sides of one connection.
+func sessions() (forwarder, planner *Session) {
+	forwarderNonce, plannerNonce := [16]byte{3}, [16]byte{4}
+	return NewSession(&key, forwarderNonce, plannerNonce, true), NewSession(&key, forwarderNonce, plannerNonce, false)
 }
 
-func TestAMessageComesThroughAndIsReadByItsFields(t *testing.T) {
-	f, p := pair()
-	c := view.Change{Life: 7, Seq: 2, Hosts: []view.Host{{Name: "a", Address: "x", Set: -3, Size: 1.5, Standing: policy.Draining,
-		Version: view.Version{Gen: 1, Rev: 41}, Pos: 99, Role: policy.Replica, RoleAt: 98, Turn: 1, Late: 3}}, Dropped: []string{"b"}, Digest: 5}
-	wire := p.Seal(nil, KindChange, Body(c))
-	for cut := range wire {
-		if _, _, n, _, err := f.Open(wire[:cut], FrameMost); n != 0 || err != nil {
-			t.Fatalf("cut at %d: %d %v", cut, n, err)
+// open opens a frame that is all that was received.
+func open(session *Session, received []byte, maxBytes int) (Frame, error) {
+	size, err := FrameSize(received, maxBytes)
+	if err != nil {
+		return Frame{}, err
+	}
+	if size != len(received) {
+		return Frame{}, fmt.Errorf("a frame of %d bytes, %d received", size, len(received))
+	}
+	return session.Open(received)
+}
+
+func TestMessagesRoundTrip(t *testing.T) {
+	forwarder, planner := sessions()
+	change := view.Change{
+		Life: 7, Seq: 2, Hosts: []view.Host{{
+			Name: "a", Address: "x", Set: -3, Size: 1.5, Standing: policy.Draining,
+			Version: view.Version{Gen: 1, Rev: 41}, Pos: 99, Role: policy.Replica, RoleAt: 98, Turn: 1, Late: 3,
+		}}, Dropped: []string{"b"}, Digest: 5,
+	}
+	wire := planner.Seal(nil, KindChange, Body(change))
+	for received := range wire {
+		if size, err := FrameSize(wire[:received], FrameMost); size <= received || err != nil {
+			t.Fatalf("%d bytes received: size %d, %v", received, size, err)
 		}
+		if _, err := forwarder.Open(wire[:received]); err == nil {
+			t.Fatalf("a frame of %d of %d bytes is accepted", received, len(wire))
+		}
+	}
+	frame, err := open(forwarder, wire, FrameMost)
+	decoded, decodeErr := ReadChange(frame.Body)
+	if frame.Kind != KindChange || err != nil || decodeErr != nil || !reflect.DeepEqual(decoded, change) {
+		t.Errorf("%v %v %+v", err, decodeErr, decoded)
 	}
-	kind, body, n, _, err := f.Open(wire, FrameMost)
-	if got, bad := ReadChange(body); kind != KindChange || n != len(wire) || err != nil || bad != nil || !reflect.DeepEqual(got, c) {
-		t.Errorf("%v %v %+v", err, bad, got)
+	report := Report{Every: 2000, Heard: []Heard{{Evidence: view.Evidence{Name: "a", Pos: 4}, Count: 2, Sum: 300, Boot: 8, Cold: 1500}}}
+	frame, err = open(planner, forwarder.Seal(nil, KindReport, Body(report)), ReportMost)
+	if err != nil || frame.Kind != KindReport {
+		t.Fatalf("%v, kind %d", err, frame.Kind)
 	}
-	r := Report{Every: 2000, Heard: []Heard{{Evidence: view.Evidence{Name: "a", Pos: 4}, Count: 2, Sum: 300, Boot: 8, Cold: 1500}}}
-	_, body, _, _, _ = p.Open(f.Seal(nil, KindReport, Body(r)), ReportMost)
-	if got, err := DecodeReport(body); err != nil || !reflect.DeepEqual(got, r) {
-		t.Errorf("%v %+v", err, got)
+	if decoded, err := DecodeReport(frame.Body); err != nil || !reflect.DeepEqual(decoded, report) {
+		t.Errorf("%v %+v", err, decoded)
 	}
 }
 
-func TestNothingForgedChangedRepeatedOrTurnedRoundIsTaken(t *testing.T) {
-	_, p := pair()
-	one, two := p.Seal(nil, KindChange, []byte("one")), p.Seal(nil, KindChange, []byte("two"))
+func TestForgedAlteredReplayedAndReflectedFramesAreRejected(t *testing.T) {
+	_, planner := sessions()
+	first, second := planner.Seal(nil, KindChange, []byte("one")), planner.Seal(nil, KindChange, []byte("two"))
+	altered := bytes.Clone(first)
+	altered[6] ^= 1
+	sender, _ := sessions()
+	reflected := sender.Seal(nil, KindChange, []byte("one"))
 	for name, frames := range map[string][][]byte{
-		"a flipped byte":    {append(append([]byte{}, one[:6]...), append([]byte{one[6] ^ 1}, one[7:]...)...)},
-		"the second first":  {two},
-		"the first twice":   {one, one},
-		"another direction": {func() []byte { f, _ := pair(); return f.Seal(nil, KindChange, []byte("one")) }()},
+		"an altered byte":    {altered},
+		"the second first":   {second},
+		"the first twice":    {first, first},
+		"the own direction":  {reflected},
+		"a forged MAC":       {append(bytes.Clone(first[:len(first)-macBytes]), make([]byte, macBytes)...)},
+		"a different number": {first, second, second},
 	} {
-		f, _ := pair()
+		forwarder, _ := sessions()
 		var err error
 		for _, frame := range frames {
-			_, _, _, _, err = f.Open(frame, FrameMost)
+			_, err = open(forwarder, frame, FrameMost)
 		}
 		if !errors.Is(err, ErrAuthentication) {
 			t.Errorf("%s: %v", name, err)
@@ -59,30 +90,34 @@
 	}
 }
 
-func TestAGreetingOfAnotherKeyOrVersionIsRefusedClearly(t *testing.T) {
-	g := Greeting{Version: ProtocolVersion, Incarnation: 5, Nonce: [16]byte{6}, Name: "f1"}
-	wire := AppendGreeting(nil, g, &key)
-	if got, n, err := ParseGreeting(wire, &key); got != g || n != len(wire) || err != nil {
-		t.Errorf("%+v %d %v", got, n, err)
+func TestGreetingOfAnotherKeyOrVersionIsRejected(t *testing.T) {
+	greeting := Greeting{Version: ProtocolVersion, Incarnation: 5, Nonce: [16]byte{6}, Name: "f1"}
+	wire := AppendGreeting(nil, greeting, &key)
+	if parsed, size, err := ParseGreeting(wire, &key); parsed != greeting || size != len(wire) || err != nil {
+		t.Errorf("%+v %d %v", parsed, size, err)
 	}
-	if _, _, err := ParseGreeting(wire, &other); !errors.Is(err, ErrAuthentication) {
+	if _, _, err := ParseGreeting(wire, &otherKey); !errors.Is(err, ErrAuthentication) {
 		t.Errorf("another key: %v", err)
 	}
-	g.Version = 9
-	if _, n, err := ParseGreeting(AppendGreeting(nil, g, &key), &key); n == 0 || err == nil || !strings.Contains(err.Error(), "version 9") {
+	greeting.Version = 9
+	_, size, err := ParseGreeting(AppendGreeting(nil, greeting, &key), &key)
+	if size == 0 || err == nil || !strings.Contains(err.Error(), "version 9") {
 		t.Errorf("another version: %v", err)
 	}
 	if err := (Greeting{Refusal: RefusalVersion}).RefusalError(); err == nil {
-		t.Error("a refusal goes unsaid")
+		t.Error("a refusal is no error")
 	}
 }
 
-func TestALengthIsRefusedBeforeItIsAllocated(t *testing.T) {
-	f, _ := pair()
-	if _, _, _, _, err := f.Open([]byte{0xff, 0xff, 0xff, 0xff, 1}, ReportMost); !errors.Is(err, ErrTooLong) {
+func TestLengthIsCheckedBeforeAllocation(t *testing.T) {
+	if _, err := FrameSize([]byte{0xff, 0xff, 0xff, 0xff, 1}, ReportMost); !errors.Is(err, ErrTooLong) {
+		t.Error(err)
+	}
+	if _, err := FrameSize([]byte{0, 0, 0, 3, 1}, ReportMost); !errors.Is(err, ErrMalformed) {
 		t.Error(err)
 	}
-	if _, _, _, _, err := f.Open([]byte{0, 0, 0, 3, 1}, ReportMost); !errors.Is(err, ErrMalformed) {
+	forwarder, _ := sessions()
+	if _, err := forwarder.Open(make([]byte, lengthBytes+minFrameLength-1)); !errors.Is(err, ErrMalformed) {
 		t.Error(err)
 	}
 }
@@ -92,17 +127,17 @@
 	f.Add(Body(Report{Heard: []Heard{{Evidence: view.Evidence{Name: "a"}}}}))
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if c, err := ReadChange(body); err == nil {
-			for _, h := range c.Hosts {
-				if h.Validate() != "" {
-					t.Fatalf("%+v", h)
+		if change, err := ReadChange(body); err == nil {
+			for _, host := range change.Hosts {
+				if err := host.Validate(); err != nil {
+					t.Fatalf("%+v: %v", host, err)
 				}
 			}
 		}
-		if r, err := DecodeReport(body); err == nil {
-			again, err := DecodeReport(Body(r))
-			if err != nil || len(again.Heard) != len(r.Heard) {
-				t.Fatalf("%+v does not come back: %v", r, err)
+		if report, err := DecodeReport(body); err == nil {
+			again, err := DecodeReport(Body(report))
+			if err != nil || len(again.Heard) != len(report.Heard) {
+				t.Fatalf("%+v does not round-trip: %v", report, err)
 			}
 		}
 	})
@@ -111,10 +146,10 @@
 func FuzzGreeting(f *testing.F) {
 	f.Add(AppendGreeting(nil, Greeting{Version: ProtocolVersion, Name: "f"}, &key))
 	f.Add([]byte("fpln"))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		g, n, err := ParseGreeting(b, &key)
-		if err == nil && n > 0 && !bytes.Equal(AppendGreeting(nil, g, &key), b[:n]) {
-			t.Fatalf("%+v", g)
+	f.Fuzz(func(t *testing.T, received []byte) {
+		greeting, size, err := ParseGreeting(received, &key)
+		if err == nil && size > 0 && !bytes.Equal(AppendGreeting(nil, greeting, &key), received[:size]) {
+			t.Fatalf("%+v", greeting)
 		}
 	})
 }
--- /dev/null
+++ b/internal/router/tier/link/wire_test.go
@@ -0,0 +1,63 @@
+package link
+
+import (
+	"encoding/hex"
+	"testing"
+
+	"ferrypitch/internal/router/tier/view"
+	"ferrypitch/policy"
+)
+
+// What version 1 of the protocol sent before this package was last reorganised.
+// Planners and forwarders of both sides of an upgrade exchange these bytes.
+const (
+	wireGreeting = "66706c6e0102010203040506070809000000000000000000000000000000026631c84ac4d0c2a32a3a8a6fb4c5d42bf93d"
+	wireChange   = "0000007601a80107020204a2010102182905a201010218290602071907d00882af0161610263783a3103617a04616b052206" +
+		"f93e0007f5080109a201010218290a070b18630c020d18620e010f03a40161620263793a32050009a201010218290a1b78ca" +
+		"71d7c9ffc2ae98a7817cb66925ca47651ae96e9704dc"
+	wireRemoval = "0000005101a80107020304a2010102182a05a2010102182a06020881a90161610260050009a2010102182a0b18630c020d18" +
+		"620e010f03098161620a1bd069dae6e80915d67797549ff3d5f52b179c9e4f396312d7"
+	wireReport = "0000003002a2011907d00281a9016161020403010403050206020719012c0808091905dc2ff9e564f4c1354c732c885918f2" +
+		"62d3"
+	wireViewRequest = "0000001103367eef2e6dfcbd1eff10a75fc3e607ef"
+)
+
+func TestWireFormat(t *testing.T) {
+	greeting := Greeting{
+		Version: ProtocolVersion, Refusal: RefusalCapacity, Incarnation: 0x0102030405060708, Nonce: [16]byte{9}, Name: "f1",
+	}
+	checkWire(t, "a greeting", AppendGreeting(nil, greeting, &key), wireGreeting)
+
+	forwarder, planner := sessions()
+	var fleet view.View
+	fleet.List(view.Version{Gen: 1, Rev: 41}, true, []view.Host{
+		{
+			Name: "a", Address: "x:1", Zone: "z", Kind: "k", Set: -3, Size: 1.5, Leader: true,
+			Standing: policy.Draining, Boot: 7,
+		},
+		{Name: "b", Address: "y:2"},
+	})
+	fleet.Believe(view.Evidence{Name: "a", Pos: 99, Role: policy.Replica, RoleAt: 98, Turn: 1}, 1000)
+	fleet.Lateness("a", 3)
+	fleet.Routers = 2
+	change := fleet.TakeChanges(7, 2)
+	change.Every = 2000
+	checkWire(t, "a change", planner.Seal(nil, KindChange, Body(change)), wireChange)
+
+	fleet.List(view.Version{Gen: 1, Rev: 42}, true, []view.Host{{Name: "a"}})
+	checkWire(t, "a removal", planner.Seal(nil, KindChange, Body(fleet.TakeChanges(7, 3))), wireRemoval)
+
+	report := Report{Every: 2000, Heard: []Heard{{
+		Evidence: view.Evidence{Name: "a", Pos: 4, Role: policy.Primary, RoleAt: 3, Turn: 2},
+		Count:    2, Sum: 300, Boot: 8, Cold: 1500,
+	}}}
+	checkWire(t, "a report", forwarder.Seal(nil, KindReport, Body(report)), wireReport)
+	checkWire(t, "a request for the full view", forwarder.Seal(nil, KindViewRequest, nil), wireViewRequest)
+}
+
+func checkWire(t *testing.T, message string, sent []byte, expected string) {
+	t.Helper()
+	if encoded := hex.EncodeToString(sent); encoded != expected {
+		t.Errorf("%s is sent as %s, not as %s", message, encoded, expected)
+	}
+}
--- a/internal/router/tier/plan/plan_test.go
+++ b/internal/router/tier/plan/plan_test.go
@@ -22,12 +22,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+// waitLimit is how long a test waits before it fails.
+const waitLimit = 20 * time.Second
 
-var key, other = [32]byte{1}, [32]byte{2}
+var key, otherKey = [32]byte{1}, [32]byte{2}
 
-// begin runs a planner on a discovery of so many hosts, none of which is there.
-func begin(t *testing.T, hosts int, change func(*setup.Plan)) (address string, p *Plan, log *observer.ObservedLogs) {
+// startPlanner runs a planner on a discovery of so many hosts, none of which responds.
+func startPlanner(t *testing.T, hosts int, change func(*setup.Plan)) (address string, p *Plan, log *observer.ObservedLogs) {
 	t.Helper()
 	d, err := discovery.New()
 	if err != nil {
@@ -36,14 +37,18 @@
 	for i := range hosts {
 		d.Set(discovery.Entry{UID: "h" + strings.Repeat("x", 60) + string(rune('a'+i%26)) + string(rune('a'+i/26)), Endpoint: "127.0.0.1:1", Set: 1, State: "up"})
 	}
-	section := &setup.Plan{Key: key, Forwarders: 4, Probes: 4, PerSecond: 10, Reports: 100, Frames: 1000, Bytes: 1 << 20,
+	section := &setup.Plan{
+		Key: key, Forwarders: 4, Probes: 4, PerSecond: 10, Reports: 100, Frames: 1000, Bytes: 1 << 20,
 		Beat: 10 * time.Millisecond, Probe: time.Second, Search: 50 * time.Millisecond, Greet: 300 * time.Millisecond, Greeting: 2,
-		Queue: 4, Write: 300 * time.Millisecond, Frame: link.ReportMost}
+		Queue: 4, Write: 300 * time.Millisecond, Frame: link.ReportMost,
+	}
 	if change != nil {
 		change(section)
 	}
-	start := &setup.Start{Name: "p", Discovery: d.Address(), Limits: setup.Limits{Hosts: 8, Buffer: 1 << 10, Buffers: 1 << 22, Answer: 1 << 16,
-		Line: 1 << 20, Connect: time.Second, Idle: patience, Quiet: patience, Again: 10 * time.Millisecond}}
+	start := &setup.Start{Name: "p", Discovery: d.Address(), Limits: setup.Limits{
+		Hosts: 8, Buffer: 1 << 10, Buffers: 1 << 22, Answer: 1 << 16,
+		Line: 1 << 20, Connect: time.Second, Idle: waitLimit, Quiet: waitLimit, Again: 10 * time.Millisecond,
+	}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +60,9 @@
 	go func() { ended <- p.Run(ctx, l) }()
 	t.Cleanup(func() {
 		end()
-		<-ended
+		if err := <-ended; err != nil {
+			t.Errorf("the planner ended: %v", err)
+		}
 		d.Stop()
 	})
 	return l.Addr().String(), p, log
@@ -67,19 +74,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(patience))
+	if err := conn.SetDeadline(time.Now().Add(waitLimit)); err != nil {
+		t.Fatal(err)
+	}
 	t.Cleanup(func() { conn.Close() })
 	return conn
 }
 
-func call(conn net.Conn, k *[32]byte) (*line.Conn, error) {
-	return line.ForwarderHandshake(conn, k, "f", 3, 4, link.FrameMost, time.Second)
+// connect is a forwarder's side of the handshake.
+func connect(conn net.Conn, sharedKey *[32]byte) (*line.Conn, error) {
+	return line.ForwarderHandshake(conn, sharedKey, "f", 3, 4, link.FrameMost, time.Second)
 }
 
-// logged waits for a line of the log.
-func logged(t *testing.T, log *observer.ObservedLogs, message, text string) {
+// waitForLog waits for a log line with a message, whose error contains a text.
+func waitForLog(t *testing.T, log *observer.ObservedLogs, message, text string) {
 	t.Helper()
-	for till := time.Now().Add(patience); time.Now().Before(till); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(waitLimit); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		for _, e := range log.FilterMessage(message).All() {
 			if err, _ := e.ContextMap()["error"].(string); strings.Contains(err, text) {
 				return
@@ -89,66 +99,69 @@
 	t.Errorf("%q with %q is not logged", message, text)
 }
 
-func TestAForwarderIsSentAWholeViewThenChanges(t *testing.T) {
-	address, _, _ := begin(t, 3, nil)
-	l, err := call(dial(t, address), &key)
+func TestForwarderReceivesFullViewThenChanges(t *testing.T) {
+	address, _, _ := startPlanner(t, 3, nil)
+	l, err := connect(dial(t, address), &key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var c view.Replica
-	for c.Sequence() < 5 || c.Len() < 3 || !c.Complete() {
-		_, body, err := l.ReadFrame()
+	var replica view.Replica
+	for replica.Sequence() < 5 || replica.Len() < 3 || !replica.Complete() {
+		frame, err := l.ReadFrame()
 		if err != nil {
 			t.Fatal(err)
 		}
-		ch, err := link.ReadChange(body)
+		change, err := link.ReadChange(frame.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := c.Apply(ch); err != nil {
+		if _, err := replica.Apply(change); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func TestAnotherKeyAndAnotherVersionAreRefusedWithAWord(t *testing.T) {
-	address, p, log := begin(t, 1, nil)
-	if _, err := call(dial(t, address), &other); err == nil {
-		t.Error("another key is taken")
+func TestAnotherKeyOrVersionIsRejectedWithReason(t *testing.T) {
+	address, p, log := startPlanner(t, 1, nil)
+	if _, err := connect(dial(t, address), &otherKey); err == nil {
+		t.Error("another key is accepted")
 	}
-	logged(t, log, "a forwarder is refused", "another key")
+	waitForLog(t, log, "a forwarder is refused", "another key")
 	conn := dial(t, address)
 	conn.Write(link.AppendGreeting(nil, link.Greeting{Version: 9, Name: "f"}, &key))
 	answer, _ := io.ReadAll(conn)
 	if g, _, err := link.ParseGreeting(answer, &key); err != nil || g.Refusal != link.RefusalVersion {
 		t.Errorf("%+v %v", g, err)
 	}
-	logged(t, log, "a forwarder is refused", "version 9")
+	waitForLog(t, log, "a forwarder is refused", "version 9")
 	if p.RejectedLinks.Load() != 2 {
 		t.Errorf("%d refused", p.RejectedLinks.Load())
 	}
 }
 
-func TestMoreForwardersThanAreTakenAreToldSo(t *testing.T) {
-	address, _, _ := begin(t, 1, func(s *setup.Plan) { s.Forwarders = 1 })
-	if _, err := call(dial(t, address), &key); err != nil {
+func TestForwardersOverCapacityAreRejectedWithReason(t *testing.T) {
+	address, _, _ := startPlanner(t, 1, func(s *setup.Plan) { s.Forwarders = 1 })
+	if _, err := connect(dial(t, address), &key); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := call(dial(t, address), &key); err == nil || !strings.Contains(err.Error(), "as many forwarders") {
+	if _, err := connect(dial(t, address), &key); err == nil || !strings.Contains(err.Error(), "as many forwarders") {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestASlowReaderIsCutAndCostsTheOthersNothing(t *testing.T) {
-	address, _, log := begin(t, 600, nil)
+func TestSlowReaderIsDisconnectedWithoutEffectOnOthers(t *testing.T) {
+	address, _, log := startPlanner(t, 600, nil)
 	narrow := dial(t, address)
-	narrow.(*net.TCPConn).SetReadBuffer(4 << 10) // else how long it takes to be full is the kernel's to say
-	slow, err := call(narrow, &key)
+	// Otherwise the kernel decides how long it takes until the buffer is full.
+	if err := narrow.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
+		t.Fatal(err)
+	}
+	slow, err := connect(narrow, &key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	slow.StartWriter()
-	quick, err := call(dial(t, address), &key)
+	quick, err := connect(dial(t, address), &key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,7 +169,7 @@
 	defer slow.CloseWithError(nil)
 	defer quick.CloseWithError(nil)
 	go func() {
-		for { // asks for the whole view over and over, and reads nothing
+		for { // requests the full view again and again, and reads nothing
 			slow.Send(link.KindViewRequest, nil)
 			select {
 			case <-time.After(5 * time.Millisecond):
@@ -165,7 +178,8 @@
 			}
 		}
 	}()
-	go func() { // one that says nothing for a second is taken for gone, and it may take as long until the slow one is cut
+	// A forwarder that sends nothing for a second is disconnected, and it may take as long until the slow one is.
+	go func() {
 		for {
 			select {
 			case <-time.After(300 * time.Millisecond):
@@ -175,35 +189,35 @@
 			}
 		}
 	}()
-	cut := make(chan bool)
+	slowDisconnected := make(chan struct{})
 	go func() {
-		logged(t, log, "a forwarder left", "reads too slowly")
-		close(cut)
+		waitForLog(t, log, "a forwarder left", "reads too slowly")
+		close(slowDisconnected)
 	}()
 	for read := 0; ; read++ {
-		if _, _, err := quick.ReadFrame(); err != nil {
+		if _, err := quick.ReadFrame(); err != nil {
 			t.Fatalf("after %d frames: %v", read, err)
 		}
 		select {
-		case <-cut:
+		case <-slowDisconnected:
 			return
 		default:
 		}
 	}
 }
 
-func TestHalfAGreetingIsNotWaitedForForLong(t *testing.T) {
-	address, _, _ := begin(t, 1, nil)
-	held := []net.Conn{dial(t, address), dial(t, address)}
-	for _, c := range held {
+func TestIncompleteGreetingTimesOut(t *testing.T) {
+	address, _, _ := startPlanner(t, 1, nil)
+	unfinished := []net.Conn{dial(t, address), dial(t, address)}
+	for _, c := range unfinished {
 		c.Write([]byte("fpl"))
 	}
-	for _, c := range held {
+	for _, c := range unfinished {
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && err == nil {
 			t.Errorf("%v", err)
 		}
 	}
-	if _, err := call(dial(t, address), &key); err != nil {
+	if _, err := connect(dial(t, address), &key); err != nil {
 		t.Errorf("afterwards: %v", err)
 	}
 }
--- a/internal/router/tier/view/view.go
+++ b/internal/router/tier/view/view.go
@@ -1,18 +1,25 @@
-// Package view holds what a planner knows of a fleet and hands out: hosts as
-// the list has them, and what they said of themselves. Views join in any
-// order, any number of times, to the same. It has no clock: what orders two
-// claims is the version of the list, or the position in the log that a host
-// named with its own words, so whoever relays them wins nothing by being last.
+// Package view is the state of a fleet that planners know and send to forwarders:
+// hosts as discovery lists them, and what the hosts said of themselves.
 //
-// A planner witnesses and lists into its View; Changes cuts what is new since
-// the last time; a Copy follows those changes at a forwarder, and asks for a
-// whole view where it can't; View.Join takes all copies into the one view that
-// a forwarder decides on.
+// A planner applies lists and evidence to its View. TakeChanges returns what
+// changed since the last call, numbered, and a Replica applies those changes at a
+// forwarder; a gap or a difference makes the forwarder request a full change.
+// View.Join merges the replicas of all planners into the one view that a
+// forwarder decides on.
+//
+// Merging is commutative, associative and idempotent, as for a state-based CRDT,
+// so that the order of arrival and repeated messages do not matter. Neither does
+// any clock: claims are ordered by the version of the list, or by the position in
+// the replicated log at which a host made its statement. Whoever relays a claim
+// last gains nothing.
+//
+// The package is pure. Times and positions are policy.Tenth, tenths of a
+// millisecond.
 package view
 
 import (
 	"encoding/binary"
-	"math"
+	"maps"
 	"slices"
 	"strings"
 
@@ -21,213 +28,225 @@
 	"ferrypitch/policy"
 )
 
-// Version orders lists. Rev is discovery's; Gen is raised by the operator when
-// discovery is replaced by one that counts anew.
+// positionTolerance is how far a true position may be ahead of the clock: hosts
+// round the position of a commit up.
+const positionTolerance = policy.Tenth(20)
+
+// MaxPosition returns the greatest position that any host can have reached at a time.
+func MaxPosition(now policy.Tenth) policy.Tenth { return now + positionTolerance }
+
+// Version orders lists: by generation first, then by revision.
 type Version struct {
-	Gen uint64 `cbor:"1,keyasint,omitempty"`
-	Rev int64  `cbor:"2,keyasint,omitempty"`
+	Gen uint64 `cbor:"1,keyasint,omitempty"` // raised by the operator when discovery is replaced and its revisions start anew
+	Rev int64  `cbor:"2,keyasint,omitempty"` // discovery's own
 }
 
-// Before says that v is older than o.
-func (v Version) Before(o Version) bool { return v.Gen < o.Gen || v.Gen == o.Gen && v.Rev < o.Rev }
-
-// Host is a host as the list has it, and what it said of itself.
-type Host struct {
-	Name     string          `cbor:"1,keyasint"`
-	Address  string          `cbor:"2,keyasint"`
-	Zone     string          `cbor:"3,keyasint,omitempty"`
-	Kind     string          `cbor:"4,keyasint,omitempty"`
-	Set      int64           `cbor:"5,keyasint"`
-	Size     float64         `cbor:"6,keyasint,omitempty"`
-	Leader   bool            `cbor:"7,keyasint,omitempty"` // by the list, late
-	Standing policy.Standing `cbor:"8,keyasint,omitempty"`
-	Version  Version         `cbor:"9,keyasint"` // of the list that says all above
-	Boot     policy.Tenth    `cbor:"10,keyasint,omitempty"`
+// Before reports whether a version is older than another.
+func (v Version) Before(other Version) bool {
+	return v.Gen < other.Gen || v.Gen == other.Gen && v.Rev < other.Rev
+}
 
-	Pos    policy.Tenth `cbor:"11,keyasint,omitempty"` // it has applied all up to here
-	Role   policy.Role  `cbor:"12,keyasint,omitempty"`
-	RoleAt policy.Tenth `cbor:"13,keyasint,omitempty"` // the position that it named with its role
-	Turn   uint32       `cbor:"14,keyasint,omitempty"` // how often it changed its role at that position
+// View is the state of a fleet. The zero value is empty and ready to use. It is
+// not safe for concurrent use.
+type View struct {
+	Floor   Version // a host that only lists older than this have named is removed
+	Listed  Version // of the newest list
+	Routers int     // that share the hosts; 0: not known
 
-	Late uint8 `cbor:"15,keyasint,omitempty"` // one more than the tenths of the response target; 0: not known
+	hosts         map[string]*Host
+	goneHosts     int
+	hostDigestSum uint64
+	touched       map[string]bool // since the last TakeChanges or TakeChangedNames
 }
 
-// Evidence is a host's own words: its position, and its role if it named one.
-type Evidence struct {
-	Name   string       `cbor:"1,keyasint"`
-	Pos    policy.Tenth `cbor:"2,keyasint,omitempty"`
-	Role   policy.Role  `cbor:"3,keyasint,omitempty"`
-	RoleAt policy.Tenth `cbor:"4,keyasint,omitempty"`
-	Turn   uint32       `cbor:"5,keyasint,omitempty"`
-}
+// Len returns how many hosts are known, those that have left included.
+func (v *View) Len() int { return len(v.hosts) }
 
-// Said takes in what a host just said. later tells that it was asked after what
-// is held was heard: a role that differs at one position has then turned, else it
-// is an older word that came late.
-func (e *Evidence) Said(pos policy.Tenth, role policy.Role, later bool) bool {
-	was := *e
-	e.Pos = max(e.Pos, pos)
-	switch {
-	case role == policy.Unknown || pos < e.RoleAt:
-	case pos > e.RoleAt:
-		e.Role, e.RoleAt, e.Turn = role, pos, 0
-	case e.Role == policy.Unknown:
-		e.Role = role
-	case role != e.Role && later:
-		e.Role, e.Turn = role, e.Turn+1
+// GoneCount returns how many of the hosts have left.
+func (v *View) GoneCount() int { return v.goneHosts }
+
+// Host returns the state of a host.
+func (v *View) Host(name string) (Host, bool) {
+	host := v.hosts[name]
+	if host == nil {
+		return Host{}, false
 	}
-	return *e != was
+	return *host, true
 }
 
-// Merge takes in another's evidence of the same host. Equal turns with different
-// roles can't come of one host's words; a replica is the claim that costs less.
-func (e *Evidence) Merge(o Evidence) bool {
-	was := *e
-	e.Pos = max(e.Pos, o.Pos)
-	if o.RoleAt > e.RoleAt || o.RoleAt == e.RoleAt && (o.Turn > e.Turn || o.Turn == e.Turn && o.Role > e.Role) {
-		e.Role, e.RoleAt, e.Turn = o.Role, o.RoleAt, o.Turn
+// Hosts returns the states of all hosts, sorted by name.
+func (v *View) Hosts() []Host {
+	hosts := make([]Host, 0, len(v.hosts))
+	for _, host := range v.hosts {
+		hosts = append(hosts, *host)
 	}
-	return *e != was
+	slices.SortFunc(hosts, compareNames)
+	return hosts
 }
 
-func (h *Host) evidence() Evidence { return Evidence{h.Name, h.Pos, h.Role, h.RoleAt, h.Turn} }
+func compareNames(a, b Host) int { return strings.Compare(a.Name, b.Name) }
+
+// Digest returns a hash that is the same for views of the same content, however
+// they came by it.
+func (v *View) Digest() uint64 {
+	buffer := binary.LittleEndian.AppendUint64(nil, v.hostDigestSum)
+	for _, number := range []uint64{
+		v.Floor.Gen, uint64(v.Floor.Rev), v.Listed.Gen, uint64(v.Listed.Rev), uint64(v.Routers),
+	} {
+		buffer = binary.LittleEndian.AppendUint64(buffer, number)
+	}
+	return xxhash.Sum64(buffer)
+}
 
-func (h *Host) mergeEvidence(e Evidence) bool {
-	mine := h.evidence()
-	if !mine.Merge(e) {
+// List applies a list of discovery: a whole one, or what changed since another. A
+// whole list removes the hosts that it lacks. It returns false, and changes
+// nothing, if the list is older than the newest one applied.
+func (v *View) List(version Version, whole bool, entries []Host) bool {
+	if version.Before(v.Listed) {
 		return false
 	}
-	h.Pos, h.Role, h.RoleAt, h.Turn = mine.Pos, mine.Role, mine.RoleAt, mine.Turn
+	v.Listed = version
+	for _, entry := range entries {
+		entry.Version = version
+		entry.clearEvidence()
+		entry.Late = 0
+		v.updateHost(entry.Name, func(host *Host) bool { return host.merge(entry) })
+	}
+	if whole {
+		v.confirmHosts(func(host *Host) bool { return host.Version == version })
+	}
 	return true
 }
 
-// merge takes in another view's host. Of two lists the newer binds; at one
-// version the one that allows less does, and of what else differs there (which
-// lists of one discovery never do) the greater, so that order does not matter.
-func (h *Host) merge(o Host) bool {
-	was := *h
-	if h.Version.Before(o.Version) || h.Version == o.Version && h.listedBefore(o) {
-		h.Address, h.Zone, h.Kind, h.Set, h.Size = o.Address, o.Zone, o.Kind, o.Set, o.Size
-		h.Leader, h.Standing, h.Version, h.Boot = o.Leader, o.Standing, o.Version, o.Boot
-	}
-	h.mergeEvidence(o.evidence())
-	h.Late = max(h.Late, o.Late)
-	return *h != was
+// Compact removes the hosts that have left, and records for the others that the
+// newest list still names them. It raises the floor, so that a planner that
+// returns with an older list cannot bring a removed host back.
+func (v *View) Compact() {
+	v.confirmHosts(func(host *Host) bool { return host.Standing != policy.Gone })
 }
 
-func (h *Host) listedBefore(o Host) bool {
-	flag := func(b bool) int {
-		if b {
-			return 1
-		}
-		return 0
-	}
-	for _, c := range []int{int(h.Standing) - int(o.Standing), strings.Compare(h.Address, o.Address),
-		strings.Compare(h.Zone, o.Zone), strings.Compare(h.Kind, o.Kind), compare(h.Set, o.Set),
-		compare(h.Size, o.Size), flag(h.Leader) - flag(o.Leader), compare(h.Boot, o.Boot)} {
-		if c != 0 {
-			return c < 0
+// confirmHosts raises the floor and the version of the hosts to keep to the newest list, and removes the others.
+func (v *View) confirmHosts(keep func(*Host) bool) {
+	v.Floor = v.Listed
+	for name, host := range v.hosts {
+		if !keep(host) {
+			v.removeHost(name)
+			continue
 		}
+		v.updateHost(name, func(host *Host) bool { host.Version = v.Listed; return true })
 	}
-	return false
 }
 
-func compare[T int64 | float64](a, b T) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
+// Believe merges evidence of a host and reports whether it changed the view.
+// Evidence of an unknown host, or with a position past maxPosition, is ignored.
+func (v *View) Believe(evidence Evidence, maxPosition policy.Tenth) bool {
+	if v.hosts[evidence.Name] == nil || !plausible(evidence.Pos, evidence.RoleAt, maxPosition) {
+		return false
 	}
-	return 0
+	return v.updateHost(evidence.Name, func(host *Host) bool { return host.mergeEvidence(evidence) })
 }
 
-// View is a fleet. The zero value holds nothing and works.
-type View struct {
-	Floor         Version // hosts that no list since has named are gone
-	Listed        Version // of the newest list
-	Routers       int     // how many take commands; 0: not known
-	hosts         map[string]*Host
-	goneHosts     int
-	hostDigestSum uint64
-	touched       map[string]bool // since the last Changes
+// plausible reports whether a host can have named these positions.
+func plausible(position, rolePosition, maxPosition policy.Tenth) bool {
+	return position >= 0 && position <= maxPosition && rolePosition >= 0 && rolePosition <= maxPosition
 }
 
-// Len is how many hosts are held, those that are gone included.
-func (v *View) Len() int { return len(v.hosts) }
-
-// GoneCount is how many of them are gone.
-func (v *View) GoneCount() int { return v.goneHosts }
-
-// Host is a copy of a host.
-func (v *View) Host(name string) (Host, bool) {
-	h := v.hosts[name]
-	if h == nil {
-		return Host{}, false
+// Lateness sets the lateness of a host, if it is known. Unlike evidence it may fall again.
+func (v *View) Lateness(name string, lateness uint8) {
+	if v.hosts[name] == nil {
+		return
 	}
-	return *h, true
+	v.updateHost(name, func(host *Host) bool {
+		changed := host.Late != lateness
+		host.Late = lateness
+		return changed
+	})
 }
 
-// Hosts are copies of all hosts, in the order of their names.
-func (v *View) Hosts() []Host {
-	all := make([]Host, 0, len(v.hosts))
-	for _, h := range v.hosts {
-		all = append(all, *h)
+// Join merges another view. Any order and repetition of merges yields the same
+// list and, for hosts above the floors, the same evidence; evidence of a host below
+// a floor may be lost, which is safe, since less is then known. Claims past
+// maxPosition are ignored, and so is lateness, which is valid for a short time only.
+func (v *View) Join(other *View, maxPosition policy.Tenth) {
+	if v.Listed.Before(other.Listed) {
+		v.Listed = other.Listed
+	}
+	if v.Floor.Before(other.Floor) {
+		v.raiseFloor(other.Floor)
+	}
+	for _, host := range other.hosts {
+		v.MergeHost(*host, maxPosition)
 	}
-	slices.SortFunc(all, func(a, b Host) int { return strings.Compare(a.Name, b.Name) })
-	return all
 }
 
-// Digest is the same for views that hold the same, whatever came in which order.
-func (v *View) Digest() uint64 {
-	b := binary.LittleEndian.AppendUint64(nil, v.hostDigestSum)
-	for _, n := range []uint64{v.Floor.Gen, uint64(v.Floor.Rev), v.Listed.Gen, uint64(v.Listed.Rev), uint64(v.Routers)} {
-		b = binary.LittleEndian.AppendUint64(b, n)
+func (v *View) raiseFloor(floor Version) {
+	v.Floor = floor
+	for name, host := range v.hosts {
+		if host.Version.Before(floor) {
+			v.removeHost(name)
+		}
 	}
-	return xxhash.Sum64(b)
 }
 
-func (h *Host) digest() uint64 {
-	b := make([]byte, 0, 192)
-	for _, s := range []string{h.Name, h.Address, h.Zone, h.Kind} {
-		b = append(binary.LittleEndian.AppendUint32(b, uint32(len(s))), s...)
-	}
-	leader := uint64(0)
-	if h.Leader {
-		leader = 1
+// MergeHost merges one host of another view, as Join does, and reports whether it changed the view.
+func (v *View) MergeHost(host Host, maxPosition policy.Tenth) bool {
+	if host.Version.Before(v.Floor) {
+		return false
 	}
-	for _, n := range []uint64{uint64(h.Set), math.Float64bits(h.Size), leader, uint64(h.Standing), h.Version.Gen,
-		uint64(h.Version.Rev), uint64(h.Boot), uint64(h.Pos), uint64(h.Role), uint64(h.RoleAt), uint64(h.Turn),
-		uint64(h.Late)} {
-		b = binary.LittleEndian.AppendUint64(b, n)
+	host.Late = 0
+	if !plausible(host.Pos, host.RoleAt, maxPosition) {
+		host.clearEvidence()
 	}
-	return xxhash.Sum64(b)
+	host.Boot = max(0, min(host.Boot, maxPosition))
+	return v.updateHost(host.Name, func(own *Host) bool { return own.merge(host) })
 }
 
-// updateHost runs do on a host, which it may make, and books what that changed.
-func (v *View) updateHost(name string, do func(h *Host) bool) bool {
-	h, known := v.hosts[name]
-	if !known {
-		h = &Host{Name: name}
+// Primary returns the host of a set that routers take as its primary: of those
+// that say they are, the one that said so at the newest position. furthest is the
+// host with the newest position. Either is empty if there is none.
+func (v *View) Primary(set int64) (primary, furthest string) {
+	var newestPrimary, newestHost *Host
+	for _, name := range slices.Sorted(maps.Keys(v.hosts)) {
+		host := v.hosts[name]
+		if host.Set != set || host.Standing != policy.In {
+			continue
+		}
+		if host.Role == policy.Primary && (newestPrimary == nil || host.RoleAt > newestPrimary.RoleAt) {
+			newestPrimary, primary = host, name
+		}
+		if newestHost == nil || host.Pos > newestHost.Pos {
+			newestHost, furthest = host, name
+		}
 	}
-	before, was := uint64(0), h.Standing == policy.Gone
+	return primary, furthest
+}
+
+// updateHost runs update on a host, which is created if it is unknown, and keeps
+// the digest, the counts and the names of changed hosts up to date. update reports
+// whether it changed the host; the result is whether the view changed.
+func (v *View) updateHost(name string, update func(host *Host) bool) bool {
+	var digestBefore uint64
+	var wasGone bool
+	host, known := v.hosts[name]
 	if known {
-		before = h.digest()
+		digestBefore, wasGone = host.digest(), host.Standing == policy.Gone
+	} else {
+		host = &Host{Name: name}
 	}
-	if !do(h) && known {
+	if changed := update(host); known && !changed {
 		return false
 	}
 	if !known {
 		if v.hosts == nil {
 			v.hosts = map[string]*Host{}
 		}
-		v.hosts[name] = h
+		v.hosts[name] = host
 	}
-	v.hostDigestSum += h.digest() - before
-	switch is := h.Standing == policy.Gone; {
-	case is && !(known && was):
+	v.hostDigestSum += host.digest() - digestBefore
+	switch isGone := host.Standing == policy.Gone; {
+	case isGone && !wasGone:
 		v.goneHosts++
-	case !is && known && was:
+	case wasGone && !isGone:
 		v.goneHosts--
 	}
 	v.markTouched(name)
@@ -235,9 +254,9 @@
 }
 
 func (v *View) removeHost(name string) {
-	h := v.hosts[name]
-	v.hostDigestSum -= h.digest()
-	if h.Standing == policy.Gone {
+	host := v.hosts[name]
+	v.hostDigestSum -= host.digest()
+	if host.Standing == policy.Gone {
 		v.goneHosts--
 	}
 	delete(v.hosts, name)
@@ -250,110 +269,3 @@
 	}
 	v.touched[name] = true
 }
-
-// List takes in a list, whole or the changes since one. Of a whole one, what it
-// lacks is gone. One that is older than what is held changes nothing.
-func (v *View) List(at Version, whole bool, entries []Host) bool {
-	if at.Before(v.Listed) {
-		return false
-	}
-	v.Listed = at
-	for _, e := range entries {
-		e.Version, e.Pos, e.Role, e.RoleAt, e.Turn, e.Late = at, 0, policy.Unknown, 0, 0, 0
-		v.updateHost(e.Name, func(h *Host) bool { return h.merge(e) })
-	}
-	if whole {
-		v.confirmHosts(func(h *Host) bool { return h.Version != at })
-	}
-	return true
-}
-
-// Compact says of all hosts that are held that the newest list still has them so,
-// and drops those that are gone. Guards against a planner that comes back with a
-// list from before they went: what is older than the floor counts no more.
-func (v *View) Compact() { v.confirmHosts(func(h *Host) bool { return h.Standing == policy.Gone }) }
-
-func (v *View) confirmHosts(gone func(*Host) bool) {
-	v.Floor = v.Listed
-	for name, h := range v.hosts {
-		if gone(h) {
-			v.removeHost(name)
-			continue
-		}
-		v.updateHost(name, func(h *Host) bool { h.Version = v.Listed; return true })
-	}
-}
-
-// Believe takes in evidence of a host, from whomever, and says whether it was
-// new. ahead is the greatest position that can be true now.
-func (v *View) Believe(e Evidence, ahead policy.Tenth) bool {
-	if v.hosts[e.Name] == nil || e.Pos > ahead || e.RoleAt > ahead || e.Pos < 0 || e.RoleAt < 0 {
-		return false
-	}
-	return v.updateHost(e.Name, func(h *Host) bool { return h.mergeEvidence(e) })
-}
-
-// Lateness sets what answers of a host take, for what it is worth.
-func (v *View) Lateness(name string, late uint8) {
-	if v.hosts[name] != nil {
-		v.updateHost(name, func(h *Host) bool { was := h.Late; h.Late = late; return was != late })
-	}
-}
-
-// Join takes in all that another view holds: each order and repeat of joins ends
-// in the same list, and, of hosts above the floors, in the same evidence; what
-// was said of a host under an older floor may be lost, which only makes less
-// known. Claims past ahead are passed over, and lateness, which ages.
-func (v *View) Join(o *View, ahead policy.Tenth) {
-	if v.Listed.Before(o.Listed) {
-		v.Listed = o.Listed
-	}
-	if v.Floor.Before(o.Floor) {
-		v.Floor = o.Floor
-		for name, h := range v.hosts {
-			if h.Version.Before(v.Floor) {
-				v.removeHost(name)
-			}
-		}
-	}
-	for _, h := range o.hosts {
-		v.MergeHost(*h, ahead)
-	}
-}
-
-// MergeHost takes in one host of another view.
-func (v *View) MergeHost(h Host, ahead policy.Tenth) bool {
-	if h.Version.Before(v.Floor) {
-		return false
-	}
-	if h.Late = 0; h.Pos > ahead || h.RoleAt > ahead || h.Pos < 0 || h.RoleAt < 0 {
-		h.Pos, h.Role, h.RoleAt, h.Turn = 0, policy.Unknown, 0, 0
-	}
-	h.Boot = max(0, min(h.Boot, ahead))
-	return v.updateHost(h.Name, func(mine *Host) bool { return mine.merge(h) })
-}
-
-// Primary is the host of a set that follows as its primary: of those that say
-// they are, the one whose word is newest. Where none does, next is the one that
-// is furthest in the log.
-func (v *View) Primary(set int64) (primary, next string) {
-	var p, n *Host
-	for _, h := range v.hosts {
-		if h.Set != set || h.Standing != policy.In {
-			continue
-		}
-		if h.Role == policy.Primary && (p == nil || h.RoleAt > p.RoleAt || h.RoleAt == p.RoleAt && h.Name < p.Name) {
-			p = h
-		}
-		if n == nil || h.Pos > n.Pos || h.Pos == n.Pos && h.Name < n.Name {
-			n = h
-		}
-	}
-	if p != nil {
-		primary = p.Name
-	}
-	if n != nil {
-		next = n.Name
-	}
-	return primary, next
-}
