--- a/internal/router/trace/export/export.go
+++ b/internal/router/trace/export/export.go
@@ -14,15 +14,15 @@
 // File writes the events of one kind as Parquet, a column for each of the kind's and one for the moment. The
 // rows of a group are all that it holds in memory.
 type File struct {
-	writer *parquet.Writer
-	order  []int // of a row's values: the place of each column among those of the schema, which Parquet sorts by name
-	kind   format.Kind
-	row    parquet.Row
-	Rows   int64
+	writer       *parquet.Writer
+	valueIndexes []int // of a row's values: the place of each column among those of the schema, which Parquet sorts by name
+	kind         format.Kind
+	row          parquet.Row
+	Rows         int64
 }
 
-// rowGroup is how many rows are gathered before they are written.
-const rowGroup = 64 << 10
+// rowGroupRows is how many rows are gathered before they are written.
+const rowGroupRows = 64 << 10
 
 // New begins a file.
 func New(out io.Writer, k format.Kind) (*File, error) {
@@ -39,21 +39,23 @@
 	}
 	schema := parquet.NewSchema(k.Name, group)
 	e := &File{kind: k, row: make(parquet.Row, len(group)),
-		writer: parquet.NewWriter(out, schema, parquet.Compression(&parquet.Zstd), parquet.MaxRowsPerRowGroup(rowGroup))}
+		writer: parquet.NewWriter(out, schema, parquet.Compression(&parquet.Zstd), parquet.MaxRowsPerRowGroup(rowGroupRows))}
 	place := map[string]int{}
 	for i, path := range schema.Columns() {
 		place[path[0]] = i
 	}
-	e.order = append(e.order, place["at"])
+	e.valueIndexes = append(e.valueIndexes, place["at"])
 	for _, c := range k.Columns {
-		e.order = append(e.order, place[c.Name])
+		e.valueIndexes = append(e.valueIndexes, place[c.Name])
 	}
 	return e, nil
 }
 
 // Add adds an event of the kind.
 func (e *File) Add(ev format.Event) error {
-	set := func(column int, v parquet.Value) { e.row[e.order[column]] = v.Level(0, 0, e.order[column]) }
+	set := func(column int, v parquet.Value) {
+		e.row[e.valueIndexes[column]] = v.Level(0, 0, e.valueIndexes[column])
+	}
 	set(0, parquet.Int64Value(ev.At))
 	i, t := 0, 0
 	for c, col := range e.kind.Columns {
--- a/internal/router/trace/file/file.go
+++ b/internal/router/trace/file/file.go
@@ -21,8 +21,8 @@
 // Ending is of all trace files' names.
 const Ending = ".fptrace"
 
-// Layer is what files are written on, so that a test can have it fail.
-type Layer interface {
+// FileSystem is what files are written on, so that a test can have it fail.
+type FileSystem interface {
 	Create(path string) (File, error)
 	Remove(path string) error
 }
@@ -55,35 +55,35 @@
 
 // Writer is a record.Sink.
 type Writer struct {
-	terms  Terms
-	layer  Layer
-	header format.Header
-	log    *zap.Logger
-	empty  chan *format.Block
-	full   chan *format.Block
-	tick   func() time.Time
+	config     Terms
+	fileSystem FileSystem
+	header     format.Header
+	log        *zap.Logger
+	empty      chan *format.Block
+	full       chan *format.Block
+	now        func() time.Time
 
-	kept  []kept // files that are whole, the oldest first
-	file  File
-	path  string
-	at    int64
-	began time.Time
-	spans []format.Span
-	out   []byte
-	count int
+	closedFiles []closedFile // files that are whole, the oldest first
+	file        File
+	path        string
+	fileBytes   int64
+	openedAt    time.Time
+	spans       []format.Span
+	buffer      []byte
+	fileNumber  int
 
-	Bytes, Written, Files atomic.Int64
-	Ended                 atomic.Bool // the disk failed: nothing more is written
+	Bytes, WrittenEvents, Files atomic.Int64
+	Ended                       atomic.Bool // the disk failed: nothing more is written
 }
 
-type kept struct {
+type closedFile struct {
 	path string
 	size int64
 }
 
 // New makes a writer; header is of every file. Nothing is written before Run.
-func New(t Terms, layer Layer, header format.Header, now func() time.Time, log *zap.Logger) *Writer {
-	w := &Writer{terms: t, layer: layer, header: header, log: log, tick: now,
+func New(t Terms, layer FileSystem, header format.Header, now func() time.Time, log *zap.Logger) *Writer {
+	w := &Writer{config: t, fileSystem: layer, header: header, log: log, now: now,
 		empty: make(chan *format.Block, t.Blocks), full: make(chan *format.Block, t.Blocks)}
 	for range t.Blocks {
 		w.empty <- format.NewBlock(header.Schema)
@@ -118,7 +118,7 @@
 
 // Run writes until the context ends, and then what is in the queue.
 func (w *Writer) Run(ctx context.Context) error {
-	sync := time.NewTicker(w.terms.Flush)
+	sync := time.NewTicker(w.config.Flush)
 	defer sync.Stop()
 	defer w.finish()
 	for {
@@ -127,25 +127,25 @@
 			for {
 				select {
 				case b := <-w.full:
-					w.block(b)
+					w.writeAndRelease(b)
 				default:
 					return nil
 				}
 			}
 		case b := <-w.full:
-			w.block(b)
+			w.writeAndRelease(b)
 		case <-sync.C:
 			if w.file != nil && !w.Ended.Load() {
 				if err := w.file.Sync(); err != nil {
-					w.fail(err)
+					w.stop(err)
 				}
 			}
 		}
 	}
 }
 
-// block writes one, and gives its room back.
-func (w *Writer) block(b *format.Block) {
+// writeAndRelease writes one, and gives its room back.
+func (w *Writer) writeAndRelease(b *format.Block) {
 	defer func() {
 		b.Reset()
 		w.empty <- b
@@ -153,49 +153,49 @@
 	if w.Ended.Load() {
 		return
 	}
-	if err := w.write(b); err != nil {
-		w.fail(err)
+	if err := w.writeBlock(b); err != nil {
+		w.stop(err)
 	}
 }
 
-func (w *Writer) write(b *format.Block) error {
-	if w.file != nil && rotate(w.at, w.tick().Sub(w.began), w.terms) {
-		if err := w.end(); err != nil {
+func (w *Writer) writeBlock(b *format.Block) error {
+	if w.file != nil && mustRotate(w.fileBytes, w.now().Sub(w.openedAt), w.config) {
+		if err := w.closeFile(); err != nil {
 			return err
 		}
 	}
 	if w.file == nil {
-		if err := w.open(); err != nil {
+		if err := w.openFile(); err != nil {
 			return err
 		}
 	}
-	out, span, err := b.Append(w.out[:0], w.at)
+	out, span, err := b.Append(w.buffer[:0], w.fileBytes)
 	if err != nil {
 		return err
 	}
-	if w.out = out; cap(out) > 1<<20 {
-		w.out = nil
+	if w.buffer = out; cap(out) > 1<<20 {
+		w.buffer = nil
 	}
-	if err := w.put(out); err != nil {
+	if err := w.writeBytes(out); err != nil {
 		return err
 	}
 	w.spans = append(w.spans, span)
-	w.Written.Add(int64(span.Count))
+	w.WrittenEvents.Add(int64(span.Count))
 	return nil
 }
 
-func (w *Writer) put(b []byte) error {
+func (w *Writer) writeBytes(b []byte) error {
 	n, err := w.file.Write(b)
-	w.at += int64(n)
+	w.fileBytes += int64(n)
 	w.Bytes.Add(int64(n))
 	return err
 }
 
-// rotate says whether a file of a size and an age is to be followed by another.
-func rotate(size int64, age time.Duration, t Terms) bool { return size >= t.Size || age >= t.Age }
+// mustRotate says whether a file of a size and an age is to be followed by another.
+func mustRotate(size int64, age time.Duration, t Terms) bool { return size >= t.Size || age >= t.Age }
 
-// over names the oldest files that make way for another of at most size within a budget.
-func over(all []kept, size, budget int64) (gone int) {
+// countToRemove names the oldest files that make way for another of at most size within a budget.
+func countToRemove(all []closedFile, size, budget int64) (gone int) {
 	total := size
 	for _, k := range all {
 		total += k.size
@@ -207,31 +207,31 @@
 	return gone
 }
 
-func (w *Writer) open() error {
-	gone := over(w.kept, w.terms.Size, w.terms.Budget)
-	for _, k := range w.kept[:gone] {
-		if err := w.layer.Remove(k.path); err != nil && !os.IsNotExist(err) {
+func (w *Writer) openFile() error {
+	gone := countToRemove(w.closedFiles, w.config.Size, w.config.Budget)
+	for _, k := range w.closedFiles[:gone] {
+		if err := w.fileSystem.Remove(k.path); err != nil && !os.IsNotExist(err) {
 			return err
 		}
 	}
-	w.kept = slices.Delete(w.kept, 0, gone)
-	w.count++
-	w.path = filepath.Join(w.terms.Dir, fmt.Sprintf("%s-%016x-%04d%s", clean(w.terms.Name), w.header.Life, w.count, Ending))
-	file, err := w.layer.Create(w.path)
+	w.closedFiles = slices.Delete(w.closedFiles, 0, gone)
+	w.fileNumber++
+	w.path = filepath.Join(w.config.Dir, fmt.Sprintf("%s-%016x-%04d%s", sanitize(w.config.Name), w.header.Life, w.fileNumber, Ending))
+	file, err := w.fileSystem.Create(w.path)
 	if err != nil {
 		return err
 	}
-	w.file, w.at, w.began, w.spans = file, 0, w.tick(), nil
+	w.file, w.fileBytes, w.openedAt, w.spans = file, 0, w.now(), nil
 	w.Files.Add(1)
 	head, err := format.AppendHeader(nil, w.header)
 	if err != nil {
 		return err
 	}
-	return w.put(head)
+	return w.writeBytes(head)
 }
 
-// clean keeps of a name what a file's name may hold.
-func clean(name string) string {
+// sanitize keeps of a name what a file's name may hold.
+func sanitize(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '_' {
 			return r
@@ -240,11 +240,11 @@
 	}, name)
 }
 
-// end finishes a file with its index.
-func (w *Writer) end() error {
-	tail, err := format.AppendIndex(nil, w.spans, w.at)
+// closeFile finishes a file with its index.
+func (w *Writer) closeFile() error {
+	tail, err := format.AppendIndex(nil, w.spans, w.fileBytes)
 	if err == nil {
-		err = w.put(tail)
+		err = w.writeBytes(tail)
 	}
 	if err == nil {
 		err = w.file.Sync()
@@ -252,13 +252,13 @@
 	if bad := w.file.Close(); err == nil {
 		err = bad
 	}
-	w.kept = append(w.kept, kept{w.path, w.at})
+	w.closedFiles = append(w.closedFiles, closedFile{w.path, w.fileBytes})
 	w.file = nil
 	return err
 }
 
-// fail ends capture, never service. What was written can be read up to here.
-func (w *Writer) fail(err error) {
+// stop ends capture, never service. What was written can be read up to here.
+func (w *Writer) stop(err error) {
 	if w.Ended.Swap(true) {
 		return
 	}
@@ -271,14 +271,14 @@
 
 func (w *Writer) finish() {
 	if w.file != nil {
-		if err := w.end(); err != nil {
-			w.fail(err)
+		if err := w.closeFile(); err != nil {
+			w.stop(err)
 		}
 	}
 }
 
 // Fields are the counts for a line of the log.
 func (w *Writer) Fields() []zap.Field {
-	return []zap.Field{zap.Int64("trace_events", w.Written.Load()), zap.Int64("trace_bytes", w.Bytes.Load()),
+	return []zap.Field{zap.Int64("trace_events", w.WrittenEvents.Load()), zap.Int64("trace_bytes", w.Bytes.Load()),
 		zap.Int64("trace_files", w.Files.Load()), zap.Bool("trace_ended", w.Ended.Load())}
 }
--- a/internal/router/trace/file/file_test.go
+++ b/internal/router/trace/file/file_test.go
@@ -149,8 +149,8 @@
 			t.Fatalf("with %d bytes: blocks are taken still", room)
 		}
 		events, files, broken := count(t, dir)
-		if int64(events) < w.Written.Load() || broken > 1 || files == 0 {
-			t.Fatalf("with %d bytes: %d events read of %d written, %d of %d files broken", room, events, w.Written.Load(), broken, files)
+		if int64(events) < w.WrittenEvents.Load() || broken > 1 || files == 0 {
+			t.Fatalf("with %d bytes: %d events read of %d written, %d of %d files broken", room, events, w.WrittenEvents.Load(), broken, files)
 		}
 	}
 }
--- a/internal/router/trace/format/format_test.go
+++ b/internal/router/trace/format/format_test.go
@@ -14,7 +14,7 @@
 
 var schema = Schema{
 	{Name: "taken", Columns: []Column{{"id", Text, Identity}, {"set", Int, Plain}, {"group", Text, Plain}}},
-	{Name: "ended", Columns: []Column{{"outcome", Int, Plain}, {"host", Text, Place}, {"took", Int, Plain}}},
+	{Name: "ended", Columns: []Column{{"outcome", Int, Plain}, {"host", Text, Topology}, {"took", Int, Plain}}},
 	{Name: "stalled"},
 }
 
@@ -56,7 +56,7 @@
 	}
 	for {
 		_, some, err := r.Next()
-		var f *Fault
+		var f *CorruptBlockError
 		switch {
 		case err == io.EOF:
 			return events, faults, nil
@@ -145,7 +145,7 @@
 			bad[at] ^= 0x10
 			got, faults, err := read(bad)
 			if len(faults) == 0 || faults[0] != s.Offset {
-				if errors.Is(err, ErrBreak) && at < s.Offset+frameHead {
+				if errors.Is(err, ErrTruncated) && at < s.Offset+frameHeaderBytes {
 					continue // a length that lies takes what is behind it along, or the rest of the file
 				}
 				t.Fatalf("block %d, byte %d: faults %v, %v", i, at-s.Offset, faults, err)
@@ -160,11 +160,11 @@
 func TestANewerVersionIsRefusedByNumberAndAForeignFileByName(t *testing.T) {
 	file, _ := write(t, few(1), 9)
 	newer := bytes.Clone(file)
-	newer[len(opening)] = 2
-	if _, err := NewReader(bytes.NewReader(newer)); !errors.Is(err, ErrNewer) || !strings.Contains(err.Error(), "version 2") {
+	newer[len(fileMagic)] = 2
+	if _, err := NewReader(bytes.NewReader(newer)); !errors.Is(err, ErrNewerVersion) || !strings.Contains(err.Error(), "version 2") {
 		t.Error(err)
 	}
-	if _, err := NewReader(strings.NewReader("PAR1 and so on, for long enough to be read")); !errors.Is(err, ErrForm) {
+	if _, err := NewReader(strings.NewReader("PAR1 and so on, for long enough to be read")); !errors.Is(err, ErrNotTrace) {
 		t.Error(err)
 	}
 }
@@ -200,7 +200,7 @@
 	file, _ := write(f, few(3), 4)
 	f.Add(file)
 	f.Add(file[:len(file)-30])
-	f.Add([]byte(opening))
+	f.Add([]byte(fileMagic))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		events, _, _ := read(b)
 		ReadIndex(bytes.NewReader(b), int64(len(b)))
--- a/internal/router/trace/format/schema.go
+++ b/internal/router/trace/format/schema.go
@@ -21,7 +21,7 @@
 const (
 	Plain    Mark = iota + 1 // nothing: kept
 	Identity                 // of a viewer, session, command or key: a pseudonym
-	Place                    // of a host, router or address: a pseudonym
+	Topology                 // of a host, router or address: a pseudonym
 	Words                    // free text: dropped
 )
 
--- a/internal/router/trace/record/plan.go
+++ b/internal/router/trace/record/plan.go
@@ -8,7 +8,7 @@
 
 // Planner records one planner: what it heard, whom it asked, and what it told. It is called by the planner's
 // owner alone; nil records nothing.
-type Planner struct{ r *Recorder }
+type Planner struct{ recorder *Recorder }
 
 // NewPlanner records into blocks of about size bytes.
 func NewPlanner(sink Sink, size int) *Planner {
@@ -18,40 +18,40 @@
 // Now tells the moment of the events that follow, and system the reading of the system's clock beside it.
 func (p *Planner) Now(now policy.Tenth, system int64) {
 	if p != nil {
-		p.r.Now(now)
-		p.r.System(system)
+		p.recorder.Now(now)
+		p.recorder.System(system)
 	}
 }
 
 // Flush hands over what was gathered.
 func (p *Planner) Flush() {
 	if p != nil {
-		p.r.Flush()
+		p.recorder.Flush()
 	}
 }
 
 func (p *Planner) List(revision int64, whole bool, entries int, held bool) {
 	if p != nil {
-		p.r.add(PlanList, revision, flag(whole), int64(entries), flag(held))
+		p.recorder.addNumbers(PlanList, revision, flag(whole), int64(entries), flag(held))
 	}
 }
 
 func (p *Planner) Probe(name string) {
 	if p != nil {
-		p.r.put(PlanProbe, nil, []string{name})
+		p.recorder.addEvent(PlanProbe, nil, []string{name})
 	}
 }
 
 func (p *Planner) Probed(name string, ok bool, pos policy.Tenth, role policy.Role, took policy.Tenth) {
 	if p != nil {
-		p.r.put(PlanProbed, []int64{flag(ok), pos, int64(role), took}, []string{name})
+		p.recorder.addEvent(PlanProbed, []int64{flag(ok), pos, int64(role), took}, []string{name})
 	}
 }
 
 // Change is a change that goes to so many links, to whole of them as a whole view.
 func (p *Planner) Change(c *view.Change, whole, links int) {
 	if p != nil && (len(c.Hosts)+len(c.Dropped) > 0 || whole > 0) {
-		p.r.add(PlanChange, int64(c.Seq), int64(len(c.Hosts)), int64(len(c.Dropped)), int64(c.Routers), c.Every, int64(whole), int64(links))
+		p.recorder.addNumbers(PlanChange, int64(c.Seq), int64(len(c.Hosts)), int64(len(c.Dropped)), int64(c.Routers), c.Every, int64(whole), int64(links))
 	}
 }
 
@@ -63,12 +63,12 @@
 	for _, h := range r.Heard {
 		answers, cold = answers+int64(h.Count), cold+h.Cold
 	}
-	p.r.put(PlanReport, []int64{int64(len(r.Heard)), answers, cold}, []string{forwarder})
+	p.recorder.addEvent(PlanReport, []int64{int64(len(r.Heard)), answers, cold}, []string{forwarder})
 }
 
 // Forwarder is the beginning of a link, or its end and why.
 func (p *Planner) Forwarder(name string, life uint64, open bool, why string) {
 	if p != nil {
-		p.r.put(PlanForwarder, []int64{flag(open), int64(life)}, []string{name, why})
+		p.recorder.addEvent(PlanForwarder, []int64{flag(open), int64(life)}, []string{name, why})
 	}
 }
--- a/internal/router/trace/record/record.go
+++ b/internal/router/trace/record/record.go
@@ -57,18 +57,18 @@
 	Watch    // asked for by it
 )
 
-func i(names ...string) (all []format.Column) {
+func intColumns(names ...string) (all []format.Column) {
 	for _, n := range names {
 		all = append(all, format.Column{Name: n, Type: format.Int, Mark: format.Plain})
 	}
 	return all
 }
 
-func t(name string, m format.Mark) []format.Column {
+func textColumn(name string, m format.Mark) []format.Column {
 	return []format.Column{{Name: name, Type: format.Text, Mark: m}}
 }
 
-func kind(name string, columns ...[]format.Column) format.Kind {
+func eventKind(name string, columns ...[]format.Column) format.Kind {
 	k := format.Kind{Name: name}
 	for _, c := range columns {
 		k.Columns = append(k.Columns, c...)
@@ -79,43 +79,43 @@
 // Schema is of all files that are written here. Commands and hosts have numbers; times are in tenths of a
 // millisecond, sizes and shares in the bits of a float, work and lateness in thousandths.
 var Schema = format.Schema{
-	Host:      kind("host", i("host", "set"), t("name", format.Place)),
-	Listed:    kind("listed", i("host", "standing", "leader", "size", "boot"), t("zone", format.Place), t("model", format.Plain)),
-	ListDone:  kind("list_done", i("whole")),
-	Take:      kind("take", i("command", "group", "set", "timeout", "since", "again"), t("id", format.Identity), t("session", format.Identity)),
-	Ended:     kind("ended", i("command", "outcome", "position", "role", "took", "over")),
-	Left:      kind("left", i("command")),
-	Reported:  kind("reported", i("host", "position", "role")),
-	Probed:    kind("probed", i("host", "ok")),
-	Heard:     kind("heard", t("body", format.Words)),
-	Woke:      kind("woke"),
-	Told:      kind("told", i("host", "position", "role", "role_at", "late")),
-	Count:     kind("count", i("routers", "blind")),
-	Anew:      kind("anew"),
-	Dispatch:  kind("dispatch", i("command", "host", "timeout", "send_by", "for", "work")),
-	Throttle:  kind("throttle", i("command", "comeback")),
-	Fail:      kind("fail", i("command")),
-	Probe:     kind("probe", i("host")),
-	Close:     kind("close", i("host")),
-	Forget:    kind("forget", i("host")),
-	Tell:      kind("tell", t("body", format.Words)),
-	Wake:      kind("wake", i("after")),
-	Candidate: kind("candidate", i("command", "host", "standing", "role", "position", "out", "late", "share", "state")),
-	List:      kind("list", i("revision", "whole", "entries")),
-	Stall:     kind("stall", i("span")),
-	Reload:    kind("reload", i("ok")),
-	Clock:     kind("clock", i("system")),
-	View:      kind("view", i("hosts", "dropped", "routers", "blind")),
-
-	PlanList:      kind("plan_list", i("revision", "whole", "entries", "held")),
-	PlanProbe:     kind("plan_probe", t("name", format.Place)),
-	PlanProbed:    kind("plan_probed", i("ok", "position", "role", "took"), t("name", format.Place)),
-	PlanChange:    kind("plan_change", i("seq", "hosts", "dropped", "routers", "every", "whole", "links")),
-	PlanReport:    kind("plan_report", i("entries", "answers", "cold"), t("forwarder", format.Place)),
-	PlanForwarder: kind("plan_forwarder", i("open", "life"), t("forwarder", format.Place), t("why", format.Words)),
-
-	Unlisted: kind("unlisted"),
-	Watch:    kind("watch"),
+	Host:      eventKind("host", intColumns("host", "set"), textColumn("name", format.Topology)),
+	Listed:    eventKind("listed", intColumns("host", "standing", "leader", "size", "boot"), textColumn("zone", format.Topology), textColumn("model", format.Plain)),
+	ListDone:  eventKind("list_done", intColumns("whole")),
+	Take:      eventKind("take", intColumns("command", "group", "set", "timeout", "since", "again"), textColumn("id", format.Identity), textColumn("session", format.Identity)),
+	Ended:     eventKind("ended", intColumns("command", "outcome", "position", "role", "took", "over")),
+	Left:      eventKind("left", intColumns("command")),
+	Reported:  eventKind("reported", intColumns("host", "position", "role")),
+	Probed:    eventKind("probed", intColumns("host", "ok")),
+	Heard:     eventKind("heard", textColumn("body", format.Words)),
+	Woke:      eventKind("woke"),
+	Told:      eventKind("told", intColumns("host", "position", "role", "role_at", "late")),
+	Count:     eventKind("count", intColumns("routers", "blind")),
+	Anew:      eventKind("anew"),
+	Dispatch:  eventKind("dispatch", intColumns("command", "host", "timeout", "send_by", "for", "work")),
+	Throttle:  eventKind("throttle", intColumns("command", "comeback")),
+	Fail:      eventKind("fail", intColumns("command")),
+	Probe:     eventKind("probe", intColumns("host")),
+	Close:     eventKind("close", intColumns("host")),
+	Forget:    eventKind("forget", intColumns("host")),
+	Tell:      eventKind("tell", textColumn("body", format.Words)),
+	Wake:      eventKind("wake", intColumns("after")),
+	Candidate: eventKind("candidate", intColumns("command", "host", "standing", "role", "position", "out", "late", "share", "state")),
+	List:      eventKind("list", intColumns("revision", "whole", "entries")),
+	Stall:     eventKind("stall", intColumns("span")),
+	Reload:    eventKind("reload", intColumns("ok")),
+	Clock:     eventKind("clock", intColumns("system")),
+	View:      eventKind("view", intColumns("hosts", "dropped", "routers", "blind")),
+
+	PlanList:      eventKind("plan_list", intColumns("revision", "whole", "entries", "held")),
+	PlanProbe:     eventKind("plan_probe", textColumn("name", format.Topology)),
+	PlanProbed:    eventKind("plan_probed", intColumns("ok", "position", "role", "took"), textColumn("name", format.Topology)),
+	PlanChange:    eventKind("plan_change", intColumns("seq", "hosts", "dropped", "routers", "every", "whole", "links")),
+	PlanReport:    eventKind("plan_report", intColumns("entries", "answers", "cold"), textColumn("forwarder", format.Topology)),
+	PlanForwarder: eventKind("plan_forwarder", intColumns("open", "life"), textColumn("forwarder", format.Topology), textColumn("why", format.Words)),
+
+	Unlisted: eventKind("unlisted"),
+	Watch:    eventKind("watch"),
 }
 
 // Sink takes blocks and gives empty ones; neither waits.
@@ -128,20 +128,20 @@
 
 // Recorder records one router. A nil one records nothing.
 type Recorder struct {
-	sink     Sink
-	block    *format.Block
-	size     int
-	lost     uint64
-	now      int64
-	hosts    map[*policy.Node]int64
-	commands map[*policy.Cmd]int64
-	next     int64 // command
-	nodes    int64
-	part     uint32 // of sessions that are recorded, in thousandths
-	key      [32]byte
-	detail   bool
-	clockAt  int64
-	asked    int64 // the command that Take was called for, whose handle is not known yet
+	sink            Sink
+	block           *format.Block
+	blockBytes      int
+	unreportedLost  uint64
+	now             int64
+	hosts           map[*policy.Node]int64
+	commands        map[*policy.Cmd]int64
+	lastCommand     int64 // command
+	lastHost        int64
+	sampledPerMille uint32 // of sessions that are recorded, in thousandths
+	key             [32]byte
+	withCandidates  bool
+	nextClockAt     int64
+	pendingCommand  int64 // the command that Take was called for, whose handle is not known yet
 
 	Events, Lost uint64
 }
@@ -149,7 +149,7 @@
 // New records into blocks of about size bytes. part is how many sessions in a thousand are recorded, chosen by a
 // keyed hash; with less than all, no replay is possible. detail: the candidates of each dispatch too.
 func New(sink Sink, size int, part uint32, key [32]byte, detail bool) *Recorder {
-	return &Recorder{sink: sink, size: size, part: part, key: key, detail: detail, hosts: map[*policy.Node]int64{},
+	return &Recorder{sink: sink, blockBytes: size, sampledPerMille: part, key: key, withCandidates: detail, hosts: map[*policy.Node]int64{},
 		commands: map[*policy.Cmd]int64{}}
 }
 
@@ -182,9 +182,9 @@
 
 // System notes a reading of the system's clock beside the module's, now and then.
 func (r *Recorder) System(reading int64) {
-	if r != nil && r.now >= r.clockAt {
-		r.clockAt = r.now + 10000
-		r.add(Clock, reading)
+	if r != nil && r.now >= r.nextClockAt {
+		r.nextClockAt = r.now + 10000
+		r.addNumbers(Clock, reading)
 	}
 }
 
@@ -195,21 +195,21 @@
 	return 0
 }
 
-// add adds an event of numbers.
-func (r *Recorder) add(kind int, ints ...int64) { r.put(kind, ints, nil) }
+// addNumbers adds an event of numbers.
+func (r *Recorder) addNumbers(kind int, ints ...int64) { r.addEvent(kind, ints, nil) }
 
-func (r *Recorder) put(kind int, ints []int64, texts []string) {
+func (r *Recorder) addEvent(kind int, ints []int64, texts []string) {
 	if r.block == nil {
 		if r.block = r.sink.Get(); r.block == nil {
-			r.lost++
+			r.unreportedLost++
 			r.Lost++
 			return
 		}
-		r.block.Lost(r.lost)
-		r.lost = 0
+		r.block.Lost(r.unreportedLost)
+		r.unreportedLost = 0
 	}
 	r.block.Add(r.now, kind, ints, texts)
-	if r.Events++; r.block.Full(r.size) {
+	if r.Events++; r.block.Full(r.blockBytes) {
 		r.Flush()
 	}
 }
@@ -220,11 +220,11 @@
 		return
 	}
 	if n := uint64(r.block.Len()); !r.sink.Put(r.block) {
-		r.lost += n
+		r.unreportedLost += n
 		r.Lost += n
 		r.block.Reset()
-		r.block.Lost(r.lost)
-		r.lost = 0
+		r.block.Lost(r.unreportedLost)
+		r.unreportedLost = 0
 		return
 	}
 	r.block = nil
@@ -235,32 +235,32 @@
 	if r == nil {
 		return
 	}
-	r.nodes++
-	r.hosts[n] = r.nodes
-	r.put(Host, []int64{r.hosts[n], set}, []string{n.Name})
+	r.lastHost++
+	r.hosts[n] = r.lastHost
+	r.addEvent(Host, []int64{r.hosts[n], set}, []string{n.Name})
 }
 
 func (r *Recorder) Listed(n *policy.Node, standing policy.Standing, leader bool, zone, model string, size float64, boot policy.Tenth) {
 	if r != nil {
-		r.put(Listed, []int64{r.hosts[n], int64(standing), flag(leader), int64(math.Float64bits(size)), boot}, []string{zone, model})
+		r.addEvent(Listed, []int64{r.hosts[n], int64(standing), flag(leader), int64(math.Float64bits(size)), boot}, []string{zone, model})
 	}
 }
 
 func (r *Recorder) ListDone(whole bool) {
 	if r != nil {
-		r.add(ListDone, flag(whole))
+		r.addNumbers(ListDone, flag(whole))
 	}
 }
 
 func (r *Recorder) Unlisted() {
 	if r != nil {
-		r.add(Unlisted)
+		r.addNumbers(Unlisted)
 	}
 }
 
 // sampled says whether a session is recorded.
 func (r *Recorder) sampled(session string) bool {
-	if r.part >= 1000 {
+	if r.sampledPerMille >= 1000 {
 		return true
 	}
 	h, err := blake3.NewKeyed(r.key[:])
@@ -269,7 +269,7 @@
 	}
 	h.WriteString(session)
 	sum := h.Sum(nil)
-	return (uint32(sum[0])|uint32(sum[1])<<8|uint32(sum[2])<<16)%1000 < r.part
+	return (uint32(sum[0])|uint32(sum[1])<<8|uint32(sum[2])<<16)%1000 < r.sampledPerMille
 }
 
 // Take is called before the module's, and Taken with the handle that it gave; what the module asks for in between
@@ -279,38 +279,38 @@
 		return
 	}
 	if !r.sampled(session) {
-		r.asked = -1
+		r.pendingCommand = -1
 		return
 	}
-	r.next++
-	r.asked = r.next
-	r.put(Take, []int64{r.asked, int64(group), set, timeout, since, flag(again)}, []string{id, session})
+	r.lastCommand++
+	r.pendingCommand = r.lastCommand
+	r.addEvent(Take, []int64{r.pendingCommand, int64(group), set, timeout, since, flag(again)}, []string{id, session})
 }
 
 func (r *Recorder) Taken(c *policy.Cmd) {
 	if r == nil {
 		return
 	}
-	if r.asked >= 0 && !c.Over() {
-		r.commands[c] = r.asked
+	if r.pendingCommand >= 0 && !c.Over() {
+		r.commands[c] = r.pendingCommand
 	}
-	r.asked = 0
+	r.pendingCommand = 0
 }
 
-// command is a command's number; 0: it is not recorded.
-func (r *Recorder) command(c *policy.Cmd) int64 {
+// commandNumber is a command's number; 0: it is not recorded.
+func (r *Recorder) commandNumber(c *policy.Cmd) int64 {
 	if n, known := r.commands[c]; known {
 		return n
 	}
-	return max(0, r.asked)
+	return max(0, r.pendingCommand)
 }
 
 func (r *Recorder) Ended(c *policy.Cmd, o policy.Outcome, pos policy.Tenth, role policy.Role, took policy.Tenth, over bool) {
 	if r == nil {
 		return
 	}
-	if n := r.command(c); n != 0 {
-		r.add(Ended, n, int64(o), pos, int64(role), took, flag(over))
+	if n := r.commandNumber(c); n != 0 {
+		r.addNumbers(Ended, n, int64(o), pos, int64(role), took, flag(over))
 	}
 }
 
@@ -325,44 +325,44 @@
 	if r == nil {
 		return
 	}
-	if n := r.command(c); n != 0 {
-		r.add(Left, n)
+	if n := r.commandNumber(c); n != 0 {
+		r.addNumbers(Left, n)
 	}
 }
 
 func (r *Recorder) Reported(n *policy.Node, pos policy.Tenth, role policy.Role) {
 	if r != nil {
-		r.add(Reported, r.hosts[n], pos, int64(role))
+		r.addNumbers(Reported, r.hosts[n], pos, int64(role))
 	}
 }
 
 func (r *Recorder) Probed(n *policy.Node, ok bool) {
 	if r != nil {
-		r.add(Probed, r.hosts[n], flag(ok))
+		r.addNumbers(Probed, r.hosts[n], flag(ok))
 	}
 }
 
 func (r *Recorder) Heard(body string) {
 	if r != nil {
-		r.put(Heard, nil, []string{body})
+		r.addEvent(Heard, nil, []string{body})
 	}
 }
 
 func (r *Recorder) Woke() {
 	if r != nil {
-		r.add(Woke)
+		r.addNumbers(Woke)
 	}
 }
 
 func (r *Recorder) Told(n *policy.Node, pos policy.Tenth, role policy.Role, at, late policy.Tenth) {
 	if r != nil {
-		r.add(Told, r.hosts[n], pos, int64(role), at, late)
+		r.addNumbers(Told, r.hosts[n], pos, int64(role), at, late)
 	}
 }
 
 func (r *Recorder) Count(routers int, blind bool) {
 	if r != nil {
-		r.add(Count, int64(routers), flag(blind))
+		r.addNumbers(Count, int64(routers), flag(blind))
 	}
 }
 
@@ -370,7 +370,7 @@
 func (r *Recorder) Anew() {
 	if r != nil {
 		clear(r.commands)
-		r.add(Anew)
+		r.addNumbers(Anew)
 	}
 }
 
@@ -379,25 +379,25 @@
 	if r == nil {
 		return
 	}
-	number := r.command(c)
+	number := r.commandNumber(c)
 	if number == 0 {
 		return
 	}
-	if r.detail {
+	if r.withCandidates {
 		c.Members(func(m *policy.Node, s policy.Seen) {
-			r.add(Candidate, number, r.hosts[m], int64(s.Standing), int64(s.Role), s.Position, int64(s.Out), int64(s.Late*1000),
+			r.addNumbers(Candidate, number, r.hosts[m], int64(s.Standing), int64(s.Role), s.Position, int64(s.Out), int64(s.Late*1000),
 				int64(s.Share*1000), s.State)
 		})
 	}
-	r.add(Dispatch, number, r.hosts[n], timeout, c.SendBy, c.SentFor(), int64(c.Work()*1000))
+	r.addNumbers(Dispatch, number, r.hosts[n], timeout, c.SendBy, c.SentFor(), int64(c.Work()*1000))
 }
 
 func (r *Recorder) Throttle(c *policy.Cmd, comeback policy.Tenth) {
 	if r == nil {
 		return
 	}
-	if n := r.command(c); n != 0 {
-		r.add(Throttle, n, comeback)
+	if n := r.commandNumber(c); n != 0 {
+		r.addNumbers(Throttle, n, comeback)
 	}
 }
 
@@ -405,69 +405,69 @@
 	if r == nil {
 		return
 	}
-	if n := r.command(c); n != 0 {
-		r.add(Fail, n)
+	if n := r.commandNumber(c); n != 0 {
+		r.addNumbers(Fail, n)
 	}
 }
 
 func (r *Recorder) Probe(n *policy.Node) {
 	if r != nil {
-		r.add(Probe, r.hosts[n])
+		r.addNumbers(Probe, r.hosts[n])
 	}
 }
 
 func (r *Recorder) Close(n *policy.Node) {
 	if r != nil {
-		r.add(Close, r.hosts[n])
+		r.addNumbers(Close, r.hosts[n])
 	}
 }
 
 func (r *Recorder) Forget(n *policy.Node) {
 	if r != nil {
-		r.add(Forget, r.hosts[n])
+		r.addNumbers(Forget, r.hosts[n])
 		delete(r.hosts, n)
 	}
 }
 
 func (r *Recorder) Tell(body string) {
 	if r != nil {
-		r.put(Tell, nil, []string{body})
+		r.addEvent(Tell, nil, []string{body})
 	}
 }
 
 func (r *Recorder) Wake(after policy.Tenth) {
 	if r != nil {
-		r.add(Wake, after)
+		r.addNumbers(Wake, after)
 	}
 }
 
 func (r *Recorder) Watch() {
 	if r != nil {
-		r.add(Watch)
+		r.addNumbers(Watch)
 	}
 }
 
 // List, Stall, Reload and View are beside the module.
 func (r *Recorder) List(revision int64, whole bool, entries int) {
 	if r != nil {
-		r.add(List, revision, flag(whole), int64(entries))
+		r.addNumbers(List, revision, flag(whole), int64(entries))
 	}
 }
 
 func (r *Recorder) Stall(span policy.Tenth) {
 	if r != nil {
-		r.add(Stall, span)
+		r.addNumbers(Stall, span)
 	}
 }
 
 func (r *Recorder) Reload(ok bool) {
 	if r != nil {
-		r.add(Reload, flag(ok))
+		r.addNumbers(Reload, flag(ok))
 	}
 }
 
 func (r *Recorder) View(hosts, dropped, routers int, blind bool) {
 	if r != nil {
-		r.add(View, int64(hosts), int64(dropped), int64(routers), flag(blind))
+		r.addNumbers(View, int64(hosts), int64(dropped), int64(routers), flag(blind))
 	}
 }
--- a/internal/router/trace/replay/replay.go
+++ b/internal/router/trace/replay/replay.go
@@ -16,8 +16,8 @@
 	"ferrypitch/policy"
 )
 
-// ErrPart tells of a trace that can't be driven: of some sessions only, or not from the router's start.
-var ErrPart = errors.New("not the whole of a router's life from its start")
+// ErrIncomplete tells of a trace that can't be driven: of some sessions only, or not from the router's start.
+var ErrIncomplete = errors.New("not the whole of a router's life from its start")
 
 // Difference is where the module does otherwise than was recorded.
 type Difference struct {
@@ -34,23 +34,23 @@
 
 // Replay is a module and what it was told.
 type Replay struct {
-	most     int
-	deploy   policy.Deployment
-	module   *policy.Router
-	nodes    map[int64]*policy.Node
-	names    map[*policy.Node]int64
-	commands map[int64]*policy.Cmd
-	numbers  map[*policy.Cmd]int64
-	taking   int64
-	detail   bool // candidates were recorded too
-	now      int64
-	began    bool
+	maxDifferences int
+	deployment     policy.Deployment
+	module         *policy.Router
+	hosts          map[int64]*policy.Node
+	hostNumbers    map[*policy.Node]int64
+	commands       map[int64]*policy.Cmd
+	commandNumbers map[*policy.Cmd]int64
+	pendingCommand int64
+	withCandidates bool // candidates were recorded too
+	now            int64
+	started        bool
 
-	got   []string // what the module asked for since the last call
-	want  []string
-	after string
-	since int64
-	event int64
+	replayed    []string // what the module asked for since the last call
+	recorded    []string
+	lastCall    string
+	lastCallAt  int64
+	eventNumber int64
 
 	Calls, Asked, Apart int64
 	Differences         []Difference // the first few
@@ -59,40 +59,40 @@
 // New replays from a header; most is how many differences are kept.
 func New(h format.Header, most int) (*Replay, error) {
 	if h.Part != 1000 {
-		return nil, fmt.Errorf("%w: %.1f %% of sessions were recorded", ErrPart, float64(h.Part)/10)
+		return nil, fmt.Errorf("%w: %.1f %% of sessions were recorded", ErrIncomplete, float64(h.Part)/10)
 	}
 	for i, k := range record.Schema[:record.View+1] { // what came later is beside the module
 		if i >= len(h.Schema) || h.Schema[i].Name != k.Name || len(h.Schema[i].Columns) != len(k.Columns) {
-			return nil, fmt.Errorf("%w: kind %q is otherwise than here", format.ErrForm, k.Name)
+			return nil, fmt.Errorf("%w: kind %q is otherwise than here", format.ErrNotTrace, k.Name)
 		}
 	}
 	d, err := record.ReadDeployment(h.More["deployment"])
 	if err != nil {
 		return nil, err
 	}
-	return &Replay{most: most, deploy: d, nodes: map[int64]*policy.Node{}, names: map[*policy.Node]int64{},
-		commands: map[int64]*policy.Cmd{}, numbers: map[*policy.Cmd]int64{}}, nil
+	return &Replay{maxDifferences: most, deployment: d, hosts: map[int64]*policy.Node{}, hostNumbers: map[*policy.Node]int64{},
+		commands: map[int64]*policy.Cmd{}, commandNumbers: map[*policy.Cmd]int64{}}, nil
 }
 
-func (r *Replay) begin(now int64) {
+func (r *Replay) startModule(now int64) {
 	r.now = now
-	r.module = policy.New(r, r.deploy, now)
+	r.module = policy.New(r, r.deployment, now)
 }
 
 // Lost tells that events are missing before the next; nothing after them can be held against anything.
 func (r *Replay) Lost(n uint64) error {
 	if n > 0 {
-		return fmt.Errorf("%w: %d events were lost in capture before event %d", ErrPart, n, r.event)
+		return fmt.Errorf("%w: %d events were lost in capture before event %d", ErrIncomplete, n, r.eventNumber)
 	}
 	return nil
 }
 
 // Event takes the next event of the trace.
 func (r *Replay) Event(e format.Event) error {
-	defer func() { r.event++ }()
-	if !r.began {
-		r.began, r.after = true, "start"
-		r.begin(e.At)
+	defer func() { r.eventNumber++ }()
+	if !r.started {
+		r.started, r.lastCall = true, "start"
+		r.startModule(e.At)
 	}
 	if e.Kind > record.View && e.Kind < record.Unlisted {
 		return nil
@@ -101,27 +101,27 @@
 	case record.List, record.Stall, record.Reload, record.Clock, record.View:
 		return nil
 	case record.Candidate:
-		r.detail = true
+		r.withCandidates = true
 		fallthrough
 	case record.Dispatch, record.Throttle, record.Fail, record.Probe, record.Close, record.Forget, record.Tell, record.Wake, record.Watch:
-		r.want = append(r.want, r.asked(e))
+		r.recorded = append(r.recorded, r.describe(e))
 		return nil
 	case record.Host:
 		// Introducing a host asks for nothing, and is recorded after the call.
 		r.module.Clock(e.At)
 		n := r.module.Host(e.Texts[0], e.Ints[1])
-		r.nodes[e.Ints[0]], r.names[n] = n, e.Ints[0]
+		r.hosts[e.Ints[0]], r.hostNumbers[n] = n, e.Ints[0]
 		return nil
 	}
-	r.settle()
+	r.compare()
 	r.Calls++
-	r.after, r.since = record.Schema[e.Kind].Name, e.At
+	r.lastCall, r.lastCallAt = record.Schema[e.Kind].Name, e.At
 	r.now = e.At
 	if e.Kind == record.Anew {
 		clear(r.commands)
-		clear(r.numbers)
-		clear(r.names)
-		r.begin(e.At)
+		clear(r.commandNumbers)
+		clear(r.hostNumbers)
+		r.startModule(e.At)
 		return nil
 	}
 	r.module.Clock(e.At)
@@ -135,12 +135,12 @@
 	var c *policy.Cmd
 	switch e.Kind {
 	case record.Listed, record.Reported, record.Probed, record.Told:
-		if n = r.nodes[v[0]]; n == nil {
-			return fmt.Errorf("%w: event %d is of a host that was never introduced", ErrPart, r.event)
+		if n = r.hosts[v[0]]; n == nil {
+			return fmt.Errorf("%w: event %d is of a host that was never introduced", ErrIncomplete, r.eventNumber)
 		}
 	case record.Ended, record.Left:
 		if c = r.commands[v[0]]; c == nil {
-			return fmt.Errorf("%w: event %d is of a command that was never taken", ErrPart, r.event)
+			return fmt.Errorf("%w: event %d is of a command that was never taken", ErrIncomplete, r.eventNumber)
 		}
 	}
 	switch e.Kind {
@@ -149,13 +149,13 @@
 	case record.ListDone:
 		r.module.ListDone(v[0] == 1)
 	case record.Take:
-		if v[1] < 0 || v[1] >= int64(len(r.deploy.Groups)) {
-			return fmt.Errorf("event %d: command group %d of %d", r.event, v[1], len(r.deploy.Groups))
+		if v[1] < 0 || v[1] >= int64(len(r.deployment.Groups)) {
+			return fmt.Errorf("event %d: command group %d of %d", r.eventNumber, v[1], len(r.deployment.Groups))
 		}
-		r.taking = v[0]
-		c := r.module.Take(e.Texts[0], r.deploy.Groups[v[1]], v[2], e.Texts[1], v[3], v[4], v[5] == 1)
-		if r.taking = 0; !c.Over() {
-			r.commands[v[0]], r.numbers[c] = c, v[0]
+		r.pendingCommand = v[0]
+		c := r.module.Take(e.Texts[0], r.deployment.Groups[v[1]], v[2], e.Texts[1], v[3], v[4], v[5] == 1)
+		if r.pendingCommand = 0; !c.Over() {
+			r.commands[v[0]], r.commandNumbers[c] = c, v[0]
 		}
 	case record.Ended:
 		c.Ended(policy.Outcome(v[1]), v[2], policy.Role(v[3]), v[4], v[5] == 1)
@@ -184,41 +184,41 @@
 func (r *Replay) forget(number int64, c *policy.Cmd) {
 	if c.Over() {
 		delete(r.commands, number)
-		delete(r.numbers, c)
+		delete(r.commandNumbers, c)
 	}
 }
 
 // End settles the last call, unless the trace breaks off and may lack what that asked for.
 func (r *Replay) End(whole bool) {
-	if r.began && whole {
-		r.settle()
+	if r.started && whole {
+		r.compare()
 	}
 }
 
-// settle holds what the last call asked for against what was recorded.
-func (r *Replay) settle() {
-	if !r.detail { // candidates were not recorded, or none of this life was sent yet
-		r.got = slices.DeleteFunc(r.got, func(s string) bool { return strings.HasPrefix(s, "candidate ") })
+// compare holds what the last call asked for against what was recorded.
+func (r *Replay) compare() {
+	if !r.withCandidates { // candidates were not recorded, or none of this life was sent yet
+		r.replayed = slices.DeleteFunc(r.replayed, func(s string) bool { return strings.HasPrefix(s, "candidate ") })
 	}
-	for i := range max(len(r.got), len(r.want)) {
+	for i := range max(len(r.replayed), len(r.recorded)) {
 		got, want := "", ""
-		if i < len(r.got) {
-			got = r.got[i]
+		if i < len(r.replayed) {
+			got = r.replayed[i]
 		}
-		if i < len(r.want) {
-			want = r.want[i]
+		if i < len(r.recorded) {
+			want = r.recorded[i]
 		}
 		if r.Asked++; got != want {
-			if r.Apart++; len(r.Differences) < r.most {
-				r.Differences = append(r.Differences, Difference{r.event, r.since, r.after, want, got})
+			if r.Apart++; len(r.Differences) < r.maxDifferences {
+				r.Differences = append(r.Differences, Difference{r.eventNumber, r.lastCallAt, r.lastCall, want, got})
 			}
 		}
 	}
-	r.got, r.want = r.got[:0], r.want[:0]
+	r.replayed, r.recorded = r.replayed[:0], r.recorded[:0]
 }
 
-// asked is what a recorded event says, in the words of the calls below.
-func (r *Replay) asked(e format.Event) string {
+// describe is what a recorded event says, in the words of the calls below.
+func (r *Replay) describe(e format.Event) string {
 	v := e.Ints
 	switch e.Kind {
 	case record.Dispatch:
@@ -238,37 +238,37 @@
 	return fmt.Sprintf("%s %d", record.Schema[e.Kind].Name, v[0])
 }
 
-func (r *Replay) number(c *policy.Cmd) int64 {
-	if n, known := r.numbers[c]; known {
+func (r *Replay) commandNumber(c *policy.Cmd) int64 {
+	if n, known := r.commandNumbers[c]; known {
 		return n
 	}
-	return r.taking
+	return r.pendingCommand
 }
 
-func (r *Replay) note(format string, args ...any) {
-	r.got = append(r.got, fmt.Sprintf(format, args...))
+func (r *Replay) addReplayed(format string, args ...any) {
+	r.replayed = append(r.replayed, fmt.Sprintf(format, args...))
 }
 
 // Dispatch and the rest are what the module asks for.
 func (r *Replay) Dispatch(c *policy.Cmd, n *policy.Node, timeout policy.Tenth) {
 	c.Members(func(m *policy.Node, s policy.Seen) {
-		r.note("candidate %d: host %d, standing %d, role %d, position %d, out %d, late %d, share %d, state %d", r.number(c), r.names[m],
+		r.addReplayed("candidate %d: host %d, standing %d, role %d, position %d, out %d, late %d, share %d, state %d", r.commandNumber(c), r.hostNumbers[m],
 			s.Standing, s.Role, s.Position, s.Out, int64(s.Late*1000), int64(s.Share*1000), s.State)
 	})
-	r.note("dispatch %d to %d, timeout %d, by %d, for %d", r.number(c), r.names[n], timeout, c.SendBy, c.SentFor())
+	r.addReplayed("dispatch %d to %d, timeout %d, by %d, for %d", r.commandNumber(c), r.hostNumbers[n], timeout, c.SendBy, c.SentFor())
 }
 func (r *Replay) Throttle(c *policy.Cmd, back policy.Tenth) {
-	r.note("throttle %d, back after %d", r.number(c), back)
+	r.addReplayed("throttle %d, back after %d", r.commandNumber(c), back)
 }
-func (r *Replay) Fail(c *policy.Cmd)      { r.note("fail %d", r.number(c)) }
-func (r *Replay) Probe(n *policy.Node)    { r.note("probe %d", r.names[n]) }
-func (r *Replay) Close(n *policy.Node)    { r.note("close %d", r.names[n]) }
-func (r *Replay) Watch()                  { r.note("watch") }
-func (r *Replay) Tell(body string)        { r.note("tell %s", body) }
-func (r *Replay) Wake(after policy.Tenth) { r.note("wake %d", after) }
+func (r *Replay) Fail(c *policy.Cmd)      { r.addReplayed("fail %d", r.commandNumber(c)) }
+func (r *Replay) Probe(n *policy.Node)    { r.addReplayed("probe %d", r.hostNumbers[n]) }
+func (r *Replay) Close(n *policy.Node)    { r.addReplayed("close %d", r.hostNumbers[n]) }
+func (r *Replay) Watch()                  { r.addReplayed("watch") }
+func (r *Replay) Tell(body string)        { r.addReplayed("tell %s", body) }
+func (r *Replay) Wake(after policy.Tenth) { r.addReplayed("wake %d", after) }
 
 func (r *Replay) Forget(n *policy.Node) {
-	r.note("forget %d", r.names[n])
-	delete(r.nodes, r.names[n])
-	delete(r.names, n)
+	r.addReplayed("forget %d", r.hostNumbers[n])
+	delete(r.hosts, r.hostNumbers[n])
+	delete(r.hostNumbers, n)
 }
--- a/internal/router/trace/tool/merge.go
+++ b/internal/router/trace/tool/merge.go
@@ -28,8 +28,8 @@
 	return at - int64(math.Round(s.Offset+s.Drift*float64(at-s.From)))
 }
 
-// window of time in which a least delay is taken, in tenths.
-const window = 10 * 10000
+// windowTenths of time in which a least delay is taken, in tenths.
+const windowTenths = 10 * 10000
 
 // Delays gather, for one router, how long after the position that a host named as its primary its answer was known:
 // the least of each host and window is the clocks' distance and the way back, which routers of one place share.
@@ -37,18 +37,18 @@
 	schema   format.Schema
 	names    map[int64]string
 	sent     map[int64]int64 // command to host
-	least    map[spot]int64
+	least    map[hostWindow]int64
 	From, To int64
 }
 
-type spot struct {
+type hostWindow struct {
 	host   string
 	window int64 // by position, so that routers' windows are the same
 }
 
 // NewDelays begins.
 func NewDelays(s format.Schema) *Delays {
-	return &Delays{schema: s, names: map[int64]string{}, sent: map[int64]int64{}, least: map[spot]int64{}}
+	return &Delays{schema: s, names: map[int64]string{}, sent: map[int64]int64{}, least: map[hostWindow]int64{}}
 }
 
 // Add takes the next event.
@@ -60,25 +60,25 @@
 	k := d.schema[e.Kind]
 	switch k.Name {
 	case "host":
-		d.names[value(k, e, "host")] = text(k, e, "name")
+		d.names[numberOf(k, e, "host")] = textOf(k, e, "name")
 	case "dispatch":
-		d.sent[value(k, e, "command")] = value(k, e, "host")
+		d.sent[numberOf(k, e, "command")] = numberOf(k, e, "host")
 	case "ended":
-		number := value(k, e, "command")
-		name, pos := d.names[d.sent[number]], value(k, e, "position")
+		number := numberOf(k, e, "command")
+		name, pos := d.names[d.sent[number]], numberOf(k, e, "position")
 		delete(d.sent, number)
-		if pos <= 0 || name == "" || policy.Role(value(k, e, "role")) != policy.Primary {
+		if pos <= 0 || name == "" || policy.Role(numberOf(k, e, "role")) != policy.Primary {
 			return
 		}
-		s := spot{name, pos / window}
+		s := hostWindow{name, pos / windowTenths}
 		if least, known := d.least[s]; !known || e.At-pos < least {
 			d.least[s] = e.At - pos
 		}
 	}
 }
 
-// ErrApart tells of routers that saw nothing in common.
-var ErrApart = errors.New("saw no host in the same ten seconds as the first one")
+// ErrNoOverlap tells of routers that saw nothing in common.
+var ErrNoOverlap = errors.New("saw no host in the same ten seconds as the first one")
 
 // Estimate is how a router's clock stands to another's, by what both saw: a line through the windows' distances.
 func Estimate(router string, first, other *Delays) (Skew, error) {
@@ -90,12 +90,12 @@
 		}
 	}
 	if s.Seen = len(byWindow); s.Seen == 0 {
-		return s, fmt.Errorf("%s: %w", router, ErrApart)
+		return s, fmt.Errorf("%s: %w", router, ErrNoOverlap)
 	}
 	var xs, ys []float64
 	for w, all := range byWindow {
 		slices.Sort(all)
-		xs, ys = append(xs, float64(w*window+window/2)), append(ys, all[len(all)/2])
+		xs, ys = append(xs, float64(w*windowTenths+windowTenths/2)), append(ys, all[len(all)/2])
 	}
 	mx, my := mean(xs), mean(ys)
 	var sxx, sxy float64
@@ -129,7 +129,7 @@
 		out = append(out, k)
 	}
 	return append(out, format.Kind{Name: "router", Columns: []format.Column{{Name: "router", Type: format.Int, Mark: format.Plain},
-		{Name: "name", Type: format.Text, Mark: format.Place}}})
+		{Name: "name", Type: format.Text, Mark: format.Topology}}})
 }
 
 // Feed gives a trace's events a block at a time; nil at its end. It holds nothing open in between.
--- a/internal/router/trace/tool/summary.go
+++ b/internal/router/trace/tool/summary.go
@@ -31,7 +31,7 @@
 	Over       map[int64]float64 // part answered of what was taken, by second
 }
 
-type line struct {
+type groupState struct {
 	Line
 	sent, replicas, waits int64
 	comeback, waited      int64
@@ -39,25 +39,25 @@
 	latency               *hdrhistogram.Histogram
 }
 
-type pending struct {
-	of    *line
-	at    int64
-	sent  bool
-	final bool
+type openCommand struct {
+	group   *groupState
+	takenAt int64
+	sent    bool
+	final   bool
 }
 
 // Summary sums up events as they come.
 type Summary struct {
-	schema format.Schema
-	groups []string
-	lines  map[[2]int64]*line
-	open   map[int64]*pending
-	Events int64
+	schema       format.Schema
+	groups       []string
+	states       map[[2]int64]*groupState
+	openCommands map[int64]*openCommand
+	Events       int64
 }
 
 // NewSummary sums up a trace of a header.
 func NewSummary(h format.Header) *Summary {
-	return &Summary{schema: h.Schema, groups: Groups(h), lines: map[[2]int64]*line{}, open: map[int64]*pending{}}
+	return &Summary{schema: h.Schema, groups: Groups(h), states: map[[2]int64]*groupState{}, openCommands: map[int64]*openCommand{}}
 }
 
 // Add takes the next event.
@@ -70,40 +70,40 @@
 	}
 	number := e.Ints[at]
 	if k.Name == "take" {
-		l := s.line(value(k, e, "group"), value(k, e, "set"))
+		l := s.state(numberOf(k, e, "group"), numberOf(k, e, "set"))
 		l.Taken++
 		l.taken[e.At/10000]++
-		s.open[number] = &pending{of: l, at: e.At}
+		s.openCommands[number] = &openCommand{group: l, takenAt: e.At}
 		return
 	}
-	c := s.open[number]
+	c := s.openCommands[number]
 	if c == nil {
 		return
 	}
-	l := c.of
+	l := c.group
 	switch k.Name {
 	case "dispatch":
 		if l.sent++; !c.sent {
 			c.sent = true
 			l.waits++
-			l.waited += e.At - c.at
+			l.waited += e.At - c.takenAt
 		}
 	case "ended":
-		o := policy.Outcome(value(k, e, "outcome"))
+		o := policy.Outcome(numberOf(k, e, "outcome"))
 		l.Outcomes[o.String()]++
 		if o == policy.Answered && !c.final {
 			c.final = true
 			l.Answered++
-			l.good[c.at/10000]++
-			l.latency.RecordValue(max(0, e.At-c.at))
-			if policy.Role(value(k, e, "role")) == policy.Replica {
+			l.good[c.takenAt/10000]++
+			l.latency.RecordValue(max(0, e.At-c.takenAt))
+			if policy.Role(numberOf(k, e, "role")) == policy.Replica {
 				l.replicas++
 			}
 		}
 	case "throttle":
 		c.final = true
 		l.Throttled++
-		l.comeback += value(k, e, "comeback")
+		l.comeback += numberOf(k, e, "comeback")
 	case "fail":
 		c.final = true
 		l.Failed++
@@ -111,50 +111,50 @@
 		c.final = true
 	}
 	if c.final {
-		delete(s.open, number)
+		delete(s.openCommands, number)
 	}
 }
 
-func (s *Summary) line(group, set int64) *line {
+func (s *Summary) state(group, set int64) *groupState {
 	key := [2]int64{group, set}
-	l := s.lines[key]
+	l := s.states[key]
 	if l == nil {
-		l = &line{taken: map[int64]int64{}, good: map[int64]int64{}, latency: hdrhistogram.New(1, 600_000, 3)}
+		l = &groupState{taken: map[int64]int64{}, good: map[int64]int64{}, latency: hdrhistogram.New(1, 600_000, 3)}
 		l.Set, l.Outcomes = set, map[string]int64{}
 		if l.Group = fmt.Sprintf("group %d", group); group >= 0 && group < int64(len(s.groups)) {
 			l.Group = s.groups[group]
 		}
-		s.lines[key] = l
+		s.states[key] = l
 	}
 	return l
 }
 
 // Lines are the sums, by group and set.
 func (s *Summary) Lines() (all []Line) {
-	for _, c := range s.open {
-		c.of.Open++
+	for _, c := range s.openCommands {
+		c.group.Open++
 	}
-	for _, l := range s.lines {
+	for _, l := range s.states {
 		one := l.Line
-		one.Dispatches = part(l.sent, l.Taken)
-		one.Replicas = part(l.replicas, l.Answered)
-		one.Comeback = part(l.comeback, 10*l.Throttled)
-		one.Waited = part(l.waited, 10*l.waits)
+		one.Dispatches = ratio(l.sent, l.Taken)
+		one.Replicas = ratio(l.replicas, l.Answered)
+		one.Comeback = ratio(l.comeback, 10*l.Throttled)
+		one.Waited = ratio(l.waited, 10*l.waits)
 		one.Median, one.P99 = float64(l.latency.ValueAtQuantile(50))/10, float64(l.latency.ValueAtQuantile(99))/10
 		one.Over = map[int64]float64{}
 		for second, n := range l.taken {
-			one.Over[second] = part(l.good[second], n)
+			one.Over[second] = ratio(l.good[second], n)
 		}
 		all = append(all, one)
 	}
-	for _, c := range s.open {
-		c.of.Open--
+	for _, c := range s.openCommands {
+		c.group.Open--
 	}
 	slices.SortFunc(all, func(a, b Line) int { return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Set, b.Set)) })
 	return all
 }
 
-func part(n, of int64) float64 {
+func ratio(n, of int64) float64 {
 	if of == 0 {
 		return 0
 	}
@@ -193,7 +193,7 @@
 	for _, k := range keys {
 		c := Change{Group: k.group, Set: k.set}
 		for i, l := range sides[k] {
-			c.Taken[i], c.Answered[i], c.Throttled[i] = l.Taken, part(l.Answered, l.Taken), part(l.Throttled, l.Taken)
+			c.Taken[i], c.Answered[i], c.Throttled[i] = l.Taken, ratio(l.Answered, l.Taken), ratio(l.Throttled, l.Taken)
 			c.Median[i], c.P99[i], c.Dispatches[i] = l.Median, l.P99, l.Dispatches
 		}
 		all = append(all, c)
--- a/internal/router/trace/tool/tool.go
+++ b/internal/router/trace/tool/tool.go
@@ -22,7 +22,7 @@
 type Source struct {
 	Header format.Header
 	Spans  []format.Span // nil: read from the beginning
-	Faults []format.Fault
+	Faults []format.CorruptBlockError
 	Broken error // where it breaks off; what is before was read
 	Lost   uint64
 	Blocks int // read
@@ -65,7 +65,7 @@
 	}
 	s := &Source{Header: r.Header, path: path, reader: r, file: f, size: info.Size()}
 	if info.Mode().IsRegular() {
-		if s.Spans, err = format.ReadIndex(f, info.Size()); err != nil && !errors.Is(err, format.ErrBreak) && !errors.Is(err, format.ErrSum) {
+		if s.Spans, err = format.ReadIndex(f, info.Size()); err != nil && !errors.Is(err, format.ErrTruncated) && !errors.Is(err, format.ErrCorrupt) {
 			return nil, err
 		}
 	}
@@ -83,9 +83,9 @@
 // Window is a span of time in tenths; Last 0 has no end.
 type Window struct{ First, Last int64 }
 
-func (w Window) has(at int64) bool { return at >= w.First && (w.Last == 0 || at <= w.Last) }
+func (w Window) contains(at int64) bool { return at >= w.First && (w.Last == 0 || at <= w.Last) }
 
-func (w Window) meets(s format.Span) bool {
+func (w Window) overlaps(s format.Span) bool {
 	return s.Last >= w.First && (w.Last == 0 || s.First <= w.Last)
 }
 
@@ -95,11 +95,11 @@
 	if s.Spans != nil {
 		for i, span := range s.Spans {
 			s.Lost += span.Lost
-			if !w.meets(span) {
+			if !w.overlaps(span) {
 				continue
 			}
 			events, err := format.ReadBlock(s.file, s.Header.Schema, span)
-			if err := s.block(events, err, w, do); err != nil {
+			if err := s.handleBlock(events, err, w, do); err != nil {
 				return err
 			}
 			if progress != nil {
@@ -113,12 +113,12 @@
 		if err == io.EOF {
 			return nil
 		}
-		if errors.Is(err, format.ErrBreak) {
+		if errors.Is(err, format.ErrTruncated) {
 			s.Broken = err
 			return nil
 		}
 		s.Lost += span.Lost
-		if err := s.block(events, err, w, do); err != nil {
+		if err := s.handleBlock(events, err, w, do); err != nil {
 			return err
 		}
 		if progress != nil {
@@ -127,8 +127,8 @@
 	}
 }
 
-func (s *Source) block(events []format.Event, err error, w Window, do func(format.Event) error) error {
-	var f *format.Fault
+func (s *Source) handleBlock(events []format.Event, err error, w Window, do func(format.Event) error) error {
+	var f *format.CorruptBlockError
 	if errors.As(err, &f) {
 		s.Faults = append(s.Faults, *f)
 		return nil
@@ -138,7 +138,7 @@
 	}
 	s.Blocks++
 	for _, e := range events {
-		if w.has(e.At) {
+		if w.contains(e.At) {
 			if err := do(e); err != nil {
 				return err
 			}
@@ -151,14 +151,14 @@
 type Output struct {
 	out    io.Writer
 	block  *format.Block
-	at     int64
-	spans  []format.Span
+	offset int64
+	index  []format.Span
 	buffer []byte
 	Events int64
 }
 
-// blockSize is what tools gather before they write.
-const blockSize = 256 << 10
+// outputBlockBytes is what tools gather before they write.
+const outputBlockBytes = 256 << 10
 
 // NewOutput writes the header.
 func NewOutput(out io.Writer, h format.Header) (*Output, error) {
@@ -167,19 +167,19 @@
 	if err != nil {
 		return nil, err
 	}
-	return o, o.put(head)
+	return o, o.write(head)
 }
 
-func (o *Output) put(b []byte) error {
+func (o *Output) write(b []byte) error {
 	n, err := o.out.Write(b)
-	o.at += int64(n)
+	o.offset += int64(n)
 	return err
 }
 
 // Add adds an event.
 func (o *Output) Add(e format.Event) error {
 	o.block.Add(e.At, e.Kind, e.Ints, e.Texts)
-	if o.Events++; o.block.Full(blockSize) {
+	if o.Events++; o.block.Full(outputBlockBytes) {
 		return o.flush()
 	}
 	return nil
@@ -189,14 +189,14 @@
 	if o.block.Len() == 0 {
 		return nil
 	}
-	b, span, err := o.block.Append(o.buffer[:0], o.at)
+	b, span, err := o.block.Append(o.buffer[:0], o.offset)
 	if err != nil {
 		return err
 	}
 	o.buffer = b
 	o.block.Reset()
-	o.spans = append(o.spans, span)
-	return o.put(b)
+	o.index = append(o.index, span)
+	return o.write(b)
 }
 
 // Close writes what is left and the index.
@@ -204,11 +204,11 @@
 	if err := o.flush(); err != nil {
 		return err
 	}
-	tail, err := format.AppendIndex(nil, o.spans, o.at)
+	tail, err := format.AppendIndex(nil, o.index, o.offset)
 	if err != nil {
 		return err
 	}
-	return o.put(tail)
+	return o.write(tail)
 }
 
 // Filter picks commands by what their take says, and all that is of them. The zero value picks everything.
@@ -236,8 +236,8 @@
 	}
 	number := e.Ints[at]
 	if k.Name == "take" {
-		picked := len(f.Sessions) == 0 || f.Sessions[text(k, e, "session")]
-		picked = picked && (len(f.Sets) == 0 || f.Sets[value(k, e, "set")]) && (len(f.Groups) == 0 || f.Groups[value(k, e, "group")])
+		picked := len(f.Sessions) == 0 || f.Sessions[textOf(k, e, "session")]
+		picked = picked && (len(f.Sets) == 0 || f.Sets[numberOf(k, e, "set")]) && (len(f.Groups) == 0 || f.Groups[numberOf(k, e, "group")])
 		if picked {
 			f.commands[number] = true
 		}
@@ -245,33 +245,35 @@
 	return f.commands[number]
 }
 
-func text(k format.Kind, e format.Event, name string) string {
+func textOf(k format.Kind, e format.Event, name string) string {
 	if i := k.Find(name, format.Text); i >= 0 {
 		return e.Texts[i]
 	}
 	return ""
 }
 
-func value(k format.Kind, e format.Event, name string) int64 {
+func numberOf(k format.Kind, e format.Event, name string) int64 {
 	if i := k.Find(name, format.Int); i >= 0 {
 		return e.Ints[i]
 	}
 	return 0
 }
 
-// Anonymous replaces what a schema's marks name, by a key.
-type Anonymous struct {
-	key    [32]byte
-	marks  [][]format.Mark // of texts, by kind
-	places map[string]string
+// Anonymizer replaces what a schema's marks name, by a key.
+type Anonymizer struct {
+	key         [32]byte
+	textPrivacy [][]format.Mark // of texts, by kind
+	pseudonyms  map[string]string
 }
 
 // NewAnonymous makes pseudonyms under a key: the same under the same key, whichever file or router they are of.
-func NewAnonymous(key [32]byte) *Anonymous { return &Anonymous{key: key, places: map[string]string{}} }
+func NewAnonymous(key [32]byte) *Anonymizer {
+	return &Anonymizer{key: key, pseudonyms: map[string]string{}}
+}
 
 // Header replaces what a header tells.
-func (a *Anonymous) Header(h format.Header) (format.Header, error) {
-	a.marks = nil
+func (a *Anonymizer) Header(h format.Header) (format.Header, error) {
+	a.textPrivacy = nil
 	for _, k := range h.Schema {
 		var marks []format.Mark
 		for _, c := range k.Columns {
@@ -279,9 +281,9 @@
 				marks = append(marks, c.Mark)
 			}
 		}
-		a.marks = append(a.marks, marks)
+		a.textPrivacy = append(a.textPrivacy, marks)
 	}
-	h.Router = a.word(format.Place, h.Router)
+	h.Router = a.pseudonym(format.Topology, h.Router)
 	more := map[string][]byte{}
 	if groups, ok := h.More["groups"]; ok { // names of command groups are the deployment's, not a person's
 		more["groups"] = groups
@@ -291,7 +293,7 @@
 		if err != nil {
 			return h, err
 		}
-		d.Zone = a.word(format.Place, d.Zone)
+		d.Zone = a.pseudonym(format.Topology, d.Zone)
 		if more["deployment"], err = record.Deployment(d); err != nil {
 			return h, err
 		}
@@ -303,26 +305,26 @@
 }
 
 // Event replaces what an event tells.
-func (a *Anonymous) Event(e format.Event) format.Event {
+func (a *Anonymizer) Event(e format.Event) format.Event {
 	if len(e.Texts) == 0 {
 		return e
 	}
 	texts := make([]string, len(e.Texts))
 	for i, t := range e.Texts {
-		texts[i] = a.word(a.marks[e.Kind][i], t)
+		texts[i] = a.pseudonym(a.textPrivacy[e.Kind][i], t)
 	}
 	e.Texts = texts
 	return e
 }
 
-func (a *Anonymous) word(m format.Mark, text string) string {
+func (a *Anonymizer) pseudonym(m format.Mark, text string) string {
 	switch {
 	case m == format.Plain || text == "":
 		return text
-	case m != format.Identity && m != format.Place:
+	case m != format.Identity && m != format.Topology:
 		return ""
 	}
-	if known, ok := a.places[text]; ok && m == format.Place {
+	if known, ok := a.pseudonyms[text]; ok && m == format.Topology {
 		return known
 	}
 	h, err := blake3.NewKeyed(a.key[:])
@@ -332,8 +334,8 @@
 	h.Write([]byte{byte(m)})
 	h.WriteString(text)
 	word := hex.EncodeToString(h.Sum(nil)[:10])
-	if m == format.Place && len(a.places) < 1<<16 {
-		a.places[text] = word
+	if m == format.Topology && len(a.pseudonyms) < 1<<16 {
+		a.pseudonyms[text] = word
 	}
 	return word
 }
--- a/internal/router/trace/tool/tool_test.go
+++ b/internal/router/trace/tool/tool_test.go
@@ -198,7 +198,7 @@
 
 func TestRoutersThatSawNothingInCommonAreNotMergedByGuess(t *testing.T) {
 	a, b := NewDelays(record.Schema), NewDelays(record.Schema)
-	if _, err := Estimate("b", a, b); !errors.Is(err, ErrApart) {
+	if _, err := Estimate("b", a, b); !errors.Is(err, ErrNoOverlap) {
 		t.Error(err)
 	}
 }
@@ -215,7 +215,7 @@
 	n := 0
 	w := Window{base + 20000000, base + 20100000}
 	if err := s.Each(w, nil, func(e format.Event) error {
-		if !w.has(e.At) {
+		if !w.contains(e.At) {
 			t.Fatal(e)
 		}
 		if f.Has(e) {
