--- a/internal/router/trace/file/file.go
+++ b/internal/router/trace/file/file.go
@@ -72,8 +72,8 @@
 	buffer      []byte
 	fileNumber  int
 
-	Bytes, WrittenEvents, Files atomic.Int64
-	Ended                       atomic.Bool // the disk failed: nothing more is written
+	WrittenBytes, WrittenEvents, OpenedFiles atomic.Int64
+	Stopped                                  atomic.Bool // the disk failed: nothing more is written
 }
 
 type closedFile struct {
@@ -93,7 +93,7 @@
 
 // Get and Put are the recorder's side.
 func (w *Writer) Get() *format.Block {
-	if w.Ended.Load() {
+	if w.Stopped.Load() {
 		return nil
 	}
 	select {
@@ -105,7 +105,7 @@
 }
 
 func (w *Writer) Put(b *format.Block) bool {
-	if w.Ended.Load() {
+	if w.Stopped.Load() {
 		return false
 	}
 	select {
@@ -135,7 +135,7 @@
 		case b := <-w.full:
 			w.writeAndRelease(b)
 		case <-sync.C:
-			if w.file != nil && !w.Ended.Load() {
+			if w.file != nil && !w.Stopped.Load() {
 				if err := w.file.Sync(); err != nil {
 					w.stop(err)
 				}
@@ -150,7 +150,7 @@
 		b.Reset()
 		w.empty <- b
 	}()
-	if w.Ended.Load() {
+	if w.Stopped.Load() {
 		return
 	}
 	if err := w.writeBlock(b); err != nil {
@@ -187,7 +187,7 @@
 func (w *Writer) writeBytes(b []byte) error {
 	n, err := w.file.Write(b)
 	w.fileBytes += int64(n)
-	w.Bytes.Add(int64(n))
+	w.WrittenBytes.Add(int64(n))
 	return err
 }
 
@@ -222,7 +222,7 @@
 		return err
 	}
 	w.file, w.fileBytes, w.openedAt, w.spans = file, 0, w.now(), nil
-	w.Files.Add(1)
+	w.OpenedFiles.Add(1)
 	head, err := format.AppendHeader(nil, w.header)
 	if err != nil {
 		return err
@@ -259,7 +259,7 @@
 
 // stop ends capture, never service. What was written can be read up to here.
 func (w *Writer) stop(err error) {
-	if w.Ended.Swap(true) {
+	if w.Stopped.Swap(true) {
 		return
 	}
 	w.log.Error("capture has ended; service goes on", zap.String("file", w.path), zap.Error(err))
@@ -279,6 +279,6 @@
 
 // Fields are the counts for a line of the log.
 func (w *Writer) Fields() []zap.Field {
-	return []zap.Field{zap.Int64("trace_events", w.WrittenEvents.Load()), zap.Int64("trace_bytes", w.Bytes.Load()),
-		zap.Int64("trace_files", w.Files.Load()), zap.Bool("trace_ended", w.Ended.Load())}
+	return []zap.Field{zap.Int64("trace_events", w.WrittenEvents.Load()), zap.Int64("trace_bytes", w.WrittenBytes.Load()),
+		zap.Int64("trace_files", w.OpenedFiles.Load()), zap.Bool("trace_ended", w.Stopped.Load())}
 }
--- a/internal/router/trace/file/file_test.go
+++ b/internal/router/trace/file/file_test.go
@@ -56,7 +56,7 @@
 	go func() { ended <- w.Run(ctx) }()
 	for k := range blocks {
 		b := w.Get()
-		for ; b == nil && !w.Ended.Load(); b = w.Get() {
+		for ; b == nil && !w.Stopped.Load(); b = w.Get() {
 			time.Sleep(time.Millisecond)
 		}
 		if b == nil {
@@ -142,7 +142,7 @@
 		dir := t.TempDir()
 		w := New(terms(dir), &disk{room: room}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
 		record(t, w, 60)
-		if !w.Ended.Load() {
+		if !w.Stopped.Load() {
 			t.Fatalf("with %d bytes: capture goes on", room)
 		}
 		if w.Get() != nil || w.Put(format.NewBlock(schema)) {
@@ -158,7 +158,7 @@
 func TestAFolderThatIsNotThereEndsCaptureWithAWord(t *testing.T) {
 	w := New(terms("/nowhere/at/all"), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
 	record(t, w, 5)
-	if !w.Ended.Load() || !strings.Contains(fmt.Sprint(w.Fields()), "trace_ended") {
+	if !w.Stopped.Load() || !strings.Contains(fmt.Sprint(w.Fields()), "trace_ended") {
 		t.Error("it goes on")
 	}
 }
--- a/internal/router/trace/format/block.go
+++ b/internal/router/trace/format/block.go
@@ -53,7 +53,7 @@
 
 // AppendHeader appends a file's beginning.
 func AppendHeader(b []byte, h Header) ([]byte, error) {
-	if err := h.Schema.Check(); err != nil {
+	if err := h.Schema.Validate(); err != nil {
 		return b, err
 	}
 	body, err := encoder.Marshal(h)
@@ -86,7 +86,7 @@
 
 // blockPayload is a block's payload: its head, then the packed rest.
 type blockPayload struct {
-	Span         Span   `cbor:"1,keyasint"`
+	Info         Span   `cbor:"1,keyasint"`
 	ContentBytes uint32 `cbor:"2,keyasint"` // length of the rest, unpacked
 	Content      []byte `cbor:"3,keyasint"`
 }
@@ -220,7 +220,7 @@
 	if len(raw) > MaxUnpackedBytes {
 		return out, Span{}, fmt.Errorf("a block of %d bytes, over %d", len(raw), MaxUnpackedBytes)
 	}
-	payload, err := encoder.Marshal(blockPayload{Span: b.info, ContentBytes: uint32(len(raw)), Content: compressor.EncodeAll(raw, nil)})
+	payload, err := encoder.Marshal(blockPayload{Info: b.info, ContentBytes: uint32(len(raw)), Content: compressor.EncodeAll(raw, nil)})
 	if err != nil {
 		return out, Span{}, err
 	}
@@ -289,8 +289,8 @@
 	if err := decoder.Unmarshal(payload, &p); err != nil {
 		return span, nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
-	if p.ContentBytes > MaxUnpackedBytes || p.Span.Count > MaxBlockEvents {
-		return span, nil, fmt.Errorf("%w: %d bytes and %d events in a block", ErrCorrupt, p.ContentBytes, p.Span.Count)
+	if p.ContentBytes > MaxUnpackedBytes || p.Info.Count > MaxBlockEvents {
+		return span, nil, fmt.Errorf("%w: %d bytes and %d events in a block", ErrCorrupt, p.ContentBytes, p.Info.Count)
 	}
 	raw, err := decompressor.DecodeAll(p.Content, make([]byte, 0, min(int(p.ContentBytes), 1<<20)))
 	if err != nil || len(raw) != int(p.ContentBytes) {
@@ -300,7 +300,7 @@
 	if err := decoder.Unmarshal(raw, &r); err != nil {
 		return span, nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
-	if err := r.validate(s, int(p.Span.Count)); err != nil {
+	if err := r.validate(s, int(p.Info.Count)); err != nil {
 		return span, nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
 	undoDeltas(r.Times)
@@ -327,7 +327,7 @@
 		at[kind]++
 		events[i] = e
 	}
-	return p.Span, events, nil
+	return p.Info, events, nil
 }
 
 // validate holds a block's shape against the schema before anything is indexed by it.
--- a/internal/router/trace/format/format_test.go
+++ b/internal/router/trace/format/format_test.go
@@ -170,7 +170,7 @@
 }
 
 func TestAColumnThatThisProgramDoesNotKnowIsSkippedByName(t *testing.T) {
-	later := Schema{{Name: "taken", Columns: []Column{{"new", Text, Words}, {"id", Text, Identity}, {"set", Int, Plain}}}, {Name: "unheard of"}}
+	later := Schema{{Name: "taken", Columns: []Column{{"new", Text, FreeText}, {"id", Text, Identity}, {"set", Int, Plain}}}, {Name: "unheard of"}}
 	b := NewBlock(later)
 	b.Add(5, 0, []int64{7}, []string{"something", "c1"})
 	b.Add(6, 1, nil, nil)
--- a/internal/router/trace/format/reader.go
+++ b/internal/router/trace/format/reader.go
@@ -66,7 +66,7 @@
 	if err := decoder.Unmarshal(body, &r.Header); err != nil {
 		return nil, fmt.Errorf("the head: %w", err)
 	}
-	if err := r.Header.Schema.Check(); err != nil {
+	if err := r.Header.Schema.Validate(); err != nil {
 		return nil, fmt.Errorf("the head: %w", err)
 	}
 	return r, nil
--- a/internal/router/trace/format/schema.go
+++ b/internal/router/trace/format/schema.go
@@ -15,14 +15,14 @@
 // Version is of the form that is written here; a reader refuses a newer one.
 const Version = 1
 
-// Mark says what a column may tell of people, and so what anonymising does.
-type Mark uint8
+// Privacy says what a column may tell of people, and so what anonymising does.
+type Privacy uint8
 
 const (
-	Plain    Mark = iota + 1 // nothing: kept
-	Identity                 // of a viewer, session, command or key: a pseudonym
-	Topology                 // of a host, router or address: a pseudonym
-	Words                    // free text: dropped
+	Plain    Privacy = iota + 1 // nothing: kept
+	Identity                    // of a viewer, session, command or key: a pseudonym
+	Topology                    // of a host, router or address: a pseudonym
+	FreeText                    // free text: dropped
 )
 
 // Type is of a column's values.
@@ -35,9 +35,9 @@
 
 // Column describes one field of a kind of event.
 type Column struct {
-	Name string `cbor:"1,keyasint"`
-	Type Type   `cbor:"2,keyasint"`
-	Mark Mark   `cbor:"3,keyasint"`
+	Name string  `cbor:"1,keyasint"`
+	Type Type    `cbor:"2,keyasint"`
+	Mark Privacy `cbor:"3,keyasint"`
 }
 
 // Kind describes one kind of event. Each has a moment beside its columns.
@@ -84,8 +84,8 @@
 	return n
 }
 
-// Check says what is wrong with a schema that was read or is to be written: a column without a mark, say.
-func (s Schema) Check() error {
+// Validate says what is wrong with a schema that was read or is to be written: a column without a mark, say.
+func (s Schema) Validate() error {
 	if len(s) == 0 || len(s) > 256 {
 		return errors.New("a schema of no or too many kinds")
 	}
@@ -99,7 +99,7 @@
 				return fmt.Errorf("kind %q: column %q: a name that can't be", k.Name, c.Name)
 			case c.Type != Int && c.Type != Text:
 				return fmt.Errorf("kind %q: column %q: type %d is not known", k.Name, c.Name, c.Type)
-			case c.Mark < Plain || c.Mark > Words:
+			case c.Mark < Plain || c.Mark > FreeText:
 				return fmt.Errorf("kind %q: column %q: mark %d is not known", k.Name, c.Name, c.Mark)
 			case c.Type == Int && c.Mark != Plain:
 				return fmt.Errorf("kind %q: column %q: numbers can't be identities", k.Name, c.Name)
--- a/internal/router/trace/record/record.go
+++ b/internal/router/trace/record/record.go
@@ -64,7 +64,7 @@
 	return all
 }
 
-func textColumn(name string, m format.Mark) []format.Column {
+func textColumn(name string, m format.Privacy) []format.Column {
 	return []format.Column{{Name: name, Type: format.Text, Mark: m}}
 }
 
@@ -87,7 +87,7 @@
 	Left:      eventKind("left", intColumns("command")),
 	Reported:  eventKind("reported", intColumns("host", "position", "role")),
 	Probed:    eventKind("probed", intColumns("host", "ok")),
-	Heard:     eventKind("heard", textColumn("body", format.Words)),
+	Heard:     eventKind("heard", textColumn("body", format.FreeText)),
 	Woke:      eventKind("woke"),
 	Told:      eventKind("told", intColumns("host", "position", "role", "role_at", "late")),
 	Count:     eventKind("count", intColumns("routers", "blind")),
@@ -98,7 +98,7 @@
 	Probe:     eventKind("probe", intColumns("host")),
 	Close:     eventKind("close", intColumns("host")),
 	Forget:    eventKind("forget", intColumns("host")),
-	Tell:      eventKind("tell", textColumn("body", format.Words)),
+	Tell:      eventKind("tell", textColumn("body", format.FreeText)),
 	Wake:      eventKind("wake", intColumns("after")),
 	Candidate: eventKind("candidate", intColumns("command", "host", "standing", "role", "position", "out", "late", "share", "state")),
 	List:      eventKind("list", intColumns("revision", "whole", "entries")),
@@ -112,7 +112,7 @@
 	PlanProbed:    eventKind("plan_probed", intColumns("ok", "position", "role", "took"), textColumn("name", format.Topology)),
 	PlanChange:    eventKind("plan_change", intColumns("seq", "hosts", "dropped", "routers", "every", "whole", "links")),
 	PlanReport:    eventKind("plan_report", intColumns("entries", "answers", "cold"), textColumn("forwarder", format.Topology)),
-	PlanForwarder: eventKind("plan_forwarder", intColumns("open", "life"), textColumn("forwarder", format.Topology), textColumn("why", format.Words)),
+	PlanForwarder: eventKind("plan_forwarder", intColumns("open", "life"), textColumn("forwarder", format.Topology), textColumn("why", format.FreeText)),
 
 	Unlisted: eventKind("unlisted"),
 	Watch:    eventKind("watch"),
@@ -143,7 +143,7 @@
 	nextClockAt     int64
 	pendingCommand  int64 // the command that Take was called for, whose handle is not known yet
 
-	Events, Lost uint64
+	RecordedEvents, LostEvents uint64
 }
 
 // New records into blocks of about size bytes. part is how many sessions in a thousand are recorded, chosen by a
@@ -202,14 +202,14 @@
 	if r.block == nil {
 		if r.block = r.sink.Get(); r.block == nil {
 			r.unreportedLost++
-			r.Lost++
+			r.LostEvents++
 			return
 		}
 		r.block.Lost(r.unreportedLost)
 		r.unreportedLost = 0
 	}
 	r.block.Add(r.now, kind, ints, texts)
-	if r.Events++; r.block.Full(r.blockBytes) {
+	if r.RecordedEvents++; r.block.Full(r.blockBytes) {
 		r.Flush()
 	}
 }
@@ -221,7 +221,7 @@
 	}
 	if n := uint64(r.block.Len()); !r.sink.Put(r.block) {
 		r.unreportedLost += n
-		r.Lost += n
+		r.LostEvents += n
 		r.block.Reset()
 		r.block.Lost(r.unreportedLost)
 		r.unreportedLost = 0
--- a/internal/router/trace/tool/merge.go
+++ b/internal/router/trace/tool/merge.go
@@ -23,8 +23,8 @@
 	Seen   int     // windows that both routers had
 }
 
-// At is a moment by the first router's clock.
-func (s Skew) At(at int64) int64 {
+// Correct is a moment by the first router's clock.
+func (s Skew) Correct(at int64) int64 {
 	return at - int64(math.Round(s.Offset+s.Drift*float64(at-s.From)))
 }
 
@@ -152,7 +152,7 @@
 		h.events = events
 	}
 	// In one router's order a moment never goes back: events are in the order in which they happened.
-	h.at = max(h.at, h.skew.At(h.events[0].At))
+	h.at = max(h.at, h.skew.Correct(h.events[0].At))
 	return true, nil
 }
 
--- a/internal/router/trace/tool/tool.go
+++ b/internal/router/trace/tool/tool.go
@@ -224,14 +224,14 @@
 // Begin says of which schema the events are.
 func (f *Filter) Begin(s format.Schema) { f.schema, f.commands = s, map[int64]bool{} }
 
-// All says that nothing is left out.
-func (f *Filter) All() bool { return len(f.Sessions)+len(f.Sets)+len(f.Groups) == 0 }
+// MatchesAll says that nothing is left out.
+func (f *Filter) MatchesAll() bool { return len(f.Sessions)+len(f.Sets)+len(f.Groups) == 0 }
 
 // Has says whether an event is picked. Those that are of no command are, for a reader needs them.
 func (f *Filter) Has(e format.Event) bool {
 	k := f.schema[e.Kind]
 	at := k.Find("command", format.Int)
-	if at < 0 || f.All() {
+	if at < 0 || f.MatchesAll() {
 		return true
 	}
 	number := e.Ints[at]
@@ -262,7 +262,7 @@
 // Anonymizer replaces what a schema's marks name, by a key.
 type Anonymizer struct {
 	key         [32]byte
-	textPrivacy [][]format.Mark // of texts, by kind
+	textPrivacy [][]format.Privacy // of texts, by kind
 	pseudonyms  map[string]string
 }
 
@@ -275,7 +275,7 @@
 func (a *Anonymizer) Header(h format.Header) (format.Header, error) {
 	a.textPrivacy = nil
 	for _, k := range h.Schema {
-		var marks []format.Mark
+		var marks []format.Privacy
 		for _, c := range k.Columns {
 			if c.Type == format.Text {
 				marks = append(marks, c.Mark)
@@ -317,7 +317,7 @@
 	return e
 }
 
-func (a *Anonymizer) pseudonym(m format.Mark, text string) string {
+func (a *Anonymizer) pseudonym(m format.Privacy, text string) string {
 	switch {
 	case m == format.Plain || text == "":
 		return text
@@ -348,8 +348,8 @@
 	return names
 }
 
-// Value is a number of an event as JSON has it: floats by their bits.
-func Value(name string, v int64) any {
+// JSONNumber is a number of an event as JSON has it: floats by their bits.
+func JSONNumber(name string, v int64) any {
 	if name == "size" {
 		return math.Float64frombits(uint64(v))
 	}
@@ -363,7 +363,7 @@
 	i, t := 0, 0
 	for _, c := range k.Columns {
 		if c.Type == format.Int {
-			o[c.Name] = Value(c.Name, e.Ints[i])
+			o[c.Name] = JSONNumber(c.Name, e.Ints[i])
 			i++
 		} else {
 			o[c.Name] = e.Texts[t]
--- a/internal/router/trace/tool/tool_test.go
+++ b/internal/router/trace/tool/tool_test.go
@@ -166,7 +166,7 @@
 	}
 	for _, at := range []int64{base, base + 1000000, base + 2000000} {
 		theirs := at + offset + int64(drift*float64(at-base))
-		if off := skew.At(theirs) - at; off > 40 || off < -40 {
+		if off := skew.Correct(theirs) - at; off > 40 || off < -40 {
 			t.Errorf("%.1f s on: off by %.1f ms, bound %.1f", float64(at-base)/10000, float64(off)/10, skew.Bound/10)
 		}
 	}
@@ -312,7 +312,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if off := skew.At(base+int64(i)*500) - base; off > 60 || off < -60 {
+		if off := skew.Correct(base+int64(i)*500) - base; off > 60 || off < -60 {
 			t.Errorf("router %d is off by %.1f ms", i, float64(off)/10)
 		}
 		feeds, skews = append(feeds, feed), append(skews, skew)
