--- a/internal/router/trace/format/format_test.go
+++ b/internal/router/trace/format/format_test.go
@@ -18,8 +18,8 @@
 	{Name: "stalled"},
 }
 
-// write makes a file of events, so many in a block.
-func write(t interface{ Fatal(...any) }, events []Event, each int) (file []byte, spans []Span) {
+// write returns a file of events, so many in a block.
+func write(t interface{ Fatal(...any) }, events []Event, eventsPerBlock int) (file []byte, spans []Span) {
 	file, err := AppendHeader(nil, Header{Router: "f1", Life: 3, Schema: schema})
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 		b.Reset()
 	}
 	for _, e := range events {
-		if b.Add(e.At, e.Kind, e.Ints, e.Texts); b.Len() == each {
+		if b.Add(e.At, e.Kind, e.Ints, e.Texts); b.Len() == eventsPerBlock {
 			flush()
 		}
 	}
@@ -48,7 +48,7 @@
 	return file, spans
 }
 
-// read gives all events up to the end or a break, and the faults on the way.
+// read returns all events up to the end or truncation, and the offsets of corrupt blocks.
 func read(file []byte) (events []Event, faults []int64, err error) {
 	r, err := NewReader(bytes.NewReader(file))
 	if err != nil {
@@ -56,12 +56,12 @@
 	}
 	for {
 		_, some, err := r.Next()
-		var f *CorruptBlockError
+		var corrupt *CorruptBlockError
 		switch {
-		case err == io.EOF:
+		case errors.As(err, &corrupt):
+			faults = append(faults, corrupt.Offset)
+		case errors.Is(err, io.EOF):
 			return events, faults, nil
-		case errors.As(err, &f):
-			faults = append(faults, f.Offset)
 		case err != nil:
 			return events, faults, err
 		}
@@ -69,7 +69,8 @@
 	}
 }
 
-func few(n int) (all []Event) {
+// someEvents returns three events for each of n.
+func someEvents(n int) (all []Event) {
 	for i := range n {
 		all = append(all, Event{At: int64(1000 + i), Kind: 0, Ints: []int64{int64(i % 3)}, Texts: []string{fmt.Sprint("c", i), "own"}},
 			Event{At: int64(1001 + i), Kind: 1, Ints: []int64{int64(i), 40}, Texts: []string{"set1-a"}}, Event{At: int64(1002 + i), Kind: 2})
@@ -77,7 +78,7 @@
 	return all
 }
 
-func TestAnyEventsComeBackAsTheyWere(t *testing.T) {
+func TestEventsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var events []Event
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
@@ -110,34 +111,34 @@
 	})
 }
 
-func TestAFileCutAtAnyByteReadsUpToTheBreak(t *testing.T) {
-	events := few(12)
+func TestTruncatedFileIsReadUpToItsEnd(t *testing.T) {
+	events := someEvents(12)
 	file, spans := write(t, events, 9)
-	for cut := range file {
-		whole := 0
+	for size := range file {
+		complete := 0
 		for _, s := range spans {
-			if s.Offset+int64(s.Length) <= int64(cut) {
-				whole += int(s.Count)
+			if s.Offset+int64(s.Length) <= int64(size) {
+				complete += int(s.Count)
 			}
 		}
-		got, faults, err := read(file[:cut])
-		if int64(cut) < spans[0].Offset {
+		got, faults, err := read(file[:size])
+		if int64(size) < spans[0].Offset {
 			if err == nil {
-				t.Fatalf("cut at %d, in the head: no error", cut)
+				t.Fatalf("%d bytes, within the header: no error", size)
 			}
 			continue
 		}
-		if len(got) != whole || len(faults) > 0 || whole > 0 && !reflect.DeepEqual(got, events[:whole]) {
-			t.Fatalf("cut at %d: %d events of %d, faults %v, %v", cut, len(got), whole, faults, err)
+		if len(got) != complete || len(faults) > 0 || complete > 0 && !reflect.DeepEqual(got, events[:complete]) {
+			t.Fatalf("%d bytes: %d events of %d, faults %v, %v", size, len(got), complete, faults, err)
 		}
-		if _, err := ReadIndex(bytes.NewReader(file[:cut]), int64(cut)); err == nil {
-			t.Fatalf("cut at %d: an index is found", cut)
+		if _, err := ReadIndex(bytes.NewReader(file[:size]), int64(size)); err == nil {
+			t.Fatalf("%d bytes: an index is found", size)
 		}
 	}
 }
 
-func TestAFlippedByteIsNamedByOffsetAndCostsOneBlock(t *testing.T) {
-	events := few(12)
+func TestCorruptByteLosesOneBlock(t *testing.T) {
+	events := someEvents(12)
 	file, spans := write(t, events, 9)
 	for i, s := range spans {
 		for at := s.Offset; at < s.Offset+int64(s.Length); at++ {
@@ -146,7 +147,7 @@
 			got, faults, err := read(bad)
 			if len(faults) == 0 || faults[0] != s.Offset {
 				if errors.Is(err, ErrTruncated) && at < s.Offset+frameHeaderBytes {
-					continue // a length that lies takes what is behind it along, or the rest of the file
+					continue // a wrong length includes the blocks that follow
 				}
 				t.Fatalf("block %d, byte %d: faults %v, %v", i, at-s.Offset, faults, err)
 			}
@@ -157,8 +158,8 @@
 	}
 }
 
-func TestANewerVersionIsRefusedByNumberAndAForeignFileByName(t *testing.T) {
-	file, _ := write(t, few(1), 9)
+func TestNewerVersionAndForeignFileAreRejected(t *testing.T) {
+	file, _ := write(t, someEvents(1), 9)
 	newer := bytes.Clone(file)
 	newer[len(fileMagic)] = 2
 	if _, err := NewReader(bytes.NewReader(newer)); !errors.Is(err, ErrNewerVersion) || !strings.Contains(err.Error(), "version 2") {
@@ -169,7 +170,7 @@
 	}
 }
 
-func TestAColumnThatThisProgramDoesNotKnowIsSkippedByName(t *testing.T) {
+func TestUnknownColumnIsSkipped(t *testing.T) {
 	later := Schema{{Name: "taken", Columns: []Column{{"new", Text, FreeText}, {"id", Text, Identity}, {"set", Int, Plain}}}, {Name: "unheard of"}}
 	b := NewBlock(later)
 	b.Add(5, 0, []int64{7}, []string{"something", "c1"})
@@ -187,23 +188,28 @@
 	}
 }
 
-func TestAColumnWithoutAMarkIsNotWritten(t *testing.T) {
+func TestColumnWithoutPrivacyIsNotWritten(t *testing.T) {
 	if _, err := AppendHeader(nil, Header{Schema: Schema{{Name: "x", Columns: []Column{{Name: "y", Type: Text}}}}}); err == nil {
-		t.Error("a column that says nothing of identities is taken")
+		t.Error("a column without privacy is accepted")
 	}
 	if _, err := AppendHeader(nil, Header{Schema: Schema{{Name: "x", Columns: []Column{{"y", Int, Identity}}}}}); err == nil {
-		t.Error("an identity that could not be replaced is taken")
+		t.Error("an identity that could not be replaced is accepted")
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	file, _ := write(f, few(3), 4)
+	file, _ := write(f, someEvents(3), 4)
 	f.Add(file)
 	f.Add(file[:len(file)-30])
 	f.Add([]byte(fileMagic))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		events, _, _ := read(b)
-		ReadIndex(bytes.NewReader(b), int64(len(b)))
+		index, err := ReadIndex(bytes.NewReader(b), int64(len(b)))
+		for _, block := range index {
+			if err != nil || block.Offset < 0 || block.Offset+int64(block.Length) > int64(len(b)) {
+				t.Fatal(block, err)
+			}
+		}
 		for _, e := range events {
 			if e.Kind < 0 {
 				t.Fatal(e)
@@ -213,7 +219,7 @@
 }
 
 func BenchmarkWrite(b *testing.B) {
-	events := few(10000)
+	events := someEvents(10000)
 	b.ReportAllocs()
 	for range b.N {
 		file, _ := write(b, events, 8192)
@@ -223,7 +229,7 @@
 }
 
 func BenchmarkRead(b *testing.B) {
-	file, _ := write(b, few(10000), 8192)
+	file, _ := write(b, someEvents(10000), 8192)
 	b.ResetTimer()
 	n := 0
 	for range b.N {
--- a/internal/router/trace/format/reader.go
+++ b/internal/router/trace/format/reader.go
@@ -5,54 +5,81 @@
 	"errors"
 	"fmt"
 	"io"
+	"strings"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// CorruptBlockError is a block that can't be read; what is behind it can.
+// CorruptBlockError is a block that cannot be read. Those after it can.
 type CorruptBlockError struct {
-	Offset int64 // of the block
-	Err    error
+	Offset int64 // of the block's frame, in bytes
+	Err    error // wraps ErrCorrupt
 }
 
-func (f *CorruptBlockError) Error() string { return fmt.Sprintf("at offset %d: %v", f.Offset, f.Err) }
-func (f *CorruptBlockError) Unwrap() error { return f.Err }
+func (e *CorruptBlockError) Error() string { return fmt.Sprintf("at offset %d: %v", e.Offset, e.Err) }
 
-// Reader reads a file from its beginning, from a pipe too.
+// Unwrap returns the cause.
+func (e *CorruptBlockError) Unwrap() error { return e.Err }
+
+// Reader reads a file from its beginning. The input need not be seekable.
 type Reader struct {
 	Header Header
 	input  countingReader
 }
 
+// countingReader knows its offset.
 type countingReader struct {
 	in     io.Reader
 	offset int64
 }
 
-func (c *countingReader) Read(b []byte) (int, error) {
-	n, err := c.in.Read(b)
+// Read implements io.Reader.
+func (c *countingReader) Read(buffer []byte) (int, error) {
+	n, err := c.in.Read(buffer)
 	c.offset += int64(n)
 	return n, err
 }
 
-// NewReader reads the header.
-func NewReader(in io.Reader) (*Reader, error) {
-	r := &Reader{input: countingReader{in: in}}
-	var head [len(fileMagic) + 16]byte
-	if n, err := io.ReadFull(&r.input, head[:]); err != nil {
-		if n >= len(fileMagic) && string(head[:len(fileMagic)]) == fileMagic {
-			return nil, fmt.Errorf("%w in its head", ErrTruncated)
-		}
-		return nil, ErrNotTrace
+// unread puts bytes back that were read last.
+func (c *countingReader) unread(text string) {
+	c.in = io.MultiReader(strings.NewReader(text), c.in)
+	c.offset -= int64(len(text))
+}
+
+// NewReader reads the header of a file. The error is or wraps one of those of this
+// package, or says what is wrong with the header.
+func NewReader(input io.Reader) (*Reader, error) {
+	r := &Reader{input: countingReader{in: input}}
+	body, err := r.readHeader()
+	if err != nil {
+		return nil, err
 	}
-	if string(head[:len(fileMagic)]) != fileMagic {
+	if err := decoder.Unmarshal(body, &r.Header); err != nil {
+		return nil, fmt.Errorf("the head: %w", err)
+	}
+	if err := r.Header.Schema.Validate(); err != nil {
+		return nil, fmt.Errorf("the head: %w", err)
+	}
+	return r, nil
+}
+
+// readHeader reads the bytes of the header and checks the prefix before it.
+func (r *Reader) readHeader() ([]byte, error) {
+	var prefix [prefixBytes]byte
+	n, err := io.ReadFull(&r.input, prefix[:])
+	if n < len(fileMagic) || string(prefix[:len(fileMagic)]) != fileMagic {
 		return nil, ErrNotTrace
 	}
-	rest := head[len(fileMagic):]
-	if v := binary.LittleEndian.Uint32(rest); v > Version || v == 0 {
-		return nil, fmt.Errorf("%w: trace version %d; this program reads up to version %d", ErrNewerVersion, v, Version)
+	if err != nil {
+		return nil, fmt.Errorf("%w in its head", ErrTruncated)
+	}
+	fields := prefix[len(fileMagic):]
+	version := binary.LittleEndian.Uint32(fields)
+	size := binary.LittleEndian.Uint32(fields[versionBytes:])
+	checksum := binary.LittleEndian.Uint64(fields[versionBytes+lengthBytes:])
+	if version > Version || version == 0 {
+		return nil, fmt.Errorf("%w: trace version %d; this program reads up to version %d", ErrNewerVersion, version, Version)
 	}
-	size := binary.LittleEndian.Uint32(rest[4:])
 	if size > MaxHeaderBytes {
 		return nil, fmt.Errorf("%w: a header of %d bytes, over %d", ErrCorrupt, size, MaxHeaderBytes)
 	}
@@ -60,113 +87,107 @@
 	if _, err := io.ReadFull(&r.input, body); err != nil {
 		return nil, fmt.Errorf("%w in its head", ErrTruncated)
 	}
-	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(rest[8:]) {
+	if xxhash.Sum64(body) != checksum {
 		return nil, fmt.Errorf("the head: %w", ErrCorrupt)
 	}
-	if err := decoder.Unmarshal(body, &r.Header); err != nil {
-		return nil, fmt.Errorf("the head: %w", err)
-	}
-	if err := r.Header.Schema.Validate(); err != nil {
-		return nil, fmt.Errorf("the head: %w", err)
-	}
-	return r, nil
+	return body, nil
 }
 
-// Offset is where the next block begins.
+// Offset returns where the next block begins, in bytes.
 func (r *Reader) Offset() int64 { return r.input.offset }
 
-// Next reads a block. io.EOF is the end, with or without an index; ErrBreak
-// that the file breaks off; a Fault names a block that is spoilt, after which
-// Next goes on with the one behind it, where its length held.
+// Next reads the next block. The error is io.EOF at the end of the file, with or
+// without an index, and wraps ErrTruncated if the file ends within a block. After a
+// CorruptBlockError, Next returns the block that follows.
 func (r *Reader) Next() (Span, []Event, error) {
-	at := r.input.offset
-	mark, payload, err := readFrame(&r.input, MaxBlockBytes)
+	offset := r.input.offset
+	block, err := readFrame(&r.input, MaxBlockBytes)
 	switch {
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		return Span{}, nil, io.EOF
 	case errors.Is(err, ErrTruncated):
-		return Span{}, nil, fmt.Errorf("at offset %d: %w", at, err)
-	case err != nil && payload == nil:
-		return Span{}, nil, r.skipCorruptFrame(at, err)
+		return Span{}, nil, fmt.Errorf("at offset %d: %w", offset, err)
+	case err != nil && block.payload == nil:
+		r.skipCorruptFrame()
+		return Span{}, nil, &CorruptBlockError{offset, err}
 	case err != nil:
-		return Span{}, nil, &CorruptBlockError{at, err}
-	case mark == indexMark:
+		return Span{}, nil, &CorruptBlockError{offset, err}
+	case block.mark == indexMark:
 		return Span{}, nil, io.EOF
 	}
-	span, events, err := decodeBlock(r.Header.Schema, payload)
+	info, events, err := decodeBlock(r.Header.Schema, block.payload)
 	if err != nil {
-		return Span{}, nil, &CorruptBlockError{at, err}
+		return Span{}, nil, &CorruptBlockError{offset, err}
 	}
-	span.Offset, span.Length = at, uint32(frameHeaderBytes+len(payload))
-	return span, events, nil
+	info.Offset, info.Length = offset, uint32(frameHeaderBytes+len(block.payload))
+	return info, events, nil
 }
 
-// skipCorruptFrame goes on behind a head that is spoilt, with the next that looks like one; a checksum will tell.
-func (r *Reader) skipCorruptFrame(at int64, why error) error {
-	var last [4]byte
-	b := make([]byte, 1)
+// skipCorruptFrame skips a frame whose length cannot be right: up to the next mark.
+// What only looks like a mark does not match its checksum.
+func (r *Reader) skipCorruptFrame() {
+	var last [markBytes]byte
+	next := make([]byte, 1)
 	for {
-		if _, err := r.input.Read(b); err != nil {
-			return &CorruptBlockError{at, why}
+		if _, err := r.input.Read(next); err != nil {
+			return // the next read returns the error again
 		}
 		copy(last[:], last[1:])
-		if last[3] = b[0]; string(last[:]) == blockMark || string(last[:]) == indexMark {
-			r.input.in = io.MultiReader(&again{string(last[:])}, r.input.in)
-			r.input.offset -= 4
-			return &CorruptBlockError{at, why}
+		last[markBytes-1] = next[0]
+		if mark := string(last[:]); mark == blockMark || mark == indexMark {
+			r.input.unread(mark)
+			return
 		}
 	}
 }
 
-type again struct{ rest string }
-
-func (a *again) Read(b []byte) (int, error) {
-	if a.rest == "" {
-		return 0, io.EOF
-	}
-	n := copy(b, a.rest)
-	a.rest = a.rest[n:]
-	return n, nil
-}
-
-// ReadIndex reads the index from a file's end. ErrBreak: it has none, and repair makes one.
-func ReadIndex(in io.ReaderAt, size int64) ([]Span, error) {
-	if size < int64(trailerBytes) {
+// ReadIndex reads the index at the end of a file of a size in bytes. The error
+// wraps ErrTruncated if the file has none, and ErrCorrupt if it is wrong.
+func ReadIndex(file io.ReaderAt, size int64) ([]Span, error) {
+	trailerOffset := size - int64(trailerBytes)
+	if trailerOffset < 0 {
 		return nil, ErrTruncated
 	}
-	var tail [trailerBytes]byte
-	if _, err := in.ReadAt(tail[:], size-int64(trailerBytes)); err != nil {
+	var trailer [trailerBytes]byte
+	if _, err := file.ReadAt(trailer[:], trailerOffset); err != nil {
 		return nil, err
 	}
-	offset := int64(binary.LittleEndian.Uint64(tail[:]))
-	if string(tail[8:]) != endMagic || offset < 0 || offset > size-int64(trailerBytes) {
+	offset := int64(binary.LittleEndian.Uint64(trailer[:]))
+	if string(trailer[offsetBytes:]) != endMagic || offset < 0 || offset > trailerOffset {
 		return nil, fmt.Errorf("%w: no index at its end", ErrTruncated)
 	}
-	mark, payload, err := readFrame(io.NewSectionReader(in, offset, size-int64(trailerBytes)-offset), MaxIndexBytes)
-	if err != nil || mark != indexMark {
+	read, err := readFrame(io.NewSectionReader(file, offset, trailerOffset-offset), MaxIndexBytes)
+	if err != nil || read.mark != indexMark {
 		return nil, fmt.Errorf("the index at offset %d: %w", offset, errors.Join(ErrCorrupt, err))
 	}
-	var spans []Span
-	if err := decoder.Unmarshal(payload, &spans); err != nil {
+	var index []Span
+	if err := decoder.Unmarshal(read.payload, &index); err != nil {
 		return nil, fmt.Errorf("the index at offset %d: %w", offset, err)
 	}
-	for _, s := range spans {
-		if s.Offset < 0 || s.Offset+int64(s.Length) > offset || s.Length < frameHeaderBytes || s.Length > MaxBlockBytes+frameHeaderBytes {
+	for _, info := range index {
+		if !info.isWithin(offset) {
 			return nil, fmt.Errorf("the index at offset %d: %w: a block outside of the file", offset, ErrCorrupt)
 		}
 	}
-	return spans, nil
+	return index, nil
 }
 
-// ReadBlock reads the block that an index names.
-func ReadBlock(in io.ReaderAt, s Schema, span Span) ([]Event, error) {
-	mark, payload, err := readFrame(io.NewSectionReader(in, span.Offset, int64(span.Length)), MaxBlockBytes)
-	if err != nil || mark != blockMark {
-		return nil, &CorruptBlockError{span.Offset, errors.Join(ErrCorrupt, err)}
-	}
-	_, events, err := decodeBlock(s, payload)
+// isWithin reports whether a block can be where the index says, in a file of blocks up to an offset.
+func (s Span) isWithin(end int64) bool {
+	return s.Offset >= 0 && s.Offset+int64(s.Length) <= end &&
+		s.Length >= frameHeaderBytes && s.Length <= MaxBlockBytes+frameHeaderBytes
+}
+
+// ReadBlock reads the block that an entry of the index describes. The error is a
+// CorruptBlockError if the block is not there or wrong.
+func ReadBlock(file io.ReaderAt, schema Schema, info Span) ([]Event, error) {
+	block, err := readFrame(io.NewSectionReader(file, info.Offset, int64(info.Length)), MaxBlockBytes)
+	if err != nil || block.mark != blockMark {
+		return nil, &CorruptBlockError{info.Offset, errors.Join(ErrCorrupt, err)}
+	}
+	_, events, err := decodeBlock(schema, block.payload)
 	if err != nil {
-		return nil, &CorruptBlockError{span.Offset, err}
+		return nil, &CorruptBlockError{info.Offset, err}
 	}
 	return events, nil
 }
--- a/internal/router/trace/format/schema.go
+++ b/internal/router/trace/format/schema.go
@@ -1,10 +1,3 @@
-// Package format is the form of trace files, on bytes alone: a header that
-// describes itself, blocks of columns with a checksum each, and an index at the
-// end that seeking needs and reading does not. docs/design/trace-format.md says
-// it for others.
-//
-// A Block gathers events column by column, Append writes it, Reader gives blocks
-// back one after the other up to a break, and an Index finds them by time.
 package format
 
 import (
@@ -12,25 +5,31 @@
 	"fmt"
 )
 
-// Version is of the form that is written here; a reader refuses a newer one.
-const Version = 1
+// Limits of a schema. Names are in bytes.
+const (
+	maxKinds     = 256
+	maxColumns   = 256
+	maxNameBytes = 64
+)
 
-// Privacy says what a column may tell of people, and so what anonymising does.
+// Privacy says what a column may tell of people, and so what anonymising does to it.
 type Privacy uint8
 
+// Values of Privacy, which are stored in files.
 const (
-	Plain    Privacy = iota + 1 // nothing: kept
-	Identity                    // of a viewer, session, command or key: a pseudonym
-	Topology                    // of a host, router or address: a pseudonym
-	FreeText                    // free text: dropped
+	Plain    Privacy = iota + 1 // tells nothing: the value is kept
+	Identity                    // of a viewer, session, command or key: replaced by a pseudonym
+	Topology                    // of a host, router or address: replaced by a pseudonym
+	FreeText                    // dropped
 )
 
-// Type is of a column's values.
+// Type is the type of a column's values.
 type Type uint8
 
+// Values of Type, which are stored in files.
 const (
-	Int Type = iota + 1
-	Text
+	Int  Type = iota + 1 // 64 bits, signed
+	Text                 // UTF-8
 )
 
 // Column describes one field of a kind of event.
@@ -40,92 +39,109 @@
 	Mark Privacy `cbor:"3,keyasint"`
 }
 
-// Kind describes one kind of event. Each has a moment beside its columns.
+// Kind describes one kind of event. Every event has a time beside its columns.
 type Kind struct {
 	Name    string   `cbor:"1,keyasint"`
 	Columns []Column `cbor:"2,keyasint"`
 }
 
-// Schema is all kinds of a file, by number.
+// Schema describes all kinds of events of a file. Events refer to a kind by its index.
 type Schema []Kind
 
-// Find is a kind's number, or -1.
+// Find returns the index of a kind, or -1.
 func (s Schema) Find(name string) int {
-	for i, k := range s {
-		if k.Name == name {
+	for i, kind := range s {
+		if kind.Name == name {
 			return i
 		}
 	}
 	return -1
 }
 
-// Find is a column's place among those of its type, or -1.
-func (k Kind) Find(name string, t Type) int {
-	at := 0
-	for _, c := range k.Columns {
-		if c.Type != t {
+// Find returns the index of a column among the columns of its type, or -1. It is
+// the index of its value in Event.Ints or Event.Texts.
+func (k Kind) Find(name string, columnType Type) int {
+	index := 0
+	for _, column := range k.Columns {
+		if column.Type != columnType {
 			continue
 		}
-		if c.Name == name {
-			return at
+		if column.Name == name {
+			return index
 		}
-		at++
+		index++
 	}
 	return -1
 }
 
-// Count is how many columns of a type a kind has.
-func (k Kind) Count(t Type) (n int) {
-	for _, c := range k.Columns {
-		if c.Type == t {
-			n++
+// Count returns how many columns of a type the kind has.
+func (k Kind) Count(columnType Type) int {
+	count := 0
+	for _, column := range k.Columns {
+		if column.Type == columnType {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// Validate says what is wrong with a schema that was read or is to be written: a column without a mark, say.
+// Validate returns what is wrong with a schema that was read or is to be written,
+// for instance a column without Privacy.
 func (s Schema) Validate() error {
-	if len(s) == 0 || len(s) > 256 {
+	if len(s) == 0 || len(s) > maxKinds {
 		return errors.New("a schema of no or too many kinds")
 	}
-	for _, k := range s {
-		if k.Name == "" || len(k.Name) > 64 || len(k.Columns) > 256 {
-			return fmt.Errorf("kind %q: a name or a number of columns that can't be", k.Name)
+	for _, kind := range s {
+		if err := kind.validate(); err != nil {
+			return err
 		}
-		for _, c := range k.Columns {
-			switch {
-			case c.Name == "" || len(c.Name) > 64:
-				return fmt.Errorf("kind %q: column %q: a name that can't be", k.Name, c.Name)
-			case c.Type != Int && c.Type != Text:
-				return fmt.Errorf("kind %q: column %q: type %d is not known", k.Name, c.Name, c.Type)
-			case c.Mark < Plain || c.Mark > FreeText:
-				return fmt.Errorf("kind %q: column %q: mark %d is not known", k.Name, c.Name, c.Mark)
-			case c.Type == Int && c.Mark != Plain:
-				return fmt.Errorf("kind %q: column %q: numbers can't be identities", k.Name, c.Name)
-			}
+	}
+	return nil
+}
+
+func (k Kind) validate() error {
+	if k.Name == "" || len(k.Name) > maxNameBytes || len(k.Columns) > maxColumns {
+		return fmt.Errorf("kind %q: a name or a number of columns that can't be", k.Name)
+	}
+	for _, column := range k.Columns {
+		if err := column.validate(); err != nil {
+			return fmt.Errorf("kind %q: column %q: %w", k.Name, column.Name, err)
 		}
 	}
 	return nil
 }
 
-// Header opens a file.
+func (c Column) validate() error {
+	switch {
+	case c.Name == "" || len(c.Name) > maxNameBytes:
+		return errors.New("a name that can't be")
+	case c.Type != Int && c.Type != Text:
+		return fmt.Errorf("type %d is not known", c.Type)
+	case c.Mark < Plain || c.Mark > FreeText:
+		return fmt.Errorf("mark %d is not known", c.Mark)
+	case c.Type == Int && c.Mark != Plain:
+		return errors.New("numbers can't be identities")
+	}
+	return nil
+}
+
+// Header is the beginning of a file.
 type Header struct {
-	Router string            `cbor:"1,keyasint"`           // Place
-	Life   uint64            `cbor:"2,keyasint"`           // of the process
-	Began  int64             `cbor:"3,keyasint"`           // the moment of the first event it can hold, in tenths
-	Build  string            `cbor:"4,keyasint,omitempty"` // of the program that wrote it
-	Part   uint32            `cbor:"5,keyasint,omitempty"` // sampled sessions, in thousandths; 1000: all
+	Router string            `cbor:"1,keyasint"`           // its name, which is of Topology
+	Life   uint64            `cbor:"2,keyasint"`           // of the process; each start has another
+	Began  int64             `cbor:"3,keyasint"`           // the earliest time of an event, in tenths of a millisecond
+	Build  string            `cbor:"4,keyasint,omitempty"` // of the program that wrote the file
+	Part   uint32            `cbor:"5,keyasint,omitempty"` // of the sessions, in thousandths; 1000: all
 	Schema Schema            `cbor:"6,keyasint"`
-	More   map[string][]byte `cbor:"7,keyasint,omitempty"` // by name, such as the deployment that a replay starts with
-	Key    []byte            `cbor:"8,keyasint,omitempty"` // tells pseudonyms' keys apart; nothing follows from it
+	More   map[string][]byte `cbor:"7,keyasint,omitempty"` // by name, for instance the deployment that a replay starts with
+	Key    []byte            `cbor:"8,keyasint,omitempty"` // a few bytes of a hash of the key of pseudonyms, to tell keys apart
 }
 
-// Event is one event, as readers give it. Ints and Texts are in the order of the
-// kind's columns of each type.
+// Event is one event. Ints and Texts are in the order of the kind's columns of
+// that type.
 type Event struct {
-	At    int64 // in tenths of a millisecond, by the router's clock
-	Kind  int
+	At    int64 // Unix time by the router's clock, in tenths of a millisecond
+	Kind  int   // index in the schema
 	Ints  []int64
 	Texts []string
 }
