--- a/internal/router/trace/export/export.go
+++ b/internal/router/trace/export/export.go
@@ -1,5 +1,8 @@
-// Package export writes events as Parquet. It is apart from the other tools because the library is as large as the rest of
-// a router, whose program is kept without it.
+// Package export writes the events of a trace as Parquet: events of one kind go
+// into one file, with a column for their time and one for each of the kind's.
+//
+// It is a package of its own because the Parquet library is as large as the rest
+// of a router, whose program does not contain it.
 package export
 
 import (
@@ -11,66 +14,72 @@
 	"ferrypitch/internal/router/trace/format"
 )
 
-// File writes the events of one kind as Parquet, a column for each of the kind's and one for the moment. The
-// rows of a group are all that it holds in memory.
+// timeColumn is the name of the column of events' times, in tenths of a millisecond.
+const timeColumn = "at"
+
+// maxGroupRows is how many rows are gathered in memory before they are written.
+const maxGroupRows = 64 << 10
+
+// File writes the events of one kind.
 type File struct {
-	writer       *parquet.Writer
-	valueIndexes []int // of a row's values: the place of each column among those of the schema, which Parquet sorts by name
-	kind         format.Kind
-	row          parquet.Row
-	Rows         int64
-}
+	Rows int64 // written so far
 
-// rowGroupRows is how many rows are gathered before they are written.
-const rowGroupRows = 64 << 10
+	writer *parquet.GenericWriter[any]
+	kind   format.Kind
+	row    parquet.Row
+	// timeIndex and columnIndexes say where in a row the time and each column of the
+	// kind is: Parquet sorts columns by name.
+	timeIndex     int
+	columnIndexes []int
+}
 
-// New begins a file.
-func New(out io.Writer, k format.Kind) (*File, error) {
-	group := parquet.Group{"at": parquet.Int(64)}
-	for _, c := range k.Columns {
-		if _, twice := group[c.Name]; twice {
-			return nil, fmt.Errorf("kind %q has two columns %q", k.Name, c.Name)
+// New begins a file. The caller must Close it, and then out.
+func New(out io.Writer, kind format.Kind) (*File, error) {
+	group := parquet.Group{timeColumn: parquet.Int(64)}
+	for _, column := range kind.Columns {
+		if _, duplicate := group[column.Name]; duplicate {
+			return nil, fmt.Errorf("kind %q has two columns %q", kind.Name, column.Name)
 		}
-		if c.Type == format.Int {
-			group[c.Name] = parquet.Int(64)
+		if column.Type == format.Int {
+			group[column.Name] = parquet.Int(64)
 		} else {
-			group[c.Name] = parquet.Encoded(parquet.String(), &parquet.RLEDictionary)
+			group[column.Name] = parquet.Encoded(parquet.String(), &parquet.RLEDictionary)
 		}
 	}
-	schema := parquet.NewSchema(k.Name, group)
-	e := &File{kind: k, row: make(parquet.Row, len(group)),
-		writer: parquet.NewWriter(out, schema, parquet.Compression(&parquet.Zstd), parquet.MaxRowsPerRowGroup(rowGroupRows))}
-	place := map[string]int{}
+	schema := parquet.NewSchema(kind.Name, group)
+	indexes := map[string]int{}
 	for i, path := range schema.Columns() {
-		place[path[0]] = i
+		indexes[path[0]] = i
 	}
-	e.valueIndexes = append(e.valueIndexes, place["at"])
-	for _, c := range k.Columns {
-		e.valueIndexes = append(e.valueIndexes, place[c.Name])
+	f := &File{kind: kind, row: make(parquet.Row, len(group)), timeIndex: indexes[timeColumn]}
+	for _, column := range kind.Columns {
+		f.columnIndexes = append(f.columnIndexes, indexes[column.Name])
 	}
-	return e, nil
+	f.writer = parquet.NewGenericWriter[any](out, schema,
+		parquet.Compression(&parquet.Zstd), parquet.MaxRowsPerRowGroup(maxGroupRows))
+	return f, nil
 }
 
 // Add adds an event of the kind.
-func (e *File) Add(ev format.Event) error {
-	set := func(column int, v parquet.Value) {
-		e.row[e.valueIndexes[column]] = v.Level(0, 0, e.valueIndexes[column])
-	}
-	set(0, parquet.Int64Value(ev.At))
-	i, t := 0, 0
-	for c, col := range e.kind.Columns {
-		if col.Type == format.Int {
-			set(c+1, parquet.Int64Value(ev.Ints[i]))
-			i++
+func (f *File) Add(event format.Event) error {
+	f.set(f.timeIndex, parquet.Int64Value(event.At))
+	ints, texts := event.Ints, event.Texts
+	for i, column := range f.kind.Columns {
+		var value parquet.Value
+		if column.Type == format.Int {
+			value, ints = parquet.Int64Value(ints[0]), ints[1:]
 		} else {
-			set(c+1, parquet.ByteArrayValue([]byte(ev.Texts[t])))
-			t++
+			value, texts = parquet.ByteArrayValue([]byte(texts[0])), texts[1:]
 		}
+		f.set(f.columnIndexes[i], value)
 	}
-	e.Rows++
-	_, err := e.writer.WriteRows([]parquet.Row{e.row})
+	f.Rows++
+	_, err := f.writer.WriteRows([]parquet.Row{f.row})
 	return err
 }
 
-// Close writes what is left.
-func (e *File) Close() error { return e.writer.Close() }
+// set sets a value of the row. No column is repeated or optional.
+func (f *File) set(index int, value parquet.Value) { f.row[index] = value.Level(0, 0, index) }
+
+// Close writes what is gathered and the end of the file.
+func (f *File) Close() error { return f.writer.Close() }
--- a/internal/router/trace/export/export_test.go
+++ b/internal/router/trace/export/export_test.go
@@ -11,11 +11,13 @@
 	"ferrypitch/internal/router/trace/record"
 )
 
-func TestAnExportedKindIsReadByItsColumns(t *testing.T) {
+func TestExportedKindIsReadByColumns(t *testing.T) {
 	var events []format.Event
 	for k := range int64(500) {
-		events = append(events, format.Event{At: 1000 + k, Kind: record.Take, Ints: []int64{k, k % 3, 1, 5000 + k, 0, 0},
-			Texts: []string{fmt.Sprint("id-", k), fmt.Sprint("session-", k%7)}}, format.Event{At: 1001 + k, Kind: record.Woke})
+		events = append(events, format.Event{
+			At: 1000 + k, Kind: record.Take, Ints: []int64{k, k % 3, 1, 5000 + k, 0, 0},
+			Texts: []string{fmt.Sprint("id-", k), fmt.Sprint("session-", k%7)},
+		}, format.Event{At: 1001 + k, Kind: record.Woke})
 	}
 	var out bytes.Buffer
 	e, err := New(&out, record.Schema[record.Take])
