--- a/internal/router/trace/file/file_test.go
+++ b/internal/router/trace/file/file_test.go
@@ -18,38 +18,38 @@
 
 var schema = format.Schema{{Name: "x", Columns: []format.Column{{Name: "n", Type: format.Int, Mark: format.Plain}}}}
 
-// disk holds what a disk would, and fails where it is told to.
-type disk struct {
+// fullDisk fails once its space is used up.
+type fullDisk struct {
 	Disk
-	room int // bytes that there are left; -1: enough
+	space int // bytes that are left; -1: no limit
 }
 
-type onDisk struct {
+type fileOnFullDisk struct {
 	File
-	d *disk
+	disk *fullDisk
 }
 
 var errFull = errors.New("no space left on device")
 
-func (d *disk) Create(path string) (File, error) {
+func (d *fullDisk) Create(path string) (File, error) {
 	f, err := d.Disk.Create(path)
-	return &onDisk{f, d}, err
+	return &fileOnFullDisk{f, d}, err
 }
 
-func (f *onDisk) Write(b []byte) (int, error) {
-	if f.d.room >= 0 && len(b) > f.d.room {
-		n, _ := f.File.Write(b[:f.d.room])
-		f.d.room = 0
+func (f *fileOnFullDisk) Write(b []byte) (int, error) {
+	if f.disk.space >= 0 && len(b) > f.disk.space {
+		n, _ := f.File.Write(b[:f.disk.space])
+		f.disk.space = 0
 		return n, errFull
 	}
-	if f.d.room >= 0 {
-		f.d.room -= len(b)
+	if f.disk.space >= 0 {
+		f.disk.space -= len(b)
 	}
 	return f.File.Write(b)
 }
 
-// record puts blocks of a hundred events, waiting for room as no recorder would, and ends the writer.
-func record(t *testing.T, w *Writer, blocks int) (put int) {
+// writeBlocks writes blocks of a hundred events, waits for empty blocks as no recorder would, and ends the writer.
+func writeBlocks(t *testing.T, w *Writer, blocks int) (put int) {
 	t.Helper()
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error)
@@ -76,10 +76,11 @@
 	return put
 }
 
-func terms(dir string) Terms {
+func testConfig(dir string) Terms {
 	return Terms{Dir: dir, Name: "f1/../x", Size: 2000, Age: time.Hour, Budget: 1 << 20, Flush: time.Hour, Blocks: 3}
 }
 
+// count reads all files of a folder and counts those that are truncated or corrupt.
 func count(t *testing.T, dir string) (events, files, broken int) {
 	t.Helper()
 	all, _ := filepath.Glob(filepath.Join(dir, "*"+Ending))
@@ -88,7 +89,6 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer f.Close()
 		files++
 		r, err := format.NewReader(f)
 		for err == nil {
@@ -96,18 +96,21 @@
 			_, some, err = r.Next()
 			events += len(some)
 		}
-		if err != io.EOF {
+		if !errors.Is(err, io.EOF) {
 			broken++
 		}
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
 	}
 	return events, files, broken
 }
 
-func TestFilesRotateWithinTheirBudgetAndCarryAnIndex(t *testing.T) {
+func TestFilesRotateWithinBudgetAndHaveAnIndex(t *testing.T) {
 	dir := t.TempDir()
-	tm := terms(dir)
-	w := New(tm, Disk{}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
-	put := record(t, w, 60)
+	config := testConfig(dir)
+	w := New(config, Disk{}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
+	put := writeBlocks(t, w, 60)
 	events, files, broken := count(t, dir)
 	if events != 100*put || files < 3 || broken != 0 {
 		t.Errorf("%d events of %d blocks in %d files, %d of them broken", events, put, files, broken)
@@ -122,55 +125,57 @@
 		if spans, err := format.ReadIndex(f, info.Size()); err != nil || len(spans) == 0 {
 			t.Errorf("%s: %v", path, err)
 		}
-		f.Close()
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
 	}
-	tm.Budget, tm.Dir = 7000, t.TempDir()
-	record(t, New(tm, Disk{}, format.Header{Schema: schema, Life: 6}, time.Now, zap.NewNop()), 60)
+	config.Budget, config.Dir = 7000, t.TempDir()
+	writeBlocks(t, New(config, Disk{}, format.Header{Schema: schema, Life: 6}, time.Now, zap.NewNop()), 60)
 	total := int64(0)
-	all, _ = filepath.Glob(filepath.Join(tm.Dir, "*"))
+	all, _ = filepath.Glob(filepath.Join(config.Dir, "*"))
 	for _, path := range all {
 		info, _ := os.Stat(path)
 		total += info.Size()
 	}
-	if total > tm.Budget+1000 || len(all) < 2 {
-		t.Errorf("%d bytes in %d files, of a budget of %d", total, len(all), tm.Budget)
+	if total > config.Budget+1000 || len(all) < 2 {
+		t.Errorf("%d bytes in %d files, of a budget of %d", total, len(all), config.Budget)
 	}
 }
 
-func TestADiskThatFillsAnywhereEndsCaptureAndLeavesReadableFiles(t *testing.T) {
-	for room := 0; room < 6000; room += 97 {
+func TestFullDiskEndsCaptureAndLeavesReadableFiles(t *testing.T) {
+	for space := 0; space < 6000; space += 97 {
 		dir := t.TempDir()
-		w := New(terms(dir), &disk{room: room}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
-		record(t, w, 60)
+		w := New(testConfig(dir), &fullDisk{space: space}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
+		writeBlocks(t, w, 60)
 		if !w.Stopped.Load() {
-			t.Fatalf("with %d bytes: capture goes on", room)
+			t.Fatalf("with %d bytes: capture goes on", space)
 		}
 		if w.Get() != nil || w.Put(format.NewBlock(schema)) {
-			t.Fatalf("with %d bytes: blocks are taken still", room)
+			t.Fatalf("with %d bytes: blocks are still accepted", space)
 		}
 		events, files, broken := count(t, dir)
 		if int64(events) < w.WrittenEvents.Load() || broken > 1 || files == 0 {
-			t.Fatalf("with %d bytes: %d events read of %d written, %d of %d files broken", room, events, w.WrittenEvents.Load(), broken, files)
+			t.Fatalf("with %d bytes: %d events read of %d written, %d of %d files broken", space, events, w.WrittenEvents.Load(), broken, files)
 		}
 	}
 }
 
-func TestAFolderThatIsNotThereEndsCaptureWithAWord(t *testing.T) {
-	w := New(terms("/nowhere/at/all"), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
-	record(t, w, 5)
+func TestMissingFolderEndsCapture(t *testing.T) {
+	w := New(testConfig("/nowhere/at/all"), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
+	writeBlocks(t, w, 5)
 	if !w.Stopped.Load() || !strings.Contains(fmt.Sprint(w.Fields()), "trace_ended") {
 		t.Error("it goes on")
 	}
 }
 
-func TestAWriterThatStandsStillCostsBlocksNotTime(t *testing.T) {
-	w := New(terms(t.TempDir()), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
+func TestStalledWriterDoesNotBlock(t *testing.T) {
+	w := New(testConfig(t.TempDir()), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
 	for range 3 {
 		b := w.Get()
 		b.Add(1, 0, []int64{1}, nil)
 		w.Put(b)
 	}
 	if w.Get() != nil {
-		t.Error("there are more blocks than were made")
+		t.Error("there are more blocks than configured")
 	}
 }
