--- a/internal/router/trace/record/plan.go
+++ b/internal/router/trace/record/plan.go
@@ -6,16 +6,18 @@
 	"ferrypitch/policy"
 )
 
-// Planner records one planner: what it heard, whom it asked, and what it told. It is called by the planner's
-// owner alone; nil records nothing.
+// Planner records one planner: the lists, probes and reports that come in, and the
+// changes that go out. It is not safe for concurrent use; the planner's owner calls
+// it. A nil Planner records nothing.
 type Planner struct{ recorder *Recorder }
 
-// NewPlanner records into blocks of about size bytes.
-func NewPlanner(sink Sink, size int) *Planner {
-	return &Planner{New(sink, size, 1000, [32]byte{}, false)}
+// NewPlanner returns a recorder of blocks of about blockBytes.
+func NewPlanner(sink Sink, blockBytes int) *Planner {
+	return &Planner{New(sink, blockBytes, allSessions, [32]byte{}, false)}
 }
 
-// Now tells the moment of the events that follow, and system the reading of the system's clock beside it.
+// Now sets the time of the events that follow. system is the reading of the
+// system's clock at that time, in tenths of a millisecond of Unix time.
 func (p *Planner) Now(now policy.Tenth, system int64) {
 	if p != nil {
 		p.recorder.Now(now)
@@ -23,52 +25,60 @@
 	}
 }
 
-// Flush hands over what was gathered.
+// Flush passes the events gathered so far to the sink.
 func (p *Planner) Flush() {
 	if p != nil {
 		p.recorder.Flush()
 	}
 }
 
-func (p *Planner) List(revision int64, whole bool, entries int, held bool) {
+// List records a list of discovery, and whether it was applied.
+func (p *Planner) List(revision int64, whole bool, entries int, applied bool) {
 	if p != nil {
-		p.recorder.addNumbers(PlanList, revision, flag(whole), int64(entries), flag(held))
+		p.recorder.addNumbers(PlanList, revision, flag(whole), int64(entries), flag(applied))
 	}
 }
 
+// Probe records that a host is probed.
 func (p *Planner) Probe(name string) {
 	if p != nil {
 		p.recorder.addEvent(PlanProbe, nil, []string{name})
 	}
 }
 
-func (p *Planner) Probed(name string, ok bool, pos policy.Tenth, role policy.Role, took policy.Tenth) {
+// Probed records the end of a probe. position is -1 if the response named none.
+func (p *Planner) Probed(name string, ok bool, position policy.Tenth, role policy.Role, took policy.Tenth) {
 	if p != nil {
-		p.recorder.addEvent(PlanProbed, []int64{flag(ok), pos, int64(role), took}, []string{name})
+		p.recorder.addEvent(PlanProbed, []int64{flag(ok), position, int64(role), took}, []string{name})
 	}
 }
 
-// Change is a change that goes to so many links, to whole of them as a whole view.
-func (p *Planner) Change(c *view.Change, whole, links int) {
-	if p != nil && (len(c.Hosts)+len(c.Dropped) > 0 || whole > 0) {
-		p.recorder.addNumbers(PlanChange, int64(c.Seq), int64(len(c.Hosts)), int64(len(c.Dropped)), int64(c.Routers), c.Every, int64(whole), int64(links))
+// Change records a change that is sent to links, to fullViews of them as the full
+// view. A change that says nothing new is not recorded.
+func (p *Planner) Change(change *view.Change, fullViews, links int) {
+	if p == nil || len(change.Hosts)+len(change.Dropped)+fullViews == 0 {
+		return
 	}
+	p.recorder.addNumbers(PlanChange, int64(change.Seq), int64(len(change.Hosts)), int64(len(change.Dropped)),
+		int64(change.Routers), change.Every, int64(fullViews), int64(links))
 }
 
-func (p *Planner) Report(forwarder string, r link.Report) {
+// Report records a report of a forwarder, as the sums over its hosts.
+func (p *Planner) Report(forwarder string, report link.Report) {
 	if p == nil {
 		return
 	}
-	answers, cold := int64(0), int64(0)
-	for _, h := range r.Heard {
-		answers, cold = answers+int64(h.Count), cold+h.Cold
+	var responses, coldWork int64
+	for _, observation := range report.Heard {
+		responses += int64(observation.Count)
+		coldWork += observation.Cold
 	}
-	p.recorder.addEvent(PlanReport, []int64{int64(len(r.Heard)), answers, cold}, []string{forwarder})
+	p.recorder.addEvent(PlanReport, []int64{int64(len(report.Heard)), responses, coldWork}, []string{forwarder})
 }
 
-// Forwarder is the beginning of a link, or its end and why.
-func (p *Planner) Forwarder(name string, life uint64, open bool, why string) {
+// Forwarder records that a link is open, or that it has ended and why.
+func (p *Planner) Forwarder(name string, incarnation uint64, open bool, reason string) {
 	if p != nil {
-		p.recorder.addEvent(PlanForwarder, []int64{flag(open), int64(life)}, []string{name, why})
+		p.recorder.addEvent(PlanForwarder, []int64{flag(open), int64(incarnation)}, []string{name, reason})
 	}
 }
