--- a/internal/router/trace/tool/large_test.go
+++ b/internal/router/trace/tool/large_test.go
@@ -16,26 +16,32 @@
 	"ferrypitch/internal/router/trace/record"
 )
 
-var large = flag.Int("events", 300_000, "events of the file that is larger than what may be held")
+var largeFileEvents = flag.Int("events", 300_000, "events of the file that is larger than what may be held")
 
-func TestAFileLargerThanMemoryIsSummedUpInConstantMemory(t *testing.T) {
+func TestSummaryOfLargeFileNeedsConstantMemory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "large")
 	f, err := os.Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	o, err := NewOutput(f, format.Header{Schema: record.Schema})
 	if err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	for k := range int64(*large / 3) {
+	for k := range int64(*largeFileEvents / 3) {
 		at := base + 20*k
 		id := fmt.Sprintf("%016x", uint64(k)*0x9e3779b97f4a7c15)
-		for _, e := range []format.Event{{At: at, Kind: record.Take, Ints: []int64{k + 1, k % 2, k % 9, at + 10000, 0, 0}, Texts: []string{id, id[:4]}},
+		for _, e := range []format.Event{
+			{At: at, Kind: record.Take, Ints: []int64{k + 1, k % 2, k % 9, at + 10000, 0, 0}, Texts: []string{id, id[:4]}},
 			{At: at, Kind: record.Dispatch, Ints: []int64{k + 1, k % 27, 0, 0, at - 5000, 1000}},
-			{At: at + 45 + k%13, Kind: record.Ended, Ints: []int64{k + 1, 0, at - k%30, 2, 45 + k%13, 0}}} {
+			{At: at + 45 + k%13, Kind: record.Ended, Ints: []int64{k + 1, 0, at - k%30, 2, 45 + k%13, 0}},
+		} {
 			if err := o.Add(e); err != nil {
 				t.Fatal(err)
 			}
@@ -49,10 +55,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
+	closeAtEnd(t, s)
 	sum, most, n := NewSummary(s.Header), uint64(0), 0
 	began = time.Now()
-	if err := s.Each(Window{First: -1 << 62}, nil, func(e format.Event) error {
+	if err := s.Each(allTime, nil, func(e format.Event) error {
 		sum.Add(e)
 		if n++; n%100_000 == 0 {
 			var m runtime.MemStats
@@ -64,23 +70,27 @@
 		t.Fatal(err)
 	}
 	read := time.Since(began)
-	if most > 96<<20 || n != *large/3*3 || len(sum.Lines()) != 18 {
+	if most > 96<<20 || n != *largeFileEvents/3*3 || len(sum.Lines()) != 18 {
 		t.Errorf("%d MB in use, %d events, %d lines", most>>20, n, len(sum.Lines()))
 	}
 	t.Logf("%d events: written at %.2f M/s, read and summed up at %.2f M/s, %.2f bytes an event, at most %d MB in use", n,
 		float64(n)/wrote.Seconds()/1e6, float64(n)/read.Seconds()/1e6, float64(s.size)/float64(n), most>>20)
 }
 
-func TestAFileIsSmallerThanPackedLinesOfTheSame(t *testing.T) {
-	path := day(t, t.TempDir(), "a", 1, 2000, 0, 0)
-	s, events := all(t, path)
+func TestFileIsSmallerThanCompressedJSON(t *testing.T) {
+	path := writeTrace(t, t.TempDir(), "a", 1, 2000, 0, 0)
+	s, events := readAll(t, path)
 	var packed bytes.Buffer
 	z := gzip.NewWriter(&packed)
 	enc := json.NewEncoder(z)
 	for _, e := range events {
-		enc.Encode(Object(s.Header.Schema, e))
+		if err := enc.Encode(Object(s.Header.Schema, e)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := z.Close(); err != nil {
+		t.Fatal(err)
 	}
-	z.Close()
 	t.Logf("%.2f bytes an event, gzip'd lines of JSON %.2f", float64(s.size)/float64(len(events)), float64(packed.Len())/float64(len(events)))
 	if s.size >= int64(packed.Len()) {
 		t.Errorf("%d bytes, gzip'd lines of JSON %d", s.size, packed.Len())
--- /dev/null
+++ b/internal/router/trace/tool/source.go
@@ -0,0 +1,192 @@
+package tool
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+
+	"ferrypitch/internal/router/trace/format"
+)
+
+// Window is a span of time, both ends included. A Last of 0 means no end.
+type Window struct{ First, Last int64 }
+
+func (w Window) contains(at int64) bool { return at >= w.First && (w.Last == 0 || at <= w.Last) }
+
+func (w Window) overlaps(block format.Span) bool {
+	return block.Last >= w.First && (w.Last == 0 || block.First <= w.Last)
+}
+
+// Source is a trace that is read, from a file or a pipe.
+type Source struct {
+	Header format.Header
+	Spans  []format.Span // the index; nil if there is none, and the trace is read from its beginning
+
+	// What Each found.
+	Faults []format.CorruptBlockError // blocks that could not be read
+	Broken error                      // why the trace ends early, after what was read; nil: it does not
+	Lost   uint64                     // events lost in capture
+	Blocks int                        // blocks read
+
+	path   string
+	reader *format.Reader
+	file   *os.File // nil for standard input
+	size   int64    // in bytes; 0 for standard input
+}
+
+// Open opens a file, or standard input as "-".
+func Open(path string) (*Source, error) {
+	if path == "-" {
+		reader, err := format.NewReader(os.Stdin)
+		if err != nil {
+			return nil, fmt.Errorf("standard input: %w", err)
+		}
+		return &Source{Header: reader.Header, path: path, reader: reader}, nil
+	}
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	source, err := newFileSource(path, file)
+	if err != nil {
+		_ = file.Close() // it was only read
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	return source, nil
+}
+
+func newFileSource(path string, file *os.File) (*Source, error) {
+	info, err := file.Stat()
+	if err != nil {
+		return nil, err
+	}
+	reader, err := format.NewReader(file)
+	if err != nil {
+		return nil, err
+	}
+	source := &Source{Header: reader.Header, path: path, reader: reader, file: file, size: info.Size()}
+	if !info.Mode().IsRegular() {
+		return source, nil
+	}
+	source.Spans, err = format.ReadIndex(file, info.Size())
+	if err != nil && !errors.Is(err, format.ErrTruncated) && !errors.Is(err, format.ErrCorrupt) {
+		return nil, err
+	}
+	return source, nil
+}
+
+// Close closes the file.
+func (s *Source) Close() error {
+	if s.file == nil {
+		return nil
+	}
+	return s.file.Close()
+}
+
+// Each passes the events within a window to handle, in the file's order, and
+// returns the first error of handle. With an index, only blocks that overlap the
+// window are read. Corrupt blocks are skipped and noted in Faults, the end of a
+// truncated file in Broken; neither is an error. progress, which may be nil, is
+// called after each block.
+func (s *Source) Each(window Window, progress func(done, total int64), handle func(event format.Event) error) error {
+	if progress == nil {
+		progress = func(int64, int64) {}
+	}
+	if s.Spans != nil {
+		return s.eachIndexed(window, progress, handle)
+	}
+	return s.eachSequential(window, progress, handle)
+}
+
+func (s *Source) eachIndexed(window Window, progress func(done, total int64), handle func(event format.Event) error) error {
+	for i, block := range s.Spans {
+		s.Lost += block.Lost
+		if !window.overlaps(block) {
+			continue
+		}
+		events, err := format.ReadBlock(s.file, s.Header.Schema, block)
+		if err := s.handleBlock(events, err, window, handle); err != nil {
+			return err
+		}
+		progress(int64(i+1), int64(len(s.Spans)))
+	}
+	return nil
+}
+
+func (s *Source) eachSequential(window Window, progress func(done, total int64), handle func(event format.Event) error) error {
+	for {
+		block, events, err := s.reader.Next()
+		if errors.Is(err, io.EOF) {
+			return nil
+		}
+		if errors.Is(err, format.ErrTruncated) {
+			s.Broken = err
+			return nil
+		}
+		s.Lost += block.Lost
+		if err := s.handleBlock(events, err, window, handle); err != nil {
+			return err
+		}
+		progress(s.reader.Offset(), s.size)
+	}
+}
+
+// handleBlock handles the events of a block, or notes that it is corrupt.
+func (s *Source) handleBlock(events []format.Event, readErr error, window Window, handle func(format.Event) error) error {
+	var corrupt *format.CorruptBlockError
+	if errors.As(readErr, &corrupt) {
+		s.Faults = append(s.Faults, *corrupt)
+		return nil
+	}
+	if readErr != nil {
+		return readErr
+	}
+	s.Blocks++
+	for _, event := range events {
+		if !window.contains(event.At) {
+			continue
+		}
+		if err := handle(event); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// Feed returns the events of a trace a block at a time, and nil at its end.
+type Feed func() ([]format.Event, error)
+
+// Feed returns the events of a file that has an index. The file is opened for each
+// block, so that any number of files can be merged with few file descriptors.
+func (s *Source) Feed() (Feed, error) {
+	if s.Spans == nil {
+		return nil, fmt.Errorf("%s has no index; repair it first", s.path)
+	}
+	remaining := s.Spans
+	return func() ([]format.Event, error) {
+		for len(remaining) > 0 {
+			block := remaining[0]
+			remaining = remaining[1:]
+			events, err := s.reopenBlock(block)
+			if err != nil || len(events) > 0 {
+				return events, err
+			}
+		}
+		return nil, nil
+	}, nil
+}
+
+// reopenBlock reads a block and keeps nothing open.
+func (s *Source) reopenBlock(block format.Span) ([]format.Event, error) {
+	file, err := os.Open(s.path)
+	if err != nil {
+		return nil, err
+	}
+	events, err := format.ReadBlock(file, s.Header.Schema, block)
+	_ = file.Close() // it was only read
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", s.path, err)
+	}
+	return events, nil
+}
--- a/internal/router/trace/tool/summary.go
+++ b/internal/router/trace/tool/summary.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"fmt"
-	"maps"
 	"slices"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -12,191 +11,196 @@
 	"ferrypitch/policy"
 )
 
-// Line is what a summary says of one command group in one set; times in milliseconds.
+// Range of the histogram of latencies, in tenths of a millisecond, and its
+// precision in decimal digits.
+const (
+	minLatency     = 1
+	maxLatency     = 60 * tenthsPerSecond
+	latencyDigits  = 3
+	medianQuantile = 50
+	p99Quantile    = 99
+)
+
+// Line is the summary of one command group in one replica set. Its fields are the
+// JSON of `trace summary --json`. Times are in milliseconds.
 type Line struct {
 	Group      string
 	Set        int64
-	Taken      int64
+	Taken      int64 // commands
 	Answered   int64
 	Throttled  int64
 	Failed     int64
-	Open       int64   // without a final answer in the trace
-	Dispatches float64 // a command
-	Replicas   float64 // part of the answers that replicas gave
-	Median     float64 // from take to answer
-	P99        float64
-	Comeback   float64           // the mean time to come back that was told
+	Open       int64             // without a final answer in the trace
+	Dispatches float64           // a command
+	Replicas   float64           // part of the responses that replicas gave
+	Median     float64           // from take to response
+	P99        float64           // from take to response
+	Comeback   float64           // mean delay that rejected clients were told to wait
 	Waited     float64           // mean from take to the first dispatch
 	Outcomes   map[string]int64  // of dispatches
-	Over       map[int64]float64 // part answered of what was taken, by second
+	Over       map[int64]float64 // part of the commands taken that was answered, by second
 }
 
+// groupKey identifies a command group, by number, in a replica set.
+type groupKey struct{ group, set int64 }
+
+// groupState is what is known of one group in one set so far. Its Line has what is counted as is.
 type groupState struct {
 	Line
-	sent, replicas, waits int64
-	comeback, waited      int64
-	taken, good           map[int64]int64
-	latency               *hdrhistogram.Histogram
+	dispatches       int64
+	replicas         int64 // responses of replicas
+	firstDispatches  int64
+	totalWaited      int64 // from take to the first dispatch, in tenths of a millisecond
+	totalComeback    int64 // in tenths of a millisecond
+	takenBySecond    map[int64]int64
+	answeredBySecond map[int64]int64 // by the second of the take
+	latency          *hdrhistogram.Histogram
 }
 
+// openCommand is a command without a final answer.
 type openCommand struct {
-	group   *groupState
-	takenAt int64
-	sent    bool
-	final   bool
+	group      *groupState
+	takenAt    int64
+	dispatched bool
 }
 
 // Summary sums up events as they come.
 type Summary struct {
+	Events int64 // added so far
+
 	schema       format.Schema
-	groups       []string
-	states       map[[2]int64]*groupState
-	openCommands map[int64]*openCommand
-	Events       int64
+	groupNames   []string
+	states       map[groupKey]*groupState
+	openCommands map[int64]*openCommand // by number
 }
 
-// NewSummary sums up a trace of a header.
-func NewSummary(h format.Header) *Summary {
-	return &Summary{schema: h.Schema, groups: Groups(h), states: map[[2]int64]*groupState{}, openCommands: map[int64]*openCommand{}}
+// NewSummary returns an empty summary of a trace with a header.
+func NewSummary(header format.Header) *Summary {
+	return &Summary{
+		schema: header.Schema, groupNames: Groups(header),
+		states: map[groupKey]*groupState{}, openCommands: map[int64]*openCommand{},
+	}
 }
 
-// Add takes the next event.
-func (s *Summary) Add(e format.Event) {
+// Add adds an event. Events of commands whose take was not added are ignored.
+func (s *Summary) Add(event format.Event) {
 	s.Events++
-	k := s.schema[e.Kind]
-	at := k.Find("command", format.Int)
-	if at < 0 {
+	e := named(s.schema, event)
+	number, ok := e.command()
+	if !ok {
 		return
 	}
-	number := e.Ints[at]
-	if k.Name == "take" {
-		l := s.state(numberOf(k, e, "group"), numberOf(k, e, "set"))
-		l.Taken++
-		l.taken[e.At/10000]++
-		s.openCommands[number] = &openCommand{group: l, takenAt: e.At}
+	if e.kind.Name == "take" {
+		group := s.state(groupKey{e.number("group"), e.number("set")})
+		group.Taken++
+		group.takenBySecond[e.At/tenthsPerSecond]++
+		s.openCommands[number] = &openCommand{group: group, takenAt: e.At}
 		return
 	}
-	c := s.openCommands[number]
-	if c == nil {
-		return
+	if command := s.openCommands[number]; command != nil {
+		if final := command.add(e); final {
+			delete(s.openCommands, number)
+		}
 	}
-	l := c.group
-	switch k.Name {
+}
+
+// state returns the state of a group, which is created if it is the first of its key.
+func (s *Summary) state(key groupKey) *groupState {
+	if known := s.states[key]; known != nil {
+		return known
+	}
+	state := &groupState{
+		takenBySecond: map[int64]int64{}, answeredBySecond: map[int64]int64{},
+		latency: hdrhistogram.New(minLatency, maxLatency, latencyDigits),
+	}
+	state.Set, state.Outcomes = key.set, map[string]int64{}
+	state.Group = fmt.Sprintf("group %d", key.group)
+	if key.group >= 0 && key.group < int64(len(s.groupNames)) {
+		state.Group = s.groupNames[key.group]
+	}
+	s.states[key] = state
+	return state
+}
+
+// add adds an event of the command and reports whether it is the command's last.
+func (c *openCommand) add(e namedEvent) (final bool) {
+	group := c.group
+	switch e.kind.Name {
 	case "dispatch":
-		if l.sent++; !c.sent {
-			c.sent = true
-			l.waits++
-			l.waited += e.At - c.takenAt
+		group.dispatches++
+		if !c.dispatched {
+			c.dispatched = true
+			group.firstDispatches++
+			group.totalWaited += e.At - c.takenAt
 		}
 	case "ended":
-		o := policy.Outcome(numberOf(k, e, "outcome"))
-		l.Outcomes[o.String()]++
-		if o == policy.Answered && !c.final {
-			c.final = true
-			l.Answered++
-			l.good[c.takenAt/10000]++
-			l.latency.RecordValue(max(0, e.At-c.takenAt))
-			if policy.Role(numberOf(k, e, "role")) == policy.Replica {
-				l.replicas++
-			}
+		outcome := policy.Outcome(e.number("outcome"))
+		group.Outcomes[outcome.String()]++
+		if outcome == policy.Answered {
+			c.addResponse(e)
+			return true
 		}
 	case "throttle":
-		c.final = true
-		l.Throttled++
-		l.comeback += numberOf(k, e, "comeback")
+		group.Throttled++
+		group.totalComeback += e.number("comeback")
+		return true
 	case "fail":
-		c.final = true
-		l.Failed++
+		group.Failed++
+		return true
 	case "left":
-		c.final = true
-	}
-	if c.final {
-		delete(s.openCommands, number)
+		return true
 	}
+	return false
 }
 
-func (s *Summary) state(group, set int64) *groupState {
-	key := [2]int64{group, set}
-	l := s.states[key]
-	if l == nil {
-		l = &groupState{taken: map[int64]int64{}, good: map[int64]int64{}, latency: hdrhistogram.New(1, 600_000, 3)}
-		l.Set, l.Outcomes = set, map[string]int64{}
-		if l.Group = fmt.Sprintf("group %d", group); group >= 0 && group < int64(len(s.groups)) {
-			l.Group = s.groups[group]
-		}
-		s.states[key] = l
+func (c *openCommand) addResponse(e namedEvent) {
+	group := c.group
+	group.Answered++
+	group.answeredBySecond[c.takenAt/tenthsPerSecond]++
+	_ = group.latency.RecordValue(max(0, e.At-c.takenAt)) // fails past maxLatency, which is then left out
+	if policy.Role(e.number("role")) == policy.Replica {
+		group.replicas++
 	}
-	return l
 }
 
-// Lines are the sums, by group and set.
-func (s *Summary) Lines() (all []Line) {
-	for _, c := range s.openCommands {
-		c.group.Open++
-	}
-	for _, l := range s.states {
-		one := l.Line
-		one.Dispatches = ratio(l.sent, l.Taken)
-		one.Replicas = ratio(l.replicas, l.Answered)
-		one.Comeback = ratio(l.comeback, 10*l.Throttled)
-		one.Waited = ratio(l.waited, 10*l.waits)
-		one.Median, one.P99 = float64(l.latency.ValueAtQuantile(50))/10, float64(l.latency.ValueAtQuantile(99))/10
-		one.Over = map[int64]float64{}
-		for second, n := range l.taken {
-			one.Over[second] = ratio(l.good[second], n)
-		}
-		all = append(all, one)
+// Lines returns the summaries, sorted by group and set. More events may be added after it.
+func (s *Summary) Lines() []Line {
+	open := map[*groupState]int64{}
+	for _, command := range s.openCommands {
+		open[command.group]++
 	}
-	for _, c := range s.openCommands {
-		c.group.Open--
+	var lines []Line
+	for _, state := range s.states {
+		line := state.line()
+		line.Open = open[state]
+		lines = append(lines, line)
 	}
-	slices.SortFunc(all, func(a, b Line) int { return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Set, b.Set)) })
-	return all
+	slices.SortFunc(lines, func(a, b Line) int {
+		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Set, b.Set))
+	})
+	return lines
 }
 
-func ratio(n, of int64) float64 {
-	if of == 0 {
-		return 0
+// line returns the summary, without the open commands.
+func (g *groupState) line() Line {
+	line := g.Line
+	line.Dispatches = ratio(g.dispatches, g.Taken)
+	line.Replicas = ratio(g.replicas, g.Answered)
+	line.Comeback = ratio(g.totalComeback, tenthsPerMillisecond*g.Throttled)
+	line.Waited = ratio(g.totalWaited, tenthsPerMillisecond*g.firstDispatches)
+	line.Median = float64(g.latency.ValueAtQuantile(medianQuantile)) / tenthsPerMillisecond
+	line.P99 = float64(g.latency.ValueAtQuantile(p99Quantile)) / tenthsPerMillisecond
+	line.Over = map[int64]float64{}
+	for second, taken := range g.takenBySecond {
+		line.Over[second] = ratio(g.answeredBySecond[second], taken)
 	}
-	return float64(n) / float64(of)
-}
-
-// Change is what differs between two summaries in one group and set.
-type Change struct {
-	Group               string
-	Set                 int64
-	Taken               [2]int64
-	Answered, Throttled [2]float64 // parts of what was taken
-	Median, P99         [2]float64
-	Dispatches          [2]float64
+	return line
 }
 
-// Diff holds two summaries side by side; what only one has is nothing in the other.
-func Diff(a, b []Line) (all []Change) {
-	type key struct {
-		group string
-		set   int64
-	}
-	sides := map[key]*[2]Line{}
-	for side, lines := range [][]Line{a, b} {
-		for _, l := range lines {
-			k := key{l.Group, l.Set}
-			if sides[k] == nil {
-				sides[k] = &[2]Line{}
-			}
-			sides[k][side] = l
-		}
-	}
-	keys := slices.SortedFunc(maps.Keys(sides), func(a, b key) int {
-		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.set, b.set))
-	})
-	for _, k := range keys {
-		c := Change{Group: k.group, Set: k.set}
-		for i, l := range sides[k] {
-			c.Taken[i], c.Answered[i], c.Throttled[i] = l.Taken, ratio(l.Answered, l.Taken), ratio(l.Throttled, l.Taken)
-			c.Median[i], c.P99[i], c.Dispatches[i] = l.Median, l.P99, l.Dispatches
-		}
-		all = append(all, c)
+// ratio returns the part that count is of total, or 0 if there is nothing.
+func ratio(count, total int64) float64 {
+	if total == 0 {
+		return 0
 	}
-	return all
+	return float64(count) / float64(total)
 }
