--- a/internal/router/tier/follower/follower.go
+++ b/internal/router/tier/follower/follower.go
@@ -29,7 +29,7 @@
 	missedIntervals = 3
 )
 
-// Terms are the intervals and limits of one forwarder. None has a default here.
+// Terms holds the intervals and limits of one forwarder. None has a default here.
 type Terms struct {
 	Again  policy.Tenth // the first delay before a planner is dialled again; it doubles with each failure
 	Most   policy.Tenth // the upper bound of that delay
@@ -130,19 +130,18 @@
 
 // Todo is what a Tick asks its caller to do.
 type Todo struct {
-	Dial    []*Planner  // to be dialled now
-	Cut     []*Planner  // silent on an open link; the caller closes it and reports the planner as lost
-	Report  bool        // a report of what was observed is due at all connected planners
-	Hosts   []view.Host // changed since the last Tick, with their lateness
-	Dropped []string    // names of hosts that were removed since the last Tick
-	Told    bool        // Hosts, Dropped, Routers or Blind differ from the last Tick, or this is the first
-	Routers int         // routers that share the hosts' capacity
-	Blind   bool        // no planner is current
-	Next    policy.Tenth
+	Dial    []*Planner   // to be dialled now
+	Cut     []*Planner   // silent on an open link; the caller closes it and reports the planner as lost
+	Report  bool         // a report of what was observed is due at all connected planners
+	Hosts   []view.Host  // changed since the last Tick, with their lateness
+	Dropped []string     // names of hosts that were removed since the last Tick
+	Told    bool         // the hosts, the routers or the lack of planners differ from the last Tick, or this is the first
+	Routers int          // routers that share the hosts' capacity
+	Blind   bool         // no planner is current
+	Next    policy.Tenth // the latest time of the next Tick
 }
 
-// Tick advances to a time and returns what is due. Next in the result is the
-// latest time of the next call.
+// Tick advances to a time and returns what is due.
 func (f *Follower) Tick(now policy.Tenth) Todo {
 	f.advance(now)
 	actions := Todo{Blind: true, Next: f.now + f.config.Report}
@@ -184,7 +183,7 @@
 	}
 }
 
-// collectChanges adds what differs from the last Tick. Routers and Blind are already set.
+// collectChanges adds what differs from the last Tick. What planners state of the fleet as a whole is already set.
 func (f *Follower) collectChanges(actions *Todo) {
 	for _, name := range f.takeChangedNames() {
 		if host, known := f.view.Host(name); known {
--- a/internal/router/tier/planner/planner.go
+++ b/internal/router/tier/planner/planner.go
@@ -32,7 +32,7 @@
 	goneFraction = 4
 )
 
-// Terms are the intervals and limits of one planner. None has a default here.
+// Terms holds the intervals and limits of one planner. None has a default here.
 type Terms struct {
 	Gen        uint64       // the generation of discovery's versions
 	Beat       policy.Tenth // the shortest interval between two changes
@@ -168,9 +168,9 @@
 
 // Todo is what a Tick asks its caller to do.
 type Todo struct {
-	Probe  []string     // hosts to probe; Probed must be called for each
-	Change *view.Change // to be sent to all forwarders that are not in Whole; nil: none is due
-	Whole  []*Forwarder // to be sent the full view as it is after Change
+	Probe  []string     // hosts to probe; the end of each must be reported
+	Change *view.Change // to be sent to all forwarders but those that are sent the full view; nil: none is due
+	Whole  []*Forwarder // to be sent the full view as it is after the change
 	Cut    []*Forwarder // silent on an open link; the caller closes it
 	Next   policy.Tenth // the latest time of the next Tick
 }
--- a/internal/router/tier/view/view.go
+++ b/internal/router/tier/view/view.go
@@ -4,8 +4,8 @@
 // A planner applies lists and evidence to its View. TakeChanges returns what
 // changed since the last call, numbered, and a Replica applies those changes at a
 // forwarder; a gap or a difference makes the forwarder request a full change.
-// View.Join merges the replicas of all planners into the one view that a
-// forwarder decides on.
+// Merging the replicas of all planners yields the one view that a forwarder
+// decides on.
 //
 // Merging is commutative, associative and idempotent, as for a state-based CRDT,
 // so that the order of arrival and repeated messages do not matter. Neither does
@@ -188,7 +188,7 @@
 	}
 }
 
-// MergeHost merges one host of another view, as Join does, and reports whether it changed the view.
+// MergeHost merges one host of another view and reports whether it changed the view.
 func (v *View) MergeHost(host Host, maxPosition policy.Tenth) bool {
 	if host.Version.Before(v.Floor) {
 		return false
--- a/internal/router/trace/record/header.go
+++ b/internal/router/trace/record/header.go
@@ -12,7 +12,7 @@
 // starts. The form has the names of policy.Deployment's fields.
 func Deployment(deployment policy.Deployment) ([]byte, error) { return cbor.Marshal(deployment) }
 
-// ReadDeployment decodes what Deployment encoded.
+// ReadDeployment decodes the deployment of a header.
 func ReadDeployment(encoded []byte) (policy.Deployment, error) {
 	var deployment policy.Deployment
 	if err := cbor.Unmarshal(encoded, &deployment); err != nil {
--- /dev/null
+++ b/internal/router/trace/record/record_test.go
@@ -0,0 +1,101 @@
+package record
+
+import (
+	"fmt"
+	"testing"
+
+	"ferrypitch/internal/router/trace/format"
+)
+
+// memorySink gives and accepts blocks while it is open.
+type memorySink struct {
+	closed bool
+	file   []byte
+	blocks []format.Span
+}
+
+func (m *memorySink) Get() *format.Block {
+	if m.closed {
+		return nil
+	}
+	return format.NewBlock(Schema)
+}
+
+func (m *memorySink) Put(block *format.Block) bool {
+	if m.closed {
+		return false
+	}
+	var info format.Span
+	var err error
+	if m.file, info, err = block.Append(m.file, int64(len(m.file))); err != nil {
+		panic(err)
+	}
+	m.blocks = append(m.blocks, info)
+	return true
+}
+
+func TestLostEventsAreCountedInTheNextBlock(t *testing.T) {
+	sink := &memorySink{}
+	r := New(sink, 1<<20, allSessions, [32]byte{}, false)
+	r.Woke()
+	sink.closed = true
+	r.Flush() // the block is not accepted: one event is lost
+	r.Woke()
+	sink.closed = false
+	r.Flush()
+	sink.closed = true
+	r.Woke()
+	r.Woke() // there is no block: two events are lost
+	sink.closed = false
+	r.Woke()
+	r.Flush()
+	if len(sink.blocks) != 2 || sink.blocks[0].Lost != 1 || sink.blocks[1].Lost != 2 {
+		t.Errorf("%+v", sink.blocks)
+	}
+	if r.LostEvents != 3 || r.RecordedEvents != 3 {
+		t.Errorf("%d events lost, %d recorded", r.LostEvents, r.RecordedEvents)
+	}
+}
+
+func TestSampleIsChosenBySessionAndKey(t *testing.T) {
+	const sessions, perMille = 5000, 200
+	chosen := map[byte]map[string]bool{}
+	for _, key := range []byte{1, 2} {
+		r := New(&memorySink{}, 1<<20, perMille, [32]byte{key}, false)
+		chosen[key] = map[string]bool{}
+		for i := range sessions {
+			session := fmt.Sprint("session-", i)
+			if r.isSampled(session) {
+				chosen[key][session] = true
+			}
+			if r.isSampled(session) != chosen[key][session] {
+				t.Fatalf("%s is in the sample once and not again", session)
+			}
+		}
+		if n := len(chosen[key]); n < 900 || n > 1100 {
+			t.Errorf("%d of %d sessions in a sample of %d per mille", n, sessions, perMille)
+		}
+	}
+	both := 0
+	for session := range chosen[1] {
+		if chosen[2][session] {
+			both++
+		}
+	}
+	if both > 300 {
+		t.Errorf("%d sessions are in the samples of both keys", both)
+	}
+}
+
+func TestNilRecordersRecordNothing(_ *testing.T) {
+	var r *Recorder
+	r.Now(1)
+	r.System(1)
+	r.Woke()
+	r.Take("id", 0, 1, "session", 0, 0, false)
+	r.Flush()
+	var p *Planner
+	p.Now(1, 1)
+	p.Probe("host")
+	p.Flush()
+}
--- a/internal/router/trace/tool/filter.go
+++ b/internal/router/trace/tool/filter.go
@@ -3,7 +3,8 @@
 import "ferrypitch/internal/router/trace/format"
 
 // Filter selects commands by what their take event says, and with them all their
-// events. An empty set selects everything. Begin must be called before Has.
+// events. An empty set selects everything. The schema must be set before the first
+// event.
 type Filter struct {
 	Sessions map[string]bool
 	Sets     map[int64]bool
--- a/internal/router/trace/tool/skew.go
+++ b/internal/router/trace/tool/skew.go
@@ -56,7 +56,7 @@
 	window int64
 }
 
-// NewDelays returns an empty Delays for events of a schema.
+// NewDelays returns empty samples for events of a schema.
 func NewDelays(schema format.Schema) *Delays {
 	return &Delays{
 		schema: schema, hostNames: map[int64]string{}, sentTo: map[int64]int64{}, least: map[hostWindow]int64{},
--- a/internal/router/trace/tool/source.go
+++ b/internal/router/trace/tool/source.go
@@ -86,9 +86,9 @@
 
 // Each passes the events within a window to handle, in the file's order, and
 // returns the first error of handle. With an index, only blocks that overlap the
-// window are read. Corrupt blocks are skipped and noted in Faults, the end of a
-// truncated file in Broken; neither is an error. progress, which may be nil, is
-// called after each block.
+// window are read. Corrupt blocks are skipped, and a truncated file is read up to
+// its end; the Source notes both, and neither is an error. progress, which may be
+// nil, is called after each block.
 func (s *Source) Each(window Window, progress func(done, total int64), handle func(event format.Event) error) error {
 	if progress == nil {
 		progress = func(int64, int64) {}
--- a/internal/router/trace/tool/summary.go
+++ b/internal/router/trace/tool/summary.go
@@ -44,7 +44,7 @@
 // groupKey identifies a command group, by number, in a replica set.
 type groupKey struct{ group, set int64 }
 
-// groupState is what is known of one group in one set so far. Its Line has what is counted as is.
+// groupState is what is known of one group in one set so far. The embedded summary has what is only counted.
 type groupState struct {
 	Line
 	dispatches       int64
--- a/internal/router/trace/tool/tool.go
+++ b/internal/router/trace/tool/tool.go
@@ -23,7 +23,7 @@
 	tenthsPerSecond      = 10000
 )
 
-// Keys of format.Header.More.
+// Names of what a header holds beside the schema.
 const (
 	deploymentKey = "deployment"
 	groupsKey     = "groups"
