--- a/internal/router/tier/plan/plan_test.go
+++ b/internal/router/tier/plan/plan_test.go
@@ -101,13 +101,13 @@
 
 func TestForwarderReceivesFullViewThenChanges(t *testing.T) {
 	address, _, _ := startPlanner(t, 3, nil)
-	l, err := connect(dial(t, address), &key)
+	conn, err := connect(dial(t, address), &key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var replica view.Replica
 	for replica.Sequence() < 5 || replica.Len() < 3 || !replica.Complete() {
-		frame, err := l.ReadFrame()
+		frame, err := conn.ReadFrame()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/router/tier/planner/planner_test.go
+++ b/internal/router/tier/planner/planner_test.go
@@ -21,16 +21,16 @@
 
 // newPlanner returns a planner with a set of three hosts, of which a says that it is the primary.
 func newPlanner() (*Planner, policy.Tenth) {
-	p := New(7, config, start)
-	p.Listed(start, 1, true, []view.Host{{Name: "a", Set: 1}, {Name: "b", Set: 1}, {Name: "c", Set: 1}})
-	for _, name := range p.Tick(start + 200*ms).Probe {
+	planner := New(7, config, start)
+	planner.Listed(start, 1, true, []view.Host{{Name: "a", Set: 1}, {Name: "b", Set: 1}, {Name: "c", Set: 1}})
+	for _, name := range planner.Tick(start + 200*ms).Probe {
 		role := policy.Replica
 		if name == "a" {
 			role = policy.Primary
 		}
-		p.Probed(start+210*ms, name, true, start, role, start+200*ms)
+		planner.Probed(start+210*ms, name, true, start, role, start+200*ms)
 	}
-	return p, start + 210*ms
+	return planner, start + 210*ms
 }
 
 // reportOf returns a report of one response of a host.
@@ -39,78 +39,78 @@
 }
 
 func TestHostsWithReportedResponsesAreNotProbed(t *testing.T) {
-	p, now := newPlanner()
-	f := p.Greeted(now, "f", 1)
+	planner, now := newPlanner()
+	forwarder := planner.Greeted(now, "f", 1)
 	for i := range 50 {
 		now += 100 * ms
-		f.Reported(now, reportOf("a", now-ms, policy.Primary))
-		f.Reported(now, reportOf("b", now-ms, policy.Replica))
-		for _, name := range p.Tick(now).Probe {
+		forwarder.Reported(now, reportOf("a", now-ms, policy.Primary))
+		forwarder.Reported(now, reportOf("b", now-ms, policy.Replica))
+		for _, name := range planner.Tick(now).Probe {
 			if i > 5 && name != "c" {
 				t.Fatalf("%s is probed", name)
 			}
-			p.Probed(now, name, true, now-ms, policy.Replica, now)
+			planner.Probed(now, name, true, now-ms, policy.Replica, now)
 		}
 	}
-	if h, _ := p.View().Host("b"); h.Pos < now-200*ms || h.Late != 3 {
+	if h, _ := planner.View().Host("b"); h.Pos < now-200*ms || h.Late != 3 {
 		t.Errorf("%+v", h)
 	}
 }
 
 func TestSetWithUnresponsivePrimaryIsProbedOften(t *testing.T) {
-	p, now := newPlanner()
+	planner, now := newPlanner()
 	asked := map[string]int{}
 	for range 100 {
 		now += 10 * ms
-		for _, name := range p.Tick(now).Probe {
+		for _, name := range planner.Tick(now).Probe {
 			asked[name]++
-			p.Probed(now+ms, name, name != "a", now, policy.Replica, now)
+			planner.Probed(now+ms, name, name != "a", now, policy.Replica, now)
 		}
 	}
 	if asked["b"] < 5 || asked["c"] < 5 || asked["a"] > asked["b"] {
 		t.Errorf("asked %v in a second", asked)
 	}
-	p.Probed(now+2*ms, "b", true, now+ms, policy.Primary, now+ms)
-	p.probesInFlight++
-	if c := p.Tick(now + 200*ms); c.Change == nil || len(c.Change.Hosts) == 0 {
+	planner.Probed(now+2*ms, "b", true, now+ms, policy.Primary, now+ms)
+	planner.probesInFlight++
+	if c := planner.Tick(now + 200*ms); c.Change == nil || len(c.Change.Hosts) == 0 {
 		t.Error("the new primary is not published at once")
 	}
-	if primary, _ := p.View().Primary(1); primary != "b" {
+	if primary, _ := planner.View().Primary(1); primary != "b" {
 		t.Errorf("the primary is %q", primary)
 	}
 }
 
 func TestForwardersCountByLeaseOfEachProcess(t *testing.T) {
-	p, now := newPlanner()
-	one, two := p.Greeted(now, "f", 1), p.Greeted(now, "f", 2)
-	if p.Tick(now); p.Routers() != 0 {
+	planner, now := newPlanner()
+	one, two := planner.Greeted(now, "f", 1), planner.Greeted(now, "f", 2)
+	if planner.Tick(now); planner.Routers() != 0 {
 		t.Error("a greeting alone counts, which could be a replay")
 	}
 	one.Wanted(now)
 	two.Wanted(now)
-	if p.Tick(now); p.Routers() != 2 || p.DuplicateLeases != 1 {
-		t.Errorf("%d count, %d of one name", p.Routers(), p.DuplicateLeases)
+	if planner.Tick(now); planner.Routers() != 2 || planner.DuplicateLeases != 1 {
+		t.Errorf("%d count, %d of one name", planner.Routers(), planner.DuplicateLeases)
 	}
 	one.Left() // its lease runs on
-	if p.Tick(now + second); p.Routers() != 2 {
-		t.Errorf("%d count", p.Routers())
+	if planner.Tick(now + second); planner.Routers() != 2 {
+		t.Errorf("%d count", planner.Routers())
 	}
 	for now += 100 * ms; now < start+10*second; now += 100 * ms {
 		two.Wanted(now)
-		p.Tick(now)
+		planner.Tick(now)
 	}
-	if p.Routers() != 1 {
-		t.Errorf("%d count after the lease", p.Routers())
+	if planner.Routers() != 1 {
+		t.Errorf("%d count after the lease", planner.Routers())
 	}
 }
 
 func TestHalfOpenLinkIsClosed(t *testing.T) {
-	p, now := newPlanner()
-	f := p.Greeted(now, "f", 1)
-	f.Wanted(now)
+	planner, now := newPlanner()
+	forwarder := planner.Greeted(now, "f", 1)
+	forwarder.Wanted(now)
 	for end := now + 4*second; now < end; now += 100 * ms {
-		if cut := p.Tick(now).Cut; len(cut) > 0 {
-			if cut[0] != f || p.ForwarderCount() != 0 {
+		if cut := planner.Tick(now).Cut; len(cut) > 0 {
+			if cut[0] != forwarder || planner.ForwarderCount() != 0 {
 				t.Error("another was closed")
 			}
 			return
@@ -120,35 +120,35 @@
 }
 
 func TestForwardersOverCapacityAreRejected(t *testing.T) {
-	p := New(1, Terms{Forwarders: 1, Reports: 1, Frames: 1, Bytes: 1}, start)
-	if p.Greeted(start, "a", 1) == nil || p.Greeted(start, "b", 2) != nil {
+	planner := New(1, Terms{Forwarders: 1, Reports: 1, Frames: 1, Bytes: 1}, start)
+	if planner.Greeted(start, "a", 1) == nil || planner.Greeted(start, "b", 2) != nil {
 		t.Error("the limit does not hold")
 	}
 }
 
 func TestImplausibleEvidenceIsIgnored(t *testing.T) {
-	p, now := newPlanner()
-	f := p.Greeted(now, "f", 1)
-	f.Reported(now, reportOf("b", now+second, policy.Primary))
-	f.Reported(now, link.Report{Heard: []link.Heard{{Evidence: view.Evidence{Name: "nobody", Pos: 1}}}})
-	p.Tick(now + 200*ms)
-	if h, _ := p.View().Host("b"); h.Role == policy.Primary || h.Pos > now {
+	planner, now := newPlanner()
+	forwarder := planner.Greeted(now, "f", 1)
+	forwarder.Reported(now, reportOf("b", now+second, policy.Primary))
+	forwarder.Reported(now, link.Report{Heard: []link.Heard{{Evidence: view.Evidence{Name: "nobody", Pos: 1}}}})
+	planner.Tick(now + 200*ms)
+	if h, _ := planner.View().Host("b"); h.Role == policy.Primary || h.Pos > now {
 		t.Errorf("%+v", h)
 	}
 }
 
 func TestColdWorkIsSummedPerStartOfTheHost(t *testing.T) {
-	p, now := newPlanner()
-	f := p.Greeted(now, "f", 1)
-	p.Listed(now, 2, false, []view.Host{{Name: "b", Set: 1, Boot: now}})
+	planner, now := newPlanner()
+	forwarder := planner.Greeted(now, "f", 1)
+	planner.Listed(now, 2, false, []view.Host{{Name: "b", Set: 1, Boot: now}})
 	cold := func(boot, work int64) {
-		f.Reported(now, link.Report{Heard: []link.Heard{{Evidence: view.Evidence{Name: "b"}, Boot: boot, Cold: work}}})
+		forwarder.Reported(now, link.Report{Heard: []link.Heard{{Evidence: view.Evidence{Name: "b"}, Boot: boot, Cold: work}}})
 	}
 	cold(now, 3000)
 	cold(now, 5000)
 	cold(now-ms, 90000) // of another start
-	if p.ColdWork != 5000 {
-		t.Errorf("%d", p.ColdWork)
+	if planner.ColdWork != 5000 {
+		t.Errorf("%d", planner.ColdWork)
 	}
 }
 
--- a/internal/router/tier/view/view_test.go
+++ b/internal/router/tier/view/view_test.go
@@ -15,7 +15,7 @@
 
 // drawLists draws a view made of lists alone, of which each planner may have any.
 func drawLists(t *rapid.T, name string) *View {
-	v := &View{}
+	view := &View{}
 	for range rapid.IntRange(0, 5).Draw(t, name) {
 		var entries []Host
 		for range rapid.IntRange(0, 4).Draw(t, "entries") {
@@ -25,33 +25,33 @@
 				Standing: policy.Standing(rapid.IntRange(0, 2).Draw(t, "standing")), Boot: int64(rapid.IntRange(0, 9).Draw(t, "boot")),
 			})
 		}
-		v.List(Version{uint64(rapid.IntRange(0, 1).Draw(t, "gen")), int64(rapid.IntRange(0, 9).Draw(t, "rev"))},
+		view.List(Version{uint64(rapid.IntRange(0, 1).Draw(t, "gen")), int64(rapid.IntRange(0, 9).Draw(t, "rev"))},
 			rapid.Bool().Draw(t, "whole"), entries)
 		if rapid.Bool().Draw(t, "settle") {
-			v.Compact()
+			view.Compact()
 		}
 	}
-	return v
+	return view
 }
 
 // drawEvidence draws a view of one list, with any evidence of its hosts.
 func drawEvidence(t *rapid.T, name string) *View {
-	v := &View{}
-	v.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}})
+	view := &View{}
+	view.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}})
 	for range rapid.IntRange(0, 6).Draw(t, name) {
-		v.Believe(Evidence{
+		view.Believe(Evidence{
 			Name: names.Draw(t, "host"),
 			Pos:  int64(rapid.IntRange(0, 5).Draw(t, "pos")), Role: policy.Role(rapid.IntRange(0, 2).Draw(t, "role")),
 			RoleAt: int64(rapid.IntRange(0, 5).Draw(t, "at")), Turn: uint32(rapid.IntRange(0, 2).Draw(t, "turn")),
 		}, maxPosition)
 	}
-	return v
+	return view
 }
 
 func merged(vs ...*View) *View {
 	out := &View{}
-	for _, v := range vs {
-		out.Join(v, maxPosition)
+	for _, view := range vs {
+		out.Join(view, maxPosition)
 	}
 	return out
 }
@@ -81,8 +81,8 @@
 		knows.List(Version{Rev: 43}, false, []Host{{Name: "a", Address: "x", Standing: policy.Draining}})
 		rev := rapid.Int64Range(1, 43).Draw(t, "rev")
 		old.List(Version{Rev: rev}, rapid.Bool().Draw(t, "whole"), []Host{{Name: "a", Address: "x"}})
-		for _, v := range []*View{merged(knows, old), merged(old, knows)} {
-			if h, known := v.Host("a"); known && h.Standing == policy.In {
+		for _, view := range []*View{merged(knows, old), merged(old, knows)} {
+			if host, known := view.Host("a"); known && host.Standing == policy.In {
 				t.Fatalf("in service again by a list of version %d", rev)
 			}
 		}
@@ -95,52 +95,52 @@
 	old.Join(knows, maxPosition)
 	knows.List(Version{Rev: 11}, false, []Host{{Name: "b", Standing: policy.Gone}})
 	knows.Compact() // its tombstone too
-	v := merged(knows, old)
-	if _, known := v.Host("b"); known || v.Len() != 1 {
-		t.Errorf("%+v", v.Hosts())
+	view := merged(knows, old)
+	if _, known := view.Host("b"); known || view.Len() != 1 {
+		t.Errorf("%+v", view.Hosts())
 	}
 }
 
 func TestRoleIsOrderedByTheHostsPosition(t *testing.T) {
-	v := &View{}
-	v.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
-	v.Believe(Evidence{"b", 500, policy.Primary, 500, 0}, maxPosition)
-	v.Believe(Evidence{"a", 400, policy.Primary, 400, 0}, maxPosition) // the old one's word, relayed late
-	if p, _ := v.Primary(0); p != "b" {
+	view := &View{}
+	view.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
+	view.Believe(Evidence{"b", 500, policy.Primary, 500, 0}, maxPosition)
+	view.Believe(Evidence{"a", 400, policy.Primary, 400, 0}, maxPosition) // the old one's word, relayed late
+	if p, _ := view.Primary(0); p != "b" {
 		t.Errorf("the primary is %q", p)
 	}
-	if v.Believe(Evidence{"a", maxPosition + 1, policy.Primary, maxPosition + 1, 0}, maxPosition) {
+	if view.Believe(Evidence{"a", maxPosition + 1, policy.Primary, maxPosition + 1, 0}, maxPosition) {
 		t.Error("a position of the future is believed")
 	}
-	v.Believe(Evidence{"b", 500, policy.Replica, 500, 1}, maxPosition) // it stepped down where it stood
-	v.Believe(Evidence{"b", 500, policy.Primary, 500, 0}, maxPosition)
-	if p, next := v.Primary(0); p != "a" || next != "b" {
+	view.Believe(Evidence{"b", 500, policy.Replica, 500, 1}, maxPosition) // it stepped down where it stood
+	view.Believe(Evidence{"b", 500, policy.Primary, 500, 0}, maxPosition)
+	if p, next := view.Primary(0); p != "a" || next != "b" {
 		t.Errorf("the primary is %q, next %q", p, next)
 	}
 }
 
 func TestLateAnswerDoesNotChangeTheRole(t *testing.T) {
-	e := Evidence{Name: "a"}
-	e.Said(7, policy.Replica, true)
-	if e.Said(7, policy.Primary, false) || e.Role != policy.Replica {
-		t.Errorf("%+v", e)
+	evidence := Evidence{Name: "a"}
+	evidence.Said(7, policy.Replica, true)
+	if evidence.Said(7, policy.Primary, false) || evidence.Role != policy.Replica {
+		t.Errorf("%+v", evidence)
 	}
-	if !e.Said(7, policy.Primary, true) || e.Role != policy.Primary || e.Turn != 1 {
-		t.Errorf("%+v", e)
+	if !evidence.Said(7, policy.Primary, true) || evidence.Role != policy.Primary || evidence.Turn != 1 {
+		t.Errorf("%+v", evidence)
 	}
 }
 
 // sequenceOf returns a planner's full view, the changes that follow and the view after them.
-func sequenceOf(n int) (first Change, all []Change, v *View) {
-	v = &View{}
-	v.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
-	v.TakeChanges(1, 0)
-	first = v.Whole(1, 0)
+func sequenceOf(n int) (first Change, all []Change, view *View) {
+	view = &View{}
+	view.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
+	view.TakeChanges(1, 0)
+	first = view.Whole(1, 0)
 	for i := range n {
-		v.Believe(Evidence{Name: string(rune('a' + i%2)), Pos: int64(10 + i)}, maxPosition) // in turn, so that a gap shows
-		all = append(all, v.TakeChanges(1, uint64(i+1)))
+		view.Believe(Evidence{Name: string(rune('a' + i%2)), Pos: int64(10 + i)}, maxPosition) // in turn, so that a gap shows
+		all = append(all, view.TakeChanges(1, uint64(i+1)))
 	}
-	return first, all, v
+	return first, all, view
 }
 
 func mustApply(t interface{ Fatal(...any) }, replica *Replica, change Change) {
@@ -151,7 +151,7 @@
 
 func TestRepeatedAndReorderedChangesSkipNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first, all, v := sequenceOf(5)
+		first, all, view := sequenceOf(5)
 		replica := Replica{}
 		if _, err := replica.Apply(first); err != nil {
 			t.Fatal(err)
@@ -171,15 +171,15 @@
 				t.Fatalf("at %d the positions are %d and %d", at, a.Pos, b.Pos)
 			}
 		}
-		mustApply(t, &replica, v.Whole(1, 5))
-		if replica.Digest() != v.Digest() {
+		mustApply(t, &replica, view.Whole(1, 5))
+		if replica.Digest() != view.Digest() {
 			t.Fatal("the replica differs after a full view")
 		}
 	})
 }
 
 func TestRestartOrTruncatedChangeNeedsFullView(t *testing.T) {
-	first, all, v := sequenceOf(2)
+	first, all, view := sequenceOf(2)
 	replica := Replica{}
 	mustApply(t, &replica, first)
 	truncated := all[0]
@@ -190,11 +190,11 @@
 	if _, err := replica.Apply(all[1]); !errors.Is(err, ErrGap) {
 		t.Errorf("the next one: %v", err)
 	}
-	mustApply(t, &replica, v.Whole(1, 2))
+	mustApply(t, &replica, view.Whole(1, 2))
 	if _, err := replica.Apply(Change{Life: 2, Seq: 3}); !errors.Is(err, ErrRestarted) || replica.Complete() {
 		t.Errorf("another incarnation's change: %v", err)
 	}
-	if fresh, err := replica.Apply(v.Whole(2, 0)); !fresh || err != nil || !replica.Complete() {
+	if fresh, err := replica.Apply(view.Whole(2, 0)); !fresh || err != nil || !replica.Complete() {
 		t.Errorf("its full view: %v", err)
 	}
 }
--- a/internal/router/trace/export/export_test.go
+++ b/internal/router/trace/export/export_test.go
@@ -20,20 +20,20 @@
 		}, format.Event{At: 1001 + k, Kind: record.Woke})
 	}
 	var out bytes.Buffer
-	e, err := New(&out, record.Schema[record.Take])
+	exported, err := New(&out, record.Schema[record.Take])
 	if err != nil {
 		t.Fatal(err)
 	}
 	var takes []format.Event
-	for _, ev := range events {
-		if ev.Kind == record.Take {
-			takes = append(takes, ev)
-			if err := e.Add(ev); err != nil {
+	for _, event := range events {
+		if event.Kind == record.Take {
+			takes = append(takes, event)
+			if err := exported.Add(event); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if err := e.Close(); err != nil {
+	if err := exported.Close(); err != nil {
 		t.Fatal(err)
 	}
 	type row struct {
--- a/internal/router/trace/file/file_test.go
+++ b/internal/router/trace/file/file_test.go
@@ -49,23 +49,23 @@
 }
 
 // writeBlocks writes blocks of a hundred events, waits for empty blocks as no recorder would, and ends the writer.
-func writeBlocks(t *testing.T, w *Writer, blocks int) (put int) {
+func writeBlocks(t *testing.T, writer *Writer, blocks int) (put int) {
 	t.Helper()
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- w.Run(ctx) }()
+	go func() { ended <- writer.Run(ctx) }()
 	for k := range blocks {
-		b := w.Get()
-		for ; b == nil && !w.Stopped.Load(); b = w.Get() {
+		block := writer.Get()
+		for ; block == nil && !writer.Stopped.Load(); block = writer.Get() {
 			time.Sleep(time.Millisecond)
 		}
-		if b == nil {
+		if block == nil {
 			break
 		}
 		for i := range 100 {
-			b.Add(int64(1000*k+i), 0, []int64{int64(i * i)}, nil)
+			block.Add(int64(1000*k+i), 0, []int64{int64(i * i)}, nil)
 		}
-		if w.Put(b) {
+		if writer.Put(block) {
 			put++
 		}
 	}
@@ -85,12 +85,12 @@
 	t.Helper()
 	all, _ := filepath.Glob(filepath.Join(dir, "*"+Ending))
 	for _, path := range all {
-		f, err := os.Open(path)
+		file, err := os.Open(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		files++
-		r, err := format.NewReader(f)
+		r, err := format.NewReader(file)
 		for err == nil {
 			var some []format.Event
 			_, some, err = r.Next()
@@ -99,7 +99,7 @@
 		if !errors.Is(err, io.EOF) {
 			broken++
 		}
-		if err := f.Close(); err != nil {
+		if err := file.Close(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -109,8 +109,8 @@
 func TestFilesRotateWithinBudgetAndHaveAnIndex(t *testing.T) {
 	dir := t.TempDir()
 	config := testConfig(dir)
-	w := New(config, Disk{}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
-	put := writeBlocks(t, w, 60)
+	writer := New(config, Disk{}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
+	put := writeBlocks(t, writer, 60)
 	events, files, broken := count(t, dir)
 	if events != 100*put || files < 3 || broken != 0 {
 		t.Errorf("%d events of %d blocks in %d files, %d of them broken", events, put, files, broken)
@@ -120,12 +120,12 @@
 		t.Errorf("%v", all)
 	}
 	for _, path := range all {
-		f, _ := os.Open(path)
-		info, _ := f.Stat()
-		if spans, err := format.ReadIndex(f, info.Size()); err != nil || len(spans) == 0 {
+		file, _ := os.Open(path)
+		info, _ := file.Stat()
+		if spans, err := format.ReadIndex(file, info.Size()); err != nil || len(spans) == 0 {
 			t.Errorf("%s: %v", path, err)
 		}
-		if err := f.Close(); err != nil {
+		if err := file.Close(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -145,37 +145,37 @@
 func TestFullDiskEndsCaptureAndLeavesReadableFiles(t *testing.T) {
 	for space := 0; space < 6000; space += 97 {
 		dir := t.TempDir()
-		w := New(testConfig(dir), &fullDisk{space: space}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
-		writeBlocks(t, w, 60)
-		if !w.Stopped.Load() {
+		writer := New(testConfig(dir), &fullDisk{space: space}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
+		writeBlocks(t, writer, 60)
+		if !writer.Stopped.Load() {
 			t.Fatalf("with %d bytes: capture goes on", space)
 		}
-		if w.Get() != nil || w.Put(format.NewBlock(schema)) {
+		if writer.Get() != nil || writer.Put(format.NewBlock(schema)) {
 			t.Fatalf("with %d bytes: blocks are still accepted", space)
 		}
 		events, files, broken := count(t, dir)
-		if int64(events) < w.WrittenEvents.Load() || broken > 1 || files == 0 {
-			t.Fatalf("with %d bytes: %d events read of %d written, %d of %d files broken", space, events, w.WrittenEvents.Load(), broken, files)
+		if int64(events) < writer.WrittenEvents.Load() || broken > 1 || files == 0 {
+			t.Fatalf("with %d bytes: %d events read of %d written, %d of %d files broken", space, events, writer.WrittenEvents.Load(), broken, files)
 		}
 	}
 }
 
 func TestMissingFolderEndsCapture(t *testing.T) {
-	w := New(testConfig("/nowhere/at/all"), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
-	writeBlocks(t, w, 5)
-	if !w.Stopped.Load() || !strings.Contains(fmt.Sprint(w.Fields()), "trace_ended") {
+	writer := New(testConfig("/nowhere/at/all"), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
+	writeBlocks(t, writer, 5)
+	if !writer.Stopped.Load() || !strings.Contains(fmt.Sprint(writer.Fields()), "trace_ended") {
 		t.Error("it goes on")
 	}
 }
 
 func TestStalledWriterDoesNotBlock(t *testing.T) {
-	w := New(testConfig(t.TempDir()), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
+	writer := New(testConfig(t.TempDir()), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
 	for range 3 {
-		b := w.Get()
-		b.Add(1, 0, []int64{1}, nil)
-		w.Put(b)
+		block := writer.Get()
+		block.Add(1, 0, []int64{1}, nil)
+		writer.Put(block)
 	}
-	if w.Get() != nil {
+	if writer.Get() != nil {
 		t.Error("there are more blocks than configured")
 	}
 }
--- a/internal/router/trace/format/format_test.go
+++ b/internal/router/trace/format/format_test.go
@@ -36,8 +36,8 @@
 		spans = append(spans, span)
 		b.Reset()
 	}
-	for _, e := range events {
-		if b.Add(e.At, e.Kind, e.Ints, e.Texts); b.Len() == eventsPerBlock {
+	for _, event := range events {
+		if b.Add(event.At, event.Kind, event.Ints, event.Texts); b.Len() == eventsPerBlock {
 			flush()
 		}
 	}
@@ -50,12 +50,12 @@
 
 // read returns all events up to the end or truncation, and the offsets of corrupt blocks.
 func read(file []byte) (events []Event, faults []int64, err error) {
-	r, err := NewReader(bytes.NewReader(file))
+	reader, err := NewReader(bytes.NewReader(file))
 	if err != nil {
 		return nil, nil, err
 	}
 	for {
-		_, some, err := r.Next()
+		_, some, err := reader.Next()
 		var corrupt *CorruptBlockError
 		switch {
 		case errors.As(err, &corrupt):
@@ -82,14 +82,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var events []Event
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
-			e := Event{At: rapid.Int64().Draw(t, "at"), Kind: rapid.IntRange(0, 2).Draw(t, "kind")}
-			for range schema[e.Kind].Count(Int) {
-				e.Ints = append(e.Ints, rapid.Int64().Draw(t, "int"))
+			event := Event{At: rapid.Int64().Draw(t, "at"), Kind: rapid.IntRange(0, 2).Draw(t, "kind")}
+			for range schema[event.Kind].Count(Int) {
+				event.Ints = append(event.Ints, rapid.Int64().Draw(t, "int"))
 			}
-			for range schema[e.Kind].Count(Text) {
-				e.Texts = append(e.Texts, rapid.String().Draw(t, "text"))
+			for range schema[event.Kind].Count(Text) {
+				event.Texts = append(event.Texts, rapid.String().Draw(t, "text"))
 			}
-			events = append(events, e)
+			events = append(events, event)
 		}
 		file, spans := write(t, events, rapid.IntRange(1, 20).Draw(t, "each"))
 		got, faults, err := read(file)
@@ -101,12 +101,12 @@
 			t.Fatalf("%v, %d spans of %d", err, len(index), len(spans))
 		}
 		from := 0
-		for _, s := range index {
-			some, err := ReadBlock(bytes.NewReader(file), schema, s)
-			if err != nil || !reflect.DeepEqual(some, events[from:from+int(s.Count)]) {
+		for _, info := range index {
+			some, err := ReadBlock(bytes.NewReader(file), schema, info)
+			if err != nil || !reflect.DeepEqual(some, events[from:from+int(info.Count)]) {
 				t.Fatal(err, some)
 			}
-			from += int(s.Count)
+			from += int(info.Count)
 		}
 	})
 }
@@ -116,9 +116,9 @@
 	file, spans := write(t, events, 9)
 	for size := range file {
 		complete := 0
-		for _, s := range spans {
-			if s.Offset+int64(s.Length) <= int64(size) {
-				complete += int(s.Count)
+		for _, info := range spans {
+			if info.Offset+int64(info.Length) <= int64(size) {
+				complete += int(info.Count)
 			}
 		}
 		got, faults, err := read(file[:size])
@@ -140,19 +140,19 @@
 func TestCorruptByteLosesOneBlock(t *testing.T) {
 	events := someEvents(12)
 	file, spans := write(t, events, 9)
-	for i, s := range spans {
-		for at := s.Offset; at < s.Offset+int64(s.Length); at++ {
+	for i, info := range spans {
+		for at := info.Offset; at < info.Offset+int64(info.Length); at++ {
 			bad := bytes.Clone(file)
 			bad[at] ^= 0x10
 			got, faults, err := read(bad)
-			if len(faults) == 0 || faults[0] != s.Offset {
-				if errors.Is(err, ErrTruncated) && at < s.Offset+frameHeaderBytes {
+			if len(faults) == 0 || faults[0] != info.Offset {
+				if errors.Is(err, ErrTruncated) && at < info.Offset+frameHeaderBytes {
 					continue // a wrong length includes the blocks that follow
 				}
-				t.Fatalf("block %d, byte %d: faults %v, %v", i, at-s.Offset, faults, err)
+				t.Fatalf("block %d, byte %d: faults %v, %v", i, at-info.Offset, faults, err)
 			}
-			if at >= s.Offset+8 && len(got) != len(events)-int(s.Count) {
-				t.Fatalf("block %d, byte %d: %d events left", i, at-s.Offset, len(got))
+			if at >= info.Offset+8 && len(got) != len(events)-int(info.Count) {
+				t.Fatalf("block %d, byte %d: %d events left", i, at-info.Offset, len(got))
 			}
 		}
 	}
@@ -177,13 +177,13 @@
 	b.Add(6, 1, nil, nil)
 	file, _ := AppendHeader(nil, Header{Schema: later})
 	file, _, _ = b.Append(file, int64(len(file)))
-	r, err := NewReader(bytes.NewReader(file))
+	reader, err := NewReader(bytes.NewReader(file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, events, err := r.Next()
-	k := r.Header.Schema[0]
-	if err != nil || events[0].Texts[k.Find("id", Text)] != "c1" || events[0].Ints[k.Find("set", Int)] != 7 || k.Find("group", Text) != -1 {
+	_, events, err := reader.Next()
+	kind := reader.Header.Schema[0]
+	if err != nil || events[0].Texts[kind.Find("id", Text)] != "c1" || events[0].Ints[kind.Find("set", Int)] != 7 || kind.Find("group", Text) != -1 {
 		t.Errorf("%v %v", events, err)
 	}
 }
@@ -210,9 +210,9 @@
 				t.Fatal(block, err)
 			}
 		}
-		for _, e := range events {
-			if e.Kind < 0 {
-				t.Fatal(e)
+		for _, event := range events {
+			if event.Kind < 0 {
+				t.Fatal(event)
 			}
 		}
 	})
--- a/internal/router/trace/record/record_test.go
+++ b/internal/router/trace/record/record_test.go
@@ -36,24 +36,24 @@
 
 func TestLostEventsAreCountedInTheNextBlock(t *testing.T) {
 	sink := &memorySink{}
-	r := New(sink, 1<<20, allSessions, [32]byte{}, false)
-	r.Woke()
+	recorder := New(sink, 1<<20, allSessions, [32]byte{}, false)
+	recorder.Woke()
 	sink.closed = true
-	r.Flush() // the block is not accepted: one event is lost
-	r.Woke()
+	recorder.Flush() // the block is not accepted: one event is lost
+	recorder.Woke()
 	sink.closed = false
-	r.Flush()
+	recorder.Flush()
 	sink.closed = true
-	r.Woke()
-	r.Woke() // there is no block: two events are lost
+	recorder.Woke()
+	recorder.Woke() // there is no block: two events are lost
 	sink.closed = false
-	r.Woke()
-	r.Flush()
+	recorder.Woke()
+	recorder.Flush()
 	if len(sink.blocks) != 2 || sink.blocks[0].Lost != 1 || sink.blocks[1].Lost != 2 {
 		t.Errorf("%+v", sink.blocks)
 	}
-	if r.LostEvents != 3 || r.RecordedEvents != 3 {
-		t.Errorf("%d events lost, %d recorded", r.LostEvents, r.RecordedEvents)
+	if recorder.LostEvents != 3 || recorder.RecordedEvents != 3 {
+		t.Errorf("%d events lost, %d recorded", recorder.LostEvents, recorder.RecordedEvents)
 	}
 }
 
@@ -61,14 +61,14 @@
 	const sessions, perMille = 5000, 200
 	chosen := map[byte]map[string]bool{}
 	for _, key := range []byte{1, 2} {
-		r := New(&memorySink{}, 1<<20, perMille, [32]byte{key}, false)
+		recorder := New(&memorySink{}, 1<<20, perMille, [32]byte{key}, false)
 		chosen[key] = map[string]bool{}
 		for i := range sessions {
 			session := fmt.Sprint("session-", i)
-			if r.isSampled(session) {
+			if recorder.isSampled(session) {
 				chosen[key][session] = true
 			}
-			if r.isSampled(session) != chosen[key][session] {
+			if recorder.isSampled(session) != chosen[key][session] {
 				t.Fatalf("%s is in the sample once and not again", session)
 			}
 		}
@@ -88,14 +88,14 @@
 }
 
 func TestNilRecordersRecordNothing(_ *testing.T) {
-	var r *Recorder
-	r.Now(1)
-	r.System(1)
-	r.Woke()
-	r.Take("id", 0, 1, "session", 0, 0, false)
-	r.Flush()
-	var p *Planner
-	p.Now(1, 1)
-	p.Probe("host")
-	p.Flush()
+	var recorder *Recorder
+	recorder.Now(1)
+	recorder.System(1)
+	recorder.Woke()
+	recorder.Take("id", 0, 1, "session", 0, 0, false)
+	recorder.Flush()
+	var planner *Planner
+	planner.Now(1, 1)
+	planner.Probe("host")
+	planner.Flush()
 }
--- a/internal/router/trace/tool/large_test.go
+++ b/internal/router/trace/tool/large_test.go
@@ -29,7 +29,7 @@
 			t.Error(err)
 		}
 	}()
-	o, err := NewOutput(f, format.Header{Schema: record.Schema})
+	output, err := NewOutput(f, format.Header{Schema: record.Schema})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,29 +37,29 @@
 	for k := range int64(*largeFileEvents / 3) {
 		at := base + 20*k
 		id := fmt.Sprintf("%016x", uint64(k)*0x9e3779b97f4a7c15)
-		for _, e := range []format.Event{
+		for _, event := range []format.Event{
 			{At: at, Kind: record.Take, Ints: []int64{k + 1, k % 2, k % 9, at + 10000, 0, 0}, Texts: []string{id, id[:4]}},
 			{At: at, Kind: record.Dispatch, Ints: []int64{k + 1, k % 27, 0, 0, at - 5000, 1000}},
 			{At: at + 45 + k%13, Kind: record.Ended, Ints: []int64{k + 1, 0, at - k%30, 2, 45 + k%13, 0}},
 		} {
-			if err := o.Add(e); err != nil {
+			if err := output.Add(event); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if err := o.Close(); err != nil {
+	if err := output.Close(); err != nil {
 		t.Fatal(err)
 	}
 	wrote := time.Since(began)
-	s, err := Open(path)
+	source, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, s)
-	sum, most, n := NewSummary(s.Header), uint64(0), 0
+	closeAtEnd(t, source)
+	sum, most, n := NewSummary(source.Header), uint64(0), 0
 	began = time.Now()
-	if err := s.Each(allTime, nil, func(e format.Event) error {
-		sum.Add(e)
+	if err := source.Each(allTime, nil, func(event format.Event) error {
+		sum.Add(event)
 		if n++; n%100_000 == 0 {
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
@@ -74,25 +74,25 @@
 		t.Errorf("%d MB in use, %d events, %d lines", most>>20, n, len(sum.Lines()))
 	}
 	t.Logf("%d events: written at %.2f M/s, read and summed up at %.2f M/s, %.2f bytes an event, at most %d MB in use", n,
-		float64(n)/wrote.Seconds()/1e6, float64(n)/read.Seconds()/1e6, float64(s.size)/float64(n), most>>20)
+		float64(n)/wrote.Seconds()/1e6, float64(n)/read.Seconds()/1e6, float64(source.size)/float64(n), most>>20)
 }
 
 func TestFileIsSmallerThanCompressedJSON(t *testing.T) {
 	path := writeTrace(t, t.TempDir(), "a", 1, 2000, 0, 0)
-	s, events := readAll(t, path)
+	source, events := readAll(t, path)
 	var packed bytes.Buffer
-	z := gzip.NewWriter(&packed)
-	enc := json.NewEncoder(z)
-	for _, e := range events {
-		if err := enc.Encode(Object(s.Header.Schema, e)); err != nil {
+	compressor := gzip.NewWriter(&packed)
+	encoder := json.NewEncoder(compressor)
+	for _, event := range events {
+		if err := encoder.Encode(Object(source.Header.Schema, event)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := z.Close(); err != nil {
+	if err := compressor.Close(); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%.2f bytes an event, gzip'd lines of JSON %.2f", float64(s.size)/float64(len(events)), float64(packed.Len())/float64(len(events)))
-	if s.size >= int64(packed.Len()) {
-		t.Errorf("%d bytes, gzip'd lines of JSON %d", s.size, packed.Len())
+	t.Logf("%.2f bytes an event, gzip'd lines of JSON %.2f", float64(source.size)/float64(len(events)), float64(packed.Len())/float64(len(events)))
+	if source.size >= int64(packed.Len()) {
+		t.Errorf("%d bytes, gzip'd lines of JSON %d", source.size, packed.Len())
 	}
 }
--- a/internal/router/trace/tool/tool_test.go
+++ b/internal/router/trace/tool/tool_test.go
@@ -33,11 +33,11 @@
 	}
 	groups, _ := record.Groups([]string{"list", "order"})
 	path := filepath.Join(dir, router+".fptrace")
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := NewOutput(f, format.Header{
+	output, err := NewOutput(file, format.Header{
 		Router: router, Life: seed, Part: 1000, Schema: record.Schema,
 		More: map[string][]byte{"deployment": deployment, "groups": groups, "later": []byte("Ms Someone")},
 	})
@@ -47,7 +47,7 @@
 	random := rand.New(rand.NewPCG(seed, 3))
 	put := func(at int64, kind int, ints []int64, texts ...string) {
 		at += offset + int64(drift*float64(at-base))
-		if err := o.Add(format.Event{At: at, Kind: kind, Ints: ints, Texts: texts}); err != nil {
+		if err := output.Add(format.Event{At: at, Kind: kind, Ints: ints, Texts: texts}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -60,7 +60,7 @@
 		took := 40 + random.Int64N(60)
 		put(at+2+took, record.Ended, []int64{k + 1, int64(policy.Answered), at + took - 20, int64(policy.Primary), took, 0})
 	}
-	if err := errors.Join(o.Close(), f.Close()); err != nil {
+	if err := errors.Join(output.Close(), file.Close()); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -69,22 +69,22 @@
 // readAll reads all events of a file.
 func readAll(t *testing.T, path string) (*Source, []format.Event) {
 	t.Helper()
-	s, err := Open(path)
+	source, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, s)
+	closeAtEnd(t, source)
 	var events []format.Event
-	if err := s.Each(allTime, nil, func(e format.Event) error { events = append(events, e); return nil }); err != nil {
+	if err := source.Each(allTime, nil, func(event format.Event) error { events = append(events, event); return nil }); err != nil {
 		t.Fatal(err)
 	}
-	return s, events
+	return source, events
 }
 
-func closeAtEnd(t *testing.T, s *Source) {
+func closeAtEnd(t *testing.T, source *Source) {
 	t.Helper()
 	t.Cleanup(func() {
-		if err := s.Close(); err != nil {
+		if err := source.Close(); err != nil {
 			t.Error(err)
 		}
 	})
@@ -94,16 +94,16 @@
 func encode(t *testing.T, header format.Header, events []format.Event) []byte {
 	t.Helper()
 	var out bytes.Buffer
-	o, err := NewOutput(&out, header)
+	output, err := NewOutput(&out, header)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range events {
-		if err := o.Add(e); err != nil {
+	for _, event := range events {
+		if err := output.Add(event); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := o.Close(); err != nil {
+	if err := output.Close(); err != nil {
 		t.Fatal(err)
 	}
 	return out.Bytes()
@@ -118,43 +118,43 @@
 
 func TestAnonymizedFileContainsNoIdentity(t *testing.T) {
 	dir := t.TempDir()
-	s, events := readAll(t, writeTrace(t, dir, "router-one", 1, 20, 0, 0))
-	a := NewAnonymous([32]byte{1})
-	h, err := a.Header(s.Header)
+	source, events := readAll(t, writeTrace(t, dir, "router-one", 1, 20, 0, 0))
+	anonymizer := NewAnonymous([32]byte{1})
+	header, err := anonymizer.Header(source.Header)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var anonymous []format.Event
-	for _, e := range events {
-		anonymous = append(anonymous, a.Event(e))
+	for _, event := range events {
+		anonymous = append(anonymous, anonymizer.Event(event))
 	}
-	encoded := encode(t, h, anonymous)
+	encoded := encode(t, header, anonymous)
 	file := filepath.Join(dir, "out")
 	writeFile(t, file, encoded)
 	_, got := readAll(t, file)
 	searched := bytes.Clone(encoded) // the file, and the texts in its blocks, uncompressed
-	for _, e := range got {
-		searched = append(searched, strings.Join(e.Texts, "\x00")...)
+	for _, event := range got {
+		searched = append(searched, strings.Join(event.Texts, "\x00")...)
 	}
 	words := map[string]bool{"router-one": true, "zone of router-one": true, "Ms Someone": true, "viewer": true, "free words": true, "host-of-the-set": true}
-	for _, e := range events {
-		for _, text := range e.Texts {
+	for _, event := range events {
+		for _, text := range event.Texts {
 			if len(text) > 3 {
 				words[text] = true
 			}
 		}
 	}
-	for w := range words {
+	for word := range words {
 		wide := []byte{}
-		for _, u := range utf16.Encode([]rune(w)) {
+		for _, u := range utf16.Encode([]rune(word)) {
 			wide = append(wide, byte(u), byte(u>>8))
 		}
 		for form, b := range map[string][]byte{
-			"as it is": []byte(w), "hexadecimal": []byte(hex.EncodeToString([]byte(w))),
-			"base64": []byte(base64.StdEncoding.EncodeToString([]byte(w))), "UTF-16": wide, "reversed case": []byte(strings.ToUpper(w)),
+			"as it is": []byte(word), "hexadecimal": []byte(hex.EncodeToString([]byte(word))),
+			"base64": []byte(base64.StdEncoding.EncodeToString([]byte(word))), "UTF-16": wide, "reversed case": []byte(strings.ToUpper(word)),
 		} {
 			if bytes.Contains(searched, b) {
-				t.Errorf("%q is found, %s", w, form)
+				t.Errorf("%q is found, %s", word, form)
 			}
 		}
 	}
@@ -166,14 +166,14 @@
 func TestPseudonymDependsOnKeyAlone(t *testing.T) {
 	dir := t.TempDir()
 	word := func(key byte, router string) string {
-		s, events := readAll(t, writeTrace(t, dir, router, 1, 4, 0, 0))
-		a := NewAnonymous([32]byte{key})
-		if _, err := a.Header(s.Header); err != nil {
+		source, events := readAll(t, writeTrace(t, dir, router, 1, 4, 0, 0))
+		anonymizer := NewAnonymous([32]byte{key})
+		if _, err := anonymizer.Header(source.Header); err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range events {
-			if e.Kind == record.Take && e.Texts[1] == "viewer-003" {
-				return a.Event(e).Texts[1]
+		for _, event := range events {
+			if event.Kind == record.Take && event.Texts[1] == "viewer-003" {
+				return anonymizer.Event(event).Texts[1]
 			}
 		}
 		return ""
@@ -187,34 +187,34 @@
 // openForMerge returns a file's header, delays and feed, and keeps nothing open.
 func openForMerge(t *testing.T, path string) (format.Header, *Delays, Feed) {
 	t.Helper()
-	s, err := Open(path)
+	source, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	delays := NewDelays(s.Header.Schema)
-	if err := s.Each(allTime, nil, func(e format.Event) error { delays.Add(e); return nil }); err != nil {
+	delays := NewDelays(source.Header.Schema)
+	if err := source.Each(allTime, nil, func(event format.Event) error { delays.Add(event); return nil }); err != nil {
 		t.Fatal(err)
 	}
-	feed, err := s.Feed()
+	feed, err := source.Feed()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Close(); err != nil {
+	if err := source.Close(); err != nil {
 		t.Fatal(err)
 	}
-	return s.Header, delays, feed
+	return source.Header, delays, feed
 }
 
 // mergeInOrder merges, checks that times do not go back and returns the number of events.
 func mergeInOrder(t *testing.T, feeds []Feed, skews []Skew, check func(event format.Event, number int)) int {
 	t.Helper()
 	last, n := int64(0), 0
-	if err := Merge(feeds, skews, func(e format.Event) error {
-		if e.At < last {
-			t.Fatalf("%d after %d", e.At, last)
+	if err := Merge(feeds, skews, func(event format.Event) error {
+		if event.At < last {
+			t.Fatalf("%d after %d", event.At, last)
 		}
-		last = e.At
-		check(e, n)
+		last = event.At
+		check(event, n)
 		n++
 		return nil
 	}); err != nil {
@@ -242,15 +242,15 @@
 		t.Errorf("%+v", skew)
 	}
 	lastCommand := [2]int64{} // by router
-	n := mergeInOrder(t, []Feed{firstFeed, otherFeed}, []Skew{{}, skew}, func(e format.Event, _ int) {
-		if e.Kind != record.Take {
+	n := mergeInOrder(t, []Feed{firstFeed, otherFeed}, []Skew{{}, skew}, func(event format.Event, _ int) {
+		if event.Kind != record.Take {
 			return
 		}
-		router := e.Ints[len(e.Ints)-1]
-		if e.Ints[0] != lastCommand[router]+1 {
-			t.Fatalf("router %d: command %d after %d", router, e.Ints[0], lastCommand[router])
+		router := event.Ints[len(event.Ints)-1]
+		if event.Ints[0] != lastCommand[router]+1 {
+			t.Fatalf("router %d: command %d after %d", router, event.Ints[0], lastCommand[router])
 		}
-		lastCommand[router] = e.Ints[0]
+		lastCommand[router] = event.Ints[0]
 	})
 	if n != 2*(2+3*1000) {
 		t.Errorf("%d events", n)
@@ -258,48 +258,48 @@
 }
 
 func TestEstimateNeedsCommonHosts(t *testing.T) {
-	a, b := NewDelays(record.Schema), NewDelays(record.Schema)
-	if _, err := Estimate("b", a, b); !errors.Is(err, ErrNoOverlap) {
+	first, other := NewDelays(record.Schema), NewDelays(record.Schema)
+	if _, err := Estimate("b", first, other); !errors.Is(err, ErrNoOverlap) {
 		t.Error(err)
 	}
 }
 
 func TestWindowAndFilterSelect(t *testing.T) {
 	path := writeTrace(t, t.TempDir(), "a", 1, 4000, 0, 0)
-	s, err := Open(path)
+	source, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, s)
-	f := Filter{Groups: map[int64]bool{1: true}}
-	f.Begin(s.Header.Schema)
+	closeAtEnd(t, source)
+	filter := Filter{Groups: map[int64]bool{1: true}}
+	filter.Begin(source.Header.Schema)
 	n := 0
-	w := Window{base + 20000000, base + 20100000}
-	if err := s.Each(w, nil, func(e format.Event) error {
-		if !w.contains(e.At) {
-			t.Fatal(e)
+	window := Window{base + 20000000, base + 20100000}
+	if err := source.Each(window, nil, func(event format.Event) error {
+		if !window.contains(event.At) {
+			t.Fatal(event)
 		}
-		if f.Has(e) {
-			if n++; e.Kind == record.Take && e.Ints[1] != 1 {
-				t.Fatal(e)
+		if filter.Has(event) {
+			if n++; event.Kind == record.Take && event.Ints[1] != 1 {
+				t.Fatal(event)
 			}
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if s.Blocks > 2 || len(s.Spans) < 5 || n < 60 || n > 80 {
-		t.Errorf("%d of %d blocks read, %d events", s.Blocks, len(s.Spans), n)
+	if source.Blocks > 2 || len(source.Spans) < 5 || n < 60 || n > 80 {
+		t.Errorf("%d of %d blocks read, %d events", source.Blocks, len(source.Spans), n)
 	}
 }
 
 // summarize returns the summary of a trace of 250 commands in each of two groups.
 func summarize(t *testing.T) (*Summary, []format.Event) {
 	t.Helper()
-	s, events := readAll(t, writeTrace(t, t.TempDir(), "a", 1, 100, 0, 0))
-	sum := NewSummary(s.Header)
-	for _, e := range events {
-		sum.Add(e)
+	source, events := readAll(t, writeTrace(t, t.TempDir(), "a", 1, 100, 0, 0))
+	sum := NewSummary(source.Header)
+	for _, event := range events {
+		sum.Add(event)
 	}
 	return sum, events
 }
@@ -314,22 +314,22 @@
 	if len(lines) != 2 || lines[1].Taken != 250 {
 		t.Fatalf("%+v", lines)
 	}
-	if l := lines[0]; l.Group != "list" || l.Taken != 251 || l.Answered != 250 || l.Open != 1 {
+	if line := lines[0]; line.Group != "list" || line.Taken != 251 || line.Answered != 250 || line.Open != 1 {
 		t.Fatalf("%+v", lines)
 	}
-	if l := lines[1]; l.Dispatches != 1 || l.Replicas != 0 || l.Median < 4 || l.P99 > 11 {
-		t.Errorf("%+v", l)
+	if line := lines[1]; line.Dispatches != 1 || line.Replicas != 0 || line.Median < 4 || line.P99 > 11 {
+		t.Errorf("%+v", line)
 	}
-	if l := lines[1]; l.Waited < 0.1 || l.Waited > 0.3 {
-		t.Errorf("%+v", l)
+	if line := lines[1]; line.Waited < 0.1 || line.Waited > 0.3 {
+		t.Errorf("%+v", line)
 	}
 }
 
 func TestDiffHasGroupsOfEitherSide(t *testing.T) {
 	sum, _ := summarize(t)
 	lines := sum.Lines()
-	if d := Diff(lines, lines[:1]); len(d) != 2 || d[1].Taken != [2]int64{250, 0} {
-		t.Errorf("%+v", d)
+	if diff := Diff(lines, lines[:1]); len(diff) != 2 || diff[1].Taken != [2]int64{250, 0} {
+		t.Errorf("%+v", diff)
 	}
 }
 
@@ -341,12 +341,12 @@
 		t.Fatal(err)
 	}
 	writeFile(t, path, whole[:len(whole)*2/3])
-	s, events := readAll(t, path)
-	if s.Spans != nil || s.Broken == nil || len(events) < 10000 {
-		t.Errorf("%v, %d events", s.Broken, len(events))
+	source, events := readAll(t, path)
+	if source.Spans != nil || source.Broken == nil || len(events) < 10000 {
+		t.Errorf("%v, %d events", source.Broken, len(events))
 	}
 	repaired := filepath.Join(dir, "repaired")
-	writeFile(t, repaired, encode(t, s.Header, events))
+	writeFile(t, repaired, encode(t, source.Header, events))
 	if again, same := readAll(t, repaired); again.Spans == nil || again.Broken != nil || len(same) != len(events) {
 		t.Errorf("%v, %d events", again.Broken, len(same))
 	}
