--- a/policy/door.go
+++ b/policy/door.go
@@ -79,9 +79,9 @@
 	Benefit   float64
 	LateShare float64 // what is left of the benefit past the response target
 
-	latency, count float64
-	given          Tenth // the time that a first try has
-	votes          int   // for it
+	meanLatency, samples float64
+	firstTryTime         Tenth // the time that a first try has
+	firstTryVotes        int   // for it
 }
 
 // Deployment is what a deployment states at start.
@@ -140,7 +140,7 @@
 
 // Group readies a command group that was not there at start.
 func (r *Router) Group(g *CmdGroup) *CmdGroup {
-	g.latency, g.count = float64(g.Target)/3, 1
+	g.meanLatency, g.samples = float64(g.Target)/3, 1
 	return g
 }
 
@@ -150,22 +150,22 @@
 	if yes {
 		role = Primary
 	}
-	n.is(role, n.set.r.now)
+	n.updateRole(role, n.set.router.now)
 }
 
 // Due says when a set without a primary is expected to have one, where that is known.
-func (r *Router) Due(set int64, at Tenth) { r.set(set).due = at }
+func (r *Router) Due(set int64, at Tenth) { r.replicaSet(set).primaryDueAt = at }
 
 // Lateness is the word that Told takes for a view's: one more than the tenths of the response target, 0 for not known.
 func Lateness(late uint8) Tenth {
 	if late == 0 {
-		return mum
+		return peerLatencyUnknown
 	}
 	return Tenth(late) - 1
 }
 
 // Held says whether a command waits for a place.
-func (c *Cmd) Held() bool { return c.held }
+func (c *Cmd) Held() bool { return c.queued }
 
 // Work is how much a command asks for, in commands of the usual mix.
 func (c *Cmd) Work() float64 { return c.work() }
@@ -173,7 +173,7 @@
 // Cold says since when a host is cold, or 0.
 func (n *Node) Cold() Tenth {
 	if n.cold() {
-		return n.boot
+		return n.startedAt
 	}
 	return 0
 }
@@ -182,7 +182,7 @@
 func (c *Cmd) Spent(took Tenth) float64 { return float64(took) / float64(max(1, c.group.Target)) }
 
 // SentFor is the position that a command's last dispatch was for; 0: none.
-func (c *Cmd) SentFor() Tenth { return c.sentFor }
+func (c *Cmd) SentFor() Tenth { return c.neededPosition }
 
 // Seen is a member of a set as the module sees it now. State adds 1 for a silent host, 2 for one out of reach, 4 for a
 // cold one, 8 for one whose position is known and 16 for the primary that is followed.
@@ -199,11 +199,11 @@
 func (c *Cmd) Members(visit func(n *Node, s Seen)) {
 	for _, n := range c.set.members {
 		state := int64(0)
-		for i, is := range []bool{n.left, n.dark || n.down, n.cold(), n.known, n == c.set.primary} {
+		for i, is := range []bool{n.ejected, n.unreachable || n.down, n.cold(), n.positionKnown, n == c.set.primary} {
 			if is {
 				state |= 1 << i
 			}
 		}
-		visit(n, Seen{n.standing, n.role, n.pos, len(n.out), n.crowd, n.share, state})
+		visit(n, Seen{n.standing, n.role, n.position, len(n.inFlight), n.lateness, n.share, state})
 	}
 }
--- a/policy/fake_test.go
+++ b/policy/fake_test.go
@@ -75,8 +75,8 @@
 		n.Probed(true)
 		n.Reported(f.at, Replica)
 	}
-	f.nodes[0].is(Primary, f.at)
-	f.nodes[0].crowd = late * 0.9 // nothing spills to the primary
+	f.nodes[0].updateRole(Primary, f.at)
+	f.nodes[0].lateness = lateRatio * 0.9 // nothing spills to the primary
 	return f
 }
 
@@ -128,7 +128,7 @@
 
 func (f *fake) fresh() {
 	for _, n := range f.nodes {
-		n.learn(f.at)
+		n.updatePosition(f.at)
 	}
 }
 
--- a/policy/preview.go
+++ b/policy/preview.go
@@ -4,7 +4,7 @@
 
 // Shape is a deployment whose settings are watched before they are put in force.
 type Shape struct {
-	as *Router // that would be, for what it makes of its settings
+	router *Router // that would be, for what it makes of its settings
 }
 
 // Course is how a command fares as it comes.
@@ -18,19 +18,19 @@
 )
 
 // NewShape readies settings to be watched.
-func NewShape(d Deployment, now Tenth) *Shape { return &Shape{New(silent{}, d, now)} }
+func NewShape(d Deployment, now Tenth) *Shape { return &Shape{New(noopCaller{}, d, now)} }
 
 // Comeback is the time that a throttled command would be given.
-func (s *Shape) Comeback() Tenth { return s.as.Comeback }
+func (s *Shape) Comeback() Tenth { return s.router.Comeback }
 
 // Course says how a command has fared in the call that took it.
 func (c *Cmd) Course() (Course, *Node) {
 	switch {
 	case c.Node != nil:
 		return Sent, c.Node
-	case c.over:
+	case c.done:
 		return TurnedAway, nil
-	case c.asks > 0:
+	case c.probes > 0:
 		return Asked, nil
 	}
 	return Held, nil
@@ -48,28 +48,28 @@
 	for i, n := range s.members {
 		members[i] = *n
 	}
-	group.latency, group.count, group.given, group.votes = like.latency, like.count, like.given, like.votes
+	group.meanLatency, group.samples, group.firstTryTime, group.firstTryVotes = like.meanLatency, like.samples, like.firstTryTime, like.firstTryVotes
 	defer func() {
 		*r, *s = router, replicas
 		for i, n := range s.members {
 			*n = members[i]
 		}
 	}()
-	r.Deployment, r.quiet, r.asks, r.spend, r.caller = as.as.Deployment, as.as.quiet, as.as.asks, as.as.spend, silent{}
+	r.Deployment, r.positionTTL, r.probesForReads, r.probeSpend, r.caller = as.router.Deployment, as.router.positionTTL, as.router.probesForReads, as.router.probeSpend, noopCaller{}
 	r.Routers, r.Zero = router.Routers, router.Zero
-	s.held = slices.Clone(s.held)
+	s.queue = slices.Clone(s.queue)
 	return r.Take("", &group, set, session, timeout, since, again).Course()
 }
 
-// silent is the caller of a command that is not really there.
-type silent struct{}
+// noopCaller is the caller of a command that is not really there.
+type noopCaller struct{}
 
-func (silent) Dispatch(*Cmd, *Node, Tenth) {}
-func (silent) Throttle(*Cmd, Tenth)        {}
-func (silent) Fail(*Cmd)                   {}
-func (silent) Probe(*Node)                 {}
-func (silent) Close(*Node)                 {}
-func (silent) Forget(*Node)                {}
-func (silent) Watch()                      {}
-func (silent) Tell(string)                 {}
-func (silent) Wake(Tenth)                  {}
+func (noopCaller) Dispatch(*Cmd, *Node, Tenth) {}
+func (noopCaller) Throttle(*Cmd, Tenth)        {}
+func (noopCaller) Fail(*Cmd)                   {}
+func (noopCaller) Probe(*Node)                 {}
+func (noopCaller) Close(*Node)                 {}
+func (noopCaller) Forget(*Node)                {}
+func (noopCaller) Watch()                      {}
+func (noopCaller) Tell(string)                 {}
+func (noopCaller) Wake(Tenth)                  {}
--- a/policy/preview_test.go
+++ b/policy/preview_test.go
@@ -42,7 +42,7 @@
 		for _, n := range f.sent {
 			sent += n.Name
 		}
-		return sent + fmt.Sprint(len(f.final), f.r.credit, f.r.draws), apart
+		return sent + fmt.Sprint(len(f.final), f.r.probeCredit, f.r.randomDraws), apart
 	}
 	as, _ := day(false)
 	watched, apart := day(true)
--- a/policy/rules.go
+++ b/policy/rules.go
@@ -22,81 +22,81 @@
 // Router is one router's view of the deployment.
 type Router struct {
 	Deployment
-	caller                        Caller
-	blind, asks, watching         bool  // no planner tells of news; reads in need ask; the list was asked for
-	now, wakeAt, lookAt, stoodTo  Tenth // the next wake; when hosts were gone over; when a stall ended
-	quiet, floor, draws           Tenth // how long a position stays good; no forgotten token is greater
-	watchAt, watchWait            Tenth // when to ask for the list next, 0: it comes; the wait after a refusal
-	sets                          map[int64]*Set
-	ordered                       []*Set
-	nodes                         []*Node
-	kinds                         map[string]*kind
-	ids                           map[string]*Node // by what routers call them
-	tokens                        map[string]Tenth // by session
-	gaps                          ring             // between the answers of any one host
-	credit, words, latency, worth float64          // probes to spend, bytes to tell; mean answer, mean rank
-	aged, spend                   float64          // mean age of a report; what probes may cost
+	caller                                             Caller
+	noPlanner, probesForReads, listRequested           bool  // no planner tells of news; reads in need ask; the list was asked for
+	now, wakeAt, evaluatedAt, stalledUntil             Tenth // the next wake; when hosts were gone over; when a stall ended
+	positionTTL, tokenFloor, randomDraws               Tenth // how long a position stays good; no forgotten token is greater
+	listRequestAt, listRetryDelay                      Tenth // when to ask for the list next, 0: it comes; the wait after a refusal
+	sets                                               map[int64]*Set
+	orderedSets                                        []*Set
+	hosts                                              []*Node
+	models                                             map[string]*hostModel
+	hostsByID                                          map[string]*Node // by what routers call them
+	tokens                                             map[string]Tenth // by session
+	answerGaps                                         window           // between the answers of any one host
+	probeCredit, peerCredit, meanLatency, meanPriority float64          // probes to spend, bytes to tell; mean answer, mean rank
+	meanReportAge, probeSpend                          float64          // mean age of a report; what probes may cost
 }
 
-// kind is the mean work that warm hosts of a kind do in a tenth for each unit of size, and its makings.
-type kind struct{ warm, done, size, seen float64 }
+// hostModel is the mean work that warm hosts of a kind do in a tenth for each unit of size, and its makings.
+type hostModel struct{ warmRate, workDone, warmSize, measuredFor float64 }
 
 // Set is a replica set: a primary and the replicas of its data.
 type Set struct {
-	r       *Router
-	members []*Node // in id order
-	primary *Node   // as far as known
-	held    []*Cmd  // worthiest first
-	next    int     // the member to ask next for the primary
-	lookAt  Tenth   // when to ask it
-	asked   *Node   // the replica that was asked where it stands, for reads
-	askedTo Tenth   // until when they wait for it
-	due     Tenth   // when a primary is expected; long past: not known
+	router        *Router
+	members       []*Node // in id order
+	primary       *Node   // as far as known
+	queue         []*Cmd  // worthiest first
+	nextCandidate int     // the member to ask next for the primary
+	nextTryAt     Tenth   // when to ask it
+	probed        *Node   // the replica that was asked where it stands, for reads
+	probedUntil   Tenth   // until when they wait for it
+	primaryDueAt  Tenth   // when a primary is expected; long past: not known
 }
 
 // Node is a database host.
 type Node struct {
-	Name, zone                         string
-	set                                *Set
-	kind                               *kind
-	standing                           Standing
-	role                               Role
-	out                                []*Cmd
-	listed, known, probing, left, dark bool    // left: silent or unreachable; dark: unreachable
-	down                               bool    // it took no connection, and no probe tells when it is back
-	conns, peak                        int     // open connections, as far as known: the most in use of late
-	slowTo, peakAt                     Tenth   // until when none is opened; since when peak counts
-	size, cap, share, crowd, spare     float64 // crowd: mean part of the target taken; spare: work while cold
-	boot, spareAt, backoff, tightTo    Tenth   // boot: when it last started; 0: long ago
-	roleAt, pos, posAt, lag            Tenth   // it had applied all up to pos at posAt, and was lag behind
-	since, quickAt                     Tenth   // its last answer; when what it answered in good time was sent
-	cutAt, judgedAt, toldAt, trialAt   Tenth
+	Name, zone                                           string
+	set                                                  *Set
+	model                                                *hostModel
+	standing                                             Standing
+	role                                                 Role
+	inFlight                                             []*Cmd
+	inList, positionKnown, probing, ejected, unreachable bool    // left: silent or unreachable; dark: unreachable
+	down                                                 bool    // it took no connection, and no probe tells when it is back
+	openConns, peakInFlight                              int     // open connections, as far as known: the most in use of late
+	slowConnectUntil, peakSince                          Tenth   // until when none is opened; since when peak counts
+	size, limit, share, lateness, coldBudget             float64 // crowd: mean part of the target taken; spare: work while cold
+	startedAt, coldBudgetAt, backoff, connsScarceUntil   Tenth   // boot: when it last started; 0: long ago
+	roleAt, position, positionAt, lag                    Tenth   // it had applied all up to pos at posAt, and was lag behind
+	lastAnswerAt, quickSentAt                            Tenth   // its last answer; when what it answered in good time was sent
+	limitCutAt, ratedAt, sharedAt, retryAt               Tenth
 }
 
 // Cmd is the handle of a command.
 type Cmd struct {
-	Name, session                 string
-	set                           *Set
-	group                         *CmdGroup
-	Node                          *Node // where it is out
-	tried                         []*Node
-	asked                         *Node // the last one that was asked for it
-	token, taken, target, timeout Tenth // token: what a read must see, but for Bounded
-	sentAt, sentFor, maybe        Tenth // its dispatch, and for which position; the first that may have run
-	Sent, asks                    int   // its dispatches so far, and what was asked for it
-	SendBy                        Tenth // when the one that is out must be on its way; 0: whenever it can
-	benefit, luck                 float64
-	over, held, late, opens       bool // late: out past its target; opens: a connection comes up for it
-	blame                         int  // for errors and broken connections
+	Name, session                                 string
+	set                                           *Set
+	group                                         *CmdGroup
+	Node                                          *Node // where it is out
+	tried                                         []*Node
+	lastProbed                                    *Node // the last one that was asked for it
+	minPosition, submittedAt, targetAt, timeoutAt Tenth // token: what a read must see, but for Bounded
+	sentAt, neededPosition, mayHaveRunAt          Tenth // its dispatch, and for which position; the first that may have run
+	Sent, probes                                  int   // its dispatches so far, and what was asked for it
+	SendBy                                        Tenth // when the one that is out must be on its way; 0: whenever it can
+	benefit, draw                                 float64
+	done, queued, overdue, opensConn              bool // late: out past its target; opens: a connection comes up for it
+	faultPoints                                   int  // for errors and broken connections
 }
 
-// ring measures over time, in fixed buckets of a second that are used again.
-type ring [8]struct {
+// window measures over time, in fixed buckets of a second that are used again.
+type window [8]struct {
 	at         Tenth
 	n, sum, sq float64
 }
 
-func (b *ring) add(now Tenth, v float64) {
+func (b *window) record(now Tenth, v float64) {
 	k := &b[now/second%8]
 	if k.at != now/second {
 		k.at, k.n, k.sum, k.sq = now/second, 0, 0, 0
@@ -104,7 +104,7 @@
 	k.n, k.sum, k.sq = k.n+1, k.sum+v, k.sq+v*v
 }
 
-func (b *ring) total(now, buckets Tenth) (n, sum, sq float64) {
+func (b *window) total(now, buckets Tenth) (n, sum, sq float64) {
 	for _, k := range b {
 		if k.at > now/second-buckets {
 			n, sum, sq = n+k.n, sum+k.sum, sq+k.sq
@@ -114,69 +114,69 @@
 }
 
 const (
-	second     = Tenth(10000)
-	unusual    = 12.0 // deviations of silence beyond the mean
-	late       = 0.3  // of the response target: a mean latency that tells of crowding
-	full       = 15   // what routers tell of a host that turns commands away; else tenths of the target
-	tight      = 14   // and of one that turns connections away
-	mum        = 13   // and where nothing is known of lateness
-	spillShare = 0.125
-	sessions   = 1 << 12 // tokens held
+	second             = Tenth(10000)
+	silenceDeviations  = 12.0 // deviations of silence beyond the mean
+	lateRatio          = 0.3  // of the response target: a mean latency that tells of crowding
+	peerRejecting      = 15   // what routers tell of a host that turns commands away; else tenths of the target
+	peerConnsExhausted = 14   // and of one that turns connections away
+	peerLatencyUnknown = 13   // and where nothing is known of lateness
+	spillShare         = 0.125
+	maxSessionTokens   = 1 << 12 // tokens held
 )
 
 // New starts a router.
 func New(caller Caller, d Deployment, now Tenth) *Router {
-	r := &Router{Deployment: d, caller: caller, now: now, lookAt: now, quiet: second / 2,
-		sets: map[int64]*Set{}, ids: map[string]*Node{}, kinds: map[string]*kind{}, tokens: map[string]Tenth{}}
+	r := &Router{Deployment: d, caller: caller, now: now, evaluatedAt: now, positionTTL: second / 2,
+		sets: map[int64]*Set{}, hostsByID: map[string]*Node{}, models: map[string]*hostModel{}, tokens: map[string]Tenth{}}
 	for _, g := range r.Groups {
 		if g.Need == Bounded {
-			r.quiet = min(r.quiet, g.Bound/2)
+			r.positionTTL = min(r.positionTTL, g.Bound/2)
 		}
-		g.latency, g.count = float64(g.Target)/3, 1
-		r.latency += g.latency / float64(len(r.Groups))
+		g.meanLatency, g.samples = float64(g.Target)/3, 1
+		r.meanLatency += g.meanLatency / float64(len(r.Groups))
 	}
 	r.Streams = max(r.Streams, 1)
-	r.Tick, r.words = max(r.Tick, 10), r.chance()*float64(128*r.Routers)
+	r.Tick, r.peerCredit = max(r.Tick, 10), r.random()*float64(128*r.Routers)
 	if r.Peers { // a few tell all where hosts stand before there are commands to pay for it
-		r.credit = 4 * r.chance()
+		r.probeCredit = 4 * r.random()
 	}
-	if r.spend = 0.005; r.Probes && r.Reports && !r.Guarded && !r.Peers && !r.Told {
-		r.asks, r.spend = true, 0.02
+	if r.probeSpend = 0.005; r.Probes && r.Reports && !r.Guarded && !r.Peers && !r.Told {
+		r.probesForReads, r.probeSpend = true, 0.02
 	}
 	if r.AskWithin > 0 { // all routers' calls fit into a few seconds, and being told later breaks no rule
-		r.watchAt, r.watchWait = now+1+Tenth(r.chance()*float64(r.AskWithin/4)), r.AskWithin/8
+		r.listRequestAt, r.listRetryDelay = now+1+Tenth(r.random()*float64(r.AskWithin/4)), r.AskWithin/8
 	}
-	r.wake(2 * r.Tick)
+	r.scheduleWake(2 * r.Tick)
 	return r
 }
 
 // Clock tells the time of the calls that follow. A wake long overdue tells that this router stood still.
 func (r *Router) Clock(now Tenth) {
 	if now > max(r.now, r.wakeAt)+second/20 {
-		r.stoodTo = now
+		r.stalledUntil = now
 	}
 	r.now = max(r.now, now)
 }
 
-// wake asks for a call of Woke, unless one comes sooner.
-func (r *Router) wake(after Tenth) {
+// scheduleWake asks for a call of Woke, unless one comes sooner.
+func (r *Router) scheduleWake(after Tenth) {
 	if r.wakeAt <= r.now || r.wakeAt > r.now+after {
 		r.wakeAt = r.now + after
 		r.caller.Wake(after)
 	}
 }
 
-func (r *Router) chance() float64 {
-	r.draws++
-	text := strconv.AppendUint(nil, uint64(r.Seed)<<32|uint64(r.draws), 36)
+func (r *Router) random() float64 {
+	r.randomDraws++
+	text := strconv.AppendUint(nil, uint64(r.Seed)<<32|uint64(r.randomDraws), 36)
 	return float64(crc32.ChecksumIEEE(text)) / (1 << 32)
 }
 
-func (r *Router) set(id int64) *Set {
+func (r *Router) replicaSet(id int64) *Set {
 	s := r.sets[id]
 	if s == nil {
-		s = &Set{r: r}
-		r.sets[id], r.ordered = s, append(r.ordered, s)
+		s = &Set{router: r}
+		r.sets[id], r.orderedSets = s, append(r.orderedSets, s)
 	}
 	return s
 }
@@ -184,62 +184,62 @@
 // Woke is called soon while commands are held, now and then otherwise: hundreds of hosts must cost little.
 func (r *Router) Woke() {
 	next := second / 20
-	for _, s := range r.ordered { // those without a host too
-		if len(s.held) > 0 {
-			s.serve()
+	for _, s := range r.orderedSets { // those without a host too
+		if len(s.queue) > 0 {
+			s.serveQueue()
 			next = 4 * r.Tick
 		}
 	}
-	if r.watchAt > 0 && r.now >= r.watchAt { // once more where no answer ever comes
-		r.watching, r.watchAt = true, r.now+r.AskWithin
+	if r.listRequestAt > 0 && r.now >= r.listRequestAt { // once more where no answer ever comes
+		r.listRequested, r.listRequestAt = true, r.now+r.AskWithin
 		r.caller.Watch()
 	}
-	if r.now >= r.lookAt+second/20 {
-		r.look(float64(r.now - r.lookAt))
+	if r.now >= r.evaluatedAt+second/20 {
+		r.evaluateHosts(float64(r.now - r.evaluatedAt))
 	}
 	if r.now >= r.wakeAt-r.Tick/2 { // else it is one left over
 		r.wakeAt = 0
-		r.wake(next)
+		r.scheduleWake(next)
 	}
 }
 
-// look goes over all hosts.
-func (r *Router) look(span float64) {
-	r.lookAt, r.nodes = r.now, slices.DeleteFunc(r.nodes, (*Node).forget)
-	limit := Tenth((1 + unusual) * r.latency) // the silence of a host that is unusual, given the gaps seen
-	if count, sum, sq := r.gaps.total(r.now, 8); count >= 16 {
+// evaluateHosts goes over all hosts.
+func (r *Router) evaluateHosts(span float64) {
+	r.evaluatedAt, r.hosts = r.now, slices.DeleteFunc(r.hosts, (*Node).dropIfRemoved)
+	limit := Tenth((1 + silenceDeviations) * r.meanLatency) // the silence of a host that is unusual, given the gaps seen
+	if count, sum, sq := r.answerGaps.total(r.now, 8); count >= 16 {
 		mean := sum / count
-		limit = Tenth(mean+unusual*math.Sqrt(max(0, sq/count-mean*mean))) + 2*r.Tick
+		limit = Tenth(mean+silenceDeviations*math.Sqrt(max(0, sq/count-mean*mean))) + 2*r.Tick
 	}
-	for _, n := range r.nodes {
-		if r.now >= n.peakAt+r.IdleFor/2 {
-			n.conns, n.peak, n.peakAt = min(n.conns, (n.peak+r.Streams-1)/r.Streams), len(n.out), r.now
+	for _, n := range r.hosts {
+		if r.now >= n.peakSince+r.IdleFor/2 {
+			n.openConns, n.peakInFlight, n.peakSince = min(n.openConns, (n.peakInFlight+r.Streams-1)/r.Streams), len(n.inFlight), r.now
 		}
-		n.crowd, n.share = n.crowd+(late/2-n.crowd)/400, min(1, n.share*1.0035) // what is spared is tried again
-		if k := Tenth(len(n.out)); k > 0 && r.now-max(n.since, r.stoodTo) > limit*max(1, 4-k) {
-			n.leave(limit)
+		n.lateness, n.share = n.lateness+(lateRatio/2-n.lateness)/400, min(1, n.share*1.0035) // what is spared is tried again
+		if k := Tenth(len(n.inFlight)); k > 0 && r.now-max(n.lastAnswerAt, r.stalledUntil) > limit*max(1, 4-k) {
+			n.eject(limit)
 		}
-		for _, c := range n.out {
-			fresh := !c.late // past its target; if nothing sent later was answered in good time, it is not lost
-			if c.late = r.now >= c.sentAt+c.group.Target; c.late && fresh && c.sentAt > n.quickAt {
-				n.judge(1, 0, len(n.out)-1)
-				n.tell(1)
-				if len(n.out) == 1 && max(n.since, r.stoodTo) <= c.sentAt && n != n.set.primary {
+		for _, c := range n.inFlight {
+			fresh := !c.overdue // past its target; if nothing sent later was answered in good time, it is not lost
+			if c.overdue = r.now >= c.sentAt+c.group.Target; c.overdue && fresh && c.sentAt > n.quickSentAt {
+				n.rate(1, 0, len(n.inFlight)-1)
+				n.shareState(1)
+				if len(n.inFlight) == 1 && max(n.lastAnswerAt, r.stalledUntil) <= c.sentAt && n != n.set.primary {
 					// all that this router knows of it
-					n.leave(second)
+					n.eject(second)
 				}
 			}
 		}
-		if n.standing == In && !n.left && !n.cold() {
-			n.kind.size += n.size
+		if n.standing == In && !n.ejected && !n.cold() {
+			n.model.warmSize += n.size
 		}
 	}
-	for _, k := range r.kinds { // a mean over ten seconds: the most in any short time is chance
-		if k.size > 0 {
-			k.seen = min(k.seen+span, float64(10*second))
-			k.warm += (k.done/k.size/span - k.warm) * span / k.seen
-			k.done, k.size = 0, 0
+	for _, k := range r.models { // a mean over ten seconds: the most in any short time is chance
+		if k.warmSize > 0 {
+			k.measuredFor = min(k.measuredFor+span, float64(10*second))
+			k.warmRate += (k.workDone/k.warmSize/span - k.warmRate) * span / k.measuredFor
+			k.workDone, k.warmSize = 0, 0
 		}
 	}
-	r.probe()
+	r.probeHosts()
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -17,7 +17,7 @@
 	if c := f.take(Session, Replayable, "s", 0); c.Node != f.nodes[0] {
 		t.Error("a read before any replica was known at the token left the primary")
 	}
-	f.nodes[1].learn(f.at + 10)
+	f.nodes[1].updatePosition(f.at + 10)
 	for range 3 {
 		if c := f.take(Session, Replayable, "s", 0); c.Node != f.nodes[1] {
 			t.Error("a read did not go to the replica known past the token")
@@ -30,15 +30,15 @@
 
 func TestTokensOnlyGrowAndOutliveTheirRoom(t *testing.T) {
 	f := start(t, 2, func(d *Deployment) { d.Kept = true })
-	f.r.stamp("s", 900)
-	f.r.stamp("s", 500)
-	if got := f.r.token("s"); got != 900 {
+	f.r.recordWrite("s", 900)
+	f.r.recordWrite("s", 500)
+	if got := f.r.sessionToken("s"); got != 900 {
 		t.Errorf("token went back to %d", got)
 	}
-	for i := range 3 * sessions {
-		f.r.stamp(strings.Repeat("x", 1+i%7)+string(rune(i)), 100)
+	for i := range 3 * maxSessionTokens {
+		f.r.recordWrite(strings.Repeat("x", 1+i%7)+string(rune(i)), 100)
 	}
-	if got, held := f.r.token("s"), len(f.r.tokens); got < 900 || held > sessions {
+	if got, held := f.r.sessionToken("s"), len(f.r.tokens); got < 900 || held > maxSessionTokens {
 		t.Errorf("a forgotten session may read at %d, it has written at 900; %d tokens are held", got, held)
 	}
 }
@@ -46,7 +46,7 @@
 func TestBroughtWriteTimeIsAToken(t *testing.T) {
 	f := start(t, 2, func(d *Deployment) { d.Reports = false })
 	f.wait(2000)
-	f.nodes[1].learn(f.at - 1000)
+	f.nodes[1].updatePosition(f.at - 1000)
 	if c := f.take(Session, Replayable, "s", 900); c.Node != f.nodes[0] {
 		t.Error("a replica 100 ms behind took a read whose session wrote 90 ms ago")
 	}
@@ -57,12 +57,12 @@
 
 func TestABoundIsCheckedAtEachDispatch(t *testing.T) {
 	f := start(t, 2, nil)
-	f.nodes[0].is(Replica, f.at)
-	f.nodes[0].cap, f.nodes[1].cap = 0, 0
+	f.nodes[0].updateRole(Replica, f.at)
+	f.nodes[0].limit, f.nodes[1].limit = 0, 0
 	c := f.take(Bounded, Replayable, "", 0)
 	f.wait(1000)
-	f.nodes[1].pos = f.at - 5101
-	f.nodes[1].cap = 9
+	f.nodes[1].position = f.at - 5101
+	f.nodes[1].limit = 9
 	f.wait(100)
 	f.never(c.Node != nil, "a held read went to a replica past its bound")
 }
@@ -73,7 +73,7 @@
 	f.wait(100)
 	c.Ended(Errored, f.at-100, Replica, 100, false)
 	f.never(f.r.sets[1].primary != nil || c.Node != nil, "a host that said it is a replica is still read as the primary")
-	f.nodes[1].is(Primary, f.at)
+	f.nodes[1].updateRole(Primary, f.at)
 	f.wait(100)
 	f.never(c.Node != f.nodes[1], "the held read did not go to the new primary")
 }
@@ -91,12 +91,12 @@
 
 func TestALostAnswerIsAskedForElsewhereInTime(t *testing.T) {
 	f := start(t, 3, nil)
-	f.r.Groups[0].latency = 200
+	f.r.Groups[0].meanLatency = 200
 	f.take(Bounded, Replayable, "", 0)
 	if f.limit != f.r.Groups[0].Target/2 {
 		t.Errorf("the answer is waited for until %d", f.limit)
 	}
-	f.r.Groups[0].latency = 400 // all are slow: asking again would make it worse
+	f.r.Groups[0].meanLatency = 400 // all are slow: asking again would make it worse
 	if f.take(Bounded, Replayable, "", 0); f.limit != 0 {
 		t.Errorf("with slow hosts it is waited for until %d", f.limit)
 	}
@@ -121,10 +121,10 @@
 func TestAColdPrimaryIsKeptForWrites(t *testing.T) {
 	f := start(t, 1, nil)
 	n := f.nodes[0]
-	n.kind.warm = 0.01
+	n.model.warmRate = 0.01
 	n.Listed(In, true, "", "", 1, f.at)
-	n.is(Primary, f.at)
-	n.cap, n.spare = 100, 1.4
+	n.updateRole(Primary, f.at)
+	n.limit, n.coldBudget = 100, 1.4
 	c := f.take(Session, Replayable, "s", 100)
 	f.never(c.Node != nil, "a read took what is spare at a cold primary")
 	if c := f.take(Write, Mutating, "s", 0); c.Node != n {
@@ -135,22 +135,22 @@
 func TestOneLostAnswerDoesNotMakeAHostSilent(t *testing.T) {
 	for many, left := range map[int]bool{1: false, 4: true} {
 		f := start(t, 2, nil)
-		f.r.Groups[4].latency = 300
+		f.r.Groups[4].meanLatency = 300
 		f.answers(60, 300)
 		p := f.nodes[0]
 		for range many {
 			f.take(Write, Mutating, "s", 0)
 		}
 		f.wait(1000)
-		if p.left != left {
-			t.Errorf("with %d out it is left: %t", many, p.left)
+		if p.ejected != left {
+			t.Errorf("with %d out it is left: %t", many, p.ejected)
 		}
 	}
 }
 
 func TestARefusedConnectionDoesNotSpendAllDispatchesAtOnce(t *testing.T) {
 	f := start(t, 1, nil)
-	f.nodes[0].quickAt = f.at // it is up, for all that is known
+	f.nodes[0].quickSentAt = f.at // it is up, for all that is known
 	c := f.take(Write, Mutating, "s", 0)
 	for range 9 {
 		if c.Node != nil {
@@ -166,7 +166,7 @@
 
 func TestWriteFindsThePrimary(t *testing.T) {
 	f := start(t, 3, nil)
-	f.nodes[0].is(Replica, f.at)
+	f.nodes[0].updateRole(Replica, f.at)
 	c := f.take(Write, Mutating, "s", 0)
 	for i := 0; i < 3 && c.Node != nil && c.Node != f.nodes[2]; i++ {
 		f.wait(100)
@@ -194,7 +194,7 @@
 
 func TestAReadThatNoHostWasSentFreesItsClientByHalfItsTime(t *testing.T) {
 	f := start(t, 2, nil)
-	f.nodes[0].cap, f.nodes[1].cap = 0, 0
+	f.nodes[0].limit, f.nodes[1].limit = 0, 0
 	c := f.r.Take("short", f.r.Groups[0], 1, "", f.at+3000, 0, false)
 	f.wait(1000)
 	f.never(f.final[c] != "", "the read was not held")
@@ -235,13 +235,13 @@
 			}
 			c := f.take(need, story.effect, "s", 0)
 			if !early {
-				f.at = c.timeout - 50
+				f.at = c.timeoutAt - 50
 				f.r.Clock(f.at)
 			}
 			c.Ended(story.o, -1, Unknown, 100, false)
 			if early {
 				for i := 0; i < 40 && c.Node == nil && f.final[c] == ""; i++ {
-					f.nodes[1].is(Primary, f.at) // wherever it went, there is a place for it
+					f.nodes[1].updateRole(Primary, f.at) // wherever it went, there is a place for it
 					f.wait(100)
 				}
 			}
@@ -273,7 +273,7 @@
 		t.Error("a read went to a draining host")
 	}
 	f.nodes[1].Listed(In, false, "", "", 1, f.at)
-	f.nodes[1].learn(f.at)
+	f.nodes[1].updatePosition(f.at)
 	f.nodes[0].Listed(In, false, "", "", 1, 0)
 	f.r.ListDone(true)
 	f.never(f.nodes[1].standing != In, "a host that is back is not used")
@@ -286,21 +286,21 @@
 	f := start(t, 3, nil)
 	cold := f.nodes[1]
 	for _, n := range f.nodes {
-		n.cap = 1000
+		n.limit = 1000
 	}
 	f.answers(400, 100) // the warm ones do 50 a second each
 	cold.Listed(In, false, "", "", 1, f.at)
-	cold.cap, f.sent = 1000, nil
+	cold.limit, f.sent = 1000, nil
 	for _, n := range []*Node{f.nodes[0], f.nodes[2]} {
-		n.is(Replica, f.at)
+		n.updateRole(Replica, f.at)
 		n.Listed(Draining, false, "", "", 1, 0)
 	}
-	most := 2 * 0.2 * cold.kind.warm * 10000
+	most := 2 * 0.2 * cold.model.warmRate * 10000
 	for i := range 400 { // for two seconds
 		f.take(Bounded, Replayable, "", 0)
 		if i%2 == 0 {
 			f.wait(100)
-			cold.learn(f.at)
+			cold.updatePosition(f.at)
 		}
 	}
 	if got := float64(len(f.sent)); got > 2*most || got < most/2 {
@@ -313,10 +313,10 @@
 	for i := range 200 {
 		f := start(t, 2, func(d *Deployment) { d.Routers, d.Seed = 200, uint32(i) })
 		f.nodes[1].Listed(In, false, "", "", 1, f.at)
-		f.nodes[1].kind.warm, f.nodes[1].kind.seen = 0.00005, 100000 // half a command a second, as each sees it
+		f.nodes[1].model.warmRate, f.nodes[1].model.measuredFor = 0.00005, 100000 // half a command a second, as each sees it
 		for range 10 {
 			f.take(Bounded, Replayable, "", 0)
-			f.nodes[1].learn(f.at + 1000)
+			f.nodes[1].updatePosition(f.at + 1000)
 			f.wait(100)
 		}
 		sent += f.count(f.nodes[1])
@@ -328,13 +328,13 @@
 
 func TestASilentHostIsLeftAndTriedAgainGently(t *testing.T) {
 	f := start(t, 3, nil)
-	f.r.Groups[0].latency, f.r.Groups[0].count = 300, 500
+	f.r.Groups[0].meanLatency, f.r.Groups[0].samples = 300, 500
 	f.answers(60, 300)
 	silent := f.nodes[1]
 	stuck := f.takeUntil(silent)
 	f.wait(1500)
 	f.fresh()
-	if !silent.left {
+	if !silent.ejected {
 		t.Fatal("a silent host was not left")
 	}
 	stuck.Ended(Reset, -1, Unknown, 1500, false)
@@ -359,39 +359,39 @@
 		t.Fatal("a host that can't be reached was not probed")
 	}
 	f.nodes[1].Probed(true)
-	f.never(f.nodes[1].dark || f.nodes[1].cap > 2, "a host that was away and is back, listed or not, is not tried gently")
+	f.never(f.nodes[1].unreachable || f.nodes[1].limit > 2, "a host that was away and is back, listed or not, is not tried gently")
 }
 
 func TestACrowdedHostLosesItsCap(t *testing.T) {
 	f := start(t, 1, nil)
-	n, before := f.nodes[0], f.nodes[0].cap
+	n, before := f.nodes[0], f.nodes[0].limit
 	for range 10 {
 		f.answer(f.take(Bounded, Replayable, "", 0), 2500)
 	}
-	if n.cap >= before {
-		t.Errorf("cap is %v after late answers, it was %v", n.cap, before)
+	if n.limit >= before {
+		t.Errorf("cap is %v after late answers, it was %v", n.limit, before)
 	}
-	low := n.cap
+	low := n.limit
 	f.wait(300000) // it is spared, then tried again
 	for range 100 {
 		a, b := f.take(Bounded, Replayable, "", 0), f.take(Bounded, Replayable, "", 0)
 		f.answer(a, 100)
 		f.answer(b, 0)
 	}
-	if n.cap <= low {
-		t.Errorf("cap is %v after many quick answers, it was %v", n.cap, low)
+	if n.limit <= low {
+		t.Errorf("cap is %v after many quick answers, it was %v", n.limit, low)
 	}
 }
 
 func TestTheWorthiestThenTheNewestGoFirst(t *testing.T) {
 	f := start(t, 1, nil)
 	n := f.nodes[0]
-	n.cap = 0
+	n.limit = 0
 	old := f.take(Bounded, Replayable, "", 0)
 	f.wait(200)
 	young := f.take(Bounded, Replayable, "", 0)
 	w := f.take(Write, Mutating, "s", 0)
-	n.cap = 2
+	n.limit = 2
 	f.wait(100)
 	if w.Node != n || young.Node != n || old.Node != nil {
 		t.Errorf("sent: write %v, newest %v, oldest %v", w.Node != nil, young.Node != nil, old.Node != nil)
@@ -410,18 +410,18 @@
 	}
 	for _, left := range []Tenth{4500, 7000} { // the last try has all that is left, less or more than a first
 		c := f.r.Take("repeat", g, 1, "", f.at+left, 0, false)
-		if want := f.at + left - g.Timeout + g.Target; c.target != want {
-			t.Errorf("with %d left the target is %d from now, not %d", left, c.target-f.at, want-f.at)
+		if want := f.at + left - g.Timeout + g.Target; c.targetAt != want {
+			t.Errorf("with %d left the target is %d from now, not %d", left, c.targetAt-f.at, want-f.at)
 		}
 	}
 }
 
 func TestAClientThatLeftIsNotServed(t *testing.T) {
 	f := start(t, 1, nil)
-	f.nodes[0].cap = 0
+	f.nodes[0].limit = 0
 	c := f.take(Bounded, Replayable, "", 0)
 	c.Left()
-	f.nodes[0].cap = 9
+	f.nodes[0].limit = 9
 	f.wait(9000)
 	f.never(c.Sent != 0 || f.final[c] != "" || !c.Over(), "something was done for a client that left")
 }
@@ -429,7 +429,7 @@
 func TestWhereHostsCheckReadsAnExpectedPositionWillDo(t *testing.T) {
 	f := start(t, 2, func(d *Deployment) { d.Guarded = true })
 	f.wait(9000)
-	f.nodes[1].posAt = f.at
+	f.nodes[1].positionAt = f.at
 	c := f.take(Bounded, Replayable, "", 0)
 	if c.Node != f.nodes[1] {
 		t.Fatal("a replica that was up to date went unused since its position aged")
@@ -444,31 +444,31 @@
 func TestAHostThatTurnsAwayUnseenIsLeftAloneForLongerByAll(t *testing.T) {
 	many := func(d *Deployment) { d.Peers, d.Routers = true, 200 }
 	f, g, before := start(t, 1, many), start(t, 1, many), Tenth(0)
-	f.r.words = 1e6
+	f.r.peerCredit = 1e6
 	f.wait(1000)
 	g.wait(1000)
 	for range 3 {
 		c := f.take(Write, Mutating, "s", 0)
 		c.Ended(Full, f.at-20, Primary, 20, false)
 		n := f.nodes[0]
-		if c.Sent != 1 || c.Node != nil || n.trialAt-f.at <= before {
-			t.Fatalf("sent %d times, left alone for %d after %d", c.Sent, n.trialAt-f.at, before)
+		if c.Sent != 1 || c.Node != nil || n.retryAt-f.at <= before {
+			t.Fatalf("sent %d times, left alone for %d after %d", c.Sent, n.retryAt-f.at, before)
 		}
-		before = n.trialAt - f.at
+		before = n.retryAt - f.at
 		c.Left()
 		f.wait(before)
 	}
 	g.r.Heard(f.told[0])
-	f.never(g.nodes[0].trialAt <= g.at, "a host that others found full was not left alone")
+	f.never(g.nodes[0].retryAt <= g.at, "a host that others found full was not left alone")
 }
 
 func TestLostAnswersDoNotFillACap(t *testing.T) {
 	f := start(t, 1, nil)
-	f.nodes[0].cap = 2
+	f.nodes[0].limit = 2
 	f.take(Write, Mutating, "s", 0)
 	f.take(Write, Mutating, "s", 0)
 	c := f.take(Write, Mutating, "s", 0)
-	f.nodes[0].since, f.nodes[0].quickAt = f.at+6000, f.at+6000 // it answers others all the while
+	f.nodes[0].lastAnswerAt, f.nodes[0].quickSentAt = f.at+6000, f.at+6000 // it answers others all the while
 	f.wait(5200)
 	f.never(c.Node == nil, "writes whose answers were lost kept the others from the primary")
 }
@@ -476,17 +476,17 @@
 func TestThePrimaryIsKeptForWhatOnlyItCanDo(t *testing.T) {
 	f := start(t, 1, nil)
 	n := f.nodes[0]
-	n.cap = 10
+	n.limit = 10
 	for range 12 {
 		f.take(Session, Replayable, "s", 100)
 	}
-	if len(n.out) != 7 {
-		t.Errorf("%d reads took the primary's cap of 10", len(n.out))
+	if len(n.inFlight) != 7 {
+		t.Errorf("%d reads took the primary's cap of 10", len(n.inFlight))
 	}
 	if c := f.take(Write, Mutating, "s", 0); c.Node != n {
 		t.Error("reads left no place for a write")
 	}
-	n.crowd, n.out = 1.5*late, nil
+	n.lateness, n.inFlight = 1.5*lateRatio, nil
 	if c := f.take(Session, Replayable, "s", 100); c.Node != nil {
 		t.Error("a read went to a crowded primary")
 	}
@@ -498,31 +498,31 @@
 func TestManyRoutersTellEachOther(t *testing.T) {
 	many := func(d *Deployment) { d.Peers, d.Routers = true, 200 }
 	f, g := start(t, 2, many), start(t, 2, many)
-	f.r.words = 1e6
+	f.r.peerCredit = 1e6
 	f.wait(3000)
 	c := f.take(Write, Mutating, "s", 0)
 	c.Ended(Answered, f.at-20, Primary, 100, true)
 	if len(f.told) != 1 {
 		t.Fatalf("an answer was told %d times", len(f.told))
 	}
-	f.nodes[0].tell(0.1)
-	if f.r.words = 0; len(f.told) != 1 {
+	f.nodes[0].shareState(0.1)
+	if f.r.peerCredit = 0; len(f.told) != 1 {
 		t.Error("what was just told was told again")
 	}
 	g.wait(3000)
-	g.nodes[0].known, g.nodes[0].pos, g.r.sets[1].primary = false, 0, nil
+	g.nodes[0].positionKnown, g.nodes[0].position, g.r.sets[1].primary = false, 0, nil
 	g.r.Heard(f.told[0])
-	if n := g.nodes[0]; !n.known || n.pos != f.nodes[0].pos/10*10 || g.r.sets[1].primary != n {
-		t.Errorf("heard %q, position %d, primary %v", f.told[0], n.pos, g.r.sets[1].primary)
+	if n := g.nodes[0]; !n.positionKnown || n.position != f.nodes[0].position/10*10 || g.r.sets[1].primary != n {
+		t.Errorf("heard %q, position %d, primary %v", f.told[0], n.position, g.r.sets[1].primary)
 	}
-	before := g.nodes[1].pos
-	for _, body := range []string{"", ".", "x", g.nodes[1].id(), g.nodes[1].id() + ".", g.nodes[1].id() + ".-1",
-		g.nodes[1].id() + ".zzzzzzzzzz", g.nodes[1].id() + ".zzzzzzzzzzzzzzzzz", "nobody.1a"} {
+	before := g.nodes[1].position
+	for _, body := range []string{"", ".", "x", g.nodes[1].peerID(), g.nodes[1].peerID() + ".", g.nodes[1].peerID() + ".-1",
+		g.nodes[1].peerID() + ".zzzzzzzzzz", g.nodes[1].peerID() + ".zzzzzzzzzzzzzzzzz", "nobody.1a"} {
 		g.r.Heard(body)
 	}
-	f.never(g.nodes[1].pos != before || g.nodes[1].share < 1, "a message that no router can have sent was heeded")
+	f.never(g.nodes[1].position != before || g.nodes[1].share < 1, "a message that no router can have sent was heeded")
 	f.wait(1000)
-	if f.nodes[0].tell(0.1); len(f.told) != 1 {
+	if f.nodes[0].shareState(0.1); len(f.told) != 1 {
 		t.Error("more was told than may be spent")
 	}
 }
@@ -532,12 +532,12 @@
 		f := start(t, 2, func(d *Deployment) { d.Routers = routers })
 		n := f.nodes[1]
 		for range 40 {
-			n.judge(1, 0, 0)
+			n.rate(1, 0, 0)
 		}
 		f.never(routers == 200 && n.share > 0.05, "a jammed host gets most of what comes for it")
 		f.never(routers == 1 && n.share < 1, "a router alone has its cap for that")
 		for range 200 {
-			n.judge(0.1, f.at, 0)
+			n.rate(0.1, f.at, 0)
 		}
 		f.never(n.share < 1, "a host that does well again does not get all")
 	}
@@ -564,9 +564,9 @@
 	f.r.Clock(f.at + 90000)
 	f.r.Woke()
 	for _, n := range f.nodes {
-		f.never(n.left, "a host was taken for silent while the router stood still")
+		f.never(n.ejected, "a host was taken for silent while the router stood still")
 	}
-	held.nodes[0].cap = 0
+	held.nodes[0].limit = 0
 	old := held.take(Bounded, Replayable, "", 0)
 	held.at += 9000
 	held.r.Clock(held.at)
@@ -584,7 +584,7 @@
 
 func TestWhatComesWithNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
 	f := start(t, 1, nil)
-	f.nodes[0].cap = 0
+	f.nodes[0].limit = 0
 	c := f.r.Take("late", f.r.Groups[0], 1, "", f.at, 0, true)
 	if f.final[c] != "throttled" || !c.Over() {
 		t.Errorf("it is %q", f.final[c])
@@ -594,14 +594,14 @@
 func TestAHostThatTakesNoMoreConnectionsIsUp(t *testing.T) {
 	f := start(t, 2, nil)
 	n := f.nodes[1]
-	n.quickAt = f.at
+	n.quickSentAt = f.at
 	c := f.takeUntil(n)
 	f.wait(100)
 	c.Ended(Unreached, -1, Unknown, 100, false)
-	if n.dark || c.Node == n {
+	if n.unreachable || c.Node == n {
 		t.Error("a host that others had answers from was taken for dead, or asked again for the same command")
 	}
-	for _, d := range slices.Clone(n.out) {
+	for _, d := range slices.Clone(n.inFlight) {
 		d.Ended(Answered, f.at-20, Replica, 100, true)
 	}
 	f.never(!slices.Contains(f.closed, n), "an idle connection was kept where others wait for one")
@@ -620,15 +620,15 @@
 func TestWordsOfOneHostLeaveRoomForThoseOfTheOthers(t *testing.T) {
 	for _, routers := range []int{3, 300} {
 		f := start(t, 2, func(d *Deployment) { d.Peers, d.Routers, d.PeerPrice = true, routers, 0.012 })
-		f.r.words = 1e6
+		f.r.peerCredit = 1e6
 		busy, seldom := f.nodes[0], f.nodes[1]
 		f.wait(3000)
 		for range 50 { // in half a second: all that hear of one host alone would read there alone
-			busy.learn(f.at)
-			busy.tell(1)
+			busy.updatePosition(f.at)
+			busy.shareState(1)
 			f.wait(100)
 		}
-		seldom.tell(0.1)
+		seldom.shareState(0.1)
 		if n := len(f.told); routers == 300 && (n < 2 || n > 4) || routers == 3 && n < 10 {
 			t.Errorf("%d routers: %d words, of one host that answers all the time and one that did once", routers, n)
 		}
@@ -659,10 +659,10 @@
 
 func TestThatAHostTakesNoMoreConnectionsIsToldAtOnce(t *testing.T) {
 	f := start(t, 2, func(d *Deployment) { d.Peers, d.Routers, d.PeerPrice = true, 300, 0.012 })
-	f.r.words = 1e6
+	f.r.peerCredit = 1e6
 	f.wait(3000)
-	for _, part := range []float64{0.1, tight, full} {
-		f.nodes[1].tell(part)
+	for _, part := range []float64{0.1, peerConnsExhausted, peerRejecting} {
+		f.nodes[1].shareState(part)
 		f.wait(400)
 	}
 	if len(f.told) != 3 {
--- a/policy/shape_test.go
+++ b/policy/shape_test.go
@@ -27,15 +27,15 @@
 	}
 	f.wait(100)
 	need := f.at - 1000
-	f.never(!f.nodes[1].reached(need), "a replica is taken to be behind, since its report is old")
+	f.never(!f.nodes[1].hasReached(need), "a replica is taken to be behind, since its report is old")
 	f.wait(1000)
 	f.nodes[2].Reported(f.at-6900, Replica) // 0.1 s further in 1.1 s
-	f.never(f.nodes[2].reached(f.at-800), "a replica that falls behind is taken to have caught up")
+	f.never(f.nodes[2].hasReached(f.at-800), "a replica that falls behind is taken to have caught up")
 }
 
 func TestAReplicaIsAskedBeforeThePrimaryTakesItsReads(t *testing.T) {
 	f := start(t, 3, func(d *Deployment) { d.Routers, d.ProbePrice = 120, 0.02 })
-	f.r.credit = 8
+	f.r.probeCredit = 8
 	f.wait(6000) // what is known of replicas is past the bound
 	f.probes = nil
 	c := f.take(Bounded, Replayable, "", 0)
@@ -116,7 +116,7 @@
 	c.Ended(Answered, f.at-20, Replica, 100, true)
 	f.wait(2400)
 	d.Ended(Unreached, -1, Unknown, 2500, false) // no connection in all the time that there is
-	f.never(n.dark || len(f.closed) > 0, "a host that answered is taken for dead, or what is open to it is closed")
+	f.never(n.unreachable || len(f.closed) > 0, "a host that answered is taken for dead, or what is open to it is closed")
 	f.fresh()
 	sent := f.count(n)
 	e := f.takeUntil(n)
@@ -151,15 +151,15 @@
 	f.wait(20000)
 	f.fresh()
 	f.answer(f.takeUntil(f.nodes[1]), 100)
-	f.never(f.nodes[1].left, "a host that answers again is still left")
+	f.never(f.nodes[1].ejected, "a host that answers again is still left")
 }
 
 func TestAWaitAtTheHostIsReckonedWith(t *testing.T) {
 	for _, wait := range []Tenth{0, 1000} {
 		f := start(t, 2, func(d *Deployment) { d.Guarded, d.Wait = true, wait })
 		f.wait(3000)
-		f.nodes[1].learn(f.at - 300) // 30 ms behind
-		got := f.nodes[1].reached(f.at)
+		f.nodes[1].updatePosition(f.at - 300) // 30 ms behind
+		got := f.nodes[1].hasReached(f.at)
 		f.never(got != (wait > 0), "a replica that waits for a read until it has caught up is used otherwise")
 	}
 }
--- a/policy/told_test.go
+++ b/policy/told_test.go
@@ -11,23 +11,23 @@
 	f := start(t, 3, told(1))
 	f.wait(1000)
 	a, b := f.nodes[0], f.nodes[1]
-	b.Told(f.at-500, Primary, f.at-500, mum)
-	if f.r.set(1).primary != b {
+	b.Told(f.at-500, Primary, f.at-500, peerLatencyUnknown)
+	if f.r.replicaSet(1).primary != b {
 		t.Fatal("the newer word is not followed")
 	}
-	a.Told(f.at-700, Primary, f.at-700, mum) // the old one's, relayed late
-	b.Told(f.at+9999, Primary, f.at+9999, mum)
-	if f.r.set(1).primary != b || b.pos > f.at {
+	a.Told(f.at-700, Primary, f.at-700, peerLatencyUnknown) // the old one's, relayed late
+	b.Told(f.at+9999, Primary, f.at+9999, peerLatencyUnknown)
+	if f.r.replicaSet(1).primary != b || b.position > f.at {
 		t.Error("an older word, or one of the future, is followed")
 	}
 	c := f.take(Write, Mutating, "s", 0)
 	sentAt := f.at
 	f.wait(100)
 	c.Ended(Missed, -1, Replica, 100, true)
-	if b.Told(sentAt-1, Primary, sentAt-1, mum); f.r.set(1).primary == b {
+	if b.Told(sentAt-1, Primary, sentAt-1, peerLatencyUnknown); f.r.replicaSet(1).primary == b {
 		t.Error("a word from before its own refusal makes it the primary again")
 	}
-	if b.Told(sentAt+50, Primary, sentAt+50, mum); f.r.set(1).primary != b {
+	if b.Told(sentAt+50, Primary, sentAt+50, peerLatencyUnknown); f.r.replicaSet(1).primary != b {
 		t.Error("a word from after its refusal does not")
 	}
 }
@@ -36,11 +36,11 @@
 	f := start(t, 3, told(1))
 	f.answer(f.take(Write, Mutating, "s", 0), 100)
 	c := f.nodes[2]
-	c.Told(f.at-5000, Primary, f.at-5000, mum) // its log stands where the old primary left it
-	if f.r.set(1).primary != f.nodes[0] {
+	c.Told(f.at-5000, Primary, f.at-5000, peerLatencyUnknown) // its log stands where the old primary left it
+	if f.r.replicaSet(1).primary != f.nodes[0] {
 		t.Fatal("it is followed against a newer answer")
 	}
-	f.nodes[0].leave(second)
+	f.nodes[0].eject(second)
 	if w := f.take(Write, Mutating, "s", 0); w.Node != c {
 		t.Errorf("asked %v", w.Node)
 	}
@@ -55,9 +55,9 @@
 		f.fresh()
 		b := f.nodes[1]
 		c := f.takeUntil(b)
-		b.quickAt, b.since = 0, 0
+		b.quickSentAt, b.lastAnswerAt = 0, 0
 		c.Ended(Unreached, -1, Unknown, 0, false)
-		f.never(!b.left || !b.down, "a host that takes no connection is not left")
+		f.never(!b.ejected || !b.down, "a host that takes no connection is not left")
 		f.wait(second)
 		f.fresh()
 		f.answer(f.takeUntil(b), 100)
@@ -70,7 +70,7 @@
 // TestTrafficThatMovesRaisesNoBudget is why forwarders need no grants: what each may send to a cold host is a
 // part of a mean of its own warm work that starts from nothing, and means of sums are sums of means.
 func TestTrafficThatMovesRaisesNoBudget(t *testing.T) {
-	sum := func(from, to *fake) float64 { return from.nodes[0].kind.warm + to.nodes[0].kind.warm }
+	sum := func(from, to *fake) float64 { return from.nodes[0].model.warmRate + to.nodes[0].model.warmRate }
 	from := start(t, 2, told(2))
 	serve := func(f *fake, span Tenth) {
 		for end := f.at + span; f.at < end; {
@@ -89,7 +89,7 @@
 			t.Fatalf("%.4g for both together, %.4g before", now, before)
 		}
 	}
-	if fresh := start(t, 2, told(2)); fresh.nodes[0].kind.warm != 0 {
+	if fresh := start(t, 2, told(2)); fresh.nodes[0].model.warmRate != 0 {
 		t.Error("a restart brings a budget with it")
 	}
 }
