--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -23,8 +23,10 @@
 func BenchmarkChoice(b *testing.B) {
 	for _, databases := range []int{1, 65, 217, 650, 2600} {
 		g := &CmdGroup{Need: Bounded, Bound: 15000, Target: 3000, Timeout: 8000, Benefit: 1}
-		r := New(none{}, Deployment{Tick: 50, Routers: 12, Dispatches: 3, Guarded: true, Kept: true, Probes: true, Led: true, Streams: 1,
-			IdleFor: 450000, ConnectFor: 15000, Comeback: 2000, FallFactor: 1e6, ColdFrom: 1, ProbePrice: 0.01, Groups: []*CmdGroup{g}}, 1000000)
+		r := New(none{}, Deployment{
+			Tick: 50, Routers: 12, Dispatches: 3, Guarded: true, Kept: true, Probes: true, Led: true, Streams: 1,
+			IdleFor: 450000, ConnectFor: 15000, Comeback: 2000, FallFactor: 1e6, ColdFrom: 1, ProbePrice: 0.01, Groups: []*CmdGroup{g},
+		}, 1000000)
 		at := Tenth(1000000)
 		var nodes []*Node
 		for n := range 3 * databases {
--- a/policy/fake_test.go
+++ b/policy/fake_test.go
@@ -49,8 +49,10 @@
 	list  = CmdGroup{Need: Bounded, Bound: 5000, Target: 3000, Timeout: 8000, Benefit: 1}
 	own   = CmdGroup{Need: Session, Target: 3000, Timeout: 8000, Benefit: 1}
 	fresh = CmdGroup{Need: Fresh, Target: 3000, Timeout: 8000, Benefit: 1}
-	keyed = CmdGroup{Effect: Keyed, Need: Write, Target: 5000, Timeout: 30000, Memory: 20000, Benefit: 3,
-		LateShare: 0.5}
+	keyed = CmdGroup{
+		Effect: Keyed, Need: Write, Target: 5000, Timeout: 30000, Memory: 20000, Benefit: 3,
+		LateShare: 0.5,
+	}
 	order = CmdGroup{Effect: Mutating, Need: Write, Target: 5000, Timeout: 30000, Benefit: 3, LateShare: 0.5}
 )
 
@@ -58,9 +60,11 @@
 func start(t *testing.T, hosts int, change func(*Deployment)) *fake {
 	f := &fake{t: t, at: 1000000, final: map[*Cmd]string{}}
 	l, o, fr, k, m := list, own, fresh, keyed, order
-	d := Deployment{Tick: 50, Routers: 1, Dispatches: 8, Probes: true, Reports: true, Comeback: 10000, Streams: 1,
+	d := Deployment{
+		Tick: 50, Routers: 1, Dispatches: 8, Probes: true, Reports: true, Comeback: 10000, Streams: 1,
 		IdleFor: 150000, ConnectFor: 2500,
-		FallFactor: 2, FallSpan: 10000, ColdFrom: 0.2, ColdFor: 150000, Groups: []*CmdGroup{&l, &o, &fr, &k, &m}}
+		FallFactor: 2, FallSpan: 10000, ColdFrom: 0.2, ColdFor: 150000, Groups: []*CmdGroup{&l, &o, &fr, &k, &m},
+	}
 	if change != nil {
 		change(&d)
 	}
--- a/policy/hosts.go
+++ b/policy/hosts.go
@@ -3,57 +3,60 @@
 import (
 	"cmp"
 	"slices"
-	"strings"
 )
 
-// Host introduces a host of the list.
+// Host adds a host that the list names, to the replica set with the number.
 func (r *Router) Host(name string, set int64) *Node {
-	s := r.replicaSet(set)
-	n := &Node{Name: name, set: s, limit: 4, size: 1, share: 1, lateness: lateRatio / 2, ratedAt: r.now}
-	r.hostsByID[n.peerID()], r.hosts, s.members = n, append(r.hosts, n), append(s.members, n)
-	slices.SortFunc(s.members, func(a, b *Node) int { return strings.Compare(a.Name, b.Name) })
-	return n
-}
-
-// Listed is what the list says of a host. A drain or a removal counts from now.
-func (n *Node) Listed(standing Standing, primary bool, zone, like string, size float64, boot Tenth) {
-	s, r := n.set, n.set.router
-	n.inList, n.zone, n.size = true, zone, max(size, 0.1)
-	if n.model = cmp.Or(n.model, r.models[like]); n.model == nil {
-		n.model = &hostModel{}
-		r.models[like] = n.model
-		if r.Told { // a mean that starts from nothing: the sum of all routers' is the same however traffic moves
-			n.model.measuredFor = float64(10 * second)
+	h := &Node{
+		Name: name, set: r.replicaSet(set), limit: 4, size: 1, share: 1, lateness: lateRatio / 2, ratedAt: r.now,
+	}
+	r.hostsByID[h.peerID()], r.hosts, h.set.members = h, append(r.hosts, h), append(h.set.members, h)
+	slices.SortFunc(h.set.members, func(a, b *Node) int { return cmp.Compare(a.Name, b.Name) })
+	return h
+}
+
+// Listed takes the host's entry in a list: its role then, hardware model, relative capacity and last start. A
+// drain or a removal counts from now.
+func (h *Node) Listed(standing Standing, primary bool, zone, model string, size float64, startedAt Tenth) {
+	set, router := h.set, h.set.router
+	h.inList, h.zone, h.size = true, zone, max(size, 0.1)
+	if h.model = cmp.Or(h.model, router.models[model]); h.model == nil {
+		h.model = &hostModel{}
+		router.models[model] = h.model
+		if router.Told { // a mean from nothing: the sum over all routers is the same however traffic moves
+			h.model.measuredFor = float64(modelWindow)
 		}
 	}
-	n.restarted(boot)
-	if standing == Gone && r.DrainAlone && n.standing == In {
+	h.restarted(startedAt)
+	if standing == Gone && router.DrainAlone && h.standing == In {
 		return // such a list doesn't prove that the host is down
 	}
-	n.standing = standing
-	if primary && s.primary == nil {
-		s.nextCandidate = slices.Index(s.members, n)
+	h.standing = standing
+	if primary && set.primary == nil {
+		set.nextCandidate = slices.Index(set.members, h)
 	}
-	if standing != In && s.primary == n {
-		s.primary = nil
+	if standing != In && set.primary == h {
+		set.primary = nil
 	}
 }
 
-// restarted tells of a start; what is cold has little room, and begins with a part drawn by chance.
-func (n *Node) restarted(at Tenth) {
-	if at > n.startedAt {
-		n.startedAt, n.limit, n.share, n.ejected, n.down, n.retryAt, n.slowConnectUntil, n.openConns = at, 2, 1, false, false, 0, 0, 0
-		n.coldBudget, n.coldBudgetAt = n.set.router.random(), n.set.router.now
+// restarted takes in a start. A cold host begins with a small limit and a random part of its budget.
+func (h *Node) restarted(at Tenth) {
+	if at <= h.startedAt {
+		return
 	}
+	h.startedAt, h.limit, h.share, h.ejected, h.down = at, recoveredLimit, 1, false, false
+	h.retryAt, h.slowConnectUntil, h.openConns = 0, 0, 0
+	h.coldBudget, h.coldBudgetAt = h.set.router.random(), h.set.router.now
 }
 
-// ListDone ends a list; what a complete one lacks is gone.
+// ListDone ends a list. What a complete one lacks is gone.
 func (r *Router) ListDone(complete bool) {
-	for _, n := range r.hosts {
-		if complete && !n.inList {
-			n.Listed(Gone, false, n.zone, "", n.size, n.startedAt)
+	for _, host := range r.hosts {
+		if complete && !host.inList {
+			host.Listed(Gone, false, host.zone, "", host.size, host.startedAt)
 		}
-		n.inList = false
+		host.inList = false
 	}
 	if r.listRequested {
 		r.listRequestAt = 0
@@ -61,122 +64,153 @@
 	r.probeHosts()
 }
 
-// Unlisted says that the list was asked for and refused, or that it comes no more. It is asked for again,
-// at moments that lie ever further apart, lest hundreds of routers keep a service that is short of capacity
-// busy.
+// Unlisted says that the request for a list was refused, or that it comes no more. It is requested again with
+// backoff and jitter: hundreds of routers must not keep a busy service busy.
 func (r *Router) Unlisted() {
 	r.listRequested, r.listRequestAt = false, r.now+Tenth((0.5+r.random())*float64(r.listRetryDelay))
 	r.listRetryDelay = min(2*r.listRetryDelay, r.AskWithin/2)
 }
 
-// dropIfRemoved drops a host that left the list, once nothing is out to it; should it come back, it is a new one.
-func (n *Node) dropIfRemoved() bool {
-	if n.standing != Gone || n.probing || len(n.inFlight) > 0 {
+// dropIfRemoved drops a host that left the list, once nothing is in flight.
+func (h *Node) dropIfRemoved() bool {
+	if h.standing != Gone || h.probing || len(h.inFlight) > 0 {
 		return false
 	}
-	delete(n.set.router.hostsByID, n.peerID())
-	n.set.members = slices.DeleteFunc(n.set.members, func(m *Node) bool { return m == n })
-	n.set.router.caller.Forget(n)
+	delete(h.set.router.hostsByID, h.peerID())
+	h.set.members = slices.DeleteFunc(h.set.members, func(member *Node) bool { return member == h })
+	h.set.router.caller.Forget(h)
 	return true
 }
 
-// accepts says whether the host may be sent the command now, filling part of its cap.
-func (n *Node) accepts(c *Cmd, part float64) bool {
-	r := n.set.router
+// accepts says whether the host may be sent the command now, with a part of its limit for such commands.
+func (h *Node) accepts(c *Cmd, part float64) bool {
+	router := h.set.router
 	switch {
-	case n.standing != In || n.unreachable || r.now < n.retryAt || n.cold() && !n.withinColdBudget(c, part):
+	case h.standing != In || h.unreachable || router.now < h.retryAt || h.cold() && !h.withinColdBudget(c, part):
 		return false
-	case n.ejected: // one replayable command at a time finds out whether it is back
-		return (c.group.Effect == Replayable || r.Led) && len(c.tried) == 0
-	case r.now >= c.targetAt && c.group.LateShare == 0:
-		part /= 2 // it can earn nothing: what is spare will do
+	case h.ejected: // one trial at a time finds out whether it is back
+		return (c.group.Effect == Replayable || router.Led) && len(c.tried) == 0
+	case router.now >= c.targetAt && c.group.LateShare == 0:
+		part /= 2 // it can earn nothing any more
 	}
-	return float64(n.activeCount()) < n.limit*part && (r.now >= n.slowConnectUntil || n.hasFreeStream())
+	return float64(h.activeCount()) < h.limit*part && (router.now >= h.slowConnectUntil || h.hasFreeStream())
 }
 
-// hasFreeStream says whether the open connections have room for one more command.
-func (n *Node) hasFreeStream() bool { return len(n.inFlight) < n.openConns*n.set.router.Streams }
+// hasFreeStream says whether an open connection can take one more command.
+func (h *Node) hasFreeStream() bool { return len(h.inFlight) < h.openConns*h.set.router.Streams }
 
+// withinShare says whether a host with that share gets the command, by its priority and its draw.
 func (c *Cmd) withinShare(share float64) bool {
 	return share >= 1 || c.draw*c.set.router.meanPriority <= share*c.priority()
 }
 
-func (n *Node) cold() bool {
-	return n.startedAt != 0 && n.set.router.now < n.startedAt+n.set.router.ColdFor
+// cold says whether the host started lately.
+func (h *Node) cold() bool {
+	return h.startedAt != 0 && h.set.router.now < h.startedAt+h.set.router.ColdFor
 }
 
-// withinColdBudget keeps a cold host within its part of what warm ones do. Every router counts its own, so all keep
-// in the sum; what is under one command is saved for, from a part drawn by chance, lest all send at once.
-func (n *Node) withinColdBudget(c *Cmd, part float64) bool {
-	r := n.set.router
-	grown := float64(r.now-r.FallSpan-n.startedAt) / float64(r.ColdFor)
-	rate := 0.75 * r.FallFactor * (r.ColdFrom + (1-r.ColdFrom)*max(0, grown)) * n.model.warmRate * n.size
-	n.coldBudget, n.coldBudgetAt = min(n.coldBudget+rate*float64(r.now-n.coldBudgetAt), max(1, rate*float64(r.FallSpan)/4)), r.now
-	return n.coldBudget*part >= max(1, c.work()) // what only a primary can do goes first
+// withinColdBudget keeps a cold host to its part of what warm ones do. Each router counts its own work, so
+// the sum keeps to it too. Less than one command is saved up, from a random start, lest all send at once.
+func (h *Node) withinColdBudget(c *Cmd, part float64) bool {
+	router := h.set.router
+	warmth := float64(router.now-router.FallSpan-h.startedAt) / float64(router.ColdFor)
+	coldPart := router.ColdFrom + (1-router.ColdFrom)*max(0, warmth)
+	rate := 0.75 * router.FallFactor * coldPart * h.model.warmRate * h.size
+	filled := h.coldBudget + rate*float64(router.now-h.coldBudgetAt)
+	h.coldBudget, h.coldBudgetAt = min(filled, max(1, rate*float64(router.FallSpan)/4)), router.now
+	return h.coldBudget*part >= max(1, c.work()) // what only a primary can do goes first
 }
 
 // work is how much a command asks for, in commands of the usual mix.
 func (c *Cmd) work() float64 { return c.group.meanLatency / max(c.set.router.meanLatency, 1) }
 
-// rate takes in how late an answer was, own or told; the fewer there are, the more each weighs. Late ones
-// shrink the cap, or, where one of hundreds of routers has too little else out for that, the host's share.
-func (n *Node) rate(part float64, sentAt Tenth, others int) {
-	now := n.set.router.now
-	w := min(0.5, max(0.125, float64(now-n.ratedAt)/float64(2*second)))
-	n.ratedAt = now
-	if part < 0.5 {
-		n.quickSentAt = max(n.quickSentAt, sentAt)
+// hasReached says whether a host has a position. Where hosts check that themselves, one expected to have it,
+// or not heard of for long, will do: a wrong guess costs one dispatch, and an unused host would stay unknown.
+func (h *Node) hasReached(position Tenth) bool {
+	router := h.set.router
+	if position <= 0 || h.positionKnown && h.position >= position {
+		return true
+	}
+	expected := router.now - router.Zero - h.lag + router.Wait*2/5
+	return router.Guarded && (h.positionKnown && expected >= position ||
+		router.now >= h.positionAt+second && len(h.inFlight) == 0)
+}
+
+// load compares hosts: commands in flight, weighted by latency, for each unit of size.
+func (h *Node) load() float64 {
+	return float64(h.activeCount()+1) * (h.lateness + lateRatio/4) / h.size
+}
+
+// activeCount is how many commands are in flight whose answers are not taken for lost.
+func (h *Node) activeCount() (active int) {
+	for _, c := range h.inFlight {
+		if !c.overdue || h.lateness > lateRatio && h.set.router.now < c.sentAt+2*c.group.Target {
+			active++
+		}
+	}
+	return active
+}
+
+// rate takes in a latency as a part of the response target; the fewer there are, the more each weighs. Late
+// ones reduce the limit, or, where one of hundreds of routers has few others in flight, the share.
+func (h *Node) rate(ratio float64, sentAt Tenth, others int) {
+	now := h.set.router.now
+	weight := min(0.5, max(0.125, float64(now-h.ratedAt)/float64(2*second)))
+	h.ratedAt = now
+	if ratio < 0.5 {
+		h.quickSentAt = max(h.quickSentAt, sentAt)
 	}
-	n.lateness += (min(part, 1) - n.lateness) * w
-	if grow := 1 + w*max(-1, 1-part/lateRatio); grow > 1 || float64(others) < n.limit/4 {
-		n.share = min(1, max(4/float64(n.set.router.Routers), n.share*grow))
+	h.lateness += (min(ratio, 1) - h.lateness) * weight
+	if growth := 1 + weight*max(-1, 1-ratio/lateRatio); growth > 1 || float64(others) < h.limit/4 {
+		h.share = min(1, max(4/float64(h.set.router.Routers), h.share*growth))
 	}
-	if n.lateness > lateRatio && now >= n.limitCutAt {
-		n.limit, n.limitCutAt = max(1, n.limit*0.85), now+second/10
+	if h.lateness > lateRatio && now >= h.limitCutAt {
+		h.limit, h.limitCutAt = max(1, h.limit*0.85), now+second/10
 	}
 }
 
-// backOff leaves a host that turns away unseen alone, longer each time: its fast refusals would draw ever
-// more.
-func (n *Node) backOff() {
-	n.rate(1, 0, len(n.inFlight))
-	n.backoff = min(max(2*n.backoff, second/50), second/2)
-	n.retryAt = n.set.router.now + Tenth((2+2*n.set.router.random())*float64(n.backoff)/3)
+// backOff leaves a host that rejects commands alone, longer each time: fast rejections attract ever more.
+func (h *Node) backOff() {
+	h.rate(1, 0, len(h.inFlight))
+	h.backoff = min(max(2*h.backoff, second/50), second/2)
+	h.retryAt = h.set.router.now + Tenth((2+2*h.set.router.random())*float64(h.backoff)/3)
 }
 
-// freeConns makes way for other routers at a host that takes no more connections: for a while none is kept
-// idle.
-func (n *Node) freeConns(more Tenth) {
-	now := n.set.router.now
-	if n.connsScarceUntil = max(n.connsScarceUntil, now+more); now < n.connsScarceUntil && len(n.inFlight) == 0 {
-		n.openConns = 0
-		n.set.router.caller.Close(n)
+// freeConns closes idle connections, for some time more, to a host that has none left for other routers.
+func (h *Node) freeConns(more Tenth) {
+	now := h.set.router.now
+	if h.connsScarceUntil = max(h.connsScarceUntil, now+more); now < h.connsScarceUntil && len(h.inFlight) == 0 {
+		h.openConns = 0
+		h.set.router.caller.Close(h)
 	}
 }
 
-// eject stops sending to a silent host but for a try now and then.
-func (n *Node) eject(wait Tenth) {
-	if !n.ejected {
-		n.ejected, n.backoff, n.retryAt = true, max(wait, second/10), n.set.router.now+max(wait, second/10)
+// eject stops sending to a silent host, but for a trial now and then.
+func (h *Node) eject(wait Tenth) {
+	if !h.ejected {
+		h.ejected, h.backoff = true, max(wait, second/10)
+		h.retryAt = h.set.router.now + h.backoff
 	}
 }
 
-// updateRole takes in what a host said of its role at a time.
-func (n *Node) updateRole(role Role, at Tenth) {
-	s := n.set
-	if at < n.roleAt || role == Unknown {
+// updateRole takes in what the host said of its role at a time.
+func (h *Node) updateRole(role Role, at Tenth) {
+	if at < h.roleAt || role == Unknown {
 		return
 	}
-	if n.role, n.roleAt = role, at; role == Replica && s.primary == n {
-		s.primary = nil
-	} else if role == Primary && n.standing == In && (s.primary == nil || at >= s.primary.roleAt) {
-		s.primary = n
+	set := h.set
+	h.role, h.roleAt = role, at
+	if role == Replica && set.primary == h {
+		set.primary = nil
+	} else if role == Primary && h.standing == In && (set.primary == nil || at >= set.primary.roleAt) {
+		set.primary = h
 	}
 }
 
 // updatePosition takes in a position. Positions are lower bounds and never go back.
-func (n *Node) updatePosition(pos Tenth) {
-	if r := n.set.router; !n.positionKnown || pos >= n.position {
-		n.positionKnown, n.position, n.positionAt, n.lag = true, pos, r.now, max(0, r.now-r.Zero-pos)
+func (h *Node) updatePosition(position Tenth) {
+	if router := h.set.router; !h.positionKnown || position >= h.position {
+		h.positionKnown, h.position, h.positionAt = true, position, router.now
+		h.lag = max(0, router.now-router.Zero-position)
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/policy_test.go
@@ -218,14 +218,24 @@
 		again  bool   // another dispatch follows when there is time
 		end    string // the final answer when there is none
 	}{
-		{Replayable, Errored, true, "throttled"}, {Replayable, Cancelled, true, "throttled"},
-		{Replayable, Full, true, "throttled"}, {Replayable, Unreached, true, "throttled"},
-		{Keyed, Errored, true, "failed"}, {Keyed, Reset, true, "failed"}, {Keyed, Cancelled, true, "failed"},
-		{Keyed, TimedOut, true, "failed"}, {Keyed, Full, true, "throttled"}, {Keyed, Moot, true, "throttled"},
-		{Mutating, Errored, false, "failed"}, {Mutating, Reset, false, "failed"},
-		{Mutating, Cancelled, false, "failed"}, {Mutating, TimedOut, false, "failed"},
-		{Mutating, Full, true, "throttled"}, {Mutating, Unreached, true, "throttled"},
-		{Mutating, Moot, true, "throttled"}, {Mutating, Missed, true, "throttled"},
+		{Replayable, Errored, true, "throttled"},
+		{Replayable, Cancelled, true, "throttled"},
+		{Replayable, Full, true, "throttled"},
+		{Replayable, Unreached, true, "throttled"},
+		{Keyed, Errored, true, "failed"},
+		{Keyed, Reset, true, "failed"},
+		{Keyed, Cancelled, true, "failed"},
+		{Keyed, TimedOut, true, "failed"},
+		{Keyed, Full, true, "throttled"},
+		{Keyed, Moot, true, "throttled"},
+		{Mutating, Errored, false, "failed"},
+		{Mutating, Reset, false, "failed"},
+		{Mutating, Cancelled, false, "failed"},
+		{Mutating, TimedOut, false, "failed"},
+		{Mutating, Full, true, "throttled"},
+		{Mutating, Unreached, true, "throttled"},
+		{Mutating, Moot, true, "throttled"},
+		{Mutating, Missed, true, "throttled"},
 	} {
 		for _, early := range []bool{true, false} {
 			f := start(t, 4, nil)
@@ -516,8 +526,10 @@
 		t.Errorf("heard %q, position %d, primary %v", f.told[0], n.position, g.r.sets[1].primary)
 	}
 	before := g.nodes[1].position
-	for _, body := range []string{"", ".", "x", g.nodes[1].peerID(), g.nodes[1].peerID() + ".", g.nodes[1].peerID() + ".-1",
-		g.nodes[1].peerID() + ".zzzzzzzzzz", g.nodes[1].peerID() + ".zzzzzzzzzzzzzzzzz", "nobody.1a"} {
+	for _, body := range []string{
+		"", ".", "x", g.nodes[1].peerID(), g.nodes[1].peerID() + ".", g.nodes[1].peerID() + ".-1",
+		g.nodes[1].peerID() + ".zzzzzzzzzz", g.nodes[1].peerID() + ".zzzzzzzzzzzzzzzzz", "nobody.1a",
+	} {
 		g.r.Heard(body)
 	}
 	f.never(g.nodes[1].position != before || g.nodes[1].share < 1, "a message that no router can have sent was heeded")
--- /dev/null
+++ b/policy/probe.go
@@ -0,0 +1,53 @@
+package policy
+
+// Probed ends a probe. A host that is reachable again may have restarted, whatever the list says.
+func (h *Node) Probed(ok bool) {
+	if h.probing = false; ok && h.unreachable {
+		h.unreachable, h.ejected, h.backoff, h.retryAt, h.limit = false, false, 0, 0, recoveredLimit
+	}
+	if ok {
+		h.shareState(peerLatencyUnknown)
+	}
+	if set := h.set; set.probed == h {
+		set.probed, set.probedUntil = nil, 0
+		set.serveQueue()
+	}
+}
+
+// probeHosts probes unreachable and new hosts and, on credit, those whose position has aged, oldest first.
+func (r *Router) probeHosts() {
+	for r.Probes {
+		var oldest *Node
+		for _, host := range r.hosts {
+			due := host.probeDue()
+			if due && host.standing == In && !host.probing && (oldest == nil || host.positionAt < oldest.positionAt) {
+				oldest = host
+			}
+		}
+		if oldest == nil {
+			return
+		}
+		if oldest.unreachable {
+			oldest.retryAt = r.now + second/4
+		} else if oldest.positionAt > 0 {
+			r.probeCredit--
+		}
+		r.startProbe(oldest)
+	}
+}
+
+// probeDue says whether a probe of the host is due. Where routers tell each other, two of them do for all.
+func (h *Node) probeDue() bool {
+	router := h.set.router
+	if h.unreachable {
+		return router.now >= h.retryAt
+	}
+	aged := router.now >= h.positionAt+router.positionTTL && router.Reports && !router.probesForReads
+	return (h.positionAt == 0 || aged && router.probeCredit >= 1) &&
+		(!router.Peers || router.random()*float64(router.Routers) < 2)
+}
+
+func (r *Router) startProbe(host *Node) {
+	host.probing, host.positionAt = true, max(host.positionAt, 1)
+	r.caller.Probe(host)
+}
--- /dev/null
+++ b/policy/window.go
@@ -0,0 +1,30 @@
+package policy
+
+import "math"
+
+const windowSeconds = 8
+
+// window sums up the values of the last seconds in buckets of a second, which are used again.
+type window [windowSeconds]struct {
+	at                  Tenth // in seconds
+	count, sum, squares float64
+}
+
+func (w *window) record(now Tenth, value float64) {
+	bucket := &w[now/second%windowSeconds]
+	if bucket.at != now/second {
+		bucket.at, bucket.count, bucket.sum, bucket.squares = now/second, 0, 0, 0
+	}
+	bucket.count, bucket.sum, bucket.squares = bucket.count+1, bucket.sum+value, bucket.squares+value*value
+}
+
+func (w *window) summary(now Tenth) (count, mean, deviation float64) {
+	var sum, squares float64
+	for _, bucket := range w {
+		if bucket.at > now/second-windowSeconds {
+			count, sum, squares = count+bucket.count, sum+bucket.sum, squares+bucket.squares
+		}
+	}
+	mean = sum / max(count, 1)
+	return count, mean, math.Sqrt(max(0, squares/max(count, 1)-mean*mean))
+}
