--- /dev/null
+++ b/internal/control/cluster_test.go
@@ -0,0 +1,319 @@
+package control
+
+import (
+	"fmt"
+	"runtime/debug"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/settings"
+	"ferrypitch/internal/simulation/scheduler"
+)
+
+const (
+	unitsPerMs     = int64(10) // of simulated time
+	unitsPerSecond = 1000 * unitsPerMs
+)
+
+// cluster simulates the members of a control plane, without hosts and proxies: their disks lose what is not synced, and their
+// network can be partitioned one way.
+type cluster struct {
+	*scheduler.Scheduler
+	members     []*clusterMember
+	blocked     map[[2]string]bool // from, to
+	faultsEndAt int64              // the last of them
+}
+
+type clusterMember struct {
+	cluster     *cluster
+	ip          string
+	server      *Server
+	up          bool
+	frozen      bool
+	incarnation int
+	identity    storage.Identity
+	disk        consensus.RestoredState
+	unsynced    []consensus.Write
+	suspended   []func()
+	arrivesAt   map[string]int64 // when the last frame to another arrives
+}
+
+func newCluster(seed uint64, members int) *cluster {
+	c := &cluster{Scheduler: scheduler.New(seed, unitsPerSecond, unitsPerMs), blocked: map[[2]string]bool{}}
+	var founders []consensus.ID
+	for i := range 3 {
+		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
+	}
+	for i := range members {
+		m := &clusterMember{cluster: c, ip: fmt.Sprintf("10.0.0.%d", i+1)}
+		m.identity = storage.Identity{ID: consensus.ID(m.ip + "+0")}
+		if i < len(founders) {
+			m.identity = storage.Identity{ID: founders[i], Founders: founders}
+		}
+		c.members = append(c.members, m)
+	}
+	for _, m := range c.members {
+		m.start()
+	}
+	return c
+}
+
+// settingsAt returns the settings of a member at an address. The seeds are 10.0.0.1 to 10.0.0.3.
+func settingsAt(ip string) *settings.Settings {
+	nodeSettings := &settings.Settings{
+		Node:      "n" + ip,
+		Ip:        ip,
+		Zone:      "z",
+		BeatMs:    1200,
+		SeedPeers: []string{"10.0.0.1:8080", "10.0.0.2:8080", "10.0.0.3:8080"},
+	}
+	nodeSettings.FaultBudget.Machines = 1
+	nodeSettings.Listen.Control = ip + ":8080"
+	return nodeSettings
+}
+
+func (c *cluster) time() time.Time {
+	return time.Unix(0, 0).Add(time.Duration(c.Now) * time.Millisecond / time.Duration(unitsPerMs))
+}
+
+func (m *clusterMember) start() {
+	c := m.cluster
+	m.incarnation++
+	m.up, m.frozen, m.suspended, m.unsynced, m.arrivesAt = true, false, nil, nil, map[string]int64{}
+	restored := m.disk
+	restored.Entries = slices.Clone(restored.Entries)
+	server, err := New(settingsAt(m.ip), hclog.NewNullLogger(), eventloop.NewSteadyClock(c.time), m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
+	if err != nil {
+		panic(err)
+	}
+	m.server = server
+	incarnation := m.incarnation
+	server.SetEnvironment(Environment{
+		Send:      m.send,
+		Persist:   func(x []consensus.Write) { m.persist(incarnation, x) },
+		QueryHost: func(failover.HostQuery, statemachine.Host) {},
+		Promote:   func(failover.Promotion) {},
+	})
+	m.tick(incarnation)
+}
+
+// run runs a step in a member's process, later if the process is suspended.
+func (m *clusterMember) run(incarnation int, step func()) {
+	switch {
+	case !m.up || m.incarnation != incarnation:
+	case m.frozen:
+		m.suspended = append(m.suspended, step)
+	default:
+		step()
+	}
+}
+
+func (m *clusterMember) tick(incarnation int) {
+	m.run(incarnation, func() {
+		m.server.Tick()
+		m.cluster.After(50*unitsPerMs, func() { m.tick(incarnation) })
+	})
+}
+
+func (m *clusterMember) send(ip string, frame *rpc.Frame) {
+	c := m.cluster
+	for _, to := range c.members {
+		if to.ip != ip || to == m {
+			continue
+		}
+		m.arrivesAt[ip] = max(m.arrivesAt[ip]+1, c.Now+c.Between(unitsPerMs/2, 3*unitsPerMs))
+		incarnation := to.incarnation
+		c.After(m.arrivesAt[ip]-c.Now, func() {
+			if !c.blocked[[2]string{m.ip, ip}] {
+				to.run(incarnation, func() { to.server.HandleFrame(m.ip, frame) })
+			}
+		})
+	}
+}
+
+func (m *clusterMember) persist(incarnation int, writes []consensus.Write) {
+	c := m.cluster
+	m.unsynced = append(m.unsynced, writes...)
+	sequence := writes[len(writes)-1].Seq
+	duration := c.Between(unitsPerMs/2, 8*unitsPerMs)
+	if c.OneIn(100) {
+		duration = c.Between(50*unitsPerMs, 600*unitsPerMs)
+	}
+	c.After(duration, func() {
+		m.run(incarnation, func() {
+			for len(m.unsynced) > 0 && m.unsynced[0].Seq <= sequence {
+				m.disk.ApplyWrite(m.unsynced[0])
+				m.unsynced = m.unsynced[1:]
+			}
+			m.server.Persisted(sequence)
+		})
+	})
+}
+
+// crash ends the process. Unsynced writes are lost with the power, and else kept up to some write.
+func (m *clusterMember) crash(powerLoss bool) {
+	m.up = false
+	for _, write := range m.unsynced {
+		if powerLoss || m.cluster.OneIn(2) {
+			break
+		}
+		m.disk.ApplyWrite(write)
+	}
+	m.unsynced = nil
+}
+
+func (m *clusterMember) resume(incarnation int) {
+	if !m.up || m.incarnation != incarnation {
+		return
+	}
+	m.frozen = false
+	for len(m.suspended) > 0 && m.up && !m.frozen {
+		step := m.suspended[0]
+		m.suspended = m.suspended[1:]
+		step()
+	}
+}
+
+func (c *cluster) leader() *clusterMember {
+	for _, m := range c.members {
+		if m.up && !m.frozen && m.server.leading && m.server.consensus.HoldsLease(m.server.clock.Now()) {
+			return m
+		}
+	}
+	return nil
+}
+
+// complete reports whether all seats are taken by members that run.
+func (c *cluster) complete() bool {
+	l := c.leader()
+	if l == nil {
+		return false
+	}
+	for _, id := range l.server.consensus.Members() {
+		if !slices.ContainsFunc(c.members, func(m *clusterMember) bool { return m.up && !m.frozen && m.identity.ID == id }) {
+			return false
+		}
+	}
+	return len(l.server.consensus.Members()) >= 3
+}
+
+// injectFault injects one fault after another. Faults may overlap, but a disk is lost only while there is no other.
+func (c *cluster) injectFault(until int64) {
+	if c.Now > until {
+		return
+	}
+	c.After(c.Between(100*unitsPerMs, 2*unitsPerSecond), func() { c.injectFault(until) })
+	m := c.members[c.Rand.IntN(len(c.members))]
+	if l := c.leader(); l != nil && c.OneIn(2) {
+		m = l
+	}
+	if !m.up || m.frozen {
+		return
+	}
+	duration := c.Between(50*unitsPerMs, 3*unitsPerSecond)
+	if c.OneIn(4) {
+		duration = c.Between(unitsPerMs, 50*unitsPerMs) // what is in flight may outlive it
+	}
+	healthy := c.Now > c.faultsEndAt+3*unitsPerSecond
+	c.faultsEndAt = max(c.faultsEndAt, c.Now+duration)
+	m.randomFault(duration, healthy)
+}
+
+// randomFault injects a fault at a member, or at all. healthy says that there was no other fault of late.
+func (m *clusterMember) randomFault(duration int64, healthy bool) {
+	c := m.cluster
+	switch c.Rand.IntN(9) {
+	case 0, 1:
+		powerLoss := c.OneIn(2)
+		c.Note("%s crashes, power loss %v, for %d ms", m.ip, powerLoss, duration/unitsPerMs)
+		m.crash(powerLoss)
+		c.After(duration, m.start)
+	case 2:
+		m.freeze(duration)
+	case 3, 4:
+		m.partition(duration)
+	case 5:
+		if c.OneIn(3) {
+			c.losePower(duration)
+		}
+	case 6:
+		c.Note("%s transfers its leadership", m.ip)
+		m.server.carryOut(m.server.consensus.TransferLeadership(m.server.clock.Now()))
+	case 7:
+		c.Note("%s takes a snapshot", m.ip)
+		m.server.carryOut(m.server.consensus.Compact(m.server.state.Index, m.server.state.Snapshot(), uint64(c.Rand.IntN(20)), m.server.clock.Now()))
+	case 8:
+		if healthy && c.complete() {
+			m.loseDisk(duration)
+		}
+	}
+}
+
+func (m *clusterMember) freeze(duration int64) {
+	c, incarnation := m.cluster, m.incarnation
+	c.Note("%s is suspended for %d ms", m.ip, duration/unitsPerMs)
+	m.frozen = true
+	c.After(duration, func() { m.resume(incarnation) })
+}
+
+func (m *clusterMember) partition(duration int64) {
+	c := m.cluster
+	direction := c.Rand.IntN(3)
+	c.Note("%s is partitioned for %d ms, direction %d", m.ip, duration/unitsPerMs, direction)
+	for _, other := range c.members {
+		if direction != 0 {
+			c.block(m.ip, other.ip, duration)
+		}
+		if direction != 1 {
+			c.block(other.ip, m.ip, duration)
+		}
+	}
+}
+
+func (c *cluster) losePower(duration int64) {
+	c.Note("all members lose power for %d ms", duration/unitsPerMs)
+	for _, m := range c.members {
+		if m.up {
+			m.crash(true)
+			c.After(duration+c.Between(0, 300*unitsPerMs), m.start)
+		}
+	}
+}
+
+// loseDisk restarts a member without its data, under a new identity.
+func (m *clusterMember) loseDisk(duration int64) {
+	c := m.cluster
+	c.Note("%s loses its disk, down for %d ms", m.ip, duration/unitsPerMs)
+	m.crash(true)
+	m.disk = consensus.RestoredState{}
+	m.identity = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", m.ip, m.incarnation))}
+	c.faultsEndAt += 3 * unitsPerSecond
+	c.After(duration, m.start)
+}
+
+func (c *cluster) block(from, to string, duration int64) {
+	c.blocked[[2]string{from, to}] = true
+	c.After(duration, func() { delete(c.blocked, [2]string{from, to}) })
+}
+
+func (c *cluster) runGuarded(span int64) {
+	defer func() {
+		if p := recover(); p != nil {
+			c.Violate("panic: %v\n%s", p, debug.Stack())
+		}
+	}()
+	c.RunFor(span)
+}
+
+func (c *cluster) report() string {
+	return strings.Join(c.Violations, "\n") + "\nafter these faults:\n" + strings.Join(c.FaultLog, "\n")
+}
--- /dev/null
+++ b/internal/control/timeout_test.go
@@ -0,0 +1,96 @@
+package control
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/stretchr/testify/require"
+
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+)
+
+// newHealthyPartitionCluster returns a cluster without faults, its leader and a follower.
+func newHealthyPartitionCluster(t *testing.T) (c *partitionCluster, leader, follower *partitionMember) {
+	c = newPartitionCluster(5, 3, 0, 0, noSafeguard)
+	c.calm = true
+	c.RunFor(3000)
+	for _, m := range c.members {
+		if m.server.leading {
+			leader = m
+		} else {
+			follower = m
+		}
+	}
+	require.NotNil(t, leader)
+	return c, leader, follower
+}
+
+// A member that no longer hears from the leader rejects forwarded calls before their callers give up, and forwards nothing more
+// to that leader.
+func TestCallForwardedToSilentLeaderIsRejectedSoon(t *testing.T) {
+	c, leader, follower := newHealthyPartitionCluster(t)
+	leader.partition(20000)
+	for _, other := range c.members { // from all others, both ways
+		if other != leader {
+			leader.blocked[other.ip], other.blocked[leader.ip] = dropFrames, dropFrames
+		}
+	}
+	startedAt, took, status := c.Now, int64(0), 0
+	follower.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { took, status = c.Now-startedAt, s })
+	c.RunFor(600)
+	require.Equal(t, http.StatusServiceUnavailable, status)
+	require.Less(t, took, int64(600))
+	status = 0
+	follower.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { status = s })
+	require.Equal(t, http.StatusServiceUnavailable, status, "a call is forwarded to a leader that is silent for 0.6 s")
+	c.RunFor(1400)
+	follower.server.HandleCall(http.MethodGet, "/Config.Read", "", nil, func(s int, _ []byte) { status = s })
+	c.RunFor(100)
+	require.Equal(t, http.StatusOK, status, "the majority has no leader")
+}
+
+// A timeout of reading the body is not an invalid body: this process may have been suspended.
+func TestBodyReadTimeoutIsNotAnInvalidBody(t *testing.T) {
+	_, _, m := newHealthyPartitionCluster(t)
+	for err, want := range map[error]int{os.ErrDeadlineExceeded: http.StatusServiceUnavailable, io.ErrUnexpectedEOF: http.StatusBadRequest} {
+		w := httptest.NewRecorder()
+		r := httptest.NewRequest(http.MethodPost, "/Config.Replace", io.MultiReader(&failingReader{err}))
+		(&apiHandler{server: m.server}).ServeHTTP(w, r)
+		require.Equal(t, want, w.Code, "%v", err)
+	}
+}
+
+type failingReader struct{ err error }
+
+func (l *failingReader) Read([]byte) (int, error) { return 0, l.err }
+
+// What was decided under a lease is not executed after its timeout: the process may have been suspended in between.
+func TestExpiredDecisionsAreNotExecuted(t *testing.T) {
+	mine, hosts := net.Pipe()
+	written := make(chan int, 1)
+	go func() {
+		var b [64]byte
+		n, _ := hosts.Read(b[:])
+		written <- n
+	}()
+	_, _, err := newHostClient(context.Background(), "127.0.0.1").exchange(&hostConn{socket: mine}, statemachine.Host{ID: "h1", Service: "db", Address: "127.0.0.1:1"}, failover.StepDown, "STEPDOWN 7", time.Now().Add(-time.Second))
+	require.Error(t, err)
+	hosts.Close()
+	require.Zero(t, <-written, "an expired command is sent")
+	calls := 0
+	platform := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls++ }))
+	defer platform.Close()
+	client := &platformClient{localIP: "127.0.0.1", log: hclog.NewNullLogger()}
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
+	defer cancel()
+	require.Equal(t, failover.PromotionNotExecuted, client.requestPromotion(ctx, platform.Listener.Addr().String(), failover.Promotion{Service: "db", Host: "h1"}))
+	require.Zero(t, calls)
+}
