--- /dev/null
+++ b/policy/benchmark_test.go
@@ -0,0 +1,50 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+)
+
+// BenchmarkChoice measures the choice of a host for a read and the record of its answer, with so many databases of three hosts
+// each, and the evaluation of all hosts that comes every 50 ms.
+func BenchmarkChoice(b *testing.B) {
+	for _, databases := range []int{1, 65, 217, 650, 2600} {
+		group := &CmdGroup{Need: Bounded, Bound: 15000, Target: 3000, Timeout: 8000, Benefit: 1}
+		now := Tenth(1000000)
+		router := New(noopCaller{}, Deployment{
+			Tick: 50, Routers: 12, Dispatches: 3, Guarded: true, Kept: true, Probes: true, Led: true, Streams: 1,
+			IdleFor: 450000, ConnectFor: 15000, Comeback: 2000, FallFactor: 1e6, ColdFrom: 1, ProbePrice: 0.01,
+			Groups: []*CmdGroup{group},
+		}, now)
+		var hosts []*Node
+		for i := range 3 * databases {
+			host := router.Host(fmt.Sprintf("h%d", i), int64(i/3+1))
+			host.Listed(In, false, "", "", 1, 0)
+			hosts = append(hosts, host)
+		}
+		router.ListDone(true)
+		for i, host := range hosts {
+			host.Probed(true)
+			host.Reported(now, Replica)
+			host.Leads(i%3 == 0)
+		}
+		b.Run(fmt.Sprintf("databases=%d/read", databases), func(b *testing.B) {
+			commands := 0
+			for b.Loop() {
+				now++
+				router.Clock(now)
+				command := router.Take("c", group, int64(commands%databases+1), "", now+8000, 0, false)
+				if commands++; command.Node != nil {
+					command.Ended(Answered, now, Replica, 10, true)
+				}
+			}
+		})
+		b.Run(fmt.Sprintf("databases=%d/look", databases), func(b *testing.B) {
+			for b.Loop() {
+				now += 500
+				router.Clock(now)
+				router.Woke()
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/env_test.go
@@ -0,0 +1,167 @@
+package policy
+
+import "testing"
+
+// testEnv is a router with a few hosts, and its caller, which records what it is asked for.
+type testEnv struct {
+	t               *testing.T
+	router          *Router
+	now             Tenth
+	sent            []*Node
+	finalAnswer     map[*Cmd]string
+	comeback        Tenth
+	dispatchTimeout Tenth // of the last dispatch
+	commands        int
+	probes          []*Node
+	closed          []*Node
+	messages        []string
+	hosts           []*Node
+
+	forgotten []*Node
+	watches   []Tenth
+}
+
+func (e *testEnv) Dispatch(command *Cmd, host *Node, timeout Tenth) {
+	e.dispatchTimeout = timeout
+	if e.finalAnswer[command] != "" {
+		e.t.Errorf("%s: dispatched after its final answer", command.Name)
+	}
+	e.sent = append(e.sent, host)
+}
+
+func (e *testEnv) Throttle(command *Cmd, comeback Tenth) {
+	e.comeback = comeback
+	e.finish(command, "throttled")
+}
+func (e *testEnv) Fail(command *Cmd) { e.finish(command, "failed") }
+func (e *testEnv) Probe(host *Node)  { e.probes = append(e.probes, host) }
+func (e *testEnv) Close(host *Node)  { e.closed = append(e.closed, host) }
+func (e *testEnv) Forget(host *Node) { e.forgotten = append(e.forgotten, host) }
+func (e *testEnv) Tell(body string)  { e.messages = append(e.messages, body) }
+func (e *testEnv) Wake(Tenth)        {}
+func (e *testEnv) Watch()            { e.watches = append(e.watches, e.now) }
+
+func (e *testEnv) finish(command *Cmd, how string) {
+	if e.finalAnswer[command] != "" {
+		e.t.Errorf("%s: %s after it was %s", command.Name, how, e.finalAnswer[command])
+	}
+	e.finalAnswer[command] = how
+}
+
+// The command groups of the tests, in this order in Deployment.Groups.
+var (
+	boundedRead = CmdGroup{Need: Bounded, Bound: 5000, Target: 3000, Timeout: 8000, Benefit: 1}
+	sessionRead = CmdGroup{Need: Session, Target: 3000, Timeout: 8000, Benefit: 1}
+	freshRead   = CmdGroup{Need: Fresh, Target: 3000, Timeout: 8000, Benefit: 1}
+	keyedWrite  = CmdGroup{
+		Effect: Keyed, Need: Write, Target: 5000, Timeout: 30000, Memory: 20000, Benefit: 3,
+		LateShare: 0.5,
+	}
+	mutatingWrite = CmdGroup{Effect: Mutating, Need: Write, Target: 5000, Timeout: 30000, Benefit: 3, LateShare: 0.5}
+)
+
+// newTestEnv makes a router with hosts a (primary), b, c... whose positions are known.
+func newTestEnv(t *testing.T, hosts int, change func(*Deployment)) *testEnv {
+	env := &testEnv{t: t, now: 1000000, finalAnswer: map[*Cmd]string{}}
+	bounded, session, fresh, keyed, mutating := boundedRead, sessionRead, freshRead, keyedWrite, mutatingWrite
+	deployment := Deployment{
+		Tick: 50, Routers: 1, Dispatches: 8, Probes: true, Reports: true, Comeback: 10000, Streams: 1,
+		IdleFor: 150000, ConnectFor: 2500, FallFactor: 2, FallSpan: 10000, ColdFrom: 0.2, ColdFor: 150000,
+		Groups: []*CmdGroup{&bounded, &session, &fresh, &keyed, &mutating},
+	}
+	if change != nil {
+		change(&deployment)
+	}
+	env.router = New(env, deployment, env.now)
+	for i := range hosts {
+		host := env.router.Host(string(rune('a'+i)), 1)
+		host.Listed(In, i == 0, "", "", 1, 0)
+		env.hosts = append(env.hosts, host)
+	}
+	env.router.ListDone(true)
+	for _, host := range env.hosts {
+		host.Probed(true)
+		host.Reported(env.now, Replica)
+	}
+	env.hosts[0].updateRole(Primary, env.now)
+	env.hosts[0].lateness = lateRatio * 0.9 // nothing spills to the primary
+	return env
+}
+
+// advance lets a span pass, and wakes the router every 10 ms.
+func (e *testEnv) advance(span Tenth) {
+	for end := e.now + span; e.now < end; {
+		e.now += 100
+		e.router.Clock(e.now)
+		e.router.Woke()
+	}
+}
+
+// submit takes in a command of the group that has the need and effect.
+func (e *testEnv) submit(need Need, effect Effect, session string, since Tenth) *Cmd {
+	for _, group := range e.router.Groups {
+		if group.Need == need && group.Effect == effect {
+			e.commands++
+			return e.router.Take(string(rune('0'+e.commands)), group, 1, session, e.now+group.Timeout, since, false)
+		}
+	}
+	panic("no such command group")
+}
+
+// answer answers a command after a span.
+func (e *testEnv) answer(command *Cmd, after Tenth) {
+	e.advance(after)
+	role := Replica
+	if command.Node == command.set.primary {
+		role = Primary
+	}
+	command.Ended(Answered, e.now-20, role, after, true)
+}
+
+// failIf fails the test, which goes on, if the condition holds.
+func (e *testEnv) failIf(condition bool, message string) {
+	if e.t.Helper(); condition {
+		e.t.Error(message)
+	}
+}
+
+// answerReads takes in bounded reads and answers them, with all positions known.
+func (e *testEnv) answerReads(many int, after Tenth) {
+	for range many {
+		if command := e.submit(Bounded, Replayable, "", 0); command.Node != nil {
+			e.answer(command, after)
+		}
+		e.refreshPositions()
+	}
+}
+
+// refreshPositions makes it known that all hosts are up to date.
+func (e *testEnv) refreshPositions() {
+	for _, host := range e.hosts {
+		host.updatePosition(e.now)
+	}
+}
+
+// submitUntilSentTo takes in bounded reads until one is sent to the host; the others are answered.
+func (e *testEnv) submitUntilSentTo(host *Node) *Cmd {
+	for range 50 {
+		command := e.submit(Bounded, Replayable, "", 0)
+		if command.Node == host {
+			return command
+		} else if command.Node != nil {
+			e.answer(command, 100)
+		}
+		e.refreshPositions()
+	}
+	panic("nothing went there")
+}
+
+// dispatchesTo counts the dispatches to a host so far.
+func (e *testEnv) dispatchesTo(host *Node) (sent int) {
+	for _, sentTo := range e.sent {
+		if sentTo == host {
+			sent++
+		}
+	}
+	return sent
+}
--- /dev/null
+++ b/policy/outcome_test.go
@@ -0,0 +1,245 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+)
+
+func TestThreeResetsAreTheCommandsFault(t *testing.T) {
+	env := newTestEnv(t, 6, nil)
+	command := env.submit(Bounded, Replayable, "", 0)
+	for range 5 {
+		if command.Node != nil {
+			command.Ended(Reset, -1, Unknown, 10, false)
+		}
+	}
+	if command.Sent != 3 || env.finalAnswer[command] != "throttled" {
+		t.Errorf("%d dispatches, then %q", command.Sent, env.finalAnswer[command])
+	}
+}
+
+func TestOneLostAnswerDoesNotEjectHost(t *testing.T) {
+	for many, left := range map[int]bool{1: false, 4: true} {
+		env := newTestEnv(t, 2, nil)
+		env.router.Groups[4].meanLatency = 300
+		env.answerReads(60, 300)
+		p := env.hosts[0]
+		for range many {
+			env.submit(Write, Mutating, "s", 0)
+		}
+		env.advance(1000)
+		if p.ejected != left {
+			t.Errorf("with %d in flight it is ejected: %t", many, p.ejected)
+		}
+	}
+}
+
+func TestRefusedConnectionDoesNotSpendAllDispatches(t *testing.T) {
+	env := newTestEnv(t, 1, nil)
+	env.hosts[0].quickSentAt = env.now // it is up, for all that is known
+	command := env.submit(Write, Mutating, "s", 0)
+	for range 9 {
+		if command.Node != nil {
+			command.Ended(Unreached, -1, Unknown, 1, false)
+		}
+	}
+	if command.Sent != 1 || env.finalAnswer[command] != "" {
+		t.Errorf("%d dispatches, then %q", command.Sent, env.finalAnswer[command])
+	}
+	env.advance(200)
+	env.failIf(command.Sent != 2, "it was not tried again")
+}
+
+func TestRetryByEffectAndOutcome(t *testing.T) {
+	for _, story := range []struct {
+		effect      Effect
+		outcome     Outcome
+		retried     bool   // another dispatch follows when there is time
+		finalAnswer string // when there is none
+	}{
+		{Replayable, Errored, true, "throttled"},
+		{Replayable, Cancelled, true, "throttled"},
+		{Replayable, Full, true, "throttled"},
+		{Replayable, Unreached, true, "throttled"},
+		{Keyed, Errored, true, "failed"},
+		{Keyed, Reset, true, "failed"},
+		{Keyed, Cancelled, true, "failed"},
+		{Keyed, TimedOut, true, "failed"},
+		{Keyed, Full, true, "throttled"},
+		{Keyed, Moot, true, "throttled"},
+		{Mutating, Errored, false, "failed"},
+		{Mutating, Reset, false, "failed"},
+		{Mutating, Cancelled, false, "failed"},
+		{Mutating, TimedOut, false, "failed"},
+		{Mutating, Full, true, "throttled"},
+		{Mutating, Unreached, true, "throttled"},
+		{Mutating, Moot, true, "throttled"},
+		{Mutating, Missed, true, "throttled"},
+	} {
+		for _, early := range []bool{true, false} {
+			retried, finalAnswer := endOneDispatch(t, story.effect, story.outcome, early)
+			if retried != (story.retried && early) {
+				t.Errorf("%+v early %v: sent again: %v", story, early, retried)
+			}
+			if (!early || !story.retried) && finalAnswer != story.finalAnswer {
+				t.Errorf("%+v early %v: it ended as %q", story, early, finalAnswer)
+			}
+		}
+	}
+}
+
+// endOneDispatch ends the first dispatch of a command, with time left (early) or not, and says whether another one follows,
+// and what the final answer is.
+func endOneDispatch(t *testing.T, effect Effect, outcome Outcome, early bool) (retried bool, finalAnswer string) {
+	env := newTestEnv(t, 4, nil)
+	need := Write
+	if effect == Replayable {
+		need = Bounded
+	}
+	command := env.submit(need, effect, "s", 0)
+	if !early {
+		env.now = command.timeoutAt - 50
+		env.router.Clock(env.now)
+	}
+	command.Ended(outcome, -1, Unknown, 100, false)
+	if early {
+		for i := 0; i < 40 && command.Node == nil && env.finalAnswer[command] == ""; i++ {
+			env.hosts[1].updateRole(Primary, env.now) // wherever it went, there is a host for it
+			env.advance(100)
+		}
+	}
+	return command.Node != nil, env.finalAnswer[command]
+}
+
+func TestKeyedCommandIsNotRetriedPastKeyMemory(t *testing.T) {
+	env := newTestEnv(t, 2, nil)
+	command := env.submit(Write, Keyed, "s", 0)
+	env.advance(20000)
+	command.Ended(TimedOut, -1, Unknown, 20000, false)
+	env.advance(300)
+	if command.Node != nil || env.finalAnswer[command] != "failed" {
+		t.Errorf("after the memory of its key a retry went out, or %q", env.finalAnswer[command])
+	}
+}
+
+func TestSilentHostIsEjectedAndRetriedGently(t *testing.T) {
+	env := newTestEnv(t, 3, nil)
+	env.router.Groups[0].meanLatency, env.router.Groups[0].samples = 300, 500
+	env.answerReads(60, 300)
+	silent := env.hosts[1]
+	stuck := env.submitUntilSentTo(silent)
+	env.advance(1500)
+	env.refreshPositions()
+	if !silent.ejected {
+		t.Fatal("a silent host was not ejected")
+	}
+	stuck.Ended(Reset, -1, Unknown, 1500, false)
+	env.failIf(stuck.Node == nil || stuck.Node == silent, "the read was not sent elsewhere")
+	env.advance(20000)
+	env.refreshPositions()
+	env.sent = nil
+	for range 6 {
+		env.submit(Bounded, Replayable, "", 0)
+	}
+	if again := env.dispatchesTo(silent); again != 1 {
+		t.Errorf("%d of 6 reads tried the silent host", again)
+	}
+}
+
+func TestErrorIsRetriedOnceElsewhere(t *testing.T) {
+	env := newTestEnv(t, 5, nil)
+	command := env.submit(Bounded, Replayable, "", 0)
+	for range 3 {
+		if command.Node != nil {
+			command.Ended(Errored, env.now-20, Replica, 10, false)
+		}
+	}
+	if command.Sent != 2 || env.sent[0] == env.sent[1] || env.finalAnswer[command] != "throttled" {
+		t.Errorf("%d dispatches to %v, then %q", command.Sent, env.sent, env.finalAnswer[command])
+	}
+}
+
+func TestOwnStallIsNotHostSilence(t *testing.T) {
+	env := newTestEnv(t, 2, nil)
+	held := newTestEnv(t, 1, nil)
+	env.submit(Bounded, Replayable, "", 0)
+	env.advance(100)
+	env.router.Clock(env.now + 90000)
+	env.router.Woke()
+	for _, host := range env.hosts {
+		env.failIf(host.ejected, "a host was taken for silent while the router stood still")
+	}
+	held.hosts[0].limit = 0
+	old := held.submit(Bounded, Replayable, "", 0)
+	held.now += 9000
+	held.router.Clock(held.now)
+	held.submit(Bounded, Replayable, "", 0) // asks for a wake of its own
+	held.router.Woke()
+	env.failIf(held.finalAnswer[old] == "", "what became overdue while the router stood still waits on")
+}
+
+func TestHostOutOfConnectionsIsUp(t *testing.T) {
+	env := newTestEnv(t, 2, nil)
+	host := env.hosts[1]
+	host.quickSentAt = env.now
+	command := env.submitUntilSentTo(host)
+	env.advance(100)
+	command.Ended(Unreached, -1, Unknown, 100, false)
+	if host.unreachable || command.Node == host {
+		t.Error("a host that others had answers from was taken for dead, or asked again for the same command")
+	}
+	for _, other := range slices.Clone(host.inFlight) {
+		other.Ended(Answered, env.now-20, Replica, 100, true)
+	}
+	env.failIf(!slices.Contains(env.closed, host), "an idle connection was kept where others wait for one")
+}
+
+func TestSlowConnectingHostKeepsItsOpenConnections(t *testing.T) {
+	env := newTestEnv(t, 2, nil)
+	host := env.hosts[1]
+	for range 2 { // the first brings a connection up, the second uses it
+		env.answer(env.submitUntilSentTo(host), 300)
+		env.refreshPositions()
+	}
+	command, other := env.submitUntilSentTo(host), env.submitUntilSentTo(host)
+	env.advance(100)
+	command.Ended(Answered, env.now-20, Replica, 100, true)
+	env.advance(2400)
+	other.Ended(Unreached, -1, Unknown, 2500, false) // no connection in all the time that there is
+	env.failIf(host.unreachable || len(env.closed) > 0, "a host that answered is taken for dead, or what is open to it is closed")
+	env.refreshPositions()
+	sent := env.dispatchesTo(host)
+	third := env.submitUntilSentTo(host)
+	env.failIf(env.dispatchesTo(host) == sent, "an open connection is not used")
+	env.refreshPositions()
+	for range 9 {
+		env.submit(Bounded, Replayable, "", 0)
+	}
+	env.failIf(env.dispatchesTo(host) > sent+1, "one more connection is opened to a host that is slow to connect")
+	third.Ended(Answered, env.now-20, Replica, 100, true)
+	env.advance(20100)
+	for range 2 {
+		env.refreshPositions()
+		env.submitUntilSentTo(host) // a new one is opened again
+	}
+}
+
+func TestHostThatOwesItsOnlyCommandIsEjected(t *testing.T) {
+	env := newTestEnv(t, 3, func(next *Deployment) { next.Routers = 120 })
+	command := env.submitUntilSentTo(env.hosts[1])
+	env.advance(3100) // its target; the silence that is unusual is longer
+	env.refreshPositions()
+	env.hosts[1].share = 1
+	before := env.dispatchesTo(env.hosts[1])
+	for range 5 {
+		if next := env.submit(Bounded, Replayable, "", 0); next.Node != nil {
+			env.answer(next, 100)
+		}
+	}
+	env.failIf(env.dispatchesTo(env.hosts[1]) > before, "a host that answers nothing is sent the next command too")
+	command.Ended(TimedOut, -1, Unknown, 8000, true)
+	env.advance(20000)
+	env.refreshPositions()
+	env.answer(env.submitUntilSentTo(env.hosts[1]), 100)
+	env.failIf(env.hosts[1].ejected, "a host that answers again is still ejected")
+}
--- /dev/null
+++ b/policy/planner_test.go
@@ -0,0 +1,95 @@
+package policy
+
+import "testing"
+
+// followsPlanner has a router live by the updates of planners, with no probes.
+func followsPlanner(routers int) func(*Deployment) {
+	return func(d *Deployment) { d.Told, d.Probes, d.Reports, d.Routers = true, false, false, routers }
+}
+
+func TestPlannerUpdateYieldsToNewerAndOwnAnswers(t *testing.T) {
+	env := newTestEnv(t, 3, followsPlanner(1))
+	env.advance(1000)
+	former, primary := env.hosts[0], env.hosts[1]
+	primary.Told(env.now-500, Primary, env.now-500, peerLatencyUnknown)
+	if env.router.replicaSet(1).primary != primary {
+		t.Fatal("the newer update is not followed")
+	}
+	former.Told(env.now-700, Primary, env.now-700, peerLatencyUnknown) // the old one's, relayed late
+	primary.Told(env.now+9999, Primary, env.now+9999, peerLatencyUnknown)
+	if env.router.replicaSet(1).primary != primary || primary.position > env.now {
+		t.Error("an older update, or one of the future, is followed")
+	}
+	command := env.submit(Write, Mutating, "s", 0)
+	sentAt := env.now
+	env.advance(100)
+	command.Ended(Missed, -1, Replica, 100, true)
+	if primary.Told(sentAt-1, Primary, sentAt-1, peerLatencyUnknown); env.router.replicaSet(1).primary == primary {
+		t.Error("an update from before its own refusal makes it the primary again")
+	}
+	if primary.Told(sentAt+50, Primary, sentAt+50, peerLatencyUnknown); env.router.replicaSet(1).primary != primary {
+		t.Error("an update from after its refusal does not")
+	}
+}
+
+func TestUnprovenPrimaryIsTriedNext(t *testing.T) {
+	env := newTestEnv(t, 3, followsPlanner(1))
+	env.answer(env.submit(Write, Mutating, "s", 0), 100)
+	candidate := env.hosts[2]
+	candidate.Told(env.now-5000, Primary, env.now-5000, peerLatencyUnknown) // its log stands where the old primary left it
+	if env.router.replicaSet(1).primary != env.hosts[0] {
+		t.Fatal("it is followed against a newer answer")
+	}
+	env.hosts[0].eject(second)
+	if write := env.submit(Write, Mutating, "s", 0); write.Node != candidate {
+		t.Errorf("asked %v", write.Node)
+	}
+}
+
+func TestHostThatWasDownIsColdWithoutPlanner(t *testing.T) {
+	for _, noPlanner := range []bool{false, true} {
+		env := newTestEnv(t, 2, followsPlanner(1))
+		env.answerReads(20, 100)
+		env.router.Count(1, noPlanner)
+		env.advance(2 * second)
+		env.refreshPositions()
+		host := env.hosts[1]
+		command := env.submitUntilSentTo(host)
+		host.quickSentAt, host.lastAnswerAt = 0, 0
+		command.Ended(Unreached, -1, Unknown, 0, false)
+		env.failIf(!host.ejected || !host.down, "a host that takes no connection is not ejected")
+		env.advance(second)
+		env.refreshPositions()
+		env.answer(env.submitUntilSentTo(host), 100)
+		if host.cold() != noPlanner {
+			t.Errorf("no planner %v, cold %v", noPlanner, host.cold())
+		}
+	}
+}
+
+// Forwarders need no grants: what each may send to a cold host is a part of a mean of its own warm work that starts from
+// nothing, and means of sums are sums of means.
+func TestMovingTrafficDoesNotRaiseColdBudget(t *testing.T) {
+	sum := func(from, to *testEnv) float64 { return from.hosts[0].model.warmRate + to.hosts[0].model.warmRate }
+	from := newTestEnv(t, 2, followsPlanner(2))
+	serve := func(env *testEnv, span Tenth) {
+		for end := env.now + span; env.now < end; {
+			env.answerReads(4, 100)
+			env.advance(max(0, 2*second/10-400))
+		}
+	}
+	serve(from, 40*second)
+	to := newTestEnv(t, 2, followsPlanner(2))
+	before := sum(from, to)
+	for range 10 { // all of it moves to one that has just begun
+		at := to.now
+		serve(to, second)
+		from.advance(to.now - at)
+		if now := sum(from, to); now > 1.1*before || now < before/2 {
+			t.Fatalf("%.4g for both together, %.4g before", now, before)
+		}
+	}
+	if fresh := newTestEnv(t, 2, followsPlanner(2)); fresh.hosts[0].model.warmRate != 0 {
+		t.Error("a restart brings a budget with it")
+	}
+}
--- a/policy/preview_test.go
+++ b/policy/preview_test.go
@@ -5,60 +5,70 @@
 	"testing"
 )
 
-// Two routers with the same seed meet the same day, and only one of them watches another shape.
-func TestWatchingChangesNoDecision(t *testing.T) {
-	day := func(watch bool) (sent string, apart int) {
-		f := start(t, 4, func(d *Deployment) { d.Routers, d.ProbePrice = 120, 0.02 })
-		next := f.r.Deployment
-		groups := make([]*CmdGroup, len(next.Groups))
-		for i, g := range next.Groups {
-			copied := *g
-			groups[i] = &copied
+// Two routers with the same seed get the same commands, and only one of them previews other settings.
+func TestPreviewChangesNoDecision(t *testing.T) {
+	without, _ := playForPreview(t, false)
+	with, differences := playForPreview(t, true)
+	if without != with {
+		t.Errorf("previews changed what was decided:\n%s\n%s", without, with)
+	}
+	if differences < 20 {
+		t.Errorf("only %d of 300 commands would have fared otherwise", differences)
+	}
+}
+
+// playForPreview takes 300 commands, with previews or without. It returns what was sent where, with the state of the router, and
+// how many commands fared otherwise than their preview.
+func playForPreview(t *testing.T, preview bool) (decisions string, differences int) {
+	env := newTestEnv(t, 4, func(d *Deployment) { d.Routers, d.ProbePrice = 120, 0.02 })
+	next := otherSettings(env.router.Deployment)
+	shape := NewShape(next, env.now)
+	for i := range 300 {
+		which := []int{0, 1, 4}[i%3]
+		group := env.router.Groups[which]
+		timeout := env.now + group.Timeout
+		expected, expectedHost := Held, (*Node)(nil)
+		if preview {
+			expected, expectedHost = env.router.Preview(shape, next.Groups[which], group, 1, "s", timeout, 900, false)
 		}
-		groups[0].Need = Any
-		next.Groups, next.Guarded, next.Comeback = groups, true, 0
-		shape := NewShape(next, f.at)
-		for i := range 300 {
-			which := []int{0, 1, 4}[i%3]
-			g, would, there := f.r.Groups[which], Held, (*Node)(nil)
-			if watch {
-				would, there = f.r.Preview(shape, groups[which], g, 1, "s", f.at+g.Timeout, 900, false)
-			}
-			c := f.r.Take(fmt.Sprint(i), g, 1, "s", f.at+g.Timeout, 900, false)
-			if is, to := c.Course(); is != would || to != there {
-				apart++
-			}
-			if c.Node != nil && i%5 > 0 {
-				f.answer(c, Tenth(200+i%7*100))
-			} else {
-				f.wait(300)
-			}
-			for _, n := range f.probes {
-				n.Reported(f.at-2000, Replica)
-				n.Probed(true)
-			}
-			f.probes = nil
+		command := env.router.Take(fmt.Sprint(i), group, 1, "s", timeout, 900, false)
+		if course, host := command.Course(); course != expected || host != expectedHost {
+			differences++
 		}
-		for _, n := range f.sent {
-			sent += n.Name
+		if command.Node != nil && i%5 > 0 {
+			env.answer(command, Tenth(200+i%7*100))
+		} else {
+			env.advance(300)
 		}
-		return sent + fmt.Sprint(len(f.final), f.r.probeCredit, f.r.randomDraws), apart
+		for _, host := range env.probes {
+			host.Reported(env.now-2000, Replica)
+			host.Probed(true)
+		}
+		env.probes = nil
 	}
-	as, _ := day(false)
-	watched, apart := day(true)
-	if as != watched {
-		t.Errorf("watching changed what was decided:\n%s\n%s", as, watched)
+	for _, host := range env.sent {
+		decisions += host.Name
 	}
-	if apart < 20 {
-		t.Errorf("only %d of 300 commands would have fared otherwise", apart)
+	return decisions + fmt.Sprint(len(env.finalAnswer), env.router.probeCredit, env.router.randomDraws), differences
+}
+
+// otherSettings is the deployment with hosts that check reads, no comeback, and reads of any age in the first group.
+func otherSettings(deployment Deployment) Deployment {
+	groups := make([]*CmdGroup, len(deployment.Groups))
+	for i, group := range deployment.Groups {
+		copied := *group
+		groups[i] = &copied
 	}
+	groups[0].Need = Any
+	deployment.Groups, deployment.Guarded, deployment.Comeback = groups, true, 0
+	return deployment
 }
 
 func BenchmarkPreview(b *testing.B) {
-	f := start(&testing.T{}, 6, nil)
-	shape := NewShape(f.r.Deployment, f.at)
-	g := f.r.Groups[1]
+	env := newTestEnv(&testing.T{}, 6, nil)
+	shape := NewShape(env.router.Deployment, env.now)
+	group := env.router.Groups[1]
 	for b.Loop() {
-		f.r.Preview(shape, g, g, 1, "s", f.at+g.Timeout, 900, false)
+		env.router.Preview(shape, group, group, 1, "s", env.now+group.Timeout, 900, false)
 	}
 }
