--- a/policy/probe.go
+++ b/policy/probe.go
@@ -19,7 +19,7 @@
 	for r.Probes {
 		var oldest *Node
 		for _, host := range r.hosts {
-			due := host.probeDue() && host.listState == In && !host.probing
+			due := r.probeDue(host) && host.listState == In && !host.probing
 			if due && (oldest == nil || host.positionAt < oldest.positionAt) {
 				oldest = host
 			}
@@ -37,14 +37,13 @@
 }
 
 // probeDue says whether a probe of the host is due. Where routers tell each other, two of them do for all.
-func (h *Node) probeDue() bool {
-	router := h.set.router
-	if h.unreachable {
-		return router.now >= h.retryAt
+func (r *Router) probeDue(host *Node) bool {
+	if host.unreachable {
+		return r.now >= host.retryAt
 	}
-	aged := router.now >= h.positionAt+router.positionTTL && router.Reports && !router.probesForReads
-	return (h.positionAt == 0 || aged && router.probeCredit >= 1) &&
-		(!router.Peers || router.random()*float64(router.Routers) < 2)
+	aged := r.now >= host.positionAt+r.positionTTL && r.Reports && !r.probesForReads
+	return (host.positionAt == 0 || aged && r.probeCredit >= 1) &&
+		(!r.Peers || r.random()*float64(r.Routers) < 2)
 }
 
 func (r *Router) startProbe(host *Node) {
--- a/policy/router.go
+++ b/policy/router.go
@@ -91,7 +91,7 @@
 	r.evaluatedAt, r.hosts = r.now, slices.DeleteFunc(r.hosts, (*Node).dropIfRemoved)
 	silence := r.unusualSilence()
 	for _, host := range r.hosts {
-		host.evaluate(silence)
+		r.evaluate(host, silence)
 		if host.listState == In && !host.ejected && !host.cold() {
 			host.model.warmSize += host.size
 		}
@@ -110,29 +110,28 @@
 	return Tenth((1 + silenceDeviations) * r.meanLatency)
 }
 
-// evaluate ages what is known of the host's load, and ejects it if it is silent for too long.
-func (h *Node) evaluate(silence Tenth) {
-	router := h.set.router
-	if router.now >= h.peakSince+router.IdleFor/2 {
-		h.openConns = min(h.openConns, (h.peakInFlight+router.Streams-1)/router.Streams)
-		h.peakInFlight, h.peakSince = len(h.inFlight), router.now
-	}
-	h.lateness += (lateRatio/2 - h.lateness) / 400 // a host that is spared is tried again
-	h.share = min(1, h.share*1.0035)
-	inFlight, silentSince := Tenth(len(h.inFlight)), max(h.lastAnswerAt, router.stalledUntil)
-	if inFlight > 0 && router.now-silentSince > silence*max(1, 4-inFlight) {
-		h.eject(silence)
-	}
-	for _, command := range h.inFlight {
+// evaluate ages what is known of a host's load, and ejects the host if it is silent for too long.
+func (r *Router) evaluate(host *Node, silence Tenth) {
+	if r.now >= host.peakSince+r.IdleFor/2 {
+		host.openConns = min(host.openConns, (host.peakInFlight+r.Streams-1)/r.Streams)
+		host.peakInFlight, host.peakSince = len(host.inFlight), r.now
+	}
+	host.lateness += (lateRatio/2 - host.lateness) / 400 // a host that is spared is tried again
+	host.share = min(1, host.share*1.0035)
+	inFlight, silentSince := Tenth(len(host.inFlight)), max(host.lastAnswerAt, r.stalledUntil)
+	if inFlight > 0 && r.now-silentSince > silence*max(1, 4-inFlight) {
+		host.eject(silence)
+	}
+	for _, command := range host.inFlight {
 		wasOverdue := command.overdue
-		command.overdue = router.now >= command.sentAt+command.group.Target
-		if wasOverdue || !command.overdue || command.sentAt <= h.quickSentAt {
+		command.overdue = r.now >= command.sentAt+command.group.Target
+		if wasOverdue || !command.overdue || command.sentAt <= host.quickSentAt {
 			continue // if a command sent later was answered in good time, the answer is lost, and the host is well
 		}
-		h.rate(1, 0, len(h.inFlight)-1)
-		h.shareState(1)
-		if inFlight == 1 && silentSince <= command.sentAt && h != h.set.primary {
-			h.eject(second) // all that this router knows of it
+		host.rate(1, 0, len(host.inFlight)-1)
+		host.shareState(1)
+		if inFlight == 1 && silentSince <= command.sentAt && host != host.set.primary {
+			host.eject(second) // all that this router knows of it
 		}
 	}
 }
