--- a/internal/router/trace/tool/tool_test.go
+++ b/internal/router/trace/tool/tool_test.go
@@ -18,10 +18,14 @@
 	"ferrypitch/policy"
 )
 
+// base is the time of the first event, in tenths of a millisecond.
 const base = int64(17672256000000)
 
-// day is a router's file: commands of sessions at hosts, whose clock is ahead by offset and drifts.
-func day(t *testing.T, dir, router string, seed uint64, seconds int, offset int64, drift float64) string {
+// allTime is a window of every event.
+var allTime = Window{First: -1 << 62}
+
+// writeTrace writes a router's file: commands of sessions at a host. The router's clock is ahead by offset and drifts.
+func writeTrace(t *testing.T, dir, router string, seed uint64, seconds int, offset int64, drift float64) string {
 	t.Helper()
 	deployment, err := record.Deployment(policy.Deployment{Zone: "zone of " + router, Groups: []*policy.CmdGroup{{Target: 2500}, {Target: 2500}}})
 	if err != nil {
@@ -29,92 +33,128 @@
 	}
 	groups, _ := record.Groups([]string{"list", "order"})
 	path := filepath.Join(dir, router+".fptrace")
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	o, err := NewOutput(f, format.Header{Router: router, Life: seed, Part: 1000, Schema: record.Schema,
-		More: map[string][]byte{"deployment": deployment, "groups": groups, "later": []byte("Ms Someone")}})
+	output, err := NewOutput(file, format.Header{
+		Router: router, Life: seed, Part: 1000, Schema: record.Schema,
+		More: map[string][]byte{"deployment": deployment, "groups": groups, "later": []byte("Ms Someone")},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	chance := rand.New(rand.NewPCG(seed, 3))
+	random := rand.New(rand.NewPCG(seed, 3))
 	put := func(at int64, kind int, ints []int64, texts ...string) {
 		at += offset + int64(drift*float64(at-base))
-		if err := o.Add(format.Event{At: at, Kind: kind, Ints: ints, Texts: texts}); err != nil {
+		if err := output.Add(format.Event{At: at, Kind: kind, Ints: ints, Texts: texts}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	put(base, record.Host, []int64{1, 1}, "host-of-the-set")
 	put(base, record.Heard, nil, "free words of viewer-007")
 	for k := range int64(seconds * 5) {
-		at := base + k*2000 + chance.Int64N(1500)
+		at := base + k*2000 + random.Int64N(1500)
 		put(at, record.Take, []int64{k + 1, k % 2, 1, at + 10000, 0, 0}, fmt.Sprintf("id-%d", k), fmt.Sprintf("viewer-%03d", k%20))
 		put(at+2, record.Dispatch, []int64{k + 1, 1, 0, 0, 0, 1000})
-		took := 40 + chance.Int64N(60)
+		took := 40 + random.Int64N(60)
 		put(at+2+took, record.Ended, []int64{k + 1, int64(policy.Answered), at + took - 20, int64(policy.Primary), took, 0})
 	}
-	if err := o.Close(); err != nil {
+	if err := errors.Join(output.Close(), file.Close()); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-func all(t *testing.T, path string) (*Source, []format.Event) {
+// readAll reads all events of a file.
+func readAll(t *testing.T, path string) (*Source, []format.Event) {
 	t.Helper()
-	s, err := Open(path)
+	source, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.Close() })
+	closeAtEnd(t, source)
 	var events []format.Event
-	if err := s.Each(Window{First: -1 << 62}, nil, func(e format.Event) error { events = append(events, e); return nil }); err != nil {
+	if err := source.Each(allTime, nil, func(event format.Event) error { events = append(events, event); return nil }); err != nil {
 		t.Fatal(err)
 	}
-	return s, events
+	return source, events
 }
 
-func TestNoIdentityOutlivesAnonymising(t *testing.T) {
-	dir := t.TempDir()
-	s, events := all(t, day(t, dir, "router-one", 1, 20, 0, 0))
+func closeAtEnd(t *testing.T, source *Source) {
+	t.Helper()
+	t.Cleanup(func() {
+		if err := source.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// encode returns a file of events.
+func encode(t *testing.T, header format.Header, events []format.Event) []byte {
+	t.Helper()
 	var out bytes.Buffer
-	a := NewAnonymous([32]byte{1})
-	h, err := a.Header(s.Header)
+	output, err := NewOutput(&out, header)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, _ := NewOutput(&out, h)
-	for _, e := range events {
-		if err := o.Add(a.Event(e)); err != nil {
+	for _, event := range events {
+		if err := output.Add(event); err != nil {
 			t.Fatal(err)
 		}
 	}
-	o.Close()
+	if err := output.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return out.Bytes()
+}
+
+func writeFile(t *testing.T, path string, data []byte) {
+	t.Helper()
+	if err := os.WriteFile(path, data, 0o600); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestAnonymizedFileContainsNoIdentity(t *testing.T) {
+	dir := t.TempDir()
+	source, events := readAll(t, writeTrace(t, dir, "router-one", 1, 20, 0, 0))
+	anonymizer := NewAnonymous([32]byte{1})
+	header, err := anonymizer.Header(source.Header)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var anonymous []format.Event
+	for _, event := range events {
+		anonymous = append(anonymous, anonymizer.Event(event))
+	}
+	encoded := encode(t, header, anonymous)
 	file := filepath.Join(dir, "out")
-	os.WriteFile(file, out.Bytes(), 0o600)
-	_, got := all(t, file)
-	clear := bytes.Clone(out.Bytes()) // the file, and all that is in its blocks unpacked
-	for _, e := range got {
-		clear = append(clear, strings.Join(e.Texts, "\x00")...)
+	writeFile(t, file, encoded)
+	_, got := readAll(t, file)
+	searched := bytes.Clone(encoded) // the file, and the texts in its blocks, uncompressed
+	for _, event := range got {
+		searched = append(searched, strings.Join(event.Texts, "\x00")...)
 	}
 	words := map[string]bool{"router-one": true, "zone of router-one": true, "Ms Someone": true, "viewer": true, "free words": true, "host-of-the-set": true}
-	for _, e := range events {
-		for _, text := range e.Texts {
+	for _, event := range events {
+		for _, text := range event.Texts {
 			if len(text) > 3 {
 				words[text] = true
 			}
 		}
 	}
-	for w := range words {
+	for word := range words {
 		wide := []byte{}
-		for _, u := range utf16.Encode([]rune(w)) {
+		for _, u := range utf16.Encode([]rune(word)) {
 			wide = append(wide, byte(u), byte(u>>8))
 		}
-		for form, b := range map[string][]byte{"as it is": []byte(w), "hexadecimal": []byte(hex.EncodeToString([]byte(w))),
-			"base64": []byte(base64.StdEncoding.EncodeToString([]byte(w))), "UTF-16": wide, "reversed case": []byte(strings.ToUpper(w))} {
-			if bytes.Contains(clear, b) {
-				t.Errorf("%q is found, %s", w, form)
+		for form, b := range map[string][]byte{
+			"as it is": []byte(word), "hexadecimal": []byte(hex.EncodeToString([]byte(word))),
+			"base64": []byte(base64.StdEncoding.EncodeToString([]byte(word))), "UTF-16": wide, "reversed case": []byte(strings.ToUpper(word)),
+		} {
+			if bytes.Contains(searched, b) {
+				t.Errorf("%q is found, %s", word, form)
 			}
 		}
 	}
@@ -123,15 +163,17 @@
 	}
 }
 
-func TestOneIdentityHasOnePseudonymUnderOneKeyAndAnotherUnderAnother(t *testing.T) {
+func TestPseudonymDependsOnKeyAlone(t *testing.T) {
 	dir := t.TempDir()
 	word := func(key byte, router string) string {
-		s, events := all(t, day(t, dir, router, 1, 4, 0, 0))
-		a := NewAnonymous([32]byte{key})
-		a.Header(s.Header)
-		for _, e := range events {
-			if e.Kind == record.Take && e.Texts[1] == "viewer-003" {
-				return a.Event(e).Texts[1]
+		source, events := readAll(t, writeTrace(t, dir, router, 1, 4, 0, 0))
+		anonymizer := NewAnonymous([32]byte{key})
+		if _, err := anonymizer.Header(source.Header); err != nil {
+			t.Fatal(err)
+		}
+		for _, event := range events {
+			if event.Kind == record.Take && event.Texts[1] == "viewer-003" {
+				return anonymizer.Event(event).Texts[1]
 			}
 		}
 		return ""
@@ -142,194 +184,210 @@
 	}
 }
 
-func TestFilesOfClocksThreeSecondsApartAndDriftingMergeInOrder(t *testing.T) {
-	dir := t.TempDir()
-	const offset, drift = 30000, 200e-6
-	sources := [2]*Source{}
-	delays := [2]*Delays{}
-	feeds := []Feed{}
-	for i, path := range []string{day(t, dir, "a", 1, 200, 0, 0), day(t, dir, "b", 2, 200, offset, drift)} {
-		s, events := all(t, path)
-		sources[i], delays[i] = s, NewDelays(s.Header.Schema)
-		for _, e := range events {
-			delays[i].Add(e)
-		}
-		feed, err := s.Feed()
-		if err != nil {
-			t.Fatal(err)
+// openForMerge returns a file's header, delays and feed, and keeps nothing open.
+func openForMerge(t *testing.T, path string) (format.Header, *Delays, Feed) {
+	t.Helper()
+	source, err := Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	delays := NewDelays(source.Header.Schema)
+	if err := source.Each(allTime, nil, func(event format.Event) error { delays.Add(event); return nil }); err != nil {
+		t.Fatal(err)
+	}
+	feed, err := source.Feed()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := source.Close(); err != nil {
+		t.Fatal(err)
+	}
+	return source.Header, delays, feed
+}
+
+// mergeInOrder merges, checks that times do not go back and returns the number of events.
+func mergeInOrder(t *testing.T, feeds []Feed, skews []Skew, check func(event format.Event, number int)) int {
+	t.Helper()
+	last, n := int64(0), 0
+	if err := Merge(feeds, skews, func(event format.Event) error {
+		if event.At < last {
+			t.Fatalf("%d after %d", event.At, last)
 		}
-		feeds = append(feeds, feed)
+		last = event.At
+		check(event, n)
+		n++
+		return nil
+	}); err != nil {
+		t.Fatal(err)
 	}
-	skew, err := Estimate("b", delays[0], delays[1])
+	return n
+}
+
+func TestMergeCorrectsOffsetAndDrift(t *testing.T) {
+	dir := t.TempDir()
+	const offset, drift = 30000, 200e-6
+	_, firstDelays, firstFeed := openForMerge(t, writeTrace(t, dir, "a", 1, 200, 0, 0))
+	_, otherDelays, otherFeed := openForMerge(t, writeTrace(t, dir, "b", 2, 200, offset, drift))
+	skew, err := Estimate("b", firstDelays, otherDelays)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, at := range []int64{base, base + 1000000, base + 2000000} {
 		theirs := at + offset + int64(drift*float64(at-base))
-		if off := skew.At(theirs) - at; off > 40 || off < -40 {
+		if off := skew.Correct(theirs) - at; off > 40 || off < -40 {
 			t.Errorf("%.1f s on: off by %.1f ms, bound %.1f", float64(at-base)/10000, float64(off)/10, skew.Bound/10)
 		}
 	}
 	if skew.Seen < 10 || skew.Bound > 100 {
 		t.Errorf("%+v", skew)
 	}
-	last, n, order := int64(0), 0, [2]int64{}
-	if err := Merge(feeds, []Skew{{}, skew}, func(e format.Event) error {
-		if e.At < last {
-			t.Fatalf("%d after %d", e.At, last)
+	lastCommand := [2]int64{} // by router
+	n := mergeInOrder(t, []Feed{firstFeed, otherFeed}, []Skew{{}, skew}, func(event format.Event, _ int) {
+		if event.Kind != record.Take {
+			return
 		}
-		router := e.Ints[len(e.Ints)-1]
-		if e.Kind == record.Take {
-			if e.Ints[0] != order[router]+1 {
-				t.Fatalf("router %d: command %d after %d", router, e.Ints[0], order[router])
-			}
-			order[router] = e.Ints[0]
+		router := event.Ints[len(event.Ints)-1]
+		if event.Ints[0] != lastCommand[router]+1 {
+			t.Fatalf("router %d: command %d after %d", router, event.Ints[0], lastCommand[router])
 		}
-		last = e.At
-		n++
-		return nil
-	}); err != nil {
-		t.Fatal(err)
-	}
+		lastCommand[router] = event.Ints[0]
+	})
 	if n != 2*(2+3*1000) {
 		t.Errorf("%d events", n)
 	}
 }
 
-func TestRoutersThatSawNothingInCommonAreNotMergedByGuess(t *testing.T) {
-	a, b := NewDelays(record.Schema), NewDelays(record.Schema)
-	if _, err := Estimate("b", a, b); !errors.Is(err, ErrApart) {
+func TestEstimateNeedsCommonHosts(t *testing.T) {
+	first, other := NewDelays(record.Schema), NewDelays(record.Schema)
+	if _, err := Estimate("b", first, other); !errors.Is(err, ErrNoOverlap) {
 		t.Error(err)
 	}
 }
 
-func TestACutByTimeReadsNoOtherBlocksAndByGroupNoOtherCommands(t *testing.T) {
-	path := day(t, t.TempDir(), "a", 1, 4000, 0, 0)
-	s, err := Open(path)
+func TestWindowAndFilterSelect(t *testing.T) {
+	path := writeTrace(t, t.TempDir(), "a", 1, 4000, 0, 0)
+	source, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	f := Filter{Groups: map[int64]bool{1: true}}
-	f.Begin(s.Header.Schema)
+	closeAtEnd(t, source)
+	filter := Filter{Groups: map[int64]bool{1: true}}
+	filter.Begin(source.Header.Schema)
 	n := 0
-	w := Window{base + 20000000, base + 20100000}
-	if err := s.Each(w, nil, func(e format.Event) error {
-		if !w.has(e.At) {
-			t.Fatal(e)
+	window := Window{base + 20000000, base + 20100000}
+	if err := source.Each(window, nil, func(event format.Event) error {
+		if !window.contains(event.At) {
+			t.Fatal(event)
 		}
-		if f.Has(e) {
-			if n++; e.Kind == record.Take && e.Ints[1] != 1 {
-				t.Fatal(e)
+		if filter.Has(event) {
+			if n++; event.Kind == record.Take && event.Ints[1] != 1 {
+				t.Fatal(event)
 			}
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if s.Blocks > 2 || len(s.Spans) < 5 || n < 60 || n > 80 {
-		t.Errorf("%d of %d blocks read, %d events", s.Blocks, len(s.Spans), n)
+	if source.Blocks > 2 || len(source.Spans) < 5 || n < 60 || n > 80 {
+		t.Errorf("%d of %d blocks read, %d events", source.Blocks, len(source.Spans), n)
 	}
 }
 
-func TestASummaryCountsEveryCommandOnce(t *testing.T) {
-	s, events := all(t, day(t, t.TempDir(), "a", 1, 100, 0, 0))
-	sum := NewSummary(s.Header)
-	for _, e := range events {
-		sum.Add(e)
+// summarize returns the summary of a trace of 250 commands in each of two groups.
+func summarize(t *testing.T) (*Summary, []format.Event) {
+	t.Helper()
+	source, events := readAll(t, writeTrace(t, t.TempDir(), "a", 1, 100, 0, 0))
+	sum := NewSummary(source.Header)
+	for _, event := range events {
+		sum.Add(event)
 	}
-	// What is doubled or comes without its beginning counts for nothing.
+	return sum, events
+}
+
+func TestSummaryCountsEveryCommandOnce(t *testing.T) {
+	sum, events := summarize(t)
+	// A repeated event, and one of a command that was not taken, count for nothing.
 	sum.Add(events[len(events)-1])
 	sum.Add(format.Event{Kind: record.Fail, Ints: []int64{99999}})
 	sum.Add(format.Event{At: base, Kind: record.Take, Ints: []int64{88888, 0, 1, 0, 0, 0}, Texts: []string{"x", "y"}})
 	lines := sum.Lines()
-	if len(lines) != 2 || lines[0].Group != "list" || lines[0].Taken != 251 || lines[0].Answered != 250 || lines[0].Open != 1 || lines[1].Taken != 250 {
+	if len(lines) != 2 || lines[1].Taken != 250 {
 		t.Fatalf("%+v", lines)
 	}
-	if l := lines[1]; l.Dispatches != 1 || l.Replicas != 0 || l.Median < 4 || l.P99 > 11 || l.Waited < 0.1 || l.Waited > 0.3 {
-		t.Errorf("%+v", l)
+	if line := lines[0]; line.Group != "list" || line.Taken != 251 || line.Answered != 250 || line.Open != 1 {
+		t.Fatalf("%+v", lines)
+	}
+	if line := lines[1]; line.Dispatches != 1 || line.Replicas != 0 || line.Median < 4 || line.P99 > 11 {
+		t.Errorf("%+v", line)
+	}
+	if line := lines[1]; line.Waited < 0.1 || line.Waited > 0.3 {
+		t.Errorf("%+v", line)
 	}
-	if d := Diff(lines, lines[:1]); len(d) != 2 || d[1].Taken != [2]int64{250, 0} {
-		t.Errorf("%+v", d)
+}
+
+func TestDiffHasGroupsOfEitherSide(t *testing.T) {
+	sum, _ := summarize(t)
+	lines := sum.Lines()
+	if diff := Diff(lines, lines[:1]); len(diff) != 2 || diff[1].Taken != [2]int64{250, 0} {
+		t.Errorf("%+v", diff)
 	}
 }
 
-func TestABrokenFileIsReadUpToItsBreakAndRepairedWithItsIndex(t *testing.T) {
+func TestTruncatedFileIsReadAndRepaired(t *testing.T) {
 	dir := t.TempDir()
-	path := day(t, dir, "a", 1, 4000, 0, 0)
-	whole, _ := os.ReadFile(path)
-	os.WriteFile(path, whole[:len(whole)*2/3], 0o600)
-	s, events := all(t, path)
-	if s.Spans != nil || s.Broken == nil || len(events) < 10000 {
-		t.Errorf("%v, %d events", s.Broken, len(events))
+	path := writeTrace(t, dir, "a", 1, 4000, 0, 0)
+	whole, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
 	}
-	var out bytes.Buffer
-	o, _ := NewOutput(&out, s.Header)
-	for _, e := range events {
-		o.Add(e)
-	}
-	o.Close()
-	mended := filepath.Join(dir, "mended")
-	os.WriteFile(mended, out.Bytes(), 0o600)
-	if again, same := all(t, mended); again.Spans == nil || again.Broken != nil || len(same) != len(events) {
+	writeFile(t, path, whole[:len(whole)*2/3])
+	source, events := readAll(t, path)
+	if source.Spans != nil || source.Broken == nil || len(events) < 10000 {
+		t.Errorf("%v, %d events", source.Broken, len(events))
+	}
+	repaired := filepath.Join(dir, "repaired")
+	writeFile(t, repaired, encode(t, source.Header, events))
+	if again, same := readAll(t, repaired); again.Spans == nil || again.Broken != nil || len(same) != len(events) {
 		t.Errorf("%v, %d events", again.Broken, len(same))
 	}
 }
 
-func TestFortyFilesMergeWithTwoDescriptors(t *testing.T) {
-	dir := t.TempDir()
-	open := func() int {
-		all, err := os.ReadDir("/proc/self/fd")
-		if err != nil {
-			t.Skip("no list of descriptors here")
-		}
-		return len(all)
+// openDescriptors returns how many file descriptors the process has.
+func openDescriptors(t *testing.T) int {
+	t.Helper()
+	descriptors, err := os.ReadDir("/proc/self/fd")
+	if err != nil {
+		t.Skip("no list of descriptors here")
 	}
-	before := open()
+	return len(descriptors)
+}
+
+func TestMergeOfFortyFilesNeedsTwoDescriptors(t *testing.T) {
+	dir := t.TempDir()
+	before := openDescriptors(t)
 	var feeds []Feed
 	var first *Delays
 	var skews []Skew
 	for i := range 40 {
-		s, err := Open(day(t, dir, fmt.Sprintf("r%02d", i), uint64(i+1), 30, int64(i)*500, 0))
-		if err != nil {
-			t.Fatal(err)
-		}
-		d := NewDelays(s.Header.Schema)
-		if err := s.Each(Window{First: -1 << 62}, nil, func(e format.Event) error { d.Add(e); return nil }); err != nil {
-			t.Fatal(err)
-		}
-		feed, err := s.Feed()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := s.Close(); err != nil {
-			t.Fatal(err)
-		}
+		header, delays, feed := openForMerge(t, writeTrace(t, dir, fmt.Sprintf("r%02d", i), uint64(i+1), 30, int64(i)*500, 0))
 		if first == nil {
-			first = d
+			first = delays
 		}
-		skew, err := Estimate(s.Header.Router, first, d)
+		skew, err := Estimate(header.Router, first, delays)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if off := skew.At(base+int64(i)*500) - base; off > 60 || off < -60 {
+		if off := skew.Correct(base+int64(i)*500) - base; off > 60 || off < -60 {
 			t.Errorf("router %d is off by %.1f ms", i, float64(off)/10)
 		}
 		feeds, skews = append(feeds, feed), append(skews, skew)
 	}
-	n, most, last := 0, 0, int64(0)
-	if err := Merge(feeds, skews, func(e format.Event) error {
-		if e.At < last {
-			t.Fatalf("%d after %d", e.At, last)
-		}
-		if last = e.At; n%500 == 0 {
-			most = max(most, open())
+	most := 0
+	n := mergeInOrder(t, feeds, skews, func(_ format.Event, number int) {
+		if number%500 == 0 {
+			most = max(most, openDescriptors(t))
 		}
-		n++
-		return nil
-	}); err != nil {
-		t.Fatal(err)
-	}
+	})
 	if n != 40*(2+3*150) || most > before+2 {
 		t.Errorf("%d events, %d descriptors, %d before", n, most, before)
 	}
--- a/policy/route.go
+++ b/policy/route.go
@@ -5,180 +5,190 @@
 	"slices"
 )
 
-// Take is the ordinary path of a command, up to its first dispatch.
-func (r *Router) Take(name string, g *CmdGroup, set int64, session string, timeout, since Tenth,
-	again bool) *Cmd {
-	c := &Cmd{Name: name, set: r.set(set), group: g, session: session, taken: r.now, target: r.now + g.Target,
-		timeout: timeout, benefit: g.Benefit, luck: r.chance()}
-	// First tries all have the same time. Another one is a repeat with all that is left to the client; its
-	// response target counts from the first try. Guards against jams made of repeats.
-	given := timeout - r.now
-	if max(given-g.given, g.given-given) <= 2*r.Tick {
-		g.votes = min(g.votes+1, 64)
-	} else if g.votes--; g.votes < 0 && !again {
-		g.given, g.votes = given, 0
-	} else {
-		c.target = min(c.target, timeout-g.Timeout+g.Target)
-	}
-	if c.target <= r.now {
-		c.benefit *= g.LateShare
-	}
-	r.worth += (c.rank() - r.worth) / 64
-	r.credit = min(r.credit+r.spend/max(r.ProbePrice, r.spend), 16)
-	r.words = min(r.words+r.pay(), 128*float64(r.Routers))
-	if g.Need == Session {
-		c.token = r.token(session)
-	}
-	if g.Need == Fresh || g.Need == Session && since > 0 { // since is 0 for fresh reads
-		c.token = max(c.token, r.now-r.Zero-since)
+// Take dispatches, queues or rejects a command that came in. timeout is when its client gives up, since the
+// span from its session's last write to now (0: not known), again whether the client calls it a retry.
+func (r *Router) Take(
+	name string, group *CmdGroup, set int64, session string, timeout, since Tenth, again bool,
+) *Cmd {
+	c := &Cmd{
+		Name: name, set: r.replicaSet(set), group: group, session: session, submittedAt: r.now,
+		targetAt: r.now + group.Target, timeoutAt: timeout, benefit: group.Benefit, draw: r.random(),
+	}
+	if group.isRetry(timeout-r.now, 2*r.Tick, again) { // its target counts from the client's first attempt
+		c.targetAt = min(c.targetAt, timeout-group.Timeout+group.Target)
+	}
+	if c.targetAt <= r.now {
+		c.benefit *= group.LateShare
+	}
+	r.meanPriority += (c.priority() - r.meanPriority) / 64
+	r.probeCredit = min(r.probeCredit+r.probeSpend/max(r.ProbePrice, r.probeSpend), 16)
+	r.peerCredit = min(r.peerCredit+r.peerBytesPerCommand(), 128*float64(r.Routers))
+	if group.Need == Session {
+		c.minPosition = r.sessionToken(session)
+	}
+	if group.Need == Fresh || group.Need == Session && since > 0 { // since is 0 for the first
+		c.minPosition = max(c.minPosition, r.now-r.Zero-since)
 	}
 	if !c.route() {
-		c.hold()
+		c.enqueue()
 	}
 	return c
 }
 
-// route finds a place for a command and dispatches it, or says that there is none now.
-func (c *Cmd) route() bool {
-	s, r, p := c.set, c.set.r, c.set.primary
-	if c.group.Need == Write {
-		return c.write()
-	}
-	need := c.token
-	if c.group.Need == Bounded {
-		need = r.now - r.Zero - c.group.Bound
-	}
-	best, fresh := (*Node)(nil), c.group.Need == Fresh
-	if !fresh {
-		if best = s.least(c, func(n *Node) bool { return n.reached(need) }); best != nil && !c.lucky(best.share) {
-			return false // what crowded hosts shed must not fall on the others
-		}
-		if best != nil && p != nil && r.chance() < spillShare && p.open(c, 0.5) && p.crowd < 1.3*best.crowd &&
-			p.load() <= best.load() {
-			best = p
-		}
-	}
-	if best == nil && !fresh && s.ask(c, need) {
+// isRetry tells a client's retry, which has the time left to the client, from first attempts, which all have
+// the same; a majority teaches which. Guards against overload that retries keep up.
+func (g *CmdGroup) isRetry(left, tolerance Tenth, again bool) bool {
+	if max(left-g.firstTryTime, g.firstTryTime-left) <= tolerance {
+		g.firstTryVotes = min(g.firstTryVotes+1, 64)
 		return false
 	}
-	if best == nil && p != nil && p.open(c, 0.7) && c.lucky(p.share) && (fresh || p.crowd < 1.5*late) {
-		best = p
+	if g.firstTryVotes--; g.firstTryVotes >= 0 || again {
+		return true
 	}
-	return best != nil && c.dispatch(best, need)
+	g.firstTryTime, g.firstTryVotes = left, 0
+	return false
+}
+
+// route dispatches a command, or says that no host can take it now.
+func (c *Cmd) route() bool {
+	switch c.group.Need {
+	case Write:
+		return c.routeWrite()
+	case Fresh:
+		return c.routeToPrimary(c.minPosition)
+	case Bounded:
+		return c.routeRead(c.set.router.now - c.set.router.Zero - c.group.Bound)
+	}
+	return c.routeRead(c.minPosition)
 }
 
-// ask has a replica say where it stands, for a read that none is known to be new enough for, and says that
-// the answer is awaited. Where hundreds of routers share nothing, what one knows of a host is as old as its
-// last command there, and the primary would take all reads.
-func (s *Set) ask(c *Cmd, need Tenth) bool {
-	r := s.r
-	if !r.asks || r.now < s.askedTo {
-		return r.asks
-	}
-	n := (*Node)(nil)
-	if c.asks < 2 && r.credit >= 1 {
-		n = s.least(c, func(n *Node) bool {
-			return !n.probing && !n.left && n != c.asked && !n.reached(need) && c.lucky(n.share)
-		})
-	}
-	if n == nil {
+// routeRead dispatches a read to a replica that has the position, else to the primary.
+func (c *Cmd) routeRead(position Tenth) bool {
+	host := c.set.leastLoaded(c, func(host *Node) bool { return host.hasReached(position) })
+	switch {
+	case host == nil && c.set.probeForRead(c, position):
 		return false
-	}
-	c.asks++
-	r.credit--
-	c.asked, s.asked, s.askedTo = n, n, r.now+c.group.Target/16
-	r.probeAt(n)
-	return true
+	case host == nil:
+		return c.routeToPrimary(position)
+	case !c.withinShare(host.share):
+		return false // what an overloaded replica sheds must not fall on the others
+	case c.spillsFrom(host):
+		host = c.set.primary
+	}
+	return c.dispatch(host, position)
 }
 
-// write sends to the primary. With none known, or that one silent, members are tried, one every few ticks.
-func (c *Cmd) write() bool {
-	s, r := c.set, c.set.r
-	if p := s.primary; p != nil && !p.left || r.Led {
-		return p != nil && p.open(c, 1) && c.lucky(p.share) && c.dispatch(p, 0)
-	}
-	for i := 0; i < len(s.members) && r.now >= s.lookAt && 2*c.Sent < r.Dispatches; i++ {
-		n := s.members[s.next%len(s.members)]
-		if s.next++; !n.left && !slices.Contains(c.tried, n) && n.open(c, 1) {
-			s.lookAt = r.now + 4*r.Tick
-			return c.dispatch(n, 0)
-		}
-	}
-	return false
+// spillsFrom says whether the primary, with half of its limit for this, takes a read in place of a replica.
+func (c *Cmd) spillsFrom(replica *Node) bool {
+	primary := c.set.primary
+	return primary != nil && c.set.router.random() < spillShare && primary.accepts(c, 0.5) &&
+		primary.lateness < 1.3*replica.lateness && primary.load() <= replica.load()
 }
 
-// least is the least loaded of the replicas that will do. The more routers there are, the more chance
-// decides, in proportion, so that all do not move to one host at once.
-func (s *Set) least(c *Cmd, will func(*Node) bool) (best *Node) {
-	blind, least := 1.01-1/float64(s.r.Routers), 0.0
-	for _, n := range s.members {
-		if n == s.primary || !will(n) || slices.Contains(c.tried, n) || !n.open(c, 1) {
-			continue
-		}
-		if l := n.load() / n.share * math.Pow(-math.Log(1-s.r.chance()), blind); best == nil || l < least {
-			best, least = n, l
+// routeToPrimary dispatches a read to the primary, which keeps part of its limit for writes.
+func (c *Cmd) routeToPrimary(position Tenth) bool {
+	primary := c.set.primary
+	return primary != nil && primary.accepts(c, 0.7) && c.withinShare(primary.share) &&
+		(c.group.Need == Fresh || primary.lateness < 1.5*lateRatio) && c.dispatch(primary, position)
+}
+
+// routeWrite dispatches to the primary. If none is known, or it is silent, members are tried every few ticks.
+func (c *Cmd) routeWrite() bool {
+	set, router := c.set, c.set.router
+	if primary := set.primary; primary != nil && !primary.ejected || router.Led {
+		return primary != nil && primary.accepts(c, 1) && c.withinShare(primary.share) && c.dispatch(primary, 0)
+	}
+	if router.now < set.nextTryAt || 2*c.Sent >= router.Dispatches {
+		return false
+	}
+	for range set.members {
+		host := set.members[set.nextCandidate%len(set.members)]
+		if set.nextCandidate++; !host.ejected && !slices.Contains(c.tried, host) && host.accepts(c, 1) {
+			set.nextTryAt = router.now + queueTicks*router.Tick
+			return c.dispatch(host, 0)
 		}
 	}
-	return best
+	return false
 }
 
-// reached says that a member is at or past a position. Where hosts check reads themselves, one expected
-// there or long unheard of will do, lest members go unused since positions aged; a wrong guess costs a
-// miss.
-func (n *Node) reached(need Tenth) bool {
-	r := n.set.r
-	return need <= 0 || n.known && n.pos >= need ||
-		r.Guarded && (n.known && r.now-r.Zero-n.lag+r.Wait*2/5 >= need ||
-			r.now >= n.posAt+second && len(n.out) == 0)
+// probeForRead probes a replica if none is known to have the position, and says whether an answer is awaited.
+// Hundreds of routers that share nothing would know too little of replicas, and the primary would take all.
+func (s *replicaSet) probeForRead(c *Cmd, position Tenth) bool {
+	router := s.router
+	if !router.probesForReads || router.now < s.probedUntil {
+		return router.probesForReads
+	}
+	if c.probes >= 2 || router.probeCredit < 1 {
+		return false
+	}
+	host := s.leastLoaded(c, func(host *Node) bool {
+		return !host.probing && !host.ejected && host != c.lastProbed && !host.hasReached(position) &&
+			c.withinShare(host.share)
+	})
+	if host == nil {
+		return false
+	}
+	c.probes++
+	router.probeCredit--
+	c.lastProbed, s.probed, s.probedUntil = host, host, router.now+c.group.Target/16
+	router.startProbe(host)
+	return true
 }
 
-func (n *Node) load() float64 { return float64(n.busy()+1) * (n.crowd + late/4) / n.size }
-
-// busy is what is out, but for what is long past its target: lost answers must not fill the cap.
-func (n *Node) busy() (hoped int) {
-	for _, c := range n.out {
-		if !c.late || n.crowd > late && n.set.r.now < c.sentAt+2*c.group.Target {
-			hoped++
+// leastLoaded is the suitable replica with the least load. The more routers there are, the more chance
+// decides, so that they do not all move to one host at once.
+func (s *replicaSet) leastLoaded(c *Cmd, suitable func(*Node) bool) (best *Node) {
+	chanceWeight, least := 1.01-1/float64(s.router.Routers), 0.0
+	for _, host := range s.members {
+		if host == s.primary || !suitable(host) || slices.Contains(c.tried, host) || !host.accepts(c, 1) {
+			continue
+		}
+		load := host.load() / host.share * math.Pow(-math.Log(1-s.router.random()), chanceWeight)
+		if best == nil || load < least {
+			best, least = host, load
 		}
 	}
-	return hoped
+	return best
 }
 
-func (c *Cmd) dispatch(n *Node, need Tenth) bool {
-	r := c.set.r
-	if len(n.out) == 0 {
-		n.since = r.now
-	}
-	if n.left {
-		n.backoff, n.trialAt = min(2*n.backoff, 2*second), r.now+min(2*n.backoff, 2*second)
-	}
-	c.opens = !n.carries()
-	n.out, n.spare = append(n.out, c), n.spare-c.work()
-	n.peak = max(n.peak, len(n.out))
-	c.Node, c.sentAt, c.sentFor, c.Sent, c.held, c.late, c.SendBy = n, r.now, need, c.Sent+1, false, false, 0
-	if c.group.Need == Bounded && n != c.set.primary && !r.Guarded { // else a slow connection makes it stale
-		c.SendBy = n.pos + r.Zero + c.group.Bound
-	}
-	wait := (c.target - r.now) / 2 // an answer usually much sooner is lost past it: ask elsewhere
-	if c.group.Effect != Replayable || wait < Tenth(5*c.group.latency) {
+// dispatch sends the command to a host, which needs the position.
+func (c *Cmd) dispatch(host *Node, position Tenth) bool {
+	router := c.set.router
+	if len(host.inFlight) == 0 {
+		host.lastAnswerAt = router.now
+	}
+	if host.ejected {
+		host.backoff = min(2*host.backoff, 2*second)
+		host.retryAt = router.now + host.backoff
+	}
+	c.opensConn = !host.hasFreeStream()
+	host.inFlight, host.coldBudget = append(host.inFlight, c), host.coldBudget-c.work()
+	host.peakInFlight = max(host.peakInFlight, len(host.inFlight))
+	c.Node, c.sentAt, c.neededPosition, c.SendBy = host, router.now, position, 0
+	c.Sent, c.queued, c.overdue = c.Sent+1, false, false
+	if c.group.Need == Bounded && host != c.set.primary && !router.Guarded { // may wait to connect
+		c.SendBy = host.position + router.Zero + c.group.Bound
+	}
+	wait := (c.targetAt - router.now) / 2 // past this a usually much faster answer is lost: ask elsewhere
+	if c.group.Effect != Replayable || wait < Tenth(5*c.group.meanLatency) {
 		wait = 0
 	}
-	r.caller.Dispatch(c, n, wait)
+	router.caller.Dispatch(c, host, wait)
 	return true
 }
 
-// stamp keeps the greatest token of a session, in bounded room.
-func (r *Router) stamp(session string, pos Tenth) {
-	if len(r.tokens) >= sessions {
-		r.floor = r.now - r.Zero
+// recordWrite keeps the greatest write position of a session, in bounded memory.
+func (r *Router) recordWrite(session string, position Tenth) {
+	if len(r.tokens) >= maxSessionTokens {
+		r.tokenFloor = r.now - r.Zero
 		clear(r.tokens)
 	}
-	r.tokens[session] = max(pos, r.token(session))
+	r.tokens[session] = max(position, r.sessionToken(session))
 }
 
-func (r *Router) token(session string) Tenth {
-	if t, ok := r.tokens[session]; ok || !r.Kept {
-		return t
+func (r *Router) sessionToken(session string) Tenth {
+	if position, ok := r.tokens[session]; ok || !r.Kept {
+		return position
 	}
-	return r.floor
+	return r.tokenFloor
 }
