--- a/policy/router.go
+++ b/policy/router.go
@@ -1,3 +1,5 @@
+// doc.go says how the module is called and what its mechanisms are; its interface is api.go.
+
 package policy
 
 import "slices"
@@ -16,6 +18,7 @@
 	lateRatio          = 0.3         // of the response target: a mean latency that shows overload
 	spillShare         = 0.125       // of reads that the primary may take if it has less to do
 	maxSessionTokens   = 1 << 12
+	windowSeconds      = 8 // the span that a window sums up
 	faultLimit         = 6 // fault points at which the command itself is taken to be at fault
 )
 
--- a/policy/window.go
+++ b/policy/window.go
@@ -2,8 +2,6 @@
 
 import "math"
 
-const windowSeconds = 8
-
 // window sums up the values of the last seconds in buckets of a second, which are used again.
 type window [windowSeconds]struct {
 	at                  Tenth // in seconds
