--- /dev/null
+++ b/internal/fake/database/socket.go
@@ -0,0 +1,105 @@
+package database
+
+import (
+	"net"
+	"strings"
+	"time"
+
+	"ferrypitch/internal/wire"
+)
+
+const (
+	readBufferBytes = 2048
+	writeTimeout    = time.Second
+)
+
+// socketSession is a client's connection to a host over a socket: CONNECT first, then statements.
+type socketSession struct {
+	server *Server
+	host   *Host
+	socket net.Conn
+	input  []byte // received and not handled yet
+	conn   *Conn  // nil before CONNECT
+}
+
+// serve handles a connection until either side ends it.
+func (s *Server) serve(socket net.Conn, host *Host) {
+	session := &socketSession{server: s, host: host, socket: socket}
+	defer session.close()
+	for {
+		line, ok := session.readLine()
+		if !ok || !session.handle(line) {
+			return
+		}
+	}
+}
+
+func (s *socketSession) close() {
+	s.server.scheduler.Lock()
+	defer s.server.scheduler.Unlock()
+	if s.conn != nil {
+		s.conn.Close()
+	}
+}
+
+// readLine returns the next line, or false when the connection ends or sends what is no line.
+func (s *socketSession) readLine() (line string, ok bool) {
+	for {
+		line, consumed, err := wire.CutLine(s.input, 0)
+		if err != nil {
+			return "", false
+		}
+		if consumed > 0 {
+			s.input = s.input[consumed:]
+			return string(line), true
+		}
+		var buffer [readBufferBytes]byte
+		n, err := s.socket.Read(buffer[:])
+		if n == 0 && err != nil {
+			return "", false
+		}
+		s.input = append(s.input, buffer[:n]...)
+	}
+}
+
+// handle runs one line under the scheduler's lock; false ends the connection.
+func (s *socketSession) handle(line string) bool {
+	s.server.scheduler.Lock()
+	defer s.server.scheduler.Unlock()
+	if !s.host.Up {
+		return false
+	}
+	if s.conn == nil {
+		return s.connect(line)
+	}
+	request, rest := cutWord(line)
+	id, text := cutWord(rest)
+	if request == "QUERY" && s.host.Conns[s.conn] {
+		s.conn.Query(id, text)
+	}
+	return true
+}
+
+// connect handles the first line, CONNECT SERVICE WHO [HOST]; a client that means another service or host is rejected.
+func (s *socketSession) connect(line string) bool {
+	fields := strings.SplitN(line, " ", 4)
+	if fields[0] != "CONNECT" || len(fields) < 3 || fields[1] != s.server.config.Service ||
+		len(fields) == 4 && fields[3] != s.host.ID {
+		s.socket.Write(wire.AppendError(nil, wire.CodeWrongNode, s.host.ID))
+		return false
+	}
+	s.conn = s.host.Connect()
+	s.conn.Broke = func() { s.socket.Close() }
+	s.conn.Answer = s.respond
+	s.socket.Write(wire.AppendIdle(nil, stateIdle, s.host.At(s.host.Seen())))
+	return true
+}
+
+// respond writes an answer after a span.
+func (s *socketSession) respond(after int64, response wire.Response) {
+	output := wire.AppendIdle(response.Lines, response.State, response.Position)
+	s.server.After(after, func() {
+		s.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
+		s.socket.Write(output)
+	})
+}
--- /dev/null
+++ b/internal/fake/database/statement.go
@@ -0,0 +1,179 @@
+package database
+
+import (
+	"fmt"
+
+	"ferrypitch/internal/wire"
+)
+
+// Verbs of statements.
+const (
+	verbFence    = "FENCE"
+	verbExecute  = "EXECUTE"
+	verbSet      = "SET"
+	verbReset    = "RESET"
+	verbPrepare  = "PREPARE"
+	verbClose    = "CLOSE"
+	verbBegin    = "BEGIN"
+	verbCommit   = "COMMIT"
+	verbAbort    = "ABORT"
+	verbFetch    = "FETCH"
+	verbStore    = "STORE"
+	verbStat     = "STAT"
+	verbPause    = "PAUSE"
+	verbResume   = "RESUME"
+	verbStepDown = "STEPDOWN"
+)
+
+// Ranges of the time that statements take.
+const (
+	minReadTime  = Ms
+	maxReadTime  = 8 * Ms
+	minWriteTime = Ms
+	maxWriteTime = 5 * Ms
+)
+
+// statement is what a client sent, without its fence, and with the text of its prepared statement in place of its name.
+type statement struct {
+	id        string
+	verb      string
+	arguments string
+	fence     *wire.Position // the position that it must see; nil: none
+}
+
+// stamp is the line that ends the answer to a statement that reads or writes data.
+func (s *statement) stamp() string { return stampPrefix + s.id }
+
+// Query runs a statement; its answer comes by Answer.
+func (c *Conn) Query(id, text string) {
+	s := &statement{id: id}
+	s.verb, s.arguments = cutWord(text)
+	if s.verb == verbFence {
+		position, fenced := cutWord(s.arguments)
+		fence, err := wire.ParsePosition([]byte(position))
+		if err != nil {
+			c.reject(wire.CodeMalformed)
+			return
+		}
+		s.fence = &fence
+		s.verb, s.arguments = cutWord(fenced)
+	}
+	if s.verb == verbExecute {
+		name, arguments := cutWord(s.arguments)
+		prepared, ok := c.Names[name]
+		if !ok {
+			c.fail(wire.CodeUnknown)
+			return
+		}
+		s.verb, _ = cutWord(prepared)
+		s.arguments = arguments
+	}
+	if c.State == stateFailed && s.verb != verbCommit && s.verb != verbAbort {
+		c.reject(wire.CodeMalformed)
+		return
+	}
+	c.run(s)
+}
+
+func (c *Conn) run(s *statement) {
+	switch s.verb {
+	case verbSet, verbReset, verbPrepare, verbClose:
+		c.changeSession(s)
+	case verbBegin:
+		c.begin(s)
+	case verbCommit:
+		c.commitTransaction(s)
+	case verbAbort:
+		c.endTransaction()
+		c.respond(0, doneWithoutStamp)
+	case verbFetch:
+		c.fetch(s)
+	case verbStore:
+		c.store(s)
+	case verbStat, verbPause, verbResume, verbStepDown:
+		var term uint64
+		// Without a number, as after STAT, it stays 0, which is greater than no host's.
+		_, _ = fmt.Sscan(s.arguments, &term)
+		c.respondStatus(c.H.Control(s.verb, term))
+	default:
+		c.reject(wire.CodeMalformed)
+	}
+}
+
+// changeSession sets and clears the values and prepared statements of the session.
+func (c *Conn) changeSession(s *statement) {
+	name, value := cutWord(s.arguments)
+	switch s.verb {
+	case verbSet:
+		c.Values[name] = value
+	case verbPrepare:
+		c.Names[name] = value
+	case verbClose:
+		delete(c.Names, s.arguments)
+	case verbReset:
+		c.Values, c.Names = map[string]string{}, map[string]string{}
+	}
+	c.respond(0, doneWithoutStamp)
+}
+
+// behind reports whether the host lacks the position that a statement must see.
+func (c *Conn) behind(s *statement) bool { return s.fence != nil && !c.H.Visible(*s.fence) }
+
+func (c *Conn) begin(s *statement) {
+	readOnly := s.arguments == verbFetch
+	switch {
+	case c.behind(s):
+		c.reject(wire.CodeLagging)
+	case s.arguments == "" && !c.H.Leader:
+		c.reject(wire.CodeReadOnly)
+	default:
+		c.State, c.ReadOnly, c.Began, c.pendingWrites = stateInTransaction, readOnly, s.id, nil
+		c.respond(0, doneWithoutStamp)
+	}
+}
+
+func (c *Conn) commitTransaction(s *statement) {
+	failed, writes := c.State == stateFailed, c.pendingWrites
+	c.endTransaction()
+	switch {
+	case failed:
+		c.reject(wire.CodeAborted)
+	case len(writes) == 0:
+		c.respond(0, s.stamp())
+	case !c.H.Leader:
+		c.reject(wire.CodeReadOnly)
+	default:
+		c.commit(s.stamp(), writes)
+	}
+}
+
+func (c *Conn) fetch(s *statement) {
+	group := c.H.group
+	switch {
+	case c.behind(s):
+		c.fail(wire.CodeLagging)
+	case c.State == stateInTransaction && !c.ReadOnly && !c.H.Leader:
+		c.fail(wire.CodeReadOnly)
+	default:
+		if group.Read != nil {
+			group.Read(c.H, c, s.id)
+		}
+		c.respond(group.Between(minReadTime, maxReadTime), "ROW "+s.arguments, s.stamp())
+	}
+}
+
+func (c *Conn) store(s *statement) {
+	group := c.H.group
+	_, data := cutWord(s.arguments) // after the name of the table
+	switch {
+	case !c.H.Leader || c.State == stateInTransaction && c.ReadOnly:
+		c.fail(wire.CodeReadOnly)
+	case c.State == stateInTransaction:
+		c.pendingWrites = append(c.pendingWrites, data)
+		c.respond(group.Between(minWriteTime, maxWriteTime), s.stamp())
+	case group.Refused > 0 && group.OneIn(group.Refused):
+		c.reject(wire.CodeRetry)
+	default:
+		c.commit(s.stamp(), []string{data})
+	}
+}
--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -41,7 +41,7 @@
 		if c.at < r.First-2*database.Second {
 			return
 		}
-		if c.at < r.First-bound && !h.Has(c.pos) {
+		if c.at < r.First-bound && !h.Visible(c.pos) {
 			j.Violate("STALE: a read of %s (%s) at %s of %s misses %s, acknowledged %.1f ms before it", r.Session, r.Kind,
 				h.At(h.Seen()), h.ID, c.pos, float64(r.First-c.at)/database.Ms)
 			return
@@ -70,7 +70,7 @@
 	if code != "" || len(data) == 0 {
 		return
 	}
-	at, ok := j.Group.Find(data[0])
+	at, ok := j.Group.FindWrite(data[0])
 	if !ok {
 		j.Violate("LOST: %s was acknowledged and is in no log", data[0])
 		return
@@ -102,7 +102,7 @@
 		j.Violate("nobody leads in the end")
 		return
 	}
-	times := lead.Times()
+	times := lead.WriteCounts()
 	for d, told := range j.tries {
 		switch n := times[d]; {
 		case n > 1:
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/simulation/cluster/cluster.go
@@ -100,7 +100,7 @@
 			p.Stop()
 		}
 		end()
-		s.work.End()
+		s.work.Stop()
 		if s.hosts != nil {
 			s.hosts.Wait()
 		}
@@ -149,7 +149,9 @@
 		binaries[program] = binary
 	}
 	var err error
-	if s.hosts, err = database.Serve(ctx, s.work, "db", hosts, s.address(4, 0, provider), calls); err != nil {
+	if s.hosts, err = database.Serve(ctx, s.work, database.ServerConfig{
+		Service: "db", Hosts: hosts, Platform: s.address(4, 0, provider), ControlPlane: calls,
+	}); err != nil {
 		return err
 	}
 	s.judge = &checker.Checker{Bounds: map[string]int64{"bounded": 1000 * database.Ms, "owned": 1500 * database.Ms}, Own: map[string]bool{"owned": true},
@@ -321,7 +323,7 @@
 	}
 	s.work.Lock()
 	s.judge.CheckFinalLog()
-	s.result.Kept, s.result.Leads = s.judge.AcknowledgedWrites(), s.hosts.Promoted
+	s.result.Kept, s.result.Leads = s.judge.AcknowledgedWrites(), s.hosts.Promotions
 	s.work.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
