--- a/cmd/ferrylab/demo.go
+++ b/cmd/ferrylab/demo.go
@@ -90,7 +90,7 @@
 	for _, step := range []func() error{
 		func() error { h.Kill(); return nil },
 		func() error {
-			err := h.Return()
+			err := h.Restart()
 			i.Told(h, "up")
 			return err
 		}} {
@@ -165,7 +165,7 @@
 func host(address string) string { h, _, _ := strings.Cut(address, ":"); return h }
 func port(address string) string { _, p, _ := strings.Cut(address, ":"); return p }
 
-func report(t *workload.Tally, truth postgres.Truth) result {
+func report(t *workload.Tally, truth postgres.Stats) result {
 	r := result{Sent: t.Sent, Answered: t.Answered, Throttled: t.Throttled, Failed: t.Failed, Answers: t.Answers,
 		Broken: truth.Broken() + t.Lost + t.Extra + t.Late, Notes: truth.Notes,
 		Median: float64(t.Latency.ValueAtQuantile(50)) / 1000, P99: float64(t.Latency.ValueAtQuantile(99)) / 1000}
--- /dev/null
+++ b/internal/fake/postgres/command.go
@@ -0,0 +1,104 @@
+package postgres
+
+import (
+	"math"
+	"time"
+
+	"ferrypitch/internal/router/protocol"
+)
+
+// boundTolerance is added to a staleness bound, for the time that a command is on its way.
+const boundTolerance = 50 * time.Millisecond
+
+// Statements that the router sends as health checks.
+const (
+	healthCheckQuery = "SELECT 1"
+	loadQuery        = "SHOW server_load"
+)
+
+// command is what the comment of a statement says about it.
+type command struct {
+	id     string
+	group  string
+	writes bool
+	// afterMs is the position that a read must see, as a Unix time in milliseconds; 0: none.
+	afterMs float64
+	arrived time.Time
+}
+
+// answer runs one statement and returns the messages of its answer; false ends the connection without one. The fleet is not
+// locked.
+func (h *Host) answer(statement string) (response []byte, ok bool) {
+	fleet := h.fleet
+	fleet.mu.Lock()
+	defer fleet.mu.Unlock()
+	now := time.Now()
+	if statement == healthCheckQuery || statement == loadQuery {
+		fleet.stats.Probes++
+		return h.row("1", h.appliedUntil(now)), true
+	}
+	id, group, _, _, _, after, _, writes, err := protocol.Comment([]byte(statement))
+	if err != nil {
+		return h.reject(protocolViolation, now), true
+	}
+	cmd := &command{id: id, group: group, writes: writes, afterMs: after, arrived: now}
+	fleet.stats.Commands++
+	h.checkDrain(cmd)
+	if !h.admit(now) {
+		fleet.stats.Rejected++
+		return h.reject(protocol.TooMany, now), true
+	}
+	if !h.occupySlot(writes) {
+		return nil, false
+	}
+	if writes {
+		return h.write(cmd), true
+	}
+	return h.read(cmd), true
+}
+
+func (h *Host) checkDrain(cmd *command) {
+	fleet := h.fleet
+	if !h.drainedAt.IsZero() && cmd.arrived.After(h.drainedAt.Add(fleet.config.DrainGrace)) {
+		fleet.stats.AfterDrain++
+		fleet.note("%s: %s %v after the notice of its drain", h.Name, cmd.id, cmd.arrived.Sub(h.drainedAt))
+	}
+}
+
+// write commits a command's write at the primary.
+func (h *Host) write(cmd *command) []byte {
+	fleet, set, now := h.fleet, h.replicaSet(), time.Now()
+	if !h.isPrimary() {
+		fleet.stats.NotPrimary++
+		return h.reject(protocol.ReadOnly, now)
+	}
+	fleet.stats.Writes++
+	fleet.executions[cmd.id]++
+	if runs := fleet.executions[cmd.id]; runs > 1 && fleet.config.AtMostOnce[cmd.group] {
+		fleet.stats.DuplicateWrites++
+		fleet.note("%s: %s ran %d times", h.Name, cmd.id, runs)
+	}
+	commit := now
+	if !commit.After(set.lastCommit) {
+		commit = set.lastCommit.Add(time.Microsecond)
+	}
+	set.lastCommit = commit
+	fleet.stats.AnswersByHost[h.Name]++
+	return h.row(h.Name+" "+cmd.id+" "+formatPosition(commit), commit)
+}
+
+// read runs a command's read, and checks that the host has what it must see.
+func (h *Host) read(cmd *command) []byte {
+	fleet := h.fleet
+	applied := h.appliedUntil(time.Now())
+	required := time.UnixMicro(int64(math.Ceil(cmd.afterMs * 1000)))
+	if bound, bounded := fleet.config.StalenessBounds[cmd.group]; bounded {
+		required = cmd.arrived.Add(-bound - boundTolerance)
+	}
+	if !h.isPrimary() && applied.Before(required) {
+		fleet.stats.StaleReads++
+		fleet.note("%s: %s read %v behind", h.Name, cmd.id, required.Sub(applied))
+	}
+	fleet.stats.AnswersByHost[h.Name]++
+	return h.row(h.Name+" "+cmd.id, applied)
+}
--- a/internal/simulation/tierfleet/tierfleet.go
+++ b/internal/simulation/tierfleet/tierfleet.go
@@ -31,10 +31,19 @@
 const Grace = 1050 * time.Millisecond
 
 // Terms of stand-in hosts that fit Settings.
-func Terms() postgres.Terms {
-	return postgres.Terms{Work: 4 * time.Millisecond, Slots: 8, Queue: 256, ColdFrom: 0.25, ColdFor: 8 * time.Second, Fall: 4,
-		FallSpan: 1500 * time.Millisecond, Grace: Grace, Bounds: map[string]time.Duration{"list": time.Second},
-		Once: map[string]bool{"order": true}}
+func Terms() postgres.Config {
+	return postgres.Config{
+		WorkTime:          4 * time.Millisecond,
+		Slots:             8,
+		QueueLimit:        256,
+		ColdStartFraction: 0.25,
+		WarmUpTime:        8 * time.Second,
+		OverloadFactor:    4,
+		OverloadWindow:    1500 * time.Millisecond,
+		DrainGrace:        Grace,
+		StalenessBounds:   map[string]time.Duration{"list": time.Second},
+		AtMostOnce:        map[string]bool{"order": true},
+	}
 }
 
 // settings state a deployment, in the form that routers read.
@@ -95,7 +104,7 @@
 }
 
 func entry(h *postgres.Host, state string) discovery.Entry {
-	return discovery.Entry{UID: h.Name, Endpoint: h.Address(), Set: h.Set, State: state, Size: 1, Boot: h.Boot()}
+	return discovery.Entry{UID: h.Name, Endpoint: h.Address(), Set: h.Set, State: state, Size: 1, Boot: h.StartedAtMs()}
 }
 
 // Told has discovery tell of a host, which then counts a drain from now.
@@ -104,7 +113,7 @@
 	if state == "up" {
 		at = time.Time{}
 	}
-	h.Drain(at)
+	h.SetDrained(at)
 }
 
 // Planners are their addresses.
--- a/internal/simulation/tierfleet/trace_test.go
+++ b/internal/simulation/tierfleet/trace_test.go
@@ -55,7 +55,7 @@
 	h := f.Hosts.Hosts()[1]
 	time.AfterFunc(time.Second, h.Kill)
 	back := time.AfterFunc(2*time.Second, func() {
-		h.Return()
+		h.Restart()
 		f.Told(h, "up")
 	})
 	defer back.Stop()
--- a/internal/simulation/tierprocess/tierprocess.go
+++ b/internal/simulation/tierprocess/tierprocess.go
@@ -38,7 +38,7 @@
 type Outcome struct {
 	Terms
 	Tally                                                  *workload.Tally `json:"-"`
-	Truth                                                  postgres.Truth
+	Truth                                                  postgres.Stats
 	Sent, Answered, Throttled, Failed, Lost, Extra, Unsent int
 	Broken                                                 int
 	Doubled                                                int     // acknowledged writes that ran more than once
@@ -215,7 +215,7 @@
 			}
 			h.Kill()
 			wait(ctx, time.Second)
-			if err := h.Return(); err != nil {
+			if err := h.Restart(); err != nil {
 				return err
 			}
 			r.fleet.Told(h, "up")
@@ -250,7 +250,7 @@
 				break
 			}
 		}
-		if err := old.Return(); err != nil {
+		if err := old.Restart(); err != nil {
 			return err
 		}
 		r.fleet.Told(old, "up")
@@ -285,7 +285,7 @@
 	return time.Now().Before(r.until)
 }
 
-func (r *run) outcome(t *workload.Tally, before postgres.Truth, took time.Duration) *Outcome {
+func (r *run) outcome(t *workload.Tally, before postgres.Stats, took time.Duration) *Outcome {
 	truth := r.fleet.Hosts.Seen()
 	o := &Outcome{Terms: r.Terms, Tally: t, Truth: truth, Sent: t.Sent, Answered: t.Answered, Throttled: t.Throttled, Failed: t.Failed,
 		Lost: t.Lost, Extra: t.Extra, Unsent: t.Unsent, Broken: truth.Broken() + t.Lost + t.Extra + t.Late,
@@ -293,7 +293,7 @@
 		Behind: float64(t.Behind.Microseconds()) / 1000, ListLines: r.fleet.Discovery.Written(),
 		ProbesPerSecond: float64(truth.Probes-before.Probes) / took.Seconds()}
 	for _, id := range t.Acked {
-		if r.fleet.Hosts.Ran(id) != 1 {
+		if r.fleet.Hosts.Executions(id) != 1 {
 			o.Doubled++
 		}
 	}
