--- a/internal/simulation/tierprocess/tierprocess.go
+++ b/internal/simulation/tierprocess/tierprocess.go
@@ -290,7 +290,7 @@
 	o := &Outcome{Terms: r.Terms, Tally: t, Truth: truth, Sent: t.Sent, Answered: t.Answered, Throttled: t.Throttled, Failed: t.Failed,
 		Lost: t.Lost, Extra: t.Extra, Unsent: t.Unsent, Broken: truth.Broken() + t.Lost + t.Extra + t.Late,
 		Median: float64(t.Latency.ValueAtQuantile(50)) / 1000, P99: float64(t.Latency.ValueAtQuantile(99)) / 1000,
-		Behind: float64(t.Behind.Microseconds()) / 1000, ListLines: r.fleet.Discovery.Written(),
+		Behind: float64(t.Behind.Microseconds()) / 1000, ListLines: r.fleet.Discovery.LinesWritten(),
 		ProbesPerSecond: float64(truth.Probes-before.Probes) / took.Seconds()}
 	for _, id := range t.Acked {
 		if r.fleet.Hosts.Executions(id) != 1 {
