--- a/internal/simulation/scheduler/scheduler.go
+++ b/internal/simulation/scheduler/scheduler.go
@@ -1,5 +1,6 @@
-// Package scheduler plays seeded worlds on one thread: events in the order of their moments, chance from the seed, and what
-// broke. Worlds of the simulated networks stand on it.
+// Package scheduler runs seeded simulations on one goroutine. A simulation schedules events in virtual time, draws its
+// random choices from the seed, and records the faults it causes and the violations it finds; the same seed gives the same
+// run. Simulated networks, control planes and databases embed a Scheduler.
 package scheduler
 
 import (
@@ -7,113 +8,74 @@
 	"math/rand/v2"
 )
 
-// Scheduler is one run. Moments are in units of which PerMs make a millisecond.
+const (
+	// randomStream is the stream of the random generator: with a seed, it decides all draws.
+	randomStream = 7
+	// maxViolations limits what is recorded, since a simulation goes on after the first violation.
+	maxViolations = 10
+)
+
+// Scheduler is one run of a simulation. It is not safe for use by several goroutines.
 type Scheduler struct {
-	Now        int64
-	Zero       int64 // when the world began
-	PerMs      int64
-	Rand       *rand.Rand
+	// Now is the virtual time.
+	Now int64
+	// Zero is the virtual time at which the run began.
+	Zero int64
+	// PerMs is how many units of virtual time are a millisecond.
+	PerMs int64
+	// Rand is the source of all random choices.
+	Rand *rand.Rand
+	// Violations describes the first rules that were broken.
 	Violations []string
-	FaultLog   []string // the faults
-
-	events events
-	Serial int // a number drawn by whoever needs one, and by events
-}
+	// FaultLog describes the faults that the simulation caused.
+	FaultLog []string
+	// Serial is the last number given to an event. A simulation may count it up to get a number of its own.
+	Serial int
 
-// New begins a world of a seed at a moment.
-func New(seed uint64, zero, perMs int64) *Scheduler {
-	return &Scheduler{Now: zero, Zero: zero, PerMs: perMs, Rand: rand.New(rand.NewPCG(seed, 7))}
+	events eventQueue
 }
 
-type event struct {
-	at     int64
-	serial int
-	do     func()
-}
-
-// events are a heap; its own, since container/heap boxes each event, and worlds have millions.
-type events []event
-
-func (e event) before(o event) bool { return e.at < o.at || e.at == o.at && e.serial < o.serial }
-
-func (e *events) push(v event) {
-	*e = append(*e, v)
-	all := *e
-	at := len(all) - 1
-	for at > 0 {
-		up := (at - 1) / 2
-		if !v.before(all[up]) {
-			break
-		}
-		all[at] = all[up]
-		at = up
-	}
-	all[at] = v
-}
-
-func (e *events) pop() event {
-	all := *e
-	first, last := all[0], all[len(all)-1]
-	all[len(all)-1] = event{}
-	all = all[:len(all)-1]
-	*e = all
-	if len(all) == 0 {
-		return first
-	}
-	at := 0
-	for {
-		down := 2*at + 1
-		if down >= len(all) {
-			break
-		}
-		if down+1 < len(all) && all[down+1].before(all[down]) {
-			down++
-		}
-		if !all[down].before(last) {
-			break
-		}
-		all[at] = all[down]
-		at = down
-	}
-	all[at] = last
-	return first
+// New returns a scheduler for the run of a seed that begins at a virtual time, in units of which perMs are a millisecond.
+func New(seed uint64, start, perMs int64) *Scheduler {
+	return &Scheduler{Now: start, Zero: start, PerMs: perMs, Rand: rand.New(rand.NewPCG(seed, randomStream))}
 }
 
-// After has something done after a span.
-func (w *Scheduler) After(after int64, do func()) {
-	w.Serial++
-	w.events.push(event{w.Now + max(0, after), w.Serial, do})
+// After schedules an event after a span; a negative span counts as 0. Events of one moment run in the order in which they
+// were scheduled.
+func (s *Scheduler) After(after int64, do func()) {
+	s.Serial++
+	s.events.push(event{s.Now + max(0, after), s.Serial, do})
 }
 
-// RunFor goes on for a span.
-func (w *Scheduler) RunFor(span int64) {
-	end := w.Now + span
-	for len(w.events) > 0 && w.events[0].at <= end {
-		e := w.events.pop()
-		w.Now = e.at
-		e.do()
+// RunFor runs the events of the next span, with those that they schedule within it.
+func (s *Scheduler) RunFor(span int64) {
+	end := s.Now + span
+	for len(s.events) > 0 && s.events[0].at <= end {
+		next := s.events.pop()
+		s.Now = next.at
+		next.do()
 	}
-	w.Now = max(w.Now, end)
+	s.Now = max(s.Now, end)
 }
 
-// Violate notes that a rule is broken.
-func (w *Scheduler) Violate(format string, args ...any) {
-	if len(w.Violations) < 10 {
-		w.Violations = append(w.Violations, w.at()+fmt.Sprintf(format, args...))
+// Violate records that a rule is broken.
+func (s *Scheduler) Violate(format string, args ...any) {
+	if len(s.Violations) < maxViolations {
+		s.Violations = append(s.Violations, s.timestamp()+fmt.Sprintf(format, args...))
 	}
 }
 
-// Note notes a fault.
-func (w *Scheduler) Note(format string, args ...any) {
-	w.FaultLog = append(w.FaultLog, w.at()+fmt.Sprintf(format, args...))
+// Note records a fault.
+func (s *Scheduler) Note(format string, args ...any) {
+	s.FaultLog = append(s.FaultLog, s.timestamp()+fmt.Sprintf(format, args...))
 }
 
-func (w *Scheduler) at() string {
-	return fmt.Sprintf("%.1f ms: ", float64(w.Now-w.Zero)/float64(w.PerMs))
+func (s *Scheduler) timestamp() string {
+	return fmt.Sprintf("%.1f ms: ", float64(s.Now-s.Zero)/float64(s.PerMs))
 }
 
-// Between draws from a to b, both included.
-func (w *Scheduler) Between(a, b int64) int64 { return a + w.Rand.Int64N(b-a+1) }
+// Between draws a number from a to b, both included.
+func (s *Scheduler) Between(a, b int64) int64 { return a + s.Rand.Int64N(b-a+1) }
 
-// OneIn says yes once in n.
-func (w *Scheduler) OneIn(n int) bool { return w.Rand.IntN(n) == 0 }
+// OneIn is true with a probability of 1/n.
+func (s *Scheduler) OneIn(n int) bool { return s.Rand.IntN(n) == 0 }
