--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -1,5 +1,9 @@
-// Package checker holds what clients were told against what stand-in hosts ran and kept: no stale read, no write lost or
-// twice, each promise kept. Seeded worlds and runs on sockets share it. Its calls are made by one goroutine at a time.
+// Package checker judges what clients were answered by what simulated hosts ran and kept: no read is stale, no acknowledged
+// write is lost, no write is in the log twice, and no write is kept whose client was told that nothing is kept. Seeded
+// simulations and runs on sockets share it.
+//
+// A client reports each write before it sends it (ReportAttempt) and the answer to it (ReportAnswer or
+// ReportNothingKept); the hosts have each read checked as it runs (CheckRead); CheckFinalLog comes last.
 package checker
 
 import (
@@ -7,110 +11,138 @@
 	"ferrypitch/internal/wire"
 )
 
-// Checker is of one service. Moments are in the units of the database's stage.
+// checkWindow limits how far before a read the check of it goes back. It is longer than every staleness bound in use. A host
+// that lacks an older commit lacks all after it too, some of which lie in the window while writes go on.
+const checkWindow = 2 * database.Second
+
+// Checker judges one service. Times are in the units of a database.Scheduler. Its methods are called by one goroutine at a
+// time. The fields are set before the first call.
 type Checker struct {
-	Bounds  map[string]int64 // how old reads of a kind of route may be
-	Own     map[string]bool  // kinds whose sessions see their own writes
-	Group   *database.Group
+	// Bounds is how old reads may be, by the kind of their route; reads of other kinds see every acknowledged write.
+	Bounds map[string]int64
+	// Own is the kinds of routes whose sessions see all their own writes.
+	Own map[string]bool
+	// Group is the hosts.
+	Group *database.Group
+	// Violate is called for each violation.
 	Violate func(format string, args ...any)
 
-	commits []commit
-	tries   map[string]string // data of a write -> what its client was told last
+	commits  []commit // in the order of their acknowledgement
+	outcomes map[string]outcome
 }
 
+// outcome is what the client of a write was told, by the write's data.
+type outcome int
+
+const (
+	unknown      outcome = iota // not answered, or with an error that leaves it open
+	acknowledged                // it is kept
+	notKept                     // it is not kept, and never will be
+)
+
+// commit is an acknowledged transaction or single write.
 type commit struct {
-	at      int64
-	pos     wire.Position
-	session string
+	acknowledgedAt int64
+	position       wire.Position
+	session        string
 }
 
-// Reader is who reads: since when, for a transaction since its beginning.
+// Reader is the client of a read.
 type Reader struct {
-	Kind, Session string
-	First         int64
+	// Kind is the kind of its route.
+	Kind string
+	// Session names the client's session.
+	Session string
+	// First is when the read was sent, or the first statement of its transaction.
+	First int64
 }
 
-// CheckRead asserts, as a read runs, that it misses nothing that it must see.
-func (j *Checker) CheckRead(h *database.Host, r Reader) {
-	bounded, own := j.Bounds[r.Kind], j.Own[r.Kind]
-	for i := len(j.commits) - 1; i >= 0; i-- {
-		c, bound := &j.commits[i], bounded
-		if own && c.session == r.Session {
+// CheckRead checks, as a read runs at a host, that it misses no commit that it must see.
+func (c *Checker) CheckRead(h *database.Host, reader Reader) {
+	kindBound, seesOwn := c.Bounds[reader.Kind], c.Own[reader.Kind]
+	for i := len(c.commits) - 1; i >= 0; i-- {
+		commit, bound := &c.commits[i], kindBound
+		if seesOwn && commit.session == reader.Session {
 			bound = 0
 		}
-		if c.at < r.First-2*database.Second {
+		if commit.acknowledgedAt < reader.First-checkWindow {
 			return
 		}
-		if c.at < r.First-bound && !h.Visible(c.pos) {
-			j.Violate("STALE: a read of %s (%s) at %s of %s misses %s, acknowledged %.1f ms before it", r.Session, r.Kind,
-				h.At(h.Seen()), h.ID, c.pos, float64(r.First-c.at)/database.Ms)
+		if commit.acknowledgedAt < reader.First-bound && !h.Visible(commit.position) {
+			age := float64(reader.First-commit.acknowledgedAt) / database.Ms
+			c.Violate("STALE: a read of %s (%s) at %s of %s misses %s, acknowledged %.1f ms before it",
+				reader.Session, reader.Kind, h.At(h.Seen()), h.ID, commit.position, age)
 			return
 		}
 	}
 }
 
-// ReportAttempt notes that a write is sent.
-func (j *Checker) ReportAttempt(data string) {
-	if j.tries == nil {
-		j.tries = map[string]string{}
+// ReportAttempt takes in that a write is sent. The data of each write is its own.
+func (c *Checker) ReportAttempt(data string) {
+	if c.outcomes == nil {
+		c.outcomes = map[string]outcome{}
 	}
-	j.tries[data] = ""
+	c.outcomes[data] = unknown
 }
 
-// ReportAnswer takes in the answer to what ends a write: the write itself, or the COMMIT of several.
-func (j *Checker) ReportAnswer(session string, data []string, code wire.Code, now int64) {
-	for _, d := range data {
-		switch {
-		case code == "":
-			j.tries[d] = "kept"
-		case code.NothingKept():
-			j.tries[d] = "promised"
+// ReportAnswer takes in the answer to the statement that ends writes: to a single write, or to the COMMIT of several. An
+// empty code is that of success. Each write was reported as an attempt before.
+func (c *Checker) ReportAnswer(session string, data []string, code wire.Code, now int64) {
+	if code != "" {
+		if code.NothingKept() {
+			c.ReportNothingKept(data)
 		}
+		return
 	}
-	if code != "" || len(data) == 0 {
+	if len(data) == 0 {
 		return
 	}
-	at, ok := j.Group.FindWrite(data[0])
-	if !ok {
-		j.Violate("LOST: %s was acknowledged and is in no log", data[0])
+	for _, write := range data {
+		c.outcomes[write] = acknowledged
+	}
+	position, found := c.Group.FindWrite(data[0])
+	if !found {
+		c.Violate("LOST: %s was acknowledged and is in no log", data[0])
 		return
 	}
-	j.commits = append(j.commits, commit{now, at, session})
+	c.commits = append(c.commits, commit{now, position, session})
 }
 
-// ReportNothingKept takes in that nothing of some writes is to be kept.
-func (j *Checker) ReportNothingKept(data []string) {
-	for _, d := range data {
-		j.tries[d] = "promised"
+// ReportNothingKept takes in that a client was told that nothing of its writes is kept.
+func (c *Checker) ReportNothingKept(data []string) {
+	for _, write := range data {
+		c.outcomes[write] = notKept
 	}
 }
 
-// AcknowledgedWrites is how many writes were acknowledged.
-func (j *Checker) AcknowledgedWrites() (n int) {
-	for _, told := range j.tries {
-		if told == "kept" {
-			n++
+// AcknowledgedWrites returns how many writes were acknowledged.
+func (c *Checker) AcknowledgedWrites() int {
+	writes := 0
+	for _, outcome := range c.outcomes {
+		if outcome == acknowledged {
+			writes++
 		}
 	}
-	return n
+	return writes
 }
 
-// CheckFinalLog asserts, once all is calm again, what the log of the primary must and must not hold.
-func (j *Checker) CheckFinalLog() {
-	lead := j.Group.Lead()
-	if lead == nil {
-		j.Violate("nobody leads in the end")
+// CheckFinalLog checks the log of the primary against what clients were told. It is called after all faults have ended and
+// the log has settled.
+func (c *Checker) CheckFinalLog() {
+	primary := c.Group.Lead()
+	if primary == nil {
+		c.Violate("no host is the primary in the end")
 		return
 	}
-	times := lead.WriteCounts()
-	for d, told := range j.tries {
-		switch n := times[d]; {
-		case n > 1:
-			j.Violate("TWICE: %s is in the log %d times", d, n)
-		case told == "kept" && n == 0:
-			j.Violate("LOST: %s was acknowledged", d)
-		case told == "promised" && n > 0:
-			j.Violate("REFUSED: %s is kept, its client was promised that it is not", d)
+	counts := primary.WriteCounts()
+	for write, outcome := range c.outcomes {
+		switch count := counts[write]; {
+		case count > 1:
+			c.Violate("TWICE: %s is in the log %d times", write, count)
+		case outcome == acknowledged && count == 0:
+			c.Violate("LOST: %s was acknowledged", write)
+		case outcome == notKept && count > 0:
+			c.Violate("REFUSED: %s is kept, its client was promised that it is not", write)
 		}
 	}
 }
