--- a/cmd/ferrylab/demo.go
+++ b/cmd/ferrylab/demo.go
@@ -167,9 +167,9 @@
 
 func report(t *workload.Tally, truth postgres.Stats) result {
 	r := result{Sent: t.Sent, Answered: t.Answered, Throttled: t.Throttled, Failed: t.Failed, Answers: t.Answers,
-		Broken: truth.Broken() + t.Lost + t.Extra + t.Late, Notes: truth.Notes,
+		Broken: truth.Broken() + t.Lost + t.Extra, Notes: truth.Notes,
 		Median: float64(t.Latency.ValueAtQuantile(50)) / 1000, P99: float64(t.Latency.ValueAtQuantile(99)) / 1000}
-	if err := t.Sum(); err != nil {
+	if err := t.Check(); err != nil {
 		r.Broken, r.Notes = max(1, r.Broken), append(r.Notes, err.Error())
 	}
 	return r
--- a/internal/simulation/tierprocess/tierprocess.go
+++ b/internal/simulation/tierprocess/tierprocess.go
@@ -90,7 +90,7 @@
 		sets = append(sets, int64(s+1))
 	}
 	tally := workload.Run(ctx, workload.Terms{Routers: r.routers, Sets: sets, Clients: t.Clients, Rate: t.Rate, For: t.For, Writes: 0.15,
-		Sessions: 4, Timeout: time.Second, Seed: t.Seed, Seen: r.seen}, r.killed)
+		Sessions: 4, Timeout: time.Second, Seed: t.Seed, OnAnswer: r.seen}, r.killed)
 	took := time.Since(began)
 	stop()
 	if err := faults.Wait(); err != nil {
@@ -288,7 +288,7 @@
 func (r *run) outcome(t *workload.Tally, before postgres.Stats, took time.Duration) *Outcome {
 	truth := r.fleet.Hosts.Seen()
 	o := &Outcome{Terms: r.Terms, Tally: t, Truth: truth, Sent: t.Sent, Answered: t.Answered, Throttled: t.Throttled, Failed: t.Failed,
-		Lost: t.Lost, Extra: t.Extra, Unsent: t.Unsent, Broken: truth.Broken() + t.Lost + t.Extra + t.Late,
+		Lost: t.Lost, Extra: t.Extra, Unsent: t.Unsent, Broken: truth.Broken() + t.Lost + t.Extra,
 		Median: float64(t.Latency.ValueAtQuantile(50)) / 1000, P99: float64(t.Latency.ValueAtQuantile(99)) / 1000,
 		Behind: float64(t.Behind.Microseconds()) / 1000, ListLines: r.fleet.Discovery.LinesWritten(),
 		ProbesPerSecond: float64(truth.Probes-before.Probes) / took.Seconds()}
--- /dev/null
+++ b/internal/simulation/workload/client.go
@@ -0,0 +1,165 @@
+package workload
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"ferrypitch/internal/router/protocol"
+)
+
+const (
+	// writeTimeoutFactor times the client timeout of reads is that of writes.
+	writeTimeoutFactor = 3
+	// answerGrace is how much longer than the client timeout a client waits for an answer.
+	answerGrace = 50 * time.Millisecond
+)
+
+// client sends commands to one router.
+type client struct {
+	load   *load
+	index  int
+	router string
+	random *rand.Rand
+	// lastWrites is the position of the last write of each session.
+	lastWrites map[int]string
+	conn       *connection // nil while not connected
+}
+
+// command is one command of a client.
+type command struct {
+	id        string
+	group     string
+	statement string
+	session   int
+	writes    bool
+	due       time.Time
+	timeout   time.Duration
+}
+
+func (l *load) newClient(index int) *client {
+	return &client{
+		load:       l,
+		index:      index,
+		router:     l.Routers[index%len(l.Routers)],
+		random:     rand.New(rand.NewPCG(l.Seed, uint64(index))),
+		lastWrites: map[int]string{},
+	}
+}
+
+// run sends one command at a time; one that is due meanwhile is sent as soon as the one before has ended.
+func (c *client) run(ctx context.Context) {
+	defer c.disconnect()
+	due := c.load.start
+	for number := 0; ctx.Err() == nil; number++ {
+		due = due.Add(c.interval())
+		if due.Sub(c.load.start) > c.load.For {
+			return
+		}
+		time.Sleep(time.Until(due))
+		cmd := &command{id: fmt.Sprintf("%x-%x-%x", c.load.Seed, c.index, number), due: due, timeout: c.load.Timeout}
+		cmd.session = c.random.IntN(max(1, c.load.Sessions))
+		cmd.writes = c.random.Float64() < c.load.Writes
+		if !c.connect() {
+			c.load.update(func(t *Tally) { t.Unsent++ })
+			continue
+		}
+		c.fill(cmd)
+		c.send(cmd)
+	}
+}
+
+// interval draws the time from one command to the next, so that the commands of all clients are a Poisson process.
+func (c *client) interval() time.Duration {
+	mean := float64(c.load.clientCount()) / c.load.Rate * float64(time.Second)
+	return time.Duration(c.random.ExpFloat64() * mean)
+}
+
+func (c *client) connect() bool {
+	if c.conn == nil {
+		c.conn = dial(c.router)
+	}
+	return c.conn != nil
+}
+
+func (c *client) disconnect() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
+	}
+}
+
+// fill completes a command with its group and statement. Half of the reads after a session's write must see it.
+func (c *client) fill(cmd *command) {
+	set := c.load.Sets[(c.index+cmd.session)%len(c.load.Sets)]
+	key := fmt.Sprintf("s%d-%d", c.index, cmd.session)
+	lastWrite := c.lastWrites[cmd.session]
+	fence := ""
+	switch {
+	case cmd.writes:
+		cmd.group = groupWrite
+		cmd.timeout *= writeTimeoutFactor
+	case lastWrite != "" && c.random.IntN(2) == 0:
+		cmd.group = groupOwnReads
+		fence = ",after=" + lastWrite
+	default:
+		cmd.group = groupReads
+	}
+	text := fmt.Sprintf("SELECT v FROM records WHERE k = '%s'", key)
+	if cmd.writes {
+		text = fmt.Sprintf(`INSERT INTO records (k, v) VALUES ('%s', '\x9f03') RETURNING v`, key)
+	}
+	cmd.statement = fmt.Sprintf("/* id=%s,c=%s,d=%d,cluster=%d%s */ %s",
+		cmd.id, cmd.group, cmd.timeout.Milliseconds(), set, fence, text)
+}
+
+// send sends a command and counts its answer. A connection without an answer is not used again.
+func (c *client) send(cmd *command) {
+	sentAt := time.Now()
+	c.load.update(func(t *Tally) {
+		t.Sent++
+		t.Behind = max(t.Behind, sentAt.Sub(cmd.due))
+	})
+	answer, err := c.conn.query(cmd.statement, sentAt.Add(cmd.timeout+answerGrace))
+	answeredAt := time.Now()
+	c.load.update(func(t *Tally) { c.count(t, cmd, answer, err, answeredAt) })
+	if err != nil {
+		c.disconnect()
+		return
+	}
+	if cmd.writes && answer.code == "" {
+		c.lastWrites[cmd.session] = answer.position
+	}
+}
+
+// count adds the outcome of a command to the tally, which is locked.
+func (c *client) count(t *Tally, cmd *command, answer answer, err error, at time.Time) {
+	switch {
+	case err != nil && c.load.killed != nil && c.load.killed(c.router):
+		t.Sent-- // the router was killed with the command in it
+	case err != nil:
+		t.Lost++
+	case answer.count != 1:
+		t.Extra++
+	case answer.code == "":
+		c.countAnswered(t, cmd, answer, at)
+	case answer.code == protocol.TooMany || answer.code == protocol.NotNow:
+		t.Throttled++
+	default:
+		t.Failed++
+	}
+}
+
+func (c *client) countAnswered(t *Tally, cmd *command, answer answer, at time.Time) {
+	t.Answered++
+	t.Answers[answer.host+" "+cmd.group]++
+	// It fails only for a value beyond the histogram's range of a minute, which timeouts are far from.
+	_ = t.Latency.RecordValue(at.Sub(cmd.due).Microseconds())
+	if cmd.writes {
+		t.Acked = append(t.Acked, cmd.id)
+	}
+	if c.load.OnAnswer != nil {
+		c.load.OnAnswer(c.router, answer.host, cmd.group, at)
+	}
+}
--- a/internal/simulation/workload/workload.go
+++ b/internal/simulation/workload/workload.go
@@ -1,229 +1,124 @@
-// Package workload is an open-loop load of commands over PostgreSQL's protocol:
-// commands are due at moments that answers don't move, latencies count from
-// those, and every command's answers are counted, so that one too many or too
-// few is seen.
+// Package workload sends an open-loop load of commands over PostgreSQL's protocol: commands are due at times that the
+// answers do not delay, and latencies count from those times, so that a slow router shows in them. The answers to each command
+// are counted, which shows a missing answer as well as a second one.
+//
+// Run starts the clients, each with a connection of its own to one router. A client sends the commands that are due one at a
+// time; the Tally adds up what all of them saw.
 package workload
 
 import (
-	"bufio"
 	"context"
-	"encoding/binary"
 	"fmt"
-	"io"
-	"math/rand/v2"
-	"net"
-	"strings"
 	"sync"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+)
 
-	"ferrypitch/internal/router/protocol"
+// Groups of commands, as the deployments of tierfleet know them.
+const (
+	groupWrite    = "order" // writes, run at most once
+	groupOwnReads = "own"   // reads that see the session's last write
+	groupReads    = "list"  // reads with a staleness bound
 )
 
-// Terms of a load.
+// Terms describes a load.
 type Terms struct {
-	Routers  []string // addresses; each client stays with one while it serves
-	Sets     []int64
-	Clients  int     // connections at each router
-	Rate     float64 // commands a second over all
-	For      time.Duration
-	Writes   float64       // their part of all
-	Sessions int           // of each client
-	Timeout  time.Duration // the client timeout of reads; writes have three times that
-	Seed     uint64
-
-	Seen func(router, host, group string, at time.Time) // of each answer; may be nil
+	// Routers is the addresses that clients connect to; each client stays with one.
+	Routers []string
+	// Sets is the replica sets that commands are for.
+	Sets []int64
+	// Clients is how many connections each router has.
+	Clients int
+	// Rate is the commands a second over all clients.
+	Rate float64
+	// For is how long commands are due.
+	For time.Duration
+	// Writes is the fraction of commands that write, from 0 to 1.
+	Writes float64
+	// Sessions is how many sessions each client plays; at least one.
+	Sessions int
+	// Timeout is the client timeout of reads. That of writes is three times as long.
+	Timeout time.Duration
+	// Seed decides when commands are due and what they are.
+	Seed uint64
+	// OnAnswer is called for each answer without an error, by several goroutines one at a time. Optional.
+	OnAnswer func(router, host, group string, at time.Time)
 }
 
-// Tally is what came of it.
+// Tally counts what came of a load.
 type Tally struct {
-	Sent, Answered, Throttled, Failed int
-	Late, Lost, Extra                 int                     // answers after the client timeout; none; more than one
-	Unsent                            int                     // due while the client's router was not there
-	Behind                            time.Duration           // the worst lateness of the load itself
-	Answers                           map[string]int          // by host and kind
-	Latency                           *hdrhistogram.Histogram // microseconds, of what was answered
-	Acked                             []string                // ids of writes that were answered
+	Sent      int
+	Answered  int // without an error
+	Throttled int // rejected for now
+	Failed    int // answered with another error
+	// Lost counts the commands without an answer within the client timeout, unless their router was killed meanwhile.
+	Lost int
+	// Extra counts the commands with more than one answer, or with none before the router was ready for the next one.
+	Extra int
+	// Unsent counts the commands that were due while the client could not connect.
+	Unsent int
+	// Behind is how late a command was sent at worst, from when it was due.
+	Behind time.Duration
+	// Answers counts the answers by host and group, as in "set1-a list".
+	Answers map[string]int
+	// Latency is the time in microseconds from when a command was due to its answer, of those answered without an error.
+	Latency *hdrhistogram.Histogram
+	// Acked is the ids of the writes that were answered without an error.
+	Acked []string
 }
 
-// Sum says that each command sent has one answer.
-func (t *Tally) Sum() error {
-	if t.Sent != t.Answered+t.Throttled+t.Failed || t.Lost+t.Extra+t.Late > 0 {
-		return fmt.Errorf("%d sent: %d answered, %d throttled, %d failed, %d late, %d lost, %d twice",
-			t.Sent, t.Answered, t.Throttled, t.Failed, t.Late, t.Lost, t.Extra)
+// Range and precision of latencies.
+const (
+	minLatencyMicros   = 1
+	maxLatencyMicros   = 60_000_000
+	latencySignificant = 3 // digits
+)
+
+// Check returns an error unless each command sent has exactly one answer.
+func (t *Tally) Check() error {
+	if t.Sent != t.Answered+t.Throttled+t.Failed || t.Lost+t.Extra > 0 {
+		return fmt.Errorf("%d sent: %d answered, %d throttled, %d failed, %d lost, %d with another number of answers than one",
+			t.Sent, t.Answered, t.Throttled, t.Failed, t.Lost, t.Extra)
 	}
 	return nil
 }
 
-type runner struct {
+// load is a load that runs.
+type load struct {
 	Terms
-	mu sync.Mutex
-	*Tally
-}
+	killed func(router string) bool // may be nil
+	start  time.Time
 
-// Run loads until its time is over or the context ends. kill tells a client
-// that its router is being ended on purpose: what was out there is not lost.
-func Run(ctx context.Context, t Terms, killed func(router string) bool) *Tally {
-	r := &runner{Terms: t, Tally: &Tally{Answers: map[string]int{}, Latency: hdrhistogram.New(1, 60_000_000, 3)}}
-	var tasks sync.WaitGroup
-	n := len(t.Routers) * t.Clients
-	from := time.Now()
-	for i := range n {
-		tasks.Go(func() { r.client(ctx, i, n, from, killed) })
-	}
-	tasks.Wait()
-	return r.Tally
+	mu    sync.Mutex // protects the tally
+	tally Tally
 }
 
-// client sends one command at a time; what is due meanwhile is sent as soon as that one ends.
-func (r *runner) client(ctx context.Context, i, n int, from time.Time, killed func(string) bool) {
-	router := r.Routers[i%len(r.Routers)]
-	chance := rand.New(rand.NewPCG(r.Seed, uint64(i)))
-	wrote := map[int]string{} // by session: the position of its last write
-	var conn net.Conn
-	var in *bufio.Reader
-	defer func() {
-		if conn != nil {
-			conn.Close()
-		}
-	}()
-	due := from
-	for k := 0; ctx.Err() == nil; k++ {
-		due = due.Add(time.Duration(chance.ExpFloat64() * float64(n) / r.Rate * float64(time.Second)))
-		if due.Sub(from) > r.For {
-			return
-		}
-		time.Sleep(time.Until(due))
-		session := chance.IntN(max(1, r.Sessions))
-		writes, timeout := chance.Float64() < r.Writes, r.Timeout
-		if writes {
-			timeout *= 3
-		}
-		if conn == nil {
-			conn, in = dial(router)
-			if conn == nil {
-				r.add(func() { r.Unsent++ })
-				continue
-			}
-		}
-		id := fmt.Sprintf("%x-%x-%x", r.Seed, i, k)
-		set := r.Sets[(i+session)%len(r.Sets)]
-		group, statement := "order", ""
-		key := fmt.Sprintf("s%d-%d", i, session)
-		switch {
-		case writes:
-			statement = fmt.Sprintf(`/* id=%s,c=order,d=%d,cluster=%d */ INSERT INTO records (k, v) VALUES ('%s', '\x9f03') RETURNING v`,
-				id, timeout.Milliseconds(), set, key)
-		case wrote[session] != "" && chance.IntN(2) == 0:
-			group = "own"
-			statement = fmt.Sprintf(`/* id=%s,c=own,d=%d,cluster=%d,after=%s */ SELECT v FROM records WHERE k = '%s'`,
-				id, timeout.Milliseconds(), set, wrote[session], key)
-		default:
-			group = "list"
-			statement = fmt.Sprintf(`/* id=%s,c=list,d=%d,cluster=%d */ SELECT v FROM records WHERE k = '%s'`, id, timeout.Milliseconds(), set, key)
-		}
-		at := time.Now()
-		r.add(func() { r.Sent++; r.Behind = max(r.Behind, at.Sub(due)) })
-		conn.SetDeadline(at.Add(timeout + 50*time.Millisecond))
-		_, err := conn.Write(protocol.AppendQuery(nil, []byte(statement)))
-		var a answer
-		if err == nil {
-			a, err = read(in)
-		}
-		now := time.Now()
-		r.add(func() {
-			switch {
-			case err != nil && killed != nil && killed(router):
-				r.Sent-- // its router was ended with the command in it
-			case err != nil:
-				r.Lost++
-			case a.finals != 1:
-				r.Extra++
-			case a.code == "":
-				r.Answered++
-				r.Answers[a.host+" "+group]++
-				if r.Seen != nil {
-					r.Seen(router, a.host, group, now)
-				}
-				r.Latency.RecordValue(now.Sub(due).Microseconds())
-				if writes {
-					r.Acked = append(r.Acked, id)
-				}
-			case a.code == protocol.TooMany || a.code == protocol.NotNow:
-				r.Throttled++
-			default:
-				r.Failed++
-			}
-		})
-		if err != nil {
-			conn.Close()
-			conn = nil
-			continue
-		}
-		if writes && a.code == "" {
-			wrote[session] = a.position
-		}
+// Run sends a load until its time is over or ctx ends. killed reports that a router was ended on purpose, so that the
+// commands it had are not lost; it may be nil.
+func Run(ctx context.Context, terms Terms, killed func(router string) bool) *Tally {
+	l := &load{
+		Terms:  terms,
+		killed: killed,
+		start:  time.Now(),
+		tally: Tally{
+			Answers: map[string]int{},
+			Latency: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificant),
+		},
 	}
-}
-
-func (r *runner) add(do func()) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	do()
-}
-
-func dial(router string) (net.Conn, *bufio.Reader) {
-	conn, err := net.DialTimeout("tcp", router, time.Second)
-	if err != nil {
-		return nil, nil
+	var clients sync.WaitGroup
+	for i := range l.clientCount() {
+		clients.Go(func() { l.newClient(i).run(ctx) })
 	}
-	in := bufio.NewReader(conn)
-	conn.SetDeadline(time.Now().Add(2 * time.Second))
-	if _, err := conn.Write(protocol.AppendStartup(nil, "svc", "main")); err == nil {
-		if _, err = read(in); err == nil {
-			return conn, in
-		}
-	}
-	conn.Close()
-	return nil, nil
+	clients.Wait()
+	return &l.tally
 }
 
-type answer struct {
-	code, host, position string
-	finals               int
-}
+func (l *load) clientCount() int { return len(l.Routers) * l.Clients }
 
-// read reads up to the next ReadyForQuery.
-func read(in *bufio.Reader) (a answer, err error) {
-	for {
-		var head [5]byte
-		if _, err := io.ReadFull(in, head[:]); err != nil {
-			return a, err
-		}
-		n := binary.BigEndian.Uint32(head[1:])
-		if n < 4 || n > 1<<20 {
-			return a, protocol.ErrLength
-		}
-		body := make([]byte, n-4)
-		if _, err := io.ReadFull(in, body); err != nil {
-			return a, err
-		}
-		switch head[0] {
-		case protocol.DataRow:
-			value, _ := protocol.Value(body)
-			if parts := strings.Fields(string(value)); len(parts) > 0 {
-				if a.host = parts[0]; len(parts) == 3 {
-					a.position = parts[2] // of a write's commit, as stand-in hosts tell it
-				}
-			}
-		case protocol.CommandComplete:
-			a.finals++
-		case protocol.ErrorResponse:
-			a.code = protocol.Code(body)
-			a.finals++
-		case protocol.Ready:
-			return a, nil
-		}
-	}
+// update changes the tally under its lock.
+func (l *load) update(change func(*Tally)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	change(&l.tally)
 }
