--- a/cmd/ferrylab/demo.go
+++ b/cmd/ferrylab/demo.go
@@ -91,7 +91,7 @@
 		func() error { h.Kill(); return nil },
 		func() error {
 			err := h.Restart()
-			i.Told(h, "up")
+			i.Announce(h, tierfleet.StateUp)
 			return err
 		}} {
 		select {
--- a/cmd/ferrylab/tiers.go
+++ b/cmd/ferrylab/tiers.go
@@ -9,6 +9,7 @@
 
 	"github.com/spf13/cobra"
 
+	"ferrypitch/internal/simulation/program"
 	"ferrypitch/internal/simulation/tierfleet"
 	"ferrypitch/internal/simulation/tierprocess"
 )
@@ -28,7 +29,7 @@
 				}
 				defer os.RemoveAll(dir)
 			}
-			if t.Binary, err = tierfleet.Build(dir, "ferrypitch"); err != nil {
+			if t.Binary, err = program.Build(dir, "ferrypitch"); err != nil {
 				return err
 			}
 			if t.Trace, err = tracing(dir, capture); err != nil {
@@ -93,7 +94,7 @@
 }
 
 // tracing is a trace's section: full, or a part of sessions.
-func tracing(dir, capture string) (map[string]any, error) {
+func tracing(dir, capture string) (*tierfleet.TraceSettings, error) {
 	if capture == "" {
 		return nil, nil
 	}
@@ -102,8 +103,8 @@
 		return nil, err
 	}
 	if capture == "full" {
-		return map[string]any{"dir": at}, nil
+		return &tierfleet.TraceSettings{Dir: at}, nil
 	}
 	part, err := strconv.ParseFloat(capture, 64)
-	return map[string]any{"dir": at, "part": part, "key_file": "link.key"}, err
+	return &tierfleet.TraceSettings{Dir: at, Fraction: &part, KeyFile: "link.key"}, err
 }
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/simulation/cluster/cluster.go
@@ -15,7 +15,7 @@
 
 	"ferrypitch/internal/fake/database"
 	"ferrypitch/internal/simulation/checker"
-	"ferrypitch/internal/simulation/tierfleet"
+	"ferrypitch/internal/simulation/program"
 )
 
 // Options describes a run.
@@ -72,8 +72,8 @@
 	network   loopbackNetwork
 	startedAt time.Time
 
-	members   []*tierfleet.Process
-	proxies   []*tierfleet.Process
+	members   []*program.Process
+	proxies   []*program.Process
 	scheduler *database.RealTimeScheduler
 	hosts     *database.Server
 	checker   *checker.Checker
--- a/internal/simulation/cluster/play.go
+++ b/internal/simulation/cluster/play.go
@@ -7,7 +7,7 @@
 
 	"ferrypitch/internal/fake/database"
 	"ferrypitch/internal/simulation/checker"
-	"ferrypitch/internal/simulation/tierfleet"
+	"ferrypitch/internal/simulation/program"
 )
 
 // settleTime is how long a run waits after the last statement until what is acknowledged is applied everywhere.
@@ -55,11 +55,10 @@
 
 // collect checks the final log and completes the result.
 func (c *cluster) collect() *Result {
-	processes := map[string][]*tierfleet.Process{proxyProgram: c.proxies, controlProgram: c.members}
-	for program, all := range processes {
+	processes := map[string][]*program.Process{proxyProgram: c.proxies, controlProgram: c.members}
+	for name, all := range processes {
 		for _, process := range all {
-			_, residentKB := process.Use()
-			c.result.PeakRSSKB[program] = max(c.result.PeakRSSKB[program], residentKB)
+			c.result.PeakRSSKB[name] = max(c.result.PeakRSSKB[name], process.Usage().ResidentKB)
 		}
 	}
 	c.withChecker(func(checker *checker.Checker) {
--- a/internal/simulation/cluster/start.go
+++ b/internal/simulation/cluster/start.go
@@ -9,7 +9,7 @@
 
 	"ferrypitch/internal/fake/database"
 	"ferrypitch/internal/simulation/checker"
-	"ferrypitch/internal/simulation/tierfleet"
+	"ferrypitch/internal/simulation/program"
 )
 
 // Programs that run as processes; a program's name is also its role in the configuration.
@@ -79,12 +79,12 @@
 func (c *cluster) start(ctx context.Context) error {
 	c.Say("building %s and %s", proxyProgram, controlProgram)
 	binaries := map[string]string{}
-	for _, program := range []string{proxyProgram, controlProgram} {
-		binary, err := tierfleet.Build(c.dir, program)
+	for _, name := range []string{proxyProgram, controlProgram} {
+		binary, err := program.Build(c.dir, name)
 		if err != nil {
 			return err
 		}
-		binaries[program] = binary
+		binaries[name] = binary
 	}
 	if err := c.startHosts(ctx); err != nil {
 		return err
@@ -132,13 +132,18 @@
 }
 
 // startProcess writes the settings of a node and starts it. The files take its name.
-func (c *cluster) startProcess(binary string, settings nodeSettings) (*tierfleet.Process, error) {
+func (c *cluster) startProcess(binary string, settings nodeSettings) (*program.Process, error) {
 	file := filepath.Join(c.dir, settings.name+".toml")
 	if err := os.WriteFile(file, []byte(settings.toml()), 0o600); err != nil {
 		return nil, err
 	}
 	log := filepath.Join(c.dir, settings.name+".log")
-	return tierfleet.StartWith([]string{"FERRYPITCH_NODE_FILE=" + file}, binary, log, "run")
+	return program.Start(program.Config{
+		Binary: binary,
+		Args:   []string{"run"},
+		Env:    []string{"FERRYPITCH_NODE_FILE=" + file},
+		Log:    log,
+	})
 }
 
 func (c *cluster) memberSettings(i int) nodeSettings {
--- a/internal/simulation/tierfleet/trace_test.go
+++ b/internal/simulation/tierfleet/trace_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"io"
 	"os"
@@ -10,6 +9,7 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/require"
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
@@ -20,112 +20,103 @@
 	"ferrypitch/internal/simulation/workload"
 )
 
-// serving runs a router here that captures, under load, with a replica that dies and returns.
-func serving(t *testing.T, f *Fleet, file func(int, string) (string, error), trace map[string]any) *workload.Tally {
+// writeFile writes the file of a router, by its number and address.
+type writeFile func(router int, listen string) (path string, err error)
+
+// loadRouter runs a router in this process under load, while a replica dies and returns, and stops it.
+func loadRouter(t *testing.T, f *Fleet, write writeFile) *workload.Tally {
 	t.Helper()
 	address, err := Free()
-	if err != nil {
-		t.Fatal(err)
-	}
-	path, err := file(0, address)
-	if err != nil {
-		t.Fatal(err)
-	}
-	text, _ := os.ReadFile(path)
-	var all map[string]any
-	json.Unmarshal(text, &all)
-	all["trace"] = trace
-	text, _ = json.Marshal(all)
-	os.WriteFile(path, text, 0o600)
-	o, err := setup.LoadOperator(path, none)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if o.Forward != nil {
-		o.Start.AsForwarder()
+	require.NoError(t, err)
+	path, err := write(0, address)
+	require.NoError(t, err)
+	operator, err := setup.LoadOperator(path, noEnvironment)
+	require.NoError(t, err)
+	if operator.Forward != nil {
+		operator.Start.AsForwarder()
 	}
 	signals := make(chan os.Signal, 1)
 	var tasks errgroup.Group
-	tasks.Go(func() error { return service.Run(o, signals, nil, zap.NewNop()) })
+	tasks.Go(func() error { return service.Run(operator, signals, nil, zap.NewNop()) })
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
-	if err := Ready(ctx, address); err != nil {
-		t.Fatal(err)
-	}
-	h := f.Hosts.Hosts()[1]
-	time.AfterFunc(time.Second, h.Kill)
-	back := time.AfterFunc(2*time.Second, func() {
-		h.Restart()
-		f.Told(h, "up")
+	require.NoError(t, Ready(ctx, address))
+
+	replica := f.Hosts.Hosts()[1]
+	time.AfterFunc(time.Second, replica.Kill)
+	restarted := make(chan error, 1)
+	time.AfterFunc(2*time.Second, func() {
+		err := replica.Restart()
+		f.Announce(replica, StateUp)
+		restarted <- err
 	})
-	defer back.Stop()
-	tally := workload.Run(ctx, workload.Terms{Routers: []string{address}, Sets: []int64{1, 2}, Clients: 8, Rate: 200, For: 4 * time.Second,
-		Writes: 0.15, Sessions: 4, Timeout: time.Second, Seed: 3}, nil)
+	tally := workload.Run(ctx, workload.Terms{
+		Routers:  []string{address},
+		Sets:     []int64{1, 2},
+		Clients:  8,
+		Rate:     200,
+		For:      4 * time.Second,
+		Writes:   0.15,
+		Sessions: 4,
+		Timeout:  time.Second,
+		Seed:     3,
+	}, nil)
+	require.NoError(t, <-restarted)
 	signals <- os.Interrupt
-	if err := tasks.Wait(); err != nil {
-		t.Fatal(err)
-	}
+	require.NoError(t, tasks.Wait())
 	return tally
 }
 
+// replayTrace replays the one trace file of a folder.
+func replayTrace(t *testing.T, dir string) *replay.Replay {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(dir, "*.fptrace"))
+	require.NoError(t, err)
+	require.Len(t, files, 1)
+	file, err := os.Open(files[0])
+	require.NoError(t, err)
+	defer func() { require.NoError(t, file.Close()) }()
+	reader, err := format.NewReader(file)
+	require.NoError(t, err)
+	replayed, err := replay.New(reader.Header, 5)
+	require.NoError(t, err)
+	for {
+		span, events, err := reader.Next()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		require.NoError(t, err)
+		require.NoError(t, replayed.Lost(span.Lost))
+		for _, event := range events {
+			require.NoError(t, replayed.Event(event))
+		}
+	}
+	replayed.End(true)
+	return replayed
+}
+
 func TestATraceOfALoadedRouterReplaysExactly(t *testing.T) {
 	for _, forwards := range []bool{false, true} {
 		f, err := New(t.TempDir(), 2, 3, 1, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
+		require.NoError(t, err)
+		f.Trace = &TraceSettings{Dir: t.TempDir()}
 		ctx, end := context.WithCancel(t.Context())
 		var planners errgroup.Group
-		file := f.RouterFile
+		write := f.RouterFile
 		if forwards {
-			file = f.ForwarderFile
-			if err := f.Plan(ctx, &planners, 0, zap.NewNop()); err != nil {
-				t.Fatal(err)
-			}
+			write = f.ForwarderFile
+			require.NoError(t, f.Plan(ctx, &planners, 0, zap.NewNop()))
 		}
-		dir := t.TempDir()
-		tally := serving(t, f, file, map[string]any{"dir": dir})
+		tally := loadRouter(t, f, write)
 		end()
-		planners.Wait()
+		require.NoError(t, planners.Wait())
 		f.Stop()
-		files, _ := filepath.Glob(filepath.Join(dir, "*.fptrace"))
-		if len(files) != 1 {
-			t.Fatalf("%v", files)
-		}
-		in, err := os.Open(files[0])
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer in.Close()
-		r, err := format.NewReader(in)
-		if err != nil {
-			t.Fatal(err)
-		}
-		again, err := replay.New(r.Header, 5)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for {
-			span, events, err := r.Next()
-			if errors.Is(err, io.EOF) {
-				break
-			}
-			if err == nil {
-				err = again.Lost(span.Lost)
-			}
-			if err != nil {
-				t.Fatal(err)
-			}
-			for _, e := range events {
-				if err := again.Event(e); err != nil {
-					t.Fatal(err)
-				}
-			}
-		}
-		again.End(true)
-		if again.Apart != 0 || again.Asked < int64(tally.Sent) {
-			t.Errorf("forwards %v: %d calls, %d asked for, %d apart: %v", forwards, again.Calls, again.Asked, again.Apart, again.Differences)
+		replayed := replayTrace(t, f.Trace.Dir)
+		if replayed.Apart != 0 || replayed.Asked < int64(tally.Sent) {
+			t.Errorf("forwards %v: %d calls, %d asked for, %d apart: %v",
+				forwards, replayed.Calls, replayed.Asked, replayed.Apart, replayed.Differences)
 		}
-		t.Logf("forwards %v: %d commands, %d calls into the module, %d asked for, %d apart", forwards, tally.Sent, again.Calls, again.Asked, again.Apart)
+		t.Logf("forwards %v: %d commands, %d calls into the module, %d asked for, %d apart",
+			forwards, tally.Sent, replayed.Calls, replayed.Asked, replayed.Apart)
 	}
 }
--- a/internal/simulation/tierprocess/tierprocess.go
+++ b/internal/simulation/tierprocess/tierprocess.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"ferrypitch/internal/fake/postgres"
+	"ferrypitch/internal/simulation/program"
 	"ferrypitch/internal/simulation/tierfleet"
 	"ferrypitch/internal/simulation/workload"
 )
@@ -26,11 +27,11 @@
 	Sets, Members        int
 	Rate                 float64
 	For                  time.Duration
-	Clients              int            // at each forwarder
-	Faults               bool           // planners, forwarders and hosts are killed in turn
-	Changes              int            // of a set's primary, in equal parts of the time
-	Blind                time.Duration  // at the half of the time all planners are gone for so long
-	Trace                map[string]any // of the routers' files; nil: nothing is captured
+	Clients              int                      // at each forwarder
+	Faults               bool                     // planners, forwarders and hosts are killed in turn
+	Changes              int                      // of a set's primary, in equal parts of the time
+	Blind                time.Duration            // at the half of the time all planners are gone for so long
+	Trace                *tierfleet.TraceSettings // of the routers' files; nil: nothing is captured
 	Seed                 uint64
 }
 
@@ -54,8 +55,8 @@
 type run struct {
 	Terms
 	fleet      *tierfleet.Fleet
-	forwarders []*tierfleet.Process
-	planners   []*tierfleet.Process
+	forwarders []*program.Process
+	planners   []*program.Process
 	routers    []string
 
 	mu      sync.Mutex
@@ -105,7 +106,7 @@
 		if err != nil {
 			return err
 		}
-		p, err := tierfleet.Start(r.Binary, filepath.Join(r.Dir, fmt.Sprintf("p%d.log", i)), "plan", path)
+		p, err := program.Start(program.Config{Binary: r.Binary, Args: []string{"plan", path}, Log: filepath.Join(r.Dir, fmt.Sprintf("p%d.log", i))})
 		if err != nil {
 			return err
 		}
@@ -124,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		p, err := tierfleet.Start(r.Binary, filepath.Join(r.Dir, fmt.Sprintf("f%d.log", i)), command, path)
+		p, err := program.Start(program.Config{Binary: r.Binary, Args: []string{command, path}, Log: filepath.Join(r.Dir, fmt.Sprintf("f%d.log", i))})
 		if err != nil {
 			return err
 		}
@@ -142,7 +143,7 @@
 
 func (r *run) stop() {
 	var all sync.WaitGroup
-	for _, p := range append(append([]*tierfleet.Process{}, r.planners...), r.forwarders...) {
+	for _, p := range append(append([]*program.Process{}, r.planners...), r.forwarders...) {
 		all.Go(p.Stop)
 	}
 	all.Wait()
@@ -150,7 +151,7 @@
 
 func (r *run) killed(router string) bool {
 	i := slices.Index(r.routers, router)
-	return r.forwarders[i].Killed()
+	return r.forwarders[i].RecentlyKilled()
 }
 
 // seen notes the first write that each router had answered by a new primary.
@@ -192,14 +193,14 @@
 				if wait(ctx, 700*time.Millisecond); r.gone() {
 					continue
 				}
-				if err := p.Again(); err != nil {
+				if err := p.Restart(); err != nil {
 					return err
 				}
 			}
 		case 1:
 			p := r.forwarders[chance.IntN(len(r.forwarders))]
 			p.Kill()
-			if err := p.Again(); err != nil {
+			if err := p.Restart(); err != nil {
 				return err
 			}
 		case 3:
@@ -208,9 +209,9 @@
 				continue
 			}
 			if n%8 == 3 && !r.gone() { // a drain that nobody can tell binds nobody
-				r.fleet.Told(h, "draining")
+				r.fleet.Announce(h, tierfleet.StateDraining)
 				wait(ctx, 2*time.Second)
-				r.fleet.Told(h, "up")
+				r.fleet.Announce(h, tierfleet.StateUp)
 				continue
 			}
 			h.Kill()
@@ -218,7 +219,7 @@
 			if err := h.Restart(); err != nil {
 				return err
 			}
-			r.fleet.Told(h, "up")
+			r.fleet.Announce(h, tierfleet.StateUp)
 		}
 	}
 }
@@ -253,7 +254,7 @@
 		if err := old.Restart(); err != nil {
 			return err
 		}
-		r.fleet.Told(old, "up")
+		r.fleet.Announce(old, tierfleet.StateUp)
 	}
 	return nil
 }
@@ -271,7 +272,7 @@
 	}
 	wait(ctx, r.Blind)
 	for _, p := range r.planners {
-		if err := p.Again(); err != nil {
+		if err := p.Restart(); err != nil {
 			return err
 		}
 	}
@@ -306,10 +307,10 @@
 			o.Follow = append(o.Follow, float64(times[n/2].Microseconds())/1000, float64(times[n*99/100].Microseconds())/1000)
 		}
 	}
-	use := func(all []*tierfleet.Process) (cpu float64, resident int) {
+	use := func(all []*program.Process) (cpu float64, resident int) {
 		for _, p := range all {
-			c, m := p.Use()
-			cpu, resident = cpu+c.Seconds()/float64(len(all)), max(resident, m)
+			usage := p.Usage()
+			cpu, resident = cpu+usage.CPU.Seconds()/float64(len(all)), max(resident, usage.ResidentKB)
 		}
 		return cpu, resident
 	}
--- a/internal/simulation/tierprocess/tierprocess_test.go
+++ b/internal/simulation/tierprocess/tierprocess_test.go
@@ -4,12 +4,12 @@
 	"testing"
 	"time"
 
-	"ferrypitch/internal/simulation/tierfleet"
+	"ferrypitch/internal/simulation/program"
 )
 
 func TestSixForwardersAndThreePlannersKilledInTurn(t *testing.T) {
 	dir := t.TempDir()
-	binary, err := tierfleet.Build(dir, "ferrypitch")
+	binary, err := program.Build(dir, "ferrypitch")
 	if err != nil {
 		t.Fatal(err)
 	}
