--- /dev/null
+++ b/internal/control/catch_up_test.go
@@ -0,0 +1,424 @@
+package control
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/stretchr/testify/require"
+
+	"ferrypitch/internal/control/consensus"
+	"ferrypitch/internal/control/failover"
+	"ferrypitch/internal/control/statemachine"
+	"ferrypitch/internal/control/storage"
+	"ferrypitch/internal/eventloop"
+	"ferrypitch/internal/rpc"
+	"ferrypitch/internal/simulation/scheduler"
+)
+
+// byteCostCluster is three members on links and disks whose time depends on the bytes, and an operator who changes one route
+// after another. One unit of time is 1 ms.
+type byteCostCluster struct {
+	*scheduler.Scheduler
+	members          []*byteCostMember
+	routes           int
+	acknowledged     int64  // the newest acknowledged version
+	acknowledgedBody []byte // of it
+	pendingBody      []byte // of the update that is not acknowledged yet
+	updateIntervalMs int64
+	paddingBytes     int  // random bytes in each version
+	stopped          bool // the operator makes no more updates
+	bytesPerMs       int64
+}
+
+type byteCostMember struct {
+	cluster      *byteCostCluster
+	server       *Server
+	up           bool
+	isolated     bool
+	incarnation  int
+	identity     storage.Identity
+	disk         consensus.RestoredState
+	unsynced     []consensus.Write
+	diskSlowdown int64 // factor
+	diskFreeAt   int64 // when all writes are done
+	linkFreeAt   map[string]int64
+	sentBytes    int64 // without forwarded calls
+
+	storedBytes, syncs int64
+}
+
+func newByteCostCluster(seed uint64, routes int, updateIntervalMs int64) *byteCostCluster {
+	c := &byteCostCluster{Scheduler: scheduler.New(seed, 0, 1), routes: routes, updateIntervalMs: updateIntervalMs, bytesPerMs: 12500} // 100 Mbit/s
+	var founders []consensus.ID
+	for i := range 3 {
+		founders = append(founders, consensus.ID(fmt.Sprintf("10.0.0.%d", i+1)))
+	}
+	for _, id := range founders {
+		m := &byteCostMember{cluster: c, identity: storage.Identity{ID: id, Founders: founders}, diskSlowdown: 1}
+		c.members = append(c.members, m)
+		m.start()
+	}
+	c.After(1500, c.update)
+	return c
+}
+
+func (m *byteCostMember) ip() string { return m.identity.ID.Address() }
+
+func (m *byteCostMember) start() {
+	c := m.cluster
+	m.incarnation++
+	m.up, m.unsynced, m.linkFreeAt, m.diskFreeAt = true, nil, map[string]int64{}, 0
+	restored := m.disk
+	restored.Entries = slices.Clone(restored.Entries)
+	clock := eventloop.NewSteadyClock(func() time.Time { return time.UnixMilli(c.Now) })
+	server, err := New(settingsAt(m.ip()), hclog.NewNullLogger(), clock, m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
+	if err != nil {
+		panic(err)
+	}
+	m.server = server
+	incarnation := m.incarnation
+	server.SetEnvironment(Environment{
+		Send:      m.send,
+		Persist:   func(writes []consensus.Write) { m.persist(incarnation, writes) },
+		QueryHost: func(failover.HostQuery, statemachine.Host) {},
+		Promote:   func(failover.Promotion) {},
+	})
+	m.tick(incarnation)
+}
+
+func (m *byteCostMember) tick(incarnation int) {
+	m.run(incarnation, func() {
+		m.server.Tick()
+		if l := m.cluster.leader(); l == m && m.server.state.Generation < m.cluster.acknowledged {
+			m.cluster.Violate("%s leads with version %d, %d was acknowledged", m.identity.ID, m.server.state.Generation, m.cluster.acknowledged)
+		}
+		m.cluster.After(50, func() { m.tick(incarnation) })
+	})
+}
+
+func (m *byteCostMember) run(incarnation int, step func()) {
+	if m.up && m.incarnation == incarnation {
+		step()
+	}
+}
+
+func (m *byteCostMember) send(ip string, frame *rpc.Frame) {
+	c, size := m.cluster, int64(200)
+	if frame.Consensus != nil {
+		for _, e := range frame.Consensus.Entries {
+			size += int64(len(e.Data))
+		}
+		if frame.Consensus.Chunk != nil {
+			size += int64(len(frame.Consensus.Chunk.Data))
+		}
+	}
+	if m.sentBytes += size; frame.ForwardRequest != nil {
+		size += int64(len(frame.ForwardRequest.Body))
+	}
+	m.linkFreeAt[ip] = max(m.linkFreeAt[ip], c.Now) + size/c.bytesPerMs
+	for _, to := range c.members {
+		if to.ip() == ip && to != m {
+			incarnation := to.incarnation
+			c.After(m.linkFreeAt[ip]-c.Now+c.Between(1, 4), func() {
+				if !m.isolated && !to.isolated {
+					to.run(incarnation, func() { to.server.HandleFrame(m.ip(), frame) })
+				}
+			})
+		}
+	}
+}
+
+func (m *byteCostMember) persist(incarnation int, writes []consensus.Write) {
+	c, size := m.cluster, 0
+	for _, one := range writes {
+		for _, e := range one.Entries {
+			size += len(e.Data)
+		}
+		if one.Snapshot != nil {
+			size += len(one.Snapshot.Data)
+		}
+	}
+	m.storedBytes, m.syncs = m.storedBytes+int64(size), m.syncs+1
+	m.unsynced = append(m.unsynced, writes...)
+	sequence := writes[len(writes)-1].Seq
+	m.diskFreeAt = max(m.diskFreeAt, c.Now) + (1+int64(size)/100_000)*m.diskSlowdown
+	c.After(m.diskFreeAt-c.Now, func() {
+		m.run(incarnation, func() {
+			for len(m.unsynced) > 0 && m.unsynced[0].Seq <= sequence {
+				m.disk.ApplyWrite(m.unsynced[0])
+				m.unsynced = m.unsynced[1:]
+			}
+			m.server.Persisted(sequence)
+		})
+	})
+}
+
+// configuration is the body of a version. Each changes one route.
+func (c *byteCostCluster) configuration(version int64) []byte {
+	var b bytes.Buffer
+	fmt.Fprintf(&b, `{"Generation":%d,"Routes":[`, version)
+	for i := range c.routes {
+		deadline := 800
+		if int64(i) == version%int64(c.routes) {
+			deadline = int(version)
+		}
+		fmt.Fprintf(&b, `%s{"Name":"r%d","Host":"db%d","PathPrefix":"/","Kind":"leader","DeadlineMs":%d,"TargetMs":150,"Priority":1,"Service":"s","MaxTries":2}`,
+			[]string{"", ","}[min(i, 1)], i, i, deadline)
+	}
+	b.WriteString(`],"Services":[{"Name":"s","MaxConns":57}],"More":"`)
+	for range c.paddingBytes {
+		b.WriteByte(byte('a' + c.Rand.IntN(26)))
+	}
+	b.WriteString(`"}`)
+	return b.Bytes()
+}
+
+// update makes an update at random members until it is acknowledged, and then the next.
+func (c *byteCostCluster) update() {
+	if c.stopped {
+		return
+	}
+	next := c.acknowledged + 1
+	c.pendingBody = c.configuration(next)
+	body, done := c.pendingBody, false
+	var try func()
+	try = func() {
+		if done {
+			return
+		}
+		p := c.members[c.Rand.IntN(3)]
+		if l := c.leader(); l != nil && !c.OneIn(4) {
+			p = l
+		}
+		p.run(p.incarnation, func() {
+			p.server.HandleCall(http.MethodPost, "/Config.Replace", fmt.Sprint(next-1), body, func(status int, answer []byte) {
+				switch {
+				case status == http.StatusOK && !done:
+					done, c.acknowledged, c.acknowledgedBody = true, next, body
+					c.After(c.updateIntervalMs, c.update)
+				case status < 500 && status != http.StatusOK:
+					c.Violate("version %d is rejected: %d %s", next, status, answer)
+				}
+			})
+		})
+		c.After(300, try)
+	}
+	try()
+}
+
+func (c *byteCostCluster) leader() *byteCostMember {
+	for _, p := range c.members {
+		if p.up && !p.isolated && p.server.leading && p.server.consensus.HoldsLease(p.server.clock.Now()) {
+			return p
+		}
+	}
+	return nil
+}
+
+// checkAgreement asserts that members at the same index have the same state.
+func (c *byteCostCluster) checkAgreement() {
+	for i, a := range c.members {
+		for _, b := range c.members[:i] {
+			if a.up && b.up && !a.server.diverged && !b.server.diverged && a.server.state.Index == b.server.state.Index && a.server.state.Checksum() != b.server.state.Checksum() {
+				c.Violate("%s and %s differ at %d", a.ip(), b.ip(), a.server.state.Index)
+			}
+		}
+	}
+}
+
+// absence is how a member comes to be behind.
+type absence int
+
+const (
+	lostItsDisk absence = iota
+	restarted
+	isolated
+	restoredFromOldFile
+	absences
+)
+
+func (a absence) String() string {
+	return [...]string{"lost its disk", "restarted", "isolated", "restored from an older file"}[a]
+}
+
+// beAway makes a member miss changes for a while. It comes back with a disk that may be slow.
+func (m *byteCostMember) beAway(seed int, how absence) {
+	c := m.cluster
+	old := m.disk
+	if how == restoredFromOldFile {
+		old.Entries = slices.Clone(old.Entries)
+		c.RunFor(c.Between(500, 6000))
+	}
+	if how == isolated {
+		m.isolated = true
+	} else {
+		m.up, m.unsynced = false, nil
+	}
+	c.RunFor(c.Between(100, 9000))
+	if m.diskSlowdown = 1; c.OneIn(2) {
+		m.diskSlowdown = 25
+	}
+	switch how {
+	case lostItsDisk:
+		m.identity, m.disk = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", m.ip(), seed))}, consensus.RestoredState{}
+		m.start()
+	case restarted:
+		m.start()
+	case restoredFromOldFile:
+		m.disk = old
+		m.start()
+	}
+	m.isolated = false
+}
+
+// checkCatchUp asserts that a member that was away has all that was acknowledged by now within 4 s, and returns after how many
+// milliseconds.
+func (m *byteCostMember) checkCatchUp(how absence) (caughtUpAfter int64) {
+	c := m.cluster
+	acknowledged := c.acknowledged
+	caughtUp := func() bool { return m.server.state.Generation >= acknowledged && !m.server.diverged }
+	caughtUpAfter = -1
+	for after := int64(20); after <= 4000; after += 20 {
+		if c.RunFor(20); caughtUpAfter < 0 && caughtUp() {
+			caughtUpAfter = after
+		}
+	}
+	if !caughtUp() {
+		c.Violate("%s (%s, disk %d times slow) has version %d, %d was acknowledged before it came back", m.identity.ID, how, m.diskSlowdown,
+			m.server.state.Generation, acknowledged)
+	}
+	c.checkAgreement()
+	return caughtUpAfter
+}
+
+// checkPowerLoss crashes all members, starts them within 400 ms, and asserts that 2 s after the last start the leader serves
+// all that was acknowledged, and soon after all members have it.
+func (c *byteCostCluster) checkPowerLoss() {
+	for _, m := range c.members {
+		m.up, m.unsynced, m.diskSlowdown = false, nil, 1
+	}
+	acknowledged, body, pending := c.acknowledged, c.acknowledgedBody, c.pendingBody
+	c.stopped = true
+	for _, m := range c.members {
+		c.After(c.Between(0, 400), m.start)
+	}
+	c.RunFor(400 + 2000)
+	if leader := c.leader(); leader == nil {
+		c.Violate("no leader 2 s after the last start")
+	} else if state := leader.server.state; state.Generation < acknowledged || !bytes.Equal(state.ConfigBody, body) && !bytes.Equal(state.ConfigBody, pending) {
+		c.Violate("version %d is served, %d was acknowledged", state.Generation, acknowledged)
+	}
+	c.RunFor(1500)
+	c.checkAgreement()
+	for _, m := range c.members {
+		if m.server.state.Generation < acknowledged || m.server.StateDivergences.Load() > 0 {
+			c.Violate("%s has version %d of %d, diverged %d times", m.identity.ID, m.server.state.Generation, acknowledged, m.server.StateDivergences.Load())
+		}
+	}
+}
+
+// A member that missed any number of changes catches up within CatchupS while changes go on, on a slow disk and with up to
+// 2,000 routes; and after a power loss of all members, what was acknowledged is served within 2 s of the last start.
+func TestCatchUpUnderLoadAndRecoveryFromPowerLoss(t *testing.T) {
+	seeds := 12
+	if testing.Short() {
+		seeds = 5
+	}
+	snapshots := int64(0)
+	for seed := range seeds {
+		c := newByteCostCluster(uint64(seed), []int{10, 300, 40, 100, 10, 2000, 20, 10, 40, 900, 20, 10}[seed%12], []int64{60, 20, 5}[seed%3])
+		c.RunFor(4000)
+		for before := int64(c.Rand.IntN(900)); c.acknowledged < before && c.routes < 900 && c.Now < 60_000; {
+			c.RunFor(500)
+		}
+		m := c.members[c.Rand.IntN(3)]
+		if l := c.leader(); l != nil && c.OneIn(2) {
+			m = l
+		}
+		how := absence(c.Rand.IntN(int(absences)))
+		m.beAway(seed, how)
+		behind := c.acknowledged - m.server.state.Generation
+		after := m.checkCatchUp(how)
+		t.Logf("%s, %d routes, %d changes behind, a disk %d times as slow: caught up after %d ms", how, c.routes, behind, m.diskSlowdown, after)
+		snapshots += m.server.consensus.SnapshotsInstalled
+		acknowledged := c.acknowledged
+		c.checkPowerLoss()
+		require.Empty(t, c.Violations, "seed %d, %d routes, %d changes", seed, c.routes, acknowledged)
+		require.Greater(t, acknowledged, int64(20), "seed %d", seed)
+	}
+	require.Positive(t, snapshots, "snapshots")
+}
+
+// With large changes the log is compacted by their bytes: neither disk nor memory holds more than a few of them.
+func TestLogIsCompactedByItsBytes(t *testing.T) {
+	c := newByteCostCluster(3, 10, 20)
+	c.paddingBytes = 50_000
+	for c.acknowledged < 60 && c.Now < 60_000 {
+		c.RunFor(500)
+		for _, m := range c.members {
+			bytes := 0
+			for _, e := range m.disk.Entries {
+				bytes += len(e.Data)
+			}
+			require.Less(t, bytes, minLogBytes+5*c.paddingBytes)
+		}
+	}
+	require.GreaterOrEqual(t, c.acknowledged, int64(60))
+	c.checkAgreement()
+	require.Empty(t, c.Violations)
+}
+
+// divergedState is a state at the same index and version as another, with another configuration.
+func divergedState(t *testing.T, state *statemachine.State) *statemachine.State {
+	diverged, err := statemachine.Restore(state.Snapshot())
+	require.NoError(t, err)
+	diverged.Generation--
+	diverged.Index--
+	diverged.AppliedUpdates = diverged.AppliedUpdates[:len(diverged.AppliedUpdates)-1] // a base version has one update
+	body := bytes.Replace(diverged.ConfigBody, []byte(`"TargetMs":150`), []byte(`"TargetMs":151`), 1)
+	require.NoError(t, diverged.Apply(diverged.Index+1, statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{BaseVersion: diverged.Generation, Body: body}}))
+	return diverged
+}
+
+// A member whose state diverged from the log rebuilds it from its own log, or, if its snapshot diverged too, fetches the
+// leader's.
+func TestDivergedStateIsRebuiltOrFetched(t *testing.T) {
+	for _, disk := range []bool{false, true} {
+		c := newByteCostCluster(7, 20, 20)
+		for c.leader() == nil || c.leader().server.consensus.LatestSnapshot().Index == 0 {
+			c.RunFor(500)
+		}
+		c.RunFor(1000)
+		var m *byteCostMember
+		for _, other := range c.members {
+			if other != c.leader() && len(other.disk.Snapshot.Data) > 0 {
+				m = other
+			}
+		}
+		if disk {
+			m.up, m.unsynced = false, nil
+			s, err := statemachine.Restore(m.disk.Snapshot.Data)
+			require.NoError(t, err)
+			s.Index = m.disk.Snapshot.Index
+			m.disk.Snapshot.Data = divergedState(t, s).Snapshot()
+			m.start()
+		} else {
+			m.server.state = divergedState(t, m.server.state)
+		}
+		c.RunFor(12000)
+		require.Positive(t, m.server.StateDivergences.Load(), "disk %v", disk)
+		require.Equal(t, disk, m.server.consensus.SnapshotsInstalled > 0)
+		require.False(t, m.server.diverged)
+		require.Greater(t, m.server.state.Generation+20, c.acknowledged)
+		c.stopped = true
+		c.RunFor(2000)
+		c.checkAgreement()
+		require.Equal(t, c.leader().server.state.Checksum(), m.server.state.Checksum(), "disk %v", disk)
+		require.Empty(t, c.Violations)
+	}
+}
