--- a/cmd/ferrylab/demo.go
+++ b/cmd/ferrylab/demo.go
@@ -157,7 +157,7 @@
 		err = bad
 	}
 	if err == nil && r.Broken > 0 {
-		return errBroken
+		return errViolations
 	}
 	return err
 }
--- a/cmd/ferrylab/system.go
+++ b/cmd/ferrylab/system.go
@@ -70,7 +70,7 @@
 		fmt.Fprintf(out, "%d rules broken\n", len(r.Violations))
 	}
 	if len(r.Violations) > 0 {
-		return errBroken
+		return errViolations
 	}
 	return nil
 }
--- a/internal/simulation/tierfleet/files.go
+++ b/internal/simulation/tierfleet/files.go
@@ -9,8 +9,8 @@
 	"ferrypitch/internal/fake/discovery"
 )
 
-// linkKeyFile is the key of the links between planners and forwarders, beside the files that name it.
-const linkKeyFile = "link.key"
+// LinkKeyFile is the name of the file with the key of the links between planners and forwarders, beside the files that name it.
+const LinkKeyFile = "link.key"
 
 // Groups of commands.
 const (
@@ -166,7 +166,7 @@
 func (f *Fleet) PlannerFile(planner int) (string, error) {
 	content := f.newFile("p" + strconv.Itoa(planner))
 	content.Discovery = f.Discovery.Address()
-	content.Plan = &planSection{Listen: f.planners[planner], KeyFile: linkKeyFile}
+	content.Plan = &planSection{Listen: f.planners[planner], KeyFile: LinkKeyFile}
 	return f.write(content)
 }
 
@@ -175,7 +175,7 @@
 	content := f.newFile("f" + strconv.Itoa(forwarder))
 	known := f.Discovery.List()
 	content.Listen, content.Known, content.Trace = listen, &known, f.Trace
-	content.Forward = &forwardSection{Planners: f.planners, KeyFile: linkKeyFile}
+	content.Forward = &forwardSection{Planners: f.planners, KeyFile: LinkKeyFile}
 	return f.write(content)
 }
 
--- a/internal/simulation/tierfleet/fleet.go
+++ b/internal/simulation/tierfleet/fleet.go
@@ -80,7 +80,7 @@
 		f.planners = append(f.planners, address)
 	}
 	key := strings.Repeat("5e", 32) + "\n"
-	return f, os.WriteFile(filepath.Join(dir, linkKeyFile), []byte(key), 0o600)
+	return f, os.WriteFile(filepath.Join(dir, LinkKeyFile), []byte(key), 0o600)
 }
 
 func (f *Fleet) addHosts(sets, hostsPerSet int) error {
--- a/internal/simulation/tierprocess/tierprocess_test.go
+++ b/internal/simulation/tierprocess/tierprocess_test.go
@@ -4,27 +4,37 @@
 	"testing"
 	"time"
 
+	"github.com/stretchr/testify/require"
+
 	"ferrypitch/internal/simulation/program"
 )
 
 func TestSixForwardersAndThreePlannersKilledInTurn(t *testing.T) {
 	dir := t.TempDir()
 	binary, err := program.Build(dir, "ferrypitch")
-	if err != nil {
-		t.Fatal(err)
-	}
-	o, err := Run(t.Context(), Terms{Dir: dir, Binary: binary, Forwarders: 6, Planners: 3, Sets: 2, Members: 3, Rate: 150,
-		For: 14 * time.Second, Clients: 4, Faults: true, Changes: 1, Seed: 1})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if o.Broken > 0 || o.Sent < 500 {
-		t.Errorf("%+v", *o)
+	require.NoError(t, err)
+	r, err := Run(t.Context(), Config{
+		Dir:            dir,
+		Binary:         binary,
+		Forwarders:     6,
+		Planners:       3,
+		Sets:           2,
+		HostsPerSet:    3,
+		Rate:           150,
+		For:            14 * time.Second,
+		Clients:        4,
+		Faults:         true,
+		PrimaryChanges: 1,
+		Seed:           1,
+	})
+	require.NoError(t, err)
+	if r.Violations > 0 || r.Sent < 500 {
+		t.Errorf("%+v", *r)
 	}
-	if o.Sent != o.Answered+o.Throttled+o.Failed+o.Lost {
-		t.Errorf("%d sent: %d answered, %d throttled, %d failed", o.Sent, o.Answered, o.Throttled, o.Failed)
+	if r.Sent != r.Answered+r.Throttled+r.Failed+r.Lost {
+		t.Errorf("%d sent: %d answered, %d throttled, %d failed", r.Sent, r.Answered, r.Throttled, r.Failed)
 	}
-	if 10*o.Answered < 7*o.Sent {
-		t.Errorf("only %d of %d answered", o.Answered, o.Sent)
+	if 10*r.Answered < 7*r.Sent {
+		t.Errorf("only %d of %d answered", r.Answered, r.Sent)
 	}
 }
--- a/internal/simulation/workload/client.go
+++ b/internal/simulation/workload/client.go
@@ -98,13 +98,13 @@
 	fence := ""
 	switch {
 	case cmd.writes:
-		cmd.group = groupWrite
+		cmd.group = GroupWrite
 		cmd.timeout *= writeTimeoutFactor
 	case lastWrite != "" && c.random.IntN(2) == 0:
-		cmd.group = groupOwnReads
+		cmd.group = GroupOwnReads
 		fence = ",after=" + lastWrite
 	default:
-		cmd.group = groupReads
+		cmd.group = GroupReads
 	}
 	text := fmt.Sprintf("SELECT v FROM records WHERE k = '%s'", key)
 	if cmd.writes {
--- a/internal/simulation/workload/workload.go
+++ b/internal/simulation/workload/workload.go
@@ -17,9 +17,9 @@
 
 // Groups of commands, as the deployments of tierfleet know them.
 const (
-	groupWrite    = "order" // writes, run at most once
-	groupOwnReads = "own"   // reads that see the session's last write
-	groupReads    = "list"  // reads with a staleness bound
+	GroupWrite    = "order" // writes, run at most once
+	GroupOwnReads = "own"   // reads that see the session's last write
+	GroupReads    = "list"  // reads with a staleness bound
 )
 
 // Terms describes a load.
