--- a/cmd/ferrylab/demo.go
+++ b/cmd/ferrylab/demo.go
@@ -2,14 +2,13 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"maps"
+	"net"
 	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -21,180 +20,251 @@
 	"ferrypitch/internal/simulation/workload"
 )
 
+// Size of the demo.
+const (
+	demoSets        = 2
+	demoHostsPerSet = 3
+	demoForwarders  = 2
+	demoReady       = 15 * time.Second // for each forwarder
+)
+
+// demoOptions is the flags of ferrylab demo.
+type demoOptions struct {
+	span   time.Duration // how long commands are sent
+	rate   float64       // commands a second
+	stay   bool          // whether to serve on until interrupted
+	asJSON bool
+	log    bool // to standard error
+}
+
 func demoCommand() *cobra.Command {
-	var span time.Duration
-	var stay, asJSON, loud bool
-	var rate float64
-	c := &cobra.Command{Use: "demo", Args: cobra.NoArgs, Short: "A small fleet, a planner, two forwarders and a load on them",
-		Long: "Two replica sets of three stand-in hosts, of which one lags and one dies and returns, discovery, a planner\n" +
+	var options demoOptions
+	command := &cobra.Command{
+		Use:   "demo",
+		Args:  cobra.NoArgs,
+		Short: "A small fleet, a planner, two forwarders and a load on them",
+		Long: "Two replica sets of three simulated hosts, of which one lags and one dies and returns, discovery, a planner\n" +
 			"and two forwarders, all on free loopback ports in this process. Commands are sent, and a table shows what\n" +
 			"was answered from where. It ends by itself, with status 1 if a rule was broken.",
-		RunE: func(c *cobra.Command, _ []string) error {
-			return demo(c.Context(), c.OutOrStdout(), span, rate, stay, asJSON, loud)
-		}}
-	c.Flags().DurationVar(&span, "for", 20*time.Second, "how long to send commands")
-	c.Flags().Float64Var(&rate, "rate", 200, "commands a second")
-	c.Flags().BoolVar(&stay, "serve", false, "then stay up, until interrupted")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the result as JSON")
-	c.Flags().BoolVar(&loud, "log", false, "log to standard error")
-	return c
-}
-
-// installation is a running demo.
-type installation struct {
-	*tierfleet.Fleet
-	routers []string
-	tasks   errgroup.Group
-	end     context.CancelFunc
+		RunE: func(command *cobra.Command, _ []string) error {
+			return runDemo(command.Context(), command.OutOrStdout(), options)
+		},
+	}
+	flags := command.Flags()
+	flags.DurationVar(&options.span, "for", 20*time.Second, "how long to send commands")
+	flags.Float64Var(&options.rate, "rate", 200, "commands a second")
+	flags.BoolVar(&options.stay, "serve", false, "then stay up, until interrupted")
+	flags.BoolVar(&options.asJSON, "json", false, "print the result as JSON")
+	flags.BoolVar(&options.log, "log", false, "log to standard error")
+	return command
 }
 
-func begin(ctx context.Context, dir string, log *zap.Logger) (i *installation, err error) {
-	i = &installation{}
-	if i.Fleet, err = tierfleet.New(dir, 2, 3, 2, 1); err != nil {
-		return nil, err
-	}
-	ctx, i.end = context.WithCancel(context.WithoutCancel(ctx))
-	if err = i.Plan(ctx, &i.tasks, 0, log); err == nil {
-		for n := range 2 {
-			var address string
-			if address, err = i.Forward(ctx, &i.tasks, n, log); err != nil {
-				break
-			}
-			i.routers = append(i.routers, address)
-		}
+func runDemo(ctx context.Context, out io.Writer, options demoOptions) error {
+	log := zap.NewNop()
+	if options.log {
+		log = zap.Must(zap.NewDevelopment())
 	}
-	for _, a := range i.routers {
-		if err == nil {
-			up, stop := context.WithTimeout(ctx, 15*time.Second)
-			err = tierfleet.Ready(up, a)
-			stop()
-		}
+	dir, err := os.MkdirTemp("", "ferrylab")
+	if err != nil {
+		return err
 	}
+	defer os.RemoveAll(dir)
+	d, err := startDeployment(ctx, dir, log)
 	if err != nil {
-		i.stop()
-		return nil, err
+		return err
+	}
+	err = d.demo(ctx, out, options)
+	if stopErr := d.stop(); err == nil {
+		err = stopErr
 	}
-	return i, nil
-}
-
-func (i *installation) stop() error {
-	i.end()
-	err := i.tasks.Wait()
-	i.Fleet.Stop()
 	return err
 }
 
-// trouble has a replica die after a third of the time, and return cold after two.
-func (i *installation) trouble(ctx context.Context, span time.Duration) error {
-	h := i.Hosts.Hosts()[1]
-	for _, step := range []func() error{
-		func() error { h.Kill(); return nil },
-		func() error {
-			err := h.Restart()
-			i.Announce(h, tierfleet.StateUp)
-			return err
-		}} {
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-time.After(span / 3):
+// demo sends commands, prints what came of them, and serves on if asked to.
+func (d *deployment) demo(ctx context.Context, out io.Writer, options demoOptions) error {
+	say := func(format string, args ...any) {
+		if !options.asJSON {
+			fmt.Fprintf(out, format+"\n", args...)
 		}
-		if err := step(); err != nil {
+	}
+	say("forwarders at %s, a planner at %s; %v of commands", strings.Join(d.forwarders, " and "), d.Planners()[0], options.span)
+	result, faultErr := d.load(ctx, options)
+	printResult := result.print
+	if options.asJSON {
+		printResult = func(out io.Writer) error { return printJSON(out, result) }
+	}
+	if err := printResult(out); err != nil {
+		return err
+	}
+	if options.stay && ctx.Err() == nil {
+		host, port, err := net.SplitHostPort(d.forwarders[0])
+		if err != nil {
 			return err
 		}
+		say("serving until interrupted:\n  psql 'host=%s port=%s user=svc dbname=main sslmode=disable' -c \"%s\"", host, port,
+			"/* id=1,c=list,d=800,cluster=1 */ SELECT v FROM records WHERE k = 'x'")
+		<-ctx.Done()
+	}
+	if faultErr != nil {
+		return faultErr
+	}
+	if result.Violations > 0 {
+		return errViolations
 	}
 	return nil
 }
 
-// result is what a demo prints.
-type result struct {
-	Sent, Answered, Throttled, Failed int
-	Broken                            int
-	Notes                             []string
-	Answers                           map[string]int
-	Median, P99                       float64 // milliseconds
+// load sends commands while a replica dies and returns. Its error is that of the replica's restart.
+func (d *deployment) load(ctx context.Context, options demoOptions) (*demoResult, error) {
+	var faults errgroup.Group
+	faults.Go(func() error { return d.crashReplica(ctx, options.span) })
+	tally := workload.Run(ctx, workload.Terms{
+		Routers:  d.forwarders,
+		Sets:     []int64{1, 2},
+		Clients:  12,
+		Rate:     options.rate,
+		For:      options.span,
+		Writes:   0.1,
+		Sessions: 4,
+		Timeout:  time.Second,
+		Seed:     1,
+	}, nil)
+	err := faults.Wait()
+	return newDemoResult(tally, d.Hosts.Seen()), err
 }
 
-func demo(ctx context.Context, out io.Writer, span time.Duration, rate float64, stay, asJSON, loud bool) error {
-	log := zap.NewNop()
-	if loud {
-		log = zap.Must(zap.NewDevelopment())
-	}
-	dir, err := os.MkdirTemp("", "ferrylab")
+// deployment is the fleet, planner and forwarders of a demo.
+type deployment struct {
+	*tierfleet.Fleet
+	forwarders []string // addresses
+	tasks      errgroup.Group
+	cancel     context.CancelFunc
+}
+
+// startDeployment starts a deployment, which runs on when ctx ends, until stop.
+func startDeployment(ctx context.Context, dir string, log *zap.Logger) (*deployment, error) {
+	fleet, err := tierfleet.New(dir, demoSets, demoHostsPerSet, demoForwarders, 1)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	defer os.RemoveAll(dir)
-	i, err := begin(ctx, dir, log)
-	if err != nil {
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	d := &deployment{Fleet: fleet, cancel: cancel}
+	if err := d.startPrograms(ctx, log); err != nil {
+		_ = d.stop() // the first error tells more
+		return nil, err
+	}
+	return d, nil
+}
+
+// startPrograms starts the planner and the forwarders, and waits until the forwarders are ready.
+func (d *deployment) startPrograms(ctx context.Context, log *zap.Logger) error {
+	if err := d.Plan(ctx, &d.tasks, 0, log); err != nil {
 		return err
 	}
-	say := func(format string, args ...any) {
-		if !asJSON {
-			fmt.Fprintf(out, format+"\n", args...)
+	for i := range demoForwarders {
+		address, err := d.Forward(ctx, &d.tasks, i, log)
+		if err != nil {
+			return err
 		}
+		d.forwarders = append(d.forwarders, address)
 	}
-	say("forwarders at %s, a planner at %s; %v of commands", strings.Join(i.routers, " and "), i.Planners()[0], span)
-	var side errgroup.Group
-	side.Go(func() error { return i.trouble(ctx, span) })
-	t := workload.Run(ctx, workload.Terms{Routers: i.routers, Sets: []int64{1, 2}, Clients: 12, Rate: rate, For: span, Writes: 0.1,
-		Sessions: 4, Timeout: time.Second, Seed: 1}, nil)
-	err = side.Wait()
-	r := report(t, i.Hosts.Seen())
-	if asJSON {
-		enc := json.NewEncoder(out)
-		enc.SetIndent("", "  ")
-		enc.Encode(r)
-	} else {
-		r.table(out)
-	}
-	if stay && ctx.Err() == nil {
-		say("serving until interrupted:\n  psql 'host=%s port=%s user=svc dbname=main sslmode=disable' -c \"%s\"", host(i.routers[0]), port(i.routers[0]),
-			"/* id=1,c=list,d=800,cluster=1 */ SELECT v FROM records WHERE k = 'x'")
-		<-ctx.Done()
+	for _, address := range d.forwarders {
+		if err := waitReady(ctx, address); err != nil {
+			return err
+		}
 	}
-	if bad := i.stop(); err == nil {
-		err = bad
+	return nil
+}
+
+func waitReady(ctx context.Context, address string) error {
+	ctx, cancel := context.WithTimeout(ctx, demoReady)
+	defer cancel()
+	return tierfleet.Ready(ctx, address)
+}
+
+func (d *deployment) stop() error {
+	d.cancel()
+	err := d.tasks.Wait()
+	d.Stop() // hosts and discovery
+	return err
+}
+
+// crashReplica has a replica die after a third of a span, and return cold after two.
+func (d *deployment) crashReplica(ctx context.Context, span time.Duration) error {
+	replica := d.Hosts.Hosts()[1]
+	if !sleep(ctx, span/3) {
+		return nil
 	}
-	if err == nil && r.Broken > 0 {
-		return errViolations
+	replica.Kill()
+	if !sleep(ctx, span/3) {
+		return nil
 	}
+	err := replica.Restart()
+	d.Announce(replica, tierfleet.StateUp)
 	return err
 }
 
-func host(address string) string { h, _, _ := strings.Cut(address, ":"); return h }
-func port(address string) string { _, p, _ := strings.Cut(address, ":"); return p }
+// sleep waits for a time; false: the context has ended before.
+func sleep(ctx context.Context, span time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(span):
+		return true
+	}
+}
+
+// demoResult is what a demo prints.
+type demoResult struct {
+	Sent, Answered, Throttled, Failed int
+	Violations                        int
+	Notes                             []string       // of violations
+	Answers                           map[string]int // by host and group, as in "set1-a list"
+	MedianMs, P99Ms                   float64        // latencies, from when a command was due
+}
 
-func report(t *workload.Tally, truth postgres.Stats) result {
-	r := result{Sent: t.Sent, Answered: t.Answered, Throttled: t.Throttled, Failed: t.Failed, Answers: t.Answers,
-		Broken: truth.Broken() + t.Lost + t.Extra, Notes: truth.Notes,
-		Median: float64(t.Latency.ValueAtQuantile(50)) / 1000, P99: float64(t.Latency.ValueAtQuantile(99)) / 1000}
-	if err := t.Check(); err != nil {
-		r.Broken, r.Notes = max(1, r.Broken), append(r.Notes, err.Error())
+func newDemoResult(tally *workload.Tally, stats postgres.Stats) *demoResult {
+	r := &demoResult{
+		Sent:       tally.Sent,
+		Answered:   tally.Answered,
+		Throttled:  tally.Throttled,
+		Failed:     tally.Failed,
+		Violations: stats.Broken() + tally.Lost + tally.Extra,
+		Notes:      stats.Notes,
+		Answers:    tally.Answers,
+		MedianMs:   float64(tally.Latency.ValueAtQuantile(50)) / 1000,
+		P99Ms:      float64(tally.Latency.ValueAtQuantile(99)) / 1000,
+	}
+	if err := tally.Check(); err != nil {
+		r.Violations, r.Notes = max(1, r.Violations), append(r.Notes, err.Error())
 	}
 	return r
 }
 
-func (r result) table(out io.Writer) {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+// print prints the answers by host and group, and the sums.
+func (r *demoResult) print(out io.Writer) error {
 	hosts := map[string]bool{}
 	for key := range r.Answers {
 		name, _, _ := strings.Cut(key, " ")
 		hosts[name] = true
 	}
-	groups := []string{"list", "own", "order"}
-	fmt.Fprintf(w, "answered by\t%s\n", strings.Join(groups, "\t"))
-	for _, h := range slices.Sorted(maps.Keys(hosts)) {
-		fmt.Fprint(w, h)
-		for _, g := range groups {
-			fmt.Fprintf(w, "\t%d", r.Answers[h+" "+g])
+	groups := []string{workload.GroupReads, workload.GroupOwnReads, workload.GroupWrite}
+	table := newTable(out)
+	fmt.Fprintf(table, "answered by\t%s\n", strings.Join(groups, "\t"))
+	for _, host := range slices.Sorted(maps.Keys(hosts)) {
+		fmt.Fprint(table, host)
+		for _, group := range groups {
+			fmt.Fprintf(table, "\t%d", r.Answers[host+" "+group])
 		}
-		fmt.Fprintln(w)
+		fmt.Fprintln(table)
+	}
+	if err := table.Flush(); err != nil {
+		return err
 	}
-	w.Flush()
 	fmt.Fprintf(out, "%d sent: %d answered, %d throttled, %d failed; median %.1f ms, 99 %% %.1f ms; %d broken rules\n",
-		r.Sent, r.Answered, r.Throttled, r.Failed, r.Median, r.P99, r.Broken)
-	for _, n := range r.Notes {
-		fmt.Fprintln(out, "broken:", n)
+		r.Sent, r.Answered, r.Throttled, r.Failed, r.MedianMs, r.P99Ms, r.Violations)
+	for _, note := range r.Notes {
+		fmt.Fprintln(out, "broken:", note)
 	}
+	return nil
 }
--- a/cmd/ferrylab/system_test.go
+++ b/cmd/ferrylab/system_test.go
@@ -13,7 +13,7 @@
 
 func TestTheWholeSystemServesThroughTheCrashOfAPrimary(t *testing.T) {
 	var out bytes.Buffer
-	require.NoError(t, system(t.Context(), &out, cluster.Options{For: 6 * time.Second, Sessions: 6, Seed: 77}, true), "%s", &out)
+	require.NoError(t, runSystem(t.Context(), &out, cluster.Options{For: 6 * time.Second, Sessions: 6, Seed: 77}, true), "%s", &out)
 	var r cluster.Result
 	require.NoError(t, json.Unmarshal(out.Bytes(), &r))
 	require.Empty(t, r.Violations)
