--- a/cmd/ferrylab/demo.go
+++ b/cmd/ferrylab/demo.go
@@ -150,7 +150,7 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	d := &deployment{Fleet: fleet, cancel: cancel}
 	if err := d.startPrograms(ctx, log); err != nil {
-		_ = d.stop() // the first error tells more
+		_ = d.stop() // the first error is the cause
 		return nil, err
 	}
 	return d, nil
--- a/cmd/ferrylab/main.go
+++ b/cmd/ferrylab/main.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// errViolations ends the program with status 1, after the report has told of the violations.
+// errViolations ends the program with status 1, after the report has listed the violations.
 var errViolations = errors.New("a rule was broken")
 
 const (
--- a/cmd/ferrylab/tiers.go
+++ b/cmd/ferrylab/tiers.go
@@ -32,7 +32,7 @@
 		Args:  cobra.NoArgs,
 		Short: "Forwarders and planners as processes, under load and faults",
 		Long: "Starts simulated hosts and discovery here, planners and forwarders as processes (or, with --planners 0, routers\n" +
-			"without planners), loads them, kills them in turn, and reports by the hosts' own record.",
+			"without planners), loads them, kills them in turn, and reports what the hosts have recorded.",
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runTiers(command.Context(), command.OutOrStdout(), options)
 		},
--- a/internal/fake/database/role.go
+++ b/internal/fake/database/role.go
@@ -23,7 +23,7 @@
 		return true
 	}
 	h.Term, h.Leader, h.Paused, h.pendingAcks = latest+1, true, 0, nil
-	h.group.Note("%s is promoted to term %d with %d entries", h.ID, h.Term, len(h.Log))
+	h.group.Note("%s is promoted to timeline %d with %d entries", h.ID, h.Term, len(h.Log))
 	for _, other := range h.group.Hosts {
 		if other != h {
 			other.succeededBy(h)
@@ -33,7 +33,7 @@
 	return true
 }
 
-// succeededBy tells a host of a new primary: a reachable replica follows it at once, a former primary steps down later.
+// succeededBy notifies a host of a new primary: a reachable replica follows it at once, a former primary steps down later.
 func (h *Host) succeededBy(primary *Host) {
 	if h.Up && !h.Dark && !h.Deaf && !h.Leader {
 		h.Paused, h.Term = 0, max(h.Term, primary.Term)
@@ -61,13 +61,13 @@
 	h.Leader, h.Applied = false, len(h.Log)
 }
 
-// Crash stops a host and starts it again after a span. A dark crash is that of a machine: clients are not told that
-// their connections are gone, and connection attempts meet silence.
+// Crash stops a host and starts it again after a span. A dark crash is that of a machine: clients do not see their
+// connections end, and connection attempts meet silence.
 func (h *Host) Crash(dark bool, back int64) {
 	if !h.Up {
 		return
 	}
-	h.group.Note("%s crashes, dark %v, leader %v", h.ID, dark, h.Leader)
+	h.group.Note("%s crashes, unreachable %v, primary %v", h.ID, dark, h.Leader)
 	h.Up, h.Dark, h.pendingAcks = false, dark, nil
 	h.Crashes++
 	// In the order in which they were opened, so that a seed plays the same each time.
@@ -89,6 +89,6 @@
 			h.becomeReplica()
 		}
 	}
-	h.group.Note("%s is back, leader %v", h.ID, h.Leader)
+	h.group.Note("%s is back, primary %v", h.ID, h.Leader)
 	h.sendHeartbeat()
 }
--- a/internal/fake/discovery/discovery.go
+++ b/internal/fake/discovery/discovery.go
@@ -33,7 +33,7 @@
 // List is the list at a revision, or what changed up to there.
 type List struct {
 	Rev int64 `json:"rev"`
-	// All says that the targets are the whole list and not changes.
+	// All says that the targets are the full list and not changes.
 	All     bool    `json:"all"`
 	Targets []Entry `json:"targets"`
 }
@@ -104,7 +104,7 @@
 	return time.Now()
 }
 
-// List returns the whole list.
+// List returns the full list.
 func (d *Discovery) List() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,7 +118,7 @@
 	return d.linesWritten
 }
 
-// list is the whole list; d is locked.
+// list is the full list; d is locked.
 func (d *Discovery) list() List {
 	list := List{Rev: d.revision, All: true, Targets: []Entry{}}
 	for _, entry := range d.entries {
@@ -138,7 +138,7 @@
 	return list
 }
 
-// nextLine returns what a client is sent that has the list as of a revision (0: not at all): the whole list, the changes, or
+// nextLine returns what a client is sent that has the list as of a revision (0: not at all): the full list, the changes, or
 // an empty line. It also returns the revision that the client has then, and a channel that the next one closes.
 func (d *Discovery) nextLine(since int64) (line []byte, revision int64, changed <-chan struct{}, err error) {
 	d.mu.Lock()
@@ -159,7 +159,7 @@
 // ServeHTTP answers a request for the list.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	since, _ := strconv.ParseInt(query.Get("since"), 10, 64) // 0, and so the whole list, if it is missing or no number
+	since, _ := strconv.ParseInt(query.Get("since"), 10, 64) // 0, and so the full list, if it is missing or no number
 	controller := http.NewResponseController(w)
 	for {
 		line, revision, changed, err := d.nextLine(since)
--- a/internal/fake/postgres/capacity.go
+++ b/internal/fake/postgres/capacity.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// overloadSlack is how many commands beyond the overload factor are put down to chance.
+// overloadSlack is how many commands beyond the overload factor are taken for random variation.
 const overloadSlack = 8
 
 // isCold reports whether a host has not warmed up since its last start.
--- a/internal/fake/postgres/host.go
+++ b/internal/fake/postgres/host.go
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// Promote makes a host the primary of its set, with the whole log. A former primary that still runs becomes a replica.
+// Promote makes a host the primary of its set, with the full log. A former primary that still runs becomes a replica.
 func (h *Host) Promote() {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -1,5 +1,5 @@
 // Package checker judges what clients were answered by what simulated hosts ran and kept: no read is stale, no acknowledged
-// write is lost, no write is in the log twice, and no write is kept whose client was told that nothing is kept. Seeded
+// write is lost, no write is in the log twice, and no write is kept whose client was answered that nothing is kept. Seeded
 // simulations and runs on sockets share it.
 //
 // A client reports each write before it sends it (ReportAttempt) and the answer to it (ReportAnswer or
@@ -31,7 +31,7 @@
 	outcomes map[string]outcome
 }
 
-// outcome is what the client of a write was told, by the write's data.
+// outcome is what the client of a write was answered.
 type outcome int
 
 const (
@@ -108,7 +108,7 @@
 	c.commits = append(c.commits, commit{now, position, session})
 }
 
-// ReportNothingKept takes in that a client was told that nothing of its writes is kept.
+// ReportNothingKept takes in that a client was answered that nothing of its writes is kept.
 func (c *Checker) ReportNothingKept(data []string) {
 	for _, write := range data {
 		c.outcomes[write] = notKept
@@ -126,7 +126,7 @@
 	return writes
 }
 
-// CheckFinalLog checks the log of the primary against what clients were told. It is called after all faults have ended and
+// CheckFinalLog checks the log of the primary against what clients were answered. It is called after all faults have ended and
 // the log has settled.
 func (c *Checker) CheckFinalLog() {
 	primary := c.Group.Lead()
@@ -142,7 +142,7 @@
 		case outcome == acknowledged && count == 0:
 			c.Violate("LOST: %s was acknowledged", write)
 		case outcome == notKept && count > 0:
-			c.Violate("REFUSED: %s is kept, its client was promised that it is not", write)
+			c.Violate("REJECTED: %s is kept, its client was answered that it is not", write)
 		}
 	}
 }
--- a/internal/simulation/cluster/client.go
+++ b/internal/simulation/cluster/client.go
@@ -57,7 +57,7 @@
 			s.run(ctx)
 			s.conn.Close()
 		}
-		_ = sleep(ctx, reconnectDelay) // the loop's condition tells of its end
+		_ = sleep(ctx, reconnectDelay) // the loop ends with the context
 	}
 }
 
@@ -65,7 +65,7 @@
 func (s *session) run(ctx context.Context) {
 	for ctx.Err() == nil && s.runOperation() {
 		thinkTime := time.Duration(s.random.IntN(maxThinkTimeMs)) * time.Millisecond
-		_ = sleep(ctx, thinkTime) // the loop's condition tells of its end
+		_ = sleep(ctx, thinkTime) // the loop ends with the context
 	}
 }
 
--- a/internal/simulation/cluster/operation.go
+++ b/internal/simulation/cluster/operation.go
@@ -104,14 +104,14 @@
 
 func (s *session) fetchText() string { return fmt.Sprintf("FETCH t%d", s.random.IntN(readKeys)) }
 
-// attemptWrite returns the data of a new write, after telling the checker of it.
+// attemptWrite returns the data of a new write, after reporting it to the checker.
 func (s *session) attemptWrite() string {
 	data := fmt.Sprintf("%s-%d", s.name, s.statements)
 	s.cluster.withChecker(func(checker *checker.Checker) { checker.ReportAttempt(data) })
 	return data
 }
 
-// reportAnswer tells the checker how writes ended, and notes the first one that was acknowledged after the crash.
+// reportAnswer reports to the checker how writes ended, and notes the first one that was acknowledged after the crash.
 func (s *session) reportAnswer(writes []string, code wire.Code) {
 	c := s.cluster
 	c.withChecker(func(checker *checker.Checker) { checker.ReportAnswer(s.name, writes, code, c.now()) })
--- a/internal/simulation/program/usage.go
+++ b/internal/simulation/program/usage.go
@@ -25,7 +25,7 @@
 	systemTimeField = 12
 )
 
-// Usage returns the current usage. What /proc does not tell counts as 0.
+// Usage returns the current usage. What /proc does not have counts as 0.
 func (p *Process) Usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/simulation/tiernet/apply.go
+++ b/internal/simulation/tiernet/apply.go
@@ -6,7 +6,7 @@
 	"ferrypitch/policy"
 )
 
-// applyView tells the decision module what has changed in the view of the planners: the list of hosts first, then the number
+// applyView passes to the decision module what has changed in the view of the planners: the list of hosts first, then the number
 // of routers, then positions and roles.
 func (f *forwarderProcess) applyView(due follower.Todo) {
 	f.updateClock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// updateClock tells the module the time of the calls that follow.
+// updateClock sets the module's time for the calls that follow.
 func (f *forwarderProcess) updateClock() {
 	f.module.Clock(f.w.Now)
 	f.trace.Now(f.w.Now)
--- a/internal/simulation/tiernet/dispatch.go
+++ b/internal/simulation/tiernet/dispatch.go
@@ -157,7 +157,7 @@
 	}
 }
 
-// dispatchEnded tells the module of an outcome, and notes for the next report what the answer told.
+// dispatchEnded reports an outcome to the module, and notes what the answer says for the next report.
 func (f *forwarderProcess) dispatchEnded(d *dispatch, outcome policy.Outcome, position policy.Tenth, role policy.Role) {
 	w, c := f.w, d.command
 	c.dispatchSerial = 0
@@ -181,7 +181,7 @@
 	f.forgetFinished(c.handle)
 }
 
-// observation returns what answers of a host told since the last report.
+// observation returns what answers of a host have said since the last report.
 func (f *forwarderProcess) observation(hostName string) *link.Heard {
 	if f.observations[hostName] == nil {
 		f.observations[hostName] = &link.Heard{Evidence: view.Evidence{Name: hostName}}
--- a/internal/simulation/tiernet/forwarder.go
+++ b/internal/simulation/tiernet/forwarder.go
@@ -46,8 +46,8 @@
 	drainedAt    map[string]policy.Tenth // since when it knows that a host is drained or gone
 	knownStarts  map[string]policy.Tenth // the last start of a host that it knows of
 	demoted      map[string]bool         // the host's last answer said that it is no primary
-	observations map[string]*link.Heard  // what answers told since the last report
-	lastObserved map[string]policy.Tenth // when an answer last told a position
+	observations map[string]*link.Heard  // what answers have said since the last report
+	lastObserved map[string]policy.Tenth // when an answer last had a position
 }
 
 // newGroups returns the command groups of a forwarder: reads with a staleness bound, reads that see the session's last write,
@@ -158,7 +158,7 @@
 	})
 }
 
-// receiveChange takes a change of a planner's view, and asks for the whole view if changes before it are missing.
+// receiveChange takes a change of a planner's view, and asks for the full view if changes before it are missing.
 func (f *forwarderProcess) receiveChange(p *plannerProcess, change view.Change) {
 	incarnation, plannerIncarnation := f.incarnation, p.incarnation
 	if f.cutFrom[p.index] {
@@ -232,7 +232,7 @@
 	})
 }
 
-// sendReport sends what answers told to all planners.
+// sendReport sends the observations since the last report to all planners.
 func (f *forwarderProcess) sendReport() {
 	var report link.Report
 	for _, h := range f.observations {
--- a/internal/simulation/tiernet/host.go
+++ b/internal/simulation/tiernet/host.go
@@ -132,7 +132,7 @@
 	// warmCapacity is what a warm host can do, in relation to what is asked of it here on average. It is little more, so
 	// that the rule has an effect.
 	warmCapacity = 1.33
-	// overloadSlack is how many commands beyond the overload factor are put down to chance.
+	// overloadSlack is how many commands beyond the overload factor are taken for random variation.
 	overloadSlack = 6
 )
 
--- a/internal/simulation/tiernet/planner.go
+++ b/internal/simulation/tiernet/planner.go
@@ -128,22 +128,22 @@
 	}
 }
 
-// sendChange sends a change to all forwarders, or the whole view to those that need it. Some are lost or sent twice, which no
+// sendChange sends a change to all forwarders, or the full view to those that need it. Some are lost or sent twice, which no
 // link does, and which a forwarder has to stand all the same.
-func (p *plannerProcess) sendChange(change view.Change, needWhole []*planner.Forwarder) {
-	needsWhole := map[*planner.Forwarder]bool{}
-	for _, link := range needWhole {
-		needsWhole[link] = true
+func (p *plannerProcess) sendChange(change view.Change, needFull []*planner.Forwarder) {
+	needsFull := map[*planner.Forwarder]bool{}
+	for _, link := range needFull {
+		needsFull[link] = true
 	}
-	whole := p.planner.Whole()
+	full := p.planner.Whole()
 	for _, forwarder := range p.w.forwarders {
 		link := p.links[forwarder]
 		if link == nil {
 			continue
 		}
 		sent, times := change, 1
-		if needsWhole[link] {
-			sent = whole
+		if needsFull[link] {
+			sent = full
 		}
 		switch p.w.Rand.IntN(faultyChanges) {
 		case 0:
--- a/internal/simulation/tiernet/world.go
+++ b/internal/simulation/tiernet/world.go
@@ -130,7 +130,7 @@
 	set.primary.wasPrimary = true
 }
 
-// Run runs the whole world, with load and faults.
+// Run runs the world to its end, with load and faults.
 func (w *World) Run() {
 	w.After(loadDelay, w.sendCommand)
 	for range w.Faults {
--- a/internal/simulation/tierprocess/run.go
+++ b/internal/simulation/tierprocess/run.go
@@ -193,7 +193,7 @@
 	processes.Wait()
 }
 
-// recentlyKilled tells the workload whether the forwarder at an address was killed on purpose.
+// recentlyKilled reports to the workload whether the forwarder at an address was killed on purpose.
 func (r *run) recentlyKilled(address string) bool {
 	return r.forwarders[slices.Index(r.addresses, address)].RecentlyKilled()
 }
