--- a/internal/router/trace/export/export_test.go
+++ b/internal/router/trace/export/export_test.go
@@ -11,27 +11,29 @@
 	"ferrypitch/internal/router/trace/record"
 )
 
-func TestAnExportedKindIsReadByItsColumns(t *testing.T) {
+func TestExportedKindIsReadByColumns(t *testing.T) {
 	var events []format.Event
 	for k := range int64(500) {
-		events = append(events, format.Event{At: 1000 + k, Kind: record.Take, Ints: []int64{k, k % 3, 1, 5000 + k, 0, 0},
-			Texts: []string{fmt.Sprint("id-", k), fmt.Sprint("session-", k%7)}}, format.Event{At: 1001 + k, Kind: record.Woke})
+		events = append(events, format.Event{
+			At: 1000 + k, Kind: record.Take, Ints: []int64{k, k % 3, 1, 5000 + k, 0, 0},
+			Texts: []string{fmt.Sprint("id-", k), fmt.Sprint("session-", k%7)},
+		}, format.Event{At: 1001 + k, Kind: record.Woke})
 	}
 	var out bytes.Buffer
-	e, err := New(&out, record.Schema[record.Take])
+	exported, err := New(&out, record.Schema[record.Take])
 	if err != nil {
 		t.Fatal(err)
 	}
 	var takes []format.Event
-	for _, ev := range events {
-		if ev.Kind == record.Take {
-			takes = append(takes, ev)
-			if err := e.Add(ev); err != nil {
+	for _, event := range events {
+		if event.Kind == record.Take {
+			takes = append(takes, event)
+			if err := exported.Add(event); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if err := e.Close(); err != nil {
+	if err := exported.Close(); err != nil {
 		t.Fatal(err)
 	}
 	type row struct {
--- a/internal/router/trace/file/file_test.go
+++ b/internal/router/trace/file/file_test.go
@@ -18,54 +18,54 @@
 
 var schema = format.Schema{{Name: "x", Columns: []format.Column{{Name: "n", Type: format.Int, Mark: format.Plain}}}}
 
-// disk holds what a disk would, and fails where it is told to.
-type disk struct {
+// fullDisk fails once its space is used up.
+type fullDisk struct {
 	Disk
-	room int // bytes that there are left; -1: enough
+	space int // bytes that are left; -1: no limit
 }
 
-type onDisk struct {
+type fileOnFullDisk struct {
 	File
-	d *disk
+	disk *fullDisk
 }
 
 var errFull = errors.New("no space left on device")
 
-func (d *disk) Create(path string) (File, error) {
+func (d *fullDisk) Create(path string) (File, error) {
 	f, err := d.Disk.Create(path)
-	return &onDisk{f, d}, err
+	return &fileOnFullDisk{f, d}, err
 }
 
-func (f *onDisk) Write(b []byte) (int, error) {
-	if f.d.room >= 0 && len(b) > f.d.room {
-		n, _ := f.File.Write(b[:f.d.room])
-		f.d.room = 0
+func (f *fileOnFullDisk) Write(b []byte) (int, error) {
+	if f.disk.space >= 0 && len(b) > f.disk.space {
+		n, _ := f.File.Write(b[:f.disk.space])
+		f.disk.space = 0
 		return n, errFull
 	}
-	if f.d.room >= 0 {
-		f.d.room -= len(b)
+	if f.disk.space >= 0 {
+		f.disk.space -= len(b)
 	}
 	return f.File.Write(b)
 }
 
-// record puts blocks of a hundred events, waiting for room as no recorder would, and ends the writer.
-func record(t *testing.T, w *Writer, blocks int) (put int) {
+// writeBlocks writes blocks of a hundred events, waits for empty blocks as no recorder would, and ends the writer.
+func writeBlocks(t *testing.T, writer *Writer, blocks int) (put int) {
 	t.Helper()
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- w.Run(ctx) }()
+	go func() { ended <- writer.Run(ctx) }()
 	for k := range blocks {
-		b := w.Get()
-		for ; b == nil && !w.Ended.Load(); b = w.Get() {
+		block := writer.Get()
+		for ; block == nil && !writer.Stopped.Load(); block = writer.Get() {
 			time.Sleep(time.Millisecond)
 		}
-		if b == nil {
+		if block == nil {
 			break
 		}
 		for i := range 100 {
-			b.Add(int64(1000*k+i), 0, []int64{int64(i * i)}, nil)
+			block.Add(int64(1000*k+i), 0, []int64{int64(i * i)}, nil)
 		}
-		if w.Put(b) {
+		if writer.Put(block) {
 			put++
 		}
 	}
@@ -76,38 +76,41 @@
 	return put
 }
 
-func terms(dir string) Terms {
+func testConfig(dir string) Terms {
 	return Terms{Dir: dir, Name: "f1/../x", Size: 2000, Age: time.Hour, Budget: 1 << 20, Flush: time.Hour, Blocks: 3}
 }
 
+// count reads all files of a folder and counts those that are truncated or corrupt.
 func count(t *testing.T, dir string) (events, files, broken int) {
 	t.Helper()
 	all, _ := filepath.Glob(filepath.Join(dir, "*"+Ending))
 	for _, path := range all {
-		f, err := os.Open(path)
+		file, err := os.Open(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer f.Close()
 		files++
-		r, err := format.NewReader(f)
+		r, err := format.NewReader(file)
 		for err == nil {
 			var some []format.Event
 			_, some, err = r.Next()
 			events += len(some)
 		}
-		if err != io.EOF {
+		if !errors.Is(err, io.EOF) {
 			broken++
 		}
+		if err := file.Close(); err != nil {
+			t.Error(err)
+		}
 	}
 	return events, files, broken
 }
 
-func TestFilesRotateWithinTheirBudgetAndCarryAnIndex(t *testing.T) {
+func TestFilesRotateWithinBudgetAndHaveAnIndex(t *testing.T) {
 	dir := t.TempDir()
-	tm := terms(dir)
-	w := New(tm, Disk{}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
-	put := record(t, w, 60)
+	config := testConfig(dir)
+	writer := New(config, Disk{}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
+	put := writeBlocks(t, writer, 60)
 	events, files, broken := count(t, dir)
 	if events != 100*put || files < 3 || broken != 0 {
 		t.Errorf("%d events of %d blocks in %d files, %d of them broken", events, put, files, broken)
@@ -117,60 +120,62 @@
 		t.Errorf("%v", all)
 	}
 	for _, path := range all {
-		f, _ := os.Open(path)
-		info, _ := f.Stat()
-		if spans, err := format.ReadIndex(f, info.Size()); err != nil || len(spans) == 0 {
+		file, _ := os.Open(path)
+		info, _ := file.Stat()
+		if spans, err := format.ReadIndex(file, info.Size()); err != nil || len(spans) == 0 {
 			t.Errorf("%s: %v", path, err)
 		}
-		f.Close()
+		if err := file.Close(); err != nil {
+			t.Error(err)
+		}
 	}
-	tm.Budget, tm.Dir = 7000, t.TempDir()
-	record(t, New(tm, Disk{}, format.Header{Schema: schema, Life: 6}, time.Now, zap.NewNop()), 60)
+	config.Budget, config.Dir = 7000, t.TempDir()
+	writeBlocks(t, New(config, Disk{}, format.Header{Schema: schema, Life: 6}, time.Now, zap.NewNop()), 60)
 	total := int64(0)
-	all, _ = filepath.Glob(filepath.Join(tm.Dir, "*"))
+	all, _ = filepath.Glob(filepath.Join(config.Dir, "*"))
 	for _, path := range all {
 		info, _ := os.Stat(path)
 		total += info.Size()
 	}
-	if total > tm.Budget+1000 || len(all) < 2 {
-		t.Errorf("%d bytes in %d files, of a budget of %d", total, len(all), tm.Budget)
+	if total > config.Budget+1000 || len(all) < 2 {
+		t.Errorf("%d bytes in %d files, of a budget of %d", total, len(all), config.Budget)
 	}
 }
 
-func TestADiskThatFillsAnywhereEndsCaptureAndLeavesReadableFiles(t *testing.T) {
-	for room := 0; room < 6000; room += 97 {
+func TestFullDiskEndsCaptureAndLeavesReadableFiles(t *testing.T) {
+	for space := 0; space < 6000; space += 97 {
 		dir := t.TempDir()
-		w := New(terms(dir), &disk{room: room}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
-		record(t, w, 60)
-		if !w.Ended.Load() {
-			t.Fatalf("with %d bytes: capture goes on", room)
+		writer := New(testConfig(dir), &fullDisk{space: space}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
+		writeBlocks(t, writer, 60)
+		if !writer.Stopped.Load() {
+			t.Fatalf("with %d bytes: capture goes on", space)
 		}
-		if w.Get() != nil || w.Put(format.NewBlock(schema)) {
-			t.Fatalf("with %d bytes: blocks are taken still", room)
+		if writer.Get() != nil || writer.Put(format.NewBlock(schema)) {
+			t.Fatalf("with %d bytes: blocks are still accepted", space)
 		}
 		events, files, broken := count(t, dir)
-		if int64(events) < w.Written.Load() || broken > 1 || files == 0 {
-			t.Fatalf("with %d bytes: %d events read of %d written, %d of %d files broken", room, events, w.Written.Load(), broken, files)
+		if int64(events) < writer.WrittenEvents.Load() || broken > 1 || files == 0 {
+			t.Fatalf("with %d bytes: %d events read of %d written, %d of %d files broken", space, events, writer.WrittenEvents.Load(), broken, files)
 		}
 	}
 }
 
-func TestAFolderThatIsNotThereEndsCaptureWithAWord(t *testing.T) {
-	w := New(terms("/nowhere/at/all"), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
-	record(t, w, 5)
-	if !w.Ended.Load() || !strings.Contains(fmt.Sprint(w.Fields()), "trace_ended") {
+func TestMissingFolderEndsCapture(t *testing.T) {
+	writer := New(testConfig("/nowhere/at/all"), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
+	writeBlocks(t, writer, 5)
+	if !writer.Stopped.Load() || !strings.Contains(fmt.Sprint(writer.Fields()), "trace_ended") {
 		t.Error("it goes on")
 	}
 }
 
-func TestAWriterThatStandsStillCostsBlocksNotTime(t *testing.T) {
-	w := New(terms(t.TempDir()), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
+func TestStalledWriterDoesNotBlock(t *testing.T) {
+	writer := New(testConfig(t.TempDir()), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
 	for range 3 {
-		b := w.Get()
-		b.Add(1, 0, []int64{1}, nil)
-		w.Put(b)
+		block := writer.Get()
+		block.Add(1, 0, []int64{1}, nil)
+		writer.Put(block)
 	}
-	if w.Get() != nil {
-		t.Error("there are more blocks than were made")
+	if writer.Get() != nil {
+		t.Error("there are more blocks than configured")
 	}
 }
