--- a/cmd/ferrylab/demo.go
+++ b/cmd/ferrylab/demo.go
@@ -118,19 +118,19 @@
 func (d *deployment) load(ctx context.Context, options demoOptions) (*demoResult, error) {
 	var faults errgroup.Group
 	faults.Go(func() error { return d.crashReplica(ctx, options.span) })
-	tally := workload.Run(ctx, workload.Terms{
-		Routers:  d.forwarders,
-		Sets:     []int64{1, 2},
-		Clients:  12,
-		Rate:     options.rate,
-		For:      options.span,
-		Writes:   0.1,
-		Sessions: 4,
-		Timeout:  time.Second,
-		Seed:     1,
+	tally := workload.Run(ctx, workload.Config{
+		Routers:       d.forwarders,
+		ReplicaSets:   []int64{1, 2},
+		Clients:       12,
+		Rate:          options.rate,
+		Duration:      options.span,
+		WriteFraction: 0.1,
+		Sessions:      4,
+		Timeout:       time.Second,
+		Seed:          1,
 	}, nil)
 	err := faults.Wait()
-	return newDemoResult(tally, d.Hosts.Seen()), err
+	return newDemoResult(tally, d.Hosts.Stats()), err
 }
 
 // deployment is the fleet, planner and forwarders of a demo.
@@ -229,7 +229,7 @@
 		Answered:   tally.Answered,
 		Throttled:  tally.Throttled,
 		Failed:     tally.Failed,
-		Violations: stats.Broken() + tally.Lost + tally.Extra,
+		Violations: stats.Violations() + tally.Lost + tally.Extra,
 		Notes:      stats.Notes,
 		Answers:    tally.Answers,
 		MedianMs:   float64(tally.Latency.ValueAtQuantile(50)) / 1000,
--- a/cmd/ferrylab/export.go
+++ b/cmd/ferrylab/export.go
@@ -56,10 +56,10 @@
 	if err := e.finish(out); err != nil {
 		return err
 	}
-	for _, fault := range source.Faults {
+	for _, fault := range source.CorruptBlocks {
 		err = errors.Join(err, &fault)
 	}
-	return errors.Join(err, source.Broken)
+	return errors.Join(err, source.Truncated)
 }
 
 // exporter writes events to a Parquet file for each kind that it meets.
--- a/cmd/ferrypitch-control/main.go
+++ b/cmd/ferrypitch-control/main.go
@@ -18,7 +18,7 @@
 
 func main() {
 	cli.Register(
-		&cli.Run{Program: program, What: "serve the control plane", Serve: control.Run},
+		&cli.Run{Program: program, Description: "serve the control plane", Serve: control.Run},
 		&cli.Check{Program: program},
 		&planCommand{},
 		&diskCommand{},
--- a/cmd/ferrypitch-control/status.go
+++ b/cmd/ferrypitch-control/status.go
@@ -15,10 +15,10 @@
 
 // statusCommand asks a running member, at the address of its API.
 var statusCommand = &cli.Status[control.Status]{
-	Program: program,
-	What:    "show a running member's log, primaries, changes of primary under way, and counters",
-	Path:    "/Member.Status",
-	Text:    printStatus,
+	Program:     program,
+	Description: "show a running member's log, primaries, changes of primary under way, and counters",
+	Path:        "/Member.Status",
+	PrintText:   printStatus,
 }
 
 func printStatus(w io.Writer, status control.Status) {
--- a/cmd/ferrypitch-proxy/main.go
+++ b/cmd/ferrypitch-proxy/main.go
@@ -15,7 +15,7 @@
 
 func main() {
 	cli.Register(
-		&cli.Run{Program: "ferrypitch-proxy", What: "serve the data plane", Serve: proxy.Run},
+		&cli.Run{Program: "ferrypitch-proxy", Description: "serve the data plane", Serve: proxy.Run},
 		&cli.Check{Program: "ferrypitch-proxy"},
 		statusCommand,
 	)
--- a/cmd/ferrypitch-proxy/status.go
+++ b/cmd/ferrypitch-proxy/status.go
@@ -12,10 +12,10 @@
 
 // statusCommand asks a running proxy at the address of its readiness server.
 var statusCommand = &cli.Status[proxy.Status]{
-	Program: "ferrypitch-proxy",
-	What:    "show a running proxy's lease, sessions, hosts, other proxies and counters",
-	Path:    proxy.StatusPath,
-	Text:    printStatus,
+	Program:     "ferrypitch-proxy",
+	Description: "show a running proxy's lease, sessions, hosts, other proxies and counters",
+	Path:        proxy.StatusPath,
+	PrintText:   printStatus,
 }
 
 func printStatus(w io.Writer, status proxy.Status) {
--- a/cmd/ferrypitch/client_test.go
+++ b/cmd/ferrypitch/client_test.go
@@ -46,7 +46,7 @@
 func (c *testClient) answer() (code, value string, err error) {
 	b := make([]byte, 1<<17)
 	for {
-		kind, body, n, err := protocol.Next(c.in, 1<<20)
+		kind, body, n, err := protocol.NextMessage(c.in, 1<<20)
 		if err != nil {
 			return code, value, err
 		}
@@ -59,13 +59,13 @@
 		}
 		switch kind {
 		case protocol.ErrorResponse:
-			code = protocol.Code(body)
+			code = protocol.ErrorCode(body)
 		case protocol.DataRow:
-			v, _ := protocol.Value(body)
+			v, _ := protocol.SingleValue(body)
 			value = string(v)
 		}
 		c.in = c.in[n:]
-		if kind == protocol.Ready {
+		if kind == protocol.ReadyForQuery {
 			return code, value, nil
 		}
 	}
--- a/cmd/ferrypitch/command_test.go
+++ b/cmd/ferrypitch/command_test.go
@@ -140,8 +140,8 @@
 	if err := client.QueryRow(ctx, "SELECT 2").Scan(&value); !errors.As(err, &refused) || refused.Code != "42601" {
 		t.Errorf("what is no command: %v", err)
 	}
-	if f.Hosts.Seen().Broken() > 0 {
-		t.Errorf("%+v", f.Hosts.Seen())
+	if f.Hosts.Stats().Violations() > 0 {
+		t.Errorf("%+v", f.Hosts.Stats())
 	}
 }
 
--- a/cmd/ferrypitch/fake_host_test.go
+++ b/cmd/ferrypitch/fake_host_test.go
@@ -63,7 +63,7 @@
 			}
 		}
 		for greeted {
-			_, body, cut, _ := protocol.Next(in[:n], 1<<18)
+			_, body, cut, _ := protocol.NextMessage(in[:n], 1<<18)
 			if cut == 0 {
 				break
 			}
--- a/cmd/ferrypitch/overload_test.go
+++ b/cmd/ferrypitch/overload_test.go
@@ -93,7 +93,7 @@
 	defer close(let)
 	<-asked
 	s.awaitTaken(before, 24)
-	if code, _, err := s.connect().query(withID(99, readCommand("list", "800", ""))); code != protocol.TooMany || err != nil {
+	if code, _, err := s.connect().query(withID(99, readCommand("list", "800", ""))); code != protocol.TooManyConnections || err != nil {
 		s.t.Errorf("with all connections busy: %q, %v", code, err)
 	}
 	got, line := s.counters()
--- a/cmd/ferrypitch/plan.go
+++ b/cmd/ferrypitch/plan.go
@@ -63,11 +63,11 @@
 		recorder = record.NewPlanner(writer, section.Block)
 	}
 	finishTrace := service.StartTrace(writer)
-	planner := plan.New(operator.Start, operator.Plan, service.Life(), recorder, log)
+	planner := plan.New(operator.Start, operator.Plan, service.NewIncarnation(), recorder, log)
 	counters := func() []zap.Field {
-		fields := planner.Fields()
+		fields := planner.LogFields()
 		if writer != nil {
-			fields = append(fields, writer.Fields()...)
+			fields = append(fields, writer.LogFields()...)
 		}
 		return fields
 	}
--- a/cmd/ferrypitch/serving_test.go
+++ b/cmd/ferrypitch/serving_test.go
@@ -148,7 +148,7 @@
 
 func TestReadOnlyErrorIsRetriedOnAnotherHost(t *testing.T) {
 	s := startSystem(t, 3, nil)
-	s.hosts[0].setOnQuery(func(conn *hostConn, _ string) { conn.sendError(protocol.ReadOnly, "follower") })
+	s.hosts[0].setOnQuery(func(conn *hostConn, _ string) { conn.sendError(protocol.ReadOnlyTransaction, "follower") })
 	s.hosts[1].setOnQuery(func(conn *hostConn, _ string) { conn.sendRow("from b", "leader") })
 	if code, value, _ := s.connect().query(writeCommand("order", "3000")); code != "" || value != "from b" {
 		t.Errorf("%s %q", code, value)
@@ -168,7 +168,7 @@
 			h.setOnQuery(func(conn *hostConn, _ string) { end(conn) })
 		}
 		code, _, _ := s.connect().query(writeCommand("order", "3000"))
-		if code == "" || code == protocol.TooMany || code == protocol.NotNow || len(s.statements()) != 1 {
+		if code == "" || code == protocol.TooManyConnections || code == protocol.CannotConnectNow || len(s.statements()) != 1 {
 			t.Errorf("%s: code %q after %d statements", name, code, len(s.statements()))
 		}
 		s.stop()
--- a/cmd/ferrypitch/trace.go
+++ b/cmd/ferrypitch/trace.go
@@ -66,11 +66,11 @@
 // reportUnread prints what of a file could not be read. Having read less than all is a failure.
 func reportUnread(path string, source *tool.Source) error {
 	var faults []error
-	for _, fault := range source.Faults {
+	for _, fault := range source.CorruptBlocks {
 		faults = append(faults, fmt.Errorf("%s: a block was passed over: %w", path, &fault))
 	}
-	if source.Broken != nil {
-		faults = append(faults, fmt.Errorf("%s: read up to its break: %w", path, source.Broken))
+	if source.Truncated != nil {
+		faults = append(faults, fmt.Errorf("%s: read up to its break: %w", path, source.Truncated))
 	}
 	for _, err := range faults {
 		fmt.Fprintln(os.Stderr, "ferrypitch:", err)
--- a/cmd/ferrypitch/trace_filter.go
+++ b/cmd/ferrypitch/trace_filter.go
@@ -46,7 +46,7 @@
 	for _, replicaSet := range f.replicaSets {
 		filter.Sets[replicaSet] = true
 	}
-	names := tool.Groups(header)
+	names := tool.GroupNames(header)
 	for _, group := range f.groups {
 		number := int64(slices.Index(names, group))
 		if number < 0 {
@@ -57,7 +57,7 @@
 		}
 		filter.Groups[number] = true
 	}
-	filter.Begin(header.Schema)
+	filter.SetSchema(header.Schema)
 	return filter, nil
 }
 
@@ -73,7 +73,7 @@
 		filter, err = f.filter(source.Header)
 		return err
 	}, func(event format.Event) error {
-		if !filter.Has(event) {
+		if !filter.Matches(event) {
 			return nil
 		}
 		return handle(event)
--- a/cmd/ferrypitch/trace_merge.go
+++ b/cmd/ferrypitch/trace_merge.go
@@ -41,15 +41,15 @@
 type mergeInput struct {
 	path   string
 	header format.Header
-	delays *tool.Delays // by which clocks are compared
-	feed   tool.Feed    // its events, to be read again
+	delays *tool.DelaySamples // by which clocks are compared
+	feed   tool.Feed          // its events, to be read again
 }
 
 func readMergeInput(path string) (*mergeInput, error) {
 	input := &mergeInput{path: path}
 	err := readEvents(path, allEvents, func(source *tool.Source) (err error) {
 		input.header = source.Header
-		input.delays = tool.NewDelays(source.Header.Schema)
+		input.delays = tool.NewDelaySamples(source.Header.Schema)
 		input.feed, err = source.Feed()
 		return err
 	}, func(event format.Event) error {
@@ -60,32 +60,32 @@
 }
 
 // estimateSkews estimates how each clock differs from that of the first file, and prints it.
-func estimateSkews(inputs []*mergeInput) ([]tool.Skew, error) {
+func estimateSkews(inputs []*mergeInput) ([]tool.ClockSkew, error) {
 	first := inputs[0]
-	skews := []tool.Skew{{Router: first.header.Router}}
+	skews := []tool.ClockSkew{{Router: first.header.Router}}
 	for _, input := range inputs[1:] {
-		skew, err := tool.Estimate(input.header.Router, first.delays, input.delays)
+		skew, err := tool.EstimateSkew(input.header.Router, first.delays, input.delays)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", input.path, err)
 		}
 		fmt.Fprintf(os.Stderr, "%s: router %s is %.1f ms ahead and drifts by %.1f ppm, within %.1f ms, by %d windows\n",
-			input.path, skew.Router, skew.Offset/10, skew.Drift*1e6, skew.Bound/10, skew.Seen)
+			input.path, skew.Router, skew.Offset/10, skew.Drift*1e6, skew.Bound/10, skew.Windows)
 		skews = append(skews, skew)
 	}
 	return skews, nil
 }
 
 // writeMerged writes the events of all files in order, after one event for each router that names it.
-func writeMerged(to io.Writer, inputs []*mergeInput, skews []tool.Skew) error {
+func writeMerged(to io.Writer, inputs []*mergeInput, skews []tool.ClockSkew) error {
 	header := inputs[0].header
-	header.Part, header.Schema = 0, tool.Merged(header.Schema)
+	header.SampledPerMille, header.Schema = 0, tool.MergedSchema(header.Schema)
 	output, err := tool.NewOutput(to, header)
 	if err != nil {
 		return err
 	}
 	routerNamed := len(header.Schema) - 1 // the kind that Merged adds
 	for i, skew := range skews {
-		event := format.Event{At: header.Began, Kind: routerNamed, Ints: []int64{int64(i)}, Texts: []string{skew.Router}}
+		event := format.Event{At: header.StartedAt, Kind: routerNamed, Ints: []int64{int64(i)}, Texts: []string{skew.Router}}
 		if err := output.Add(event); err != nil {
 			return err
 		}
--- a/cmd/ferrypitch/trace_read.go
+++ b/cmd/ferrypitch/trace_read.go
@@ -73,10 +73,10 @@
 		return nil, nil, err
 	}
 	header := source.Header
-	info.Router, info.Build, info.Life = header.Router, header.Build, strconv.FormatUint(header.Life, 16)
+	info.Router, info.Build, info.Life = header.Router, header.Build, strconv.FormatUint(header.Incarnation, 16)
 	info.First, info.Last = formatTime(first), formatTime(last)
-	info.Lost, info.Blocks, info.Indexed = int64(source.Lost), source.Blocks, source.Spans != nil
-	info.Sampled = float64(header.Part) / 1000
+	info.Lost, info.Blocks, info.Indexed = int64(source.LostEvents), source.ReadBlocks, source.Index != nil
+	info.Sampled = float64(header.SampledPerMille) / 1000
 	return info, header.Schema, err
 }
 
@@ -104,7 +104,7 @@
 			encoder := json.NewEncoder(out)
 			return flags.readFiltered(args[0], func(header format.Header) { schema = header.Schema }, func(event format.Event) error {
 				if asJSON {
-					return encoder.Encode(tool.Object(schema, event))
+					return encoder.Encode(tool.EventObject(schema, event))
 				}
 				_, err := fmt.Fprintln(out, formatEvent(schema, event))
 				return err
@@ -120,7 +120,7 @@
 func formatEvent(schema format.Schema, event format.Event) string {
 	kind := schema[event.Kind]
 	words := []string{formatTime(event.At), kind.Name}
-	values := tool.Object(schema, event)
+	values := tool.EventObject(schema, event)
 	for _, column := range kind.Columns {
 		words = append(words, fmt.Sprintf("%s=%v", column.Name, values[column.Name]))
 	}
--- a/cmd/ferrypitch/trace_replay.go
+++ b/cmd/ferrypitch/trace_replay.go
@@ -25,8 +25,8 @@
 			for _, difference := range result.Differences {
 				fmt.Fprintln(c.OutOrStdout(), difference)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d calls, %d asked for, %d apart\n", result.Calls, result.Asked, result.Apart)
-			if result.Apart > 0 {
+			fmt.Fprintf(c.OutOrStdout(), "%d calls, %d asked for, %d apart\n", result.Calls, result.Compared, result.Different)
+			if result.Different > 0 {
 				return exitStatus(exitFailed)
 			}
 			return nil
@@ -44,24 +44,24 @@
 	for _, path := range paths {
 		var source *tool.Source
 		err := readEvents(path, allEvents, func(s *tool.Source) (err error) {
-			source, complete = s, s.Spans != nil
+			source, complete = s, s.Index != nil
 			if replayed == nil {
-				incarnation = s.Header.Life
+				incarnation = s.Header.Incarnation
 				replayed, err = replay.New(s.Header, maxDifferences)
-			} else if s.Header.Life != incarnation {
+			} else if s.Header.Incarnation != incarnation {
 				err = fmt.Errorf("%s is of another life", path)
 			}
 			return err
 		}, func(event format.Event) error {
-			if err := replayed.Lost(source.Lost); err != nil {
+			if err := replayed.CheckLost(source.LostEvents); err != nil {
 				return err
 			}
-			return replayed.Event(event)
+			return replayed.Apply(event)
 		})
 		if err != nil {
 			return nil, err
 		}
 	}
-	replayed.End(complete)
+	replayed.Finish(complete)
 	return replayed, nil
 }
--- a/cmd/ferrypitch/trace_rewrite.go
+++ b/cmd/ferrypitch/trace_rewrite.go
@@ -55,11 +55,11 @@
 			}
 			var filter *tool.Filter
 			return rewrite(args[0], args[1], window, func(header format.Header) (format.Header, error) {
-				header.Part = 0 // without all events it cannot be replayed
+				header.SampledPerMille = 0 // without all events it cannot be replayed
 				var err error
 				filter, err = flags.filter(header)
 				return header, err
-			}, func(event format.Event) (format.Event, bool) { return event, filter.Has(event) })
+			}, func(event format.Event) (format.Event, bool) { return event, filter.Matches(event) })
 		},
 	}
 	flags.register(c)
@@ -88,7 +88,7 @@
 			if err != nil {
 				return err
 			}
-			anonymous := tool.NewAnonymous(key)
+			anonymous := tool.NewAnonymizer(key)
 			return rewrite(args[0], args[1], allEvents, anonymous.Header,
 				func(event format.Event) (format.Event, bool) { return anonymous.Event(event), true })
 		},
--- a/cmd/ferrypitch/trace_summary.go
+++ b/cmd/ferrypitch/trace_summary.go
@@ -79,7 +79,7 @@
 }
 
 // summarise sums up the events of a file that the flags select.
-func summarise(path string, flags *filterFlags) ([]tool.Line, error) {
+func summarise(path string, flags *filterFlags) ([]tool.GroupSummary, error) {
 	var summary *tool.Summary
 	err := flags.readFiltered(path, func(header format.Header) { summary = tool.NewSummary(header) }, func(event format.Event) error {
 		summary.Add(event)
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return summary.Lines(), nil
+	return summary.Groups(), nil
 }
 
 // newTable returns a writer of a table with columns aligned to the right.
--- a/cmd/ferrypitch/trace_test.go
+++ b/cmd/ferrypitch/trace_test.go
@@ -48,8 +48,8 @@
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
 	}
-	workload.Run(ctx, workload.Terms{
-		Routers: []string{listen}, Sets: []int64{1}, Clients: 4, Rate: 150, For: time.Second, Writes: 0.2, Sessions: 2,
+	workload.Run(ctx, workload.Config{
+		Routers: []string{listen}, ReplicaSets: []int64{1}, Clients: 4, Rate: 150, Duration: time.Second, WriteFraction: 0.2, Sessions: 2,
 		Timeout: time.Second, Seed: 5,
 	}, nil)
 	signalProcess(t, cmd, syscall.SIGHUP)
@@ -161,7 +161,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for till := time.Now().Add(testTimeout); f.Hosts.Seen().Probes < 4 && time.Now().Before(till); {
+	for till := time.Now().Add(testTimeout); f.Hosts.Stats().HealthChecks < 4 && time.Now().Before(till); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	signalProcess(t, cmd, syscall.SIGTERM)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -75,7 +75,7 @@
 	address := strings.TrimPrefix(server.URL, "http://")
 	sessions := 0
 	status := func(arguments ...string) subcommands.ExitStatus {
-		return execute(t, &Status[shown]{Program: "test", Path: "/Status", Text: func(_ io.Writer, s shown) { sessions = s.Sessions }}, arguments...)
+		return execute(t, &Status[shown]{Program: "test", Path: "/Status", PrintText: func(_ io.Writer, s shown) { sessions = s.Sessions }}, arguments...)
 	}
 	require.Equal(t, subcommands.ExitSuccess, status(address))
 	require.Equal(t, 7, sessions)
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -16,8 +16,8 @@
 
 // Run is the sub-command that runs the server until it is stopped by a signal.
 type Run struct {
-	Program string
-	What    string // synopsis
+	Program     string
+	Description string // synopsis
 
 	// Serve returns when the server has ended. stop receives SIGTERM and SIGINT; reload receives SIGHUP, and also a value whenever
 	// the settings file has changed.
@@ -28,7 +28,7 @@
 func (*Run) Name() string { return "run" }
 
 // Synopsis implements subcommands.Command.
-func (r *Run) Synopsis() string { return r.What }
+func (r *Run) Synopsis() string { return r.Description }
 
 // Usage implements subcommands.Command.
 func (r *Run) Usage() string {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -20,22 +20,22 @@
 
 // Status is the sub-command that prints the status of a running process, which serves it over HTTP as the JSON of T.
 type Status[T any] struct {
-	Program string
-	What    string // synopsis
-	Path    string // of the HTTP endpoint
-	Text    func(w io.Writer, shown T)
-	asJSON  bool
+	Program     string
+	Description string // synopsis
+	Path        string // of the HTTP endpoint
+	PrintText   func(w io.Writer, shown T)
+	asJSON      bool
 }
 
 // Name implements subcommands.Command.
 func (*Status[T]) Name() string { return "status" }
 
 // Synopsis implements subcommands.Command.
-func (s *Status[T]) Synopsis() string { return s.What }
+func (s *Status[T]) Synopsis() string { return s.Description }
 
 // Usage implements subcommands.Command.
 func (s *Status[T]) Usage() string {
-	return s.Program + " status [-json] ADDRESS\n  asks the one that answers at ADDRESS (host:port): " + s.What + "\n"
+	return s.Program + " status [-json] ADDRESS\n  asks the one that answers at ADDRESS (host:port): " + s.Description + "\n"
 }
 
 // SetFlags implements subcommands.Command.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return Fail(s.Program, err)
 	}
-	return Print(os.Stdout, s.asJSON, status, func(w io.Writer) { s.Text(w, status) })
+	return Print(os.Stdout, s.asJSON, status, func(w io.Writer) { s.PrintText(w, status) })
 }
 
 func (s *Status[T]) get(ctx context.Context, address string) (status T, err error) {
--- a/internal/compatibility/disk_test.go
+++ b/internal/compatibility/disk_test.go
@@ -140,7 +140,7 @@
 	require.Len(t, seen.known, knownFields)
 
 	header := openTrace(t).Header
-	deployment, err := record.ReadDeployment(header.More["deployment"])
+	deployment, err := record.DecodeDeployment(header.Extra["deployment"])
 	require.NoError(t, err)
 	require.NotEmpty(t, deployment.Groups)
 	seen = coverage{map[string]bool{}, map[string]bool{}}
@@ -162,7 +162,7 @@
 }
 
 func TestChangeOfAHostThatLeavesFirstIsRead(t *testing.T) {
-	require.Equal(t, statemachine.Change{LedTimeMs: 4125, HostLeaving: "ledger-4"}, readHostLeaving(t))
+	require.Equal(t, statemachine.Change{LeaderTimeMs: 4125, HostLeaving: "ledger-4"}, readHostLeaving(t))
 }
 
 // knownFields is how many exported fields the stored types of the control plane have, so that none is left out.
@@ -176,7 +176,7 @@
 			disk, identity, before, err := openDisk(folder)
 			require.NoError(t, err)
 			next := before.Snapshot.Index + uint64(len(before.Entries)) + 1
-			change := statemachine.Change{LedTimeMs: 999_999, Proxy: &statemachine.ProxyMembership{Node: "router-added"}}
+			change := statemachine.Change{LeaderTimeMs: 999_999, UpdateProxy: &statemachine.ProxyMembership{Name: "router-added"}}
 			entry := consensus.Entry{Term: before.HardState.Term, Data: statemachine.EncodeChange(change)}
 			meta := consensus.HardState{Term: before.HardState.Term, Vote: "10.0.0.9:7000+9", CommittedConfigIndex: before.HardState.CommittedConfigIndex}
 			require.NoError(t, disk.Save([]consensus.Write{{HardState: &meta, FirstIndex: next, Entries: []consensus.Entry{entry}}}))
@@ -189,7 +189,7 @@
 			require.Equal(t, append(slices.Clone(before.Entries), entry), contents.restored.Entries)
 			require.Equal(t, meta, contents.restored.HardState)
 			require.Equal(t, next, contents.state.Proxies["router-added"])
-			require.EqualValues(t, 999_999, contents.state.LedTimeMs)
+			require.EqualValues(t, 999_999, contents.state.LeaderTimeMs)
 
 			snapshot := consensus.Snapshot{Index: next, Term: meta.Term, Members: before.Snapshot.Members, Data: contents.state.Snapshot()}
 			disk, _, _, err = openDisk(folder)
--- a/internal/compatibility/generate_test.go
+++ b/internal/compatibility/generate_test.go
@@ -83,7 +83,7 @@
 func (h *history) addChanges(view uint64, changes ...statemachine.Change) {
 	for _, change := range changes {
 		h.leaderTimeMs += 125
-		change.LedTimeMs = h.leaderTimeMs
+		change.LeaderTimeMs = h.leaderTimeMs
 		body := statemachine.EncodeChange(change)
 		again, err := statemachine.DecodeChange(body)
 		if err == nil {
@@ -127,8 +127,8 @@
 	h.addUpdate(2, statemachine.ConfigUpdate{BaseVersion: 5, IsAmendment: true, Body: amendmentBody(6, 620)})
 	h.addUpdate(2, statemachine.ConfigUpdate{BaseVersion: 6, Body: configurationBody(8, 650)})
 	h.addChanges(2, statemachine.Change{DrainHost: "ledger-2"}, statemachine.Change{MarkMissing: "ledger-2"}, statemachine.Change{DrainHost: "ledger-3"}, statemachine.Change{RemoveHost: "ledger-3"},
-		statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: "router-1"}}, statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: "router-2"}}, statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: "router-3"}},
-		statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: "router-2", Removed: true}},
+		statemachine.Change{UpdateProxy: &statemachine.ProxyMembership{Name: "router-1"}}, statemachine.Change{UpdateProxy: &statemachine.ProxyMembership{Name: "router-2"}}, statemachine.Change{UpdateProxy: &statemachine.ProxyMembership{Name: "router-3"}},
+		statemachine.Change{UpdateProxy: &statemachine.ProxyMembership{Name: "router-2", Removed: true}},
 		statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: "audit", Owner: string(memberA)}}, statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: "audit", Host: "audit-5", Term: 3, PromotionMs: 910}},
 		statemachine.Change{ReplicationResumed: "audit"},
 		statemachine.Change{RevokePrimary: &statemachine.RevokePrimary{Service: "ledger", Owner: string(memberB)}}, statemachine.Change{NominatePrimary: &statemachine.NominatePrimary{Service: "ledger", Host: "ledger-4", Owner: string(memberC)}})
@@ -213,7 +213,7 @@
 	}
 	snapshot := &consensus.Snapshot{Index: at, Term: 2, Members: []consensus.ID{memberA, memberB, memberC}, Data: state}
 	moving := append(append([]consensus.Entry{}, behind[:3]...), consensus.Entry{Term: 3, Members: []consensus.ID{memberA, memberB, memberC, memberD}},
-		consensus.Entry{Term: 3, Data: statemachine.EncodeChange(statemachine.Change{LedTimeMs: h.leaderTimeMs, Proxy: &statemachine.ProxyMembership{Node: "router-4"}})})
+		consensus.Entry{Term: 3, Data: statemachine.EncodeChange(statemachine.Change{LeaderTimeMs: h.leaderTimeMs, UpdateProxy: &statemachine.ProxyMembership{Name: "router-4"}})})
 	for _, err := range []error{
 		writeDisk("entries", consensus.Write{HardState: meta(1, 0), FirstIndex: 1, Entries: before[:4]}, consensus.Write{HardState: meta(2, 2), FirstIndex: 5, Entries: before[4:]},
 			consensus.Write{HardState: meta(3, 2), FirstIndex: at + 1, Entries: behind}),
@@ -257,28 +257,28 @@
 	if _, err := os.Stat(path); err == nil {
 		return os.ErrExist
 	}
-	change := statemachine.Change{LedTimeMs: 4125, HostLeaving: "ledger-4"}
+	change := statemachine.Change{LeaderTimeMs: 4125, HostLeaving: "ledger-4"}
 	return os.WriteFile(path, statemachine.EncodeChange(change), 0o644)
 }
 
 // writeForwarderView writes a forwarder's kept view.
 func writeForwarderView() error {
 	var kept view.View
-	kept.Routers = 7
-	kept.List(view.Version{Gen: 2, Rev: 41}, true, []view.Host{
-		{Name: "db-a", Address: "10.1.0.1:5432", Zone: "zone-1", Kind: "large", Set: 4, Size: 2.5, Leader: true, Boot: 900_000},
-		{Name: "db-b", Address: "10.1.0.2:5432", Zone: "zone-2", Kind: "small", Set: 4, Size: 1, Standing: policy.Draining, Boot: 800_000},
+	kept.RouterCount = 7
+	kept.ApplyList(view.Version{Generation: 2, Revision: 41}, true, []view.Host{
+		{Name: "db-a", Address: "10.1.0.1:5432", Zone: "zone-1", Kind: "large", Set: 4, Size: 2.5, ListedPrimary: true, BootedAt: 900_000},
+		{Name: "db-b", Address: "10.1.0.2:5432", Zone: "zone-2", Kind: "small", Set: 4, Size: 1, Standing: policy.Draining, BootedAt: 800_000},
 		{Name: "db-c", Address: "10.1.0.3:5432", Zone: "zone-3", Set: 5},
 	})
-	kept.Believe(view.Evidence{Name: "db-a", Pos: 1_200_000, Role: policy.Primary, RoleAt: 1_100_000, Turn: 1}, 2_000_000)
-	kept.Believe(view.Evidence{Name: "db-b", Pos: 1_150_000, Role: policy.Replica, RoleAt: 1_000_000, Turn: 2}, 2_000_000)
-	kept.Lateness("db-a", 4)
+	kept.AddEvidence(view.Evidence{Name: "db-a", Position: 1_200_000, Role: policy.Primary, RolePosition: 1_100_000, RoleChanges: 1}, 2_000_000)
+	kept.AddEvidence(view.Evidence{Name: "db-b", Position: 1_150_000, Role: policy.Replica, RolePosition: 1_000_000, RoleChanges: 2}, 2_000_000)
+	kept.SetLateness("db-a", 4)
 	path := filepath.Join(*fixturesFolder, "forward.keep")
 	if _, err := os.Stat(path); err == nil {
 		return os.ErrExist
 	}
-	change := kept.Whole(0x1234567890abcdef, 0)
-	if err := snapshotfile.Write(snapshotfile.Disk{}, path, link.Body(change)); err != nil {
+	change := kept.FullChange(0x1234567890abcdef, 0)
+	if err := snapshotfile.Write(snapshotfile.Disk{}, path, link.EncodeBody(change)); err != nil {
 		return err
 	}
 	return writeExpectation("forward.json", indented(viewObject(change)))
@@ -313,18 +313,18 @@
 	deployment := policy.Deployment{}
 	fillFields(reflect.ValueOf(&deployment).Elem(), number)
 	for range 2 {
-		group := &policy.CmdGroup{}
+		group := &policy.CommandGroup{}
 		fillFields(reflect.ValueOf(group).Elem(), number)
 		deployment.Groups = append(deployment.Groups, group)
 	}
-	body, err := record.Deployment(deployment)
+	body, err := record.EncodeDeployment(deployment)
 	if err != nil {
 		return format.Header{}, err
 	}
-	groups, err := record.Groups([]string{"read", "write"})
+	groups, err := record.EncodeGroups([]string{"read", "write"})
 	return format.Header{
-		Router: "router-1", Life: 0xfeed, Began: 5_000_000, Build: "8f5d6eb", Part: 1000, Schema: record.Schema,
-		More: map[string][]byte{"deployment": body, "groups": groups}, Key: []byte{1, 2, 3, 4},
+		Router: "router-1", Incarnation: 0xfeed, StartedAt: 5_000_000, Build: "8f5d6eb", SampledPerMille: 1000, Schema: record.Schema,
+		Extra: map[string][]byte{"deployment": body, "groups": groups}, KeyID: []byte{1, 2, 3, 4},
 	}, err
 }
 
@@ -351,13 +351,13 @@
 	if err != nil {
 		return nil, err
 	}
-	writer := file.New(file.Terms{Dir: folder, Name: header.Router, Size: 1 << 20, Age: time.Hour, Budget: 1 << 22, Flush: time.Hour, Blocks: 2},
+	writer := file.New(file.Config{Dir: folder, Name: header.Router, MaxFileBytes: 1 << 20, MaxFileAge: time.Hour, MaxTotalBytes: 1 << 22, SyncInterval: time.Hour, BlockCount: 2},
 		file.Disk{}, header, time.Now, zap.NewNop())
 	for turn := range 2 {
 		block := writer.Get()
 		addEvents(block, &number)
 		if turn == 1 {
-			block.Lost(5)
+			block.AddLost(5)
 		}
 		writer.Put(block)
 	}
@@ -366,7 +366,7 @@
 	if err := writer.Run(ended); err != nil {
 		return nil, err
 	}
-	paths, err := filepath.Glob(filepath.Join(folder, "*"+file.Ending))
+	paths, err := filepath.Glob(filepath.Join(folder, "*"+file.Extension))
 	if err != nil || len(paths) != 1 {
 		return nil, fmt.Errorf("%d trace files: %w", len(paths), err)
 	}
--- a/internal/compatibility/render_test.go
+++ b/internal/compatibility/render_test.go
@@ -71,10 +71,10 @@
 func stateObject(state *statemachine.State) object {
 	taken, gone, leads, services := []object{}, []object{}, object{}, []string{}
 	for _, order := range state.AppliedUpdates {
-		taken = append(taken, object{"base": order.BaseVersion, "sum": hex.EncodeToString(order.Digest[:]), "at": order.LedTimeMs})
+		taken = append(taken, object{"base": order.BaseVersion, "sum": hex.EncodeToString(order.Digest[:]), "at": order.LeaderTimeMs})
 	}
 	for _, departure := range state.RemovedHosts {
-		gone = append(gone, object{"id": departure.ID, "at": departure.LedTimeMs})
+		gone = append(gone, object{"id": departure.ID, "at": departure.LeaderTimeMs})
 	}
 	for service, lead := range state.Primaries {
 		leads[service] = object{
@@ -88,7 +88,7 @@
 		}
 	}
 	return object{
-		"index": state.Index, "configuration": string(state.ConfigBody), "generation": state.Generation, "led": state.LedTimeMs, "taken": taken,
+		"index": state.Index, "configuration": string(state.ConfigBody), "generation": state.Generation, "led": state.LeaderTimeMs, "taken": taken,
 		"hosts": hostObjects(state.Hosts), "leads": leads, "gone": gone, "owed": hostObjects(state.UnaccountedHosts), "took": state.LastPromotionMs,
 		"routers": state.Proxies, "plan_services": services,
 	}
@@ -96,7 +96,7 @@
 
 // changeObject renders every field of one change in the log.
 func changeObject(change statemachine.Change) object {
-	all := object{"led": change.LedTimeMs, "drain": change.DrainHost, "leave": change.RemoveHost, "missing": change.MarkMissing, "resumed": change.ReplicationResumed}
+	all := object{"led": change.LeaderTimeMs, "drain": change.DrainHost, "leave": change.RemoveHost, "missing": change.MarkMissing, "resumed": change.ReplicationResumed}
 	if update := change.UpdateConfig; update != nil {
 		all["configure"] = object{
 			"base": update.BaseVersion, "amend": update.IsAmendment, "body": string(update.Body),
@@ -116,8 +116,8 @@
 	if appoint := change.AppointPrimary; appoint != nil {
 		all["lead"] = object{"service": appoint.Service, "host": appoint.Host, "term": appoint.Term, "took": appoint.PromotionMs}
 	}
-	if proxy := change.Proxy; proxy != nil {
-		all["router"] = object{"node": proxy.Node, "gone": proxy.Removed}
+	if proxy := change.UpdateProxy; proxy != nil {
+		all["router"] = object{"node": proxy.Name, "gone": proxy.Removed}
 	}
 	return all
 }
--- a/internal/compatibility/serve_test.go
+++ b/internal/compatibility/serve_test.go
@@ -114,7 +114,7 @@
 func (c *cluster) propose(proxy string) (index uint64) {
 	c.t.Helper()
 	leader := c.leader()
-	change := statemachine.Change{LedTimeMs: 999_999, Proxy: &statemachine.ProxyMembership{Node: proxy}}
+	change := statemachine.Change{LeaderTimeMs: 999_999, UpdateProxy: &statemachine.ProxyMembership{Name: proxy}}
 	index, ready := leader.node.Propose(statemachine.EncodeChange(change), c.nowMs)
 	require.NotZero(c.t, index)
 	c.handle(leader, ready)
--- a/internal/compatibility/trace_test.go
+++ b/internal/compatibility/trace_test.go
@@ -55,7 +55,7 @@
 // renderTrace renders a trace completely: a line for its header, one for each event, and one for its counts.
 func renderTrace(source *tool.Source) ([]byte, error) {
 	header := source.Header
-	deployment, err := record.ReadDeployment(header.More["deployment"])
+	deployment, err := record.DecodeDeployment(header.Extra["deployment"])
 	if err != nil {
 		return nil, err
 	}
@@ -68,25 +68,25 @@
 		out.Write(append(body, '\n'))
 	}
 	line(object{
-		"router": header.Router, "life": header.Life, "began": header.Began, "build": header.Build, "part": header.Part,
-		"key": hex.EncodeToString(header.Key), "deployment": deploymentObject(deployment), "groups": tool.Groups(header),
+		"router": header.Router, "life": header.Incarnation, "began": header.StartedAt, "build": header.Build, "part": header.SampledPerMille,
+		"key": hex.EncodeToString(header.KeyID), "deployment": deploymentObject(deployment), "groups": tool.GroupNames(header),
 	})
 	for _, kind := range header.Schema {
 		columns := []string{}
 		for _, column := range kind.Columns {
-			columns = append(columns, fmt.Sprintf("%s/%d/%d", column.Name, column.Type, column.Mark))
+			columns = append(columns, fmt.Sprintf("%s/%d/%d", column.Name, column.Type, column.Privacy))
 		}
 		line(object{"schema": kind.Name, "columns": columns})
 	}
 	events := 0
 	if err := source.Each(tool.Window{}, nil, func(event traceEvent) error {
 		events++
-		line(tool.Object(header.Schema, event))
+		line(tool.EventObject(header.Schema, event))
 		return nil
 	}); err != nil {
 		return nil, err
 	}
-	line(object{"events": events, "blocks": source.Blocks, "lost": source.Lost, "faults": len(source.Faults)})
+	line(object{"events": events, "blocks": source.ReadBlocks, "lost": source.LostEvents, "faults": len(source.CorruptBlocks)})
 	return out.Bytes(), nil
 }
 
@@ -96,10 +96,10 @@
 	rendered, err := renderTrace(source)
 	require.NoError(t, err)
 	requireExpected(t, "router.jsonl", rendered)
-	require.NoError(t, source.Broken)
-	require.Len(t, source.Spans, 2)
-	require.Equal(t, 2, source.Blocks)
-	require.EqualValues(t, 5, source.Lost)
+	require.NoError(t, source.Truncated)
+	require.Len(t, source.Index, 2)
+	require.Equal(t, 2, source.ReadBlocks)
+	require.EqualValues(t, 5, source.LostEvents)
 	lines := strings.Split(strings.TrimSuffix(string(rendered), "\n"), "\n")
 	require.Len(t, lines, 1+35+2*35+1, "a header, the kinds, two events of each, the counts")
 	require.Equal(t, `{"blocks":2,"events":70,"faults":0,"lost":5}`, lines[len(lines)-1])
@@ -117,7 +117,7 @@
 	source, err = tool.Open(cut)
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, source.Close()) })
-	require.Empty(t, source.Spans)
+	require.Empty(t, source.Index)
 	again, err := renderTrace(source)
 	require.NoError(t, err)
 	require.Equal(t, string(rendered), string(again))
--- a/internal/compatibility/view_test.go
+++ b/internal/compatibility/view_test.go
@@ -16,15 +16,15 @@
 
 // versionObject renders the version of a host list.
 func versionObject(version view.Version) object {
-	return object{"generation": version.Gen, "revision": version.Rev}
+	return object{"generation": version.Generation, "revision": version.Revision}
 }
 
 // viewHostObject renders every field of a host in a view.
 func viewHostObject(host view.Host) object {
 	return object{
 		"name": host.Name, "address": host.Address, "zone": host.Zone, "kind": host.Kind, "set": host.Set, "size": host.Size,
-		"leader": host.Leader, "standing": host.Standing, "version": versionObject(host.Version), "boot": host.Boot, "position": host.Pos,
-		"role": host.Role, "role_at": host.RoleAt, "turn": host.Turn, "late": host.Late,
+		"leader": host.ListedPrimary, "standing": host.Standing, "version": versionObject(host.Version), "boot": host.BootedAt, "position": host.Position,
+		"role": host.Role, "role_at": host.RolePosition, "turn": host.RoleChanges, "late": host.Lateness,
 	}
 }
 
@@ -35,9 +35,9 @@
 		hosts = append(hosts, viewHostObject(host))
 	}
 	return object{
-		"life": change.Life, "sequence": change.Seq, "whole": change.Whole, "floor": versionObject(change.Floor),
-		"listed": versionObject(change.Listed), "routers": change.Routers, "every": change.Every, "hosts": hosts,
-		"dropped": append([]string{}, change.Dropped...), "digest": fmt.Sprintf("%016x", change.Digest),
+		"life": change.Incarnation, "sequence": change.Sequence, "whole": change.Full, "floor": versionObject(change.Floor),
+		"listed": versionObject(change.ListVersion), "routers": change.RouterCount, "every": change.ReportInterval, "hosts": hosts,
+		"dropped": append([]string{}, change.Removed...), "digest": fmt.Sprintf("%016x", change.Digest),
 	}
 }
 
@@ -45,19 +45,19 @@
 func TestForwarderViewIsReadCompletely(t *testing.T) {
 	body, err := snapshotfile.Read(snapshotfile.Disk{}, filepath.Join("testdata", "forward.keep"))
 	require.NoError(t, err)
-	change, err := link.ReadChange(body)
+	change, err := link.DecodeChange(body)
 	require.NoError(t, err)
 	requireExpected(t, "forward.json", indented(viewObject(change)))
 
-	core := follower.New(1, follower.Terms{Again: 500, Most: 50000, Report: 2000, Silent: 20000}, []string{"planner"}, 1, 2_000_000)
-	core.Kept(change)
-	require.True(t, core.Ready())
+	core := follower.New(1, follower.Config{InitialBackoff: 500, MaxBackoff: 50000, ReportInterval: 2000, PlannerTimeout: 20000}, []string{"planner"}, 1, 2_000_000)
+	core.RestoreView(change)
+	require.True(t, core.HasHosts())
 	require.Equal(t, 3, core.View().Len())
 	host, there := core.View().Host("db-a")
 	require.True(t, there)
 	require.Equal(t, object{
 		"name": "db-a", "address": "10.1.0.1:5432", "zone": "zone-1", "kind": "large", "set": int64(4), "size": 2.5,
-		"leader": true, "standing": policy.In, "version": object{"generation": uint64(2), "revision": int64(41)}, "boot": int64(900_000),
+		"leader": true, "standing": policy.Active, "version": object{"generation": uint64(2), "revision": int64(41)}, "boot": int64(900_000),
 		"position": int64(1_200_000), "role": policy.Primary, "role_at": int64(1_100_000), "turn": uint32(1), "late": uint8(0),
 	},
 		viewHostObject(host), "lateness ages, and is not taken over")
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -80,12 +80,12 @@
 
 // reject responds with an error. detail, if not nil, replaces the text of the kind.
 func reject(respond Responder, kind errcode.Kind, detail error) {
-	text := kind.Text()
+	text := kind.Message()
 	if detail != nil {
 		text = detail.Error()
 	}
 	body, _ := json.Marshal(errorBody{Error: text, Kind: kind.String()}) // strings: it can't fail
-	respond(kind.Status(), append(body, '\n'))
+	respond(kind.HTTPStatus(), append(body, '\n'))
 }
 
 // respondResult responds to a change that was applied, or with the error of applying it.
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -31,7 +31,7 @@
 	plate := &settings.Settings{Node: "core-waco-hall-0", Ip: "10.1.0.11", Zone: "waco-hall", BeatMs: 1200}
 	plate.Listen.Control = "10.1.0.11:8782"
 	id := storage.Identity{ID: "10.1.0.11", Founders: []consensus.ID{"10.1.0.11"}}
-	server, err := New(plate, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), id, consensus.RestoredState{}, func() float64 { return 0 }, 1)
+	server, err := New(plate, hclog.NewNullLogger(), eventloop.NewMonotonicClock(time.Now), id, consensus.RestoredState{}, func() float64 { return 0 }, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/control/catch_up_test.go
+++ b/internal/control/catch_up_test.go
@@ -75,7 +75,7 @@
 	m.up, m.unsynced, m.linkFreeAt, m.diskFreeAt = true, nil, map[string]int64{}, 0
 	restored := m.disk
 	restored.Entries = slices.Clone(restored.Entries)
-	clock := eventloop.NewSteadyClock(func() time.Time { return time.UnixMilli(c.Now) })
+	clock := eventloop.NewMonotonicClock(func() time.Time { return time.UnixMilli(c.Now) })
 	server, err := New(settingsAt(m.ip()), hclog.NewNullLogger(), clock, m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
 	if err != nil {
 		panic(err)
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -91,7 +91,7 @@
 	m.up, m.frozen, m.suspended, m.unsynced, m.arrivesAt = true, false, nil, nil, map[string]int64{}
 	restored := m.disk
 	restored.Entries = slices.Clone(restored.Entries)
-	server, err := New(settingsAt(m.ip), hclog.NewNullLogger(), eventloop.NewSteadyClock(c.time), m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
+	server, err := New(settingsAt(m.ip), hclog.NewNullLogger(), eventloop.NewMonotonicClock(c.time), m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
 	if err != nil {
 		panic(err)
 	}
@@ -234,7 +234,7 @@
 	switch c.Rand.IntN(9) {
 	case 0, 1:
 		powerLoss := c.OneIn(2)
-		c.Note("%s crashes, power loss %v, for %d ms", m.ip, powerLoss, duration/unitsPerMs)
+		c.LogFault("%s crashes, power loss %v, for %d ms", m.ip, powerLoss, duration/unitsPerMs)
 		m.crash(powerLoss)
 		c.After(duration, m.start)
 	case 2:
@@ -246,10 +246,10 @@
 			c.losePower(duration)
 		}
 	case 6:
-		c.Note("%s transfers its leadership", m.ip)
+		c.LogFault("%s transfers its leadership", m.ip)
 		m.server.carryOut(m.server.consensus.TransferLeadership(m.server.clock.Now()))
 	case 7:
-		c.Note("%s takes a snapshot", m.ip)
+		c.LogFault("%s takes a snapshot", m.ip)
 		m.server.carryOut(m.server.consensus.Compact(m.server.state.Index, m.server.state.Snapshot(), uint64(c.Rand.IntN(20)), m.server.clock.Now()))
 	case 8:
 		if healthy && c.complete() {
@@ -260,7 +260,7 @@
 
 func (m *clusterMember) freeze(duration int64) {
 	c, incarnation := m.cluster, m.incarnation
-	c.Note("%s is suspended for %d ms", m.ip, duration/unitsPerMs)
+	c.LogFault("%s is suspended for %d ms", m.ip, duration/unitsPerMs)
 	m.frozen = true
 	c.After(duration, func() { m.resume(incarnation) })
 }
@@ -268,7 +268,7 @@
 func (m *clusterMember) partition(duration int64) {
 	c := m.cluster
 	direction := c.Rand.IntN(3)
-	c.Note("%s is partitioned for %d ms, direction %d", m.ip, duration/unitsPerMs, direction)
+	c.LogFault("%s is partitioned for %d ms, direction %d", m.ip, duration/unitsPerMs, direction)
 	for _, other := range c.members {
 		if direction != 0 {
 			c.block(m.ip, other.ip, duration)
@@ -280,7 +280,7 @@
 }
 
 func (c *cluster) losePower(duration int64) {
-	c.Note("all members lose power for %d ms", duration/unitsPerMs)
+	c.LogFault("all members lose power for %d ms", duration/unitsPerMs)
 	for _, m := range c.members {
 		if m.up {
 			m.crash(true)
@@ -292,7 +292,7 @@
 // loseDisk restarts a member without its data, under a new identity.
 func (m *clusterMember) loseDisk(duration int64) {
 	c := m.cluster
-	c.Note("%s loses its disk, down for %d ms", m.ip, duration/unitsPerMs)
+	c.LogFault("%s loses its disk, down for %d ms", m.ip, duration/unitsPerMs)
 	m.crash(true)
 	m.disk = consensus.RestoredState{}
 	m.identity = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", m.ip, m.incarnation))}
--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -49,7 +49,7 @@
 		_ = conn.Close()
 	}
 	accepted := make(chan *ProxyConn, 1)
-	if !p.queue.Put(eventloop.PriorityLists, func() {
+	if !p.queue.Put(eventloop.PriorityUpdates, func() {
 		accepted <- p.server.AcceptProxy(hello, conn.RemoteIP(), send, closeConn)
 	}) {
 		return
@@ -58,7 +58,7 @@
 	var proxy *ProxyConn
 	select {
 	case proxy = <-accepted:
-	case <-p.queue.Ended:
+	case <-p.queue.Closed:
 		return
 	}
 	for {
@@ -66,9 +66,9 @@
 		if err != nil {
 			break
 		}
-		p.queue.Put(eventloop.PriorityLists, func() { p.server.HandleProxyFrame(proxy, frame) })
+		p.queue.Put(eventloop.PriorityUpdates, func() { p.server.HandleProxyFrame(proxy, frame) })
 	}
-	p.queue.Put(eventloop.PriorityLists, func() { p.server.ProxyDisconnected(proxy) })
+	p.queue.Put(eventloop.PriorityUpdates, func() { p.server.ProxyDisconnected(proxy) })
 }
 
 // sendFrames sends the queued frames of a connection until it is closed or fails.
--- a/internal/control/consensus/leave_test.go
+++ b/internal/control/consensus/leave_test.go
@@ -69,7 +69,7 @@
 		return
 	}
 	l.leaving++
-	l.Note("%s leaves", m.id)
+	l.LogFault("%s leaves", m.id)
 	if l.disabled == leaveWaitsForLearner {
 		m.handleReady(m.node.TransferLeadership(l.Now))
 	} else {
@@ -108,7 +108,7 @@
 	isMember := slices.ContainsFunc(l.members, func(other *simMember) bool {
 		return other.up && slices.Contains(other.node.Members(), m.id)
 	})
-	l.Note("%s shuts down, replaced %v", m.id, state == LeaveReplaced)
+	l.LogFault("%s shuts down, replaced %v", m.id, state == LeaveReplaced)
 	m.crash(false)
 	if forGood && (state == LeaveReplaced || !isMember) {
 		l.members = slices.DeleteFunc(slices.Clone(l.members), func(other *simMember) bool { return other == m })
@@ -131,7 +131,7 @@
 		return
 	}
 	diskLost := l.OneIn(2)
-	l.Note("%s fails right after, its disk lost: %v", m.id, diskLost)
+	l.LogFault("%s fails right after, its disk lost: %v", m.id, diskLost)
 	m.failedAtMs = l.Now
 	m.crash(true)
 	incarnation := m.incarnation
--- a/internal/control/consensus/simulation_faults_test.go
+++ b/internal/control/consensus/simulation_faults_test.go
@@ -79,13 +79,13 @@
 }
 
 func (m *simMember) losePower(durationMs int64) {
-	m.sim.Note("%s loses power", m.id)
+	m.sim.LogFault("%s loses power", m.id)
 	m.crash(true)
 	m.sim.After(durationMs, m.start)
 }
 
 func (m *simMember) killProcess(durationMs int64) {
-	m.sim.Note("%s is killed", m.id)
+	m.sim.LogFault("%s is killed", m.id)
 	m.crash(false)
 	m.sim.After(durationMs, m.start)
 }
@@ -93,7 +93,7 @@
 // loseDisk has a member return with an empty disk, at its address or, as another machine, elsewhere.
 func (m *simMember) loseDisk(durationMs int64) {
 	s := m.sim
-	s.Note("%s loses its disk", m.id)
+	s.LogFault("%s loses its disk", m.id)
 	m.crash(true)
 	s.After(durationMs, func() {
 		m.replaceDisk(ID(fmt.Sprintf("%s+%d", m.address, m.incarnation)))
@@ -106,7 +106,7 @@
 }
 
 func (m *simMember) pause(durationMs int64) {
-	m.sim.Note("%s is paused", m.id)
+	m.sim.LogFault("%s is paused", m.id)
 	m.paused = true
 	m.sim.After(durationMs, func() {
 		if !m.up || !m.paused {
@@ -123,7 +123,7 @@
 
 func (m *simMember) partition(durationMs int64) {
 	s := m.sim
-	s.Note("%s is partitioned from most", m.id)
+	s.LogFault("%s is partitioned from most", m.id)
 	for _, other := range s.members {
 		if other != m && !s.OneIn(4) {
 			m.unreachable[other.address] = true
@@ -134,14 +134,14 @@
 
 // transferLeadership is no failure: the member goes on.
 func (m *simMember) transferLeadership(int64) {
-	m.sim.Note("%s transfers its leadership", m.id)
+	m.sim.LogFault("%s transfers its leadership", m.id)
 	m.failedAtMs = 0
 	m.handleReady(m.node.TransferLeadership(m.sim.Now))
 }
 
 // losePowerEverywhere is the closing fault: all members lose their power, and some their disks.
 func (s *simulation) losePowerEverywhere(disksLost int) {
-	s.Note("all lose power, %d their disks", disksLost)
+	s.LogFault("all lose power, %d their disks", disksLost)
 	for i, k := range s.Rand.Perm(len(s.members)) {
 		m := s.members[k]
 		m.crash(true)
--- a/internal/control/failover/detection.go
+++ b/internal/control/failover/detection.go
@@ -115,7 +115,7 @@
 	switch {
 	case !last.answered():
 		return probeFailed
-	case last.Code == "" && last.Status.Term == e.primary.Term && !last.Status.Leader:
+	case last.Code == "" && last.Status.Timeline == e.primary.Term && !last.Status.IsPrimary:
 		return probeNotPrimary
 	}
 	return probeAlive
--- a/internal/control/failover/failover.go
+++ b/internal/control/failover/failover.go
@@ -46,7 +46,7 @@
 	if host == "" {
 		return proceed
 	}
-	e.query(e.primary.Host, StepDown, status.Term, queryIntervalMs)
+	e.query(e.primary.Host, StepDown, status.Timeline, queryIntervalMs)
 	if !e.allCaughtUp(e.primary.ChangedAt) || !e.oldPrimaryWasAsked() {
 		return stop
 	}
@@ -54,7 +54,7 @@
 		return proceed
 	}
 	e.emit(NewPrimaryObserved, host)
-	appointment := statemachine.AppointPrimary{Service: e.service.name, Host: host, Term: status.Term}
+	appointment := statemachine.AppointPrimary{Service: e.service.name, Host: host, Term: status.Timeline}
 	if e.service.promotedHost == host {
 		appointment.PromotionMs = max(1, e.service.lastResults[host].sentAt-e.service.promotionSentAt)
 	}
@@ -71,10 +71,10 @@
 	}
 	for _, id := range e.hostIDs {
 		last, ok := e.service.lastResults[id]
-		if !ok || last.sentAt < e.service.startedAt-leadershipTTLMs || !last.succeeded() || !last.Status.Leader {
+		if !ok || last.sentAt < e.service.startedAt-leadershipTTLMs || !last.succeeded() || !last.Status.IsPrimary {
 			continue
 		}
-		if term := last.Status.Term; term >= max(minTerm, status.Term+1) && term < minTerm+maxTermGap {
+		if term := last.Status.Timeline; term >= max(minTerm, status.Timeline+1) && term < minTerm+maxTermGap {
 			host, status = id, last.Status
 		}
 	}
@@ -101,7 +101,7 @@
 // steppedDownStatus is the old primary's status after it stepped down: it leads no more, and its log lacks nothing.
 func (e *evaluation) steppedDownStatus() (wire.HostStatus, bool) {
 	status, ok := e.service.statusSince(e.primary.Host, StepDown, e.service.startedAt)
-	return status, ok && !status.Leader
+	return status, ok && !status.IsPrimary
 }
 
 // awaitPromotion waits while a promotion may take effect: no other host is chosen before that is clear.
@@ -141,7 +141,7 @@
 	e.queryNominee()
 	old, oldKnown := service.statusSince(e.primary.Host, Stat, service.proxiesCaughtUpAt)
 	nominee, nomineeKnown := service.statusSince(e.primary.Nominee, Stat, service.proxiesCaughtUpAt)
-	if oldKnown && nomineeKnown && old.Leader && nominee.Received.Number >= old.Received.Number {
+	if oldKnown && nomineeKnown && old.IsPrimary && nominee.Received.Number >= old.Received.Number {
 		e.requestPromotion(e.primary.Nominee)
 	}
 	return stop
@@ -232,7 +232,7 @@
 
 // moreAdvanced returns the host that has received more. Of equals it is the one that stays, or that is nominated already.
 func (e *evaluation) moreAdvanced(best, other candidate) candidate {
-	other.position.Term = min(other.position.Term, e.primary.Term) // in a later term nothing was acknowledged: no proxy had a lease
+	other.position.Timeline = min(other.position.Timeline, e.primary.Term) // in a later term nothing was acknowledged: no proxy had a lease
 	switch {
 	case best.host == "", best.position.Before(other.position):
 		return other
@@ -251,8 +251,8 @@
 func (e *evaluation) nextTerm() uint64 {
 	term := e.primary.Term + 1
 	for _, last := range e.service.lastResults {
-		if last.sentAt >= e.service.startedAt && e.isPlausibleTerm(last.Status.Term) {
-			term = max(term, last.Status.Term+1)
+		if last.sentAt >= e.service.startedAt && e.isPlausibleTerm(last.Status.Timeline) {
+			term = max(term, last.Status.Timeline+1)
 		}
 	}
 	return term
--- a/internal/control/failover/failover_test.go
+++ b/internal/control/failover/failover_test.go
@@ -34,10 +34,10 @@
 // Reports that cannot be right do not take a healthy primary out of service.
 func TestImplausibleReportsDoNotRevokeAHealthyPrimary(t *testing.T) {
 	for name, report := range map[string]func(h *harness){
-		"a status with a lower term":            func(h *harness) { h.hosts["h0"].Term = 2 },
-		"another that reports to lead":          func(h *harness) { h.hosts["h1"].Leader = true },
-		"another that leads an earlier term":    func(h *harness) { h.hosts["h1"].Leader, h.hosts["h1"].Term = true, 3 },
-		"a term far beyond the primary's":       func(h *harness) { h.hosts["h1"].Leader, h.hosts["h1"].Term = true, 1<<63-1 },
+		"a status with a lower term":            func(h *harness) { h.hosts["h0"].Timeline = 2 },
+		"another that reports to lead":          func(h *harness) { h.hosts["h1"].IsPrimary = true },
+		"another that leads an earlier term":    func(h *harness) { h.hosts["h1"].IsPrimary, h.hosts["h1"].Timeline = true, 3 },
+		"a term far beyond the primary's":       func(h *harness) { h.hosts["h1"].IsPrimary, h.hosts["h1"].Timeline = true, 1<<63-1 },
 		"positions that go back":                func(h *harness) { h.hosts["h1"].Received.Number, h.hosts["h0"].Received.Number = 3, 50 },
 		"heartbeats of an unknown host":         func(h *harness) { h.coordinator.Heartbeat("h9", true, h.now) },
 		"a proxy that suspects again and again": func(h *harness) { h.suspectPrimary() },
@@ -59,13 +59,13 @@
 // A term far beyond the primary's neither holds up a failover nor is taken over by it.
 func TestImplausibleTermDoesNotBlockFailover(t *testing.T) {
 	h := newHarness(t)
-	h.hosts["h1"].Term = 1<<63 - 1
+	h.hosts["h1"].Timeline = 1<<63 - 1
 	h.stopPrimary(false)
 	h.suspectPrimary()
 	h.run(300)
 	require.Len(t, h.promotions, 1)
 	promoted := h.hosts[h.promotions[0].Host]
-	promoted.Leader, promoted.Term = true, 5
+	promoted.IsPrimary, promoted.Timeline = true, 5
 	h.run(300)
 	require.Equal(t, h.promotions[0].Host, h.primary().Host)
 	require.EqualValues(t, 5, h.primary().Term)
@@ -140,7 +140,7 @@
 		}
 		require.Equal(t, h.promotions[0].Host, h.primary().Host, "after %d ms", after)
 		for id, host := range h.hosts {
-			require.False(t, host.up && !host.Leader && host.Held > 0, "after %d ms: %s stays paused", after, id)
+			require.False(t, host.up && !host.IsPrimary && host.PausedTimeline > 0, "after %d ms: %s stays paused", after, id)
 		}
 	}
 }
@@ -154,10 +154,10 @@
 	require.Len(t, h.promotions, 1)
 	require.Zero(t, h.revocations, "the old primary serves until the successor leads")
 	successor := h.promotions[0].Host
-	h.hosts[successor].Leader, h.hosts[successor].Term = true, 5
+	h.hosts[successor].IsPrimary, h.hosts[successor].Timeline = true, 5
 	h.run(400)
 	require.Equal(t, successor, h.primary().Host)
-	require.False(t, h.hosts["h0"].Leader)
+	require.False(t, h.hosts["h0"].IsPrimary)
 }
 
 // A switchover reports its start, a failover reports that the primary is revoked; both report the new primary.
@@ -188,7 +188,7 @@
 // A primary that answers that it does not lead any more is revoked without further probes.
 func TestPrimaryThatLostLeadershipIsRevoked(t *testing.T) {
 	h := newHarness(t)
-	h.hosts["h0"].Leader = false
+	h.hosts["h0"].IsPrimary = false
 	h.suspectPrimary()
 	h.run(50)
 	require.Equal(t, 1, h.revocations)
@@ -204,7 +204,7 @@
 	require.Equal(t, 1, h.revocations)
 	require.Equal(t, "h2", h.primary().Host)
 	require.EqualValues(t, 5, h.primary().Term)
-	require.False(t, h.hosts["h0"].Leader, "it was told to step down")
+	require.False(t, h.hosts["h0"].IsPrimary, "it was told to step down")
 	require.Empty(t, h.promotions)
 }
 
--- a/internal/control/failover/harness_test.go
+++ b/internal/control/failover/harness_test.go
@@ -62,7 +62,7 @@
 	h.startLeader("control", 1)
 	for i := range 3 {
 		hostID := fmt.Sprintf("h%d", i)
-		status := wire.HostStatus{Leader: i == 0, Term: 4, Received: wire.Position{Term: 4, Number: 100}}
+		status := wire.HostStatus{IsPrimary: i == 0, Timeline: 4, Received: wire.Position{Timeline: 4, Number: 100}}
 		h.hosts[hostID] = &fakeHost{HostStatus: status, up: true}
 		h.apply(statemachine.Change{AddHost: &statemachine.Host{ID: hostID, Service: "db", Address: hostID}})
 	}
@@ -100,7 +100,7 @@
 		h.runDueEvents()
 		for id, host := range h.hosts {
 			if host.up && h.now%testHeartbeatIntervalMs < testTickMs {
-				h.coordinator.Heartbeat(id, host.Leader, h.now)
+				h.coordinator.Heartbeat(id, host.IsPrimary, h.now)
 			}
 		}
 		h.tick()
@@ -163,12 +163,12 @@
 func (f *fakeHost) execute(query HostQuery) {
 	f.commands = append(f.commands, query.Command)
 	switch {
-	case query.Command == Pause && !f.Leader:
-		f.Held = query.Term
+	case query.Command == Pause && !f.IsPrimary:
+		f.PausedTimeline = query.Term
 	case query.Command == Resume:
-		f.Held = 0
-	case query.Command == StepDown && query.Term > f.Term:
-		f.Leader = false
+		f.PausedTimeline = 0
+	case query.Command == StepDown && query.Term > f.Timeline:
+		f.IsPrimary = false
 	}
 }
 
@@ -183,11 +183,11 @@
 func (h *harness) promote(hostID string) {
 	term := uint64(0)
 	for _, host := range h.hosts {
-		term = max(term, host.Term)
-		host.Held = 0
+		term = max(term, host.Timeline)
+		host.PausedTimeline = 0
 	}
 	host := h.hosts[hostID]
-	host.Leader, host.Term = true, term+1
+	host.IsPrimary, host.Timeline = true, term+1
 }
 
 // stopPrimary stops h0: silent, or with its machine refusing connections.
--- a/internal/control/failover/late_commands_test.go
+++ b/internal/control/failover/late_commands_test.go
@@ -67,7 +67,7 @@
 	primary := l.primary()
 	for _, id := range []string{"h0", "h1", "h2"} {
 		host := l.hosts[id]
-		if !host.Leader || id != primary.Host || primary.Revoked && l.proxiesCaughtUp(primary.ChangedAt) {
+		if !host.IsPrimary || id != primary.Host || primary.Revoked && l.proxiesCaughtUp(primary.ChangedAt) {
 			continue
 		}
 		l.write(id, host)
@@ -80,13 +80,13 @@
 
 // write has a primary take a write, which is acknowledged once one replica has received it.
 func (l *lateCommands) write(id string, primary *fakeHost) {
-	primary.Received = wire.Position{Term: primary.Term, Number: primary.Received.Number + 1}
+	primary.Received = wire.Position{Timeline: primary.Timeline, Number: primary.Received.Number + 1}
 	for n, other := range []string{"h0", "h1", "h2"} {
 		if l.now >= l.behindUntil[n] && l.random.IntN(30) == 0 {
 			l.behindUntil[n] = l.now + 30 + l.random.Int64N(400)
 		}
 		replica := l.hosts[other]
-		if other != id && !replica.Leader && replica.Held == 0 && l.now >= l.behindUntil[n] {
+		if other != id && !replica.IsPrimary && replica.PausedTimeline == 0 && l.now >= l.behindUntil[n] {
 			replica.Received = primary.Received
 			l.acknowledged = primary.Received.Number
 		}
@@ -96,7 +96,7 @@
 // takeEffect promotes a host, which must have all that was acknowledged. The others follow its log.
 func (l *lateCommands) takeEffect(hostID string) {
 	promoted := l.hosts[hostID]
-	if promoted.Leader {
+	if promoted.IsPrimary {
 		return
 	}
 	require.GreaterOrEqual(l.t, promoted.Received.Number, l.acknowledged, "seed %d: LOST by the promotion of %s", l.seed, hostID)
@@ -104,8 +104,8 @@
 	l.promote(hostID)
 	for id, host := range l.hosts {
 		host.Received.Number = min(host.Received.Number, position)
-		if id != hostID && host.Term < promoted.Term && !host.Leader {
-			host.Term = promoted.Term
+		if id != hostID && host.Timeline < promoted.Timeline && !host.IsPrimary {
+			host.Timeline = promoted.Timeline
 		}
 	}
 }
@@ -154,7 +154,7 @@
 		l.noDelays = true
 		l.runFor(9000)
 		for id, host := range l.hosts {
-			require.False(t, !host.Leader && host.Held > 0, "seed %d: %s stays paused", seed, id)
+			require.False(t, !host.IsPrimary && host.PausedTimeline > 0, "seed %d: %s stays paused", seed, id)
 		}
 		delayedCommands += l.delayedCommands
 		frozenCommands += l.frozenCommands
--- a/internal/control/failover/monitor.go
+++ b/internal/control/failover/monitor.go
@@ -23,12 +23,12 @@
 			continue
 		}
 		last, ok := e.service.lastResults[host]
-		if !ok || e.nowMs >= last.receivedAt+claimTTLMs || !last.answered() || !last.Status.Leader {
+		if !ok || e.nowMs >= last.receivedAt+claimTTLMs || !last.answered() || !last.Status.IsPrimary {
 			e.query(host, Stat, 0, queryIntervalMs)
 			continue
 		}
-		if newest == "" || last.Status.Term > newestTerm {
-			newest, newestTerm = host, last.Status.Term
+		if newest == "" || last.Status.Timeline > newestTerm {
+			newest, newestTerm = host, last.Status.Timeline
 		}
 	}
 	if newest != "" {
@@ -55,7 +55,7 @@
 			continue
 		}
 		status, ok := e.service.statusSince(host, Stat, e.nowMs-newerPrimaryTTLMs)
-		if ok && status.Leader && status.Term > e.primary.Term && e.isPlausibleTerm(status.Term) {
+		if ok && status.IsPrimary && status.Timeline > e.primary.Term && e.isPlausibleTerm(status.Timeline) {
 			e.proposeRevocation()
 			return stop
 		}
--- a/internal/control/failover/replicas.go
+++ b/internal/control/failover/replicas.go
@@ -66,7 +66,7 @@
 		e.query(e.primary.Host, Stat, 0, queryIntervalMs)
 		return
 	}
-	if !primaryStatus.Leader {
+	if !primaryStatus.IsPrimary {
 		return
 	}
 	primaryAskedAt := e.service.lastResults[e.primary.Host].sentAt
@@ -134,5 +134,5 @@
 	if last.ConnectionRefused {
 		return false
 	}
-	return !last.succeeded() || last.Status.Held != 0 || !e.cannotBeUndone(host, Pause, last.sentAt)
+	return !last.succeeded() || last.Status.PausedTimeline != 0 || !e.cannotBeUndone(host, Pause, last.sentAt)
 }
--- a/internal/control/failover/switchover.go
+++ b/internal/control/failover/switchover.go
@@ -72,7 +72,7 @@
 func (e *evaluation) revokeOncePromoted() stepResult {
 	nominee, startedAt := e.primary.Nominee, e.service.startedAt
 	status, ok := e.service.statusSince(nominee, Stat, startedAt)
-	leadsByStatus := ok && status.Leader && status.Term > e.primary.Term
+	leadsByStatus := ok && status.IsPrimary && status.Timeline > e.primary.Term
 	last := e.coordinator.heartbeats[nominee]
 	leadsByHeartbeat := last.isPrimary && last.at >= startedAt
 	if leadsByStatus || leadsByHeartbeat {
@@ -130,7 +130,7 @@
 // queryNominee asks the nominee for its position, and resumes it where an earlier attempt left it paused.
 func (e *evaluation) queryNominee() {
 	nominee := e.primary.Nominee
-	if status, ok := e.service.statusSince(nominee, Stat, e.service.startedAt); ok && status.Held > 0 {
+	if status, ok := e.service.statusSince(nominee, Stat, e.service.startedAt); ok && status.PausedTimeline > 0 {
 		e.query(nominee, Resume, 0, fastPollIntervalMs)
 		return
 	}
--- a/internal/control/forwarding_simulation_test.go
+++ b/internal/control/forwarding_simulation_test.go
@@ -69,7 +69,7 @@
 	if c.reuseIncarnation {
 		incarnation = 1
 	}
-	clock := eventloop.NewSteadyClock(func() time.Time { return time.Unix(1e9, c.Now*int64(time.Millisecond)/unitsPerMs) })
+	clock := eventloop.NewMonotonicClock(func() time.Time { return time.Unix(1e9, c.Now*int64(time.Millisecond)/unitsPerMs) })
 	server, err := New(settingsAt(m.ip), hclog.NewNullLogger(), clock, m.identity, restored, c.Rand.Float64, incarnation)
 	if err != nil {
 		panic(err)
--- a/internal/control/forwarding_test.go
+++ b/internal/control/forwarding_test.go
@@ -26,7 +26,7 @@
 
 func newIsolatedMember(founders ...consensus.ID) *isolatedMember {
 	m := &isolatedMember{now: time.Unix(1e9, 0)}
-	server, err := New(settingsAt(founders[0].Address()), hclog.NewNullLogger(), eventloop.NewSteadyClock(func() time.Time { return m.now }),
+	server, err := New(settingsAt(founders[0].Address()), hclog.NewNullLogger(), eventloop.NewMonotonicClock(func() time.Time { return m.now }),
 		storage.Identity{ID: founders[0], Founders: founders}, consensus.RestoredState{}, func() float64 { return 0.5 }, 77)
 	if err != nil {
 		panic(err)
--- a/internal/control/host_client.go
+++ b/internal/control/host_client.go
@@ -57,7 +57,7 @@
 	}
 	if response.Code != "" {
 		result.Code = response.Code
-	} else if result.Status, err = wire.ParseHostStatus(response.Row); err != nil {
+	} else if result.Status, err = wire.ParseHostStatus(response.FirstRow); err != nil {
 		result.Code = wire.CodeFailed
 		conn.socket.Close()
 		return result
--- a/internal/control/host_client_test.go
+++ b/internal/control/host_client_test.go
@@ -96,7 +96,7 @@
 					return
 				}
 				require.True(t, response.Completed())
-				require.Contains(t, response.Row, "3.9", "the response to another command")
+				require.Contains(t, response.FirstRow, "3.9", "the response to another command")
 				require.NotNil(t, conn)
 				require.Equal(t, dials > 0, kept.closed)
 				if dials == 0 {
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -112,7 +112,7 @@
 func writeError(w http.ResponseWriter, kind errcode.Kind, detail string) {
 	var text error
 	if detail != "" {
-		text = errors.New(kind.Text() + ": " + detail)
+		text = errors.New(kind.Message() + ": " + detail)
 	}
 	reject(func(status int, body []byte) { writeJSON(w, status, body) }, kind, text)
 }
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -43,7 +43,7 @@
 	term := s.consensus.Term()
 	s.leading = true
 	s.TermsLed.Add(1)
-	s.ledTimeOffsetMs = s.state.LedTimeMs - now
+	s.ledTimeOffsetMs = s.state.LeaderTimeMs - now
 	s.grantor = lease.NewGrantor(now)
 	s.coordinator = failover.New(s.settings.Node, term, s.settings.BeatMs, now)
 	s.coordinator.OnEvent = func(event failover.Event) {
@@ -70,7 +70,7 @@
 // propose appends a change to the log.
 func (s *Server) propose(change statemachine.Change, done proposalResult) {
 	now := s.clock.Now()
-	change.LedTimeMs = now + s.ledTimeOffsetMs
+	change.LeaderTimeMs = now + s.ledTimeOffsetMs
 	index, ready := s.consensus.Propose(statemachine.EncodeChange(change), now)
 	if index == 0 {
 		done(errOutcomeUnknown)
--- a/internal/control/operator_api_test.go
+++ b/internal/control/operator_api_test.go
@@ -167,7 +167,7 @@
 		c.runGuarded(unitsPerSecond)
 		require.Equal(t, map[int]int{200: 1}, statuses)
 		generation++
-		return c.leader().server.state.LedTimeMs
+		return c.leader().server.state.LeaderTimeMs
 	}
 	before := ledTimeMs()
 	c.runGuarded(60 * unitsPerSecond)
@@ -179,7 +179,7 @@
 	}
 	c.runGuarded(70 * unitsPerSecond)
 	require.InDelta(t, after, ledTimeMs(), 10_000, "a minute without a leader is counted")
-	require.LessOrEqual(t, c.leader().server.state.LedTimeMs, (c.Now-c.Zero)/unitsPerMs)
+	require.LessOrEqual(t, c.leader().server.state.LeaderTimeMs, (c.Now-c.StartTime)/unitsPerMs)
 }
 
 // An entry of another term may take the index of a proposal before the proposing member learns that it has lost leadership.
--- a/internal/control/partition_cluster_test.go
+++ b/internal/control/partition_cluster_test.go
@@ -122,7 +122,7 @@
 	nodeSettings.FaultBudget.Machines = len(c.members) / 2
 	restored := m.disk
 	restored.Entries = slices.Clone(restored.Entries)
-	server, err := New(nodeSettings, hclog.NewNullLogger(), eventloop.NewSteadyClock(m.time), m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
+	server, err := New(nodeSettings, hclog.NewNullLogger(), eventloop.NewMonotonicClock(m.time), m.identity, restored, c.Rand.Float64, uint64(m.incarnation))
 	if err != nil {
 		panic(err)
 	}
--- a/internal/control/partition_faults_test.go
+++ b/internal/control/partition_faults_test.go
@@ -21,17 +21,17 @@
 	case 0:
 		c.restartSome(m, wild)
 	case 1:
-		c.Note("%s is down for long", m.ip)
+		c.LogFault("%s is down for long", m.ip)
 		m.crash(true)
 		c.After(c.Between(400, 4000), m.start)
 	case 2:
 		span := c.Between(50, 4000)
-		c.Note("%s is suspended for %d", m.ip, span)
+		c.LogFault("%s is suspended for %d", m.ip, span)
 		m.freeze(span)
 	case 3, 4, 5, 6:
 		m.partition(c.Between(100, 5000))
 	case 7:
-		c.Note("%s transfers its leadership", m.ip)
+		c.LogFault("%s transfers its leadership", m.ip)
 		m.run(m.incarnation, func() { m.server.carryOut(m.server.consensus.TransferLeadership(m.server.clock.Now())) })
 	case 8, 9:
 		c.proxies[c.Rand.IntN(len(c.proxies))].injectFault(m)
@@ -51,7 +51,7 @@
 func (c *partitionCluster) restartSome(m *partitionMember, wild bool) {
 	for _, other := range c.members {
 		if other == m || other.up && wild && c.OneIn(3) {
-			c.Note("%s restarts", other.ip)
+			c.LogFault("%s restarts", other.ip)
 			other.crash(c.OneIn(2))
 			c.After(c.Between(60, 400), other.start)
 		}
@@ -62,14 +62,14 @@
 func (p *partitionProxy) injectFault(m *partitionMember) {
 	c := p.cluster
 	if c.OneIn(2) {
-		c.Note("%s restarts", p.name)
+		c.LogFault("%s restarts", p.name)
 		if p.link != nil {
 			p.link.closed = true
 		}
 		p.start()
 		return
 	}
-	c.Note("frames between %s and %s are delayed", p.name, m.ip)
+	c.LogFault("frames between %s and %s are delayed", p.name, m.ip)
 	p.slow[m.ip] = true
 	c.After(c.Between(100, 4000), func() { delete(p.slow, m.ip) })
 }
@@ -78,7 +78,7 @@
 func (m *partitionMember) partition(span int64) {
 	c := m.cluster
 	mode, direction := []blockMode{dropFrames, delayFrames}[c.Rand.IntN(2)], c.Rand.IntN(3)
-	c.Note("%s is partitioned, %s, direction %d, for %d", m.ip, mode, direction, span)
+	c.LogFault("%s is partitioned, %s, direction %d, for %d", m.ip, mode, direction, span)
 	only := c.members[c.Rand.IntN(len(c.members))]
 	if only == m || c.OneIn(2) {
 		only = nil
@@ -100,7 +100,7 @@
 // heal ends all partitions of a member. Delayed frames arrive soon after.
 func (m *partitionMember) heal() {
 	c := m.cluster
-	c.Note("%s is connected again", m.ip)
+	c.LogFault("%s is connected again", m.ip)
 	clear(m.blocked)
 	for _, other := range c.members {
 		delete(other.blocked, m.ip)
--- a/internal/control/partition_operator_test.go
+++ b/internal/control/partition_operator_test.go
@@ -115,7 +115,7 @@
 		c.reads++
 		position := c.indexOf(digestOf(response))
 		if position < 0 || position < newest {
-			c.Violate("STALE: a read at %d returns number %d, %d was acknowledged", calledAt-c.Zero, position, newest)
+			c.Violate("STALE: a read at %d returns number %d, %d was acknowledged", calledAt-c.StartTime, position, newest)
 			return
 		}
 		c.acknowledge(position)
--- a/internal/control/partition_proxy_test.go
+++ b/internal/control/partition_proxy_test.go
@@ -27,7 +27,7 @@
 }
 
 func (p *partitionProxy) now() int64 {
-	return 1<<30 + int64(float64(p.cluster.Now-p.cluster.Zero)*p.clockRate)
+	return 1<<30 + int64(float64(p.cluster.Now-p.cluster.StartTime)*p.clockRate)
 }
 func (p *partitionProxy) hasLease() bool { return p.lease.Valid(p.now()) }
 
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -156,7 +156,7 @@
 		return
 	}
 	conn.registering = true
-	change := statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: conn.node}}
+	change := statemachine.Change{UpdateProxy: &statemachine.ProxyMembership{Name: conn.node}}
 	s.propose(change, func(err error) {
 		conn.registering = false
 		if err == nil && !conn.closed {
--- a/internal/control/run.go
+++ b/internal/control/run.go
@@ -70,7 +70,7 @@
 			log.Error("closing the write-ahead log failed", "error", err)
 		}
 	}()
-	server, err := New(settings, log, eventloop.NewSteadyClock(time.Now), identity, restored, rand.Float64, rand.Uint64())
+	server, err := New(settings, log, eventloop.NewMonotonicClock(time.Now), identity, restored, rand.Float64, rand.Uint64())
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 
 // nextEvent takes an event of the highest priority that has one.
 func (p *process) nextEvent() func() {
-	for _, priority := range []eventloop.Priority{eventloop.PriorityLists, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
+	for _, priority := range []eventloop.Priority{eventloop.PriorityUpdates, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
 		if event := p.queue.Take(priority); event != nil {
 			return event
 		}
@@ -213,7 +213,7 @@
 		case <-p.ctx.Done():
 			return
 		case <-reload:
-			p.queue.Put(eventloop.PriorityLists, p.reloadSettings)
+			p.queue.Put(eventloop.PriorityUpdates, p.reloadSettings)
 		case <-signals:
 			p.shutDown()
 			return
@@ -223,11 +223,11 @@
 
 // shutDown has the Server transfer its seat and leadership, and waits for it.
 func (p *process) shutDown() {
-	p.queue.Put(eventloop.PriorityLists, p.server.BeginShutdown)
+	p.queue.Put(eventloop.PriorityUpdates, p.server.BeginShutdown)
 	complete := make(chan bool, 1)
 	for {
 		time.Sleep(shutdownPollInterval)
-		queued := p.queue.Put(eventloop.PriorityLists, func() { complete <- p.server.ShutdownComplete() })
+		queued := p.queue.Put(eventloop.PriorityUpdates, func() { complete <- p.server.ShutdownComplete() })
 		if !queued || <-complete {
 			time.Sleep(shutdownLinger)
 			return
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -18,7 +18,7 @@
 type Server struct {
 	settings    *settings.Settings
 	log         hclog.Logger
-	clock       eventloop.SteadyClock
+	clock       eventloop.MonotonicClock
 	id          consensus.ID
 	environment Environment
 
@@ -63,7 +63,7 @@
 
 // New makes a member from what its data directory holds. SetEnvironment must follow before any other call. random returns
 // numbers in [0, 1). incarnation must differ at each start of the process; it tells forwarded calls of one from another's.
-func New(settings *settings.Settings, log hclog.Logger, clock eventloop.SteadyClock, identity storage.Identity,
+func New(settings *settings.Settings, log hclog.Logger, clock eventloop.MonotonicClock, identity storage.Identity,
 	restored consensus.RestoredState, random func() float64, incarnation uint64,
 ) (*Server, error) {
 	state, err := statemachine.Restore(restored.Snapshot.Data)
--- a/internal/control/statemachine/apply.go
+++ b/internal/control/statemachine/apply.go
@@ -16,7 +16,7 @@
 	if update := change.UpdateConfig; update != nil && s.hasDiverged(update) {
 		return &DivergedError{Index: index, Version: s.Generation}
 	}
-	s.Index, s.LedTimeMs = index, max(s.LedTimeMs, change.LedTimeMs)
+	s.Index, s.LeaderTimeMs = index, max(s.LeaderTimeMs, change.LeaderTimeMs)
 	switch {
 	case change.UpdateConfig != nil:
 		return s.applyUpdateConfig(change.UpdateConfig)
@@ -36,8 +36,8 @@
 		s.applyReplicationResumed(change.ReplicationResumed)
 	case change.MarkMissing != "":
 		s.applyMarkMissing(change.MarkMissing)
-	case change.Proxy != nil:
-		s.applyProxyMembership(*change.Proxy)
+	case change.UpdateProxy != nil:
+		s.applyProxyMembership(*change.UpdateProxy)
 	case change.AppointPrimary != nil:
 		s.applyAppointPrimary(*change.AppointPrimary)
 	}
@@ -187,8 +187,8 @@
 
 func (s *State) applyProxyMembership(change ProxyMembership) {
 	if change.Removed {
-		delete(s.Proxies, change.Node)
+		delete(s.Proxies, change.Name)
 		return
 	}
-	s.putProxy(change.Node, s.Index)
+	s.putProxy(change.Name, s.Index)
 }
--- a/internal/control/statemachine/change.go
+++ b/internal/control/statemachine/change.go
@@ -10,7 +10,7 @@
 
 // Change is one entry of the log. Exactly one field is set beside LedTimeMs; if none is, it only advances the time.
 type Change struct {
-	LedTimeMs int64 // leader time when it was proposed, see RetentionMs
+	LeaderTimeMs int64 // leader time when it was proposed, see RetentionMs
 
 	UpdateConfig       *ConfigUpdate
 	AddHost            *Host  // also updates a host that is there
@@ -20,7 +20,7 @@
 	RevokePrimary      *RevokePrimary
 	NominatePrimary    *NominatePrimary
 	AppointPrimary     *AppointPrimary
-	Proxy              *ProxyMembership
+	UpdateProxy        *ProxyMembership
 	MarkMissing        string // id of a host that a fail-over need not ask, until it announces itself again
 	ReplicationResumed string // a service whose replicas all receive again
 }
@@ -36,7 +36,7 @@
 
 // ProxyMembership adds a proxy before it is granted its first lease, or removes one that holds none any more.
 type ProxyMembership struct {
-	Node    string
+	Name    string
 	Removed bool
 }
 
@@ -58,7 +58,7 @@
 // ConfigUpdate.encode; everything else is gob.
 func EncodeChange(change Change) []byte {
 	if change.UpdateConfig != nil {
-		return change.UpdateConfig.encode(change.LedTimeMs)
+		return change.UpdateConfig.encode(change.LeaderTimeMs)
 	}
 	var body bytes.Buffer
 	if err := gob.NewEncoder(&body).Encode(changeToStored(change)); err != nil {
@@ -71,7 +71,7 @@
 func DecodeChange(body []byte) (Change, error) {
 	if len(body) > 0 && body[0] == configUpdateMarker {
 		update, ledTimeMs, err := decodeConfigUpdate(body)
-		return Change{UpdateConfig: update, LedTimeMs: ledTimeMs}, err
+		return Change{UpdateConfig: update, LeaderTimeMs: ledTimeMs}, err
 	}
 	var stored diskformat.Change
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&stored); err != nil {
--- a/internal/control/statemachine/retention.go
+++ b/internal/control/statemachine/retention.go
@@ -50,14 +50,14 @@
 // AppliedUpdate notes an update of the configuration that was applied. Versions only rise, so at most one builds on each.
 type AppliedUpdate struct {
 	RequestID
-	LedTimeMs int64 // leader time
+	LeaderTimeMs int64 // leader time
 }
 
 // RemovedHost notes a host that has left or was removed. Its id is not used again, so an announcement by it is one that comes
 // late, unless the host is still listed: see State.IsLeaving.
 type RemovedHost struct {
-	ID        string
-	LedTimeMs int64 // leader time
+	ID           string
+	LeaderTimeMs int64 // leader time
 }
 
 func (s *State) wasApplied(id RequestID) bool {
@@ -80,13 +80,13 @@
 }
 
 func (s *State) recordUpdate(id RequestID) {
-	updates := append(s.AppliedUpdates, AppliedUpdate{id, s.LedTimeMs})
-	s.AppliedUpdates = retain(updates, func(update AppliedUpdate) int64 { return update.LedTimeMs }, s.LedTimeMs)
+	updates := append(s.AppliedUpdates, AppliedUpdate{id, s.LeaderTimeMs})
+	s.AppliedUpdates = retain(updates, func(update AppliedUpdate) int64 { return update.LeaderTimeMs }, s.LeaderTimeMs)
 }
 
 func (s *State) recordRemoval(id string) {
-	removed := append(s.RemovedHosts, RemovedHost{id, s.LedTimeMs})
-	s.RemovedHosts = retain(removed, func(host RemovedHost) int64 { return host.LedTimeMs }, s.LedTimeMs)
+	removed := append(s.RemovedHosts, RemovedHost{id, s.LeaderTimeMs})
+	s.RemovedHosts = retain(removed, func(host RemovedHost) int64 { return host.LeaderTimeMs }, s.LeaderTimeMs)
 }
 
 // encodeAppliedUpdates writes each update as its difference to the one before: base version and leader time as uvarints, and
@@ -95,7 +95,7 @@
 	var previous AppliedUpdate
 	for _, update := range updates {
 		content = binary.AppendUvarint(content, uint64(update.BaseVersion-previous.BaseVersion))
-		content = binary.AppendUvarint(content, uint64(update.LedTimeMs-previous.LedTimeMs))
+		content = binary.AppendUvarint(content, uint64(update.LeaderTimeMs-previous.LeaderTimeMs))
 		content = append(content, update.Digest[:]...)
 		previous = update
 	}
@@ -140,13 +140,13 @@
 		return update, 0
 	}
 	update.BaseVersion = previous.BaseVersion + int64(versions)
-	update.LedTimeMs = previous.LedTimeMs + int64(elapsedMs)
+	update.LeaderTimeMs = previous.LeaderTimeMs + int64(elapsedMs)
 	copy(update.Digest[:], content[numberBytes:])
 	return update, numberBytes + digestBytes
 }
 
 // isNext reports whether an update may follow another; a sum that overflowed may not. The first may build on version 0.
 func isNext(update, previous AppliedUpdate, isFirst bool) bool {
-	return update.LedTimeMs >= previous.LedTimeMs &&
+	return update.LeaderTimeMs >= previous.LeaderTimeMs &&
 		(update.BaseVersion > previous.BaseVersion || isFirst && update.BaseVersion == previous.BaseVersion)
 }
--- a/internal/control/statemachine/retention_test.go
+++ b/internal/control/statemachine/retention_test.go
@@ -12,7 +12,7 @@
 	var updates []ConfigUpdate
 	for i := range count {
 		update := ConfigUpdate{BaseVersion: state.Generation, Body: configBody(int(state.Generation)+1+i%3, fmt.Sprint("h", i))}
-		require.NoError(t, state.Apply(state.Index+1, Change{LedTimeMs: state.LedTimeMs + intervalMs, UpdateConfig: &update}))
+		require.NoError(t, state.Apply(state.Index+1, Change{LeaderTimeMs: state.LeaderTimeMs + intervalMs, UpdateConfig: &update}))
 		updates = append(updates, update)
 		if i%500 == 7 {
 			var err error
@@ -56,15 +56,15 @@
 	require.NoError(t, err, "older, but among the newest")
 	_, err = state.CheckConfig(&late[0])
 	require.NoError(t, err)
-	led := state.LedTimeMs
-	require.NoError(t, state.Apply(state.Index+1, Change{LedTimeMs: 5, Proxy: &ProxyMembership{Node: "r"}}))
-	require.Equal(t, led, state.LedTimeMs, "leader time never goes back")
+	led := state.LeaderTimeMs
+	require.NoError(t, state.Apply(state.Index+1, Change{LeaderTimeMs: 5, UpdateProxy: &ProxyMembership{Name: "r"}}))
+	require.Equal(t, led, state.LeaderTimeMs, "leader time never goes back")
 }
 
 func TestRetentionIsBounded(t *testing.T) {
 	state := &State{}
 	for i := range int64(MaxRetained + 100) {
-		state.LedTimeMs++
+		state.LeaderTimeMs++
 		state.recordUpdate(RequestID{BaseVersion: i})
 		state.recordRemoval(fmt.Sprint("i-", i))
 	}
@@ -79,7 +79,7 @@
 func TestRemovedHostIsNotAddedAgain(t *testing.T) {
 	state := &State{}
 	do := func(led int64, c Change) error {
-		c.LedTimeMs = state.LedTimeMs + led
+		c.LeaderTimeMs = state.LeaderTimeMs + led
 		return state.Apply(state.Index+1, c)
 	}
 	enter := func(id, address string) Change {
--- a/internal/control/statemachine/state.go
+++ b/internal/control/statemachine/state.go
@@ -48,7 +48,7 @@
 	Index          uint64
 	ConfigBody     []byte             // as config.Read returns it; empty: there is no configuration yet
 	Generation     int64              // version of the configuration
-	LedTimeMs      int64              // leader time of the newest change, see RetentionMs
+	LeaderTimeMs   int64              // leader time of the newest change, see RetentionMs
 	AppliedUpdates []AppliedUpdate    // the newest last
 	Hosts          map[string]Host    // by id
 	Primaries      map[string]Primary // by service
--- a/internal/control/statemachine/state_test.go
+++ b/internal/control/statemachine/state_test.go
@@ -130,7 +130,7 @@
 			case 5:
 				c.AppointPrimary = &AppointPrimary{Service: "s", Host: id, Term: uint64(i)}
 			case 6:
-				c.Proxy = &ProxyMembership{Node: id, Removed: random.IntN(3) == 0}
+				c.UpdateProxy = &ProxyMembership{Name: id, Removed: random.IntN(3) == 0}
 			case 7:
 				c.NominatePrimary = &NominatePrimary{"s", id, "m"}
 			}
--- a/internal/control/statemachine/stored.go
+++ b/internal/control/statemachine/stored.go
@@ -15,7 +15,7 @@
 // stateToStored gives the stored form of the state; its maps become lists in the order of their keys.
 func stateToStored(s *State) diskformat.State {
 	stored := diskformat.State{
-		Index: s.Index, Config: s.ConfigBody, Gen: s.Generation, Led: s.LedTimeMs,
+		Index: s.Index, Config: s.ConfigBody, Gen: s.Generation, Led: s.LeaderTimeMs,
 		Orders: encodeAppliedUpdates(s.AppliedUpdates), Took: s.LastPromotionMs,
 	}
 	for _, removed := range s.RemovedHosts {
@@ -49,7 +49,7 @@
 		return nil, fmt.Errorf("applied updates: %w", err)
 	}
 	s := &State{
-		Index: stored.Index, ConfigBody: stored.Config, Generation: stored.Gen, LedTimeMs: stored.Led,
+		Index: stored.Index, ConfigBody: stored.Config, Generation: stored.Gen, LeaderTimeMs: stored.Led,
 		AppliedUpdates: updates, LastPromotionMs: stored.Took,
 	}
 	for _, removed := range stored.Left {
@@ -99,11 +99,11 @@
 }
 
 func removedHostToStored(removed RemovedHost) diskformat.Departure {
-	return diskformat.Departure{ID: removed.ID, At: removed.LedTimeMs}
+	return diskformat.Departure{ID: removed.ID, At: removed.LeaderTimeMs}
 }
 
 func removedHostFromStored(stored diskformat.Departure) RemovedHost {
-	return RemovedHost{ID: stored.ID, LedTimeMs: stored.At}
+	return RemovedHost{ID: stored.ID, LeaderTimeMs: stored.At}
 }
 
 // configUpdateFromStored reads the form of logs that are older than the one that encode writes.
@@ -122,7 +122,7 @@
 // changeToStored gives the stored form of a change that is not an update of the configuration; see ConfigUpdate.encode.
 func changeToStored(change Change) diskformat.Change {
 	stored := diskformat.Change{
-		Led: change.LedTimeMs, Drain: change.DrainHost, Leave: change.RemoveHost,
+		Led: change.LeaderTimeMs, Drain: change.DrainHost, Leave: change.RemoveHost,
 		Missing: change.MarkMissing, Resumed: change.ReplicationResumed,
 	}
 	if leaving := change.HostLeaving; leaving != "" {
@@ -141,15 +141,15 @@
 	if appoint := change.AppointPrimary; appoint != nil {
 		stored.Lead = &diskformat.NewLead{Service: appoint.Service, Host: appoint.Host, Term: appoint.Term, Took: appoint.PromotionMs}
 	}
-	if proxy := change.Proxy; proxy != nil {
-		stored.Router = &diskformat.Router{Node: proxy.Node, Gone: proxy.Removed}
+	if proxy := change.UpdateProxy; proxy != nil {
+		stored.Router = &diskformat.Router{Node: proxy.Name, Gone: proxy.Removed}
 	}
 	return stored
 }
 
 func changeFromStored(stored diskformat.Change) Change {
 	change := Change{
-		LedTimeMs: stored.Led, DrainHost: stored.Drain, RemoveHost: stored.Leave,
+		LeaderTimeMs: stored.Led, DrainHost: stored.Drain, RemoveHost: stored.Leave,
 		MarkMissing: stored.Missing, ReplicationResumed: stored.Resumed,
 	}
 	if stored.Drain != "" && stored.Drain == stored.Leave {
@@ -173,7 +173,7 @@
 		change.AppointPrimary = &AppointPrimary{Service: appoint.Service, Host: appoint.Host, Term: appoint.Term, PromotionMs: appoint.Took}
 	}
 	if proxy := stored.Router; proxy != nil {
-		change.Proxy = &ProxyMembership{Node: proxy.Node, Removed: proxy.Gone}
+		change.UpdateProxy = &ProxyMembership{Name: proxy.Node, Removed: proxy.Gone}
 	}
 	return change
 }
--- a/internal/control/update_history_test.go
+++ b/internal/control/update_history_test.go
@@ -323,8 +323,8 @@
 		h.Violate("no leader after all faults")
 		return
 	}
-	if led := l.server.state.LedTimeMs; led > (h.Now-h.Zero)/unitsPerMs {
-		h.Violate("led time is %d ms after %d ms", led, (h.Now-h.Zero)/unitsPerMs)
+	if led := l.server.state.LeaderTimeMs; led > (h.Now-h.StartTime)/unitsPerMs {
+		h.Violate("led time is %d ms after %d ms", led, (h.Now-h.StartTime)/unitsPerMs)
 	}
 	for _, m := range h.members {
 		if m.server.state.Index == l.server.state.Index && m.server.state.Checksum() != l.server.state.Checksum() {
--- a/internal/errcode/answers.go
+++ b/internal/errcode/answers.go
@@ -24,8 +24,8 @@
 
 var answers = [KindCount]answer{
 	NoValidLease:           {"no_valid_lease", wire.CodeRetry, unavailable, 500, "this router is not known to be up to date"},
-	UnknownDatabase:        {"unknown_database", wire.CodeNoDB, notFound, 0, "no such database"},
-	RouteRemoved:           {"route_removed", wire.CodeNoDB, notFound, 0, "no such database any more"},
+	UnknownDatabase:        {"unknown_database", wire.CodeNoDatabase, notFound, 0, "no such database"},
+	RouteRemoved:           {"route_removed", wire.CodeNoDatabase, notFound, 0, "no such database any more"},
 	NoHostAvailable:        {"no_host_available", wire.CodeRetry, unavailable, 200, "no host can serve it in time"},
 	WriteNotSent:           {"write_not_sent", wire.CodeRetry, unavailable, 100, "it was not sent"},
 	LeaseExpired:           {"lease_expired", wire.CodeAborted, unavailable, 200, "the primary may have been replaced"},
@@ -40,7 +40,7 @@
 	NoTransaction:          {"no_transaction", wire.CodeMalformed, badRequest, 0, "no transaction is open"},
 	AlreadyInTransaction:   {"already_in_transaction", wire.CodeMalformed, badRequest, 0, "a transaction is open"},
 	FailedTransaction:      {"failed_transaction", wire.CodeMalformed, badRequest, 0, "the transaction has failed"},
-	UnknownPreparedName:    {"unknown_prepared_name", wire.CodeUnknown, notFound, 0, "no such name"},
+	UnknownPreparedName:    {"unknown_prepared_name", wire.CodeUnknownName, notFound, 0, "no such name"},
 	SessionTooLarge:        {"session_too_large", wire.CodeOverload, tooLarge, 0, "more values or names than a session may have"},
 	UnknownEndpoint:        {"unknown_endpoint", "", notFound, 0, "no such call"},
 	InvalidBody:            {"invalid_body", "", badRequest, 0, "the body is not valid"},
--- a/internal/errcode/kind.go
+++ b/internal/errcode/kind.go
@@ -46,11 +46,11 @@
 // Code returns the code of the wire's ERROR line; it is empty for kinds that are answered over HTTP only.
 func (k Kind) Code() wire.Code { return answers[k].code }
 
-// Status returns the HTTP status.
-func (k Kind) Status() int { return answers[k].httpStatus }
+// HTTPStatus returns the HTTP status.
+func (k Kind) HTTPStatus() int { return answers[k].httpStatus }
 
-// Text returns the message for the caller.
-func (k Kind) Text() string { return answers[k].message }
+// Message returns the message for the caller.
+func (k Kind) Message() string { return answers[k].message }
 
 // Append appends the wire's ERROR line. Where the code guarantees that nothing of the attempt remains, the message ends with the
 // milliseconds to wait before a retry: retryAfterMs, or the default of the kind if that is 0.
--- a/internal/errcode/kind_test.go
+++ b/internal/errcode/kind_test.go
@@ -17,9 +17,9 @@
 	for kind := range KindCount {
 		require.NotEmpty(t, kind.String(), "kind %d", kind)
 		require.False(t, seen[kind.String()], "%s has the name of another kind", kind)
-		require.GreaterOrEqual(t, kind.Status(), 400, "%s", kind)
+		require.GreaterOrEqual(t, kind.HTTPStatus(), 400, "%s", kind)
 		code := cmp.Or(string(kind.Code()), "-")
-		row := fmt.Sprintf("\n| `%s` | %s | %d | %s |\n", kind, code, kind.Status(), kind.Text())
+		row := fmt.Sprintf("\n| `%s` | %s | %d | %s |\n", kind, code, kind.HTTPStatus(), kind.Message())
 		require.Contains(t, string(docs), row, "%s is not documented", kind)
 		seen[kind.String()] = true
 	}
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -6,21 +6,21 @@
 // a time-out, is negative.
 const ClockOrigin = 1 << 30
 
-// SteadyClock is a monotonic clock in milliseconds. It does not go back when the machine's time is set, and runs on while the
+// MonotonicClock is a monotonic clock in milliseconds. It does not go back when the machine's time is set, and runs on while the
 // process is suspended.
-type SteadyClock struct {
+type MonotonicClock struct {
 	now   func() time.Time
 	start time.Time
 }
 
-// NewSteadyClock starts a clock. now is time.Now, or a simulation's.
-func NewSteadyClock(now func() time.Time) SteadyClock { return SteadyClock{now, now()} }
+// NewMonotonicClock starts a clock. now is time.Now, or a simulation's.
+func NewMonotonicClock(now func() time.Time) MonotonicClock { return MonotonicClock{now, now()} }
 
 // Now returns the time in milliseconds, from ClockOrigin on.
-func (c SteadyClock) Now() int64 { return ClockOrigin + c.Since().Milliseconds() }
+func (c MonotonicClock) Now() int64 { return ClockOrigin + c.Since().Milliseconds() }
 
 // Time returns the same time as a time.Time.
-func (c SteadyClock) Time() time.Time { return c.now() }
+func (c MonotonicClock) Time() time.Time { return c.now() }
 
 // Since returns the time since the clock was started.
-func (c SteadyClock) Since() time.Duration { return c.now().Sub(c.start) }
+func (c MonotonicClock) Since() time.Duration { return c.now().Sub(c.start) }
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -18,8 +18,8 @@
 	put(PriorityOutcomes, "outcome 1")
 	put(PriorityOutcomes, "outcome 2")
 	put(PriorityOutcomes, "outcome 3") // beyond the capacity, and does not block
-	put(PriorityLists, "list")
-	require.Equal(t, 5, queue.Length())
+	put(PriorityUpdates, "list")
+	require.Equal(t, 5, queue.Len())
 	<-queue.Ready
 	for priority := range priorityCount {
 		for function := queue.Take(priority); function != nil; function = queue.Take(priority) {
@@ -27,7 +27,7 @@
 		}
 	}
 	require.Equal(t, []string{"list", "outcome 1", "outcome 2", "outcome 3", "command"}, order)
-	require.Zero(t, queue.Length())
+	require.Zero(t, queue.Len())
 }
 
 func TestPutBlocksWhileTheQueueIsFull(t *testing.T) {
@@ -49,8 +49,8 @@
 		queue.Close()
 		require.False(t, <-accepted, "blocked when the queue was closed")
 		require.False(t, queue.Put(PriorityOutcomes, func() {}))
-		<-queue.Ended
-		require.Equal(t, 1, queue.Length())
+		<-queue.Closed
+		require.Equal(t, 1, queue.Len())
 	})
 }
 
@@ -81,7 +81,7 @@
 
 func TestClockStartsAtItsOriginInMilliseconds(t *testing.T) {
 	now := time.Now()
-	clock := NewSteadyClock(func() time.Time { return now })
+	clock := NewMonotonicClock(func() time.Time { return now })
 	require.EqualValues(t, ClockOrigin, clock.Now())
 	now = now.Add(1500 * time.Millisecond)
 	require.EqualValues(t, ClockOrigin+1500, clock.Now())
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -7,7 +7,7 @@
 
 // The priorities, the most urgent first.
 const (
-	PriorityLists    Priority = iota // updates of what the owner decides by, as the membership
+	PriorityUpdates  Priority = iota // updates of what the owner decides by, as the membership
 	PriorityOutcomes                 // results of what the owner started
 	PriorityCommands                 // new work
 	priorityCount
@@ -19,7 +19,7 @@
 type Queue struct {
 	capacity int
 	Ready    chan struct{} // receives after Put; one value may stand for several functions
-	Ended    chan struct{} // closed with the queue
+	Closed   chan struct{} // closed with the queue
 
 	mu       sync.Mutex
 	notFull  *sync.Cond
@@ -29,7 +29,7 @@
 
 // NewQueue returns a queue with a capacity for each priority.
 func NewQueue(capacity int) *Queue {
-	q := &Queue{capacity: capacity, Ready: make(chan struct{}, 1), Ended: make(chan struct{})}
+	q := &Queue{capacity: capacity, Ready: make(chan struct{}, 1), Closed: make(chan struct{})}
 	q.notFull = sync.NewCond(&q.mu)
 	return q
 }
@@ -81,8 +81,8 @@
 	return function
 }
 
-// Length returns how many functions of all priorities are waiting.
-func (q *Queue) Length() (length int) {
+// Len returns how many functions of all priorities are waiting.
+func (q *Queue) Len() (length int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, waiting := range q.waiting {
@@ -96,6 +96,6 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.isClosed = true
-	close(q.Ended)
+	close(q.Closed)
 	q.notFull.Broadcast()
 }
--- a/internal/fake/database/conn.go
+++ b/internal/fake/database/conn.go
@@ -15,23 +15,23 @@
 	stateFailed        = 'E' // in a transaction that can only be ended
 )
 
-// Conn is a connection to a host. Answer and Broke must be set before the first statement.
+// Conn is a connection to a host. OnResponse and OnClosed must be set before the first statement.
 type Conn struct {
-	H *Host
+	Host *Host
 	// State is 'I' outside transactions, 'T' in one, and 'E' in one that has failed.
 	State byte
 	// ReadOnly says that the transaction only reads.
 	ReadOnly bool
-	// Began is the id of the statement that began the transaction.
-	Began string
+	// BeginID is the id of the statement that began the transaction.
+	BeginID string
 	// Values is the session's values, as SET by the client.
 	Values map[string]string
-	// Names is the session's prepared statements, by name.
-	Names map[string]string
-	// Answer is called with the lines of an answer, the IDLE line included; they leave the host after a span.
-	Answer func(after int64, a wire.Response)
-	// Broke is called when the host ends the connection.
-	Broke func()
+	// Prepared is the session's prepared statements, by name.
+	Prepared map[string]string
+	// OnResponse is called with the lines of an answer, the IDLE line included; they leave the host after a span.
+	OnResponse func(after int64, a wire.Response)
+	// OnClosed is called when the host ends the connection.
+	OnClosed func()
 
 	pendingWrites []string // of the transaction
 	serial        int      // counts the connections of the host in the order in which they were opened
@@ -40,19 +40,19 @@
 // Connect opens a connection.
 func (h *Host) Connect() *Conn {
 	h.connsOpened++
-	conn := &Conn{H: h, serial: h.connsOpened, State: stateIdle, Values: map[string]string{}, Names: map[string]string{}}
+	conn := &Conn{Host: h, serial: h.connsOpened, State: stateIdle, Values: map[string]string{}, Prepared: map[string]string{}}
 	h.Conns[conn] = true
 	return conn
 }
 
 // Close ends a connection; a transaction in progress is rolled back.
 func (c *Conn) Close() {
-	delete(c.H.Conns, c)
+	delete(c.Host.Conns, c)
 	c.endTransaction()
 }
 
-// Same reports whether a connection has just these values.
-func (c *Conn) Same(values map[string]string) bool { return maps.Equal(c.Values, values) }
+// HasValues reports whether a connection has just these values.
+func (c *Conn) HasValues(values map[string]string) bool { return maps.Equal(c.Values, values) }
 
 func (c *Conn) endTransaction() {
 	c.State, c.pendingWrites = stateIdle, nil
@@ -67,23 +67,23 @@
 // respond sends an answer of some lines.
 func (c *Conn) respond(after int64, lines ...string) {
 	var response wire.Response
-	lines = append(lines, fmt.Sprintf("IDLE %c %s", c.State, c.H.At(c.H.Seen())))
+	lines = append(lines, fmt.Sprintf("IDLE %c %s", c.State, c.Host.PositionAt(c.Host.VisibleEntries())))
 	for _, line := range lines {
 		if _, err := response.AddLine([]byte(line), []byte(line+"\r\n")); err != nil {
 			panic(err)
 		}
 	}
-	if group := c.H.group; group.Losses > 0 && group.OneIn(group.Losses) {
+	if group := c.Host.group; group.LostAnswerOneIn > 0 && group.OneIn(group.LostAnswerOneIn) {
 		c.Close()
-		c.Broke()
+		c.OnClosed()
 		return
 	}
-	c.Answer(after, response)
+	c.OnResponse(after, response)
 }
 
 // reject answers a statement with an error, and leaves the transaction as it is.
 func (c *Conn) reject(code wire.Code) {
-	c.respond(0, "ERROR "+string(code)+" "+c.H.ID)
+	c.respond(0, "ERROR "+string(code)+" "+c.Host.ID)
 }
 
 // fail answers a statement with an error, by which the transaction that it is in has failed.
@@ -96,12 +96,12 @@
 
 // commit appends writes to the primary's log, and answers once a replica has received them.
 func (c *Conn) commit(stamp string, writes []string) {
-	c.H.commit(writes, func() { c.respond(0, stamp) })
+	c.Host.commit(writes, func() { c.respond(0, stamp) })
 }
 
 // respondStatus answers a coordinator's statement with the row of a host's status.
 func (c *Conn) respondStatus(status wire.HostStatus) {
-	row := fmt.Sprintf("ROW %s %d %s %d 0 0 %d", roleName(status.Leader), status.Term, status.Received, status.Held, status.Conns)
+	row := fmt.Sprintf("ROW %s %d %s %d 0 0 %d", roleName(status.IsPrimary), status.Timeline, status.Received, status.PausedTimeline, status.Connections)
 	c.respond(0, row, doneWithoutStamp)
 }
 
--- a/internal/fake/database/database.go
+++ b/internal/fake/database/database.go
@@ -2,7 +2,7 @@
 // apply later, transactions, the statements of a session (FENCE included) and of a coordinator (STAT, PAUSE, RESUME,
 // STEPDOWN), and promotion.
 //
-// A Group owns its hosts. Statements come in by Conn.Query, their answers leave by Conn.Answer, and everything that takes
+// A Group owns its hosts. Statements come in by Conn.Query, their answers leave by Conn.OnResponse, and everything that takes
 // time goes through a Scheduler. The hosts themselves have no sockets and no clock: simulations bring a seeded scheduler, and
 // Server runs the same hosts on sockets with a RealTimeScheduler. Nothing in this package locks but RealTimeScheduler;
 // calls into a group are made by one goroutine at a time.
@@ -16,8 +16,8 @@
 
 // Units of a Scheduler's spans: tenths of a millisecond.
 const (
-	Ms     = 10
-	Second = 1000 * Ms
+	Millisecond = 10
+	Second      = 1000 * Millisecond
 )
 
 // Scheduler runs the events of a group one at a time, and draws its random choices.
@@ -34,22 +34,22 @@
 type Group struct {
 	Scheduler
 	Hosts []*Host
-	// Note logs promotions, crashes and restarts. It is required.
-	Note func(format string, args ...any)
-	// Read is called before a read runs, with the id of its statement. Optional.
-	Read func(h *Host, c *Conn, id string)
-	// Told is called when a host sends a heartbeat: at regular intervals, and at once when its role changes. Optional.
-	Told func(h *Host)
-	// Losses has one answer in so many lost along with its connection. Optional.
-	Losses int
-	// Refused has one write in so many, of those outside transactions, rejected with RETRY. Optional.
-	Refused int
+	// Logf logs promotions, crashes and restarts. It is required.
+	Logf func(format string, args ...any)
+	// OnRead is called before a read runs, with the id of its statement. Optional.
+	OnRead func(h *Host, c *Conn, id string)
+	// OnHeartbeat is called when a host sends a heartbeat: at regular intervals, and at once when its role changes. Optional.
+	OnHeartbeat func(h *Host)
+	// LostAnswerOneIn has one answer in so many lost along with its connection. Optional.
+	LostAnswerOneIn int
+	// RejectedWriteOneIn has one write in so many, of those outside transactions, rejected with RETRY. Optional.
+	RejectedWriteOneIn int
 }
 
 // Range of the delay between a commit reaching a replica and reads there seeing it, drawn once for each host.
 const (
-	minReplayDelay = 2 * Ms
-	maxReplayDelay = 30 * Ms
+	minReplayDelay = 2 * Millisecond
+	maxReplayDelay = 30 * Millisecond
 )
 
 // Add adds a host that runs; the first one is the primary.
@@ -58,9 +58,9 @@
 		group:       g,
 		ID:          id,
 		Up:          true,
-		Term:        1,
+		Timeline:    1,
 		ReplayDelay: g.Between(minReplayDelay, maxReplayDelay),
-		Leader:      len(g.Hosts) == 0,
+		IsPrimary:   len(g.Hosts) == 0,
 		Conns:       map[*Conn]bool{},
 	}
 	g.Hosts = append(g.Hosts, host)
@@ -79,11 +79,11 @@
 	return nil
 }
 
-// Lead returns the running primary of the greatest timeline; nil if no primary runs.
-func (g *Group) Lead() *Host {
+// Primary returns the running primary of the greatest timeline; nil if no primary runs.
+func (g *Group) Primary() *Host {
 	var primary *Host
 	for _, host := range g.Hosts {
-		if host.Up && host.Leader && (primary == nil || host.Term > primary.Term) {
+		if host.Up && host.IsPrimary && (primary == nil || host.Timeline > primary.Timeline) {
 			primary = host
 		}
 	}
@@ -96,7 +96,7 @@
 		// Backwards, since callers look for what was written a moment ago.
 		for i, entry := range slices.Backward(host.Log) {
 			if slices.Contains(entry.Data, data) {
-				return host.At(i + 1), true
+				return host.PositionAt(i + 1), true
 			}
 		}
 	}
--- a/internal/fake/database/host.go
+++ b/internal/fake/database/host.go
@@ -8,16 +8,16 @@
 	ID    string
 	// Up says that the host runs.
 	Up bool
-	// Dark cuts a host's network: it sends nothing, and a connection attempt is not even refused.
-	Dark bool
-	// Deaf stops a replica from receiving the primary's log.
-	Deaf bool
-	// Leader says that the host takes itself for the primary. Until a former primary has heard of its successor, both do.
-	Leader bool
-	// Term is the timeline that the host is on.
-	Term uint64
-	// Paused is the timeline of the PAUSE that stopped replication here; 0 if it is not paused.
-	Paused uint64
+	// Unreachable cuts a host's network: it sends nothing, and a connection attempt is not even refused.
+	Unreachable bool
+	// ReplicationStopped stops a replica from receiving the primary's log.
+	ReplicationStopped bool
+	// IsPrimary says that the host takes itself for the primary. Until a former primary has heard of its successor, both do.
+	IsPrimary bool
+	// Timeline is the timeline that the host is on.
+	Timeline uint64
+	// PausedTimeline is the timeline of the PAUSE that stopped replication here; 0 if it is not paused.
+	PausedTimeline uint64
 	// Log is the commits that the host has received.
 	Log []Entry
 	// Applied counts the entries that reads on a replica see.
@@ -35,21 +35,21 @@
 
 // Entry is a commit.
 type Entry struct {
-	Term uint64
-	Data []string
+	Timeline uint64
+	Data     []string
 }
 
-// At returns the position after the first entries of the log.
-func (h *Host) At(entries int) wire.Position {
+// PositionAt returns the position after the first entries of the log.
+func (h *Host) PositionAt(entries int) wire.Position {
 	if entries == 0 {
-		return wire.Position{Term: 1}
+		return wire.Position{Timeline: 1}
 	}
-	return wire.Position{Term: h.Log[entries-1].Term, Number: uint64(entries)}
+	return wire.Position{Timeline: h.Log[entries-1].Timeline, Number: uint64(entries)}
 }
 
-// Seen returns how many entries a read sees.
-func (h *Host) Seen() int {
-	if h.Leader {
+// VisibleEntries returns how many entries a read sees.
+func (h *Host) VisibleEntries() int {
+	if h.IsPrimary {
 		return len(h.Log)
 	}
 	return h.Applied
@@ -58,7 +58,7 @@
 // Visible reports whether a read sees the commit at a position.
 func (h *Host) Visible(position wire.Position) bool {
 	entries := int(position.Number)
-	return entries <= h.Seen() && (entries == 0 || h.Log[entries-1].Term == position.Term)
+	return entries <= h.VisibleEntries() && (entries == 0 || h.Log[entries-1].Timeline == position.Timeline)
 }
 
 // WriteCounts returns how often the data of each write is in the log.
@@ -74,8 +74,8 @@
 
 // Range of the interval between a host's heartbeats.
 const (
-	minHeartbeatInterval = 1100 * Ms
-	maxHeartbeatInterval = 1300 * Ms
+	minHeartbeatInterval = 1100 * Millisecond
+	maxHeartbeatInterval = 1300 * Millisecond
 )
 
 // heartbeat sends a heartbeat now and at each interval from here on.
@@ -85,27 +85,27 @@
 }
 
 func (h *Host) sendHeartbeat() {
-	if h.Up && !h.Dark && h.group.Told != nil {
-		h.group.Told(h)
+	if h.Up && !h.Unreachable && h.group.OnHeartbeat != nil {
+		h.group.OnHeartbeat(h)
 	}
 }
 
 // Control runs one of STAT, PAUSE, RESUME and STEPDOWN, and returns the status after it. PAUSE and STEPDOWN do nothing
-// unless their term is greater than the host's.
-func (h *Host) Control(verb string, term uint64) wire.HostStatus {
+// unless their timeline is greater than the host's.
+func (h *Host) Control(verb string, timeline uint64) wire.HostStatus {
 	switch {
-	case verb == verbPause && term > h.Term && !h.Leader:
-		h.Paused = term
+	case verb == verbPause && timeline > h.Timeline && !h.IsPrimary:
+		h.PausedTimeline = timeline
 	case verb == verbResume:
-		h.Paused = 0
-	case verb == verbStepDown && term > h.Term:
+		h.PausedTimeline = 0
+	case verb == verbStepDown && timeline > h.Timeline:
 		h.StepDown()
 	}
 	return wire.HostStatus{
-		Leader:   h.Leader,
-		Term:     h.Term,
-		Received: h.At(len(h.Log)),
-		Held:     h.Paused,
-		Conns:    int64(len(h.Conns)),
+		IsPrimary:      h.IsPrimary,
+		Timeline:       h.Timeline,
+		Received:       h.PositionAt(len(h.Log)),
+		PausedTimeline: h.PausedTimeline,
+		Connections:    int64(len(h.Conns)),
 	}
 }
--- a/internal/fake/database/platform.go
+++ b/internal/fake/database/platform.go
@@ -9,7 +9,7 @@
 )
 
 // promotionDelay is the time from the platform taking a promotion to the host being the primary.
-const promotionDelay = 150 * Ms
+const promotionDelay = 150 * Millisecond
 
 // promotionRequest is the body of POST /promotion.
 type promotionRequest struct {
@@ -63,7 +63,7 @@
 		Generation: "v1",
 		Capacity:   8,
 		State:      "serving",
-		DBRole:     roleName(host.Leader),
+		DBRole:     roleName(host.IsPrimary),
 		CallSeq:    s.callSeq,
 	})
 	if err != nil {
--- a/internal/fake/database/replication.go
+++ b/internal/fake/database/replication.go
@@ -3,23 +3,23 @@
 // Ranges of the times of replication: how often a replica fetches from the primary, and how long the acknowledgement of
 // what it received is on its way.
 const (
-	minFetchInterval = 2 * Ms
-	maxFetchInterval = 8 * Ms
-	minAckDelay      = Ms
-	maxAckDelay      = 3 * Ms
+	minFetchInterval = 2 * Millisecond
+	maxFetchInterval = 8 * Millisecond
+	minAckDelay      = Millisecond
+	maxAckDelay      = 3 * Millisecond
 )
 
 // pendingAck is a commit whose client waits until a replica has received it.
 type pendingAck struct {
-	entries int    // the length of the log that a replica must have
-	term    uint64 // the timeline that the primary must still be on
-	done    func()
+	entries  int    // the length of the log that a replica must have
+	timeline uint64 // the timeline that the primary must still be on
+	done     func()
 }
 
 // replicate has a replica fetch the primary's log now and at each interval from here on.
 func (h *Host) replicate() {
 	h.group.After(h.group.Between(minFetchInterval, maxFetchInterval), h.replicate)
-	if !h.Up || h.Leader || h.Deaf || h.Paused > 0 || h.Dark {
+	if !h.Up || h.IsPrimary || h.ReplicationStopped || h.PausedTimeline > 0 || h.Unreachable {
 		return
 	}
 	if source := h.replicationSource(); source != nil {
@@ -31,7 +31,7 @@
 func (h *Host) replicationSource() *Host {
 	var source *Host
 	for _, other := range h.group.Hosts {
-		if other.Up && !other.Dark && other.Leader && other.Term >= h.Term && (source == nil || other.Term > source.Term) {
+		if other.Up && !other.Unreachable && other.IsPrimary && other.Timeline >= h.Timeline && (source == nil || other.Timeline > source.Timeline) {
 			source = other
 		}
 	}
@@ -41,30 +41,30 @@
 // fetchFrom replaces the part of the log that differs from the primary's. The entries are applied after the host's
 // replay delay, and the primary learns of them after the network's.
 func (h *Host) fetchFrom(primary *Host) {
-	h.Term = primary.Term
+	h.Timeline = primary.Timeline
 	common := min(len(h.Log), len(primary.Log))
-	for common > 0 && h.Log[common-1].Term != primary.Log[common-1].Term {
+	for common > 0 && h.Log[common-1].Timeline != primary.Log[common-1].Timeline {
 		common--
 	}
 	h.Log = append(h.Log[:common], primary.Log[common:]...)
 	h.Applied = min(h.Applied, common)
-	received, term := len(h.Log), primary.Term
+	received, timeline := len(h.Log), primary.Timeline
 	h.group.After(h.ReplayDelay, func() {
 		if h.Up && received <= len(h.Log) {
 			h.Applied = max(h.Applied, received)
 		}
 	})
-	h.group.After(h.group.Between(minAckDelay, maxAckDelay), func() { primary.acknowledge(received, term) })
+	h.group.After(h.group.Between(minAckDelay, maxAckDelay), func() { primary.acknowledge(received, timeline) })
 }
 
 // acknowledge answers the commits that a replica has received, unless the host has stopped or changed its timeline since.
-func (h *Host) acknowledge(received int, term uint64) {
-	if !h.Up || h.Term != term {
+func (h *Host) acknowledge(received int, timeline uint64) {
+	if !h.Up || h.Timeline != timeline {
 		return
 	}
 	var pending []pendingAck
 	for _, ack := range h.pendingAcks {
-		if ack.term == term && ack.entries <= received {
+		if ack.timeline == timeline && ack.entries <= received {
 			ack.done()
 		} else {
 			pending = append(pending, ack)
@@ -75,6 +75,6 @@
 
 // commit appends an entry to the primary's log, and calls done once a replica has received it.
 func (h *Host) commit(data []string, done func()) {
-	h.Log = append(h.Log, Entry{h.Term, data})
-	h.pendingAcks = append(h.pendingAcks, pendingAck{len(h.Log), h.Term, done})
+	h.Log = append(h.Log, Entry{h.Timeline, data})
+	h.pendingAcks = append(h.pendingAcks, pendingAck{len(h.Log), h.Timeline, done})
 }
--- a/internal/fake/database/role.go
+++ b/internal/fake/database/role.go
@@ -14,16 +14,16 @@
 	if !h.Up {
 		return false
 	}
-	latest := h.Term
+	latest := h.Timeline
 	for _, other := range h.group.Hosts {
-		latest = max(latest, other.Term)
+		latest = max(latest, other.Timeline)
 	}
 	// A primary on an older timeline has a successor that it has not heard of, so it is promoted like a replica.
-	if h.Leader && h.Term == latest {
+	if h.IsPrimary && h.Timeline == latest {
 		return true
 	}
-	h.Term, h.Leader, h.Paused, h.pendingAcks = latest+1, true, 0, nil
-	h.group.Note("%s is promoted to timeline %d with %d entries", h.ID, h.Term, len(h.Log))
+	h.Timeline, h.IsPrimary, h.PausedTimeline, h.pendingAcks = latest+1, true, 0, nil
+	h.group.Logf("%s is promoted to timeline %d with %d entries", h.ID, h.Timeline, len(h.Log))
 	for _, other := range h.group.Hosts {
 		if other != h {
 			other.succeededBy(h)
@@ -35,12 +35,12 @@
 
 // succeededBy notifies a host of a new primary: a reachable replica follows it at once, a former primary steps down later.
 func (h *Host) succeededBy(primary *Host) {
-	if h.Up && !h.Dark && !h.Deaf && !h.Leader {
-		h.Paused, h.Term = 0, max(h.Term, primary.Term)
+	if h.Up && !h.Unreachable && !h.ReplicationStopped && !h.IsPrimary {
+		h.PausedTimeline, h.Timeline = 0, max(h.Timeline, primary.Timeline)
 	}
-	if h.Leader {
+	if h.IsPrimary {
 		h.group.After(h.group.Between(0, maxStepDownDelay), func() {
-			if h.Up && h.Leader && h.Term < primary.Term {
+			if h.Up && h.IsPrimary && h.Timeline < primary.Timeline {
 				h.StepDown()
 			}
 		})
@@ -49,7 +49,7 @@
 
 // StepDown makes a primary a replica. Commits that no replica has received stay unanswered.
 func (h *Host) StepDown() {
-	if h.Leader {
+	if h.IsPrimary {
 		h.becomeReplica()
 		h.pendingAcks = nil
 		h.sendHeartbeat()
@@ -58,37 +58,37 @@
 
 // becomeReplica keeps what reads on the former primary saw visible.
 func (h *Host) becomeReplica() {
-	h.Leader, h.Applied = false, len(h.Log)
+	h.IsPrimary, h.Applied = false, len(h.Log)
 }
 
-// Crash stops a host and starts it again after a span. A dark crash is that of a machine: clients do not see their
+// Crash stops a host and starts it again after a span. An unreachable one is a machine that is down: clients do not see their
 // connections end, and connection attempts meet silence.
-func (h *Host) Crash(dark bool, back int64) {
+func (h *Host) Crash(unreachable bool, downTime int64) {
 	if !h.Up {
 		return
 	}
-	h.group.Note("%s crashes, unreachable %v, primary %v", h.ID, dark, h.Leader)
-	h.Up, h.Dark, h.pendingAcks = false, dark, nil
+	h.group.Logf("%s crashes, unreachable %v, primary %v", h.ID, unreachable, h.IsPrimary)
+	h.Up, h.Unreachable, h.pendingAcks = false, unreachable, nil
 	h.Crashes++
 	// In the order in which they were opened, so that a seed plays the same each time.
 	bySerial := func(a, b *Conn) int { return a.serial - b.serial }
 	for _, conn := range slices.SortedFunc(maps.Keys(h.Conns), bySerial) {
 		conn.Close()
-		if !dark {
-			conn.Broke()
+		if !unreachable {
+			conn.OnClosed()
 		}
 	}
-	h.group.After(back, h.restart)
+	h.group.After(downTime, h.restart)
 }
 
 // restart has a host run again, as a replica if another was promoted meanwhile, whether that one still runs or not.
 func (h *Host) restart() {
-	h.Up, h.Dark, h.Paused = true, false, 0
+	h.Up, h.Unreachable, h.PausedTimeline = true, false, 0
 	for _, other := range h.group.Hosts {
-		if other.Term > h.Term && h.Leader {
+		if other.Timeline > h.Timeline && h.IsPrimary {
 			h.becomeReplica()
 		}
 	}
-	h.group.Note("%s is back, primary %v", h.ID, h.Leader)
+	h.group.Logf("%s is back, primary %v", h.ID, h.IsPrimary)
 	h.sendHeartbeat()
 }
--- a/internal/fake/database/server.go
+++ b/internal/fake/database/server.go
@@ -41,7 +41,7 @@
 	s := &Server{scheduler: scheduler, config: config, ctx: ctx, addresses: map[string]string{}}
 	scheduler.Lock()
 	defer scheduler.Unlock()
-	s.Group = &Group{Scheduler: scheduler, Note: func(string, ...any) {}, Told: s.postHeartbeat}
+	s.Group = &Group{Scheduler: scheduler, Logf: func(string, ...any) {}, OnHeartbeat: s.postHeartbeat}
 	for i, address := range config.Hosts {
 		id := fmt.Sprintf("h%d", i)
 		listener, err := net.Listen("tcp", address)
--- a/internal/fake/database/socket.go
+++ b/internal/fake/database/socket.go
@@ -89,9 +89,9 @@
 		return false
 	}
 	s.conn = s.host.Connect()
-	s.conn.Broke = func() { s.socket.Close() }
-	s.conn.Answer = s.respond
-	s.socket.Write(wire.AppendIdle(nil, stateIdle, s.host.At(s.host.Seen())))
+	s.conn.OnClosed = func() { s.socket.Close() }
+	s.conn.OnResponse = s.respond
+	s.socket.Write(wire.AppendIdle(nil, stateIdle, s.host.PositionAt(s.host.VisibleEntries())))
 	return true
 }
 
--- a/internal/fake/database/statement.go
+++ b/internal/fake/database/statement.go
@@ -27,10 +27,10 @@
 
 // Ranges of the time that statements take.
 const (
-	minReadTime  = Ms
-	maxReadTime  = 8 * Ms
-	minWriteTime = Ms
-	maxWriteTime = 5 * Ms
+	minReadTime  = Millisecond
+	maxReadTime  = 8 * Millisecond
+	minWriteTime = Millisecond
+	maxWriteTime = 5 * Millisecond
 )
 
 // statement is what a client sent, without its fence, and with the text of its prepared statement in place of its name.
@@ -44,7 +44,7 @@
 // stamp is the line that ends the answer to a statement that reads or writes data.
 func (s *statement) stamp() string { return stampPrefix + s.id }
 
-// Query runs a statement; its answer comes by Answer.
+// Query runs a statement; its answer comes by OnResponse.
 func (c *Conn) Query(id, text string) {
 	s := &statement{id: id}
 	s.verb, s.arguments = cutWord(text)
@@ -60,9 +60,9 @@
 	}
 	if s.verb == verbExecute {
 		name, arguments := cutWord(s.arguments)
-		prepared, ok := c.Names[name]
+		prepared, ok := c.Prepared[name]
 		if !ok {
-			c.fail(wire.CodeUnknown)
+			c.fail(wire.CodeUnknownName)
 			return
 		}
 		s.verb, _ = cutWord(prepared)
@@ -91,10 +91,10 @@
 	case verbStore:
 		c.store(s)
 	case verbStat, verbPause, verbResume, verbStepDown:
-		var term uint64
+		var timeline uint64
 		// Without a number, as after STAT, it stays 0, which is greater than no host's.
-		_, _ = fmt.Sscan(s.arguments, &term)
-		c.respondStatus(c.H.Control(s.verb, term))
+		_, _ = fmt.Sscan(s.arguments, &timeline)
+		c.respondStatus(c.Host.Control(s.verb, timeline))
 	default:
 		c.reject(wire.CodeMalformed)
 	}
@@ -107,27 +107,27 @@
 	case verbSet:
 		c.Values[name] = value
 	case verbPrepare:
-		c.Names[name] = value
+		c.Prepared[name] = value
 	case verbClose:
-		delete(c.Names, s.arguments)
+		delete(c.Prepared, s.arguments)
 	case verbReset:
-		c.Values, c.Names = map[string]string{}, map[string]string{}
+		c.Values, c.Prepared = map[string]string{}, map[string]string{}
 	}
 	c.respond(0, doneWithoutStamp)
 }
 
 // behind reports whether the host lacks the position that a statement must see.
-func (c *Conn) behind(s *statement) bool { return s.fence != nil && !c.H.Visible(*s.fence) }
+func (c *Conn) behind(s *statement) bool { return s.fence != nil && !c.Host.Visible(*s.fence) }
 
 func (c *Conn) begin(s *statement) {
 	readOnly := s.arguments == verbFetch
 	switch {
 	case c.behind(s):
 		c.reject(wire.CodeLagging)
-	case s.arguments == "" && !c.H.Leader:
+	case s.arguments == "" && !c.Host.IsPrimary:
 		c.reject(wire.CodeReadOnly)
 	default:
-		c.State, c.ReadOnly, c.Began, c.pendingWrites = stateInTransaction, readOnly, s.id, nil
+		c.State, c.ReadOnly, c.BeginID, c.pendingWrites = stateInTransaction, readOnly, s.id, nil
 		c.respond(0, doneWithoutStamp)
 	}
 }
@@ -140,7 +140,7 @@
 		c.reject(wire.CodeAborted)
 	case len(writes) == 0:
 		c.respond(0, s.stamp())
-	case !c.H.Leader:
+	case !c.Host.IsPrimary:
 		c.reject(wire.CodeReadOnly)
 	default:
 		c.commit(s.stamp(), writes)
@@ -148,30 +148,30 @@
 }
 
 func (c *Conn) fetch(s *statement) {
-	group := c.H.group
+	group := c.Host.group
 	switch {
 	case c.behind(s):
 		c.fail(wire.CodeLagging)
-	case c.State == stateInTransaction && !c.ReadOnly && !c.H.Leader:
+	case c.State == stateInTransaction && !c.ReadOnly && !c.Host.IsPrimary:
 		c.fail(wire.CodeReadOnly)
 	default:
-		if group.Read != nil {
-			group.Read(c.H, c, s.id)
+		if group.OnRead != nil {
+			group.OnRead(c.Host, c, s.id)
 		}
 		c.respond(group.Between(minReadTime, maxReadTime), "ROW "+s.arguments, s.stamp())
 	}
 }
 
 func (c *Conn) store(s *statement) {
-	group := c.H.group
+	group := c.Host.group
 	_, data := cutWord(s.arguments) // after the name of the table
 	switch {
-	case !c.H.Leader || c.State == stateInTransaction && c.ReadOnly:
+	case !c.Host.IsPrimary || c.State == stateInTransaction && c.ReadOnly:
 		c.fail(wire.CodeReadOnly)
 	case c.State == stateInTransaction:
 		c.pendingWrites = append(c.pendingWrites, data)
 		c.respond(group.Between(minWriteTime, maxWriteTime), s.stamp())
-	case group.Refused > 0 && group.OneIn(group.Refused):
+	case group.RejectedWriteOneIn > 0 && group.OneIn(group.RejectedWriteOneIn):
 		c.reject(wire.CodeRetry)
 	default:
 		c.commit(s.stamp(), []string{data})
--- a/internal/fake/discovery/discovery.go
+++ b/internal/fake/discovery/discovery.go
@@ -86,8 +86,8 @@
 	d.server.Close()
 }
 
-// Set changes entries in one new revision, and returns the time of it. An entry in state removed leaves the list.
-func (d *Discovery) Set(entries ...Entry) time.Time {
+// Update changes entries in one new revision, and returns the time of it. An entry in state removed leaves the list.
+func (d *Discovery) Update(entries ...Entry) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
--- a/internal/fake/postgres/command.go
+++ b/internal/fake/postgres/command.go
@@ -30,7 +30,7 @@
 	defer fleet.mu.Unlock()
 	now := time.Now()
 	if statement == healthCheckQuery || statement == loadQuery {
-		fleet.stats.Probes++
+		fleet.stats.HealthChecks++
 		return h.row("1", h.appliedUntil(now)), true
 	}
 	command, err := protocol.ParseCommand([]byte(statement))
@@ -42,7 +42,7 @@
 	h.checkDrain(cmd)
 	if !h.admit(now) {
 		fleet.stats.Rejected++
-		return h.reject(protocol.TooMany, now), true
+		return h.reject(protocol.TooManyConnections, now), true
 	}
 	if !h.occupySlot(cmd.IsWrite) {
 		return nil, false
@@ -66,7 +66,7 @@
 	fleet, set, now := h.fleet, h.replicaSet(), time.Now()
 	if !h.isPrimary() {
 		fleet.stats.NotPrimary++
-		return h.reject(protocol.ReadOnly, now)
+		return h.reject(protocol.ReadOnlyTransaction, now)
 	}
 	fleet.stats.Writes++
 	fleet.executions[cmd.ID]++
--- a/internal/fake/postgres/conn.go
+++ b/internal/fake/postgres/conn.go
@@ -52,7 +52,7 @@
 // serveConn answers a startup message and then queries, until the client ends the connection or sends something else.
 func (h *Host) serveConn(conn net.Conn) {
 	input := bufio.NewReader(conn)
-	if _, err := readBody(input, protocol.LongestStartup); err != nil {
+	if _, err := readBody(input, protocol.MaxStartupBytes); err != nil {
 		return
 	}
 	if _, err := conn.Write(protocol.AppendGreeting(nil)); err != nil {
@@ -67,7 +67,7 @@
 		if err != nil {
 			return
 		}
-		statement, ok := protocol.Statement(body)
+		statement, ok := protocol.QueryText(body)
 		if !ok {
 			return
 		}
@@ -89,7 +89,7 @@
 	}
 	length := binary.BigEndian.Uint32(header[:])
 	if length < lengthBytes || length > maxLength {
-		return nil, protocol.ErrLength
+		return nil, protocol.ErrInvalidLength
 	}
 	body := make([]byte, length-lengthBytes)
 	_, err := io.ReadFull(input, body)
--- a/internal/fake/postgres/stats.go
+++ b/internal/fake/postgres/stats.go
@@ -8,9 +8,9 @@
 
 // Stats counts what the hosts of a fleet did, by their own record.
 type Stats struct {
-	Commands int // that reached a host, health checks aside
-	Probes   int
-	Writes   int
+	Commands     int // that reached a host, health checks aside
+	HealthChecks int
+	Writes       int
 	// Rejected counts the commands that met a full queue.
 	Rejected int
 	// NotPrimary counts the writes that reached a replica.
@@ -33,13 +33,13 @@
 // maxNotes is how many violations Stats describes; the counts cover all.
 const maxNotes = 20
 
-// Broken returns how often the clients of the fleet broke a rule.
-func (s Stats) Broken() int {
+// Violations returns how often the clients of the fleet broke a rule.
+func (s Stats) Violations() int {
 	return s.DuplicateWrites + s.StaleReads + s.AfterDrain + s.Overloads
 }
 
-// Seen returns a copy of the statistics so far.
-func (f *Fleet) Seen() Stats {
+// Stats returns a copy of the statistics so far.
+func (f *Fleet) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	stats := f.stats
--- a/internal/proxy/benchmark_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -32,7 +32,7 @@
 // newBenchmarkServer is a proxy with a state and without sessions; no connection to a host opens.
 func newBenchmarkServer(b *testing.B, size statesize.Size) *Server {
 	b.Helper()
-	server := newServer(benchmarkSettings, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
+	server := newServer(benchmarkSettings, hclog.NewNullLogger(), eventloop.NewMonotonicClock(time.Now), 1)
 	server.ctx = context.Background()
 	server.leader = noLeader{}
 	server.dial = func(conn *hostConn) {
@@ -83,8 +83,8 @@
 		now := server.refreshPolicyTime()
 		for b.Loop() {
 			now += toTenths(50 * time.Millisecond)
-			server.balancer.Clock(now)
-			server.balancer.Woke()
+			server.balancer.SetTime(now)
+			server.balancer.WakeUp()
 			server.deferred = actionQueue{}
 		}
 	})
@@ -97,7 +97,7 @@
 			state := size.State()
 			snapshot := state.Snapshot()
 			start := func() *Server {
-				server := newServer(benchmarkSettings, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
+				server := newServer(benchmarkSettings, hclog.NewNullLogger(), eventloop.NewMonotonicClock(time.Now), 1)
 				server.dial = func(*hostConn) {}
 				if err := server.applyLogUpdate(&rpc.LogUpdate{Snapshot: snapshot, LastIndex: state.Index}); err != nil {
 					b.Fatal(err)
--- a/internal/proxy/client_session.go
+++ b/internal/proxy/client_session.go
@@ -142,7 +142,7 @@
 func (c *clientSession) pin(conn *hostConn, begin *statement) {
 	conn.session = c
 	c.pinnedConn, c.txnRoute, c.primaryEpoch = conn, begin.route, begin.attempt.primaryEpoch
-	if begin.step.Reads && begin.route.stalenessBound > 0 && begin.group == begin.route.readGroup {
+	if begin.step.ReadOnly && begin.route.stalenessBound > 0 && begin.group == begin.route.readGroup {
 		c.primaryEpoch = noEpoch // what BEGIN was fenced for holds for the whole transaction
 	}
 }
--- a/internal/proxy/conn_reset_test.go
+++ b/internal/proxy/conn_reset_test.go
@@ -23,7 +23,7 @@
 		require.Empty(t, sim.Violations, "seed %d: %s", seed, sim.report())
 		for _, proxy := range sim.proxies {
 			if proxy.server != nil {
-				notSent += proxy.server.counters.outcomes[policy.Unreached].Load()
+				notSent += proxy.server.counters.outcomes[policy.Unreachable].Load()
 				sent += proxy.server.counters.outcomes[policy.Reset].Load()
 			}
 		}
--- a/internal/proxy/control_link_test.go
+++ b/internal/proxy/control_link_test.go
@@ -22,7 +22,7 @@
 	defer listener.Close()
 	port := listener.Addr().(*net.TCPAddr).Port
 	cfg := &settings.Settings{Node: "n", Ip: "127.0.0.1", PortRange: []int{port, port}}
-	server := newServer(cfg, hclog.NewNullLogger(), eventloop.NewSteadyClock(time.Now), 1)
+	server := newServer(cfg, hclog.NewNullLogger(), eventloop.NewMonotonicClock(time.Now), 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	server.ctx = ctx
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -42,8 +42,8 @@
 	stateDiverged atomic.Int64 // log updates that did not fit the state
 	configUpdates atomic.Int64
 
-	outcomes   [policy.Missed + 1]atomic.Int64 // of attempts
-	errorsSent [errcode.KindCount]atomic.Int64 // of the proxy's own
+	outcomes   [policy.Misrouted + 1]atomic.Int64 // of attempts
+	errorsSent [errcode.KindCount]atomic.Int64    // of the proxy's own
 }
 
 // values are the counters by the names that the status shows. membership may be nil.
--- a/internal/proxy/host_conn.go
+++ b/internal/proxy/host_conn.go
@@ -19,7 +19,7 @@
 	pool        *hostPool
 	out         nonblockingConn
 	id          uint64
-	dialedAt    policy.Tenth
+	dialedAt    policy.TenthMs
 	dialedEpoch primaryEpoch // in which it was dialed, if the host was the primary
 
 	state        session.ConnState
@@ -129,7 +129,7 @@
 		client.pinnedConnLost()
 	}
 	if stmt != nil && !stmt.attempt.over {
-		outcome := policy.Unreached
+		outcome := policy.Unreachable
 		if stmt.attempt.sent {
 			outcome = policy.Reset
 		}
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -32,7 +32,7 @@
 type hostPool struct {
 	statemachine.Host
 	server  *Server
-	node    *policy.Node // the balancer's handle of it
+	node    *policy.Host // the balancer's handle of it
 	service *service
 
 	conns   map[*hostConn]struct{} // all that are open
@@ -47,13 +47,13 @@
 
 	probePending bool // the balancer waits for the next connection to open or fail
 	announced    bool // the balancer knows its standing
-	standing     policy.Standing
+	standing     policy.ListState
 	retired      bool // removed, or replaced by another host of the same name: it takes no statements
 }
 
 // hostPosition is what a host's position says of it.
 type hostPosition struct {
-	asOf policy.Tenth // it has all writes acknowledged before; positionUnknown: not known
+	asOf policy.TenthMs // it has all writes acknowledged before; positionUnknown: not known
 	role policy.Role
 }
 
@@ -83,7 +83,7 @@
 			best = i
 			break
 		}
-		if best < 0 || conn.state.ValuesKey == "" {
+		if best < 0 || conn.state.VariablesKey == "" {
 			best = i
 		}
 	}
@@ -112,7 +112,7 @@
 	succeeded := err == nil && response.Code == ""
 	if p.probePending {
 		p.probePending = false
-		defer func() { p.node.Probed(succeeded) }()
+		defer func() { p.node.EndProbe(succeeded) }()
 	}
 	if !succeeded {
 		p.dialFailed(response.Code, err)
@@ -134,14 +134,14 @@
 func (p *hostPool) dialFailed(code wire.Code, err error) {
 	s := p.server
 	s.counters.connsFailed.Add(1)
-	outcome := policy.Unreached
+	outcome := policy.Unreachable
 	if code == wire.CodeOverload || code == wire.CodeRetry {
-		outcome = policy.Full
+		outcome = policy.Overloaded
 		s.counters.connsRefused.Add(1)
 	} else {
 		p.reportSuspect(errors.Is(err, syscall.ECONNREFUSED) || code == wire.CodeWrongNode)
 	}
-	if len(p.conns) == 0 || outcome != policy.Full {
+	if len(p.conns) == 0 || outcome != policy.Overloaded {
 		for _, stmt := range slices.Clone(p.queued) {
 			s.endAttempt(stmt, outcome)
 		}
@@ -157,7 +157,7 @@
 
 // recordPosition records a host's position from a response to what was sent at sentAt in an epoch. It is a sample of the
 // primary's position only if that epoch has not ended.
-func (p *hostPool) recordPosition(position wire.Position, sentAt policy.Tenth, epoch primaryEpoch) hostPosition {
+func (p *hostPool) recordPosition(position wire.Position, sentAt policy.TenthMs, epoch primaryEpoch) hostPosition {
 	svc := p.service
 	if epoch != noEpoch && epoch == primaryEpoch(svc.primary.ChangedAt) && svc.primary.Host == p.ID {
 		svc.positions.Add(sentAt, position)
@@ -166,7 +166,7 @@
 	asOf := svc.positions.UpToDateAsOf(position)
 	switch {
 	case asOf < 0:
-		return hostPosition{asOf: positionUnknown, role: policy.Unknown}
+		return hostPosition{asOf: positionUnknown, role: policy.UnknownRole}
 	case svc.isPrimary(p.ID): // by the log: that a lease has expired says nothing of the host
 		return hostPosition{asOf: asOf, role: policy.Primary}
 	}
@@ -206,11 +206,11 @@
 
 // endLostTransactions ends transactions whose response counts as lost. That of a COMMIT which writes is waited for until its
 // deadline: without it nobody knows what was committed.
-func (p *hostPool) endLostTransactions(now policy.Tenth) {
+func (p *hostPool) endLostTransactions(now policy.TenthMs) {
 	s := p.server
 	for _, conn := range p.connsByAge() {
 		stmt := conn.statement
-		if stmt == nil || !stmt.attempt.sent || !stmt.isPinned() || stmt.step.Commit && stmt.session.MayHaveWritten {
+		if stmt == nil || !stmt.attempt.sent || !stmt.isPinned() || stmt.step.IsCommit && stmt.session.MayHaveWritten {
 			continue
 		}
 		if !p.lossDetector.Lost(stmt.attempt.sentAt, now) {
@@ -252,7 +252,7 @@
 		p.server.closeConn(conn)
 	}
 	for _, stmt := range slices.Clone(p.queued) {
-		p.server.endAttempt(stmt, policy.Moot)
+		p.server.endAttempt(stmt, policy.Expired)
 	}
 }
 
--- a/internal/proxy/lossdetect/lossdetect.go
+++ b/internal/proxy/lossdetect/lossdetect.go
@@ -17,7 +17,7 @@
 	minOutstanding  = 800 // tenths of a millisecond for which no response is considered lost
 )
 
-type response struct{ requestedAt, duration policy.Tenth }
+type response struct{ requestedAt, duration policy.TenthMs }
 
 // Detector observes the responses of one host. The zero value has observed none and considers none lost.
 type Detector struct {
@@ -26,14 +26,14 @@
 }
 
 // ResponseReceived records a response that arrived at now to a request sent at requestedAt.
-func (d *Detector) ResponseReceived(requestedAt, now policy.Tenth) {
+func (d *Detector) ResponseReceived(requestedAt, now policy.TenthMs) {
 	d.recent[d.received%recentResponses] = response{requestedAt, now - requestedAt}
 	d.received++
 }
 
 // Lost reports whether the outstanding response to a request sent at requestedAt is considered lost.
-func (d *Detector) Lost(requestedAt, now policy.Tenth) bool {
-	var slowest policy.Tenth
+func (d *Detector) Lost(requestedAt, now policy.TenthMs) bool {
+	var slowest policy.TenthMs
 	overtaking := 0
 	for _, r := range d.recent[:min(d.received, recentResponses)] {
 		slowest = max(slowest, r.duration)
--- a/internal/proxy/lossdetect/lossdetect_test.go
+++ b/internal/proxy/lossdetect/lossdetect_test.go
@@ -17,21 +17,21 @@
 	never    = 1 << 50
 )
 
-type request struct{ sentAt, dueAt policy.Tenth }
+type request struct{ sentAt, dueAt policy.TenthMs }
 
 // host executes requests in a few slots; it is slower from 20000 to 40000.
 type host struct {
 	seed        int
 	random      *rand.Rand
-	slotFreeAt  [4]policy.Tenth
+	slotFreeAt  [4]policy.TenthMs
 	outstanding []request
-	lostSentAt  policy.Tenth // of the request whose response never arrives; 0: none yet
+	lostSentAt  policy.TenthMs // of the request whose response never arrives; 0: none yet
 	detector    Detector
 }
 
 // send sends a request, unless it is the one whose response is lost; that one is only noted.
-func (h *host) send(now policy.Tenth) {
-	work := policy.Tenth(40 + h.random.ExpFloat64()*60)
+func (h *host) send(now policy.TenthMs) {
+	work := policy.TenthMs(40 + h.random.ExpFloat64()*60)
 	if now > 20000 && now < 40000 {
 		work *= 5
 	}
@@ -50,7 +50,7 @@
 }
 
 // receive receives the responses that are due. None that is outstanding may be considered lost.
-func (h *host) receive(t *testing.T, now policy.Tenth) {
+func (h *host) receive(t *testing.T, now policy.TenthMs) {
 	var remaining []request
 	for _, r := range h.outstanding {
 		if now < r.dueAt {
@@ -66,10 +66,10 @@
 // Hosts with queues, some slowed in the middle: a response that is outstanding is not considered lost, and one that never
 // arrives is, in good time.
 func TestOnlyAResponseThatOthersOvertookByFarIsLost(t *testing.T) {
-	found, waited := 0, policy.Tenth(0)
+	found, waited := 0, policy.TenthMs(0)
 	for seed := range 300 {
 		h := &host{seed: seed, random: rand.New(rand.NewPCG(uint64(seed), 11))}
-		for now := policy.Tenth(0); now < end; now += step {
+		for now := policy.TenthMs(0); now < end; now += step {
 			if h.random.IntN(30) == 0 {
 				h.send(now)
 			}
@@ -82,5 +82,5 @@
 		}
 	}
 	require.Greater(t, found, 290)
-	require.Less(t, waited/policy.Tenth(found), policy.Tenth(5000), "tenths of a millisecond")
+	require.Less(t, waited/policy.TenthMs(found), policy.TenthMs(5000), "tenths of a millisecond")
 }
--- a/internal/proxy/outage_test.go
+++ b/internal/proxy/outage_test.go
@@ -21,22 +21,22 @@
 
 var outageKinds = []outageKind{
 	{"nothing happens", 400, func(*simulation) {}},
-	{"the primary's process ends", 1000, func(sim *simulation) { sim.database.Lead().Crash(false, 8*second) }},
-	{"the primary goes dark", 1500, func(sim *simulation) { sim.database.Lead().Crash(true, 8*second) }},
-	{"it ends and is back at once", 1200, func(sim *simulation) { sim.database.Lead().Crash(false, 300*millisecond) }},
-	{"it drains", 400, func(sim *simulation) { sim.cluster.drainHost(sim.database.Lead()) }},
+	{"the primary's process ends", 1000, func(sim *simulation) { sim.database.Primary().Crash(false, 8*second) }},
+	{"the primary goes dark", 1500, func(sim *simulation) { sim.database.Primary().Crash(true, 8*second) }},
+	{"it ends and is back at once", 1200, func(sim *simulation) { sim.database.Primary().Crash(false, 300*millisecond) }},
+	{"it drains", 400, func(sim *simulation) { sim.cluster.drainHost(sim.database.Primary()) }},
 	{"it drains, and a replica is down", 2600, func(sim *simulation) {
 		sim.anyReplica().Crash(false, 8*second)
-		sim.After(100*millisecond, func() { sim.cluster.drainHost(sim.database.Lead()) })
+		sim.After(100*millisecond, func() { sim.cluster.drainHost(sim.database.Primary()) })
 	}},
 	{"it ends, and a proxy is partitioned", 2500, func(sim *simulation) {
 		sim.proxies[0].partitioned = true
 		sim.After(6*second, func() { sim.proxies[0].partitioned = false })
-		sim.database.Lead().Crash(false, 8*second)
+		sim.database.Primary().Crash(false, 8*second)
 	}},
 	{"it ends, and the leader of the control plane right after", 4500, func(sim *simulation) {
 		leader := sim.cluster.leader()
-		sim.database.Lead().Crash(false, 8*second)
+		sim.database.Primary().Crash(false, 8*second)
 		sim.After(sim.Between(40*millisecond, 300*millisecond), func() {
 			leader.crash(true)
 			sim.After(3*second, leader.start)
@@ -46,14 +46,14 @@
 		leader := sim.cluster.leader()
 		leader.frozen = true
 		incarnation := leader.incarnation
-		sim.database.Lead().Crash(false, 8*second)
+		sim.database.Primary().Crash(false, 8*second)
 		sim.After(4*second, func() { leader.thaw(incarnation) })
 	}},
 }
 
 func (sim *simulation) anyReplica() *database.Host {
 	for _, host := range sim.database.Hosts {
-		if !host.Leader {
+		if !host.IsPrimary {
 			return host
 		}
 	}
@@ -96,7 +96,7 @@
 func (kind outageKind) gapMs(t *testing.T, seed uint64) int64 {
 	t.Helper()
 	sim := newClusterSimulation(seed+50000, 3, 18)
-	sim.database.Losses, sim.database.Refused = 0, 0
+	sim.database.LostAnswerOneIn, sim.database.RejectedWriteOneIn = 0, 0
 	sim.cluster.promotionTime = func() int64 { return 300 * millisecond }
 	sim.After(4*second, func() {
 		sim.longestWriteGap = 0
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// policyUnit is what a policy.Tenth counts.
+	// policyUnit is what a policy.TenthMs counts.
 	policyUnit = 100 * time.Microsecond
 
 	tenthsPerMillisecond = 10
 
-	// policyTick is the shortest time between two calls of policy.Router.Woke.
-	policyTick policy.Tenth = 50
+	// policyTick is the shortest time between two calls of policy.Router.WakeUp.
+	policyTick policy.TenthMs = 50
 
 	// maxAttempts is how many hosts a statement may be sent to before its client is answered with an error.
 	maxAttempts = 3
 
 	// maxComeback is the longest wait, in tenths of a millisecond, that a rejected client is asked for.
-	maxComeback policy.Tenth = 2000
+	maxComeback policy.TenthMs = 2000
 
 	// hostConnIdleTimeout is the span over which the balancer looks for the most connections in use at once. When an idle
 	// connection is closed, package connlimit says.
@@ -52,17 +52,19 @@
 	}
 }
 
-func toTenths(span time.Duration) policy.Tenth { return policy.Tenth(span / policyUnit) }
+func toTenths(span time.Duration) policy.TenthMs { return policy.TenthMs(span / policyUnit) }
 
-func toDuration(span policy.Tenth) time.Duration { return time.Duration(span) * policyUnit }
+func toDuration(span policy.TenthMs) time.Duration { return time.Duration(span) * policyUnit }
 
-func millisecondsToTenths(ms float64) policy.Tenth { return policy.Tenth(ms * tenthsPerMillisecond) }
+func millisecondsToTenths(ms float64) policy.TenthMs {
+	return policy.TenthMs(ms * tenthsPerMillisecond)
+}
 
 // refreshPolicyTime tells the balancer the present time, which it needs before any other call, and returns it.
-func (s *Server) refreshPolicyTime() policy.Tenth {
-	s.policyNow = policy.Tenth(eventloop.ClockOrigin)*tenthsPerMillisecond + toTenths(s.clock.Since())
+func (s *Server) refreshPolicyTime() policy.TenthMs {
+	s.policyNow = policy.TenthMs(eventloop.ClockOrigin)*tenthsPerMillisecond + toTenths(s.clock.Since())
 	if s.balancer != nil {
-		s.balancer.Clock(s.policyNow)
+		s.balancer.SetTime(s.policyNow)
 	}
 	return s.policyNow
 }
@@ -71,13 +73,13 @@
 func (s *Server) wakePolicy() {
 	s.policyWakeAt = time.Time{}
 	s.refreshPolicyTime()
-	s.balancer.Woke()
+	s.balancer.WakeUp()
 	if s.policyWakeAt.IsZero() {
 		s.schedulePolicyWake(policyTick)
 	}
 }
 
-func (s *Server) schedulePolicyWake(after policy.Tenth) {
+func (s *Server) schedulePolicyWake(after policy.TenthMs) {
 	if at := s.clock.Time().Add(toDuration(after)); s.policyWakeAt.IsZero() || at.Before(s.policyWakeAt) {
 		s.policyWakeAt = at
 	}
@@ -88,7 +90,7 @@
 type policyCaller struct{ server *Server }
 
 // Dispatch sends a statement to a host.
-func (p policyCaller) Dispatch(command *policy.Cmd, node *policy.Node, timeout policy.Tenth) {
+func (p policyCaller) Dispatch(command *policy.Command, node *policy.Host, timeout policy.TenthMs) {
 	s := p.server
 	stmt := s.statements[command.Name]
 	stmt.command = command
@@ -103,13 +105,13 @@
 }
 
 // Throttle answers a statement that has not run, or that may run again.
-func (p policyCaller) Throttle(command *policy.Cmd, comeback policy.Tenth) {
+func (p policyCaller) Throttle(command *policy.Command, comeback policy.TenthMs) {
 	s := p.server
 	stmt := s.statements[command.Name]
 	s.counters.throttled.Add(1)
 	s.deferred.add(func() {
 		s.forgetIfOver(stmt)
-		if stmt.hostResponse != nil && !stmt.step.Writes {
+		if stmt.hostResponse != nil && !stmt.step.MayWrite {
 			s.finishStatement(stmt, stmt.hostResponse)
 			return
 		}
@@ -118,7 +120,7 @@
 }
 
 // Fail answers a statement that may have run.
-func (p policyCaller) Fail(command *policy.Cmd) {
+func (p policyCaller) Fail(command *policy.Command) {
 	s := p.server
 	stmt := s.statements[command.Name]
 	s.counters.failed.Add(1)
@@ -136,7 +138,7 @@
 }
 
 // Probe has the balancer learn whether a host is reachable and what it has: by opening a connection.
-func (p policyCaller) Probe(node *policy.Node) {
+func (p policyCaller) Probe(node *policy.Host) {
 	s := p.server
 	pool := s.poolByNode[node]
 	pool.probePending = true
@@ -149,14 +151,14 @@
 }
 
 // Close closes the idle connections to a host.
-func (p policyCaller) Close(node *policy.Node) {
+func (p policyCaller) Close(node *policy.Host) {
 	for _, conn := range slices.Clone(p.server.poolByNode[node].idle) {
 		p.server.closeConn(conn)
 	}
 }
 
 // Forget drops a host that was removed and that no statement names any more.
-func (p policyCaller) Forget(node *policy.Node) {
+func (p policyCaller) Forget(node *policy.Host) {
 	s := p.server
 	pool := s.poolByNode[node]
 	if pool == nil {
@@ -175,5 +177,5 @@
 // Tell does nothing: proxies don't exchange what the balancer knows.
 func (policyCaller) Tell(string) {}
 
-// Wake schedules a call of policy.Router.Woke.
-func (p policyCaller) Wake(after policy.Tenth) { p.server.schedulePolicyWake(after) }
+// Wake schedules a call of policy.Router.WakeUp.
+func (p policyCaller) Wake(after policy.TenthMs) { p.server.schedulePolicyWake(after) }
--- a/internal/proxy/position/position.go
+++ b/internal/proxy/position/position.go
@@ -22,18 +22,18 @@
 const tenthsPerMs = 10
 
 // TransitMargin is subtracted from every staleness bound, for the time that a read takes to reach the host.
-const TransitMargin policy.Tenth = 200 * tenthsPerMs
+const TransitMargin policy.TenthMs = 200 * tenthsPerMs
 
 // unknown is the time that stands for none.
-const unknown policy.Tenth = -1
+const unknown policy.TenthMs = -1
 
 const (
-	maxSamples              = 160
-	minSpacing policy.Tenth = 20 * tenthsPerMs // between samples that are kept
+	maxSamples                = 160
+	minSpacing policy.TenthMs = 20 * tenthsPerMs // between samples that are kept
 )
 
 type sample struct {
-	sentAt   policy.Tenth // when the query was sent
+	sentAt   policy.TenthMs // when the query was sent
 	position wire.Position
 }
 
@@ -42,7 +42,7 @@
 
 // Add adds the position in the primary's response to a query sent at a time. An unknown position, and one older than the last
 // sample by time or position, is ignored.
-func (t *Tracker) Add(sentAt policy.Tenth, position wire.Position) {
+func (t *Tracker) Add(sentAt policy.TenthMs, position wire.Position) {
 	if !position.Known() {
 		return
 	}
@@ -69,7 +69,7 @@
 
 // Floor returns a position that includes all writes acknowledged before a time; ok is false if none is known. Of those known it
 // is the lowest, since that asks least of a replica.
-func (t *Tracker) Floor(before policy.Tenth) (floor wire.Position, ok bool) {
+func (t *Tracker) Floor(before policy.TenthMs) (floor wire.Position, ok bool) {
 	for _, s := range t.samples {
 		if s.sentAt >= before {
 			return s.position, true
@@ -79,7 +79,7 @@
 }
 
 // Latest returns the last sample's time and position; the time is -1 if there is no sample.
-func (t *Tracker) Latest() (policy.Tenth, wire.Position) {
+func (t *Tracker) Latest() (policy.TenthMs, wire.Position) {
 	if len(t.samples) == 0 {
 		return unknown, wire.Position{}
 	}
@@ -88,7 +88,7 @@
 }
 
 // UpToDateAsOf returns a time before which all acknowledged writes are at or before a position, the latest that is known, or -1.
-func (t *Tracker) UpToDateAsOf(position wire.Position) policy.Tenth {
+func (t *Tracker) UpToDateAsOf(position wire.Position) policy.TenthMs {
 	for _, s := range slices.Backward(t.samples) {
 		if !position.Before(s.position) {
 			return s.sentAt
@@ -100,7 +100,7 @@
 // Fence returns the position that a host must have reached for a read that may miss only writes acknowledged less than
 // stalenessBound ago, and none of its own session's, whose last write is at token. If ok is false no such position is known, and
 // only the primary can execute the read.
-func (t *Tracker) Fence(now, stalenessBound policy.Tenth, token wire.Position) (fence wire.Position, ok bool) {
+func (t *Tracker) Fence(now, stalenessBound policy.TenthMs, token wire.Position) (fence wire.Position, ok bool) {
 	fence, ok = t.Floor(now - stalenessBound + TransitMargin)
 	if fence.Before(token) {
 		fence = token
@@ -110,7 +110,7 @@
 
 // CoversBound reports whether the samples are recent enough for fences of a staleness bound now and for a while longer, so that
 // a read may be sent to a replica.
-func (t *Tracker) CoversBound(now, stalenessBound policy.Tenth) bool {
+func (t *Tracker) CoversBound(now, stalenessBound policy.TenthMs) bool {
 	latest, _ := t.Latest()
 	return latest >= 0 && latest >= now-stalenessBound+2*TransitMargin
 }
--- a/internal/proxy/position/position_test.go
+++ b/internal/proxy/position/position_test.go
@@ -9,7 +9,7 @@
 	"ferrypitch/policy"
 )
 
-func at(number uint64) wire.Position { return wire.Position{Term: 1, Number: number} }
+func at(number uint64) wire.Position { return wire.Position{Timeline: 1, Number: number} }
 
 func trackerOf(samples ...sample) *Tracker {
 	t := &Tracker{}
@@ -29,7 +29,7 @@
 	tracker.Add(2150, at(22))
 	require.Equal(t, []sample{{1000, at(10)}, {2000, at(20)}, {2150, at(22)}}, tracker.samples, "too close to the last but one")
 
-	for i := range 2 * policy.Tenth(maxSamples) {
+	for i := range 2 * policy.TenthMs(maxSamples) {
 		tracker.Add(10000+i*minSpacing, at(uint64(100+i)))
 	}
 	require.Len(t, tracker.samples, maxSamples)
@@ -42,8 +42,8 @@
 	tracker := trackerOf(sample{1000, at(10)})
 	tracker.Clear()
 	latest, _ := tracker.Latest()
-	require.Equal(t, policy.Tenth(-1), latest)
-	require.Equal(t, policy.Tenth(-1), tracker.UpToDateAsOf(at(99)))
+	require.Equal(t, policy.TenthMs(-1), latest)
+	require.Equal(t, policy.TenthMs(-1), tracker.UpToDateAsOf(at(99)))
 	require.False(t, tracker.CoversBound(0, 1<<40))
 	fence, ok := tracker.Fence(5000, 100, at(7))
 	require.False(t, ok)
@@ -53,7 +53,7 @@
 func TestFenceIncludesWritesOlderThanTheBoundAndTheSessionsOwn(t *testing.T) {
 	tracker := trackerOf(sample{10000, at(10)}, sample{20000, at(20)}, sample{30000, at(30)})
 	for _, c := range []struct {
-		bound policy.Tenth
+		bound policy.TenthMs
 		token uint64
 		fence uint64
 		ok    bool
@@ -76,13 +76,13 @@
 
 func TestUpToDateAsOfIsTheLatestSampleThatAPositionIncludes(t *testing.T) {
 	tracker := trackerOf(sample{10000, at(10)}, sample{20000, at(20)})
-	require.Equal(t, policy.Tenth(-1), tracker.UpToDateAsOf(at(9)))
-	require.Equal(t, policy.Tenth(10000), tracker.UpToDateAsOf(at(19)))
-	require.Equal(t, policy.Tenth(20000), tracker.UpToDateAsOf(at(20)))
+	require.Equal(t, policy.TenthMs(-1), tracker.UpToDateAsOf(at(9)))
+	require.Equal(t, policy.TenthMs(10000), tracker.UpToDateAsOf(at(19)))
+	require.Equal(t, policy.TenthMs(20000), tracker.UpToDateAsOf(at(20)))
 }
 
 func TestNextPrimaryIsDueAQuarterAfterTheLastPromotionsDuration(t *testing.T) {
-	require.Equal(t, policy.Tenth(5+8750), NextPrimaryDue(5, 0, true))
-	require.Equal(t, policy.Tenth(5+5000), NextPrimaryDue(5, 400, true))
-	require.Equal(t, policy.Tenth(5+5620), NextPrimaryDue(5, 400, false))
+	require.Equal(t, policy.TenthMs(5+8750), NextPrimaryDue(5, 0, true))
+	require.Equal(t, policy.TenthMs(5+5000), NextPrimaryDue(5, 400, true))
+	require.Equal(t, policy.TenthMs(5+5620), NextPrimaryDue(5, 400, false))
 }
--- a/internal/proxy/position/promotion.go
+++ b/internal/proxy/position/promotion.go
@@ -10,7 +10,7 @@
 
 // NextPrimaryDue returns when the next primary can be expected: a quarter later than the last promotion suggests, which took
 // lastPromotionMs milliseconds (0: none was measured). If no host was nominated yet, the time to choose one is added.
-func NextPrimaryDue(now policy.Tenth, lastPromotionMs int64, nominated bool) policy.Tenth {
+func NextPrimaryDue(now policy.TenthMs, lastPromotionMs int64, nominated bool) policy.TenthMs {
 	expectedMs := lastPromotionMs
 	if expectedMs <= 0 {
 		expectedMs = DefaultPromotionMs
--- a/internal/proxy/reconcile.go
+++ b/internal/proxy/reconcile.go
@@ -38,13 +38,13 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.pools)) {
 		pool := s.pools[id]
-		if _, listed := s.state.Hosts[id]; !listed && pool.standing != policy.Gone {
-			pool.standing, changed = policy.Gone, true
+		if _, listed := s.state.Hosts[id]; !listed && pool.standing != policy.Removed {
+			pool.standing, changed = policy.Removed, true
 			pool.remove()
 		}
 	}
 	if changed {
-		s.balancer.ListDone(false)
+		s.balancer.EndList(false)
 	}
 }
 
@@ -71,35 +71,35 @@
 func (s *Server) newPool(host statemachine.Host) *hostPool {
 	svc := s.serviceNamed(host.Service)
 	pool := &hostPool{Host: host, server: s, service: svc, conns: map[*hostConn]struct{}{}}
-	pool.node = s.balancer.Host(host.ID, svc.policySet)
+	pool.node = s.balancer.AddHost(host.ID, svc.policySet)
 	s.pools[host.ID], s.poolByNode[pool.node] = pool, pool
 	return pool
 }
 
 // standingOf is a host's standing in the balancer's host list. A primary that drains is used until another is appointed, or until the
 // platform's bound for draining is nearly over.
-func (s *Server) standingOf(pool *hostPool) policy.Standing {
+func (s *Server) standingOf(pool *hostPool) policy.ListState {
 	if !pool.Draining {
-		return policy.In
+		return policy.Active
 	}
 	now := s.clock.Time()
 	if pool.drainingSince.IsZero() {
 		pool.drainingSince = now
 	}
 	if s.state.Primaries[pool.Service].Host == pool.ID && !pool.drainExpired(now) {
-		return policy.In
+		return policy.Active
 	}
 	return policy.Draining
 }
 
 // announce updates the balancer's host list. Who the primary is it learns by Leads; kind and boot time are not known here.
-func (p *hostPool) announce(standing policy.Standing, capacity float64) {
-	p.node.Listed(standing, false, p.Zone, "", capacity, 0)
+func (p *hostPool) announce(standing policy.ListState, capacity float64) {
+	p.node.UpdateListing(standing, false, p.Zone, "", capacity, 0)
 }
 
 // remove has the balancer send nothing more to a host, and ends it.
 func (p *hostPool) remove() {
-	p.announce(policy.Gone, 1)
+	p.announce(policy.Removed, 1)
 	p.retire()
 }
 
@@ -126,17 +126,17 @@
 func (s *Server) changePrimary(svc *service, was statemachine.Primary) {
 	want := svc.primary
 	if old := s.pools[was.Host]; old != nil && (want.Revoked || want.Host != was.Host) {
-		old.node.Leads(false)
+		old.node.SetPrimary(false)
 		s.abortPrimaryWork(old)
 	}
 	if want.Revoked {
 		s.revocationUnreported = s.revocationUnreported || !was.Revoked
-		s.balancer.Due(svc.policySet, position.NextPrimaryDue(s.policyNow, s.state.LastPromotionMs, want.Nominee != ""))
+		s.balancer.ExpectPrimary(svc.policySet, position.NextPrimaryDue(s.policyNow, s.state.LastPromotionMs, want.Nominee != ""))
 		return
 	}
 	svc.positions.Clear()
 	if pool := s.pools[want.Host]; pool != nil {
-		pool.node.Leads(true)
+		pool.node.SetPrimary(true)
 		s.log.Info("primary changed", "service", svc.name, "host", want.Host, "term", want.Term)
 	}
 }
@@ -156,7 +156,7 @@
 			} else {
 				client.pinnedConnLost()
 			}
-		case stmt != nil && stmt.attempt.sent && stmt.attempt.primaryEpoch != noEpoch && stmt.step.Writes:
+		case stmt != nil && stmt.attempt.sent && stmt.attempt.primaryEpoch != noEpoch && stmt.step.MayWrite:
 			conn.statement = nil
 			s.closeConn(conn)
 			s.endAttempt(stmt, policy.Reset)
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -40,7 +40,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	s := newServer(cfg, log, eventloop.NewSteadyClock(time.Now), rand.Uint64())
+	s := newServer(cfg, log, eventloop.NewMonotonicClock(time.Now), rand.Uint64())
 	s.ctx = ctx
 	link := newControlLink(s)
 	s.dial, s.leader = s.dialHost, link
--- a/internal/proxy/safeguard_test.go
+++ b/internal/proxy/safeguard_test.go
@@ -34,19 +34,19 @@
 	{"a replica that has less is promoted", "LOST STALE", newSimulation, func(sim *simulation) {
 		sim.control.alterResult = func(query failover.HostQuery, result *failover.QueryResult) {
 			if query.Command == failover.Pause {
-				result.Status.Received = wire.Position{Term: 1} // all look alike
+				result.Status.Received = wire.Position{Timeline: 1} // all look alike
 			}
 		}
 	}},
 	{"replicas are not paused before they are asked", "LOST STALE", newSimulation, func(sim *simulation) {
 		sim.control.alterResult = func(query failover.HostQuery, _ *failover.QueryResult) {
 			if query.Command == failover.Pause {
-				sim.database.Host(query.Host).Paused = 0
+				sim.database.Host(query.Host).PausedTimeline = 0
 			}
 		}
 	}},
 	{"a write whose response is lost is retried", "TWICE", newSimulation, func(sim *simulation) {
-		sim.keepChangingRoutes(func(r *route) { r.writeGroup.Effect = policy.Replayable })
+		sim.keepChangingRoutes(func(r *route) { r.writeGroup.Effect = policy.Idempotent })
 	}},
 	{"a session's own writes are forgotten", "STALE", newSimulation, func(sim *simulation) {
 		sim.keepChanging(func(server *Server) {
@@ -57,7 +57,7 @@
 		sim.keepChangingRoutes(func(r *route) {
 			if r.readsOwnWrites {
 				r.readsOwnWrites = false
-				r.readGroup.Need, r.readGroup.Bound = policy.Bounded, r.stalenessBound
+				r.readGroup.Need, r.readGroup.Bound = policy.BoundedStaleness, r.stalenessBound
 			}
 		})
 	}},
@@ -69,7 +69,7 @@
 		sim.keepChanging(func(server *Server) {
 			for _, pool := range server.pools {
 				for conn := range pool.conns {
-					conn.state.ValuesKey = ""
+					conn.state.VariablesKey = ""
 				}
 			}
 		})
@@ -80,7 +80,7 @@
 	{"what a removed replica may alone have had is forgotten", "LOST STALE", newClusterSimulation, func(sim *simulation) {
 		sim.cluster.hostAddress = func(string) string { return "10.1.0.1:1000" } // any new host seems to have its log
 		sim.After(1500*millisecond, func() {
-			sim.database.Hosts[1].Deaf = true
+			sim.database.Hosts[1].ReplicationStopped = true
 			sim.cluster.drainHost(sim.database.Hosts[2])
 		})
 		sim.After(4700*millisecond, func() { sim.database.Hosts[0].Crash(true, 6*second) })
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -41,7 +41,7 @@
 	// Set before the event loop starts and then only read, from any goroutine.
 	settings    *settings.Settings
 	log         hclog.Logger
-	clock       eventloop.SteadyClock
+	clock       eventloop.MonotonicClock
 	queue       *eventloop.Queue
 	ctx         context.Context // ends with the process
 	tasks       sync.WaitGroup  // goroutines that end after ctx
@@ -54,10 +54,10 @@
 
 	// Placement of statements.
 	balancer     *policy.Router
-	policyNow    policy.Tenth // when the balancer was last called
-	policyWakeAt time.Time    // when it is to be called; zero: it has not asked for that
+	policyNow    policy.TenthMs // when the balancer was last called
+	policyWakeAt time.Time      // when it is to be called; zero: it has not asked for that
 	pools        map[string]*hostPool
-	poolByNode   map[*policy.Node]*hostPool
+	poolByNode   map[*policy.Host]*hostPool
 	services     map[string]*service
 	routes       map[string]*route     // by database name
 	statements   map[string]*statement // those that the balancer knows, by commandID
@@ -91,7 +91,7 @@
 }
 
 // newServer makes a proxy without its sockets. seed is the incarnation and the source of the balancer's chance.
-func newServer(cfg *settings.Settings, log hclog.Logger, clock eventloop.SteadyClock, seed uint64) *Server {
+func newServer(cfg *settings.Settings, log hclog.Logger, clock eventloop.MonotonicClock, seed uint64) *Server {
 	s := &Server{
 		settings:    cfg,
 		log:         log,
@@ -99,7 +99,7 @@
 		queue:       eventloop.NewQueue(eventQueueLength),
 		incarnation: seed | 1, // never 0
 		pools:       map[string]*hostPool{},
-		poolByNode:  map[*policy.Node]*hostPool{},
+		poolByNode:  map[*policy.Host]*hostPool{},
 		services:    map[string]*service{},
 		routes:      map[string]*route{},
 		statements:  map[string]*statement{},
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -76,12 +76,12 @@
 	config.Route
 	service        *service
 	deadline       time.Duration
-	stalenessBound policy.Tenth // 0: a read must see every write
+	stalenessBound policy.TenthMs // 0: a read must see every write
 	readsOwnWrites bool
 
-	readGroup  *policy.CmdGroup // reads as the route allows
-	freshGroup *policy.CmdGroup // reads that must see every write
-	writeGroup *policy.CmdGroup
+	readGroup  *policy.CommandGroup // reads as the route allows
+	freshGroup *policy.CommandGroup // reads that must see every write
+	writeGroup *policy.CommandGroup
 }
 
 func (s *Server) newRoute(configured config.Route) *route {
@@ -94,30 +94,30 @@
 	if configured.Kind != config.KindLeader {
 		r.stalenessBound = millisecondsToTenths(configured.StalenessMs)
 	}
-	r.freshGroup = s.newGroup(r, policy.Fresh, retry.Read)
+	r.freshGroup = s.newGroup(r, policy.Strong, retry.Read)
 	r.writeGroup = s.newGroup(r, policy.Write, retry.Write)
 	switch {
 	case r.stalenessBound == 0:
 		r.readGroup = r.freshGroup
 	case r.readsOwnWrites:
-		r.readGroup = s.newGroup(r, policy.Session, retry.Read)
+		r.readGroup = s.newGroup(r, policy.ReadYourWrites, retry.Read)
 	default:
-		r.readGroup = s.newGroup(r, policy.Bounded, retry.Read)
+		r.readGroup = s.newGroup(r, policy.BoundedStaleness, retry.Read)
 	}
 	return r
 }
 
 // newGroup readies the balancer for statements of a route that have the same needs.
-func (s *Server) newGroup(r *route, need policy.Need, operation retry.Operation) *policy.CmdGroup {
-	effect := policy.Mutating
+func (s *Server) newGroup(r *route, need policy.Consistency, operation retry.Operation) *policy.CommandGroup {
+	effect := policy.NotIdempotent
 	if retry.Idempotent(operation) {
-		effect = policy.Replayable
+		effect = policy.Idempotent
 	}
 	target := millisecondsToTenths(r.TargetMs)
 	if target <= 0 {
 		target = millisecondsToTenths(r.DeadlineMs * defaultTargetShare)
 	}
-	return s.balancer.Group(&policy.CmdGroup{
+	return s.balancer.InitGroup(&policy.CommandGroup{
 		Effect:    effect,
 		Need:      need,
 		Bound:     r.stalenessBound,
--- a/internal/proxy/session/connstate.go
+++ b/internal/proxy/session/connstate.go
@@ -14,8 +14,8 @@
 
 // ConnState is the session state that a host connection has at its host. The zero value is a new connection.
 type ConnState struct {
-	ValuesKey string            // key of the variables that are set, as a session with the same has
-	Prepared  map[string]string // texts of the prepared statements by PreparedName
+	VariablesKey string            // key of the variables that are set, as a session with the same has
+	Prepared     map[string]string // texts of the prepared statements by PreparedName
 }
 
 // PreparedName returns the name under which a statement is prepared on host connections. It depends on the text alone, so that
@@ -27,7 +27,7 @@
 }
 
 // Matches reports whether the connection has exactly the session's variables.
-func (c *ConnState) Matches(session *Session) bool { return c.ValuesKey == session.ValuesKey() }
+func (c *ConnState) Matches(session *Session) bool { return c.VariablesKey == session.VariablesKey() }
 
 // Prepare returns the statements to run on the connection before the request's own, so that it has the session's variables and
 // the prepared statement that the request executes. It records them as executed; if one of them fails, the connection must be
@@ -67,10 +67,10 @@
 }
 
 func (c *ConnState) reset(statements []string) []string {
-	if c.ValuesKey == "" && len(c.Prepared) == 0 {
+	if c.VariablesKey == "" && len(c.Prepared) == 0 {
 		return statements
 	}
-	c.ValuesKey, c.Prepared = "", nil
+	c.VariablesKey, c.Prepared = "", nil
 	return append(statements, "RESET")
 }
 
@@ -78,7 +78,7 @@
 	for _, name := range slices.Sorted(maps.Keys(session.Variables)) {
 		statements = append(statements, "SET "+name+" "+session.Variables[name])
 	}
-	c.ValuesKey = session.ValuesKey()
+	c.VariablesKey = session.VariablesKey()
 	return statements
 }
 
--- a/internal/proxy/session/session.go
+++ b/internal/proxy/session/session.go
@@ -48,13 +48,13 @@
 		return reject(errcode.FailedTransaction)
 	}
 	switch request.Kind {
-	case wire.Begin, wire.BeginRead:
+	case wire.Begin, wire.BeginReadOnly:
 		return s.handleBegin(request)
 	case wire.Set:
 		return s.handleSet(request)
 	case wire.Prepare:
 		return s.handlePrepare(request)
-	case wire.CloseName:
+	case wire.ClosePrepared:
 		return s.handleClose(request)
 	case wire.Execute:
 		return s.handleExecute(request)
@@ -68,43 +68,43 @@
 		return reject(errcode.NoTransaction)
 	}
 	if !s.TxnConnLost {
-		return Step{Action: UsePinnedConn, Ends: true, Commit: isCommit, Text: request.Text}
+		return Step{Action: UsePinnedConn, EndsTransaction: true, IsCommit: isCommit, Text: request.Text}
 	}
 	s.EndTransaction()
 	if isCommit {
-		return Step{Action: FailTransaction, Reply: errcode.RolledBack.Append(nil, 0)}
+		return Step{Action: EndLostTransaction, Reply: errcode.RolledBack.Append(nil, 0)}
 	}
-	return Step{Action: FailTransaction, Reply: wire.AppendDone(nil)}
+	return Step{Action: EndLostTransaction, Reply: wire.AppendDone(nil)}
 }
 
 func (s *Session) handleBegin(request wire.Request) Step {
 	if s.IdleState() == wire.StateInTransaction {
 		return reject(errcode.AlreadyInTransaction)
 	}
-	readOnly := request.Kind == wire.BeginRead
-	return Step{Action: RouteToHost, Begins: true, Reads: readOnly, Writes: !readOnly, Text: request.Text}
+	readOnly := request.Kind == wire.BeginReadOnly
+	return Step{Action: RouteToHost, BeginsTransaction: true, ReadOnly: readOnly, MayWrite: !readOnly, Text: request.Text}
 }
 
 func (s *Session) handleSet(request wire.Request) Step {
-	if !s.hasCapacity(len(s.Variables), request.Name, request.Shape) {
+	if !s.hasCapacity(len(s.Variables), request.Name, request.Value) {
 		return reject(errcode.SessionTooLarge)
 	}
 	if s.Variables == nil {
 		s.Variables = map[string]string{}
 	}
-	s.Variables[request.Name] = request.Shape
+	s.Variables[request.Name] = request.Value
 	s.variablesChanged = true
 	return done()
 }
 
 func (s *Session) handlePrepare(request wire.Request) Step {
-	if !s.hasCapacity(len(s.Prepared), request.Name, request.Shape) {
+	if !s.hasCapacity(len(s.Prepared), request.Name, request.Value) {
 		return reject(errcode.SessionTooLarge)
 	}
 	if s.Prepared == nil {
 		s.Prepared = map[string]string{}
 	}
-	s.Prepared[request.Name] = request.Shape
+	s.Prepared[request.Name] = request.Value
 	return done()
 }
 
@@ -121,12 +121,12 @@
 	if !ok {
 		return reject(errcode.UnknownPreparedName)
 	}
-	return s.execute("EXECUTE "+PreparedName(text)+" "+request.Rest, wire.ShapeWrites(text))
+	return s.execute("EXECUTE "+PreparedName(text)+" "+request.Arguments, wire.PreparedTextWrites(text))
 }
 
 // execute returns the step of a statement that a host is to execute.
 func (s *Session) execute(text string, writes bool) Step {
-	step := Step{Action: RouteToHost, Text: text, Writes: writes}
+	step := Step{Action: RouteToHost, Text: text, MayWrite: writes}
 	if s.IdleState() == wire.StateInTransaction {
 		step.Action = UsePinnedConn
 	}
@@ -152,8 +152,8 @@
 // HandleResponse applies a host's response to a step of RouteToHost or UsePinnedConn. It returns whether the session is in a
 // transaction and so keeps the connection.
 func (s *Session) HandleResponse(step Step, response *wire.Response) (keepsConnection bool) {
-	executedWrite := step.Writes && !step.Begins
-	if executedWrite || step.Ends && s.MayHaveWritten {
+	executedWrite := step.MayWrite && !step.BeginsTransaction
+	if executedWrite || step.EndsTransaction && s.MayHaveWritten {
 		if response.Code == "" && s.Token.Before(response.Position) {
 			s.Token = response.Position
 		}
@@ -161,8 +161,8 @@
 	if executedWrite && response.State != wire.StateIdle {
 		s.MayHaveWritten = true
 	}
-	if step.Begins && response.State == wire.StateInTransaction {
-		s.ReadOnly = step.Reads
+	if step.BeginsTransaction && response.State == wire.StateInTransaction {
+		s.ReadOnly = step.ReadOnly
 	}
 	if response.State == wire.StateIdle {
 		s.EndTransaction()
@@ -175,8 +175,8 @@
 // ConnectionLost records that the connection of the transaction was lost. The host rolls the transaction back.
 func (s *Session) ConnectionLost() { s.State, s.TxnConnLost = wire.StateFailed, true }
 
-// ValuesKey returns a string that sessions have in common if and only if they have the same variables.
-func (s *Session) ValuesKey() string {
+// VariablesKey returns a string that sessions have in common if and only if they have the same variables.
+func (s *Session) VariablesKey() string {
 	if s.variablesChanged {
 		s.variablesKey, s.variablesChanged = variablesKey(s.Variables), false
 	}
--- a/internal/proxy/session/session_test.go
+++ b/internal/proxy/session/session_test.go
@@ -31,23 +31,23 @@
 		want    Step
 	}{
 		"read":                    {Session{}, "FETCH a", Step{Action: RouteToHost, Text: "FETCH a"}},
-		"write":                   {Session{}, "STORE a b", Step{Action: RouteToHost, Text: "STORE a b", Writes: true}},
+		"write":                   {Session{}, "STORE a b", Step{Action: RouteToHost, Text: "STORE a b", MayWrite: true}},
 		"read in transaction":     {Session{State: 'T'}, "FETCH a", Step{Action: UsePinnedConn, Text: "FETCH a"}},
 		"any after a failure":     {Session{State: 'E'}, "SET a b", rejection(errcode.FailedTransaction)},
-		"BEGIN":                   {Session{}, "BEGIN", Step{Action: RouteToHost, Begins: true, Writes: true, Text: "BEGIN"}},
-		"BEGIN read-only":         {Session{}, "BEGIN FETCH", Step{Action: RouteToHost, Begins: true, Reads: true, Text: "BEGIN FETCH"}},
+		"BEGIN":                   {Session{}, "BEGIN", Step{Action: RouteToHost, BeginsTransaction: true, MayWrite: true, Text: "BEGIN"}},
+		"BEGIN read-only":         {Session{}, "BEGIN FETCH", Step{Action: RouteToHost, BeginsTransaction: true, ReadOnly: true, Text: "BEGIN FETCH"}},
 		"BEGIN twice":             {Session{State: 'T'}, "BEGIN", rejection(errcode.AlreadyInTransaction)},
-		"COMMIT":                  {Session{State: 'T'}, "COMMIT", Step{Action: UsePinnedConn, Ends: true, Commit: true, Text: "COMMIT"}},
-		"ABORT after a failure":   {Session{State: 'E'}, "ABORT", Step{Action: UsePinnedConn, Ends: true, Text: "ABORT"}},
+		"COMMIT":                  {Session{State: 'T'}, "COMMIT", Step{Action: UsePinnedConn, EndsTransaction: true, IsCommit: true, Text: "COMMIT"}},
+		"ABORT after a failure":   {Session{State: 'E'}, "ABORT", Step{Action: UsePinnedConn, EndsTransaction: true, Text: "ABORT"}},
 		"COMMIT of nothing":       {Session{}, "COMMIT", rejection(errcode.NoTransaction)},
-		"COMMIT, connection lost": {Session{State: 'E', TxnConnLost: true}, "COMMIT", Step{Action: FailTransaction, Reply: errcode.RolledBack.Append(nil, 0)}},
-		"ABORT, connection lost":  {Session{State: 'E', TxnConnLost: true}, "ABORT", Step{Action: FailTransaction, Reply: wire.AppendDone(nil)}},
+		"COMMIT, connection lost": {Session{State: 'E', TxnConnLost: true}, "COMMIT", Step{Action: EndLostTransaction, Reply: errcode.RolledBack.Append(nil, 0)}},
+		"ABORT, connection lost":  {Session{State: 'E', TxnConnLost: true}, "ABORT", Step{Action: EndLostTransaction, Reply: wire.AppendDone(nil)}},
 		"SET":                     {Session{}, "SET a b", done},
 		"PREPARE":                 {Session{}, "PREPARE a FETCH b", done},
 		"CLOSE":                   {Session{Prepared: map[string]string{"a": "FETCH b"}}, "CLOSE a", done},
 		"CLOSE of nothing":        {Session{}, "CLOSE a", rejection(errcode.UnknownPreparedName)},
 		"EXECUTE of nothing":      {Session{}, "EXECUTE a 1", rejection(errcode.UnknownPreparedName)},
-		"EXECUTE of a write":      {Session{Prepared: prepared}, "EXECUTE write a b", Step{Action: RouteToHost, Text: "EXECUTE " + PreparedName("STORE q1") + " a b", Writes: true}},
+		"EXECUTE of a write":      {Session{Prepared: prepared}, "EXECUTE write a b", Step{Action: RouteToHost, Text: "EXECUTE " + PreparedName("STORE q1") + " a b", MayWrite: true}},
 		"EXECUTE of a read":       {Session{Prepared: prepared, State: 'T'}, "EXECUTE read a", Step{Action: UsePinnedConn, Text: "EXECUTE " + PreparedName("FETCH q2") + " a"}},
 		"SET beyond the limit":    {Session{}, "SET a " + strings.Repeat("x", maxBytes), rejection(errcode.SessionTooLarge)},
 	} {
@@ -68,7 +68,7 @@
 func TestTokenIsTheGreatestPositionOfAWrite(t *testing.T) {
 	var session Session
 	respond := func(text string, state wire.TransactionState, number uint64, code wire.Code) bool {
-		response := &wire.Response{State: state, Position: wire.Position{Term: 1, Number: number}, Code: code}
+		response := &wire.Response{State: state, Position: wire.Position{Timeline: 1, Number: number}, Code: code}
 		return session.HandleResponse(session.Handle(parse(t, text)), response)
 	}
 	number := func() uint64 { return session.Token.Number }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -38,7 +38,7 @@
 		s.log.Error("settings rejected", "error", err)
 		return
 	}
-	s.queue.Put(eventloop.PriorityLists, func() { s.settings.SeedPeers, s.settings.Bounds = read.SeedPeers, read.Bounds })
+	s.queue.Put(eventloop.PriorityUpdates, func() { s.settings.SeedPeers, s.settings.Bounds = read.SeedPeers, read.Bounds })
 	s.log.Info("settings reloaded", "seeds", read.SeedPeers)
 }
 
@@ -50,7 +50,7 @@
 	began := time.Now()
 	grace := settings.Duration(s.settings.Bounds.GraceS * 1000)
 	noticed := min(platformNoticeTime, grace/2)
-	s.queue.Put(eventloop.PriorityLists, func() {
+	s.queue.Put(eventloop.PriorityUpdates, func() {
 		s.shuttingDown = true
 		s.sweep(s.clock.Time())
 	})
@@ -102,7 +102,7 @@
 // shutdownError is the answer to a statement that is still pending at the end: what was not sent has not run.
 func (stmt *statement) shutdownError() errcode.Kind {
 	switch {
-	case stmt.step.Action == session.UsePinnedConn && stmt.step.Commit && stmt.attempt.sent && stmt.session.MayHaveWritten:
+	case stmt.step.Action == session.UsePinnedConn && stmt.step.IsCommit && stmt.attempt.sent && stmt.session.MayHaveWritten:
 		return errcode.InDoubt
 	case stmt.commandID != "" && (stmt.attempt.sent || stmt.mayHaveRun) && stmt.writesData():
 		return errcode.InDoubt
--- a/internal/proxy/simulation_client_test.go
+++ b/internal/proxy/simulation_client_test.go
@@ -160,7 +160,7 @@
 			c.sim.Violate("%d is sent %q: %v", c.index, line, err)
 		}
 		rest = rest[length:]
-		if complete || answer.Code == wire.CodeNoDB || c.pending.verb == "CONNECT" && answer.Code != "" {
+		if complete || answer.Code == wire.CodeNoDatabase || c.pending.verb == "CONNECT" && answer.Code != "" {
 			c.received = slices.Clone(rest)
 			c.handleAnswer(&answer)
 			return
@@ -298,7 +298,7 @@
 		}
 		return pendingRequest{verb: "COMMIT"}, "COMMIT"
 	case chance < 12 && c.prepared["p0"] != "":
-		if wire.ShapeWrites(c.prepared["p0"]) {
+		if wire.PreparedTextWrites(c.prepared["p0"]) {
 			return pendingRequest{verb: "STORE", name: "p0", data: data}, "EXECUTE p0 " + item + " " + data
 		}
 		return pendingRequest{verb: "FETCH", name: "p0"}, "EXECUTE p0 " + item
--- a/internal/proxy/simulation_cluster_test.go
+++ b/internal/proxy/simulation_cluster_test.go
@@ -114,7 +114,7 @@
 		DBRole:   "follower",
 		CallSeq:  c.lastCallSeq,
 	}
-	if host.Leader {
+	if host.IsPrimary {
 		request.DBRole = "leader"
 	}
 	if c.draining[host.ID] {
@@ -135,7 +135,7 @@
 		delay = sim.Between(500*millisecond, 6*second)
 	}
 	sim.After(delay, func() {
-		if host := sim.database.Host(hostID); host == nil || host.Dark {
+		if host := sim.database.Host(hostID); host == nil || host.Unreachable {
 			return
 		}
 		m := c.members[turn%clusterSize]
@@ -162,14 +162,14 @@
 	}
 	left := host.ID
 	if c.leaveFirst {
-		sim.Note("%s leaves without draining first", left)
+		sim.LogFault("%s leaves without draining first", left)
 		c.leaving[left] = true
 		c.sendLeave(left)
 		c.leaveOnlyReplica(host)
 		sim.After(3*second, func() { c.replaceHost(host) })
 		return
 	}
-	sim.Note("%s drains", left)
+	sim.LogFault("%s drains", left)
 	c.draining[left] = true
 	c.sendHeartbeat(host)
 	sim.After(3*second, func() {
@@ -182,22 +182,22 @@
 // acknowledged in between is on no other host that runs.
 func (c *controlCluster) leaveOnlyReplica(leaving *database.Host) {
 	sim := c.sim
-	primary := sim.database.Lead()
-	if primary == nil || leaving.Leader {
+	primary := sim.database.Primary()
+	if primary == nil || leaving.IsPrimary {
 		return
 	}
 	for _, other := range sim.database.Hosts {
-		if other == leaving || other.Leader || other.Deaf {
+		if other == leaving || other.IsPrimary || other.ReplicationStopped {
 			continue
 		}
 		sim.After(sim.Between(500*millisecond, second), func() {
-			sim.Note("%s receives nothing", other.ID)
-			other.Deaf = true
+			sim.LogFault("%s receives nothing", other.ID)
+			other.ReplicationStopped = true
 		})
-		sim.After(sim.Between(2300*millisecond, 2700*millisecond), func() { other.Deaf = false })
+		sim.After(sim.Between(2300*millisecond, 2700*millisecond), func() { other.ReplicationStopped = false })
 	}
 	sim.After(sim.Between(1500*millisecond, 2200*millisecond), func() {
-		if primary.Leader && primary.Up {
+		if primary.IsPrimary && primary.Up {
 			primary.Crash(sim.OneIn(2), sim.Between(500*millisecond, 4*second))
 		}
 	})
@@ -215,7 +215,7 @@
 	delete(c.draining, left)
 	delete(c.leaving, left)
 	host.ID = fmt.Sprintf("%s.%d", left[:2], c.replacedHosts)
-	c.sim.Note("%s replaces %s", host.ID, left)
+	c.sim.LogFault("%s replaces %s", host.ID, left)
 }
 
 // executePromotion is the platform's part of a promotion.
--- a/internal/proxy/simulation_control_test.go
+++ b/internal/proxy/simulation_control_test.go
@@ -32,7 +32,7 @@
 	c := &reliableControl{sim: sim, state: &statemachine.State{}}
 	c.grantor = lease.NewGrantor(c.nowMs() - 10*lease.GrantMs) // no lease of another member can be valid
 	c.coordinator = failover.New("control", 1, heartbeatMs, c.nowMs())
-	c.coordinator.OnEvent = func(event failover.Event) { sim.Note("%s", event) }
+	c.coordinator.OnEvent = func(event failover.Event) { sim.LogFault("%s", event) }
 	c.allCaughtUp = func(index uint64) bool { return c.grantor.AllCaughtUp(index, c.state.ProxyNames(), c.nowMs()) }
 	return c
 }
@@ -57,11 +57,11 @@
 	case change.RevokePrimary != nil, change.MarkMissing != "", change.ReplicationResumed != "":
 		c.coordinator.ChangeApplied("db")
 	case change.NominatePrimary != nil:
-		c.sim.Note("nominated in the log: %s", change.NominatePrimary.Host)
+		c.sim.LogFault("nominated in the log: %s", change.NominatePrimary.Host)
 		c.coordinator.ChangeApplied("db")
 	case change.AppointPrimary != nil:
 		c.coordinator.ChangeApplied("db")
-		c.sim.Note("%s is the primary by the log, term %d", change.AppointPrimary.Host, change.AppointPrimary.Term)
+		c.sim.LogFault("%s is the primary by the log, term %d", change.AppointPrimary.Host, change.AppointPrimary.Term)
 	}
 	for _, proxy := range c.sim.proxies {
 		proxy.sendLogUpdates()
@@ -84,7 +84,7 @@
 		c.queryHost(query)
 	}
 	for _, promotion := range actions.Promotions {
-		sim.Note("%s is nominated to the platform", promotion.Host)
+		sim.LogFault("%s is nominated to the platform", promotion.Host)
 		sim.After(sim.Between(2*millisecond, 20*millisecond), func() { c.promote(promotion) })
 	}
 }
@@ -115,11 +115,11 @@
 		result := failover.QueryResult{Query: query}
 		wayBack := sim.Between(1*millisecond, 4*millisecond)
 		switch {
-		case !host.Up && !host.Dark:
+		case !host.Up && !host.Unreachable:
 			result.ConnectionRefused = true
-		case !host.Up || host.Dark || sim.Now < sim.frozenUntil[host.ID]:
+		case !host.Up || host.Unreachable || sim.Now < sim.frozenUntil[host.ID]:
 			result.TimedOut, wayBack = true, queryTimeout
-			if host.Up && !host.Dark {
+			if host.Up && !host.Unreachable {
 				sim.executeAfterFreeze(query, host)
 			}
 		default:
--- a/internal/proxy/simulation_faults_test.go
+++ b/internal/proxy/simulation_faults_test.go
@@ -8,7 +8,7 @@
 
 // injectFaults injects one fault after another until faultsEnd.
 func (sim *simulation) injectFaults() {
-	if sim.Now > sim.Zero+faultsEnd {
+	if sim.Now > sim.StartTime+faultsEnd {
 		return
 	}
 	sim.After(sim.Between(200*millisecond, 2*second), sim.injectFaults)
@@ -28,27 +28,27 @@
 	case 4:
 		proxy.crash()
 	case 5:
-		sim.Note("%s freezes", proxy.name)
+		sim.LogFault("%s freezes", proxy.name)
 		proxy.frozenUntil = sim.Now + sim.Between(50*millisecond, 4*second)
 	case 6:
-		sim.Note("%s is partitioned from the control plane", proxy.name)
+		sim.LogFault("%s is partitioned from the control plane", proxy.name)
 		proxy.partitioned = true
 		sim.After(sim.Between(200*millisecond, 4*second), func() { proxy.partitioned = false })
 	case 7:
-		sim.Note("%s freezes", host.ID)
+		sim.LogFault("%s freezes", host.ID)
 		sim.frozenUntil[host.ID] = sim.Now + sim.Between(20*millisecond, 1200*millisecond)
 	case 8:
 		sim.drainPrimary()
 	case 9:
 		if proxy.memberConn != nil {
-			sim.Note("the control connection of %s is reset", proxy.name)
+			sim.LogFault("the control connection of %s is reset", proxy.name)
 			proxy.memberConn.close()
 		}
 	}
 }
 
 func (sim *simulation) crashPrimary() {
-	if primary := sim.database.Lead(); primary != nil && (sim.hostsDown() == 0 || sim.OneIn(4)) {
+	if primary := sim.database.Primary(); primary != nil && (sim.hostsDown() == 0 || sim.OneIn(4)) {
 		primary.Crash(sim.OneIn(2), sim.Between(500*millisecond, 4*second))
 	}
 }
@@ -58,7 +58,7 @@
 		return
 	}
 	back, dark := sim.Between(500*millisecond, 4*second), sim.OneIn(2)
-	if !dark && !host.Leader && sim.OneIn(2) {
+	if !dark && !host.IsPrimary && sim.OneIn(2) {
 		back = 6 * second // long enough to count as gone
 	}
 	host.Crash(dark, back)
@@ -67,16 +67,16 @@
 // deafenReplica has a replica receive nothing of the primary's log for a while.
 func (sim *simulation) deafenReplica(host *database.Host) {
 	for _, other := range sim.database.Hosts {
-		if other.Deaf {
+		if other.ReplicationStopped {
 			return
 		}
 	}
-	if host.Leader {
+	if host.IsPrimary {
 		return
 	}
-	sim.Note("%s receives nothing", host.ID)
-	host.Deaf = true
-	sim.After(sim.Between(500*millisecond, 3*second), func() { host.Deaf = false })
+	sim.LogFault("%s receives nothing", host.ID)
+	host.ReplicationStopped = true
+	sim.After(sim.Between(500*millisecond, 3*second), func() { host.ReplicationStopped = false })
 }
 
 func (sim *simulation) hostsDown() (down int) {
@@ -92,7 +92,7 @@
 // under another.
 func (sim *simulation) drainPrimary() {
 	if sim.cluster != nil {
-		host := sim.database.Lead()
+		host := sim.database.Primary()
 		if sim.OneIn(3) {
 			host = sim.database.Hosts[sim.Rand.IntN(3)]
 		}
@@ -104,7 +104,7 @@
 	if primary.Host == "" || primary.Revoked || control.state.Hosts[primary.Host].Draining {
 		return
 	}
-	sim.Note("%s drains", primary.Host)
+	sim.LogFault("%s drains", primary.Host)
 	drained := control.state.Hosts[primary.Host]
 	drained.Draining = true
 	control.apply(statemachine.Change{AddHost: &drained})
--- a/internal/proxy/simulation_hostconn_test.go
+++ b/internal/proxy/simulation_hostconn_test.go
@@ -90,7 +90,7 @@
 func (c *simulatedHostConn) deliverResponse(after int64, response wire.Response) {
 	sim := c.proxy.sim
 	c.deliver(after+sim.Between(millisecond/2, 3*millisecond), func() {
-		if !c.H.Dark && !c.closed && !c.responsesLost {
+		if !c.Host.Unreachable && !c.closed && !c.responsesLost {
 			c.proxy.run(c.incarnation, func(server *Server) { server.handleResponse(c.conn, &response, server.clock.Time()) })
 		}
 	})
@@ -98,8 +98,8 @@
 
 // receive is the host's end: it executes the statements that have arrived.
 func (c *simulatedHostConn) receive(data []byte) {
-	host, sim := c.H, c.proxy.sim
-	if !host.Up || host.Dark || !host.Conns[c.Conn] {
+	host, sim := c.Host, c.proxy.sim
+	if !host.Up || host.Unreachable || !host.Conns[c.Conn] {
 		return
 	}
 	if until := sim.frozenUntil[host.ID]; sim.Now < until {
@@ -143,19 +143,19 @@
 	owner, present := sim.ownerOf(requestID)
 	switch {
 	case owner == nil:
-		sim.Violate("UNASKED: %s runs %s %s", c.H.ID, requestID, text)
+		sim.Violate("UNASKED: %s runs %s %s", c.Host.ID, requestID, text)
 	case !present: // its session is over
 	case verb == "EXECUTE":
 		name, _, _ := strings.Cut(rest, " ")
-		if shape, want := c.Names[name], owner.prepared[owner.pending.name]; shape != want {
-			sim.Violate("PINNED: %s runs %q for %q", c.H.ID, shape, want)
+		if shape, want := c.Prepared[name], owner.prepared[owner.pending.name]; shape != want {
+			sim.Violate("PINNED: %s runs %q for %q", c.Host.ID, shape, want)
 		}
 		fallthrough
 	case verb != "COMMIT" && verb != "ABORT":
-		if !c.Same(owner.values) {
+		if !c.HasValues(owner.values) {
 			sim.Violate("PINNED: values %v for %v", c.Values, owner.values)
 		}
-		if beganBy, _ := sim.ownerOf(c.Began); c.State == stateInTransaction && beganBy != owner {
+		if beganBy, _ := sim.ownerOf(c.BeginID); c.State == stateInTransaction && beganBy != owner {
 			sim.Violate("PINNED: a statement of %d in a transaction of another", owner.index)
 		}
 	}
--- a/internal/proxy/simulation_member_faults_test.go
+++ b/internal/proxy/simulation_member_faults_test.go
@@ -36,7 +36,7 @@
 // injectFaults injects faults of members, beside all other faults, until faultsEnd.
 func (c *controlCluster) injectFaults() {
 	sim := c.sim
-	if sim.Now > sim.Zero+faultsEnd {
+	if sim.Now > sim.StartTime+faultsEnd {
 		return
 	}
 	c.injectMemberFault()
@@ -68,7 +68,7 @@
 
 func (f memberFault) crashAndRestart() {
 	powerLost := f.sim.OneIn(2)
-	f.sim.Note("member %s crashes, power lost %v", f.ip, powerLost)
+	f.sim.LogFault("member %s crashes, power lost %v", f.ip, powerLost)
 	f.crash(powerLost)
 	f.sim.After(f.duration, f.start)
 }
@@ -78,7 +78,7 @@
 		f.duration += f.sim.Between(second, 4*second)
 		f.faultEndsAt = f.sim.Now + f.duration
 	}
-	f.sim.Note("member %s freezes for %d ms", f.ip, f.duration/millisecond)
+	f.sim.LogFault("member %s freezes for %d ms", f.ip, f.duration/millisecond)
 	f.frozen = true
 	incarnation := f.incarnation
 	f.sim.After(f.duration, func() { f.thaw(incarnation) })
@@ -90,36 +90,36 @@
 }
 
 func (f memberFault) partition() {
-	f.sim.Note("member %s is partitioned from the others", f.ip)
+	f.sim.LogFault("member %s is partitioned from the others", f.ip)
 	f.partitioned = true
 	f.healLater()
 }
 
 func (f memberFault) loseHosts() {
-	f.sim.Note("member %s is partitioned from hosts and the platform", f.ip)
+	f.sim.LogFault("member %s is partitioned from hosts and the platform", f.ip)
 	f.hostsUnreachable = true
 	f.healLater()
 }
 
 func (f memberFault) receiveNothing() {
-	f.sim.Note("member %s receives nothing of the others", f.ip)
+	f.sim.LogFault("member %s receives nothing of the others", f.ip)
 	f.receivesNothing = true
 	f.healLater()
 }
 
 func (f memberFault) sendNothing() {
-	f.sim.Note("what member %s sends reaches no other", f.ip)
+	f.sim.LogFault("what member %s sends reaches no other", f.ip)
 	f.sendsNothing = true
 	f.healLater()
 }
 
 func (f memberFault) resetConnections() {
-	f.sim.Note("connections of member %s are reset, now and then", f.ip)
+	f.sim.LogFault("connections of member %s are reset, now and then", f.ip)
 	f.cluster.resetConns(f.member, f.incarnation, f.sim.Now+f.duration)
 }
 
 func (f memberFault) restartGracefully() {
-	f.sim.Note("member %s is shut down, and starts again", f.ip)
+	f.sim.LogFault("member %s is shut down, and starts again", f.ip)
 	f.shutDown(func() {
 		f.faultEndsAt = f.sim.Now + f.duration
 		f.sim.After(f.duration, f.start)
@@ -127,14 +127,14 @@
 }
 
 func (f memberFault) loseDisk() {
-	f.sim.Note("member %s crashes, and its disk is lost", f.ip)
+	f.sim.LogFault("member %s crashes, and its disk is lost", f.ip)
 	f.crash(true)
 	f.faultEndsAt += 2 * second
 	f.sim.After(f.duration, f.restartWiped)
 }
 
 func (f memberFault) dieForGood() {
-	f.sim.Note("member %s dies for good", f.ip)
+	f.sim.LogFault("member %s dies for good", f.ip)
 	f.crash(true)
 	f.faultEndsAt += 3 * second
 	f.sim.After(f.duration, func() { f.cluster.replaceMember(f.seat) })
@@ -144,7 +144,7 @@
 	next := f.cluster.replaceMember(f.seat)
 	f.faultEndsAt = f.sim.Now + 6*second
 	f.sim.After(2*second+f.duration, func() {
-		f.sim.Note("member %s is shut down, %s takes its place", f.ip, next.ip)
+		f.sim.LogFault("member %s is shut down, %s takes its place", f.ip, next.ip)
 		f.shutDown(func() {})
 	})
 }
@@ -169,7 +169,7 @@
 	sim := c.sim
 	ip := fmt.Sprintf("10.0.1.%d", c.machineCount+1)
 	m := &member{cluster: c, ip: ip, identity: c.newIdentity(ip), clockDrift: sim.drawClockDrift(), faultEndsAt: sim.Now + 5*second}
-	sim.Note("member %s replaces %s", ip, c.members[seat].ip)
+	sim.LogFault("member %s replaces %s", ip, c.members[seat].ip)
 	c.members[seat], c.memberAt[ip] = m, m
 	m.start()
 	return m
--- a/internal/proxy/simulation_member_test.go
+++ b/internal/proxy/simulation_member_test.go
@@ -71,7 +71,7 @@
 	if *onlySeed >= 0 {
 		log = hclog.New(&hclog.LoggerOptions{Output: faultLogWriter{sim, m.ip}, DisableTime: true})
 	}
-	server, err := control.New(cfg, log, eventloop.NewSteadyClock(sim.clock(m.clockDrift)), m.identity, restored,
+	server, err := control.New(cfg, log, eventloop.NewMonotonicClock(sim.clock(m.clockDrift)), m.identity, restored,
 		sim.Rand.Float64, uint64(m.incarnation))
 	if err != nil {
 		panic(err)
@@ -151,15 +151,15 @@
 		result := failover.QueryResult{Query: query}
 		wayBack := sim.Between(1*millisecond, 4*millisecond)
 		switch host := sim.database.Host(query.Host); {
-		case host == nil || !host.Up && !host.Dark && !m.hostsUnreachable:
+		case host == nil || !host.Up && !host.Unreachable && !m.hostsUnreachable:
 			result.ConnectionRefused = true
-		case !host.Up || host.Dark || m.hostsUnreachable || sim.Now < sim.frozenUntil[host.ID]:
+		case !host.Up || host.Unreachable || m.hostsUnreachable || sim.Now < sim.frozenUntil[host.ID]:
 			result.TimedOut, wayBack = true, queryTimeout
-			if host.Up && !host.Dark && !m.hostsUnreachable {
+			if host.Up && !host.Unreachable && !m.hostsUnreachable {
 				sim.executeAfterFreeze(query, host)
 			}
 		case m.cluster.fakeAnswer != nil && m.cluster.fakeAnswer(query, host):
-			result.Status = wire.HostStatus{Term: host.Term, Received: host.At(len(host.Log))}
+			result.Status = wire.HostStatus{Timeline: host.Timeline, Received: host.PositionAt(len(host.Log))}
 		default:
 			result.Status = host.Control(query.Command.Text(), query.Term)
 		}
@@ -171,7 +171,7 @@
 func (m *member) promote(incarnation int, promotion failover.Promotion) {
 	sim, c := m.cluster.sim, m.cluster
 	c.promotions++
-	sim.Note("%s nominates %s to the platform, fencing token %d", m.ip, promotion.Host, promotion.FencingToken)
+	sim.LogFault("%s nominates %s to the platform, fencing token %d", m.ip, promotion.Host, promotion.FencingToken)
 	if owner := c.tokenOwners[promotion.FencingToken]; owner != "" && owner != promotion.Owner {
 		sim.Violate("a fencing token of %s is used by %s", owner, promotion.Owner)
 	}
@@ -250,7 +250,7 @@
 		complete = true
 		sim.After(100*millisecond, func() {
 			if m.incarnation == incarnation && m.up {
-				sim.Note("member %s stops", m.ip)
+				sim.LogFault("member %s stops", m.ip)
 				m.crash(false)
 				then()
 			}
@@ -295,6 +295,6 @@
 }
 
 func (w faultLogWriter) Write(line []byte) (int, error) {
-	w.sim.Note("%s: %s", w.ip, strings.TrimSpace(string(line)))
+	w.sim.LogFault("%s: %s", w.ip, strings.TrimSpace(string(line)))
 	return len(line), nil
 }
--- a/internal/proxy/simulation_operator_test.go
+++ b/internal/proxy/simulation_operator_test.go
@@ -42,7 +42,7 @@
 // sendNextChange sends a person's next change.
 func (o *operator) sendNextChange(person, turn int) {
 	sim := o.cluster.sim
-	if sim.Now > sim.Zero+operatorEnd {
+	if sim.Now > sim.StartTime+operatorEnd {
 		return
 	}
 	version := max(1, o.newestVersion) + 1
--- a/internal/proxy/simulation_proxy_test.go
+++ b/internal/proxy/simulation_proxy_test.go
@@ -40,7 +40,7 @@
 	p.incarnation++
 	p.up, p.partitioned, p.frozenUntil, p.sentIndex, p.nextStepAt = true, false, 0, 0, 0
 	p.server = newServer(&settings.Settings{Node: p.name, Zone: "z"}, hclog.NewNullLogger(),
-		eventloop.NewSteadyClock(sim.clock(p.clockDrift)), sim.Rand.Uint64())
+		eventloop.NewMonotonicClock(sim.clock(p.clockDrift)), sim.Rand.Uint64())
 	incarnation := p.incarnation
 	p.server.dial = func(conn *hostConn) { p.dial(incarnation, conn) }
 	if sim.cluster != nil {
@@ -50,7 +50,7 @@
 	}
 	p.server.leader = reliableControlLink{p, incarnation}
 	if _, known := sim.control.state.Proxies[p.name]; !known {
-		sim.control.apply(statemachine.Change{Proxy: &statemachine.ProxyMembership{Node: p.name}})
+		sim.control.apply(statemachine.Change{UpdateProxy: &statemachine.ProxyMembership{Name: p.name}})
 	}
 	p.sendLogUpdates()
 	p.renewPeriodically(incarnation)
@@ -169,15 +169,15 @@
 		switch {
 		case host == nil: // another uses its address
 			p.run(incarnation, func(*Server) { pool.connOpened(conn, wire.Response{Code: wire.CodeWrongNode}, nil) })
-		case host.Dark:
+		case host.Unreachable:
 			finish(1500*millisecond, wire.Response{}, errTimedOut)
 		case !host.Up:
 			finish(2*millisecond, wire.Response{}, errRefused)
 		default:
 			c := &simulatedHostConn{Conn: host.Connect(), proxy: p, incarnation: incarnation, conn: conn}
-			c.Answer, c.Broke = c.deliverResponse, c.notifyClosed
+			c.OnResponse, c.OnClosed = c.deliverResponse, c.notifyClosed
 			conn.out = c
-			response := wire.Response{State: stateIdle, Position: host.At(host.Seen())}
+			response := wire.Response{State: stateIdle, Position: host.PositionAt(host.VisibleEntries())}
 			finish(sim.Between(1*millisecond, 3*millisecond), response, nil)
 		}
 	})
@@ -189,7 +189,7 @@
 	if !p.up {
 		return
 	}
-	sim.Note("%s crashes", p.name)
+	sim.LogFault("%s crashes", p.name)
 	p.up = false
 	if p.memberConn != nil {
 		p.memberConn.close()
--- a/internal/proxy/simulation_run_test.go
+++ b/internal/proxy/simulation_run_test.go
@@ -143,7 +143,7 @@
 			run := func() result {
 				sim := build(seed+11, 3, 9)
 				sim.run()
-				return result{sim.report(), sim.served, sim.Serial}
+				return result{sim.report(), sim.served, sim.LastSerial}
 			}
 			require.Equal(t, run(), run())
 		}
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -69,18 +69,18 @@
 		frozenUntil: map[string]int64{},
 	}
 	sim.database = &database.Group{
-		Scheduler: sim.Scheduler,
-		Note:      sim.Note,
-		Read:      sim.checkFreshness,
-		Losses:    300,
-		Refused:   60,
-		Told:      sim.heartbeat,
+		Scheduler:          sim.Scheduler,
+		Logf:               sim.LogFault,
+		OnRead:             sim.checkFreshness,
+		LostAnswerOneIn:    300,
+		RejectedWriteOneIn: 60,
+		OnHeartbeat:        sim.heartbeat,
 	}
 	sim.checker = &checker.Checker{
-		Bounds:  map[string]int64{"bound": 600 * millisecond, "own": 900 * millisecond},
-		Own:     map[string]bool{"own": true},
-		Group:   sim.database,
-		Violate: sim.Violate,
+		Bounds:         map[string]int64{"bound": 600 * millisecond, "own": 900 * millisecond},
+		ReadYourWrites: map[string]bool{"own": true},
+		Group:          sim.database,
+		Violate:        sim.Violate,
 	}
 	return sim
 }
@@ -127,7 +127,7 @@
 		sim.cluster.operator.checkFinalConfig()
 	}
 	for _, host := range sim.database.Hosts {
-		if host.Up && !host.Leader && host.Paused > 0 {
+		if host.Up && !host.IsPrimary && host.PausedTimeline > 0 {
 			sim.Violate("PAUSED: %s was never told to go on", host.ID)
 		}
 	}
@@ -140,7 +140,7 @@
 
 // heartbeat is a host's, to the control plane.
 func (sim *simulation) heartbeat(host *database.Host) {
-	isPrimary := host.Leader
+	isPrimary := host.IsPrimary
 	if sim.cluster != nil {
 		sim.cluster.sendHeartbeat(host)
 		return
@@ -158,7 +158,7 @@
 // clock is a steady clock with a drift in thousandths.
 func (sim *simulation) clock(drift int64) func() time.Time {
 	return func() time.Time {
-		return sim.time().Add(time.Duration((sim.Now-sim.Zero)*drift/1000) * unitDuration)
+		return sim.time().Add(time.Duration((sim.Now-sim.StartTime)*drift/1000) * unitDuration)
 	}
 }
 
@@ -177,6 +177,6 @@
 // checkFreshness checks that a read misses nothing that it must see.
 func (sim *simulation) checkFreshness(host *database.Host, _ *database.Conn, requestID string) {
 	if c, present := sim.ownerOf(requestID); c != nil && present && c.beganAt > 0 {
-		sim.checker.CheckRead(host, checker.Reader{Kind: c.routeKind, Session: c.sessionName(), First: c.beganAt})
+		sim.checker.CheckRead(host, checker.Reader{Kind: c.routeKind, Session: c.sessionName(), BeganAt: c.beganAt})
 	}
 }
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -16,13 +16,13 @@
 	request    wire.Request
 	step       session.Step
 	route      *route
-	group      *policy.CmdGroup
+	group      *policy.CommandGroup
 	receivedAt time.Time
 	deadline   time.Time // of its answer
 
 	// The balancer's name and handle of it. Empty and nil for a statement of a transaction, whose connection is given.
 	commandID string
-	command   *policy.Cmd
+	command   *policy.Command
 
 	attempt      attempt
 	mayHaveRun   bool   // some attempt may have run
@@ -41,8 +41,8 @@
 	over      bool
 
 	// These two keep the value of the attempt before until this one is sent.
-	sentAt       policy.Tenth // 0: nothing was sent yet
-	primaryEpoch primaryEpoch // in which it was sent to the primary; noEpoch: it was sent fenced, to any host
+	sentAt       policy.TenthMs // 0: nothing was sent yet
+	primaryEpoch primaryEpoch   // in which it was sent to the primary; noEpoch: it was sent fenced, to any host
 }
 
 func (stmt *statement) beginAttempt(pool *hostPool) {
@@ -50,7 +50,7 @@
 }
 
 // elapsed is how long ago the statement was sent; 0: it was not.
-func (a *attempt) elapsed(now policy.Tenth) policy.Tenth {
+func (a *attempt) elapsed(now policy.TenthMs) policy.TenthMs {
 	if a.sentAt > 0 {
 		return now - a.sentAt
 	}
@@ -60,7 +60,7 @@
 func (stmt *statement) isPinned() bool { return stmt.step.Action == session.UsePinnedConn }
 
 // writesData says that the statement itself may write. BEGIN does not, though it may ask for the primary.
-func (stmt *statement) writesData() bool { return stmt.step.Writes && !stmt.step.Begins }
+func (stmt *statement) writesData() bool { return stmt.step.MayWrite && !stmt.step.BeginsTransaction }
 
 // ownWrites is what the session wrote itself and must see, where its route promises that.
 func (stmt *statement) ownWrites() wire.Position {
@@ -80,7 +80,7 @@
 		return
 	}
 	step := client.Handle(message.request)
-	if step.Action == session.AnswerLocally || step.Action == session.FailTransaction {
+	if step.Action == session.AnswerLocally || step.Action == session.EndLostTransaction {
 		s.respond(client, step.Reply)
 		return
 	}
@@ -111,14 +111,14 @@
 	now := s.refreshPolicyTime()
 	route := stmt.route
 	s.dialOnFirstUse(route.service)
-	var staleness policy.Tenth
+	var staleness policy.TenthMs
 	stmt.group, staleness = s.readOrWriteGroup(stmt, now)
 	timeout := now + toTenths(stmt.deadline.Sub(s.clock.Time()))
 	stmt.commandID = formatID(s.nextID())
 	s.statements[stmt.commandID] = stmt
-	command := s.balancer.Take(stmt.commandID, stmt.group, route.service.policySet, stmt.session.policyKey, timeout, staleness, false)
+	command := s.balancer.Submit(stmt.commandID, stmt.group, route.service.policySet, stmt.session.policyKey, timeout, staleness, false)
 	stmt.command = command
-	if command.Held() {
+	if command.IsQueued() {
 		s.counters.statementsQueued.Add(1)
 	}
 	s.forgetIfOver(stmt)
@@ -126,10 +126,10 @@
 
 // readOrWriteGroup is the balancer's group for a statement, and by how much a session's read may lag behind other sessions'
 // writes. A read goes to the primary where the route allows no staleness, and while no position is known to fence it with.
-func (s *Server) readOrWriteGroup(stmt *statement, now policy.Tenth) (group *policy.CmdGroup, staleness policy.Tenth) {
+func (s *Server) readOrWriteGroup(stmt *statement, now policy.TenthMs) (group *policy.CommandGroup, staleness policy.TenthMs) {
 	route := stmt.route
 	switch {
-	case stmt.step.Writes:
+	case stmt.step.MayWrite:
 		return route.writeGroup, 0
 	case route.stalenessBound > 0 && route.service.positions.CoversBound(now, route.stalenessBound):
 		if route.readsOwnWrites {
@@ -157,7 +157,7 @@
 
 // forgetIfOver forgets a statement for which the balancer will make no more calls.
 func (s *Server) forgetIfOver(stmt *statement) {
-	if stmt.command != nil && stmt.command.Over() {
+	if stmt.command != nil && stmt.command.IsFinished() {
 		delete(s.statements, stmt.commandID)
 	}
 }
@@ -199,9 +199,9 @@
 	if stmt.commandID == "" {
 		return
 	}
-	stmt.command.Left()
-	if stmt.attempt.conn == nil && !stmt.attempt.over && stmt.command.Node != nil {
-		s.endAttempt(stmt, policy.Moot)
+	stmt.command.Abandon()
+	if stmt.attempt.conn == nil && !stmt.attempt.over && stmt.command.Host != nil {
+		s.endAttempt(stmt, policy.Expired)
 		return
 	}
 	s.forgetIfOver(stmt)
