--- a/internal/proxy/statement_outcome.go
+++ b/internal/proxy/statement_outcome.go
@@ -26,13 +26,13 @@
 		s.failPinned(stmt)
 		return
 	}
-	if attempt.sent && stmt.writesData() && outcome != policy.Moot {
+	if attempt.sent && stmt.writesData() && outcome != policy.Expired {
 		stmt.mayHaveRun = true
 	}
 	if !attempt.sent && outcome == policy.Reset {
-		outcome = policy.Unreached
+		outcome = policy.Unreachable
 	}
-	stmt.command.Ended(outcome, positionUnknown, policy.Unknown, attempt.elapsed(now), stmt.finished)
+	stmt.command.EndDispatch(outcome, positionUnknown, policy.UnknownRole, attempt.elapsed(now), stmt.finished)
 	s.forgetIfOver(stmt)
 }
 
@@ -42,13 +42,13 @@
 	client := stmt.session
 	client.pinnedConn = nil
 	switch {
-	case stmt.step.Commit && stmt.attempt.sent && client.MayHaveWritten:
+	case stmt.step.IsCommit && stmt.attempt.sent && client.MayHaveWritten:
 		client.EndTransaction()
 		s.finishStatement(stmt, s.errorReply(errcode.InDoubt, 0))
-	case stmt.step.Commit:
+	case stmt.step.IsCommit:
 		client.EndTransaction()
 		s.finishStatement(stmt, s.errorReply(errcode.RolledBack, 0))
-	case stmt.step.Ends:
+	case stmt.step.EndsTransaction:
 		client.EndTransaction()
 		s.finishStatement(stmt, wire.AppendDone(nil))
 	default:
@@ -64,11 +64,11 @@
 	if attempt.over {
 		return
 	}
-	outcome := policy.Moot // it was queued
+	outcome := policy.Expired // it was queued
 	if conn := attempt.conn; conn != nil {
 		conn.statement, conn.session = nil, nil
 		s.closeConn(conn)
-		outcome = policy.Unreached
+		outcome = policy.Unreachable
 		if attempt.sent {
 			outcome = policy.TimedOut
 		}
@@ -76,7 +76,7 @@
 			conn.pool.reportSuspect(false)
 		}
 	} else if pool := attempt.pool; pool != nil && pool.dialing > 0 && len(pool.conns) == 0 {
-		outcome = policy.Unreached
+		outcome = policy.Unreachable
 		pool.reportSuspect(false)
 	}
 	s.endAttempt(stmt, outcome)
--- a/internal/proxy/statement_response.go
+++ b/internal/proxy/statement_response.go
@@ -9,7 +9,7 @@
 )
 
 // positionUnknown says that it is not known as of when a host is up to date.
-const positionUnknown policy.Tenth = -1
+const positionUnknown policy.TenthMs = -1
 
 // handleResponse handles a host's response: to a setup statement, or to the client's statement.
 func (s *Server) handleResponse(conn *hostConn, response *wire.Response, receivedAt time.Time) {
@@ -74,7 +74,7 @@
 
 // acknowledgesWrite says that a response of a primary makes a write durable in the eyes of the client.
 func (stmt *statement) acknowledgesWrite(response *wire.Response) bool {
-	writes := stmt.writesData() || stmt.step.Commit && stmt.session.MayHaveWritten
+	writes := stmt.writesData() || stmt.step.IsCommit && stmt.session.MayHaveWritten
 	return stmt.attempt.primaryEpoch != noEpoch && writes && response.Code == ""
 }
 
@@ -83,7 +83,7 @@
 func (s *Server) withdrawAcknowledgement(conn *hostConn, stmt *statement) {
 	client := stmt.session
 	conn.session = nil
-	if stmt.isPinned() && !stmt.step.Commit {
+	if stmt.isPinned() && !stmt.step.IsCommit {
 		s.closeConn(conn)
 		client.pinnedConnLost()
 		s.finishStatement(stmt, s.errorReply(errcode.PrimaryReplaced, 0))
@@ -96,7 +96,7 @@
 	client.HandleResponse(stmt.step, &wire.Response{State: stateIdle, Code: wire.CodeInDoubt})
 	if stmt.commandID != "" {
 		stmt.mayHaveRun = true
-		stmt.command.Ended(policy.TimedOut, positionUnknown, policy.Unknown, 0, true)
+		stmt.command.EndDispatch(policy.TimedOut, positionUnknown, policy.UnknownRole, 0, true)
 		s.forgetIfOver(stmt)
 	}
 	s.finishStatement(stmt, s.errorReply(errcode.InDoubtPrimaryReplaced, 0))
@@ -117,7 +117,7 @@
 }
 
 // completeRouted tells the balancer how an attempt ended, and the client if that was its answer.
-func (s *Server) completeRouted(conn *hostConn, stmt *statement, response *wire.Response, position hostPosition, now policy.Tenth) {
+func (s *Server) completeRouted(conn *hostConn, stmt *statement, response *wire.Response, position hostPosition, now policy.TenthMs) {
 	if !stmt.isPlausible(response) {
 		s.counters.unexpectedResponses.Add(1)
 		s.closeConn(conn)
@@ -134,7 +134,7 @@
 		s.releaseOrRollBack(conn, response)
 	}
 	s.counters.outcomes[outcome].Add(1)
-	stmt.command.Ended(outcome, position.asOf, position.role, now-stmt.attempt.sentAt, stmt.finished)
+	stmt.command.EndDispatch(outcome, position.asOf, position.role, now-stmt.attempt.sentAt, stmt.finished)
 	s.forgetIfOver(stmt)
 }
 
@@ -143,10 +143,10 @@
 	switch {
 	case response.Code != "":
 		return true
-	case stmt.step.Begins:
+	case stmt.step.BeginsTransaction:
 		return response.State == stateInTransaction
 	}
-	return response.State == stateIdle && response.Stamp
+	return response.State == stateIdle && response.HasStamp
 }
 
 // passOn gives the client the host's answer. A BEGIN pins the connection to the session.
@@ -180,11 +180,11 @@
 	case "":
 		return policy.Answered
 	case wire.CodeLagging, wire.CodeReadOnly:
-		return policy.Missed
+		return policy.Misrouted
 	case wire.CodeRetry, wire.CodeOverload:
-		return policy.Full
+		return policy.Overloaded
 	case wire.CodeWrongNode:
-		return policy.Unreached
+		return policy.Unreachable
 	}
 	return policy.Errored
 }
--- a/internal/proxy/statement_send.go
+++ b/internal/proxy/statement_send.go
@@ -60,7 +60,7 @@
 	if !ok {
 		s.counters.leaseExpiredBeforeSend.Add(1)
 		conn.statement = nil
-		s.deferred.add(func() { s.endAttempt(stmt, policy.Moot) })
+		s.deferred.add(func() { s.endAttempt(stmt, policy.Expired) })
 		s.releaseConn(conn)
 		return
 	}
@@ -73,7 +73,7 @@
 
 // encodeStatement is a statement as the host may run it now; false: it may not. Where the host is not known to be the primary,
 // a read carries the position that the host must have (its fence), by which the host itself rejects it.
-func (s *Server) encodeStatement(pool *hostPool, stmt *statement, now policy.Tenth) (line []byte, ok bool) {
+func (s *Server) encodeStatement(pool *hostPool, stmt *statement, now policy.TenthMs) (line []byte, ok bool) {
 	attempt := &stmt.attempt
 	if stmt.isPinned() {
 		epoch := stmt.session.primaryEpoch
@@ -101,5 +101,5 @@
 	conn := stmt.attempt.conn
 	conn.statement, conn.session = nil, nil
 	s.closeConn(conn)
-	s.endAttempt(stmt, policy.Moot)
+	s.endAttempt(stmt, policy.Expired)
 }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -42,7 +42,7 @@
 	QueuedStatements       int // that wait for a connection
 }
 
-var standingNames = map[policy.Standing]string{policy.In: "in", policy.Draining: "draining", policy.Gone: "gone"}
+var standingNames = map[policy.ListState]string{policy.Active: "in", policy.Draining: "draining", policy.Removed: "gone"}
 
 func (s *Server) status() Status {
 	now := s.refreshPolicyTime()
@@ -71,7 +71,7 @@
 	return status
 }
 
-func (svc *service) status(now policy.Tenth) ServiceStatus {
+func (svc *service) status(now policy.TenthMs) ServiceStatus {
 	sampledAt, latest := svc.positions.Latest()
 	status := ServiceStatus{Primary: svc.primary.Host, Revoked: svc.primary.Revoked, Position: latest.String(), PositionAgeMs: -1}
 	if sampledAt >= 0 {
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -25,7 +25,7 @@
 		pool.closeExcessIdle(now)
 		pool.reportIfSilent(now)
 		pool.endLostTransactions(s.policyNow)
-		if pool.standing == policy.In && pool.drainExpired(now) {
+		if pool.standing == policy.Active && pool.drainExpired(now) {
 			s.reconcileHosts()
 		}
 	}
--- a/internal/router/catalog/catalog.go
+++ b/internal/router/catalog/catalog.go
@@ -29,20 +29,20 @@
 
 func readHost(entry setup.Object) view.Host {
 	host := view.Host{
-		Name:    entry.Text("uid"),
-		Address: entry.Text("endpoint"),
-		Set:     entry.Integer("pod_group"),
-		Leader:  entry.MaybeText("role") == roleLeader,
-		Zone:    entry.MaybeText("az"),
-		Kind:    entry.MaybeText("model"),
-		Size:    entry.MaybeNumber("capacity_hint"),
-		Boot:    setup.Up(entry.MaybeNumber("boot_ms")),
+		Name:          entry.Text("uid"),
+		Address:       entry.Text("endpoint"),
+		Set:           entry.Integer("pod_group"),
+		ListedPrimary: entry.OptionalText("role") == roleLeader,
+		Zone:          entry.OptionalText("az"),
+		Kind:          entry.OptionalText("model"),
+		Size:          entry.OptionalNumber("capacity_hint"),
+		BootedAt:      setup.RoundUp(entry.OptionalNumber("boot_ms")),
 	}
 	switch entry.Text("state") {
 	case stateUp:
-		host.Standing = policy.In
+		host.Standing = policy.Active
 	case stateRemoved:
-		host.Standing = policy.Gone
+		host.Standing = policy.Removed
 	default: // a state that is not known gets nothing new
 		host.Standing = policy.Draining
 	}
--- a/internal/router/catalog/catalog_test.go
+++ b/internal/router/catalog/catalog_test.go
@@ -21,10 +21,10 @@
 	if version != 7 || !complete || len(hosts) != 4 || err != nil {
 		t.Fatal(version, complete, hosts, err)
 	}
-	if h := hosts[0]; h.Name != "a" || h.Address != "127.0.0.1:1" || h.Set != 2 || !h.Leader || h.Zone != "z1" || h.Boot != 15 {
+	if h := hosts[0]; h.Name != "a" || h.Address != "127.0.0.1:1" || h.Set != 2 || !h.ListedPrimary || h.Zone != "z1" || h.BootedAt != 15 {
 		t.Errorf("%+v", h)
 	}
-	for i, want := range []policy.Standing{policy.In, policy.Gone, policy.Draining, policy.Draining} {
+	for i, want := range []policy.ListState{policy.Active, policy.Removed, policy.Draining, policy.Draining} {
 		if hosts[i].Standing != want {
 			t.Errorf("%s: %d, not %d", hosts[i].Name, hosts[i].Standing, want)
 		}
--- a/internal/router/clock/clock.go
+++ b/internal/router/clock/clock.go
@@ -30,7 +30,7 @@
 }
 
 // Now returns the time, which never goes back.
-func (c *Clock) Now() policy.Tenth {
+func (c *Clock) Now() policy.TenthMs {
 	reading := c.read()
 	elapsed := int64(reading.Sub(c.last)) // monotonic
 	c.last = reading
@@ -45,4 +45,4 @@
 }
 
 // Span converts a span of the module's time.
-func Span(span policy.Tenth) time.Duration { return time.Duration(span) * Tenth }
+func Span(span policy.TenthMs) time.Duration { return time.Duration(span) * Tenth }
--- a/internal/router/protocol/append.go
+++ b/internal/router/protocol/append.go
@@ -58,12 +58,12 @@
 
 // AppendReady appends ReadyForQuery, which ends each answer.
 func AppendReady(b []byte) []byte {
-	return appendMessage(b, Ready, func(b []byte) []byte { return append(b, transactionIdle) })
+	return appendMessage(b, ReadyForQuery, func(b []byte) []byte { return append(b, transactionIdle) })
 }
 
 // AppendEmptyQueryResponse appends the answer to a query without a statement.
 func AppendEmptyQueryResponse(b []byte) []byte {
-	return appendMessage(b, EmptyResponse, func(b []byte) []byte { return b })
+	return appendMessage(b, EmptyQueryResponse, func(b []byte) []byte { return b })
 }
 
 // AppendError appends an ErrorResponse with an SQLSTATE code. detail may be empty.
--- a/internal/router/protocol/body.go
+++ b/internal/router/protocol/body.go
@@ -17,8 +17,8 @@
 	columnDescriptionBytes = 18 // of RowDescription, after the column's name
 )
 
-// Code returns the SQLSTATE code of an ErrorResponse's body, or "" where it has none or is malformed.
-func Code(body []byte) string {
+// ErrorCode returns the SQLSTATE code of an ErrorResponse's body, or "" where it has none or is malformed.
+func ErrorCode(body []byte) string {
 	code := ""
 	for len(body) > 1 && body[0] != 0 {
 		value, rest, complete := bytes.Cut(body[1:], []byte{0})
@@ -43,8 +43,8 @@
 	return string(nameText), string(valueText), nameEnds && valueEnds && len(rest) == 0
 }
 
-// Value returns the column of a DataRow's body, if it has exactly one that is not null.
-func Value(body []byte) ([]byte, bool) {
+// SingleValue returns the column of a DataRow's body, if it has exactly one that is not null.
+func SingleValue(body []byte) ([]byte, bool) {
 	const start = columnCountBytes + columnLengthBytes
 	if len(body) < start || binary.BigEndian.Uint16(body) != 1 {
 		return nil, false
@@ -76,16 +76,16 @@
 	return complete && len(rest) == 0 && len(tag) > 0
 }
 
-// Statement returns the text of a Query's body; ok is false if it does not end at its only zero byte.
-func Statement(body []byte) (statement []byte, ok bool) {
+// QueryText returns the text of a Query's body; ok is false if it does not end at its only zero byte.
+func QueryText(body []byte) (statement []byte, ok bool) {
 	if len(body) == 0 || bytes.IndexByte(body, 0) != len(body)-1 {
 		return nil, false
 	}
 	return body[:len(body)-1], true
 }
 
-// Field returns the value of a name in a load report, as in inflight=7,util=0.61.
-func Field(report, name string) (float64, bool) {
+// LoadReportField returns the value of a name in a load report, as in inflight=7,util=0.61.
+func LoadReportField(report, name string) (float64, bool) {
 	for item := range strings.SplitSeq(report, ",") {
 		if itemName, text, ok := strings.Cut(item, "="); ok && itemName == name {
 			value, err := strconv.ParseFloat(text, 64)
--- a/internal/router/protocol/message.go
+++ b/internal/router/protocol/message.go
@@ -24,16 +24,16 @@
 
 // Message kinds that servers send.
 const (
-	Ready           = 'Z'
-	ErrorResponse   = 'E'
-	ParameterStatus = 'S'
-	RowDescription  = 'T'
-	DataRow         = 'D'
-	CommandComplete = 'C'
-	EmptyResponse   = 'I'
-	NoticeResponse  = 'N'
-	Authentication  = 'R'
-	BackendKeyData  = 'K'
+	ReadyForQuery      = 'Z'
+	ErrorResponse      = 'E'
+	ParameterStatus    = 'S'
+	RowDescription     = 'T'
+	DataRow            = 'D'
+	CommandComplete    = 'C'
+	EmptyQueryResponse = 'I'
+	NoticeResponse     = 'N'
+	Authentication     = 'R'
+	BackendKeyData     = 'K'
 )
 
 // Codes of startup messages: the protocol's version, or a request that stands in its place.
@@ -47,14 +47,14 @@
 // EncryptionDeclined is the byte that answers a request for encryption by none.
 const EncryptionDeclined = 'N'
 
-// LongestStartup is the longest startup message that PostgreSQL accepts, in bytes.
-const LongestStartup = 10000
+// MaxStartupBytes is the longest startup message that PostgreSQL accepts, in bytes.
+const MaxStartupBytes = 10000
 
 // SQLSTATE codes that the router sends or acts on.
 const (
-	TooMany             = "53300" // too_many_connections; also of a command that is throttled
-	NotNow              = "57P03" // cannot_connect_now
-	ReadOnly            = "25006" // read_only_sql_transaction: the host is not the primary
+	TooManyConnections  = "53300" // too_many_connections; also of a command that is throttled
+	CannotConnectNow    = "57P03" // cannot_connect_now
+	ReadOnlyTransaction = "25006" // read_only_sql_transaction: the host is not the primary
 	ReplicaBehind       = "72000" // snapshot_too_old: the replica has not replayed the position yet
 	SystemError         = "58000" // system_error
 	ProtocolViolation   = "08P01" // protocol_violation
@@ -63,8 +63,8 @@
 )
 
 var (
-	// ErrLength reports that a message has a length that the protocol does not allow.
-	ErrLength = errors.New("a message of impossible length")
+	// ErrInvalidLength reports that a message has a length that the protocol does not allow.
+	ErrInvalidLength = errors.New("a message of impossible length")
 	// ErrTooLong reports that a message, or a chunk or line of HTTP, exceeds the caller's limit.
 	ErrTooLong = errors.New("a message of more than is taken")
 )
@@ -76,8 +76,8 @@
 	maxMessageLength = 1<<31 - 1
 )
 
-// Next cuts the first message off b. It fails with ErrLength, or with ErrTooLong if the message's length exceeds maxSize.
-func Next(b []byte, maxSize int) (kind byte, body []byte, n int, err error) {
+// NextMessage cuts the first message off b. It fails with ErrLength, or with ErrTooLong if the message's length exceeds maxSize.
+func NextMessage(b []byte, maxSize int) (kind byte, body []byte, n int, err error) {
 	if len(b) < headerBytes {
 		return 0, nil, 0, nil
 	}
@@ -95,7 +95,7 @@
 		return 0, 0, err
 	}
 	if len(body) < codeBytes {
-		return 0, 0, ErrLength
+		return 0, 0, ErrInvalidLength
 	}
 	return binary.BigEndian.Uint32(body), n, nil
 }
@@ -108,7 +108,7 @@
 	size := binary.BigEndian.Uint32(b)
 	switch {
 	case size < lengthBytes || size > maxMessageLength:
-		return nil, 0, ErrLength
+		return nil, 0, ErrInvalidLength
 	case int(size) > maxSize:
 		return nil, 0, ErrTooLong
 	case int(size) > len(b):
--- a/internal/router/protocol/protocol_test.go
+++ b/internal/router/protocol/protocol_test.go
@@ -14,12 +14,12 @@
 func TestMessageIsCompleteOnlyWithItsLastByte(t *testing.T) {
 	complete := AppendQuery(nil, []byte(read))
 	for cut := range complete {
-		if _, _, n, err := Next(complete[:cut], 1<<16); n != 0 || err != nil {
+		if _, _, n, err := NextMessage(complete[:cut], 1<<16); n != 0 || err != nil {
 			t.Fatalf("cut at %d: %d, %v", cut, n, err)
 		}
 	}
-	kind, body, n, err := Next(append(complete, 'Q'), 1<<16)
-	statement, ok := Statement(body)
+	kind, body, n, err := NextMessage(append(complete, 'Q'), 1<<16)
+	statement, ok := QueryText(body)
 	if kind != Query || n != len(complete) || err != nil || !ok || string(statement) != read {
 		t.Errorf("%c %q %d %v", kind, statement, n, err)
 	}
@@ -37,7 +37,7 @@
 func TestImpossibleLengthsAreErrors(t *testing.T) {
 	for _, size := range []uint32{0, 3, 1 << 20, 1<<31 - 1, 1 << 31, 1<<32 - 1} {
 		b := binary.BigEndian.AppendUint32([]byte{Query}, size)
-		if _, _, _, err := Next(b, 1<<16); err == nil {
+		if _, _, _, err := NextMessage(b, 1<<16); err == nil {
 			t.Errorf("a message of length %d is accepted", size)
 		}
 		if _, _, err := NextStartup(b[1:], 1<<16); err == nil {
@@ -117,12 +117,12 @@
 }
 
 func TestErrorCodeIsReadFromCompleteErrorsOnly(t *testing.T) {
-	_, body, _, _ := Next(AppendError(nil, "ERROR", TooMany, "busy", "120"), 1<<16)
-	if Code(body) != TooMany || !bytes.Contains(body, []byte("D120\x00")) {
+	_, body, _, _ := NextMessage(AppendError(nil, "ERROR", TooManyConnections, "busy", "120"), 1<<16)
+	if ErrorCode(body) != TooManyConnections || !bytes.Contains(body, []byte("D120\x00")) {
 		t.Errorf("%q", body)
 	}
 	for _, malformed := range []string{"", "C", "C53300", "\x00", "M\x00C", "C53300\x00", "C53300\x00\x00x", "C5330\x00\x00"} {
-		if Code([]byte(malformed)) != "" {
+		if ErrorCode([]byte(malformed)) != "" {
 			t.Errorf("%q has a code", malformed)
 		}
 	}
@@ -138,21 +138,21 @@
 }
 
 func TestSingleValueIsReadFromRowsOfOneColumn(t *testing.T) {
-	if v, ok := Value([]byte{0, 1, 0, 0, 0, 2, 'h', 'i'}); string(v) != "hi" || !ok {
+	if v, ok := SingleValue([]byte{0, 1, 0, 0, 0, 2, 'h', 'i'}); string(v) != "hi" || !ok {
 		t.Errorf("%q", v)
 	}
 	for _, bad := range []string{"", "\x00\x02\x00\x00\x00\x00", "\x00\x01\xff\xff\xff\xff", "\x00\x01\x00\x00\x00\x09x"} {
-		if _, ok := Value([]byte(bad)); ok {
+		if _, ok := SingleValue([]byte(bad)); ok {
 			t.Errorf("%q is one value", bad)
 		}
 	}
 }
 
 func TestLoadReportFieldIsReadByName(t *testing.T) {
-	if v, ok := Field("inflight=7,util=0.61", "util"); v != 0.61 || !ok {
+	if v, ok := LoadReportField("inflight=7,util=0.61", "util"); v != 0.61 || !ok {
 		t.Error(v, ok)
 	}
-	if _, ok := Field("util=NaN,x", "util"); ok {
+	if _, ok := LoadReportField("util=NaN,x", "util"); ok {
 		t.Error("NaN is accepted as a number")
 	}
 }
@@ -195,13 +195,13 @@
 	f.Add([]byte{Query, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for _, part := range [][]byte{b, b[:len(b)/2]} {
-			if _, body, n, err := Next(part, 1<<10); n < 0 || n > len(part) || len(body) > n || err != nil && n != 0 {
+			if _, body, n, err := NextMessage(part, 1<<10); n < 0 || n > len(part) || len(body) > n || err != nil && n != 0 {
 				t.Error(n, err)
 			} else if n > 0 {
-				Code(body)
+				ErrorCode(body)
 				Parameter(body)
-				Value(body)
-				Statement(body)
+				SingleValue(body)
+				QueryText(body)
 			}
 			if _, n, _ := NextStartup(part, 1<<10); n < 0 || n > len(part) {
 				t.Error(n)
--- a/internal/router/routing/commands.go
+++ b/internal/router/routing/commands.go
@@ -20,7 +20,7 @@
 
 // command is one that the module has taken.
 type command struct {
-	handle    *policy.Cmd
+	handle    *policy.Command
 	slot      *transport.Slot // nil once it is answered, or its client gone
 	statement []byte
 	deadline  time.Time // when its last answer is due
@@ -30,7 +30,7 @@
 // HandleCommand implements transport.CommandHandler.
 func (r *Router) HandleCommand(slot *transport.Slot, statement []byte, receivedAt time.Time) {
 	parsed, err := protocol.ParseCommand(statement)
-	group := r.start.Terms.Groups[parsed.Group]
+	group := r.start.Formats.Groups[parsed.Group]
 	switch {
 	case err != nil:
 		r.reject(slot, err.Error())
@@ -68,7 +68,7 @@
 			r.Disconnected.Add(1)
 			r.forgetSlot(c)
 			r.trace.Left(c.handle)
-			c.handle.Left()
+			c.handle.Abandon()
 			r.forgetIfOver(c.handle)
 		}
 	})
@@ -81,7 +81,7 @@
 }
 
 // takeCommand brings a command to the module.
-func (r *Router) takeCommand(slot *transport.Slot, statement []byte, group *policy.CmdGroup, parsed protocol.Command, deadline time.Time) {
+func (r *Router) takeCommand(slot *transport.Slot, statement []byte, group *policy.CommandGroup, parsed protocol.Command, deadline time.Time) {
 	switch {
 	case r.hasList && !r.replicaSets[parsed.ReplicaSet]: // the module would keep every number that clients make up
 		r.reject(slot, "no host of replica set "+strconv.FormatInt(parsed.ReplicaSet, 10)+" has been listed")
@@ -92,17 +92,17 @@
 	}
 	slot.CommandAccepted()
 	now := r.advanceClock()
-	sinceWrite := policy.Tenth(0)
+	sinceWrite := policy.TenthMs(0)
 	if parsed.WrittenAtMs > 0 { // a commit's time is rounded up, so that the read is not too early
-		sinceWrite = max(1, now-setup.Up(parsed.WrittenAtMs))
+		sinceWrite = max(1, now-setup.RoundUp(parsed.WrittenAtMs))
 	}
 	c := &command{slot: slot, statement: statement, deadline: deadline}
 	r.commands[parsed.ID], r.slots[slot] = c, c
 	r.Taken.Add(1)
-	timeout := now + policy.Tenth(time.Until(deadline)/clock.Tenth)
+	timeout := now + policy.TenthMs(time.Until(deadline)/clock.Tenth)
 	previewed := r.preview.command(r.policy, group, parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
 	r.trace.Take(parsed.ID, r.groups[group], parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
-	c.handle = r.policy.Take(parsed.ID, group, parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
+	c.handle = r.policy.Submit(parsed.ID, group, parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
 	r.trace.Taken(c.handle)
 	previewed.compare(c.handle)
 	r.forgetIfOver(c.handle)
@@ -117,25 +117,25 @@
 		c.slot.Answer(answer.Frames)
 		r.forgetSlot(c)
 	}
-	r.applyLoadReport(c.handle.Node, answer.LoadReport)
-	position, role := setup.Words(answer.Position, answer.Role, r.maxPositionMs())
-	elapsed := policy.Tenth(answer.Elapsed / clock.Tenth)
-	if h := r.nodes[c.handle.Node]; h != nil && r.start.Deployment.Told {
+	r.applyLoadReport(c.handle.Host, answer.LoadReport)
+	position, role := setup.ParseHostStatus(answer.Position, answer.Role, r.maxPositionMs())
+	elapsed := policy.TenthMs(answer.Elapsed / clock.Tenth)
+	if h := r.nodes[c.handle.Host]; h != nil && r.start.Deployment.Told {
 		now := r.clock.Now()
 		h.noteAnswer(c.handle, answer.Outcome, position, role, now-elapsed, now, elapsed)
 	}
 	r.trace.Ended(c.handle, answer.Outcome, position, role, elapsed, c.slot == nil)
-	c.handle.Ended(answer.Outcome, position, role, elapsed, c.slot == nil)
+	c.handle.EndDispatch(answer.Outcome, position, role, elapsed, c.slot == nil)
 	r.forgetIfOver(c.handle)
 }
 
 // applyLoadReport passes the position and role of a load report to the module.
-func (r *Router) applyLoadReport(node *policy.Node, report string) {
-	terms := r.start.Terms
-	position, role, ok := terms.Report(func(i int) (float64, bool) { return protocol.Field(report, terms.Fields[i]) })
+func (r *Router) applyLoadReport(node *policy.Host, report string) {
+	terms := r.start.Formats
+	position, role, ok := terms.ParseLoadReport(func(i int) (float64, bool) { return protocol.LoadReportField(report, terms.Fields[i]) })
 	if node != nil && ok && position >= 0 && float64(position) <= 10*r.maxPositionMs() {
 		r.trace.Reported(node, position, role)
-		node.Reported(position, role)
+		node.ReportLoad(position, role)
 	}
 }
 
@@ -150,8 +150,8 @@
 }
 
 // forgetIfOver forgets a command for which nothing more will come, whichever call into the module ended it.
-func (r *Router) forgetIfOver(handle *policy.Cmd) {
-	if handle.Over() {
+func (r *Router) forgetIfOver(handle *policy.Command) {
+	if handle.IsFinished() {
 		r.trace.Settled(handle)
 		delete(r.commands, handle.Name)
 	}
--- a/internal/router/routing/counters.go
+++ b/internal/router/routing/counters.go
@@ -20,7 +20,7 @@
 
 	Dispatched atomic.Int64 // commands sent to hosts
 	Probes     atomic.Int64 // health checks sent to hosts
-	Outcomes   [policy.Missed + 1]atomic.Int64
+	Outcomes   [policy.Misrouted + 1]atomic.Int64
 
 	Lists              atomic.Int64 // lists and changes taken in
 	StaleLists         atomic.Int64 // older than the current one, and ignored
@@ -55,7 +55,7 @@
 		zap.Int64("hosts_forgotten", c.HostsForgotten.Load()),
 		zap.Int64("panics", c.Panics.Load()),
 		zap.Int64("stalls", c.Stalls.Load()),
-		zap.Int("queued", r.queue.Length()),
+		zap.Int("queued", r.queue.Len()),
 	}
 	for i := range c.Outcomes {
 		fields = append(fields, zap.Int64("outcome_"+policy.Outcome(i).String(), c.Outcomes[i].Load()))
--- a/internal/router/routing/hosts.go
+++ b/internal/router/routing/hosts.go
@@ -21,11 +21,11 @@
 // host is a database host as the list has it, and what its answers have shown since the last report.
 type host struct {
 	view.Host
-	node        *policy.Node
+	node        *policy.Host
 	connections *transport.Host
 	evidence    view.Evidence
-	report      link.Heard
-	lastAnswer  policy.Tenth
+	report      link.Observation
+	lastAnswer  policy.TenthMs
 }
 
 // HandleListLine takes a list of discovery's, or changes of it, and returns when the module knows it. addressIsNew is
@@ -33,7 +33,7 @@
 // nothing.
 func (r *Router) HandleListLine(line []byte, addressIsNew bool) error {
 	result := make(chan error, 1)
-	if !r.queue.Put(eventloop.PriorityLists, func() {
+	if !r.queue.Put(eventloop.PriorityUpdates, func() {
 		list, err := setup.Decode("", line)
 		if err == nil {
 			err = r.applyList(list, addressIsNew)
@@ -45,7 +45,7 @@
 	select {
 	case err := <-result:
 		return err
-	case <-r.queue.Ended:
+	case <-r.queue.Closed:
 		return errStopped
 	}
 }
@@ -53,11 +53,11 @@
 // ListRequestFailed notes that a list which was requested did not come, or that its changes have ended. The current list
 // stays in use.
 func (r *Router) ListRequestFailed() {
-	r.queue.Put(eventloop.PriorityLists, func() {
+	r.queue.Put(eventloop.PriorityUpdates, func() {
 		r.ListRequestsFailed.Add(1)
 		r.advanceClock()
 		r.trace.Unlisted()
-		r.policy.Unlisted()
+		r.policy.ListUnavailable()
 	})
 }
 
@@ -85,7 +85,7 @@
 	r.advanceClock()
 	for _, entry := range entries {
 		h := r.hosts[entry.Name]
-		if h == nil && entry.Standing == policy.Gone {
+		if h == nil && entry.Standing == policy.Removed {
 			continue
 		}
 		if h == nil {
@@ -96,7 +96,7 @@
 		}
 		entry.Set = h.Set // a host does not move between replica sets
 		h.Host = entry
-		h.connections.Move(entry.Address)
+		h.connections.SetAddress(entry.Address)
 		r.announceHost(h)
 	}
 	r.finishList(complete)
@@ -109,7 +109,7 @@
 
 // introduce registers a host with the module.
 func (r *Router) introduce(h *host) {
-	h.node = r.policy.Host(h.Name, h.Set)
+	h.node = r.policy.AddHost(h.Name, h.Set)
 	r.hosts[h.Name], r.nodes[h.node] = h, h
 	r.trace.Host(h.node, h.Set)
 }
@@ -117,25 +117,25 @@
 // announceHost passes a host's state to the module, as the list has it.
 func (r *Router) announceHost(h *host) {
 	r.preview.hostListed(h.Standing)
-	r.trace.Listed(h.node, h.Standing, h.Leader, h.Zone, h.Kind, h.Size, h.Boot)
-	h.node.Listed(h.Standing, h.Leader, h.Zone, h.Kind, h.Size, h.Boot)
+	r.trace.Listed(h.node, h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
+	h.node.UpdateListing(h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
 }
 
 // finishList marks the end of a list, or of its changes, for the module.
 func (r *Router) finishList(complete bool) {
 	r.preview.listFinished()
 	r.trace.ListDone(complete)
-	r.policy.ListDone(complete)
+	r.policy.EndList(complete)
 }
 
-// Told takes in what is new in a forwarder's view, from any goroutine: hosts as they are now, the names of those that it
+// UpdateHosts takes in what is new in a forwarder's view, from any goroutine: hosts as they are now, the names of those that it
 // dropped, the number of routers, and whether no planner is connected (blind). Lists come from the view alone then.
-func (r *Router) Told(hosts []view.Host, dropped []string, routers int, blind bool) {
-	r.queue.Put(eventloop.PriorityLists, func() {
+func (r *Router) UpdateHosts(hosts []view.Host, dropped []string, routers int, blind bool) {
+	r.queue.Put(eventloop.PriorityUpdates, func() {
 		for _, name := range dropped {
 			if h := r.hosts[name]; h != nil {
 				gone := h.Host
-				gone.Standing = policy.Gone
+				gone.Standing = policy.Removed
 				hosts = append(hosts, gone)
 			}
 		}
@@ -146,62 +146,62 @@
 		r.advanceClock()
 		r.trace.View(len(hosts), len(dropped), routers, blind)
 		r.trace.Count(routers, blind)
-		r.policy.Count(routers, blind)
+		r.policy.SetRouterCount(routers, blind)
 		for _, entry := range hosts {
 			if h := r.hosts[entry.Name]; h != nil {
-				lateness := policy.Lateness(entry.Late)
-				r.trace.Told(h.node, entry.Pos, entry.Role, entry.RoleAt, lateness)
-				h.node.Told(entry.Pos, entry.Role, entry.RoleAt, lateness)
+				lateness := policy.PlannerLatency(entry.Lateness)
+				r.trace.Told(h.node, entry.Position, entry.Role, entry.RolePosition, lateness)
+				h.node.ApplyPlannerUpdate(entry.Position, entry.Role, entry.RolePosition, lateness)
 			}
 		}
 	})
 }
 
-// Report returns what answers have shown of hosts since the last report, from any goroutine; nil once Run has ended.
-func (r *Router) Report() []link.Heard {
-	result := make(chan []link.Heard, 1)
-	if !r.queue.Put(eventloop.PriorityLists, func() { result <- r.takeReports() }) {
+// TakeObservations returns what answers have shown of hosts since the last report, from any goroutine; nil once Run has ended.
+func (r *Router) TakeObservations() []link.Observation {
+	result := make(chan []link.Observation, 1)
+	if !r.queue.Put(eventloop.PriorityUpdates, func() { result <- r.takeReports() }) {
 		return nil
 	}
 	select {
 	case reports := <-result:
 		return reports
-	case <-r.queue.Ended:
+	case <-r.queue.Closed:
 		return nil
 	}
 }
 
 // takeReports returns the reports of hosts that have something to report, and resets their sums.
-func (r *Router) takeReports() (reports []link.Heard) {
+func (r *Router) takeReports() (reports []link.Observation) {
 	for _, h := range r.hosts {
 		h.report.Evidence = h.evidence
-		if h.report.Name = h.Name; h.report.Count > 0 || h.report.Cold > 0 {
+		if h.report.Name = h.Name; h.report.Responses > 0 || h.report.ColdWork > 0 {
 			reports = append(reports, h.report)
 		}
-		h.report.Count, h.report.Sum = 0, 0
+		h.report.Responses, h.report.LatenessSum = 0, 0
 	}
 	return reports
 }
 
 // noteAnswer notes what an answer to a command shows, for a report.
-func (h *host) noteAnswer(c *policy.Cmd, outcome policy.Outcome, position policy.Tenth, role policy.Role, sentAt, now, elapsed policy.Tenth) {
+func (h *host) noteAnswer(c *policy.Command, outcome policy.Outcome, position policy.TenthMs, role policy.Role, sentAt, now, elapsed policy.TenthMs) {
 	if position >= 0 && outcome != policy.Reset {
-		h.evidence.Said(position, role, sentAt >= h.lastAnswer)
+		h.evidence.Observe(position, role, sentAt >= h.lastAnswer)
 		h.lastAnswer = now
 	}
 	if outcome == policy.Answered {
-		h.report.Count++
-		h.report.Sum += uint32(min(maxReportedSpent, c.Spent(elapsed)) * reportedPerWork)
+		h.report.Responses++
+		h.report.LatenessSum += uint32(min(maxReportedSpent, c.TargetFraction(elapsed)) * reportedPerWork)
 	}
 }
 
 // noteDispatch notes work that is sent to a host which is warming up.
-func (h *host) noteDispatch(c *policy.Cmd) {
-	boot := h.node.Cold()
-	if boot != h.report.Boot {
-		h.report.Boot, h.report.Cold = boot, 0
+func (h *host) noteDispatch(c *policy.Command) {
+	boot := h.node.ColdSince()
+	if boot != h.report.BootedAt {
+		h.report.BootedAt, h.report.ColdWork = boot, 0
 	}
 	if boot != 0 {
-		h.report.Cold += int64(c.Work() * reportedPerWork)
+		h.report.ColdWork += int64(c.Work() * reportedPerWork)
 	}
 }
--- a/internal/router/routing/policy_caller.go
+++ b/internal/router/routing/policy_caller.go
@@ -18,9 +18,9 @@
 )
 
 // Dispatch implements policy.Caller: it sends a command to a host.
-func (r *Router) Dispatch(handle *policy.Cmd, node *policy.Node, timeout policy.Tenth) {
+func (r *Router) Dispatch(handle *policy.Command, node *policy.Host, timeout policy.TenthMs) {
 	c, now := r.commands[handle.Name], time.Now()
-	deadline, sendBy := c.deadline, now.Add(r.start.Limits.Connect)
+	deadline, sendBy := c.deadline, now.Add(r.start.Limits.ConnectTimeout)
 	if at := now.Add(clock.Span(timeout)); timeout > 0 && at.Before(deadline) {
 		deadline = at
 	}
@@ -38,7 +38,7 @@
 }
 
 // Throttle implements policy.Caller: it answers that the client may retry later.
-func (r *Router) Throttle(handle *policy.Cmd, retryAfter policy.Tenth) {
+func (r *Router) Throttle(handle *policy.Command, retryAfter policy.TenthMs) {
 	r.trace.Throttle(handle, retryAfter)
 	r.preview.throttled(retryAfter)
 	if c := r.commands[handle.Name]; c.slot != nil {
@@ -50,7 +50,7 @@
 }
 
 // Fail implements policy.Caller: it answers that the command failed.
-func (r *Router) Fail(handle *policy.Cmd) {
+func (r *Router) Fail(handle *policy.Command) {
 	r.trace.Fail(handle)
 	if c := r.commands[handle.Name]; c.slot != nil {
 		r.Failed.Add(1)
@@ -61,12 +61,12 @@
 }
 
 // Probe implements policy.Caller: it sends a host a health check.
-func (r *Router) Probe(node *policy.Node) {
+func (r *Router) Probe(node *policy.Host) {
 	statement := probeStatement
 	if r.start.Deployment.Reports {
 		statement = loadReportStatement
 	}
-	deadline := time.Now().Add(r.start.Limits.Connect)
+	deadline := time.Now().Add(r.start.Limits.ConnectTimeout)
 	r.Probes.Add(1)
 	r.trace.Probe(node)
 	r.send(r.nodes[node], []byte(statement), deadline, deadline, false, func(answer transport.Answer) {
@@ -75,18 +75,18 @@
 			r.applyLoadReport(node, answer.Value)
 		}
 		r.trace.Probed(node, answered)
-		node.Probed(answered)
+		node.EndProbe(answered)
 	})
 }
 
 // Close implements policy.Caller: it closes the idle connections to a host.
-func (r *Router) Close(node *policy.Node) {
+func (r *Router) Close(node *policy.Host) {
 	r.trace.Close(node)
 	r.nodes[node].connections.CloseIdle()
 }
 
 // Forget implements policy.Caller: the host has left the list, and the module will not name it again.
-func (r *Router) Forget(node *policy.Node) {
+func (r *Router) Forget(node *policy.Host) {
 	r.HostsForgotten.Add(1)
 	r.trace.Forget(node)
 	r.nodes[node].connections.Remove()
@@ -108,7 +108,7 @@
 }
 
 // Wake implements policy.Caller: it schedules a call of the module.
-func (r *Router) Wake(after policy.Tenth) {
+func (r *Router) Wake(after policy.TenthMs) {
 	r.trace.Wake(after)
 	r.scheduleWakeUp(after)
 }
--- a/internal/router/routing/preview.go
+++ b/internal/router/routing/preview.go
@@ -12,10 +12,10 @@
 // preview compares what the module does with what it would do under settings that are not in force yet, and counts the
 // differences by kind. It decides nothing and sends nothing. A nil preview does nothing.
 type preview struct {
-	shape           *policy.Shape                         // of the other settings
-	groups          map[*policy.CmdGroup]*policy.CmdGroup // the group in force -> the group of the other settings
-	drainBindsAlone bool                                  // only one of the settings drains hosts by their state alone
-	listOnRequest   bool                                  // only the other settings request the list
+	shape           *policy.ShadowSettings                        // of the other settings
+	groups          map[*policy.CommandGroup]*policy.CommandGroup // the group in force -> the group of the other settings
+	drainBindsAlone bool                                          // only one of the settings drains hosts by their state alone
+	listOnRequest   bool                                          // only the other settings request the list
 
 	Compared         atomic.Int64 // commands
 	OtherHost        atomic.Int64 // would have been sent to another host
@@ -29,19 +29,19 @@
 }
 
 // newPreview returns the preview of the settings that start names beside those in force, or nil if it names none.
-func newPreview(start *setup.Start, now policy.Tenth) *preview {
+func newPreview(start *setup.Start, now policy.TenthMs) *preview {
 	next := start.NextSettings
 	if next == nil {
 		return nil
 	}
 	p := &preview{
-		shape:           policy.NewShape(next.Deployment, now),
-		groups:          map[*policy.CmdGroup]*policy.CmdGroup{},
+		shape:           policy.NewShadowSettings(next.Deployment, now),
+		groups:          map[*policy.CommandGroup]*policy.CommandGroup{},
 		drainBindsAlone: next.Deployment.DrainAlone != start.Deployment.DrainAlone,
 		listOnRequest:   next.Deployment.AskWithin > 0 && start.Deployment.AskWithin == 0,
 	}
-	for name, group := range start.Terms.Groups {
-		p.groups[group] = next.Terms.Groups[name]
+	for name, group := range start.Formats.Groups {
+		p.groups[group] = next.Formats.Groups[name]
 	}
 	return p
 }
@@ -49,13 +49,13 @@
 // previewedCourse is what would become of one command. The zero value stands for no preview.
 type previewedCourse struct {
 	preview *preview
-	course  policy.Course
-	node    *policy.Node
+	course  policy.Disposition
+	node    *policy.Host
 }
 
 // command previews a command; it must be called before the module takes it, with the same arguments.
-func (p *preview) command(router *policy.Router, group *policy.CmdGroup, replicaSet int64, key string,
-	timeout, sinceWrite policy.Tenth, isRetry bool,
+func (p *preview) command(router *policy.Router, group *policy.CommandGroup, replicaSet int64, key string,
+	timeout, sinceWrite policy.TenthMs, isRetry bool,
 ) previewedCourse {
 	if p == nil {
 		return previewedCourse{}
@@ -65,21 +65,21 @@
 }
 
 // compare counts how a preview differs from what became of the command.
-func (v previewedCourse) compare(handle *policy.Cmd) {
+func (v previewedCourse) compare(handle *policy.Command) {
 	p := v.preview
 	if p == nil {
 		return
 	}
 	p.Compared.Add(1)
-	switch course, node := handle.Course(); {
+	switch course, node := handle.Disposition(); {
 	case course == v.course && node == v.node:
 	case course == v.course:
 		p.OtherHost.Add(1)
-	case v.course == policy.Asked:
+	case v.course == policy.AwaitingProbe:
 		p.WouldProbe.Add(1)
-	case v.course == policy.Held:
+	case v.course == policy.Queued:
 		p.WouldQueue.Add(1)
-	case v.course == policy.Sent:
+	case v.course == policy.Dispatched:
 		p.WouldSend.Add(1)
 	default:
 		p.WouldThrottle.Add(1)
@@ -87,15 +87,15 @@
 }
 
 // throttled is called with the time to retry that a throttled command is given; 0 for none.
-func (p *preview) throttled(retryAfter policy.Tenth) {
+func (p *preview) throttled(retryAfter policy.TenthMs) {
 	if p != nil && (retryAfter > 0) != (p.shape.Comeback() > 0) {
 		p.RetryAfter.Add(1)
 	}
 }
 
 // hostListed is called for each host that is passed to the module.
-func (p *preview) hostListed(standing policy.Standing) {
-	if p != nil && p.drainBindsAlone && standing == policy.Gone {
+func (p *preview) hostListed(standing policy.ListState) {
+	if p != nil && p.drainBindsAlone && standing == policy.Removed {
 		p.RemovedHosts.Add(1)
 	}
 }
--- a/internal/router/routing/router.go
+++ b/internal/router/routing/router.go
@@ -32,7 +32,7 @@
 	log         *zap.Logger
 	queue       *eventloop.Queue
 	clock       *clock.Clock
-	pool        *transport.Hosts
+	pool        *transport.HostPool
 	broadcast   func(body string) // to the other routers
 	requestList func()            // nil where the list comes without being requested
 	trace       *record.Recorder  // nil while nothing is captured
@@ -41,9 +41,9 @@
 	// Of Run's goroutine alone.
 	policy       *policy.Router
 	hosts        map[string]*host // by name
-	nodes        map[*policy.Node]*host
+	nodes        map[*policy.Host]*host
 	replicaSets  map[int64]bool // that the list has named
-	groups       map[*policy.CmdGroup]int
+	groups       map[*policy.CommandGroup]int
 	commands     map[string]*command // by the clients' ids
 	slots        map[*transport.Slot]*command
 	timeouts     eventloop.Timers[*request]
@@ -62,12 +62,12 @@
 
 // New returns a router that knows the list of the last run, if start has one. broadcast sends to the other routers.
 // recorder may be nil. It fails if that list cannot be read.
-func New(start *setup.Start, pool *transport.Hosts, broadcast func(string), recorder *record.Recorder, log *zap.Logger) (*Router, error) {
+func New(start *setup.Start, pool *transport.HostPool, broadcast func(string), recorder *record.Recorder, log *zap.Logger) (*Router, error) {
 	r := &Router{
 		start: start, log: log, queue: eventloop.NewQueue(start.Limits.CommandQueueSize), clock: clock.New(time.Now), pool: pool,
 		broadcast: broadcast, trace: recorder,
-		hosts: map[string]*host{}, nodes: map[*policy.Node]*host{}, replicaSets: map[int64]bool{},
-		groups:   map[*policy.CmdGroup]int{},
+		hosts: map[string]*host{}, nodes: map[*policy.Host]*host{}, replicaSets: map[int64]bool{},
+		groups:   map[*policy.CommandGroup]int{},
 		commands: map[string]*command{}, slots: map[*transport.Slot]*command{},
 		startedAt: time.Now(),
 	}
@@ -76,7 +76,7 @@
 		r.groups[group] = i
 	}
 	now := r.clock.Now()
-	recorder.Now(now)
+	recorder.SetTime(now)
 	r.policy, r.preview = policy.New(r, start.Deployment, now), newPreview(start, now)
 	if !start.InitialList.Has("targets") {
 		return r, nil
@@ -116,7 +116,7 @@
 func (r *Router) detectStall() {
 	if time.Since(r.lastStep) > stallPulses*r.start.Limits.StepInterval {
 		r.Stalls.Add(1)
-		r.trace.Stall(policy.Tenth(time.Since(r.lastStep) / clock.Tenth))
+		r.trace.Stall(policy.TenthMs(time.Since(r.lastStep) / clock.Tenth))
 		time.Sleep(r.start.Limits.StallRecoveryDelay)
 	}
 	r.lastStep = time.Now()
@@ -138,7 +138,7 @@
 // false if nothing was due.
 func (r *Router) step() bool {
 	r.lastStep = time.Now()
-	if r.runQueued(eventloop.PriorityLists) || r.runQueued(eventloop.PriorityOutcomes) {
+	if r.runQueued(eventloop.PriorityUpdates) || r.runQueued(eventloop.PriorityOutcomes) {
 		return true
 	}
 	if first := r.timeouts.First(); first != nil && !r.lastStep.Before(first.Deadline) {
@@ -151,7 +151,7 @@
 	}
 	if len(r.awaitingList) > 0 && r.lastStep.Sub(r.startedAt) > r.start.Limits.FirstListTimeout {
 		for _, slot := range r.awaitingList {
-			slot.Fail(protocol.NotNow, "no list of hosts yet")
+			slot.Fail(protocol.CannotConnectNow, "no list of hosts yet")
 		}
 		r.awaitingList = nil
 	}
@@ -173,25 +173,25 @@
 	r.wakeAt = time.Time{}
 	r.advanceClock()
 	r.trace.Woke()
-	if r.policy.Woke(); r.wakeAt.IsZero() { // by the module's clock, which may lag, it was too early
+	if r.policy.WakeUp(); r.wakeAt.IsZero() { // by the module's clock, which may lag, it was too early
 		r.scheduleWakeUp(r.start.Deployment.Tick)
 	}
 }
 
 // scheduleWakeUp wakes the module after a time, unless that happens sooner.
-func (r *Router) scheduleWakeUp(after policy.Tenth) {
+func (r *Router) scheduleWakeUp(after policy.TenthMs) {
 	if at := time.Now().Add(clock.Span(after)); r.wakeAt.IsZero() || at.Before(r.wakeAt) {
 		r.wakeAt = at
 	}
 }
 
 // advanceClock sets the module's time for the calls that follow.
-func (r *Router) advanceClock() policy.Tenth {
+func (r *Router) advanceClock() policy.TenthMs {
 	now := r.clock.Now()
-	r.policy.Clock(now)
+	r.policy.SetTime(now)
 	if r.trace != nil {
-		r.trace.Now(now)
-		r.trace.System(time.Now().UnixNano() / int64(clock.Tenth))
+		r.trace.SetTime(now)
+		r.trace.SystemClock(time.Now().UnixNano() / int64(clock.Tenth))
 	}
 	return now
 }
@@ -216,7 +216,7 @@
 	r.failPending()
 	r.wakeAt = time.Time{}
 	now := r.clock.Now()
-	r.trace.Now(now)
+	r.trace.SetTime(now)
 	r.trace.Anew()
 	r.policy = policy.New(r, r.start.Deployment, now)
 	for _, h := range r.hosts {
@@ -233,7 +233,7 @@
 	if r.queue.Put(eventloop.PriorityOutcomes, func() { r.failPending(); close(done) }) {
 		select {
 		case <-done:
-		case <-r.queue.Ended:
+		case <-r.queue.Closed:
 		}
 	}
 }
@@ -261,14 +261,14 @@
 	r.queue.Put(eventloop.PriorityCommands, func() {
 		r.advanceClock()
 		r.trace.Heard(body)
-		r.policy.Heard(body)
+		r.policy.ReceivePeerUpdate(body)
 	})
 }
 
 // Reloaded records, where a trace is captured, that the configuration was read again and whether it was valid.
 func (r *Router) Reloaded(ok bool) {
 	if r.trace != nil {
-		r.queue.Put(eventloop.PriorityLists, func() {
+		r.queue.Put(eventloop.PriorityUpdates, func() {
 			r.advanceClock()
 			r.trace.Reload(ok)
 		})
--- a/internal/router/routing/routing_test.go
+++ b/internal/router/routing/routing_test.go
@@ -44,7 +44,7 @@
 // answer reads the messages of one answer, and returns their kinds and the code of its error.
 func (c *testClient) answer() (kinds, code string) {
 	for b := make([]byte, 1<<10); ; {
-		kind, body, n, _ := protocol.Next(c.in, 1<<10)
+		kind, body, n, _ := protocol.NextMessage(c.in, 1<<10)
 		if n == 0 {
 			k, err := c.conn.Read(b)
 			if err != nil {
@@ -54,9 +54,9 @@
 			continue
 		}
 		if kinds += string(kind); kind == protocol.ErrorResponse {
-			code = protocol.Code(body)
+			code = protocol.ErrorCode(body)
 		}
-		if c.in = c.in[n:]; kind == protocol.Ready {
+		if c.in = c.in[n:]; kind == protocol.ReadyForQuery {
 			return kinds, code
 		}
 	}
@@ -65,7 +65,7 @@
 // startWithDrainingHost returns what a router starts with that has one group, of writes, and a host that drains, so that
 // commands are held.
 func startWithDrainingHost(t *testing.T) *setup.Start {
-	order := &policy.CmdGroup{Effect: policy.Mutating, Need: policy.Write, Target: 5000, Timeout: 900000, Benefit: 1}
+	order := &policy.CommandGroup{Effect: policy.NotIdempotent, Need: policy.Write, Target: 5000, Timeout: 900000, Benefit: 1}
 	known, err := setup.Decode("", []byte(`{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1",
 		"pod_group":1,"state":"draining"}]}`))
 	if err != nil {
@@ -74,10 +74,10 @@
 	const second = time.Second
 	return &setup.Start{
 		InitialList: known,
-		Deployment:  policy.Deployment{Tick: 50, Routers: 1, Dispatches: 4, Groups: []*policy.CmdGroup{order}},
-		Terms:       setup.Terms{Groups: map[string]*policy.CmdGroup{"order": order}, PositionField: -1},
+		Deployment:  policy.Deployment{Tick: 50, Routers: 1, Dispatches: 4, Groups: []*policy.CommandGroup{order}},
+		Formats:     setup.Formats{Groups: map[string]*policy.CommandGroup{"order": order}, PositionField: -1},
 		Limits: setup.Limits{
-			MaxClientConns: 9, Hosts: 9, CommandQueueSize: 9, MaxPipelined: 9, MaxClientMessage: 1 << 10, Buffer: 1 << 10,
+			MaxClientConns: 9, MaxHostConns: 9, CommandQueueSize: 9, MaxPipelined: 9, MaxClientMessage: 1 << 10, InitialBuffer: 1 << 10,
 			CommandReadTimeout: 20 * second, ClientWriteTimeout: 20 * second, FirstListTimeout: 20 * second, StepInterval: second / 20,
 		},
 	}
@@ -87,8 +87,8 @@
 func serve(t *testing.T, start *setup.Start) (r *Router, address string, stop func()) {
 	ctx, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
-	budget := transport.NewRoom(&start.Limits)
-	r, err := New(start, transport.NewHosts(ctx, &start.Limits, budget), func(string) {}, nil, zap.NewNop())
+	budget := transport.NewBufferBudget(&start.Limits)
+	r, err := New(start, transport.NewHostPool(ctx, &start.Limits, budget), func(string) {}, nil, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 	r, address, stop := serve(t, startWithDrainingHost(t))
 	client := dial(t, address)
 	client.query("/* id=0,c=order,d=80,cluster=1 */ INSERT INTO records (k, v) VALUES ('k', '\\x') RETURNING v")
-	if _, code := client.answer(); code != protocol.TooMany {
+	if _, code := client.answer(); code != protocol.TooManyConnections {
 		t.Errorf("timed out while held: %q", code)
 	}
 	left := make(chan int)
@@ -140,10 +140,10 @@
 }
 
 func TestThousandsOfGenerationsOfHostsAreForgotten(t *testing.T) {
-	s := &setup.Start{Deployment: policy.Deployment{Tick: 10, Routers: 1, Dispatches: 4}, Terms: setup.Terms{PositionField: -1}}
+	s := &setup.Start{Deployment: policy.Deployment{Tick: 10, Routers: 1, Dispatches: 4}, Formats: setup.Formats{PositionField: -1}}
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
-	r, err := New(s, transport.NewHosts(ctx, &s.Limits, transport.NewRoom(&s.Limits)), func(string) {}, nil, zap.NewNop())
+	r, err := New(s, transport.NewHostPool(ctx, &s.Limits, transport.NewBufferBudget(&s.Limits)), func(string) {}, nil, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +161,7 @@
 		}
 		at = at.Add(time.Second)
 		r.advanceClock()
-		r.policy.Woke()
+		r.policy.WakeUp()
 	}
 	if len(r.hosts) != 3 || len(r.nodes) != 3 || r.HostsAdded.Load()-r.HostsForgotten.Load() != 3 {
 		t.Errorf("%d hosts, %d nodes; %d added, %d forgotten", len(r.hosts), len(r.nodes), r.HostsAdded.Load(), r.HostsForgotten.Load())
@@ -186,11 +186,11 @@
 func TestListsComeBeforeOutcomesAndThoseBeforeCommands(t *testing.T) {
 	q, order := eventloop.NewQueue(2), ""
 	for _, p := range []eventloop.Priority{
-		eventloop.PriorityCommands, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityLists,
+		eventloop.PriorityCommands, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityUpdates,
 	} {
 		q.Put(p, func() { order += string(rune('0' + p)) })
 	}
-	for _, p := range []eventloop.Priority{eventloop.PriorityLists, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
+	for _, p := range []eventloop.Priority{eventloop.PriorityUpdates, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
 		for run := q.Take(p); run != nil; run = q.Take(p) {
 			run()
 		}
@@ -208,7 +208,7 @@
 	default:
 	}
 	q.Take(eventloop.PriorityCommands)
-	if !<-waited || q.Length() != 2 {
+	if !<-waited || q.Len() != 2 {
 		t.Error("the command that waited is lost")
 	}
 	q.Close()
--- a/internal/router/service/counters.go
+++ b/internal/router/service/counters.go
@@ -30,10 +30,10 @@
 		fields = append(fields, zap.Int64("watches", p.watch.Started.Load()), zap.Int64("list_lines", p.watch.Lines.Load()))
 	}
 	if p.trace != nil {
-		fields = append(fields, p.trace.Fields()...)
+		fields = append(fields, p.trace.LogFields()...)
 	}
 	if p.forward != nil {
-		fields = append(fields, p.forward.Fields()...)
+		fields = append(fields, p.forward.LogFields()...)
 	}
 	if p.peers != nil {
 		fields = append(fields,
--- a/internal/router/service/service.go
+++ b/internal/router/service/service.go
@@ -26,14 +26,14 @@
 	start   *setup.Start
 	limits  *setup.Limits
 	log     *zap.Logger
-	budget  *transport.Room
-	hosts   *transport.Hosts
+	budget  *transport.BufferBudget
+	hosts   *transport.HostPool
 	router  *routing.Router
 	clients *transport.Clients
-	watch   *transport.Watch // nil for a forwarder
-	forward *forward.Forward // nil for a router alone
-	trace   *file.Writer     // nil while nothing is captured
-	peers   *transport.Peers // nil where routers exchange no messages
+	watch   *transport.Watch   // nil for a forwarder
+	forward *forward.Forwarder // nil for a router alone
+	trace   *file.Writer       // nil while nothing is captured
+	peers   *transport.Peers   // nil where routers exchange no messages
 
 	reloads, rejectedReloads int // of the configuration; only handleSignals' goroutine uses them
 }
@@ -63,7 +63,7 @@
 	}
 	p.startTasks(ctx, tasks, listener)
 	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Int("clients", p.limits.MaxClientConns),
-		zap.Int("hosts", p.limits.Hosts))
+		zap.Int("hosts", p.limits.MaxHostConns))
 	finishTrace := StartTrace(p.trace)
 	p.handleSignals(ctx, signals, reload)
 	end()
@@ -78,7 +78,7 @@
 func newProgram(ctx context.Context, operator *setup.Operator, log *zap.Logger) (*program, error) {
 	start := operator.Start
 	limits := &start.Limits
-	p := &program{start: start, limits: limits, log: log, budget: transport.NewRoom(limits)}
+	p := &program{start: start, limits: limits, log: log, budget: transport.NewBufferBudget(limits)}
 	broadcast := func(string) {}
 	var err error
 	if start.Deployment.Peers {
@@ -87,7 +87,7 @@
 		}
 		broadcast = p.peers.Broadcast
 	}
-	p.hosts = transport.NewHosts(ctx, limits, p.budget)
+	p.hosts = transport.NewHostPool(ctx, limits, p.budget)
 	var recorder *record.Recorder
 	if section := operator.Trace; section != nil {
 		if p.trace, err = NewTraceWriter(start, section, log); err != nil {
@@ -117,16 +117,16 @@
 }
 
 // newForwarder returns a router's links to its planners. The list that the router was given is the first view.
-func newForwarder(start *setup.Start, section *setup.Forward, router *routing.Router, log *zap.Logger) (*forward.Forward, error) {
-	f := forward.New(section, start.Name, Life(), start.Deployment.Routers, router, log)
+func newForwarder(start *setup.Start, section *setup.ForwarderSection, router *routing.Router, log *zap.Logger) (*forward.Forwarder, error) {
+	f := forward.New(section, start.Name, NewIncarnation(), start.Deployment.Routers, router, log)
 	if start.InitialView.Has("targets") {
 		version, complete, hosts, err := catalog.Read(start.InitialView)
 		if err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		f.Known(version, complete, hosts)
+		f.LoadList(version, complete, hosts)
 	}
-	f.Kept()
+	f.RestoreView()
 	return f, nil
 }
 
--- a/internal/router/service/signals.go
+++ b/internal/router/service/signals.go
@@ -35,7 +35,7 @@
 		case <-stopAccepting:
 			p.clients.StopAccepting()
 		case <-drain:
-			if drain = time.After(p.limits.Again); p.clients.Drain() == 0 {
+			if drain = time.After(p.limits.RetryDelay); p.clients.Drain() == 0 {
 				return
 			}
 		case <-stop:
@@ -48,7 +48,7 @@
 
 // awaitLastAnswers gives the last answers a moment to be written.
 func (p *program) awaitLastAnswers() {
-	deadline := time.Now().Add(p.limits.Again)
+	deadline := time.Now().Add(p.limits.RetryDelay)
 	for p.clients.Drain() > 0 && time.Now().Before(deadline) {
 		time.Sleep(lastAnswersPoll)
 	}
--- a/internal/router/service/trace.go
+++ b/internal/router/service/trace.go
@@ -19,28 +19,28 @@
 )
 
 // NewTraceWriter returns what writes trace files by the operator's section. Nothing is written before its Run.
-func NewTraceWriter(start *setup.Start, section *setup.Trace, log *zap.Logger) (*file.Writer, error) {
-	deployment, err := record.Deployment(start.Deployment)
+func NewTraceWriter(start *setup.Start, section *setup.TraceSection, log *zap.Logger) (*file.Writer, error) {
+	deployment, err := record.EncodeDeployment(start.Deployment)
 	if err != nil {
 		return nil, err
 	}
 	names := make([]string, len(start.Deployment.Groups))
-	for name, group := range start.Terms.Groups {
+	for name, group := range start.Formats.Groups {
 		if i := slices.Index(start.Deployment.Groups, group); i >= 0 {
 			names[i] = name
 		}
 	}
-	groups, err := record.Groups(names)
+	groups, err := record.EncodeGroups(names)
 	if err != nil {
 		return nil, err
 	}
 	header := format.Header{
-		Router: start.Name, Life: Life(), Began: time.Now().UnixNano() / int64(clock.Tenth), Build: buildRevision(),
-		Part: section.Part, Schema: record.Schema, More: map[string][]byte{"deployment": deployment, "groups": groups},
+		Router: start.Name, Incarnation: NewIncarnation(), StartedAt: time.Now().UnixNano() / int64(clock.Tenth), Build: buildRevision(),
+		SampledPerMille: section.Part, Schema: record.Schema, Extra: map[string][]byte{"deployment": deployment, "groups": groups},
 	}
-	terms := file.Terms{
-		Dir: section.Dir, Name: start.Name, Size: section.Size, Age: section.Age, Budget: section.Budget,
-		Flush: section.Flush, Blocks: section.Blocks,
+	terms := file.Config{
+		Dir: section.Dir, Name: start.Name, MaxFileBytes: section.Size, MaxFileAge: section.Age, MaxTotalBytes: section.Budget,
+		SyncInterval: section.Flush, BlockCount: section.Blocks,
 	}
 	return file.New(terms, file.Disk{}, header, time.Now, log), nil
 }
@@ -74,8 +74,8 @@
 	return info.Main.Version
 }
 
-// Life returns a random number that distinguishes this run of a process from all others. It is odd, and so never 0.
-func Life() uint64 {
+// NewIncarnation returns a random number that distinguishes this run of a process from all others. It is odd, and so never 0.
+func NewIncarnation() uint64 {
 	n, err := rand.Int(rand.Reader, new(big.Int).SetUint64(math.MaxUint64))
 	if err != nil {
 		panic(err) // crypto/rand's Reader never fails
--- a/internal/router/setup/deployment.go
+++ b/internal/router/setup/deployment.go
@@ -6,7 +6,7 @@
 	"ferrypitch/policy"
 )
 
-// maxReportSeconds limits the positions in load reports: more seconds do not fit a policy.Tenth.
+// maxReportSeconds limits the positions in load reports: more seconds do not fit a policy.TenthMs.
 const maxReportSeconds = 1e12
 
 // Names of the fields of a load report that the router uses.
@@ -29,76 +29,76 @@
 )
 
 // effects are the values of a class's effect; others are idempotent.
-var effects = map[string]policy.Effect{
+var effects = map[string]policy.Idempotency{
 	"deduplicated": policy.Keyed,
-	"at_most_once": policy.Mutating,
+	"at_most_once": policy.NotIdempotent,
 }
 
 // needs are the values of family_info.class_read; others may read anything.
-var needs = map[string]policy.Need{
-	"lag_bound": policy.Bounded,
-	"causal":    policy.Session,
-	"strong":    policy.Fresh,
+var needs = map[string]policy.Consistency{
+	"lag_bound": policy.BoundedStaleness,
+	"causal":    policy.ReadYourWrites,
+	"strong":    policy.Strong,
 	"mutate":    policy.Write,
 }
 
-// Terms describes how commands, answers and load reports of a deployment are read.
-type Terms struct {
-	Groups        map[string]*policy.CmdGroup // by the name in a command's comment
-	Fields        []string                    // of a load report, in order
-	PositionField int                         // index in Fields of the host's position; -1 for none
-	RoleField     int                         // index in Fields of the host's role; -1 for none
-	Positions     bool                        // every answer carries a position
+// Formats describes how commands, answers and load reports of a deployment are read.
+type Formats struct {
+	Groups              map[string]*policy.CommandGroup // by the name in a command's comment
+	Fields              []string                        // of a load report, in order
+	PositionField       int                             // index in Fields of the host's position; -1 for none
+	RoleField           int                             // index in Fields of the host's role; -1 for none
+	AnswersHavePosition bool                            // every answer carries a position
 }
 
-// Deployment reads a deployment's settings. It raises a Fault.
-func Deployment(env Object, seed uint32) (deployment policy.Deployment, terms Terms) {
-	bounds, limits := env.Within("bounds"), env.Within("rules")
-	prices, telemetry := env.Within("prices"), env.Within("telemetry")
-	info := env.Within("family_info")
+// ReadDeployment reads a deployment's settings. It raises a Fault.
+func ReadDeployment(env Object, seed uint32) (deployment policy.Deployment, terms Formats) {
+	bounds, limits := env.Object("bounds"), env.Object("rules")
+	prices, telemetry := env.Object("prices"), env.Object("telemetry")
+	info := env.Object("family_info")
 	terms = readTerms(telemetry, info)
-	reportsBy := telemetry.MaybeText("how")
+	reportsBy := telemetry.OptionalText("how")
 	guards := readGuards(info)
 	deployment = policy.Deployment{
 		Seed:       seed,
-		Zero:       Down(info.MaybeNumber("origin_time")),
-		Tick:       Up(env.MaybeNumber("tick")),
-		Routers:    int(max(1, env.MaybeNumber("peers_total"))),
-		Zone:       env.MaybeText("zone"),
-		Dispatches: int(bounds.MaybeNumber("send_cap")),
+		Zero:       RoundDown(info.OptionalNumber("origin_time")),
+		Tick:       RoundUp(env.OptionalNumber("tick")),
+		Routers:    int(max(1, env.OptionalNumber("peers_total"))),
+		Zone:       env.OptionalText("zone"),
+		Dispatches: int(bounds.OptionalNumber("send_cap")),
 		Guarded:    guards == guardsBounce || guards == guardsAwait,
-		Wait:       Down(info.MaybeNumber("wait")),
-		Kept:       info.MaybeText("session_marks") == "kept",
+		Wait:       RoundDown(info.OptionalNumber("wait")),
+		Kept:       info.OptionalText("session_marks") == "kept",
 		Reports:    (reportsBy == "answers" || reportsBy == "probe") && terms.PositionField >= 0,
 		Probes:     bounds.Flag("probes"),
 		Peers:      bounds.Flag("peers"),
-		PeerPrice:  prices.MaybeNumber("peer"),
-		ProbePrice: prices.MaybeNumber("probe"),
-		FallFactor: limits.MaybeNumber("overload_factor"),
-		FallSpan:   Down(limits.MaybeNumber("fall")),
-		ColdFrom:   limits.MaybeNumber("cold_from"),
-		ColdFor:    Up(limits.MaybeNumber("cold")),
+		PeerPrice:  prices.OptionalNumber("peer"),
+		ProbePrice: prices.OptionalNumber("probe"),
+		FallFactor: limits.OptionalNumber("overload_factor"),
+		FallSpan:   RoundDown(limits.OptionalNumber("fall")),
+		ColdFrom:   limits.OptionalNumber("cold_from"),
+		ColdFor:    RoundUp(limits.OptionalNumber("cold")),
 		DrainAlone: limits.Flag("drain_binds_alone"),
 		Streams:    int(max(1, bounds.optionalNotNegative("streams_per_conn"))),
-		IdleFor:    Down(bounds.optionalNotNegative("conn_idle")),
-		ConnectFor: Down(bounds.optionalNotNegative("connect_timeout")),
+		IdleFor:    RoundDown(bounds.optionalNotNegative("conn_idle")),
+		ConnectFor: RoundDown(bounds.optionalNotNegative("connect_timeout")),
 	}
 	deployment.AskWithin = readAskWithin(env, limits)
 	if bounds.Flag("retry_after") {
-		deployment.Comeback = Down(bounds.MaybeNumber("max_retry_after"))
+		deployment.Comeback = RoundDown(bounds.OptionalNumber("max_retry_after"))
 	}
 	deployment.Groups = readGroups(env, info, terms.Groups)
 	return deployment, terms
 }
 
 // readTerms reads all of the terms but the groups, which it leaves empty.
-func readTerms(telemetry, info Object) Terms {
-	terms := Terms{
-		Groups:        map[string]*policy.CmdGroup{},
+func readTerms(telemetry, info Object) Formats {
+	terms := Formats{
+		Groups:        map[string]*policy.CommandGroup{},
 		PositionField: -1, RoleField: -1,
-		Positions: info.Flag("stamps"),
+		AnswersHavePosition: info.Flag("stamps"),
 	}
-	for i, field := range telemetry.MaybeList("fields") {
+	for i, field := range telemetry.OptionalList("fields") {
 		name, _ := field.(string)
 		switch name {
 		case reportFieldPosition:
@@ -120,8 +120,8 @@
 }
 
 // readAskWithin reads the longest time in which a requested list is waited for; 0 where lists come without a request.
-func readAskWithin(env, limits Object) policy.Tenth {
-	within := Down(limits.optionalNotNegative("ask_within"))
+func readAskWithin(env, limits Object) policy.TenthMs {
+	within := RoundDown(limits.optionalNotNegative("ask_within"))
 	if env.oneOf("discovery", discoveryPushed, discoveryOnRequest) != discoveryOnRequest {
 		return 0
 	}
@@ -132,16 +132,16 @@
 }
 
 // readGroups reads the command groups, which it also enters into byName.
-func readGroups(env, info Object, byName map[string]*policy.CmdGroup) (groups []*policy.CmdGroup) {
-	reads, bounds := info.MaybeList("class_read"), info.MaybeList("class_bound")
+func readGroups(env, info Object, byName map[string]*policy.CommandGroup) (groups []*policy.CommandGroup) {
+	reads, bounds := info.OptionalList("class_read"), info.OptionalList("class_bound")
 	for i, class := range env.Objects("classes") {
-		group := &policy.CmdGroup{
-			Target:    Down(class.Number("promise")),
-			Timeout:   Down(class.Number("give_up")),
-			Memory:    Down(class.MaybeNumber("memory_span")),
-			EverySet:  class.MaybeText("group") == "all",
+		group := &policy.CommandGroup{
+			Target:    RoundDown(class.Number("promise")),
+			Timeout:   RoundDown(class.Number("give_up")),
+			Memory:    RoundDown(class.OptionalNumber("memory_span")),
+			EverySet:  class.OptionalText("group") == "all",
 			Benefit:   class.Number("worth"),
-			LateShare: class.MaybeNumber("late_share"),
+			LateShare: class.OptionalNumber("late_share"),
 		}
 		group.Effect = effects[class.Text("effect")]
 		if i < len(reads) {
@@ -153,7 +153,7 @@
 			if !ok {
 				info.fail("class_bound["+strconv.Itoa(i)+"]", "not a number")
 			}
-			group.Bound = Down(ms)
+			group.Bound = RoundDown(ms)
 		}
 		groups = append(groups, group)
 		byName[class.Text("name")] = group
@@ -161,15 +161,15 @@
 	return groups
 }
 
-// Report reads the position and role in a load report; ok is false if it has no position. field returns the
+// ParseLoadReport reads the position and role in a load report; ok is false if it has no position. field returns the
 // value of a field by its index in Fields.
-func (t Terms) Report(field func(i int) (float64, bool)) (position policy.Tenth, role policy.Role, ok bool) {
+func (t Formats) ParseLoadReport(field func(i int) (float64, bool)) (position policy.TenthMs, role policy.Role, ok bool) {
 	if t.PositionField < 0 {
-		return 0, policy.Unknown, false
+		return 0, policy.UnknownRole, false
 	}
 	seconds, ok := field(t.PositionField)
 	if !ok || seconds < 0 || seconds > maxReportSeconds {
-		return 0, policy.Unknown, false
+		return 0, policy.UnknownRole, false
 	}
 	if t.RoleField >= 0 {
 		if value, known := field(t.RoleField); known {
@@ -179,15 +179,15 @@
 			}
 		}
 	}
-	return Down(1000 * seconds), role, true
+	return RoundDown(1000 * seconds), role, true
 }
 
-// Words reads the position and role that a host sends beside an answer. The position is -1 where there is none; one beyond
+// ParseHostStatus reads the position and role that a host sends beside an answer. The position is -1 where there is none; one beyond
 // maxMs milliseconds cannot be true and counts as none.
-func Words(positionText, roleText string, maxMs float64) (position policy.Tenth, role policy.Role) {
+func ParseHostStatus(positionText, roleText string, maxMs float64) (position policy.TenthMs, role policy.Role) {
 	position = -1
 	if ms, err := strconv.ParseFloat(positionText, 64); err == nil && ms > 0 && ms <= maxMs {
-		position = Down(ms)
+		position = RoundDown(ms)
 	}
 	switch roleText {
 	case "leader":
--- a/internal/router/setup/limits.go
+++ b/internal/router/setup/limits.go
@@ -8,23 +8,23 @@
 	Memory int64 // soft limit for the garbage collector
 
 	MaxClientConns    int // file descriptors for clients
-	Hosts             int // file descriptors for connections to hosts
+	MaxHostConns      int // file descriptors for connections to hosts
 	SpareClientConns  int // descriptors for clients past MaxClientConns, whose commands are throttled
 	CommandQueueSize  int // commands that wait for the decision module
 	MaxPipelined      int // commands of one client connection that are not answered yet
 	MaxRejectedInARow int // rejected commands in a row, before a client's connection ends
 
 	MaxClientMessage int
-	Answer           int // the longest message of a host
-	Line             int // the longest line of discovery
+	MaxHostMessage   int // the longest message of a host
+	MaxListLine      int // the longest line of discovery
 	MaxDatagram      int
-	Buffer           int   // initial size of a connection's buffer
-	Buffers          int64 // by which all buffers together may grow past their initial sizes
+	InitialBuffer    int   // initial size of a connection's buffer
+	BufferBudget     int64 // by which all buffers together may grow past their initial sizes
 
 	// Connections to hosts.
-	Connect    time.Duration // for a connection to come up
-	Idle       time.Duration // after which an idle connection is not used any more
-	ReuseDelay time.Duration // after an answer, for data that does not belong to it to be noticed
+	ConnectTimeout  time.Duration // for a connection to come up
+	HostIdleTimeout time.Duration // after which an idle connection is not used any more
+	ReuseDelay      time.Duration // after an answer, for data that does not belong to it to be noticed
 
 	// Clients.
 	AnswerMargin       time.Duration // before a client's own time-out at which the last answer is sent
@@ -36,8 +36,8 @@
 	ClientWriteTimeout time.Duration // for a client to read its answers
 
 	// Discovery and peers.
-	Quiet              time.Duration // of discovery, before its connection counts as lost
-	Again              time.Duration // before a retry, and the first step of a backoff
+	DiscoveryTimeout   time.Duration // of discovery, before its connection counts as lost
+	RetryDelay         time.Duration // before a retry, and the first step of a backoff
 	DatagramBatchDelay time.Duration // in which datagrams are gathered
 
 	// The goroutine that owns the decision module.
@@ -66,8 +66,8 @@
 
 // computeLimits divides the resources that the platform grants. SIGKILL comes 0.2 s after ShutdownTimeout at the soonest.
 func computeLimits(top Object) Limits {
-	granted, settings := top.Within("limits"), top.Within("settings")
-	bounds := settings.Within("bounds")
+	granted, settings := top.Object("limits"), top.Object("settings")
+	bounds := settings.Object("bounds")
 	cores := granted.atLeast("cores", minCores)
 	memory := int64(granted.atLeast("memory_mb", minMemoryMB)) << 20
 	sockets := int(granted.atLeast("sockets", minSockets))
@@ -79,22 +79,22 @@
 		Memory: memory * 3 / 4,
 
 		MaxClientConns:    sockets - reserved - hostConns,
-		Hosts:             hostConns,
+		MaxHostConns:      hostConns,
 		SpareClientConns:  min(reserved/2, reserved-ownSockets),
 		CommandQueueSize:  1024,
 		MaxPipelined:      32,
 		MaxRejectedInARow: 16,
 
 		MaxClientMessage: 160 << 10,
-		Answer:           96 << 10,
-		Line:             4 << 20,
+		MaxHostMessage:   96 << 10,
+		MaxListLine:      4 << 20,
 		MaxDatagram:      256,
-		Buffer:           4 << 10,
-		Buffers:          memory / 4,
+		InitialBuffer:    4 << 10,
+		BufferBudget:     memory / 4,
 
-		Connect:    bounds.durationAtLeast("connect_timeout", time.Millisecond),
-		Idle:       hostIdle - min(hostIdle/4, idleMargin),
-		ReuseDelay: time.Millisecond,
+		ConnectTimeout:  bounds.durationAtLeast("connect_timeout", time.Millisecond),
+		HostIdleTimeout: hostIdle - min(hostIdle/4, idleMargin),
+		ReuseDelay:      time.Millisecond,
 
 		AnswerMargin:       4 * time.Millisecond,
 		FirstListTimeout:   10 * time.Second,
@@ -104,8 +104,8 @@
 		LingerTimeout:      time.Second,
 		ClientWriteTimeout: 15 * time.Second,
 
-		Quiet:              4500 * time.Millisecond,
-		Again:              50 * time.Millisecond,
+		DiscoveryTimeout:   4500 * time.Millisecond,
+		RetryDelay:         50 * time.Millisecond,
 		DatagramBatchDelay: 15 * time.Millisecond,
 
 		StepInterval:       50 * time.Millisecond,
--- a/internal/router/setup/object.go
+++ b/internal/router/setup/object.go
@@ -85,8 +85,8 @@
 	return number
 }
 
-// MaybeNumber returns a number, or 0 for a field that is missing.
-func (o Object) MaybeNumber(field string) float64 {
+// OptionalNumber returns a number, or 0 for a field that is missing.
+func (o Object) OptionalNumber(field string) float64 {
 	if !o.Has(field) {
 		return 0
 	}
@@ -124,8 +124,8 @@
 	return text
 }
 
-// MaybeText returns a string, or "" for a field that is missing or of another kind.
-func (o Object) MaybeText(field string) string {
+// OptionalText returns a string, or "" for a field that is missing or of another kind.
+func (o Object) OptionalText(field string) string {
 	text, _ := o.fields[field].(string)
 	return text
 }
@@ -177,8 +177,8 @@
 	return list
 }
 
-// MaybeList returns an array, or nil for a field that is missing.
-func (o Object) MaybeList(field string) []any {
+// OptionalList returns an array, or nil for a field that is missing.
+func (o Object) OptionalList(field string) []any {
 	if !o.Has(field) {
 		return nil
 	}
@@ -200,8 +200,8 @@
 	return objects
 }
 
-// Within returns an object.
-func (o Object) Within(field string) Object {
+// Object returns an object.
+func (o Object) Object(field string) Object {
 	fields, ok := o.fields[field].(map[string]any)
 	if !ok {
 		o.failKind(field, "an object")
@@ -212,8 +212,8 @@
 // roundingTenths absorbs the error of a float64 in the conversion to tenths of a millisecond.
 const roundingTenths = 1e-3
 
-// Up converts milliseconds to the policy's unit, rounding up.
-func Up(ms float64) policy.Tenth { return policy.Tenth(math.Ceil(ms*10 - roundingTenths)) }
+// RoundUp converts milliseconds to the policy's unit, rounding up.
+func RoundUp(ms float64) policy.TenthMs { return policy.TenthMs(math.Ceil(ms*10 - roundingTenths)) }
 
-// Down converts milliseconds to the policy's unit, rounding down.
-func Down(ms float64) policy.Tenth { return policy.Tenth(math.Floor(ms*10 + roundingTenths)) }
+// RoundDown converts milliseconds to the policy's unit, rounding down.
+func RoundDown(ms float64) policy.TenthMs { return policy.TenthMs(math.Floor(ms*10 + roundingTenths)) }
--- a/internal/router/setup/sections.go
+++ b/internal/router/setup/sections.go
@@ -15,49 +15,49 @@
 // keyBytes is the size of the key that planners and forwarders share.
 const keyBytes = 32
 
-// Forward is the section of a forwarder, which serves clients by the views of planners.
-type Forward struct {
-	Planners []string // addresses
-	Key      [keyBytes]byte
-	Keep     string        // file that keeps the view for the next start; empty for none
-	Kept     time.Duration // between two writes of that file, at least
-
-	Again  time.Duration // first step of the backoff of a link
-	Most   time.Duration // last step of the backoff of a link
-	Report time.Duration // between two reports
-	Silent time.Duration // after which a silent planner counts as lost
-
-	Dial  time.Duration // for a link to come up, its handshake included
-	Queue int           // frames that may wait to be sent
-	Write time.Duration // for a frame to be sent
-	Frame int           // the longest frame that is accepted, in bytes
+// ForwarderSection is the section of a forwarder, which serves clients by the views of planners.
+type ForwarderSection struct {
+	Planners         []string // addresses
+	Key              [keyBytes]byte
+	ViewFile         string        // file that keeps the view for the next start; empty for none
+	ViewFileInterval time.Duration // between two writes of that file, at least
+
+	RetryDelay     time.Duration // first step of the backoff of a link
+	MaxRetryDelay  time.Duration // last step of the backoff of a link
+	ReportInterval time.Duration // between two reports
+	PlannerTimeout time.Duration // after which a silent planner counts as lost
+
+	DialTimeout     time.Duration // for a link to come up, its handshake included
+	MaxQueuedFrames int           // frames that may wait to be sent
+	WriteTimeout    time.Duration // for a frame to be sent
+	MaxFrameBytes   int           // the longest frame that is accepted, in bytes
 }
 
-// Plan is the section of a planner, which watches discovery and checks the hosts' health for forwarders.
-type Plan struct {
+// PlannerSection is the section of a planner, which watches discovery and checks the hosts' health for forwarders.
+type PlannerSection struct {
 	Listen     string // address for forwarders
 	Key        [keyBytes]byte
 	Generation uint64
 
-	Forwarders int           // at most
-	Probes     int           // health checks in flight, at most
-	PerSecond  int           // health checks a second, at most
-	Reports    int           // reports of forwarders a second, at most
-	Frames     int           // frames a second to all forwarders, at most
-	Bytes      int           // bytes of positions a second to all forwarders, at most
-	Beat       time.Duration // between two changes that forwarders are sent, at least
-	Probe      time.Duration // after which a host that nobody has heard of is checked
-	Search     time.Duration // between two checks where a set's primary is unknown or silent
-
-	Greet    time.Duration // for a forwarder's handshake
-	Greeting int           // connections whose handshake is not complete, at most
-	Queue    int           // frames that may wait for a slow reader
-	Write    time.Duration // for a part of a frame to be sent
-	Frame    int           // the longest frame that is accepted, in bytes
+	MaxForwarders          int           // at most
+	MaxProbesInFlight      int           // health checks in flight, at most
+	ProbesPerSecond        int           // health checks a second, at most
+	ReportsPerSecond       int           // reports of forwarders a second, at most
+	FramesPerSecond        int           // frames a second to all forwarders, at most
+	PositionBytesPerSecond int           // bytes of positions a second to all forwarders, at most
+	ChangeInterval         time.Duration // between two changes that forwarders are sent, at least
+	ProbeInterval          time.Duration // after which a host that nobody has heard of is checked
+	PrimaryProbeInterval   time.Duration // between two checks where a set's primary is unknown or silent
+
+	HandshakeTimeout time.Duration // for a forwarder's handshake
+	MaxHandshakes    int           // connections whose handshake is not complete, at most
+	MaxQueuedFrames  int           // frames that may wait for a slow reader
+	WriteTimeout     time.Duration // for a part of a frame to be sent
+	MaxFrameBytes    int           // the longest frame that is accepted, in bytes
 }
 
-// Trace is the section of trace capture.
-type Trace struct {
+// TraceSection is the section of trace capture.
+type TraceSection struct {
 	Dir    string
 	Part   uint32         // of sessions that are captured, in thousandths
 	Key    [keyBytes]byte // of the hash that selects sessions, where not all are captured
@@ -75,30 +75,30 @@
 const wholePart = 1000
 
 // FullTrace captures everything into a folder that may be in memory, as a router without an operator's file does.
-func FullTrace(dir string) *Trace {
-	return &Trace{
+func FullTrace(dir string) *TraceSection {
+	return &TraceSection{
 		Dir: dir, Part: wholePart, Size: 4 << 20, Budget: 12 << 20, Age: time.Hour, Flush: time.Second,
 		Block: 128 << 10, Blocks: 3,
 	}
 }
 
 // readForward reads a forwarder's section. Relative paths are relative to dir, as in all sections.
-func readForward(o Object, dir string) (*Forward, error) {
-	f := &Forward{
-		Kept:   time.Second,
-		Again:  50 * time.Millisecond,
-		Most:   5 * time.Second,
-		Report: o.optionalMilliseconds("report_ms", 200*time.Millisecond),
-		Silent: o.optionalMilliseconds("silent_ms", 2*time.Second),
-		Dial:   2 * time.Second,
-		Queue:  16,
-		Write:  2 * time.Second,
-		Frame:  link.FrameMost,
+func readForward(o Object, dir string) (*ForwarderSection, error) {
+	f := &ForwarderSection{
+		ViewFileInterval: time.Second,
+		RetryDelay:       50 * time.Millisecond,
+		MaxRetryDelay:    5 * time.Second,
+		ReportInterval:   o.optionalMilliseconds("report_ms", 200*time.Millisecond),
+		PlannerTimeout:   o.optionalMilliseconds("silent_ms", 2*time.Second),
+		DialTimeout:      2 * time.Second,
+		MaxQueuedFrames:  16,
+		WriteTimeout:     2 * time.Second,
+		MaxFrameBytes:    link.MaxFrameBytes,
 	}
 	if o.Has("keep") {
-		f.Keep = absolutePath(o.Text("keep"), dir)
-		if !isFolder(filepath.Dir(f.Keep)) {
-			return nil, fmt.Errorf("%s.keep: %s: its folder is not there", o.path, f.Keep)
+		f.ViewFile = absolutePath(o.Text("keep"), dir)
+		if !isFolder(filepath.Dir(f.ViewFile)) {
+			return nil, fmt.Errorf("%s.keep: %s: its folder is not there", o.path, f.ViewFile)
 		}
 	}
 	for i, item := range o.List("planners") {
@@ -112,23 +112,23 @@
 }
 
 // readPlan reads a planner's section.
-func readPlan(o Object, dir string) (*Plan, error) {
-	p := &Plan{
-		Listen:     o.Text("listen"),
-		Forwarders: o.optionalInt("forwarders", 5000),
-		Probes:     o.optionalInt("probes", 64),
-		PerSecond:  o.optionalInt("probes_per_second", 400),
-		Reports:    o.optionalInt("reports_per_second", 1000),
-		Frames:     o.optionalInt("frames_per_second", 20000),
-		Bytes:      o.optionalInt("position_bytes_per_second", 20_000_000),
-		Beat:       o.optionalMilliseconds("beat_ms", 100*time.Millisecond),
-		Probe:      o.optionalMilliseconds("probe_ms", 500*time.Millisecond),
-		Search:     o.optionalMilliseconds("search_ms", 50*time.Millisecond),
-		Greet:      2 * time.Second,
-		Greeting:   256,
-		Queue:      32,
-		Write:      2 * time.Second,
-		Frame:      link.ReportMost,
+func readPlan(o Object, dir string) (*PlannerSection, error) {
+	p := &PlannerSection{
+		Listen:                 o.Text("listen"),
+		MaxForwarders:          o.optionalInt("forwarders", 5000),
+		MaxProbesInFlight:      o.optionalInt("probes", 64),
+		ProbesPerSecond:        o.optionalInt("probes_per_second", 400),
+		ReportsPerSecond:       o.optionalInt("reports_per_second", 1000),
+		FramesPerSecond:        o.optionalInt("frames_per_second", 20000),
+		PositionBytesPerSecond: o.optionalInt("position_bytes_per_second", 20_000_000),
+		ChangeInterval:         o.optionalMilliseconds("beat_ms", 100*time.Millisecond),
+		ProbeInterval:          o.optionalMilliseconds("probe_ms", 500*time.Millisecond),
+		PrimaryProbeInterval:   o.optionalMilliseconds("search_ms", 50*time.Millisecond),
+		HandshakeTimeout:       2 * time.Second,
+		MaxHandshakes:          256,
+		MaxQueuedFrames:        32,
+		WriteTimeout:           2 * time.Second,
+		MaxFrameBytes:          link.MaxReportBytes,
 	}
 	requireAddress(p.Listen, o.path+".listen")
 	if o.Has("generation") {
@@ -140,8 +140,8 @@
 }
 
 // readTrace reads the section of trace capture.
-func readTrace(o Object, dir string) (*Trace, error) {
-	t := &Trace{
+func readTrace(o Object, dir string) (*TraceSection, error) {
+	t := &TraceSection{
 		Dir:    o.Text("dir"),
 		Part:   wholePart,
 		Detail: !o.Has("detail") || o.Flag("detail"),
--- a/internal/router/setup/setup.go
+++ b/internal/router/setup/setup.go
@@ -25,7 +25,7 @@
 	InitialList  Object // the last list, for the decision module; Has("targets") is false without one
 	InitialView  Object // the same for a forwarder's view
 	Deployment   policy.Deployment
-	Terms        Terms
+	Formats      Formats
 	NextSettings *NextSettings // settings that are previewed; nil for none
 	Limits       Limits
 
@@ -37,7 +37,7 @@
 // NextSettings is what a deployment would be by settings that are not in force yet.
 type NextSettings struct {
 	Deployment policy.Deployment
-	Terms      Terms
+	Formats    Formats
 }
 
 // Load reads the environment and the file that it names.
@@ -77,8 +77,8 @@
 		Name:       fromEnvOr("GW_NAME", "name"),
 		Listen:     fromEnvOr("GW_LISTEN", "listen"),
 		Discovery:  fromEnvOr("GW_DISCOVERY", "discovery"),
-		PeerListen: top.MaybeText("peer_listen"),
-		PeersAll:   top.MaybeText("peers_all"),
+		PeerListen: top.OptionalText("peer_listen"),
+		PeersAll:   top.OptionalText("peers_all"),
 	}
 	s.readSettings(top)
 	s.readPeers(top)
@@ -92,14 +92,14 @@
 		requireAddress(s.Discovery, "GW_DISCOVERY (discovery)")
 	}
 	if top.Has("known") {
-		s.InitialList = top.Within("known")
+		s.InitialList = top.Object("known")
 		if s.InitialList.Has("targets") {
 			s.InitialList.Objects("targets")
 			s.InitialList.Integer("rev")
 		}
 	}
 	s.Limits = computeLimits(top)
-	s.fileDiscovery, s.fileFields = top.MaybeText("discovery"), top.fields
+	s.fileDiscovery, s.fileFields = top.OptionalText("discovery"), top.fields
 	return s, nil
 }
 
@@ -109,20 +109,20 @@
 	if err != nil {
 		top.fail("seed", "not a number in hexadecimal digits")
 	}
-	read := func(key string) (policy.Deployment, Terms) {
-		deployment, terms := Deployment(top.Within(key), uint32(seed)^uint32(seed>>32))
+	read := func(key string) (policy.Deployment, Formats) {
+		deployment, terms := ReadDeployment(top.Object(key), uint32(seed)^uint32(seed>>32))
 		deployment.Zero = 0 // positions on sockets are Unix times
 		deployment.Peers = deployment.Peers && s.PeerListen != "" && s.PeersAll != ""
 		return deployment, terms
 	}
-	s.Deployment, s.Terms = read("settings")
+	s.Deployment, s.Formats = read("settings")
 	if !top.Has("next_settings") {
 		return
 	}
 	s.NextSettings = &NextSettings{}
-	s.NextSettings.Deployment, s.NextSettings.Terms = read("next_settings")
-	for name := range s.Terms.Groups {
-		if s.NextSettings.Terms.Groups[name] == nil {
+	s.NextSettings.Deployment, s.NextSettings.Formats = read("next_settings")
+	for name := range s.Formats.Groups {
+		if s.NextSettings.Formats.Groups[name] == nil {
 			panic(Fault("next_settings.classes: none of the name " + strconv.Quote(name)))
 		}
 	}
@@ -130,7 +130,7 @@
 
 // readPeers reads the addresses of the other routers, and checks them where routers exchange messages.
 func (s *Start) readPeers(top Object) {
-	for _, item := range top.MaybeList("peers") {
+	for _, item := range top.OptionalList("peers") {
 		peer, _ := item.(string)
 		s.Peers = append(s.Peers, peer)
 	}
--- a/internal/router/setup/setup_test.go
+++ b/internal/router/setup/setup_test.go
@@ -18,15 +18,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, given := computeLimits(top), int(top.Within("limits").Number("sockets"))
-		if l.MaxClientConns < 16 || l.Hosts < 16 || l.SpareClientConns < 8 || l.MaxClientConns+l.Hosts+l.SpareClientConns > given-16 {
-			t.Errorf("%s: %d for clients, %d for hosts", sockets, l.MaxClientConns, l.Hosts)
+		l, given := computeLimits(top), int(top.Object("limits").Number("sockets"))
+		if l.MaxClientConns < 16 || l.MaxHostConns < 16 || l.SpareClientConns < 8 || l.MaxClientConns+l.MaxHostConns+l.SpareClientConns > given-16 {
+			t.Errorf("%s: %d for clients, %d for hosts", sockets, l.MaxClientConns, l.MaxHostConns)
 		}
-		if l.Cores != 1 || l.Memory >= 192<<20 || l.Idle >= 30*time.Second || l.ShutdownTimeout != 1400*time.Millisecond ||
+		if l.Cores != 1 || l.Memory >= 192<<20 || l.HostIdleTimeout >= 30*time.Second || l.ShutdownTimeout != 1400*time.Millisecond ||
 			l.DrainDelay != 1200*time.Millisecond {
 			t.Errorf("%+v", l)
 		}
-		if most := l.Buffers + int64(l.Hosts*l.Answer) + int64((l.Hosts+l.MaxClientConns)*l.Buffer); sockets == "1024" && most > l.Memory {
+		if most := l.BufferBudget + int64(l.MaxHostConns*l.MaxHostMessage) + int64((l.MaxHostConns+l.MaxClientConns)*l.InitialBuffer); sockets == "1024" && most > l.Memory {
 			t.Errorf("buffers may take %d of %d", most, l.Memory)
 		}
 	}
@@ -37,12 +37,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dep, terms := Deployment(env, 7)
-	if g := terms.Groups["own"]; g == nil || g.Need != policy.Session || g.Timeout != 9000 || !dep.Reports {
+	dep, terms := ReadDeployment(env, 7)
+	if g := terms.Groups["own"]; g == nil || g.Need != policy.ReadYourWrites || g.Timeout != 9000 || !dep.Reports {
 		t.Errorf("%+v", dep)
 	}
 	row := []float64{3, 1, 1767225600.1234}
-	pos, role, ok := terms.Report(func(i int) (float64, bool) { return row[i], i < len(row) })
+	pos, role, ok := terms.ParseLoadReport(func(i int) (float64, bool) { return row[i], i < len(row) })
 	if pos != 17672256001234 || role != policy.Primary || !ok {
 		t.Error(pos, role, ok)
 	}
@@ -51,7 +51,7 @@
 		"less than nothing":   func(int) (float64, bool) { return -3, true },
 		"beyond the integers": func(int) (float64, bool) { return 1e300, true },
 	} {
-		if _, _, ok := terms.Report(said); ok {
+		if _, _, ok := terms.ParseLoadReport(said); ok {
 			t.Errorf("a report that says %s is read", name)
 		}
 	}
@@ -64,7 +64,7 @@
 		if err != nil {
 			return err
 		}
-		top.Within("settings").Objects("classes")[0].Number("give_up")
+		top.Object("settings").Objects("classes")[0].Number("give_up")
 		return nil
 	}
 	var fault Fault
--- a/internal/router/tier/follower/planner.go
+++ b/internal/router/tier/follower/planner.go
@@ -13,15 +13,15 @@
 	replica        view.Replica
 	connected      bool
 	dialing        bool
-	nextDialAt     policy.Tenth
-	backoff        policy.Tenth
-	lastChangeAt   policy.Tenth
-	reportInterval policy.Tenth     // that the planner asked for
+	nextDialAt     policy.TenthMs
+	backoff        policy.TenthMs
+	lastChangeAt   policy.TenthMs
+	reportInterval policy.TenthMs   // that the planner asked for
 	lateness       map[string]uint8 // by host, as this planner states it
 }
 
 // Connected begins a link. The planner sends a full view unasked.
-func (p *Planner) Connected(now policy.Tenth) {
+func (p *Planner) Connected(now policy.TenthMs) {
 	p.follower.advance(now)
 	p.connected, p.dialing = true, false
 	p.lastChangeAt = p.follower.now
@@ -29,26 +29,26 @@
 	p.replica = view.Replica{}
 }
 
-// Lost ends a link, or a failed attempt to dial. The backoff doubles up to its
+// Disconnected ends a link, or a failed attempt to dial. The backoff doubles up to its
 // limit; a random part of it is left out, so that forwarders do not all return to
 // a planner at once.
-func (p *Planner) Lost(now policy.Tenth) {
+func (p *Planner) Disconnected(now policy.TenthMs) {
 	f := p.follower
 	f.advance(now)
 	p.connected, p.dialing = false, false
-	p.nextDialAt = f.now + policy.Tenth((0.5+f.randomFraction()/2)*float64(p.backoff))
-	p.backoff = min(2*p.backoff, f.config.Most)
+	p.nextDialAt = f.now + policy.TenthMs((0.5+f.randomFraction()/2)*float64(p.backoff))
+	p.backoff = min(2*p.backoff, f.config.MaxBackoff)
 	f.dropLateness(p)
 }
 
-// Changed applies a change that a planner sent. It reports whether the caller
+// ApplyChange applies a change that a planner sent. It reports whether the caller
 // must request a full view, since the change does not fit what is known.
-func (p *Planner) Changed(now policy.Tenth, change view.Change) (needFullView bool) {
+func (p *Planner) ApplyChange(now policy.TenthMs, change view.Change) (needFullView bool) {
 	f := p.follower
 	f.advance(now)
 	p.lastChangeAt, f.lastChangeAt = f.now, f.now
-	p.reportInterval = change.Every
-	p.backoff = f.config.Again
+	p.reportInterval = change.ReportInterval
+	p.backoff = f.config.InitialBackoff
 	applied, err := p.replica.Apply(change)
 	if err != nil {
 		f.countResync(err)
@@ -57,10 +57,10 @@
 	if !applied {
 		return false
 	}
-	if change.Whole {
-		f.view.Join(&p.replica.View, view.MaxPosition(f.now))
+	if change.Full {
+		f.view.Merge(&p.replica.View, view.MaxPosition(f.now))
 	} else {
-		f.view.Join(p.replica.TouchedPart(change), view.MaxPosition(f.now))
+		f.view.Merge(p.replica.TouchedPart(change), view.MaxPosition(f.now))
 	}
 	p.applyLateness(change.Hosts)
 	return false
@@ -69,20 +69,20 @@
 // applyLateness stores the lateness that the planner states for hosts.
 func (p *Planner) applyLateness(hosts []view.Host) {
 	for _, host := range hosts {
-		if p.lateness[host.Name] == host.Late {
+		if p.lateness[host.Name] == host.Lateness {
 			continue
 		}
 		if p.lateness == nil {
 			p.lateness = map[string]uint8{}
 		}
-		p.lateness[host.Name] = host.Late
+		p.lateness[host.Name] = host.Lateness
 		p.follower.changedLateness[host.Name] = true
 	}
 }
 
 // silenceTimeout is how long the planner may send nothing.
-func (p *Planner) silenceTimeout() policy.Tenth {
-	return max(p.follower.config.Silent, missedIntervals*p.reportInterval)
+func (p *Planner) silenceTimeout() policy.TenthMs {
+	return max(p.follower.config.PlannerTimeout, missedIntervals*p.reportInterval)
 }
 
 // isCurrent reports whether the planner's view is complete and recent.
--- a/internal/router/tier/forward/forward.go
+++ b/internal/router/tier/forward/forward.go
@@ -38,16 +38,16 @@
 
 // Router is what the view is for. Both methods are called by the owner's goroutine.
 type Router interface {
-	// Told passes what changed in the view: hosts, names of removed hosts, the
+	// UpdateHosts passes what changed in the view: hosts, names of removed hosts, the
 	// number of routers that share the hosts, and whether no planner is current.
-	Told(hosts []view.Host, dropped []string, routers int, blind bool)
-	// Report returns what was observed of hosts since the last call.
-	Report() []link.Heard
+	UpdateHosts(hosts []view.Host, dropped []string, routers int, blind bool)
+	// TakeObservations returns what was observed of hosts since the last call.
+	TakeObservations() []link.Observation
 }
 
-// Forward is one forwarder's client of the planners.
-type Forward struct {
-	settings       *setup.Forward
+// Forwarder is one forwarder's client of the planners.
+type Forwarder struct {
+	settings       *setup.ForwarderSection
 	name           string
 	incarnation    uint64
 	router         Router
@@ -57,7 +57,7 @@
 	events         chan func()
 	conns          map[*follower.Planner]*line.Conn
 	snapshots      chan []byte // encoded views for the goroutine that stores them
-	nextSnapshotAt policy.Tenth
+	nextSnapshotAt policy.TenthMs
 
 	// Counters, which any goroutine may read. ViewAgeMs is in milliseconds, -1
 	// while no planner has sent a change.
@@ -68,15 +68,15 @@
 
 // New makes a forwarder. incarnation differs from that of any other process;
 // routers is the number of routers to assume until a planner states one.
-func New(settings *setup.Forward, name string, incarnation uint64, routers int, router Router, log *zap.Logger) *Forward {
+func New(settings *setup.ForwarderSection, name string, incarnation uint64, routers int, router Router, log *zap.Logger) *Forwarder {
 	forwardClock := clock.New(time.Now)
-	config := follower.Terms{
-		Again:  tenths(settings.Again),
-		Most:   tenths(settings.Most),
-		Report: tenths(settings.Report),
-		Silent: tenths(settings.Silent),
+	config := follower.Config{
+		InitialBackoff: tenths(settings.RetryDelay),
+		MaxBackoff:     tenths(settings.MaxRetryDelay),
+		ReportInterval: tenths(settings.ReportInterval),
+		PlannerTimeout: tenths(settings.PlannerTimeout),
 	}
-	f := &Forward{
+	f := &Forwarder{
 		settings: settings, name: name, incarnation: incarnation, router: router, log: log,
 		clock:     forwardClock,
 		core:      follower.New(incarnation, config, settings.Planners, routers, forwardClock.Now()),
@@ -89,15 +89,15 @@
 	return f
 }
 
-func tenths(duration time.Duration) policy.Tenth { return policy.Tenth(duration / clock.Tenth) }
+func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
 
-// Known applies the list that a forwarder starts with. It must be called before Run.
-func (f *Forward) Known(revision int64, whole bool, hosts []view.Host) {
+// LoadList applies the list that a forwarder starts with. It must be called before Run.
+func (f *Forwarder) LoadList(revision int64, whole bool, hosts []view.Host) {
 	f.core.LoadList(revision, whole, hosts)
 }
 
 // enqueue passes an event to the owner, unless the context ends first.
-func (f *Forward) enqueue(ctx context.Context, event func()) {
+func (f *Forwarder) enqueue(ctx context.Context, event func()) {
 	select {
 	case f.events <- event:
 	case <-ctx.Done():
@@ -106,7 +106,7 @@
 
 // Run follows the planners until the context ends, and returns once all its
 // goroutines have ended. The error is always nil.
-func (f *Forward) Run(ctx context.Context) error {
+func (f *Forwarder) Run(ctx context.Context) error {
 	links, ctx := errgroup.WithContext(ctx)
 	links.Go(func() error { f.writeSnapshots(ctx); return nil })
 	f.runOwner(ctx, links)
@@ -114,7 +114,7 @@
 }
 
 // runOwner is the loop of the goroutine that owns the follower.
-func (f *Forward) runOwner(ctx context.Context, links *errgroup.Group) {
+func (f *Forwarder) runOwner(ctx context.Context, links *errgroup.Group) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -134,9 +134,9 @@
 }
 
 // tick executes what is due and returns the time of the next tick.
-func (f *Forward) tick(ctx context.Context, links *errgroup.Group) policy.Tenth {
+func (f *Forwarder) tick(ctx context.Context, links *errgroup.Group) policy.TenthMs {
 	actions := f.core.Tick(f.clock.Now())
-	for _, planner := range actions.Cut {
+	for _, planner := range actions.Disconnect {
 		if conn := f.conns[planner]; conn != nil {
 			conn.CloseWithError(errPlannerSilent)
 		}
@@ -144,35 +144,35 @@
 	for _, planner := range actions.Dial {
 		links.Go(func() error { f.followPlanner(ctx, planner); return nil })
 	}
-	if actions.Told {
-		f.router.Told(actions.Hosts, actions.Dropped, actions.Routers, actions.Blind)
-		if f.NoPlanner.Load() != actions.Blind {
-			f.log.Info("planners", zap.Bool("no_planner", actions.Blind), zap.Int("routers", actions.Routers))
+	if actions.Changed {
+		f.router.UpdateHosts(actions.ChangedHosts, actions.RemovedHosts, actions.RouterCount, actions.NoPlanner)
+		if f.NoPlanner.Load() != actions.NoPlanner {
+			f.log.Info("planners", zap.Bool("no_planner", actions.NoPlanner), zap.Int("routers", actions.RouterCount))
 		}
 		f.offerSnapshot(f.clock.Now())
 	}
-	if actions.Report {
+	if actions.SendReport {
 		f.sendReport()
 	}
-	f.NoPlanner.Store(actions.Blind)
-	f.RouterCount.Store(int64(actions.Routers))
-	if age := f.core.Age(); age >= 0 {
+	f.NoPlanner.Store(actions.NoPlanner)
+	f.RouterCount.Store(int64(actions.RouterCount))
+	if age := f.core.ViewAge(); age >= 0 {
 		f.ViewAgeMs.Store(age / tenthsPerMillisecond)
 	}
-	return actions.Next
+	return actions.NextTick
 }
 
 // sendReport sends all connected planners what the router observed.
-func (f *Forward) sendReport() {
-	body := link.Body(link.Report{Every: tenths(f.settings.Report), Heard: f.router.Report()})
+func (f *Forwarder) sendReport() {
+	body := link.EncodeBody(link.Report{Interval: tenths(f.settings.ReportInterval), Observations: f.router.TakeObservations()})
 	for _, conn := range f.conns {
 		conn.Send(link.KindReport, body)
 	}
 	f.Reports.Add(1)
 }
 
-// Fields returns the counters for a log line.
-func (f *Forward) Fields() []zap.Field {
+// LogFields returns the counters for a log line.
+func (f *Forwarder) LogFields() []zap.Field {
 	return []zap.Field{
 		zap.Int64("planners", f.OpenLinks.Load()),
 		zap.Bool("blind", f.NoPlanner.Load()),
--- a/internal/router/tier/forward/link.go
+++ b/internal/router/tier/forward/link.go
@@ -14,14 +14,14 @@
 )
 
 // followPlanner runs one link, from dialling to its end, and reports the end to the owner.
-func (f *Forward) followPlanner(ctx context.Context, planner *follower.Planner) {
+func (f *Forwarder) followPlanner(ctx context.Context, planner *follower.Planner) {
 	err := f.runLink(ctx, planner)
 	f.enqueue(ctx, func() {
 		if f.conns[planner] != nil {
 			f.OpenLinks.Add(-1)
 			delete(f.conns, planner)
 		}
-		planner.Lost(f.clock.Now())
+		planner.Disconnected(f.clock.Now())
 	})
 	if ctx.Err() == nil {
 		f.log.Warn("a planner is not followed", zap.String("planner", planner.Address), zap.Error(err))
@@ -29,16 +29,16 @@
 }
 
 // runLink connects to a planner and reads its frames until the link ends, and returns why it did.
-func (f *Forward) runLink(ctx context.Context, planner *follower.Planner) error {
-	socket, err := (&net.Dialer{Timeout: f.settings.Dial}).DialContext(ctx, "tcp", planner.Address)
+func (f *Forwarder) runLink(ctx context.Context, planner *follower.Planner) error {
+	socket, err := (&net.Dialer{Timeout: f.settings.DialTimeout}).DialContext(ctx, "tcp", planner.Address)
 	if err != nil {
 		return err
 	}
 	defer socket.Close()
 	defer context.AfterFunc(ctx, func() { socket.Close() })()
-	socket.SetDeadline(time.Now().Add(f.settings.Dial))
+	socket.SetDeadline(time.Now().Add(f.settings.DialTimeout))
 	conn, err := line.ForwarderHandshake(socket, &f.settings.Key, f.name, f.incarnation,
-		f.settings.Queue, f.settings.Frame, f.settings.Write)
+		f.settings.MaxQueuedFrames, f.settings.MaxFrameBytes, f.settings.WriteTimeout)
 	if err != nil {
 		return err
 	}
@@ -65,14 +65,14 @@
 }
 
 // receiveChange decodes a change and passes it to the owner.
-func (f *Forward) receiveChange(ctx context.Context, planner *follower.Planner, conn *line.Conn, body []byte) error {
-	change, err := link.ReadChange(body)
+func (f *Forwarder) receiveChange(ctx context.Context, planner *follower.Planner, conn *line.Conn, body []byte) error {
+	change, err := link.DecodeChange(body)
 	if err != nil {
 		f.InvalidChanges.Add(1)
 		return err
 	}
 	f.Changes.Add(1)
-	if change.Whole {
+	if change.Full {
 		f.FullViews.Add(1)
 	}
 	f.enqueue(ctx, func() { f.applyChange(planner, conn, change) })
@@ -80,11 +80,11 @@
 }
 
 // applyChange runs on the owner's goroutine. A change of a link that has ended meanwhile is ignored.
-func (f *Forward) applyChange(planner *follower.Planner, conn *line.Conn, change view.Change) {
+func (f *Forwarder) applyChange(planner *follower.Planner, conn *line.Conn, change view.Change) {
 	if f.conns[planner] != conn {
 		return
 	}
-	if needFullView := planner.Changed(f.clock.Now(), change); needFullView {
+	if needFullView := planner.ApplyChange(f.clock.Now(), change); needFullView {
 		conn.Send(link.KindViewRequest, nil)
 	}
 }
--- a/internal/router/tier/forward/snapshot.go
+++ b/internal/router/tier/forward/snapshot.go
@@ -10,41 +10,41 @@
 	"ferrypitch/policy"
 )
 
-// Kept loads the view that an earlier process stored. It must be called before
+// RestoreView loads the view that an earlier process stored. It must be called before
 // Run. A file that is missing or damaged is not used; the planners then send what
 // it would have held.
-func (f *Forward) Kept() {
-	if f.settings.Keep == "" {
+func (f *Forwarder) RestoreView() {
+	if f.settings.ViewFile == "" {
 		return
 	}
-	body, err := snapshotfile.Read(snapshotfile.Disk{}, f.settings.Keep)
-	if snapshotfile.None(err) {
+	body, err := snapshotfile.Read(snapshotfile.Disk{}, f.settings.ViewFile)
+	if snapshotfile.IsNotExist(err) {
 		return
 	}
 	if err != nil {
 		f.log.Warn("the stored view is not used", zap.Error(err))
 		return
 	}
-	change, err := link.ReadChange(body)
+	change, err := link.DecodeChange(body)
 	if err != nil {
 		f.log.Warn("the stored view is not used", zap.Error(err))
 		return
 	}
-	f.core.Kept(change)
+	f.core.RestoreView(change)
 	f.log.Info("started from the stored view", zap.Int("hosts", len(change.Hosts)))
 }
 
 // writeSnapshots stores views until the context ends. Only the newest one waits.
 // A disk that fails slows down the next start and nothing else, so only the first
 // failure in a row is logged.
-func (f *Forward) writeSnapshots(ctx context.Context) {
+func (f *Forwarder) writeSnapshots(ctx context.Context) {
 	failing := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case body := <-f.snapshots:
-			err := snapshotfile.Write(snapshotfile.Disk{}, f.settings.Keep, body)
+			err := snapshotfile.Write(snapshotfile.Disk{}, f.settings.ViewFile, body)
 			if err != nil {
 				f.SnapshotFailures.Add(1)
 				if !failing {
@@ -58,10 +58,10 @@
 
 // offerSnapshot passes the view to writeSnapshots, unless a snapshot is not due
 // yet or the one before still waits.
-func (f *Forward) offerSnapshot(now policy.Tenth) {
-	if f.settings.Keep == "" || now < f.nextSnapshotAt || !f.core.Ready() || len(f.snapshots) > 0 {
+func (f *Forwarder) offerSnapshot(now policy.TenthMs) {
+	if f.settings.ViewFile == "" || now < f.nextSnapshotAt || !f.core.HasHosts() || len(f.snapshots) > 0 {
 		return
 	}
-	f.nextSnapshotAt = now + tenths(f.settings.Kept)
-	f.snapshots <- link.Body(f.core.View().Whole(f.incarnation, 0))
+	f.nextSnapshotAt = now + tenths(f.settings.ViewFileInterval)
+	f.snapshots <- link.EncodeBody(f.core.View().FullChange(f.incarnation, 0))
 }
--- a/internal/router/tier/line/line_test.go
+++ b/internal/router/tier/line/line_test.go
@@ -28,10 +28,10 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		planner, plannerErr = PlannerHandshake(plannerSocket, &key, "planner", 7, queueLength, link.ReportMost, writeTimeout,
+		planner, plannerErr = PlannerHandshake(plannerSocket, &key, "planner", 7, queueLength, link.MaxReportBytes, writeTimeout,
 			func(link.Greeting) bool { return accept })
 	}()
-	forwarder, forwarderErr = ForwarderHandshake(forwarderSocket, &key, "forwarder", 5, queueLength, link.FrameMost, writeTimeout)
+	forwarder, forwarderErr = ForwarderHandshake(forwarderSocket, &key, "forwarder", 5, queueLength, link.MaxFrameBytes, writeTimeout)
 	<-done
 	return forwarder, planner, forwarderErr, plannerErr
 }
--- a/internal/router/tier/link/link.go
+++ b/internal/router/tier/link/link.go
@@ -24,11 +24,11 @@
 
 	// MaxGreetingBytes is the longest greeting.
 	MaxGreetingBytes = greetingFixedBytes + maxNameBytes + macBytes
-	// FrameMost is the longest frame in bytes that a forwarder accepts: a full
+	// MaxFrameBytes is the longest frame in bytes that a forwarder accepts: a full
 	// view of some 50,000 hosts.
-	FrameMost = 16 << 20
-	// ReportMost is the longest frame in bytes that a planner accepts.
-	ReportMost = 1 << 20
+	MaxFrameBytes = 16 << 20
+	// MaxReportBytes is the longest frame in bytes that a planner accepts.
+	MaxReportBytes = 1 << 20
 )
 
 // Errors of greetings and frames. All end the connection; none can be retried on it.
--- a/internal/router/tier/link/link_test.go
+++ b/internal/router/tier/link/link_test.go
@@ -35,27 +35,27 @@
 func TestMessagesRoundTrip(t *testing.T) {
 	forwarder, planner := sessions()
 	change := view.Change{
-		Life: 7, Seq: 2, Hosts: []view.Host{{
+		Incarnation: 7, Sequence: 2, Hosts: []view.Host{{
 			Name: "a", Address: "x", Set: -3, Size: 1.5, Standing: policy.Draining,
-			Version: view.Version{Gen: 1, Rev: 41}, Pos: 99, Role: policy.Replica, RoleAt: 98, Turn: 1, Late: 3,
-		}}, Dropped: []string{"b"}, Digest: 5,
+			Version: view.Version{Generation: 1, Revision: 41}, Position: 99, Role: policy.Replica, RolePosition: 98, RoleChanges: 1, Lateness: 3,
+		}}, Removed: []string{"b"}, Digest: 5,
 	}
-	wire := planner.Seal(nil, KindChange, Body(change))
+	wire := planner.Seal(nil, KindChange, EncodeBody(change))
 	for received := range wire {
-		if size, err := FrameSize(wire[:received], FrameMost); size <= received || err != nil {
+		if size, err := FrameSize(wire[:received], MaxFrameBytes); size <= received || err != nil {
 			t.Fatalf("%d bytes received: size %d, %v", received, size, err)
 		}
 		if _, err := forwarder.Open(wire[:received]); err == nil {
 			t.Fatalf("a frame of %d of %d bytes is accepted", received, len(wire))
 		}
 	}
-	frame, err := open(forwarder, wire, FrameMost)
-	decoded, decodeErr := ReadChange(frame.Body)
+	frame, err := open(forwarder, wire, MaxFrameBytes)
+	decoded, decodeErr := DecodeChange(frame.Body)
 	if frame.Kind != KindChange || err != nil || decodeErr != nil || !reflect.DeepEqual(decoded, change) {
 		t.Errorf("%v %v %+v", err, decodeErr, decoded)
 	}
-	report := Report{Every: 2000, Heard: []Heard{{Evidence: view.Evidence{Name: "a", Pos: 4}, Count: 2, Sum: 300, Boot: 8, Cold: 1500}}}
-	frame, err = open(planner, forwarder.Seal(nil, KindReport, Body(report)), ReportMost)
+	report := Report{Interval: 2000, Observations: []Observation{{Evidence: view.Evidence{Name: "a", Position: 4}, Responses: 2, LatenessSum: 300, BootedAt: 8, ColdWork: 1500}}}
+	frame, err = open(planner, forwarder.Seal(nil, KindReport, EncodeBody(report)), MaxReportBytes)
 	if err != nil || frame.Kind != KindReport {
 		t.Fatalf("%v, kind %d", err, frame.Kind)
 	}
@@ -82,7 +82,7 @@
 		forwarder, _ := sessions()
 		var err error
 		for _, frame := range frames {
-			_, err = open(forwarder, frame, FrameMost)
+			_, err = open(forwarder, frame, MaxFrameBytes)
 		}
 		if !errors.Is(err, ErrAuthentication) {
 			t.Errorf("%s: %v", name, err)
@@ -110,10 +110,10 @@
 }
 
 func TestLengthIsCheckedBeforeAllocation(t *testing.T) {
-	if _, err := FrameSize([]byte{0xff, 0xff, 0xff, 0xff, 1}, ReportMost); !errors.Is(err, ErrTooLong) {
+	if _, err := FrameSize([]byte{0xff, 0xff, 0xff, 0xff, 1}, MaxReportBytes); !errors.Is(err, ErrTooLong) {
 		t.Error(err)
 	}
-	if _, err := FrameSize([]byte{0, 0, 0, 3, 1}, ReportMost); !errors.Is(err, ErrMalformed) {
+	if _, err := FrameSize([]byte{0, 0, 0, 3, 1}, MaxReportBytes); !errors.Is(err, ErrMalformed) {
 		t.Error(err)
 	}
 	forwarder, _ := sessions()
@@ -123,11 +123,11 @@
 }
 
 func FuzzBodies(f *testing.F) {
-	f.Add(Body(view.Change{Life: 1, Hosts: []view.Host{{Name: "a"}}}))
-	f.Add(Body(Report{Heard: []Heard{{Evidence: view.Evidence{Name: "a"}}}}))
+	f.Add(EncodeBody(view.Change{Incarnation: 1, Hosts: []view.Host{{Name: "a"}}}))
+	f.Add(EncodeBody(Report{Observations: []Observation{{Evidence: view.Evidence{Name: "a"}}}}))
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if change, err := ReadChange(body); err == nil {
+		if change, err := DecodeChange(body); err == nil {
 			for _, host := range change.Hosts {
 				if err := host.Validate(); err != nil {
 					t.Fatalf("%+v: %v", host, err)
@@ -135,8 +135,8 @@
 			}
 		}
 		if report, err := DecodeReport(body); err == nil {
-			again, err := DecodeReport(Body(report))
-			if err != nil || len(again.Heard) != len(report.Heard) {
+			again, err := DecodeReport(EncodeBody(report))
+			if err != nil || len(again.Observations) != len(report.Observations) {
 				t.Fatalf("%+v does not round-trip: %v", report, err)
 			}
 		}
--- a/internal/router/tier/link/messages.go
+++ b/internal/router/tier/link/messages.go
@@ -17,18 +17,18 @@
 
 // Report is what a forwarder observed since its last report.
 type Report struct {
-	Every int64   `cbor:"1,keyasint,omitempty"` // the interval that it covers, in tenths of a millisecond
-	Heard []Heard `cbor:"2,keyasint,omitempty"`
+	Interval     int64         `cbor:"1,keyasint,omitempty"` // the interval that it covers, in tenths of a millisecond
+	Observations []Observation `cbor:"2,keyasint,omitempty"`
 }
 
-// Heard is what one forwarder observed of one host: the newest evidence of its
+// Observation is what one forwarder observed of one host: the newest evidence of its
 // position and role, and the responses since the last report.
-type Heard struct {
+type Observation struct {
 	view.Evidence
-	Count uint32 `cbor:"6,keyasint,omitempty"` // responses
-	Sum   uint32 `cbor:"7,keyasint,omitempty"` // of their latencies, each in thousandths of the response target
-	Boot  int64  `cbor:"8,keyasint,omitempty"` // the start of the host that the next field refers to
-	Cold  int64  `cbor:"9,keyasint,omitempty"` // work sent since that start, in thousandths of a command of the usual mix
+	Responses   uint32 `cbor:"6,keyasint,omitempty"` // responses
+	LatenessSum uint32 `cbor:"7,keyasint,omitempty"` // of their latencies, each in thousandths of the response target
+	BootedAt    int64  `cbor:"8,keyasint,omitempty"` // the start of the host that the next field refers to
+	ColdWork    int64  `cbor:"9,keyasint,omitempty"` // work sent since that start, in thousandths of a command of the usual mix
 }
 
 var (
@@ -47,12 +47,12 @@
 	return value
 }
 
-// Body encodes a view.Change or a Report as the body of a frame. It panics if the
+// EncodeBody encodes a view.Change or a Report as the body of a frame. It panics if the
 // argument's type cannot be encoded.
-func Body(message any) []byte { return must(encoder.Marshal(message)) }
+func EncodeBody(message any) []byte { return must(encoder.Marshal(message)) }
 
-// ReadChange decodes and validates the body of a KindChange frame, or a stored view.
-func ReadChange(body []byte) (change view.Change, err error) {
+// DecodeChange decodes and validates the body of a KindChange frame, or a stored view.
+func DecodeChange(body []byte) (change view.Change, err error) {
 	if err := decoder.Unmarshal(body, &change); err != nil {
 		return change, fmt.Errorf("a change: %w", err)
 	}
@@ -61,7 +61,7 @@
 			return change, fmt.Errorf("a change: host %d: %w", i, err)
 		}
 	}
-	if change.Routers < 0 || change.Routers > maxCount || change.Every < 0 || change.Every > maxCount {
+	if change.RouterCount < 0 || change.RouterCount > maxCount || change.ReportInterval < 0 || change.ReportInterval > maxCount {
 		return change, errors.New("a change: counts that can't be")
 	}
 	return change, nil
@@ -72,12 +72,12 @@
 	if err := decoder.Unmarshal(body, &report); err != nil {
 		return report, fmt.Errorf("a report: %w", err)
 	}
-	for i, observation := range report.Heard {
+	for i, observation := range report.Observations {
 		host := view.Host{Name: observation.Name, Role: observation.Role}
 		if err := host.Validate(); err != nil {
 			return report, fmt.Errorf("a report: host %d: %w", i, err)
 		}
-		if observation.Cold < 0 || observation.Cold > maxColdWork {
+		if observation.ColdWork < 0 || observation.ColdWork > maxColdWork {
 			return report, fmt.Errorf("a report: host %d: work that can't be", i)
 		}
 	}
--- a/internal/router/tier/link/wire_test.go
+++ b/internal/router/tier/link/wire_test.go
@@ -30,28 +30,28 @@
 
 	forwarder, planner := sessions()
 	var fleet view.View
-	fleet.List(view.Version{Gen: 1, Rev: 41}, true, []view.Host{
+	fleet.ApplyList(view.Version{Generation: 1, Revision: 41}, true, []view.Host{
 		{
-			Name: "a", Address: "x:1", Zone: "z", Kind: "k", Set: -3, Size: 1.5, Leader: true,
-			Standing: policy.Draining, Boot: 7,
+			Name: "a", Address: "x:1", Zone: "z", Kind: "k", Set: -3, Size: 1.5, ListedPrimary: true,
+			Standing: policy.Draining, BootedAt: 7,
 		},
 		{Name: "b", Address: "y:2"},
 	})
-	fleet.Believe(view.Evidence{Name: "a", Pos: 99, Role: policy.Replica, RoleAt: 98, Turn: 1}, 1000)
-	fleet.Lateness("a", 3)
-	fleet.Routers = 2
+	fleet.AddEvidence(view.Evidence{Name: "a", Position: 99, Role: policy.Replica, RolePosition: 98, RoleChanges: 1}, 1000)
+	fleet.SetLateness("a", 3)
+	fleet.RouterCount = 2
 	change := fleet.TakeChanges(7, 2)
-	change.Every = 2000
-	checkWire(t, "a change", planner.Seal(nil, KindChange, Body(change)), wireChange)
+	change.ReportInterval = 2000
+	checkWire(t, "a change", planner.Seal(nil, KindChange, EncodeBody(change)), wireChange)
 
-	fleet.List(view.Version{Gen: 1, Rev: 42}, true, []view.Host{{Name: "a"}})
-	checkWire(t, "a removal", planner.Seal(nil, KindChange, Body(fleet.TakeChanges(7, 3))), wireRemoval)
+	fleet.ApplyList(view.Version{Generation: 1, Revision: 42}, true, []view.Host{{Name: "a"}})
+	checkWire(t, "a removal", planner.Seal(nil, KindChange, EncodeBody(fleet.TakeChanges(7, 3))), wireRemoval)
 
-	report := Report{Every: 2000, Heard: []Heard{{
-		Evidence: view.Evidence{Name: "a", Pos: 4, Role: policy.Primary, RoleAt: 3, Turn: 2},
-		Count:    2, Sum: 300, Boot: 8, Cold: 1500,
+	report := Report{Interval: 2000, Observations: []Observation{{
+		Evidence:  view.Evidence{Name: "a", Position: 4, Role: policy.Primary, RolePosition: 3, RoleChanges: 2},
+		Responses: 2, LatenessSum: 300, BootedAt: 8, ColdWork: 1500,
 	}}}
-	checkWire(t, "a report", forwarder.Seal(nil, KindReport, Body(report)), wireReport)
+	checkWire(t, "a report", forwarder.Seal(nil, KindReport, EncodeBody(report)), wireReport)
 	checkWire(t, "a request for the full view", forwarder.Seal(nil, KindViewRequest, nil), wireViewRequest)
 }
 
--- a/internal/router/tier/plan/links.go
+++ b/internal/router/tier/plan/links.go
@@ -17,11 +17,11 @@
 
 // acceptLinks accepts connections until the context ends. Those that have not
 // shown the key yet are bounded in number and in time.
-func (p *Plan) acceptLinks(ctx context.Context, listener net.Listener) error {
+func (p *Server) acceptLinks(ctx context.Context, listener net.Listener) error {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	var links sync.WaitGroup
 	defer links.Wait()
-	handshakes := make(chan struct{}, p.settings.Greeting)
+	handshakes := make(chan struct{}, p.settings.MaxHandshakes)
 	for {
 		socket, err := listener.Accept()
 		switch {
@@ -48,16 +48,16 @@
 }
 
 // pauseAccepting keeps acceptLinks from spinning on an error that lasts.
-func (p *Plan) pauseAccepting(ctx context.Context) {
+func (p *Server) pauseAccepting(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(p.start.Limits.Again):
+	case <-time.After(p.start.Limits.RetryDelay):
 	}
 }
 
 // serveLink runs one link until it ends. It releases its place in handshakes once
 // the greetings are exchanged.
-func (p *Plan) serveLink(ctx context.Context, socket net.Conn, handshakes <-chan struct{}) {
+func (p *Server) serveLink(ctx context.Context, socket net.Conn, handshakes <-chan struct{}) {
 	defer socket.Close()
 	defer context.AfterFunc(ctx, func() { socket.Close() })()
 	conn, forwarder, err := p.handshake(ctx, socket)
@@ -66,14 +66,14 @@
 		p.RejectedLinks.Add(1)
 		p.log.Warn("a forwarder is refused", zap.String("from", socket.RemoteAddr().String()), zap.Error(err))
 		if forwarder != nil {
-			p.enqueue(ctx, forwarder.Left)
+			p.enqueue(ctx, forwarder.Disconnected)
 		}
 		return
 	}
 	conn.StartWriter()
 	p.enqueue(ctx, func() {
 		p.conns[forwarder] = conn
-		forwarder.Begun()
+		forwarder.Started()
 		p.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, true, "")
 	})
 	err = p.readFrames(ctx, forwarder, conn)
@@ -81,7 +81,7 @@
 	conn.Wait()
 	p.enqueue(ctx, func() {
 		delete(p.conns, forwarder)
-		forwarder.Left()
+		forwarder.Disconnected()
 		p.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, false, err.Error())
 	})
 	if ctx.Err() == nil {
@@ -91,23 +91,23 @@
 
 // handshake exchanges greetings. With an error the forwarder may still be set: it
 // was admitted, and the connection failed after that.
-func (p *Plan) handshake(ctx context.Context, socket net.Conn) (*line.Conn, *planner.Forwarder, error) {
+func (p *Server) handshake(ctx context.Context, socket net.Conn) (*line.Conn, *planner.Forwarder, error) {
 	var forwarder *planner.Forwarder
 	accept := func(greeting link.Greeting) bool {
 		forwarder = p.admit(ctx, greeting)
 		return forwarder != nil
 	}
-	socket.SetDeadline(time.Now().Add(p.settings.Greet))
+	socket.SetDeadline(time.Now().Add(p.settings.HandshakeTimeout))
 	conn, err := line.PlannerHandshake(socket, &p.settings.Key, p.start.Name, p.incarnation,
-		p.settings.Queue, p.settings.Frame, p.settings.Write, accept)
+		p.settings.MaxQueuedFrames, p.settings.MaxFrameBytes, p.settings.WriteTimeout, accept)
 	return conn, forwarder, err
 }
 
 // admit asks the core for a place for the forwarder, and returns nil if there is none.
-func (p *Plan) admit(ctx context.Context, greeting link.Greeting) *planner.Forwarder {
+func (p *Server) admit(ctx context.Context, greeting link.Greeting) *planner.Forwarder {
 	admitted := make(chan *planner.Forwarder, 1)
 	p.enqueue(ctx, func() {
-		admitted <- p.core.Greeted(p.clock.Now(), greeting.Name, greeting.Incarnation)
+		admitted <- p.core.AddForwarder(p.clock.Now(), greeting.Name, greeting.Incarnation)
 	})
 	select {
 	case forwarder := <-admitted:
@@ -119,7 +119,7 @@
 
 // readFrames passes a forwarder's frames to the owner until the link ends, and
 // returns why it did. Frames of unknown kinds are ignored.
-func (p *Plan) readFrames(ctx context.Context, forwarder *planner.Forwarder, conn *line.Conn) error {
+func (p *Server) readFrames(ctx context.Context, forwarder *planner.Forwarder, conn *line.Conn) error {
 	for {
 		frame, err := conn.ReadFrame()
 		if err != nil {
@@ -136,36 +136,36 @@
 			p.Reports.Add(1)
 			p.enqueue(ctx, func() {
 				p.trace.Report(conn.Peer.Name, report)
-				forwarder.Reported(p.clock.Now(), report)
+				forwarder.HandleReport(p.clock.Now(), report)
 			})
 		case link.KindViewRequest:
-			p.enqueue(ctx, func() { forwarder.Wanted(p.clock.Now()) })
+			p.enqueue(ctx, func() { forwarder.RequestFullView(p.clock.Now()) })
 		}
 	}
 }
 
 // broadcast sends a change to all connected forwarders, and instead of it the full
 // view to those that need it. Each is encoded once.
-func (p *Plan) broadcast(change *view.Change, fullViewTo []*planner.Forwarder) {
+func (p *Server) broadcast(change *view.Change, fullViewTo []*planner.Forwarder) {
 	p.trace.Change(change, len(fullViewTo), len(p.conns))
 	hasFullView := map[*planner.Forwarder]bool{}
 	if len(fullViewTo) > 0 {
-		body := link.Body(p.core.Whole())
+		body := link.EncodeBody(p.core.FullView())
 		for _, forwarder := range fullViewTo {
 			hasFullView[forwarder] = true
 			if conn := p.conns[forwarder]; conn != nil {
 				conn.Send(link.KindChange, body)
 				p.FullViews.Add(1)
-				p.Bytes.Add(int64(len(body)))
+				p.SentBytes.Add(int64(len(body)))
 			}
 		}
 	}
-	body := link.Body(change)
+	body := link.EncodeBody(change)
 	for forwarder, conn := range p.conns {
 		if !hasFullView[forwarder] {
 			conn.Send(link.KindChange, body)
 			p.Changes.Add(1)
-			p.Bytes.Add(int64(len(body)))
+			p.SentBytes.Add(int64(len(body)))
 		}
 	}
 }
--- a/internal/router/tier/plan/lists.go
+++ b/internal/router/tier/plan/lists.go
@@ -13,7 +13,7 @@
 
 // applyList parses one line of discovery's watch, passes it to the owner and
 // returns once the owner has applied it.
-func (p *Plan) applyList(ctx context.Context, text []byte) error {
+func (p *Server) applyList(ctx context.Context, text []byte) error {
 	object, err := setup.Decode("", text)
 	if err != nil {
 		return err
@@ -36,8 +36,8 @@
 }
 
 // handleList runs on the owner's goroutine.
-func (p *Plan) handleList(revision int64, whole bool, entries []view.Host) {
-	accepted := p.core.Listed(p.clock.Now(), revision, whole, entries)
+func (p *Server) handleList(revision int64, whole bool, entries []view.Host) {
+	accepted := p.core.ApplyList(p.clock.Now(), revision, whole, entries)
 	p.trace.List(revision, whole, len(entries), accepted)
 	if !accepted {
 		p.StaleLists.Add(1)
@@ -52,17 +52,17 @@
 
 // updateHostPool gives each host in service an entry in the pool of connections,
 // and removes the entries of all others.
-func (p *Plan) updateHostPool() {
+func (p *Server) updateHostPool() {
 	inService := map[string]bool{}
 	for _, host := range p.core.View().Hosts() {
-		if host.Standing != policy.In {
+		if host.Standing != policy.Active {
 			continue
 		}
 		inService[host.Name] = true
 		if p.hosts[host.Name] == nil {
 			p.hosts[host.Name] = p.pool.Add(host.Address)
 		}
-		p.hosts[host.Name].Move(host.Address)
+		p.hosts[host.Name].SetAddress(host.Address)
 	}
 	for name, host := range p.hosts {
 		if !inService[name] {
--- a/internal/router/tier/plan/plan.go
+++ b/internal/router/tier/plan/plan.go
@@ -36,14 +36,14 @@
 
 var errForwarderSilent = errors.New("the forwarder says nothing")
 
-// Plan is the process of one planner.
-type Plan struct {
+// Server is the process of one planner.
+type Server struct {
 	start       *setup.Start
-	settings    *setup.Plan
+	settings    *setup.PlannerSection
 	incarnation uint64
 	log         *zap.Logger
 	clock       *clock.Clock
-	buffers     *transport.Room
+	buffers     *transport.BufferBudget
 	events      chan func()
 	trace       *record.Planner // nil while nothing is captured
 
@@ -52,13 +52,13 @@
 	hosts map[string]*transport.Host
 	conns map[*planner.Forwarder]*line.Conn
 
-	pool         *transport.Hosts // set by Run
+	pool         *transport.HostPool // set by Run
 	listRevision atomic.Int64
 
 	// Counters, which any goroutine may read.
 	AcceptedLinks, RejectedLinks, BrokenLinks atomic.Int64
 	Probes, AppliedLists, StaleLists          atomic.Int64
-	FullViews, Changes, Bytes, Reports        atomic.Int64 // frames sent, the bytes of their bodies, frames received
+	FullViews, Changes, SentBytes, Reports    atomic.Int64 // frames sent, the bytes of their bodies, frames received
 
 	// Copies of the core's counters for LogFields.
 	openLinks, leaseCount, duplicateLeases, timedOutLinks, failedProbes, coldWork, hostCount atomic.Int64
@@ -66,27 +66,27 @@
 
 // New makes a planner. incarnation differs from that of any other process; trace
 // may be nil.
-func New(start *setup.Start, settings *setup.Plan, incarnation uint64, trace *record.Planner, log *zap.Logger) *Plan {
+func New(start *setup.Start, settings *setup.PlannerSection, incarnation uint64, trace *record.Planner, log *zap.Logger) *Server {
 	planClock := clock.New(time.Now)
-	config := planner.Terms{
-		Gen:        settings.Generation,
-		Beat:       tenths(settings.Beat),
-		Probe:      tenths(settings.Probe),
-		Search:     tenths(settings.Search),
-		Probes:     settings.Probes,
-		PerSecond:  settings.PerSecond,
-		Forwarders: settings.Forwarders,
-		Reports:    settings.Reports,
-		Frames:     settings.Frames,
-		Bytes:      settings.Bytes,
+	config := planner.Config{
+		Generation:             settings.Generation,
+		ChangeInterval:         tenths(settings.ChangeInterval),
+		ProbeInterval:          tenths(settings.ProbeInterval),
+		PrimaryProbeInterval:   tenths(settings.PrimaryProbeInterval),
+		MaxProbesInFlight:      settings.MaxProbesInFlight,
+		ProbesPerSecond:        settings.ProbesPerSecond,
+		MaxForwarders:          settings.MaxForwarders,
+		ReportsPerSecond:       settings.ReportsPerSecond,
+		FramesPerSecond:        settings.FramesPerSecond,
+		PositionBytesPerSecond: settings.PositionBytesPerSecond,
 	}
 	if !start.Deployment.Probes {
-		config.Probes = 0
+		config.MaxProbesInFlight = 0
 	}
-	return &Plan{
+	return &Server{
 		start: start, settings: settings, incarnation: incarnation, trace: trace, log: log,
 		clock:   planClock,
-		buffers: transport.NewRoom(&start.Limits),
+		buffers: transport.NewBufferBudget(&start.Limits),
 		events:  make(chan func(), eventQueueLength),
 		core:    planner.New(incarnation, config, planClock.Now()),
 		hosts:   map[string]*transport.Host{},
@@ -94,13 +94,13 @@
 	}
 }
 
-func tenths(duration time.Duration) policy.Tenth { return policy.Tenth(duration / clock.Tenth) }
+func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
 
 // Run serves forwarders on the listener until the context ends, and returns once
 // all its goroutines have ended.
-func (p *Plan) Run(ctx context.Context, listener net.Listener) error {
+func (p *Server) Run(ctx context.Context, listener net.Listener) error {
 	tasks, ctx := errgroup.WithContext(ctx)
-	p.pool = transport.NewHosts(ctx, &p.start.Limits, p.buffers)
+	p.pool = transport.NewHostPool(ctx, &p.start.Limits, p.buffers)
 	applyList := func(text []byte, _ bool) error { return p.applyList(ctx, text) }
 	watchEnded := func(err error) { p.log.Warn("the watch of the list ended", zap.Error(err)) }
 	watch := transport.NewWatch(&p.start.Limits, p.buffers, p.start.Discovery, p.listRevision.Load, applyList, watchEnded)
@@ -113,7 +113,7 @@
 }
 
 // enqueue passes an event to the owner, unless the context ends first.
-func (p *Plan) enqueue(ctx context.Context, event func()) {
+func (p *Server) enqueue(ctx context.Context, event func()) {
 	select {
 	case p.events <- event:
 	case <-ctx.Done():
@@ -121,7 +121,7 @@
 }
 
 // runOwner is the loop of the goroutine that owns the core.
-func (p *Plan) runOwner(ctx context.Context) {
+func (p *Server) runOwner(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -144,42 +144,42 @@
 }
 
 // traceTime records the time of the events that follow.
-func (p *Plan) traceTime() {
+func (p *Server) traceTime() {
 	if p.trace != nil {
-		p.trace.Now(p.clock.Now(), time.Now().UnixNano()/int64(clock.Tenth))
+		p.trace.SetTime(p.clock.Now(), time.Now().UnixNano()/int64(clock.Tenth))
 	}
 }
 
 // tick executes what is due and returns the time of the next tick.
-func (p *Plan) tick(ctx context.Context) policy.Tenth {
+func (p *Server) tick(ctx context.Context) policy.TenthMs {
 	actions := p.core.Tick(p.clock.Now())
-	for _, name := range actions.Probe {
+	for _, name := range actions.Probes {
 		p.probe(ctx, name)
 	}
-	for _, forwarder := range actions.Cut {
+	for _, forwarder := range actions.Disconnect {
 		if conn := p.conns[forwarder]; conn != nil {
 			delete(p.conns, forwarder)
 			conn.CloseWithError(errForwarderSilent)
 		}
 	}
 	if actions.Change != nil {
-		p.broadcast(actions.Change, actions.Whole)
+		p.broadcast(actions.Change, actions.FullView)
 	}
 	p.copyCounters()
-	return actions.Next
+	return actions.NextTick
 }
 
-func (p *Plan) copyCounters() {
+func (p *Server) copyCounters() {
 	p.openLinks.Store(int64(len(p.conns)))
-	p.leaseCount.Store(int64(p.core.Routers()))
+	p.leaseCount.Store(int64(p.core.LeaseCount()))
 	p.duplicateLeases.Store(p.core.DuplicateLeases)
 	p.timedOutLinks.Store(p.core.TimedOutLinks)
 	p.failedProbes.Store(p.core.FailedProbes)
 	p.coldWork.Store(p.core.ColdWork)
 }
 
-// Fields returns the counters for a log line.
-func (p *Plan) Fields() []zap.Field {
+// LogFields returns the counters for a log line.
+func (p *Server) LogFields() []zap.Field {
 	return []zap.Field{
 		zap.Int64("forwarders_open", p.openLinks.Load()),
 		zap.Int64("forwarders_counted", p.leaseCount.Load()),
@@ -195,7 +195,7 @@
 		zap.Int64("probes_unanswered", p.failedProbes.Load()),
 		zap.Int64("changes", p.Changes.Load()),
 		zap.Int64("whole_views", p.FullViews.Load()),
-		zap.Int64("bytes", p.Bytes.Load()),
+		zap.Int64("bytes", p.SentBytes.Load()),
 		zap.Int64("reports", p.Reports.Load()),
 		zap.Float64("cold_work", float64(p.coldWork.Load())/workPerCommand),
 	}
--- a/internal/router/tier/plan/plan_test.go
+++ b/internal/router/tier/plan/plan_test.go
@@ -28,26 +28,26 @@
 var key, otherKey = [32]byte{1}, [32]byte{2}
 
 // startPlanner runs a planner on a discovery of so many hosts, none of which responds.
-func startPlanner(t *testing.T, hosts int, change func(*setup.Plan)) (address string, p *Plan, log *observer.ObservedLogs) {
+func startPlanner(t *testing.T, hosts int, change func(*setup.PlannerSection)) (address string, p *Server, log *observer.ObservedLogs) {
 	t.Helper()
 	d, err := discovery.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range hosts {
-		d.Set(discovery.Entry{UID: "h" + strings.Repeat("x", 60) + string(rune('a'+i%26)) + string(rune('a'+i/26)), Endpoint: "127.0.0.1:1", Set: 1, State: "up"})
+		d.Update(discovery.Entry{UID: "h" + strings.Repeat("x", 60) + string(rune('a'+i%26)) + string(rune('a'+i/26)), Endpoint: "127.0.0.1:1", Set: 1, State: "up"})
 	}
-	section := &setup.Plan{
-		Key: key, Forwarders: 4, Probes: 4, PerSecond: 10, Reports: 100, Frames: 1000, Bytes: 1 << 20,
-		Beat: 10 * time.Millisecond, Probe: time.Second, Search: 50 * time.Millisecond, Greet: 300 * time.Millisecond, Greeting: 2,
-		Queue: 4, Write: 300 * time.Millisecond, Frame: link.ReportMost,
+	section := &setup.PlannerSection{
+		Key: key, MaxForwarders: 4, MaxProbesInFlight: 4, ProbesPerSecond: 10, ReportsPerSecond: 100, FramesPerSecond: 1000, PositionBytesPerSecond: 1 << 20,
+		ChangeInterval: 10 * time.Millisecond, ProbeInterval: time.Second, PrimaryProbeInterval: 50 * time.Millisecond, HandshakeTimeout: 300 * time.Millisecond, MaxHandshakes: 2,
+		MaxQueuedFrames: 4, WriteTimeout: 300 * time.Millisecond, MaxFrameBytes: link.MaxReportBytes,
 	}
 	if change != nil {
 		change(section)
 	}
 	start := &setup.Start{Name: "p", Discovery: d.Address(), Limits: setup.Limits{
-		Hosts: 8, Buffer: 1 << 10, Buffers: 1 << 22, Answer: 1 << 16,
-		Line: 1 << 20, Connect: time.Second, Idle: waitLimit, Quiet: waitLimit, Again: 10 * time.Millisecond,
+		MaxHostConns: 8, InitialBuffer: 1 << 10, BufferBudget: 1 << 22, MaxHostMessage: 1 << 16,
+		MaxListLine: 1 << 20, ConnectTimeout: time.Second, HostIdleTimeout: waitLimit, DiscoveryTimeout: waitLimit, RetryDelay: 10 * time.Millisecond,
 	}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,7 +83,7 @@
 
 // connect is a forwarder's side of the handshake.
 func connect(conn net.Conn, sharedKey *[32]byte) (*line.Conn, error) {
-	return line.ForwarderHandshake(conn, sharedKey, "f", 3, 4, link.FrameMost, time.Second)
+	return line.ForwarderHandshake(conn, sharedKey, "f", 3, 4, link.MaxFrameBytes, time.Second)
 }
 
 // waitForLog waits for a log line with a message, whose error contains a text.
@@ -111,7 +111,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		change, err := link.ReadChange(frame.Body)
+		change, err := link.DecodeChange(frame.Body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -140,7 +140,7 @@
 }
 
 func TestForwardersOverCapacityAreRejectedWithReason(t *testing.T) {
-	address, _, _ := startPlanner(t, 1, func(s *setup.Plan) { s.Forwarders = 1 })
+	address, _, _ := startPlanner(t, 1, func(s *setup.PlannerSection) { s.MaxForwarders = 1 })
 	if _, err := connect(dial(t, address), &key); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/router/tier/plan/probe.go
+++ b/internal/router/tier/plan/probe.go
@@ -24,14 +24,14 @@
 )
 
 // noPosition is the position of a response that names none.
-const noPosition = policy.Tenth(-1)
+const noPosition = policy.TenthMs(-1)
 
 // probe sends a probe to a host. The core learns of its end exactly once, at the
 // latest after the connect timeout.
-func (p *Plan) probe(ctx context.Context, name string) {
+func (p *Server) probe(ctx context.Context, name string) {
 	host := p.hosts[name]
 	if host == nil {
-		p.core.Probed(p.clock.Now(), name, false, noPosition, policy.Unknown, 0)
+		p.core.ProbeFinished(p.clock.Now(), name, false, noPosition, policy.UnknownRole, 0)
 		return
 	}
 	statement := probeStatement
@@ -41,7 +41,7 @@
 	p.Probes.Add(1)
 	p.trace.Probe(name)
 	sentAt := p.clock.Now()
-	deadline := time.Now().Add(p.start.Limits.Connect)
+	deadline := time.Now().Add(p.start.Limits.ConnectTimeout)
 	var once sync.Once
 	finish := func(answer transport.Answer) {
 		once.Do(func() {
@@ -57,25 +57,25 @@
 }
 
 // finishProbe runs on the owner's goroutine.
-func (p *Plan) finishProbe(name string, sentAt policy.Tenth, answer transport.Answer) {
+func (p *Server) finishProbe(name string, sentAt policy.TenthMs, answer transport.Answer) {
 	now := p.clock.Now()
 	responded := answer.Outcome == policy.Answered
 	position, role := p.stateOf(answer, now)
 	p.trace.Probed(name, responded, position, role, now-sentAt)
-	p.core.Probed(now, name, responded, position, role, sentAt)
+	p.core.ProbeFinished(now, name, responded, position, role, sentAt)
 }
 
 // stateOf returns the position and role that an answer names: in its parameters,
 // or in a load report. The position is noPosition if there is none.
-func (p *Plan) stateOf(answer transport.Answer, now policy.Tenth) (policy.Tenth, policy.Role) {
+func (p *Server) stateOf(answer transport.Answer, now policy.TenthMs) (policy.TenthMs, policy.Role) {
 	maxPositionMs := float64(now)/tenthsPerMillisecond + positionToleranceMs
-	position, role := setup.Words(answer.Position, answer.Role, maxPositionMs)
+	position, role := setup.ParseHostStatus(answer.Position, answer.Role, maxPositionMs)
 	if position >= 0 || !p.start.Deployment.Reports {
 		return position, role
 	}
-	terms := p.start.Terms
-	reportedPosition, reportedRole, ok := terms.Report(func(i int) (float64, bool) {
-		return protocol.Field(answer.Value, terms.Fields[i])
+	terms := p.start.Formats
+	reportedPosition, reportedRole, ok := terms.ParseLoadReport(func(i int) (float64, bool) {
+		return protocol.LoadReportField(answer.Value, terms.Fields[i])
 	})
 	if !ok {
 		return position, role
--- a/internal/router/tier/planner/forwarder.go
+++ b/internal/router/tier/planner/forwarder.go
@@ -31,22 +31,22 @@
 type Forwarder struct {
 	planner       *Planner
 	key           leaseKey
-	lastFrameAt   policy.Tenth
+	lastFrameAt   policy.TenthMs
 	needsFullView bool
 }
 
-// Routers returns how many forwarders hold a lease, and so share the hosts.
-func (p *Planner) Routers() int { return len(p.leases) }
+// LeaseCount returns how many forwarders hold a lease, and so share the hosts.
+func (p *Planner) LeaseCount() int { return len(p.leases) }
 
 // ForwarderCount returns how many forwarders are connected.
 func (p *Planner) ForwarderCount() int { return len(p.forwarders) }
 
-// Greeted adds a forwarder that has shown the key, or returns nil if there are too
+// AddForwarder adds a forwarder that has shown the key, or returns nil if there are too
 // many. It gets a lease only with its first frame: a greeting could be a replay,
 // but a frame could not.
-func (p *Planner) Greeted(now policy.Tenth, name string, incarnation uint64) *Forwarder {
+func (p *Planner) AddForwarder(now policy.TenthMs, name string, incarnation uint64) *Forwarder {
 	p.advance(now)
-	if len(p.forwarders) >= p.config.Forwarders {
+	if len(p.forwarders) >= p.config.MaxForwarders {
 		return nil
 	}
 	forwarder := &Forwarder{planner: p, key: leaseKey{name, incarnation}, lastFrameAt: p.now}
@@ -54,25 +54,25 @@
 	return forwarder
 }
 
-// Begun says that the connection can carry frames. The next change sends it the full view.
-func (f *Forwarder) Begun() { f.needsFullView = true }
+// Started says that the connection can carry frames. The next change sends it the full view.
+func (f *Forwarder) Started() { f.needsFullView = true }
 
-// Left ends the connection. The lease runs on: the forwarder may still serve
+// Disconnected ends the connection. The lease runs on: the forwarder may still serve
 // clients and be disconnected from this planner alone.
-func (f *Forwarder) Left() { delete(f.planner.forwarders, f) }
+func (f *Forwarder) Disconnected() { delete(f.planner.forwarders, f) }
 
-// Wanted handles the forwarder's request for the full view.
-func (f *Forwarder) Wanted(now policy.Tenth) {
+// RequestFullView handles the forwarder's request for the full view.
+func (f *Forwarder) RequestFullView(now policy.TenthMs) {
 	f.planner.advance(now)
 	f.needsFullView = true
 	f.renewLease()
 }
 
-// Reported handles what the forwarder observed of hosts.
-func (f *Forwarder) Reported(now policy.Tenth, report link.Report) {
+// HandleReport handles what the forwarder observed of hosts.
+func (f *Forwarder) HandleReport(now policy.TenthMs, report link.Report) {
 	f.planner.advance(now)
 	f.renewLease()
-	for _, observation := range report.Heard {
+	for _, observation := range report.Observations {
 		if observed := f.planner.hosts[observation.Name]; observed != nil {
 			f.applyObservation(observed, observation)
 		}
@@ -81,22 +81,22 @@
 
 // applyObservation adds what a forwarder observed of one host. Positions that no
 // host can have reached are ignored, and so is work of another start of the host.
-func (f *Forwarder) applyObservation(observed *host, observation link.Heard) {
+func (f *Forwarder) applyObservation(observed *host, observation link.Observation) {
 	p := f.planner
 	if p.isPlausible(observation.Evidence) && observed.evidence.Merge(observation.Evidence) {
 		observed.unpublished = true
 	}
-	if observation.Count > 0 {
-		responses := min(observation.Count, maxReportedResponses)
+	if observation.Responses > 0 {
+		responses := min(observation.Responses, maxReportedResponses)
 		observed.lastResponseAt, observed.backoff = p.now, 0
 		observed.responses += responses
-		observed.latenessSum += min(observation.Sum, maxReportedLateness*responses)
+		observed.latenessSum += min(observation.LatenessSum, maxReportedLateness*responses)
 	}
-	if observation.Boot <= 0 || observation.Boot != observed.bootedAt {
+	if observation.BootedAt <= 0 || observation.BootedAt != observed.bootedAt {
 		return
 	}
-	if added := observation.Cold - observed.coldWork[f.key.incarnation]; added > 0 {
-		observed.coldWork[f.key.incarnation] = observation.Cold
+	if added := observation.ColdWork - observed.coldWork[f.key.incarnation]; added > 0 {
+		observed.coldWork[f.key.incarnation] = observation.ColdWork
 		p.ColdWork += added
 	}
 }
@@ -104,7 +104,7 @@
 // isPlausible reports whether a host can have said this by now.
 func (p *Planner) isPlausible(evidence view.Evidence) bool {
 	limit := view.MaxPosition(p.now)
-	return evidence.Pos >= 0 && evidence.Pos <= limit && evidence.RoleAt >= 0 && evidence.RoleAt <= limit
+	return evidence.Position >= 0 && evidence.Position <= limit && evidence.RolePosition >= 0 && evidence.RolePosition <= limit
 }
 
 // renewLease notes a frame of the forwarder, which extends its lease.
--- a/internal/router/tier/planner/planner.go
+++ b/internal/router/tier/planner/planner.go
@@ -23,7 +23,7 @@
 	"ferrypitch/policy"
 )
 
-const second = policy.Tenth(10000)
+const second = policy.TenthMs(10000)
 
 const (
 	// Hosts that have left are removed once they are more than
@@ -32,38 +32,38 @@
 	goneFraction = 4
 )
 
-// Terms holds the intervals and limits of one planner. None has a default here.
-type Terms struct {
-	Gen        uint64       // the generation of discovery's versions
-	Beat       policy.Tenth // the shortest interval between two changes
-	Probe      policy.Tenth // after which a host that no forwarder has heard of is probed
-	Search     policy.Tenth // between probes of a host in a set whose primary is unknown or does not respond
-	Probes     int          // the most probes in flight
-	PerSecond  int          // the most probes a second
-	Forwarders int          // the most connected forwarders
-	Reports    int          // the most reports a second from all forwarders together
-	Frames     int          // the most frames a second to all forwarders together
-	Bytes      int          // the most bytes of positions a second to all forwarders together
+// Config holds the intervals and limits of one planner. None has a default here.
+type Config struct {
+	Generation             uint64         // the generation of discovery's versions
+	ChangeInterval         policy.TenthMs // the shortest interval between two changes
+	ProbeInterval          policy.TenthMs // after which a host that no forwarder has heard of is probed
+	PrimaryProbeInterval   policy.TenthMs // between probes of a host in a set whose primary is unknown or does not respond
+	MaxProbesInFlight      int            // the most probes in flight
+	ProbesPerSecond        int            // the most probes a second
+	MaxForwarders          int            // the most connected forwarders
+	ReportsPerSecond       int            // the most reports a second from all forwarders together
+	FramesPerSecond        int            // the most frames a second to all forwarders together
+	PositionBytesPerSecond int            // the most bytes of positions a second to all forwarders together
 }
 
 // Planner is the state of one planner. It is not safe for concurrent use.
 type Planner struct {
-	config      Terms
+	config      Config
 	incarnation uint64 // also the seed of its random numbers
 	sequence    uint64 // of the last change
 	randomDraws uint64
-	now         policy.Tenth
+	now         policy.TenthMs
 
-	nextChangeAt   policy.Tenth
-	nextLatenessAt policy.Tenth // when the responses counted become the lateness that is published
-	creditedAt     policy.Tenth // when probeCredit was last increased
-	probeCredit    float64      // probes that may be sent now
+	nextChangeAt   policy.TenthMs
+	nextLatenessAt policy.TenthMs // when the responses counted become the lateness that is published
+	creditedAt     policy.TenthMs // when probeCredit was last increased
+	probeCredit    float64        // probes that may be sent now
 	probesInFlight int
 
 	view       view.View
 	hosts      map[string]*host // those in service
 	forwarders map[*Forwarder]bool
-	leases     map[leaseKey]policy.Tenth // when each ends
+	leases     map[leaseKey]policy.TenthMs // when each ends
 
 	// Counters: leases of a name that already held one (a restart does too), links
 	// closed since nothing came, probes without a response, and work sent to hosts
@@ -75,18 +75,18 @@
 type host struct {
 	name     string
 	set      int64
-	bootedAt policy.Tenth
+	bootedAt policy.TenthMs
 
 	evidence    view.Evidence
-	evidenceAt  policy.Tenth // when the last probe that named a position ended
-	unpublished bool         // evidence or lateness differs from the view
-	publishedAt policy.Tenth
+	evidenceAt  policy.TenthMs // when the last probe that named a position ended
+	unpublished bool           // evidence or lateness differs from the view
+	publishedAt policy.TenthMs
 
 	publishedRole  policy.Role
-	lastResponseAt policy.Tenth // to a probe or to any forwarder
-	probedAt       policy.Tenth // 0: not since its start
+	lastResponseAt policy.TenthMs // to a probe or to any forwarder
+	probedAt       policy.TenthMs // 0: not since its start
 	probing        bool
-	backoff        policy.Tenth // between probes while it does not respond; 0: it responds
+	backoff        policy.TenthMs // between probes while it does not respond; 0: it responds
 
 	responses, latenessSum                 uint32 // in the current interval of lateness
 	previousResponses, previousLatenessSum uint32 // in the one before
@@ -97,11 +97,11 @@
 
 // New starts a planner that knows nothing. incarnation differs from that of any
 // other planner, before and now.
-func New(incarnation uint64, config Terms, now policy.Tenth) *Planner {
+func New(incarnation uint64, config Config, now policy.TenthMs) *Planner {
 	return &Planner{
 		config: config, incarnation: incarnation,
 		now: now, nextChangeAt: now, nextLatenessAt: now, creditedAt: now,
-		hosts: map[string]*host{}, forwarders: map[*Forwarder]bool{}, leases: map[leaseKey]policy.Tenth{},
+		hosts: map[string]*host{}, forwarders: map[*Forwarder]bool{}, leases: map[leaseKey]policy.TenthMs{},
 	}
 }
 
@@ -109,7 +109,7 @@
 func (p *Planner) View() *view.View { return &p.view }
 
 // advance moves the time forward; a time that is older than the last changes nothing.
-func (p *Planner) advance(now policy.Tenth) { p.now = max(p.now, now) }
+func (p *Planner) advance(now policy.TenthMs) { p.now = max(p.now, now) }
 
 // randomFraction returns a number in [0, 1) that depends on the incarnation and the number of draws alone.
 func (p *Planner) randomFraction() float64 {
@@ -119,16 +119,16 @@
 	return float64(crc32.ChecksumIEEE(text)) / (1 << 32)
 }
 
-// Listed applies a list of discovery: a whole one, or what changed since another.
+// ApplyList applies a list of discovery: a whole one, or what changed since another.
 // It returns false if the list is older than the newest one applied. It may change
 // the entries.
-func (p *Planner) Listed(now policy.Tenth, revision int64, whole bool, entries []view.Host) bool {
+func (p *Planner) ApplyList(now policy.TenthMs, revision int64, whole bool, entries []view.Host) bool {
 	p.advance(now)
 	for i := range entries {
 		// The clock of discovery may be ahead; that must not keep a host cold for longer.
-		entries[i].Boot = max(0, min(entries[i].Boot, now))
+		entries[i].BootedAt = max(0, min(entries[i].BootedAt, now))
 	}
-	if !p.view.List(view.Version{Gen: p.config.Gen, Rev: revision}, whole, entries) {
+	if !p.view.ApplyList(view.Version{Generation: p.config.Generation, Revision: revision}, whole, entries) {
 		return false
 	}
 	for name := range p.hosts {
@@ -137,7 +137,7 @@
 		}
 	}
 	for _, entry := range entries {
-		if listed, known := p.view.Host(entry.Name); known && listed.Standing == policy.In {
+		if listed, known := p.view.Host(entry.Name); known && listed.Standing == policy.Active {
 			p.trackHost(listed)
 		} else {
 			delete(p.hosts, entry.Name)
@@ -159,32 +159,32 @@
 		}
 		p.hosts[listed.Name] = tracked
 	}
-	if listed.Boot > tracked.bootedAt {
-		tracked.bootedAt = listed.Boot
+	if listed.BootedAt > tracked.bootedAt {
+		tracked.bootedAt = listed.BootedAt
 		tracked.backoff, tracked.probedAt, tracked.lastResponseAt = 0, 0, 0
 		clear(tracked.coldWork)
 	}
 }
 
-// Todo is what a Tick asks its caller to do.
-type Todo struct {
-	Probe  []string     // hosts to probe; the end of each must be reported
-	Change *view.Change // to be sent to all forwarders but those that are sent the full view; nil: none is due
-	Whole  []*Forwarder // to be sent the full view as it is after the change
-	Cut    []*Forwarder // silent on an open link; the caller closes it
-	Next   policy.Tenth // the latest time of the next Tick
+// Actions is what a Tick asks its caller to do.
+type Actions struct {
+	Probes     []string       // hosts to probe; the end of each must be reported
+	Change     *view.Change   // to be sent to all forwarders but those that are sent the full view; nil: none is due
+	FullView   []*Forwarder   // to be sent the full view as it is after the change
+	Disconnect []*Forwarder   // silent on an open link; the caller closes it
+	NextTick   policy.TenthMs // the latest time of the next Tick
 }
 
 // Tick advances to a time and returns what is due.
-func (p *Planner) Tick(now policy.Tenth) Todo {
+func (p *Planner) Tick(now policy.TenthMs) Actions {
 	p.advance(now)
 	p.expireLeases()
-	actions := Todo{Cut: p.removeSilentForwarders(), Probe: p.startProbes()}
+	actions := Actions{Disconnect: p.removeSilentForwarders(), Probes: p.startProbes()}
 	if p.now >= p.nextChangeAt {
 		actions.Change = p.nextChange()
-		actions.Whole = p.takeFullViewRequests()
+		actions.FullView = p.takeFullViewRequests()
 	}
-	actions.Next = min(p.nextChangeAt, p.now+p.config.Search/2)
+	actions.NextTick = min(p.nextChangeAt, p.now+p.config.PrimaryProbeInterval/2)
 	return actions
 }
 
@@ -194,13 +194,13 @@
 	p.publish()
 	p.sequence++
 	change := p.view.TakeChanges(p.incarnation, p.sequence)
-	change.Every = p.reportInterval()
+	change.ReportInterval = p.reportInterval()
 	return &change
 }
 
-// Whole returns the full view, for the forwarders that Tick named.
-func (p *Planner) Whole() view.Change {
-	change := p.view.Whole(p.incarnation, p.sequence)
-	change.Every = p.reportInterval()
+// FullView returns the full view, for the forwarders that Tick named.
+func (p *Planner) FullView() view.Change {
+	change := p.view.FullChange(p.incarnation, p.sequence)
+	change.ReportInterval = p.reportInterval()
 	return change
 }
--- a/internal/router/tier/planner/planner_test.go
+++ b/internal/router/tier/planner/planner_test.go
@@ -10,49 +10,49 @@
 )
 
 const (
-	ms    = policy.Tenth(10)
+	ms    = policy.TenthMs(10)
 	start = 1000 * second
 )
 
-var config = Terms{
-	Beat: 100 * ms, Probe: 500 * ms, Search: 50 * ms, Probes: 8, PerSecond: 100, Forwarders: 5000, Reports: 1000,
-	Frames: 20000, Bytes: 20_000_000,
+var config = Config{
+	ChangeInterval: 100 * ms, ProbeInterval: 500 * ms, PrimaryProbeInterval: 50 * ms, MaxProbesInFlight: 8, ProbesPerSecond: 100, MaxForwarders: 5000, ReportsPerSecond: 1000,
+	FramesPerSecond: 20000, PositionBytesPerSecond: 20_000_000,
 }
 
 // newPlanner returns a planner with a set of three hosts, of which a says that it is the primary.
-func newPlanner() (*Planner, policy.Tenth) {
+func newPlanner() (*Planner, policy.TenthMs) {
 	planner := New(7, config, start)
-	planner.Listed(start, 1, true, []view.Host{{Name: "a", Set: 1}, {Name: "b", Set: 1}, {Name: "c", Set: 1}})
-	for _, name := range planner.Tick(start + 200*ms).Probe {
+	planner.ApplyList(start, 1, true, []view.Host{{Name: "a", Set: 1}, {Name: "b", Set: 1}, {Name: "c", Set: 1}})
+	for _, name := range planner.Tick(start + 200*ms).Probes {
 		role := policy.Replica
 		if name == "a" {
 			role = policy.Primary
 		}
-		planner.Probed(start+210*ms, name, true, start, role, start+200*ms)
+		planner.ProbeFinished(start+210*ms, name, true, start, role, start+200*ms)
 	}
 	return planner, start + 210*ms
 }
 
 // reportOf returns a report of one response of a host.
-func reportOf(name string, pos policy.Tenth, role policy.Role) link.Report {
-	return link.Report{Heard: []link.Heard{{Evidence: view.Evidence{Name: name, Pos: pos, Role: role, RoleAt: pos}, Count: 1, Sum: 200}}}
+func reportOf(name string, pos policy.TenthMs, role policy.Role) link.Report {
+	return link.Report{Observations: []link.Observation{{Evidence: view.Evidence{Name: name, Position: pos, Role: role, RolePosition: pos}, Responses: 1, LatenessSum: 200}}}
 }
 
 func TestHostsWithReportedResponsesAreNotProbed(t *testing.T) {
 	planner, now := newPlanner()
-	forwarder := planner.Greeted(now, "f", 1)
+	forwarder := planner.AddForwarder(now, "f", 1)
 	for i := range 50 {
 		now += 100 * ms
-		forwarder.Reported(now, reportOf("a", now-ms, policy.Primary))
-		forwarder.Reported(now, reportOf("b", now-ms, policy.Replica))
-		for _, name := range planner.Tick(now).Probe {
+		forwarder.HandleReport(now, reportOf("a", now-ms, policy.Primary))
+		forwarder.HandleReport(now, reportOf("b", now-ms, policy.Replica))
+		for _, name := range planner.Tick(now).Probes {
 			if i > 5 && name != "c" {
 				t.Fatalf("%s is probed", name)
 			}
-			planner.Probed(now, name, true, now-ms, policy.Replica, now)
+			planner.ProbeFinished(now, name, true, now-ms, policy.Replica, now)
 		}
 	}
-	if h, _ := planner.View().Host("b"); h.Pos < now-200*ms || h.Late != 3 {
+	if h, _ := planner.View().Host("b"); h.Position < now-200*ms || h.Lateness != 3 {
 		t.Errorf("%+v", h)
 	}
 }
@@ -62,15 +62,15 @@
 	asked := map[string]int{}
 	for range 100 {
 		now += 10 * ms
-		for _, name := range planner.Tick(now).Probe {
+		for _, name := range planner.Tick(now).Probes {
 			asked[name]++
-			planner.Probed(now+ms, name, name != "a", now, policy.Replica, now)
+			planner.ProbeFinished(now+ms, name, name != "a", now, policy.Replica, now)
 		}
 	}
 	if asked["b"] < 5 || asked["c"] < 5 || asked["a"] > asked["b"] {
 		t.Errorf("asked %v in a second", asked)
 	}
-	planner.Probed(now+2*ms, "b", true, now+ms, policy.Primary, now+ms)
+	planner.ProbeFinished(now+2*ms, "b", true, now+ms, policy.Primary, now+ms)
 	planner.probesInFlight++
 	if c := planner.Tick(now + 200*ms); c.Change == nil || len(c.Change.Hosts) == 0 {
 		t.Error("the new primary is not published at once")
@@ -82,34 +82,34 @@
 
 func TestForwardersCountByLeaseOfEachProcess(t *testing.T) {
 	planner, now := newPlanner()
-	one, two := planner.Greeted(now, "f", 1), planner.Greeted(now, "f", 2)
-	if planner.Tick(now); planner.Routers() != 0 {
+	one, two := planner.AddForwarder(now, "f", 1), planner.AddForwarder(now, "f", 2)
+	if planner.Tick(now); planner.LeaseCount() != 0 {
 		t.Error("a greeting alone counts, which could be a replay")
 	}
-	one.Wanted(now)
-	two.Wanted(now)
-	if planner.Tick(now); planner.Routers() != 2 || planner.DuplicateLeases != 1 {
-		t.Errorf("%d count, %d of one name", planner.Routers(), planner.DuplicateLeases)
+	one.RequestFullView(now)
+	two.RequestFullView(now)
+	if planner.Tick(now); planner.LeaseCount() != 2 || planner.DuplicateLeases != 1 {
+		t.Errorf("%d count, %d of one name", planner.LeaseCount(), planner.DuplicateLeases)
 	}
-	one.Left() // its lease runs on
-	if planner.Tick(now + second); planner.Routers() != 2 {
-		t.Errorf("%d count", planner.Routers())
+	one.Disconnected() // its lease runs on
+	if planner.Tick(now + second); planner.LeaseCount() != 2 {
+		t.Errorf("%d count", planner.LeaseCount())
 	}
 	for now += 100 * ms; now < start+10*second; now += 100 * ms {
-		two.Wanted(now)
+		two.RequestFullView(now)
 		planner.Tick(now)
 	}
-	if planner.Routers() != 1 {
-		t.Errorf("%d count after the lease", planner.Routers())
+	if planner.LeaseCount() != 1 {
+		t.Errorf("%d count after the lease", planner.LeaseCount())
 	}
 }
 
 func TestHalfOpenLinkIsClosed(t *testing.T) {
 	planner, now := newPlanner()
-	forwarder := planner.Greeted(now, "f", 1)
-	forwarder.Wanted(now)
+	forwarder := planner.AddForwarder(now, "f", 1)
+	forwarder.RequestFullView(now)
 	for end := now + 4*second; now < end; now += 100 * ms {
-		if cut := planner.Tick(now).Cut; len(cut) > 0 {
+		if cut := planner.Tick(now).Disconnect; len(cut) > 0 {
 			if cut[0] != forwarder || planner.ForwarderCount() != 0 {
 				t.Error("another was closed")
 			}
@@ -120,29 +120,29 @@
 }
 
 func TestForwardersOverCapacityAreRejected(t *testing.T) {
-	planner := New(1, Terms{Forwarders: 1, Reports: 1, Frames: 1, Bytes: 1}, start)
-	if planner.Greeted(start, "a", 1) == nil || planner.Greeted(start, "b", 2) != nil {
+	planner := New(1, Config{MaxForwarders: 1, ReportsPerSecond: 1, FramesPerSecond: 1, PositionBytesPerSecond: 1}, start)
+	if planner.AddForwarder(start, "a", 1) == nil || planner.AddForwarder(start, "b", 2) != nil {
 		t.Error("the limit does not hold")
 	}
 }
 
 func TestImplausibleEvidenceIsIgnored(t *testing.T) {
 	planner, now := newPlanner()
-	forwarder := planner.Greeted(now, "f", 1)
-	forwarder.Reported(now, reportOf("b", now+second, policy.Primary))
-	forwarder.Reported(now, link.Report{Heard: []link.Heard{{Evidence: view.Evidence{Name: "nobody", Pos: 1}}}})
+	forwarder := planner.AddForwarder(now, "f", 1)
+	forwarder.HandleReport(now, reportOf("b", now+second, policy.Primary))
+	forwarder.HandleReport(now, link.Report{Observations: []link.Observation{{Evidence: view.Evidence{Name: "nobody", Position: 1}}}})
 	planner.Tick(now + 200*ms)
-	if h, _ := planner.View().Host("b"); h.Role == policy.Primary || h.Pos > now {
+	if h, _ := planner.View().Host("b"); h.Role == policy.Primary || h.Position > now {
 		t.Errorf("%+v", h)
 	}
 }
 
 func TestColdWorkIsSummedPerStartOfTheHost(t *testing.T) {
 	planner, now := newPlanner()
-	forwarder := planner.Greeted(now, "f", 1)
-	planner.Listed(now, 2, false, []view.Host{{Name: "b", Set: 1, Boot: now}})
+	forwarder := planner.AddForwarder(now, "f", 1)
+	planner.ApplyList(now, 2, false, []view.Host{{Name: "b", Set: 1, BootedAt: now}})
 	cold := func(boot, work int64) {
-		forwarder.Reported(now, link.Report{Heard: []link.Heard{{Evidence: view.Evidence{Name: "b"}, Boot: boot, Cold: work}}})
+		forwarder.HandleReport(now, link.Report{Observations: []link.Observation{{Evidence: view.Evidence{Name: "b"}, BootedAt: boot, ColdWork: work}}})
 	}
 	cold(now, 3000)
 	cold(now, 5000)
@@ -176,22 +176,22 @@
 	planner    *Planner
 	hosts      []view.Host
 	forwarders []*Forwarder
-	reportAt   []policy.Tenth // of each forwarder
-	now        policy.Tenth
+	reportAt   []policy.TenthMs // of each forwarder
+	now        policy.TenthMs
 
 	bytes, frames, reports int
 }
 
 func newLoad(hosts, forwarders int) *load {
-	l := &load{planner: New(7, config, start), reportAt: make([]policy.Tenth, forwarders), now: start}
+	l := &load{planner: New(7, config, start), reportAt: make([]policy.TenthMs, forwarders), now: start}
 	for i := range hosts {
 		l.hosts = append(l.hosts, view.Host{
 			Name: fmt.Sprintf("host-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:6543", i/250, i%250), Set: int64(i / 3), Size: 1,
 		})
 	}
-	l.planner.Listed(start, 1, true, l.hosts)
+	l.planner.ApplyList(start, 1, true, l.hosts)
 	for i := range forwarders {
-		l.forwarders = append(l.forwarders, l.planner.Greeted(start, fmt.Sprintf("f%d", i), uint64(i+1)))
+		l.forwarders = append(l.forwarders, l.planner.AddForwarder(start, fmt.Sprintf("f%d", i), uint64(i+1)))
 	}
 	return l
 }
@@ -214,18 +214,18 @@
 	report := link.Report{}
 	for i := range 10 {
 		host := l.hosts[(forwarder*7+i*13)%len(l.hosts)]
-		report.Heard = append(report.Heard, reportOf(host.Name, l.now-ms, policy.Replica).Heard...)
+		report.Observations = append(report.Observations, reportOf(host.Name, l.now-ms, policy.Replica).Observations...)
 	}
-	l.forwarders[forwarder].Reported(l.now, report)
+	l.forwarders[forwarder].HandleReport(l.now, report)
 }
 
 func (l *load) tick() {
 	actions := l.planner.Tick(l.now)
-	for _, name := range actions.Probe {
-		l.planner.Probed(l.now, name, true, l.now-ms, policy.Replica, l.now)
+	for _, name := range actions.Probes {
+		l.planner.ProbeFinished(l.now, name, true, l.now-ms, policy.Replica, l.now)
 	}
 	if actions.Change != nil {
-		l.bytes += len(link.Body(actions.Change)) * len(l.forwarders)
+		l.bytes += len(link.EncodeBody(actions.Change)) * len(l.forwarders)
 		l.frames += len(l.forwarders)
 	}
 }
--- a/internal/router/tier/planner/probe.go
+++ b/internal/router/tier/planner/probe.go
@@ -27,9 +27,9 @@
 	urgencyNoPrimary // its set has no primary that responds
 )
 
-// Probed ends a probe that Tick asked for and that was sent at a time. position is
+// ProbeFinished ends a probe that Tick asked for and that was sent at a time. position is
 // -1 if the response named none.
-func (p *Planner) Probed(now policy.Tenth, name string, responded bool, position policy.Tenth, role policy.Role, sentAt policy.Tenth) {
+func (p *Planner) ProbeFinished(now policy.TenthMs, name string, responded bool, position policy.TenthMs, role policy.Role, sentAt policy.TenthMs) {
 	p.advance(now)
 	p.probesInFlight--
 	probed := p.hosts[name]
@@ -39,12 +39,12 @@
 	probed.probing = false
 	if !responded {
 		p.FailedProbes++
-		probed.backoff = min(max(p.config.Search, 2*probed.backoff), maxBackoffProbes*p.config.Probe)
+		probed.backoff = min(max(p.config.PrimaryProbeInterval, 2*probed.backoff), maxBackoffProbes*p.config.ProbeInterval)
 		return
 	}
 	probed.backoff, probed.lastResponseAt = 0, p.now
 	if position >= 0 && position <= view.MaxPosition(p.now) {
-		if probed.evidence.Said(position, role, sentAt >= probed.evidenceAt) {
+		if probed.evidence.Observe(position, role, sentAt >= probed.evidenceAt) {
 			probed.unpublished = true
 		}
 		probed.evidenceAt = p.now
@@ -65,7 +65,7 @@
 		p.probeCredit--
 		host.probing = true
 		// The random part keeps several planners from probing in step.
-		jitter := policy.Tenth(p.randomFraction() * float64(p.config.Search) / probeJitter)
+		jitter := policy.TenthMs(p.randomFraction() * float64(p.config.PrimaryProbeInterval) / probeJitter)
 		host.probedAt = max(1, p.now-jitter)
 		names = append(names, host.name)
 	}
@@ -74,11 +74,11 @@
 
 // allowedProbes returns how many probes the limits allow now.
 func (p *Planner) allowedProbes() int {
-	perSecond := float64(p.config.PerSecond)
+	perSecond := float64(p.config.ProbesPerSecond)
 	earned := perSecond * float64(p.now-p.creditedAt) / float64(second)
 	p.probeCredit = min(perSecond/burstFraction, p.probeCredit+earned)
 	p.creditedAt = p.now
-	return min(p.config.Probes-p.probesInFlight, int(p.probeCredit))
+	return min(p.config.MaxProbesInFlight-p.probesInFlight, int(p.probeCredit))
 }
 
 // dueHosts returns the most urgent hosts that are due, at most limit of them, in
@@ -115,10 +115,10 @@
 	if host.probedAt == 0 {
 		return true
 	}
-	interval := p.config.Probe
+	interval := p.config.ProbeInterval
 	switch {
 	case withoutPrimary[host.set] && host.evidence.Role != policy.Primary:
-		interval = p.config.Search
+		interval = p.config.PrimaryProbeInterval
 	case host.backoff > 0:
 		interval = host.backoff
 	}
@@ -147,7 +147,7 @@
 		}
 	}
 	for set, primary := range primaries {
-		withoutPrimary[set] = primary.backoff > 0 || p.now > primary.lastResponseAt+stalePrimaryProbes*p.config.Probe
+		withoutPrimary[set] = primary.backoff > 0 || p.now > primary.lastResponseAt+stalePrimaryProbes*p.config.ProbeInterval
 	}
 	return withoutPrimary
 }
@@ -158,8 +158,8 @@
 	switch {
 	case other == nil:
 		return true
-	case h.evidence.RoleAt != other.evidence.RoleAt:
-		return h.evidence.RoleAt > other.evidence.RoleAt
+	case h.evidence.RolePosition != other.evidence.RolePosition:
+		return h.evidence.RolePosition > other.evidence.RolePosition
 	}
 	return h.name < other.name
 }
--- a/internal/router/tier/planner/publish.go
+++ b/internal/router/tier/planner/publish.go
@@ -19,26 +19,26 @@
 
 // reportInterval is how often forwarders report, so that all together keep to the
 // configured reports a second.
-func (p *Planner) reportInterval() policy.Tenth {
-	return max(reportedChanges*p.changeInterval(), p.forwarderTime(p.config.Reports))
+func (p *Planner) reportInterval() policy.TenthMs {
+	return max(reportedChanges*p.changeInterval(), p.forwarderTime(p.config.ReportsPerSecond))
 }
 
 // changeInterval is the time between two changes, so that all forwarders together
 // are sent no more than the configured frames a second.
-func (p *Planner) changeInterval() policy.Tenth {
-	return max(p.config.Beat, p.forwarderTime(p.config.Frames))
+func (p *Planner) changeInterval() policy.TenthMs {
+	return max(p.config.ChangeInterval, p.forwarderTime(p.config.FramesPerSecond))
 }
 
 // forwarderTime is the time that one message of each forwarder takes at a rate of all.
-func (p *Planner) forwarderTime(perSecond int) policy.Tenth {
-	return policy.Tenth(len(p.forwarders)) * second / policy.Tenth(perSecond)
+func (p *Planner) forwarderTime(perSecond int) policy.TenthMs {
+	return policy.TenthMs(len(p.forwarders)) * second / policy.TenthMs(perSecond)
 }
 
 // positionInterval is the time between two positions of one host, so that all
 // positions to all forwarders keep to the configured bytes a second.
-func (p *Planner) positionInterval() policy.Tenth {
+func (p *Planner) positionInterval() policy.TenthMs {
 	bytes := float64(len(p.hosts) * len(p.forwarders) * positionBytes)
-	return policy.Tenth(bytes * float64(second) / float64(p.config.Bytes))
+	return policy.TenthMs(bytes * float64(second) / float64(p.config.PositionBytesPerSecond))
 }
 
 // publish moves what is known into the view: a change of the primary at once, all
@@ -57,12 +57,12 @@
 			p.publishHost(host)
 		}
 	}
-	p.view.Routers = len(p.leases)
+	p.view.RouterCount = len(p.leases)
 }
 
 func (p *Planner) publishHost(host *host) {
-	p.view.Believe(host.evidence, view.MaxPosition(p.now))
-	p.view.Lateness(host.name, host.lateness)
+	p.view.AddEvidence(host.evidence, view.MaxPosition(p.now))
+	p.view.SetLateness(host.name, host.lateness)
 	host.publishedAt, host.unpublished = p.now, false
 	host.publishedRole = host.evidence.Role
 }
--- a/internal/router/tier/view/change.go
+++ b/internal/router/tier/view/change.go
@@ -6,22 +6,22 @@
 // full change describes the whole view. It is sent over links and stored by
 // forwarders, so its keys never change.
 type Change struct {
-	Life    uint64   `cbor:"1,keyasint"` // of the planner; each start has another
-	Seq     uint64   `cbor:"2,keyasint"`
-	Whole   bool     `cbor:"3,keyasint,omitempty"`
-	Floor   Version  `cbor:"4,keyasint"`
-	Listed  Version  `cbor:"5,keyasint"`
-	Routers int      `cbor:"6,keyasint,omitempty"`
-	Every   int64    `cbor:"7,keyasint,omitempty"` // the interval at which forwarders are to report, in tenths of a millisecond
-	Hosts   []Host   `cbor:"8,keyasint,omitempty"` // added or changed
-	Dropped []string `cbor:"9,keyasint,omitempty"` // removed
-	Digest  uint64   `cbor:"10,keyasint"`          // of the view after the change
+	Incarnation    uint64   `cbor:"1,keyasint"` // of the planner; each start has another
+	Sequence       uint64   `cbor:"2,keyasint"`
+	Full           bool     `cbor:"3,keyasint,omitempty"`
+	Floor          Version  `cbor:"4,keyasint"`
+	ListVersion    Version  `cbor:"5,keyasint"`
+	RouterCount    int      `cbor:"6,keyasint,omitempty"`
+	ReportInterval int64    `cbor:"7,keyasint,omitempty"` // the interval at which forwarders are to report, in tenths of a millisecond
+	Hosts          []Host   `cbor:"8,keyasint,omitempty"` // added or changed
+	Removed        []string `cbor:"9,keyasint,omitempty"` // removed
+	Digest         uint64   `cbor:"10,keyasint"`          // of the view after the change
 }
 
-// Whole returns a full change that describes the view.
-func (v *View) Whole(incarnation, sequence uint64) Change {
+// FullChange returns a full change that describes the view.
+func (v *View) FullChange(incarnation, sequence uint64) Change {
 	change := v.header(incarnation, sequence)
-	change.Whole = true
+	change.Full = true
 	change.Hosts = v.Hosts()
 	return change
 }
@@ -33,7 +33,7 @@
 		if host := v.hosts[name]; host != nil {
 			change.Hosts = append(change.Hosts, *host)
 		} else {
-			change.Dropped = append(change.Dropped, name)
+			change.Removed = append(change.Removed, name)
 		}
 	}
 	return change
@@ -42,7 +42,7 @@
 // header returns a change without hosts.
 func (v *View) header(incarnation, sequence uint64) Change {
 	return Change{
-		Life: incarnation, Seq: sequence, Floor: v.Floor, Listed: v.Listed, Routers: v.Routers, Digest: v.Digest(),
+		Incarnation: incarnation, Sequence: sequence, Floor: v.Floor, ListVersion: v.ListVersion, RouterCount: v.RouterCount, Digest: v.Digest(),
 	}
 }
 
--- a/internal/router/tier/view/host.go
+++ b/internal/router/tier/view/host.go
@@ -30,26 +30,26 @@
 // Host is a host as discovery lists it, with the newest evidence of its state.
 type Host struct {
 	// What the newest list says.
-	Name     string          `cbor:"1,keyasint"`
-	Address  string          `cbor:"2,keyasint"` // host and port
-	Zone     string          `cbor:"3,keyasint,omitempty"`
-	Kind     string          `cbor:"4,keyasint,omitempty"`
-	Set      int64           `cbor:"5,keyasint"`           // the replica set that it belongs to
-	Size     float64         `cbor:"6,keyasint,omitempty"` // relative to other hosts
-	Leader   bool            `cbor:"7,keyasint,omitempty"` // listed as the primary; lists are late
-	Standing policy.Standing `cbor:"8,keyasint,omitempty"`
-	Version  Version         `cbor:"9,keyasint"` // of that list
-	Boot     policy.Tenth    `cbor:"10,keyasint,omitempty"`
+	Name          string           `cbor:"1,keyasint"`
+	Address       string           `cbor:"2,keyasint"` // host and port
+	Zone          string           `cbor:"3,keyasint,omitempty"`
+	Kind          string           `cbor:"4,keyasint,omitempty"`
+	Set           int64            `cbor:"5,keyasint"`           // the replica set that it belongs to
+	Size          float64          `cbor:"6,keyasint,omitempty"` // relative to other hosts
+	ListedPrimary bool             `cbor:"7,keyasint,omitempty"` // listed as the primary; lists are late
+	Standing      policy.ListState `cbor:"8,keyasint,omitempty"`
+	Version       Version          `cbor:"9,keyasint"` // of that list
+	BootedAt      policy.TenthMs   `cbor:"10,keyasint,omitempty"`
 
 	// Evidence, see the type.
-	Pos    policy.Tenth `cbor:"11,keyasint,omitempty"`
-	Role   policy.Role  `cbor:"12,keyasint,omitempty"`
-	RoleAt policy.Tenth `cbor:"13,keyasint,omitempty"`
-	Turn   uint32       `cbor:"14,keyasint,omitempty"`
+	Position     policy.TenthMs `cbor:"11,keyasint,omitempty"`
+	Role         policy.Role    `cbor:"12,keyasint,omitempty"`
+	RolePosition policy.TenthMs `cbor:"13,keyasint,omitempty"`
+	RoleChanges  uint32         `cbor:"14,keyasint,omitempty"`
 
-	// Late is how much of the response target a response takes, in tenths of the
+	// Lateness is how much of the response target a response takes, in tenths of the
 	// target, plus one. 0 means that it is not known.
-	Late uint8 `cbor:"15,keyasint,omitempty"`
+	Lateness uint8 `cbor:"15,keyasint,omitempty"`
 }
 
 // Validate returns why a host that a peer sent cannot be one, or nil.
@@ -59,7 +59,7 @@
 		return errHostName
 	case len(h.Address) > maxAddressBytes || len(h.Zone) > maxZoneBytes || len(h.Kind) > maxKindBytes:
 		return errHostText
-	case h.Standing > policy.Gone || h.Role > policy.Replica:
+	case h.Standing > policy.Removed || h.Role > policy.Replica:
 		return errHostEnum
 	case math.IsNaN(h.Size) || h.Size < 0 || h.Size > maxSize:
 		return errHostSize
@@ -67,7 +67,9 @@
 	return nil
 }
 
-func (h *Host) evidence() Evidence { return Evidence{h.Name, h.Pos, h.Role, h.RoleAt, h.Turn} }
+func (h *Host) evidence() Evidence {
+	return Evidence{h.Name, h.Position, h.Role, h.RolePosition, h.RoleChanges}
+}
 
 // mergeEvidence merges evidence of the host and reports whether anything changed.
 func (h *Host) mergeEvidence(evidence Evidence) bool {
@@ -75,7 +77,7 @@
 	if !merged.Merge(evidence) {
 		return false
 	}
-	h.Pos, h.Role, h.RoleAt, h.Turn = merged.Pos, merged.Role, merged.RoleAt, merged.Turn
+	h.Position, h.Role, h.RolePosition, h.RoleChanges = merged.Position, merged.Role, merged.RolePosition, merged.RoleChanges
 	return true
 }
 
@@ -87,10 +89,10 @@
 	before := *h
 	if h.Version.Before(other.Version) || h.Version == other.Version && h.listedBefore(other) {
 		h.Address, h.Zone, h.Kind, h.Set, h.Size = other.Address, other.Zone, other.Kind, other.Set, other.Size
-		h.Leader, h.Standing, h.Version, h.Boot = other.Leader, other.Standing, other.Version, other.Boot
+		h.ListedPrimary, h.Standing, h.Version, h.BootedAt = other.ListedPrimary, other.Standing, other.Version, other.BootedAt
 	}
 	h.mergeEvidence(other.evidence())
-	h.Late = max(h.Late, other.Late)
+	h.Lateness = max(h.Lateness, other.Lateness)
 	return *h != before
 }
 
@@ -103,8 +105,8 @@
 		cmp.Compare(h.Kind, other.Kind),
 		cmp.Compare(h.Set, other.Set),
 		cmp.Compare(h.Size, other.Size),
-		cmp.Compare(bit(h.Leader), bit(other.Leader)),
-		cmp.Compare(h.Boot, other.Boot),
+		cmp.Compare(bit(h.ListedPrimary), bit(other.ListedPrimary)),
+		cmp.Compare(h.BootedAt, other.BootedAt),
 	) < 0
 }
 
@@ -117,9 +119,9 @@
 		buffer = append(buffer, text...)
 	}
 	for _, number := range []uint64{
-		uint64(h.Set), math.Float64bits(h.Size), bit(h.Leader), uint64(h.Standing),
-		h.Version.Gen, uint64(h.Version.Rev), uint64(h.Boot),
-		uint64(h.Pos), uint64(h.Role), uint64(h.RoleAt), uint64(h.Turn), uint64(h.Late),
+		uint64(h.Set), math.Float64bits(h.Size), bit(h.ListedPrimary), uint64(h.Standing),
+		h.Version.Generation, uint64(h.Version.Revision), uint64(h.BootedAt),
+		uint64(h.Position), uint64(h.Role), uint64(h.RolePosition), uint64(h.RoleChanges), uint64(h.Lateness),
 	} {
 		buffer = binary.LittleEndian.AppendUint64(buffer, number)
 	}
--- a/internal/router/tier/view/replica.go
+++ b/internal/router/tier/view/replica.go
@@ -38,10 +38,10 @@
 	if !isNext {
 		return false, nil
 	}
-	if change.Whole {
+	if change.Full {
 		r.View = View{}
 	}
-	r.incarnation, r.sequence, r.complete = change.Life, change.Seq, true
+	r.incarnation, r.sequence, r.complete = change.Incarnation, change.Sequence, true
 	r.applyContent(change)
 	if r.Digest() != change.Digest {
 		r.complete = false
@@ -52,26 +52,26 @@
 
 // checkOrder reports whether a change is the one to apply next, or an error if one before it is missing.
 func (r *Replica) checkOrder(change Change) (isNext bool, err error) {
-	sameIncarnation := change.Life == r.incarnation
+	sameIncarnation := change.Incarnation == r.incarnation
 	switch {
-	case change.Whole:
-		isOlder := r.complete && sameIncarnation && change.Seq < r.sequence
+	case change.Full:
+		isOlder := r.complete && sameIncarnation && change.Sequence < r.sequence
 		return !isOlder, nil
 	case !r.complete:
 		return false, ErrGap
 	case !sameIncarnation:
 		return false, ErrRestarted
-	case change.Seq <= r.sequence:
+	case change.Sequence <= r.sequence:
 		return false, nil
-	case change.Seq != r.sequence+1:
-		return false, fmt.Errorf("%w: %d after %d", ErrGap, change.Seq, r.sequence)
+	case change.Sequence != r.sequence+1:
+		return false, fmt.Errorf("%w: %d after %d", ErrGap, change.Sequence, r.sequence)
 	}
 	return true, nil
 }
 
 // applyContent takes over what a change says, without regard to its order.
 func (r *Replica) applyContent(change Change) {
-	r.Floor, r.Listed, r.Routers = change.Floor, change.Listed, change.Routers
+	r.Floor, r.ListVersion, r.RouterCount = change.Floor, change.ListVersion, change.RouterCount
 	for _, host := range change.Hosts {
 		r.updateHost(host.Name, func(own *Host) bool {
 			changed := *own != host
@@ -79,7 +79,7 @@
 			return changed
 		})
 	}
-	for _, name := range change.Dropped {
+	for _, name := range change.Removed {
 		if r.hosts[name] != nil {
 			r.removeHost(name)
 		}
@@ -89,7 +89,7 @@
 // TouchedPart returns, as a view to merge, the hosts of a change that was applied
 // last. Hosts that it removed are left out: merging removes nothing.
 func (r *Replica) TouchedPart(change Change) *View {
-	part := &View{Floor: r.Floor, Listed: r.Listed, hosts: make(map[string]*Host, len(change.Hosts))}
+	part := &View{Floor: r.Floor, ListVersion: r.ListVersion, hosts: make(map[string]*Host, len(change.Hosts))}
 	for i := range change.Hosts {
 		part.hosts[change.Hosts[i].Name] = &change.Hosts[i]
 	}
--- a/internal/router/tier/view/view.go
+++ b/internal/router/tier/view/view.go
@@ -30,28 +30,28 @@
 
 // positionTolerance is how far a true position may be ahead of the clock: hosts
 // round the position of a commit up.
-const positionTolerance = policy.Tenth(20)
+const positionTolerance = policy.TenthMs(20)
 
 // MaxPosition returns the greatest position that any host can have reached at a time.
-func MaxPosition(now policy.Tenth) policy.Tenth { return now + positionTolerance }
+func MaxPosition(now policy.TenthMs) policy.TenthMs { return now + positionTolerance }
 
 // Version orders lists: by generation first, then by revision.
 type Version struct {
-	Gen uint64 `cbor:"1,keyasint,omitempty"` // raised by the operator when discovery is replaced and its revisions start anew
-	Rev int64  `cbor:"2,keyasint,omitempty"` // discovery's own
+	Generation uint64 `cbor:"1,keyasint,omitempty"` // raised by the operator when discovery is replaced and its revisions start anew
+	Revision   int64  `cbor:"2,keyasint,omitempty"` // discovery's own
 }
 
 // Before reports whether a version is older than another.
 func (v Version) Before(other Version) bool {
-	return v.Gen < other.Gen || v.Gen == other.Gen && v.Rev < other.Rev
+	return v.Generation < other.Generation || v.Generation == other.Generation && v.Revision < other.Revision
 }
 
 // View is the state of a fleet. The zero value is empty and ready to use. It is
 // not safe for concurrent use.
 type View struct {
-	Floor   Version // a host that only lists older than this have named is removed
-	Listed  Version // of the newest list
-	Routers int     // that share the hosts; 0: not known
+	Floor       Version // a host that only lists older than this have named is removed
+	ListVersion Version // of the newest list
+	RouterCount int     // that share the hosts; 0: not known
 
 	hosts         map[string]*Host
 	goneHosts     int
@@ -91,25 +91,25 @@
 func (v *View) Digest() uint64 {
 	buffer := binary.LittleEndian.AppendUint64(nil, v.hostDigestSum)
 	for _, number := range []uint64{
-		v.Floor.Gen, uint64(v.Floor.Rev), v.Listed.Gen, uint64(v.Listed.Rev), uint64(v.Routers),
+		v.Floor.Generation, uint64(v.Floor.Revision), v.ListVersion.Generation, uint64(v.ListVersion.Revision), uint64(v.RouterCount),
 	} {
 		buffer = binary.LittleEndian.AppendUint64(buffer, number)
 	}
 	return xxhash.Sum64(buffer)
 }
 
-// List applies a list of discovery: a whole one, or what changed since another. A
+// ApplyList applies a list of discovery: a whole one, or what changed since another. A
 // whole list removes the hosts that it lacks. It returns false, and changes
 // nothing, if the list is older than the newest one applied.
-func (v *View) List(version Version, whole bool, entries []Host) bool {
-	if version.Before(v.Listed) {
+func (v *View) ApplyList(version Version, whole bool, entries []Host) bool {
+	if version.Before(v.ListVersion) {
 		return false
 	}
-	v.Listed = version
+	v.ListVersion = version
 	for _, entry := range entries {
 		entry.Version = version
 		entry.clearEvidence()
-		entry.Late = 0
+		entry.Lateness = 0
 		v.updateHost(entry.Name, func(host *Host) bool { return host.merge(entry) })
 	}
 	if whole {
@@ -122,54 +122,54 @@
 // newest list still names them. It raises the floor, so that a planner that
 // returns with an older list cannot bring a removed host back.
 func (v *View) Compact() {
-	v.confirmHosts(func(host *Host) bool { return host.Standing != policy.Gone })
+	v.confirmHosts(func(host *Host) bool { return host.Standing != policy.Removed })
 }
 
 // confirmHosts raises the floor and the version of the hosts to keep to the newest list, and removes the others.
 func (v *View) confirmHosts(keep func(*Host) bool) {
-	v.Floor = v.Listed
+	v.Floor = v.ListVersion
 	for name, host := range v.hosts {
 		if !keep(host) {
 			v.removeHost(name)
 			continue
 		}
-		v.updateHost(name, func(host *Host) bool { host.Version = v.Listed; return true })
+		v.updateHost(name, func(host *Host) bool { host.Version = v.ListVersion; return true })
 	}
 }
 
-// Believe merges evidence of a host and reports whether it changed the view.
+// AddEvidence merges evidence of a host and reports whether it changed the view.
 // Evidence of an unknown host, or with a position past maxPosition, is ignored.
-func (v *View) Believe(evidence Evidence, maxPosition policy.Tenth) bool {
-	if v.hosts[evidence.Name] == nil || !plausible(evidence.Pos, evidence.RoleAt, maxPosition) {
+func (v *View) AddEvidence(evidence Evidence, maxPosition policy.TenthMs) bool {
+	if v.hosts[evidence.Name] == nil || !plausible(evidence.Position, evidence.RolePosition, maxPosition) {
 		return false
 	}
 	return v.updateHost(evidence.Name, func(host *Host) bool { return host.mergeEvidence(evidence) })
 }
 
 // plausible reports whether a host can have named these positions.
-func plausible(position, rolePosition, maxPosition policy.Tenth) bool {
+func plausible(position, rolePosition, maxPosition policy.TenthMs) bool {
 	return position >= 0 && position <= maxPosition && rolePosition >= 0 && rolePosition <= maxPosition
 }
 
-// Lateness sets the lateness of a host, if it is known. Unlike evidence it may fall again.
-func (v *View) Lateness(name string, lateness uint8) {
+// SetLateness sets the lateness of a host, if it is known. Unlike evidence it may fall again.
+func (v *View) SetLateness(name string, lateness uint8) {
 	if v.hosts[name] == nil {
 		return
 	}
 	v.updateHost(name, func(host *Host) bool {
-		changed := host.Late != lateness
-		host.Late = lateness
+		changed := host.Lateness != lateness
+		host.Lateness = lateness
 		return changed
 	})
 }
 
-// Join merges another view. Any order and repetition of merges yields the same
+// Merge merges another view. Any order and repetition of merges yields the same
 // list and, for hosts above the floors, the same evidence; evidence of a host below
 // a floor may be lost, which is safe, since less is then known. Claims past
 // maxPosition are ignored, and so is lateness, which is valid for a short time only.
-func (v *View) Join(other *View, maxPosition policy.Tenth) {
-	if v.Listed.Before(other.Listed) {
-		v.Listed = other.Listed
+func (v *View) Merge(other *View, maxPosition policy.TenthMs) {
+	if v.ListVersion.Before(other.ListVersion) {
+		v.ListVersion = other.ListVersion
 	}
 	if v.Floor.Before(other.Floor) {
 		v.raiseFloor(other.Floor)
@@ -189,15 +189,15 @@
 }
 
 // MergeHost merges one host of another view and reports whether it changed the view.
-func (v *View) MergeHost(host Host, maxPosition policy.Tenth) bool {
+func (v *View) MergeHost(host Host, maxPosition policy.TenthMs) bool {
 	if host.Version.Before(v.Floor) {
 		return false
 	}
-	host.Late = 0
-	if !plausible(host.Pos, host.RoleAt, maxPosition) {
+	host.Lateness = 0
+	if !plausible(host.Position, host.RolePosition, maxPosition) {
 		host.clearEvidence()
 	}
-	host.Boot = max(0, min(host.Boot, maxPosition))
+	host.BootedAt = max(0, min(host.BootedAt, maxPosition))
 	return v.updateHost(host.Name, func(own *Host) bool { return own.merge(host) })
 }
 
@@ -208,13 +208,13 @@
 	var newestPrimary, newestHost *Host
 	for _, name := range slices.Sorted(maps.Keys(v.hosts)) {
 		host := v.hosts[name]
-		if host.Set != set || host.Standing != policy.In {
+		if host.Set != set || host.Standing != policy.Active {
 			continue
 		}
-		if host.Role == policy.Primary && (newestPrimary == nil || host.RoleAt > newestPrimary.RoleAt) {
+		if host.Role == policy.Primary && (newestPrimary == nil || host.RolePosition > newestPrimary.RolePosition) {
 			newestPrimary, primary = host, name
 		}
-		if newestHost == nil || host.Pos > newestHost.Pos {
+		if newestHost == nil || host.Position > newestHost.Position {
 			newestHost, furthest = host, name
 		}
 	}
@@ -229,7 +229,7 @@
 	var wasGone bool
 	host, known := v.hosts[name]
 	if known {
-		digestBefore, wasGone = host.digest(), host.Standing == policy.Gone
+		digestBefore, wasGone = host.digest(), host.Standing == policy.Removed
 	} else {
 		host = &Host{Name: name}
 	}
@@ -243,7 +243,7 @@
 		v.hosts[name] = host
 	}
 	v.hostDigestSum += host.digest() - digestBefore
-	switch isGone := host.Standing == policy.Gone; {
+	switch isGone := host.Standing == policy.Removed; {
 	case isGone && !wasGone:
 		v.goneHosts++
 	case wasGone && !isGone:
@@ -256,7 +256,7 @@
 func (v *View) removeHost(name string) {
 	host := v.hosts[name]
 	v.hostDigestSum -= host.digest()
-	if host.Standing == policy.Gone {
+	if host.Standing == policy.Removed {
 		v.goneHosts--
 	}
 	delete(v.hosts, name)
--- a/internal/router/tier/view/view_test.go
+++ b/internal/router/tier/view/view_test.go
@@ -22,10 +22,10 @@
 			entries = append(entries, Host{
 				Name:    names.Draw(t, "host"),
 				Address: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"), Set: int64(rapid.IntRange(0, 1).Draw(t, "set")),
-				Standing: policy.Standing(rapid.IntRange(0, 2).Draw(t, "standing")), Boot: int64(rapid.IntRange(0, 9).Draw(t, "boot")),
+				Standing: policy.ListState(rapid.IntRange(0, 2).Draw(t, "standing")), BootedAt: int64(rapid.IntRange(0, 9).Draw(t, "boot")),
 			})
 		}
-		view.List(Version{uint64(rapid.IntRange(0, 1).Draw(t, "gen")), int64(rapid.IntRange(0, 9).Draw(t, "rev"))},
+		view.ApplyList(Version{uint64(rapid.IntRange(0, 1).Draw(t, "gen")), int64(rapid.IntRange(0, 9).Draw(t, "rev"))},
 			rapid.Bool().Draw(t, "whole"), entries)
 		if rapid.Bool().Draw(t, "settle") {
 			view.Compact()
@@ -37,12 +37,12 @@
 // drawEvidence draws a view of one list, with any evidence of its hosts.
 func drawEvidence(t *rapid.T, name string) *View {
 	view := &View{}
-	view.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}})
+	view.ApplyList(Version{Revision: 1}, true, []Host{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}})
 	for range rapid.IntRange(0, 6).Draw(t, name) {
-		view.Believe(Evidence{
-			Name: names.Draw(t, "host"),
-			Pos:  int64(rapid.IntRange(0, 5).Draw(t, "pos")), Role: policy.Role(rapid.IntRange(0, 2).Draw(t, "role")),
-			RoleAt: int64(rapid.IntRange(0, 5).Draw(t, "at")), Turn: uint32(rapid.IntRange(0, 2).Draw(t, "turn")),
+		view.AddEvidence(Evidence{
+			Name:     names.Draw(t, "host"),
+			Position: int64(rapid.IntRange(0, 5).Draw(t, "pos")), Role: policy.Role(rapid.IntRange(0, 2).Draw(t, "role")),
+			RolePosition: int64(rapid.IntRange(0, 5).Draw(t, "at")), RoleChanges: uint32(rapid.IntRange(0, 2).Draw(t, "turn")),
 		}, maxPosition)
 	}
 	return view
@@ -51,7 +51,7 @@
 func merged(vs ...*View) *View {
 	out := &View{}
 	for _, view := range vs {
-		out.Join(view, maxPosition)
+		out.Merge(view, maxPosition)
 	}
 	return out
 }
@@ -77,12 +77,12 @@
 func TestOlderListDoesNotEndADrain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		knows, old := &View{}, &View{}
-		knows.List(Version{Rev: 40}, true, []Host{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}})
-		knows.List(Version{Rev: 43}, false, []Host{{Name: "a", Address: "x", Standing: policy.Draining}})
+		knows.ApplyList(Version{Revision: 40}, true, []Host{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}})
+		knows.ApplyList(Version{Revision: 43}, false, []Host{{Name: "a", Address: "x", Standing: policy.Draining}})
 		rev := rapid.Int64Range(1, 43).Draw(t, "rev")
-		old.List(Version{Rev: rev}, rapid.Bool().Draw(t, "whole"), []Host{{Name: "a", Address: "x"}})
+		old.ApplyList(Version{Revision: rev}, rapid.Bool().Draw(t, "whole"), []Host{{Name: "a", Address: "x"}})
 		for _, view := range []*View{merged(knows, old), merged(old, knows)} {
-			if host, known := view.Host("a"); known && host.Standing == policy.In {
+			if host, known := view.Host("a"); known && host.Standing == policy.Active {
 				t.Fatalf("in service again by a list of version %d", rev)
 			}
 		}
@@ -91,9 +91,9 @@
 
 func TestRemovedHostStaysRemovedWhenAnOldPlannerReturns(t *testing.T) {
 	knows, old := &View{}, &View{}
-	knows.List(Version{Rev: 10}, true, []Host{{Name: "a"}, {Name: "b"}})
-	old.Join(knows, maxPosition)
-	knows.List(Version{Rev: 11}, false, []Host{{Name: "b", Standing: policy.Gone}})
+	knows.ApplyList(Version{Revision: 10}, true, []Host{{Name: "a"}, {Name: "b"}})
+	old.Merge(knows, maxPosition)
+	knows.ApplyList(Version{Revision: 11}, false, []Host{{Name: "b", Standing: policy.Removed}})
 	knows.Compact() // its tombstone too
 	view := merged(knows, old)
 	if _, known := view.Host("b"); known || view.Len() != 1 {
@@ -103,17 +103,17 @@
 
 func TestRoleIsOrderedByTheHostsPosition(t *testing.T) {
 	view := &View{}
-	view.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
-	view.Believe(Evidence{"b", 500, policy.Primary, 500, 0}, maxPosition)
-	view.Believe(Evidence{"a", 400, policy.Primary, 400, 0}, maxPosition) // the old one's word, relayed late
+	view.ApplyList(Version{Revision: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
+	view.AddEvidence(Evidence{"b", 500, policy.Primary, 500, 0}, maxPosition)
+	view.AddEvidence(Evidence{"a", 400, policy.Primary, 400, 0}, maxPosition) // the old one's word, relayed late
 	if p, _ := view.Primary(0); p != "b" {
 		t.Errorf("the primary is %q", p)
 	}
-	if view.Believe(Evidence{"a", maxPosition + 1, policy.Primary, maxPosition + 1, 0}, maxPosition) {
+	if view.AddEvidence(Evidence{"a", maxPosition + 1, policy.Primary, maxPosition + 1, 0}, maxPosition) {
 		t.Error("a position of the future is believed")
 	}
-	view.Believe(Evidence{"b", 500, policy.Replica, 500, 1}, maxPosition) // it stepped down where it stood
-	view.Believe(Evidence{"b", 500, policy.Primary, 500, 0}, maxPosition)
+	view.AddEvidence(Evidence{"b", 500, policy.Replica, 500, 1}, maxPosition) // it stepped down where it stood
+	view.AddEvidence(Evidence{"b", 500, policy.Primary, 500, 0}, maxPosition)
 	if p, next := view.Primary(0); p != "a" || next != "b" {
 		t.Errorf("the primary is %q, next %q", p, next)
 	}
@@ -121,11 +121,11 @@
 
 func TestLateAnswerDoesNotChangeTheRole(t *testing.T) {
 	evidence := Evidence{Name: "a"}
-	evidence.Said(7, policy.Replica, true)
-	if evidence.Said(7, policy.Primary, false) || evidence.Role != policy.Replica {
+	evidence.Observe(7, policy.Replica, true)
+	if evidence.Observe(7, policy.Primary, false) || evidence.Role != policy.Replica {
 		t.Errorf("%+v", evidence)
 	}
-	if !evidence.Said(7, policy.Primary, true) || evidence.Role != policy.Primary || evidence.Turn != 1 {
+	if !evidence.Observe(7, policy.Primary, true) || evidence.Role != policy.Primary || evidence.RoleChanges != 1 {
 		t.Errorf("%+v", evidence)
 	}
 }
@@ -133,11 +133,11 @@
 // sequenceOf returns a planner's full view, the changes that follow and the view after them.
 func sequenceOf(n int) (first Change, all []Change, view *View) {
 	view = &View{}
-	view.List(Version{Rev: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
+	view.ApplyList(Version{Revision: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
 	view.TakeChanges(1, 0)
-	first = view.Whole(1, 0)
+	first = view.FullChange(1, 0)
 	for i := range n {
-		view.Believe(Evidence{Name: string(rune('a' + i%2)), Pos: int64(10 + i)}, maxPosition) // in turn, so that a gap shows
+		view.AddEvidence(Evidence{Name: string(rune('a' + i%2)), Position: int64(10 + i)}, maxPosition) // in turn, so that a gap shows
 		all = append(all, view.TakeChanges(1, uint64(i+1)))
 	}
 	return first, all, view
@@ -160,18 +160,18 @@
 			ch := rapid.SampledFrom(all).Draw(t, "change")
 			before := replica.Sequence()
 			if _, err := replica.Apply(ch); err != nil {
-				if !errors.Is(err, ErrGap) || ch.Seq == before+1 {
-					t.Fatalf("%d after %d: %v", ch.Seq, before, err)
+				if !errors.Is(err, ErrGap) || ch.Sequence == before+1 {
+					t.Fatalf("%d after %d: %v", ch.Sequence, before, err)
 				}
 				mustApply(t, &replica, first)
 			}
 			a, _ := replica.Host("a")
 			b, _ := replica.Host("b")
-			if at := int64(replica.Sequence()); at > 0 && max(a.Pos, b.Pos) != 9+at || at > 1 && min(a.Pos, b.Pos) != 8+at {
-				t.Fatalf("at %d the positions are %d and %d", at, a.Pos, b.Pos)
+			if at := int64(replica.Sequence()); at > 0 && max(a.Position, b.Position) != 9+at || at > 1 && min(a.Position, b.Position) != 8+at {
+				t.Fatalf("at %d the positions are %d and %d", at, a.Position, b.Position)
 			}
 		}
-		mustApply(t, &replica, view.Whole(1, 5))
+		mustApply(t, &replica, view.FullChange(1, 5))
 		if replica.Digest() != view.Digest() {
 			t.Fatal("the replica differs after a full view")
 		}
@@ -190,11 +190,11 @@
 	if _, err := replica.Apply(all[1]); !errors.Is(err, ErrGap) {
 		t.Errorf("the next one: %v", err)
 	}
-	mustApply(t, &replica, view.Whole(1, 2))
-	if _, err := replica.Apply(Change{Life: 2, Seq: 3}); !errors.Is(err, ErrRestarted) || replica.Complete() {
+	mustApply(t, &replica, view.FullChange(1, 2))
+	if _, err := replica.Apply(Change{Incarnation: 2, Sequence: 3}); !errors.Is(err, ErrRestarted) || replica.Complete() {
 		t.Errorf("another incarnation's change: %v", err)
 	}
-	if fresh, err := replica.Apply(view.Whole(2, 0)); !fresh || err != nil || !replica.Complete() {
+	if fresh, err := replica.Apply(view.FullChange(2, 0)); !fresh || err != nil || !replica.Complete() {
 		t.Errorf("its full view: %v", err)
 	}
 }
--- a/internal/router/trace/file/file.go
+++ b/internal/router/trace/file/file.go
@@ -18,8 +18,8 @@
 	"ferrypitch/internal/router/trace/format"
 )
 
-// Ending is the extension of trace files.
-const Ending = ".fptrace"
+// Extension is the extension of trace files.
+const Extension = ".fptrace"
 
 // Storage is what files are written on. Tests have one that fails.
 type Storage interface {
@@ -46,20 +46,20 @@
 // Remove implements Storage.
 func (Disk) Remove(path string) error { return os.Remove(path) }
 
-// Terms is the configuration of a Writer. None of its fields has a default.
-type Terms struct {
-	Dir    string
-	Name   string        // of the router, for file names
-	Size   int64         // in bytes, after which another file begins
-	Age    time.Duration // after which another file begins
-	Budget int64         // of all files that this process wrote, in bytes
-	Flush  time.Duration // between two syncs of the open file
-	Blocks int           // the number of blocks that there are; it bounds the memory of capture
+// Config is the configuration of a Writer. None of its fields has a default.
+type Config struct {
+	Dir           string
+	Name          string        // of the router, for file names
+	MaxFileBytes  int64         // in bytes, after which another file begins
+	MaxFileAge    time.Duration // after which another file begins
+	MaxTotalBytes int64         // of all files that this process wrote, in bytes
+	SyncInterval  time.Duration // between two syncs of the open file
+	BlockCount    int           // the number of blocks that there are; it bounds the memory of capture
 }
 
 // Writer writes blocks to files. It implements record.Sink.
 type Writer struct {
-	config  Terms
+	config  Config
 	storage Storage
 	header  format.Header
 	now     func() time.Time
@@ -81,12 +81,12 @@
 }
 
 // New makes a writer whose files all have the header. Nothing is written before Run.
-func New(config Terms, storage Storage, header format.Header, now func() time.Time, log *zap.Logger) *Writer {
+func New(config Config, storage Storage, header format.Header, now func() time.Time, log *zap.Logger) *Writer {
 	w := &Writer{
 		config: config, storage: storage, header: header, log: log, now: now,
-		empty: make(chan *format.Block, config.Blocks), full: make(chan *format.Block, config.Blocks),
+		empty: make(chan *format.Block, config.BlockCount), full: make(chan *format.Block, config.BlockCount),
 	}
-	for range config.Blocks {
+	for range config.BlockCount {
 		w.empty <- format.NewBlock(header.Schema)
 	}
 	return w
@@ -122,7 +122,7 @@
 // Run writes until the context ends, then what is still queued, and closes the
 // file. The error is always nil: a failure stops the writer and is logged.
 func (w *Writer) Run(ctx context.Context) error {
-	syncTimer := time.NewTicker(w.config.Flush)
+	syncTimer := time.NewTicker(w.config.SyncInterval)
 	defer syncTimer.Stop()
 	defer w.finish()
 	for {
@@ -194,8 +194,8 @@
 	}
 }
 
-// Fields returns the counters for a log line.
-func (w *Writer) Fields() []zap.Field {
+// LogFields returns the counters for a log line.
+func (w *Writer) LogFields() []zap.Field {
 	return []zap.Field{
 		zap.Int64("trace_events", w.WrittenEvents.Load()),
 		zap.Int64("trace_bytes", w.WrittenBytes.Load()),
