--- a/internal/router/trace/file/file_test.go
+++ b/internal/router/trace/file/file_test.go
@@ -16,7 +16,7 @@
 	"ferrypitch/internal/router/trace/format"
 )
 
-var schema = format.Schema{{Name: "x", Columns: []format.Column{{Name: "n", Type: format.Int, Mark: format.Plain}}}}
+var schema = format.Schema{{Name: "x", Columns: []format.Column{{Name: "n", Type: format.Int, Privacy: format.Plain}}}}
 
 // fullDisk fails once its space is used up.
 type fullDisk struct {
@@ -76,14 +76,14 @@
 	return put
 }
 
-func testConfig(dir string) Terms {
-	return Terms{Dir: dir, Name: "f1/../x", Size: 2000, Age: time.Hour, Budget: 1 << 20, Flush: time.Hour, Blocks: 3}
+func testConfig(dir string) Config {
+	return Config{Dir: dir, Name: "f1/../x", MaxFileBytes: 2000, MaxFileAge: time.Hour, MaxTotalBytes: 1 << 20, SyncInterval: time.Hour, BlockCount: 3}
 }
 
 // count reads all files of a folder and counts those that are truncated or corrupt.
 func count(t *testing.T, dir string) (events, files, broken int) {
 	t.Helper()
-	all, _ := filepath.Glob(filepath.Join(dir, "*"+Ending))
+	all, _ := filepath.Glob(filepath.Join(dir, "*"+Extension))
 	for _, path := range all {
 		file, err := os.Open(path)
 		if err != nil {
@@ -109,13 +109,13 @@
 func TestFilesRotateWithinBudgetAndHaveAnIndex(t *testing.T) {
 	dir := t.TempDir()
 	config := testConfig(dir)
-	writer := New(config, Disk{}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
+	writer := New(config, Disk{}, format.Header{Schema: schema, Incarnation: 5}, time.Now, zap.NewNop())
 	put := writeBlocks(t, writer, 60)
 	events, files, broken := count(t, dir)
 	if events != 100*put || files < 3 || broken != 0 {
 		t.Errorf("%d events of %d blocks in %d files, %d of them broken", events, put, files, broken)
 	}
-	all, _ := filepath.Glob(filepath.Join(dir, "f1____x-*"+Ending))
+	all, _ := filepath.Glob(filepath.Join(dir, "f1____x-*"+Extension))
 	if len(all) != files {
 		t.Errorf("%v", all)
 	}
@@ -129,23 +129,23 @@
 			t.Error(err)
 		}
 	}
-	config.Budget, config.Dir = 7000, t.TempDir()
-	writeBlocks(t, New(config, Disk{}, format.Header{Schema: schema, Life: 6}, time.Now, zap.NewNop()), 60)
+	config.MaxTotalBytes, config.Dir = 7000, t.TempDir()
+	writeBlocks(t, New(config, Disk{}, format.Header{Schema: schema, Incarnation: 6}, time.Now, zap.NewNop()), 60)
 	total := int64(0)
 	all, _ = filepath.Glob(filepath.Join(config.Dir, "*"))
 	for _, path := range all {
 		info, _ := os.Stat(path)
 		total += info.Size()
 	}
-	if total > config.Budget+1000 || len(all) < 2 {
-		t.Errorf("%d bytes in %d files, of a budget of %d", total, len(all), config.Budget)
+	if total > config.MaxTotalBytes+1000 || len(all) < 2 {
+		t.Errorf("%d bytes in %d files, of a budget of %d", total, len(all), config.MaxTotalBytes)
 	}
 }
 
 func TestFullDiskEndsCaptureAndLeavesReadableFiles(t *testing.T) {
 	for space := 0; space < 6000; space += 97 {
 		dir := t.TempDir()
-		writer := New(testConfig(dir), &fullDisk{space: space}, format.Header{Schema: schema, Life: 5}, time.Now, zap.NewNop())
+		writer := New(testConfig(dir), &fullDisk{space: space}, format.Header{Schema: schema, Incarnation: 5}, time.Now, zap.NewNop())
 		writeBlocks(t, writer, 60)
 		if !writer.Stopped.Load() {
 			t.Fatalf("with %d bytes: capture goes on", space)
@@ -163,7 +163,7 @@
 func TestMissingFolderEndsCapture(t *testing.T) {
 	writer := New(testConfig("/nowhere/at/all"), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
 	writeBlocks(t, writer, 5)
-	if !writer.Stopped.Load() || !strings.Contains(fmt.Sprint(writer.Fields()), "trace_ended") {
+	if !writer.Stopped.Load() || !strings.Contains(fmt.Sprint(writer.LogFields()), "trace_ended") {
 		t.Error("it goes on")
 	}
 }
--- a/internal/router/trace/file/rotate.go
+++ b/internal/router/trace/file/rotate.go
@@ -20,7 +20,7 @@
 	file     File
 	size     int64 // in bytes
 	openedAt time.Time
-	index    []format.Span
+	index    []format.BlockInfo
 }
 
 // closedFile is a complete file of this process.
@@ -65,8 +65,8 @@
 }
 
 // mustRotate reports whether a file of a size in bytes and an age is to be followed by another.
-func mustRotate(size int64, age time.Duration, config Terms) bool {
-	return size >= config.Size || age >= config.Age
+func mustRotate(size int64, age time.Duration, config Config) bool {
+	return size >= config.MaxFileBytes || age >= config.MaxFileAge
 }
 
 // countToRemove returns how many of the oldest files must be removed so that
@@ -90,7 +90,7 @@
 		return err
 	}
 	w.fileNumber++
-	name := fmt.Sprintf("%s-%016x-%04d%s", sanitize(w.config.Name), w.header.Life, w.fileNumber, Ending)
+	name := fmt.Sprintf("%s-%016x-%04d%s", sanitize(w.config.Name), w.header.Incarnation, w.fileNumber, Extension)
 	w.path = filepath.Join(w.config.Dir, name)
 	file, err := w.storage.Create(w.path)
 	if err != nil {
@@ -107,7 +107,7 @@
 
 // removeOldFiles removes the oldest files of this process. One that is already gone is no error.
 func (w *Writer) removeOldFiles() error {
-	count := countToRemove(w.closedFiles, w.config.Size, w.config.Budget)
+	count := countToRemove(w.closedFiles, w.config.MaxFileBytes, w.config.MaxTotalBytes)
 	for _, old := range w.closedFiles[:count] {
 		if err := w.storage.Remove(old.path); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
--- a/internal/router/trace/format/block.go
+++ b/internal/router/trace/format/block.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Span describes a block, in the block itself and in the index. Its keys never change.
-type Span struct {
+// BlockInfo describes a block, in the block itself and in the index. Its keys never change.
+type BlockInfo struct {
 	First  int64          `cbor:"1,keyasint"`           // the earliest time of an event, in tenths of a millisecond
 	Last   int64          `cbor:"2,keyasint"`           // the latest one
 	Count  uint32         `cbor:"3,keyasint"`           // of events
@@ -19,9 +19,9 @@
 
 // blockPayload is the payload of a block's frame.
 type blockPayload struct {
-	Info         Span   `cbor:"1,keyasint"`
-	ContentBytes uint32 `cbor:"2,keyasint"`
-	Content      []byte `cbor:"3,keyasint"` // a blockContent, compressed
+	Info         BlockInfo `cbor:"1,keyasint"`
+	ContentBytes uint32    `cbor:"2,keyasint"`
+	Content      []byte    `cbor:"3,keyasint"` // a blockContent, compressed
 }
 
 // blockContent is the events of a block. Times and columns hold the difference of
@@ -43,7 +43,7 @@
 // Block gathers events. It is not safe for concurrent use.
 type Block struct {
 	schema      Schema
-	info        Span
+	info        BlockInfo
 	kinds       []int64
 	times       []int64
 	columns     [][]column
@@ -71,7 +71,7 @@
 	clear(b.textNumbers)
 	clear(b.texts)
 	b.kinds, b.times, b.texts = b.kinds[:0], b.times[:0], b.texts[:0]
-	b.info, b.size = Span{}, 0
+	b.info, b.size = BlockInfo{}, 0
 }
 
 // Len returns how many events the block holds.
@@ -80,8 +80,8 @@
 // Size returns about how many bytes the events take in memory.
 func (b *Block) Size() int { return b.size }
 
-// Lost notes that n events were not recorded before the block.
-func (b *Block) Lost(n uint64) { b.info.Lost += n }
+// AddLost notes that n events were not recorded before the block.
+func (b *Block) AddLost(n uint64) { b.info.Lost += n }
 
 // Full reports whether the next event needs another block, by the limit of the
 // format and a size in bytes.
@@ -126,26 +126,26 @@
 
 // Append appends the block as a frame, which will be at an offset of the file, and
 // returns what the index says of it.
-func (b *Block) Append(buffer []byte, offset int64) ([]byte, Span, error) {
+func (b *Block) Append(buffer []byte, offset int64) ([]byte, BlockInfo, error) {
 	b.info.Count, b.info.Kinds = uint32(len(b.kinds)), map[int]uint32{}
 	for _, kind := range b.kinds {
 		b.info.Kinds[int(kind)]++
 	}
 	content, err := encoder.Marshal(b.content())
 	if err != nil {
-		return buffer, Span{}, err
+		return buffer, BlockInfo{}, err
 	}
 	if len(content) > MaxUnpackedBytes {
-		return buffer, Span{}, fmt.Errorf("a block of %d bytes, over %d", len(content), MaxUnpackedBytes)
+		return buffer, BlockInfo{}, fmt.Errorf("a block of %d bytes, over %d", len(content), MaxUnpackedBytes)
 	}
 	payload, err := encoder.Marshal(blockPayload{
 		Info: b.info, ContentBytes: uint32(len(content)), Content: compressor.EncodeAll(content, nil),
 	})
 	if err != nil {
-		return buffer, Span{}, err
+		return buffer, BlockInfo{}, err
 	}
 	if len(payload) > MaxBlockBytes {
-		return buffer, Span{}, fmt.Errorf("a packed block of %d bytes, over %d", len(payload), MaxBlockBytes)
+		return buffer, BlockInfo{}, fmt.Errorf("a packed block of %d bytes, over %d", len(payload), MaxBlockBytes)
 	}
 	info := b.info
 	info.Offset, info.Length = offset, uint32(frameHeaderBytes+len(payload))
--- a/internal/router/trace/format/decode.go
+++ b/internal/router/trace/format/decode.go
@@ -7,20 +7,20 @@
 const initialContentBytes = 1 << 20
 
 // decodeBlock decodes the payload of a block. All its errors are ErrCorrupt.
-func decodeBlock(schema Schema, payload []byte) (Span, []Event, error) {
+func decodeBlock(schema Schema, payload []byte) (BlockInfo, []Event, error) {
 	var block blockPayload
 	if err := decoder.Unmarshal(payload, &block); err != nil {
-		return Span{}, nil, corruptBecause(err)
+		return BlockInfo{}, nil, corruptBecause(err)
 	}
 	if block.ContentBytes > MaxUnpackedBytes || block.Info.Count > MaxBlockEvents {
-		return Span{}, nil, fmt.Errorf("%w: %d bytes and %d events in a block", ErrCorrupt, block.ContentBytes, block.Info.Count)
+		return BlockInfo{}, nil, fmt.Errorf("%w: %d bytes and %d events in a block", ErrCorrupt, block.ContentBytes, block.Info.Count)
 	}
 	content, err := block.decodeContent()
 	if err != nil {
-		return Span{}, nil, err
+		return BlockInfo{}, nil, err
 	}
 	if err := content.validate(schema, int(block.Info.Count)); err != nil {
-		return Span{}, nil, corruptBecause(err)
+		return BlockInfo{}, nil, corruptBecause(err)
 	}
 	undoDeltas(content.Times)
 	for _, columns := range content.Columns {
@@ -30,7 +30,7 @@
 	}
 	events, err := content.events(schema)
 	if err != nil {
-		return Span{}, nil, err
+		return BlockInfo{}, nil, err
 	}
 	return block.Info, events, nil
 }
--- a/internal/router/trace/format/format_test.go
+++ b/internal/router/trace/format/format_test.go
@@ -19,8 +19,8 @@
 }
 
 // write returns a file of events, so many in a block.
-func write(t interface{ Fatal(...any) }, events []Event, eventsPerBlock int) (file []byte, spans []Span) {
-	file, err := AppendHeader(nil, Header{Router: "f1", Life: 3, Schema: schema})
+func write(t interface{ Fatal(...any) }, events []Event, eventsPerBlock int) (file []byte, spans []BlockInfo) {
+	file, err := AppendHeader(nil, Header{Router: "f1", Incarnation: 3, Schema: schema})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 		if b.Len() == 0 {
 			return
 		}
-		var span Span
+		var span BlockInfo
 		if file, span, err = b.Append(file, int64(len(file))); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/router/trace/format/frame.go
+++ b/internal/router/trace/format/frame.go
@@ -51,7 +51,7 @@
 }
 
 // AppendIndex appends the end of a file, which will be at an offset.
-func AppendIndex(buffer []byte, index []Span, offset int64) ([]byte, error) {
+func AppendIndex(buffer []byte, index []BlockInfo, offset int64) ([]byte, error) {
 	payload, err := encoder.Marshal(index)
 	if err != nil {
 		return buffer, err
--- a/internal/router/trace/format/reader.go
+++ b/internal/router/trace/format/reader.go
@@ -99,25 +99,25 @@
 // Next reads the next block. The error is io.EOF at the end of the file, with or
 // without an index, and wraps ErrTruncated if the file ends within a block. After a
 // CorruptBlockError, Next returns the block that follows.
-func (r *Reader) Next() (Span, []Event, error) {
+func (r *Reader) Next() (BlockInfo, []Event, error) {
 	offset := r.input.offset
 	block, err := readFrame(&r.input, MaxBlockBytes)
 	switch {
 	case errors.Is(err, io.EOF):
-		return Span{}, nil, io.EOF
+		return BlockInfo{}, nil, io.EOF
 	case errors.Is(err, ErrTruncated):
-		return Span{}, nil, fmt.Errorf("at offset %d: %w", offset, err)
+		return BlockInfo{}, nil, fmt.Errorf("at offset %d: %w", offset, err)
 	case err != nil && block.payload == nil:
 		r.skipCorruptFrame()
-		return Span{}, nil, &CorruptBlockError{offset, err}
+		return BlockInfo{}, nil, &CorruptBlockError{offset, err}
 	case err != nil:
-		return Span{}, nil, &CorruptBlockError{offset, err}
+		return BlockInfo{}, nil, &CorruptBlockError{offset, err}
 	case block.mark == indexMark:
-		return Span{}, nil, io.EOF
+		return BlockInfo{}, nil, io.EOF
 	}
 	info, events, err := decodeBlock(r.Header.Schema, block.payload)
 	if err != nil {
-		return Span{}, nil, &CorruptBlockError{offset, err}
+		return BlockInfo{}, nil, &CorruptBlockError{offset, err}
 	}
 	info.Offset, info.Length = offset, uint32(frameHeaderBytes+len(block.payload))
 	return info, events, nil
@@ -143,7 +143,7 @@
 
 // ReadIndex reads the index at the end of a file of a size in bytes. The error
 // wraps ErrTruncated if the file has none, and ErrCorrupt if it is wrong.
-func ReadIndex(file io.ReaderAt, size int64) ([]Span, error) {
+func ReadIndex(file io.ReaderAt, size int64) ([]BlockInfo, error) {
 	trailerOffset := size - int64(trailerBytes)
 	if trailerOffset < 0 {
 		return nil, ErrTruncated
@@ -160,7 +160,7 @@
 	if err != nil || read.mark != indexMark {
 		return nil, fmt.Errorf("the index at offset %d: %w", offset, errors.Join(ErrCorrupt, err))
 	}
-	var index []Span
+	var index []BlockInfo
 	if err := decoder.Unmarshal(read.payload, &index); err != nil {
 		return nil, fmt.Errorf("the index at offset %d: %w", offset, err)
 	}
@@ -173,14 +173,14 @@
 }
 
 // isWithin reports whether a block can be where the index says, in a file of blocks up to an offset.
-func (s Span) isWithin(end int64) bool {
+func (s BlockInfo) isWithin(end int64) bool {
 	return s.Offset >= 0 && s.Offset+int64(s.Length) <= end &&
 		s.Length >= frameHeaderBytes && s.Length <= MaxBlockBytes+frameHeaderBytes
 }
 
 // ReadBlock reads the block that an entry of the index describes. The error is a
 // CorruptBlockError if the block is not there or wrong.
-func ReadBlock(file io.ReaderAt, schema Schema, info Span) ([]Event, error) {
+func ReadBlock(file io.ReaderAt, schema Schema, info BlockInfo) ([]Event, error) {
 	block, err := readFrame(io.NewSectionReader(file, info.Offset, int64(info.Length)), MaxBlockBytes)
 	if err != nil || block.mark != blockMark {
 		return nil, &CorruptBlockError{info.Offset, errors.Join(ErrCorrupt, err)}
--- a/internal/router/trace/format/schema.go
+++ b/internal/router/trace/format/schema.go
@@ -34,9 +34,9 @@
 
 // Column describes one field of a kind of event.
 type Column struct {
-	Name string  `cbor:"1,keyasint"`
-	Type Type    `cbor:"2,keyasint"`
-	Mark Privacy `cbor:"3,keyasint"`
+	Name    string  `cbor:"1,keyasint"`
+	Type    Type    `cbor:"2,keyasint"`
+	Privacy Privacy `cbor:"3,keyasint"`
 }
 
 // Kind describes one kind of event. Every event has a time beside its columns.
@@ -117,9 +117,9 @@
 		return errors.New("a name that can't be")
 	case c.Type != Int && c.Type != Text:
 		return fmt.Errorf("type %d is not known", c.Type)
-	case c.Mark < Plain || c.Mark > FreeText:
-		return fmt.Errorf("mark %d is not known", c.Mark)
-	case c.Type == Int && c.Mark != Plain:
+	case c.Privacy < Plain || c.Privacy > FreeText:
+		return fmt.Errorf("mark %d is not known", c.Privacy)
+	case c.Type == Int && c.Privacy != Plain:
 		return errors.New("numbers can't be identities")
 	}
 	return nil
@@ -127,14 +127,14 @@
 
 // Header is the beginning of a file.
 type Header struct {
-	Router string            `cbor:"1,keyasint"`           // its name, which is of Topology
-	Life   uint64            `cbor:"2,keyasint"`           // of the process; each start has another
-	Began  int64             `cbor:"3,keyasint"`           // the earliest time of an event, in tenths of a millisecond
-	Build  string            `cbor:"4,keyasint,omitempty"` // of the program that wrote the file
-	Part   uint32            `cbor:"5,keyasint,omitempty"` // of the sessions, in thousandths; 1000: all
-	Schema Schema            `cbor:"6,keyasint"`
-	More   map[string][]byte `cbor:"7,keyasint,omitempty"` // by name, for instance the deployment that a replay starts with
-	Key    []byte            `cbor:"8,keyasint,omitempty"` // a few bytes of a hash of the key of pseudonyms, to tell keys apart
+	Router          string            `cbor:"1,keyasint"`           // its name, which is of Topology
+	Incarnation     uint64            `cbor:"2,keyasint"`           // of the process; each start has another
+	StartedAt       int64             `cbor:"3,keyasint"`           // the earliest time of an event, in tenths of a millisecond
+	Build           string            `cbor:"4,keyasint,omitempty"` // of the program that wrote the file
+	SampledPerMille uint32            `cbor:"5,keyasint,omitempty"` // of the sessions, in thousandths; 1000: all
+	Schema          Schema            `cbor:"6,keyasint"`
+	Extra           map[string][]byte `cbor:"7,keyasint,omitempty"` // by name, for instance the deployment that a replay starts with
+	KeyID           []byte            `cbor:"8,keyasint,omitempty"` // a few bytes of a hash of the key of pseudonyms, to tell keys apart
 }
 
 // Event is one event. Ints and Texts are in the order of the kind's columns of
--- a/internal/router/trace/record/actions.go
+++ b/internal/router/trace/record/actions.go
@@ -7,7 +7,7 @@
 
 // Dispatch records that a command is sent to a host, and with candidates the hosts
 // that it could have been sent to.
-func (r *Recorder) Dispatch(command *policy.Cmd, node *policy.Node, timeout policy.Tenth) {
+func (r *Recorder) Dispatch(command *policy.Command, node *policy.Host, timeout policy.TenthMs) {
 	if r == nil {
 		return
 	}
@@ -16,16 +16,16 @@
 		return
 	}
 	if r.withCandidates {
-		command.Members(func(member *policy.Node, seen policy.Seen) {
-			r.addNumbers(Candidate, number, r.hosts[member], int64(seen.Standing), int64(seen.Role), seen.Position,
-				int64(seen.Out), int64(seen.Late*thousandths), int64(seen.Share*thousandths), seen.State)
+		command.VisitMembers(func(member *policy.Host, seen policy.MemberState) {
+			r.addNumbers(Candidate, number, r.hosts[member], int64(seen.ListState), int64(seen.Role), seen.Position,
+				int64(seen.InFlight), int64(seen.Lateness*thousandths), int64(seen.Share*thousandths), seen.Flags)
 		})
 	}
-	r.addNumbers(Dispatch, number, r.hosts[node], timeout, command.SendBy, command.SentFor(), int64(command.Work()*thousandths))
+	r.addNumbers(Dispatch, number, r.hosts[node], timeout, command.SendBy, command.NeededPosition(), int64(command.Work()*thousandths))
 }
 
 // Throttle records that a command is rejected, and when its client may retry.
-func (r *Recorder) Throttle(command *policy.Cmd, comeback policy.Tenth) {
+func (r *Recorder) Throttle(command *policy.Command, comeback policy.TenthMs) {
 	if r == nil {
 		return
 	}
@@ -35,7 +35,7 @@
 }
 
 // Fail records that a command fails.
-func (r *Recorder) Fail(command *policy.Cmd) {
+func (r *Recorder) Fail(command *policy.Command) {
 	if r == nil {
 		return
 	}
@@ -45,21 +45,21 @@
 }
 
 // Probe records that a host is to be probed.
-func (r *Recorder) Probe(node *policy.Node) {
+func (r *Recorder) Probe(node *policy.Host) {
 	if r != nil {
 		r.addNumbers(Probe, r.hosts[node])
 	}
 }
 
 // Close records that the idle connections of a host are to be closed.
-func (r *Recorder) Close(node *policy.Node) {
+func (r *Recorder) Close(node *policy.Host) {
 	if r != nil {
 		r.addNumbers(Close, r.hosts[node])
 	}
 }
 
 // Forget records that the module has forgotten a host.
-func (r *Recorder) Forget(node *policy.Node) {
+func (r *Recorder) Forget(node *policy.Host) {
 	if r != nil {
 		r.addNumbers(Forget, r.hosts[node])
 		delete(r.hosts, node)
@@ -74,7 +74,7 @@
 }
 
 // Wake records that the module is to be called after a time.
-func (r *Recorder) Wake(after policy.Tenth) {
+func (r *Recorder) Wake(after policy.TenthMs) {
 	if r != nil {
 		r.addNumbers(Wake, after)
 	}
--- a/internal/router/trace/record/calls.go
+++ b/internal/router/trace/record/calls.go
@@ -11,7 +11,7 @@
 // except for Host, which needs the handle that the module returns.
 
 // Host records that a host was introduced.
-func (r *Recorder) Host(node *policy.Node, set int64) {
+func (r *Recorder) Host(node *policy.Host, set int64) {
 	if r == nil {
 		return
 	}
@@ -21,7 +21,7 @@
 }
 
 // Listed records what discovery lists of a host.
-func (r *Recorder) Listed(node *policy.Node, standing policy.Standing, leader bool, zone, model string, size float64, boot policy.Tenth) {
+func (r *Recorder) Listed(node *policy.Host, standing policy.ListState, leader bool, zone, model string, size float64, boot policy.TenthMs) {
 	if r != nil {
 		sizeBits := int64(math.Float64bits(size))
 		r.addEvent(Listed, []int64{r.hosts[node], int64(standing), flag(leader), sizeBits, boot}, []string{zone, model})
@@ -45,7 +45,7 @@
 // Take records a new command, before the module's Take; Taken must be called with
 // the handle that it returns. What the module asks for in between belongs to the
 // new command, whose handle the recorder does not know yet.
-func (r *Recorder) Take(id string, group int, set int64, session string, timeout, since policy.Tenth, again bool) {
+func (r *Recorder) Take(id string, group int, set int64, session string, timeout, since policy.TenthMs, again bool) {
 	if r == nil {
 		return
 	}
@@ -59,11 +59,11 @@
 }
 
 // Taken assigns the handle of the command of the last Take. It records no event.
-func (r *Recorder) Taken(command *policy.Cmd) {
+func (r *Recorder) Taken(command *policy.Command) {
 	if r == nil {
 		return
 	}
-	if r.pendingCommand != notSampled && !command.Over() {
+	if r.pendingCommand != notSampled && !command.IsFinished() {
 		r.commands[command] = r.pendingCommand
 	}
 	r.pendingCommand = 0
@@ -71,7 +71,7 @@
 
 // Ended records the outcome of a dispatch. over says that the
 // command has had its final answer.
-func (r *Recorder) Ended(command *policy.Cmd, outcome policy.Outcome, position policy.Tenth, role policy.Role, took policy.Tenth, over bool) {
+func (r *Recorder) Ended(command *policy.Command, outcome policy.Outcome, position policy.TenthMs, role policy.Role, took policy.TenthMs, over bool) {
 	if r == nil {
 		return
 	}
@@ -81,14 +81,14 @@
 }
 
 // Settled forgets a command for which nothing more comes. It records no event.
-func (r *Recorder) Settled(command *policy.Cmd) {
+func (r *Recorder) Settled(command *policy.Command) {
 	if r != nil {
 		delete(r.commands, command)
 	}
 }
 
 // Left records that the client of a command has disconnected.
-func (r *Recorder) Left(command *policy.Cmd) {
+func (r *Recorder) Left(command *policy.Command) {
 	if r == nil {
 		return
 	}
@@ -98,14 +98,14 @@
 }
 
 // Reported records the position and role that a host reported.
-func (r *Recorder) Reported(node *policy.Node, position policy.Tenth, role policy.Role) {
+func (r *Recorder) Reported(node *policy.Host, position policy.TenthMs, role policy.Role) {
 	if r != nil {
 		r.addNumbers(Reported, r.hosts[node], position, int64(role))
 	}
 }
 
 // Probed records the end of a probe.
-func (r *Recorder) Probed(node *policy.Node, ok bool) {
+func (r *Recorder) Probed(node *policy.Host, ok bool) {
 	if r != nil {
 		r.addNumbers(Probed, r.hosts[node], flag(ok))
 	}
@@ -126,7 +126,7 @@
 }
 
 // Told records what planners state of a host.
-func (r *Recorder) Told(node *policy.Node, position policy.Tenth, role policy.Role, rolePosition, lateness policy.Tenth) {
+func (r *Recorder) Told(node *policy.Host, position policy.TenthMs, role policy.Role, rolePosition, lateness policy.TenthMs) {
 	if r != nil {
 		r.addNumbers(Told, r.hosts[node], position, int64(role), rolePosition, lateness)
 	}
--- a/internal/router/trace/record/header.go
+++ b/internal/router/trace/record/header.go
@@ -8,12 +8,12 @@
 	"ferrypitch/policy"
 )
 
-// Deployment encodes a deployment for a file's header, from which a replay
+// EncodeDeployment encodes a deployment for a file's header, from which a replay
 // starts. The form has the names of policy.Deployment's fields.
-func Deployment(deployment policy.Deployment) ([]byte, error) { return cbor.Marshal(deployment) }
+func EncodeDeployment(deployment policy.Deployment) ([]byte, error) { return cbor.Marshal(deployment) }
 
-// ReadDeployment decodes the deployment of a header.
-func ReadDeployment(encoded []byte) (policy.Deployment, error) {
+// DecodeDeployment decodes the deployment of a header.
+func DecodeDeployment(encoded []byte) (policy.Deployment, error) {
 	var deployment policy.Deployment
 	if err := cbor.Unmarshal(encoded, &deployment); err != nil {
 		return deployment, fmt.Errorf("the deployment: %w", err)
@@ -26,5 +26,5 @@
 	return deployment, nil
 }
 
-// Groups encodes the names of command groups, by number, for a file's header.
-func Groups(names []string) ([]byte, error) { return cbor.Marshal(names) }
+// EncodeGroups encodes the names of command groups, by number, for a file's header.
+func EncodeGroups(names []string) ([]byte, error) { return cbor.Marshal(names) }
--- a/internal/router/trace/record/plan.go
+++ b/internal/router/trace/record/plan.go
@@ -16,12 +16,12 @@
 	return &Planner{New(sink, blockBytes, allSessions, [32]byte{}, false)}
 }
 
-// Now sets the time of the events that follow. system is the reading of the
+// SetTime sets the time of the events that follow. system is the reading of the
 // system's clock at that time, in tenths of a millisecond of Unix time.
-func (p *Planner) Now(now policy.Tenth, system int64) {
+func (p *Planner) SetTime(now policy.TenthMs, system int64) {
 	if p != nil {
-		p.recorder.Now(now)
-		p.recorder.System(system)
+		p.recorder.SetTime(now)
+		p.recorder.SystemClock(system)
 	}
 }
 
@@ -47,7 +47,7 @@
 }
 
 // Probed records the end of a probe. position is -1 if the response named none.
-func (p *Planner) Probed(name string, ok bool, position policy.Tenth, role policy.Role, took policy.Tenth) {
+func (p *Planner) Probed(name string, ok bool, position policy.TenthMs, role policy.Role, took policy.TenthMs) {
 	if p != nil {
 		p.recorder.addEvent(PlanProbed, []int64{flag(ok), position, int64(role), took}, []string{name})
 	}
@@ -56,11 +56,11 @@
 // Change records a change that is sent to links, to fullViews of them as the full
 // view. A change that says nothing new is not recorded.
 func (p *Planner) Change(change *view.Change, fullViews, links int) {
-	if p == nil || len(change.Hosts)+len(change.Dropped)+fullViews == 0 {
+	if p == nil || len(change.Hosts)+len(change.Removed)+fullViews == 0 {
 		return
 	}
-	p.recorder.addNumbers(PlanChange, int64(change.Seq), int64(len(change.Hosts)), int64(len(change.Dropped)),
-		int64(change.Routers), change.Every, int64(fullViews), int64(links))
+	p.recorder.addNumbers(PlanChange, int64(change.Sequence), int64(len(change.Hosts)), int64(len(change.Removed)),
+		int64(change.RouterCount), change.ReportInterval, int64(fullViews), int64(links))
 }
 
 // Report records a report of a forwarder, as the sums over its hosts.
@@ -69,11 +69,11 @@
 		return
 	}
 	var responses, coldWork int64
-	for _, observation := range report.Heard {
-		responses += int64(observation.Count)
-		coldWork += observation.Cold
+	for _, observation := range report.Observations {
+		responses += int64(observation.Responses)
+		coldWork += observation.ColdWork
 	}
-	p.recorder.addEvent(PlanReport, []int64{int64(len(report.Heard)), responses, coldWork}, []string{forwarder})
+	p.recorder.addEvent(PlanReport, []int64{int64(len(report.Observations)), responses, coldWork}, []string{forwarder})
 }
 
 // Forwarder records that a link is open, or that it has ended and why.
--- a/internal/router/trace/record/record.go
+++ b/internal/router/trace/record/record.go
@@ -53,8 +53,8 @@
 
 	now            int64
 	nextClockAt    int64
-	hosts          map[*policy.Node]int64
-	commands       map[*policy.Cmd]int64
+	hosts          map[*policy.Host]int64
+	commands       map[*policy.Command]int64
 	lastHost       int64 // number
 	lastCommand    int64 // number
 	pendingCommand int64 // that Take was called for and whose handle is not known yet; 0: none
@@ -68,20 +68,20 @@
 func New(sink Sink, blockBytes int, sampledPerMille uint32, key [32]byte, withCandidates bool) *Recorder {
 	return &Recorder{
 		sink: sink, blockBytes: blockBytes, sampledPerMille: sampledPerMille, key: key, withCandidates: withCandidates,
-		hosts: map[*policy.Node]int64{}, commands: map[*policy.Cmd]int64{},
+		hosts: map[*policy.Host]int64{}, commands: map[*policy.Command]int64{},
 	}
 }
 
-// Now sets the time of the events that follow, as the module was told it.
-func (r *Recorder) Now(now policy.Tenth) {
+// SetTime sets the time of the events that follow, as the module was told it.
+func (r *Recorder) SetTime(now policy.TenthMs) {
 	if r != nil {
 		r.now = now
 	}
 }
 
-// System records a reading of the system's clock, in tenths of a millisecond of
+// SystemClock records a reading of the system's clock, in tenths of a millisecond of
 // Unix time, if the last one recorded is a second old.
-func (r *Recorder) System(reading int64) {
+func (r *Recorder) SystemClock(reading int64) {
 	if r != nil && r.now >= r.nextClockAt {
 		r.nextClockAt = r.now + clockInterval
 		r.addNumbers(Clock, reading)
@@ -100,7 +100,7 @@
 	lost := uint64(r.block.Len())
 	r.LostEvents += lost
 	r.block.Reset()
-	r.block.Lost(r.unreportedLost + lost)
+	r.block.AddLost(r.unreportedLost + lost)
 	r.unreportedLost = 0
 }
 
@@ -126,7 +126,7 @@
 	if r.block == nil {
 		return false
 	}
-	r.block.Lost(r.unreportedLost)
+	r.block.AddLost(r.unreportedLost)
 	r.unreportedLost = 0
 	return true
 }
@@ -147,7 +147,7 @@
 }
 
 // commandNumber returns the number of a command; 0 if it is not recorded.
-func (r *Recorder) commandNumber(command *policy.Cmd) int64 {
+func (r *Recorder) commandNumber(command *policy.Command) int64 {
 	if number, known := r.commands[command]; known {
 		return number
 	}
--- a/internal/router/trace/record/record_test.go
+++ b/internal/router/trace/record/record_test.go
@@ -11,7 +11,7 @@
 type memorySink struct {
 	closed bool
 	file   []byte
-	blocks []format.Span
+	blocks []format.BlockInfo
 }
 
 func (m *memorySink) Get() *format.Block {
@@ -25,7 +25,7 @@
 	if m.closed {
 		return false
 	}
-	var info format.Span
+	var info format.BlockInfo
 	var err error
 	if m.file, info, err = block.Append(m.file, int64(len(m.file))); err != nil {
 		panic(err)
@@ -89,13 +89,13 @@
 
 func TestNilRecordersRecordNothing(_ *testing.T) {
 	var recorder *Recorder
-	recorder.Now(1)
-	recorder.System(1)
+	recorder.SetTime(1)
+	recorder.SystemClock(1)
 	recorder.Woke()
 	recorder.Take("id", 0, 1, "session", 0, 0, false)
 	recorder.Flush()
 	var planner *Planner
-	planner.Now(1, 1)
+	planner.SetTime(1, 1)
 	planner.Probe("host")
 	planner.Flush()
 }
--- a/internal/router/trace/record/router.go
+++ b/internal/router/trace/record/router.go
@@ -13,7 +13,7 @@
 }
 
 // Stall records for how long the owner of the module did not run.
-func (r *Recorder) Stall(duration policy.Tenth) {
+func (r *Recorder) Stall(duration policy.TenthMs) {
 	if r != nil {
 		r.addNumbers(Stall, duration)
 	}
--- a/internal/router/trace/record/schema.go
+++ b/internal/router/trace/record/schema.go
@@ -107,11 +107,11 @@
 func numbers(names ...string) []format.Column {
 	var columns []format.Column
 	for _, name := range names {
-		columns = append(columns, format.Column{Name: name, Type: format.Int, Mark: format.Plain})
+		columns = append(columns, format.Column{Name: name, Type: format.Int, Privacy: format.Plain})
 	}
 	return columns
 }
 
 func text(name string, privacy format.Privacy) []format.Column {
-	return []format.Column{{Name: name, Type: format.Text, Mark: privacy}}
+	return []format.Column{{Name: name, Type: format.Text, Privacy: privacy}}
 }
--- a/internal/router/trace/replay/actions.go
+++ b/internal/router/trace/replay/actions.go
@@ -53,7 +53,7 @@
 }
 
 // commandNumber returns the number that a command has in the trace.
-func (r *Replay) commandNumber(command *policy.Cmd) int64 {
+func (r *Replay) commandNumber(command *policy.Command) int64 {
 	if number, known := r.commandNumbers[command]; known {
 		return number
 	}
@@ -61,28 +61,28 @@
 }
 
 // Dispatch implements policy.Caller.
-func (r *Replay) Dispatch(command *policy.Cmd, node *policy.Node, timeout policy.Tenth) {
+func (r *Replay) Dispatch(command *policy.Command, node *policy.Host, timeout policy.TenthMs) {
 	number := r.commandNumber(command)
-	command.Members(func(member *policy.Node, seen policy.Seen) {
-		r.addReplayed(candidateLine, number, r.hostNumbers[member], seen.Standing, seen.Role, seen.Position, seen.Out,
-			int64(seen.Late*thousandths), int64(seen.Share*thousandths), seen.State)
+	command.VisitMembers(func(member *policy.Host, seen policy.MemberState) {
+		r.addReplayed(candidateLine, number, r.hostNumbers[member], seen.ListState, seen.Role, seen.Position, seen.InFlight,
+			int64(seen.Lateness*thousandths), int64(seen.Share*thousandths), seen.Flags)
 	})
-	r.addReplayed(dispatchLine, number, r.hostNumbers[node], timeout, command.SendBy, command.SentFor())
+	r.addReplayed(dispatchLine, number, r.hostNumbers[node], timeout, command.SendBy, command.NeededPosition())
 }
 
 // Throttle implements policy.Caller.
-func (r *Replay) Throttle(command *policy.Cmd, comeback policy.Tenth) {
+func (r *Replay) Throttle(command *policy.Command, comeback policy.TenthMs) {
 	r.addReplayed(throttleLine, r.commandNumber(command), comeback)
 }
 
 // Fail implements policy.Caller.
-func (r *Replay) Fail(command *policy.Cmd) { r.addReplayed(failLine, r.commandNumber(command)) }
+func (r *Replay) Fail(command *policy.Command) { r.addReplayed(failLine, r.commandNumber(command)) }
 
 // Probe implements policy.Caller.
-func (r *Replay) Probe(node *policy.Node) { r.addOther(record.Probe, r.hostNumbers[node]) }
+func (r *Replay) Probe(node *policy.Host) { r.addOther(record.Probe, r.hostNumbers[node]) }
 
 // Close implements policy.Caller.
-func (r *Replay) Close(node *policy.Node) { r.addOther(record.Close, r.hostNumbers[node]) }
+func (r *Replay) Close(node *policy.Host) { r.addOther(record.Close, r.hostNumbers[node]) }
 
 // Watch implements policy.Caller.
 func (r *Replay) Watch() { r.addReplayed(watchLine) }
@@ -91,10 +91,10 @@
 func (r *Replay) Tell(body string) { r.addReplayed(tellLine, body) }
 
 // Wake implements policy.Caller.
-func (r *Replay) Wake(after policy.Tenth) { r.addOther(record.Wake, after) }
+func (r *Replay) Wake(after policy.TenthMs) { r.addOther(record.Wake, after) }
 
 // Forget implements policy.Caller.
-func (r *Replay) Forget(node *policy.Node) {
+func (r *Replay) Forget(node *policy.Host) {
 	number := r.hostNumbers[node]
 	r.addOther(record.Forget, number)
 	delete(r.hosts, number)
--- a/internal/router/trace/replay/calls.go
+++ b/internal/router/trace/replay/calls.go
@@ -24,8 +24,8 @@
 // call, which asks for nothing.
 func (r *Replay) introduceHost(event format.Event) {
 	number, set := event.Ints[0], event.Ints[1]
-	r.module.Clock(event.At)
-	node := r.module.Host(event.Texts[0], set)
+	r.module.SetTime(event.At)
+	node := r.module.AddHost(event.Texts[0], set)
 	r.hosts[number], r.hostNumbers[node] = node, number
 }
 
@@ -42,15 +42,15 @@
 	numbers := event.Ints
 	switch event.Kind {
 	case record.ListDone:
-		r.module.ListDone(isSet(numbers[0]))
+		r.module.EndList(isSet(numbers[0]))
 	case record.Unlisted:
-		r.module.Unlisted()
+		r.module.ListUnavailable()
 	case record.Heard:
-		r.module.Heard(event.Texts[0])
+		r.module.ReceivePeerUpdate(event.Texts[0])
 	case record.Woke:
-		r.module.Woke()
+		r.module.WakeUp()
 	case record.Count:
-		r.module.Count(int(numbers[0]), isSet(numbers[1]))
+		r.module.SetRouterCount(int(numbers[0]), isSet(numbers[1]))
 	}
 	return nil
 }
@@ -65,13 +65,13 @@
 	switch event.Kind {
 	case record.Listed:
 		size := math.Float64frombits(uint64(numbers[2]))
-		node.Listed(policy.Standing(numbers[0]), isSet(numbers[1]), event.Texts[0], event.Texts[1], size, numbers[3])
+		node.UpdateListing(policy.ListState(numbers[0]), isSet(numbers[1]), event.Texts[0], event.Texts[1], size, numbers[3])
 	case record.Reported:
-		node.Reported(numbers[0], policy.Role(numbers[1]))
+		node.ReportLoad(numbers[0], policy.Role(numbers[1]))
 	case record.Probed:
-		node.Probed(isSet(numbers[0]))
+		node.EndProbe(isSet(numbers[0]))
 	case record.Told:
-		node.Told(numbers[0], policy.Role(numbers[1]), numbers[2], numbers[3])
+		node.ApplyPlannerUpdate(numbers[0], policy.Role(numbers[1]), numbers[2], numbers[3])
 	}
 	return nil
 }
@@ -84,9 +84,9 @@
 		return fmt.Errorf("event %d: command group %d of %d", r.eventNumber, group, len(r.deployment.Groups))
 	}
 	r.pendingCommand = number
-	command := r.module.Take(event.Texts[0], r.deployment.Groups[group], set, event.Texts[1], timeout, since, again)
+	command := r.module.Submit(event.Texts[0], r.deployment.Groups[group], set, event.Texts[1], timeout, since, again)
 	r.pendingCommand = 0
-	if !command.Over() {
+	if !command.IsFinished() {
 		r.commands[number], r.commandNumbers[command] = command, number
 	}
 	return nil
@@ -102,11 +102,11 @@
 	numbers := event.Ints[1:]
 	switch event.Kind {
 	case record.Ended:
-		command.Ended(policy.Outcome(numbers[0]), numbers[1], policy.Role(numbers[2]), numbers[3], isSet(numbers[4]))
+		command.EndDispatch(policy.Outcome(numbers[0]), numbers[1], policy.Role(numbers[2]), numbers[3], isSet(numbers[4]))
 	case record.Left:
-		command.Left()
+		command.Abandon()
 	}
-	if command.Over() {
+	if command.IsFinished() {
 		delete(r.commands, number)
 		delete(r.commandNumbers, command)
 	}
--- a/internal/router/trace/replay/replay.go
+++ b/internal/router/trace/replay/replay.go
@@ -34,30 +34,30 @@
 	At       int64  // time of the call, in tenths of a millisecond
 	Call     string // into the module
 	Recorded string // what the module asked for when it was recorded; empty: nothing more
-	Now      string // what it asks for in the replay; empty: nothing more
+	Replayed string // what it asks for in the replay; empty: nothing more
 }
 
 // String implements fmt.Stringer.
 func (d Difference) String() string {
-	return fmt.Sprintf("event %d at %d, after %s: recorded %q, now %q", d.Event, d.At, d.Call, d.Recorded, d.Now)
+	return fmt.Sprintf("event %d at %d, after %s: recorded %q, now %q", d.Event, d.At, d.Call, d.Recorded, d.Replayed)
 }
 
 // Replay is a replay of the files of one process of a router. It implements
 // policy.Caller.
 type Replay struct {
 	Calls       int64        // made into the module
-	Asked       int64        // things asked for that were compared
-	Apart       int64        // of them, those that differ
+	Compared    int64        // things asked for that were compared
+	Different   int64        // of them, those that differ
 	Differences []Difference // the first of them
 
 	maxDifferences int
 	deployment     policy.Deployment
 	module         *policy.Router
 
-	hosts          map[int64]*policy.Node // by number in the trace
-	hostNumbers    map[*policy.Node]int64
-	commands       map[int64]*policy.Cmd // by number in the trace
-	commandNumbers map[*policy.Cmd]int64
+	hosts          map[int64]*policy.Host // by number in the trace
+	hostNumbers    map[*policy.Host]int64
+	commands       map[int64]*policy.Command // by number in the trace
+	commandNumbers map[*policy.Command]int64
 	pendingCommand int64 // that Take was called for and whose handle is not known yet
 
 	started        bool
@@ -73,20 +73,20 @@
 // maxDifferences are kept. The error wraps ErrPart or format.ErrNotTrace, or says
 // what is wrong with the deployment in the header.
 func New(header format.Header, maxDifferences int) (*Replay, error) {
-	if header.Part != allSessions {
-		return nil, fmt.Errorf("%w: %.1f %% of sessions were recorded", ErrPart, float64(header.Part)/10)
+	if header.SampledPerMille != allSessions {
+		return nil, fmt.Errorf("%w: %.1f %% of sessions were recorded", ErrPart, float64(header.SampledPerMille)/10)
 	}
 	if err := checkSchema(header.Schema); err != nil {
 		return nil, err
 	}
-	deployment, err := record.ReadDeployment(header.More["deployment"])
+	deployment, err := record.DecodeDeployment(header.Extra["deployment"])
 	if err != nil {
 		return nil, err
 	}
 	return &Replay{
 		maxDifferences: maxDifferences, deployment: deployment,
-		hosts: map[int64]*policy.Node{}, hostNumbers: map[*policy.Node]int64{},
-		commands: map[int64]*policy.Cmd{}, commandNumbers: map[*policy.Cmd]int64{},
+		hosts: map[int64]*policy.Host{}, hostNumbers: map[*policy.Host]int64{},
+		commands: map[int64]*policy.Command{}, commandNumbers: map[*policy.Command]int64{},
 	}, nil
 }
 
@@ -101,17 +101,17 @@
 	return nil
 }
 
-// Lost takes the number of events that were lost in capture before the next event.
+// CheckLost takes the number of events that were lost in capture before the next event.
 // If there are any, the replay cannot go on, and the error wraps ErrPart.
-func (r *Replay) Lost(events uint64) error {
+func (r *Replay) CheckLost(events uint64) error {
 	if events > 0 {
 		return fmt.Errorf("%w: %d events were lost in capture before event %d", ErrPart, events, r.eventNumber)
 	}
 	return nil
 }
 
-// Event replays the next event of the trace.
-func (r *Replay) Event(event format.Event) error {
+// Apply replays the next event of the trace.
+func (r *Replay) Apply(event format.Event) error {
 	defer func() { r.eventNumber++ }()
 	if !r.started {
 		r.started, r.lastCall = true, "start"
@@ -135,13 +135,13 @@
 		r.replaceModule(event.At)
 		return nil
 	}
-	r.module.Clock(event.At)
+	r.module.SetTime(event.At)
 	return r.call(event)
 }
 
-// End compares what the last call asked for. complete says that the trace does
+// Finish compares what the last call asked for. complete says that the trace does
 // not break off, so that all of that is in it.
-func (r *Replay) End(complete bool) {
+func (r *Replay) Finish(complete bool) {
 	if r.started && complete {
 		r.compare()
 	}
@@ -154,11 +154,11 @@
 	}
 	for i := range max(len(r.replayed), len(r.recorded)) {
 		replayed, recorded := lineAt(r.replayed, i), lineAt(r.recorded, i)
-		r.Asked++
+		r.Compared++
 		if replayed == recorded {
 			continue
 		}
-		r.Apart++
+		r.Different++
 		if len(r.Differences) < r.maxDifferences {
 			r.Differences = append(r.Differences, Difference{r.eventNumber, r.lastCallAt, r.lastCall, recorded, replayed})
 		}
--- a/internal/router/trace/tool/anonymize.go
+++ b/internal/router/trace/tool/anonymize.go
@@ -28,8 +28,8 @@
 	pseudonyms  map[string]string  // of hosts, routers and addresses
 }
 
-// NewAnonymous returns an Anonymizer with a key.
-func NewAnonymous(key [32]byte) *Anonymizer {
+// NewAnonymizer returns an Anonymizer with a key.
+func NewAnonymizer(key [32]byte) *Anonymizer {
 	return &Anonymizer{key: key, pseudonyms: map[string]string{}}
 }
 
@@ -42,19 +42,19 @@
 	}
 	header.Router = a.pseudonym(format.Topology, header.Router)
 	more := map[string][]byte{}
-	if groups, ok := header.More[groupsKey]; ok { // names of command groups are of the deployment, not of people
+	if groups, ok := header.Extra[groupsKey]; ok { // names of command groups are of the deployment, not of people
 		more[groupsKey] = groups
 	}
-	if encoded, ok := header.More[deploymentKey]; ok {
+	if encoded, ok := header.Extra[deploymentKey]; ok {
 		anonymous, err := a.deployment(encoded)
 		if err != nil {
 			return header, err
 		}
 		more[deploymentKey] = anonymous
 	}
-	header.More = more
+	header.Extra = more
 	sum := blake3.Sum256(append([]byte(keyIDContext), a.key[:]...))
-	header.Key = sum[:keyIDBytes]
+	header.KeyID = sum[:keyIDBytes]
 	return header, nil
 }
 
@@ -62,7 +62,7 @@
 	var privacy []format.Privacy
 	for _, column := range kind.Columns {
 		if column.Type == format.Text {
-			privacy = append(privacy, column.Mark)
+			privacy = append(privacy, column.Privacy)
 		}
 	}
 	return privacy
@@ -70,12 +70,12 @@
 
 // deployment replaces the zone in an encoded deployment.
 func (a *Anonymizer) deployment(encoded []byte) ([]byte, error) {
-	deployment, err := record.ReadDeployment(encoded)
+	deployment, err := record.DecodeDeployment(encoded)
 	if err != nil {
 		return nil, err
 	}
 	deployment.Zone = a.pseudonym(format.Topology, deployment.Zone)
-	return record.Deployment(deployment)
+	return record.EncodeDeployment(deployment)
 }
 
 // Event returns the anonymised event.
--- a/internal/router/trace/tool/diff.go
+++ b/internal/router/trace/tool/diff.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Change compares two summaries of one command group in one replica set: the first
+// GroupDiff compares two summaries of one command group in one replica set: the first
 // value of each pair is of the first summary. Its fields are the JSON of
 // `trace diff --json`. Times are in milliseconds.
-type Change struct {
+type GroupDiff struct {
 	Group               string
 	Set                 int64
 	Taken               [2]int64
@@ -20,17 +20,17 @@
 
 // Diff compares two summaries, sorted by group and set. A group that only one of
 // them has is all zeros in the other.
-func Diff(first, second []Line) []Change {
+func Diff(first, second []GroupSummary) []GroupDiff {
 	type key struct {
 		group string
 		set   int64
 	}
-	pairs := map[key]*[2]Line{}
-	for side, lines := range [][]Line{first, second} {
+	pairs := map[key]*[2]GroupSummary{}
+	for side, lines := range [][]GroupSummary{first, second} {
 		for _, line := range lines {
 			k := key{line.Group, line.Set}
 			if pairs[k] == nil {
-				pairs[k] = &[2]Line{}
+				pairs[k] = &[2]GroupSummary{}
 			}
 			pairs[k][side] = line
 		}
@@ -38,9 +38,9 @@
 	keys := slices.SortedFunc(maps.Keys(pairs), func(a, b key) int {
 		return cmp.Or(cmp.Compare(a.group, b.group), cmp.Compare(a.set, b.set))
 	})
-	var changes []Change
+	var changes []GroupDiff
 	for _, k := range keys {
-		change := Change{Group: k.group, Set: k.set}
+		change := GroupDiff{Group: k.group, Set: k.set}
 		for side, line := range pairs[k] {
 			change.Taken[side] = line.Taken
 			change.Answered[side] = ratio(line.Answered, line.Taken)
--- a/internal/router/trace/tool/filter.go
+++ b/internal/router/trace/tool/filter.go
@@ -14,15 +14,15 @@
 	commands map[int64]bool // those selected
 }
 
-// Begin sets the schema of the events.
-func (f *Filter) Begin(schema format.Schema) { f.schema, f.commands = schema, map[int64]bool{} }
+// SetSchema sets the schema of the events.
+func (f *Filter) SetSchema(schema format.Schema) { f.schema, f.commands = schema, map[int64]bool{} }
 
 // MatchesAll reports whether the filter selects every event.
 func (f *Filter) MatchesAll() bool { return len(f.Sessions)+len(f.Sets)+len(f.Groups) == 0 }
 
-// Has reports whether an event is selected. Events that are not of a command always
+// Matches reports whether an event is selected. Events that are not of a command always
 // are, since readers need them.
-func (f *Filter) Has(event format.Event) bool {
+func (f *Filter) Matches(event format.Event) bool {
 	if f.MatchesAll() {
 		return true
 	}
--- a/internal/router/trace/tool/large_test.go
+++ b/internal/router/trace/tool/large_test.go
@@ -70,8 +70,8 @@
 		t.Fatal(err)
 	}
 	read := time.Since(began)
-	if most > 96<<20 || n != *largeFileEvents/3*3 || len(sum.Lines()) != 18 {
-		t.Errorf("%d MB in use, %d events, %d lines", most>>20, n, len(sum.Lines()))
+	if most > 96<<20 || n != *largeFileEvents/3*3 || len(sum.Groups()) != 18 {
+		t.Errorf("%d MB in use, %d events, %d lines", most>>20, n, len(sum.Groups()))
 	}
 	t.Logf("%d events: written at %.2f M/s, read and summed up at %.2f M/s, %.2f bytes an event, at most %d MB in use", n,
 		float64(n)/wrote.Seconds()/1e6, float64(n)/read.Seconds()/1e6, float64(source.size)/float64(n), most>>20)
@@ -84,7 +84,7 @@
 	compressor := gzip.NewWriter(&packed)
 	encoder := json.NewEncoder(compressor)
 	for _, event := range events {
-		if err := encoder.Encode(Object(source.Header.Schema, event)); err != nil {
+		if err := encoder.Encode(EventObject(source.Header.Schema, event)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/router/trace/tool/merge.go
+++ b/internal/router/trace/tool/merge.go
@@ -12,11 +12,11 @@
 // routerName is the name of the column that a merge adds, and of the kind that names the routers.
 const routerName = "router"
 
-// Merged returns the schema of a merge: every kind with the number of the router as
+// MergedSchema returns the schema of a merge: every kind with the number of the router as
 // another column, and a kind for the routers' names at the end.
-func Merged(schema format.Schema) format.Schema {
-	number := format.Column{Name: routerName, Type: format.Int, Mark: format.Plain}
-	name := format.Column{Name: "name", Type: format.Text, Mark: format.Topology}
+func MergedSchema(schema format.Schema) format.Schema {
+	number := format.Column{Name: routerName, Type: format.Int, Privacy: format.Plain}
+	name := format.Column{Name: "name", Type: format.Text, Privacy: format.Topology}
 	merged := format.Schema{}
 	for _, kind := range schema {
 		kind.Columns = append(slices.Clone(kind.Columns), number)
@@ -29,7 +29,7 @@
 // router's clock and with the router's number as the last of Event.Ints. The order
 // of each router's own events is kept; at equal times the router with the smaller
 // number comes first. It returns the first error of a feed or of handle.
-func Merge(feeds []Feed, skews []Skew, handle func(event format.Event) error) error {
+func Merge(feeds []Feed, skews []ClockSkew, handle func(event format.Event) error) error {
 	var inputs mergeQueue
 	for i, feed := range feeds {
 		input := &mergeInput{feed: feed, skew: skews[i], router: int64(i), at: math.MinInt64}
@@ -63,7 +63,7 @@
 // mergeInput is one router's events.
 type mergeInput struct {
 	feed   Feed
-	skew   Skew
+	skew   ClockSkew
 	router int64
 	events []format.Event // read and not taken yet
 	at     int64          // time of the next event by the first router's clock
--- a/internal/router/trace/tool/output.go
+++ b/internal/router/trace/tool/output.go
@@ -16,7 +16,7 @@
 	out    io.Writer
 	block  *format.Block
 	offset int64 // in bytes
-	index  []format.Span
+	index  []format.BlockInfo
 	buffer []byte
 }
 
--- a/internal/router/trace/tool/skew.go
+++ b/internal/router/trace/tool/skew.go
@@ -20,27 +20,27 @@
 // ErrNoOverlap is the error of two routers that have nothing in common to compare their clocks by.
 var ErrNoOverlap = errors.New("saw no host in the same ten seconds as the first one")
 
-// Skew is how a router's clock stands to the clock of the first router.
-type Skew struct {
-	Router string
-	Offset float64 // at From: how far the clock is ahead, in tenths of a millisecond
-	Drift  float64 // by how much of the time that passes the offset grows
-	From   int64   // time by the router's clock
-	Bound  float64 // the greatest distance of a window from the line, in tenths of a millisecond
-	Seen   int     // windows that both routers had
+// ClockSkew is how a router's clock stands to the clock of the first router.
+type ClockSkew struct {
+	Router  string
+	Offset  float64 // at From: how far the clock is ahead, in tenths of a millisecond
+	Drift   float64 // by how much of the time that passes the offset grows
+	From    int64   // time by the router's clock
+	Bound   float64 // the greatest distance of a window from the line, in tenths of a millisecond
+	Windows int     // windows that both routers had
 }
 
 // Correct returns a time of the router's clock by the clock of the first router.
-func (s Skew) Correct(at int64) int64 {
+func (s ClockSkew) Correct(at int64) int64 {
 	offset := s.Offset + s.Drift*float64(at-s.From)
 	return at - int64(math.Round(offset))
 }
 
-// Delays are the delays of a router's responses from primaries: how long after the
+// DelaySamples are the delays of a router's responses from primaries: how long after the
 // position that a primary named the router had the response. The least delay of
 // each host and window is the difference of the clocks and the time of the way
 // back, which routers at one site share.
-type Delays struct {
+type DelaySamples struct {
 	From, To int64 // times of the first and last event
 
 	schema    format.Schema
@@ -56,15 +56,15 @@
 	window int64
 }
 
-// NewDelays returns empty samples for events of a schema.
-func NewDelays(schema format.Schema) *Delays {
-	return &Delays{
+// NewDelaySamples returns empty samples for events of a schema.
+func NewDelaySamples(schema format.Schema) *DelaySamples {
+	return &DelaySamples{
 		schema: schema, hostNames: map[int64]string{}, sentTo: map[int64]int64{}, least: map[hostWindow]int64{},
 	}
 }
 
 // Add adds an event.
-func (d *Delays) Add(event format.Event) {
+func (d *DelaySamples) Add(event format.Event) {
 	if d.From == 0 || event.At < d.From {
 		d.From = event.At
 	}
@@ -80,7 +80,7 @@
 	}
 }
 
-func (d *Delays) addResponse(ended namedEvent) {
+func (d *DelaySamples) addResponse(ended namedEvent) {
 	command := ended.number("command")
 	host, position := d.hostNames[d.sentTo[command]], ended.number("position")
 	delete(d.sentTo, command)
@@ -94,14 +94,14 @@
 	}
 }
 
-// Estimate estimates the skew of a router's clock from the delays of the first
+// EstimateSkew estimates the skew of a router's clock from the delays of the first
 // router and its own: the line through the median difference of each window. The
 // error wraps ErrNoOverlap if they have no window in common.
-func Estimate(router string, first, other *Delays) (Skew, error) {
-	skew := Skew{Router: router, From: other.From}
+func EstimateSkew(router string, first, other *DelaySamples) (ClockSkew, error) {
+	skew := ClockSkew{Router: router, From: other.From}
 	differences := windowDifferences(first, other)
-	skew.Seen = len(differences)
-	if skew.Seen == 0 {
+	skew.Windows = len(differences)
+	if skew.Windows == 0 {
 		return skew, fmt.Errorf("%s: %w", router, ErrNoOverlap)
 	}
 	var times, offsets []float64
@@ -111,7 +111,7 @@
 		offsets = append(offsets, values[len(values)/2])
 	}
 	meanTime, meanOffset := mean(times), mean(offsets)
-	if skew.Seen >= minWindowsForDrift {
+	if skew.Windows >= minWindowsForDrift {
 		skew.Drift = slope(times, offsets, meanTime, meanOffset)
 	}
 	// Windows are of positions, which are about times of the first router's clock;
@@ -125,7 +125,7 @@
 }
 
 // windowDifferences returns, by window, the differences of the least delays to hosts that both routers have.
-func windowDifferences(first, other *Delays) map[int64][]float64 {
+func windowDifferences(first, other *DelaySamples) map[int64][]float64 {
 	differences := map[int64][]float64{}
 	for key, delay := range other.least {
 		if firstDelay, both := first.least[key]; both {
--- a/internal/router/trace/tool/source.go
+++ b/internal/router/trace/tool/source.go
@@ -14,20 +14,20 @@
 
 func (w Window) contains(at int64) bool { return at >= w.First && (w.Last == 0 || at <= w.Last) }
 
-func (w Window) overlaps(block format.Span) bool {
+func (w Window) overlaps(block format.BlockInfo) bool {
 	return block.Last >= w.First && (w.Last == 0 || block.First <= w.Last)
 }
 
 // Source is a trace that is read, from a file or a pipe.
 type Source struct {
 	Header format.Header
-	Spans  []format.Span // the index; nil if there is none, and the trace is read from its beginning
+	Index  []format.BlockInfo // the index; nil if there is none, and the trace is read from its beginning
 
 	// What Each found.
-	Faults []format.CorruptBlockError // blocks that could not be read
-	Broken error                      // why the trace ends early, after what was read; nil: it does not
-	Lost   uint64                     // events lost in capture
-	Blocks int                        // blocks read
+	CorruptBlocks []format.CorruptBlockError // blocks that could not be read
+	Truncated     error                      // why the trace ends early, after what was read; nil: it does not
+	LostEvents    uint64                     // events lost in capture
+	ReadBlocks    int                        // blocks read
 
 	path   string
 	reader *format.Reader
@@ -69,7 +69,7 @@
 	if !info.Mode().IsRegular() {
 		return source, nil
 	}
-	source.Spans, err = format.ReadIndex(file, info.Size())
+	source.Index, err = format.ReadIndex(file, info.Size())
 	if err != nil && !errors.Is(err, format.ErrTruncated) && !errors.Is(err, format.ErrCorrupt) {
 		return nil, err
 	}
@@ -93,15 +93,15 @@
 	if progress == nil {
 		progress = func(int64, int64) {}
 	}
-	if s.Spans != nil {
+	if s.Index != nil {
 		return s.eachIndexed(window, progress, handle)
 	}
 	return s.eachSequential(window, progress, handle)
 }
 
 func (s *Source) eachIndexed(window Window, progress func(done, total int64), handle func(event format.Event) error) error {
-	for i, block := range s.Spans {
-		s.Lost += block.Lost
+	for i, block := range s.Index {
+		s.LostEvents += block.Lost
 		if !window.overlaps(block) {
 			continue
 		}
@@ -109,7 +109,7 @@
 		if err := s.handleBlock(events, err, window, handle); err != nil {
 			return err
 		}
-		progress(int64(i+1), int64(len(s.Spans)))
+		progress(int64(i+1), int64(len(s.Index)))
 	}
 	return nil
 }
@@ -121,10 +121,10 @@
 			return nil
 		}
 		if errors.Is(err, format.ErrTruncated) {
-			s.Broken = err
+			s.Truncated = err
 			return nil
 		}
-		s.Lost += block.Lost
+		s.LostEvents += block.Lost
 		if err := s.handleBlock(events, err, window, handle); err != nil {
 			return err
 		}
@@ -136,13 +136,13 @@
 func (s *Source) handleBlock(events []format.Event, readErr error, window Window, handle func(format.Event) error) error {
 	var corrupt *format.CorruptBlockError
 	if errors.As(readErr, &corrupt) {
-		s.Faults = append(s.Faults, *corrupt)
+		s.CorruptBlocks = append(s.CorruptBlocks, *corrupt)
 		return nil
 	}
 	if readErr != nil {
 		return readErr
 	}
-	s.Blocks++
+	s.ReadBlocks++
 	for _, event := range events {
 		if !window.contains(event.At) {
 			continue
@@ -160,10 +160,10 @@
 // Feed returns the events of a file that has an index. The file is opened for each
 // block, so that any number of files can be merged with few file descriptors.
 func (s *Source) Feed() (Feed, error) {
-	if s.Spans == nil {
+	if s.Index == nil {
 		return nil, fmt.Errorf("%s has no index; repair it first", s.path)
 	}
-	remaining := s.Spans
+	remaining := s.Index
 	return func() ([]format.Event, error) {
 		for len(remaining) > 0 {
 			block := remaining[0]
@@ -178,7 +178,7 @@
 }
 
 // reopenBlock reads a block and keeps nothing open.
-func (s *Source) reopenBlock(block format.Span) ([]format.Event, error) {
+func (s *Source) reopenBlock(block format.BlockInfo) ([]format.Event, error) {
 	file, err := os.Open(s.path)
 	if err != nil {
 		return nil, err
--- a/internal/router/trace/tool/summary.go
+++ b/internal/router/trace/tool/summary.go
@@ -21,9 +21,9 @@
 	p99Quantile    = 99
 )
 
-// Line is the summary of one command group in one replica set. Its fields are the
+// GroupSummary is the summary of one command group in one replica set. Its fields are the
 // JSON of `trace summary --json`. Times are in milliseconds.
-type Line struct {
+type GroupSummary struct {
 	Group      string
 	Set        int64
 	Taken      int64 // commands
@@ -46,7 +46,7 @@
 
 // groupState is what is known of one group in one set so far. The embedded summary has what is only counted.
 type groupState struct {
-	Line
+	GroupSummary
 	dispatches       int64
 	replicas         int64 // responses of replicas
 	firstDispatches  int64
@@ -77,7 +77,7 @@
 // NewSummary returns an empty summary of a trace with a header.
 func NewSummary(header format.Header) *Summary {
 	return &Summary{
-		schema: header.Schema, groupNames: Groups(header),
+		schema: header.Schema, groupNames: GroupNames(header),
 		states: map[groupKey]*groupState{}, openCommands: map[int64]*openCommand{},
 	}
 }
@@ -163,27 +163,27 @@
 	}
 }
 
-// Lines returns the summaries, sorted by group and set. More events may be added after it.
-func (s *Summary) Lines() []Line {
+// Groups returns the summaries, sorted by group and set. More events may be added after it.
+func (s *Summary) Groups() []GroupSummary {
 	open := map[*groupState]int64{}
 	for _, command := range s.openCommands {
 		open[command.group]++
 	}
-	var lines []Line
+	var lines []GroupSummary
 	for _, state := range s.states {
 		line := state.line()
 		line.Open = open[state]
 		lines = append(lines, line)
 	}
-	slices.SortFunc(lines, func(a, b Line) int {
+	slices.SortFunc(lines, func(a, b GroupSummary) int {
 		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Set, b.Set))
 	})
 	return lines
 }
 
 // line returns the summary, without the open commands.
-func (g *groupState) line() Line {
-	line := g.Line
+func (g *groupState) line() GroupSummary {
+	line := g.GroupSummary
 	line.Dispatches = ratio(g.dispatches, g.Taken)
 	line.Replicas = ratio(g.replicas, g.Answered)
 	line.Comeback = ratio(g.totalComeback, tenthsPerMillisecond*g.Throttled)
--- a/internal/router/trace/tool/tool.go
+++ b/internal/router/trace/tool/tool.go
@@ -64,10 +64,10 @@
 	return ""
 }
 
-// Groups returns the names of command groups in a header, by number, or nil if it has none.
-func Groups(header format.Header) []string {
+// GroupNames returns the names of command groups in a header, by number, or nil if it has none.
+func GroupNames(header format.Header) []string {
 	var names []string
-	if cbor.Unmarshal(header.More[groupsKey], &names) != nil {
+	if cbor.Unmarshal(header.Extra[groupsKey], &names) != nil {
 		return nil
 	}
 	return names
@@ -81,8 +81,8 @@
 	return value
 }
 
-// Object returns an event as a JSON object, by the names of its columns.
-func Object(schema format.Schema, event format.Event) map[string]any {
+// EventObject returns an event as a JSON object, by the names of its columns.
+func EventObject(schema format.Schema, event format.Event) map[string]any {
 	kind := schema[event.Kind]
 	object := map[string]any{"at": event.At, "kind": kind.Name}
 	ints, texts := event.Ints, event.Texts
--- a/internal/router/trace/tool/tool_test.go
+++ b/internal/router/trace/tool/tool_test.go
@@ -27,19 +27,19 @@
 // writeTrace writes a router's file: commands of sessions at a host. The router's clock is ahead by offset and drifts.
 func writeTrace(t *testing.T, dir, router string, seed uint64, seconds int, offset int64, drift float64) string {
 	t.Helper()
-	deployment, err := record.Deployment(policy.Deployment{Zone: "zone of " + router, Groups: []*policy.CmdGroup{{Target: 2500}, {Target: 2500}}})
+	deployment, err := record.EncodeDeployment(policy.Deployment{Zone: "zone of " + router, Groups: []*policy.CommandGroup{{Target: 2500}, {Target: 2500}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	groups, _ := record.Groups([]string{"list", "order"})
+	groups, _ := record.EncodeGroups([]string{"list", "order"})
 	path := filepath.Join(dir, router+".fptrace")
 	file, err := os.Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	output, err := NewOutput(file, format.Header{
-		Router: router, Life: seed, Part: 1000, Schema: record.Schema,
-		More: map[string][]byte{"deployment": deployment, "groups": groups, "later": []byte("Ms Someone")},
+		Router: router, Incarnation: seed, SampledPerMille: 1000, Schema: record.Schema,
+		Extra: map[string][]byte{"deployment": deployment, "groups": groups, "later": []byte("Ms Someone")},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -119,7 +119,7 @@
 func TestAnonymizedFileContainsNoIdentity(t *testing.T) {
 	dir := t.TempDir()
 	source, events := readAll(t, writeTrace(t, dir, "router-one", 1, 20, 0, 0))
-	anonymizer := NewAnonymous([32]byte{1})
+	anonymizer := NewAnonymizer([32]byte{1})
 	header, err := anonymizer.Header(source.Header)
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 	dir := t.TempDir()
 	word := func(key byte, router string) string {
 		source, events := readAll(t, writeTrace(t, dir, router, 1, 4, 0, 0))
-		anonymizer := NewAnonymous([32]byte{key})
+		anonymizer := NewAnonymizer([32]byte{key})
 		if _, err := anonymizer.Header(source.Header); err != nil {
 			t.Fatal(err)
 		}
@@ -185,13 +185,13 @@
 }
 
 // openForMerge returns a file's header, delays and feed, and keeps nothing open.
-func openForMerge(t *testing.T, path string) (format.Header, *Delays, Feed) {
+func openForMerge(t *testing.T, path string) (format.Header, *DelaySamples, Feed) {
 	t.Helper()
 	source, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	delays := NewDelays(source.Header.Schema)
+	delays := NewDelaySamples(source.Header.Schema)
 	if err := source.Each(allTime, nil, func(event format.Event) error { delays.Add(event); return nil }); err != nil {
 		t.Fatal(err)
 	}
@@ -206,7 +206,7 @@
 }
 
 // mergeInOrder merges, checks that times do not go back and returns the number of events.
-func mergeInOrder(t *testing.T, feeds []Feed, skews []Skew, check func(event format.Event, number int)) int {
+func mergeInOrder(t *testing.T, feeds []Feed, skews []ClockSkew, check func(event format.Event, number int)) int {
 	t.Helper()
 	last, n := int64(0), 0
 	if err := Merge(feeds, skews, func(event format.Event) error {
@@ -228,7 +228,7 @@
 	const offset, drift = 30000, 200e-6
 	_, firstDelays, firstFeed := openForMerge(t, writeTrace(t, dir, "a", 1, 200, 0, 0))
 	_, otherDelays, otherFeed := openForMerge(t, writeTrace(t, dir, "b", 2, 200, offset, drift))
-	skew, err := Estimate("b", firstDelays, otherDelays)
+	skew, err := EstimateSkew("b", firstDelays, otherDelays)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,11 +238,11 @@
 			t.Errorf("%.1f s on: off by %.1f ms, bound %.1f", float64(at-base)/10000, float64(off)/10, skew.Bound/10)
 		}
 	}
-	if skew.Seen < 10 || skew.Bound > 100 {
+	if skew.Windows < 10 || skew.Bound > 100 {
 		t.Errorf("%+v", skew)
 	}
 	lastCommand := [2]int64{} // by router
-	n := mergeInOrder(t, []Feed{firstFeed, otherFeed}, []Skew{{}, skew}, func(event format.Event, _ int) {
+	n := mergeInOrder(t, []Feed{firstFeed, otherFeed}, []ClockSkew{{}, skew}, func(event format.Event, _ int) {
 		if event.Kind != record.Take {
 			return
 		}
@@ -258,8 +258,8 @@
 }
 
 func TestEstimateNeedsCommonHosts(t *testing.T) {
-	first, other := NewDelays(record.Schema), NewDelays(record.Schema)
-	if _, err := Estimate("b", first, other); !errors.Is(err, ErrNoOverlap) {
+	first, other := NewDelaySamples(record.Schema), NewDelaySamples(record.Schema)
+	if _, err := EstimateSkew("b", first, other); !errors.Is(err, ErrNoOverlap) {
 		t.Error(err)
 	}
 }
@@ -272,14 +272,14 @@
 	}
 	closeAtEnd(t, source)
 	filter := Filter{Groups: map[int64]bool{1: true}}
-	filter.Begin(source.Header.Schema)
+	filter.SetSchema(source.Header.Schema)
 	n := 0
 	window := Window{base + 20000000, base + 20100000}
 	if err := source.Each(window, nil, func(event format.Event) error {
 		if !window.contains(event.At) {
 			t.Fatal(event)
 		}
-		if filter.Has(event) {
+		if filter.Matches(event) {
 			if n++; event.Kind == record.Take && event.Ints[1] != 1 {
 				t.Fatal(event)
 			}
@@ -288,8 +288,8 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if source.Blocks > 2 || len(source.Spans) < 5 || n < 60 || n > 80 {
-		t.Errorf("%d of %d blocks read, %d events", source.Blocks, len(source.Spans), n)
+	if source.ReadBlocks > 2 || len(source.Index) < 5 || n < 60 || n > 80 {
+		t.Errorf("%d of %d blocks read, %d events", source.ReadBlocks, len(source.Index), n)
 	}
 }
 
@@ -310,7 +310,7 @@
 	sum.Add(events[len(events)-1])
 	sum.Add(format.Event{Kind: record.Fail, Ints: []int64{99999}})
 	sum.Add(format.Event{At: base, Kind: record.Take, Ints: []int64{88888, 0, 1, 0, 0, 0}, Texts: []string{"x", "y"}})
-	lines := sum.Lines()
+	lines := sum.Groups()
 	if len(lines) != 2 || lines[1].Taken != 250 {
 		t.Fatalf("%+v", lines)
 	}
@@ -327,7 +327,7 @@
 
 func TestDiffHasGroupsOfEitherSide(t *testing.T) {
 	sum, _ := summarize(t)
-	lines := sum.Lines()
+	lines := sum.Groups()
 	if diff := Diff(lines, lines[:1]); len(diff) != 2 || diff[1].Taken != [2]int64{250, 0} {
 		t.Errorf("%+v", diff)
 	}
@@ -342,13 +342,13 @@
 	}
 	writeFile(t, path, whole[:len(whole)*2/3])
 	source, events := readAll(t, path)
-	if source.Spans != nil || source.Broken == nil || len(events) < 10000 {
-		t.Errorf("%v, %d events", source.Broken, len(events))
+	if source.Index != nil || source.Truncated == nil || len(events) < 10000 {
+		t.Errorf("%v, %d events", source.Truncated, len(events))
 	}
 	repaired := filepath.Join(dir, "repaired")
 	writeFile(t, repaired, encode(t, source.Header, events))
-	if again, same := readAll(t, repaired); again.Spans == nil || again.Broken != nil || len(same) != len(events) {
-		t.Errorf("%v, %d events", again.Broken, len(same))
+	if again, same := readAll(t, repaired); again.Index == nil || again.Truncated != nil || len(same) != len(events) {
+		t.Errorf("%v, %d events", again.Truncated, len(same))
 	}
 }
 
@@ -366,14 +366,14 @@
 	dir := t.TempDir()
 	before := openDescriptors(t)
 	var feeds []Feed
-	var first *Delays
-	var skews []Skew
+	var first *DelaySamples
+	var skews []ClockSkew
 	for i := range 40 {
 		header, delays, feed := openForMerge(t, writeTrace(t, dir, fmt.Sprintf("r%02d", i), uint64(i+1), 30, int64(i)*500, 0))
 		if first == nil {
 			first = delays
 		}
-		skew, err := Estimate(header.Router, first, delays)
+		skew, err := EstimateSkew(header.Router, first, delays)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/router/transport/buffer.go
+++ b/internal/router/transport/buffer.go
@@ -8,20 +8,22 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// Room limits the bytes that all buffers together may take past their initial sizes. It is safe for concurrent use.
-type Room struct {
+// BufferBudget limits the bytes that all buffers together may take past their initial sizes. It is safe for concurrent use.
+type BufferBudget struct {
 	capacity int64
 	used     atomic.Int64
 }
 
-// NewRoom returns a budget of limits.Buffers bytes, to be shared by all connections.
-func NewRoom(limits *setup.Limits) *Room { return &Room{capacity: limits.Buffers} }
+// NewBufferBudget returns a budget of limits.Buffers bytes, to be shared by all connections.
+func NewBufferBudget(limits *setup.Limits) *BufferBudget {
+	return &BufferBudget{capacity: limits.BufferBudget}
+}
 
 // Used returns the number of bytes that are reserved now.
-func (b *Room) Used() int64 { return b.used.Load() }
+func (b *BufferBudget) Used() int64 { return b.used.Load() }
 
 // reserve takes n bytes, or nothing and returns false if that would exceed the budget.
-func (b *Room) reserve(n int) bool {
+func (b *BufferBudget) reserve(n int) bool {
 	if b.used.Add(int64(n)) <= b.capacity {
 		return true
 	}
@@ -29,7 +31,7 @@
 	return false
 }
 
-func (b *Room) release(n int) { b.used.Add(int64(-n)) }
+func (b *BufferBudget) release(n int) { b.used.Add(int64(-n)) }
 
 // errBudgetExhausted reports that a buffer may not grow, by its own limit or by the budget. Clients are sent its text.
 var errBudgetExhausted = errors.New("no room left for buffers")
@@ -37,13 +39,13 @@
 // buffer holds bytes that were read and not consumed yet. It grows as needed, is compacted in place, and returns to its
 // initial size when it is empty.
 type buffer struct {
-	budget               *Room
+	budget               *BufferBudget
 	initialSize, maxSize int
 	data                 []byte
 	consumed             int // offset in data of the first byte that was not consumed
 }
 
-func newBuffer(budget *Room, initialSize, maxSize int) *buffer {
+func newBuffer(budget *BufferBudget, initialSize, maxSize int) *buffer {
 	return &buffer{budget: budget, initialSize: initialSize, maxSize: maxSize, data: make([]byte, 0, initialSize)}
 }
 
--- a/internal/router/transport/client_conn.go
+++ b/internal/router/transport/client_conn.go
@@ -164,11 +164,11 @@
 
 // reserveAnswer reserves budget for an answer that is longer than an initial buffer; releaseAnswer returns it.
 func (c *clientConn) reserveAnswer(answer []byte) bool {
-	return len(answer) <= c.server.limits.Buffer || c.server.budget.reserve(len(answer))
+	return len(answer) <= c.server.limits.InitialBuffer || c.server.budget.reserve(len(answer))
 }
 
 func (c *clientConn) releaseAnswer(answer []byte) {
-	if len(answer) > c.server.limits.Buffer {
+	if len(answer) > c.server.limits.InitialBuffer {
 		c.server.budget.release(len(answer))
 	}
 }
--- a/internal/router/transport/client_reader.go
+++ b/internal/router/transport/client_reader.go
@@ -22,7 +22,7 @@
 // readCommands is the goroutine that reads commands. It owns the end of the connection.
 func (c *clientConn) readCommands() {
 	limits := c.server.limits
-	in := newBuffer(c.server.budget, limits.Buffer, limits.MaxClientMessage)
+	in := newBuffer(c.server.budget, limits.InitialBuffer, limits.MaxClientMessage)
 	if c.startSession(in) {
 		for c.readMessage(in) {
 		}
@@ -93,7 +93,7 @@
 // startSession reads the startup message. Encryption is declined, and cancel requests are not served.
 func (c *clientConn) startSession(in *buffer) bool {
 	for {
-		code, n, err := protocol.NextStartup(in.unread(), min(in.maxSize, protocol.LongestStartup))
+		code, n, err := protocol.NextStartup(in.unread(), min(in.maxSize, protocol.MaxStartupBytes))
 		if err != nil {
 			c.endSession(&c.server.Malformed, protocol.ProtocolViolation, err.Error())
 			return false
@@ -132,11 +132,11 @@
 			case keepReading:
 				continue
 			case closeTimedOut:
-				c.endSession(&c.server.TimedOut, protocol.NotNow, "no whole command came in time")
+				c.endSession(&c.server.TimedOut, protocol.CannotConnectNow, "no whole command came in time")
 			case closeQuietly:
 			}
 		case errors.Is(err, errBudgetExhausted):
-			c.endSession(&c.server.OutOfBuffers, protocol.TooMany, err.Error())
+			c.endSession(&c.server.OutOfBuffers, protocol.TooManyConnections, err.Error())
 		}
 		return false
 	}
@@ -147,7 +147,7 @@
 func (c *clientConn) readMessage(in *buffer) bool {
 	receivedAt := time.Now()
 	for {
-		kind, body, n, err := protocol.Next(in.unread(), in.maxSize)
+		kind, body, n, err := protocol.NextMessage(in.unread(), in.maxSize)
 		if err != nil {
 			c.endSession(&c.server.Malformed, protocol.ProtocolViolation, err.Error())
 			return false
@@ -209,7 +209,7 @@
 
 // handleQuery hands a simple query on, or answers it where it is not a command or there is no capacity for it.
 func (c *clientConn) handleQuery(body []byte, receivedAt time.Time) {
-	statement, ok := protocol.Statement(body)
+	statement, ok := protocol.QueryText(body)
 	slot := c.addSlot()
 	switch {
 	case !ok:
@@ -220,7 +220,7 @@
 	case c.server.exceedsLimit(c): // otherwise it would wait unread until its time-out
 		c.server.Shed.Add(1)
 		slot.Throttle(0)
-	case len(statement) > c.server.limits.Buffer && !c.reserveCommand(slot, len(statement)):
+	case len(statement) > c.server.limits.InitialBuffer && !c.reserveCommand(slot, len(statement)):
 		slot.Throttle(0) // nothing of it was sent, so a retry is safe
 	default:
 		c.server.handler.HandleCommand(slot, slices.Clone(statement), receivedAt)
--- a/internal/router/transport/clients.go
+++ b/internal/router/transport/clients.go
@@ -37,7 +37,7 @@
 // Accepted equals the sum of the connections that are open and the counters by cause of those that ended.
 type Clients struct {
 	limits  *setup.Limits
-	budget  *Room
+	budget  *BufferBudget
 	handler CommandHandler
 	tasks   sync.WaitGroup
 
@@ -62,7 +62,7 @@
 }
 
 // NewClients returns a server that hands commands to handler. It accepts nothing before Serve.
-func NewClients(limits *setup.Limits, budget *Room, handler CommandHandler) *Clients {
+func NewClients(limits *setup.Limits, budget *BufferBudget, handler CommandHandler) *Clients {
 	s := &Clients{
 		limits: limits, budget: budget, handler: handler,
 		open: map[*clientConn]struct{}{}, closing: map[*clientConn]closingStage{},
@@ -100,7 +100,7 @@
 		case err != nil: // no file descriptor is left, for instance: it must not spin
 			select {
 			case <-ctx.Done():
-			case <-time.After(s.limits.Again):
+			case <-time.After(s.limits.RetryDelay):
 			}
 		default:
 			s.Accepted.Add(1)
@@ -131,7 +131,7 @@
 			continue
 		}
 		s.evict(c, false, 0)
-		wakeUp := time.AfterFunc(s.limits.Again, s.connEnded.Broadcast) // some may have become idle
+		wakeUp := time.AfterFunc(s.limits.RetryDelay, s.connEnded.Broadcast) // some may have become idle
 		s.connEnded.Wait()
 		wakeUp.Stop()
 	}
--- a/internal/router/transport/clients_test.go
+++ b/internal/router/transport/clients_test.go
@@ -31,9 +31,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits.Buffer, limits.Buffers, limits.MaxClientMessage, limits.MaxPipelined = 1<<10, 1<<20, 1<<16, 9
-	limits.LingerTimeout, limits.ClientWriteTimeout, limits.Again = testTimeout, testTimeout, time.Millisecond
-	s := NewClients(limits, NewRoom(limits), rejectingHandler{})
+	limits.InitialBuffer, limits.BufferBudget, limits.MaxClientMessage, limits.MaxPipelined = 1<<10, 1<<20, 1<<16, 9
+	limits.LingerTimeout, limits.ClientWriteTimeout, limits.RetryDelay = testTimeout, testTimeout, time.Millisecond
+	s := NewClients(limits, NewBufferBudget(limits), rejectingHandler{})
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- s.Serve(ctx, listener) }()
@@ -70,9 +70,9 @@
 	for {
 		n, err := c.Read(b)
 		in = append(in, b[:n]...)
-		for kind, body, n, _ := protocol.Next(in, 1<<16); n > 0; kind, body, n, _ = protocol.Next(in, 1<<16) {
+		for kind, body, n, _ := protocol.NextMessage(in, 1<<16); n > 0; kind, body, n, _ = protocol.NextMessage(in, 1<<16) {
 			if kind == protocol.ErrorResponse {
-				code = protocol.Code(body)
+				code = protocol.ErrorCode(body)
 			}
 			in = in[n:]
 		}
@@ -132,7 +132,7 @@
 	} {
 		c := dial()
 		c.Write([]byte(said))
-		if code := lastErrorCode(c); code != protocol.NotNow {
+		if code := lastErrorCode(c); code != protocol.CannotConnectNow {
 			t.Errorf("%s: %q", name, code)
 		}
 		c.Close()
@@ -214,5 +214,5 @@
 
 func (notNowHandler) HandleCommand(s *Slot, _ []byte, _ time.Time) {
 	s.CommandAccepted()
-	s.Fail(protocol.NotNow, "not now")
+	s.Fail(protocol.CannotConnectNow, "not now")
 }
--- a/internal/router/transport/host_call.go
+++ b/internal/router/transport/host_call.go
@@ -24,10 +24,10 @@
 func classify(answer Answer) Answer {
 	switch answer.Code {
 	case "":
-	case protocol.ReadOnly, protocol.ReplicaBehind:
-		answer.Outcome = policy.Missed
-	case protocol.TooMany:
-		answer.Outcome = policy.Full
+	case protocol.ReadOnlyTransaction, protocol.ReplicaBehind:
+		answer.Outcome = policy.Misrouted
+	case protocol.TooManyConnections:
+		answer.Outcome = policy.Overloaded
 	default:
 		answer.Outcome = policy.Errored
 	}
@@ -65,7 +65,7 @@
 	call.ended, c.call = true, nil
 	outcome = policy.TimedOut
 	if !call.sent {
-		outcome = policy.Unreached
+		outcome = policy.Unreachable
 	}
 	c.mu.Unlock()
 	c.close()
--- a/internal/router/transport/host_conn.go
+++ b/internal/router/transport/host_conn.go
@@ -75,15 +75,15 @@
 func (c *hostConn) run(address string, first *Call) {
 	pool := c.host.pool
 	defer c.leavePool()
-	startupCtx, cancel := context.WithTimeout(c.ctx, min(pool.limits.Connect, time.Until(first.deadline)))
+	startupCtx, cancel := context.WithTimeout(c.ctx, min(pool.limits.ConnectTimeout, time.Until(first.deadline)))
 	defer cancel()
 	conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(startupCtx, "tcp", address)
 	if err != nil {
-		c.endCall(first, Answer{Outcome: policy.Unreached})
+		c.endCall(first, Answer{Outcome: policy.Unreachable})
 		return
 	}
 	c.setConn(conn)
-	in := newBuffer(pool.budget, pool.limits.Buffer, pool.limits.Answer)
+	in := newBuffer(pool.budget, pool.limits.InitialBuffer, pool.limits.MaxHostMessage)
 	defer in.release()
 	deadline, _ := startupCtx.Deadline()
 	conn.SetDeadline(deadline)
@@ -143,39 +143,39 @@
 	case call.sent:
 		c.endCall(call, Answer{Outcome: policy.Reset})
 	case c.answered: // the host was up before, so this is no sign of its health
-		c.endCall(call, Answer{Outcome: policy.Moot})
+		c.endCall(call, Answer{Outcome: policy.Expired})
 	default:
-		c.endCall(call, Answer{Outcome: policy.Unreached})
+		c.endCall(call, Answer{Outcome: policy.Unreachable})
 	}
 }
 
 // startSession sends the startup message and awaits ReadyForQuery. Whatever fails, no command has been sent yet.
 func startSession(conn net.Conn, in *buffer) (policy.Outcome, bool) {
 	if _, err := conn.Write(protocol.AppendStartup(nil, hostUser, hostDatabase)); err != nil {
-		return policy.Unreached, false
+		return policy.Unreachable, false
 	}
 	for {
-		kind, body, n, err := protocol.Next(in.unread(), in.maxSize)
+		kind, body, n, err := protocol.NextMessage(in.unread(), in.maxSize)
 		if err != nil {
-			return policy.Unreached, false
+			return policy.Unreachable, false
 		}
 		if n == 0 {
 			if in.readFrom(conn) != nil {
-				return policy.Unreached, false
+				return policy.Unreachable, false
 			}
 			continue
 		}
 		code := ""
 		if kind == protocol.ErrorResponse {
-			code = protocol.Code(body)
+			code = protocol.ErrorCode(body)
 		}
 		in.consume(n)
 		switch {
-		case code == protocol.TooMany:
-			return policy.Full, false
+		case code == protocol.TooManyConnections:
+			return policy.Overloaded, false
 		case kind == protocol.ErrorResponse:
-			return policy.Unreached, false
-		case kind == protocol.Ready:
+			return policy.Unreachable, false
+		case kind == protocol.ReadyForQuery:
 			return 0, true
 		}
 	}
@@ -197,7 +197,7 @@
 		now := time.Now()
 		leftMs := call.deadline.Sub(now).Milliseconds()
 		if leftMs < 1 || now.After(call.sendBy) {
-			c.endCall(call, Answer{Outcome: policy.Moot})
+			c.endCall(call, Answer{Outcome: policy.Expired})
 			return
 		}
 		message = call.appendMessage(message[:0], leftMs)
@@ -210,7 +210,7 @@
 			c.mu.Unlock()
 			return
 		}
-		if cap(message) > c.host.pool.limits.Buffer {
+		if cap(message) > c.host.pool.limits.InitialBuffer {
 			message = nil
 		}
 	}
@@ -249,7 +249,7 @@
 	}
 	call.ended, c.call = true, nil
 	c.lastAnswer, c.answered = answer.ReceivedAt, true
-	c.conn.SetReadDeadline(answer.ReceivedAt.Add(pool.limits.Idle))
+	c.conn.SetReadDeadline(answer.ReceivedAt.Add(pool.limits.HostIdleTimeout))
 	c.mu.Unlock()
 	pool.mu.Lock()
 	reusable := !extraData && !host.removed
--- a/internal/router/transport/host_reader.go
+++ b/internal/router/transport/host_reader.go
@@ -26,7 +26,7 @@
 	reader := callReader{conn: c}
 	reader.raw, _ = c.conn.(syscall.Conn).SyscallConn()
 	for {
-		kind, body, n, err := protocol.Next(in.unread(), in.maxSize)
+		kind, body, n, err := protocol.NextMessage(in.unread(), in.maxSize)
 		malformed := err != nil
 		if err == nil && n == 0 {
 			err = in.readFrom(&reader)
@@ -49,7 +49,7 @@
 			return
 		}
 		in.consume(n)
-		if kind == protocol.Ready {
+		if kind == protocol.ReadyForQuery {
 			if !c.completeCall(classify(parser.answer), len(in.unread()) > 0) {
 				return
 			}
@@ -91,7 +91,7 @@
 	case protocol.RowDescription:
 		return p.acceptPart(kind, frame, p.last == 0 && protocol.IsSingleColumn(body))
 	case protocol.DataRow:
-		value, ok := protocol.Value(body)
+		value, ok := protocol.SingleValue(body)
 		if len(value) <= maxValueBytes {
 			p.answer.Value = string(value)
 		}
@@ -100,7 +100,7 @@
 		p.answer.Outcome = policy.Answered
 		return p.acceptPart(kind, frame, p.last == protocol.DataRow && protocol.IsCommandTag(body))
 	case protocol.ErrorResponse:
-		p.answer.Code = protocol.Code(body)
+		p.answer.Code = protocol.ErrorCode(body)
 		ok := p.last != protocol.CommandComplete && p.last != protocol.ErrorResponse && p.answer.Code != ""
 		p.last = kind
 		return ok
@@ -109,7 +109,7 @@
 		return true
 	case protocol.NoticeResponse:
 		return true
-	case protocol.Ready:
+	case protocol.ReadyForQuery:
 		return p.last == protocol.CommandComplete || p.last == protocol.ErrorResponse
 	}
 	return false
--- a/internal/router/transport/hosts.go
+++ b/internal/router/transport/hosts.go
@@ -11,10 +11,10 @@
 	"ferrypitch/policy"
 )
 
-// Hosts is the pool of connections to all database hosts. It is safe for concurrent use.
-type Hosts struct {
+// HostPool is the pool of connections to all database hosts. It is safe for concurrent use.
+type HostPool struct {
 	limits *setup.Limits
-	budget *Room
+	budget *BufferBudget
 	ctx    context.Context // ends all connections
 	tasks  sync.WaitGroup
 
@@ -30,23 +30,23 @@
 	UnsolicitedData atomic.Int64 // connections that brought data which belongs to no call
 }
 
-// NewHosts returns an empty pool whose connections live until ctx ends.
-func NewHosts(ctx context.Context, limits *setup.Limits, budget *Room) *Hosts {
-	return &Hosts{limits: limits, budget: budget, ctx: ctx, hosts: map[*Host]struct{}{}}
+// NewHostPool returns an empty pool whose connections live until ctx ends.
+func NewHostPool(ctx context.Context, limits *setup.Limits, budget *BufferBudget) *HostPool {
+	return &HostPool{limits: limits, budget: budget, ctx: ctx, hosts: map[*Host]struct{}{}}
 }
 
 // Wait returns once all connections have ended, which they do after the pool's context.
-func (p *Hosts) Wait() { p.tasks.Wait() }
+func (p *HostPool) Wait() { p.tasks.Wait() }
 
 // OpenConns returns the number of connections that hold a descriptor.
-func (p *Hosts) OpenConns() int {
+func (p *HostPool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
 // Add adds a host by its address, which is host:port.
-func (p *Hosts) Add(address string) *Host {
+func (p *HostPool) Add(address string) *Host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	host := &Host{pool: p, address: address}
@@ -56,8 +56,8 @@
 
 // reserveLocked reserves a descriptor for a new connection. It may have to take that of an idle connection, which the
 // caller closes. p.mu is held.
-func (p *Hosts) reserveLocked() (evicted *hostConn, ok bool) {
-	if p.open >= p.limits.Hosts {
+func (p *HostPool) reserveLocked() (evicted *hostConn, ok bool) {
+	if p.open >= p.limits.MaxHostConns {
 		if evicted = p.takeOldestIdleLocked(); evicted == nil {
 			return nil, false
 		}
@@ -68,7 +68,7 @@
 
 // takeOldestIdleLocked removes and returns the connection that was idle for longest, or nil. Guards against hosts that
 // are not used any more keeping the descriptors that others need. p.mu is held.
-func (p *Hosts) takeOldestIdleLocked() *hostConn {
+func (p *HostPool) takeOldestIdleLocked() *hostConn {
 	var owner *Host
 	for host := range p.hosts {
 		if len(host.idle) > 0 && (owner == nil || host.idle[0].lastAnswer.Before(owner.idle[0].lastAnswer)) {
@@ -85,7 +85,7 @@
 
 // Host is one database host: its address and its idle connections.
 type Host struct {
-	pool *Hosts
+	pool *HostPool
 
 	// Guarded by pool.mu.
 	address string
@@ -93,8 +93,8 @@
 	removed bool        // no connection is kept idle
 }
 
-// Move changes the host's address. Connections to the old one are not used again.
-func (h *Host) Move(address string) {
+// SetAddress changes the host's address. Connections to the old one are not used again.
+func (h *Host) SetAddress(address string) {
 	h.pool.mu.Lock()
 	unchanged := h.address == address
 	h.address = address
@@ -145,7 +145,7 @@
 	pool.mu.Unlock()
 	if !ok {
 		pool.NoDescriptor.Add(1)
-		pool.tasks.Go(func() { onAnswer(Answer{Outcome: policy.Moot, ReceivedAt: now}) })
+		pool.tasks.Go(func() { onAnswer(Answer{Outcome: policy.Expired, ReceivedAt: now}) })
 		return call
 	}
 	if evicted != nil {
@@ -168,7 +168,7 @@
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
 		h.pool.mu.Unlock()
-		assigned := now.Sub(c.lastAnswer) < limits.Idle && c.assign(call)
+		assigned := now.Sub(c.lastAnswer) < limits.HostIdleTimeout && c.assign(call)
 		if !assigned {
 			c.close()
 		}
--- a/internal/router/transport/hosts_test.go
+++ b/internal/router/transport/hosts_test.go
@@ -17,14 +17,14 @@
 const testTimeout = 20 * time.Second
 
 // startHost listens as a host that hands each connection to serve, and returns a pool of at most maxConns connections with it.
-func startHost(t *testing.T, maxConns int, serve func(conn net.Conn)) (*Hosts, *Host) {
+func startHost(t *testing.T, maxConns int, serve func(conn net.Conn)) (*HostPool, *Host) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits := &setup.Limits{Hosts: maxConns, Buffer: 1 << 10, Buffers: 1 << 20, Answer: 1 << 16, Connect: testTimeout, Idle: testTimeout}
+	limits := &setup.Limits{MaxHostConns: maxConns, InitialBuffer: 1 << 10, BufferBudget: 1 << 20, MaxHostMessage: 1 << 16, ConnectTimeout: testTimeout, HostIdleTimeout: testTimeout}
 	ctx, end := context.WithCancel(context.Background())
-	h := NewHosts(ctx, limits, NewRoom(limits))
+	h := NewHostPool(ctx, limits, NewBufferBudget(limits))
 	t.Cleanup(func() {
 		end()
 		l.Close()
@@ -82,16 +82,16 @@
 		serve func(net.Conn)
 		want  policy.Outcome
 	}{
-		"broken during startup":      {func(c net.Conn) { readSome(c) }, policy.Unreached},
-		"too many connections":       {func(c net.Conn) { c.Write(protocol.AppendError(nil, "FATAL", "53300", "", "")) }, policy.Full},
-		"starting":                   {func(c net.Conn) { c.Write(protocol.AppendError(nil, "FATAL", "57P03", "", "")) }, policy.Unreached},
+		"broken during startup":      {func(c net.Conn) { readSome(c) }, policy.Unreachable},
+		"too many connections":       {func(c net.Conn) { c.Write(protocol.AppendError(nil, "FATAL", "53300", "", "")) }, policy.Overloaded},
+		"starting":                   {func(c net.Conn) { c.Write(protocol.AppendError(nil, "FATAL", "57P03", "", "")) }, policy.Unreachable},
 		"broken after the last byte": {func(c net.Conn) { acceptStartup(c); readSome(c) }, policy.Reset},
 		"broken within the answer":   {func(c net.Conn) { acceptStartup(c); readSome(c); c.Write(rowAnswer('a')[:12]) }, policy.Reset},
 		"broken after a complete error": {func(c net.Conn) {
 			acceptStartup(c)
 			readSome(c)
 			c.Write(protocol.AppendError(nil, "", "53300", "", ""))
-		}, policy.Full},
+		}, policy.Overloaded},
 		"answered":                      {func(c net.Conn) { acceptStartup(c); readSome(c); c.Write(rowAnswer('a')); readSome(c) }, policy.Answered},
 		"an answer of another protocol": {func(c net.Conn) { acceptStartup(c); readSome(c); c.Write([]byte("HTTP/1.1 400\r\n\r\n")) }, policy.Reset},
 		"a row twice": {func(c net.Conn) {
@@ -139,8 +139,8 @@
 		}
 	}
 	_, n := startHost(t, 9, nil)
-	n.Move("127.0.0.1:1")
-	if got := n.outcome(); got != policy.Unreached {
+	n.SetAddress("127.0.0.1:1")
+	if got := n.outcome(); got != policy.Unreachable {
 		t.Errorf("refused: %d", got)
 	}
 }
@@ -155,7 +155,7 @@
 	})
 	call, _ := n.send(time.Now().Add(testTimeout))
 	<-came
-	if o, ok := call.Abandon(); o != policy.Unreached || !ok {
+	if o, ok := call.Abandon(); o != policy.Unreachable || !ok {
 		t.Errorf("during startup: %d %t", o, ok)
 	}
 	if err := <-gone; err == nil {
@@ -183,7 +183,7 @@
 	h, n := startHost(t, 100, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // it never comes up
 	for range 100 {
 		call, got := n.send(time.Now().Add(testTimeout))
-		if o, ok := call.Abandon(); o != policy.Unreached || !ok || len(got) != 0 {
+		if o, ok := call.Abandon(); o != policy.Unreachable || !ok || len(got) != 0 {
 			t.Errorf("outcome %d %t", o, ok)
 		}
 	}
@@ -199,7 +199,7 @@
 		sent <- readSome(c)
 	})
 	_, got := n.send(time.Now())
-	if a := <-got; a.Outcome != policy.Moot || <-sent {
+	if a := <-got; a.Outcome != policy.Expired || <-sent {
 		t.Errorf("outcome %d", a.Outcome)
 	}
 }
@@ -313,7 +313,7 @@
 		t.Errorf("the idle one was not evicted: %d", got)
 	}
 	other.send(time.Now().Add(testTimeout)) // stays out
-	if got := n.outcome(); got != policy.Moot || h.NoDescriptor.Load() != 1 {
+	if got := n.outcome(); got != policy.Expired || h.NoDescriptor.Load() != 1 {
 		t.Errorf("no descriptor is left: %d", got)
 	}
 }
--- a/internal/router/transport/peers.go
+++ b/internal/router/transport/peers.go
@@ -85,7 +85,7 @@
 		p.Batches.Add(1)
 		pause := p.limits.DatagramBatchDelay
 		if err != nil { // it must not spin
-			pause = p.limits.Again
+			pause = p.limits.RetryDelay
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/router/transport/peers_test.go
+++ b/internal/router/transport/peers_test.go
@@ -23,7 +23,7 @@
 	free.Close()
 	p, err := NewPeers(&setup.Start{
 		PeerListen: listen, PeersAll: peer.LocalAddr().String(),
-		Peers: []string{listen, peer.LocalAddr().String()}, Limits: setup.Limits{MaxDatagram: 256, Again: time.Millisecond},
+		Peers: []string{listen, peer.LocalAddr().String()}, Limits: setup.Limits{MaxDatagram: 256, RetryDelay: time.Millisecond},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/router/transport/slot.go
+++ b/internal/router/transport/slot.go
@@ -46,7 +46,7 @@
 	if retryAfterMs > 0 {
 		detail = strconv.FormatInt(retryAfterMs, 10)
 	}
-	s.complete(protocol.AppendReady(protocol.AppendError(nil, severityError, protocol.TooMany, "throttled, try again", detail)))
+	s.complete(protocol.AppendReady(protocol.AppendError(nil, severityError, protocol.TooManyConnections, "throttled, try again", detail)))
 }
 
 // Fail answers with an SQLSTATE code. The command may or may not have had its effect.
--- a/internal/router/transport/watch.go
+++ b/internal/router/transport/watch.go
@@ -23,7 +23,7 @@
 // Watch follows discovery's endpoint list by a long-lived HTTP request, which it repeats with backoff when it ends.
 type Watch struct {
 	limits      *setup.Limits
-	budget      *Room
+	budget      *BufferBudget
 	heldVersion func() int64
 	handleLine  func(text []byte, addressIsNew bool) error
 	onError     func(error)
@@ -43,7 +43,7 @@
 // NewWatch returns a watch of the discovery service at address. It asks for what came after heldVersion each time it
 // starts anew. handleLine takes a complete list or its changes, and owns the text; addressIsNew is true if an address
 // sends its first, whose version is not comparable to those before. onError takes the reason why a watch ended.
-func NewWatch(limits *setup.Limits, budget *Room, address string, heldVersion func() int64,
+func NewWatch(limits *setup.Limits, budget *BufferBudget, address string, heldVersion func() int64,
 	handleLine func(text []byte, addressIsNew bool) error, onError func(error),
 ) *Watch {
 	return &Watch{
@@ -78,7 +78,7 @@
 // Run watches until ctx ends, and then returns nil.
 func (w *Watch) Run(ctx context.Context) error {
 	addressChanged := false
-	for backoff := w.limits.Again; ctx.Err() == nil; backoff = min(2*backoff, w.limits.Quiet/backoffShare) {
+	for backoff := w.limits.RetryDelay; ctx.Err() == nil; backoff = min(2*backoff, w.limits.DiscoveryTimeout/backoffShare) {
 		if w.requests != nil && !addressChanged {
 			select {
 			case <-w.requests:
@@ -90,7 +90,7 @@
 		received, err := w.follow(watchCtx, cancel)
 		addressChanged = watchCtx.Err() != nil
 		if received || addressChanged {
-			backoff = w.limits.Again
+			backoff = w.limits.RetryDelay
 		}
 		if !addressChanged && ctx.Err() == nil {
 			w.handleEnd(watchCtx, err, backoff)
@@ -146,7 +146,7 @@
 	w.cancel = cancel
 	address, addressIsNew := w.address, w.addressIsNew
 	w.mu.Unlock()
-	conn, err := (&net.Dialer{Timeout: w.limits.Quiet / dialShare}).DialContext(watchCtx, "tcp", address)
+	conn, err := (&net.Dialer{Timeout: w.limits.DiscoveryTimeout / dialShare}).DialContext(watchCtx, "tcp", address)
 	if err != nil {
 		return false, err
 	}
@@ -154,7 +154,7 @@
 	defer context.AfterFunc(watchCtx, func() { conn.Close() })()
 	// Discovery sends something even when nothing changes. One that is silent may be partitioned from here, which an
 	// open connection does not show.
-	conn.SetDeadline(time.Now().Add(w.limits.Quiet))
+	conn.SetDeadline(time.Now().Add(w.limits.DiscoveryTimeout))
 	version := w.heldVersion()
 	if addressIsNew { // its versions may be unrelated to the current one
 		version = 0
@@ -162,7 +162,7 @@
 	if _, err := conn.Write(protocol.AppendWatchRequest(nil, address, version)); err != nil {
 		return false, err
 	}
-	in := newBuffer(w.budget, w.limits.Buffer, w.limits.Line)
+	in := newBuffer(w.budget, w.limits.InitialBuffer, w.limits.MaxListLine)
 	defer in.release()
 	if err := awaitWatchResponse(conn, in); err != nil {
 		return false, err
@@ -194,7 +194,7 @@
 func (w *Watch) readLines(watchCtx context.Context, conn net.Conn, in *buffer) (received bool, err error) {
 	var partial []byte // of a line
 	for {
-		chunk, n, err := protocol.NextChunk(in.unread(), w.limits.Line)
+		chunk, n, err := protocol.NextChunk(in.unread(), w.limits.MaxListLine)
 		switch {
 		case err != nil:
 			return received, err
@@ -204,7 +204,7 @@
 			if err := in.readFrom(conn); err != nil {
 				return received, err
 			}
-			conn.SetDeadline(time.Now().Add(w.limits.Quiet))
+			conn.SetDeadline(time.Now().Add(w.limits.DiscoveryTimeout))
 			continue
 		}
 		partial = append(partial, chunk...)
@@ -214,7 +214,7 @@
 			return false, err // the list that was not taken in is requested again, with backoff
 		}
 		received = received || complete > 0
-		if len(partial) > w.limits.Line {
+		if len(partial) > w.limits.MaxListLine {
 			return received, protocol.ErrTooLong
 		}
 	}
--- a/internal/router/transport/watch_test.go
+++ b/internal/router/transport/watch_test.go
@@ -10,9 +10,9 @@
 
 // startWatch runs a watch of an address where nobody listens.
 func startWatch(t *testing.T, backoff time.Duration) (w *Watch, failures chan time.Time) {
-	limits := &setup.Limits{Buffer: 1 << 10, Buffers: 1 << 20, Line: 1 << 10, Quiet: 1000 * backoff, Again: backoff}
+	limits := &setup.Limits{InitialBuffer: 1 << 10, BufferBudget: 1 << 20, MaxListLine: 1 << 10, DiscoveryTimeout: 1000 * backoff, RetryDelay: backoff}
 	failures = make(chan time.Time, 99)
-	w = NewWatch(limits, NewRoom(limits), "127.0.0.1:1", func() int64 { return 0 }, func([]byte, bool) error { return nil },
+	w = NewWatch(limits, NewBufferBudget(limits), "127.0.0.1:1", func() int64 { return 0 }, func([]byte, bool) error { return nil },
 		func(error) { failures <- time.Now() })
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan error)
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -61,9 +61,9 @@
 	adapter  *adapter
 	who      int64 // the simulator's id of the proxy
 	policy   *policy.Router
-	terms    setup.Terms
-	hosts    map[string]*policy.Node
-	commands map[string]*policy.Cmd
+	terms    setup.Formats
+	hosts    map[string]*policy.Host
+	commands map[string]*policy.Command
 }
 
 // handleBatch handles the events of a line, and writes the reply.
@@ -121,9 +121,9 @@
 }
 
 func (a *adapter) spawn(who int64, event setup.Object) *instance {
-	i := &instance{adapter: a, who: who, hosts: map[string]*policy.Node{}, commands: map[string]*policy.Cmd{}}
-	deployment, terms := setup.Deployment(event.Within("env"), uint32(event.Integer("init_seed")))
+	i := &instance{adapter: a, who: who, hosts: map[string]*policy.Host{}, commands: map[string]*policy.Command{}}
+	deployment, terms := setup.ReadDeployment(event.Object("env"), uint32(event.Integer("init_seed")))
 	i.terms = terms
-	i.policy = policy.New(i, deployment, setup.Up(a.now))
+	i.policy = policy.New(i, deployment, setup.RoundUp(a.now))
 	return i
 }
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -18,41 +18,41 @@
 	"attempt_end": (*instance).handleAttemptEnd,
 	"dropped":     (*instance).handleDropped,
 	"status_back": (*instance).handleStatusBack,
-	"peer_data":   func(i *instance, event setup.Object) { i.policy.Heard(event.Text("body")) },
-	"ring":        func(i *instance, _ setup.Object) { i.policy.Woke() },
+	"peer_data":   func(i *instance, event setup.Object) { i.policy.ReceivePeerUpdate(event.Text("body")) },
+	"ring":        func(i *instance, _ setup.Object) { i.policy.WakeUp() },
 }
 
 // handle tells the policy the time, handles an event, and forgets its command if that is complete.
 func (i *instance) handle(handle eventHandler, event setup.Object) {
-	i.policy.Clock(setup.Up(i.adapter.now))
+	i.policy.SetTime(setup.RoundUp(i.adapter.now))
 	handle(i, event)
-	name := event.MaybeText("req")
+	name := event.OptionalText("req")
 	if command := i.commands[name]; name != "" && command != nil {
 		i.forgetIfOver(command)
 	}
 }
 
 // standings are the states of hosts that aren't serving normally.
-var standings = map[string]policy.Standing{"LAME": policy.Draining, "OUT": policy.Gone}
+var standings = map[string]policy.ListState{"LAME": policy.Draining, "OUT": policy.Removed}
 
 // handleMembers handles an endpoint list, whole or with changes only.
 func (i *instance) handleMembers(event setup.Object) {
 	mode := event.Text("mode")
 	if mode == "refused" {
-		i.policy.Unlisted()
+		i.policy.ListUnavailable()
 		return
 	}
 	for _, entry := range i.adapter.hostTables[event.Integer("sheet")] {
 		name := entry.Text("host")
 		host := i.hosts[name]
 		if host == nil {
-			host = i.policy.Host(name, entry.Integer("shard"))
+			host = i.policy.AddHost(name, entry.Integer("shard"))
 			i.hosts[name] = host
 		}
-		host.Listed(standings[entry.Text("stage_state")], entry.MaybeNumber("leader") == 1, entry.MaybeText("az"),
-			entry.MaybeText("shape"), entry.MaybeNumber("scale"), setup.Up(entry.MaybeNumber("boot_time")))
+		host.UpdateListing(standings[entry.Text("stage_state")], entry.OptionalNumber("leader") == 1, entry.OptionalText("az"),
+			entry.OptionalText("shape"), entry.OptionalNumber("scale"), setup.RoundUp(entry.OptionalNumber("boot_time")))
 	}
-	i.policy.ListDone(mode != "changes")
+	i.policy.EndList(mode != "changes")
 }
 
 // handleIngress handles a new command.
@@ -62,8 +62,8 @@
 		panic(setup.Fault("tier_class: not among the classes of spawn"))
 	}
 	name := event.Text("req")
-	i.commands[name] = i.policy.Take(name, group, event.Integer("group_no"), event.MaybeText("user"),
-		setup.Down(event.Number("give_up_at")), setup.Down(event.MaybeNumber("since_write_ms")), event.Flag("is_retry"))
+	i.commands[name] = i.policy.Submit(name, group, event.Integer("group_no"), event.OptionalText("user"),
+		setup.RoundDown(event.Number("give_up_at")), setup.RoundDown(event.OptionalNumber("since_write_ms")), event.Flag("is_retry"))
 }
 
 // The parts of an attempt's stamp: the role of the host in the low bits, its log position in milliseconds above.
@@ -74,31 +74,31 @@
 	tenthsPerMs   = 10
 )
 
-const unknownPosition policy.Tenth = -1
+const unknownPosition policy.TenthMs = -1
 
 // handleAttemptEnd handles the end of an attempt. All but the command's latest attempt are ignored.
 func (i *instance) handleAttemptEnd(event setup.Object) {
 	command := i.commands[event.Text("req")]
-	if command == nil || event.Integer("leg") != int64(command.Sent-1) {
+	if command == nil || event.Integer("leg") != int64(command.Attempts-1) {
 		return
 	}
-	i.reportLoad(command.Node, event)
+	i.reportLoad(command.Host, event)
 	stamp := int64(0)
 	if event.Has("stamp") {
 		stamp = event.Integer("stamp")
 	}
 	position := stamp >> stampRoleBits * tenthsPerMs
-	if position == 0 && !i.terms.Positions {
+	if position == 0 && !i.terms.AnswersHavePosition {
 		position = unknownPosition
 	}
 	role := policy.Role(min(stamp&stampRoleMask, maxStampRole))
-	command.Ended(outcomeOf(event), position, role, setup.Down(event.Number("cost_time")), event.Flag("ended"))
+	command.EndDispatch(outcomeOf(event), position, role, setup.RoundDown(event.Number("cost_time")), event.Flag("ended"))
 }
 
 // handleDropped handles a command whose client has left.
 func (i *instance) handleDropped(event setup.Object) {
 	if command := i.commands[event.Text("req")]; command != nil {
-		command.Left()
+		command.Abandon()
 	}
 }
 
@@ -106,28 +106,28 @@
 func (i *instance) handleStatusBack(event setup.Object) {
 	if host := i.hosts[event.Text("host")]; host != nil {
 		i.reportLoad(host, event)
-		host.Probed(outcomeOf(event) == policy.Answered)
+		host.EndProbe(outcomeOf(event) == policy.Answered)
 	}
 }
 
 // reportLoad passes on the load report of an event, if it has one.
-func (i *instance) reportLoad(host *policy.Node, event setup.Object) {
-	row := event.MaybeList("telemetry")
-	position, role, ok := i.terms.Report(func(column int) (float64, bool) {
+func (i *instance) reportLoad(host *policy.Host, event setup.Object) {
+	row := event.OptionalList("telemetry")
+	position, role, ok := i.terms.ParseLoadReport(func(column int) (float64, bool) {
 		if column >= len(row) {
 			return 0, false
 		}
 		return setup.AsNumber(row[column])
 	})
 	if host != nil && ok {
-		host.Reported(position, role)
+		host.ReportLoad(position, role)
 	}
 }
 
 // outcomeOf returns an attempt's outcome; the simulator counts them from 1.
 func outcomeOf(event setup.Object) policy.Outcome {
 	how := event.Integer("how")
-	if how < 1 || how > int64(policy.Missed)+1 {
+	if how < 1 || how > int64(policy.Misrouted)+1 {
 		panic(setup.Fault(fmt.Sprintf("how: no outcome %d", how)))
 	}
 	return policy.Outcome(how - 1)
--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -20,8 +20,8 @@
 type Checker struct {
 	// Bounds is how old reads may be, by the kind of their route; reads of other kinds see every acknowledged write.
 	Bounds map[string]int64
-	// Own is the kinds of routes whose sessions see all their own writes.
-	Own map[string]bool
+	// ReadYourWrites is the kinds of routes whose sessions see all their own writes.
+	ReadYourWrites map[string]bool
 	// Group is the hosts.
 	Group *database.Group
 	// Violate is called for each violation.
@@ -53,25 +53,25 @@
 	Kind string
 	// Session names the client's session.
 	Session string
-	// First is when the read was sent, or the first statement of its transaction.
-	First int64
+	// BeganAt is when the read was sent, or the first statement of its transaction.
+	BeganAt int64
 }
 
 // CheckRead checks, as a read runs at a host, that it misses no commit that it must see.
 func (c *Checker) CheckRead(h *database.Host, reader Reader) {
-	kindBound, seesOwn := c.Bounds[reader.Kind], c.Own[reader.Kind]
+	kindBound, seesOwn := c.Bounds[reader.Kind], c.ReadYourWrites[reader.Kind]
 	for i := len(c.commits) - 1; i >= 0; i-- {
 		commit, bound := &c.commits[i], kindBound
 		if seesOwn && commit.session == reader.Session {
 			bound = 0
 		}
-		if commit.acknowledgedAt < reader.First-checkWindow {
+		if commit.acknowledgedAt < reader.BeganAt-checkWindow {
 			return
 		}
-		if commit.acknowledgedAt < reader.First-bound && !h.Visible(commit.position) {
-			age := float64(reader.First-commit.acknowledgedAt) / database.Ms
+		if commit.acknowledgedAt < reader.BeganAt-bound && !h.Visible(commit.position) {
+			age := float64(reader.BeganAt-commit.acknowledgedAt) / database.Millisecond
 			c.Violate("STALE: a read of %s (%s) at %s of %s misses %s, acknowledged %.1f ms before it",
-				reader.Session, reader.Kind, h.At(h.Seen()), h.ID, commit.position, age)
+				reader.Session, reader.Kind, h.PositionAt(h.VisibleEntries()), h.ID, commit.position, age)
 			return
 		}
 	}
@@ -129,7 +129,7 @@
 // CheckFinalLog checks the log of the primary against what clients were answered. It is called after all faults have ended and
 // the log has settled.
 func (c *Checker) CheckFinalLog() {
-	primary := c.Group.Lead()
+	primary := c.Group.Primary()
 	if primary == nil {
 		c.Violate("no host is the primary in the end")
 		return
--- a/internal/simulation/cluster/client.go
+++ b/internal/simulation/cluster/client.go
@@ -119,13 +119,13 @@
 	s.statements++
 	id := fmt.Sprintf("%s.%d", s.name, s.statements)
 	s.cluster.mu.Lock()
-	s.cluster.readers[id] = checker.Reader{Kind: s.kind, Session: s.name, First: beganAt}
+	s.cluster.readers[id] = checker.Reader{Kind: s.kind, Session: s.name, BeganAt: beganAt}
 	s.cluster.mu.Unlock()
 	if _, err := s.conn.Write(wire.AppendQuery(nil, id, text)); err != nil {
 		return wire.Response{}, false
 	}
 	response, ok := s.readResponse()
-	if ok && response.Code == "" && response.Stamp && lastLine(response.Lines) != "DONE x."+id+"\r\n" {
+	if ok && response.Code == "" && response.HasStamp && lastLine(response.Lines) != "DONE x."+id+"\r\n" {
 		s.cluster.violate("MIXED: %s is answered %q", id, response.Lines)
 	}
 	return response, ok
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/simulation/cluster/cluster.go
@@ -143,7 +143,7 @@
 // checkRead is called by a host as it runs a read, under the scheduler's lock.
 func (c *cluster) checkRead(host *database.Host, _ *database.Conn, statementID string) {
 	role := "replica"
-	if host.Leader {
+	if host.IsPrimary {
 		role = "primary"
 	}
 	c.mu.Lock()
--- a/internal/simulation/cluster/play.go
+++ b/internal/simulation/cluster/play.go
@@ -43,7 +43,7 @@
 func (c *cluster) crashPrimary() {
 	c.scheduler.Lock()
 	defer c.scheduler.Unlock()
-	primary := c.hosts.Lead()
+	primary := c.hosts.Primary()
 	if primary == nil {
 		return
 	}
--- a/internal/simulation/cluster/start.go
+++ b/internal/simulation/cluster/start.go
@@ -119,15 +119,15 @@
 	}
 	c.hosts = hosts
 	c.checker = &checker.Checker{
-		Bounds:  map[string]int64{kindBounded: boundedStalenessMs * database.Ms, kindOwned: ownedStalenessMs * database.Ms},
-		Own:     map[string]bool{kindOwned: true},
-		Group:   hosts.Group,
-		Violate: c.violate,
+		Bounds:         map[string]int64{kindBounded: boundedStalenessMs * database.Millisecond, kindOwned: ownedStalenessMs * database.Millisecond},
+		ReadYourWrites: map[string]bool{kindOwned: true},
+		Group:          hosts.Group,
+		Violate:        c.violate,
 	}
 	c.scheduler.Lock()
 	defer c.scheduler.Unlock()
-	hosts.Read = c.checkRead
-	hosts.Note = func(format string, args ...any) { c.Say("host "+format, args...) }
+	hosts.OnRead = c.checkRead
+	hosts.Logf = func(format string, args ...any) { c.Say("host "+format, args...) }
 	return nil
 }
 
--- a/internal/simulation/scheduler/scheduler.go
+++ b/internal/simulation/scheduler/scheduler.go
@@ -19,8 +19,8 @@
 type Scheduler struct {
 	// Now is the virtual time.
 	Now int64
-	// Zero is the virtual time at which the run began.
-	Zero int64
+	// StartTime is the virtual time at which the run began.
+	StartTime int64
 	// PerMs is how many units of virtual time are a millisecond.
 	PerMs int64
 	// Rand is the source of all random choices.
@@ -29,22 +29,22 @@
 	Violations []string
 	// FaultLog describes the faults that the simulation caused.
 	FaultLog []string
-	// Serial is the last number given to an event. A simulation may count it up to get a number of its own.
-	Serial int
+	// LastSerial is the last number given to an event. A simulation may count it up to get a number of its own.
+	LastSerial int
 
 	events eventQueue
 }
 
 // New returns a scheduler for the run of a seed that begins at a virtual time, in units of which perMs are a millisecond.
 func New(seed uint64, start, perMs int64) *Scheduler {
-	return &Scheduler{Now: start, Zero: start, PerMs: perMs, Rand: rand.New(rand.NewPCG(seed, randomStream))}
+	return &Scheduler{Now: start, StartTime: start, PerMs: perMs, Rand: rand.New(rand.NewPCG(seed, randomStream))}
 }
 
 // After schedules an event after a span; a negative span counts as 0. Events of one moment run in the order in which they
 // were scheduled.
 func (s *Scheduler) After(after int64, do func()) {
-	s.Serial++
-	s.events.push(event{s.Now + max(0, after), s.Serial, do})
+	s.LastSerial++
+	s.events.push(event{s.Now + max(0, after), s.LastSerial, do})
 }
 
 // RunFor runs the events of the next span, with those that they schedule within it.
@@ -65,13 +65,13 @@
 	}
 }
 
-// Note records a fault.
-func (s *Scheduler) Note(format string, args ...any) {
+// LogFault records a fault.
+func (s *Scheduler) LogFault(format string, args ...any) {
 	s.FaultLog = append(s.FaultLog, s.timestamp()+fmt.Sprintf(format, args...))
 }
 
 func (s *Scheduler) timestamp() string {
-	return fmt.Sprintf("%.1f ms: ", float64(s.Now-s.Zero)/float64(s.PerMs))
+	return fmt.Sprintf("%.1f ms: ", float64(s.Now-s.StartTime)/float64(s.PerMs))
 }
 
 // Between draws a number from a to b, both included.
--- a/internal/simulation/tierfleet/fleet.go
+++ b/internal/simulation/tierfleet/fleet.go
@@ -98,7 +98,7 @@
 			entries = append(entries, entry(host, StateUp))
 		}
 	}
-	f.Discovery.Set(entries...)
+	f.Discovery.Update(entries...)
 	return nil
 }
 
@@ -126,7 +126,7 @@
 // Announce has discovery list a host in a state. From the announcement of another state than StateUp on, the host expects
 // its commands to end.
 func (f *Fleet) Announce(host *postgres.Host, state string) {
-	announcedAt := f.Discovery.Set(entry(host, state))
+	announcedAt := f.Discovery.Update(entry(host, state))
 	if state == StateUp {
 		announcedAt = time.Time{}
 	}
--- a/internal/simulation/tierfleet/ready.go
+++ b/internal/simulation/tierfleet/ready.go
@@ -46,13 +46,13 @@
 	var input []byte
 	buffer := make([]byte, readBufferBytes)
 	for {
-		kind, _, length, err := protocol.Next(input, maxMessageBytes)
+		kind, _, length, err := protocol.NextMessage(input, maxMessageBytes)
 		switch {
 		case err != nil:
 			return false
 		case length > 0 && kind == protocol.ErrorResponse:
 			return false
-		case length > 0 && kind == protocol.EmptyResponse:
+		case length > 0 && kind == protocol.EmptyQueryResponse:
 			return true
 		case length > 0:
 			input = input[length:]
--- a/internal/simulation/tierfleet/run.go
+++ b/internal/simulation/tierfleet/run.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	p := plan.New(operator.Start, operator.Plan, service.Life(), nil, log.Named(operator.Start.Name))
+	p := plan.New(operator.Start, operator.Plan, service.NewIncarnation(), nil, log.Named(operator.Start.Name))
 	tasks.Go(func() error { return p.Run(ctx, listener) })
 	return nil
 }
--- a/internal/simulation/tierfleet/trace_test.go
+++ b/internal/simulation/tierfleet/trace_test.go
@@ -50,16 +50,16 @@
 		f.Announce(replica, StateUp)
 		restarted <- err
 	})
-	tally := workload.Run(ctx, workload.Terms{
-		Routers:  []string{address},
-		Sets:     []int64{1, 2},
-		Clients:  8,
-		Rate:     200,
-		For:      4 * time.Second,
-		Writes:   0.15,
-		Sessions: 4,
-		Timeout:  time.Second,
-		Seed:     3,
+	tally := workload.Run(ctx, workload.Config{
+		Routers:       []string{address},
+		ReplicaSets:   []int64{1, 2},
+		Clients:       8,
+		Rate:          200,
+		Duration:      4 * time.Second,
+		WriteFraction: 0.15,
+		Sessions:      4,
+		Timeout:       time.Second,
+		Seed:          3,
 	}, nil)
 	require.NoError(t, <-restarted)
 	signals <- os.Interrupt
@@ -86,12 +86,12 @@
 			break
 		}
 		require.NoError(t, err)
-		require.NoError(t, replayed.Lost(span.Lost))
+		require.NoError(t, replayed.CheckLost(span.Lost))
 		for _, event := range events {
-			require.NoError(t, replayed.Event(event))
+			require.NoError(t, replayed.Apply(event))
 		}
 	}
-	replayed.End(true)
+	replayed.Finish(true)
 	return replayed
 }
 
@@ -112,11 +112,11 @@
 		require.NoError(t, planners.Wait())
 		f.Stop()
 		replayed := replayTrace(t, f.Trace.Dir)
-		if replayed.Apart != 0 || replayed.Asked < int64(tally.Sent) {
+		if replayed.Different != 0 || replayed.Compared < int64(tally.Sent) {
 			t.Errorf("forwards %v: %d calls, %d asked for, %d apart: %v",
-				forwards, replayed.Calls, replayed.Asked, replayed.Apart, replayed.Differences)
+				forwards, replayed.Calls, replayed.Compared, replayed.Different, replayed.Differences)
 		}
 		t.Logf("forwards %v: %d commands, %d calls into the module, %d asked for, %d apart",
-			forwards, tally.Sent, replayed.Calls, replayed.Asked, replayed.Apart)
+			forwards, tally.Sent, replayed.Calls, replayed.Compared, replayed.Different)
 	}
 }
--- a/internal/simulation/tiernet/apply.go
+++ b/internal/simulation/tiernet/apply.go
@@ -8,26 +8,26 @@
 
 // applyView passes to the decision module what has changed in the view of the planners: the list of hosts first, then the number
 // of routers, then positions and roles.
-func (f *forwarderProcess) applyView(due follower.Todo) {
+func (f *forwarderProcess) applyView(due follower.Actions) {
 	f.updateClock()
-	hosts := due.Hosts
-	for _, name := range due.Dropped {
+	hosts := due.ChangedHosts
+	for _, name := range due.RemovedHosts {
 		if f.nodes[name] != nil {
-			hosts = append(hosts, view.Host{Name: name, Standing: policy.Gone, Size: 1})
+			hosts = append(hosts, view.Host{Name: name, Standing: policy.Removed, Size: 1})
 		}
 	}
 	for _, h := range hosts {
 		f.applyListed(h)
 	}
 	f.trace.ListDone(false)
-	f.module.ListDone(false)
-	f.trace.Count(due.Routers, due.Blind)
-	f.module.Count(due.Routers, due.Blind)
+	f.module.EndList(false)
+	f.trace.Count(due.RouterCount, due.NoPlanner)
+	f.module.SetRouterCount(due.RouterCount, due.NoPlanner)
 	for _, h := range hosts {
 		if node := f.nodes[h.Name]; node != nil {
-			lateness := policy.Lateness(h.Late)
-			f.trace.Told(node, h.Pos, h.Role, h.RoleAt, lateness)
-			node.Told(h.Pos, h.Role, h.RoleAt, lateness)
+			lateness := policy.PlannerLatency(h.Lateness)
+			f.trace.Told(node, h.Position, h.Role, h.RolePosition, lateness)
+			node.ApplyPlannerUpdate(h.Position, h.Role, h.RolePosition, lateness)
 			f.noteNaming(h)
 		}
 	}
@@ -37,17 +37,17 @@
 func (f *forwarderProcess) applyListed(h view.Host) {
 	node := f.nodes[h.Name]
 	if node == nil {
-		if h.Standing == policy.Gone {
+		if h.Standing == policy.Removed {
 			return
 		}
-		node = f.module.Host(h.Name, h.Set)
+		node = f.module.AddHost(h.Name, h.Set)
 		f.nodes[h.Name], f.nodeNames[node] = node, h.Name
 		f.trace.Host(node, h.Set)
 	}
-	f.trace.Listed(node, h.Standing, h.Leader, h.Zone, h.Kind, h.Size, h.Boot)
-	node.Listed(h.Standing, h.Leader, h.Zone, h.Kind, h.Size, h.Boot)
-	f.knownStarts[h.Name] = max(f.knownStarts[h.Name], h.Boot)
-	if h.Standing == policy.In {
+	f.trace.Listed(node, h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
+	node.UpdateListing(h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
+	f.knownStarts[h.Name] = max(f.knownStarts[h.Name], h.BootedAt)
+	if h.Standing == policy.Active {
 		delete(f.drainedAt, h.Name)
 	} else if f.drainedAt[h.Name] == 0 {
 		f.drainedAt[h.Name] = f.w.Now
@@ -66,6 +66,6 @@
 
 // updateClock sets the module's time for the calls that follow.
 func (f *forwarderProcess) updateClock() {
-	f.module.Clock(f.w.Now)
-	f.trace.Now(f.w.Now)
+	f.module.SetTime(f.w.Now)
+	f.trace.SetTime(f.w.Now)
 }
--- a/internal/simulation/tiernet/command.go
+++ b/internal/simulation/tiernet/command.go
@@ -17,13 +17,13 @@
 
 // command is a command at a forwarder.
 type command struct {
-	handle   *policy.Cmd
-	group    *policy.CmdGroup
+	handle   *policy.Command
+	group    *policy.CommandGroup
 	session  string
-	deadline policy.Tenth
+	deadline policy.TenthMs
 	// requiredPosition is what a read must see because of its session; 0: nothing. That of a read with a staleness bound
 	// follows from when it is dispatched.
-	requiredPosition policy.Tenth
+	requiredPosition policy.TenthMs
 	answered         bool
 	dispatchSerial   int // of the dispatch in flight; 0: none
 }
@@ -39,8 +39,8 @@
 	set := w.sets[sessionNumber%len(w.sets)]
 	f.updateClock()
 	c := &command{group: group, session: session, deadline: w.Now + group.Timeout - answerMargin}
-	var sinceWrite policy.Tenth
-	if group.Need == policy.Session {
+	var sinceWrite policy.TenthMs
+	if group.Need == policy.ReadYourWrites {
 		c.requiredPosition = w.lastCommits[session]
 		if c.requiredPosition > 0 {
 			sinceWrite = max(1, w.Now-c.requiredPosition)
@@ -54,13 +54,13 @@
 	})
 	f.commands[id] = c
 	f.trace.Take(id, slices.Index(f.groups, group), set.id, session, c.deadline, sinceWrite, false)
-	c.handle = f.module.Take(id, group, set.id, session, c.deadline, sinceWrite, false)
+	c.handle = f.module.Submit(id, group, set.id, session, c.deadline, sinceWrite, false)
 	f.trace.Taken(c.handle)
 	f.forgetFinished(c.handle)
 }
 
 // countFinalAnswer counts the final answer to a command, and checks that it is the only one, and in time.
-func (f *forwarderProcess) countFinalAnswer(handle *policy.Cmd, count *int) {
+func (f *forwarderProcess) countFinalAnswer(handle *policy.Command, count *int) {
 	w, c := f.w, f.commands[handle.Name]
 	if c == nil || c.answered {
 		w.Violate("%s: %s has a second final answer", f.name, handle.Name)
@@ -74,8 +74,8 @@
 }
 
 // forgetFinished drops a command that has its answer and no dispatch in flight.
-func (f *forwarderProcess) forgetFinished(handle *policy.Cmd) {
-	if c := f.commands[handle.Name]; c != nil && c.answered && handle.Over() {
+func (f *forwarderProcess) forgetFinished(handle *policy.Command) {
+	if c := f.commands[handle.Name]; c != nil && c.answered && handle.IsFinished() {
 		f.trace.Settled(handle)
 		delete(f.commands, handle.Name)
 	}
--- a/internal/simulation/tiernet/dispatch.go
+++ b/internal/simulation/tiernet/dispatch.go
@@ -29,16 +29,16 @@
 	command     *command
 	host        *host
 	serial      int
-	sentAt      policy.Tenth
+	sentAt      policy.TenthMs
 	// staleBefore is the oldest position that a read with a staleness bound may see.
-	staleBefore policy.Tenth
+	staleBefore policy.TenthMs
 	// excused says that the host was the primary, and the forwarder cannot know that it is no more. By the rule, a read there
 	// may be stale.
 	excused bool
 }
 
 // dispatch sends a command to a host, and checks that it may go there now.
-func (f *forwarderProcess) dispatch(handle *policy.Cmd, node *policy.Node, timeout policy.Tenth) {
+func (f *forwarderProcess) dispatch(handle *policy.Command, node *policy.Host, timeout policy.TenthMs) {
 	w, c, h := f.w, f.commands[handle.Name], f.w.host(f.nodeNames[node])
 	if c == nil || c.answered {
 		w.Violate("%s: %s is sent after its final answer", f.name, handle.Name)
@@ -51,11 +51,11 @@
 		w.Violate("%s: %s goes to %s, drained or gone %d ms ago", f.name, handle.Name, h.name, inMs(w.Now-drainedAt))
 	}
 	f.trace.Dispatch(handle, node, timeout)
-	w.Serial++
-	c.dispatchSerial = w.Serial
-	if startedAt := node.Cold(); startedAt != 0 {
-		f.observation(h.name).Cold += int64(handle.Work() * thousandths)
-		f.observation(h.name).Boot = startedAt
+	w.LastSerial++
+	c.dispatchSerial = w.LastSerial
+	if startedAt := node.ColdSince(); startedAt != 0 {
+		f.observation(h.name).ColdWork += int64(handle.Work() * thousandths)
+		f.observation(h.name).BootedAt = startedAt
 	}
 	d := &dispatch{
 		forwarder:   f,
@@ -66,14 +66,14 @@
 		sentAt:      w.Now,
 		excused:     h.wasPrimary && !f.demoted[h.name],
 	}
-	if c.group.Need == policy.Bounded {
+	if c.group.Need == policy.BoundedStaleness {
 		d.staleBefore = w.Now - c.group.Bound - boundTolerance
 	}
 	span := c.deadline - w.Now
 	if timeout > 0 {
 		span = min(span, timeout)
 	}
-	w.After(span, func() { d.end(policy.TimedOut, noPosition, policy.Unknown) })
+	w.After(span, func() { d.end(policy.TimedOut, noPosition, policy.UnknownRole) })
 	w.afterNetwork(d.arrive)
 }
 
@@ -81,7 +81,7 @@
 func (d *dispatch) arrive() {
 	w, h := d.forwarder.w, d.host
 	if !h.up {
-		w.afterNetwork(func() { d.end(policy.Unreached, noPosition, policy.Unknown) })
+		w.afterNetwork(func() { d.end(policy.Unreachable, noPosition, policy.UnknownRole) })
 		return
 	}
 	h.checkOverload(d.forwarder)
@@ -92,7 +92,7 @@
 	startedAt := h.startedAt
 	w.After(w.Between(minWorkTime, maxWorkTime), func() {
 		if !h.up || h.startedAt != startedAt {
-			d.end(policy.Reset, noPosition, policy.Unknown)
+			d.end(policy.Reset, noPosition, policy.UnknownRole)
 			return
 		}
 		d.run()
@@ -112,7 +112,7 @@
 	w, name := d.forwarder.w, d.command.handle.Name
 	position, role := d.host.position(), d.host.role()
 	if role != policy.Primary {
-		w.afterNetwork(func() { d.end(policy.Missed, position, role) })
+		w.afterNetwork(func() { d.end(policy.Misrouted, position, role) })
 		return
 	}
 	w.executions[name]++
@@ -131,7 +131,7 @@
 }
 
 // noteFollowing notes how soon after an election the forwarder has a write answered by the new primary.
-func (d *dispatch) noteFollowing(set *replicaSet, electedAt policy.Tenth) {
+func (d *dispatch) noteFollowing(set *replicaSet, electedAt policy.TenthMs) {
 	f := d.forwarder
 	if electedAt != 0 && set.electedAt == electedAt && set.following != nil && !set.following[f] {
 		set.following[f] = true
@@ -151,14 +151,14 @@
 }
 
 // end brings the outcome to the forwarder, unless the dispatch has ended otherwise before, as by its timeout.
-func (d *dispatch) end(outcome policy.Outcome, position policy.Tenth, role policy.Role) {
+func (d *dispatch) end(outcome policy.Outcome, position policy.TenthMs, role policy.Role) {
 	if d.forwarder.isRunning(d.incarnation) && d.command.dispatchSerial == d.serial {
 		d.forwarder.dispatchEnded(d, outcome, position, role)
 	}
 }
 
 // dispatchEnded reports an outcome to the module, and notes what the answer says for the next report.
-func (f *forwarderProcess) dispatchEnded(d *dispatch, outcome policy.Outcome, position policy.Tenth, role policy.Role) {
+func (f *forwarderProcess) dispatchEnded(d *dispatch, outcome policy.Outcome, position policy.TenthMs, role policy.Role) {
 	w, c := f.w, d.command
 	c.dispatchSerial = 0
 	f.updateClock()
@@ -168,23 +168,23 @@
 	}
 	observation := f.observation(d.host.name)
 	if position >= 0 {
-		observation.Said(position, role, d.sentAt >= f.lastObserved[d.host.name])
+		observation.Observe(position, role, d.sentAt >= f.lastObserved[d.host.name])
 		f.lastObserved[d.host.name] = w.Now
 		f.demoted[d.host.name] = role == policy.Replica
 	}
 	if outcome == policy.Answered {
-		observation.Count++
-		observation.Sum += uint32(min(maxLateness, c.handle.Spent(took)) * thousandths)
+		observation.Responses++
+		observation.LatenessSum += uint32(min(maxLateness, c.handle.TargetFraction(took)) * thousandths)
 	}
 	f.trace.Ended(c.handle, outcome, position, role, took, c.answered)
-	c.handle.Ended(outcome, position, role, took, c.answered)
+	c.handle.EndDispatch(outcome, position, role, took, c.answered)
 	f.forgetFinished(c.handle)
 }
 
 // observation returns what answers of a host have said since the last report.
-func (f *forwarderProcess) observation(hostName string) *link.Heard {
+func (f *forwarderProcess) observation(hostName string) *link.Observation {
 	if f.observations[hostName] == nil {
-		f.observations[hostName] = &link.Heard{Evidence: view.Evidence{Name: hostName}}
+		f.observations[hostName] = &link.Observation{Evidence: view.Evidence{Name: hostName}}
 	}
 	return f.observations[hostName]
 }
--- a/internal/simulation/tiernet/fault.go
+++ b/internal/simulation/tiernet/fault.go
@@ -40,13 +40,13 @@
 		w.killForwarder(w.randomForwarder())
 	case faultStalePlanner:
 		p := w.randomPlanner()
-		w.Note("planner %d comes back with an old list", p.index)
+		w.LogFault("planner %d comes back with an old list", p.index)
 		p.kill()
 		w.After(w.Between(100*millisecond, second), func() { p.restart(true) })
 	case faultSkewClock:
 		p := w.randomPlanner()
 		p.clockSkew = w.Between(-second, second)
-		w.Note("planner %d has a clock %d ms ahead", p.index, inMs(p.clockSkew))
+		w.LogFault("planner %d has a clock %d ms ahead", p.index, inMs(p.clockSkew))
 	case faultStepDown:
 		w.stepDown(h)
 	}
@@ -61,18 +61,18 @@
 }
 
 // crashHost has a host down for a span.
-func (w *World) crashHost(h *host, span policy.Tenth) {
+func (w *World) crashHost(h *host, span policy.TenthMs) {
 	h.kill()
 	w.After(span, h.restart)
 }
 
 // hangHost has a host answer nothing for a span, in which another one is elected if it was the primary. The commands that it
 // took run when it goes on, as a replica.
-func (w *World) hangHost(h *host, span policy.Tenth) {
+func (w *World) hangHost(h *host, span policy.TenthMs) {
 	if !h.up || h.hanging {
 		return
 	}
-	w.Note("%s hangs", h.name)
+	w.LogFault("%s hangs", h.name)
 	h.hanging = true
 	if h.set.primary == h {
 		h.set.losePrimary()
@@ -100,15 +100,15 @@
 
 // drainHost has a host drain for some seconds.
 func (w *World) drainHost(h *host) {
-	w.Note("%s drains", h.name)
+	w.LogFault("%s drains", h.name)
 	w.setStanding(h, policy.Draining)
-	w.After(w.Between(2*second, 4*second), func() { w.setStanding(h, policy.In) })
+	w.After(w.Between(2*second, 4*second), func() { w.setStanding(h, policy.Active) })
 }
 
 // stepDown is a planned change of the primary: it steps down where its log stands, and an election follows soon.
 func (w *World) stepDown(h *host) {
 	if h.set.primary == h && h.up && !h.hanging {
-		w.Note("%s steps down", h.name)
+		w.LogFault("%s steps down", h.name)
 		h.set.losePrimary()
 		w.After(w.Between(50*millisecond, 400*millisecond), h.set.elect)
 	}
@@ -121,7 +121,7 @@
 }
 
 // killAllPlanners has all planners down for a span.
-func (w *World) killAllPlanners(span policy.Tenth) {
+func (w *World) killAllPlanners(span policy.TenthMs) {
 	for _, p := range w.planners {
 		p.kill()
 		w.After(span, func() { p.restart(p.staleList) })
@@ -138,7 +138,7 @@
 
 // cutLink has nothing pass between a forwarder and a planner for some seconds, without either seeing the link end.
 func (w *World) cutLink(f *forwarderProcess, p *plannerProcess) {
-	w.Note("%s is cut from planner %d", f.name, p.index)
+	w.LogFault("%s is cut from planner %d", f.name, p.index)
 	f.cutFrom[p.index] = true
 	w.After(w.Between(second, 8*second), func() { f.cutFrom[p.index] = false })
 }
--- a/internal/simulation/tiernet/forwarder.go
+++ b/internal/simulation/tiernet/forwarder.go
@@ -36,28 +36,28 @@
 	follower    *follower.Follower
 	module      *policy.Router
 	trace       *record.Recorder // nil unless the world captures
-	groups      []*policy.CmdGroup
+	groups      []*policy.CommandGroup
 	commands    map[string]*command // without those whose last dispatch has ended
 
-	nodes     map[string]*policy.Node // the module's hosts, by name
-	nodeNames map[*policy.Node]string
+	nodes     map[string]*policy.Host // the module's hosts, by name
+	nodeNames map[*policy.Host]string
 
 	// By the names of hosts.
-	drainedAt    map[string]policy.Tenth // since when it knows that a host is drained or gone
-	knownStarts  map[string]policy.Tenth // the last start of a host that it knows of
-	demoted      map[string]bool         // the host's last answer said that it is no primary
-	observations map[string]*link.Heard  // what answers have said since the last report
-	lastObserved map[string]policy.Tenth // when an answer last had a position
+	drainedAt    map[string]policy.TenthMs    // since when it knows that a host is drained or gone
+	knownStarts  map[string]policy.TenthMs    // the last start of a host that it knows of
+	demoted      map[string]bool              // the host's last answer said that it is no primary
+	observations map[string]*link.Observation // what answers have said since the last report
+	lastObserved map[string]policy.TenthMs    // when an answer last had a position
 }
 
 // newGroups returns the command groups of a forwarder: reads with a staleness bound, reads that see the session's last write,
 // and writes.
-func newGroups() []*policy.CmdGroup {
-	return []*policy.CmdGroup{
-		{Need: policy.Bounded, Bound: second, Target: 250 * millisecond, Timeout: second, Benefit: 1, LateShare: 0.3},
-		{Need: policy.Session, Target: 250 * millisecond, Timeout: second, Benefit: 1, LateShare: 0.3},
+func newGroups() []*policy.CommandGroup {
+	return []*policy.CommandGroup{
+		{Need: policy.BoundedStaleness, Bound: second, Target: 250 * millisecond, Timeout: second, Benefit: 1, LateShare: 0.3},
+		{Need: policy.ReadYourWrites, Target: 250 * millisecond, Timeout: second, Benefit: 1, LateShare: 0.3},
 		{
-			Effect: policy.Mutating, Need: policy.Write, Target: 400 * millisecond, Timeout: 3 * second, Benefit: 3, LateShare: 0.3,
+			Effect: policy.NotIdempotent, Need: policy.Write, Target: 400 * millisecond, Timeout: 3 * second, Benefit: 3, LateShare: 0.3,
 		},
 	}
 }
@@ -67,9 +67,9 @@
 	f.incarnation++
 	f.up = true
 	f.commands = map[string]*command{}
-	f.nodes, f.nodeNames = map[string]*policy.Node{}, map[*policy.Node]string{}
-	f.drainedAt, f.knownStarts, f.demoted = map[string]policy.Tenth{}, map[string]policy.Tenth{}, map[string]bool{}
-	f.observations, f.lastObserved = map[string]*link.Heard{}, map[string]policy.Tenth{}
+	f.nodes, f.nodeNames = map[string]*policy.Host{}, map[*policy.Host]string{}
+	f.drainedAt, f.knownStarts, f.demoted = map[string]policy.TenthMs{}, map[string]policy.TenthMs{}, map[string]bool{}
+	f.observations, f.lastObserved = map[string]*link.Observation{}, map[string]policy.TenthMs{}
 	f.groups = newGroups()
 	seed := w.Rand.Uint64()
 	f.startModule(uint32(seed))
@@ -94,7 +94,7 @@
 	if f.w.newSink != nil {
 		sink := f.w.newSink(f.name, f.incarnation, deployment)
 		f.trace = record.New(sink, traceBlockBytes, traceAll, [32]byte{}, true)
-		f.trace.Now(f.w.Now)
+		f.trace.SetTime(f.w.Now)
 	}
 	f.module = policy.New(f, deployment, f.w.Now)
 }
@@ -104,17 +104,17 @@
 	for i := range f.w.planners {
 		addresses = append(addresses, strconv.Itoa(i))
 	}
-	f.follower = follower.New(seed, follower.Terms{
-		Again:  50 * millisecond,
-		Most:   5 * second,
-		Report: 200 * millisecond,
-		Silent: 2 * second,
+	f.follower = follower.New(seed, follower.Config{
+		InitialBackoff: 50 * millisecond,
+		MaxBackoff:     5 * second,
+		ReportInterval: 200 * millisecond,
+		PlannerTimeout: 2 * second,
 	}, addresses, f.w.Forwarders, f.w.Now)
 }
 
 // kill ends a forwarder. Its commands are lost, which is no router's final answer.
 func (f *forwarderProcess) kill() {
-	f.w.Note("%s dies", f.name)
+	f.w.LogFault("%s dies", f.name)
 	f.up = false
 	for _, p := range f.w.planners {
 		f.closeLink(p)
@@ -130,7 +130,7 @@
 // closeLink has a planner see the end of the link to it.
 func (f *forwarderProcess) closeLink(p *plannerProcess) {
 	if link := p.links[f]; link != nil {
-		link.Left()
+		link.Disconnected()
 		delete(p.links, f)
 	}
 }
@@ -153,7 +153,7 @@
 	}
 	f.w.afterNetwork(func() {
 		if f.isRunning(incarnation) {
-			f.follower.Planners()[p.index].Lost(f.w.Now)
+			f.follower.Planners()[p.index].Disconnected(f.w.Now)
 		}
 	})
 }
@@ -168,8 +168,8 @@
 		if !f.isRunning(incarnation) || f.cutFrom[p.index] {
 			return
 		}
-		if f.follower.Planners()[p.index].Changed(f.w.Now, change) {
-			f.sendTo(p, plannerIncarnation, func(link *planner.Forwarder) { link.Wanted(p.clock()) })
+		if f.follower.Planners()[p.index].ApplyChange(f.w.Now, change) {
+			f.sendTo(p, plannerIncarnation, func(link *planner.Forwarder) { link.RequestFullView(p.clock()) })
 		}
 		f.tick()
 	})
@@ -183,22 +183,22 @@
 }
 
 // tick does what is due, and returns when something is due again.
-func (f *forwarderProcess) tick() (next policy.Tenth) {
+func (f *forwarderProcess) tick() (next policy.TenthMs) {
 	due := f.follower.Tick(f.w.Now)
-	for _, remote := range due.Cut {
+	for _, remote := range due.Disconnect {
 		f.closeLink(f.processOf(remote))
-		remote.Lost(f.w.Now)
+		remote.Disconnected(f.w.Now)
 	}
 	for _, remote := range due.Dial {
 		f.dial(remote)
 	}
-	if due.Told {
+	if due.Changed {
 		f.applyView(due)
 	}
-	if due.Report {
+	if due.SendReport {
 		f.sendReport()
 	}
-	return due.Next
+	return due.NextTick
 }
 
 // processOf is the process at a planner's address, which is its index.
@@ -218,16 +218,16 @@
 			return
 		}
 		if !process.up || f.cutFrom[process.index] {
-			remote.Lost(w.Now)
+			remote.Disconnected(w.Now)
 			return
 		}
-		link := process.planner.Greeted(process.clock(), f.name, uint64(f.incarnation))
+		link := process.planner.AddForwarder(process.clock(), f.name, uint64(f.incarnation))
 		if link == nil {
-			remote.Lost(w.Now)
+			remote.Disconnected(w.Now)
 			return
 		}
 		process.links[f] = link
-		link.Begun()
+		link.Started()
 		remote.Connected(w.Now)
 	})
 }
@@ -236,13 +236,13 @@
 func (f *forwarderProcess) sendReport() {
 	var report link.Report
 	for _, h := range f.observations {
-		report.Heard = append(report.Heard, *h)
-		h.Count, h.Sum = 0, 0
+		report.Observations = append(report.Observations, *h)
+		h.Responses, h.LatenessSum = 0, 0
 	}
 	for _, p := range f.w.planners {
 		if f.cutFrom[p.index] || p.links[f] == nil {
 			continue
 		}
-		f.sendTo(p, p.incarnation, func(link *planner.Forwarder) { link.Reported(p.clock(), report) })
+		f.sendTo(p, p.incarnation, func(link *planner.Forwarder) { link.HandleReport(p.clock(), report) })
 	}
 }
--- a/internal/simulation/tiernet/host.go
+++ b/internal/simulation/tiernet/host.go
@@ -20,8 +20,8 @@
 	id        int64
 	hosts     []*host
 	primary   *host                      // nil after a crash, until an election
-	logEnd    policy.Tenth               // where the log stands while there is no primary
-	electedAt policy.Tenth               // the last election; 0: none yet
+	logEnd    policy.TenthMs             // where the log stands while there is no primary
+	electedAt policy.TenthMs             // the last election; 0: none yet
 	following map[*forwarderProcess]bool // since the last election: those with a write answered by the new primary
 	naming    map[*forwarderProcess]bool // since the last election: those whose view names the new primary
 }
@@ -43,7 +43,7 @@
 	if best == nil || s.primary != nil {
 		return
 	}
-	s.w.Note("set %d elects %s", s.id, best.name)
+	s.w.LogFault("set %d elects %s", s.id, best.name)
 	s.primary, best.wasPrimary, s.electedAt = best, true, s.w.Now
 	s.following, s.naming = map[*forwarderProcess]bool{}, map[*forwarderProcess]bool{}
 }
@@ -60,22 +60,22 @@
 	up             bool
 	hanging        bool // it takes connections and commands, and answers nothing
 	wasPrimary     bool // it is or was the primary
-	replicationLag policy.Tenth
-	startedAt      policy.Tenth // its last restart; 0: none
-	maxPosition    policy.Tenth // up to where it ever had the log
-	queued         []func()     // commands that arrived while it hung
-	coldArrivals   []arrival    // within the overload window, while cold
+	replicationLag policy.TenthMs
+	startedAt      policy.TenthMs // its last restart; 0: none
+	maxPosition    policy.TenthMs // up to where it ever had the log
+	queued         []func()       // commands that arrived while it hung
+	coldArrivals   []arrival      // within the overload window, while cold
 }
 
 // arrival is that of a command at a cold host.
 type arrival struct {
-	at policy.Tenth
+	at policy.TenthMs
 	// knowsStart says that the forwarder had been notified of the start.
 	knowsStart bool
 }
 
 // position is up to where a host has the log, which never goes back. A replica that is elected catches up at once.
-func (h *host) position() policy.Tenth {
+func (h *host) position() policy.TenthMs {
 	now := h.w.Now
 	if h.set.primary == nil {
 		now = h.set.logEnd
@@ -99,7 +99,7 @@
 	if !h.up {
 		return
 	}
-	h.w.Note("%s dies", h.name)
+	h.w.LogFault("%s dies", h.name)
 	h.up, h.hanging, h.queued = false, false, nil
 	if h.set.primary == h {
 		h.set.losePrimary()
@@ -112,12 +112,12 @@
 	if h.up {
 		return
 	}
-	h.w.Note("%s is back, cold", h.name)
+	h.w.LogFault("%s is back, cold", h.name)
 	h.up, h.startedAt, h.coldArrivals = true, h.w.Now, nil
 	if h.set.primary == nil && h.set.logEnd < h.w.Now-electionWait {
 		h.w.After(0, h.set.elect)
 	}
-	h.w.setStanding(h, policy.In)
+	h.w.setStanding(h, policy.Active)
 }
 
 // The rule on cold hosts, as the forwarders have it.
--- a/internal/simulation/tiernet/planner.go
+++ b/internal/simulation/tiernet/planner.go
@@ -19,7 +19,7 @@
 )
 
 // noPosition stands for the position of a host that did not answer.
-const noPosition = policy.Tenth(-1)
+const noPosition = policy.TenthMs(-1)
 
 // plannerProcess is a planner's process: the real planner, and the links of forwarders to it.
 type plannerProcess struct {
@@ -28,27 +28,27 @@
 	planner     *planner.Planner
 	incarnation uint64
 	up          bool
-	staleList   bool         // it has the first list and gets no newer ones
-	clockSkew   policy.Tenth // how far its clock is ahead
+	staleList   bool           // it has the first list and gets no newer ones
+	clockSkew   policy.TenthMs // how far its clock is ahead
 	links       map[*forwarderProcess]*planner.Forwarder
 }
 
-func (p *plannerProcess) clock() policy.Tenth { return p.w.Now + p.clockSkew }
+func (p *plannerProcess) clock() policy.TenthMs { return p.w.Now + p.clockSkew }
 
 func (p *plannerProcess) start() {
 	p.incarnation++
 	p.up, p.links = true, map[*forwarderProcess]*planner.Forwarder{}
 	seed := uint64(p.index+1)<<32 | p.incarnation
-	p.planner = planner.New(seed, planner.Terms{
-		Beat:       100 * millisecond,
-		Probe:      500 * millisecond,
-		Search:     50 * millisecond,
-		Probes:     16,
-		PerSecond:  200,
-		Forwarders: 100,
-		Reports:    1000,
-		Frames:     20000,
-		Bytes:      20_000_000,
+	p.planner = planner.New(seed, planner.Config{
+		ChangeInterval:         100 * millisecond,
+		ProbeInterval:          500 * millisecond,
+		PrimaryProbeInterval:   50 * millisecond,
+		MaxProbesInFlight:      16,
+		ProbesPerSecond:        200,
+		MaxForwarders:          100,
+		ReportsPerSecond:       1000,
+		FramesPerSecond:        20000,
+		PositionBytesPerSecond: 20_000_000,
 	}, p.clock())
 	revision := p.w.revision()
 	if p.staleList {
@@ -61,7 +61,7 @@
 // restart starts a planner that is down.
 func (p *plannerProcess) restart(staleList bool) {
 	if !p.up {
-		p.w.Note("planner %d starts", p.index)
+		p.w.LogFault("planner %d starts", p.index)
 		p.staleList = staleList
 		p.start()
 	}
@@ -71,7 +71,7 @@
 	if !p.up {
 		return
 	}
-	p.w.Note("planner %d dies", p.index)
+	p.w.LogFault("planner %d dies", p.index)
 	p.up = false
 	for f := range p.links {
 		f.notifyDisconnect(p, true)
@@ -98,7 +98,7 @@
 }
 
 func (p *plannerProcess) applyList(revision int64) {
-	p.planner.Listed(p.clock(), revision, true, p.w.listAt(revision))
+	p.planner.ApplyList(p.clock(), revision, true, p.w.listAt(revision))
 }
 
 // tick does what is due now, and each time that something is due from here on.
@@ -107,16 +107,16 @@
 		return
 	}
 	due := p.planner.Tick(p.clock())
-	for _, name := range due.Probe {
+	for _, name := range due.Probes {
 		p.probe(p.w.host(name))
 	}
-	for _, link := range due.Cut {
+	for _, link := range due.Disconnect {
 		p.closeLink(link)
 	}
 	if due.Change != nil {
-		p.sendChange(*due.Change, due.Whole)
+		p.sendChange(*due.Change, due.FullView)
 	}
-	p.w.After(max(millisecond, due.Next-p.clock()), func() { p.tick(incarnation) })
+	p.w.After(max(millisecond, due.NextTick-p.clock()), func() { p.tick(incarnation) })
 }
 
 func (p *plannerProcess) closeLink(closed *planner.Forwarder) {
@@ -135,7 +135,7 @@
 	for _, link := range needFull {
 		needsFull[link] = true
 	}
-	full := p.planner.Whole()
+	full := p.planner.FullView()
 	for _, forwarder := range p.w.forwarders {
 		link := p.links[forwarder]
 		if link == nil {
@@ -161,19 +161,19 @@
 func (p *plannerProcess) probe(h *host) {
 	w, incarnation, sentAt := p.w, p.incarnation, p.clock()
 	w.Probes++
-	result := func(ok bool, position policy.Tenth, role policy.Role) func() {
+	result := func(ok bool, position policy.TenthMs, role policy.Role) func() {
 		return func() {
 			if p.isRunning(incarnation) {
-				p.planner.Probed(p.clock(), h.name, ok, position, role, sentAt)
+				p.planner.ProbeFinished(p.clock(), h.name, ok, position, role, sentAt)
 			}
 		}
 	}
 	w.afterNetwork(func() {
 		switch {
 		case !h.up:
-			w.After(refusalDelay, result(false, noPosition, policy.Unknown))
+			w.After(refusalDelay, result(false, noPosition, policy.UnknownRole))
 		case h.hanging:
-			w.After(probeTimeout, result(false, noPosition, policy.Unknown))
+			w.After(probeTimeout, result(false, noPosition, policy.UnknownRole))
 		default:
 			delay := w.Between(minNetworkDelay, maxNetworkDelay)
 			w.After(delay, result(true, h.position(), h.role()))
--- a/internal/simulation/tiernet/replay_test.go
+++ b/internal/simulation/tiernet/replay_test.go
@@ -42,14 +42,14 @@
 
 func newTraceFile(t *testing.T, forwarder string, incarnation int, d policy.Deployment) *traceFile {
 	t.Helper()
-	deployment, err := record.Deployment(d)
+	deployment, err := record.EncodeDeployment(d)
 	require.NoError(t, err)
 	content, err := format.AppendHeader(nil, format.Header{
-		Router: forwarder,
-		Life:   uint64(incarnation),
-		Part:   traceAll,
-		Schema: record.Schema,
-		More:   map[string][]byte{"deployment": deployment},
+		Router:          forwarder,
+		Incarnation:     uint64(incarnation),
+		SampledPerMille: traceAll,
+		Schema:          record.Schema,
+		Extra:           map[string][]byte{"deployment": deployment},
 	})
 	require.NoError(t, err)
 	return &traceFile{content: content}
@@ -83,7 +83,7 @@
 			return err
 		}
 		for _, event := range events {
-			if err := replayed.Event(event); err != nil {
+			if err := replayed.Apply(event); err != nil {
 				return err
 			}
 		}
@@ -101,9 +101,9 @@
 			replayed, err := replay.New(reader.Header, maxDifferences)
 			require.NoError(t, err)
 			require.NoError(t, replayEvents(reader, replayed), "seed %d, %v", seed, key)
-			replayed.End(file.complete)
-			require.Zero(t, replayed.Apart, "seed %d, %v: of %d asked for: %v", seed, key, replayed.Asked, replayed.Differences)
-			calls, asked = calls+replayed.Calls, asked+replayed.Asked
+			replayed.Finish(file.complete)
+			require.Zero(t, replayed.Different, "seed %d, %v: of %d asked for: %v", seed, key, replayed.Compared, replayed.Differences)
+			calls, asked = calls+replayed.Calls, asked+replayed.Compared
 		}
 	}
 	t.Logf("%d calls, %d asked for, none apart", calls, asked)
@@ -117,19 +117,19 @@
 	for _, file := range files {
 		reader, err := format.NewReader(bytes.NewReader(file.content))
 		require.NoError(t, err)
-		deployment, err := record.ReadDeployment(reader.Header.More["deployment"])
+		deployment, err := record.DecodeDeployment(reader.Header.Extra["deployment"])
 		require.NoError(t, err)
 		deployment.Seed++ // stands for a module that decides otherwise
-		reader.Header.More["deployment"], err = record.Deployment(deployment)
+		reader.Header.Extra["deployment"], err = record.EncodeDeployment(deployment)
 		require.NoError(t, err)
 		replayed, err := replay.New(reader.Header, maxDifferences)
 		require.NoError(t, err)
 		if err := replayEvents(reader, replayed); err != nil {
 			t.Logf("the replay ends with %v", err) // as it may, once it has parted
 		}
-		replayed.End(true)
-		if replayed.Apart == 0 || len(replayed.Differences) == 0 || replayed.Differences[0].Recorded == replayed.Differences[0].Now {
-			t.Errorf("%d apart: %v", replayed.Apart, replayed.Differences)
+		replayed.Finish(true)
+		if replayed.Different == 0 || len(replayed.Differences) == 0 || replayed.Differences[0].Recorded == replayed.Differences[0].Replayed {
+			t.Errorf("%d apart: %v", replayed.Different, replayed.Differences)
 		}
 	}
 }
--- a/internal/simulation/tiernet/world.go
+++ b/internal/simulation/tiernet/world.go
@@ -27,7 +27,7 @@
 
 // Units of time.
 const (
-	millisecond = policy.Tenth(10)
+	millisecond = policy.TenthMs(10)
 	second      = 1000 * millisecond
 )
 
@@ -49,7 +49,7 @@
 	// Rate is the commands a second over all forwarders.
 	Rate float64
 	// For is how long commands come.
-	For policy.Tenth
+	For policy.TenthMs
 	// Faults is how many faults are injected in the first three quarters of that.
 	Faults int
 }
@@ -65,20 +65,20 @@
 	sets        []*replicaSet
 	planners    []*plannerProcess
 	forwarders  []*forwarderProcess
-	hostList    []view.Host             // as discovery has it
-	listHistory [][]view.Host           // by revision, from 1 on
-	executions  map[string]int          // of writes, by command
-	lastCommits map[string]policy.Tenth // the last commit that a client knows of, by session
-	newSink     SinkFunc                // nil: forwarders write no traces
+	hostList    []view.Host               // as discovery has it
+	listHistory [][]view.Host             // by revision, from 1 on
+	executions  map[string]int            // of writes, by command
+	lastCommits map[string]policy.TenthMs // the last commit that a client knows of, by session
+	newSink     SinkFunc                  // nil: forwarders write no traces
 
 	// Counts of commands, by their final answer.
 	Received, Answered, Throttled, Failed int
 	// Probes counts the health checks of planners.
 	Probes int
 	// FollowTimes is the times from an election to a forwarder's first write answered by the new primary.
-	FollowTimes []policy.Tenth
+	FollowTimes []policy.TenthMs
 	// NamingTimes is the times from an election to the moment at which a forwarder's view names the new primary.
-	NamingTimes []policy.Tenth
+	NamingTimes []policy.TenthMs
 }
 
 // New returns the world of a seed, in which nothing has happened.
@@ -90,7 +90,7 @@
 		Size:        size,
 		Scheduler:   scheduler.New(seed, startTime, millisecond),
 		executions:  map[string]int{},
-		lastCommits: map[string]policy.Tenth{},
+		lastCommits: map[string]policy.TenthMs{},
 		newSink:     newSink,
 	}
 	for i := range size.Sets {
@@ -149,7 +149,7 @@
 	if w.Now > startTime+w.For {
 		return
 	}
-	w.After(policy.Tenth(w.Rand.ExpFloat64()/w.Rate*float64(second)), w.sendCommand)
+	w.After(policy.TenthMs(w.Rand.ExpFloat64()/w.Rate*float64(second)), w.sendCommand)
 	forwarder := w.forwarders[w.Rand.IntN(len(w.forwarders))]
 	if forwarder.up {
 		forwarder.receiveCommand()
@@ -163,10 +163,10 @@
 }
 
 // setStanding has discovery list a host with another standing. Planners learn of it each in their time.
-func (w *World) setStanding(h *host, standing policy.Standing) {
+func (w *World) setStanding(h *host, standing policy.ListState) {
 	for i := range w.hostList {
 		if w.hostList[i].Name == h.name {
-			w.hostList[i].Standing, w.hostList[i].Boot = standing, h.startedAt
+			w.hostList[i].Standing, w.hostList[i].BootedAt = standing, h.startedAt
 		}
 	}
 	w.publishList()
@@ -198,4 +198,4 @@
 }
 
 // inMs is a span in milliseconds, for messages.
-func inMs(span policy.Tenth) int64 { return span / millisecond }
+func inMs(span policy.TenthMs) int64 { return span / millisecond }
--- a/internal/simulation/tiernet/world_test.go
+++ b/internal/simulation/tiernet/world_test.go
@@ -43,7 +43,7 @@
 }
 
 // newSettledWorld is a world without random faults, at a moment when all forwarders know all hosts.
-func newSettledWorld(seed uint64, span policy.Tenth) *World {
+func newSettledWorld(seed uint64, span policy.TenthMs) *World {
 	size := smallSize
 	size.Faults, size.For = 0, span
 	w := New(seed, size)
@@ -78,7 +78,7 @@
 func TestTwoPlannersThatNameDifferentPrimaries(t *testing.T) {
 	w := newSettledWorld(2, 20*second)
 	old := w.sets[0].primary
-	restartWithSkew := func(skew policy.Tenth, planners ...*plannerProcess) {
+	restartWithSkew := func(skew policy.TenthMs, planners ...*plannerProcess) {
 		for _, p := range planners {
 			p.kill()
 			p.clockSkew = skew
@@ -159,11 +159,11 @@
 		w.crashHost(w.hosts[1], second)
 		w.crashHost(w.hosts[4], second)
 		for i, p := range w.planners {
-			w.After(policy.Tenth(i)*second, p.kill)
-			w.After(policy.Tenth(i)*second+1500*millisecond, func() { p.restart(false) })
+			w.After(policy.TenthMs(i)*second, p.kill)
+			w.After(policy.TenthMs(i)*second+1500*millisecond, func() { p.restart(false) })
 		}
 		for i, f := range w.forwarders[:3] {
-			w.After(second+policy.Tenth(i)*700*millisecond, func() {
+			w.After(second+policy.TenthMs(i)*700*millisecond, func() {
 				f.kill()
 				w.After(50*millisecond, f.start)
 			})
@@ -177,14 +177,14 @@
 	f := w.forwarders[0]
 	f.cutFrom[0] = true
 	w.RunFor(4 * second)
-	if f.follower.Blind() || f.follower.Age() > second {
+	if f.follower.NoPlanner() || f.follower.ViewAge() > second {
 		t.Error("it has lost all planners")
 	}
-	if f.follower.Silences == 0 {
+	if f.follower.SilentLinks == 0 {
 		t.Error("the half-open link was never closed")
 	}
 	for i := range 2 {
-		if n := w.planners[i].planner.Routers(); i == 1 && n != len(w.forwarders) {
+		if n := w.planners[i].planner.LeaseCount(); i == 1 && n != len(w.forwarders) {
 			t.Errorf("planner %d counts %d", i, n)
 		}
 	}
@@ -200,26 +200,26 @@
 	f.kill()
 	f.start()
 	w.RunFor(second)
-	if f.follower.Ready() || len(f.nodes) > 0 {
+	if f.follower.HasHosts() || len(f.nodes) > 0 {
 		t.Error("it has a view without a planner")
 	}
 	w.planners[1].restart(false)
 	w.RunFor(7 * second)
-	if !f.follower.Ready() {
+	if !f.follower.HasHosts() {
 		t.Error("it is not ready once a planner is there")
 	}
 	w.finish(t)
 }
 
 // percentilesMs returns the median and the 99th percentile in milliseconds.
-func percentilesMs(spans []policy.Tenth) (median, p99 policy.Tenth) {
+func percentilesMs(spans []policy.TenthMs) (median, p99 policy.TenthMs) {
 	slices.Sort(spans)
 	return inMs(spans[len(spans)/2]), inMs(spans[len(spans)*99/100])
 }
 
 // TestANewPrimaryIsNamedSoon states how soon forwarders know of a new primary, with planners and without.
 func TestANewPrimaryIsNamedSoon(t *testing.T) {
-	var naming, following, withoutPlanners []policy.Tenth
+	var naming, following, withoutPlanners []policy.TenthMs
 	for seed := range uint64(10) {
 		for _, killPlanners := range []bool{false, true} {
 			w := New(200+seed, Size{Forwarders: 40, Planners: 3, Sets: 2, Members: 3, Rate: 400, For: 12 * second})
--- a/internal/simulation/tierprocess/result.go
+++ b/internal/simulation/tierprocess/result.go
@@ -51,7 +51,7 @@
 
 // result puts together what is known after the faults have ended. before is the hosts' record at the start of the load.
 func (r *run) result(tally *workload.Tally, before postgres.Stats, elapsed time.Duration) *Result {
-	stats := r.fleet.Hosts.Seen()
+	stats := r.fleet.Hosts.Stats()
 	wrongExecutions := r.countWrongExecutions(tally.Acked)
 	return &Result{
 		Config:                r.Config,
@@ -63,13 +63,13 @@
 		Lost:                  tally.Lost,
 		Extra:                 tally.Extra,
 		Unsent:                tally.Unsent,
-		Violations:            stats.Broken() + tally.Lost + tally.Extra + wrongExecutions,
+		Violations:            stats.Violations() + tally.Lost + tally.Extra + wrongExecutions,
 		WrongExecutions:       wrongExecutions,
 		MedianMs:              float64(tally.Latency.ValueAtQuantile(50)) / 1000,
 		P99Ms:                 float64(tally.Latency.ValueAtQuantile(99)) / 1000,
 		BehindMs:              milliseconds(tally.Behind),
 		DiscoveryLines:        r.fleet.Discovery.LinesWritten(),
-		HealthChecksPerSecond: float64(stats.Probes-before.Probes) / elapsed.Seconds(),
+		HealthChecksPerSecond: float64(stats.HealthChecks-before.HealthChecks) / elapsed.Seconds(),
 		Takeovers:             r.takeoverTimes(),
 		Forwarder:             usage(r.forwarders),
 		Planner:               usage(r.planners),
--- a/internal/simulation/tierprocess/run.go
+++ b/internal/simulation/tierprocess/run.go
@@ -91,7 +91,7 @@
 	if err := r.start(ctx); err != nil {
 		return nil, err
 	}
-	before, startedAt := fleet.Hosts.Seen(), time.Now()
+	before, startedAt := fleet.Hosts.Stats(), time.Now()
 	faultCtx, stopFaults := context.WithCancel(ctx)
 	defer stopFaults()
 	var faults errgroup.Group
@@ -109,22 +109,22 @@
 	return r.result(tally, before, elapsed), nil
 }
 
-func (r *run) load() workload.Terms {
+func (r *run) load() workload.Config {
 	var sets []int64
 	for set := range r.Sets {
 		sets = append(sets, int64(set+1))
 	}
-	return workload.Terms{
-		Routers:  r.addresses,
-		Sets:     sets,
-		Clients:  r.Clients,
-		Rate:     r.Rate,
-		For:      r.For,
-		Writes:   writeFraction,
-		Sessions: sessionsPerClient,
-		Timeout:  readTimeout,
-		Seed:     r.Seed,
-		OnAnswer: r.noteAnswer,
+	return workload.Config{
+		Routers:       r.addresses,
+		ReplicaSets:   sets,
+		Clients:       r.Clients,
+		Rate:          r.Rate,
+		Duration:      r.For,
+		WriteFraction: writeFraction,
+		Sessions:      sessionsPerClient,
+		Timeout:       readTimeout,
+		Seed:          r.Seed,
+		OnAnswer:      r.noteAnswer,
 	}
 }
 
--- a/internal/simulation/workload/client.go
+++ b/internal/simulation/workload/client.go
@@ -54,13 +54,13 @@
 	due := c.load.start
 	for number := 0; ctx.Err() == nil; number++ {
 		due = due.Add(c.interval())
-		if due.Sub(c.load.start) > c.load.For {
+		if due.Sub(c.load.start) > c.load.Duration {
 			return
 		}
 		time.Sleep(time.Until(due))
 		cmd := &command{id: fmt.Sprintf("%x-%x-%x", c.load.Seed, c.index, number), due: due, timeout: c.load.Timeout}
 		cmd.session = c.random.IntN(max(1, c.load.Sessions))
-		cmd.writes = c.random.Float64() < c.load.Writes
+		cmd.writes = c.random.Float64() < c.load.WriteFraction
 		if !c.connect() {
 			c.load.update(func(t *Tally) { t.Unsent++ })
 			continue
@@ -92,7 +92,7 @@
 
 // fill completes a command with its group and statement. Half of the reads after a session's write must see it.
 func (c *client) fill(cmd *command) {
-	set := c.load.Sets[(c.index+cmd.session)%len(c.load.Sets)]
+	set := c.load.ReplicaSets[(c.index+cmd.session)%len(c.load.ReplicaSets)]
 	key := fmt.Sprintf("s%d-%d", c.index, cmd.session)
 	lastWrite := c.lastWrites[cmd.session]
 	fence := ""
@@ -144,7 +144,7 @@
 		t.Extra++
 	case answer.code == "":
 		c.countAnswered(t, cmd, answer, at)
-	case answer.code == protocol.TooMany || answer.code == protocol.NotNow:
+	case answer.code == protocol.TooManyConnections || answer.code == protocol.CannotConnectNow:
 		t.Throttled++
 	default:
 		t.Failed++
--- a/internal/simulation/workload/connection.go
+++ b/internal/simulation/workload/connection.go
@@ -73,9 +73,9 @@
 		case protocol.CommandComplete:
 			a.count++
 		case protocol.ErrorResponse:
-			a.code = protocol.Code(body)
+			a.code = protocol.ErrorCode(body)
 			a.count++
-		case protocol.Ready:
+		case protocol.ReadyForQuery:
 			return a, nil
 		}
 	}
@@ -83,7 +83,7 @@
 
 // setValue reads the row of a simulated host: its name, the command's id and, for writes, the position of the commit.
 func (a *answer) setValue(row []byte) {
-	value, _ := protocol.Value(row)
+	value, _ := protocol.SingleValue(row)
 	fields := strings.Fields(string(value))
 	if len(fields) > 0 {
 		a.host = fields[0]
@@ -100,7 +100,7 @@
 	}
 	length := binary.BigEndian.Uint32(header[1:])
 	if length < lengthBytes || length > maxMessageBytes {
-		return 0, nil, protocol.ErrLength
+		return 0, nil, protocol.ErrInvalidLength
 	}
 	body = make([]byte, length-lengthBytes)
 	_, err = io.ReadFull(c.input, body)
--- a/internal/simulation/workload/workload.go
+++ b/internal/simulation/workload/workload.go
@@ -22,20 +22,20 @@
 	GroupReads    = "list"  // reads with a staleness bound
 )
 
-// Terms describes a load.
-type Terms struct {
+// Config describes a load.
+type Config struct {
 	// Routers is the addresses that clients connect to; each client stays with one.
 	Routers []string
-	// Sets is the replica sets that commands are for.
-	Sets []int64
+	// ReplicaSets is the replica sets that commands are for.
+	ReplicaSets []int64
 	// Clients is how many connections each router has.
 	Clients int
 	// Rate is the commands a second over all clients.
 	Rate float64
-	// For is how long commands are due.
-	For time.Duration
-	// Writes is the fraction of commands that write, from 0 to 1.
-	Writes float64
+	// Duration is how long commands are due.
+	Duration time.Duration
+	// WriteFraction is the fraction of commands that write, from 0 to 1.
+	WriteFraction float64
 	// Sessions is how many sessions each client plays; at least one.
 	Sessions int
 	// Timeout is the client timeout of reads. That of writes is three times as long.
@@ -86,7 +86,7 @@
 
 // load is a load that runs.
 type load struct {
-	Terms
+	Config
 	killed func(router string) bool // may be nil
 	start  time.Time
 
@@ -96,9 +96,9 @@
 
 // Run sends a load until its time is over or ctx ends. killed reports that a router was ended on purpose, so that the
 // commands it had are not lost; it may be nil.
-func Run(ctx context.Context, terms Terms, killed func(router string) bool) *Tally {
+func Run(ctx context.Context, terms Config, killed func(router string) bool) *Tally {
 	l := &load{
-		Terms:  terms,
+		Config: terms,
 		killed: killed,
 		start:  time.Now(),
 		tally: Tally{
--- a/internal/snapshotfile/snapshot.go
+++ b/internal/snapshotfile/snapshot.go
@@ -161,5 +161,5 @@
 	return body, nil
 }
 
-// None reports whether an error of Read means that nothing was stored.
-func None(err error) bool { return errors.Is(err, fs.ErrNotExist) }
+// IsNotExist reports whether an error of Read means that nothing was stored.
+func IsNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/snapshotfile/snapshot_test.go
+++ b/internal/snapshotfile/snapshot_test.go
@@ -111,7 +111,7 @@
 
 func TestBrokenNewerAndMissingFilesAreReported(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "snapshot")
-	if _, err := Read(Disk{}, path); !None(err) {
+	if _, err := Read(Disk{}, path); !IsNotExist(err) {
 		t.Error(err)
 	}
 	if err := Write(Disk{}, path, []byte("what was learned")); err != nil {
--- a/internal/wire/code.go
+++ b/internal/wire/code.go
@@ -5,18 +5,18 @@
 
 // The codes that the protocol defines.
 const (
-	CodeRetry     Code = "RETRY"
-	CodeAborted   Code = "ABORTED"
-	CodeLagging   Code = "LAGGING"
-	CodeReadOnly  Code = "READONLY"
-	CodeWrongNode Code = "WRONGNODE"
-	CodeOverload  Code = "OVERLOAD"
-	CodeInDoubt   Code = "INDOUBT" // the outcome is unknown
-	CodeExpired   Code = "EXPIRED"
-	CodeFailed    Code = "FAILED"
-	CodeUnknown   Code = "UNKNOWN" // no such prepared statement
-	CodeMalformed Code = "MALFORMED"
-	CodeNoDB      Code = "NODB" // no such database
+	CodeRetry       Code = "RETRY"
+	CodeAborted     Code = "ABORTED"
+	CodeLagging     Code = "LAGGING"
+	CodeReadOnly    Code = "READONLY"
+	CodeWrongNode   Code = "WRONGNODE"
+	CodeOverload    Code = "OVERLOAD"
+	CodeInDoubt     Code = "INDOUBT" // the outcome is unknown
+	CodeExpired     Code = "EXPIRED"
+	CodeFailed      Code = "FAILED"
+	CodeUnknownName Code = "UNKNOWN" // no such prepared statement
+	CodeMalformed   Code = "MALFORMED"
+	CodeNoDatabase  Code = "NODB" // no such database
 )
 
 // NothingKept reports whether the code guarantees that no effect of the attempt remains, so that the client may retry the whole
@@ -32,7 +32,7 @@
 // NotExecuted reports whether a host that answers with the code has not executed the statement.
 func (c Code) NotExecuted() bool {
 	switch c {
-	case CodeRetry, CodeUnknown, CodeLagging, CodeReadOnly, CodeWrongNode, CodeOverload, CodeMalformed:
+	case CodeRetry, CodeUnknownName, CodeLagging, CodeReadOnly, CodeWrongNode, CodeOverload, CodeMalformed:
 		return true
 	}
 	return false
--- a/internal/wire/position.go
+++ b/internal/wire/position.go
@@ -11,11 +11,11 @@
 
 // Position is a position in a host's replication log. The timeline rises with each promotion, the number with each commit that
 // writes. The zero value is unknown and precedes all others.
-type Position struct{ Term, Number uint64 }
+type Position struct{ Timeline, Number uint64 }
 
 // Before reports whether p precedes other: by timeline first, then by number.
 func (p Position) Before(other Position) bool {
-	return p.Term < other.Term || p.Term == other.Term && p.Number < other.Number
+	return p.Timeline < other.Timeline || p.Timeline == other.Timeline && p.Number < other.Number
 }
 
 // Known reports whether p is not the zero value.
@@ -49,7 +49,7 @@
 }
 
 func appendPosition(buffer []byte, position Position) []byte {
-	buffer = strconv.AppendUint(buffer, position.Term, 10)
+	buffer = strconv.AppendUint(buffer, position.Timeline, 10)
 	buffer = append(buffer, '.')
 	return strconv.AppendUint(buffer, position.Number, 10)
 }
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -11,7 +11,7 @@
 // The statements of QUERY.
 const (
 	Begin RequestKind = iota
-	BeginRead
+	BeginReadOnly
 	Commit
 	Abort
 	Fetch
@@ -19,12 +19,12 @@
 	Set
 	Prepare
 	Execute
-	CloseName
+	ClosePrepared
 )
 
 // The other messages of a client.
 const (
-	Connect RequestKind = CloseName + 1 + iota
+	Connect RequestKind = ClosePrepared + 1 + iota
 	Bye
 )
 
@@ -33,12 +33,12 @@
 
 // Request is one message of a client.
 type Request struct {
-	Kind  RequestKind
-	ID    string // the client's id of a statement; empty for other messages
-	Text  string // a statement exactly as received
-	Name  string // of the variable or prepared statement; the database of Connect
-	Shape string // the value of Set, the prepared text of Prepare (FETCH or STORE and a shape), the client's identity of Connect
-	Rest  string // the arguments of Execute
+	Kind      RequestKind
+	ID        string // the client's id of a statement; empty for other messages
+	Text      string // a statement exactly as received
+	Name      string // of the variable or prepared statement; the database of Connect
+	Value     string // the value of Set, the prepared text of Prepare (FETCH or STORE and a shape), the client's identity of Connect
+	Arguments string // the arguments of Execute
 }
 
 // ParseRequest reads a client's line. The error is ErrMalformed. If the request that comes with it has an ID, the line was a
@@ -64,7 +64,7 @@
 	if len(database) == 0 || len(identity) == 0 {
 		return Request{}, fmt.Errorf("%w: CONNECT without a database and an identity", ErrMalformed)
 	}
-	return Request{Kind: Connect, Name: string(database), Shape: string(identity)}, nil
+	return Request{Kind: Connect, Name: string(database), Value: string(identity)}, nil
 }
 
 func parseQuery(fields []byte) (Request, error) {
@@ -100,16 +100,16 @@
 		return key != "" && data != ""
 	case "SET":
 		r.Kind = Set
-		r.Name, r.Shape, _ = strings.Cut(arguments, " ")
-		return r.Name != "" && r.Shape != ""
+		r.Name, r.Value, _ = strings.Cut(arguments, " ")
+		return r.Name != "" && r.Value != ""
 	case "PREPARE":
 		return r.parsePrepare(arguments)
 	case "EXECUTE":
 		r.Kind = Execute
-		r.Name, r.Rest, _ = strings.Cut(arguments, " ")
-		return r.Name != "" && r.Rest != ""
+		r.Name, r.Arguments, _ = strings.Cut(arguments, " ")
+		return r.Name != "" && r.Arguments != ""
 	case "CLOSE":
-		r.Kind = CloseName
+		r.Kind = ClosePrepared
 		r.Name = arguments
 		return r.Name != ""
 	}
@@ -121,7 +121,7 @@
 	case "BEGIN":
 		r.Kind = Begin
 	case "BEGIN FETCH":
-		r.Kind = BeginRead
+		r.Kind = BeginReadOnly
 	default:
 		return false
 	}
@@ -130,13 +130,13 @@
 
 func (r *Request) parsePrepare(arguments string) bool {
 	r.Kind = Prepare
-	r.Name, r.Shape, _ = strings.Cut(arguments, " ")
-	operation, shape, _ := strings.Cut(r.Shape, " ")
+	r.Name, r.Value, _ = strings.Cut(arguments, " ")
+	operation, shape, _ := strings.Cut(r.Value, " ")
 	return r.Name != "" && (operation == "FETCH" || operation == "STORE") && shape != ""
 }
 
-// ShapeWrites reports whether a prepared text stores.
-func ShapeWrites(preparedText string) bool {
+// PreparedTextWrites reports whether a prepared text stores.
+func PreparedTextWrites(preparedText string) bool {
 	const store = "STORE"
 	return len(preparedText) > len(store) && strings.HasPrefix(preparedText, store)
 }
--- a/internal/wire/request_test.go
+++ b/internal/wire/request_test.go
@@ -8,16 +8,16 @@
 
 func TestParseRequestReadsTheProtocolsExamples(t *testing.T) {
 	for line, want := range map[string]Request{
-		"CONNECT lepu270 u3f1":               {Kind: Connect, Name: "lepu270", Shape: "u3f1"},
+		"CONNECT lepu270 u3f1":               {Kind: Connect, Name: "lepu270", Value: "u3f1"},
 		"BYE":                                {Kind: Bye},
 		"QUERY 5c0e BEGIN":                   {Kind: Begin, ID: "5c0e", Text: "BEGIN"},
-		"QUERY 5c0e BEGIN FETCH":             {Kind: BeginRead, ID: "5c0e", Text: "BEGIN FETCH"},
+		"QUERY 5c0e BEGIN FETCH":             {Kind: BeginReadOnly, ID: "5c0e", Text: "BEGIN FETCH"},
 		"QUERY 5c0e FETCH 1a4":               {Kind: Fetch, ID: "5c0e", Text: "FETCH 1a4"},
 		"QUERY 5c0e STORE 1a4 x y":           {Kind: Store, ID: "5c0e", Text: "STORE 1a4 x y"},
-		"QUERY 5c0e SET tz a b c":            {Kind: Set, ID: "5c0e", Text: "SET tz a b c", Name: "tz", Shape: "a b c"},
-		"QUERY 5c0e PREPARE s1 STORE q2c":    {Kind: Prepare, ID: "5c0e", Text: "PREPARE s1 STORE q2c", Name: "s1", Shape: "STORE q2c"},
-		"QUERY 5c0e EXECUTE s1 1a4 xkqpwnzd": {Kind: Execute, ID: "5c0e", Text: "EXECUTE s1 1a4 xkqpwnzd", Name: "s1", Rest: "1a4 xkqpwnzd"},
-		"QUERY 5c0e CLOSE s1":                {Kind: CloseName, ID: "5c0e", Text: "CLOSE s1", Name: "s1"},
+		"QUERY 5c0e SET tz a b c":            {Kind: Set, ID: "5c0e", Text: "SET tz a b c", Name: "tz", Value: "a b c"},
+		"QUERY 5c0e PREPARE s1 STORE q2c":    {Kind: Prepare, ID: "5c0e", Text: "PREPARE s1 STORE q2c", Name: "s1", Value: "STORE q2c"},
+		"QUERY 5c0e EXECUTE s1 1a4 xkqpwnzd": {Kind: Execute, ID: "5c0e", Text: "EXECUTE s1 1a4 xkqpwnzd", Name: "s1", Arguments: "1a4 xkqpwnzd"},
+		"QUERY 5c0e CLOSE s1":                {Kind: ClosePrepared, ID: "5c0e", Text: "CLOSE s1", Name: "s1"},
 		"QUERY 5c0e COMMIT":                  {Kind: Commit, ID: "5c0e", Text: "COMMIT"},
 		"QUERY 5c0e ABORT":                   {Kind: Abort, ID: "5c0e", Text: "ABORT"},
 	} {
--- a/internal/wire/response.go
+++ b/internal/wire/response.go
@@ -20,15 +20,15 @@
 
 // Response collects the lines with which a host answers one message. The zero value is ready to use.
 type Response struct {
-	Lines    []byte           // ROW, DONE and ERROR lines as received, without IDLE
-	Rows     int              // how many ROW lines there were
-	Row      string           // fields of the first row; empty if they are longer than 256 bytes
-	Stamp    bool             // DONE had a stamp: the statement was executed by a host
-	Code     Code             // of ERROR; empty if there was none
-	Text     string           // of ERROR, its first 256 bytes
-	State    TransactionState // of IDLE
-	Position Position         // of IDLE; unknown if it had none
-	ended    bool             // DONE or ERROR was received
+	Lines     []byte           // ROW, DONE and ERROR lines as received, without IDLE
+	RowCount  int              // how many ROW lines there were
+	FirstRow  string           // fields of the first row; empty if they are longer than 256 bytes
+	HasStamp  bool             // DONE had a stamp: the statement was executed by a host
+	Code      Code             // of ERROR; empty if there was none
+	ErrorText string           // of ERROR, its first 256 bytes
+	State     TransactionState // of IDLE
+	Position  Position         // of IDLE; unknown if it had none
+	ended     bool             // DONE or ERROR was received
 }
 
 // AddLine adds a line; raw is the same line with its CR LF. It returns true with the IDLE that completes the response. After an
@@ -62,9 +62,9 @@
 	if r.ended {
 		return ErrOutOfOrder
 	}
-	r.Rows++
-	if r.Rows == 1 && len(fields) <= maxKeptText {
-		r.Row = string(fields)
+	r.RowCount++
+	if r.RowCount == 1 && len(fields) <= maxKeptText {
+		r.FirstRow = string(fields)
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 		return ErrOutOfOrder
 	}
 	r.ended = true
-	r.Stamp = string(stamp) != noStamp
+	r.HasStamp = string(stamp) != noStamp
 	return nil
 }
 
@@ -85,7 +85,7 @@
 	}
 	r.ended = true
 	r.Code = Code(code)
-	r.Text = string(text[:min(len(text), maxKeptText)])
+	r.ErrorText = string(text[:min(len(text), maxKeptText)])
 	return nil
 }
 
--- a/internal/wire/response_test.go
+++ b/internal/wire/response_test.go
@@ -24,7 +24,7 @@
 	require.True(t, complete)
 	require.Equal(t, Position{3, 1209}, response.Position)
 	require.Equal(t, "ROW q\r\nDONE 7.1f3\r\n", string(response.Lines))
-	require.True(t, response.Stamp)
+	require.True(t, response.HasStamp)
 	response, _, err = readResponse(t, "ERROR READONLY i-7f\r\nIDLE E 3.1209\r\n")
 	require.NoError(t, err)
 	require.Equal(t, CodeReadOnly, response.Code)
--- a/internal/wire/status.go
+++ b/internal/wire/status.go
@@ -26,12 +26,12 @@
 
 // HostStatus is what a host tells about itself in answer to STAT, PAUSE and STEPDOWN.
 type HostStatus struct {
-	Leader      bool     // it is the primary, as far as it knows
-	Term        uint64   // timeline that it is on
-	Received    Position // last position that it has received, though perhaps not applied
-	Held        uint64   // timeline of the PAUSE in force; 0: it is not paused
-	LagMs       int64    // milliseconds from receiving to applying
-	Busy, Conns int64    // slots in use, connections open
+	IsPrimary              bool     // it is the primary, as far as it knows
+	Timeline               uint64   // timeline that it is on
+	Received               Position // last position that it has received, though perhaps not applied
+	PausedTimeline         uint64   // timeline of the PAUSE in force; 0: it is not paused
+	LagMs                  int64    // milliseconds from receiving to applying
+	BusySlots, Connections int64    // slots in use, connections open
 }
 
 // ParseHostStatus reads the row of a status. The error is ErrMalformed; the fields that were read before the malformed one are
@@ -41,7 +41,7 @@
 	if len(fields) < statusFields || fields[statusRole] != rolePrimary && fields[statusRole] != roleReplica {
 		return HostStatus{}, malformedStatus(row)
 	}
-	status := HostStatus{Leader: fields[statusRole] == rolePrimary}
+	status := HostStatus{IsPrimary: fields[statusRole] == rolePrimary}
 	var err error
 	if status.Received, err = ParsePosition([]byte(fields[statusReceived])); err != nil {
 		return status, err
@@ -54,11 +54,11 @@
 			break
 		}
 	}
-	status.Term = numbers[statusTimeline]
-	status.Held = numbers[statusPausedTimeline]
+	status.Timeline = numbers[statusTimeline]
+	status.PausedTimeline = numbers[statusPausedTimeline]
 	status.LagMs = int64(numbers[statusLagMs])
-	status.Busy = int64(numbers[statusBusy])
-	status.Conns = int64(numbers[statusConnections])
+	status.BusySlots = int64(numbers[statusBusy])
+	status.Connections = int64(numbers[statusConnections])
 	return status, err
 }
 
--- a/internal/wire/status_test.go
+++ b/internal/wire/status_test.go
@@ -9,7 +9,7 @@
 func TestParseHostStatus(t *testing.T) {
 	status, err := ParseHostStatus("follower 3 3.1209 0 12 2 17")
 	require.NoError(t, err)
-	require.Equal(t, HostStatus{Term: 3, Received: Position{3, 1209}, LagMs: 12, Busy: 2, Conns: 17}, status)
+	require.Equal(t, HostStatus{Timeline: 3, Received: Position{3, 1209}, LagMs: 12, BusySlots: 2, Connections: 17}, status)
 	for _, bad := range []string{"", "follower", "boss 3 3.1 0 1 2 3", "leader x 3.1 0 1 2 3", "leader 3 31 0 1 2 3", "leader 3 3.1 0 -1 2 3"} {
 		_, err = ParseHostStatus(bad)
 		require.Error(t, err, bad)
@@ -20,8 +20,8 @@
 func TestMalformedStatusKeepsTheFieldsBeforeTheFault(t *testing.T) {
 	status, err := ParseHostStatus("leader 7 3.1209 8 12 two 17")
 	require.ErrorIs(t, err, ErrMalformed)
-	require.Equal(t, HostStatus{Leader: true, Term: 7, Received: Position{3, 1209}, Held: 8, LagMs: 12}, status)
+	require.Equal(t, HostStatus{IsPrimary: true, Timeline: 7, Received: Position{3, 1209}, PausedTimeline: 8, LagMs: 12}, status)
 	status, err = ParseHostStatus("leader 7 3-1209 8 12 2 17")
 	require.ErrorIs(t, err, ErrMalformed)
-	require.Equal(t, HostStatus{Leader: true}, status)
+	require.Equal(t, HostStatus{IsPrimary: true}, status)
 }
--- a/policy/benchmark_test.go
+++ b/policy/benchmark_test.go
@@ -9,41 +9,41 @@
 // each, and the evaluation of all hosts that comes every 50 ms.
 func BenchmarkChoice(b *testing.B) {
 	for _, databases := range []int{1, 65, 217, 650, 2600} {
-		group := &CmdGroup{Need: Bounded, Bound: 15000, Target: 3000, Timeout: 8000, Benefit: 1}
-		now := Tenth(1000000)
+		group := &CommandGroup{Need: BoundedStaleness, Bound: 15000, Target: 3000, Timeout: 8000, Benefit: 1}
+		now := TenthMs(1000000)
 		router := New(noopCaller{}, Deployment{
 			Tick: 50, Routers: 12, Dispatches: 3, Guarded: true, Kept: true, Probes: true, Led: true, Streams: 1,
 			IdleFor: 450000, ConnectFor: 15000, Comeback: 2000, FallFactor: 1e6, ColdFrom: 1, ProbePrice: 0.01,
-			Groups: []*CmdGroup{group},
+			Groups: []*CommandGroup{group},
 		}, now)
-		var hosts []*Node
+		var hosts []*Host
 		for i := range 3 * databases {
-			host := router.Host(fmt.Sprintf("h%d", i), int64(i/3+1))
-			host.Listed(In, false, "", "", 1, 0)
+			host := router.AddHost(fmt.Sprintf("h%d", i), int64(i/3+1))
+			host.UpdateListing(Active, false, "", "", 1, 0)
 			hosts = append(hosts, host)
 		}
-		router.ListDone(true)
+		router.EndList(true)
 		for i, host := range hosts {
-			host.Probed(true)
-			host.Reported(now, Replica)
-			host.Leads(i%3 == 0)
+			host.EndProbe(true)
+			host.ReportLoad(now, Replica)
+			host.SetPrimary(i%3 == 0)
 		}
 		b.Run(fmt.Sprintf("databases=%d/read", databases), func(b *testing.B) {
 			commands := 0
 			for b.Loop() {
 				now++
-				router.Clock(now)
-				command := router.Take("c", group, int64(commands%databases+1), "", now+8000, 0, false)
-				if commands++; command.Node != nil {
-					command.Ended(Answered, now, Replica, 10, true)
+				router.SetTime(now)
+				command := router.Submit("c", group, int64(commands%databases+1), "", now+8000, 0, false)
+				if commands++; command.Host != nil {
+					command.EndDispatch(Answered, now, Replica, 10, true)
 				}
 			}
 		})
 		b.Run(fmt.Sprintf("databases=%d/look", databases), func(b *testing.B) {
 			for b.Loop() {
 				now += 500
-				router.Clock(now)
-				router.Woke()
+				router.SetTime(now)
+				router.WakeUp()
 			}
 		})
 	}
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -1,7 +1,7 @@
 // Package policy decides where each command of a replicated database goes. It is pure: it knows no sockets, clock or
 // goroutines, and every call on one Router must come from one goroutine.
 //
-// A caller implements Caller, makes a Router with New, and before each call sets the time with Router.Clock. It reports the
+// A caller implements Caller, makes a Router with New, and before each call sets the time with Router.SetTime. It reports the
 // list of hosts, load reports, probe results and the outcome of each dispatch; the router answers through the Caller, during
 // the call. api.go is this interface, state.go holds the data. The decisions, which deploy/balancer.toml lists:
 //
--- a/policy/env_test.go
+++ b/policy/env_test.go
@@ -6,22 +6,22 @@
 type testEnv struct {
 	t               *testing.T
 	router          *Router
-	now             Tenth
-	sent            []*Node
-	finalAnswer     map[*Cmd]string
-	comeback        Tenth
-	dispatchTimeout Tenth // of the last dispatch
+	now             TenthMs
+	sent            []*Host
+	finalAnswer     map[*Command]string
+	comeback        TenthMs
+	dispatchTimeout TenthMs // of the last dispatch
 	commands        int
-	probes          []*Node
-	closed          []*Node
+	probes          []*Host
+	closed          []*Host
 	messages        []string
-	hosts           []*Node
+	hosts           []*Host
 
-	forgotten []*Node
-	watches   []Tenth
+	forgotten []*Host
+	watches   []TenthMs
 }
 
-func (e *testEnv) Dispatch(command *Cmd, host *Node, timeout Tenth) {
+func (e *testEnv) Dispatch(command *Command, host *Host, timeout TenthMs) {
 	e.dispatchTimeout = timeout
 	if e.finalAnswer[command] != "" {
 		e.t.Errorf("%s: dispatched after its final answer", command.Name)
@@ -29,19 +29,19 @@
 	e.sent = append(e.sent, host)
 }
 
-func (e *testEnv) Throttle(command *Cmd, comeback Tenth) {
+func (e *testEnv) Throttle(command *Command, comeback TenthMs) {
 	e.comeback = comeback
 	e.finish(command, "throttled")
 }
-func (e *testEnv) Fail(command *Cmd) { e.finish(command, "failed") }
-func (e *testEnv) Probe(host *Node)  { e.probes = append(e.probes, host) }
-func (e *testEnv) Close(host *Node)  { e.closed = append(e.closed, host) }
-func (e *testEnv) Forget(host *Node) { e.forgotten = append(e.forgotten, host) }
-func (e *testEnv) Tell(body string)  { e.messages = append(e.messages, body) }
-func (e *testEnv) Wake(Tenth)        {}
-func (e *testEnv) Watch()            { e.watches = append(e.watches, e.now) }
-
-func (e *testEnv) finish(command *Cmd, how string) {
+func (e *testEnv) Fail(command *Command) { e.finish(command, "failed") }
+func (e *testEnv) Probe(host *Host)      { e.probes = append(e.probes, host) }
+func (e *testEnv) Close(host *Host)      { e.closed = append(e.closed, host) }
+func (e *testEnv) Forget(host *Host)     { e.forgotten = append(e.forgotten, host) }
+func (e *testEnv) Tell(body string)      { e.messages = append(e.messages, body) }
+func (e *testEnv) Wake(TenthMs)          {}
+func (e *testEnv) Watch()                { e.watches = append(e.watches, e.now) }
+
+func (e *testEnv) finish(command *Command, how string) {
 	if e.finalAnswer[command] != "" {
 		e.t.Errorf("%s: %s after it was %s", command.Name, how, e.finalAnswer[command])
 	}
@@ -50,38 +50,38 @@
 
 // The command groups of the tests, in this order in Deployment.Groups.
 var (
-	boundedRead = CmdGroup{Need: Bounded, Bound: 5000, Target: 3000, Timeout: 8000, Benefit: 1}
-	sessionRead = CmdGroup{Need: Session, Target: 3000, Timeout: 8000, Benefit: 1}
-	freshRead   = CmdGroup{Need: Fresh, Target: 3000, Timeout: 8000, Benefit: 1}
-	keyedWrite  = CmdGroup{
+	boundedRead = CommandGroup{Need: BoundedStaleness, Bound: 5000, Target: 3000, Timeout: 8000, Benefit: 1}
+	sessionRead = CommandGroup{Need: ReadYourWrites, Target: 3000, Timeout: 8000, Benefit: 1}
+	freshRead   = CommandGroup{Need: Strong, Target: 3000, Timeout: 8000, Benefit: 1}
+	keyedWrite  = CommandGroup{
 		Effect: Keyed, Need: Write, Target: 5000, Timeout: 30000, Memory: 20000, Benefit: 3,
 		LateShare: 0.5,
 	}
-	mutatingWrite = CmdGroup{Effect: Mutating, Need: Write, Target: 5000, Timeout: 30000, Benefit: 3, LateShare: 0.5}
+	mutatingWrite = CommandGroup{Effect: NotIdempotent, Need: Write, Target: 5000, Timeout: 30000, Benefit: 3, LateShare: 0.5}
 )
 
 // newTestEnv makes a router with hosts a (primary), b, c... whose positions are known.
 func newTestEnv(t *testing.T, hosts int, change func(*Deployment)) *testEnv {
-	env := &testEnv{t: t, now: 1000000, finalAnswer: map[*Cmd]string{}}
+	env := &testEnv{t: t, now: 1000000, finalAnswer: map[*Command]string{}}
 	bounded, session, fresh, keyed, mutating := boundedRead, sessionRead, freshRead, keyedWrite, mutatingWrite
 	deployment := Deployment{
 		Tick: 50, Routers: 1, Dispatches: 8, Probes: true, Reports: true, Comeback: 10000, Streams: 1,
 		IdleFor: 150000, ConnectFor: 2500, FallFactor: 2, FallSpan: 10000, ColdFrom: 0.2, ColdFor: 150000,
-		Groups: []*CmdGroup{&bounded, &session, &fresh, &keyed, &mutating},
+		Groups: []*CommandGroup{&bounded, &session, &fresh, &keyed, &mutating},
 	}
 	if change != nil {
 		change(&deployment)
 	}
 	env.router = New(env, deployment, env.now)
 	for i := range hosts {
-		host := env.router.Host(string(rune('a'+i)), 1)
-		host.Listed(In, i == 0, "", "", 1, 0)
+		host := env.router.AddHost(string(rune('a'+i)), 1)
+		host.UpdateListing(Active, i == 0, "", "", 1, 0)
 		env.hosts = append(env.hosts, host)
 	}
-	env.router.ListDone(true)
+	env.router.EndList(true)
 	for _, host := range env.hosts {
-		host.Probed(true)
-		host.Reported(env.now, Replica)
+		host.EndProbe(true)
+		host.ReportLoad(env.now, Replica)
 	}
 	env.hosts[0].updateRole(Primary, env.now)
 	env.hosts[0].lateness = lateRatio * 0.9 // nothing spills to the primary
@@ -89,33 +89,33 @@
 }
 
 // advance lets a span pass, and wakes the router every 10 ms.
-func (e *testEnv) advance(span Tenth) {
+func (e *testEnv) advance(span TenthMs) {
 	for end := e.now + span; e.now < end; {
 		e.now += 100
-		e.router.Clock(e.now)
-		e.router.Woke()
+		e.router.SetTime(e.now)
+		e.router.WakeUp()
 	}
 }
 
 // submit takes in a command of the group that has the need and effect.
-func (e *testEnv) submit(need Need, effect Effect, session string, since Tenth) *Cmd {
+func (e *testEnv) submit(need Consistency, effect Idempotency, session string, since TenthMs) *Command {
 	for _, group := range e.router.Groups {
 		if group.Need == need && group.Effect == effect {
 			e.commands++
-			return e.router.Take(string(rune('0'+e.commands)), group, 1, session, e.now+group.Timeout, since, false)
+			return e.router.Submit(string(rune('0'+e.commands)), group, 1, session, e.now+group.Timeout, since, false)
 		}
 	}
 	panic("no such command group")
 }
 
 // answer answers a command after a span.
-func (e *testEnv) answer(command *Cmd, after Tenth) {
+func (e *testEnv) answer(command *Command, after TenthMs) {
 	e.advance(after)
 	role := Replica
-	if command.Node == command.set.primary {
+	if command.Host == command.set.primary {
 		role = Primary
 	}
-	command.Ended(Answered, e.now-20, role, after, true)
+	command.EndDispatch(Answered, e.now-20, role, after, true)
 }
 
 // failIf fails the test, which goes on, if the condition holds.
@@ -126,9 +126,9 @@
 }
 
 // answerReads takes in bounded reads and answers them, with all positions known.
-func (e *testEnv) answerReads(many int, after Tenth) {
+func (e *testEnv) answerReads(many int, after TenthMs) {
 	for range many {
-		if command := e.submit(Bounded, Replayable, "", 0); command.Node != nil {
+		if command := e.submit(BoundedStaleness, Idempotent, "", 0); command.Host != nil {
 			e.answer(command, after)
 		}
 		e.refreshPositions()
@@ -143,12 +143,12 @@
 }
 
 // submitUntilSentTo takes in bounded reads until one is sent to the host; the others are answered.
-func (e *testEnv) submitUntilSentTo(host *Node) *Cmd {
+func (e *testEnv) submitUntilSentTo(host *Host) *Command {
 	for range 50 {
-		command := e.submit(Bounded, Replayable, "", 0)
-		if command.Node == host {
+		command := e.submit(BoundedStaleness, Idempotent, "", 0)
+		if command.Host == host {
 			return command
-		} else if command.Node != nil {
+		} else if command.Host != nil {
 			e.answer(command, 100)
 		}
 		e.refreshPositions()
@@ -157,7 +157,7 @@
 }
 
 // dispatchesTo counts the dispatches to a host so far.
-func (e *testEnv) dispatchesTo(host *Node) (sent int) {
+func (e *testEnv) dispatchesTo(host *Host) (sent int) {
 	for _, sentTo := range e.sent {
 		if sentTo == host {
 			sent++
--- a/policy/hosts.go
+++ b/policy/hosts.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// Host adds a host that the list names, to the replica set with the number.
-func (r *Router) Host(name string, set int64) *Node {
-	h := &Node{
+// AddHost adds a host that the list names, to the replica set with the number.
+func (r *Router) AddHost(name string, set int64) *Host {
+	h := &Host{
 		Name: name, set: r.replicaSet(set), limit: 4, size: 1, share: 1, lateness: lateRatio / 2, ratedAt: r.now,
 	}
 	r.hostsByID[h.peerID()], r.hosts, h.set.members = h, append(r.hosts, h), append(h.set.members, h)
-	slices.SortFunc(h.set.members, func(a, b *Node) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(h.set.members, func(a, b *Host) int { return cmp.Compare(a.Name, b.Name) })
 	return h
 }
 
-// Listed takes the host's entry in a list: whether it was the primary then, its hardware model,
+// UpdateListing takes the host's entry in a list: whether it was the primary then, its hardware model,
 // relative capacity and last start. A drain or a removal counts from now.
-func (h *Node) Listed(
-	listState Standing, primary bool, zone, model string, size float64, startedAt Tenth,
+func (h *Host) UpdateListing(
+	listState ListState, primary bool, zone, model string, size float64, startedAt TenthMs,
 ) {
 	set, router := h.set, h.set.router
 	h.inList, h.zone, h.size = true, zone, max(size, 0.1)
@@ -30,20 +30,20 @@
 		}
 	}
 	h.restarted(startedAt)
-	if listState == Gone && router.DrainAlone && h.listState == In {
+	if listState == Removed && router.DrainAlone && h.listState == Active {
 		return // such a list doesn't prove that the host is down
 	}
 	h.listState = listState
 	if primary && set.primary == nil {
 		set.nextCandidate = slices.Index(set.members, h)
 	}
-	if listState != In && set.primary == h {
+	if listState != Active && set.primary == h {
 		set.primary = nil
 	}
 }
 
 // restarted takes in a start. A cold host begins with a small limit and a random part of its budget.
-func (h *Node) restarted(at Tenth) {
+func (h *Host) restarted(at TenthMs) {
 	if at <= h.startedAt {
 		return
 	}
@@ -52,11 +52,11 @@
 	h.coldBudget, h.coldBudgetAt = h.set.router.random(), h.set.router.now
 }
 
-// ListDone ends a list. What a complete one lacks is gone.
-func (r *Router) ListDone(complete bool) {
+// EndList ends a list. What a complete one lacks is gone.
+func (r *Router) EndList(complete bool) {
 	for _, host := range r.hosts {
 		if complete && !host.inList {
-			host.Listed(Gone, false, host.zone, "", host.size, host.startedAt)
+			host.UpdateListing(Removed, false, host.zone, "", host.size, host.startedAt)
 		}
 		host.inList = false
 	}
@@ -66,34 +66,34 @@
 	r.probeHosts()
 }
 
-// Unlisted says that the request for a list was refused, or that it comes no more. It is requested
+// ListUnavailable says that the request for a list was refused, or that it comes no more. It is requested
 // again with backoff and jitter: hundreds of routers must not keep a busy service busy.
-func (r *Router) Unlisted() {
-	r.listRequested, r.listRequestAt = false, r.now+Tenth((0.5+r.random())*float64(r.listRetryDelay))
+func (r *Router) ListUnavailable() {
+	r.listRequested, r.listRequestAt = false, r.now+TenthMs((0.5+r.random())*float64(r.listRetryDelay))
 	r.listRetryDelay = min(2*r.listRetryDelay, r.AskWithin/2)
 }
 
 // dropIfRemoved drops a host that left the list, once nothing is in flight.
-func (h *Node) dropIfRemoved() bool {
-	if h.listState != Gone || h.probing || len(h.inFlight) > 0 {
+func (h *Host) dropIfRemoved() bool {
+	if h.listState != Removed || h.probing || len(h.inFlight) > 0 {
 		return false
 	}
 	delete(h.set.router.hostsByID, h.peerID())
-	h.set.members = slices.DeleteFunc(h.set.members, func(member *Node) bool { return member == h })
+	h.set.members = slices.DeleteFunc(h.set.members, func(member *Host) bool { return member == h })
 	h.set.router.caller.Forget(h)
 	return true
 }
 
 // accepts says whether the host may be sent the command now, with a part of its limit for such commands.
-func (h *Node) accepts(c *Cmd, part float64) bool {
+func (h *Host) accepts(c *Command, part float64) bool {
 	router := h.set.router
 	switch {
-	case h.listState != In || h.unreachable || router.now < h.retryAt:
+	case h.listState != Active || h.unreachable || router.now < h.retryAt:
 		return false
 	case h.cold() && !h.withinColdBudget(c, part):
 		return false
 	case h.ejected: // one trial at a time finds out whether it is back
-		return (c.group.Effect == Replayable || router.Led) && len(c.tried) == 0
+		return (c.group.Effect == Idempotent || router.Led) && len(c.tried) == 0
 	case router.now >= c.targetAt && c.group.LateShare == 0:
 		part /= 2 // it can earn nothing any more
 	}
@@ -101,21 +101,21 @@
 }
 
 // hasFreeStream says whether an open connection can take one more command.
-func (h *Node) hasFreeStream() bool { return len(h.inFlight) < h.openConns*h.set.router.Streams }
+func (h *Host) hasFreeStream() bool { return len(h.inFlight) < h.openConns*h.set.router.Streams }
 
 // withinShare says whether a host with that share gets the command, by its priority and its draw.
-func (c *Cmd) withinShare(share float64) bool {
+func (c *Command) withinShare(share float64) bool {
 	return share >= 1 || c.draw*c.set.router.meanPriority <= share*c.priority()
 }
 
 // cold says whether the host started lately.
-func (h *Node) cold() bool {
+func (h *Host) cold() bool {
 	return h.startedAt != 0 && h.set.router.now < h.startedAt+h.set.router.ColdFor
 }
 
 // withinColdBudget keeps a cold host to its part of what warm ones do. Each router counts its own work, so
 // the sum keeps to it too. Less than one command is saved up, from a random start, lest all send at once.
-func (h *Node) withinColdBudget(c *Cmd, part float64) bool {
+func (h *Host) withinColdBudget(c *Command, part float64) bool {
 	router := h.set.router
 	warmth := float64(router.now-router.FallSpan-h.startedAt) / float64(router.ColdFor)
 	coldPart := router.ColdFrom + (1-router.ColdFrom)*max(0, warmth)
@@ -126,11 +126,11 @@
 }
 
 // work is how much a command asks for, in commands of the usual mix.
-func (c *Cmd) work() float64 { return c.group.meanLatency / max(c.set.router.meanLatency, 1) }
+func (c *Command) work() float64 { return c.group.meanLatency / max(c.set.router.meanLatency, 1) }
 
 // hasReached says whether a host has a position. Where hosts check that themselves, one expected to have it,
 // or not heard of for long, will do: a wrong guess costs one dispatch, and an unused host would stay unknown.
-func (h *Node) hasReached(position Tenth) bool {
+func (h *Host) hasReached(position TenthMs) bool {
 	router := h.set.router
 	if position <= 0 || h.positionKnown && h.position >= position {
 		return true
@@ -141,12 +141,12 @@
 }
 
 // load compares hosts: commands in flight, weighted by latency, for each unit of size.
-func (h *Node) load() float64 {
+func (h *Host) load() float64 {
 	return float64(h.activeCount()+1) * (h.lateness + lateRatio/4) / h.size
 }
 
 // activeCount is how many commands are in flight whose answers are not taken for lost.
-func (h *Node) activeCount() (active int) {
+func (h *Host) activeCount() (active int) {
 	for _, c := range h.inFlight {
 		if !c.overdue || h.lateness > lateRatio && h.set.router.now < c.sentAt+2*c.group.Target {
 			active++
@@ -157,7 +157,7 @@
 
 // rate takes in a latency as a part of the response target; the fewer there are, the more each weighs. Late
 // ones reduce the limit, or, where one of hundreds of routers has few others in flight, the share.
-func (h *Node) rate(ratio float64, sentAt Tenth, others int) {
+func (h *Host) rate(ratio float64, sentAt TenthMs, others int) {
 	now := h.set.router.now
 	weight := min(0.5, max(0.125, float64(now-h.ratedAt)/float64(2*second)))
 	h.ratedAt = now
@@ -174,14 +174,14 @@
 }
 
 // backOff leaves a host that rejects commands alone, longer each time: fast rejections attract ever more.
-func (h *Node) backOff() {
+func (h *Host) backOff() {
 	h.rate(1, 0, len(h.inFlight))
 	h.backoff = min(max(2*h.backoff, second/50), second/2)
-	h.retryAt = h.set.router.now + Tenth((2+2*h.set.router.random())*float64(h.backoff)/3)
+	h.retryAt = h.set.router.now + TenthMs((2+2*h.set.router.random())*float64(h.backoff)/3)
 }
 
 // freeConns closes idle connections, for some time more, to a host that has none left for other routers.
-func (h *Node) freeConns(more Tenth) {
+func (h *Host) freeConns(more TenthMs) {
 	now := h.set.router.now
 	if h.connsScarceUntil = max(h.connsScarceUntil, now+more); now < h.connsScarceUntil && len(h.inFlight) == 0 {
 		h.openConns = 0
@@ -190,7 +190,7 @@
 }
 
 // eject stops sending to a silent host, but for a trial now and then.
-func (h *Node) eject(wait Tenth) {
+func (h *Host) eject(wait TenthMs) {
 	if !h.ejected {
 		h.ejected, h.backoff = true, max(wait, second/10)
 		h.retryAt = h.set.router.now + h.backoff
@@ -198,21 +198,21 @@
 }
 
 // updateRole takes in what the host said of its role at a time.
-func (h *Node) updateRole(role Role, at Tenth) {
-	if at < h.roleAt || role == Unknown {
+func (h *Host) updateRole(role Role, at TenthMs) {
+	if at < h.roleAt || role == UnknownRole {
 		return
 	}
 	set := h.set
 	h.role, h.roleAt = role, at
 	if role == Replica && set.primary == h {
 		set.primary = nil
-	} else if role == Primary && h.listState == In && (set.primary == nil || at >= set.primary.roleAt) {
+	} else if role == Primary && h.listState == Active && (set.primary == nil || at >= set.primary.roleAt) {
 		set.primary = h
 	}
 }
 
 // updatePosition takes in a position. Positions are lower bounds and never go back.
-func (h *Node) updatePosition(position Tenth) {
+func (h *Host) updatePosition(position TenthMs) {
 	if router := h.set.router; !h.positionKnown || position >= h.position {
 		h.positionKnown, h.position, h.positionAt = true, position, router.now
 		h.lag = max(0, router.now-router.Zero-position)
