--- a/policy/hosts_test.go
+++ b/policy/hosts_test.go
@@ -4,24 +4,24 @@
 
 func TestFormerPrimaryIsReplicaOnceItSaysSo(t *testing.T) {
 	env := newTestEnv(t, 2, nil)
-	command := env.submit(Fresh, Replayable, "", 0)
+	command := env.submit(Strong, Idempotent, "", 0)
 	env.advance(100)
-	command.Ended(Errored, env.now-100, Replica, 100, false)
-	env.failIf(env.router.sets[1].primary != nil || command.Node != nil,
+	command.EndDispatch(Errored, env.now-100, Replica, 100, false)
+	env.failIf(env.router.sets[1].primary != nil || command.Host != nil,
 		"a host that said it is a replica is still read as the primary")
 	env.hosts[1].updateRole(Primary, env.now)
 	env.advance(100)
-	env.failIf(command.Node != env.hosts[1], "the held read did not go to the new primary")
+	env.failIf(command.Host != env.hosts[1], "the held read did not go to the new primary")
 }
 
 func TestRoleOfLaterDispatchWins(t *testing.T) {
 	env := newTestEnv(t, 2, nil)
-	first := env.submit(Write, Mutating, "s", 0)
+	first := env.submit(Write, NotIdempotent, "s", 0)
 	env.advance(100)
-	second := env.submit(Write, Mutating, "s", 0)
+	second := env.submit(Write, NotIdempotent, "s", 0)
 	env.advance(100)
-	second.Ended(Missed, env.now-10, Replica, 10, false)
-	first.Ended(Answered, env.now-10, Primary, 200, true) // it was, when that was sent
+	second.EndDispatch(Misrouted, env.now-10, Replica, 10, false)
+	first.EndDispatch(Answered, env.now-10, Primary, 200, true) // it was, when that was sent
 	env.failIf(env.router.sets[1].primary != nil, "a host that said since that it is a replica is taken for the primary")
 }
 
@@ -29,30 +29,30 @@
 	env := newTestEnv(t, 1, nil)
 	host := env.hosts[0]
 	host.model.warmRate = 0.01
-	host.Listed(In, true, "", "", 1, env.now)
+	host.UpdateListing(Active, true, "", "", 1, env.now)
 	host.updateRole(Primary, env.now)
 	host.limit, host.coldBudget = 100, 1.4
-	command := env.submit(Session, Replayable, "s", 100)
-	env.failIf(command.Node != nil, "a read took what is spare at a cold primary")
-	if command := env.submit(Write, Mutating, "s", 0); command.Node != host {
+	command := env.submit(ReadYourWrites, Idempotent, "s", 100)
+	env.failIf(command.Host != nil, "a read took what is spare at a cold primary")
+	if command := env.submit(Write, NotIdempotent, "s", 0); command.Host != host {
 		t.Error("a write did not get what is spare at a cold primary")
 	}
 }
 
 func TestNothingIsSentToDrainingOrRemovedHost(t *testing.T) {
 	env := newTestEnv(t, 2, nil)
-	env.hosts[1].Listed(Draining, false, "", "", 1, 0)
-	if command := env.submit(Bounded, Replayable, "", 0); command.Node == env.hosts[1] {
+	env.hosts[1].UpdateListing(Draining, false, "", "", 1, 0)
+	if command := env.submit(BoundedStaleness, Idempotent, "", 0); command.Host == env.hosts[1] {
 		t.Error("a read went to a draining host")
 	}
-	env.hosts[1].Listed(In, false, "", "", 1, env.now)
+	env.hosts[1].UpdateListing(Active, false, "", "", 1, env.now)
 	env.hosts[1].updatePosition(env.now)
-	env.hosts[0].Listed(In, false, "", "", 1, 0)
-	env.router.ListDone(true)
-	env.failIf(env.hosts[1].listState != In, "a host that is back is not used")
-	env.hosts[0].Listed(In, true, "", "", 1, 0)
-	env.router.ListDone(true)
-	env.failIf(env.hosts[1].listState != Gone, "a host that a complete list lacks still counts")
+	env.hosts[0].UpdateListing(Active, false, "", "", 1, 0)
+	env.router.EndList(true)
+	env.failIf(env.hosts[1].listState != Active, "a host that is back is not used")
+	env.hosts[0].UpdateListing(Active, true, "", "", 1, 0)
+	env.router.EndList(true)
+	env.failIf(env.hosts[1].listState != Removed, "a host that a complete list lacks still counts")
 }
 
 func TestColdHostGetsPartOfWarmWork(t *testing.T) {
@@ -62,15 +62,15 @@
 		host.limit = 1000
 	}
 	env.answerReads(400, 100) // the warm ones do 50 a second each
-	cold.Listed(In, false, "", "", 1, env.now)
+	cold.UpdateListing(Active, false, "", "", 1, env.now)
 	cold.limit, env.sent = 1000, nil
-	for _, host := range []*Node{env.hosts[0], env.hosts[2]} {
+	for _, host := range []*Host{env.hosts[0], env.hosts[2]} {
 		host.updateRole(Replica, env.now)
-		host.Listed(Draining, false, "", "", 1, 0)
+		host.UpdateListing(Draining, false, "", "", 1, 0)
 	}
 	most := 2 * 0.2 * cold.model.warmRate * 10000
 	for i := range 400 { // for two seconds
-		env.submit(Bounded, Replayable, "", 0)
+		env.submit(BoundedStaleness, Idempotent, "", 0)
 		if i%2 == 0 {
 			env.advance(100)
 			cold.updatePosition(env.now)
@@ -85,10 +85,10 @@
 	sent := 0
 	for i := range 200 {
 		env := newTestEnv(t, 2, func(d *Deployment) { d.Routers, d.Seed = 200, uint32(i) })
-		env.hosts[1].Listed(In, false, "", "", 1, env.now)
+		env.hosts[1].UpdateListing(Active, false, "", "", 1, env.now)
 		env.hosts[1].model.warmRate, env.hosts[1].model.measuredFor = 0.00005, 100000 // half a command a second, as each sees it
 		for range 10 {
-			env.submit(Bounded, Replayable, "", 0)
+			env.submit(BoundedStaleness, Idempotent, "", 0)
 			env.hosts[1].updatePosition(env.now + 1000)
 			env.advance(100)
 		}
@@ -103,7 +103,7 @@
 	env := newTestEnv(t, 1, nil)
 	host, before := env.hosts[0], env.hosts[0].limit
 	for range 10 {
-		env.answer(env.submit(Bounded, Replayable, "", 0), 2500)
+		env.answer(env.submit(BoundedStaleness, Idempotent, "", 0), 2500)
 	}
 	if host.limit >= before {
 		t.Errorf("limit is %v after late answers, it was %v", host.limit, before)
@@ -111,7 +111,7 @@
 	low := host.limit
 	env.advance(300000) // it is spared, then tried again
 	for range 100 {
-		first, other := env.submit(Bounded, Replayable, "", 0), env.submit(Bounded, Replayable, "", 0)
+		first, other := env.submit(BoundedStaleness, Idempotent, "", 0), env.submit(BoundedStaleness, Idempotent, "", 0)
 		env.answer(first, 100)
 		env.answer(other, 0)
 	}
@@ -123,12 +123,12 @@
 func TestLostAnswersDoNotUseUpLimit(t *testing.T) {
 	env := newTestEnv(t, 1, nil)
 	env.hosts[0].limit = 2
-	env.submit(Write, Mutating, "s", 0)
-	env.submit(Write, Mutating, "s", 0)
-	command := env.submit(Write, Mutating, "s", 0)
+	env.submit(Write, NotIdempotent, "s", 0)
+	env.submit(Write, NotIdempotent, "s", 0)
+	command := env.submit(Write, NotIdempotent, "s", 0)
 	env.hosts[0].lastAnswerAt, env.hosts[0].quickSentAt = env.now+6000, env.now+6000 // it answers others all the while
 	env.advance(5200)
-	env.failIf(command.Node == nil, "writes whose answers were lost kept the others from the primary")
+	env.failIf(command.Host == nil, "writes whose answers were lost kept the others from the primary")
 }
 
 func TestShareShrinksWhereLimitIsTooCoarse(t *testing.T) {
@@ -149,10 +149,10 @@
 
 func TestEmptyListIsIgnoredWhereOnlyDrainBinds(t *testing.T) {
 	env := newTestEnv(t, 3, func(d *Deployment) { d.DrainAlone = true })
-	env.router.ListDone(true) // an empty list
-	env.hosts[1].Listed(Draining, false, "", "", 1, 0)
+	env.router.EndList(true) // an empty list
+	env.hosts[1].UpdateListing(Draining, false, "", "", 1, 0)
 	env.failIf(env.hosts[1].listState != Draining, "a drain was not heeded")
-	if command := env.submit(Write, Mutating, "s", 0); command.Node != env.hosts[0] {
+	if command := env.submit(Write, NotIdempotent, "s", 0); command.Host != env.hosts[0] {
 		t.Error("a list that calls all hosts gone kept a write from the primary")
 	}
 }
@@ -171,7 +171,7 @@
 }
 
 func TestListRequestsAreSpreadAndBackOff(t *testing.T) {
-	first := map[Tenth]bool{}
+	first := map[TenthMs]bool{}
 	for seed := range uint32(20) {
 		env := newTestEnv(t, 2, func(d *Deployment) { d.Seed, d.AskWithin = seed*7919, 100000 })
 		env.advance(26000)
@@ -179,9 +179,9 @@
 			t.Fatalf("the list was asked for %d times in its first 2.6 s", len(env.watches))
 		}
 		first[env.watches[0]/2000] = true
-		var gaps [4]Tenth
+		var gaps [4]TenthMs
 		for i := range gaps { // each is refused; what is held serves on
-			env.router.Unlisted()
+			env.router.ListUnavailable()
 			at := env.now
 			for asked := len(env.watches); len(env.watches) == asked; {
 				env.advance(100)
@@ -191,7 +191,7 @@
 		env.failIf(gaps[0] > 20000 || gaps[3] < 25000 || gaps[3] > 75100, "calls after a refusal don't lie ever further apart")
 		env.advance(101000) // a call that is never answered
 		env.failIf(len(env.watches) != 6, "what is never answered is not asked again")
-		env.router.ListDone(false)
+		env.router.EndList(false)
 		env.advance(300000)
 		env.failIf(len(env.watches) != 6, "a list that comes is asked for again")
 	}
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Ended reports how the dispatch in flight ended, the position that the host stated (-1: none), and the
+// EndDispatch reports how the dispatch in flight ended, the position that the host stated (-1: none), and the
 // latency. over says that the command needs no answer any more.
-func (c *Cmd) Ended(outcome Outcome, position Tenth, role Role, cost Tenth, over bool) {
-	host, set, router := c.Node, c.set, c.set.router
+func (c *Command) EndDispatch(outcome Outcome, position TenthMs, role Role, cost TenthMs, over bool) {
+	host, set, router := c.Host, c.set, c.set.router
 	if host == nil {
 		return
 	}
@@ -17,7 +17,7 @@
 		router.recordWrite(c.session, position)
 		position -= 10 // commits are rounded up
 	}
-	if position >= 0 && role != Unknown {
+	if position >= 0 && role != UnknownRole {
 		host.updatePosition(position)
 	}
 	host.recordOutcome(c, outcome, cost)
@@ -29,7 +29,7 @@
 	}
 	c.tried, c.done = append(c.tried, host), c.done || over || outcome == Answered
 	retry := !c.done && c.mayRetry(outcome)
-	c.Node = nil
+	c.Host = nil
 	switch {
 	case c.done:
 	case !retry:
@@ -46,54 +46,54 @@
 }
 
 // inferPosition learns from a read where the host itself checks that it has the needed position.
-func (h *Node) inferPosition(c *Cmd, outcome Outcome) {
+func (h *Host) inferPosition(c *Command, outcome Outcome) {
 	router := h.set.router
 	switch {
 	case outcome == Answered && router.Guarded && c.neededPosition > h.position && h.role != Primary:
 		h.positionKnown, h.position, h.positionAt = true, c.neededPosition, router.now
 		h.lag = min(h.lag, c.sentAt-router.Zero-c.neededPosition)
-	case outcome == Missed:
+	case outcome == Misrouted:
 		h.lag, h.positionAt = max(h.lag, router.now-router.Zero-c.neededPosition+1), router.now
 	}
 }
 
 // recordOutcome learns of the host's health from how a dispatch ended.
-func (h *Node) recordOutcome(c *Cmd, outcome Outcome, cost Tenth) {
-	h.inFlight = slices.DeleteFunc(h.inFlight, func(other *Cmd) bool { return other == c })
+func (h *Host) recordOutcome(c *Command, outcome Outcome, cost TenthMs) {
+	h.inFlight = slices.DeleteFunc(h.inFlight, func(other *Command) bool { return other == c })
 	h.recordConns(c, outcome, cost)
 	switch outcome {
-	case Unreached:
+	case Unreachable:
 		h.recordUnreached(c)
 	case Answered:
 		h.recordContact()
 		h.recordLatency(c, cost)
 	case Errored:
 		h.recordContact()
-	case Full:
+	case Overloaded:
 		h.recordContact()
 		h.backOff()
 		h.shareState(peerRejecting)
-	case Missed:
+	case Misrouted:
 		h.recordContact()
 		h.shareState(peerLatencyUnknown)
 	}
 }
 
 // recordConns keeps count of the open connections.
-func (h *Node) recordConns(c *Cmd, outcome Outcome, cost Tenth) {
+func (h *Host) recordConns(c *Command, outcome Outcome, cost TenthMs) {
 	router := h.set.router
 	switch {
-	case outcome != Unreached && c.opensConn:
+	case outcome != Unreachable && c.opensConn:
 		h.openConns++
 	case outcome == Reset:
 		h.openConns = 0
-	case outcome == Unreached && c.opensConn && cost >= router.ConnectFor*9/10:
+	case outcome == Unreachable && c.opensConn && cost >= router.ConnectFor*9/10:
 		h.slowConnectUntil = router.now + connectHold // down, cut off or slow to connect: what is open will do
 	}
 }
 
 // recordUnreached tells a host that is down or cut off from one that is up, but takes no more connections.
-func (h *Node) recordUnreached(c *Cmd) {
+func (h *Host) recordUnreached(c *Command) {
 	router := h.set.router
 	switch {
 	case h.quickSentAt+second < c.sentAt && h.lastAnswerAt <= c.sentAt: // nothing else is answered either
@@ -109,7 +109,7 @@
 }
 
 // recordContact notes a sign of life. A host that was ejected is back, with little concurrency at first.
-func (h *Node) recordContact() {
+func (h *Host) recordContact() {
 	router := h.set.router
 	h.freeConns(0)
 	router.answerGaps.record(router.now, float64(router.now-h.lastAnswerAt))
@@ -124,7 +124,7 @@
 }
 
 // recordLatency learns from the latency of an answer.
-func (h *Node) recordLatency(c *Cmd, cost Tenth) {
+func (h *Host) recordLatency(c *Command, cost TenthMs) {
 	router, group := h.set.router, c.group
 	ratio := float64(cost) / float64(group.Target)
 	h.backoff, group.samples = 0, min(group.samples+1, 500)
--- a/policy/outcome_test.go
+++ b/policy/outcome_test.go
@@ -7,14 +7,14 @@
 
 func TestThreeResetsAreTheCommandsFault(t *testing.T) {
 	env := newTestEnv(t, 6, nil)
-	command := env.submit(Bounded, Replayable, "", 0)
+	command := env.submit(BoundedStaleness, Idempotent, "", 0)
 	for range 5 {
-		if command.Node != nil {
-			command.Ended(Reset, -1, Unknown, 10, false)
+		if command.Host != nil {
+			command.EndDispatch(Reset, -1, UnknownRole, 10, false)
 		}
 	}
-	if command.Sent != 3 || env.finalAnswer[command] != "throttled" {
-		t.Errorf("%d dispatches, then %q", command.Sent, env.finalAnswer[command])
+	if command.Attempts != 3 || env.finalAnswer[command] != "throttled" {
+		t.Errorf("%d dispatches, then %q", command.Attempts, env.finalAnswer[command])
 	}
 }
 
@@ -25,7 +25,7 @@
 		env.answerReads(60, 300)
 		p := env.hosts[0]
 		for range many {
-			env.submit(Write, Mutating, "s", 0)
+			env.submit(Write, NotIdempotent, "s", 0)
 		}
 		env.advance(1000)
 		if p.ejected != left {
@@ -37,44 +37,44 @@
 func TestRefusedConnectionDoesNotSpendAllDispatches(t *testing.T) {
 	env := newTestEnv(t, 1, nil)
 	env.hosts[0].quickSentAt = env.now // it is up, for all that is known
-	command := env.submit(Write, Mutating, "s", 0)
+	command := env.submit(Write, NotIdempotent, "s", 0)
 	for range 9 {
-		if command.Node != nil {
-			command.Ended(Unreached, -1, Unknown, 1, false)
+		if command.Host != nil {
+			command.EndDispatch(Unreachable, -1, UnknownRole, 1, false)
 		}
 	}
-	if command.Sent != 1 || env.finalAnswer[command] != "" {
-		t.Errorf("%d dispatches, then %q", command.Sent, env.finalAnswer[command])
+	if command.Attempts != 1 || env.finalAnswer[command] != "" {
+		t.Errorf("%d dispatches, then %q", command.Attempts, env.finalAnswer[command])
 	}
 	env.advance(200)
-	env.failIf(command.Sent != 2, "it was not tried again")
+	env.failIf(command.Attempts != 2, "it was not tried again")
 }
 
 func TestRetryByEffectAndOutcome(t *testing.T) {
 	for _, story := range []struct {
-		effect      Effect
+		effect      Idempotency
 		outcome     Outcome
 		retried     bool   // another dispatch follows when there is time
 		finalAnswer string // when there is none
 	}{
-		{Replayable, Errored, true, "throttled"},
-		{Replayable, Cancelled, true, "throttled"},
-		{Replayable, Full, true, "throttled"},
-		{Replayable, Unreached, true, "throttled"},
+		{Idempotent, Errored, true, "throttled"},
+		{Idempotent, Cancelled, true, "throttled"},
+		{Idempotent, Overloaded, true, "throttled"},
+		{Idempotent, Unreachable, true, "throttled"},
 		{Keyed, Errored, true, "failed"},
 		{Keyed, Reset, true, "failed"},
 		{Keyed, Cancelled, true, "failed"},
 		{Keyed, TimedOut, true, "failed"},
-		{Keyed, Full, true, "throttled"},
-		{Keyed, Moot, true, "throttled"},
-		{Mutating, Errored, false, "failed"},
-		{Mutating, Reset, false, "failed"},
-		{Mutating, Cancelled, false, "failed"},
-		{Mutating, TimedOut, false, "failed"},
-		{Mutating, Full, true, "throttled"},
-		{Mutating, Unreached, true, "throttled"},
-		{Mutating, Moot, true, "throttled"},
-		{Mutating, Missed, true, "throttled"},
+		{Keyed, Overloaded, true, "throttled"},
+		{Keyed, Expired, true, "throttled"},
+		{NotIdempotent, Errored, false, "failed"},
+		{NotIdempotent, Reset, false, "failed"},
+		{NotIdempotent, Cancelled, false, "failed"},
+		{NotIdempotent, TimedOut, false, "failed"},
+		{NotIdempotent, Overloaded, true, "throttled"},
+		{NotIdempotent, Unreachable, true, "throttled"},
+		{NotIdempotent, Expired, true, "throttled"},
+		{NotIdempotent, Misrouted, true, "throttled"},
 	} {
 		for _, early := range []bool{true, false} {
 			retried, finalAnswer := endOneDispatch(t, story.effect, story.outcome, early)
@@ -90,34 +90,34 @@
 
 // endOneDispatch ends the first dispatch of a command, with time left (early) or not, and says whether another one follows,
 // and what the final answer is.
-func endOneDispatch(t *testing.T, effect Effect, outcome Outcome, early bool) (retried bool, finalAnswer string) {
+func endOneDispatch(t *testing.T, effect Idempotency, outcome Outcome, early bool) (retried bool, finalAnswer string) {
 	env := newTestEnv(t, 4, nil)
 	need := Write
-	if effect == Replayable {
-		need = Bounded
+	if effect == Idempotent {
+		need = BoundedStaleness
 	}
 	command := env.submit(need, effect, "s", 0)
 	if !early {
 		env.now = command.timeoutAt - 50
-		env.router.Clock(env.now)
+		env.router.SetTime(env.now)
 	}
-	command.Ended(outcome, -1, Unknown, 100, false)
+	command.EndDispatch(outcome, -1, UnknownRole, 100, false)
 	if early {
-		for i := 0; i < 40 && command.Node == nil && env.finalAnswer[command] == ""; i++ {
+		for i := 0; i < 40 && command.Host == nil && env.finalAnswer[command] == ""; i++ {
 			env.hosts[1].updateRole(Primary, env.now) // wherever it went, there is a host for it
 			env.advance(100)
 		}
 	}
-	return command.Node != nil, env.finalAnswer[command]
+	return command.Host != nil, env.finalAnswer[command]
 }
 
 func TestKeyedCommandIsNotRetriedPastKeyMemory(t *testing.T) {
 	env := newTestEnv(t, 2, nil)
 	command := env.submit(Write, Keyed, "s", 0)
 	env.advance(20000)
-	command.Ended(TimedOut, -1, Unknown, 20000, false)
+	command.EndDispatch(TimedOut, -1, UnknownRole, 20000, false)
 	env.advance(300)
-	if command.Node != nil || env.finalAnswer[command] != "failed" {
+	if command.Host != nil || env.finalAnswer[command] != "failed" {
 		t.Errorf("after the memory of its key a retry went out, or %q", env.finalAnswer[command])
 	}
 }
@@ -133,13 +133,13 @@
 	if !silent.ejected {
 		t.Fatal("a silent host was not ejected")
 	}
-	stuck.Ended(Reset, -1, Unknown, 1500, false)
-	env.failIf(stuck.Node == nil || stuck.Node == silent, "the read was not sent elsewhere")
+	stuck.EndDispatch(Reset, -1, UnknownRole, 1500, false)
+	env.failIf(stuck.Host == nil || stuck.Host == silent, "the read was not sent elsewhere")
 	env.advance(20000)
 	env.refreshPositions()
 	env.sent = nil
 	for range 6 {
-		env.submit(Bounded, Replayable, "", 0)
+		env.submit(BoundedStaleness, Idempotent, "", 0)
 	}
 	if again := env.dispatchesTo(silent); again != 1 {
 		t.Errorf("%d of 6 reads tried the silent host", again)
@@ -148,33 +148,33 @@
 
 func TestErrorIsRetriedOnceElsewhere(t *testing.T) {
 	env := newTestEnv(t, 5, nil)
-	command := env.submit(Bounded, Replayable, "", 0)
+	command := env.submit(BoundedStaleness, Idempotent, "", 0)
 	for range 3 {
-		if command.Node != nil {
-			command.Ended(Errored, env.now-20, Replica, 10, false)
+		if command.Host != nil {
+			command.EndDispatch(Errored, env.now-20, Replica, 10, false)
 		}
 	}
-	if command.Sent != 2 || env.sent[0] == env.sent[1] || env.finalAnswer[command] != "throttled" {
-		t.Errorf("%d dispatches to %v, then %q", command.Sent, env.sent, env.finalAnswer[command])
+	if command.Attempts != 2 || env.sent[0] == env.sent[1] || env.finalAnswer[command] != "throttled" {
+		t.Errorf("%d dispatches to %v, then %q", command.Attempts, env.sent, env.finalAnswer[command])
 	}
 }
 
 func TestOwnStallIsNotHostSilence(t *testing.T) {
 	env := newTestEnv(t, 2, nil)
 	held := newTestEnv(t, 1, nil)
-	env.submit(Bounded, Replayable, "", 0)
+	env.submit(BoundedStaleness, Idempotent, "", 0)
 	env.advance(100)
-	env.router.Clock(env.now + 90000)
-	env.router.Woke()
+	env.router.SetTime(env.now + 90000)
+	env.router.WakeUp()
 	for _, host := range env.hosts {
 		env.failIf(host.ejected, "a host was taken for silent while the router stood still")
 	}
 	held.hosts[0].limit = 0
-	old := held.submit(Bounded, Replayable, "", 0)
+	old := held.submit(BoundedStaleness, Idempotent, "", 0)
 	held.now += 9000
-	held.router.Clock(held.now)
-	held.submit(Bounded, Replayable, "", 0) // asks for a wake of its own
-	held.router.Woke()
+	held.router.SetTime(held.now)
+	held.submit(BoundedStaleness, Idempotent, "", 0) // asks for a wake of its own
+	held.router.WakeUp()
 	env.failIf(held.finalAnswer[old] == "", "what became overdue while the router stood still waits on")
 }
 
@@ -184,12 +184,12 @@
 	host.quickSentAt = env.now
 	command := env.submitUntilSentTo(host)
 	env.advance(100)
-	command.Ended(Unreached, -1, Unknown, 100, false)
-	if host.unreachable || command.Node == host {
+	command.EndDispatch(Unreachable, -1, UnknownRole, 100, false)
+	if host.unreachable || command.Host == host {
 		t.Error("a host that others had answers from was taken for dead, or asked again for the same command")
 	}
 	for _, other := range slices.Clone(host.inFlight) {
-		other.Ended(Answered, env.now-20, Replica, 100, true)
+		other.EndDispatch(Answered, env.now-20, Replica, 100, true)
 	}
 	env.failIf(!slices.Contains(env.closed, host), "an idle connection was kept where others wait for one")
 }
@@ -203,9 +203,9 @@
 	}
 	command, other := env.submitUntilSentTo(host), env.submitUntilSentTo(host)
 	env.advance(100)
-	command.Ended(Answered, env.now-20, Replica, 100, true)
+	command.EndDispatch(Answered, env.now-20, Replica, 100, true)
 	env.advance(2400)
-	other.Ended(Unreached, -1, Unknown, 2500, false) // no connection in all the time that there is
+	other.EndDispatch(Unreachable, -1, UnknownRole, 2500, false) // no connection in all the time that there is
 	env.failIf(host.unreachable || len(env.closed) > 0, "a host that answered is taken for dead, or what is open to it is closed")
 	env.refreshPositions()
 	sent := env.dispatchesTo(host)
@@ -213,10 +213,10 @@
 	env.failIf(env.dispatchesTo(host) == sent, "an open connection is not used")
 	env.refreshPositions()
 	for range 9 {
-		env.submit(Bounded, Replayable, "", 0)
+		env.submit(BoundedStaleness, Idempotent, "", 0)
 	}
 	env.failIf(env.dispatchesTo(host) > sent+1, "one more connection is opened to a host that is slow to connect")
-	third.Ended(Answered, env.now-20, Replica, 100, true)
+	third.EndDispatch(Answered, env.now-20, Replica, 100, true)
 	env.advance(20100)
 	for range 2 {
 		env.refreshPositions()
@@ -232,12 +232,12 @@
 	env.hosts[1].share = 1
 	before := env.dispatchesTo(env.hosts[1])
 	for range 5 {
-		if next := env.submit(Bounded, Replayable, "", 0); next.Node != nil {
+		if next := env.submit(BoundedStaleness, Idempotent, "", 0); next.Host != nil {
 			env.answer(next, 100)
 		}
 	}
 	env.failIf(env.dispatchesTo(env.hosts[1]) > before, "a host that answers nothing is sent the next command too")
-	command.Ended(TimedOut, -1, Unknown, 8000, true)
+	command.EndDispatch(TimedOut, -1, UnknownRole, 8000, true)
 	env.advance(20000)
 	env.refreshPositions()
 	env.answer(env.submitUntilSentTo(env.hosts[1]), 100)
--- a/policy/peer_message.go
+++ b/policy/peer_message.go
@@ -24,13 +24,13 @@
 // name, the number (position * 2 + role) * 16 + latency, with the position in milliseconds and 0 for replicas, 1 for primaries.
 type peerUpdate struct {
 	hostID   string
-	position Tenth
+	position TenthMs
 	role     Role
-	latency  Tenth
+	latency  TenthMs
 }
 
 func (u peerUpdate) encode() string {
-	number := (u.position/peerPositionUnit*peerRoles+Tenth(u.role)%peerRoles)*peerLatencies + u.latency
+	number := (u.position/peerPositionUnit*peerRoles+TenthMs(u.role)%peerRoles)*peerLatencies + u.latency
 	return u.hostID + "." + strconv.FormatInt(number, peerUpdateBase)
 }
 
@@ -51,6 +51,6 @@
 }
 
 // peerID names the host in messages between routers.
-func (h *Node) peerID() string {
+func (h *Host) peerID() string {
 	return strconv.FormatUint(uint64(crc32.ChecksumIEEE([]byte(h.Name))), peerUpdateBase)
 }
--- a/policy/peers_test.go
+++ b/policy/peers_test.go
@@ -4,22 +4,22 @@
 
 func TestRejectingHostBacksOffForAllRouters(t *testing.T) {
 	many := func(d *Deployment) { d.Peers, d.Routers = true, 200 }
-	env, peer, before := newTestEnv(t, 1, many), newTestEnv(t, 1, many), Tenth(0)
+	env, peer, before := newTestEnv(t, 1, many), newTestEnv(t, 1, many), TenthMs(0)
 	env.router.peerCredit = 1e6
 	env.advance(1000)
 	peer.advance(1000)
 	for range 3 {
-		command := env.submit(Write, Mutating, "s", 0)
-		command.Ended(Full, env.now-20, Primary, 20, false)
+		command := env.submit(Write, NotIdempotent, "s", 0)
+		command.EndDispatch(Overloaded, env.now-20, Primary, 20, false)
 		host := env.hosts[0]
-		if command.Sent != 1 || command.Node != nil || host.retryAt-env.now <= before {
-			t.Fatalf("sent %d times, left alone for %d after %d", command.Sent, host.retryAt-env.now, before)
+		if command.Attempts != 1 || command.Host != nil || host.retryAt-env.now <= before {
+			t.Fatalf("sent %d times, left alone for %d after %d", command.Attempts, host.retryAt-env.now, before)
 		}
 		before = host.retryAt - env.now
-		command.Left()
+		command.Abandon()
 		env.advance(before)
 	}
-	peer.router.Heard(env.messages[0])
+	peer.router.ReceivePeerUpdate(env.messages[0])
 	env.failIf(peer.hosts[0].retryAt <= peer.now, "a host that others found full was not left alone")
 }
 
@@ -28,8 +28,8 @@
 	env, peer := newTestEnv(t, 2, many), newTestEnv(t, 2, many)
 	env.router.peerCredit = 1e6
 	env.advance(3000)
-	command := env.submit(Write, Mutating, "s", 0)
-	command.Ended(Answered, env.now-20, Primary, 100, true)
+	command := env.submit(Write, NotIdempotent, "s", 0)
+	command.EndDispatch(Answered, env.now-20, Primary, 100, true)
 	if len(env.messages) != 1 {
 		t.Fatalf("an answer was shared %d times", len(env.messages))
 	}
@@ -39,7 +39,7 @@
 	}
 	peer.advance(3000)
 	peer.hosts[0].positionKnown, peer.hosts[0].position, peer.router.sets[1].primary = false, 0, nil
-	peer.router.Heard(env.messages[0])
+	peer.router.ReceivePeerUpdate(env.messages[0])
 	host, position := peer.hosts[0], env.hosts[0].position/10*10
 	if !host.positionKnown || host.position != position || peer.router.sets[1].primary != host {
 		t.Errorf("received %q, position %d, primary %v", env.messages[0], host.position, peer.router.sets[1].primary)
@@ -49,7 +49,7 @@
 		"", ".", "x", peer.hosts[1].peerID(), peer.hosts[1].peerID() + ".", peer.hosts[1].peerID() + ".-1",
 		peer.hosts[1].peerID() + ".zzzzzzzzzz", peer.hosts[1].peerID() + ".zzzzzzzzzzzzzzzzz", "nobody.1a",
 	} {
-		peer.router.Heard(body)
+		peer.router.ReceivePeerUpdate(body)
 	}
 	env.failIf(peer.hosts[1].position != before || peer.hosts[1].share < 1, "a message that no router can have sent was heeded")
 	env.advance(1000)
@@ -94,13 +94,13 @@
 	for range 40 { // reports are 0.6 s old, as the primary's show
 		env.advance(1000)
 		for i, host := range env.hosts {
-			host.Reported(env.now-6000, Role(min(i+1, 2)))
+			host.ReportLoad(env.now-6000, Role(min(i+1, 2)))
 		}
 	}
 	env.advance(100)
 	need := env.now - 1000
 	env.failIf(!env.hosts[1].hasReached(need), "a replica is taken to be behind, since its report is old")
 	env.advance(1000)
-	env.hosts[2].Reported(env.now-6900, Replica) // 0.1 s further in 1.1 s
+	env.hosts[2].ReportLoad(env.now-6900, Replica) // 0.1 s further in 1.1 s
 	env.failIf(env.hosts[2].hasReached(env.now-800), "a replica that falls behind is taken to have caught up")
 }
--- a/policy/planner_test.go
+++ b/policy/planner_test.go
@@ -11,24 +11,24 @@
 	env := newTestEnv(t, 3, followsPlanner(1))
 	env.advance(1000)
 	former, primary := env.hosts[0], env.hosts[1]
-	primary.Told(env.now-500, Primary, env.now-500, peerLatencyUnknown)
+	primary.ApplyPlannerUpdate(env.now-500, Primary, env.now-500, peerLatencyUnknown)
 	if env.router.replicaSet(1).primary != primary {
 		t.Fatal("the newer update is not followed")
 	}
-	former.Told(env.now-700, Primary, env.now-700, peerLatencyUnknown) // the old one's, relayed late
-	primary.Told(env.now+9999, Primary, env.now+9999, peerLatencyUnknown)
+	former.ApplyPlannerUpdate(env.now-700, Primary, env.now-700, peerLatencyUnknown) // the old one's, relayed late
+	primary.ApplyPlannerUpdate(env.now+9999, Primary, env.now+9999, peerLatencyUnknown)
 	if env.router.replicaSet(1).primary != primary || primary.position > env.now {
 		t.Error("an older update, or one of the future, is followed")
 	}
-	command := env.submit(Write, Mutating, "s", 0)
+	command := env.submit(Write, NotIdempotent, "s", 0)
 	sentAt := env.now
 	env.advance(100)
-	command.Ended(Missed, -1, Replica, 100, true)
-	primary.Told(sentAt-1, Primary, sentAt-1, peerLatencyUnknown)
+	command.EndDispatch(Misrouted, -1, Replica, 100, true)
+	primary.ApplyPlannerUpdate(sentAt-1, Primary, sentAt-1, peerLatencyUnknown)
 	if env.router.replicaSet(1).primary == primary {
 		t.Error("an update from before its own refusal makes it the primary again")
 	}
-	primary.Told(sentAt+50, Primary, sentAt+50, peerLatencyUnknown)
+	primary.ApplyPlannerUpdate(sentAt+50, Primary, sentAt+50, peerLatencyUnknown)
 	if env.router.replicaSet(1).primary != primary {
 		t.Error("an update from after its refusal does not")
 	}
@@ -36,16 +36,16 @@
 
 func TestUnprovenPrimaryIsTriedNext(t *testing.T) {
 	env := newTestEnv(t, 3, followsPlanner(1))
-	env.answer(env.submit(Write, Mutating, "s", 0), 100)
+	env.answer(env.submit(Write, NotIdempotent, "s", 0), 100)
 	candidate := env.hosts[2]
 	// Its log stands where the old primary left it.
-	candidate.Told(env.now-5000, Primary, env.now-5000, peerLatencyUnknown)
+	candidate.ApplyPlannerUpdate(env.now-5000, Primary, env.now-5000, peerLatencyUnknown)
 	if env.router.replicaSet(1).primary != env.hosts[0] {
 		t.Fatal("it is followed against a newer answer")
 	}
 	env.hosts[0].eject(second)
-	if write := env.submit(Write, Mutating, "s", 0); write.Node != candidate {
-		t.Errorf("asked %v", write.Node)
+	if write := env.submit(Write, NotIdempotent, "s", 0); write.Host != candidate {
+		t.Errorf("asked %v", write.Host)
 	}
 }
 
@@ -53,13 +53,13 @@
 	for _, noPlanner := range []bool{false, true} {
 		env := newTestEnv(t, 2, followsPlanner(1))
 		env.answerReads(20, 100)
-		env.router.Count(1, noPlanner)
+		env.router.SetRouterCount(1, noPlanner)
 		env.advance(2 * second)
 		env.refreshPositions()
 		host := env.hosts[1]
 		command := env.submitUntilSentTo(host)
 		host.quickSentAt, host.lastAnswerAt = 0, 0
-		command.Ended(Unreached, -1, Unknown, 0, false)
+		command.EndDispatch(Unreachable, -1, UnknownRole, 0, false)
 		env.failIf(!host.ejected || !host.down, "a host that takes no connection is not ejected")
 		env.advance(second)
 		env.refreshPositions()
@@ -75,7 +75,7 @@
 func TestMovingTrafficDoesNotRaiseColdBudget(t *testing.T) {
 	sum := func(from, to *testEnv) float64 { return from.hosts[0].model.warmRate + to.hosts[0].model.warmRate }
 	from := newTestEnv(t, 2, followsPlanner(2))
-	serve := func(env *testEnv, span Tenth) {
+	serve := func(env *testEnv, span TenthMs) {
 		for end := env.now + span; env.now < end; {
 			env.answerReads(4, 100)
 			env.advance(max(0, 2*second/10-400))
--- a/policy/preview.go
+++ b/policy/preview.go
@@ -2,52 +2,52 @@
 
 import "slices"
 
-// Shape holds settings that are not in force, to preview what they would decide.
-type Shape struct {
+// ShadowSettings holds settings that are not in force, to preview what they would decide.
+type ShadowSettings struct {
 	router *Router // made from them, for what New derives
 }
 
-// Course is how a command fares in the call that takes it in.
-type Course uint8
+// Disposition is how a command fares in the call that takes it in.
+type Disposition uint8
 
 // The courses of a command.
 const (
-	Held  Course = iota
-	Sent         // dispatched
-	Asked        // queued while a replica is probed for it
-	TurnedAway
+	Queued        Disposition = iota
+	Dispatched                // dispatched
+	AwaitingProbe             // queued while a replica is probed for it
+	Rejected
 )
 
-// NewShape readies settings for previews.
-func NewShape(deployment Deployment, now Tenth) *Shape {
-	return &Shape{New(noopCaller{}, deployment, now)}
+// NewShadowSettings readies settings for previews.
+func NewShadowSettings(deployment Deployment, now TenthMs) *ShadowSettings {
+	return &ShadowSettings{New(noopCaller{}, deployment, now)}
 }
 
 // Comeback is the wait that a throttled command would be given; 0: none.
-func (s *Shape) Comeback() Tenth { return s.router.Comeback }
+func (s *ShadowSettings) Comeback() TenthMs { return s.router.Comeback }
 
-// Course says how a command has fared in the call that took it, and the host that it was sent to.
-func (c *Cmd) Course() (Course, *Node) {
+// Disposition says how a command has fared in the call that took it, and the host that it was sent to.
+func (c *Command) Disposition() (Disposition, *Host) {
 	switch {
-	case c.Node != nil:
-		return Sent, c.Node
+	case c.Host != nil:
+		return Dispatched, c.Host
 	case c.done:
-		return TurnedAway, nil
+		return Rejected, nil
 	case c.probes > 0:
-		return Asked, nil
+		return AwaitingProbe, nil
 	}
-	return Held, nil
+	return Queued, nil
 }
 
 // Preview says how a command that is taken next would fare under other settings. group is the command's group there, inForce
-// the one in force, whose measurements it shares; the other arguments are those of Take. The command takes the ordinary path,
+// the one in force, whose measurements it shares; the other arguments are those of Submit. The command takes the ordinary path,
 // with the random numbers that the real one will draw; then all changes are undone, and the caller is asked for nothing.
 func (r *Router) Preview(
-	shape *Shape, group, inForce *CmdGroup, set int64, session string, timeout, since Tenth, again bool,
-) (Course, *Node) {
+	shape *ShadowSettings, group, inForce *CommandGroup, set int64, session string, timeout, since TenthMs, again bool,
+) (Disposition, *Host) {
 	replicas := r.sets[set]
 	if replicas == nil {
-		return Held, nil
+		return Queued, nil
 	}
 	defer r.restore(replicas, *r, *replicas, replicas.copyMembers())
 	trial := *group
@@ -59,11 +59,11 @@
 	r.probesForReads, r.probeSpend = next.probesForReads, next.probeSpend
 	r.Routers, r.Zero, r.caller = routers, zero, noopCaller{}
 	replicas.queue = slices.Clone(replicas.queue)
-	return r.Take("", &trial, set, session, timeout, since, again).Course()
+	return r.Submit("", &trial, set, session, timeout, since, again).Disposition()
 }
 
-func (s *replicaSet) copyMembers() []Node {
-	copies := make([]Node, len(s.members))
+func (s *replicaSet) copyMembers() []Host {
+	copies := make([]Host, len(s.members))
 	for i, member := range s.members {
 		copies[i] = *member
 	}
@@ -71,7 +71,7 @@
 }
 
 // restore undoes what a preview changed in the router, a replica set and its members.
-func (r *Router) restore(replicas *replicaSet, router Router, before replicaSet, members []Node) {
+func (r *Router) restore(replicas *replicaSet, router Router, before replicaSet, members []Host) {
 	*r, *replicas = router, before
 	for i, member := range replicas.members {
 		*member = members[i]
@@ -81,12 +81,12 @@
 // noopCaller is the caller of a command that isn't there.
 type noopCaller struct{}
 
-func (noopCaller) Dispatch(*Cmd, *Node, Tenth) {}
-func (noopCaller) Throttle(*Cmd, Tenth)        {}
-func (noopCaller) Fail(*Cmd)                   {}
-func (noopCaller) Probe(*Node)                 {}
-func (noopCaller) Close(*Node)                 {}
-func (noopCaller) Forget(*Node)                {}
-func (noopCaller) Watch()                      {}
-func (noopCaller) Tell(string)                 {}
-func (noopCaller) Wake(Tenth)                  {}
+func (noopCaller) Dispatch(*Command, *Host, TenthMs) {}
+func (noopCaller) Throttle(*Command, TenthMs)        {}
+func (noopCaller) Fail(*Command)                     {}
+func (noopCaller) Probe(*Host)                       {}
+func (noopCaller) Close(*Host)                       {}
+func (noopCaller) Forget(*Host)                      {}
+func (noopCaller) Watch()                            {}
+func (noopCaller) Tell(string)                       {}
+func (noopCaller) Wake(TenthMs)                      {}
--- a/policy/preview_test.go
+++ b/policy/preview_test.go
@@ -22,27 +22,27 @@
 func playForPreview(t *testing.T, preview bool) (decisions string, differences int) {
 	env := newTestEnv(t, 4, func(d *Deployment) { d.Routers, d.ProbePrice = 120, 0.02 })
 	next := otherSettings(env.router.Deployment)
-	shape := NewShape(next, env.now)
+	shape := NewShadowSettings(next, env.now)
 	for i := range 300 {
 		which := []int{0, 1, 4}[i%3]
 		group := env.router.Groups[which]
 		timeout := env.now + group.Timeout
-		expected, expectedHost := Held, (*Node)(nil)
+		expected, expectedHost := Queued, (*Host)(nil)
 		if preview {
 			expected, expectedHost = env.router.Preview(shape, next.Groups[which], group, 1, "s", timeout, 900, false)
 		}
-		command := env.router.Take(fmt.Sprint(i), group, 1, "s", timeout, 900, false)
-		if course, host := command.Course(); course != expected || host != expectedHost {
+		command := env.router.Submit(fmt.Sprint(i), group, 1, "s", timeout, 900, false)
+		if course, host := command.Disposition(); course != expected || host != expectedHost {
 			differences++
 		}
-		if command.Node != nil && i%5 > 0 {
-			env.answer(command, Tenth(200+i%7*100))
+		if command.Host != nil && i%5 > 0 {
+			env.answer(command, TenthMs(200+i%7*100))
 		} else {
 			env.advance(300)
 		}
 		for _, host := range env.probes {
-			host.Reported(env.now-2000, Replica)
-			host.Probed(true)
+			host.ReportLoad(env.now-2000, Replica)
+			host.EndProbe(true)
 		}
 		env.probes = nil
 	}
@@ -54,19 +54,19 @@
 
 // otherSettings is the deployment with hosts that check reads, no comeback, and reads of any age in the first group.
 func otherSettings(deployment Deployment) Deployment {
-	groups := make([]*CmdGroup, len(deployment.Groups))
+	groups := make([]*CommandGroup, len(deployment.Groups))
 	for i, group := range deployment.Groups {
 		copied := *group
 		groups[i] = &copied
 	}
-	groups[0].Need = Any
+	groups[0].Need = AnyAge
 	deployment.Groups, deployment.Guarded, deployment.Comeback = groups, true, 0
 	return deployment
 }
 
 func BenchmarkPreview(b *testing.B) {
 	env := newTestEnv(&testing.T{}, 6, nil)
-	shape := NewShape(env.router.Deployment, env.now)
+	shape := NewShadowSettings(env.router.Deployment, env.now)
 	group := env.router.Groups[1]
 	for b.Loop() {
 		env.router.Preview(shape, group, group, 1, "s", env.now+group.Timeout, 900, false)
--- a/policy/probe.go
+++ b/policy/probe.go
@@ -1,7 +1,7 @@
 package policy
 
-// Probed ends a probe. A host that is reachable again may have restarted, whatever the list says.
-func (h *Node) Probed(ok bool) {
+// EndProbe ends a probe. A host that is reachable again may have restarted, whatever the list says.
+func (h *Host) EndProbe(ok bool) {
 	if h.probing = false; ok && h.unreachable {
 		h.unreachable, h.ejected, h.backoff, h.retryAt, h.limit = false, false, 0, 0, recoveredLimit
 	}
@@ -17,9 +17,9 @@
 // probeHosts probes unreachable and new hosts and, on credit, those whose position has aged, oldest first.
 func (r *Router) probeHosts() {
 	for r.Probes {
-		var oldest *Node
+		var oldest *Host
 		for _, host := range r.hosts {
-			due := r.probeDue(host) && host.listState == In && !host.probing
+			due := r.probeDue(host) && host.listState == Active && !host.probing
 			if due && (oldest == nil || host.positionAt < oldest.positionAt) {
 				oldest = host
 			}
@@ -37,7 +37,7 @@
 }
 
 // probeDue says whether a probe of the host is due. Where routers tell each other, two of them do for all.
-func (r *Router) probeDue(host *Node) bool {
+func (r *Router) probeDue(host *Host) bool {
 	if host.unreachable {
 		return r.now >= host.retryAt
 	}
@@ -46,7 +46,7 @@
 		(!r.Peers || r.random()*float64(r.Routers) < 2)
 }
 
-func (r *Router) startProbe(host *Node) {
+func (r *Router) startProbe(host *Host) {
 	host.probing, host.positionAt = true, max(host.positionAt, 1)
 	r.caller.Probe(host)
 }
--- a/policy/route.go
+++ b/policy/route.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Take dispatches, queues or rejects a command that came in. timeout is when its client gives up, since the
+// Submit dispatches, queues or rejects a command that came in. timeout is when its client gives up, since the
 // span from its session's last write to now (0: not known), again whether the client calls it a retry.
-func (r *Router) Take(
-	name string, group *CmdGroup, set int64, session string, timeout, since Tenth, again bool,
-) *Cmd {
-	c := &Cmd{
+func (r *Router) Submit(
+	name string, group *CommandGroup, set int64, session string, timeout, since TenthMs, again bool,
+) *Command {
+	c := &Command{
 		Name: name, set: r.replicaSet(set), group: group, session: session, submittedAt: r.now,
 		targetAt: r.now + group.Target, timeoutAt: timeout, benefit: group.Benefit, draw: r.random(),
 	}
@@ -23,10 +23,10 @@
 	r.meanPriority += (c.priority() - r.meanPriority) / 64
 	r.probeCredit = min(r.probeCredit+r.probeSpend/max(r.ProbePrice, r.probeSpend), 16)
 	r.peerCredit = min(r.peerCredit+r.peerBytesPerCommand(), 128*float64(r.Routers))
-	if group.Need == Session {
+	if group.Need == ReadYourWrites {
 		c.minPosition = r.sessionToken(session)
 	}
-	if group.Need == Fresh || group.Need == Session && since > 0 { // since is 0 for the first
+	if group.Need == Strong || group.Need == ReadYourWrites && since > 0 { // since is 0 for the first
 		c.minPosition = max(c.minPosition, r.now-r.Zero-since)
 	}
 	if !c.route() {
@@ -37,7 +37,7 @@
 
 // isRetry tells a client's retry, which has the time left to the client, from first attempts, which all have
 // the same; a majority teaches which. Guards against overload that retries keep up.
-func (g *CmdGroup) isRetry(left, tolerance Tenth, again bool) bool {
+func (g *CommandGroup) isRetry(left, tolerance TenthMs, again bool) bool {
 	if max(left-g.firstTryTime, g.firstTryTime-left) <= tolerance {
 		g.firstTryVotes = min(g.firstTryVotes+1, 64)
 		return false
@@ -50,21 +50,21 @@
 }
 
 // route dispatches a command, or says that no host can take it now.
-func (c *Cmd) route() bool {
+func (c *Command) route() bool {
 	switch c.group.Need {
 	case Write:
 		return c.routeWrite()
-	case Fresh:
+	case Strong:
 		return c.routeToPrimary(c.minPosition)
-	case Bounded:
+	case BoundedStaleness:
 		return c.routeRead(c.set.router.now - c.set.router.Zero - c.group.Bound)
 	}
 	return c.routeRead(c.minPosition)
 }
 
 // routeRead dispatches a read to a replica that has the position, else to the primary.
-func (c *Cmd) routeRead(position Tenth) bool {
-	host := c.set.leastLoaded(c, func(host *Node) bool { return host.hasReached(position) })
+func (c *Command) routeRead(position TenthMs) bool {
+	host := c.set.leastLoaded(c, func(host *Host) bool { return host.hasReached(position) })
 	switch {
 	case host == nil && c.set.probeForRead(c, position):
 		return false
@@ -79,26 +79,26 @@
 }
 
 // spillsFrom says whether the primary, with half of its limit for this, takes a read in place of a replica.
-func (c *Cmd) spillsFrom(replica *Node) bool {
+func (c *Command) spillsFrom(replica *Host) bool {
 	primary := c.set.primary
 	return primary != nil && c.set.router.random() < spillShare && primary.accepts(c, 0.5) &&
 		primary.lateness < 1.3*replica.lateness && primary.load() <= replica.load()
 }
 
 // routeToPrimary dispatches a read to the primary, which keeps part of its limit for writes.
-func (c *Cmd) routeToPrimary(position Tenth) bool {
+func (c *Command) routeToPrimary(position TenthMs) bool {
 	primary := c.set.primary
 	return primary != nil && primary.accepts(c, 0.7) && c.withinShare(primary.share) &&
-		(c.group.Need == Fresh || primary.lateness < 1.5*lateRatio) && c.dispatch(primary, position)
+		(c.group.Need == Strong || primary.lateness < 1.5*lateRatio) && c.dispatch(primary, position)
 }
 
 // routeWrite dispatches to the primary. If none is known, or it is silent, members are tried every few ticks.
-func (c *Cmd) routeWrite() bool {
+func (c *Command) routeWrite() bool {
 	set, router := c.set, c.set.router
 	if primary := set.primary; primary != nil && !primary.ejected || router.Led {
 		return primary != nil && primary.accepts(c, 1) && c.withinShare(primary.share) && c.dispatch(primary, 0)
 	}
-	if router.now < set.nextTryAt || 2*c.Sent >= router.Dispatches {
+	if router.now < set.nextTryAt || 2*c.Attempts >= router.Dispatches {
 		return false
 	}
 	for range set.members {
@@ -113,7 +113,7 @@
 
 // probeForRead probes a replica if none is known to have the position, and says whether an answer is awaited.
 // Hundreds of routers that share nothing would know too little of replicas, and the primary would take all.
-func (s *replicaSet) probeForRead(c *Cmd, position Tenth) bool {
+func (s *replicaSet) probeForRead(c *Command, position TenthMs) bool {
 	router := s.router
 	if !router.probesForReads || router.now < s.probedUntil {
 		return router.probesForReads
@@ -121,7 +121,7 @@
 	if c.probes >= 2 || router.probeCredit < 1 {
 		return false
 	}
-	host := s.leastLoaded(c, func(host *Node) bool {
+	host := s.leastLoaded(c, func(host *Host) bool {
 		return !host.probing && !host.ejected && host != c.lastProbed && !host.hasReached(position) &&
 			c.withinShare(host.share)
 	})
@@ -137,7 +137,7 @@
 
 // leastLoaded is the suitable replica with the least load. The more routers there are, the more chance
 // decides, so that they do not all move to one host at once.
-func (s *replicaSet) leastLoaded(c *Cmd, suitable func(*Node) bool) (best *Node) {
+func (s *replicaSet) leastLoaded(c *Command, suitable func(*Host) bool) (best *Host) {
 	chanceWeight, least := 1.01-1/float64(s.router.Routers), 0.0
 	for _, host := range s.members {
 		if host == s.primary || !suitable(host) || slices.Contains(c.tried, host) || !host.accepts(c, 1) {
@@ -152,7 +152,7 @@
 }
 
 // dispatch sends the command to a host, which needs the position.
-func (c *Cmd) dispatch(host *Node, position Tenth) bool {
+func (c *Command) dispatch(host *Host, position TenthMs) bool {
 	router := c.set.router
 	if len(host.inFlight) == 0 {
 		host.lastAnswerAt = router.now
@@ -164,13 +164,13 @@
 	c.opensConn = !host.hasFreeStream()
 	host.inFlight, host.coldBudget = append(host.inFlight, c), host.coldBudget-c.work()
 	host.peakInFlight = max(host.peakInFlight, len(host.inFlight))
-	c.Node, c.sentAt, c.neededPosition, c.SendBy = host, router.now, position, 0
-	c.Sent, c.queued, c.overdue = c.Sent+1, false, false
-	if c.group.Need == Bounded && host != c.set.primary && !router.Guarded { // may wait to connect
+	c.Host, c.sentAt, c.neededPosition, c.SendBy = host, router.now, position, 0
+	c.Attempts, c.queued, c.overdue = c.Attempts+1, false, false
+	if c.group.Need == BoundedStaleness && host != c.set.primary && !router.Guarded { // may wait to connect
 		c.SendBy = host.position + router.Zero + c.group.Bound
 	}
 	wait := (c.targetAt - router.now) / 2 // past this a usually much faster answer is lost: ask elsewhere
-	if c.group.Effect != Replayable || wait < Tenth(5*c.group.meanLatency) {
+	if c.group.Effect != Idempotent || wait < TenthMs(5*c.group.meanLatency) {
 		wait = 0
 	}
 	router.caller.Dispatch(c, host, wait)
@@ -178,7 +178,7 @@
 }
 
 // recordWrite keeps the greatest write position of a session, in bounded memory.
-func (r *Router) recordWrite(session string, position Tenth) {
+func (r *Router) recordWrite(session string, position TenthMs) {
 	if len(r.tokens) >= maxSessionTokens {
 		r.tokenFloor = r.now - r.Zero
 		clear(r.tokens)
@@ -186,7 +186,7 @@
 	r.tokens[session] = max(position, r.sessionToken(session))
 }
 
-func (r *Router) sessionToken(session string) Tenth {
+func (r *Router) sessionToken(session string) TenthMs {
 	if position, ok := r.tokens[session]; ok || !r.Kept {
 		return position
 	}
--- a/policy/router.go
+++ b/policy/router.go
@@ -5,7 +5,7 @@
 import "slices"
 
 const (
-	second             = Tenth(10000)
+	second             = TenthMs(10000)
 	evaluationInterval = second / 20
 	stallThreshold     = second / 20 // a wake this long overdue shows that this router stood still
 	queueTicks         = 4           // between two looks at a queue, in ticks
@@ -23,17 +23,17 @@
 )
 
 // New starts a router.
-func New(caller Caller, deployment Deployment, now Tenth) *Router {
+func New(caller Caller, deployment Deployment, now TenthMs) *Router {
 	r := &Router{
 		Deployment: deployment, caller: caller, now: now, evaluatedAt: now, positionTTL: second / 2,
-		sets: map[int64]*replicaSet{}, hostsByID: map[string]*Node{}, models: map[string]*hostModel{},
-		tokens: map[string]Tenth{},
+		sets: map[int64]*replicaSet{}, hostsByID: map[string]*Host{}, models: map[string]*hostModel{},
+		tokens: map[string]TenthMs{},
 	}
 	for _, group := range r.Groups {
-		if group.Need == Bounded {
+		if group.Need == BoundedStaleness {
 			r.positionTTL = min(r.positionTTL, group.Bound/2)
 		}
-		r.Group(group)
+		r.InitGroup(group)
 		r.meanLatency += group.meanLatency / float64(len(r.Groups))
 	}
 	r.Streams, r.Tick = max(r.Streams, 1), max(r.Tick, 10)
@@ -45,30 +45,30 @@
 		r.probesForReads, r.probeSpend = true, 0.02
 	}
 	if r.AskWithin > 0 { // spread over a few seconds: nothing is broken if the list comes later
-		r.listRequestAt, r.listRetryDelay = now+1+Tenth(r.random()*float64(r.AskWithin/4)), r.AskWithin/8
+		r.listRequestAt, r.listRetryDelay = now+1+TenthMs(r.random()*float64(r.AskWithin/4)), r.AskWithin/8
 	}
 	r.scheduleWake(2 * r.Tick)
 	return r
 }
 
-// Clock sets the time of the calls that follow.
-func (r *Router) Clock(now Tenth) {
+// SetTime sets the time of the calls that follow.
+func (r *Router) SetTime(now TenthMs) {
 	if now > max(r.now, r.wakeAt)+stallThreshold {
 		r.stalledUntil = now
 	}
 	r.now = max(r.now, now)
 }
 
-// scheduleWake asks for a call of Woke, unless one comes sooner.
-func (r *Router) scheduleWake(after Tenth) {
+// scheduleWake asks for a call of WakeUp, unless one comes sooner.
+func (r *Router) scheduleWake(after TenthMs) {
 	if r.wakeAt <= r.now || r.wakeAt > r.now+after {
 		r.wakeAt = r.now + after
 		r.caller.Wake(after)
 	}
 }
 
-// Woke does what is due: soon again while commands are queued, else seldom, as there may be many hosts.
-func (r *Router) Woke() {
+// WakeUp does what is due: soon again while commands are queued, else seldom, as there may be many hosts.
+func (r *Router) WakeUp() {
 	next := evaluationInterval
 	for _, set := range r.orderedSets { // those without a host too
 		if len(set.queue) > 0 {
@@ -91,11 +91,11 @@
 
 // evaluateHosts updates what is known of all hosts, after a span of tenths.
 func (r *Router) evaluateHosts(span float64) {
-	r.evaluatedAt, r.hosts = r.now, slices.DeleteFunc(r.hosts, (*Node).dropIfRemoved)
+	r.evaluatedAt, r.hosts = r.now, slices.DeleteFunc(r.hosts, (*Host).dropIfRemoved)
 	silence := r.unusualSilence()
 	for _, host := range r.hosts {
 		r.evaluate(host, silence)
-		if host.listState == In && !host.ejected && !host.cold() {
+		if host.listState == Active && !host.ejected && !host.cold() {
 			host.model.warmSize += host.size
 		}
 	}
@@ -106,22 +106,22 @@
 }
 
 // unusualSilence is how long a host with commands in flight may be silent, given the gaps between answers.
-func (r *Router) unusualSilence() Tenth {
+func (r *Router) unusualSilence() TenthMs {
 	if count, mean, deviation := r.answerGaps.summary(r.now); count >= silenceSamples {
-		return Tenth(mean+silenceDeviations*deviation) + 2*r.Tick
+		return TenthMs(mean+silenceDeviations*deviation) + 2*r.Tick
 	}
-	return Tenth((1 + silenceDeviations) * r.meanLatency)
+	return TenthMs((1 + silenceDeviations) * r.meanLatency)
 }
 
 // evaluate ages what is known of a host's load, and ejects the host if it is silent for too long.
-func (r *Router) evaluate(host *Node, silence Tenth) {
+func (r *Router) evaluate(host *Host, silence TenthMs) {
 	if r.now >= host.peakSince+r.IdleFor/2 {
 		host.openConns = min(host.openConns, (host.peakInFlight+r.Streams-1)/r.Streams)
 		host.peakInFlight, host.peakSince = len(host.inFlight), r.now
 	}
 	host.lateness += (lateRatio/2 - host.lateness) / 400 // a host that is spared is tried again
 	host.share = min(1, host.share*1.0035)
-	inFlight, silentSince := Tenth(len(host.inFlight)), max(host.lastAnswerAt, r.stalledUntil)
+	inFlight, silentSince := TenthMs(len(host.inFlight)), max(host.lastAnswerAt, r.stalledUntil)
 	if inFlight > 0 && r.now-silentSince > silence*max(1, 4-inFlight) {
 		host.eject(silence)
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -5,26 +5,26 @@
 	Deployment
 	caller Caller
 
-	now          Tenth
-	wakeAt       Tenth // when the next call of Woke is expected
-	evaluatedAt  Tenth // when all hosts were last evaluated
-	stalledUntil Tenth // when the last stall of this process ended; silence before it proves nothing
-	noPlanner    bool  // no planner is there to tell what is new
-	randomDraws  Tenth // how many random numbers were drawn
+	now          TenthMs
+	wakeAt       TenthMs // when the next call of WakeUp is expected
+	evaluatedAt  TenthMs // when all hosts were last evaluated
+	stalledUntil TenthMs // when the last stall of this process ended; silence before it proves nothing
+	noPlanner    bool    // no planner is there to tell what is new
+	randomDraws  TenthMs // how many random numbers were drawn
 
 	listRequested  bool
-	listRequestAt  Tenth // when to request the list next; 0: it comes
-	listRetryDelay Tenth // after the next refusal
+	listRequestAt  TenthMs // when to request the list next; 0: it comes
+	listRetryDelay TenthMs // after the next refusal
 
 	sets        map[int64]*replicaSet
 	orderedSets []*replicaSet // in order of appearance
-	hosts       []*Node
-	hostsByID   map[string]*Node // by peerID
+	hosts       []*Host
+	hostsByID   map[string]*Host // by peerID
 	models      map[string]*hostModel
 
-	positionTTL Tenth            // how long a position counts as recent
-	tokens      map[string]Tenth // by session, the position of its last write
-	tokenFloor  Tenth            // no token that was dropped is greater
+	positionTTL TenthMs            // how long a position counts as recent
+	tokens      map[string]TenthMs // by session, the position of its last write
+	tokenFloor  TenthMs            // no token that was dropped is greater
 
 	answerGaps    window  // tenths between the answers of any one host
 	meanLatency   float64 // of answers, in tenths
@@ -48,16 +48,16 @@
 // replicaSet is a primary and the replicas of its data.
 type replicaSet struct {
 	router       *Router
-	members      []*Node // by name
-	primary      *Node   // as far as known
-	primaryDueAt Tenth   // when a primary is expected; long past: not known
-	queue        []*Cmd  // highest priority first
+	members      []*Host    // by name
+	primary      *Host      // as far as known
+	primaryDueAt TenthMs    // when a primary is expected; long past: not known
+	queue        []*Command // highest priority first
 
-	nextCandidate int   // the member to try next as primary
-	nextTryAt     Tenth // the earliest time of that try
+	nextCandidate int     // the member to try next as primary
+	nextTryAt     TenthMs // the earliest time of that try
 
-	probed      *Node // the replica that was probed for reads
-	probedUntil Tenth // until when reads wait for its answer
+	probed      *Host   // the replica that was probed for reads
+	probedUntil TenthMs // until when reads wait for its answer
 }
 
 // replicaSet is the replica set with a number, which it adds if it is new.
@@ -70,8 +70,8 @@
 	return set
 }
 
-// Node is a database host.
-type Node struct {
+// Host is a database host.
+type Host struct {
 	Name string
 
 	set       *replicaSet
@@ -79,71 +79,71 @@
 	zone      string
 	size      float64 // capacity relative to other hosts
 	inList    bool    // seen in the list that is being read
-	listState Standing
+	listState ListState
 
 	role     Role
-	roleAt   Tenth // when the host said so
-	inFlight []*Cmd
+	roleAt   TenthMs // when the host said so
+	inFlight []*Command
 
 	positionKnown bool
-	position      Tenth // the host has applied all up to here
-	positionAt    Tenth // when that was learned, or a probe was last sent
-	lag           Tenth // estimate of how far behind the present the host is
+	position      TenthMs // the host has applied all up to here
+	positionAt    TenthMs // when that was learned, or a probe was last sent
+	lag           TenthMs // estimate of how far behind the present the host is
 
 	probing      bool
 	ejected      bool // silent or unreachable: gets single trials only
 	unreachable  bool // a probe must succeed first
 	down         bool // took no connection, and no probe will tell when it is back
-	backoff      Tenth
-	retryAt      Tenth // until when nothing is sent
-	lastAnswerAt Tenth
-	quickSentAt  Tenth // send time of the latest command known to be answered in good time
+	backoff      TenthMs
+	retryAt      TenthMs // until when nothing is sent
+	lastAnswerAt TenthMs
+	quickSentAt  TenthMs // send time of the latest command known to be answered in good time
 
 	openConns        int // as far as known
 	peakInFlight     int
-	peakSince        Tenth // since when the peak is taken
-	slowConnectUntil Tenth // until then no connection is opened
-	connsScarceUntil Tenth // until then no idle connection is kept
+	peakSince        TenthMs // since when the peak is taken
+	slowConnectUntil TenthMs // until then no connection is opened
+	connsScarceUntil TenthMs // until then no idle connection is kept
 
 	limit      float64 // commands in flight at most
-	limitCutAt Tenth   // when the limit was last reduced
+	limitCutAt TenthMs // when the limit was last reduced
 	share      float64 // the part of the offered commands that is accepted
 	lateness   float64 // mean latency, as a part of the response target
-	ratedAt    Tenth   // when the lateness was last updated
-	sharedAt   Tenth   // when any router last told the others of this host
+	ratedAt    TenthMs // when the lateness was last updated
+	sharedAt   TenthMs // when any router last told the others of this host
 
-	startedAt    Tenth // the latest known start; 0: long ago
+	startedAt    TenthMs // the latest known start; 0: long ago
 	coldBudget   float64
-	coldBudgetAt Tenth // when the budget was last filled up
+	coldBudgetAt TenthMs // when the budget was last filled up
 }
 
-// Cmd is the handle of a command.
-type Cmd struct {
-	Name   string
-	Node   *Node // where a dispatch is in flight; nil: none is
-	Sent   int   // dispatches so far
-	SendBy Tenth // when the dispatch in flight must have been sent; 0: no limit
+// Command is the handle of a command.
+type Command struct {
+	Name     string
+	Host     *Host   // where a dispatch is in flight; nil: none is
+	Attempts int     // dispatches so far
+	SendBy   TenthMs // when the dispatch in flight must have been sent; 0: no limit
 
 	set     *replicaSet
-	group   *CmdGroup
+	group   *CommandGroup
 	session string
 
-	submittedAt Tenth
-	targetAt    Tenth // when the response target ends
-	timeoutAt   Tenth // when the client gives up
+	submittedAt TenthMs
+	targetAt    TenthMs // when the response target ends
+	timeoutAt   TenthMs // when the client gives up
 	benefit     float64
 	draw        float64 // random, compared with the share of a host
-	minPosition Tenth   // what a read must see, unless it is Bounded
+	minPosition TenthMs // what a read must see, unless it is BoundedStaleness
 
 	done           bool // has its final answer, or is owed none
 	queued         bool
-	tried          []*Node
-	sentAt         Tenth
-	neededPosition Tenth // of the last dispatch; 0: none
-	opensConn      bool  // the dispatch in flight opens a connection
-	overdue        bool  // the dispatch in flight is past the response target
-	mayHaveRunAt   Tenth // first dispatch that may have run; 0: none
-	faultPoints    int   // for errors and broken connections
-	probes         int   // sent for it
-	lastProbed     *Node // the last host that was
+	tried          []*Host
+	sentAt         TenthMs
+	neededPosition TenthMs // of the last dispatch; 0: none
+	opensConn      bool    // the dispatch in flight opens a connection
+	overdue        bool    // the dispatch in flight is past the response target
+	mayHaveRunAt   TenthMs // first dispatch that may have run; 0: none
+	faultPoints    int     // for errors and broken connections
+	probes         int     // sent for it
+	lastProbed     *Host   // the last host that was
 }
--- a/policy/window.go
+++ b/policy/window.go
@@ -4,11 +4,11 @@
 
 // window sums up the values of the last seconds in buckets of a second, which are used again.
 type window [windowSeconds]struct {
-	at                  Tenth // in seconds
+	at                  TenthMs // in seconds
 	count, sum, squares float64
 }
 
-func (w *window) record(now Tenth, value float64) {
+func (w *window) record(now TenthMs, value float64) {
 	bucket := &w[now/second%windowSeconds]
 	if bucket.at != now/second {
 		bucket.at, bucket.count, bucket.sum, bucket.squares = now/second, 0, 0, 0
@@ -16,7 +16,7 @@
 	bucket.count, bucket.sum, bucket.squares = bucket.count+1, bucket.sum+value, bucket.squares+value*value
 }
 
-func (w *window) summary(now Tenth) (count, mean, deviation float64) {
+func (w *window) summary(now TenthMs) (count, mean, deviation float64) {
 	var sum, squares float64
 	for _, bucket := range w {
 		if bucket.at > now/second-windowSeconds {
