--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -1,29 +1,13 @@
 package control
 
 import (
-	"errors"
 	"maps"
 	"slices"
 
-	"ferrypitch/internal/control/consensus"
 	"ferrypitch/internal/control/failover"
-	"ferrypitch/internal/control/statemachine"
 	"ferrypitch/internal/lease"
 )
 
-// errOutcomeUnknown is the result of a proposal that may or may not be committed. A caller may repeat it: changes are
-// idempotent by their request ID or base version.
-var errOutcomeUnknown = errors.New("leadership changed; whether the change is committed is unknown")
-
-// proposalResult is called once with the result of a proposal: nil, an error of applying it, or errOutcomeUnknown.
-type proposalResult func(err error)
-
-// pendingProposal waits for the log entry at its index.
-type pendingProposal struct {
-	term uint64 // an entry of another term at that index is another change
-	done proposalResult
-}
-
 // updateLeadership begins and ends acting as the leader. A member acts only under the leader lease of its consensus node (Raft
 // 6.4.1), and, once it does, until the node follows another leader: what it may do in between is checked by holdsLease.
 func (s *Server) updateLeadership() {
@@ -67,33 +51,6 @@
 	}
 }
 
-// propose appends a change to the log.
-func (s *Server) propose(change statemachine.Change, done proposalResult) {
-	now := s.clock.Now()
-	change.LeaderTimeMs = now + s.ledTimeOffsetMs
-	index, ready := s.consensus.Propose(statemachine.EncodeChange(change), now)
-	if index == 0 {
-		done(errOutcomeUnknown)
-		return
-	}
-	s.Proposals.Add(1)
-	s.pendingProposals[index] = pendingProposal{term: s.consensus.Term(), done: done}
-	s.carryOut(ready)
-}
-
-// completeProposal ends the proposal that waits for the index of an entry. err is the result of applying the entry.
-func (s *Server) completeProposal(entry consensus.Committed, err error) {
-	proposal, ok := s.pendingProposals[entry.Index]
-	if !ok {
-		return
-	}
-	delete(s.pendingProposals, entry.Index)
-	if proposal.term != entry.Term {
-		err = errOutcomeUnknown
-	}
-	proposal.done(err)
-}
-
 // runFailover evaluates all services and carries out what fail-over asks for, while this member holds the leader's lease.
 func (s *Server) runFailover() {
 	now := s.clock.Now()
