--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -49,7 +49,7 @@
 		_ = conn.Close()
 	}
 	accepted := make(chan *ProxyConn, 1)
-	if !p.queue.Put(eventloop.PriorityUpdates, func() {
+	if !p.queue.Put(eventloop.PriorityControl, func() {
 		accepted <- p.server.AcceptProxy(hello, conn.RemoteIP(), send, closeConn)
 	}) {
 		return
@@ -66,9 +66,9 @@
 		if err != nil {
 			break
 		}
-		p.queue.Put(eventloop.PriorityUpdates, func() { p.server.HandleProxyFrame(proxy, frame) })
+		p.queue.Put(eventloop.PriorityControl, func() { p.server.HandleProxyFrame(proxy, frame) })
 	}
-	p.queue.Put(eventloop.PriorityUpdates, func() { p.server.ProxyDisconnected(proxy) })
+	p.queue.Put(eventloop.PriorityControl, func() { p.server.ProxyDisconnected(proxy) })
 }
 
 // sendFrames sends the queued frames of a connection until it is closed or fails.
--- a/internal/control/run.go
+++ b/internal/control/run.go
@@ -198,7 +198,7 @@
 
 // nextEvent takes an event of the highest priority that has one.
 func (p *process) nextEvent() func() {
-	for _, priority := range []eventloop.Priority{eventloop.PriorityUpdates, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
+	for _, priority := range []eventloop.Priority{eventloop.PriorityControl, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
 		if event := p.queue.Take(priority); event != nil {
 			return event
 		}
@@ -213,7 +213,7 @@
 		case <-p.ctx.Done():
 			return
 		case <-reload:
-			p.queue.Put(eventloop.PriorityUpdates, p.reloadSettings)
+			p.queue.Put(eventloop.PriorityControl, p.reloadSettings)
 		case <-signals:
 			p.shutDown()
 			return
@@ -223,11 +223,11 @@
 
 // shutDown has the Server transfer its seat and leadership, and waits for it.
 func (p *process) shutDown() {
-	p.queue.Put(eventloop.PriorityUpdates, p.server.BeginShutdown)
+	p.queue.Put(eventloop.PriorityControl, p.server.BeginShutdown)
 	complete := make(chan bool, 1)
 	for {
 		time.Sleep(shutdownPollInterval)
-		queued := p.queue.Put(eventloop.PriorityUpdates, func() { complete <- p.server.ShutdownComplete() })
+		queued := p.queue.Put(eventloop.PriorityControl, func() { complete <- p.server.ShutdownComplete() })
 		if !queued || <-complete {
 			time.Sleep(shutdownLinger)
 			return
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -18,7 +18,7 @@
 	put(PriorityOutcomes, "outcome 1")
 	put(PriorityOutcomes, "outcome 2")
 	put(PriorityOutcomes, "outcome 3") // beyond the capacity, and does not block
-	put(PriorityUpdates, "list")
+	put(PriorityControl, "control event")
 	require.Equal(t, 5, queue.Len())
 	<-queue.Ready
 	for priority := range priorityCount {
@@ -26,7 +26,7 @@
 			function()
 		}
 	}
-	require.Equal(t, []string{"list", "outcome 1", "outcome 2", "outcome 3", "command"}, order)
+	require.Equal(t, []string{"control event", "outcome 1", "outcome 2", "outcome 3", "command"}, order)
 	require.Zero(t, queue.Len())
 }
 
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -7,7 +7,7 @@
 
 // The priorities, the most urgent first.
 const (
-	PriorityUpdates  Priority = iota // updates of what the owner decides by, as the membership
+	PriorityControl  Priority = iota // what decides how the owner acts: membership, leases, shutdown; and queries of its state
 	PriorityOutcomes                 // results of what the owner started
 	PriorityCommands                 // new work
 	priorityCount
--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -144,7 +144,7 @@
 		return errNotLeader
 	}
 	s.counters.controlLinks.Add(1)
-	s.queue.Put(eventloop.PriorityUpdates, func() { s.tickGossip(welcome.Proxies) })
+	s.queue.Put(eventloop.PriorityControl, func() { s.tickGossip(welcome.Proxies) })
 	return l.followLeader(ctx, cancel, conn)
 }
 
@@ -212,7 +212,7 @@
 func (l *controlLink) handleLogUpdate(conn *rpc.Conn, update *rpc.LogUpdate) {
 	s := l.server
 	l.members = update.Members
-	s.queue.Put(eventloop.PriorityUpdates, func() {
+	s.queue.Put(eventloop.PriorityControl, func() {
 		if err := s.applyLogUpdate(update); err != nil {
 			closeControlConn(conn)
 			return
@@ -233,6 +233,6 @@
 	}
 	requestedAt := requests.take(response.Serial)
 	s := l.server
-	s.queue.Put(eventloop.PriorityUpdates, func() { s.leaseGranted(response, requestedAt) })
+	s.queue.Put(eventloop.PriorityControl, func() { s.leaseGranted(response, requestedAt) })
 	return nil
 }
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -60,7 +60,7 @@
 // step handles the most urgent event of those that are due; false: there is none.
 func (s *Server) step() bool {
 	defer s.deferred.run()
-	for priority := eventloop.PriorityUpdates; priority <= eventloop.PriorityOutcomes; priority++ {
+	for priority := eventloop.PriorityControl; priority <= eventloop.PriorityOutcomes; priority++ {
 		if handle := s.queue.Take(priority); handle != nil {
 			handle()
 			return true
@@ -90,7 +90,7 @@
 // query runs read in the event loop and returns its result; false: the event loop has ended.
 func query[T any](queue *eventloop.Queue, read func() T) (result T, ok bool) {
 	results := make(chan T, 1)
-	if !queue.Put(eventloop.PriorityUpdates, func() { results <- read() }) {
+	if !queue.Put(eventloop.PriorityControl, func() { results <- read() }) {
 		return result, false
 	}
 	select {
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -38,7 +38,7 @@
 		s.log.Error("settings rejected", "error", err)
 		return
 	}
-	s.queue.Put(eventloop.PriorityUpdates, func() { s.settings.SeedPeers, s.settings.Bounds = read.SeedPeers, read.Bounds })
+	s.queue.Put(eventloop.PriorityControl, func() { s.settings.SeedPeers, s.settings.Bounds = read.SeedPeers, read.Bounds })
 	s.log.Info("settings reloaded", "seeds", read.SeedPeers)
 }
 
@@ -50,7 +50,7 @@
 	began := time.Now()
 	grace := settings.Duration(s.settings.Bounds.GraceS * 1000)
 	noticed := min(platformNoticeTime, grace/2)
-	s.queue.Put(eventloop.PriorityUpdates, func() {
+	s.queue.Put(eventloop.PriorityControl, func() {
 		s.shuttingDown = true
 		s.sweep(s.clock.Time())
 	})
--- a/internal/router/routing/hosts.go
+++ b/internal/router/routing/hosts.go
@@ -33,7 +33,7 @@
 // nothing.
 func (r *Router) HandleListLine(line []byte, addressIsNew bool) error {
 	result := make(chan error, 1)
-	if !r.queue.Put(eventloop.PriorityUpdates, func() {
+	if !r.queue.Put(eventloop.PriorityControl, func() {
 		list, err := setup.Decode("", line)
 		if err == nil {
 			err = r.applyList(list, addressIsNew)
@@ -53,7 +53,7 @@
 // ListRequestFailed notes that a list which was requested did not come, or that its changes have ended. The current list
 // stays in use.
 func (r *Router) ListRequestFailed() {
-	r.queue.Put(eventloop.PriorityUpdates, func() {
+	r.queue.Put(eventloop.PriorityControl, func() {
 		r.ListRequestsFailed.Add(1)
 		r.advanceClock()
 		r.trace.Unlisted()
@@ -131,7 +131,7 @@
 // UpdateHosts takes in what is new in a forwarder's view, from any goroutine: hosts as they are now, the names of those that it
 // dropped, the number of routers, and whether no planner is connected (blind). Lists come from the view alone then.
 func (r *Router) UpdateHosts(hosts []view.Host, dropped []string, routers int, blind bool) {
-	r.queue.Put(eventloop.PriorityUpdates, func() {
+	r.queue.Put(eventloop.PriorityControl, func() {
 		for _, name := range dropped {
 			if h := r.hosts[name]; h != nil {
 				gone := h.Host
@@ -160,7 +160,7 @@
 // TakeObservations returns what answers have shown of hosts since the last report, from any goroutine; nil once Run has ended.
 func (r *Router) TakeObservations() []link.Observation {
 	result := make(chan []link.Observation, 1)
-	if !r.queue.Put(eventloop.PriorityUpdates, func() { result <- r.takeReports() }) {
+	if !r.queue.Put(eventloop.PriorityControl, func() { result <- r.takeReports() }) {
 		return nil
 	}
 	select {
--- a/internal/router/routing/router.go
+++ b/internal/router/routing/router.go
@@ -138,7 +138,7 @@
 // false if nothing was due.
 func (r *Router) step() bool {
 	r.lastStep = time.Now()
-	if r.runQueued(eventloop.PriorityUpdates) || r.runQueued(eventloop.PriorityOutcomes) {
+	if r.runQueued(eventloop.PriorityControl) || r.runQueued(eventloop.PriorityOutcomes) {
 		return true
 	}
 	if first := r.timeouts.First(); first != nil && !r.lastStep.Before(first.Deadline) {
@@ -268,7 +268,7 @@
 // Reloaded records, where a trace is captured, that the configuration was read again and whether it was valid.
 func (r *Router) Reloaded(ok bool) {
 	if r.trace != nil {
-		r.queue.Put(eventloop.PriorityUpdates, func() {
+		r.queue.Put(eventloop.PriorityControl, func() {
 			r.advanceClock()
 			r.trace.Reload(ok)
 		})
--- a/internal/router/routing/routing_test.go
+++ b/internal/router/routing/routing_test.go
@@ -186,11 +186,11 @@
 func TestListsComeBeforeOutcomesAndThoseBeforeCommands(t *testing.T) {
 	q, order := eventloop.NewQueue(2), ""
 	for _, p := range []eventloop.Priority{
-		eventloop.PriorityCommands, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityUpdates,
+		eventloop.PriorityCommands, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityOutcomes, eventloop.PriorityControl,
 	} {
 		q.Put(p, func() { order += string(rune('0' + p)) })
 	}
-	for _, p := range []eventloop.Priority{eventloop.PriorityUpdates, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
+	for _, p := range []eventloop.Priority{eventloop.PriorityControl, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
 		for run := q.Take(p); run != nil; run = q.Take(p) {
 			run()
 		}
