--- a/internal/control/consensus/explore_hash_test.go
+++ b/internal/control/consensus/explore_hash_test.go
@@ -70,8 +70,20 @@
 func (h *hasher) message(m *Message) {
 	h.ids(m.From, m.To)
 	h.ints(int64(m.Type), int64(m.Term), int64(m.Index), int64(m.PrevTerm), int64(m.CommitIndex), int64(m.CommitTerm), m.SentAtMs)
+	h.ints(int64(m.PreVoteRound))
 	h.bools(m.PreVote, m.LeadershipTransfer, m.Granted, m.ColdStart)
 	h.entries(m.Entries)
+	h.bools(m.Chunk != nil)
+	if m.Chunk != nil {
+		h.chunk(m.Chunk)
+	}
+}
+
+func (h *hasher) chunk(c *SnapshotChunk) {
+	h.ints(int64(c.Index), int64(c.Term), int64(c.Size), int64(c.Offset), int64(len(c.Data)))
+	h.ids(c.Members...)
+	h.Write(c.Digest[:])
+	h.Write(c.Data)
 }
 
 func (h *hasher) node(n *Node) {
@@ -97,7 +109,7 @@
 }
 
 func (h *hasher) election(e *electionState) {
-	h.ints(e.timeoutAtMs, int64(e.campaignType), int64(e.campaignCount), e.electionCount)
+	h.ints(e.timeoutAtMs, int64(e.campaignType), int64(e.campaignCount), e.electionCount, int64(e.preVoteRound))
 	h.bools(e.allColdStarts)
 	h.flags(e.votes)
 	h.flags(e.coldStarts)
