--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// complete reports whether all seats are taken by members that run.
+// complete reports whether every voting member runs.
 func (c *cluster) complete() bool {
 	l := c.leader()
 	if l == nil {
--- a/internal/control/failover/doc.go
+++ b/internal/control/failover/doc.go
@@ -22,5 +22,6 @@
 //
 // Whatever a coordinator has to know after a change of leader is in the log, so the next leader goes on from there.
 //
-// The package does no input or output and reads no clock: callers pass the time, in milliseconds of a steady clock.
+// The package does no input or output and reads no clock: callers pass the time, in milliseconds of a monotonic
+// clock.
 package failover
--- a/internal/control/partition_cluster_test.go
+++ b/internal/control/partition_cluster_test.go
@@ -137,7 +137,7 @@
 	m.tick(incarnation)
 }
 
-// time is the member's steady clock.
+// time is the member's monotonic clock.
 func (m *partitionMember) time() time.Time {
 	return time.Unix(1e9, 0).Add(time.Duration(float64(m.cluster.Now-m.startedAt) * m.clockRate * 1e6))
 }
--- a/internal/control/shutdown.go
+++ b/internal/control/shutdown.go
@@ -9,8 +9,8 @@
 	transferGraceMs = 1500
 )
 
-// BeginShutdown transfers this member's seat to a learner and its leadership to another member (Raft 4.1 and 3.10). The member
-// serves on until ShutdownComplete.
+// BeginShutdown transfers this member's voting membership to a learner and its leadership to another member (Raft 4.1 and 3.10).
+// The member serves on until ShutdownComplete.
 func (s *Server) BeginShutdown() {
 	graceMs := int64(s.settings.Bounds.GraceS * 1000)
 	if graceMs == 0 {
@@ -21,15 +21,15 @@
 	s.carryOut(s.consensus.Leave(s.clock.Now()))
 }
 
-// ShutdownComplete reports whether the process may exit after BeginShutdown: another member has its seat, or no learner can
-// take it, another one leads, and no forwarded call is pending; or the time for this is over.
+// ShutdownComplete reports whether the process may exit after BeginShutdown: a learner votes in its place or none can, another
+// member leads, and no forwarded call is pending; or the time for this is over.
 func (s *Server) ShutdownComplete() bool {
 	now := s.clock.Now()
 	leave := s.consensus.LeaveState()
 	switch {
 	case leave.Done() && now < s.leaveDeadlineMs:
 		s.leaveDeadlineMs = now
-		s.log.Info("shutdown may complete", "seat_transferred", leave == consensus.LeaveReplaced, "members", s.consensus.Members())
+		s.log.Info("shutdown may complete", "membership_transferred", leave == consensus.LeaveReplaced, "members", s.consensus.Members())
 	case !leave.Done() && now < s.leaveDeadlineMs:
 		return false
 	case !leave.Done(): // no majority answers, or no learner has caught up: at least the leadership is transferred
--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -9,6 +9,6 @@
 // does not act on the old primary any more, and one whose lease has expired acts on none. Grantor.AllCaughtUp says when
 // that holds for every proxy.
 //
-// The package does no input or output and reads no clock: callers pass the time, in milliseconds of a steady clock of
+// The package does no input or output and reads no clock: callers pass the time, in milliseconds of a monotonic clock of
 // their own.
 package lease
