--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -78,7 +78,8 @@
 	Kind  string `json:"kind"`
 }
 
-// reject responds with an error. detail, if not nil, replaces the text of the kind.
+// reject responds with an error. The kind is for programs and stays the same; detail, if not nil, tells a person what was wrong
+// with this call, in place of the kind's general text.
 func reject(respond Responder, kind errcode.Kind, detail error) {
 	text := kind.Message()
 	if detail != nil {
@@ -88,7 +89,6 @@
 	respond(kind.HTTPStatus(), append(body, '\n'))
 }
 
-// respondResult responds to a change that was applied, or with the error of applying it.
 func respondResult(err error, respond Responder) {
 	if err != nil {
 		reject(respond, errorKind(err), err)
@@ -97,7 +97,8 @@
 	respond(http.StatusOK, []byte("{}\n"))
 }
 
-// errorKind is the kind of an error of a proposal.
+// errorKind returns the kind of an error of a proposal. Where the state machine refused nothing the outcome is unknown, which
+// errcode.NoLeader says too.
 func errorKind(err error) errcode.Kind {
 	switch {
 	case errors.Is(err, statemachine.ErrVersionConflict):
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -18,7 +18,8 @@
 	keptLogEntries = 200
 )
 
-// carryOut does what the consensus node asks for: it writes, sends, and applies committed entries.
+// carryOut does what the consensus node asks for. Every call of the node must be followed by it, in the order of the calls: the
+// write-ahead log and the state depend on that order.
 func (s *Server) carryOut(ready consensus.Ready) {
 	if len(ready.Writes) > 0 {
 		s.environment.Persist(ready.Writes)
@@ -66,7 +67,8 @@
 	return all
 }
 
-// applyCommitted applies entries to the state and sends them to the proxies.
+// applyCommitted applies entries to the state and sends them to the proxies, as one update: a frame for each entry
+// could fill the proxies' queues when many are committed at once.
 func (s *Server) applyCommitted(batch []consensus.Committed) {
 	update := &rpc.LogUpdate{Members: s.memberAddresses()}
 	for _, entry := range batch {
@@ -90,7 +92,8 @@
 	s.compactLog()
 }
 
-// installSnapshot replaces the state by a snapshot of the leader.
+// installSnapshot replaces the state by a snapshot of the leader, which also ends a divergence from the log. Proxies need the
+// snapshot too: the entries before it never pass through here.
 func (s *Server) installSnapshot(entry consensus.Committed, update *rpc.LogUpdate) {
 	state, err := statemachine.Restore(entry.Snapshot.Data)
 	if err != nil {
@@ -103,7 +106,8 @@
 	update.Snapshot, update.Entries, update.LastIndex = entry.Snapshot.Data, nil, entry.Index
 }
 
-// applyEntry applies one entry and completes the proposal that waits for it.
+// applyEntry applies one entry. A state that an entry does not fit is rebuilt, and proxies and callers see only the result: the
+// log decides, not one member's memory.
 func (s *Server) applyEntry(entry consensus.Committed, update *rpc.LogUpdate) {
 	change, err := s.applyTo(s.state, entry)
 	if errors.Is(err, statemachine.ErrDiverged) {
--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -71,7 +71,8 @@
 	p.queue.Put(eventloop.PriorityControl, func() { p.server.ProxyDisconnected(proxy) })
 }
 
-// sendFrames sends the queued frames of a connection until it is closed or fails.
+// sendFrames waits for a proxy that reads slowly, in place of the event loop. A failed send closes the connection, which ends
+// its reader too; the proxy reconnects and catches up.
 func sendFrames(conn *rpc.Conn, outgoing <-chan *rpc.Frame, closed <-chan struct{}) {
 	for {
 		select {
--- a/internal/control/consensus/ready.go
+++ b/internal/control/consensus/ready.go
@@ -40,7 +40,7 @@
 	messages    []Message // to be sent then
 }
 
-// takeReady returns what has been asked for since the last call.
+// takeReady empties n.ready: each exported call returns it once, so that nothing is written, sent or applied twice.
 func (n *Node) takeReady() Ready {
 	ready := n.ready
 	n.ready = Ready{}
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -6,8 +6,8 @@
 //	                            |
 //	                            +-> failover -> queries to hosts, promotions at the platform
 //
-// Server holds all state and is used by one goroutine. It reaches the outside only by its Environment and never blocks, so that
-// tests run whole clusters in one goroutine on a simulated clock and network. Run gives a Server its sockets, its data
-// directory, timers and signals, and owns all other goroutines; they pass results to the Server by a queue. The decisions are
-// made in the packages consensus, statemachine, failover and lease, which are pure.
+// Server holds all state and is used by one goroutine. It reaches the outside only by its Environment, and waits for nothing
+// but room in the queue of writes, so that tests run whole clusters in one goroutine on a simulated clock and network. Run
+// gives a Server its sockets, its data directory, timers and signals, and owns all other goroutines; they pass results to the
+// Server by a queue. The decisions are made in the packages consensus, statemachine, failover and lease, which are pure.
 package control
--- a/internal/control/forwarding.go
+++ b/internal/control/forwarding.go
@@ -45,7 +45,6 @@
 	}
 }
 
-// remove ends a pending call.
 func (f *forwarder) remove(serial uint64) {
 	f.pendingBytes -= f.pending[serial].bytes
 	delete(f.pending, serial)
@@ -92,7 +91,8 @@
 	}
 }
 
-// handleForwardResponse passes the leader's response on to the caller.
+// handleForwardResponse passes the leader's response on to the caller. Responses may come late, twice, or from a member that
+// was not asked; passed on, one of these could acknowledge a change that the caller's call did not make.
 func (s *Server) handleForwardResponse(from string, response *rpc.ForwardResponse) {
 	f := &s.forwarder
 	call, pending := f.pending[response.Serial]
--- a/internal/control/persist.go
+++ b/internal/control/persist.go
@@ -32,7 +32,6 @@
 	}
 }
 
-// appendQueuedWrites appends all writes that are queued.
 func (p *process) appendQueuedWrites(writes []consensus.Write) []consensus.Write {
 	for {
 		select {
--- a/internal/control/proposals.go
+++ b/internal/control/proposals.go
@@ -20,7 +20,8 @@
 	done proposalResult
 }
 
-// propose appends a change to the log.
+// propose appends a change to the log. It stamps it with the leader's time, since replicas must not read their own clocks when
+// they apply it. done may be called before propose returns.
 func (s *Server) propose(change statemachine.Change, done proposalResult) {
 	now := s.clock.Now()
 	change.LeaderTimeMs = now + s.ledTimeOffsetMs
@@ -34,7 +35,8 @@
 	s.carryOut(ready)
 }
 
-// completeProposal ends the proposal that waits for the index of an entry. err is the result of applying the entry.
+// completeProposal ends the proposal that waits for the index of an entry. err is the result of applying the entry; it says
+// nothing about the proposal if another leader's entry took that index.
 func (s *Server) completeProposal(entry consensus.Committed, err error) {
 	proposal, ok := s.pendingProposals[entry.Index]
 	if !ok {
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// deliver sends a frame, or closes the connection of a proxy that does not read.
+// deliver sends a frame. It closes the connection of a proxy that does not read: a frame left out would be a gap in its log, and
+// once it reconnects it gets all that it lacks.
 func (c *ProxyConn) deliver(frame *rpc.Frame) {
 	if !c.closed && !c.send(frame) {
 		c.close()
--- a/internal/control/run.go
+++ b/internal/control/run.go
@@ -196,7 +196,8 @@
 	}
 }
 
-// nextEvent takes an event of the highest priority that has one.
+// nextEvent looks through all priorities for each event, so that what arrives meanwhile with a higher priority does not wait for
+// a backlog of commands.
 func (p *process) nextEvent() func() {
 	for _, priority := range []eventloop.Priority{eventloop.PriorityControl, eventloop.PriorityOutcomes, eventloop.PriorityCommands} {
 		if event := p.queue.Take(priority); event != nil {
@@ -221,7 +222,7 @@
 	}
 }
 
-// shutDown has the Server transfer its seat and leadership, and waits for it.
+// shutDown has the Server transfer its voting membership and leadership, and waits for it.
 func (p *process) shutDown() {
 	p.queue.Put(eventloop.PriorityControl, p.server.BeginShutdown)
 	complete := make(chan bool, 1)
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -13,8 +13,8 @@
 	"ferrypitch/internal/settings"
 )
 
-// Server is one member of the control plane. All its methods must be called by one goroutine; none of them blocks. Only its
-// Counters may be read and changed by others.
+// Server is one member of the control plane. All its methods must be called by one goroutine; they block only
+// where Environment.Persist does. Only its Counters may be read and changed by others.
 type Server struct {
 	settings    *settings.Settings
 	log         hclog.Logger
@@ -32,7 +32,7 @@
 	leading          bool                  // this member acts as the leader; set by updateLeadership
 	grantor          *lease.Grantor        // of proxies' leases in the present term; nil before the first
 	coordinator      *failover.Coordinator // of fail-over in the present term; nil before the first
-	ledTimeOffsetMs  int64                 // from the clock to led time (statemachine.Change.LedTimeMs), while leading
+	ledTimeOffsetMs  int64                 // from the clock to leader time (statemachine.Change.LeaderTimeMs), while leading
 	pendingProposals map[uint64]pendingProposal
 	pendingUpdates   pendingUpdates
 	lastCallSeq      map[string]int64 // CallSeq of the last heartbeat, by host
@@ -41,13 +41,13 @@
 	proxiesAccepted uint64                  // number of ProxyConns since the start
 	forwarder       forwarder
 
-	leaveDeadlineMs int64 // until when a shutdown waits for this member's seat to be transferred
+	leaveDeadlineMs int64 // until when a shutdown waits for this member's voting membership to be transferred
 
 	Counters
 }
 
-// Environment is how a Server acts on the outside. None of its functions may block. Run connects them to sockets and a disk,
-// tests to a simulation.
+// Environment is how a Server acts on the outside. Its functions must not wait for the network, a host or the disk, since the
+// event loop would stand still meanwhile. Run connects them to sockets and a disk, tests to a simulation.
 type Environment struct {
 	// Send sends a frame to the member at an IP address. It may be lost.
 	Send func(ip string, frame *rpc.Frame)
@@ -55,7 +55,9 @@
 	QueryHost func(query failover.HostQuery, host statemachine.Host)
 	// Promote asks the platform to promote a host; Server.PromotionFinished gets the outcome.
 	Promote func(promotion failover.Promotion)
-	// Persist writes to the write-ahead log in the order of its calls; Server.Persisted is called once a write is synced.
+	// Persist writes to the write-ahead log in the order of its calls; Server.Persisted is called once a write is synced. It
+	// is the exception: Run's queues up to writeQueueLength calls, and blocks the event loop while a stalled disk keeps that
+	// queue full.
 	Persist func(writes []consensus.Write)
 	// DroppedFrames is the number of frames that Send could not send. It may be nil.
 	DroppedFrames func() int64
