--- a/internal/control/consensus/election.go
+++ b/internal/control/consensus/election.go
@@ -73,11 +73,17 @@
 	}
 }
 
-// resetCampaignTimer draws when to campaign again. A Pre-Vote disturbs nobody and is repeated soon. Candidates that
-// compete may split the votes, and slow disks take long to grant one, so elections back off.
+// preVoteDelayMs draws when to ask for Pre-Votes next: half the time of an election's heartbeat and jitter, since a Pre-Vote
+// disturbs nobody and waits for no disk.
+func (n *Node) preVoteDelayMs(drawn float64) int64 {
+	return n.HeartbeatMs/2 + int64(drawn*float64(n.ElectionJitterMs)/2)
+}
+
+// resetCampaignTimer draws when to campaign again. Candidates that compete may split the votes, and slow disks take long to
+// grant one, so elections back off.
 func (n *Node) resetCampaignTimer() {
 	if n.election.campaignType == campaignPreVote {
-		n.election.timeoutAtMs = n.nowMs + n.HeartbeatMs/2 + int64(n.random()*float64(n.ElectionJitterMs)/2)
+		n.election.timeoutAtMs = n.nowMs + n.preVoteDelayMs(n.random())
 		return
 	}
 	n.election.electionCount = min(n.election.electionCount+1, maxElectionBackoff)
@@ -187,6 +193,7 @@
 			granted = false
 		} else {
 			n.becomeFollower("")
+			// time for the other's election and its first heartbeat
 			n.election.timeoutAtMs = n.nowMs + 2*n.HeartbeatMs + n.jitterMs()
 		}
 	}
@@ -238,8 +245,8 @@
 }
 
 // leaseForbidsVote says whether a lease keeps this node from voting for a candidate (4.2.3, 6.4.1). It does not if the
-// leader has ended its lease to transfer leadership, or if no member can have granted one. A leader waits for a fifth of
-// a lease beyond its own before it votes for another.
+// leader has ended its lease to transfer leadership, or if no member can have granted one. A leader waits beyond the end
+// of its own before it votes for another (leaderVoteDelayDivisor).
 func (n *Node) leaseForbidsVote(m Message) bool {
 	switch {
 	case m.ColdStart && !n.leaderSeen,
@@ -247,7 +254,7 @@
 		m.LeadershipTransfer && n.role == follower && n.nowMs >= n.startedAtMs+n.LeaseMs:
 		return false
 	}
-	return n.boundByLease() || n.role == leader && n.nowMs < n.leaseUntilMs()+n.LeaseMs/5
+	return n.boundByLease() || n.role == leader && n.nowMs < n.leaseUntilMs()+n.LeaseMs/leaderVoteDelayDivisor
 }
 
 // tiesWith says whether this node asks for Pre-Votes itself, with an equal log. Two that go on to an election at once
--- a/internal/control/consensus/lease.go
+++ b/internal/control/consensus/lease.go
@@ -6,9 +6,15 @@
 	"slices"
 )
 
-// maxDriftDivisor bounds how far the members' clocks may drift apart: a leader counts on a lease for a tenth less time
-// than its granter keeps it.
-const maxDriftDivisor = 10
+const (
+	// maxDriftDivisor bounds how far the members' clocks may drift apart: a leader counts on a lease for a tenth less time
+	// than its granter keeps it.
+	maxDriftDivisor = 10
+	// leaderVoteDelayDivisor is the share of a lease for which a leader votes for nobody beyond the end of its own: a fifth
+	// makes up for the tenth that it counted less, and for a clock of its own that is fast by as much. So it votes
+	// about as late as the members that are bound to it.
+	leaderVoteDelayDivisor = 5
+)
 
 // HoldsLease says that no other leader can have been elected by now, and that everything committed in earlier terms has
 // been committed here (6.4, 6.4.1). Only then may the caller answer reads or acknowledge writes.
@@ -18,8 +24,10 @@
 		nowMs < n.leaseUntilMs()
 }
 
-// RecentLeader returns the leader if it was heard within two thirds of a lease, and so is worth asking, else nothing. Its
-// lease may have ended before, or run for longer.
+// RecentLeader returns the leader if it was heard within two thirds of a lease, and so is worth asking, else nothing. By
+// DefaultConfig that is the time of three heartbeats, so one that is lost does not count, and less than a leader's lease,
+// so callers stop waiting for a lost leader before another can be elected. Its lease may have ended before, or run for
+// longer.
 func (n *Node) RecentLeader(nowMs int64) ID {
 	if n.role != leader && nowMs > n.leaderHeardAtMs+n.LeaseMs*2/3 {
 		return ""
--- a/internal/control/consensus/leave.go
+++ b/internal/control/consensus/leave.go
@@ -48,8 +48,9 @@
 // LeaveState returns how far this member's graceful shutdown has come.
 func (n *Node) LeaveState() LeaveState { return n.leave.state }
 
-// tickLeave asks the leader to replace this member, again and again, since the leader may change. A leader has itself
-// replaced before it transfers its leadership: so leadership moves only once, and to a member that stays.
+// tickLeave asks the leader to replace this member, again and again, since the leader may change: twice a heartbeat, so
+// that a request which is lost delays the shutdown by less than one. A leader has itself replaced before it transfers
+// its leadership: so leadership moves only once, and to a member that stays.
 func (n *Node) tickLeave() {
 	if n.leave.state != LeavePending || n.nowMs < n.leave.nextRequestAtMs {
 		return
--- a/internal/control/consensus/membership.go
+++ b/internal/control/consensus/membership.go
@@ -120,7 +120,8 @@
 	return false
 }
 
-// tickJoin asks a leader, wherever it is, to track this node.
+// tickJoin asks a leader, wherever it is, to track this node: twice a lease, so that a new leader, which knows no learners,
+// hears of them before mustStay stops waiting for them.
 func (n *Node) tickJoin() {
 	if n.nowMs >= n.nextJoinAtMs {
 		n.nextJoinAtMs = n.nowMs + n.LeaseMs/2
--- a/internal/control/consensus/node.go
+++ b/internal/control/consensus/node.go
@@ -75,7 +75,7 @@
 	n.addConfigurations(snapshot.Index, n.log.entries)
 
 	drawn := n.random()
-	n.election.timeoutAtMs = nowMs + n.HeartbeatMs/2 + int64(drawn*float64(n.ElectionJitterMs)/2)
+	n.election.timeoutAtMs = nowMs + n.preVoteDelayMs(drawn)
 	n.election.preVoteRound = firstPreVoteRound(drawn)
 	return n
 }
--- a/internal/control/consensus/replication.go
+++ b/internal/control/consensus/replication.go
@@ -35,7 +35,7 @@
 // message of entries is in flight at a time.
 func (n *Node) replicate(id ID, p *progress) {
 	retransmitMs := n.RetransmitMs
-	if p.outgoing != nil { // chunks are acknowledged before they are on disk
+	if p.outgoing != nil { // chunks are acknowledged before they are on disk, so two heartbeats are long enough to wait
 		retransmitMs = 2 * n.HeartbeatMs
 	}
 	if p.sentAtMs != 0 && n.nowMs < p.sentAtMs+retransmitMs || n.unresponsive(p) {
--- a/internal/control/consensus/snapshot_transfer.go
+++ b/internal/control/consensus/snapshot_transfer.go
@@ -116,7 +116,8 @@
 		n.ChunksIgnored++
 		return
 	}
-	// An ack that goes back may be late. It is not if it goes back to the start, or comes after a while.
+	// An ack that goes back may be late. It is not if it goes back to the start, or comes so long after the last progress
+	// that it hardly was on its way meanwhile: half of the time after which entries are sent again.
 	restarted := ack.Offset == 0 || n.nowMs > snapshot.ackedAtMs+n.RetransmitMs/2
 	switch offset := ack.Offset; {
 	case offset > snapshot.Offset:
