--- a/internal/proxy/benchmark_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// A change of one primary, from its frame to the balancer.
+// A change of one primary, from its frame to the policy.
 func BenchmarkLogUpdate(b *testing.B) {
 	forEachSize(b, func(b *testing.B, server *Server) {
 		term := uint64(1)
@@ -77,14 +77,14 @@
 	})
 }
 
-// The balancer's look at its hosts, every 50 ms.
+// The policy's look at its hosts, every 50 ms.
 func BenchmarkPolicyWake(b *testing.B) {
 	forEachSize(b, func(b *testing.B, server *Server) {
 		now := server.refreshPolicyTime()
 		for b.Loop() {
 			now += toTenths(50 * time.Millisecond)
-			server.balancer.SetTime(now)
-			server.balancer.WakeUp()
+			server.policy.SetTime(now)
+			server.policy.WakeUp()
 			server.deferred = actionQueue{}
 		}
 	})
--- a/internal/proxy/client_session.go
+++ b/internal/proxy/client_session.go
@@ -23,7 +23,7 @@
 	server    *Server
 	out       nonblockingConn
 	id        uint64
-	policyKey string // what the balancer calls it
+	policyKey string // the session in calls of the policy, which tracks the last write of each session under it
 	database  string
 
 	pipelined    []clientMessage // received and not started yet
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -20,8 +20,8 @@
 	statementsQueued       atomic.Int64 // for which no host was available at once
 	dispatches             atomic.Int64 // attempts; those beyond one a statement are retries
 	rejected               atomic.Int64 // statements of which nothing is kept
-	throttled              atomic.Int64 // statements for which the balancer found no host in time
-	failed                 atomic.Int64 // statements that the balancer gave up, which may have run
+	throttled              atomic.Int64 // statements for which the policy found no host in time
+	failed                 atomic.Int64 // statements that the policy gave up, which may have run
 	leaseExpiredBeforeSend atomic.Int64 // statements not sent, since a lease or a primary's epoch had ended
 	floorUnknown           atomic.Int64 // reads that had to go to the primary, since no position to judge replicas by was known
 	acksAfterRevocation    atomic.Int64 // writes acknowledged by a primary that was revoked meanwhile
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -11,7 +11,7 @@
 
 type timer = *eventloop.Timer[func()]
 
-// actionQueue is what is left to do when the current event has been handled. The balancer must not be called back from
+// actionQueue is what is left to do when the current event has been handled. The policy must not be called back from
 // within its own calls, and a connection must not be closed by the code that writes to it.
 type actionQueue struct{ actions []func() }
 
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -31,9 +31,9 @@
 // hostPool is a database host and this proxy's connections to it.
 type hostPool struct {
 	statemachine.Host
-	server  *Server
-	node    *policy.Host // the balancer's handle of it
-	service *service
+	server     *Server
+	policyHost *policy.Host // the policy's handle of it
+	service    *service
 
 	conns   map[*hostConn]struct{} // all that are open
 	idle    []*hostConn            // the most recently used last
@@ -45,8 +45,8 @@
 	lastReportedMs int64 // when it was last reported as suspect, in milliseconds of the clock
 	drainingSince  time.Time
 
-	probePending bool // the balancer waits for the next connection to open or fail
-	announced    bool // the balancer knows its standing
+	probePending bool // the policy waits for the next connection to open or fail
+	announced    bool // the policy knows its standing
 	standing     policy.ListState
 	retired      bool // removed, or replaced by another host of the same name: it takes no statements
 }
@@ -112,7 +112,7 @@
 	succeeded := err == nil && response.Code == ""
 	if p.probePending {
 		p.probePending = false
-		defer func() { p.node.EndProbe(succeeded) }()
+		defer func() { p.policyHost.EndProbe(succeeded) }()
 	}
 	if !succeeded {
 		p.dialFailed(response.Code, err)
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -24,7 +24,7 @@
 	// maxComeback is the longest wait, in tenths of a millisecond, that a rejected client is asked for.
 	maxComeback policy.TenthMs = 2000
 
-	// hostConnIdleTimeout is the span over which the balancer looks for the most connections in use at once. When an idle
+	// hostConnIdleTimeout is the span over which the policy looks for the most connections in use at once. When an idle
 	// connection is closed, package connlimit says.
 	hostConnIdleTimeout = 45 * time.Second
 )
@@ -60,20 +60,20 @@
 	return policy.TenthMs(ms * tenthsPerMillisecond)
 }
 
-// refreshPolicyTime tells the balancer the present time, which it needs before any other call, and returns it.
+// refreshPolicyTime tells the policy the present time, which it needs before any other call, and returns it.
 func (s *Server) refreshPolicyTime() policy.TenthMs {
 	s.policyNow = policy.TenthMs(eventloop.ClockOrigin)*tenthsPerMillisecond + toTenths(s.clock.Since())
-	if s.balancer != nil {
-		s.balancer.SetTime(s.policyNow)
+	if s.policy != nil {
+		s.policy.SetTime(s.policyNow)
 	}
 	return s.policyNow
 }
 
-// wakePolicy makes the call that the balancer asked for. It is called again after policyTick if it asks for nothing.
+// wakePolicy makes the call that the policy asked for. It is called again after policyTick if it asks for nothing.
 func (s *Server) wakePolicy() {
 	s.policyWakeAt = time.Time{}
 	s.refreshPolicyTime()
-	s.balancer.WakeUp()
+	s.policy.WakeUp()
 	if s.policyWakeAt.IsZero() {
 		s.schedulePolicyWake(policyTick)
 	}
@@ -85,16 +85,16 @@
 	}
 }
 
-// policyCaller carries out what the balancer decides; it implements policy.Caller. All of it runs in the event loop, inside a
-// call to the balancer: what could call the balancer again is deferred until that has returned.
+// policyCaller carries out what the policy decides; it implements policy.Caller. All of it runs in the event loop, inside a
+// call to the policy: what could call the policy again is deferred until that has returned.
 type policyCaller struct{ server *Server }
 
 // Dispatch sends a statement to a host.
-func (p policyCaller) Dispatch(command *policy.Command, node *policy.Host, timeout policy.TenthMs) {
+func (p policyCaller) Dispatch(command *policy.Command, host *policy.Host, timeout policy.TenthMs) {
 	s := p.server
 	stmt := s.statements[command.Name]
 	stmt.command = command
-	stmt.beginAttempt(s.poolByNode[node])
+	stmt.beginAttempt(s.poolByPolicyHost[host])
 	deadline := stmt.deadline
 	if at := s.clock.Time().Add(toDuration(timeout)); timeout > 0 && at.Before(deadline) {
 		deadline = at
@@ -137,10 +137,10 @@
 	})
 }
 
-// Probe has the balancer learn whether a host is reachable and what it has: by opening a connection.
-func (p policyCaller) Probe(node *policy.Host) {
+// Probe lets the policy learn whether a host is reachable and what it has: by opening a connection.
+func (p policyCaller) Probe(host *policy.Host) {
 	s := p.server
-	pool := s.poolByNode[node]
+	pool := s.poolByPolicyHost[host]
 	pool.probePending = true
 	if s.connShare(pool).Scarce() && !pool.service.used {
 		return // probes of all proxies would take more than the host has: the first session of the service opens it
@@ -151,21 +151,21 @@
 }
 
 // Close closes the idle connections to a host.
-func (p policyCaller) Close(node *policy.Host) {
-	for _, conn := range slices.Clone(p.server.poolByNode[node].idle) {
+func (p policyCaller) Close(host *policy.Host) {
+	for _, conn := range slices.Clone(p.server.poolByPolicyHost[host].idle) {
 		p.server.closeConn(conn)
 	}
 }
 
 // Forget drops a host that was removed and that no statement names any more.
-func (p policyCaller) Forget(node *policy.Host) {
+func (p policyCaller) Forget(host *policy.Host) {
 	s := p.server
-	pool := s.poolByNode[node]
+	pool := s.poolByPolicyHost[host]
 	if pool == nil {
 		return
 	}
 	pool.retire()
-	delete(s.poolByNode, node)
+	delete(s.poolByPolicyHost, host)
 	if s.pools[pool.ID] == pool {
 		delete(s.pools, pool.ID)
 	}
@@ -174,7 +174,7 @@
 // Watch does nothing: the host list comes without being asked for.
 func (policyCaller) Watch() {}
 
-// Tell does nothing: proxies don't exchange what the balancer knows.
+// Tell does nothing: the policies of several proxies exchange nothing.
 func (policyCaller) Tell(string) {}
 
 // Wake schedules a call of policy.Router.WakeUp.
--- a/internal/proxy/reconcile.go
+++ b/internal/proxy/reconcile.go
@@ -44,11 +44,11 @@
 		}
 	}
 	if changed {
-		s.balancer.EndList(false)
+		s.policy.EndList(false)
 	}
 }
 
-// reconcileHost brings one host in line, and says whether the balancer's host list changed.
+// reconcileHost brings one host in line, and says whether the policy's host list changed.
 func (s *Server) reconcileHost(want statemachine.Host) (changed bool) {
 	pool := s.pools[want.ID]
 	if pool != nil && (pool.Address != want.Address || pool.Service != want.Service) { // another host under the same name
@@ -71,13 +71,13 @@
 func (s *Server) newPool(host statemachine.Host) *hostPool {
 	svc := s.serviceNamed(host.Service)
 	pool := &hostPool{Host: host, server: s, service: svc, conns: map[*hostConn]struct{}{}}
-	pool.node = s.balancer.AddHost(host.ID, svc.policySet)
-	s.pools[host.ID], s.poolByNode[pool.node] = pool, pool
+	pool.policyHost = s.policy.AddHost(host.ID, svc.policySet)
+	s.pools[host.ID], s.poolByPolicyHost[pool.policyHost] = pool, pool
 	return pool
 }
 
-// standingOf is a host's standing in the balancer's host list. A primary that drains is used until another is appointed, or until the
-// platform's bound for draining is nearly over.
+// standingOf is a host's standing in the policy's host list. A primary that drains is used until another is appointed, or until
+// the platform's bound for draining is nearly over.
 func (s *Server) standingOf(pool *hostPool) policy.ListState {
 	if !pool.Draining {
 		return policy.Active
@@ -92,12 +92,12 @@
 	return policy.Draining
 }
 
-// announce updates the balancer's host list. Who the primary is it learns by Leads; kind and boot time are not known here.
+// announce updates the policy's host list. Who the primary is it learns by SetPrimary; kind and boot time are not known here.
 func (p *hostPool) announce(standing policy.ListState, capacity float64) {
-	p.node.UpdateListing(standing, false, p.Zone, "", capacity, 0)
+	p.policyHost.UpdateListing(standing, false, p.Zone, "", capacity, 0)
 }
 
-// remove has the balancer send nothing more to a host, and ends it.
+// remove has the policy send nothing more to a host, and ends it.
 func (p *hostPool) remove() {
 	p.announce(policy.Removed, 1)
 	p.retire()
@@ -126,17 +126,17 @@
 func (s *Server) changePrimary(svc *service, was statemachine.Primary) {
 	want := svc.primary
 	if old := s.pools[was.Host]; old != nil && (want.Revoked || want.Host != was.Host) {
-		old.node.SetPrimary(false)
+		old.policyHost.SetPrimary(false)
 		s.abortPrimaryWork(old)
 	}
 	if want.Revoked {
 		s.revocationUnreported = s.revocationUnreported || !was.Revoked
-		s.balancer.ExpectPrimary(svc.policySet, position.NextPrimaryDue(s.policyNow, s.state.LastPromotionMs, want.Nominee != ""))
+		s.policy.ExpectPrimary(svc.policySet, position.NextPrimaryDue(s.policyNow, s.state.LastPromotionMs, want.Nominee != ""))
 		return
 	}
 	svc.positions.Clear()
 	if pool := s.pools[want.Host]; pool != nil {
-		pool.node.SetPrimary(true)
+		pool.policyHost.SetPrimary(true)
 		s.log.Info("primary changed", "service", svc.name, "host", want.Host, "term", want.Term)
 	}
 }
@@ -180,7 +180,7 @@
 	}
 }
 
-// replaceRoutes makes routes of the configured ones. Those that are as before keep what the balancer has learned of them.
+// replaceRoutes makes routes of the configured ones. Those that are as before keep what the policy has learned of them.
 func (s *Server) replaceRoutes(configured []config.Route) {
 	last := make(map[string]int, len(configured)) // of several for one database the last one counts
 	for i, r := range configured {
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -53,17 +53,17 @@
 	nextSweepAt time.Time
 
 	// Placement of statements.
-	balancer     *policy.Router
-	policyNow    policy.TenthMs // when the balancer was last called
-	policyWakeAt time.Time      // when it is to be called; zero: it has not asked for that
-	pools        map[string]*hostPool
-	poolByNode   map[*policy.Host]*hostPool
-	services     map[string]*service
-	routes       map[string]*route     // by database name
-	statements   map[string]*statement // those that the balancer knows, by commandID
-	sessions     map[*clientSession]struct{}
-	waiting      []waitingClient // the oldest first
-	lastID       uint64          // of sessions, statements and connections
+	policy           *policy.Router // chooses the host of each statement, and decides on retries
+	policyNow        policy.TenthMs // when the policy was last called
+	policyWakeAt     time.Time      // when it is to be called; zero: it has not asked for that
+	pools            map[string]*hostPool
+	poolByPolicyHost map[*policy.Host]*hostPool
+	services         map[string]*service
+	routes           map[string]*route     // by database name
+	statements       map[string]*statement // those that the policy knows, by commandID
+	sessions         map[*clientSession]struct{}
+	waiting          []waitingClient // the oldest first
+	lastID           uint64          // of sessions, statements and connections
 
 	// What the control plane says.
 	state                *statemachine.State
@@ -90,24 +90,24 @@
 	counters counters
 }
 
-// newServer makes a proxy without its sockets. seed is the incarnation and the source of the balancer's chance.
+// newServer makes a proxy without its sockets. seed is the incarnation and the source of the policy's random choices.
 func newServer(cfg *settings.Settings, log hclog.Logger, clock eventloop.MonotonicClock, seed uint64) *Server {
 	s := &Server{
-		settings:    cfg,
-		log:         log,
-		clock:       clock,
-		queue:       eventloop.NewQueue(eventQueueLength),
-		incarnation: seed | 1, // never 0
-		pools:       map[string]*hostPool{},
-		poolByNode:  map[*policy.Host]*hostPool{},
-		services:    map[string]*service{},
-		routes:      map[string]*route{},
-		statements:  map[string]*statement{},
-		sessions:    map[*clientSession]struct{}{},
-		state:       &statemachine.State{},
-		proxyCount:  assumedProxyCount,
+		settings:         cfg,
+		log:              log,
+		clock:            clock,
+		queue:            eventloop.NewQueue(eventQueueLength),
+		incarnation:      seed | 1, // never 0
+		pools:            map[string]*hostPool{},
+		poolByPolicyHost: map[*policy.Host]*hostPool{},
+		services:         map[string]*service{},
+		routes:           map[string]*route{},
+		statements:       map[string]*statement{},
+		sessions:         map[*clientSession]struct{}{},
+		state:            &statemachine.State{},
+		proxyCount:       assumedProxyCount,
 	}
-	s.balancer = policy.New(policyCaller{s}, deployment(cfg.Zone, uint32(seed)), s.refreshPolicyTime())
+	s.policy = policy.New(policyCaller{s}, deployment(cfg.Zone, uint32(seed)), s.refreshPolicyTime())
 	return s
 }
 
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -31,7 +31,7 @@
 // service is a set of hosts with one primary.
 type service struct {
 	name      string
-	policySet int64 // what the balancer calls it
+	policySet int64 // number of its replica set in calls of the policy
 	primary   statemachine.Primary
 	positions position.Tracker // of the primary
 	maxConns  int              // at each host, of all proxies
@@ -71,7 +71,7 @@
 	return svc.inEpoch(epoch) && s.leaseValid()
 }
 
-// route is a route of the configuration in force, with what the balancer needs for its statements.
+// route is a route of the configuration in force, with what the policy needs for its statements.
 type route struct {
 	config.Route
 	service        *service
@@ -107,7 +107,7 @@
 	return r
 }
 
-// newGroup readies the balancer for statements of a route that have the same needs.
+// newGroup readies the policy for statements of a route that have the same needs.
 func (s *Server) newGroup(r *route, need policy.Consistency, operation retry.Operation) *policy.CommandGroup {
 	effect := policy.NotIdempotent
 	if retry.Idempotent(operation) {
@@ -117,7 +117,7 @@
 	if target <= 0 {
 		target = millisecondsToTenths(r.DeadlineMs * defaultTargetShare)
 	}
-	return s.balancer.InitGroup(&policy.CommandGroup{
+	return s.policy.InitGroup(&policy.CommandGroup{
 		Effect:    effect,
 		Need:      need,
 		Bound:     r.stalenessBound,
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -20,7 +20,7 @@
 	receivedAt time.Time
 	deadline   time.Time // of its answer
 
-	// The balancer's name and handle of it. Empty and nil for a statement of a transaction, whose connection is given.
+	// The statement in calls of the policy. Empty and nil in a transaction, whose statements all go to the host of its BEGIN.
 	commandID string
 	command   *policy.Command
 
@@ -70,7 +70,7 @@
 	return wire.Position{}
 }
 
-// formatID is an id as the balancer names statements and sessions by it. It hashes the name: the base stays.
+// formatID makes the name of a statement or session in calls of the policy. The base must stay: the policy hashes the name.
 func formatID(id uint64) string { return strconv.FormatUint(id, 36) }
 
 // handleStatement starts on a session's next statement.
@@ -106,7 +106,7 @@
 	s.submit(stmt)
 }
 
-// submit has the balancer choose a host, now or when one is available.
+// submit has the policy choose a host, now or when one is available.
 func (s *Server) submit(stmt *statement) {
 	now := s.refreshPolicyTime()
 	route := stmt.route
@@ -116,7 +116,7 @@
 	timeout := now + toTenths(stmt.deadline.Sub(s.clock.Time()))
 	stmt.commandID = formatID(s.nextID())
 	s.statements[stmt.commandID] = stmt
-	command := s.balancer.Submit(stmt.commandID, stmt.group, route.service.policySet, stmt.session.policyKey, timeout, staleness, false)
+	command := s.policy.Submit(stmt.commandID, stmt.group, route.service.policySet, stmt.session.policyKey, timeout, staleness, false)
 	stmt.command = command
 	if command.IsQueued() {
 		s.counters.statementsQueued.Add(1)
@@ -124,7 +124,7 @@
 	s.forgetIfOver(stmt)
 }
 
-// readOrWriteGroup is the balancer's group for a statement, and by how much a session's read may lag behind other sessions'
+// readOrWriteGroup is the policy's group for a statement, and by how much a session's read may lag behind other sessions'
 // writes. A read goes to the primary where the route allows no staleness, and while no position is known to fence it with.
 func (s *Server) readOrWriteGroup(stmt *statement, now policy.TenthMs) (group *policy.CommandGroup, staleness policy.TenthMs) {
 	route := stmt.route
@@ -155,7 +155,7 @@
 	}
 }
 
-// forgetIfOver forgets a statement for which the balancer will make no more calls.
+// forgetIfOver forgets a statement for which the policy will make no more calls.
 func (s *Server) forgetIfOver(stmt *statement) {
 	if stmt.command != nil && stmt.command.IsFinished() {
 		delete(s.statements, stmt.commandID)
--- a/internal/proxy/statement_outcome.go
+++ b/internal/proxy/statement_outcome.go
@@ -8,7 +8,7 @@
 	"ferrypitch/policy"
 )
 
-// endAttempt ends an attempt that brought no response. The balancer then decides on a retry; a statement of a transaction is
+// endAttempt ends an attempt that brought no response. The policy then decides on a retry; a statement of a transaction is
 // never retried, since its transaction is gone with the connection.
 func (s *Server) endAttempt(stmt *statement, outcome policy.Outcome) {
 	attempt := &stmt.attempt
--- a/internal/proxy/statement_response.go
+++ b/internal/proxy/statement_response.go
@@ -116,7 +116,7 @@
 	s.finishStatement(stmt, response.Lines)
 }
 
-// completeRouted tells the balancer how an attempt ended, and the client if that was its answer.
+// completeRouted tells the policy how an attempt ended, and the client if that was its answer.
 func (s *Server) completeRouted(conn *hostConn, stmt *statement, response *wire.Response, position hostPosition, now policy.TenthMs) {
 	if !stmt.isPlausible(response) {
 		s.counters.unexpectedResponses.Add(1)
@@ -174,7 +174,7 @@
 	}
 }
 
-// outcomeOf is what a host's response code means to the balancer.
+// outcomeOf is what a host's response code means to the policy.
 func outcomeOf(code wire.Code) policy.Outcome {
 	switch code {
 	case "":
--- a/internal/proxy/statement_send.go
+++ b/internal/proxy/statement_send.go
@@ -47,7 +47,7 @@
 }
 
 // sendStatement writes a statement, if the host may still serve it: the lease may have expired and the primary may have been
-// replaced since the balancer chose the host.
+// replaced since the policy chose the host.
 func (s *Server) sendStatement(conn *hostConn, stmt *statement) {
 	now := s.refreshPolicyTime()
 	attempt := &stmt.attempt
