--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -23,7 +23,7 @@
 	throttled              atomic.Int64 // statements for which the policy found no host in time
 	failed                 atomic.Int64 // statements that the policy gave up, which may have run
 	leaseExpiredBeforeSend atomic.Int64 // statements not sent, since a lease or a primary's epoch had ended
-	floorUnknown           atomic.Int64 // reads that had to go to the primary, since no position to judge replicas by was known
+	floorUnknown           atomic.Int64 // reads that had to go to the primary, since no floor (least position to see) was known
 	acksAfterRevocation    atomic.Int64 // writes acknowledged by a primary that was revoked meanwhile
 	responsesLost          atomic.Int64 // transactions ended since a response counts as lost
 	unexpectedResponses    atomic.Int64 // of hosts, to nothing or of the wrong form
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -100,7 +100,7 @@
 		deadline = at
 	}
 	s.counters.dispatches.Add(1)
-	stmt.attempt.timer = s.timers.Add(deadline, func() { s.expireAttempt(stmt) })
+	s.startAttemptTimer(stmt, deadline)
 	stmt.attempt.pool.assign(stmt)
 }
 
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -17,8 +17,8 @@
 	step       session.Step
 	route      *route
 	group      *policy.CommandGroup
-	receivedAt time.Time
-	deadline   time.Time // of its answer
+	receivedAt time.Time // when its line was read; the deadline counts from it
+	deadline   time.Time // of its answer, over all attempts
 
 	// The statement in calls of the policy. Empty and nil in a transaction, whose statements all go to the host of its BEGIN.
 	commandID string
@@ -30,26 +30,28 @@
 	hostResponse []byte // the last host's answer or error, for the case that no other host can be tried
 }
 
-// attempt is one dispatch of a statement to a host.
+// attempt is one dispatch of a statement to a host. It has the time of its sending twice: the policy and package position count in
+// tenths of a millisecond, timers and the check for silent primaries in time.Time. Both are of the server's clock.
 type attempt struct {
 	pool      *hostPool
 	conn      *hostConn // nil: it is queued for one
 	timer     timer
 	connReady bool      // what the session has set is set on conn
 	sent      bool      // some of it may be with the host
-	writtenAt time.Time // when it was sent
+	writtenAt time.Time // when it was sent, for reportIfSilent
 	over      bool
 
-	// These two keep the value of the attempt before until this one is sent.
-	sentAt       policy.TenthMs // 0: nothing was sent yet
-	primaryEpoch primaryEpoch   // in which it was sent to the primary; noEpoch: it was sent fenced, to any host
+	// These two keep the value of the attempt before until this one is sent: if it ends before that, elapsed counts from sentAt
+	// for the policy (policy.Host.recordConns uses it for unreachable hosts), and expireAttempt reports a suspect by primaryEpoch.
+	sentAt       policy.TenthMs // in tenths of a millisecond; 0: nothing was sent yet
+	primaryEpoch primaryEpoch   // in which it was sent to the primary; noEpoch: it was sent with a position, to any host
 }
 
 func (stmt *statement) beginAttempt(pool *hostPool) {
 	stmt.attempt = attempt{pool: pool, sentAt: stmt.attempt.sentAt, primaryEpoch: stmt.attempt.primaryEpoch}
 }
 
-// elapsed is how long ago the statement was sent; 0: it was not.
+// elapsed is how long ago the statement was sent, in tenths of a millisecond; 0: it was not.
 func (a *attempt) elapsed(now policy.TenthMs) policy.TenthMs {
 	if a.sentAt > 0 {
 		return now - a.sentAt
@@ -125,7 +127,8 @@
 }
 
 // readOrWriteGroup is the policy's group for a statement, and by how much a session's read may lag behind other sessions'
-// writes. A read goes to the primary where the route allows no staleness, and while no position is known to fence it with.
+// writes. A bounded read has a floor: the least position that it must see, known from samples of the primary's position
+// (position.Tracker.Floor). It goes to the primary while no floor is known, and where the route allows no staleness.
 func (s *Server) readOrWriteGroup(stmt *statement, now policy.TenthMs) (group *policy.CommandGroup, staleness policy.TenthMs) {
 	route := stmt.route
 	switch {
--- a/internal/proxy/statement_outcome.go
+++ b/internal/proxy/statement_outcome.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"ferrypitch/internal/errcode"
 	"ferrypitch/internal/wire"
@@ -57,6 +58,11 @@
 	}
 }
 
+// startAttemptTimer bounds an attempt. Its response or endAttempt removes the timer.
+func (s *Server) startAttemptTimer(stmt *statement, deadline time.Time) {
+	stmt.attempt.timer = s.timers.Add(deadline, func() { s.expireAttempt(stmt) })
+}
+
 // expireAttempt ends an attempt at its deadline. Its connection is closed: a late response would be mistaken for the next
 // statement's.
 func (s *Server) expireAttempt(stmt *statement) {
--- a/internal/proxy/statement_send.go
+++ b/internal/proxy/statement_send.go
@@ -22,7 +22,7 @@
 	client.statement = stmt
 	stmt.deadline = stmt.receivedAt.Add(stmt.route.deadline)
 	stmt.beginAttempt(conn.pool)
-	stmt.attempt.timer = s.timers.Add(stmt.deadline, func() { s.expireAttempt(stmt) })
+	s.startAttemptTimer(stmt, stmt.deadline)
 	s.prepareAndSend(conn, stmt)
 }
 
@@ -72,7 +72,8 @@
 }
 
 // encodeStatement is a statement as the host may run it now; false: it may not. Where the host is not known to be the primary,
-// a read carries the position that the host must have (its fence), by which the host itself rejects it.
+// a read carries a fence: its floor, or the session's own last write if that is later. The host itself rejects the read while it
+// lacks that position, so that a wrong guess of the policy costs an attempt and never shows old data.
 func (s *Server) encodeStatement(pool *hostPool, stmt *statement, now policy.TenthMs) (line []byte, ok bool) {
 	attempt := &stmt.attempt
 	if stmt.isPinned() {
