--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -210,16 +210,14 @@
 	s := p.server
 	for _, conn := range p.connsByAge() {
 		stmt := conn.statement
-		if stmt == nil || !stmt.attempt.sent || !stmt.isPinned() || stmt.step.IsCommit && stmt.session.MayHaveWritten {
+		if stmt == nil || !stmt.attempt.sent || !stmt.isPinned() || stmt.commitInDoubt() {
 			continue
 		}
 		if !p.lossDetector.Lost(stmt.attempt.sentAt, now) {
 			continue
 		}
 		s.counters.responsesLost.Add(1)
-		conn.statement, conn.session = nil, nil
-		s.closeConn(conn)
-		s.endAttempt(stmt, policy.TimedOut)
+		s.closeAndEndAttempt(conn, stmt, policy.TimedOut)
 	}
 }
 
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -119,7 +119,8 @@
 	})
 }
 
-// Fail answers a statement that may have run.
+// Fail answers a statement that must not be retried. A write is in doubt if endAttempt found that it may have run; for COMMIT see
+// commitInDoubt, since statements of a transaction never come here.
 func (p policyCaller) Fail(command *policy.Command) {
 	s := p.server
 	stmt := s.statements[command.Name]
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -6,7 +6,6 @@
 
 	"ferrypitch/internal/errcode"
 	"ferrypitch/internal/eventloop"
-	"ferrypitch/internal/proxy/session"
 	"ferrypitch/internal/settings"
 )
 
@@ -99,14 +98,15 @@
 	}
 }
 
-// shutdownError is the answer to a statement that is still pending at the end: what was not sent has not run.
+// shutdownError is the answer to a statement that is still pending at the end: what was not sent has not run. It follows the rule
+// of commitInDoubt, as failPinned does; a single write that was sent counts like one whose attempt has ended (endAttempt).
 func (stmt *statement) shutdownError() errcode.Kind {
 	switch {
-	case stmt.step.Action == session.UsePinnedConn && stmt.step.IsCommit && stmt.attempt.sent && stmt.session.MayHaveWritten:
+	case stmt.commitInDoubt():
 		return errcode.InDoubt
 	case stmt.commandID != "" && (stmt.attempt.sent || stmt.mayHaveRun) && stmt.writesData():
 		return errcode.InDoubt
-	case stmt.step.Action == session.UsePinnedConn:
+	case stmt.isPinned():
 		return errcode.RolledBack
 	}
 	return errcode.WriteNotSent
--- a/internal/proxy/statement_outcome.go
+++ b/internal/proxy/statement_outcome.go
@@ -37,13 +37,20 @@
 	s.forgetIfOver(stmt)
 }
 
+// commitInDoubt says that a statement is a COMMIT which may have been executed, as long as it has no response. It is the rule of
+// retry.Commit in package retry: in doubt once all of it was sent, rolled back before. A transaction that has written nothing
+// leaves nothing to doubt. The same rule for a single write (retry.Write) is attempt.sent in endAttempt, which sets mayHaveRun.
+func (stmt *statement) commitInDoubt() bool {
+	return stmt.isPinned() && stmt.step.IsCommit && stmt.attempt.sent && stmt.session.MayHaveWritten
+}
+
 // failPinned answers a statement of a transaction whose connection is gone. The host has rolled the transaction back, unless a
 // COMMIT was sent.
 func (s *Server) failPinned(stmt *statement) {
 	client := stmt.session
 	client.pinnedConn = nil
 	switch {
-	case stmt.step.IsCommit && stmt.attempt.sent && client.MayHaveWritten:
+	case stmt.commitInDoubt():
 		client.EndTransaction()
 		s.finishStatement(stmt, s.errorReply(errcode.InDoubt, 0))
 	case stmt.step.IsCommit:
@@ -58,6 +65,14 @@
 	}
 }
 
+// closeAndEndAttempt ends an attempt together with its connection. The connection gives up statement and session first, so that
+// nothing later handles them as still open on it.
+func (s *Server) closeAndEndAttempt(conn *hostConn, stmt *statement, outcome policy.Outcome) {
+	conn.statement, conn.session = nil, nil
+	s.closeConn(conn)
+	s.endAttempt(stmt, outcome)
+}
+
 // startAttemptTimer bounds an attempt. Its response or endAttempt removes the timer.
 func (s *Server) startAttemptTimer(stmt *statement, deadline time.Time) {
 	stmt.attempt.timer = s.timers.Add(deadline, func() { s.expireAttempt(stmt) })
--- a/internal/proxy/statement_response.go
+++ b/internal/proxy/statement_response.go
@@ -79,7 +79,7 @@
 }
 
 // withdrawAcknowledgement answers a write that a primary acknowledged after it was revoked: the next primary was chosen without
-// that write, so it may be lost.
+// that write, so it may be lost. Unlike a lost answer (commitInDoubt), this is in doubt although the host acknowledged it.
 func (s *Server) withdrawAcknowledgement(conn *hostConn, stmt *statement) {
 	client := stmt.session
 	conn.session = nil
--- a/internal/proxy/statement_send.go
+++ b/internal/proxy/statement_send.go
@@ -99,8 +99,5 @@
 // endExpiredTransaction ends a statement of a transaction whose host may no longer be the primary.
 func (s *Server) endExpiredTransaction(stmt *statement) {
 	s.counters.leaseExpiredBeforeSend.Add(1)
-	conn := stmt.attempt.conn
-	conn.statement, conn.session = nil, nil
-	s.closeConn(conn)
-	s.endAttempt(stmt, policy.Expired)
+	s.closeAndEndAttempt(stmt.attempt.conn, stmt, policy.Expired)
 }
