--- a/internal/proxy/client_session.go
+++ b/internal/proxy/client_session.go
@@ -51,7 +51,8 @@
 // idle says that the session may end without a loss for its client.
 func (c *clientSession) idle() bool { return c.statement == nil && c.IdleState() == stateIdle }
 
-// enqueueMessage queues a message; a session's messages are answered in order.
+// enqueueMessage takes a client's message. A session's messages are answered in order, so it waits behind those before it;
+// maxPipelined bounds what one client can have waiting.
 func (s *Server) enqueueMessage(client *clientSession, message clientMessage) {
 	if client.closed {
 		return
@@ -67,7 +68,8 @@
 	}
 }
 
-// processMessages handles a session's messages until one has to wait for a host.
+// processMessages handles a session's messages until one has to wait for a host; finishStatement then calls it again. Only when
+// nothing is left to answer is the session idle, and does a drain or the end of its reader that waited for this take effect.
 func (s *Server) processMessages(client *clientSession) {
 	for client.statement == nil && len(client.pipelined) > 0 && !client.closed {
 		message := client.pipelined[0]
@@ -89,7 +91,8 @@
 	}
 }
 
-// respond sends a session an answer and its IDLE.
+// respond sends a session an answer and the IDLE that ends it, by which the client knows the state of its session and the position
+// of the host that answered.
 func (s *Server) respond(client *clientSession, lines []byte) {
 	if client.closed {
 		return
@@ -101,7 +104,8 @@
 	}
 }
 
-// sendFinal sends a last answer; the reader ends the session.
+// sendFinal answers a client whose session can't go on. The socket stays open until the client has had time to read the answer: the
+// reader ends the session (handleReaderEnd).
 func (s *Server) sendFinal(client *clientSession, lines []byte) {
 	if client.closed {
 		return
--- a/internal/proxy/host_conn.go
+++ b/internal/proxy/host_conn.go
@@ -62,7 +62,8 @@
 	return reader.readResponse()
 }
 
-// readResponses hands responses to the event loop until the connection ends.
+// readResponses hands responses to the event loop until the connection ends. It notes the time before the queue, so that a host does
+// not look silent (reportIfSilent) because the event loop is behind.
 func (c *hostConn) readResponses(reader *lineReader) {
 	s := c.pool.server
 	for {
@@ -96,7 +97,8 @@
 	pool.idle = append(pool.idle, conn)
 }
 
-// closeConn closes a connection; the host rolls back the transaction that is open on it.
+// closeConn closes a connection; the host rolls back the transaction that is open on it. It no longer counts against this proxy's
+// share of the host, so that another may be dialed in its place.
 func (s *Server) closeConn(conn *hostConn) {
 	pool := conn.pool
 	if !conn.closed {
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -57,7 +57,8 @@
 	role policy.Role
 }
 
-// assign finds a connection for a statement, or has it wait for one.
+// assign sends a statement to the host, or queues it. What it then dials is not its own connection: the first that is free serves
+// the oldest statement of the queue.
 func (p *hostPool) assign(stmt *statement) {
 	if conn := p.takeIdle(stmt.session); conn != nil {
 		p.server.prepareAndSend(conn, stmt)
@@ -95,7 +96,8 @@
 	return conn
 }
 
-// dial opens a connection in the background; connOpened receives the result.
+// dial opens a connection in the background, since the event loop must not block; connOpened receives the result. Time and epoch are
+// those before CONNECT is sent: the position in its response is no older.
 func (p *hostPool) dial() {
 	s := p.server
 	p.dialing++
@@ -148,7 +150,7 @@
 	}
 }
 
-// dialForQueued opens connections for statements that wait.
+// dialForQueued replaces a connection that was closed, which statements may have waited for.
 func (p *hostPool) dialForQueued() {
 	for !p.retired && p.mayDial() {
 		p.dial()
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -89,7 +89,8 @@
 // call to the policy: what could call the policy again is deferred until that has returned.
 type policyCaller struct{ server *Server }
 
-// Dispatch sends a statement to a host.
+// Dispatch begins an attempt at the host that the policy chose. It may time out before the statement does, so that there is time
+// left for another host.
 func (p policyCaller) Dispatch(command *policy.Command, host *policy.Host, timeout policy.TenthMs) {
 	s := p.server
 	stmt := s.statements[command.Name]
@@ -151,7 +152,7 @@
 	}
 }
 
-// Close closes the idle connections to a host.
+// Close closes the idle connections to a host, which has none left for other proxies.
 func (p policyCaller) Close(host *policy.Host) {
 	for _, conn := range slices.Clone(p.server.poolByPolicyHost[host].idle) {
 		p.server.closeConn(conn)
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -75,7 +75,8 @@
 // formatID makes the name of a statement or session in calls of the policy. The base must stay: the policy hashes the name.
 func formatID(id uint64) string { return strconv.FormatUint(id, 36) }
 
-// handleStatement starts on a session's next statement.
+// handleStatement starts on a session's next statement. The route is looked up for each, since the configuration may have changed
+// since CONNECT. That it is gone is final only under a valid lease; without one the client may retry at another proxy.
 func (s *Server) handleStatement(client *clientSession, message clientMessage) {
 	if message.err != nil {
 		s.respond(client, s.errorReply(errcode.BadStatement, 0))
@@ -165,7 +166,8 @@
 	}
 }
 
-// finishStatement gives a statement its answer, and its session goes on to the next.
+// finishStatement gives a statement its answer, and its session goes on to the next. An attempt may end after its client is gone
+// or was answered: then there is nothing left to do.
 func (s *Server) finishStatement(stmt *statement, lines []byte) {
 	if stmt.finished {
 		return
--- a/internal/proxy/statement_outcome.go
+++ b/internal/proxy/statement_outcome.go
@@ -103,7 +103,7 @@
 	s.endAttempt(stmt, outcome)
 }
 
-// dequeue takes a statement out of those that wait for a connection.
+// dequeue keeps a statement whose attempt has ended from being sent on the next free connection.
 func (p *hostPool) dequeue(stmt *statement) {
 	if i := slices.Index(p.queued, stmt); i >= 0 {
 		p.queued = slices.Delete(p.queued, i, i+1)
--- a/internal/proxy/statement_response.go
+++ b/internal/proxy/statement_response.go
@@ -30,7 +30,7 @@
 }
 
 // completeSetup handles the response to a statement of the proxy's own. After the last one the connection is ready: for the
-// statement that waits for it, or after a rollback for any.
+// statement that waits for it, or after a rollback for any. ABORT may fail if the host says that no transaction is open anyway.
 func (s *Server) completeSetup(conn *hostConn, response *wire.Response) {
 	conn.pendingSetup--
 	rolledBack := conn.rollingBack && response.State == stateIdle
@@ -52,7 +52,8 @@
 	}
 }
 
-// completeAttempt handles the host's response to a client's statement.
+// completeAttempt handles the host's response to a client's statement. What it says of the host, its response time and position, is
+// recorded first: it holds whether or not the client gets this answer.
 func (s *Server) completeAttempt(conn *hostConn, stmt *statement, response *wire.Response) {
 	now := s.refreshPolicyTime()
 	attempt := &stmt.attempt
@@ -116,7 +117,8 @@
 	s.finishStatement(stmt, response.Lines)
 }
 
-// completeRouted tells the policy how an attempt ended, and the client if that was its answer.
+// completeRouted handles the response to a statement outside a transaction. Unless it is the answer, the policy decides between
+// another host and giving up; for the latter (Throttle, Fail) the host's error is kept.
 func (s *Server) completeRouted(conn *hostConn, stmt *statement, response *wire.Response, position hostPosition, now policy.TenthMs) {
 	if !stmt.isPlausible(response) {
 		s.counters.unexpectedResponses.Add(1)
