--- a/internal/fake/database/socket.go
+++ b/internal/fake/database/socket.go
@@ -85,13 +85,13 @@
 	fields := strings.SplitN(line, " ", 4)
 	if fields[0] != "CONNECT" || len(fields) < 3 || fields[1] != s.server.config.Service ||
 		len(fields) == 4 && fields[3] != s.host.ID {
-		s.socket.Write(wire.AppendError(nil, wire.CodeWrongNode, s.host.ID))
+		_, _ = s.socket.Write(wire.AppendError(nil, wire.CodeWrongNode, s.host.ID)) // closed next
 		return false
 	}
 	s.conn = s.host.Connect()
 	s.conn.OnClosed = func() { s.socket.Close() }
 	s.conn.OnResponse = s.respond
-	s.socket.Write(wire.AppendIdle(nil, stateIdle, s.host.PositionAt(s.host.VisibleEntries())))
+	_, _ = s.socket.Write(wire.AppendIdle(nil, stateIdle, s.host.PositionAt(s.host.VisibleEntries()))) // the reader ends with the error
 	return true
 }
 
@@ -100,6 +100,6 @@
 	output := wire.AppendIdle(response.Lines, response.State, response.Position)
 	s.server.After(after, func() {
 		s.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
-		s.socket.Write(output)
+		_, _ = s.socket.Write(output) // the reader ends with the error
 	})
 }
