--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -31,9 +31,9 @@
 // hostPool is a database host and this proxy's connections to it.
 type hostPool struct {
 	statemachine.Host
-	server  *Server
-	node    *policy.Host // the balancer's handle of it
-	service *service
+	server     *Server
+	policyHost *policy.Host // the policy's handle of it
+	service    *service
 
 	conns   map[*hostConn]struct{} // all that are open
 	idle    []*hostConn            // the most recently used last
@@ -45,8 +45,8 @@
 	lastReportedMs int64 // when it was last reported as suspect, in milliseconds of the clock
 	drainingSince  time.Time
 
-	probePending bool // the balancer waits for the next connection to open or fail
-	announced    bool // the balancer knows its standing
+	probePending bool // the policy waits for the next connection to open or fail
+	announced    bool // the policy knows its standing
 	standing     policy.ListState
 	retired      bool // removed, or replaced by another host of the same name: it takes no statements
 }
@@ -57,7 +57,8 @@
 	role policy.Role
 }
 
-// assign finds a connection for a statement, or has it wait for one.
+// assign sends a statement to the host, or queues it. What it then dials is not its own connection: the first that is free serves
+// the oldest statement of the queue.
 func (p *hostPool) assign(stmt *statement) {
 	if conn := p.takeIdle(stmt.session); conn != nil {
 		p.server.prepareAndSend(conn, stmt)
@@ -95,7 +96,8 @@
 	return conn
 }
 
-// dial opens a connection in the background; connOpened receives the result.
+// dial opens a connection in the background, since the event loop must not block; connOpened receives the result. Time and epoch are
+// those before CONNECT is sent: the position in its response is no older.
 func (p *hostPool) dial() {
 	s := p.server
 	p.dialing++
@@ -112,7 +114,7 @@
 	succeeded := err == nil && response.Code == ""
 	if p.probePending {
 		p.probePending = false
-		defer func() { p.node.EndProbe(succeeded) }()
+		defer func() { p.policyHost.EndProbe(succeeded) }()
 	}
 	if !succeeded {
 		p.dialFailed(response.Code, err)
@@ -148,7 +150,7 @@
 	}
 }
 
-// dialForQueued opens connections for statements that wait.
+// dialForQueued replaces a connection that was closed, which statements may have waited for.
 func (p *hostPool) dialForQueued() {
 	for !p.retired && p.mayDial() {
 		p.dial()
@@ -210,16 +212,14 @@
 	s := p.server
 	for _, conn := range p.connsByAge() {
 		stmt := conn.statement
-		if stmt == nil || !stmt.attempt.sent || !stmt.isPinned() || stmt.step.IsCommit && stmt.session.MayHaveWritten {
+		if stmt == nil || !stmt.attempt.sent || !stmt.isPinned() || stmt.commitInDoubt() {
 			continue
 		}
 		if !p.lossDetector.Lost(stmt.attempt.sentAt, now) {
 			continue
 		}
 		s.counters.responsesLost.Add(1)
-		conn.statement, conn.session = nil, nil
-		s.closeConn(conn)
-		s.endAttempt(stmt, policy.TimedOut)
+		s.closeAndEndAttempt(conn, stmt, policy.TimedOut)
 	}
 }
 
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -17,10 +17,10 @@
 	step       session.Step
 	route      *route
 	group      *policy.CommandGroup
-	receivedAt time.Time
-	deadline   time.Time // of its answer
+	receivedAt time.Time // when its line was read; the deadline counts from it
+	deadline   time.Time // of its answer, over all attempts
 
-	// The balancer's name and handle of it. Empty and nil for a statement of a transaction, whose connection is given.
+	// The statement in calls of the policy. Empty and nil in a transaction, whose statements all go to the host of its BEGIN.
 	commandID string
 	command   *policy.Command
 
@@ -30,26 +30,28 @@
 	hostResponse []byte // the last host's answer or error, for the case that no other host can be tried
 }
 
-// attempt is one dispatch of a statement to a host.
+// attempt is one dispatch of a statement to a host. It has the time of its sending twice: the policy and package position count in
+// tenths of a millisecond, timers and the check for silent primaries in time.Time. Both are of the server's clock.
 type attempt struct {
 	pool      *hostPool
 	conn      *hostConn // nil: it is queued for one
 	timer     timer
 	connReady bool      // what the session has set is set on conn
 	sent      bool      // some of it may be with the host
-	writtenAt time.Time // when it was sent
+	writtenAt time.Time // when it was sent, for reportIfSilent
 	over      bool
 
-	// These two keep the value of the attempt before until this one is sent.
-	sentAt       policy.TenthMs // 0: nothing was sent yet
-	primaryEpoch primaryEpoch   // in which it was sent to the primary; noEpoch: it was sent fenced, to any host
+	// These two keep the value of the attempt before until this one is sent: if it ends before that, elapsed counts from sentAt
+	// for the policy (policy.Host.recordConns uses it for unreachable hosts), and expireAttempt reports a suspect by primaryEpoch.
+	sentAt       policy.TenthMs // in tenths of a millisecond; 0: nothing was sent yet
+	primaryEpoch primaryEpoch   // in which it was sent to the primary; noEpoch: it was sent with a position, to any host
 }
 
 func (stmt *statement) beginAttempt(pool *hostPool) {
 	stmt.attempt = attempt{pool: pool, sentAt: stmt.attempt.sentAt, primaryEpoch: stmt.attempt.primaryEpoch}
 }
 
-// elapsed is how long ago the statement was sent; 0: it was not.
+// elapsed is how long ago the statement was sent, in tenths of a millisecond; 0: it was not.
 func (a *attempt) elapsed(now policy.TenthMs) policy.TenthMs {
 	if a.sentAt > 0 {
 		return now - a.sentAt
@@ -70,10 +72,11 @@
 	return wire.Position{}
 }
 
-// formatID is an id as the balancer names statements and sessions by it. It hashes the name: the base stays.
+// formatID makes the name of a statement or session in calls of the policy. The base must stay: the policy hashes the name.
 func formatID(id uint64) string { return strconv.FormatUint(id, 36) }
 
-// handleStatement starts on a session's next statement.
+// handleStatement starts on a session's next statement. The route is looked up for each, since the configuration may have changed
+// since CONNECT. That it is gone is final only under a valid lease; without one the client may retry at another proxy.
 func (s *Server) handleStatement(client *clientSession, message clientMessage) {
 	if message.err != nil {
 		s.respond(client, s.errorReply(errcode.BadStatement, 0))
@@ -106,7 +109,7 @@
 	s.submit(stmt)
 }
 
-// submit has the balancer choose a host, now or when one is available.
+// submit has the policy choose a host, now or when one is available.
 func (s *Server) submit(stmt *statement) {
 	now := s.refreshPolicyTime()
 	route := stmt.route
@@ -116,7 +119,7 @@
 	timeout := now + toTenths(stmt.deadline.Sub(s.clock.Time()))
 	stmt.commandID = formatID(s.nextID())
 	s.statements[stmt.commandID] = stmt
-	command := s.balancer.Submit(stmt.commandID, stmt.group, route.service.policySet, stmt.session.policyKey, timeout, staleness, false)
+	command := s.policy.Submit(stmt.commandID, stmt.group, route.service.policySet, stmt.session.policyKey, timeout, staleness, false)
 	stmt.command = command
 	if command.IsQueued() {
 		s.counters.statementsQueued.Add(1)
@@ -124,8 +127,9 @@
 	s.forgetIfOver(stmt)
 }
 
-// readOrWriteGroup is the balancer's group for a statement, and by how much a session's read may lag behind other sessions'
-// writes. A read goes to the primary where the route allows no staleness, and while no position is known to fence it with.
+// readOrWriteGroup is the policy's group for a statement, and by how much a session's read may lag behind other sessions'
+// writes. A bounded read has a floor: the least position that it must see, known from samples of the primary's position
+// (position.Tracker.Floor). It goes to the primary while no floor is known, and where the route allows no staleness.
 func (s *Server) readOrWriteGroup(stmt *statement, now policy.TenthMs) (group *policy.CommandGroup, staleness policy.TenthMs) {
 	route := stmt.route
 	switch {
@@ -155,14 +159,15 @@
 	}
 }
 
-// forgetIfOver forgets a statement for which the balancer will make no more calls.
+// forgetIfOver forgets a statement for which the policy will make no more calls.
 func (s *Server) forgetIfOver(stmt *statement) {
 	if stmt.command != nil && stmt.command.IsFinished() {
 		delete(s.statements, stmt.commandID)
 	}
 }
 
-// finishStatement gives a statement its answer, and its session goes on to the next.
+// finishStatement gives a statement its answer, and its session goes on to the next. An attempt may end after its client is gone
+// or was answered: then there is nothing left to do.
 func (s *Server) finishStatement(stmt *statement, lines []byte) {
 	if stmt.finished {
 		return
--- a/internal/proxy/statement_send.go
+++ b/internal/proxy/statement_send.go
@@ -22,7 +22,7 @@
 	client.statement = stmt
 	stmt.deadline = stmt.receivedAt.Add(stmt.route.deadline)
 	stmt.beginAttempt(conn.pool)
-	stmt.attempt.timer = s.timers.Add(stmt.deadline, func() { s.expireAttempt(stmt) })
+	s.startAttemptTimer(stmt, stmt.deadline)
 	s.prepareAndSend(conn, stmt)
 }
 
@@ -47,7 +47,7 @@
 }
 
 // sendStatement writes a statement, if the host may still serve it: the lease may have expired and the primary may have been
-// replaced since the balancer chose the host.
+// replaced since the policy chose the host.
 func (s *Server) sendStatement(conn *hostConn, stmt *statement) {
 	now := s.refreshPolicyTime()
 	attempt := &stmt.attempt
@@ -72,7 +72,8 @@
 }
 
 // encodeStatement is a statement as the host may run it now; false: it may not. Where the host is not known to be the primary,
-// a read carries the position that the host must have (its fence), by which the host itself rejects it.
+// a read carries a fence: its floor, or the session's own last write if that is later. The host itself rejects the read while it
+// lacks that position, so that a wrong guess of the policy costs an attempt and never shows old data.
 func (s *Server) encodeStatement(pool *hostPool, stmt *statement, now policy.TenthMs) (line []byte, ok bool) {
 	attempt := &stmt.attempt
 	if stmt.isPinned() {
@@ -98,8 +99,5 @@
 // endExpiredTransaction ends a statement of a transaction whose host may no longer be the primary.
 func (s *Server) endExpiredTransaction(stmt *statement) {
 	s.counters.leaseExpiredBeforeSend.Add(1)
-	conn := stmt.attempt.conn
-	conn.statement, conn.session = nil, nil
-	s.closeConn(conn)
-	s.endAttempt(stmt, policy.Expired)
+	s.closeAndEndAttempt(stmt.attempt.conn, stmt, policy.Expired)
 }
