--- a/internal/control/statemachine/change.go
+++ b/internal/control/statemachine/change.go
@@ -8,7 +8,7 @@
 	"ferrypitch/internal/control/statemachine/diskformat"
 )
 
-// Change is one entry of the log. Exactly one field is set beside LedTimeMs; if none is, it only advances the time.
+// Change is one entry of the log. Exactly one field is set beside LeaderTimeMs; if none is, it only advances the time.
 type Change struct {
 	LeaderTimeMs int64 // leader time when it was proposed, see RetentionMs
 
@@ -70,8 +70,8 @@
 // DecodeChange reads what EncodeChange wrote, also in older releases. Errors are ErrBadChange.
 func DecodeChange(body []byte) (Change, error) {
 	if len(body) > 0 && body[0] == configUpdateMarker {
-		update, ledTimeMs, err := decodeConfigUpdate(body)
-		return Change{UpdateConfig: update, LeaderTimeMs: ledTimeMs}, err
+		update, leaderTimeMs, err := decodeConfigUpdate(body)
+		return Change{UpdateConfig: update, LeaderTimeMs: leaderTimeMs}, err
 	}
 	var stored diskformat.Change
 	if err := gob.NewDecoder(bytes.NewReader(body)).Decode(&stored); err != nil {
--- a/internal/control/statemachine/config_update.go
+++ b/internal/control/statemachine/config_update.go
@@ -119,13 +119,13 @@
 	configUpdateExtra   = 80 // bytes that everything but difference and body usually needs; only sizes the allocation
 )
 
-func (c *ConfigUpdate) encode(ledTimeMs int64) []byte {
+func (c *ConfigUpdate) encode(leaderTimeMs int64) []byte {
 	content := make([]byte, 0, configUpdateExtra+len(c.Body)+len(c.Diff))
 	content = append(content, configUpdateMarker, configUpdateVersion, 0)
 	if c.IsAmendment {
 		content[2] = 1
 	}
-	content = binary.AppendVarint(content, ledTimeMs)
+	content = binary.AppendVarint(content, leaderTimeMs)
 	content = binary.AppendVarint(content, c.BaseVersion)
 	content = append(content, c.RequestDigest[:]...)
 	content = append(content, c.BaseDigest[:]...)
@@ -136,13 +136,13 @@
 }
 
 // decodeConfigUpdate reads what encode writes, and refuses everything else with ErrBadChange.
-func decodeConfigUpdate(content []byte) (update *ConfigUpdate, ledTimeMs int64, err error) {
+func decodeConfigUpdate(content []byte) (update *ConfigUpdate, leaderTimeMs int64, err error) {
 	if len(content) < configUpdateHeader || content[1] != configUpdateVersion || content[2] > 1 {
 		return nil, 0, badConfigUpdate(content, errUnknownForm)
 	}
 	update = &ConfigUpdate{IsAmendment: content[2] == 1}
 	rest := content[configUpdateHeader:]
-	for _, number := range []*int64{&ledTimeMs, &update.BaseVersion} {
+	for _, number := range []*int64{&leaderTimeMs, &update.BaseVersion} {
 		value, size := binary.Varint(rest)
 		if size <= 0 || isOverlong(rest[:size]) {
 			return nil, 0, badConfigUpdate(content, errVarint)
@@ -166,7 +166,7 @@
 	if body := rest[diffBytes:]; len(body) > 0 {
 		update.Body = body
 	}
-	return update, ledTimeMs, nil
+	return update, leaderTimeMs, nil
 }
 
 // isOverlong reports whether a varint has more bytes than its value needs, which no encoder writes.
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -155,7 +155,7 @@
 	})
 }
 
-// clock is a steady clock with a drift in thousandths.
+// clock is a monotonic clock with a drift in thousandths.
 func (sim *simulation) clock(drift int64) func() time.Time {
 	return func() time.Time {
 		return sim.time().Add(time.Duration((sim.Now-sim.StartTime)*drift/1000) * unitDuration)
