--- a/internal/control/failover/benchmark_test.go
+++ b/internal/control/failover/benchmark_test.go
@@ -7,7 +7,8 @@
 	"ferrypitch/internal/simulation/statesize"
 )
 
-// A tick over all services where nothing is wrong: at each heartbeat, at each request for a lease and 20 times a second.
+// BenchmarkTick measures a tick over all services when there is nothing to do. Ticks run at each heartbeat, at each lease
+// request and 20 times a second.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) {
--- a/internal/control/failover/coordinator.go
+++ b/internal/control/failover/coordinator.go
@@ -4,50 +4,51 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// Actions is what a Tick asks its caller to do. Each query ends in QueryFinished, each promotion in PromotionFinished.
+// Actions lists the work that a call asks its caller to do. The caller reports the result of each query to QueryFinished and
+// of each promotion to PromotionFinished.
 type Actions struct {
 	Proposals  []statemachine.Change
 	Queries    []HostQuery
 	Promotions []Promotion
 }
 
-// Counters count since the coordinator was created.
+// Counters are totals since the coordinator was created.
 type Counters struct {
 	Suspected     int64 // primaries that a proxy reported as unreachable
 	Cleared       int64 // suspected primaries that answered a probe
-	Lost          int64 // ticks that found a primary lost
-	Switchovers   int64 // ticks that nominated the successor of a draining primary
+	Lost          int64 // evaluations that found a primary lost
+	Switchovers   int64 // evaluations that nominated the successor of a draining primary
 	Promoted      int64 // promotions that the platform accepted
-	Resumed       int64 // ticks that found all replicas of a service receiving again
-	MarkedMissing int64 // ticks that marked a replica as missing
-	WaitingTicks  int64 // ticks of failovers in which no host could be chosen yet
+	Resumed       int64 // evaluations that found all replicas of a service receiving again
+	MarkedMissing int64 // evaluations that marked a replica as missing
+	WaitingTicks  int64 // evaluations of failovers in which no host could be chosen yet
 	Evaluated     int64 // evaluations of a service
 }
 
-// Coordinator decides on failover for the member that leads the control plane. It is created with each leadership and
-// dropped with it. It is not safe for concurrent use.
+// Coordinator makes the failover decisions of the control plane's leader. A member creates one when it becomes leader and
+// discards it when it loses leadership. It is not safe for concurrent use.
 type Coordinator struct {
 	memberID            string
-	leaderTerm          uint64 // the term in which this member leads the control plane
-	leaderSince         int64  // when it began to
+	leaderTerm          uint64 // the control plane's term in which this member is leader
+	leaderSince         int64  // when this member became leader
 	heartbeatIntervalMs int64
-	lastSerial          uint64 // of queries and promotions
+	lastSerial          uint64 // serial number of the last query or promotion
 	services            map[string]*serviceState
 	heartbeats          map[string]heartbeat // by host
 	schedule            schedule
 
-	// RegistrationsDueUntil is until when hosts may run that have not sent their first heartbeat, since the system has just
-	// started; 0: there are none. Until then no primary is switched over, and one that is lost is replaced only by a host that
-	// has all that the old primary had.
+	// RegistrationsDueUntil ends the grace period after a start of the whole system, during which hosts may be running that
+	// have not sent their first heartbeat; 0 means no grace period. Until then no switchover starts, and a lost primary is
+	// replaced only by a host that has received everything the old primary had.
 	RegistrationsDueUntil int64
 	// Counters may be read between calls.
 	Counters Counters
-	// OnEvent is called for each event, in the call that caused it. New sets one that does nothing.
+	// OnEvent is called synchronously for each event. New sets it to a no-op.
 	OnEvent func(Event)
 }
 
-// New returns the coordinator of a member that leads the control plane from nowMs on, in leaderTerm. Hosts send a
-// heartbeat each heartbeatIntervalMs.
+// New returns the coordinator of a member that became leader of the control plane at nowMs, in leaderTerm. Hosts send a
+// heartbeat every heartbeatIntervalMs.
 func New(memberID string, leaderTerm uint64, heartbeatIntervalMs, nowMs int64) *Coordinator {
 	return &Coordinator{
 		memberID:            memberID,
@@ -61,23 +62,23 @@
 	}
 }
 
-// ChangeApplied says that a change of a service was applied, so that its proposal is no longer awaited.
+// ChangeApplied records that a change to a service was applied, so its proposal is no longer pending.
 func (c *Coordinator) ChangeApplied(service string) {
 	c.service(service).proposedAt = 0
 	c.schedule.wake(service)
 }
 
-// ChangesApplied is ChangeApplied for a change that names no service.
+// ChangesApplied records that a change which names no service was applied: no service has a pending proposal any more.
 func (c *Coordinator) ChangesApplied() {
 	for _, service := range c.services {
 		service.proposedAt = 0
 	}
 }
 
-// Active says whether any service is in a failover or switchover, or its primary is being probed. Ticks should then
-// come more often.
+// Active reports whether any service is in a failover or switchover or has a primary that is being probed. The caller
+// should then tick more often.
 func (c *Coordinator) Active(state *statemachine.State) bool {
-	for name := range c.schedule.unsettled {
+	for name := range c.schedule.active {
 		service, primary := c.service(name), state.Primaries[name]
 		if primary.Revoked || primary.Nominee != "" || service.isProbing() {
 			return true
@@ -86,7 +87,7 @@
 	return false
 }
 
-// NewProbe returns a query of a host's status whose result the caller awaits itself.
+// NewProbe returns a status query whose result the caller handles itself instead of passing it to QueryFinished.
 func (c *Coordinator) NewProbe(service, host string) HostQuery {
 	return HostQuery{Service: service, Host: host, Command: Stat, LeaderTerm: c.leaderTerm, Serial: c.nextSerial()}
 }
--- a/internal/control/failover/detection.go
+++ b/internal/control/failover/detection.go
@@ -1,35 +1,35 @@
 package failover
 
-// heartbeat is what a host last said of itself.
+// heartbeat is the last heartbeat received from a host.
 type heartbeat struct {
 	at        int64
 	isPrimary bool
 }
 
-// Heartbeat takes in a host's heartbeat, which says whether it leads its service. News are a host's first heartbeat, the first after
-// a silence, and one that says another thing than the one before.
+// Heartbeat records a host's heartbeat, which tells whether the host is its service's primary. The host's service is
+// re-evaluated on the host's first heartbeat, the first one after a heartbeat timeout, and one whose isPrimary changed.
 func (c *Coordinator) Heartbeat(host string, isPrimary bool, nowMs int64) {
 	previous, heard := c.heartbeats[host]
 	c.heartbeats[host] = heartbeat{nowMs, isPrimary}
 	if !heard || previous.isPrimary != isPrimary || nowMs >= previous.at+c.heartbeatTimeoutMs() {
-		c.schedule.hostsWithNews = append(c.schedule.hostsWithNews, host)
+		c.schedule.changedHosts = append(c.schedule.changedHosts, host)
 	}
 }
 
-// ForgetHost drops a host that was removed.
+// ForgetHost discards the state of a host that was removed.
 func (c *Coordinator) ForgetHost(host string) {
 	delete(c.heartbeats, host)
 	for _, service := range c.services {
-		delete(service.endedSince, host)
+		delete(service.terminatedSince, host)
 		delete(service.uncertainCommands, hostCommand{host, Pause})
 		delete(service.uncertainCommands, hostCommand{host, Resume})
 	}
 }
 
-// SuspectPrimary takes in a proxy's report that it cannot reach a service's primary, which came at nowMs.
+// SuspectPrimary records a proxy's report, received at nowMs, that it cannot reach a service's primary.
 func (c *Coordinator) SuspectPrimary(proxy, serviceName, host string, nowMs int64) {
 	service := c.service(serviceName)
-	service.watchHost(host)
+	service.setSuspectedHost(host)
 	if len(service.suspicions) == 0 {
 		c.Counters.Suspected++
 	}
@@ -37,18 +37,19 @@
 	c.schedule.wake(serviceName)
 }
 
-// lastHeard is when a host last sent a heartbeat, or answered as primary; this member's leadership begins with all heard.
-func (c *Coordinator) lastHeard(host string) int64 {
+// lastHeardAt returns when a host last sent a heartbeat or answered a probe as primary. All hosts count as heard from when
+// this member became leader.
+func (c *Coordinator) lastHeardAt(host string) int64 {
 	return max(c.heartbeats[host].at, c.leaderSince)
 }
 
-// isSilent says whether a host's heartbeats have stopped.
+// isSilent reports whether a host's last heartbeat is older than the heartbeat timeout.
 func (e *evaluation) isSilent(host string) bool {
-	return e.nowMs >= e.coordinator.lastHeard(host)+e.coordinator.heartbeatTimeoutMs()
+	return e.nowMs >= e.coordinator.lastHeardAt(host)+e.coordinator.heartbeatTimeoutMs()
 }
 
-// watchHost begins the failure detection of a host anew if it was another that was suspected before.
-func (s *serviceState) watchHost(host string) {
+// setSuspectedHost resets the failure detection if it was about another host.
+func (s *serviceState) setSuspectedHost(host string) {
 	if s.suspectedHost != host {
 		s.suspectedHost, s.failedProbes = host, 0
 		clear(s.suspicions)
@@ -63,22 +64,22 @@
 	}
 }
 
-// probeVerdict is what the last probe says of a suspected primary.
-type probeVerdict uint8
+// probeOutcome is the result of the last probe of a suspected primary.
+type probeOutcome uint8
 
 const (
-	probePending    probeVerdict = iota // no result, or one that has counted already
-	probeAlive                          // it answered
-	probeNotPrimary                     // it answered that it does not lead any more
-	probeFailed                         // it did not answer
+	probePending    probeOutcome = iota // no result yet, or one that was already evaluated
+	probeAlive                          // the host answered
+	probeNotPrimary                     // the host answered that it is no longer primary
+	probeFailed                         // the host did not answer
 )
 
-// primaryLost carries the failure detection of the primary one step on, and says whether the primary is lost. It is probed
-// while a proxy cannot reach it or its heartbeats have stopped, and lost once it failed lostProbes in a row, or answered
-// that it does not lead any more.
+// primaryLost advances the failure detection of the primary and reports whether the primary is lost. The primary is probed
+// while a proxy cannot reach it or its heartbeats have timed out. It is lost once failedProbeThreshold probes in a row have
+// failed, or once it answers that it is no longer primary.
 func (e *evaluation) primaryLost() bool {
 	service := e.service
-	service.watchHost(e.primary.Host)
+	service.setSuspectedHost(e.primary.Host)
 	service.expireSuspicions(e.nowMs)
 	if len(service.suspicions) == 0 && !e.isSilent(e.primary.Host) {
 		service.failedProbes, service.suspectedSince = 0, 0
@@ -102,7 +103,7 @@
 		service.failedProbes++
 	case probePending:
 	}
-	if service.failedProbes >= lostProbes {
+	if service.failedProbes >= failedProbeThreshold {
 		service.failedProbes = 0
 		return true
 	}
@@ -110,8 +111,8 @@
 	return false
 }
 
-// probeResult evaluates the last probe of the primary, once.
-func (e *evaluation) probeResult() probeVerdict {
+// probeResult returns the outcome of the last probe of the primary. Each probe is evaluated once.
+func (e *evaluation) probeResult() probeOutcome {
 	service := e.service
 	last, ok := service.lastResults[e.primary.Host]
 	if !ok || !last.isOf(Stat) || last.sentAt < service.suspectedSince || last.sentAt <= service.lastProbeSentAt {
@@ -133,7 +134,7 @@
 	clear(e.service.suspicions)
 }
 
-// probePrimary queries the primary, or sends a hedged query beside a probe that has no answer yet.
+// probePrimary probes the primary, or sends a hedged second probe if the pending one is slow to answer.
 func (e *evaluation) probePrimary() {
 	service := e.service
 	pending := service.pendingQueries[e.primary.Host]
--- a/internal/control/failover/doc.go
+++ b/internal/control/failover/doc.go
@@ -1,27 +1,26 @@
-// Package failover decides when a service gets another primary, which replica that is, and in which order hosts, the
-// platform and the replicated log are told. One Coordinator acts for the member that leads the control plane.
+// Package failover decides when a service needs a new primary, which replica to promote, and in which order to act on
+// hosts, the platform and the replicated log. The leader of the control plane runs one Coordinator.
 //
 //	replicated state, heartbeats, suspicions, query results, promotion outcomes
 //	    -> Coordinator.Tick, HandleEvents -> Actions: proposals to the log, queries to hosts, promotion requests to the platform
 //
-// A tick evaluates the services that are due, and each event those of which it tells something (schedule.go). An evaluation
-// runs the table of steps for what the log says of the service until a step stops:
+// A tick evaluates the services that are due, and an event the services that it affects (schedule.go). An evaluation picks
+// a table of steps by the service's state in the log, and runs the steps in order until one of them stops:
 //
-//	no primary known                          discoverPrimary  finds the host that leads already
-//	primary in place                          monitorSteps     failure detection, upkeep of replicas, start of a switchover
-//	primary in place, a nominee is named      switchoverSteps  planned: the primary serves until the nominee is promoted
-//	primary revoked                           failoverSteps    unplanned, and the end of each switchover
+//	no primary known                          discoverPrimary  finds the host that already acts as primary
+//	primary in place                          monitorSteps     failure detection, replica maintenance, start of a switchover
+//	primary in place, with a nominee          switchoverSteps  planned: the primary serves until the nominee is promoted
+//	primary revoked                           failoverSteps    unplanned failover, and the last phase of each switchover
 //
-// Failover: the revocation is in the log; no proxy acts on the old primary any more, since each has applied the
-// revocation or its lease has expired; all replicas are paused and report what they received; the most advanced one is
-// nominated in the log, promoted by the platform and seen to lead; it is appointed in the log.
+// Failover: the revocation is committed to the log; the coordinator waits until no proxy uses the old primary, because each
+// has applied the revocation or its lease has expired; all replicas are paused and report their positions; the most advanced
+// one is nominated in the log, promoted by the platform, and appointed in the log once it reports itself primary.
 //
-// Switchover: the successor is nominated; the other replicas are paused, so that nothing is acknowledged that it has
-// not received; it is promoted while the old primary still serves; then the old one is revoked, and failover's steps
-// install the successor.
+// Switchover: the successor is nominated; the other replicas are paused, so that no write is acknowledged that the successor
+// has not received; the successor is promoted while the old primary still serves; then the old primary is revoked, and the
+// failover steps appoint the successor.
 //
-// Whatever a coordinator has to know after a change of leader is in the log, so the next leader goes on from there.
+// All state that must survive a change of leader is in the log, so the next leader continues from there.
 //
-// The package does no input or output and reads no clock: callers pass the time, in milliseconds of a monotonic
-// clock.
+// The package performs no I/O and reads no clock: callers pass the time, in milliseconds of a monotonic clock.
 package failover
--- a/internal/control/failover/evaluation.go
+++ b/internal/control/failover/evaluation.go
@@ -4,7 +4,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// evaluation is one service within one tick or event: what is known of it, and where the actions go.
+// evaluation is the context in which a tick or event evaluates services, one after another.
 type evaluation struct {
 	coordinator *Coordinator
 	state       *statemachine.State
@@ -12,22 +12,22 @@
 	nowMs       int64
 	actions     *Actions
 
-	// Of the service that is evaluated now.
+	// The service being evaluated.
 	service *serviceState
-	primary statemachine.Primary // as the log has it
-	hostIDs []string             // of all its hosts, the primary's too, in order
+	primary statemachine.Primary // as recorded in the log
+	hostIDs []string             // of all hosts of the service, including the primary, sorted
 }
 
-// stepResult says whether the steps that follow run in the same tick.
+// stepResult tells whether the remaining steps run in this evaluation.
 type stepResult uint8
 
 const (
 	proceed stepResult = iota // the next step may run
-	stop                      // this tick does no more for the service: what the step asked for or awaits comes first
+	stop                      // end this evaluation: the step waits for an action or an event
 )
 
-// step is one part of the work on a service. Each tick begins with the first step of a table again, so a step finds out by
-// what the log and the hosts say whether its part is done.
+// step is one part of a failover, a switchover or the monitoring of a service. Each evaluation restarts at the first step of
+// the table, so a step determines from the log and from the hosts' answers whether its work is already done.
 type step func(*evaluation) stepResult
 
 func (e *evaluation) run(steps []step) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// evaluate runs the steps for what the log says of a service.
+// evaluate runs the steps that match a service's state in the log, and reschedules the service.
 func (e *evaluation) evaluate(name string) {
 	primary, known := e.state.Primaries[name]
 	e.service = e.coordinator.service(name)
@@ -59,20 +59,20 @@
 	}
 }
 
-// isRegistered says whether the log lists a host.
+// isRegistered reports whether the log lists a host.
 func (e *evaluation) isRegistered(host string) bool {
 	_, registered := e.state.Hosts[host]
 	return registered
 }
 
-// isPlausibleTerm says whether a term may follow the primary's. A host that reports one far beyond is not believed.
+// isPlausibleTerm reports whether a host's term is close enough to the primary's to be trusted.
 func (e *evaluation) isPlausibleTerm(term uint64) bool { return term < e.primary.Term+maxTermGap }
 
-// ownsTransition says whether this member carries the failover or switchover out, by the log.
+// ownsTransition reports whether the log names this member as the owner of the failover or switchover.
 func (e *evaluation) ownsTransition() bool { return e.primary.Owner == e.coordinator.memberID }
 
-// begin notes when this member began to carry out a failover or switchover.
-func (e *evaluation) begin(kind EventKind, host string) {
+// beginTransition records the start of a failover or switchover on this member, and emits its event. Later calls do nothing.
+func (e *evaluation) beginTransition(kind EventKind, host string) {
 	if e.service.startedAt != 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 	e.coordinator.OnEvent(Event{Service: e.service.name, Kind: kind, Host: host})
 }
 
-// propose puts a change in the log, unless another proposal for the service is awaited.
+// propose proposes a change to the log, unless another proposal for the service is pending.
 func (e *evaluation) propose(change statemachine.Change) {
 	if e.service.proposedAt == 0 || e.nowMs > e.service.proposedAt+proposalTimeoutMs {
 		e.service.proposedAt = e.nowMs
--- a/internal/control/failover/event.go
+++ b/internal/control/failover/event.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// EventKind says what happened to a service.
+// EventKind is the type of an Event.
 type EventKind uint8
 
 // Kinds of events.
 const (
-	// FailoverStarted: the primary is revoked, and Event.Host is that primary. A switchover that comes to its end reports
-	// no start of a failover.
+	// FailoverStarted means that the primary Event.Host was revoked. The revocation at the end of a switchover does not emit
+	// this event.
 	FailoverStarted EventKind = iota + 1
-	// SwitchoverStarted: Event.Host is nominated to take over from a primary that still serves.
+	// SwitchoverStarted means that Event.Host was nominated to replace a primary that still serves.
 	SwitchoverStarted
-	// NewPrimaryObserved: Event.Host was seen to lead, and its appointment is proposed.
+	// NewPrimaryObserved means that Event.Host reported itself primary and its appointment is proposed.
 	NewPrimaryObserved
-	// ReplicaMarkedMissing: the process of Event.Host is gone, and other replicas hold all that it had received.
+	// ReplicaMarkedMissing means that the process of Event.Host is gone and another replica has received everything it had.
 	ReplicaMarkedMissing
 )
 
@@ -25,7 +25,7 @@
 	ReplicaMarkedMissing: "replica marked missing",
 }
 
-// String is the message of a log line.
+// String returns the text that is logged for the kind.
 func (k EventKind) String() string {
 	if int(k) < len(eventKindTexts) && eventKindTexts[k] != "" {
 		return eventKindTexts[k]
@@ -33,14 +33,14 @@
 	return fmt.Sprintf("EventKind(%d)", uint8(k))
 }
 
-// Event is a step of a failover or switchover that an operator wants to read of.
+// Event is a step of a failover or switchover that is reported to the operator.
 type Event struct {
 	Service string
 	Kind    EventKind
-	Host    string // which host the kind speaks of
+	Host    string // the host that the event is about; see EventKind
 }
 
-// String is the event on one line.
+// String formats the event on one line.
 func (e Event) String() string {
 	return fmt.Sprintf("%s: %s, host %s", e.Service, e.Kind, e.Host)
 }
--- a/internal/control/failover/failover.go
+++ b/internal/control/failover/failover.go
@@ -5,7 +5,7 @@
 	"ferrypitch/internal/wire"
 )
 
-// failoverSteps bring a service whose primary is revoked to its next primary.
+// failoverSteps replace a revoked primary.
 var failoverSteps = []step{
 	(*evaluation).takeOverFailover,
 	(*evaluation).beginFailover,
@@ -17,7 +17,7 @@
 	(*evaluation).promoteMostAdvanced,
 }
 
-// takeOverFailover makes this member the owner of a failover that another leader began.
+// takeOverFailover makes this member the owner of a failover that a previous leader started.
 func (e *evaluation) takeOverFailover() stepResult {
 	if e.ownsTransition() {
 		return proceed
@@ -27,11 +27,11 @@
 }
 
 func (e *evaluation) beginFailover() stepResult {
-	e.begin(FailoverStarted, e.primary.Host)
+	e.beginTransition(FailoverStarted, e.primary.Host)
 	return proceed
 }
 
-// forgetRemovedHost gives up a promoted host that was removed: whoever is at its address now has another id.
+// forgetRemovedHost abandons the promotion of a host that was removed: a new host at its address has another id.
 func (e *evaluation) forgetRemovedHost() stepResult {
 	if !e.service.promotionPending && !e.isRegistered(e.service.promotedHost) {
 		e.service.promotedHost = ""
@@ -39,25 +39,25 @@
 	return proceed
 }
 
-// installNewPrimary appoints a host that is seen to lead, whoever asked for its promotion, once the old primary was told
-// to step down and no proxy acts on it any more.
+// installNewPrimary appoints a host that reports itself primary, no matter which leader requested its promotion. It waits
+// until the old primary has been told to step down and no proxy uses the old primary any more.
 func (e *evaluation) installNewPrimary() stepResult {
 	host, status := e.newestPrimary()
 	if host == "" {
 		return proceed
 	}
-	if other := e.unsettledPromotion(host); other != "" {
+	if other := e.unresolvedPromotion(host); other != "" {
 		e.query(other, Stat, 0, promotedPollIntervalMs)
 		return stop
 	}
 	e.query(e.primary.Host, StepDown, status.Timeline, queryIntervalMs)
-	if !e.proxiesHaveApplied(e.primary.ChangedAt) || !e.oldPrimaryWasAsked() {
+	if !e.proxiesHaveApplied(e.primary.ChangedAt) || !e.stepDownAttempted() {
 		return stop
 	}
 	if e.oldPrimaryIsAhead(status) {
 		return proceed
 	}
-	delete(e.service.unsettledPromotions, host)
+	delete(e.service.unresolvedPromotions, host)
 	e.emit(NewPrimaryObserved, host)
 	appointment := statemachine.AppointPrimary{Service: e.service.name, Host: host, Term: status.Timeline}
 	if e.service.promotedHost == host {
@@ -67,12 +67,12 @@
 	return stop
 }
 
-// newestPrimary returns the host that reported to lead in the highest plausible term after the old primary's. host is
-// empty if there is none.
+// newestPrimary returns the host that reported itself primary in the highest plausible term after the old primary's. host
+// is empty if there is none.
 func (e *evaluation) newestPrimary() (host string, status wire.HostStatus) {
 	minTerm := e.primary.Term + 1
 	if !e.isRegistered(e.primary.Host) {
-		minTerm = e.primary.Term // a new host at its address leads on with its log
+		minTerm = e.primary.Term // a new host at its address may continue as primary in the same term, with its log
 	}
 	for _, id := range e.hostIDs {
 		last, ok := e.service.lastResults[id]
@@ -86,8 +86,8 @@
 	return host, status
 }
 
-// oldPrimaryWasAsked says whether the old primary has answered to a StepDown, or gives no answer.
-func (e *evaluation) oldPrimaryWasAsked() bool {
+// stepDownAttempted reports whether the old primary has answered a StepDown or is not answering.
+func (e *evaluation) stepDownAttempted() bool {
 	last, ok := e.service.lastResults[e.primary.Host]
 	if !ok {
 		return e.nowMs >= e.service.startedAt+queryTimeoutMs
@@ -95,21 +95,21 @@
 	return !last.answered() || last.isOf(StepDown) && last.sentAt >= e.service.startedAt
 }
 
-// oldPrimaryIsAhead says whether the old primary has received more than the new one and may have had it acknowledged: where
-// the new one did not answer after its promotion, the old one may have gone on. Nothing was acknowledged by the new one
-// yet, since no proxy was granted a lease on it, so another may still be chosen.
+// oldPrimaryIsAhead reports whether the old primary has received writes that the new one lacks and that may have been
+// acknowledged: if the new primary did not answer after its promotion, the old one may have continued to serve. The new
+// primary has acknowledged nothing yet, since no proxy holds a lease on it, so another host may still be chosen.
 func (e *evaluation) oldPrimaryIsAhead(newPrimary wire.HostStatus) bool {
 	old, ok := e.steppedDownStatus()
 	return ok && e.service.promotedHostFailed && newPrimary.Received.Number < old.Received.Number
 }
 
-// steppedDownStatus is the old primary's status after it stepped down: it leads no more, and its log lacks nothing.
+// steppedDownStatus returns the old primary's status after it stepped down. Its log then holds every acknowledged write.
 func (e *evaluation) steppedDownStatus() (wire.HostStatus, bool) {
 	status, ok := e.service.statusSince(e.primary.Host, StepDown, e.service.startedAt)
 	return status, ok && !status.IsPrimary
 }
 
-// awaitPromotion waits while a promotion may take effect: no other host is chosen before that is clear.
+// awaitPromotion waits while a requested promotion may still take effect; until then no other host is chosen.
 func (e *evaluation) awaitPromotion() stepResult {
 	service := e.service
 	if service.promotedHost == "" || !service.promotionPending && e.nowMs >= service.promotionEndedAt+promotionTimeoutMs {
@@ -119,7 +119,7 @@
 	return stop
 }
 
-// awaitProxies waits until no proxy acts on the revoked primary any more.
+// awaitProxies waits until no proxy uses the revoked primary any more.
 func (e *evaluation) awaitProxies() stepResult {
 	if !e.proxiesHaveApplied(e.primary.ChangedAt) {
 		return stop
@@ -130,9 +130,9 @@
 	return proceed
 }
 
-// promoteCaughtUpNominee ends a switchover for which writes had to be stopped: the nominee is promoted once it has received
-// all that the old primary, which still leads, has by now. After replicaWaitMs, or when the old primary gives no answer,
-// the steps of an unplanned failover take its place.
+// promoteCaughtUpNominee completes a switchover that had to stop writes: it promotes the nominee once the nominee has
+// reached the position of the old primary, which has not stepped down. After replicaWaitMs, or if the old primary does not
+// answer, the steps of an unplanned failover run instead.
 func (e *evaluation) promoteCaughtUpNominee() stepResult {
 	service := e.service
 	isOwnSwitchover := service.nominated != "" && service.nominated == e.primary.Nominee && service.promotedHost == ""
@@ -152,7 +152,7 @@
 	return stop
 }
 
-// promoteMostAdvanced pauses all replicas, collects their positions, and has the most advanced host nominated and promoted.
+// promoteMostAdvanced pauses all replicas, collects their positions, and nominates and promotes the most advanced host.
 func (e *evaluation) promoteMostAdvanced() stepResult {
 	chosen, complete := e.choosePromotion()
 	switch {
@@ -166,8 +166,8 @@
 	return stop
 }
 
-// nominate notes a host in the log before its promotion is requested. An earlier leader may have requested the promotion
-// of the nominee that is in the log: whether that one leads is seen first.
+// nominate records a host in the log before its promotion is requested. A previous leader may have requested the promotion
+// of the nominee already in the log, so nominate first waits inheritedNomineeWaitMs for that one to become primary.
 func (e *evaluation) nominate(host string) {
 	service, earlier := e.service, e.primary.Nominee
 	if e.isRegistered(earlier) && service.nominated != earlier && e.nowMs < service.startedAt+inheritedNomineeWaitMs {
@@ -177,21 +177,21 @@
 	e.proposeNomination(host)
 }
 
-// candidate is a host that may be promoted, with what it has received. The zero value is none.
+// candidate is a host that may be promoted, with its position. The zero value means no host.
 type candidate struct {
 	host     string
 	position wire.Position
 }
 
-// choosePromotion returns the most advanced host. complete says that no write can have been acknowledged that it lacks.
+// choosePromotion returns the most advanced host. complete reports that it has every write that can have been acknowledged.
 func (e *evaluation) choosePromotion() (chosen candidate, complete bool) {
 	e.query(e.primary.Host, StepDown, e.nextTerm(), queryIntervalMs)
 	chosen = e.collectPositions()
 	complete = chosen.host != "" && len(e.service.awaitedHosts) == 0
-	if complete && !e.registrationsDue() {
+	if complete && !e.inRegistrationGrace() {
 		return chosen, true
 	}
-	// The old primary has all that was acknowledged: its log stands in for the replicas that do not answer.
+	// The old primary has every acknowledged write, so its position can replace those of replicas that do not answer.
 	old, ok := e.steppedDownStatus()
 	if !ok {
 		return chosen, false
@@ -202,12 +202,12 @@
 	return chosen, chosen.host != "" && chosen.position.Number >= old.Received.Number
 }
 
-// registrationsDue says whether replicas may run that have not sent their first heartbeat. Such a one may be the only one that
-// received an acknowledged write.
-func (e *evaluation) registrationsDue() bool { return e.nowMs < e.coordinator.RegistrationsDueUntil }
+// inRegistrationGrace reports whether replicas may be running that have not sent their first heartbeat. Such a replica may be
+// the only one that received an acknowledged write.
+func (e *evaluation) inRegistrationGrace() bool { return e.nowMs < e.coordinator.RegistrationsDueUntil }
 
-// collectPositions pauses the replicas and returns the most advanced of those that are. It notes the hosts whose positions
-// are still needed in awaitedHosts.
+// collectPositions pauses the replicas and returns the most advanced of those already paused. It stores the hosts whose
+// positions are still needed in awaitedHosts.
 func (e *evaluation) collectPositions() (mostAdvanced candidate) {
 	service := e.service
 	service.awaitedHosts = nil
@@ -229,7 +229,7 @@
 	return mostAdvanced
 }
 
-// pausedStatus returns a replica's status if it is paused and has received nothing since that may have been acknowledged.
+// pausedStatus returns a replica's status if it is paused and cannot have received an acknowledged write since then.
 func (e *evaluation) pausedStatus(host string) (wire.HostStatus, bool) {
 	status, ok := e.service.statusSince(host, Pause, e.service.startedAt)
 	if !ok {
@@ -239,24 +239,25 @@
 	return status, pausedAt >= e.service.proxiesCaughtUpAt || e.cannotBeUndone(host, Resume, pausedAt)
 }
 
-// moreAdvanced returns the host that has received more. Of equals it is the one that stays, or that is nominated already.
+// moreAdvanced returns the candidate with the greater position. On a tie it prefers one that is not draining, or the current
+// nominee.
 func (e *evaluation) moreAdvanced(best, other candidate) candidate {
-	other.position.Timeline = min(other.position.Timeline, e.primary.Term) // in a later term nothing was acknowledged: no proxy had a lease
+	other.position.Timeline = min(other.position.Timeline, e.primary.Term) // no proxy held a lease in a later term, so nothing was acknowledged there
 	switch {
 	case best.host == "", best.position.Before(other.position):
 		return other
-	case best.position == other.position && (e.staysLonger(other.host, best.host) || other.host == e.primary.Nominee):
+	case best.position == other.position && (e.onlyOtherDrains(other.host, best.host) || other.host == e.primary.Nominee):
 		return other
 	}
 	return best
 }
 
-// staysLonger says that one host is to stay while another drains.
-func (e *evaluation) staysLonger(host, than string) bool {
-	return !e.state.Hosts[host].Draining && e.state.Hosts[than].Draining
+// onlyOtherDrains reports whether the other host is draining and this one is not.
+func (e *evaluation) onlyOtherDrains(host, other string) bool {
+	return !e.state.Hosts[host].Draining && e.state.Hosts[other].Draining
 }
 
-// nextTerm is higher than the old primary's term, and than all plausible ones that were reported in this failover.
+// nextTerm returns a term above the old primary's and above all plausible terms reported during this failover.
 func (e *evaluation) nextTerm() uint64 {
 	term := e.primary.Term + 1
 	for _, last := range e.service.lastResults {
--- a/internal/control/failover/failover_test.go
+++ b/internal/control/failover/failover_test.go
@@ -31,18 +31,18 @@
 	}
 }
 
-// Reports that cannot be right do not take a healthy primary out of service.
+// Implausible reports must not revoke a healthy primary.
 func TestImplausibleReportsDoNotRevokeAHealthyPrimary(t *testing.T) {
 	for name, report := range map[string]func(h *harness){
-		"a status with a lower term":            func(h *harness) { h.hosts["h0"].Timeline = 2 },
-		"another that reports to lead":          func(h *harness) { h.hosts["h1"].IsPrimary = true },
-		"another that leads an earlier term":    func(h *harness) { h.hosts["h1"].IsPrimary, h.hosts["h1"].Timeline = true, 3 },
-		"a term far beyond the primary's":       func(h *harness) { h.hosts["h1"].IsPrimary, h.hosts["h1"].Timeline = true, 1<<63-1 },
-		"positions that go back":                func(h *harness) { h.hosts["h1"].Received.Number, h.hosts["h0"].Received.Number = 3, 50 },
-		"heartbeats of an unknown host":         func(h *harness) { h.coordinator.Heartbeat("h9", true, h.now) },
-		"a proxy that suspects again and again": func(h *harness) { h.suspectPrimary() },
-		"a replica that is silent":              func(h *harness) { h.hosts["h2"].up, h.hosts["h2"].silent = false, true },
-		"a replica that is gone":                func(h *harness) { h.hosts["h2"].up = false },
+		"a status with a lower term":           func(h *harness) { h.hosts["h0"].Timeline = 2 },
+		"another host that reports as primary": func(h *harness) { h.hosts["h1"].IsPrimary = true },
+		"another primary in an earlier term":   func(h *harness) { h.hosts["h1"].IsPrimary, h.hosts["h1"].Timeline = true, 3 },
+		"a term far beyond the primary's":      func(h *harness) { h.hosts["h1"].IsPrimary, h.hosts["h1"].Timeline = true, 1<<63-1 },
+		"positions that decrease":              func(h *harness) { h.hosts["h1"].Received.Number, h.hosts["h0"].Received.Number = 3, 50 },
+		"heartbeats of an unknown host":        func(h *harness) { h.coordinator.Heartbeat("h9", true, h.now) },
+		"a proxy that keeps suspecting":        func(h *harness) { h.suspectPrimary() },
+		"a replica that is silent":             func(h *harness) { h.hosts["h2"].up, h.hosts["h2"].silent = false, true },
+		"a replica that is gone":               func(h *harness) { h.hosts["h2"].up = false },
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
@@ -56,7 +56,7 @@
 	}
 }
 
-// A term far beyond the primary's neither holds up a failover nor is taken over by it.
+// A failover neither waits because of an implausibly high term nor adopts it.
 func TestImplausibleTermDoesNotBlockFailover(t *testing.T) {
 	h := newHarness(t)
 	h.hosts["h1"].Timeline = 1<<63 - 1
@@ -71,11 +71,11 @@
 	require.EqualValues(t, 5, h.primary().Term)
 }
 
-// The platform's answers, one after another: it is busy, it rejects the host, its answer is lost. A promotion that may have
-// been carried out is waited for, and no other host is promoted meanwhile.
+// The platform is busy, then rejects the host, then its answer is lost. While a promotion may have been executed, the
+// coordinator waits for it and promotes no other host.
 func TestPromotionOutcomes(t *testing.T) {
 	h := newHarness(t)
-	h.outcome = func(count int) PromotionOutcome {
+	h.promotionOutcome = func(count int) PromotionOutcome {
 		return []PromotionOutcome{PromotionNotExecuted, PromotionRejected, PromotionUnknown, PromotionSucceeded}[min(count, 3)]
 	}
 	h.stopPrimary(false)
@@ -86,15 +86,15 @@
 	count := len(h.promotions)
 	h.promote(promoted)
 	h.run(1000)
-	require.Equal(t, promoted, h.primary().Host, "the promotion of unknown outcome took effect, and is found")
-	require.Len(t, h.promotions, count, "no other was promoted")
+	require.Equal(t, promoted, h.primary().Host, "the promotion with an unknown outcome took effect")
+	require.Len(t, h.promotions, count, "no other host was promoted")
 	for i := 1; i < len(h.promotions); i++ {
 		require.GreaterOrEqual(t, h.promotions[i].FencingToken, h.promotions[i-1].FencingToken)
 	}
 }
 
-// A promotion is accepted, and the host stops before it leads: the other replica is promoted once the position of the first
-// is known.
+// A host stops after its promotion was accepted and before it becomes primary: the other replica is promoted once the
+// position of the first is known.
 func TestHostThatFailsAfterPromotionIsReplaced(t *testing.T) {
 	h := newHarness(t)
 	h.stopPrimary(false)
@@ -112,14 +112,14 @@
 	require.NotEqual(t, promoted, h.promotions[len(h.promotions)-1].Host)
 }
 
-// The leader of the control plane fails at each step of a failover; the next one finds out what was done and goes on.
+// The leader of the control plane fails at each step of a failover; the next leader determines what was done and continues.
 func TestNextLeaderResumesFailover(t *testing.T) {
 	for after := int64(0); after < 400; after += 20 {
 		h := newHarness(t)
 		h.stopPrimary(false)
 		h.suspectPrimary()
 		h.run(after)
-		h.events = nil // what was on its way to the earlier leader is lost
+		h.events = nil // results in flight to the previous leader are lost
 		h.startLeader("other", 2)
 		if len(h.promotions) > 0 {
 			h.after(200, func() { h.promote(h.promotions[0].Host) })
@@ -135,7 +135,7 @@
 			h.run(1500)
 		} else {
 			for _, promotion := range h.promotions {
-				require.Equal(t, h.promotions[0].Host, promotion.Host, "after %d ms: a host that may be promoted is requested again, and no other", after)
+				require.Equal(t, h.promotions[0].Host, promotion.Host, "after %d ms: only the host that may already be promoted is requested again", after)
 			}
 		}
 		require.Equal(t, h.promotions[0].Host, h.primary().Host, "after %d ms", after)
@@ -145,7 +145,7 @@
 	}
 }
 
-// A switchover: the old primary serves until the successor leads, then it steps down.
+// In a switchover the old primary serves until the successor is primary, then it steps down.
 func TestDrainingPrimaryIsSwitchedOver(t *testing.T) {
 	h := newHarness(t)
 	h.run(1300)
@@ -160,7 +160,7 @@
 	require.False(t, h.hosts["h0"].IsPrimary)
 }
 
-// A switchover reports its start, a failover reports that the primary is revoked; both report the new primary.
+// A switchover emits its start event, a failover the revocation of the primary, and both the new primary.
 func TestEventsNameTheTransition(t *testing.T) {
 	h := newHarness(t)
 	h.stopPrimary(false)
@@ -168,8 +168,8 @@
 	h.run(300)
 	h.promote("h1")
 	h.run(200)
-	require.Equal(t, Event{"db", FailoverStarted, "h0"}, h.observed[0])
-	require.Contains(t, h.observed, Event{"db", NewPrimaryObserved, "h1"})
+	require.Equal(t, Event{"db", FailoverStarted, "h0"}, h.observedEvents[0])
+	require.Contains(t, h.observedEvents, Event{"db", NewPrimaryObserved, "h1"})
 
 	h = newHarness(t)
 	h.run(1300)
@@ -178,14 +178,14 @@
 	successor := h.promotions[0].Host
 	h.promote(successor)
 	h.run(400)
-	require.Equal(t, Event{"db", SwitchoverStarted, successor}, h.observed[0])
-	require.Contains(t, h.observed, Event{"db", NewPrimaryObserved, successor})
-	require.NotContains(t, h.observed, Event{"db", FailoverStarted, "h0"})
-	require.Equal(t, "db: switchover started, host "+successor, h.observed[0].String())
+	require.Equal(t, Event{"db", SwitchoverStarted, successor}, h.observedEvents[0])
+	require.Contains(t, h.observedEvents, Event{"db", NewPrimaryObserved, successor})
+	require.NotContains(t, h.observedEvents, Event{"db", FailoverStarted, "h0"})
+	require.Equal(t, "db: switchover started, host "+successor, h.observedEvents[0].String())
 	require.Equal(t, "EventKind(0)", EventKind(0).String())
 }
 
-// A primary that answers that it does not lead any more is revoked without further probes.
+// A primary that answers that it is no longer primary is revoked without further probes.
 func TestPrimaryThatLostLeadershipIsRevoked(t *testing.T) {
 	h := newHarness(t)
 	h.hosts["h0"].IsPrimary = false
@@ -196,7 +196,7 @@
 	require.EqualValues(t, 1, h.coordinator.Counters.Lost)
 }
 
-// A promotion that takes effect after its failover was over is found, and the host that leads becomes the primary.
+// A promotion that takes effect after its failover ended is detected, and the promoted host is appointed primary.
 func TestHostThatLeadsInALaterTermBecomesPrimary(t *testing.T) {
 	h := newHarness(t)
 	h.promote("h2")
@@ -208,12 +208,12 @@
 	require.Empty(t, h.promotions)
 }
 
-// leave has a host leave without draining first: it serves on.
+// leave marks a host as leaving without draining first; the host keeps serving.
 func (h *harness) leave(hostID string) {
 	h.apply(statemachine.Change{HostLeaving: hostID})
 }
 
-// A primary that leaves without draining first serves until its successor leads, as one that drains.
+// A primary that leaves without draining first serves until its successor is primary, like a draining one.
 func TestPrimaryThatLeavesFirstIsSwitchedOver(t *testing.T) {
 	h := newHarness(t)
 	h.run(1300)
@@ -225,11 +225,11 @@
 	h.promote(successor)
 	h.run(400)
 	require.Equal(t, successor, h.primary().Host)
-	require.Contains(t, h.state.Hosts, "h0", "it runs, and has a log that a failover may need")
+	require.Contains(t, h.state.Hosts, "h0", "it still runs, and a failover may need its log")
 }
 
-// A replica that leaves without draining first is a replica until its process has ended and others have its log; it is removed
-// when it could not have come back for a while, and one that heartbeats again is not.
+// A replica that leaves without draining first stays a replica until its process has terminated and others have its log. It is
+// removed after it has been missing for terminatedHostRemovalMs, unless it sends a heartbeat again.
 func TestHostThatLeavesFirstIsRemovedAfterItsEnd(t *testing.T) {
 	h := newHarness(t)
 	h.run(1300)
@@ -244,25 +244,26 @@
 	h.hosts["h2"].up = true
 	host := h.state.Hosts["h2"]
 	host.Missing = false
-	h.apply(statemachine.Change{AddHost: &host}) // as its heartbeat does
-	h.run(2 * endedHostRemovalMs)
+	h.apply(statemachine.Change{AddHost: &host}) // as its heartbeat would
+	h.run(2 * terminatedHostRemovalMs)
 	require.Contains(t, h.state.Hosts, "h2", "it came back with its log")
 
 	h.hosts["h2"].up = false
-	h.run(20_000 + endedHostRemovalMs)
+	h.run(20_000 + terminatedHostRemovalMs)
 	require.NotContains(t, h.state.Hosts, "h2")
 	require.Empty(t, h.state.UnaccountedHostIDs("db"), "others have its log")
 	require.Empty(t, h.promotions)
 }
 
-// A replica that was removed still receives until its process ends; a write that it alone has must not be given up before.
+// A removed replica still receives until its process terminates. Before that it must not count as gone, or a write that only it
+// has received could be lost.
 func TestRemovedReplicaIsNotTakenForGoneBeforeItHasEnded(t *testing.T) {
 	h := newHarness(t)
 	h.run(1300)
 	h.apply(statemachine.Change{DrainHost: "h2"})
 	h.run(300)
 	h.apply(statemachine.Change{RemoveHost: "h2"})
-	h.run(removedHostEndMs - 50)
+	h.run(removedHostShutdownMs - 50)
 	require.Equal(t, []string{"h2"}, h.state.UnaccountedHostIDs("db"))
 	h.run(2000)
 	require.Empty(t, h.state.UnaccountedHostIDs("db"), "others have its log")
--- a/internal/control/failover/harness_test.go
+++ b/internal/control/failover/harness_test.go
@@ -11,39 +11,39 @@
 	"ferrypitch/internal/wire"
 )
 
-// Times of the harness, in milliseconds.
+// Times used by the harness, in milliseconds.
 const (
 	testStartMs             = 1 << 20
 	testTickMs              = 10
-	testDelayMs             = 10 // of answers, outcomes and applied proposals
+	testDelayMs             = 10 // delay of answers, outcomes and applied proposals
 	testHeartbeatIntervalMs = 1200
 )
 
-// harness runs a coordinator with one service's hosts h0 (the primary), h1 and h2, a platform and the log, on a clock of
-// its own. Nothing is random: each test sets what goes wrong.
+// harness runs a coordinator with a simulated clock, platform and log, and one service with the hosts h0 (the primary), h1 and
+// h2. Nothing is random: each test injects its faults.
 type harness struct {
-	t           *testing.T
-	coordinator *Coordinator
-	state       *statemachine.State
-	now         int64
-	index       uint64
-	hosts       map[string]*fakeHost
-	events      []timedEvent
-	promotions  []Promotion
-	outcome     func(n int) PromotionOutcome // of the nth promotion, from 0
-	revocations int
-	observed    []Event
-	lateBy      func(query HostQuery) int64 // if not 0, the query times out and is executed so many milliseconds late
-	allCaughtUp func(index uint64) bool     // nil: all proxies are
-	outstanding int                         // results and outcomes that the coordinator was not given yet
-	discarded   int                         // those that it ignored
-	skipped     int                         // ticks that did not evaluate the service
+	t                *testing.T
+	coordinator      *Coordinator
+	state            *statemachine.State
+	now              int64
+	index            uint64
+	hosts            map[string]*fakeHost
+	events           []timedEvent
+	promotions       []Promotion
+	promotionOutcome func(n int) PromotionOutcome // outcome of the nth promotion, counted from 0
+	revocations      int
+	observedEvents   []Event
+	lateBy           func(query HostQuery) int64 // if not 0, the query times out and is executed this many milliseconds late
+	allCaughtUp      func(index uint64) bool     // nil: all proxies are always caught up
+	outstanding      int                         // results and outcomes not yet delivered to the coordinator
+	discarded        int                         // results and outcomes that the coordinator ignored
+	skipped          int                         // ticks that did not evaluate the service
 }
 
 type fakeHost struct {
 	wire.HostStatus
 	up       bool
-	silent   bool // while not up: it does not even refuse connections
+	silent   bool // while not up: connections time out instead of being refused
 	commands []Command
 }
 
@@ -54,11 +54,11 @@
 
 func newHarness(t *testing.T) *harness {
 	h := &harness{
-		t:       t,
-		now:     testStartMs,
-		state:   &statemachine.State{},
-		hosts:   map[string]*fakeHost{},
-		outcome: func(int) PromotionOutcome { return PromotionSucceeded },
+		t:                t,
+		now:              testStartMs,
+		state:            &statemachine.State{},
+		hosts:            map[string]*fakeHost{},
+		promotionOutcome: func(int) PromotionOutcome { return PromotionSucceeded },
 	}
 	h.startLeader("control", 1)
 	for i := range 3 {
@@ -71,13 +71,13 @@
 	return h
 }
 
-// startLeader replaces the coordinator, as when a member begins to lead the control plane.
+// startLeader replaces the coordinator, as when a member becomes leader of the control plane.
 func (h *harness) startLeader(memberID string, leaderTerm uint64) {
 	h.coordinator = New(memberID, leaderTerm, testHeartbeatIntervalMs, h.now)
-	h.coordinator.OnEvent = func(e Event) { h.observed = append(h.observed, e) }
+	h.coordinator.OnEvent = func(e Event) { h.observedEvents = append(h.observedEvents, e) }
 }
 
-// startNextLeader replaces the coordinator by one of the next term.
+// startNextLeader replaces the coordinator by one in the next term.
 func (h *harness) startNextLeader() { h.startLeader("control", h.coordinator.leaderTerm+1) }
 
 func (h *harness) primary() statemachine.Primary { return h.state.Primaries["db"] }
@@ -95,7 +95,7 @@
 	h.events = append(h.events, timedEvent{h.now + delayMs, run})
 }
 
-// run goes on for a number of milliseconds.
+// run advances the clock by a number of milliseconds, one tick at a time.
 func (h *harness) run(durationMs int64) {
 	for end := h.now + durationMs; h.now < end; h.now += testTickMs {
 		h.runDueEvents()
@@ -132,9 +132,9 @@
 	}
 }
 
-// requireNothingIsSkipped evaluates the service if the tick that follows would not, which must ask for nothing.
+// requireNothingIsSkipped evaluates the service if the next tick would skip it, and requires that this yields no actions.
 func (h *harness) requireNothingIsSkipped(allCaughtUp func(index uint64) bool) {
-	h.coordinator.takeNews(h.state)
+	h.coordinator.wakeChangedServices(h.state)
 	if h.coordinator.isDue(h.state, "db", h.now) {
 		return
 	}
@@ -142,14 +142,14 @@
 	var actions Actions
 	skipped := evaluation{coordinator: h.coordinator, state: h.state, allCaughtUp: allCaughtUp, nowMs: h.now, actions: &actions}
 	skipped.evaluate("db")
-	require.Empty(h.t, actions, "a service that was taken for settled has something to be done")
+	require.Empty(h.t, actions, "the scheduler skips a service that has actions")
 }
 
 func (h *harness) requestPromotion(promotion Promotion) {
 	n := len(h.promotions)
 	h.promotions = append(h.promotions, promotion)
 	h.outstanding++
-	h.after(testDelayMs, func() { h.countResult(h.coordinator.PromotionFinished(promotion, h.outcome(n), h.now)) })
+	h.after(testDelayMs, func() { h.countResult(h.coordinator.PromotionFinished(promotion, h.promotionOutcome(n), h.now)) })
 }
 
 func (h *harness) query(query HostQuery) {
@@ -164,7 +164,7 @@
 	case h.lateBy != nil && h.lateBy(query) > 0:
 		result.TimedOut, delay = true, queryTimeoutMs
 		h.after(h.lateBy(query), func() { host.execute(query) })
-		if query.Serial%4 == 0 { // the coordinator does not learn that it timed out either
+		if query.Serial%4 == 0 { // the coordinator does not receive the timeout either
 			h.outstanding--
 			return
 		}
@@ -194,7 +194,7 @@
 	}
 }
 
-// promote has a promotion take effect: the host leads in a new term, and no replica is paused any more.
+// promote makes a promotion take effect: the host becomes primary in a new term, and all replicas are resumed.
 func (h *harness) promote(hostID string) {
 	term := uint64(0)
 	for _, host := range h.hosts {
@@ -205,13 +205,13 @@
 	host.IsPrimary, host.Timeline = true, term+1
 }
 
-// stopPrimary stops h0: silent, or with its machine refusing connections.
+// stopPrimary stops h0. If silent, connections to it time out, otherwise they are refused.
 func (h *harness) stopPrimary(silent bool) { h.hosts["h0"].up, h.hosts["h0"].silent = false, silent }
 
-// suspectPrimary has a proxy report that it cannot reach h0.
+// suspectPrimary reports to the coordinator that a proxy cannot reach h0.
 func (h *harness) suspectPrimary() { h.coordinator.SuspectPrimary("r0", "db", "h0", h.now) }
 
-// drain marks a host as draining in the log, and returns it as it is there.
+// drain marks a host as draining in the log and returns the updated host.
 func (h *harness) drain(hostID string) statemachine.Host {
 	host := h.state.Hosts[hostID]
 	host.Draining = true
--- a/internal/control/failover/late_commands_test.go
+++ b/internal/control/failover/late_commands_test.go
@@ -10,19 +10,19 @@
 	"ferrypitch/internal/wire"
 )
 
-// lateCommands is a harness whose commands often time out and are executed late, while the primary takes writes.
+// lateCommands is a harness in which commands often time out and are executed late while the primary accepts writes.
 type lateCommands struct {
 	*harness
 	seed   uint64
 	random *rand.Rand
 
-	acknowledged uint64           // the greatest position that a replica had received too
-	handled      int              // promotions that were given an effect
-	revokedAt    map[uint64]int64 // when proxies were first asked whether they acted on a revocation
-	behindUntil  [3]int64         // by host: until when it receives nothing
-	frozenHost   string           // it executes nothing until frozenUntil, and then all at once
-	frozenUntil  int64
-	noDelays     bool
+	acknowledged      uint64           // the greatest position that a replica has received too
+	handledPromotions int              // promotions whose effect was scheduled
+	revokedAt         map[uint64]int64 // by index of a revocation: when allCaughtUp was first called for it
+	behindUntil       [3]int64         // by host: until when it receives no writes
+	frozenHost        string           // executes no commands until frozenUntil, then all of them
+	frozenUntil       int64
+	noDelays          bool
 
 	delayedCommands, frozenCommands, switchovers int
 }
@@ -72,13 +72,13 @@
 		}
 		l.write(id, host)
 	}
-	for ; l.handled < len(l.promotions); l.handled++ {
-		hostID := l.promotions[l.handled].Host
+	for ; l.handledPromotions < len(l.promotions); l.handledPromotions++ {
+		hostID := l.promotions[l.handledPromotions].Host
 		l.after(100, func() { l.takeEffect(hostID) })
 	}
 }
 
-// write has a primary take a write, which is acknowledged once one replica has received it.
+// write adds a write at a primary; it is acknowledged once one replica has received it.
 func (l *lateCommands) write(id string, primary *fakeHost) {
 	primary.Received = wire.Position{Timeline: primary.Timeline, Number: primary.Received.Number + 1}
 	for n, other := range []string{"h0", "h1", "h2"} {
@@ -93,7 +93,7 @@
 	}
 }
 
-// takeEffect promotes a host, which must have all that was acknowledged. The others follow its log.
+// takeEffect promotes a host, which must have every acknowledged write. The other hosts follow its log.
 func (l *lateCommands) takeEffect(hostID string) {
 	promoted := l.hosts[hostID]
 	if promoted.IsPrimary {
@@ -116,7 +116,7 @@
 	}
 }
 
-// switchOver drains the primary until another leads, with changes of leader in the control plane now and then.
+// switchOver drains the primary until another host is primary, with occasional changes of the control plane's leader.
 func (l *lateCommands) switchOver() {
 	oldPrimary := l.primary().Host
 	l.frozenHost = fmt.Sprintf("h%d", l.random.IntN(3))
@@ -141,8 +141,8 @@
 	l.state.Hosts[oldPrimary] = host
 }
 
-// Three switchovers, one right after the other. Commands of the end of one time out now and then, and are executed while
-// the next one runs, perhaps under another leader: no acknowledged write is lost by it, and no replica stays paused.
+// Runs three consecutive switchovers. Commands from the end of one sometimes time out and are executed during the next one,
+// possibly under another leader. No acknowledged write may be lost, and no replica may stay paused.
 func TestLateCommandsLoseNoAcknowledgedWrite(t *testing.T) {
 	delayedCommands, frozenCommands, switchovers := 0, 0, 0
 	for seed := range uint64(400) {
--- a/internal/control/failover/late_results_test.go
+++ b/internal/control/failover/late_results_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A member leads again, and sends the same queries under the same numbers as in its last leadership: every result that was
-// on its way then is ignored, and the failover ends as it would without them.
+// A member becomes leader again and sends the same queries with the same serial numbers as in its previous term. Every result
+// still in flight from that term must be ignored, and the failover must complete as it would without them.
 func TestResultsOfEarlierLeadershipAreDiscarded(t *testing.T) {
 	totalOutstanding, serialsReused := 0, 0
 	for after := int64(0); after < 500; after += 10 {
@@ -28,7 +28,7 @@
 			if h.coordinator.lastSerial >= lastSerial && lastSerial > 0 {
 				serialsReused++
 			}
-			require.Equal(t, outstanding, h.discarded, "after %d ms: a result of the earlier leadership counts", after)
+			require.Equal(t, outstanding, h.discarded, "after %d ms: a result from the previous term was accepted", after)
 			h.run(300)
 			if len(h.promotions) > 0 {
 				h.promote(h.promotions[len(h.promotions)-1].Host)
@@ -41,10 +41,11 @@
 	require.Greater(t, serialsReused, 100)
 }
 
-// Only the result of what is pending counts: none of an earlier request, or of another host, service, token, term or number.
+// Only the result of the pending request is accepted, not one for an earlier request or another host, service, token, term or
+// serial number.
 func TestOnlyTheOutstandingCallIsCompleted(t *testing.T) {
 	h := newHarness(t)
-	h.outcome = func(int) PromotionOutcome { return PromotionUnknown }
+	h.promotionOutcome = func(int) PromotionOutcome { return PromotionUnknown }
 	h.stopPrimary(false)
 	h.suspectPrimary()
 	for len(h.promotions) < 2 {
@@ -55,12 +56,12 @@
 	require.NotEqual(t, first, second)
 	require.Equal(t, first.Host, second.Host)
 	for name, promotion := range map[string]Promotion{
-		"the request before": first,
-		"another host":       {second.Service, "h9", second.Owner, second.FencingToken, second.LeaderTerm, second.Serial},
-		"another service":    {"other", second.Host, second.Owner, second.FencingToken, second.LeaderTerm, second.Serial},
-		"another token":      {second.Service, second.Host, second.Owner, second.FencingToken + 1, second.LeaderTerm, second.Serial},
-		"another term":       {second.Service, second.Host, second.Owner, second.FencingToken, second.LeaderTerm + 1, second.Serial},
-		"another number":     {second.Service, second.Host, second.Owner, second.FencingToken, second.LeaderTerm, second.Serial + 1},
+		"earlier request": first,
+		"another host":    {second.Service, "h9", second.Owner, second.FencingToken, second.LeaderTerm, second.Serial},
+		"another service": {"other", second.Host, second.Owner, second.FencingToken, second.LeaderTerm, second.Serial},
+		"another token":   {second.Service, second.Host, second.Owner, second.FencingToken + 1, second.LeaderTerm, second.Serial},
+		"another term":    {second.Service, second.Host, second.Owner, second.FencingToken, second.LeaderTerm + 1, second.Serial},
+		"another serial":  {second.Service, second.Host, second.Owner, second.FencingToken, second.LeaderTerm, second.Serial + 1},
 	} {
 		require.False(t, h.coordinator.PromotionFinished(promotion, PromotionSucceeded, h.now), name)
 	}
@@ -75,7 +76,7 @@
 		"another command":     func(query *HostQuery) { query.Command = Resume },
 		"another term":        func(query *HostQuery) { query.Term = 9 },
 		"another leader term": func(query *HostQuery) { query.LeaderTerm = 2 },
-		"another number":      func(query *HostQuery) { query.Serial-- },
+		"another serial":      func(query *HostQuery) { query.Serial-- },
 		"another host":        func(query *HostQuery) { query.Host = "h2" },
 		"another service":     func(query *HostQuery) { query.Service = "none" },
 	} {
--- a/internal/control/failover/monitor.go
+++ b/internal/control/failover/monitor.go
@@ -4,18 +4,18 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// monitorSteps look after a service that has a primary.
+// monitorSteps monitor a service that has a primary.
 var monitorSteps = []step{
 	(*evaluation).revokeLostPrimary,
 	(*evaluation).revokeForNewerPrimary,
 	(*evaluation).markMissingReplicas,
-	(*evaluation).removeEndedHosts,
+	(*evaluation).removeTerminatedHosts,
 	(*evaluation).resumeReplicas,
 	(*evaluation).startSwitchover,
 }
 
-// discoverPrimary finds the primary of a service that never had one in the log: a host whose heartbeat says that it leads
-// is asked for its term, and the one with the highest is appointed.
+// discoverPrimary finds the primary of a service that has none in the log yet: it queries the hosts whose heartbeats report
+// them as primary and appoints the one with the highest term.
 func (e *evaluation) discoverPrimary() {
 	newest, newestTerm := "", uint64(0)
 	for _, host := range e.hostIDs {
@@ -23,7 +23,7 @@
 			continue
 		}
 		last, ok := e.service.lastResults[host]
-		if !ok || e.nowMs >= last.receivedAt+claimTTLMs || !last.answered() || !last.Status.IsPrimary {
+		if !ok || e.nowMs >= last.receivedAt+primaryReportTTLMs || !last.answered() || !last.Status.IsPrimary {
 			e.query(host, Stat, 0, queryIntervalMs)
 			continue
 		}
@@ -46,8 +46,8 @@
 	return stop
 }
 
-// revokeForNewerPrimary begins a failover to a host that leads in a later term: a promotion took effect after the failover
-// that asked for it was over.
+// revokeForNewerPrimary starts a failover to a host that is primary in a later term: its promotion took effect after the
+// failover that requested it had ended.
 func (e *evaluation) revokeForNewerPrimary() stepResult {
 	for _, host := range e.hostIDs {
 		last := e.coordinator.heartbeats[host]
@@ -64,10 +64,10 @@
 	return proceed
 }
 
-// startSwitchover nominates a successor for a primary that drains. While the log of a removed host is unaccounted for, or
-// replicas may run that are not known yet, the service stays where it is.
+// startSwitchover nominates a successor for a draining primary. It waits while the log of a removed host is unaccounted for,
+// or while unregistered replicas may be running.
 func (e *evaluation) startSwitchover() stepResult {
-	if e.registrationsDue() || !e.state.Hosts[e.primary.Host].Draining || len(e.state.UnaccountedHostIDs(e.service.name)) > 0 {
+	if e.inRegistrationGrace() || !e.state.Hosts[e.primary.Host].Draining || len(e.state.UnaccountedHostIDs(e.service.name)) > 0 {
 		return stop
 	}
 	successor := e.chooseSuccessor()
--- a/internal/control/failover/promotion.go
+++ b/internal/control/failover/promotion.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Promotion is a request to the platform to promote a host. No two are equal, as with HostQuery.
+// Promotion is a request to the platform to promote a host. Like HostQuery, each one is unique.
 type Promotion struct {
 	Service, Host, Owner string
-	FencingToken         uint64 // the platform rejects one that is older than what it has seen
+	FencingToken         uint64 // the platform rejects a token older than the newest it has seen
 	LeaderTerm, Serial   uint64
 }
 
-// PromotionOutcome is how a promotion request ended.
+// PromotionOutcome is the result of a promotion request.
 type PromotionOutcome uint8
 
-// Outcomes.
+// Promotion outcomes.
 const (
-	PromotionSucceeded   PromotionOutcome = iota // accepted; the host will lead
-	PromotionRejected                            // an older fencing token, or a host that is not running
-	PromotionUnknown                             // it may have been carried out
-	PromotionNotExecuted                         // it was not carried out, and may be retried
+	PromotionSucceeded   PromotionOutcome = iota // accepted; the host will become primary
+	PromotionRejected                            // stale fencing token, or the host is not running
+	PromotionUnknown                             // the request may have been executed
+	PromotionNotExecuted                         // the request was not executed and may be retried
 )
 
-// PromotionFinished takes in how a promotion request ended. It returns false, and ignores the outcome, if that request is
+// PromotionFinished records the outcome of a promotion request. It returns false and ignores the outcome if that request is
 // not pending.
 func (c *Coordinator) PromotionFinished(promotion Promotion, outcome PromotionOutcome, nowMs int64) bool {
 	service := c.services[promotion.Service]
@@ -37,26 +37,26 @@
 		c.Counters.Promoted++
 	case PromotionRejected:
 		service.promotedHost = ""
-		delete(service.unsettledPromotions, promotion.Host)
+		delete(service.unresolvedPromotions, promotion.Host)
 		service.rejectedAt[promotion.Host] = nowMs
 	case PromotionNotExecuted:
 		service.promotedHost = ""
-		delete(service.unsettledPromotions, promotion.Host)
-	case PromotionUnknown: // retried sooner than one that was accepted
+		delete(service.unresolvedPromotions, promotion.Host)
+	case PromotionUnknown: // retried sooner than an accepted request
 		service.promotionEndedAt = nowMs - promotionTimeoutMs + unclearPromotionTimeoutMs
 	}
 	return true
 }
 
-// requestPromotion asks the platform to promote a host, unless a request or a proposal is pending, or the host was
-// requested just now.
+// requestPromotion asks the platform to promote a host, unless a request or a proposal is pending or the last request for
+// this host is less than promotionRetryMs old.
 func (e *evaluation) requestPromotion(host string) {
 	service := e.service
-	if service.promotionPending || service.proposedAt > 0 || e.promotionRequestedLately(host) {
+	if service.promotionPending || service.proposedAt > 0 || e.promotionRequestedRecently(host) {
 		return
 	}
 	service.promotionPending, service.promotedHost, service.promotionSentAt = true, host, e.nowMs
-	service.unsettledPromotions[host] = e.nowMs + promotionTimeoutMs
+	service.unresolvedPromotions[host] = e.nowMs + promotionTimeoutMs
 	service.promotion = Promotion{
 		Service:      service.name,
 		Host:         host,
@@ -68,19 +68,19 @@
 	e.actions.Promotions = append(e.actions.Promotions, service.promotion)
 }
 
-func (e *evaluation) promotionRequestedLately(host string) bool {
+func (e *evaluation) promotionRequestedRecently(host string) bool {
 	service := e.service
 	return service.promotionSentAt > 0 && e.nowMs < service.promotionSentAt+promotionRetryMs && service.promotedHost == host
 }
 
-// unsettledPromotion returns a host other than the given one whose promotion the platform may still carry out, on a request of
-// this member or of an earlier leader; empty: there is none. What the given host acknowledged until then would be lost, so it must
-// not be appointed before.
-func (e *evaluation) unsettledPromotion(except string) string {
-	for _, host := range slices.Sorted(maps.Keys(e.service.unsettledPromotions)) {
+// unresolvedPromotion returns a host other than except whose promotion may still take effect, requested by this member or by a
+// previous leader, or an empty string if there is none. The host except must not be appointed before: writes that it
+// acknowledged until then would be lost.
+func (e *evaluation) unresolvedPromotion(except string) string {
+	for _, host := range slices.Sorted(maps.Keys(e.service.unresolvedPromotions)) {
 		switch {
-		case e.nowMs >= e.service.unsettledPromotions[host], !e.isRegistered(host):
-			delete(e.service.unsettledPromotions, host)
+		case e.nowMs >= e.service.unresolvedPromotions[host], !e.isRegistered(host):
+			delete(e.service.unresolvedPromotions, host)
 		case host != except:
 			return host
 		}
@@ -93,7 +93,7 @@
 	return ""
 }
 
-// pollPromotedHost asks the host under promotion whether it leads by now.
+// pollPromotedHost queries the host being promoted to see whether it has become primary.
 func (e *evaluation) pollPromotedHost() {
 	service := e.service
 	if last, ok := service.lastResults[service.promotedHost]; ok && last.sentAt >= service.promotionSentAt && !last.answered() {
@@ -106,8 +106,8 @@
 	e.query(service.promotedHost, Stat, 0, intervalMs)
 }
 
-// isPromotionDue says whether the host under promotion should lead by now: its heartbeat says so, or most of the time has
-// passed that the last promotion took.
+// isPromotionDue reports whether the host being promoted is expected to be primary by now: its heartbeat says so, or most of
+// the duration of the last promotion has passed.
 func (e *evaluation) isPromotionDue() bool {
 	sentAt := e.service.promotionSentAt
 	if last := e.coordinator.heartbeats[e.service.promotedHost]; last.isPrimary && last.at >= sentAt {
--- a/internal/control/failover/query.go
+++ b/internal/control/failover/query.go
@@ -4,46 +4,46 @@
 	"ferrypitch/internal/wire"
 )
 
-// Command is what a host is told or asked.
+// Command is a command sent to a host.
 type Command uint8
 
-// Commands.
+// Commands that a coordinator sends to hosts.
 const (
 	Stat     Command = iota + 1 // report the status
 	Pause                       // stop receiving from the primary, and report the status
-	Resume                      // receive again
-	StepDown                    // stop leading in terms before the given one
+	Resume                      // receive from the primary again
+	StepDown                    // stop acting as primary in terms before the given one
 )
 
 var commandTexts = [...]string{Stat: "STAT", Pause: "PAUSE", Resume: "RESUME", StepDown: "STEPDOWN"}
 
-// Text is the command's word in the hosts' protocol.
+// Text returns the command's keyword in the host protocol.
 func (c Command) Text() string { return commandTexts[c] }
 
-// HostQuery is one command for one host. No two queries are equal: a term of the control plane has one leader, and a
-// coordinator numbers what it sends.
+// HostQuery is one command for one host. Each query is unique: a control-plane term has only one leader, and its coordinator
+// numbers the queries and promotions it sends.
 type HostQuery struct {
 	Service, Host      string
 	Command            Command
-	Term               uint64 // the database's, of Pause and StepDown
-	LeaderTerm, Serial uint64 // the control plane's term, and the number within it
+	Term               uint64 // database term; set for Pause and StepDown
+	LeaderTerm, Serial uint64 // control-plane term, and the serial number within that term
 }
 
-// QueryResult is how a query ended.
+// QueryResult is the result of a query.
 type QueryResult struct {
 	Query             HostQuery
 	ConnectionRefused bool      // nothing listens at the host's address
 	TimedOut          bool      // no answer came in time, or the connection broke: the command may have been executed
-	Code              wire.Code // the host's error; empty: none
+	Code              wire.Code // error code returned by the host; empty if none
 	Status            wire.HostStatus
 }
 
-// answered says whether the host answered, be it with an error.
+// answered reports whether the host answered, even if with an error.
 func (r *QueryResult) answered() bool { return !r.TimedOut && !r.ConnectionRefused }
 
 func (r *QueryResult) succeeded() bool { return r.answered() && r.Code == "" }
 
-// hostResult is the last result of a host, with the times of its query.
+// hostResult is a query result with the times when the query was sent and its result received.
 type hostResult struct {
 	QueryResult
 	receivedAt int64
@@ -57,13 +57,13 @@
 	sentAt int64
 }
 
-// hostCommand is a command for a host, whichever query brings it.
+// hostCommand identifies a command type at a host, regardless of the query that carries it.
 type hostCommand struct {
 	host    string
 	command Command
 }
 
-// QueryFinished takes in how a query ended. It returns false, and ignores the result, if that query is not pending.
+// QueryFinished records the result of a query. It returns false and ignores the result if that query is not pending.
 func (c *Coordinator) QueryFinished(result QueryResult, nowMs int64) bool {
 	service, host := c.services[result.Query.Service], result.Query.Host
 	if service == nil {
@@ -92,8 +92,8 @@
 	return true
 }
 
-// query sends a command to a host, unless a query to it is pending, or its last result is of the same command and was
-// asked for less than intervalMs ago. term is for Pause and StepDown.
+// query sends a command to a host, unless a query to the host is pending or its last result is for the same command and was
+// requested less than intervalMs ago. term applies to Pause and StepDown.
 func (e *evaluation) query(host string, command Command, term uint64, intervalMs int64) {
 	service := e.service
 	if pending := service.pendingQueries[host]; pending != nil {
@@ -122,7 +122,7 @@
 	return &pendingQuery{query: query, sentAt: e.nowMs}
 }
 
-// statusSince returns a host's status if its last result is a success of this command, sent no earlier than since.
+// statusSince returns a host's status if its last result is a successful one for this command, sent at or after since.
 func (s *serviceState) statusSince(host string, command Command, since int64) (wire.HostStatus, bool) {
 	last, ok := s.lastResults[host]
 	if !ok || !last.isOf(command) || last.sentAt < since || !last.succeeded() {
@@ -131,9 +131,9 @@
 	return last.Status, true
 }
 
-// markUncertain notes that a command without an answer may still be executed from now on, and that all commands that were
-// uncertain at its host still are: a host that stalls, or a network that holds packets back, keeps no order among
-// connections.
+// markUncertain records at nowMs that an unanswered command may still be executed. It extends the uncertainty of all other
+// uncertain commands at the same host too: a stalled host or a network that delays packets does not preserve the order
+// between connections.
 func (s *serviceState) markUncertain(query HostQuery, nowMs int64) {
 	if query.Command == Pause || query.Command == Resume {
 		s.uncertainCommands[hostCommand{query.Host, query.Command}] = nowMs
@@ -145,8 +145,8 @@
 	}
 }
 
-// cannotBeUndone says whether what a host did on a command that was sent at sentAt lasts: no undoing command, of this
-// leader or of the one before, can still be executed there.
+// cannotBeUndone reports whether the effect of a command sent at sentAt is final: no undoing command from this leader or the
+// previous one can still be executed at the host.
 func (e *evaluation) cannotBeUndone(host string, undoing Command, sentAt int64) bool {
 	uncertainSince := e.service.uncertainCommands[hostCommand{host, undoing}]
 	return sentAt >= max(e.coordinator.leaderSince, uncertainSince)+staleCommandMs
--- a/internal/control/failover/replicas.go
+++ b/internal/control/failover/replicas.go
@@ -4,54 +4,54 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// markMissingReplicas finds replicas whose processes are gone, so that the loss of the primary need not wait for them: those
-// that were removed removedHostEndMs ago, and those whose machines have refused connections for refusalPeriodMs. What such a replica alone had
-// received, others must have since: see markMissingOnceOvertaken. A replica that merely does not answer is never taken
-// for gone.
+// markMissingReplicas finds replicas whose processes are gone, so that a failover does not have to wait for them: those that
+// were removed removedHostShutdownMs ago, and those whose machines have refused connections for refusalPeriodMs. Before such a
+// replica is marked, another must have received everything it had: see markMissingOnceOvertaken. A replica that only does not
+// answer never counts as gone.
 func (e *evaluation) markMissingReplicas() stepResult {
 	for _, host := range e.state.UnaccountedHostIDs(e.service.name) {
-		e.noteGoneFrom(host, e.nowMs+removedHostEndMs)
+		e.recordGoneSince(host, e.nowMs+removedHostShutdownMs)
 		e.markMissingOnceOvertaken(host)
 	}
 	for _, host := range e.hostIDs {
 		if host == e.primary.Host || e.state.Hosts[host].Missing || !e.isSilent(host) {
-			delete(e.service.refusingSince, host)
+			delete(e.service.goneSince, host)
 			continue
 		}
 		e.query(host, Stat, 0, idleQueryIntervalMs)
 		last, ok := e.service.lastResults[host]
 		if !ok || !last.ConnectionRefused || e.nowMs > last.receivedAt+refusalTTLMs {
-			delete(e.service.refusingSince, host)
+			delete(e.service.goneSince, host)
 			continue
 		}
-		e.noteGoneFrom(host, e.nowMs)
-		if e.nowMs >= e.service.refusingSince[host]+refusalPeriodMs {
+		e.recordGoneSince(host, e.nowMs)
+		if e.nowMs >= e.service.goneSince[host]+refusalPeriodMs {
 			e.markMissingOnceOvertaken(host)
 		}
 	}
 	return proceed
 }
 
-// noteGoneFrom notes the first time from which a replica is taken to receive nothing more.
-func (e *evaluation) noteGoneFrom(host string, fromMs int64) {
-	if e.service.refusingSince[host] == 0 {
-		e.service.refusingSince[host] = fromMs
+// recordGoneSince records the time from which a replica counts as receiving nothing more. Later calls do not change it.
+func (e *evaluation) recordGoneSince(host string, sinceMs int64) {
+	if e.service.goneSince[host] == 0 {
+		e.service.goneSince[host] = sinceMs
 	}
 }
 
-// removeEndedHosts removes hosts that left without draining first, once their processes have ended: they are missing, which a
-// heartbeat would have revoked, for endedHostRemovalMs.
-func (e *evaluation) removeEndedHosts() stepResult {
+// removeTerminatedHosts removes hosts that left without draining first, once their processes have terminated: they have been
+// missing for terminatedHostRemovalMs. A heartbeat would have cleared the mark.
+func (e *evaluation) removeTerminatedHosts() stepResult {
 	for _, host := range e.hostIDs {
 		if host == e.primary.Host || !e.state.Hosts[host].Missing || !e.state.IsLeaving(host) {
-			delete(e.service.endedSince, host)
+			delete(e.service.terminatedSince, host)
 			continue
 		}
-		if e.service.endedSince[host] == 0 {
-			e.service.endedSince[host] = e.nowMs
+		if e.service.terminatedSince[host] == 0 {
+			e.service.terminatedSince[host] = e.nowMs
 		}
-		if e.nowMs >= e.service.endedSince[host]+endedHostRemovalMs {
-			delete(e.service.endedSince, host)
+		if e.nowMs >= e.service.terminatedSince[host]+terminatedHostRemovalMs {
+			delete(e.service.terminatedSince, host)
 			e.propose(statemachine.Change{RemoveHost: host})
 			return stop
 		}
@@ -59,10 +59,10 @@
 	return proceed
 }
 
-// markMissingOnceOvertaken notes in the log that a failover need not wait for a host that is gone. Its log is replaced once
-// another replica has reached the position that the primary had after the host was gone.
+// markMissingOnceOvertaken records in the log that a failover does not have to wait for a host that is gone. It does so once
+// another replica has reached a position that the primary reported after the host was gone, so the host's log is not needed.
 func (e *evaluation) markMissingOnceOvertaken(gone string) {
-	primaryStatus, ok := e.service.statusSince(e.primary.Host, Stat, e.service.refusingSince[gone])
+	primaryStatus, ok := e.service.statusSince(e.primary.Host, Stat, e.service.goneSince[gone])
 	if !ok {
 		e.query(e.primary.Host, Stat, 0, queryIntervalMs)
 		return
@@ -79,7 +79,7 @@
 		if ok && !status.Received.Before(primaryStatus.Received) {
 			e.emit(ReplicaMarkedMissing, gone)
 			e.coordinator.Counters.MarkedMissing++
-			delete(e.service.refusingSince, gone)
+			delete(e.service.goneSince, gone)
 			e.propose(statemachine.Change{MarkMissing: gone})
 			return
 		}
@@ -87,16 +87,16 @@
 	}
 }
 
-// resumeReplicas has the replicas that a failover or switchover paused receive again. A replica that is not running
-// receives when it starts. One that gives no answer is queried on, and holds back the next switchover for replicaWaitMs: what
-// is to be paused next must not be resumed by a command that is still out.
+// resumeReplicas resumes the replicas that a failover or switchover paused. A replica that is not running receives again when
+// it starts. One that does not answer is retried, and delays the next switchover for replicaWaitMs: a Resume still in flight
+// must not undo the next Pause.
 func (e *evaluation) resumeReplicas() stepResult {
 	if !e.primary.ReplicasPaused {
 		return proceed
 	}
 	service := e.service
-	if service.resumingChange != e.primary.ChangedAt {
-		service.resumingChange, service.resumeStartedAt = e.primary.ChangedAt, e.nowMs
+	if service.resumeChangeIndex != e.primary.ChangedAt {
+		service.resumeChangeIndex, service.resumeStartedAt = e.primary.ChangedAt, e.nowMs
 	}
 	overdue := e.nowMs > service.resumeStartedAt+replicaWaitMs
 	intervalMs := int64(queryIntervalMs)
@@ -122,8 +122,8 @@
 	return stop
 }
 
-// mayBePaused says whether a host is a replica that the last failover or switchover may have paused, and that is not known
-// to receive again.
+// mayBePaused reports whether a host is a replica that the last failover or switchover may have paused and that is not known
+// to have resumed.
 func (e *evaluation) mayBePaused(host string) bool {
 	if host == e.primary.Host || e.state.Hosts[host].AddedAt > e.primary.ChangedAt {
 		return false
--- a/internal/control/failover/schedule.go
+++ b/internal/control/failover/schedule.go
@@ -8,42 +8,43 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// schedule says which services are due. A service that is settled has nothing to be done until one of its hosts may have fallen
-// silent, or something happens: its state changes, a host's heartbeat has news, a proxy suspects its primary, a query or a promotion
-// ends. All others are evaluated at each tick.
+// schedule tracks which services are due for evaluation. An idle service is due when a host's heartbeat may have timed out or
+// on an event: its state changes, a heartbeat differs from the host's last one, a proxy suspects its primary, or a query or
+// promotion finishes. All other services are evaluated at each tick.
 type schedule struct {
-	state         *statemachine.State // that the services were last evaluated with
-	hostsWithNews []string            // whose heartbeats had news since the last evaluation
-	woken         map[string]bool     // services of which something was heard since their last evaluation
-	unsettled     map[string]bool     // services that are evaluated at each tick
-	awaitedIndex  map[string]uint64   // by service: the change that proxies have to apply before its failover goes on
+	state        *statemachine.State // state of the last evaluation
+	changedHosts []string            // hosts with a new, resumed or changed heartbeat since the last evaluation
+	woken        map[string]bool     // services with an event since their last evaluation
+	active       map[string]bool     // services that are evaluated at each tick
+	awaitedIndex map[string]uint64   // by service: log index of the change that proxies must apply before its failover continues
 }
 
 func newSchedule() schedule {
-	return schedule{woken: map[string]bool{}, unsettled: map[string]bool{}, awaitedIndex: map[string]uint64{}}
+	return schedule{woken: map[string]bool{}, active: map[string]bool{}, awaitedIndex: map[string]uint64{}}
 }
 
 func (s *schedule) wake(service string) { s.woken[service] = true }
 
-// takeNews wakes the services of the hosts whose heartbeats had news, and all services if the state was replaced.
-func (c *Coordinator) takeNews(state *statemachine.State) {
+// wakeChangedServices wakes the services of changedHosts, and makes all services due if the state was replaced.
+func (c *Coordinator) wakeChangedServices(state *statemachine.State) {
 	if c.schedule.state != state {
 		c.schedule.state = state
 		for _, service := range c.services {
-			service.settledUntil = 0
+			service.nextEvaluationAt = 0
 		}
 	}
-	for _, host := range c.schedule.hostsWithNews {
+	for _, host := range c.schedule.changedHosts {
 		if known, found := state.Hosts[host]; found {
 			c.schedule.wake(known.Service)
 		}
 	}
-	c.schedule.hostsWithNews = c.schedule.hostsWithNews[:0]
+	c.schedule.changedHosts = c.schedule.changedHosts[:0]
 }
 
-// Tick evaluates the services that are due. allCaughtUp says whether no proxy acts any more on what the log said before an index.
+// Tick evaluates the services that are due. allCaughtUp reports whether no proxy uses state older than an index of the log any
+// more.
 func (c *Coordinator) Tick(state *statemachine.State, allCaughtUp func(index uint64) bool, nowMs int64) (actions Actions) {
-	c.takeNews(state)
+	c.wakeChangedServices(state)
 	e := evaluation{coordinator: c, state: state, allCaughtUp: allCaughtUp, nowMs: nowMs, actions: &actions}
 	for _, name := range state.ServiceNames() {
 		if c.isDue(state, name, nowMs) {
@@ -54,10 +55,10 @@
 	return actions
 }
 
-// HandleEvents evaluates the services of which something was heard since they were last evaluated, and those that need not wait for
-// proxies any more. The caller calls it after each event, and Tick as time goes on.
+// HandleEvents evaluates the services with an event since their last evaluation, and those that no longer have to wait for
+// proxies. The caller calls it after each event, and Tick periodically.
 func (c *Coordinator) HandleEvents(state *statemachine.State, allCaughtUp func(index uint64) bool, nowMs int64) (actions Actions) {
-	c.takeNews(state)
+	c.wakeChangedServices(state)
 	c.wakeCaughtUp(allCaughtUp)
 	if len(c.schedule.woken) == 0 {
 		return actions
@@ -74,7 +75,8 @@
 	return actions
 }
 
-// wakeCaughtUp wakes the services whose change all proxies have applied. Who has applied a change has applied those before it.
+// wakeCaughtUp wakes the services whose awaited change all proxies have applied. Proxies apply changes in order, so the loop
+// stops at the first index that they have not all applied.
 func (c *Coordinator) wakeCaughtUp(allCaughtUp func(index uint64) bool) {
 	if len(c.schedule.awaitedIndex) == 0 {
 		return
@@ -90,50 +92,51 @@
 
 func (c *Coordinator) isDue(state *statemachine.State, name string, nowMs int64) bool {
 	service := c.services[name]
-	return service == nil || nowMs >= service.settledUntil || state.ServiceChangedAt(name) != service.evaluatedIndex || c.schedule.woken[name]
+	return service == nil || nowMs >= service.nextEvaluationAt || state.ServiceChangedAt(name) != service.evaluatedIndex || c.schedule.woken[name]
 }
 
-// reschedule notes when the evaluated service is due again.
+// reschedule records when the evaluated service is due again.
 func (e *evaluation) reschedule() {
-	unsettled := e.coordinator.schedule.unsettled
+	active := e.coordinator.schedule.active
 	e.service.evaluatedIndex = e.state.ServiceChangedAt(e.service.name)
-	if !e.isSettled() {
-		e.service.settledUntil = 0
-		unsettled[e.service.name] = true
+	if !e.isIdle() {
+		e.service.nextEvaluationAt = 0
+		active[e.service.name] = true
 		return
 	}
-	delete(unsettled, e.service.name)
-	e.service.settledUntil = e.firstSilenceAt()
+	delete(active, e.service.name)
+	e.service.nextEvaluationAt = e.firstSilenceAt()
 }
 
-// isSettled says whether the steps that look after a service with a primary have nothing to do until a host falls silent.
-func (e *evaluation) isSettled() bool {
+// isIdle reports whether the monitoring steps have nothing to do for the service until a host's heartbeat times out.
+func (e *evaluation) isIdle() bool {
 	primary, registered := e.state.Hosts[e.primary.Host]
-	isResting := registered && !primary.Draining && !e.primary.Revoked && e.primary.Nominee == "" && !e.primary.ReplicasPaused
-	if !isResting || e.service.isProbing() || len(e.state.UnaccountedHostIDs(e.service.name)) > 0 {
+	isStable := registered && !primary.Draining && !e.primary.Revoked && e.primary.Nominee == "" && !e.primary.ReplicasPaused
+	if !isStable || e.service.isProbing() || len(e.state.UnaccountedHostIDs(e.service.name)) > 0 {
 		return false
 	}
 	for _, host := range e.hostIDs {
-		claimsToLead := host != e.primary.Host && e.coordinator.heartbeats[host].isPrimary
-		if claimsToLead || e.state.Hosts[host].Missing && e.state.IsLeaving(host) {
+		reportsPrimary := host != e.primary.Host && e.coordinator.heartbeats[host].isPrimary
+		if reportsPrimary || e.state.Hosts[host].Missing && e.state.IsLeaving(host) {
 			return false
 		}
 	}
 	return true
 }
 
-// firstSilenceAt is when the first host of a service falls silent if no more heartbeats come. Missing replicas are not waited for.
+// firstSilenceAt returns when the first heartbeat timeout of a service's hosts occurs if no more heartbeats arrive. Missing
+// replicas are not considered.
 func (e *evaluation) firstSilenceAt() int64 {
-	firstMs := e.coordinator.lastHeard(e.primary.Host)
+	firstMs := e.coordinator.lastHeardAt(e.primary.Host)
 	for _, host := range e.hostIDs {
 		if !e.state.Hosts[host].Missing {
-			firstMs = min(firstMs, e.coordinator.lastHeard(host))
+			firstMs = min(firstMs, e.coordinator.lastHeardAt(host))
 		}
 	}
 	return firstMs + e.coordinator.heartbeatTimeoutMs()
 }
 
-// proxiesHaveApplied says whether all proxies have applied a change, and has the service woken once they have.
+// proxiesHaveApplied reports whether all proxies have applied a change. If not, the service is woken once they have.
 func (e *evaluation) proxiesHaveApplied(index uint64) bool {
 	if e.allCaughtUp(index) {
 		return true
--- a/internal/control/failover/schedule_test.go
+++ b/internal/control/failover/schedule_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A service at which nothing happens is not evaluated, and one whose replica falls silent is in time.
+// An idle service is not evaluated at each tick, but a replica whose heartbeats stop is still marked missing in time.
 func TestSettledServiceIsEvaluatedOnlyOnceAHostIsSilent(t *testing.T) {
 	h := newHarness(t)
 	h.run(20_000)
--- a/internal/control/failover/service.go
+++ b/internal/control/failover/service.go
@@ -1,71 +1,71 @@
 package failover
 
-// serviceState is what the coordinator knows of one service beside the replicated state. Times are those of the calls.
+// serviceState is the coordinator's state of one service, in addition to the replicated state. Times are the nowMs of calls.
 type serviceState struct {
 	name       string
-	proposedAt int64 // when a change was proposed that was not applied yet; 0: none
+	proposedAt int64 // when the pending proposal was made; 0: none pending
 
-	evaluatedIndex uint64 // State.ServiceChangedAt at the last evaluation
-	settledUntil   int64  // when it is due though nothing happens; 0: at each tick
+	evaluatedIndex   uint64 // State.ServiceChangedAt at the last evaluation
+	nextEvaluationAt int64  // when the service is due without an event; 0: at each tick
 
 	// Failure detection.
 	suspectedHost   string           // the primary that suspicions and failedProbes are about
 	suspicions      map[string]int64 // by proxy: when it last could not reach the primary
-	suspectedSince  int64            // since when the primary must be probed; 0: it need not
-	failedProbes    int              // in a row
-	lastProbeSentAt int64            // when the last probe that counted was sent
-	refusingSince   map[string]int64 // replicas whose machines refuse connections, or that were removed: since when
+	suspectedSince  int64            // when probing of the primary started; 0: not being probed
+	failedProbes    int              // consecutive failed probes
+	lastProbeSentAt int64            // when the last evaluated probe was sent
+	goneSince       map[string]int64 // by replica: since when its machine refuses connections, or when its process terminates after a removal
 
-	endedSince map[string]int64 // hosts that left without draining first and are missing: since when
+	terminatedSince map[string]int64 // by host that left without draining first: since when it is missing
 
 	// Queries.
 	pendingQueries    map[string]*pendingQuery // by host
-	hedgedQuery       *pendingQuery            // a second probe, beside the pending one, of a suspected primary
+	hedgedQuery       *pendingQuery            // a second probe of a suspected primary, in parallel with the pending one
 	lastResults       map[string]hostResult    // by host
-	uncertainCommands map[hostCommand]int64    // commands that may still be executed, and when their hosts last failed to answer
+	uncertainCommands map[hostCommand]int64    // commands that may still be executed: when their host last failed to answer
 
-	// The failover or switchover that runs, reset when it is over.
-	startedAt          int64    // 0: this member has not begun it
-	proxiesCaughtUpAt  int64    // when no proxy acted on the revoked primary any more; 0: not yet
+	// The current failover or switchover; reset when it ends.
+	startedAt          int64    // when this member started it; 0: not started
+	proxiesCaughtUpAt  int64    // since when no proxy uses the revoked primary; 0: some may
 	nominated          string   // the host that this member nominated
-	promotedHost       string   // the host that the platform was last asked to promote, where that may be in effect
-	promotedHostFailed bool     // it gave no answer to a query after that
+	promotedHost       string   // the host of the last promotion request, unless the request is known to have had no effect
+	promotedHostFailed bool     // promotedHost failed to answer a query sent after the request
 	awaitedHosts       []string // hosts whose positions are still needed
 
-	// Promotion requests, kept beyond a failover.
-	promotion        Promotion // the newest
-	promotionPending bool      // its outcome is not known yet
+	// Promotion requests; kept after a failover ends.
+	promotion        Promotion // the last request
+	promotionPending bool      // the last request has no outcome yet
 	promotionSentAt  int64
 	promotionEndedAt int64
-	// unsettledPromotions are the hosts that the platform may still promote, each with until when.
-	unsettledPromotions map[string]int64
-	rejectedAt          map[string]int64 // by host: when its promotion was rejected, or it did not answer as nominee
+	// unresolvedPromotions holds, by host, until when a requested promotion may still take effect.
+	unresolvedPromotions map[string]int64
+	rejectedAt           map[string]int64 // by host: when its promotion was rejected, or when it failed to answer as nominee
 
-	// Replicas that resume after a failover or switchover.
-	resumingChange  uint64 // the index of the change after which they resume
-	resumeStartedAt int64
+	// Resuming of replicas after a failover or switchover.
+	resumeChangeIndex uint64 // log index of the change of primary after which replicas resume
+	resumeStartedAt   int64
 }
 
 func (c *Coordinator) service(name string) *serviceState {
 	service := c.services[name]
 	if service == nil {
 		service = &serviceState{
-			name:                name,
-			suspicions:          map[string]int64{},
-			refusingSince:       map[string]int64{},
-			endedSince:          map[string]int64{},
-			pendingQueries:      map[string]*pendingQuery{},
-			lastResults:         map[string]hostResult{},
-			uncertainCommands:   map[hostCommand]int64{},
-			rejectedAt:          map[string]int64{},
-			unsettledPromotions: map[string]int64{},
+			name:                 name,
+			suspicions:           map[string]int64{},
+			goneSince:            map[string]int64{},
+			terminatedSince:      map[string]int64{},
+			pendingQueries:       map[string]*pendingQuery{},
+			lastResults:          map[string]hostResult{},
+			uncertainCommands:    map[hostCommand]int64{},
+			rejectedAt:           map[string]int64{},
+			unresolvedPromotions: map[string]int64{},
 		}
 		c.services[name] = service
 	}
 	return service
 }
 
-// resetTransition forgets a failover or switchover that is over.
+// resetTransition clears the state of a failover or switchover that has ended.
 func (s *serviceState) resetTransition() {
 	s.startedAt, s.proxiesCaughtUpAt = 0, 0
 	s.nominated = ""
@@ -73,12 +73,12 @@
 	s.awaitedHosts = nil
 }
 
-// isProbing says whether a primary is suspected, or any host is being queried.
+// isProbing reports whether the primary is suspected or a query to any host is pending.
 func (s *serviceState) isProbing() bool {
 	return len(s.suspicions) > 0 || len(s.pendingQueries) > 0 || s.failedProbes > 0
 }
 
-// recentlyRejected says whether a host is passed over as a nominee.
+// recentlyRejected reports whether a host is excluded as nominee because it was rejected within rejectionPeriodMs.
 func (s *serviceState) recentlyRejected(host string, nowMs int64) bool {
 	return s.rejectedAt[host] > 0 && nowMs < s.rejectedAt[host]+rejectionPeriodMs
 }
--- a/internal/control/failover/switchover.go
+++ b/internal/control/failover/switchover.go
@@ -4,8 +4,8 @@
 	"ferrypitch/internal/wire"
 )
 
-// switchoverSteps hand a service over to the nominee while the primary serves on. They end with the revocation, whether
-// the nominee leads or something went wrong; failoverSteps then find out which.
+// switchoverSteps move a service to the nominee while the primary continues to serve. They end with the revocation of the
+// primary, either because the nominee is primary or because the switchover failed; failoverSteps then determine which.
 var switchoverSteps = []step{
 	(*evaluation).beginSwitchover,
 	(*evaluation).abortIfHostLost,
@@ -16,11 +16,11 @@
 	(*evaluation).replaceFailedNominee,
 	(*evaluation).catchUpNominee,
 	(*evaluation).awaitEarlierLeadersCommands,
-	(*evaluation).promotePausedNominee,
+	(*evaluation).pauseReplicasAndPromote,
 }
 
-// chooseSuccessor returns the host to nominate in place of a primary that drains: the first in order of id that is neither
-// draining nor missing nor silent, one in the primary's zone before others. Empty: there is none.
+// chooseSuccessor returns the host to nominate in place of a draining primary: the first by id that is not draining, not
+// missing and not silent, preferring hosts in the primary's zone. It returns an empty string if there is none.
 func (e *evaluation) chooseSuccessor() string {
 	chosen := ""
 	zone := e.state.Hosts[e.primary.Host].Zone
@@ -37,17 +37,17 @@
 
 func (e *evaluation) maySucceed(id string) bool {
 	host := e.state.Hosts[id]
-	// Unlike in failure detection, a host that was never heard by this member does not count as heard.
-	heardLately := e.nowMs <= e.coordinator.heartbeats[id].at+e.coordinator.heartbeatTimeoutMs()
-	return !host.Draining && !host.Missing && heardLately && !e.service.recentlyRejected(id, e.nowMs)
+	// Unlike in failure detection, a host that has sent no heartbeat to this member does not count as alive.
+	heartbeatIsRecent := e.nowMs <= e.coordinator.heartbeats[id].at+e.coordinator.heartbeatTimeoutMs()
+	return !host.Draining && !host.Missing && heartbeatIsRecent && !e.service.recentlyRejected(id, e.nowMs)
 }
 
 func (e *evaluation) beginSwitchover() stepResult {
-	e.begin(SwitchoverStarted, e.primary.Nominee)
+	e.beginTransition(SwitchoverStarted, e.primary.Nominee)
 	return proceed
 }
 
-// abortSwitchover revokes the primary. Failover then finds out how far the nominee had come, with writes stopped.
+// abortSwitchover revokes the primary. The failover steps then determine the nominee's progress, with writes stopped.
 func (e *evaluation) abortSwitchover() stepResult {
 	e.proposeRevocation()
 	return stop
@@ -60,7 +60,7 @@
 	return proceed
 }
 
-// takeOverSwitchover makes this member the owner of a switchover that another leader began.
+// takeOverSwitchover makes this member the owner of a switchover that a previous leader started.
 func (e *evaluation) takeOverSwitchover() stepResult {
 	if e.ownsTransition() {
 		return proceed
@@ -90,8 +90,8 @@
 	return proceed
 }
 
-// awaitSwitchoverPromotion waits until the promoted nominee leads. The other replicas are paused again meanwhile: one that
-// restarted receives, and would have more than the nominee.
+// awaitSwitchoverPromotion waits until the promoted nominee is primary. Meanwhile it keeps pausing the other replicas: a
+// replica that restarted receives again and would get ahead of the nominee.
 func (e *evaluation) awaitSwitchoverPromotion() stepResult {
 	service := e.service
 	if service.promotedHost == "" {
@@ -109,7 +109,7 @@
 	return stop
 }
 
-// replaceFailedNominee nominates another host for one that gives no answer.
+// replaceFailedNominee nominates another host if the nominee does not answer.
 func (e *evaluation) replaceFailedNominee() stepResult {
 	service := e.service
 	last, ok := service.lastResults[e.primary.Nominee]
@@ -127,7 +127,7 @@
 	return proceed
 }
 
-// queryNominee asks the nominee for its position, and resumes it where an earlier attempt left it paused.
+// queryNominee queries the nominee's position, or resumes the nominee if an earlier attempt left it paused.
 func (e *evaluation) queryNominee() {
 	nominee := e.primary.Nominee
 	if status, ok := e.service.statusSince(nominee, Stat, e.service.startedAt); ok && status.PausedTimeline > 0 {
@@ -137,7 +137,7 @@
 	e.query(nominee, Stat, 0, fastPollIntervalMs)
 }
 
-// awaitEarlierLeadersCommands waits until no command of the leader before this one can still be executed.
+// awaitEarlierLeadersCommands waits until no command of the previous leader can still be executed.
 func (e *evaluation) awaitEarlierLeadersCommands() stepResult {
 	if e.nowMs < e.coordinator.leaderSince+staleCommandMs {
 		return stop
@@ -145,9 +145,9 @@
 	return proceed
 }
 
-// promotePausedNominee pauses all other replicas, so that from then on nothing is acknowledged that the nominee has not
-// received, and has the nominee promoted once it has all that they have and follows the primary.
-func (e *evaluation) promotePausedNominee() stepResult {
+// pauseReplicasAndPromote pauses all replicas except the nominee, so that no write is acknowledged that the nominee has not
+// received. It promotes the nominee once the nominee has everything they have and is caught up with the primary.
+func (e *evaluation) pauseReplicasAndPromote() stepResult {
 	paused := e.pauseReplicas()
 	switch {
 	case paused.mayAcknowledge:
@@ -157,7 +157,7 @@
 	case paused.pending:
 		return stop
 	}
-	if e.nomineeFollows(paused) {
+	if e.nomineeIsCaughtUp(paused) {
 		e.requestPromotion(e.primary.Nominee)
 		return stop
 	}
@@ -167,9 +167,10 @@
 	return stop
 }
 
-// nomineeFollows says whether the nominee has received all that the paused replicas have, and what the primary has written since
-// they were paused: so it receives what the primary writes, and no other replica that may come up is needed for acknowledgements.
-func (e *evaluation) nomineeFollows(paused pausedReplicas) bool {
+// nomineeIsCaughtUp reports whether the nominee has received everything the paused replicas have and everything the primary
+// had written at a time after they were paused. That shows that the nominee receives the primary's writes, so that no other
+// replica that may start is needed to acknowledge them.
+func (e *evaluation) nomineeIsCaughtUp(paused pauseProgress) bool {
 	service, primary, nominee := e.service, e.primary.Host, e.primary.Nominee
 	written, ok := service.statusSince(primary, Stat, max(service.startedAt, paused.pausedAt, e.nowMs-queryIntervalMs))
 	if !ok {
@@ -184,15 +185,15 @@
 	return true
 }
 
-// pausedReplicas is how far the replicas other than the nominee are paused.
-type pausedReplicas struct {
-	mayAcknowledge bool          // one cannot be kept paused, and may acknowledge writes before the nominee leads
-	pending        bool          // some have not answered yet
-	position       wire.Position // the most advanced of those that are paused
-	pausedAt       int64         // when the last of their commands was sent
+// pauseProgress tells how far the pausing of the replicas other than the nominee has come.
+type pauseProgress struct {
+	mayAcknowledge bool          // a replica may not stay paused, so it may acknowledge writes before the nominee is primary
+	pending        bool          // some replicas have not answered yet
+	position       wire.Position // the most advanced position among the paused replicas
+	pausedAt       int64         // when the last of their Pause commands was sent
 }
 
-func (e *evaluation) pauseReplicas() (paused pausedReplicas) {
+func (e *evaluation) pauseReplicas() (paused pauseProgress) {
 	service := e.service
 	for _, host := range e.hostIDs {
 		if host == e.primary.Host || host == e.primary.Nominee {
@@ -201,13 +202,13 @@
 		status, ok := service.statusSince(host, Pause, service.startedAt)
 		last := service.lastResults[host]
 		switch {
-		case !ok && last.isOf(Pause) && last.sentAt >= service.startedAt: // it failed, and may be back too early
-			return pausedReplicas{mayAcknowledge: true}
+		case !ok && last.isOf(Pause) && last.sentAt >= service.startedAt: // the Pause failed, and the replica may receive again too early
+			return pauseProgress{mayAcknowledge: true}
 		case !ok:
 			e.query(host, Pause, e.primary.Term+1, queryIntervalMs)
 			paused.pending = true
 		case !e.cannotBeUndone(host, Resume, last.sentAt):
-			return pausedReplicas{mayAcknowledge: true}
+			return pauseProgress{mayAcknowledge: true}
 		default:
 			paused.pausedAt = max(paused.pausedAt, last.sentAt)
 			if paused.position.Before(status.Received) {
--- a/internal/control/failover/transition.go
+++ b/internal/control/failover/transition.go
@@ -6,16 +6,16 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// Transition is the state of a service's failover or switchover.
+// Transition is the progress of a service's failover or switchover.
 type Transition struct {
 	From, Nominee      string
-	ElapsedMs          int64    // since this member began to carry it out; 0: it has not
-	PromotionRequested string   // the host that the platform was asked to promote; empty: none
-	WaitingFor         []string // hosts whose positions or logs are needed before one can be chosen
-	Planned            bool     // a switchover: the old primary serves meanwhile
+	ElapsedMs          int64    // since this member started it; 0: not started by this member
+	PromotionRequested string   // the host whose promotion was requested from the platform; empty: none
+	WaitingFor         []string // hosts whose positions or logs are needed before a host can be chosen
+	Planned            bool     // true for a switchover, during which the old primary still serves
 }
 
-// Transitions returns the failovers and switchovers that run, by service.
+// Transitions returns the failovers and switchovers in progress, by service.
 func (c *Coordinator) Transitions(state *statemachine.State, nowMs int64) map[string]Transition {
 	all := map[string]Transition{}
 	for name, primary := range state.Primaries {
--- a/internal/control/failover/unknown_replicas_test.go
+++ b/internal/control/failover/unknown_replicas_test.go
@@ -8,12 +8,12 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// A new host that leads on at the lost primary's address, in its term, is not appointed while a promotion of another host may still
-// take effect: what it acknowledged until then would be lost.
+// A new host that continues as primary at the lost primary's address, in the same term, is not appointed while a promotion of
+// another host may still take effect: writes that it acknowledged until then would be lost.
 func TestSuccessorIsNotAppointedWhileAPromotionMayTakeEffect(t *testing.T) {
 	for _, newLeader := range []bool{false, true} {
 		h := newHarness(t)
-		h.outcome = func(int) PromotionOutcome { return PromotionUnknown }
+		h.promotionOutcome = func(int) PromotionOutcome { return PromotionUnknown }
 		h.run(1500)
 		h.drain("h0")
 		for len(h.promotions) == 0 {
@@ -24,7 +24,7 @@
 		if newLeader {
 			h.startNextLeader()
 		}
-		h.hosts["h0.1"] = h.hosts["h0"] // it has ended, and another process has its address and its log
+		h.hosts["h0.1"] = h.hosts["h0"] // its process was replaced by another with the same address and log
 		delete(h.hosts, "h0")
 		h.apply(statemachine.Change{AddHost: &statemachine.Host{ID: "h0.1", Service: "db", Address: "h0"}})
 		h.run(1500)
@@ -36,10 +36,10 @@
 	}
 }
 
-// A host that leads is not appointed while the promotion of another, which was requested later, may still take effect.
+// A host that is primary is not appointed while the later requested promotion of another host may still take effect.
 func TestPrimaryIsNotAppointedWhileALaterPromotionMayTakeEffect(t *testing.T) {
 	h := newHarness(t)
-	h.outcome = func(int) PromotionOutcome { return PromotionUnknown }
+	h.promotionOutcome = func(int) PromotionOutcome { return PromotionUnknown }
 	h.run(500)
 	h.stopPrimary(false)
 	h.suspectPrimary()
@@ -49,20 +49,20 @@
 	if first == second {
 		second = "h2"
 	}
-	h.coordinator.services["db"].unsettledPromotions[second] = h.now + 2000
+	h.coordinator.services["db"].unresolvedPromotions[second] = h.now + 2000
 	h.promote(first)
 	h.run(1800)
 	require.True(t, h.primary().Revoked)
 	h.run(1000)
-	require.Equal(t, first, h.primary().Host, "the promotion of %s can't take effect any more", second)
+	require.Equal(t, first, h.primary().Host, "the promotion of %s can no longer take effect", second)
 }
 
-// While hosts may run that have not sent their first heartbeat, no primary is switched over, and one that is lost is replaced only
-// by a host that has all that it had.
+// While hosts may be running that have not sent their first heartbeat, no switchover starts, and a lost primary is replaced only
+// by a host that has received everything it had.
 func TestUnregisteredReplicasAreExpectedAfterTheStart(t *testing.T) {
 	h := newHarness(t)
 	h.coordinator.RegistrationsDueUntil = h.now + 4000
-	h.hosts["h1"].Received.Number, h.hosts["h2"].Received.Number = 0, 0 // another replica, not known yet, acknowledged all
+	h.hosts["h1"].Received.Number, h.hosts["h2"].Received.Number = 0, 0 // an unregistered replica acknowledged all writes
 	h.run(1500)
 	h.drain("h0")
 	h.run(1000)
@@ -71,20 +71,20 @@
 	h.stopPrimary(true)
 	h.run(1200)
 	require.True(t, h.primary().Revoked)
-	require.Empty(t, h.promotions, "the most advanced known replica may lack what was acknowledged")
+	require.Empty(t, h.promotions, "the most advanced known replica may lack acknowledged writes")
 	h.run(1000)
-	require.Len(t, h.promotions, 1, "all replicas are known by now")
+	require.Len(t, h.promotions, 1, "all replicas are registered by now")
 }
 
-// A nominee that receives nothing is not promoted by a switchover, although all known replicas are paused at its position: a replica
-// that is not known yet may acknowledge what the primary writes.
+// A switchover does not promote a nominee that receives nothing, even if all known replicas are paused at its position: an
+// unregistered replica may acknowledge the primary's writes.
 func TestNomineeMustFollowThePrimary(t *testing.T) {
 	h := newHarness(t)
 	h.run(1500)
-	h.hosts["h0"].Received.Number = 130 // by another replica
+	h.hosts["h0"].Received.Number = 130 // acknowledged by an unregistered replica
 	h.drain("h0")
 	h.run(1000)
 	require.Empty(t, h.promotions)
 	h.run(800)
-	require.True(t, h.primary().Revoked, "writes are stopped, and the positions compared")
+	require.True(t, h.primary().Revoked, "writes are stopped, and the positions are compared")
 }
