--- a/internal/control/backup/backup_test.go
+++ b/internal/control/backup/backup_test.go
@@ -21,7 +21,7 @@
 
 var founders = []consensus.ID{"10.0.0.1", "10.0.0.2", "10.0.0.3"}
 
-// exampleState is a state with something of each kind, at index 40.
+// exampleState returns a state at index 40 with a configuration, a host, a primary and a proxy.
 func exampleState(t *testing.T) *statemachine.State {
 	t.Helper()
 	state := &statemachine.State{}
@@ -49,7 +49,7 @@
 	require.ErrorIs(t, Write(path, snapshot), ErrExists)
 }
 
-// A file that is cut at any byte, or of which any bit is turned, is refused and restores nothing.
+// A file that is truncated at any byte or has a flipped bit in any byte is rejected.
 func TestDamagedFilesAreRefused(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "good")
@@ -60,36 +60,36 @@
 	for size := range good {
 		require.NoError(t, os.WriteFile(damaged, good[:size], 0o600))
 		_, err := Read(damaged)
-		require.ErrorIs(t, err, ErrBroken, "cut at %d of %d", size, len(good))
+		require.ErrorIs(t, err, ErrCorrupt, "cut at %d of %d", size, len(good))
 	}
 	for place := range good {
-		turned := bytes.Clone(good)
-		turned[place] ^= 1 << (place % 8)
-		require.NoError(t, os.WriteFile(damaged, turned, 0o600))
+		flipped := bytes.Clone(good)
+		flipped[place] ^= 1 << (place % 8)
+		require.NoError(t, os.WriteFile(damaged, flipped, 0o600))
 		_, err := Read(damaged)
 		require.Error(t, err, "byte %d", place)
-		require.True(t, errors.Is(err, ErrBroken) || errors.Is(err, ErrNewer), "byte %d: %v", place, err)
+		require.True(t, errors.Is(err, ErrCorrupt) || errors.Is(err, ErrNewerVersion), "byte %d: %v", place, err)
 	}
 	_, err = Read(filepath.Join(folder, "missing"))
 	require.True(t, trace.IsNotFound(err), "%v", err)
 }
 
-// What a member answers is checked as a file is.
+// Snapshots answered by a member are validated like files.
 func TestAnswersThatAreNoSnapshotsAreRefused(t *testing.T) {
 	for name, change := range map[string]func(s *Snapshot){
-		"a newer format":      func(s *Snapshot) { s.Format = format + 1 },
-		"no format":           func(s *Snapshot) { s.Format = 0 },
-		"another index":       func(s *Snapshot) { s.Index++ },
-		"another version":     func(s *Snapshot) { s.Version++ },
-		"no members":          func(s *Snapshot) { s.Members = nil },
-		"no state":            func(s *Snapshot) { s.State = nil },
-		"a state that is cut": func(s *Snapshot) { s.State = s.State[:len(s.State)/2] },
+		"a newer format":    func(s *Snapshot) { s.Format = format + 1 },
+		"no format":         func(s *Snapshot) { s.Format = 0 },
+		"another index":     func(s *Snapshot) { s.Index++ },
+		"another version":   func(s *Snapshot) { s.Version++ },
+		"no members":        func(s *Snapshot) { s.Members = nil },
+		"no state":          func(s *Snapshot) { s.State = nil },
+		"a truncated state": func(s *Snapshot) { s.State = s.State[:len(s.State)/2] },
 	} {
 		snapshot := New(exampleState(t), 9, founders)
 		change(snapshot)
-		want := ErrBroken
+		want := ErrCorrupt
 		if snapshot.Format > format {
-			want = ErrNewer
+			want = ErrNewerVersion
 		}
 		require.ErrorIs(t, snapshot.check(), want, name)
 		_, err := Restore(t.TempDir(), snapshot, options())
@@ -97,14 +97,14 @@
 	}
 	for _, body := range []string{"", "null", "[]", `{"Format":1}`, "<html>"} {
 		_, err := Decode([]byte(body))
-		require.ErrorIs(t, err, ErrBroken, "%q", body)
+		require.ErrorIs(t, err, ErrCorrupt, "%q", body)
 	}
 }
 
-// fullDisk takes so many bytes.
+// fullDisk is a disk that is full after a number of bytes.
 type fullDisk struct {
 	snapshotfile.Disk
-	left int
+	remaining int
 }
 
 type fullFile struct {
@@ -118,25 +118,25 @@
 }
 
 func (f *fullFile) Write(data []byte) (int, error) {
-	if len(data) <= f.disk.left {
-		f.disk.left -= len(data)
+	if len(data) <= f.disk.remaining {
+		f.disk.remaining -= len(data)
 		return f.File.Write(data)
 	}
-	written, err := f.File.Write(data[:f.disk.left])
+	written, err := f.File.Write(data[:f.disk.remaining])
 	return written, errors.Join(err, syscall.ENOSPC)
 }
 
-// A disk that is full under the file leaves no file, and no part of one.
+// If the disk is full, neither a complete nor a partial file stays.
 func TestFullDiskLeavesNoFile(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "system.snapshot")
-	require.Error(t, write(&fullDisk{left: 100}, path, New(exampleState(t), 9, founders)))
+	require.Error(t, write(&fullDisk{remaining: 100}, path, New(exampleState(t), 9, founders)))
 	names, err := os.ReadDir(folder)
 	require.NoError(t, err)
 	require.Empty(t, names)
 }
 
-// A new control plane begins with the state, above everything that the old one can have used.
+// A restored control plane starts with the state of the snapshot, at an index and a term that the old one cannot have reached.
 func TestRestoredDirectoryIsThatOfAFounder(t *testing.T) {
 	state := exampleState(t)
 	for _, self := range founders {
@@ -158,8 +158,8 @@
 	}
 }
 
-// fillDisk makes the directory of a member whose log goes up to an index.
-func fillDisk(t *testing.T, folder string, lastIndex uint64) *storage.WAL {
+// fillFolder creates the data directory of a member whose log ends at lastIndex, and returns it open.
+func fillFolder(t *testing.T, folder string, lastIndex uint64) *storage.WAL {
 	t.Helper()
 	wal, _, _, err := storage.Open(folder, func() storage.Identity { return storage.Identity{ID: "10.0.0.1", Founders: founders} })
 	require.NoError(t, err)
@@ -170,7 +170,7 @@
 	return wal
 }
 
-// What a member left behind is given up only where the snapshot has it, or the operator names its last index; it is kept beside.
+// Existing data is replaced only if the snapshot covers it or DiscardIndex is its last index. It is kept under another name.
 func TestNewerDataIsGivenUpByNameOnly(t *testing.T) {
 	snapshot := New(exampleState(t), 9, founders)
 	for _, test := range []struct {
@@ -179,7 +179,7 @@
 	}{{0, 0, false}, {40, 0, false}, {41, 0, true}, {41, 40, true}, {41, 42, true}, {41, 41, false}} {
 		folder := t.TempDir()
 		if test.left > 0 {
-			require.NoError(t, fillDisk(t, folder, test.left).Close())
+			require.NoError(t, fillFolder(t, folder, test.left).Close())
 		}
 		o := options()
 		o.DiscardIndex = test.discard
@@ -187,8 +187,8 @@
 		_, disk, readErr := storage.ReadFolder(folder)
 		require.NoError(t, readErr)
 		if test.refused {
-			require.ErrorIs(t, err, ErrNewest, "%+v", test)
-			require.Len(t, disk.Entries, int(test.left), "%+v: the directory is as it was", test)
+			require.ErrorIs(t, err, ErrNewerData, "%+v", test)
+			require.Len(t, disk.Entries, int(test.left), "%+v: the directory is unchanged", test)
 			continue
 		}
 		require.NoError(t, err, "%+v", test)
@@ -196,7 +196,7 @@
 		require.EqualValues(t, 40+indexGap, disk.Snapshot.Index)
 		if test.left > 0 {
 			_, err := os.Stat(filepath.Join(folder, "consensus.db.superseded"))
-			require.NoError(t, err, "%+v: what was there is kept", test)
+			require.NoError(t, err, "%+v: the old file is kept", test)
 		}
 	}
 }
@@ -208,31 +208,31 @@
 
 	foreign := Options{Self: "10.7.0.1", Founders: []consensus.ID{"10.7.0.1", "10.7.0.2", "10.7.0.3"}}
 	_, err = Restore(t.TempDir(), snapshot, foreign)
-	require.ErrorIs(t, err, ErrForeign)
+	require.ErrorIs(t, err, ErrOtherSystem)
 	foreign.OtherSystem = true
 	_, err = Restore(t.TempDir(), snapshot, foreign)
 	require.NoError(t, err)
 
 	folder := t.TempDir()
-	wal := fillDisk(t, folder, 3)
+	wal := fillFolder(t, folder, 3)
 	_, err = Restore(folder, snapshot, options())
-	require.ErrorIs(t, err, storage.ErrLocked, "a member runs on it")
+	require.ErrorIs(t, err, storage.ErrLocked, "a member runs on the folder")
 	require.NoError(t, wal.Close())
 
 	broken := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(broken, "consensus.db"), []byte("what is this"), 0o600))
 	_, err = Restore(broken, snapshot, options())
-	require.ErrorIs(t, err, ErrNewest)
+	require.ErrorIs(t, err, ErrNewerData)
 }
 
-// No bytes make Decode panic or take a state that its own digest does not match.
+// No input makes Decode panic or accept a state that does not match its digest.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"Format":1,"Index":1,"Term":1,"Version":1,"Members":["a"],"State":"AHJhY2sx"}`))
 	f.Add([]byte(`{"Format":2}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		snapshot, err := Decode(body)
 		if err == nil && len(snapshot.State) == 0 {
-			t.Fatal("an empty state is taken")
+			t.Fatal("an empty state was accepted")
 		}
 		random := rand.New(rand.NewPCG(1, uint64(len(body))))
 		if len(body) > 0 {
--- a/internal/control/backup/restore.go
+++ b/internal/control/backup/restore.go
@@ -13,54 +13,56 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// Gaps by which a restored control plane begins above the old one, more than that can have gone on since the snapshot was taken.
+// Gaps between the snapshot and the start of the restored control plane. They exceed the progress that the old control plane can
+// have made since the snapshot was taken.
 const (
-	indexGap = 1 << 32 // also of fencing tokens, which are indices
+	indexGap = 1 << 32 // also applies to fencing tokens, which are indices
 	termGap  = 1 << 16
 )
 
-// Options say how a snapshot is restored.
+// Options configure how a snapshot is restored.
 type Options struct {
 	Self     consensus.ID   // the member that the data directory is for; one of Founders
-	Founders []consensus.ID // of the new control plane, sorted; each restores the same snapshot
-	// OtherSystem allows a snapshot none of whose members is a founder.
+	Founders []consensus.ID // founders of the new control plane, sorted; each restores the same snapshot
+	// OtherSystem allows restoring a snapshot that has no founder among its members.
 	OtherSystem bool
-	// DiscardIndex names the last index of what the data directory holds, where that is to be given up; 0: the directory must hold
-	// nothing that the snapshot lacks.
+	// DiscardIndex confirms that existing data which ends at this index may be discarded; 0 means that the data directory must
+	// hold nothing newer than the snapshot.
 	DiscardIndex uint64
 }
 
-// Restored is what a restored data directory holds.
+// Restored describes a restored data directory.
 type Restored struct {
 	Member    consensus.ID
 	Founders  []consensus.ID
-	Index     uint64 // at which the log begins
+	Index     uint64 // index at which the log starts
 	Term      uint64
-	Version   int64 // of the configuration
+	Version   int64 // version of the configuration
 	Hosts     int
 	Proxies   int
-	Discarded uint64 // last index of what the directory held before and was given up; 0: nothing
+	Discarded uint64 // last index of the discarded data; 0: none was discarded
 }
 
-// Restore makes the data directory of one founder of a new control plane. The directory is made where it is missing. What a stopped
-// member left in it is kept beside, under another name, and given up only as Options say. Errors: ErrForeign, ErrNewest, storage.ErrLocked
-// while a member runs on the directory, and those of the operating system; after an error the directory is as it was.
+// Restore creates the data directory of one founder of a new control plane, or replaces the data in an existing one. Data of a
+// stopped member is renamed, not deleted, and data newer than the snapshot is replaced only if options.DiscardIndex confirms it.
+// Errors are ErrOtherSystem, ErrNewerData, storage.ErrLocked while a member runs on the directory, and those of the operating
+// system. After an error the directory is unchanged.
 func Restore(folder string, snapshot *Snapshot, options Options) (*Restored, error) {
 	if err := snapshot.check(); err != nil {
 		return nil, err
 	}
 	if !slices.Contains(options.Founders, options.Self) {
-		return nil, trace.BadParameter("%s is not among the founders %v, which are the seeds of the settings", options.Self, options.Founders)
+		return nil, trace.BadParameter("%s is not one of the founders %v, which are the seeds in the settings", options.Self, options.Founders)
 	}
 	if !options.OtherSystem && !slices.ContainsFunc(snapshot.Members, options.isFounderAddress) {
-		return nil, fmt.Errorf("%w: its members were %v, the founders are %v", ErrForeign, snapshot.Members, options.Founders)
+		return nil, fmt.Errorf("%w: its members were %v, the founders are %v", ErrOtherSystem, snapshot.Members, options.Founders)
 	}
-	left, err := lastIndexIn(folder)
+	existingIndex, err := existingLastIndex(folder)
 	if err != nil {
 		return nil, err
 	}
-	if left > snapshot.Index && left != options.DiscardIndex {
-		return nil, fmt.Errorf("%w: it goes up to index %d, the snapshot to %d", ErrNewest, left, snapshot.Index)
+	if existingIndex > snapshot.Index && existingIndex != options.DiscardIndex {
+		return nil, fmt.Errorf("%w: it ends at index %d, the snapshot at %d", ErrNewerData, existingIndex, snapshot.Index)
 	}
 	state, err := statemachine.Restore(snapshot.State)
 	if err != nil {
@@ -71,8 +73,8 @@
 		Index: snapshot.Index + indexGap, Term: snapshot.Term + termGap,
 		Version: state.Generation, Hosts: len(state.Hosts), Proxies: len(state.Proxies),
 	}
-	if left > snapshot.Index {
-		restored.Discarded = left
+	if existingIndex > snapshot.Index {
+		restored.Discarded = existingIndex
 	}
 	return restored, install(folder, state, restored)
 }
@@ -81,8 +83,8 @@
 	return slices.ContainsFunc(o.Founders, func(founder consensus.ID) bool { return founder.Address() == member.Address() })
 }
 
-// lastIndexIn is up to where a stopped member's log in a folder goes; 0: there is none.
-func lastIndexIn(folder string) (uint64, error) {
+// existingLastIndex returns the last log index of a stopped member's data in a folder; 0 if there is none.
+func existingLastIndex(folder string) (uint64, error) {
 	identity, restored, err := storage.ReadFolder(folder)
 	switch {
 	case trace.IsNotFound(err):
@@ -90,27 +92,27 @@
 	case err != nil:
 		return 0, err
 	case identity.ID == "":
-		return 0, fmt.Errorf("%w, or not: it can't be read; move it out of %s", ErrNewest, folder)
+		return 0, fmt.Errorf("%w or is unreadable; move its file out of %s", ErrNewerData, folder)
 	}
 	return restored.Snapshot.Index + uint64(len(restored.Entries)), nil
 }
 
-// install writes the new data beside the old, and then puts it in its place.
+// install writes the new data to a staging folder and then replaces the old data with it.
 func install(folder string, state *statemachine.State, restored *Restored) error {
-	building := filepath.Clean(folder) + ".restoring"
-	if err := os.RemoveAll(building); err != nil {
+	staging := filepath.Clean(folder) + ".restoring"
+	if err := os.RemoveAll(staging); err != nil {
 		return trace.ConvertSystemError(err)
 	}
-	err := build(building, state, restored)
+	err := buildFolder(staging, state, restored)
 	if err == nil {
-		err = storage.Replace(folder, building)
+		err = storage.Replace(folder, staging)
 	}
-	_ = os.RemoveAll(building) // nothing in it counts any more
+	_ = os.RemoveAll(staging) // its content was moved, or is not used after an error
 	return err
 }
 
-// build makes a data directory that begins with a snapshot.
-func build(folder string, state *statemachine.State, restored *Restored) error {
+// buildFolder creates a data directory whose log starts with a snapshot.
+func buildFolder(folder string, state *statemachine.State, restored *Restored) error {
 	identity := storage.Identity{ID: restored.Member, Founders: restored.Founders}
 	wal, _, _, err := storage.Open(folder, func() storage.Identity { return identity })
 	if err != nil {
--- a/internal/control/storage/damage_test.go
+++ b/internal/control/storage/damage_test.go
@@ -10,7 +10,7 @@
 	"ferrypitch/internal/consensus"
 )
 
-// A folder that is open can't be opened a second time, and can once it is closed.
+// An open folder cannot be opened a second time until it is closed.
 func TestFolderIsLockedWhileOpen(t *testing.T) {
 	folder := t.TempDir()
 	wal, _, _, err := Open(folder, newFounder)
@@ -19,23 +19,23 @@
 	require.ErrorIs(t, err, ErrLocked)
 	require.ErrorContains(t, err, folder)
 	require.NoError(t, wal.Close())
-	_, id := reopened(t, folder)
+	_, id := reopen(t, folder)
 	require.EqualValues(t, "a", id)
 }
 
-// The copy of a compaction that was cut short does not stay.
+// Open removes the temporary file of an interrupted compaction.
 func TestLeftoverCopyIsRemoved(t *testing.T) {
 	folder := t.TempDir()
 	wal, _, _, err := Open(folder, newFounder)
 	require.NoError(t, err)
 	require.NoError(t, wal.Close())
 	require.NoError(t, os.WriteFile(filepath.Join(folder, fileName+temporarySuffix), []byte("half"), 0o600))
-	_, id := reopened(t, folder)
+	_, id := reopen(t, folder)
 	require.EqualValues(t, "a", id)
 	require.Equal(t, []string{fileName}, fileNames(t, folder))
 }
 
-// filledWAL returns an open file with all of saveSteps in it.
+// filledWAL returns an open WAL after all of saveSteps.
 func filledWAL(t *testing.T, folder string) *WAL {
 	t.Helper()
 	wal, _, _, err := Open(folder, newFounder)
@@ -46,14 +46,14 @@
 	return wal
 }
 
-// Scrub finds each byte that has changed on disk, and mends the file: at the next start nothing is missing.
+// Scrub detects changed bytes on disk and repairs the file, so that nothing is missing after the next start.
 func TestScrubMendsDamageOnDisk(t *testing.T) {
 	folder := t.TempDir()
 	wal := filledWAL(t, folder)
 	want := saveSteps[len(saveSteps)-1].want
 	damaged, err := wal.Scrub()
 	require.NoError(t, err)
-	require.False(t, damaged, "there is no damage yet")
+	require.False(t, damaged, "the file is not damaged yet")
 	size := len(readFile(t, wal.path))
 	found, places := 0, 0
 	for place := 0; place < size; place += 7 {
@@ -72,14 +72,14 @@
 		if damaged {
 			found++
 			require.Equal(t, len(readFile(t, wal.path)), validPrefix(readFile(t, wal.path)))
-		} else { // a name of a record that no checksum covers: put it back
+		} else { // the byte is part of a record's key, which no checksum covers: restore it
 			require.NoError(t, os.WriteFile(wal.path, content, 0o600))
 		}
 	}
 	require.Greater(t, found, places*9/10, "of %d changed bytes", places)
 	require.NoError(t, wal.Save([]consensus.Write{{FirstIndex: 11, Entries: []consensus.Entry{entry(4, "s")}}}))
 	require.NoError(t, wal.Close())
-	got, id := reopened(t, folder)
+	got, id := reopen(t, folder)
 	require.EqualValues(t, "a", id)
 	require.Equal(t, want[:len(want)-1]+" 4s]", got)
 }
--- a/internal/control/storage/diskformat/ratchet/ratchet.go
+++ b/internal/control/storage/diskformat/ratchet/ratchet.go
@@ -1,6 +1,6 @@
-// Package ratchet holds the stored form of a member's id. encoding/gob writes the type of a list with the name of the package
-// that its elements come from, as in []ratchet.ID. So this package keeps the name that the package of consensus had when the
-// form was first written.
+// Package ratchet defines the stored form of a member's id. For a list, encoding/gob writes the name of the package that defines
+// the element type, as in []ratchet.ID. This package therefore keeps the name that package consensus had when the format was
+// introduced.
 package ratchet
 
 // ID is the stored form of consensus.ID.
--- a/internal/control/storage/filename.go
+++ b/internal/control/storage/filename.go
@@ -16,72 +16,71 @@
 
 const (
 	fileName       = "consensus.db"
-	legacyFileName = "ratchet.db" // the name in older releases
+	legacyFileName = "ratchet.db" // the file name used by older releases
 
-	temporarySuffix  = ".new"        // a copy that is being written
-	brokenSuffix     = ".broken"     // a file of which nothing could be read
-	supersededSuffix = ".superseded" // the file of an identity that the member had before an older release ran
+	temporarySuffix  = ".new"        // a copy being written
+	brokenSuffix     = ".broken"     // an unreadable file
+	supersededSuffix = ".superseded" // the file of the identity that the member had before an older release ran
 )
 
-// ConflictingFilesError says that a folder holds two different files of the same member, and that the older one can't be
-// told from the newer. The member must not start: on the older file it would have forgotten votes that it gave. Trying again
-// gives the same error, until an operator has moved one of the files out of the folder.
+// ConflictingFilesError reports that a folder holds two different files of the same member and that it cannot be determined
+// which one is newer. The member must not start: with the older file it would have lost votes that it cast. Retrying returns
+// the same error until an operator moves one of the files out of the folder.
 type ConflictingFilesError struct {
 	Current, Legacy string       // the paths
-	Member          consensus.ID // empty: one of the files can't be read
+	Member          consensus.ID // empty if one of the files cannot be read
 }
 
-// Error names both files.
+// Error returns a message with the paths of both files.
 func (e *ConflictingFilesError) Error() string {
-	return fmt.Sprintf("%s and %s are different files of member %q, and which one is newer is not known: move the older one out of the folder",
+	return fmt.Sprintf("%s and %s are different files of member %q and it is not known which one is newer: move the older one out of the folder",
 		e.Current, e.Legacy, e.Member)
 }
 
-// takeover is what has to be done so that the member's file has the current name.
-type takeover int
+// migration is the change that gives the member's file its current name.
+type migration int
 
 const (
-	nothingToTakeOver takeover = iota
-	renameLegacy               // only the old name is there, or its file holds all of the other and more
-	removeLegacy               // the file of the current name holds all of the one of the old name
-	supersedeCurrent           // the files are of different members: the one of the old name is the later one
+	noMigration      migration = iota
+	renameLegacy               // only the legacy file exists, or it starts with all of the current file and has more
+	removeLegacy               // the current file starts with all of the legacy file
+	supersedeCurrent           // the files belong to different members, and the legacy file is the later one
 )
 
-// planTakeover decides which file counts. It only reads.
+// planMigration decides which file is the valid one. It only reads.
 //
-// A takeover removes the old name. So where both names are there, either a takeover was cut short on a file system that
-// renames in two steps, or the file of the old name was put there later: by an older release, which ran in between, or by
-// hand. The rules:
+// A migration removes the legacy name. So if both names exist, either a migration was interrupted on a file system that renames
+// in two steps, or the legacy file was created later, by an older release that ran in between or by hand. The rules:
 //
-//   - If one file begins with all of the other, the longer one counts. A file only grows at its end, so the longer one holds
-//     everything that was acknowledged from the shorter one. Torn ends don't count, and an empty file begins every other.
-//   - If the files are of different members, the one of the old name counts: an older release found no file of its own and
-//     began as a new member. The other member has not run since. Either is safe by itself, as no member comes back with less
-//     than it had acknowledged; the later one is still in the group.
-//   - Otherwise neither is touched, and the error is a *ConflictingFilesError. This takes a copy made by hand on which both
-//     releases ran, or a file of which nothing can be read.
-func planTakeover(folder string) (takeover, error) {
+//   - If one file is a prefix of the other, the longer one is valid. Files are append-only, so the longer one holds everything
+//     that was acknowledged from the shorter one. Torn tails are ignored, and an empty file is a prefix of every other.
+//   - If the files belong to different members, the legacy file is valid: an older release found no file of its own and started
+//     as a new member, and the other member has not run since. Either choice would be safe, as no member returns with less
+//     than it acknowledged, but the later member is the one still in the group.
+//   - Otherwise neither file is touched, and the error is a *ConflictingFilesError. This takes a manual copy on which both
+//     releases ran, or an unreadable file.
+func planMigration(folder string) (migration, error) {
 	currentPath, legacyPath := filepath.Join(folder, fileName), filepath.Join(folder, legacyFileName)
 	legacy, err := os.ReadFile(legacyPath)
 	if errors.Is(err, os.ErrNotExist) {
-		return nothingToTakeOver, nil
+		return noMigration, nil
 	}
 	if err != nil {
-		return nothingToTakeOver, trace.ConvertSystemError(err)
+		return noMigration, trace.ConvertSystemError(err)
 	}
 	current, err := os.ReadFile(currentPath)
 	if errors.Is(err, os.ErrNotExist) {
 		return renameLegacy, nil
 	}
 	if err != nil {
-		return nothingToTakeOver, trace.ConvertSystemError(err)
+		return noMigration, trace.ConvertSystemError(err)
 	}
 
 	conflict := &ConflictingFilesError{Current: currentPath, Legacy: legacyPath}
-	currentMember, currentUsable := memberOf(current)
-	legacyMember, legacyUsable := memberOf(legacy)
+	currentMember, currentUsable := readMember(current)
+	legacyMember, legacyUsable := readMember(legacy)
 	if !currentUsable || !legacyUsable {
-		return nothingToTakeOver, conflict
+		return noMigration, conflict
 	}
 	current, legacy = current[:validPrefix(current)], legacy[:validPrefix(legacy)]
 	switch {
@@ -93,11 +92,11 @@
 		return supersedeCurrent, nil
 	}
 	conflict.Member = currentMember
-	return nothingToTakeOver, conflict
+	return noMigration, conflict
 }
 
-// memberOf reads whose a file is. It is usable if it says so, or if it is empty.
-func memberOf(content []byte) (member consensus.ID, usable bool) {
+// readMember returns the member that a file belongs to. usable reports whether the file has an identity or is empty.
+func readMember(content []byte) (member consensus.ID, usable bool) {
 	var identity diskformat.Identity
 	scanCommands(content, func(next command) {
 		if next.operation == operationSet && next.key == keyIdentity {
@@ -111,23 +110,23 @@
 	return member, member != "" || len(content) == 0
 }
 
-// folderNames is what a takeover does to the names in a folder, so that a test can interrupt it.
-type folderNames interface {
+// directoryOps are the folder operations of a migration. Tests implement it to interrupt a migration.
+type directoryOps interface {
 	Rename(from, to string) error
 	Remove(path string) error
 	SyncFolder(path string) error
 }
 
-// takeOverLegacyFile gives the member's file the current name. It may be interrupted after any step: what is there then is
-// decided anew, and the same file counts.
-func takeOverLegacyFile(names folderNames, folder string) error {
-	plan, err := planTakeover(folder)
+// migrateLegacyFile gives the member's file the current name. It may be interrupted after any step: the next call plans again
+// and arrives at the same file.
+func migrateLegacyFile(names directoryOps, folder string) error {
+	plan, err := planMigration(folder)
 	if err != nil {
 		return err
 	}
 	current, legacy := filepath.Join(folder, fileName), filepath.Join(folder, legacyFileName)
 	switch plan {
-	case nothingToTakeOver:
+	case noMigration:
 		return nil
 	case removeLegacy:
 		err = names.Remove(legacy)
@@ -142,8 +141,8 @@
 	return trace.ConvertSystemError(err)
 }
 
-// supersede moves the current file aside before the other takes its name, and syncs in between, so that neither is lost.
-func supersede(names folderNames, current, legacy string) error {
+// supersede renames the current file and then gives its name to the legacy file. It syncs in between so that neither is lost.
+func supersede(names directoryOps, current, legacy string) error {
 	if err := names.Rename(current, current+supersededSuffix); err != nil {
 		return err
 	}
--- a/internal/control/storage/filename_test.go
+++ b/internal/control/storage/filename_test.go
@@ -15,7 +15,7 @@
 	"ferrypitch/internal/consensus"
 )
 
-// files are the files of a folder, by name.
+// files maps the file names of a folder to their contents.
 type files map[string]string
 
 func writeFiles(t *testing.T, folder string, all files) {
@@ -36,7 +36,7 @@
 	return all
 }
 
-// contentAfterSteps returns what a member's file has after its identity was stored, and after each of saveSteps.
+// contentAfterSteps returns the content of a member's file after its identity was stored and after each of saveSteps.
 func contentAfterSteps(t *testing.T, identity Identity) (contents []string) {
 	t.Helper()
 	folder := t.TempDir()
@@ -53,14 +53,14 @@
 
 var errPowerLoss = errors.New("power loss")
 
-// volatileFolder changes the names in a real folder, and knows what a loss of power may leave of them: the names that were
-// synced, with any of the later changes, each not made, made, or, where it is a rename, made by half: with both names there.
+// volatileFolder changes names in a real folder and models what a power loss may leave: the synced names, with any combination of
+// the later changes. Each of those is missing, applied or, for a rename, half applied, with both names present.
 type volatileFolder struct {
 	folder     string
 	synced     files
-	unsynced   [][]func(files) // for each change the forms in which it may have reached the disk
+	unsynced   [][]func(files) // for each change, the ways in which it may have reached the disk
 	steps      int
-	failAtStep int // the power fails at this step; 0: never
+	failAtStep int // this step fails with a power loss; 0: never
 }
 
 func (f *volatileFolder) step() error {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// afterPowerLoss returns each set of files that may be there after the power failed now.
+// afterPowerLoss returns every set of files that a power loss at this point may leave.
 func (f *volatileFolder) afterPowerLoss() []files {
 	all := []files{maps.Clone(f.synced)}
 	for _, forms := range f.unsynced {
@@ -120,23 +120,23 @@
 	return all
 }
 
-// takeoverCase is a folder and what Open must find in it.
-type takeoverCase struct {
+// migrationCase is the content of a folder and the expected result of Open.
+type migrationCase struct {
 	name       string
 	before     files
-	want       string // as describe writes it
+	want       string // state in the format of describe
 	member     consensus.ID
-	superseded string // content of the file that is put aside; empty: none is
-	steps      int    // of the takeover: calls that change or sync names
+	superseded string // content of the superseded file; empty: there is none
+	steps      int    // calls of the migration that change or sync names
 }
 
-func takeoverCases(t *testing.T) []takeoverCase {
+func migrationCases(t *testing.T) []migrationCase {
 	t.Helper()
 	contents := contentAfterSteps(t, newFounder())
-	const early, late = 5, 6 // no step between them removes anything, so the state after both is that of late
+	const early, late = 5, 6 // no step between them deletes anything, so both files together have the state of late
 	later := contentAfterSteps(t, Identity{ID: "a+later"})
 	torn := contents[late+1][:len(contents[late+1])-5]
-	return []takeoverCase{
+	return []migrationCase{
 		{"old name only", files{legacyFileName: contents[late]}, saveSteps[late-1].want, "a", "", 2},
 		{"old name only, torn", files{legacyFileName: torn}, saveSteps[late-1].want, "a", "", 2},
 		{"new name only", files{fileName: contents[late]}, saveSteps[late-1].want, "a", "", 0},
@@ -160,10 +160,10 @@
 	}
 }
 
-// requireTakenOver opens a folder and checks that the right file counts, that it is served on, and that nothing was lost.
-func requireTakenOver(t *testing.T, folder string, c takeoverCase, context string) {
+// requireMigrated opens a folder and requires that the right file is used, that it accepts writes, and that nothing is lost.
+func requireMigrated(t *testing.T, folder string, c migrationCase, context string) {
 	t.Helper()
-	got, id := reopened(t, folder)
+	got, id := reopen(t, folder)
 	require.Equal(t, c.want, got, context)
 	require.Equal(t, c.member, id, context)
 	after := readFiles(t, folder)
@@ -176,31 +176,31 @@
 	next := restored.Snapshot.Index + uint64(len(restored.Entries)) + 1
 	require.NoError(t, wal.Save([]consensus.Write{{FirstIndex: next, Entries: []consensus.Entry{entry(9, "added")}}}))
 	require.NoError(t, wal.Close())
-	got, _ = reopened(t, folder)
+	got, _ = reopen(t, folder)
 	require.Contains(t, got, "9added", context)
 }
 
 func TestTakeoverOfTheOldFileName(t *testing.T) {
-	for _, c := range takeoverCases(t) {
+	for _, c := range migrationCases(t) {
 		t.Run(c.name, func(t *testing.T) {
 			folder := t.TempDir()
 			writeFiles(t, folder, c.before)
-			requireTakenOver(t, folder, c, c.name)
+			requireMigrated(t, folder, c, c.name)
 		})
 	}
 }
 
-// Wherever a takeover is cut short, by the end of the process or by a loss of power, and wherever the next one is cut short
-// again, the same state is there afterwards.
+// A migration interrupted at any step, by the end of the process or a power loss, with the next one interrupted at any step again,
+// always leads to the same state.
 func TestTakeoverCutShortAtAnyStepLosesNothing(t *testing.T) {
 	states := 0
-	for _, c := range takeoverCases(t) {
+	for _, c := range migrationCases(t) {
 		t.Run(c.name, func(t *testing.T) {
-			steps := exploreTakeover(t, c.before, 2, func(context string, left files) {
+			steps := exploreMigration(t, c.before, 2, func(context string, left files) {
 				states++
 				folder := t.TempDir()
 				writeFiles(t, folder, left)
-				requireTakenOver(t, folder, c, fmt.Sprint(context, ": ", slices.Sorted(maps.Keys(left))))
+				requireMigrated(t, folder, c, fmt.Sprint(context, ": ", slices.Sorted(maps.Keys(left))))
 			})
 			require.Equal(t, c.steps, steps)
 		})
@@ -209,19 +209,19 @@
 	t.Logf("%d states", states)
 }
 
-// exploreTakeover cuts a takeover short before each of its steps and after the last, and calls check with what may be left
-// each time; interruptions is how often in a row. It returns how many steps the first takeover has.
-func exploreTakeover(t *testing.T, before files, interruptions int, check func(context string, left files)) (steps int) {
+// exploreMigration interrupts a migration before each of its steps and after the last, and calls check with every result that may
+// be left. interruptions is the number of consecutive interruptions. It returns the number of steps of the first migration.
+func exploreMigration(t *testing.T, before files, interruptions int, check func(context string, left files)) (steps int) {
 	t.Helper()
 	for failAtStep := 1; ; failAtStep++ {
 		folder := t.TempDir()
 		writeFiles(t, folder, before)
 		names := &volatileFolder{folder: folder, synced: maps.Clone(before), failAtStep: failAtStep}
-		err := takeOverLegacyFile(names, folder)
+		err := migrateLegacyFile(names, folder)
 		for _, left := range append(names.afterPowerLoss(), readFiles(t, folder)) {
 			check(fmt.Sprintf("cut at step %d, %d more", failAtStep, interruptions-1), left)
 			if interruptions > 1 {
-				exploreTakeover(t, left, interruptions-1, check)
+				exploreMigration(t, left, interruptions-1, check)
 			}
 		}
 		if err == nil {
@@ -231,7 +231,7 @@
 	}
 }
 
-// A rename that no sync made durable may come undone while the member has gone on writing.
+// A rename that was not synced may be undone by a power loss after the member has written more.
 func TestTakeoverThatComesUndoneLosesNoLaterWrite(t *testing.T) {
 	folder := t.TempDir()
 	contents := contentAfterSteps(t, newFounder())
@@ -243,12 +243,12 @@
 	}
 	require.NoError(t, wal.Close())
 	require.NoError(t, os.Rename(filepath.Join(folder, fileName), filepath.Join(folder, legacyFileName)))
-	got, id := reopened(t, folder)
+	got, id := reopen(t, folder)
 	require.EqualValues(t, "a", id)
 	require.Equal(t, saveSteps[len(saveSteps)-1].want, got)
 }
 
-// Where it can't be told which file is newer, neither is opened, changed or renamed, and the error says why.
+// If it is not known which file is newer, Open fails with an explanation and neither opens, changes nor renames a file.
 func TestConflictingFilesAreRefused(t *testing.T) {
 	one, other := contentAfterSteps(t, newFounder()), contentAfterSteps(t, newFounder())
 	const foreign = "not a file of this package"
@@ -256,9 +256,9 @@
 		before files
 		member consensus.ID
 	}{
-		"both went on after a copy": {files{fileName: one[4], legacyFileName: other[1] + one[4][len(one[3]):]}, "a"},
-		"new name can't be read":    {files{fileName: foreign, legacyFileName: one[4]}, ""},
-		"old name can't be read":    {files{fileName: one[4], legacyFileName: foreign}, ""},
+		"both changed after a copy": {files{fileName: one[4], legacyFileName: other[1] + one[4][len(one[3]):]}, "a"},
+		"new name is unreadable":    {files{fileName: foreign, legacyFileName: one[4]}, ""},
+		"old name is unreadable":    {files{fileName: one[4], legacyFileName: foreign}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			folder := t.TempDir()
@@ -273,17 +273,17 @@
 				require.ErrorAs(t, err, &conflict)
 				require.Equal(t, c.before, readFiles(t, folder))
 			}
-			// What the error asks for helps.
+			// Removing one file, as the error message asks, resolves the conflict.
 			require.NoError(t, os.Remove(filepath.Join(folder, legacyFileName)))
-			_, id := reopened(t, folder)
+			_, id := reopen(t, folder)
 			require.Equal(t, c.before[fileName] == foreign, id == "learner")
 		})
 	}
 }
 
-// ReadFolder finds what Open finds, and changes nothing.
+// ReadFolder returns the same as Open and changes nothing.
 func TestReadFolderChangesNothing(t *testing.T) {
-	for _, c := range takeoverCases(t) {
+	for _, c := range migrationCases(t) {
 		t.Run(c.name, func(t *testing.T) {
 			folder := t.TempDir()
 			writeFiles(t, folder, c.before)
--- a/internal/control/storage/growth_test.go
+++ b/internal/control/storage/growth_test.go
@@ -11,7 +11,7 @@
 	"ferrypitch/internal/consensus"
 )
 
-// BenchmarkGrowth measures what a file costs by the number and size of its entries: bytes of one more, and time of an Open.
+// BenchmarkGrowth measures, by snapshot size and number of entries, the file growth per entry and the duration of Open.
 func BenchmarkGrowth(b *testing.B) {
 	const maxFileBytes, entryBytes = 40_000_000, 85
 	for _, stateBytes := range []int{100, 300_000} {
--- a/internal/control/storage/load.go
+++ b/internal/control/storage/load.go
@@ -15,8 +15,8 @@
 	"ferrypitch/internal/control/storage/diskformat"
 )
 
-// load reads all that is held. It removes entries that do not count: those that the snapshot covers, and those behind a gap
-// or behind a term that falls, which a torn commit left.
+// load reads the stored state. It deletes the entries that are not part of the log: those covered by the snapshot, and those
+// that follow a gap or a decreasing term, which a torn commit leaves.
 func (w *WAL) load() (Identity, consensus.RestoredState, error) {
 	identity, restored, err := w.loadRecords()
 	if err == nil {
@@ -29,14 +29,14 @@
 	return identity, restored, err
 }
 
-// loadRecords reads everything but the entries. What was never stored is zero.
+// loadRecords reads everything except the entries. Values that were never stored are zero.
 func (w *WAL) loadRecords() (Identity, consensus.RestoredState, error) {
 	var identity diskformat.Identity
 	var hardState diskformat.Meta
 	var snapshot diskformat.Snapshot
 	err := w.db.View(func(tx *buntdb.Tx) error {
 		for _, wanted := range []record{{keyIdentity, &identity}, {keyHardState, &hardState}, {keySnapshot, &snapshot}} {
-			if _, err := get(tx, wanted.key, wanted.value); err != nil {
+			if _, err := getRecord(tx, wanted.key, wanted.value); err != nil {
 				return err
 			}
 		}
@@ -47,7 +47,8 @@
 	return Identity{ID: id, Founders: founders}, restored, err
 }
 
-// loadEntries reads the entries behind a snapshot, up to the first that is missing or whose term is below the one before.
+// loadEntries reads the entries after a snapshot and stops at the first that is missing or has a lower term than the one before
+// it.
 func (w *WAL) loadEntries(snapshot consensus.Snapshot) ([]consensus.Entry, error) {
 	var entries []consensus.Entry
 	index, term := snapshot.Index+1, snapshot.Term
@@ -55,7 +56,7 @@
 		var stored diskformat.Entry
 		found := false
 		err := w.db.View(func(tx *buntdb.Tx) (err error) {
-			found, err = get(tx, entryKey(index), &stored)
+			found, err = getRecord(tx, entryKey(index), &stored)
 			return err
 		})
 		if err != nil || !found || stored.View < term {
@@ -66,27 +67,27 @@
 	}
 }
 
-// get reads a record into value, which points to a type of package diskformat. It reports whether there is one.
-func get(tx *buntdb.Tx, key string, value any) (found bool, err error) {
-	sealed, err := tx.Get(key, true)
+// getRecord reads a record into value, a pointer to a type of package diskformat. It reports whether the record exists.
+func getRecord(tx *buntdb.Tx, key string, value any) (found bool, err error) {
+	encoded, err := tx.Get(key, true)
 	if errors.Is(err, buntdb.ErrNotFound) {
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
-	body, err := decodeSealed(sealed)
+	body, err := decodeChecksummed(encoded)
 	if err != nil {
 		return false, fmt.Errorf("record %s: %w", key, err)
 	}
 	return true, gob.NewDecoder(bytes.NewReader(body)).Decode(value)
 }
 
-// ReadFolder returns what Open would return for the folder of a member that is stopped, and writes nothing there: it opens a
-// copy. The identity is zero where there is nothing that can be read. Errors: fs.ErrNotExist as trace converts it where there
-// is no file, and those of Open.
+// ReadFolder returns what Open would return for the folder of a stopped member, without writing to the folder: it opens a copy.
+// The identity is zero if the file is unreadable. Errors are those of Open, and fs.ErrNotExist, converted by package trace, if
+// there is no file.
 func ReadFolder(folder string) (identity Identity, restored consensus.RestoredState, err error) {
-	plan, err := planTakeover(folder)
+	plan, err := planMigration(folder)
 	if err != nil {
 		return identity, restored, err
 	}
--- a/internal/control/storage/lock.go
+++ b/internal/control/storage/lock.go
@@ -9,10 +9,11 @@
 	"github.com/gravitational/trace"
 )
 
-// ErrLocked says that another process has the folder open. Two members on one disk would each forget what the other promised.
+// ErrLocked reports that another process has the folder open. Two members on one folder would each lose the votes and entries
+// that the other acknowledged.
 var ErrLocked = errors.New("another process uses this folder")
 
-// lockFolder locks a folder until the returned file is closed, or the process ends.
+// lockFolder locks a folder until the returned file is closed or the process exits.
 func lockFolder(folder string) (*os.File, error) {
 	handle, err := os.Open(folder)
 	if err != nil {
--- a/internal/control/storage/recovery.go
+++ b/internal/control/storage/recovery.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	maxCommandParts   = 8  // more than any of buntdb's commands has
-	maxLengthLine     = 24 // bytes of a mark, a number of up to 20 digits, and CR LF
-	lineEnd           = "\r\n"
-	commandMark       = '*' // before the number of parts
-	partMark          = '$' // before the length of a part
-	operationSet      = "set"
-	operationDelete   = "del"
-	partsOfSet        = 3
-	minPartsOfCommand = 2
+	maxCommandParts    = 8  // more than any buntdb command has
+	maxLengthLineBytes = 24 // bytes of a prefix, a number of up to 20 digits, and CR LF
+	lineEnd            = "\r\n"
+	commandPrefix      = '*' // before the number of parts
+	partPrefix         = '$' // before the length of a part
+	operationSet       = "set"
+	operationDelete    = "del"
+	setParts           = 3
+	minCommandParts    = 2
 )
 
-// truncateTornTail cuts a file after its last valid command, and reports whether there was anything in it. Each commit was
-// synced before the next was written, so only the last can be torn, and that one was not acknowledged. Without the cut
-// buntdb might refuse the whole file.
+// truncateTornTail truncates a file after its last valid command and reports whether the file had any content. Each commit is
+// synced before the next is written, so only the last one can be torn, and it was not acknowledged. Without the truncation
+// buntdb might reject the whole file.
 func truncateTornTail(path string) (hadContent bool, err error) {
 	content, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -51,16 +51,16 @@
 	return hadContent, trace.ConvertSystemError(err)
 }
 
-// command is one of buntdb's commands: a record that is set or deleted.
+// command is a buntdb command: it sets or deletes a record.
 type command struct {
 	operation, key string
-	body           []byte // of a record that is set
+	body           []byte // decoded value of a set command
 }
 
-// validPrefix returns how many bytes at the start of a file are valid commands, by their form and their checksums.
+// validPrefix returns the length of the longest prefix of a file that consists of well-formed commands with valid checksums.
 func validPrefix(content []byte) int { return scanCommands(content, func(command) {}) }
 
-// scanCommands calls visit for each valid command at the start of a file, and returns how many bytes they have.
+// scanCommands calls visit for each command up to the first invalid one, and returns the total size of the visited commands.
 func scanCommands(content []byte, visit func(command)) (valid int) {
 	for valid < len(content) {
 		parts, size := parseCommand(content[valid:])
@@ -77,36 +77,36 @@
 	return valid
 }
 
-var errCommand = errors.New("not a command of this package")
+var errInvalidCommand = errors.New("not a command of this package")
 
 func decodeCommand(parts [][]byte) (command, error) {
-	if len(parts) < minPartsOfCommand {
-		return command{}, errCommand
+	if len(parts) < minCommandParts {
+		return command{}, errInvalidCommand
 	}
 	next := command{operation: string(parts[0]), key: string(parts[1])}
 	switch next.operation {
 	case operationDelete:
 		return next, nil
 	case operationSet:
-		if len(parts) != partsOfSet {
-			return command{}, errCommand
+		if len(parts) != setParts {
+			return command{}, errInvalidCommand
 		}
-		body, err := decodeSealed(string(parts[2]))
+		body, err := decodeChecksummed(string(parts[2]))
 		next.body = body
 		return next, err
 	}
-	return command{}, errCommand
+	return command{}, errInvalidCommand
 }
 
-// parseCommand reads the parts of a command: *PARTS, then $LENGTH and so many bytes for each, each line ended by CR LF. size
-// is 0 where there is no complete command.
+// parseCommand parses the parts of a command: the line *PARTS, then for each part the line $LENGTH and that many bytes. CR LF
+// ends each line and each part. size is 0 if there is no complete command.
 func parseCommand(content []byte) (parts [][]byte, size int) {
-	count, size := parseLength(content, commandMark)
+	count, size := parseLength(content, commandPrefix)
 	if size == 0 || count > maxCommandParts {
 		return nil, 0
 	}
 	for range count {
-		length, lineBytes := parseLength(content[size:], partMark)
+		length, lineBytes := parseLength(content[size:], partPrefix)
 		if lineBytes == 0 || length > len(content)-size-lineBytes-len(lineEnd) {
 			return nil, 0
 		}
@@ -121,10 +121,10 @@
 	return parts, size
 }
 
-// parseLength reads a line of a mark and a number. size is 0 where there is no such line.
-func parseLength(content []byte, mark byte) (value, size int) {
-	end := bytes.Index(content[:min(len(content), maxLengthLine)], []byte(lineEnd))
-	if end < 2 || content[0] != mark {
+// parseLength parses a line of a prefix and a number. size is 0 if there is no such line.
+func parseLength(content []byte, prefix byte) (value, size int) {
+	end := bytes.Index(content[:min(len(content), maxLengthLineBytes)], []byte(lineEnd))
+	if end < 2 || content[0] != prefix {
 		return 0, 0
 	}
 	value, err := strconv.Atoi(string(content[1:end]))
--- a/internal/control/storage/replace.go
+++ b/internal/control/storage/replace.go
@@ -11,8 +11,8 @@
 	"ferrypitch/internal/snapshotfile"
 )
 
-// Replace puts the file of a member from one folder into another, in place of what is there, which is kept beside it under the name of
-// a superseded file. The error is ErrLocked while a member runs on the folder.
+// Replace moves a member's file from the folder from into folder. A file already there is kept in the same folder with the suffix
+// for superseded files. The error is ErrLocked while a member runs on the folder.
 func Replace(folder, from string) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return trace.ConvertSystemError(err)
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = lock.Close() }() // nothing was written by it
+	defer func() { _ = lock.Close() }() // nothing was written through this handle
 	path := filepath.Join(folder, fileName)
 	for _, name := range []string{fileName, legacyFileName} {
 		err := os.Rename(filepath.Join(folder, name), path+supersededSuffix)
--- a/internal/control/storage/scrub.go
+++ b/internal/control/storage/scrub.go
@@ -6,10 +6,10 @@
 	"github.com/gravitational/trace"
 )
 
-// Scrub reads the file from the disk and checks every record. Where one is damaged, the file is replaced by a copy of what is held
-// in memory, which is what was written. It reports whether there was damage; after an error it may be called again.
+// Scrub reads the file from disk and verifies every record. If one is damaged, it rewrites the file from the database's copy in
+// memory, which holds everything that was written. It reports whether there was damage. After an error it may be called again.
 //
-// Without it damage would show only at the next start, and the member would then have forgotten what it acknowledged.
+// Without Scrub, damage would go unnoticed until the next start, when the member would have lost state that it acknowledged.
 func (w *WAL) Scrub() (damaged bool, err error) {
 	if err := w.ensureOpen(); err != nil {
 		return false, err
--- a/internal/control/storage/wal.go
+++ b/internal/control/storage/wal.go
@@ -1,15 +1,15 @@
-// Package storage keeps a member's consensus state on disk: who the member is, its term and vote, its newest snapshot and
-// the log entries behind it.
+// Package storage persists a member's consensus state: its identity, its term and vote, its newest snapshot and the log
+// entries after the snapshot.
 //
 //	Open -> Identity, RestoredState    Save(writes) -> on disk    Compact -> a smaller file
 //
-// Everything is in one file, the append-only file of buntdb. Each of its records is one of buntdb's commands, whose value
-// carries a checksum. A commit writes a group of records and syncs the file; what Save returned for is on disk. A commit that
-// was cut short leaves a torn end, which Open cuts off. A file of which nothing can be read is renamed to *.broken, and the
-// member starts as one without a disk: it acknowledges nothing before it has learned the log from the others.
+// All state is in one file, the append-only file of a buntdb database. Each record is a buntdb command whose value carries a
+// checksum. A commit writes a group of records and syncs the file; when Save returns without an error, its writes are on disk.
+// An interrupted commit leaves a torn tail, which Open truncates. An unreadable file is renamed to *.broken, and the member
+// starts as one without a disk: it acknowledges nothing before it has received the log from the other members.
 //
-// The files of this package: wal.go writes, load.go reads what is there, recovery.go finds the torn end, scrub.go looks for damage,
-// record.go encodes a record, lock.go keeps a second process out, filename.go takes over a file that has the name that older
+// The files of this package: wal.go writes, load.go reads the stored state, recovery.go finds the torn tail, scrub.go detects
+// damage, record.go encodes records, lock.go excludes a second process, and filename.go migrates a file with the name that older
 // releases used.
 package storage
 
@@ -28,38 +28,38 @@
 	"ferrypitch/internal/snapshotfile"
 )
 
-// compactionRatio is the multiple of its size after the last compaction that a file reaches before it is compacted again.
+// compactionRatio is the growth factor since the last compaction at which a file is compacted again.
 const compactionRatio = 3
 
-// WAL is an open file. Its methods must be called from one goroutine at a time.
+// WAL is a member's open file. It is not safe for concurrent use.
 type WAL struct {
 	db             *buntdb.DB
 	file           syncedFile
-	lock           *os.File // of the folder
+	lock           *os.File // holds the lock of the folder
 	path           string
-	needsReopen    bool   // the open file has lost its name
-	lastIndex      uint64 // of the newest entry that is held, or of the snapshot
+	needsReopen    bool   // the open file is no longer the one at path
+	lastIndex      uint64 // index of the newest stored entry, or of the snapshot
 	compactedBytes int64  // size of the file after the last compaction
 }
 
-// syncedFile is a second handle of buntdb's file. It makes syncs that fail visible, which buntdb ignores.
+// syncedFile is a second handle of buntdb's file. It is used to sync, because buntdb ignores sync errors.
 type syncedFile interface {
 	Sync() error
 	Close() error
 }
 
-// Identity is who a member is. It is written once, before anything else, and stays for as long as the disk lives.
+// Identity identifies a member. It is written once, before anything else, and does not change for the lifetime of the disk.
 type Identity struct {
 	ID       consensus.ID
-	Founders []consensus.ID // the first members, on the disk of one of them; otherwise empty
+	Founders []consensus.ID // the founding members, if this member is one of them; otherwise empty
 }
 
-// Open opens the file in a folder, and makes both where they are missing. It returns the identity and the state that were
-// stored last. Where there is no file, or none that can be read, it stores the identity that fresh returns, and the state is
-// zero.
+// Open opens the file in a folder and creates both if they are missing. It returns the stored identity and state. If there is no
+// file, or it is unreadable, Open stores the identity that fresh returns, and the state is zero.
 //
-// Errors: ErrLocked where another process has the folder open; a *ConflictingFilesError where two files could be the member's;
-// otherwise those of the operating system, converted by package trace. After an error nothing is open, and Open may be called again.
+// Errors are ErrLocked if another process has the folder open, a *ConflictingFilesError if either of two files could be the
+// member's, and otherwise those of the operating system, converted by package trace. After an error nothing is open, and Open may
+// be called again.
 func Open(folder string, fresh func() Identity) (*WAL, Identity, consensus.RestoredState, error) {
 	none := consensus.RestoredState{}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
@@ -77,13 +77,13 @@
 	return wal, identity, restored, nil
 }
 
-// open is Open in a folder that is locked.
+// open implements Open in a locked folder.
 func (w *WAL) open(folder string, fresh func() Identity) (Identity, consensus.RestoredState, error) {
 	none := consensus.RestoredState{}
-	if err := takeOverLegacyFile(snapshotfile.Disk{}, folder); err != nil {
+	if err := migrateLegacyFile(snapshotfile.Disk{}, folder); err != nil {
 		return Identity{}, none, err
 	}
-	_ = os.Remove(w.path + temporarySuffix) // of a compaction that was cut short; the next one truncates it anyway
+	_ = os.Remove(w.path + temporarySuffix) // left by an interrupted compaction; the next one truncates it anyway
 	hadContent, err := truncateTornTail(w.path)
 	if err != nil {
 		return Identity{}, none, err
@@ -92,9 +92,9 @@
 	if err == nil && identity.ID != "" {
 		return identity, restored, nil
 	}
-	_ = w.closeFiles() // they hold nothing that counts
+	_ = w.closeFiles() // they hold no identity
 	if hadContent || err != nil {
-		if err := putAside(w.path); err != nil {
+		if err := renameBroken(w.path); err != nil {
 			return Identity{}, none, err
 		}
 	}
@@ -102,8 +102,8 @@
 	return identity, none, w.create(identity)
 }
 
-// putAside renames a file of which nothing can be read, if it is there, so that it can be looked at.
-func putAside(path string) error {
+// renameBroken renames an unreadable file, if it exists, to keep it for inspection.
+func renameBroken(path string) error {
 	err := os.Rename(path, path+brokenSuffix)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -118,13 +118,13 @@
 	return w.load()
 }
 
-// create makes the file of a member that has none.
+// create creates the file of a member that has none and stores its identity.
 func (w *WAL) create(identity Identity) error {
 	if err := w.openFiles(); err != nil {
 		return err
 	}
 	err := w.commit(func(tx *buntdb.Tx) error {
-		return put(tx, keyIdentity, diskformat.FromIdentity(identity.ID, identity.Founders))
+		return putRecord(tx, keyIdentity, diskformat.FromIdentity(identity.ID, identity.Founders))
 	})
 	if err != nil {
 		return trace.Wrap(err)
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// Close closes the file and unlocks the folder. What Save returned for is on disk whether Close fails or not.
+// Close closes the file and unlocks the folder. Writes for which Save succeeded are on disk even if Close fails.
 func (w *WAL) Close() error {
 	err := w.closeFiles()
 	if w.lock != nil {
@@ -167,7 +167,7 @@
 	return err
 }
 
-// ensureOpen reopens the file if a write failed before in a way that can't be taken back.
+// ensureOpen reopens the file if an earlier failure made the open one unusable.
 func (w *WAL) ensureOpen() error {
 	if w.db != nil && !w.needsReopen {
 		return nil
@@ -175,9 +175,9 @@
 	return w.reopen()
 }
 
-// reopen reads the file anew, without the torn end that a failed write left.
+// reopen opens the file again, after truncating the torn tail that a failed write may have left.
 func (w *WAL) reopen() error {
-	_ = w.closeFiles() // the failed write was reported already, and was not acknowledged
+	_ = w.closeFiles() // the failed write was already reported and not acknowledged
 	if _, err := truncateTornTail(w.path); err != nil {
 		return err
 	}
@@ -189,7 +189,7 @@
 	return err
 }
 
-// commit makes one change and returns once it is on disk. A change that fails may be made again.
+// commit applies one change and returns once it is on disk. A failed change may be retried.
 func (w *WAL) commit(change func(*buntdb.Tx) error) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -207,28 +207,28 @@
 	return w.rewrite()
 }
 
-// abandon drops the open file after buntdb panicked, which it does where it can't cut off a write that failed. It does so with
-// its lock taken, so it can't even be closed: its handle of the file and a goroutine are lost.
+// abandon discards the database after buntdb panicked, which it does if it cannot truncate a failed write. The panic leaves its
+// lock held, so the database cannot be closed: its file handle and a goroutine leak.
 func (w *WAL) abandon() {
-	_ = w.file.Close() // nothing is written by this handle
+	_ = w.file.Close() // nothing is written through this handle
 	w.db, w.file = nil, nil
 }
 
-// batch is the records that the next commit will write.
+// batch collects the records of the next commit.
 type batch struct{ records []record }
 
 type record struct {
 	key   string
-	value any // of a type of package diskformat
+	value any // a type of package diskformat
 }
 
 func (b *batch) add(key string, value any) { b.records = append(b.records, record{key, value}) }
 
-// Save writes to disk in the order given, and returns once all of it is synced. After an error none, some or all of the
-// writes are on disk; Save may be called with the same writes again.
+// Save stores writes in the order given and returns once all of them are synced. After an error none, some or all of the writes
+// are on disk; Save may be retried with the same writes.
 //
-// A commit may be torn between any two of its records, in any order. So the removal of entries is a commit of its own: torn,
-// it leaves a gap, and load ignores the entries behind a gap.
+// A torn commit may leave any subset of its records on disk. Deleting entries is therefore a separate commit: if that is torn, it
+// leaves a gap, and load ignores the entries after a gap.
 func (w *WAL) Save(writes []consensus.Write) error {
 	if err := w.ensureOpen(); err != nil {
 		return trace.Wrap(err)
@@ -242,7 +242,7 @@
 	return trace.Wrap(w.flush(pending))
 }
 
-// addWrite adds a write to the batch; commits go first where the write removes entries.
+// addWrite adds a write to the batch. If the write deletes entries, it commits the batch first.
 func (w *WAL) addWrite(pending *batch, write consensus.Write) error {
 	if write.HardState != nil {
 		pending.add(keyHardState, diskformat.FromMeta(*write.HardState))
@@ -287,7 +287,7 @@
 	return nil
 }
 
-// flush commits what the batch holds and empties it.
+// flush commits the batch and empties it.
 func (w *WAL) flush(pending *batch) error {
 	records := pending.records
 	pending.records = nil
@@ -296,7 +296,7 @@
 	}
 	return w.commit(func(tx *buntdb.Tx) error {
 		for _, record := range records {
-			if err := put(tx, record.key, record.value); err != nil {
+			if err := putRecord(tx, record.key, record.value); err != nil {
 				return err
 			}
 		}
@@ -304,7 +304,7 @@
 	})
 }
 
-// deleteEntries removes the entries whose index is selected, in one commit.
+// deleteEntries deletes the entries whose index is selected, in one commit.
 func (w *WAL) deleteEntries(selected func(index uint64) bool) error {
 	var keys []string
 	err := w.db.View(func(tx *buntdb.Tx) error {
@@ -328,9 +328,9 @@
 	})
 }
 
-// Compact makes the file smaller if it has at least minBytes bytes and has grown to compactionRatio times its size after the
-// last compaction. It writes a copy of what is held, syncs it, renames it over the file and syncs the folder, so that at each
-// moment a complete file has the name. After an error the file is as it was, and Compact may be called again.
+// Compact rewrites the file if it has at least minBytes bytes and has grown to compactionRatio times its size after the last
+// compaction. It writes a copy of the live records, syncs it, renames it over the file and syncs the folder, so that a complete
+// file exists at the path at all times. After an error the file is unchanged, and Compact may be called again.
 func (w *WAL) Compact(minBytes int64) error {
 	if err := w.ensureOpen(); err != nil {
 		return err
@@ -342,7 +342,7 @@
 	return w.rewrite()
 }
 
-// rewrite replaces the file by a copy of all that is held.
+// rewrite replaces the file with a copy of the live records.
 func (w *WAL) rewrite() error {
 	temporary := w.path + temporarySuffix
 	err := w.writeCopy(temporary)
@@ -354,10 +354,10 @@
 		return trace.Wrap(err)
 	}
 	if err := (snapshotfile.Disk{}).SyncFolder(filepath.Dir(w.path)); err != nil {
-		w.needsReopen = true // the open file has no name any more
+		w.needsReopen = true // the open file is no longer the one at w.path
 		return trace.ConvertSystemError(err)
 	}
-	_ = w.closeFiles() // the old file, which has no name any more
+	_ = w.closeFiles() // the replaced file
 	if err := w.openFiles(); err != nil {
 		return err
 	}
@@ -368,7 +368,7 @@
 	return trace.ConvertSystemError(err)
 }
 
-// writeCopy writes all that is held to a new file, and syncs it.
+// writeCopy writes the live records to a new file and syncs it.
 func (w *WAL) writeCopy(path string) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -384,12 +384,12 @@
 	return err
 }
 
-// put writes a record in a commit.
-func put(tx *buntdb.Tx, key string, value any) error {
+// putRecord encodes a value and sets its record in a transaction.
+func putRecord(tx *buntdb.Tx, key string, value any) error {
 	var body bytes.Buffer
 	if err := gob.NewEncoder(&body).Encode(value); err != nil {
 		return err
 	}
-	_, _, err := tx.Set(key, encodeSealed(body.Bytes()), nil)
+	_, _, err := tx.Set(key, encodeChecksummed(body.Bytes()), nil)
 	return err
 }
--- a/internal/control/storage/wal_test.go
+++ b/internal/control/storage/wal_test.go
@@ -23,8 +23,8 @@
 	return consensus.Entry{Term: term, Data: []byte(body)}
 }
 
-// saveSteps are writes as a member makes them: entries appended and replaced, snapshots; and the state that must be there after
-// each, as describe writes it.
+// saveSteps are typical writes of a member, such as appended entries, replaced entries and snapshots, each with the state expected
+// after it in the format of describe.
 var saveSteps = []struct {
 	write consensus.Write
 	want  string
@@ -40,7 +40,7 @@
 	{consensus.Write{FirstIndex: 10, Entries: []consensus.Entry{entry(4, "r")}, HardState: &consensus.HardState{Term: 4, Vote: "a", CommittedConfigIndex: 2}}, "v4 a s9 [4r]"},
 }
 
-// describe writes a state as "vTERM VOTE sSNAPSHOT [ENTRIES]".
+// describe formats a state as "vTERM VOTE sSNAPSHOT [ENTRIES]".
 func describe(restored consensus.RestoredState) string {
 	var entries []string
 	for _, e := range restored.Entries {
@@ -49,8 +49,8 @@
 	return fmt.Sprintf("v%d %s s%d %v", restored.HardState.Term, restored.HardState.Vote, restored.Snapshot.Index, entries)
 }
 
-// reopened opens a folder and closes it again. It returns the state and the member's id, which is "learner" for a new one.
-func reopened(t *testing.T, folder string) (string, consensus.ID) {
+// reopen opens a folder and closes it again. It returns the state and the member's id, which is "learner" for a new member.
+func reopen(t *testing.T, folder string) (string, consensus.ID) {
 	t.Helper()
 	wal, identity, restored, err := Open(folder, func() Identity { return Identity{ID: "learner"} })
 	require.NoError(t, err)
@@ -58,22 +58,22 @@
 	return describe(restored), identity.ID
 }
 
-// commitSeen is one commit as the disk sees it: what was synced before, and what the file had when this commit was synced.
-type commitSeen struct {
+// observedCommit is a commit as seen by the disk: the size of the file already synced, and its content when the commit is synced.
+type observedCommit struct {
 	syncedBytes int
 	content     []byte
 }
 
-// syncObserver notes each commit of a WAL just before it is synced.
+// syncObserver records each commit of a WAL just before it is synced.
 type syncObserver struct {
 	syncedFile
 	t       *testing.T
 	path    string
 	synced  int
-	commits []commitSeen
+	commits []observedCommit
 }
 
-// observeSyncs has an observer note the commits of an open WAL.
+// observeSyncs installs a syncObserver in an open WAL.
 func observeSyncs(t *testing.T, wal *WAL) *syncObserver {
 	observer := &syncObserver{syncedFile: wal.file, t: t, path: wal.path, synced: len(readFile(t, wal.path))}
 	wal.file = observer
@@ -82,7 +82,7 @@
 
 func (o *syncObserver) Sync() error {
 	content := readFile(o.t, o.path)
-	o.commits = append(o.commits, commitSeen{o.synced, content})
+	o.commits = append(o.commits, observedCommit{o.synced, content})
 	o.synced = len(content)
 	return o.syncedFile.Sync()
 }
@@ -94,8 +94,8 @@
 	return content
 }
 
-// commitsOfStep returns the commits that one of saveSteps makes.
-func commitsOfStep(t *testing.T, step int) []commitSeen {
+// commitsOfStep returns the commits made by one of saveSteps.
+func commitsOfStep(t *testing.T, step int) []observedCommit {
 	t.Helper()
 	wal, _, _, err := Open(t.TempDir(), newFounder)
 	require.NoError(t, err)
@@ -109,7 +109,7 @@
 	return observer.commits
 }
 
-// stateBefore is what is held before one of saveSteps.
+// stateBefore returns the expected state before one of saveSteps.
 func stateBefore(step int) string {
 	if step == 0 {
 		return "v0  s0 []"
@@ -117,20 +117,20 @@
 	return saveSteps[step-1].want
 }
 
-// requireSurvives opens a file that a loss of power during a step left.
+// requireSurvives opens a file left by a power loss during a step, and requires that no synced data is lost.
 func requireSurvives(t *testing.T, step int, left []byte) {
 	t.Helper()
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, fileName), left, 0o600))
-	got, id := reopened(t, folder)
+	got, id := reopen(t, folder)
 	require.EqualValues(t, "a", id, "step %d: the identity was lost", step)
 	require.True(t, isIntermediate(got, stateBefore(step), step), "step %d: %s, after %s was stored; the file is %q", step, got, stateBefore(step), left)
-	again, _ := reopened(t, folder)
-	require.Equal(t, got, again, "what was read once is read again")
+	again, _ := reopen(t, folder)
+	require.Equal(t, got, again, "a second open returns the same state")
 }
 
-// A loss of power leaves what was synced; of the commit after that any part is there, missing, or a hole of zeros. Nothing
-// that was synced is touched here: a Save of several commits syncs each before the next.
+// A power loss preserves what was synced. Any part of the commit after that may be present, missing or filled with zeros. The test
+// never changes synced bytes: a Save of several commits syncs each before the next.
 func TestSyncedWritesSurviveTornWrites(t *testing.T) {
 	const maxHole = 200
 	seeds := uint64(40)
@@ -155,9 +155,9 @@
 	}
 }
 
-// The damage of TestSyncedWritesSurviveTornWrites and more: anything that a Save wrote is cut, zeroed or changed, also what it had
-// synced before its last commit. No loss of power does that, and other seeds find that a key has no checksum; this seed is the one
-// that has held since the test was written, so it still tells when damage gets to be worse than it was.
+// Truncates, zeroes or changes anything that a Save wrote, including what it had synced before its last commit, so the damage is
+// worse than in TestSyncedWritesSurviveTornWrites. No power loss causes this, and other seeds fail because keys have no checksum.
+// This seed passes, so it detects regressions in how damage is handled.
 func TestSaveSurvivesDamageToAllThatItWrote(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for step := range saveSteps {
@@ -172,7 +172,7 @@
 		require.NoError(t, wal.Save([]consensus.Write{saveSteps[step].write}))
 		after := readFile(t, path)
 		require.NoError(t, wal.Close())
-		got, _ := reopened(t, folder)
+		got, _ := reopen(t, folder)
 		require.Equal(t, saveSteps[step].want, got, "step %d", step)
 		for range 40 {
 			requireSurvives(t, step, damage(random, after, len(before)))
@@ -180,7 +180,7 @@
 	}
 }
 
-// damage cuts, zeroes or changes bytes of a file at or after a place.
+// damage truncates, zeroes or changes bytes of a file at or after an offset.
 func damage(random *rand.Rand, content []byte, from int) []byte {
 	damaged := bytes.Clone(content)
 	at := from + random.IntN(len(content)-from+1)
@@ -188,7 +188,7 @@
 	case 0:
 		damaged = damaged[:at]
 	case 1:
-		for place := at; place < min(len(damaged), at+1+random.IntN(200)); place++ { // drawn anew at each byte, as ever
+		for place := at; place < min(len(damaged), at+1+random.IntN(200)); place++ { // the limit is drawn anew at each byte; changing that would change what the seed produces
 			damaged[place] = 0
 		}
 	case 2:
@@ -199,9 +199,9 @@
 	return damaged
 }
 
-// Bytes that nobody wrote, in a commit that was not synced, are worse than what a loss of power leaves. The checksum of a
-// value and the form of a command tell them, but a key has no checksum: if they spell the key of an entry that was synced, that
-// entry is replaced. This is told by the bytes here, and everything else must survive.
+// Garbage bytes in an unsynced commit are worse than what a power loss leaves. The checksums of values and the format of commands
+// detect garbage, but keys have no checksum: garbage that happens to form the key of a synced entry replaces that entry. The test
+// recognizes this case by the bytes and skips it; everything else must survive.
 func TestSyncedWritesSurviveGarbageInUnsyncedOnes(t *testing.T) {
 	const maxGarbage = 20
 	seeds := uint64(100)
@@ -228,12 +228,12 @@
 			}
 		}
 	}
-	t.Logf("%d of %d spelled the key of a synced entry", replaced, trials)
+	t.Logf("%d of %d trials formed the key of a synced entry", replaced, trials)
 	require.Less(t, replaced, trials/100)
 }
 
 // replacesSyncedEntry reports whether the unsynced part of a damaged file sets an entry that is in the synced part.
-func replacesSyncedEntry(commit commitSeen, damaged []byte) bool {
+func replacesSyncedEntry(commit observedCommit, damaged []byte) bool {
 	synced := map[string]bool{}
 	scanCommands(damaged[:commit.syncedBytes], func(next command) {
 		synced[next.key] = next.operation == operationSet
@@ -254,8 +254,8 @@
 	require.True(t, replacesSyncedEntry(commit, append(bytes.Clone(commit.content[:commit.syncedBytes]), unsynced...)))
 }
 
-// A file that is truncated anywhere, also in what was synced, holds the state after an earlier step, or nothing; then its member
-// is a learner of another name. Either way it takes further writes.
+// A file truncated anywhere, even in its synced part, holds the state after an earlier step or nothing. In the latter case the
+// member starts as a learner with another id. Either way the file accepts further writes.
 func TestTruncatedFileHoldsAnEarlierStateOrNone(t *testing.T) {
 	const trials = 30
 	contents := contentAfterSteps(t, newFounder())
@@ -264,28 +264,28 @@
 	for size := 0; size < len(complete); size += 1 + len(complete)/trials {
 		folder := t.TempDir()
 		writeFiles(t, folder, files{fileName: complete[:size]})
-		got, id := reopened(t, folder)
+		got, id := reopen(t, folder)
 		switch {
 		case id == "learner" && got == stateBefore(0):
 			none++
 		case id == "a" && isEarlier(got):
 			earlier++
 		default:
-			require.Fail(t, "no earlier state", "cut at %d of %d: %s holds %s", size, len(complete), id, got)
+			require.Fail(t, "not an earlier state", "cut at %d of %d: %s holds %s", size, len(complete), id, got)
 		}
 		wal, _, restored, err := Open(folder, newFounder)
 		require.NoError(t, err)
 		next := restored.Snapshot.Index + uint64(len(restored.Entries)) + 1
 		require.NoError(t, wal.Save([]consensus.Write{{FirstIndex: next, Entries: []consensus.Entry{entry(9, "after")}}}))
 		require.NoError(t, wal.Close())
-		got, _ = reopened(t, folder)
+		got, _ = reopen(t, folder)
 		require.Contains(t, got, "9after")
 	}
 	require.Positive(t, none)
 	require.Greater(t, earlier, 12)
 }
 
-// isEarlier reports whether a state is one that some step, complete or torn, may have left.
+// isEarlier reports whether a state may result from any step, complete or torn.
 func isEarlier(got string) bool {
 	for step := range saveSteps {
 		if isIntermediate(got, stateBefore(step), step) {
@@ -295,8 +295,8 @@
 	return false
 }
 
-// isIntermediate reports whether a state is one that a torn step may leave: the one before, the one after, or one in between,
-// which lacks only what the step removes.
+// isIntermediate reports whether a state may result from a torn step: the state before it, the state after it, or one in between
+// that lacks only what the step deletes.
 func isIntermediate(got, before string, step int) bool {
 	if got == before || got == saveSteps[step].want {
 		return true
@@ -304,11 +304,11 @@
 	switch step {
 	case 1:
 		return got == "v1 b s0 [1x]" || got == "v1 b s0 [1x 1y]"
-	case 3: // entries that differ from the leader's are removed first
+	case 3: // entries that conflict with the leader's are deleted first
 		return got == "v2  s0 [1x]" || got == "v2  s0 [1x 1y]"
 	case 4:
 		return got == "v2  s0 [1x 2n 2o]"
-	case 5, 7: // the snapshot is stored first, then the entries that it covers are removed
+	case 5, 7: // the snapshot is stored first, then the entries it covers are deleted
 		return got == saveSteps[step].want
 	case 8:
 		return got == "v2  s9 [4r]" || got == "v4 a s9 []"
@@ -332,23 +332,23 @@
 		wal.needsReopen = true
 		require.NoError(t, wal.Save([]consensus.Write{saveSteps[step+1].write}))
 		require.NoError(t, wal.Close())
-		got, id := reopened(t, folder)
+		got, id := reopen(t, folder)
 		require.EqualValues(t, "a", id)
 		require.Equal(t, saveSteps[step+1].want, got)
 	}
 }
 
-// breakDatabase makes the next write of the database fail so that it can't be taken back: its file becomes a pipe that takes a
-// part of the write and can't be truncated.
+// breakDatabase makes the next write of the database fail in a way that it cannot undo: it replaces the database's file with a
+// pipe that accepts part of the write and cannot be truncated.
 func breakDatabase(t *testing.T, wal *WAL) {
 	t.Helper()
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	ended := make(chan struct{})
-	go func() { // once a part was written, the rest can't be
+	go func() { // closes the pipe after a part of the write, so that the rest fails
 		defer close(ended)
 		var first [1]byte
-		_, _ = reader.Read(first[:]) // the end of the pipe, if the test ends before
+		_, _ = reader.Read(first[:]) // returns EOF if the test ends first
 		_ = reader.Close()
 	}()
 	t.Cleanup(func() {
@@ -361,7 +361,7 @@
 	*file = writer
 }
 
-// The database panics with its lock taken where it can't take back a write that failed. No later call may wait for that lock.
+// The database panics while holding its lock if it cannot undo a failed write. Later calls must not block on that lock.
 func TestCallsAfterAPanicOfTheDatabaseReopenTheFile(t *testing.T) {
 	const moreThanAPipeHolds = 1 << 17
 	kept := saveSteps[1].want
@@ -390,16 +390,16 @@
 			case err := <-done:
 				require.NoError(t, err)
 			case <-time.After(5 * time.Second):
-				require.Fail(t, "it waits for the lock")
+				require.Fail(t, "the call blocks on the lock")
 			}
-			got, _ := reopened(t, folder)
+			got, _ := reopen(t, folder)
 			require.Equal(t, c.want, got)
 		})
 	}
 }
 
-// A file called *.broken means a fault: the first start of a member makes none, nor does the next one after a first start
-// that ended before the identity was on disk.
+// A *.broken file indicates a fault. Neither the first start of a member creates one, nor the start after a first start that was
+// interrupted before the identity was on disk.
 func TestFirstStartPutsNothingAside(t *testing.T) {
 	for name, prepare := range map[string]func(path string) error{
 		"no file":    func(string) error { return nil },
@@ -415,7 +415,7 @@
 			require.NoError(t, wal.Save([]consensus.Write{saveSteps[0].write}))
 			require.NoError(t, wal.Close())
 			require.Equal(t, []string{fileName}, fileNames(t, folder))
-			got, id := reopened(t, folder)
+			got, id := reopen(t, folder)
 			require.EqualValues(t, "a", id)
 			require.Equal(t, saveSteps[0].want, got)
 			require.Equal(t, []string{fileName}, fileNames(t, folder))
@@ -436,7 +436,7 @@
 func TestForeignFileIsPutAside(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, fileName), []byte("*2\r\n$3\r\nset\r\n"), 0o600))
-	got, id := reopened(t, folder)
+	got, id := reopen(t, folder)
 	require.Equal(t, "v0  s0 []", got)
 	require.EqualValues(t, "learner", id)
 	require.Equal(t, []string{fileName, fileName + brokenSuffix}, fileNames(t, folder))
--- a/internal/snapshotfile/snapshot.go
+++ b/internal/snapshotfile/snapshot.go
@@ -1,10 +1,10 @@
-// Package snapshotfile writes a file that is there completely or as it was before, also after a loss of power: the new content
-// is written beside the file, synced, renamed over it, and the folder is synced.
+// Package snapshotfile replaces files atomically, even across a power loss: it writes the new content to a temporary file, syncs
+// it, renames it over the target and syncs the folder.
 //
 //	Write(body) -> path.new -> sync -> rename to path -> sync of the folder    Read -> body
 //
-// Read checks the length, the version and a checksum. What it returns may be old, so a caller treats it as a hint and joins it
-// with what it learns from others.
+// Read verifies the length, the version and a checksum. The content may be out of date, so callers treat it as a hint and merge it
+// with what they learn from other nodes.
 package snapshotfile
 
 import (
@@ -19,7 +19,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The header is the magic bytes, then little-endian the version and the body's length (32 bits each) and checksum (64 bits).
+// The header consists of the magic bytes, the version and the body's length (32 bits each) and the body's checksum (64 bits). The
+// numbers are little-endian.
 const (
 	magic           = "FPSNAP\r\n"
 	version         = 1
@@ -31,43 +32,43 @@
 	filePermissions = 0o600
 )
 
-// TemporarySuffix is behind the name of a file while its content is written.
+// TemporarySuffix is appended to the target path to name the temporary file.
 const TemporarySuffix = ".new"
 
-// Errors of Read. Neither goes away by reading again.
+// Errors of Read. Retrying does not help.
 var (
-	// ErrBroken says that a file is not complete, or not one of this package.
-	ErrBroken = errors.New("broken snapshot file")
-	// ErrNewer says that a newer release wrote the file, in a form that this one does not know.
-	ErrNewer = errors.New("snapshot file of a newer version")
+	// ErrCorrupt reports that a file is incomplete, damaged, or was not written by this package.
+	ErrCorrupt = errors.New("corrupt snapshot file")
+	// ErrNewerVersion reports that a newer release wrote the file in a format that this release does not support.
+	ErrNewerVersion = errors.New("snapshot file of a newer version")
 )
 
-// FileSystem is what snapshots are written to and read from, so that a test can make it fail and forget.
+// FileSystem is the file system that snapshots are written to and read from. Tests implement it to inject failures and data loss.
 type FileSystem interface {
-	// Create makes an empty file, also where there is one.
+	// Create creates an empty file, or truncates an existing one.
 	Create(path string) (File, error)
 	Rename(from, to string) error
-	// SyncFolder returns once the names in a folder are on disk.
+	// SyncFolder syncs the directory entries of a folder to disk.
 	SyncFolder(path string) error
 	Open(path string) (io.ReadCloser, error)
 }
 
-// File is a file that is being written.
+// File is a file opened for writing.
 type File interface {
 	io.WriteCloser
-	// Sync returns once what was written is on disk.
+	// Sync flushes all written data to disk.
 	Sync() error
 }
 
-// Disk is the operating system's file system.
+// Disk implements FileSystem on the operating system's file system.
 type Disk struct{}
 
-// Create makes an empty file that only its owner can read and write.
+// Create creates or truncates a file that only its owner can read and write.
 func (Disk) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, filePermissions)
 }
 
-// Rename gives a file another name, and replaces the file that has it.
+// Rename renames a file, replacing an existing file at the target.
 func (Disk) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
@@ -76,7 +77,7 @@
 // Open opens a file for reading.
 func (Disk) Open(path string) (io.ReadCloser, error) { return os.Open(path) }
 
-// SyncFolder returns once the names in a folder are on disk.
+// SyncFolder syncs the directory entries of a folder to disk.
 func (Disk) SyncFolder(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
@@ -85,11 +86,11 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// Write stores a body of at most 64 MiB at a path. After an error the body that was there before is still there, or the new
-// one is; Write may be called again.
+// Write stores a body of at most 64 MiB at a path. After an error the file holds either the previous body or the new one, and Write
+// may be called again.
 func Write(files FileSystem, path string, body []byte) error {
 	if len(body) > maxBodyBytes {
-		return fmt.Errorf("%s: a snapshot of %d bytes is over the limit of %d", path, len(body), maxBodyBytes)
+		return fmt.Errorf("%s: snapshot of %d bytes exceeds the limit of %d bytes", path, len(body), maxBodyBytes)
 	}
 	temporary := path + TemporarySuffix
 	if err := writeSynced(files, temporary, encode(body)); err != nil {
@@ -101,7 +102,7 @@
 	return files.SyncFolder(filepath.Dir(path))
 }
 
-// writeSynced makes a file with a content, and returns once that is on disk.
+// writeSynced writes a file and syncs it to disk.
 func writeSynced(files FileSystem, path string, content []byte) error {
 	file, err := files.Create(path)
 	if err != nil {
@@ -117,7 +118,7 @@
 	return err
 }
 
-// encode puts the header before a body.
+// encode prepends the header to a body.
 func encode(body []byte) []byte {
 	content := append(make([]byte, 0, headerBytes+len(body)), magic...)
 	content = binary.LittleEndian.AppendUint32(content, version)
@@ -126,8 +127,8 @@
 	return append(content, body...)
 }
 
-// Read returns the body that was stored at a path. Errors: fs.ErrNotExist where there is none, ErrBroken, ErrNewer, and those of
-// the file system.
+// Read returns the body stored at a path. Errors are fs.ErrNotExist if there is none, ErrCorrupt, ErrNewerVersion, and those of the
+// file system.
 func Read(files FileSystem, path string) ([]byte, error) {
 	file, err := files.Open(path)
 	if err != nil {
@@ -145,23 +146,23 @@
 	return body, nil
 }
 
-// decode checks the header and returns what is behind it.
+// decode verifies the header and returns the body.
 func decode(content []byte) ([]byte, error) {
 	if len(content) < headerBytes || string(content[:len(magic)]) != magic {
-		return nil, ErrBroken
+		return nil, ErrCorrupt
 	}
 	header, body := content[len(magic):headerBytes], content[headerBytes:]
 	storedVersion := binary.LittleEndian.Uint32(header)
 	length := binary.LittleEndian.Uint32(header[versionBytes:])
 	checksum := binary.LittleEndian.Uint64(header[versionBytes+lengthBytes:])
 	if storedVersion > version {
-		return nil, fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewer, storedVersion, version)
+		return nil, fmt.Errorf("%w: version %d, this program reads up to %d", ErrNewerVersion, storedVersion, version)
 	}
 	if storedVersion == 0 || uint64(length) != uint64(len(body)) || checksum != xxhash.Sum64(body) {
-		return nil, ErrBroken
+		return nil, ErrCorrupt
 	}
 	return body, nil
 }
 
-// IsNotExist reports whether an error of Read means that nothing was stored.
+// IsNotExist reports whether an error of Read means that the file does not exist.
 func IsNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/internal/snapshotfile/snapshot_test.go
+++ b/internal/snapshotfile/snapshot_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// volatileDisk is a disk in memory that loses everything that was not synced when the power fails.
+// volatileDisk is an in-memory disk that loses all unsynced data on a power loss.
 type volatileDisk struct {
-	files, synced   map[string][]byte // content by path; synced is what a loss of power leaves
-	unsyncedRenames map[string]string // from the new name to the old one
-	steps           int               // calls so far
-	failAtStep      int               // the power fails at this call and stays off; 0: never
+	files, synced   map[string][]byte // content by path; synced is the content after a power loss
+	unsyncedRenames map[string]string // new name to old name
+	steps           int               // number of calls so far
+	failAtStep      int               // this call and all later ones fail with a power loss; 0: never
 }
 
 var errPowerLoss = errors.New("power loss")
@@ -104,7 +104,7 @@
 			t.Errorf("power loss at step %d: %q %v", failAfter, got, err)
 		}
 		if writeErr == nil && string(got) != newBody {
-			t.Errorf("power loss at step %d: Write succeeded, but %q is there", failAfter, got)
+			t.Errorf("power loss at step %d: Write succeeded, but the file holds %q", failAfter, got)
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		return Read(Disk{}, path)
 	}
 	for size := range content {
-		if _, err := readContent(content[:size]); !errors.Is(err, ErrBroken) {
+		if _, err := readContent(content[:size]); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", size, err)
 		}
 	}
@@ -138,7 +138,7 @@
 		flipped[at] ^= 0x40
 		if got, err := readContent(flipped); err == nil {
 			t.Fatalf("byte %d flipped: %q", at, got)
-		} else if at == len(magic) && !errors.Is(err, ErrNewer) {
+		} else if at == len(magic) && !errors.Is(err, ErrNewerVersion) {
 			t.Fatalf("a newer version: %v", err)
 		}
 	}
