--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -202,7 +202,7 @@
 	case change.RevokePrimary != nil:
 		s.coordinator.ChangeApplied(change.RevokePrimary.Service)
 	case change.MarkMissing != "":
-		s.coordinator.ChangesApplied()
+		s.coordinator.ClearPendingProposals()
 	case change.ReplicationResumed != "":
 		s.coordinator.ChangeApplied(change.ReplicationResumed)
 	case change.NominatePrimary != nil:
--- a/internal/control/failover/coordinator.go
+++ b/internal/control/failover/coordinator.go
@@ -37,10 +37,10 @@
 	heartbeats          map[string]heartbeat // by host
 	schedule            schedule
 
-	// RegistrationsDueUntil ends the grace period after a start of the whole system, during which hosts may be running that
+	// RegistrationGraceUntil ends the grace period after a start of the whole system, during which hosts may be running that
 	// have not sent their first heartbeat; 0 means no grace period. Until then no switchover starts, and a lost primary is
 	// replaced only by a host that has received everything the old primary had.
-	RegistrationsDueUntil int64
+	RegistrationGraceUntil int64
 	// Counters may be read between calls.
 	Counters Counters
 	// OnEvent is called synchronously for each event. New sets it to a no-op.
@@ -68,8 +68,8 @@
 	c.schedule.wake(service)
 }
 
-// ChangesApplied records that a change which names no service was applied: no service has a pending proposal any more.
-func (c *Coordinator) ChangesApplied() {
+// ClearPendingProposals marks every service as having no pending proposal, after a change that names no service was applied.
+func (c *Coordinator) ClearPendingProposals() {
 	for _, service := range c.services {
 		service.proposedAt = 0
 	}
--- a/internal/control/failover/failover.go
+++ b/internal/control/failover/failover.go
@@ -204,7 +204,9 @@
 
 // inRegistrationGrace reports whether replicas may be running that have not sent their first heartbeat. Such a replica may be
 // the only one that received an acknowledged write.
-func (e *evaluation) inRegistrationGrace() bool { return e.nowMs < e.coordinator.RegistrationsDueUntil }
+func (e *evaluation) inRegistrationGrace() bool {
+	return e.nowMs < e.coordinator.RegistrationGraceUntil
+}
 
 // collectPositions pauses the replicas and returns the most advanced of those already paused. It stores the hosts whose
 // positions are still needed in awaitedHosts.
--- a/internal/control/failover/harness_test.go
+++ b/internal/control/failover/harness_test.go
@@ -85,7 +85,7 @@
 func (h *harness) apply(change statemachine.Change) {
 	h.index++
 	require.NoError(h.t, h.state.Apply(h.index, change))
-	h.coordinator.ChangesApplied()
+	h.coordinator.ClearPendingProposals()
 	if change.RevokePrimary != nil {
 		h.revocations++
 	}
--- a/internal/control/failover/unknown_replicas_test.go
+++ b/internal/control/failover/unknown_replicas_test.go
@@ -61,7 +61,7 @@
 // by a host that has received everything it had.
 func TestUnregisteredReplicasAreExpectedAfterTheStart(t *testing.T) {
 	h := newHarness(t)
-	h.coordinator.RegistrationsDueUntil = h.now + 4000
+	h.coordinator.RegistrationGraceUntil = h.now + 4000
 	h.hosts["h1"].Received.Number, h.hosts["h2"].Received.Number = 0, 0 // an unregistered replica acknowledged all writes
 	h.run(1500)
 	h.drain("h0")
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -33,7 +33,7 @@
 	s.grantor = lease.NewGrantor(now)
 	s.digests.votes, s.digests.agreed = nil, statemachine.Digest{}
 	s.coordinator = failover.New(s.settings.Node, term, s.settings.BeatMs, now)
-	s.coordinator.RegistrationsDueUntil = now + max(0, failover.RegistrationGraceMs-s.state.LeaderTimeMs)
+	s.coordinator.RegistrationGraceUntil = now + max(0, failover.RegistrationGraceMs-s.state.LeaderTimeMs)
 	s.coordinator.OnEvent = func(event failover.Event) {
 		s.log.Info(event.Kind.String(), "service", event.Service, "host", event.Host)
 	}
