--- a/internal/control/backup/backup_test.go
+++ b/internal/control/backup/backup_test.go
@@ -62,13 +62,13 @@
 		_, err := Read(damaged)
 		require.ErrorIs(t, err, ErrCorrupt, "cut at %d of %d", size, len(good))
 	}
-	for place := range good {
+	for offset := range good {
 		flipped := bytes.Clone(good)
-		flipped[place] ^= 1 << (place % 8)
+		flipped[offset] ^= 1 << (offset % 8)
 		require.NoError(t, os.WriteFile(damaged, flipped, 0o600))
 		_, err := Read(damaged)
-		require.Error(t, err, "byte %d", place)
-		require.True(t, errors.Is(err, ErrCorrupt) || errors.Is(err, ErrNewerVersion), "byte %d: %v", place, err)
+		require.Error(t, err, "byte %d", offset)
+		require.True(t, errors.Is(err, ErrCorrupt) || errors.Is(err, ErrNewerVersion), "byte %d: %v", offset, err)
 	}
 	_, err = Read(filepath.Join(folder, "missing"))
 	require.True(t, trace.IsNotFound(err), "%v", err)
@@ -174,12 +174,12 @@
 func TestNewerDataIsGivenUpByNameOnly(t *testing.T) {
 	snapshot := New(exampleState(t), 9, founders)
 	for _, test := range []struct {
-		left, discard uint64
-		refused       bool
+		existing, discard uint64
+		refused           bool
 	}{{0, 0, false}, {40, 0, false}, {41, 0, true}, {41, 40, true}, {41, 42, true}, {41, 41, false}} {
 		folder := t.TempDir()
-		if test.left > 0 {
-			require.NoError(t, fillFolder(t, folder, test.left).Close())
+		if test.existing > 0 {
+			require.NoError(t, fillFolder(t, folder, test.existing).Close())
 		}
 		o := options()
 		o.DiscardIndex = test.discard
@@ -188,13 +188,13 @@
 		require.NoError(t, readErr)
 		if test.refused {
 			require.ErrorIs(t, err, ErrNewerData, "%+v", test)
-			require.Len(t, disk.Entries, int(test.left), "%+v: the directory is unchanged", test)
+			require.Len(t, disk.Entries, int(test.existing), "%+v: the directory is unchanged", test)
 			continue
 		}
 		require.NoError(t, err, "%+v", test)
 		require.Equal(t, test.discard, restored.Discarded)
 		require.EqualValues(t, 40+indexGap, disk.Snapshot.Index)
-		if test.left > 0 {
+		if test.existing > 0 {
 			_, err := os.Stat(filepath.Join(folder, "consensus.db.superseded"))
 			require.NoError(t, err, "%+v: the old file is kept", test)
 		}
--- a/internal/control/failover/detection.go
+++ b/internal/control/failover/detection.go
@@ -1,9 +1,9 @@
 package failover
 
-// heartbeat is the last heartbeat received from a host.
+// heartbeat is the last heartbeat received from a host. A probe that the primary answered counts as one.
 type heartbeat struct {
-	at        int64
-	isPrimary bool
+	receivedAt int64
+	isPrimary  bool
 }
 
 // Heartbeat records a host's heartbeat, which tells whether the host is its service's primary. The host's service is
@@ -11,7 +11,7 @@
 func (c *Coordinator) Heartbeat(host string, isPrimary bool, nowMs int64) {
 	previous, heard := c.heartbeats[host]
 	c.heartbeats[host] = heartbeat{nowMs, isPrimary}
-	if !heard || previous.isPrimary != isPrimary || nowMs >= previous.at+c.heartbeatTimeoutMs() {
+	if !heard || previous.isPrimary != isPrimary || nowMs >= previous.receivedAt+c.heartbeatTimeoutMs() {
 		c.schedule.changedHosts = append(c.schedule.changedHosts, host)
 	}
 }
@@ -40,7 +40,7 @@
 // lastHeardAt returns when a host last sent a heartbeat or answered a probe as primary. All hosts count as heard from when
 // this member became leader.
 func (c *Coordinator) lastHeardAt(host string) int64 {
-	return max(c.heartbeats[host].at, c.leaderSince)
+	return max(c.heartbeats[host].receivedAt, c.leaderSince)
 }
 
 // isSilent reports whether a host's last heartbeat is older than the heartbeat timeout.
--- a/internal/control/failover/failover.go
+++ b/internal/control/failover/failover.go
@@ -135,7 +135,7 @@
 // answer, the steps of an unplanned failover run instead.
 func (e *evaluation) promoteCaughtUpNominee() stepResult {
 	service := e.service
-	isOwnSwitchover := service.nominated != "" && service.nominated == e.primary.Nominee && service.promotedHost == ""
+	isOwnSwitchover := service.nominatedHost != "" && service.nominatedHost == e.primary.Nominee && service.promotedHost == ""
 	if !isOwnSwitchover || e.nowMs >= service.startedAt+replicaWaitMs {
 		return proceed
 	}
@@ -170,10 +170,10 @@
 // of the nominee already in the log, so nominate first waits inheritedNomineeWaitMs for that one to become primary.
 func (e *evaluation) nominate(host string) {
 	service, earlier := e.service, e.primary.Nominee
-	if e.isRegistered(earlier) && service.nominated != earlier && e.nowMs < service.startedAt+inheritedNomineeWaitMs {
+	if e.isRegistered(earlier) && service.nominatedHost != earlier && e.nowMs < service.startedAt+inheritedNomineeWaitMs {
 		return
 	}
-	service.nominated = host
+	service.nominatedHost = host
 	e.proposeNomination(host)
 }
 
--- a/internal/control/failover/monitor.go
+++ b/internal/control/failover/monitor.go
@@ -51,7 +51,7 @@
 func (e *evaluation) revokeForNewerPrimary() stepResult {
 	for _, host := range e.hostIDs {
 		last := e.coordinator.heartbeats[host]
-		if host == e.primary.Host || !last.isPrimary || last.at < e.coordinator.leaderSince {
+		if host == e.primary.Host || !last.isPrimary || last.receivedAt < e.coordinator.leaderSince {
 			continue
 		}
 		status, ok := e.service.statusSince(host, Stat, e.nowMs-newerPrimaryTTLMs)
@@ -75,7 +75,7 @@
 		return stop
 	}
 	e.coordinator.Counters.Switchovers++
-	e.service.nominated = successor
+	e.service.nominatedHost = successor
 	e.proposeNomination(successor)
 	return stop
 }
--- a/internal/control/failover/promotion.go
+++ b/internal/control/failover/promotion.go
@@ -86,7 +86,7 @@
 		}
 	}
 	nominee := e.primary.Nominee
-	isInherited := nominee != "" && nominee != e.service.nominated && e.isRegistered(nominee)
+	isInherited := nominee != "" && nominee != e.service.nominatedHost && e.isRegistered(nominee)
 	if isInherited && nominee != except && e.nowMs < e.coordinator.leaderSince+promotionTimeoutMs {
 		return nominee
 	}
@@ -110,7 +110,7 @@
 // the duration of the last promotion has passed.
 func (e *evaluation) isPromotionDue() bool {
 	sentAt := e.service.promotionSentAt
-	if last := e.coordinator.heartbeats[e.service.promotedHost]; last.isPrimary && last.at >= sentAt {
+	if last := e.coordinator.heartbeats[e.service.promotedHost]; last.isPrimary && last.receivedAt >= sentAt {
 		return true
 	}
 	lastMs := e.state.LastPromotionMs
--- a/internal/control/failover/schedule.go
+++ b/internal/control/failover/schedule.go
@@ -9,7 +9,7 @@
 )
 
 // schedule tracks which services are due for evaluation. An idle service is due when a host's heartbeat may have timed out or
-// on an event: its state changes, a heartbeat differs from the host's last one, a proxy suspects its primary, or a query or
+// on an event: its state changes, a host sends a new, resumed or changed heartbeat, a proxy suspects its primary, or a query or
 // promotion finishes. All other services are evaluated at each tick.
 type schedule struct {
 	state        *statemachine.State // state of the last evaluation
--- a/internal/control/failover/service.go
+++ b/internal/control/failover/service.go
@@ -27,7 +27,7 @@
 	// The current failover or switchover; reset when it ends.
 	startedAt          int64    // when this member started it; 0: not started
 	proxiesCaughtUpAt  int64    // since when no proxy uses the revoked primary; 0: some may
-	nominated          string   // the host that this member nominated
+	nominatedHost      string   // the host that this member nominated
 	promotedHost       string   // the host of the last promotion request, unless the request is known to have had no effect
 	promotedHostFailed bool     // promotedHost failed to answer a query sent after the request
 	awaitedHosts       []string // hosts whose positions are still needed
@@ -68,7 +68,7 @@
 // resetTransition clears the state of a failover or switchover that has ended.
 func (s *serviceState) resetTransition() {
 	s.startedAt, s.proxiesCaughtUpAt = 0, 0
-	s.nominated = ""
+	s.nominatedHost = ""
 	s.promotedHost, s.promotedHostFailed, s.promotionPending = "", false, false
 	s.awaitedHosts = nil
 }
--- a/internal/control/failover/switchover.go
+++ b/internal/control/failover/switchover.go
@@ -38,7 +38,7 @@
 func (e *evaluation) maySucceed(id string) bool {
 	host := e.state.Hosts[id]
 	// Unlike in failure detection, a host that has sent no heartbeat to this member does not count as alive.
-	heartbeatIsRecent := e.nowMs <= e.coordinator.heartbeats[id].at+e.coordinator.heartbeatTimeoutMs()
+	heartbeatIsRecent := e.nowMs <= e.coordinator.heartbeats[id].receivedAt+e.coordinator.heartbeatTimeoutMs()
 	return !host.Draining && !host.Missing && heartbeatIsRecent && !e.service.recentlyRejected(id, e.nowMs)
 }
 
@@ -72,10 +72,10 @@
 func (e *evaluation) revokeOncePromoted() stepResult {
 	nominee, startedAt := e.primary.Nominee, e.service.startedAt
 	status, ok := e.service.statusSince(nominee, Stat, startedAt)
-	leadsByStatus := ok && status.IsPrimary && status.Timeline > e.primary.Term
+	isPrimaryByStatus := ok && status.IsPrimary && status.Timeline > e.primary.Term
 	last := e.coordinator.heartbeats[nominee]
-	leadsByHeartbeat := last.isPrimary && last.at >= startedAt
-	if leadsByStatus || leadsByHeartbeat {
+	isPrimaryByHeartbeat := last.isPrimary && last.receivedAt >= startedAt
+	if isPrimaryByStatus || isPrimaryByHeartbeat {
 		e.proposeRevocation()
 		return stop
 	}
@@ -117,8 +117,8 @@
 		return proceed
 	}
 	service.rejectedAt[e.primary.Nominee] = e.nowMs
-	service.nominated = e.chooseSuccessor()
-	e.proposeNomination(service.nominated)
+	service.nominatedHost = e.chooseSuccessor()
+	e.proposeNomination(service.nominatedHost)
 	return stop
 }
 
--- a/internal/control/storage/filename.go
+++ b/internal/control/storage/filename.go
@@ -119,7 +119,7 @@
 
 // migrateLegacyFile gives the member's file the current name. It may be interrupted after any step: the next call plans again
 // and arrives at the same file.
-func migrateLegacyFile(names directoryOps, folder string) error {
+func migrateLegacyFile(ops directoryOps, folder string) error {
 	plan, err := planMigration(folder)
 	if err != nil {
 		return err
@@ -129,25 +129,25 @@
 	case noMigration:
 		return nil
 	case removeLegacy:
-		err = names.Remove(legacy)
+		err = ops.Remove(legacy)
 	case renameLegacy:
-		err = names.Rename(legacy, current)
+		err = ops.Rename(legacy, current)
 	case supersedeCurrent:
-		err = supersede(names, current, legacy)
+		err = supersede(ops, current, legacy)
 	}
 	if err == nil {
-		err = names.SyncFolder(folder)
+		err = ops.SyncFolder(folder)
 	}
 	return trace.ConvertSystemError(err)
 }
 
 // supersede renames the current file and then gives its name to the legacy file. It syncs in between so that neither is lost.
-func supersede(names directoryOps, current, legacy string) error {
-	if err := names.Rename(current, current+supersededSuffix); err != nil {
+func supersede(ops directoryOps, current, legacy string) error {
+	if err := ops.Rename(current, current+supersededSuffix); err != nil {
 		return err
 	}
-	if err := names.SyncFolder(filepath.Dir(current)); err != nil {
+	if err := ops.SyncFolder(filepath.Dir(current)); err != nil {
 		return err
 	}
-	return names.Rename(legacy, current)
+	return ops.Rename(legacy, current)
 }
--- a/internal/control/storage/wal.go
+++ b/internal/control/storage/wal.go
@@ -330,7 +330,7 @@
 
 // Compact rewrites the file if it has at least minBytes bytes and has grown to compactionRatio times its size after the last
 // compaction. It writes a copy of the live records, syncs it, renames it over the file and syncs the folder, so that a complete
-// file exists at the path at all times. After an error the file is unchanged, and Compact may be called again.
+// file exists at the path at all times. After an error the stored state is unchanged, and Compact may be called again.
 func (w *WAL) Compact(minBytes int64) error {
 	if err := w.ensureOpen(); err != nil {
 		return err
--- a/internal/control/storage/wal_test.go
+++ b/internal/control/storage/wal_test.go
@@ -363,7 +363,7 @@
 
 // The database panics while holding its lock if it cannot undo a failed write. Later calls must not block on that lock.
 func TestCallsAfterAPanicOfTheDatabaseReopenTheFile(t *testing.T) {
-	const moreThanAPipeHolds = 1 << 17
+	const overPipeCapacityBytes = 1 << 17
 	kept := saveSteps[1].want
 	for name, c := range map[string]struct {
 		call func(*WAL) error
@@ -381,7 +381,7 @@
 			require.NoError(t, err)
 			require.NoError(t, wal.Save([]consensus.Write{saveSteps[0].write, saveSteps[1].write}))
 			breakDatabase(t, wal)
-			large := consensus.Entry{Term: 1, Data: make([]byte, moreThanAPipeHolds)}
+			large := consensus.Entry{Term: 1, Data: make([]byte, overPipeCapacityBytes)}
 			require.Error(t, wal.Save([]consensus.Write{{FirstIndex: 4, Entries: []consensus.Entry{large}}}))
 
 			done := make(chan error, 1)
