--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -1,23 +1,23 @@
 package consensus
 
-// Config holds a node's timing, in milliseconds of the caller's clock, and its limits. All members of a group use the
-// same values: a lease is only safe if the member that grants it waits as long as the leader counts on. There are no
-// usable zero values; start from DefaultConfig.
+// Config holds a node's timing parameters, in milliseconds of the caller's clock, and its limits. All members of a
+// group must use the same values: a lease is only safe if the member that grants it keeps it for as long as the
+// leader relies on it. The zero value is not usable; start from DefaultConfig.
 type Config struct {
-	LeaseMs               int64 // a member that hears a leader votes for nobody else for this long
-	HeartbeatMs           int64 // interval of a leader's heartbeats
-	ElectionJitterMs      int64 // most that is added at random to an election timer
-	RetransmitMs          int64 // after which entries that were not acknowledged are sent again
-	DiskTimeoutMs         int64 // a leader whose disk takes longer for a write hands over
-	RemovalTimeoutMs      int64 // a member silent for this long may be replaced by a learner
-	MaxMembers            int   // voting members at most; further ones remain learners
-	ChunkBytes            int   // data bytes of a snapshot chunk
-	RetainedBytes         int   // most bytes of compacted entries kept in memory for members that lag
-	TransferRetainedBytes int   // the same for entries behind a snapshot that a member is receiving
+	LeaseMs               int64 // how long a member that hears from a leader votes for nobody else
+	HeartbeatMs           int64 // interval between a leader's heartbeats
+	ElectionJitterMs      int64 // upper bound of the random delay added to an election timer
+	RetransmitMs          int64 // timeout after which unacknowledged entries are sent again
+	DiskTimeoutMs         int64 // a leader whose oldest pending write exceeds this transfers its leadership
+	RemovalTimeoutMs      int64 // silence after which a learner may replace a member
+	MaxMembers            int   // maximum number of voting members; additional nodes remain learners
+	ChunkBytes            int   // payload size of a snapshot chunk
+	RetainedBytes         int   // maximum size of compacted entries kept in memory for lagging members
+	TransferRetainedBytes int   // same limit for entries that follow a snapshot in transfer to a member
 }
 
-// DefaultConfig is for a network with round trips of a few milliseconds. The group is to survive the loss of
-// maxFailures members at once; less than 1 counts as 1.
+// DefaultConfig returns the configuration for a network with round trips of a few milliseconds. The group tolerates
+// the simultaneous loss of maxFailures members; values less than 1 count as 1.
 func DefaultConfig(maxFailures int) Config {
 	return Config{
 		LeaseMs:               700,
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -1,20 +1,21 @@
 package consensus
 
-// maxPendingWrites bounds the memory that writes take which a stalled disk has not confirmed. Beyond it a leader takes no more
-// proposals, and a follower no more entries; the leader sends them again.
+// maxPendingWrites is the maximum number of writes that the disk has not confirmed yet. It bounds their memory while
+// the disk is stalled. At the limit, a leader rejects proposals and a follower drops appended entries, which the
+// leader retransmits.
 const maxPendingWrites = 1024
 
-// diskStalled says whether the oldest pending write has waited for the disk for longer than DiskTimeoutMs.
+// diskStalled reports whether the oldest pending write has been waiting for more than DiskTimeoutMs.
 func (n *Node) diskStalled() bool {
 	return len(n.pendingWrites) > 0 && n.nowMs > n.pendingWrites[0].requestedAtMs+n.DiskTimeoutMs
 }
 
-// diskBacklogFull says whether as many writes are pending as may be.
+// diskBacklogFull reports whether the number of pending writes has reached maxPendingWrites.
 func (n *Node) diskBacklogFull() bool { return len(n.pendingWrites) >= maxPendingWrites }
 
-// handOverIfDiskStalled has a leader whose disk has stalled transfer its leadership, if the others' disks have taken what its own
-// has not: a majority of them can elect another leader without this node's disk. Otherwise it goes on, since a leader without a
-// disk is better than none.
+// handOverIfDiskStalled transfers leadership if the leader's disk is stalled and a majority of members have persisted
+// entries that the leader has not: they can elect another leader without this node's disk. Otherwise the leader
+// continues, since a leader without a working disk is better than no leader.
 func (n *Node) handOverIfDiskStalled() {
 	if n.leadership.transferring || !n.diskStalled() || !n.hasQuorum(n.outrunsOwnDisk) {
 		return
@@ -23,7 +24,8 @@
 	n.startTransfer()
 }
 
-// outrunsOwnDisk says whether another member was heard within a lease and has entries on disk that this node's disk has not.
+// outrunsOwnDisk reports whether another member was heard from within LeaseMs and has persisted entries that this
+// node has not.
 func (n *Node) outrunsOwnDisk(id ID) bool {
 	p := n.peers[id]
 	return id != n.id && p != nil && p.matchIndex > n.persistedIndex && n.nowMs < p.heardAtMs+n.LeaseMs
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -2,57 +2,60 @@
 
 import "slices"
 
-// campaignType says how a candidate asks for votes.
+// campaignType is the kind of campaign that a candidate runs.
 type campaignType uint8
 
 const (
-	campaignElection campaignType = iota // for votes in a new term (3.4)
-	campaignPreVote                      // whether votes would be granted, in the current term (9.6)
-	campaignTransfer                     // for votes, on behalf of a leader that has ended its lease (3.10)
+	campaignElection campaignType = iota // requests votes in a new term (3.4)
+	campaignPreVote                      // asks in the current term whether votes would be granted (9.6)
+	campaignTransfer                     // requests votes on behalf of a leader that has given up its lease (3.10)
 )
 
 const (
-	// electionMarginMs is added to LeaseMs in election timers, so that leases are over when the first one fires.
+	// electionMarginMs is added to LeaseMs in election timers, so that leases have expired when the first timer
+	// fires.
 	electionMarginMs = 50
-	// maxElectionBackoff is the most heartbeat intervals that a candidate adds between elections that failed.
+	// maxElectionBackoff is the maximum number of heartbeat intervals by which a candidate delays its next campaign
+	// after failed elections.
 	maxElectionBackoff = 8
-	// maxTieBreaks is in how many campaigns a candidate gives way to, or stops, one with an equal log.
+	// maxTieBreaks is the number of campaigns in which ties between candidates with equal logs are broken by ID.
 	maxTieBreaks = 2
 )
 
-// electionState is what a follower or candidate knows of elections.
+// electionState is the election state of a follower or candidate.
 type electionState struct {
-	timeoutAtMs   int64 // when to start a campaign
+	timeoutAtMs   int64 // when the next campaign starts
 	campaignType  campaignType
-	votes         map[ID]bool // of a candidate: who has answered, and whether with a vote
-	coldStarts    map[ID]bool // of a candidate: who has heard no leader since it started
-	allColdStarts bool        // the last Pre-Vote has shown that this is so for all members
-	campaignCount int         // campaigns since a leader was heard
-	electionCount int64       // those for votes among them, up to maxElectionBackoff
-	preVoteRound  uint64      // of the last Pre-Vote
+	votes         map[ID]bool // candidate only: members that answered, and whether they granted their vote
+	coldStarts    map[ID]bool // candidate only: members that have heard from no leader since they started
+	allColdStarts bool        // the last Pre-Vote found that no member has heard from a leader since it started
+	campaignCount int         // campaigns since a leader was last heard from
+	electionCount int64       // campaigns that requested votes in a new term, up to maxElectionBackoff
+	preVoteRound  uint64      // number of the last Pre-Vote round
 }
 
-// firstPreVoteRound makes the rounds of a restarted node differ from those before: 50 bits are random, and 13 are left
-// for counting.
+// firstPreVoteRound returns an initial round number that differs from those used before a restart: 50 bits are
+// random, and 13 bits are left for counting.
 func firstPreVoteRound(random float64) uint64 {
 	const randomBits, countBits = 50, 13
 	return uint64(random*(1<<randomBits)) << countBits
 }
 
-// resetElectionTimer draws when to start an election if no leader is heard until then.
+// resetElectionTimer sets a randomized deadline for the next campaign, which starts unless a leader is heard from
+// before.
 func (n *Node) resetElectionTimer() {
 	n.election.timeoutAtMs = n.nowMs + n.LeaseMs + electionMarginMs + n.jitterMs()
-	if n.log.lastIndex() < n.commitIndex { // a member with a complete log is to be first
+	if n.log.lastIndex() < n.commitIndex { // members with a complete log campaign first
 		n.election.timeoutAtMs += n.ElectionJitterMs
 	}
 }
 
-// jitterMs draws a time of up to ElectionJitterMs.
+// jitterMs returns a random duration of up to ElectionJitterMs.
 func (n *Node) jitterMs() int64 {
 	return int64(n.random() * float64(n.ElectionJitterMs))
 }
 
-// campaign makes this node a candidate.
+// campaign makes this node a candidate and sends its vote requests.
 func (n *Node) campaign(kind campaignType) {
 	n.role, n.leaderID, n.election.campaignType = candidate, "", kind
 	n.election.campaignCount++
@@ -73,14 +76,15 @@
 	}
 }
 
-// preVoteDelayMs draws when to ask for Pre-Votes next: half the time of an election's heartbeat and jitter, since a Pre-Vote
-// disturbs nobody and waits for no disk.
+// preVoteDelayMs returns the randomized delay until the next Pre-Vote: half a heartbeat interval plus up to half of
+// ElectionJitterMs. Pre-Votes can be retried sooner than elections since they disturb no other member and wait for no
+// disk.
 func (n *Node) preVoteDelayMs(drawn float64) int64 {
 	return n.HeartbeatMs/2 + int64(drawn*float64(n.ElectionJitterMs)/2)
 }
 
-// resetCampaignTimer draws when to campaign again. Candidates that compete may split the votes, and slow disks take long to
-// grant one, so elections back off.
+// resetCampaignTimer sets a randomized deadline for the next campaign. Elections back off, since competing candidates
+// may split the vote and members with slow disks take long to grant one.
 func (n *Node) resetCampaignTimer() {
 	if n.election.campaignType == campaignPreVote {
 		n.election.timeoutAtMs = n.nowMs + n.preVoteDelayMs(n.random())
@@ -90,8 +94,8 @@
 	n.election.timeoutAtMs = n.nowMs + n.election.electionCount*n.HeartbeatMs + n.jitterMs()
 }
 
-// requestPreVotes asks all voters at once. Responses of earlier rounds do not count: their senders may have granted a
-// lease since.
+// requestPreVotes sends Pre-Vote requests to all other voters. Cold starts reported in earlier rounds do not count:
+// their senders may have granted a lease since.
 func (n *Node) requestPreVotes(request Message) {
 	n.election.votes = map[ID]bool{n.id: !n.boundByLease()}
 	n.election.preVoteRound++
@@ -103,8 +107,8 @@
 	n.countPreVotes()
 }
 
-// requestVotes begins a term, and asks all voters once that is on disk. The vote for itself is sent along, and like any
-// other is not granted while a lease forbids it.
+// requestVotes starts a new term and sends vote requests to all other voters once the term is persisted. The
+// candidate's vote for itself takes the same path and, like any other vote, is not granted while a lease forbids it.
 func (n *Node) requestVotes(request Message) {
 	n.election.votes = map[ID]bool{n.id: false}
 	n.hardState.Term, n.hardState.Vote = n.hardState.Term+1, n.id
@@ -117,7 +121,7 @@
 	n.persistHardState(messages...)
 }
 
-// otherVoters returns all members but this one, in order.
+// otherVoters returns the members of all active configurations except this node, in sorted order.
 func (n *Node) otherVoters() []ID {
 	var voters []ID
 	for _, config := range n.activeConfigurations() {
@@ -127,8 +131,8 @@
 	return slices.DeleteFunc(slices.Compact(voters), func(id ID) bool { return id == n.id })
 }
 
-// countPreVotes starts an election if it can be won. If no member has heard a leader since it started, there is neither a
-// leader nor a lease to wait for.
+// countPreVotes starts an election if the Pre-Vote has succeeded. If no member has heard from a leader since it
+// started, there is neither a leader nor a lease to wait for.
 func (n *Node) countPreVotes() {
 	if n.stopCampaignOfRemoved() {
 		return
@@ -139,9 +143,9 @@
 	}
 }
 
-// everyMemberColdStarted says that each member has heard no leader since it started, or has lost its disk, and its successor at
-// its address has heard none. A successor knows of no entry, so a majority must have answered for themselves: of them,
-// none knows of members that this node does not.
+// everyMemberColdStarted reports whether each member has heard from no leader since it started. For a member that has
+// lost its disk, the report of its successor at the same address counts. A successor holds no entries, so a majority
+// of the members must have answered themselves; none of that majority knows of members that this node does not know.
 func (n *Node) everyMemberColdStarted() bool {
 	coldStarted := func(id ID) bool { return n.election.coldStarts[id] }
 	return n.hasQuorum(coldStarted) && n.everyMember(func(id ID) bool {
@@ -149,7 +153,7 @@
 	})
 }
 
-// successorColdStarted says whether a process at the address of a member, with another ID, has reported a cold start.
+// successorColdStarted reports whether a process at the member's address, with another ID, has reported a cold start.
 func (n *Node) successorColdStarted(member ID) bool {
 	for id, coldStart := range n.election.coldStarts {
 		if coldStart && id.TakesPlaceOf(member) {
@@ -159,7 +163,7 @@
 	return false
 }
 
-// countVotes makes this node the leader once a majority has voted for it.
+// countVotes makes this node the leader if a majority has voted for it.
 func (n *Node) countVotes() {
 	if n.stopCampaignOfRemoved() {
 		return
@@ -170,7 +174,8 @@
 	}
 }
 
-// stopCampaignOfRemoved ends the campaign of a node that has learnt from a response that it is no longer a member.
+// stopCampaignOfRemoved ends the campaign if the commit point in a response has shown that this node is no longer a
+// member. It reports whether it did so.
 func (n *Node) stopCampaignOfRemoved() bool {
 	if n.isMember(n.id) {
 		return false
@@ -179,7 +184,7 @@
 	return true
 }
 
-// stepVoteRequest answers a candidate.
+// stepVoteRequest handles a vote or Pre-Vote request from a candidate.
 func (n *Node) stepVoteRequest(m Message) {
 	n.learnCommitPoint(m)
 	if m.PreVote {
@@ -204,7 +209,7 @@
 	n.persistHardState(n.withCommitPoint(Message{Type: MsgVoteResponse, To: m.From, Granted: true}))
 }
 
-// stepPreVoteRequest tells a candidate whether it would get this node's vote. Nothing is promised by that.
+// stepPreVoteRequest tells a candidate whether it would get this node's vote. The answer is not a promise.
 func (n *Node) stepPreVoteRequest(m Message) {
 	granted := n.candidateUpToDate(m) && !n.leaseForbidsVote(m) && m.Term+1 > n.hardState.Term
 	if granted && n.tiesWith(m) {
@@ -212,18 +217,20 @@
 			granted = false
 		} else {
 			n.becomeFollower("")
-			// time for the other's election and its first heartbeat
+			// leave time for the other candidate's election and first heartbeat
 			n.election.timeoutAtMs = n.nowMs + 2*n.HeartbeatMs + n.jitterMs()
 		}
 	}
 	n.sendPreVoteResponse(m, granted)
 }
 
-// reportColdStart tells a candidate, which asks an earlier member at this address, whether this node has heard a leader since
-// it started. It is no vote. The earlier member has ended, and with it any lease that it held as a leader.
+// reportColdStart answers a candidate whose request is addressed to an earlier member at this address, and tells it
+// whether this node has heard from a leader since it started. The answer is not a vote. The earlier member's process
+// has ended, and with it any lease that it held as leader.
 func (n *Node) reportColdStart(m Message) { n.sendPreVoteResponse(m, false) }
 
-// sendPreVoteResponse answers a request for a Pre-Vote, and says whether this node has heard a leader since it started.
+// sendPreVoteResponse answers a Pre-Vote request. The response also says whether this node has heard from a leader
+// since it started.
 func (n *Node) sendPreVoteResponse(m Message, granted bool) {
 	n.send(n.withCommitPoint(Message{
 		Type:         MsgVoteResponse,
@@ -235,7 +242,7 @@
 	}))
 }
 
-// stepVoteResponse takes in a vote, a Pre-Vote, or a refusal of one.
+// stepVoteResponse handles the response to a vote or Pre-Vote request, granted or not.
 func (n *Node) stepVoteResponse(m Message) {
 	n.learnCommitPoint(m)
 	if m.PreVote {
@@ -248,15 +255,16 @@
 	}
 }
 
-// stepPreVoteResponse takes in a Pre-Vote. A newer term is entered, and asked for again in it: else a member with a
-// shorter log in a newer term could keep one with a longer log from being elected for good.
+// stepPreVoteResponse handles a Pre-Vote response. If the response has a newer term, this node enters that term and
+// repeats the Pre-Vote there. Otherwise a member with a shorter log in a newer term could permanently prevent the
+// election of one with a longer log.
 func (n *Node) stepPreVoteResponse(m Message) {
 	if m.Term > n.hardState.Term {
 		n.enterTerm(m.Term)
 		n.election.timeoutAtMs = n.nowMs
 		return
 	}
-	if p := n.peers[m.From]; n.role == leader && p != nil { // it was asked by sendHeartbeat
+	if p := n.peers[m.From]; n.role == leader && p != nil { // response to the probe from sendHeartbeat
 		p.heardAtMs = n.nowMs
 	}
 	if n.role == candidate && n.election.campaignType == campaignPreVote {
@@ -266,15 +274,15 @@
 	}
 }
 
-// candidateUpToDate says whether a candidate's log is at least as up to date as this node's (3.6.1).
+// candidateUpToDate reports whether a candidate's log is at least as up to date as this node's (3.6.1).
 func (n *Node) candidateUpToDate(m Message) bool {
 	lastTerm := n.log.lastTerm()
 	return m.PrevTerm > lastTerm || m.PrevTerm == lastTerm && m.Index >= n.log.lastIndex()
 }
 
-// leaseForbidsVote says whether a lease keeps this node from voting for a candidate (4.2.3, 6.4.1). It does not if the
-// leader has ended its lease to transfer leadership, or if no member can have granted one. A leader waits beyond the end
-// of its own before it votes for another (leaderVoteDelayDivisor).
+// leaseForbidsVote reports whether a lease prevents this node from voting for a candidate (4.2.3, 6.4.1). It does not
+// if the leader has given up its lease to transfer leadership, or if no member can have granted a lease. A leader
+// keeps refusing votes for some time after its own lease has ended (leaderVoteDelayDivisor).
 func (n *Node) leaseForbidsVote(m Message) bool {
 	switch {
 	case m.ColdStart && !n.leaderSeen,
@@ -285,23 +293,25 @@
 	return n.boundByLease() || n.role == leader && n.nowMs < n.leaseUntilMs()+n.LeaseMs/leaderVoteDelayDivisor
 }
 
-// tiesWith says whether this node asks for Pre-Votes itself, with an equal log. Two that go on to an election at once
-// may split the votes; the one with the smaller ID goes first, for as long as it may still succeed.
+// tiesWith reports whether this node is running a Pre-Vote with the same last log entry as the candidate. Two such
+// candidates that start elections at the same time may split the vote, so the one with the smaller ID goes first.
+// This applies to the first maxTieBreaks campaigns only, after which that candidate is unlikely to succeed.
 func (n *Node) tiesWith(m Message) bool {
 	return n.role == candidate && n.election.campaignType == campaignPreVote && n.election.campaignCount <= maxTieBreaks &&
 		m.PrevTerm == n.log.lastTerm() && m.Index == n.log.lastIndex()
 }
 
-// withCommitPoint adds what is known here to be committed. After a change of members, the one that knows of its
-// commitment and the one that can be elected need not be the same.
+// withCommitPoint adds the commit point known to this node: the index and term of the newest entry known to be
+// committed. After a membership change, the member that knows that the change is committed and the member that can be
+// elected may be different ones.
 func (n *Node) withCommitPoint(m Message) Message {
 	m.CommitIndex = max(n.commitIndex, n.hardState.CommittedConfigIndex)
 	m.CommitTerm, _ = n.log.term(m.CommitIndex)
 	return m
 }
 
-// learnCommitPoint commits what another member knows to be committed. If the entry there is the same here, so are all
-// before it (3.5, Log Matching).
+// learnCommitPoint commits the entries that the sender knows to be committed. If the entry at the commit point is the
+// same in both logs, so are all entries before it (3.5, Log Matching).
 func (n *Node) learnCommitPoint(m Message) {
 	if term, known := n.log.term(m.CommitIndex); known && m.CommitIndex > n.commitIndex && term == m.CommitTerm {
 		n.commitTo(m.CommitIndex)
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -1,24 +1,24 @@
 package consensus
 
 const (
-	// quorumLostLeases is how many leases after the end of its own a leader steps down.
+	// quorumLostLeases is the number of lease durations after the end of its own lease at which a leader steps down.
 	quorumLostLeases = 2
-	// learnerTimeoutLeases is after how many leases of silence a leader forgets a learner.
+	// learnerTimeoutLeases is the number of lease durations of silence after which a leader stops tracking a learner.
 	learnerTimeoutLeases = 4
 )
 
-// leadershipState is what a leader knows of its term, apart from its peers' progress.
+// leadershipState is a leader's state for its term, apart from the progress of its peers.
 type leadershipState struct {
-	sinceMs             int64
-	termStartIndex      uint64 // index of the first entry of its term; 0: no leader
+	sinceMs             int64  // when this node was elected
+	termStartIndex      uint64 // index of the first entry of the leader's term; 0 if this node is not leader
 	nextHeartbeatAtMs   int64
-	transferring        bool // its lease is over, and transferee is to be the next leader
+	transferring        bool // the leader has given up its lease for a transfer of leadership
 	transferStartedAtMs int64
-	transferee          ID // empty once it has been told
+	transferee          ID // next leader; empty once MsgTimeoutNow has been sent to it
 }
 
-// becomeLeader begins to lead with an entry of the new term, since only such an entry can commit those before it
-// (3.6.2, 6.4).
+// becomeLeader makes this node the leader and appends an entry of the new term, since entries of earlier terms are
+// committed only through an entry of the current term (3.6.2, 6.4).
 func (n *Node) becomeLeader() {
 	n.role, n.leaderID, n.leaderSeen = leader, n.id, true
 	n.leadership.transferring = false
@@ -27,7 +27,7 @@
 	n.syncPeers()
 	n.peers[n.id].matchIndex = n.persistedIndex
 	first := Entry{Term: n.hardState.Term}
-	if n.latestConfiguration().index == 0 { // learners have no other way to learn the founders
+	if n.latestConfiguration().index == 0 { // learners learn the founding members only from the log
 		first.Members = n.Members()
 	}
 	n.appendEntry(first)
@@ -35,7 +35,8 @@
 	n.tickLeader()
 }
 
-// tickLeader sends what is due, and steps down if the lease was lost or a transfer of leadership failed.
+// tickLeader sends due heartbeats and retransmissions. The leader steps down if it has lost its quorum or if a
+// transfer of leadership has timed out.
 func (n *Node) tickLeader() {
 	quorumLost := n.nowMs > max(n.leaseUntilMs(), n.leadership.sinceMs)+quorumLostLeases*n.LeaseMs
 	transferFailed := n.leadership.transferring && n.nowMs > n.leadership.transferStartedAtMs+n.LeaseMs
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// maxDriftDivisor bounds how far the members' clocks may drift apart: a leader counts on a lease for a tenth less time
-	// than its granter keeps it.
+	// maxDriftDivisor bounds the clock drift between members: a leader relies on a lease for one tenth less than the
+	// time for which the granting member keeps it.
 	maxDriftDivisor = 10
-	// leaderVoteDelayDivisor is the share of a lease for which a leader votes for nobody beyond the end of its own: a fifth
-	// makes up for the tenth that it counted less, and for a clock of its own that is fast by as much. So it votes
-	// about as late as the members that are bound to it.
+	// leaderVoteDelayDivisor sets how long a leader keeps refusing votes after the end of its own lease: a fifth of
+	// LeaseMs. Half of that makes up for the tenth by which the leader shortens its lease, the other half for a local
+	// clock that is fast by as much. The leader thus votes about as late as the members bound by its lease.
 	leaderVoteDelayDivisor = 5
 )
 
-// HoldsLease says that no other leader can have been elected by now, and that everything committed in earlier terms has
-// been committed here (6.4, 6.4.1). Only then may the caller answer reads or acknowledge writes.
+// HoldsLease reports whether this node is the leader, no other leader can have been elected by now, and everything
+// committed in earlier terms is committed on this node (6.4, 6.4.1). The caller may answer reads and acknowledge
+// writes only while it is true.
 func (n *Node) HoldsLease(nowMs int64) bool { return nowMs < n.LeaseEndMs() }
 
-// LeaseEndMs returns when HoldsLease will be false unless the lease is renewed; 0 if it is false already, whatever the time.
+// LeaseEndMs returns the time at which HoldsLease becomes false unless the lease is renewed, or 0 if HoldsLease is
+// false regardless of the time.
 func (n *Node) LeaseEndMs() int64 {
 	committedOwnTerm := n.leadership.termStartIndex > 0 && n.commitIndex >= n.leadership.termStartIndex
 	if n.role != leader || n.leadership.transferring || !committedOwnTerm {
@@ -29,10 +31,10 @@
 	return n.leaseUntilMs()
 }
 
-// RecentLeader returns the leader if it was heard within two thirds of a lease, and so is worth asking, else nothing. By
-// DefaultConfig that is the time of three heartbeats, so one that is lost does not count, and less than a leader's lease,
-// so callers stop waiting for a lost leader before another can be elected. Its lease may have ended before, or run for
-// longer.
+// RecentLeader returns the leader if it was heard from within two thirds of LeaseMs and is thus worth contacting, or
+// an empty ID otherwise. With DefaultConfig, two thirds of a lease last for three heartbeats, so a single lost
+// heartbeat has no effect. It is also less than a leader's lease, so callers stop waiting for a failed leader before
+// another can be elected. The leader's lease may end before or after that time.
 func (n *Node) RecentLeader(nowMs int64) ID {
 	if n.role != leader && nowMs > n.leaderHeardAtMs+n.LeaseMs*2/3 {
 		return ""
@@ -40,8 +42,8 @@
 	return n.leaderID
 }
 
-// leaseUntilMs returns when this leader's lease ends: when the promises of a majority, in each configuration, may begin
-// to run out. A promise counts from when the heartbeat that it answers was sent.
+// leaseUntilMs returns when this leader's lease ends: when the promises of a majority may begin to expire, in any of
+// the active configurations. A promise counts from when the heartbeat that it answers was sent.
 func (n *Node) leaseUntilMs() int64 {
 	earliest := int64(math.MaxInt64)
 	for _, config := range n.activeConfigurations() {
@@ -59,7 +61,7 @@
 	return earliest
 }
 
-// leaseConfirmedAtMs returns when a member last began a lease; 0 if it has granted none.
+// leaseConfirmedAtMs returns the start of the latest lease granted by a member; 0 if it has granted none.
 func (n *Node) leaseConfirmedAtMs(member ID) int64 {
 	if member == n.id {
 		return n.nowMs
@@ -70,19 +72,20 @@
 	return 0
 }
 
-// boundByLease says that this node may have granted a lease that is not over: now, or before it was restarted.
+// boundByLease reports whether a lease granted by this node, possibly before its last restart, may still be running.
 func (n *Node) boundByLease() bool {
 	return n.nowMs < max(n.leaderHeardAtMs, n.startedAtMs)+n.LeaseMs
 }
 
-// unresponsive says that a leader that has lost its majority has not heard a member for a lease either. It must not bind
-// that member by heartbeats: the member may hear it, and be the one that all others could elect.
+// unresponsive reports whether a leader without a majority has not heard from a member for LeaseMs. The leader must
+// not send heartbeats to such a member, since they would bind it to a lease: the member may still receive them, and
+// it may be the only one that the others could elect.
 func (n *Node) unresponsive(p *progress) bool {
 	return n.nowMs > p.heardAtMs+n.LeaseMs && n.nowMs > max(n.leaseUntilMs(), n.leadership.sinceMs+n.LeaseMs)
 }
 
-// sendHeartbeat asks a member for a lease. To one that is unresponsive it sends a request for a Pre-Vote instead, from a
-// candidate with an empty log: the answer shows that it is there, and nothing is promised.
+// sendHeartbeat requests a lease from a member. To an unresponsive member it sends a Pre-Vote request with an empty
+// log instead: the response shows that the member is alive, and promises nothing.
 func (n *Node) sendHeartbeat(id ID) {
 	p := n.peers[id]
 	if n.unresponsive(p) {
@@ -92,7 +95,8 @@
 	n.send(Message{Type: MsgHeartbeat, To: id, SentAtMs: n.nowMs, CommitIndex: min(n.commitIndex, p.matchIndex)})
 }
 
-// stepHeartbeat grants a lease. A node that has lost entries that it had acknowledged reports so.
+// stepHeartbeat grants a lease. If this node has lost entries that it had acknowledged, it reports that to the
+// leader.
 func (n *Node) stepHeartbeat(m Message) {
 	if !n.acceptLeader(m.From) {
 		return
@@ -110,7 +114,7 @@
 	}
 }
 
-// stepHeartbeatResponse extends the lease.
+// stepHeartbeatResponse extends the leader's lease.
 func (n *Node) stepHeartbeatResponse(m Message) {
 	p := n.responder(m)
 	if p == nil {
@@ -118,7 +122,7 @@
 	}
 	p.heartbeatAckedAtMs = max(p.heartbeatAckedAtMs, min(m.SentAtMs, n.nowMs))
 	p.persistedConfigIndex = max(p.persistedConfigIndex, min(m.Index, n.log.lastIndex()))
-	if !m.Granted { // it was restarted, or is not leaving after all
+	if !m.Granted { // restarted since, or not leaving
 		p.leaveRequestedAtMs = 0
 	}
 }
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -1,24 +1,26 @@
 package consensus
 
-// LeaveState is how far a member's graceful shutdown has come.
+// LeaveState is the state of a member's graceful shutdown.
 type LeaveState uint8
 
 const (
 	// LeaveNotStarted is the state until Leave is called.
 	LeaveNotStarted LeaveState = iota
-	// LeavePending is the state of a member that waits for a learner to replace it. It votes and stores entries as before.
+	// LeavePending is the state of a member that waits to be replaced by a learner. It keeps voting and storing
+	// entries.
 	LeavePending
-	// LeaveReplaced is the state of a member that may shut down: another has become a member in its place.
+	// LeaveReplaced is the state of a member that may shut down because another node has become a member in its
+	// place.
 	LeaveReplaced
-	// LeaveUnreplaced is the state of a member that may shut down, and remains a member, since there is no learner. It may
-	// come back with all it holds; a configuration without it could bear the loss of fewer others.
+	// LeaveUnreplaced is the state of a member that may shut down but remains a member, since no learner is
+	// available. It may restart with its data; a configuration without it would tolerate fewer failures.
 	LeaveUnreplaced
 )
 
-// Done says whether the member may shut down.
+// Done reports whether the member may shut down.
 func (s LeaveState) Done() bool { return s == LeaveReplaced || s == LeaveUnreplaced }
 
-// leaveProgress is a member's own graceful shutdown.
+// leaveProgress tracks the graceful shutdown of the local member.
 type leaveProgress struct {
 	state           LeaveState
 	startedAtMs     int64
@@ -27,7 +29,7 @@
 
 func (l *leaveProgress) started() bool { return l.state != LeaveNotStarted }
 
-// finish notes that this member may shut down.
+// finish records that this member may shut down.
 func (l *leaveProgress) finish(replaced bool) {
 	l.state = LeaveUnreplaced
 	if replaced {
@@ -35,7 +37,7 @@
 	}
 }
 
-// Leave starts this member's graceful shutdown. It votes and stores entries as before until LeaveState is Done.
+// Leave starts the graceful shutdown of this member. It keeps voting and storing entries until LeaveState is Done.
 func (n *Node) Leave(nowMs int64) Ready {
 	n.advanceClock(nowMs)
 	if !n.leave.started() {
@@ -45,12 +47,12 @@
 	return n.takeReady()
 }
 
-// LeaveState returns how far this member's graceful shutdown has come.
+// LeaveState returns the state of this member's graceful shutdown.
 func (n *Node) LeaveState() LeaveState { return n.leave.state }
 
-// tickLeave asks the leader to replace this member, again and again, since the leader may change: twice a heartbeat, so
-// that a request which is lost delays the shutdown by less than one. A leader has itself replaced before it transfers
-// its leadership: so leadership moves only once, and to a member that stays.
+// tickLeave periodically asks the leader to replace this member, since the leader may change. It sends two requests
+// per heartbeat interval, so that a lost request delays the shutdown by less than one interval. A leader has itself
+// replaced before it transfers its leadership: leadership then moves only once, to a member that stays.
 func (n *Node) tickLeave() {
 	if n.leave.state != LeavePending || n.nowMs < n.leave.nextRequestAtMs {
 		return
@@ -73,15 +75,16 @@
 	}
 }
 
-// isLeaving says whether a member has said that it is leaving, and nothing else since.
+// isLeaving reports whether a member has requested to leave within the last RemovalTimeoutMs and has not withdrawn
+// the request since.
 func (n *Node) isLeaving(id ID) bool {
 	p := n.peers[id]
 	return p != nil && p.leaveRequestedAtMs > 0 && n.nowMs <= p.leaveRequestedAtMs+n.RemovalTimeoutMs
 }
 
-// mustStay says that a leaving member must not shut down yet. Either it may still be replaced: a change of members is
-// under way, there is a learner, or learners have had no time to report to this leader. Or the others that have answered
-// since it asked are no majority.
+// mustStay reports whether a leaving member must not shut down yet. One reason is that it may still be replaced: a
+// membership change is in progress, a learner is available, or learners have not had time to report to this leader.
+// The other is that the remaining members that have answered since its request are not a majority.
 func (n *Node) mustStay(id ID) bool {
 	if len(n.activeConfigurations()) > 1 || len(n.responsiveLearners()) > 0 ||
 		!n.HoldsLease(n.nowMs) || n.nowMs < n.leadership.sinceMs+n.LeaseMs {
@@ -97,7 +100,8 @@
 	})
 }
 
-// stepLeave has a leader replace a leaving member by a learner, and tells it once it may shut down.
+// stepLeave handles a member's request to leave: the leader replaces the member by a learner, and tells it when it
+// may shut down.
 func (n *Node) stepLeave(m Message) {
 	if !n.HoldsLease(n.nowMs) {
 		return
@@ -113,7 +117,7 @@
 		}
 		return
 	}
-	p.markLeaving(n.nowMs) // a learner that comes later may replace it at once, without waiting for RemovalTimeoutMs
+	p.markLeaving(n.nowMs) // a learner that joins later may replace it without waiting for RemovalTimeoutMs
 	if n.mustStay(m.From) {
 		n.promoteLearner()
 		return
@@ -121,8 +125,8 @@
 	n.send(n.withCommitPoint(Message{Type: MsgLeaveResponse, To: m.From, SentAtMs: m.SentAtMs}))
 }
 
-// stepLeaveResponse takes in the current leader's answer to a request of this node. One to a request before a restart
-// does not count.
+// stepLeaveResponse handles the current leader's response to a leave request. Responses to requests from before a
+// restart do not count.
 func (n *Node) stepLeaveResponse(m Message) {
 	n.learnCommitPoint(m)
 	fromLeader := m.From == n.leaderID && m.Term == n.hardState.Term
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -2,27 +2,28 @@
 
 import "slices"
 
-// Entry is one entry of the log. Its index is its position.
+// Entry is a log entry. Its index is its position in the log.
 type Entry struct {
 	Term    uint64
-	Data    []byte // for the state machine; empty in a configuration and in the first entry of a term
-	Members []ID   // not empty: a configuration, whose voting members these are
+	Data    []byte // state machine command; empty in a configuration and in the first entry of a term
+	Members []ID   // voting members; non-empty only if the entry is a configuration
 }
 
-// raftLog is the log in memory: a snapshot, the entries behind it, and some entries before its end for members that lag.
+// raftLog is the in-memory log: a snapshot, the entries that follow it, and some of the entries that it replaces,
+// kept for lagging members.
 type raftLog struct {
-	snapshot         Snapshot // Index 0: none
-	retained         []Entry  // up to and with snapshot.Index
-	retainedPrevTerm uint64   // term of the entry before retained
-	entries          []Entry  // from snapshot.Index+1 on
+	snapshot         Snapshot // Index is 0 if there is none
+	retained         []Entry  // compacted entries, ending at snapshot.Index
+	retainedPrevTerm uint64   // term of the entry before the first retained one
+	entries          []Entry  // entries from snapshot.Index+1
 }
 
 func (l *raftLog) lastIndex() uint64 { return l.snapshot.Index + uint64(len(l.entries)) }
 
-// compactedIndex is the index of the last entry that is gone.
+// compactedIndex returns the index of the last entry that is no longer in memory.
 func (l *raftLog) compactedIndex() uint64 { return l.snapshot.Index - uint64(len(l.retained)) }
 
-// entry returns the entry at an index above compactedIndex and up to lastIndex.
+// entry returns the entry at an index in (compactedIndex, lastIndex].
 func (l *raftLog) entry(index uint64) Entry {
 	if index <= l.snapshot.Index {
 		return l.retained[index-l.compactedIndex()-1]
@@ -30,7 +31,7 @@
 	return l.entries[index-l.snapshot.Index-1]
 }
 
-// between returns the entries behind after, up to and with through, all above compactedIndex.
+// between returns the entries in (after, through]. All must be above compactedIndex.
 func (l *raftLog) between(after, through uint64) []Entry {
 	entries := make([]Entry, 0, through-after)
 	for index := after + 1; index <= through; index++ {
@@ -39,7 +40,7 @@
 	return entries
 }
 
-// term returns the term of the entry at an index; false if that is not known here.
+// term returns the term of the entry at an index, or false if it is unknown.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.snapshot.Index:
@@ -58,14 +59,14 @@
 	return term
 }
 
-// dropRetained forgets the first count of the retained entries.
+// dropRetained discards the first count retained entries.
 func (l *raftLog) dropRetained(count int) {
 	l.retainedPrevTerm = l.retained[count-1].Term
 	l.retained = slices.Clone(l.retained[count:])
 }
 
-// CommittedAfter returns the data of the committed entries behind an index, one for each entry; ok is false if some of
-// them have been compacted, or if index is not reached yet.
+// CommittedAfter returns the data of each committed entry after index. ok is false if some of these entries have been
+// compacted, or if index has not been committed yet.
 func (n *Node) CommittedAfter(index uint64) (data [][]byte, ok bool) {
 	if index < n.log.compactedIndex() || index > n.appliedIndex {
 		return nil, false
@@ -76,10 +77,10 @@
 	return data, true
 }
 
-// LatestSnapshot returns the newest snapshot. Its Index is 0 if there is none yet.
+// LatestSnapshot returns the latest snapshot. Its Index is 0 if there is none yet.
 func (n *Node) LatestSnapshot() Snapshot { return n.log.snapshot }
 
-// SinceSnapshot returns the number of entries committed since the newest snapshot, and the bytes of their data.
+// SinceSnapshot returns the number of entries committed since the latest snapshot, and the total size of their data.
 func (n *Node) SinceSnapshot() (entries uint64, bytes int) {
 	entries = n.appliedIndex - n.log.snapshot.Index
 	for _, entry := range n.log.entries[:entries] {
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// maxLearners is how many learners a leader tracks.
+// maxLearners is the maximum number of learners that a leader tracks.
 const maxLearners = 32
 
-// ID identifies a member for as long as it has the same disk: an address or, if the member joined as a learner, an address
-// and a random suffix behind "+".
+// ID identifies a member for as long as it keeps its disk. It is an address or, if the member joined as a learner, an
+// address followed by "+" and a random suffix.
 type ID string
 
-// Address returns the address where the member is reached.
+// Address returns the network address of the member.
 func (id ID) Address() string {
 	address, _, _ := strings.Cut(string(id), "+")
 	return address
 }
 
-// TakesPlaceOf says whether the processes of two IDs cannot run at the same time, since they listen at the same address: that of
-// this ID runs, so that of the other has ended.
+// TakesPlaceOf reports whether two different IDs share an address. Their processes cannot run at the same time, so if
+// the process of this ID is running, that of the other has ended.
 func (id ID) TakesPlaceOf(other ID) bool { return id != other && id.Address() == other.Address() }
 
-// configuration is the set of voting members from an entry on (4.1).
+// configuration is the set of voting members in effect from the entry at index (4.1).
 type configuration struct {
 	index   uint64
 	members []ID
@@ -39,13 +39,15 @@
 	return 2*count > len(c.members)
 }
 
-// latestConfiguration is the newest one in the log, committed or not: it counts from when it is appended (4.1).
+// latestConfiguration returns the newest configuration in the log, committed or not: a configuration takes effect
+// when it is appended (4.1).
 func (n *Node) latestConfiguration() configuration { return n.configurations[len(n.configurations)-1] }
 
-// Members returns the voting members by the newest configuration in the log. The slice must not be changed.
+// Members returns the voting members of the newest configuration in the log. The caller must not modify the slice.
 func (n *Node) Members() []ID { return n.latestConfiguration().members }
 
-// activeConfigurations are the newest committed one and all behind it. Majorities of each are needed (4.3).
+// activeConfigurations returns the newest committed configuration and all later ones. Decisions need a majority of
+// each (4.3).
 func (n *Node) activeConfigurations() []configuration {
 	committed := max(n.commitIndex, n.hardState.CommittedConfigIndex)
 	first := 0
@@ -55,7 +57,7 @@
 	return n.configurations[first:]
 }
 
-// addConfigurations notes the configurations among entries that follow the log's entry at index.
+// addConfigurations records the configurations among the entries that follow index.
 func (n *Node) addConfigurations(index uint64, entries []Entry) {
 	for _, entry := range entries {
 		index++
@@ -65,8 +67,8 @@
 	}
 }
 
-// commitConfigurations forgets those before the newest committed one. Its index is written to disk: a node that did not
-// know it after a restart would need votes of members that are removed.
+// commitConfigurations discards the configurations before the newest committed one, and persists the index of that
+// one: without it, a restarted node would need votes from removed members.
 func (n *Node) commitConfigurations() {
 	for len(n.configurations) > 1 && n.configurations[1].index <= n.commitIndex {
 		n.configurations = n.configurations[1:]
@@ -77,8 +79,9 @@
 	}
 }
 
-// configurationDurable says that no change of members is under way, and that a majority has on disk that the last one was
-// committed. Before that, the loss of a member could leave only such as would still need votes of those removed.
+// configurationDurable reports whether no membership change is in progress and a majority has persisted that the last
+// one is committed. Before that, the loss of a member could leave only members that would still need votes from
+// removed ones.
 func (n *Node) configurationDurable() bool {
 	active := n.activeConfigurations()
 	return len(active) == 1 && active[0].hasQuorum(func(id ID) bool {
@@ -90,13 +93,13 @@
 	})
 }
 
-// HasQuorum says whether a majority of the members, in each active configuration, has something.
+// HasQuorum reports whether has returns true for a majority of the members of each active configuration.
 func (n *Node) HasQuorum(has func(ID) bool) bool { return n.hasQuorum(has) }
 
-// IsVoter says whether an ID is a voting member of an active configuration.
+// IsVoter reports whether an ID is a voting member in an active configuration.
 func (n *Node) IsVoter(id ID) bool { return n.isMember(id) }
 
-// hasQuorum says whether a majority of each active configuration has something.
+// hasQuorum reports whether has returns true for a majority of the members of each active configuration.
 func (n *Node) hasQuorum(has func(ID) bool) bool {
 	for _, config := range n.activeConfigurations() {
 		if !config.hasQuorum(has) {
@@ -106,7 +109,8 @@
 	return true
 }
 
-// everyMember says whether all members of all active configurations have something; false if there are no members.
+// everyMember reports whether has returns true for all members of all active configurations; false if there are no
+// members.
 func (n *Node) everyMember(has func(ID) bool) bool {
 	count := 0
 	for _, config := range n.activeConfigurations() {
@@ -120,7 +124,7 @@
 	return count > 0
 }
 
-// isMember says whether an ID is in an active configuration.
+// isMember reports whether an ID is in an active configuration.
 func (n *Node) isMember(id ID) bool {
 	for _, config := range n.activeConfigurations() {
 		if slices.Contains(config.members, id) {
@@ -130,8 +134,8 @@
 	return false
 }
 
-// tickJoin asks a leader, wherever it is, to track this node: twice a lease, so that a new leader, which knows no learners,
-// hears of them before mustStay stops waiting for them.
+// tickJoin broadcasts a request that the leader track this node. It does so twice per lease, so that a new leader,
+// which knows no learners, hears from them before mustStay stops waiting for them.
 func (n *Node) tickJoin() {
 	if n.nowMs >= n.nextJoinAtMs {
 		n.nextJoinAtMs = n.nowMs + n.LeaseMs/2
@@ -139,8 +143,8 @@
 	}
 }
 
-// stepJoin has a leader track a learner. Its sender knows only its seeds, of which none need lead or reach the leader, so
-// a follower forwards the message, once.
+// stepJoin handles a join request: a leader starts to track the sender. The sender knows only its seeds, and none of
+// them may be the leader or able to reach it, so a follower forwards the request once.
 func (n *Node) stepJoin(m Message) {
 	if n.role == follower && n.leaderID != "" && m.To == "" {
 		m.To = n.leaderID
@@ -158,7 +162,8 @@
 	n.replicate(m.From, p)
 }
 
-// addLearner tracks the sender of a MsgJoin, in place of earlier learners at its address, unless there are too many.
+// addLearner starts to track the sender of a MsgJoin, in place of any earlier learner at its address. It returns
+// false if too many learners are tracked already.
 func (n *Node) addLearner(m Message) bool {
 	others := 0
 	for id, p := range n.peers {
@@ -178,7 +183,7 @@
 	return true
 }
 
-// responsiveLearners returns the learners that were heard lately, those with the longest logs first.
+// responsiveLearners returns the learners heard from within LeaseMs, ordered by log length, longest first.
 func (n *Node) responsiveLearners() (learners []ID) {
 	for _, id := range n.peerIDs() {
 		if p := n.peers[id]; p.learner && n.nowMs <= p.heardAtMs+n.LeaseMs {
@@ -189,7 +194,8 @@
 	return learners
 }
 
-// promoteLearner makes a learner that holds all committed entries a member (4.2.1), one change at a time.
+// promoteLearner makes a learner that holds all committed entries a voting member (4.2.1). Membership changes one at
+// a time.
 func (n *Node) promoteLearner() {
 	if len(n.activeConfigurations()) > 1 || !n.HoldsLease(n.nowMs) {
 		return
@@ -205,9 +211,9 @@
 	}
 }
 
-// membersWith returns the members with a learner among them: in the place of an earlier member at its address, of one
-// that is leaving, or of one that is silent, or in addition while there are fewer than MaxMembers. Beyond that, an
-// addition would only enlarge the majorities. It returns false if there is no place.
+// membersWith returns the members after the promotion of a learner. The learner replaces an earlier member at its
+// address, a leaving member, or a silent one; otherwise it is added while there are fewer than MaxMembers, since more
+// members would only enlarge the majorities. It returns false if there is no vacancy.
 func (n *Node) membersWith(learner ID) ([]ID, bool) {
 	current := n.Members()
 	next := slices.DeleteFunc(slices.Clone(current), func(member ID) bool {
@@ -227,7 +233,8 @@
 	return next, true
 }
 
-// replaceableMember returns the place of a member that is leaving, else of one that has been silent for long, else -1.
+// replaceableMember returns the position of a leaving member, or else of one that has been silent for more than
+// RemovalTimeoutMs, or -1.
 func (n *Node) replaceableMember(members []ID) int {
 	if leaving := slices.IndexFunc(members, n.isLeaving); leaving >= 0 {
 		return leaving
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -1,46 +1,48 @@
 package consensus
 
-// MessageType says what a Message is, and with that which of its fields are set.
+// MessageType is the type of a Message. It determines which fields are set.
 type MessageType uint8
 
-// Message types. Their numbers are on the wire.
+// Message types. The numbers are part of the wire format.
 const (
-	// MsgHeartbeat is sent by a leader and asks for a lease (6.4.1). SentAtMs comes back in the response.
+	// MsgHeartbeat is sent by a leader to request a lease (6.4.1). The response echoes SentAtMs.
 	MsgHeartbeat MessageType = iota + 1
-	// MsgHeartbeatResponse grants the lease: its sender votes for nobody else for LeaseMs. Index is the newest
-	// configuration that it has on disk as committed; Granted says that it is leaving.
+	// MsgHeartbeatResponse grants the lease: the sender votes for nobody else for LeaseMs. Index is the index of the
+	// newest configuration that the sender has persisted as committed. Granted is true if the sender is leaving.
 	MsgHeartbeatResponse
-	// MsgAppend carries entries that follow the entry at Index, whose term is PrevTerm (3.5).
+	// MsgAppend carries the entries that follow the entry at Index, whose term is PrevTerm (3.5).
 	MsgAppend
-	// MsgAppendAccepted says that the log is on disk up to Index and equals the leader's there.
+	// MsgAppendAccepted reports that the sender's log is persisted up to Index and matches the leader's up to there.
 	MsgAppendAccepted
-	// MsgAppendRejected says that the entries do not follow the receiver's log. The leader is to go on behind Index.
+	// MsgAppendRejected reports that the entries do not follow the sender's log. The leader retries from the entry
+	// after Index.
 	MsgAppendRejected
-	// MsgSnapshotChunk carries a part of the leader's snapshot (5.1, InstallSnapshot).
+	// MsgSnapshotChunk carries a chunk of the leader's snapshot (5.1, InstallSnapshot).
 	MsgSnapshotChunk
-	// MsgVoteRequest asks for a vote (3.4) or, with PreVote, whether one would be granted (9.6). Index and PrevTerm are
-	// those of the candidate's last entry.
+	// MsgVoteRequest requests a vote (3.4) or, with PreVote, asks whether a vote would be granted (9.6). Index and
+	// PrevTerm are the index and term of the last entry in the candidate's log.
 	MsgVoteRequest
 	// MsgVoteResponse answers a MsgVoteRequest.
 	MsgVoteResponse
-	// MsgTimeoutNow has its receiver start an election at once, to take over leadership (3.10).
+	// MsgTimeoutNow tells the receiver to start an election at once and take over leadership (3.10).
 	MsgTimeoutNow
-	// MsgJoin asks the leader to replicate to its sender, a learner or a member that has not heard a leader for long. It
-	// has no receiver, and goes to all known members; Index is the sender's last entry.
+	// MsgJoin asks the leader to replicate to the sender, which is a learner or a member that has not heard from a
+	// leader for long. It has no receiver and goes to all known members. Index is the sender's last index.
 	MsgJoin
-	// MsgSnapshotChunkAck says in Chunk.Offset how much of a snapshot has arrived.
+	// MsgSnapshotChunkAck reports in Chunk.Offset how many bytes of a snapshot have been received in order.
 	MsgSnapshotChunkAck
-	// MsgSnapshotRequest asks for the leader's snapshot, whatever the sender's log holds: its state is wrong.
+	// MsgSnapshotRequest asks for the leader's snapshot regardless of the sender's log, since the sender's state is
+	// wrong.
 	MsgSnapshotRequest
-	// MsgLeave is sent by a member that is to shut down and asks to be replaced by a learner.
+	// MsgLeave is sent by a member that is shutting down and asks to be replaced by a learner.
 	MsgLeave
-	// MsgLeaveResponse says that its receiver may shut down. Granted: a learner has replaced it; else there is none, and
-	// it remains a member.
+	// MsgLeaveResponse allows the receiver to shut down. Granted is true if a learner has replaced it; otherwise no
+	// learner is available and it remains a member.
 	MsgLeaveResponse
 )
 
-// Message is sent between members. Every message has Type, From and Term; the comments of the types and of the fields
-// say what else is set.
+// Message is exchanged between members. Type, From and Term are always set; the comments on the message types and
+// fields say which others are.
 type Message struct {
 	Type               MessageType
 	From, To           ID     // To is empty in MsgJoin
@@ -48,18 +50,18 @@
 	Index              uint64
 	PrevTerm           uint64
 	CommitIndex        uint64
-	SentAtMs           int64 // by the clock of the member that began the exchange
+	SentAtMs           int64 // on the clock of the member that sent the request
 	Entries            []Entry
 	Chunk              *SnapshotChunk // of MsgSnapshotChunk and MsgSnapshotChunkAck
 	PreVote            bool           // of MsgVoteRequest and MsgVoteResponse
-	LeadershipTransfer bool           // of MsgVoteRequest: the leader has ended its lease and asked for this election
+	LeadershipTransfer bool           // of MsgVoteRequest: the leader has given up its lease and requested this election
 	Granted            bool           // of MsgVoteResponse, MsgLeaveResponse and MsgHeartbeatResponse
-	ColdStart          bool           // of MsgVoteResponse: no leader was heard since the start; of MsgVoteRequest: by no member
-	PreVoteRound       uint64         // of a Pre-Vote: the response repeats the request's, and counts only in that round
-	CommitTerm         uint64         // of MsgVoteRequest, MsgVoteResponse and MsgLeaveResponse: the term of the entry at CommitIndex
+	ColdStart          bool           // MsgVoteResponse: the sender has heard from no leader since its start; MsgVoteRequest: no member has
+	PreVoteRound       uint64         // of a Pre-Vote: echoed in the response; a cold start counts only in its own round
+	CommitTerm         uint64         // of MsgVoteRequest, MsgVoteResponse and MsgLeaveResponse: term of the entry at CommitIndex
 }
 
-// sentByLeader says whether only the leader of a term sends the message.
+// sentByLeader reports whether only the leader of the message's term sends messages of its type.
 func (m *Message) sentByLeader() bool {
 	return m.Type == MsgHeartbeat || m.Type == MsgAppend || m.Type == MsgSnapshotChunk
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -10,50 +10,50 @@
 	leader
 )
 
-// joinAfterLeases is how many leases a member without a leader waits before it asks to be contacted.
+// joinAfterLeases is the number of lease durations without a leader after which a member sends MsgJoin.
 const joinAfterLeases = 3
 
-// Node is one member. It is not safe for concurrent use.
+// Node is a member of the group or a learner. It is not safe for concurrent use.
 type Node struct {
 	Config
 	Counters
 	id          ID
-	nowMs       int64 // latest time that was passed in; never goes back
+	nowMs       int64 // latest time passed in by the caller; never decreases
 	startedAtMs int64
 	random      func() float64
 
-	// State that survives a restart, as it will be once all pending writes are on disk.
+	// Persistent state, including the writes that are still pending.
 	hardState HardState
 	log       raftLog
 
 	commitIndex          uint64
-	appliedIndex         uint64          // newest entry handed out in Ready.Committed
-	configurations       []configuration // the newest committed one, and all behind it
+	appliedIndex         uint64          // index of the newest entry returned in Ready.Committed
+	configurations       []configuration // newest committed configuration, and all later ones
 	lastWriteSeq         uint64
 	pendingWrites        []pendingWrite
-	persistedIndex       uint64 // entries up to here are on disk
-	persistedConfigIndex uint64 // HardState.CommittedConfigIndex, as on disk
+	persistedIndex       uint64 // index of the newest persisted entry
+	persistedConfigIndex uint64 // persisted value of HardState.CommittedConfigIndex
 
 	role            role
-	leaderID        ID // empty: unknown
+	leaderID        ID // empty if unknown
 	leaderHeardAtMs int64
-	leaderSeen      bool // a leader was heard since this node started, or this node was one
+	leaderSeen      bool // this node has heard from a leader, or been one, since it started
 	nextJoinAtMs    int64
 	election        electionState
-	peers           map[ID]*progress // of a leader: all members and learners, itself included
+	peers           map[ID]*progress // leader only: all members and learners, including this node
 	leadership      leadershipState
 
-	incoming                *incomingSnapshot // nil: none
-	snapshotWanted          bool              // the state built from the log is wrong
+	incoming                *incomingSnapshot // nil if no snapshot is being received
+	snapshotWanted          bool              // the state built from the log is wrong and must be replaced
 	nextSnapshotRequestAtMs int64
 
 	leave leaveProgress
-	ready Ready // what has been asked for since the last call returned
+	ready Ready // output of the current call
 }
 
-// New returns a node that continues from what its disk held. founders are the first members of the group; they count
-// only if restored is empty, and are nil for a learner. random returns numbers in [0, 1) and spreads the election timers
-// of the members.
+// New returns a node that resumes from its persisted state. founders are the first members of the group; they are
+// used only if restored is empty, and are nil for a learner. random returns numbers in [0, 1) and randomizes the
+// members' election timers.
 func New(id ID, config Config, restored RestoredState, founders []ID, random func() float64, nowMs int64) *Node {
 	n := &Node{
 		Config:          config,
@@ -80,16 +80,16 @@
 	return n
 }
 
-// Leader returns the leader of the current term; empty if none is known.
+// Leader returns the leader of the current term, or an empty ID if it is unknown.
 func (n *Node) Leader() ID { return n.leaderID }
 
-// IsLeader says whether this node leads its term. Only HoldsLease says whether it may still act as leader.
+// IsLeader reports whether this node is the leader of its term. It may act as leader only while HoldsLease is true.
 func (n *Node) IsLeader() bool { return n.role == leader }
 
 // Term returns the current term.
 func (n *Node) Term() uint64 { return n.hardState.Term }
 
-// CommitIndex returns the index of the newest entry that is known to be committed.
+// CommitIndex returns the index of the newest entry known to be committed.
 func (n *Node) CommitIndex() uint64 { return n.commitIndex }
 
 // LastIndex returns the index of the last entry in the log.
@@ -97,7 +97,7 @@
 
 func (n *Node) advanceClock(nowMs int64) { n.nowMs = max(n.nowMs, nowMs) }
 
-// Tick acts on what is due. It is to be called at least three times per HeartbeatMs.
+// Tick runs the actions that are due. It must be called at least three times per HeartbeatMs.
 func (n *Node) Tick(nowMs int64) Ready {
 	n.advanceClock(nowMs)
 	n.tickSnapshotRequest()
@@ -107,15 +107,16 @@
 		n.tickLeader()
 	case n.nowMs >= n.election.timeoutAtMs && n.isMember(n.id):
 		n.campaign(campaignPreVote)
-	case n.leave.started(): // it asks nobody to contact it again
+	case n.leave.started(): // a leaving member does not ask to be contacted again
 	case !n.isMember(n.id) || n.leaderID == "" && n.nowMs > n.leaderHeardAtMs+joinAfterLeases*n.LeaseMs:
 		n.tickJoin()
 	}
 	return n.takeReady()
 }
 
-// Step takes in a message from another member. Messages for another ID are discarded, since one for an earlier member at
-// this address counts on a log that this one does not hold; but a candidate is told that the earlier member has ended.
+// Step handles a message from another member. Messages addressed to another ID are discarded: a message for an
+// earlier member at this address relies on a log that this node does not hold. The exception is a Pre-Vote request,
+// which is answered to report that the earlier member's process has ended.
 func (n *Node) Step(m Message, nowMs int64) Ready {
 	n.advanceClock(nowMs)
 	switch {
@@ -131,8 +132,8 @@
 	return n.takeReady()
 }
 
-// step dispatches a message. The types listed here rule themselves what its term means; all others are taken in the
-// current term only.
+// step dispatches a message. The handlers of the types listed here check the message's term themselves; all other
+// types are handled in the current term only.
 func (n *Node) step(m Message) {
 	switch m.Type {
 	case MsgVoteRequest:
@@ -176,8 +177,8 @@
 	}
 }
 
-// checkTerm compares a message's term with the current one (3.3). It enters a newer term, and answers a leader whose
-// term is over; it says whether the message is of the term that is current then.
+// checkTerm compares a message's term with the current one (3.3). It enters a newer term, and rejects messages from a
+// leader of an older term. It reports whether the message belongs to the resulting current term.
 func (n *Node) checkTerm(m Message) bool {
 	if m.Term < n.hardState.Term {
 		if m.sentByLeader() {
@@ -191,14 +192,14 @@
 	return true
 }
 
-// enterTerm makes this node a follower in a newer term.
+// enterTerm moves this node to a newer term as a follower.
 func (n *Node) enterTerm(term uint64) {
 	n.hardState.Term, n.hardState.Vote = term, ""
 	n.persistHardState()
 	n.becomeFollower("")
 }
 
-// becomeFollower ends leading or campaigning. leaderID is empty if the leader is unknown.
+// becomeFollower makes this node a follower of leaderID, which is empty if the leader is unknown.
 func (n *Node) becomeFollower(leaderID ID) {
 	n.role, n.leaderID = follower, leaderID
 	n.peers, n.election.votes = nil, nil
@@ -206,8 +207,8 @@
 	n.resetElectionTimer()
 }
 
-// acceptLeader notes a message of the current leader, and says whether it is to be taken in. A leader gets false: no
-// term has two, so this is its own message, come back.
+// acceptLeader records that a message from the current leader has arrived, and reports whether to handle it. It
+// returns false on a leader: a term has only one leader, so the message is this node's own, looped back.
 func (n *Node) acceptLeader(leaderID ID) bool {
 	if n.role == leader {
 		return false
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// progress is what a leader knows of a member or learner.
+// progress is a leader's view of a member or learner.
 type progress struct {
-	nextIndex            uint64 // of the first entry to send (3.5)
-	matchIndex           uint64 // its log is on disk, and equal to the leader's, up to here (3.5)
-	sentAtMs             int64  // when entries or chunks were sent that are not acknowledged; 0: none
-	heartbeatAckedAtMs   int64  // when the newest heartbeat that it has answered was sent
-	heardAtMs            int64
+	nextIndex            uint64 // index of the next entry to send (3.5)
+	matchIndex           uint64 // the peer's log is persisted and matches the leader's up to here (3.5)
+	sentAtMs             int64  // when the unacknowledged entries or chunks were sent; 0 if there are none
+	heartbeatAckedAtMs   int64  // send time of the newest acknowledged heartbeat
+	heardAtMs            int64  // when the last message from the peer arrived
 	learner              bool
-	outgoing             *outgoingSnapshot // nil: it gets entries
-	snapshotWanted       bool              // it has asked for a snapshot, whatever its log holds
-	persistedConfigIndex uint64            // the newest configuration that it has on disk as committed
-	leaveRequestedAtMs   int64             // when it last said that it is leaving; 0: it is not
-	leavingSinceMs       int64             // when it first said so
+	outgoing             *outgoingSnapshot // snapshot in transfer; nil if the peer receives entries
+	snapshotWanted       bool              // the peer has requested a snapshot regardless of its log
+	persistedConfigIndex uint64            // newest configuration that the peer has persisted as committed
+	leaveRequestedAtMs   int64             // time of the latest leave request; 0 if the peer is not leaving
+	leavingSinceMs       int64             // time of the first leave request
 }
 
-// markLeaving notes that the member has said that it is leaving.
+// markLeaving records a leave request.
 func (p *progress) markLeaving(nowMs int64) {
 	if p.leaveRequestedAtMs == 0 {
 		p.leavingSinceMs = nowMs
@@ -25,7 +25,7 @@
 	p.leaveRequestedAtMs = nowMs
 }
 
-// syncPeers has a leader track all members of the active configurations, and no former ones.
+// syncPeers makes a leader track all members of the active configurations, and no removed ones.
 func (n *Node) syncPeers() {
 	if n.role != leader {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// peerIDs returns all members and learners that a leader tracks but itself, in order.
+// peerIDs returns the tracked members and learners except this node, in sorted order.
 func (n *Node) peerIDs() []ID {
 	ids := make([]ID, 0, len(n.peers))
 	for id := range n.peers {
@@ -57,8 +57,8 @@
 	return ids
 }
 
-// responder returns the progress of the sender of a response, and notes that it was heard; nil if this node does not lead
-// or does not track it.
+// responder returns the progress of the sender of a response and records that the sender was heard from. It returns
+// nil if this node is not the leader or does not track the sender.
 func (n *Node) responder(m Message) *progress {
 	p := n.peers[m.From]
 	if n.role != leader || p == nil {
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -1,23 +1,24 @@
 package consensus
 
-// HardState is what a member must have on disk before it acts on it (3.8).
+// HardState is the state that a member must persist before it acts on it (3.8).
 type HardState struct {
 	Term                 uint64
-	Vote                 ID     // who got this member's vote in Term; empty: nobody
-	CommittedConfigIndex uint64 // index of the newest configuration that is known to be committed
+	Vote                 ID     // candidate that received this member's vote in Term; empty if none
+	CommittedConfigIndex uint64 // index of the newest configuration known to be committed
 }
 
-// Write is to be put on disk atomically, and after all writes with a smaller Seq.
+// Write is a write to disk. The caller must perform it atomically, and after all writes with a smaller Seq.
 type Write struct {
 	Seq            uint64
-	HardState      *HardState // nil: unchanged
-	FirstIndex     uint64     // index of the first of Entries, which replace all from there on; 0: no entries
+	HardState      *HardState // nil if unchanged
+	FirstIndex     uint64     // index of the first of Entries, which replace all entries from there on; 0 if there are none
 	Entries        []Entry
-	Snapshot       *Snapshot // replaces all entries up to its index; nil: none
-	CompactThrough uint64    // entries up to here are no longer needed
+	Snapshot       *Snapshot // replaces all entries up to its index; nil if there is none
+	CompactThrough uint64    // entries up to this index are no longer needed
 }
 
-// Ready is what a call asks its caller to do: writes and committed entries in their order, messages in any.
+// Ready is the output of a call. The caller must perform the writes and apply the committed entries in order;
+// messages may be sent in any order.
 type Ready struct {
 	Writes    []Write
 	Messages  []Message
@@ -28,33 +29,34 @@
 type Committed struct {
 	Index    uint64
 	Term     uint64
-	Data     []byte    // empty: nothing for the state machine
-	Snapshot *Snapshot // nil: an entry
+	Data     []byte    // empty if there is nothing to apply to the state machine
+	Snapshot *Snapshot // nil for an entry
 }
 
-// pendingWrite is a write that is not on disk yet, and what follows from it once it is.
+// pendingWrite is a write that is not persisted yet, with the effects that it has once it is.
 type pendingWrite struct {
 	seq           uint64
 	requestedAtMs int64
-	lastIndex     uint64    // last entry of the log with this write
-	configIndex   uint64    // HardState.CommittedConfigIndex, if the write holds a hard state
-	messages      []Message // to be sent then
+	lastIndex     uint64    // last index of the log after this write
+	configIndex   uint64    // HardState.CommittedConfigIndex if the write includes a hard state
+	messages      []Message // sent once the write is persisted
 }
 
-// takeReady empties n.ready: each exported call returns it once, so that nothing is written, sent or applied twice.
+// takeReady returns and clears n.ready. Each exported call returns the output once, so that nothing is written, sent
+// or applied twice.
 func (n *Node) takeReady() Ready {
 	ready := n.ready
 	n.ready = Ready{}
 	return ready
 }
 
-// send sends a message that promises nothing that has to be on disk first.
+// send queues a message that does not depend on a pending write.
 func (n *Node) send(m Message) {
 	m.From, m.Term = n.id, n.hardState.Term
 	n.ready.Messages = append(n.ready.Messages, m)
 }
 
-// persist asks for a write. The messages are sent once it is on disk.
+// persist requests a write. The messages in after are sent once the write is persisted.
 func (n *Node) persist(write Write, after ...Message) {
 	n.lastWriteSeq++
 	write.Seq = n.lastWriteSeq
@@ -72,13 +74,14 @@
 	n.ready.Writes = append(n.ready.Writes, write)
 }
 
-// persistHardState asks for a write of the hard state.
+// persistHardState requests a write of the hard state.
 func (n *Node) persistHardState(after ...Message) {
 	hardState := n.hardState
 	n.persist(Write{HardState: &hardState}, after...)
 }
 
-// truncatePending has earlier writes count up to lastIndex only: the entries behind are about to be replaced.
+// truncatePending limits what earlier writes persist to the entries up to lastIndex, since the entries after it are
+// about to be replaced.
 func (n *Node) truncatePending(lastIndex uint64) {
 	n.persistedIndex = min(n.persistedIndex, lastIndex)
 	for i := range n.pendingWrites {
@@ -86,7 +89,7 @@
 	}
 }
 
-// Persisted reports that all writes up to Seq seq are on disk.
+// Persisted reports to the node that all writes up to sequence number seq are on disk.
 func (n *Node) Persisted(seq uint64, nowMs int64) Ready {
 	n.advanceClock(nowMs)
 	for len(n.pendingWrites) > 0 && n.pendingWrites[0].seq <= seq {
@@ -103,8 +106,8 @@
 	return n.takeReady()
 }
 
-// releaseMessages sends what waited for a write, and takes in what this node sent to itself. Messages of an earlier term
-// are void.
+// releaseMessages sends the messages that waited for a write, and handles those that this node sent to itself.
+// Messages of an earlier term are dropped.
 func (n *Node) releaseMessages(messages []Message) {
 	for _, m := range messages {
 		switch {
@@ -117,5 +120,5 @@
 	}
 }
 
-// UnpersistedWrites is the number of writes that Persisted has not reported yet.
+// UnpersistedWrites returns the number of writes not yet reported by Persisted.
 func (n *Node) UnpersistedWrites() int { return len(n.pendingWrites) }
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -3,13 +3,13 @@
 import "slices"
 
 const (
-	maxAppendBytes     = 256 << 10 // of entries in one message, if there is more than one
-	entryOverheadBytes = 64        // added to an entry's data when they are counted
+	maxAppendBytes     = 256 << 10 // size of the entries after which a message takes no more
+	entryOverheadBytes = 64        // added to the data size of each entry
 )
 
-// Propose appends data for the state machine to the log. It returns the index where the data will be committed, if this
-// leader's term lasts until then; 0 if this node does not lead, is transferring its leadership, or has a stalled disk that as
-// many writes wait for as may.
+// Propose appends data for the state machine to the log. It returns the index at which the data will be committed if
+// this leader's term lasts until then. It returns 0 if this node is not the leader, is transferring its leadership,
+// or has reached maxPendingWrites because its disk is stalled.
 func (n *Node) Propose(data []byte, nowMs int64) (index uint64, ready Ready) {
 	n.advanceClock(nowMs)
 	if n.role != leader || n.leadership.transferring || n.diskBacklogFull() {
@@ -19,7 +19,7 @@
 	return n.log.lastIndex(), n.takeReady()
 }
 
-// appendEntry appends an entry to a leader's log and sends it.
+// appendEntry appends an entry to the leader's log and replicates it.
 func (n *Node) appendEntry(entry Entry) {
 	n.log.entries = append(n.log.entries, entry)
 	if len(entry.Members) > 0 {
@@ -32,11 +32,11 @@
 	}
 }
 
-// replicate sends a member or learner the entries that it lacks, or chunks of a snapshot if they are compacted. Only one
-// message of entries is in flight at a time.
+// replicate sends a peer the entries that it lacks, or chunks of a snapshot if these entries are compacted. At most
+// one message with entries is in flight per peer.
 func (n *Node) replicate(id ID, p *progress) {
 	retransmitMs := n.RetransmitMs
-	if p.outgoing != nil { // chunks are acknowledged before they are on disk, so two heartbeats are long enough to wait
+	if p.outgoing != nil { // chunks are acknowledged before they are on disk, so two heartbeat intervals suffice
 		retransmitMs = 2 * n.HeartbeatMs
 	}
 	if p.sentAtMs != 0 && n.nowMs < p.sentAtMs+retransmitMs || n.unresponsive(p) {
@@ -52,8 +52,8 @@
 	n.sendEntries(id, p)
 }
 
-// sendEntries sends the entries from nextIndex on, as many as a message takes. It may be none: the answer then tells
-// what the member holds.
+// sendEntries sends the entries from nextIndex, up to the size limit of a message. The message may hold no entries:
+// the response then shows what the peer's log holds.
 func (n *Node) sendEntries(id ID, p *progress) {
 	prevIndex := min(p.nextIndex, n.log.lastIndex()+1) - 1
 	prevTerm, _ := n.log.term(prevIndex)
@@ -73,7 +73,7 @@
 	})
 }
 
-// stepAppend takes in entries that follow this log, and replaces those that differ (3.5).
+// stepAppend handles entries from the leader, and replaces conflicting entries in this log (3.5).
 func (n *Node) stepAppend(m Message) {
 	if !n.acceptLeader(m.From) || n.diskBacklogFull() {
 		return
@@ -89,15 +89,15 @@
 	through := m.Index + uint64(len(m.Entries))
 	accepted := Message{Type: MsgAppendAccepted, To: m.From, Index: through}
 	if index, entries := n.skipPresent(m.Index, m.Entries); len(entries) == 0 {
-		n.persist(Write{}, accepted) // once the entries that it repeats are on disk
+		n.persist(Write{}, accepted) // after the pending writes, which may hold the repeated entries
 	} else {
 		n.replaceAfter(index, entries, accepted)
 	}
 	n.commitTo(min(m.CommitIndex, through))
 }
 
-// skipCompacted removes the entries that the snapshot replaces: they were committed, so they are the same. It returns
-// false if the message holds no others.
+// skipCompacted removes from the message the entries that the snapshot replaces. They are committed, so they match
+// this log. It returns false if the message ends before the snapshot does.
 func (n *Node) skipCompacted(m *Message) bool {
 	skip := n.log.snapshot.Index - m.Index
 	if uint64(len(m.Entries)) < skip {
@@ -107,7 +107,8 @@
 	return true
 }
 
-// skipPresent returns the first of the entries behind index that is not in the log, all after it, and the index before it.
+// skipPresent skips the leading entries that are already in the log. It returns the index before the first remaining
+// entry, and the remaining entries.
 func (n *Node) skipPresent(index uint64, entries []Entry) (uint64, []Entry) {
 	for len(entries) > 0 {
 		if term, known := n.log.term(index + 1); !known || term != entries[0].Term {
@@ -118,7 +119,7 @@
 	return index, entries
 }
 
-// replaceAfter replaces all entries behind index.
+// replaceAfter replaces all entries after index.
 func (n *Node) replaceAfter(index uint64, entries []Entry, accepted Message) {
 	if index < n.commitIndex {
 		panic("consensus: an append would replace committed entries")
@@ -129,7 +130,7 @@
 	n.persist(Write{FirstIndex: index + 1, Entries: slices.Clone(entries)}, accepted)
 }
 
-// stepAppendAccepted notes what a member has on disk, and goes on behind it.
+// stepAppendAccepted records what a peer has persisted and sends the entries that follow.
 func (n *Node) stepAppendAccepted(m Message) {
 	p := n.responder(m)
 	if p == nil {
@@ -148,8 +149,8 @@
 	}
 }
 
-// stepAppendRejected goes back to where the member's log may be the same. matchIndex falls, too, if the member's disk
-// was replaced by an older copy.
+// stepAppendRejected moves nextIndex back to where the peer's log may match. It also lowers matchIndex, since the
+// peer's disk may have been replaced by an older copy.
 func (n *Node) stepAppendRejected(m Message) {
 	p := n.responder(m)
 	if p == nil {
@@ -161,7 +162,8 @@
 	n.replicate(m.From, p)
 }
 
-// advanceCommitIndex commits what a majority has on disk, if that ends with an entry of the current term (3.6.2).
+// advanceCommitIndex commits the entries that a majority has persisted, if the last of them is of the current term
+// (3.6.2).
 func (n *Node) advanceCommitIndex() {
 	for index := n.log.lastIndex(); index > n.commitIndex; index-- {
 		if term, _ := n.log.term(index); term != n.hardState.Term {
@@ -171,7 +173,7 @@
 			continue
 		}
 		n.commitTo(index)
-		for _, id := range n.peerIDs() { // they are to apply it soon, too
+		for _, id := range n.peerIDs() { // announce the new commit index at once, so that peers apply the entries soon
 			n.sendHeartbeat(id)
 		}
 		return
@@ -192,7 +194,7 @@
 	}
 	n.commitConfigurations()
 	n.syncPeers()
-	if n.role == leader && !n.isMember(n.id) && !n.leave.started() { // it leads until it is removed (4.2.2)
+	if n.role == leader && !n.isMember(n.id) && !n.leave.started() { // a leader leads until its removal is committed (4.2.2)
 		n.becomeFollower("")
 	}
 }
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// Snapshot replaces all entries up to Index (5.1).
+// Snapshot is a snapshot of the state machine that replaces all entries up to Index (5.1).
 type Snapshot struct {
-	Index, Term uint64 // of the last entry that it replaces
-	Members     []ID   // the configuration at Index
+	Index, Term uint64 // of the last replaced entry
+	Members     []ID   // configuration at Index
 	Data        []byte // the state machine's state
 }
 
-// RestoredState is what a member's disk holds.
+// RestoredState is the state that a member reads from its disk.
 type RestoredState struct {
 	HardState HardState
 	Snapshot  Snapshot
-	Entries   []Entry // from Snapshot.Index+1 on
+	Entries   []Entry // entries from Snapshot.Index+1
 }
 
-// ApplyWrite changes r to what the disk holds after a write.
+// ApplyWrite updates r to the contents of the disk after a write.
 func (r *RestoredState) ApplyWrite(w Write) {
 	if w.HardState != nil {
 		r.HardState = *w.HardState
@@ -32,9 +32,9 @@
 	}
 }
 
-// Compact replaces the entries up to an index by a snapshot of the state machine at that index. At most retain of them,
-// and RetainedBytes, stay in memory for members that lag. An index that is not committed yet, or is in the snapshot
-// already, changes nothing.
+// Compact replaces the entries up to an index by a snapshot of the state machine at that index. At most retain of
+// these entries, up to RetainedBytes, stay in memory for lagging members. Compact does nothing if the index is not
+// committed yet or is already covered by the snapshot.
 func (n *Node) Compact(index uint64, state []byte, retain uint64, nowMs int64) Ready {
 	n.advanceClock(nowMs)
 	if index > n.appliedIndex || index <= n.log.snapshot.Index {
@@ -57,8 +57,9 @@
 	return n.takeReady()
 }
 
-// trimRetained forgets compacted entries beyond the given number or RetainedBytes. Those behind a snapshot that a member
-// is receiving stay up to TransferRetainedBytes: else that member would need another snapshot once it has this one.
+// trimRetained discards compacted entries beyond the given number or RetainedBytes. Entries that follow a snapshot in
+// transfer to a member are kept up to TransferRetainedBytes: otherwise the member would need another snapshot after
+// receiving this one.
 func (n *Node) trimRetained(retain int) {
 	transferIndex := n.log.snapshot.Index
 	for _, p := range n.peers {
@@ -102,8 +103,8 @@
 	}
 }
 
-// reapply goes on with a state that replaces a wrong one: all entries behind it that were handed out are handed out
-// again.
+// reapply replaces a wrong state by the snapshot, and returns all entries after it that had been applied for the
+// caller to apply again.
 func (n *Node) reapply(snapshot *Snapshot, from ID) {
 	n.persist(Write{Snapshot: snapshot, CompactThrough: snapshot.Index},
 		Message{Type: MsgAppendAccepted, To: from, Index: n.commitIndex})
@@ -113,7 +114,7 @@
 	}
 }
 
-// advanceToSnapshot goes on behind a snapshot that is ahead of what was committed here.
+// advanceToSnapshot moves the commit index forward to a snapshot that is ahead of it.
 func (n *Node) advanceToSnapshot(snapshot *Snapshot, from ID) {
 	n.commitIndex, n.appliedIndex = snapshot.Index, snapshot.Index
 	n.configurations = []configuration{{snapshot.Index, snapshot.Members}}
@@ -127,7 +128,8 @@
 	}, Message{Type: MsgAppendAccepted, To: from, Index: snapshot.Index})
 }
 
-// RequestSnapshot has this node ask for the leader's snapshot, since the state that its log has built is wrong.
+// RequestSnapshot makes this node request the leader's snapshot. It is called when the state built from the log is
+// wrong.
 func (n *Node) RequestSnapshot(nowMs int64) Ready {
 	n.advanceClock(nowMs)
 	n.snapshotWanted, n.nextSnapshotRequestAtMs = true, 0
--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -3,65 +3,66 @@
 import "github.com/zeebo/blake3"
 
 const (
-	// maxChunksInFlight is how many chunks a leader sends ahead of the last acknowledgement.
+	// maxChunksInFlight is the maximum number of chunks that a leader sends beyond the last acknowledgement.
 	maxChunksInFlight = 4
 
-	// Bounds of what is accepted from the network.
+	// Limits on chunks received from the network.
 	maxChunkBytes      = 1 << 20
 	maxSnapshotBytes   = 24 << 20
 	maxSnapshotMembers = 1 << 10
 )
 
-// SnapshotChunk is a part of a snapshot. In an acknowledgement it has no data, and Offset is how much has arrived.
+// SnapshotChunk is a chunk of a snapshot. An acknowledgement has no data, and its Offset is the number of bytes
+// received.
 type SnapshotChunk struct {
 	Index, Term  uint64   // of the snapshot
 	Members      []ID     // of the snapshot
 	Digest       [16]byte // BLAKE3 of the snapshot's data, truncated
-	Size, Offset uint64   // bytes of the snapshot's data, and where this chunk's begins
+	Size, Offset uint64   // size of the snapshot's data, and position of this chunk in it, in bytes
 	Data         []byte
 }
 
-// digest returns the Digest of a snapshot's data.
+// digest returns the truncated BLAKE3 hash of a snapshot's data.
 func digest(data []byte) [16]byte {
 	sum := blake3.Sum256(data)
 	return [16]byte(sum[:16])
 }
 
-// sameSnapshot says whether two chunks are of the same snapshot.
+// sameSnapshot reports whether two chunks belong to the same snapshot.
 func (c *SnapshotChunk) sameSnapshot(other *SnapshotChunk) bool {
 	return c.Index == other.Index && c.Digest == other.Digest && c.Size == other.Size
 }
 
-// valid says whether the sizes of a received chunk, which may be nil, are within bounds and agree with each other.
+// valid reports whether the sizes in a received chunk, which may be nil, are consistent and within limits.
 func (c *SnapshotChunk) valid() bool {
 	return c != nil && c.Size <= maxSnapshotBytes && c.Offset <= c.Size && len(c.Data) <= maxChunkBytes &&
 		uint64(len(c.Data)) <= c.Size-c.Offset && len(c.Members) <= maxSnapshotMembers
 }
 
-// outgoingSnapshot is a snapshot that is being sent to a member, which has received it up to Offset.
+// outgoingSnapshot is a snapshot in transfer to a peer. Offset is the number of bytes that the peer has acknowledged.
 type outgoingSnapshot struct {
 	SnapshotChunk
 	data       []byte
-	nextOffset uint64 // of the next chunk
-	resent     bool   // the chunk at Offset was sent again, since the member has reported a later one out of order
+	nextOffset uint64 // offset of the next chunk to send
+	resent     bool   // the chunk at Offset was retransmitted after the peer reported a later chunk out of order
 	ackedAtMs  int64  // when Offset last changed
 }
 
-// acknowledge notes that the member has received the snapshot up to an offset.
+// acknowledge records that the peer has received the snapshot up to an offset.
 func (s *outgoingSnapshot) acknowledge(offset, nextOffset uint64, nowMs int64) {
 	s.Offset, s.nextOffset, s.resent, s.ackedAtMs = offset, nextOffset, false, nowMs
 }
 
-// incomingSnapshot is a snapshot of which some chunks have arrived.
+// incomingSnapshot is a snapshot that has been received in part.
 type incomingSnapshot struct {
 	SnapshotChunk
-	leaderTerm uint64 // of the last chunk's sender
+	leaderTerm uint64 // term of the sender of the last chunk
 	data       []byte
-	grewAtMs   int64
+	grewAtMs   int64 // when data was last received
 }
 
-// sendSnapshotChunks sends the next chunks of a snapshot to a member. A transfer is started again with the newest snapshot
-// only if the entries behind the one that is being sent are gone.
+// sendSnapshotChunks sends the next chunks of a snapshot to a peer. A transfer restarts with the latest snapshot only
+// if the entries that follow the one in transfer are gone.
 func (n *Node) sendSnapshotChunks(id ID, p *progress) {
 	if p.outgoing == nil || p.outgoing.Index < n.log.compactedIndex() {
 		n.SnapshotTransfers++
@@ -72,7 +73,7 @@
 	if timedOut {
 		snapshot.nextOffset = snapshot.Offset
 	}
-	if timedOut || snapshot.Size == 0 { // even if there is no data left: the member acknowledges it again
+	if timedOut || snapshot.Size == 0 { // even without data left to send, to make the peer repeat its acknowledgement
 		n.sendChunk(id, snapshot)
 	}
 	windowEnd := min(snapshot.Size, snapshot.Offset+maxChunksInFlight*uint64(n.ChunkBytes))
@@ -104,8 +105,8 @@
 	n.send(Message{Type: MsgSnapshotChunk, To: id, Chunk: &chunk, CommitIndex: n.commitIndex})
 }
 
-// stepSnapshotChunkAck goes on behind what the member has received. The same offset twice means that a chunk was lost,
-// and it is sent again at once. Other losses are found by time-out, in replicate.
+// stepSnapshotChunkAck sends the chunks that follow what the peer has received. A repeated offset means that a chunk
+// was lost, and it is retransmitted at once. Other losses are detected by the timeout in replicate.
 func (n *Node) stepSnapshotChunkAck(m Message) {
 	p := n.responder(m)
 	if p == nil {
@@ -116,8 +117,8 @@
 		n.ChunksIgnored++
 		return
 	}
-	// An ack that goes back may be late. It is not if it goes back to the start, or comes so long after the last progress
-	// that it hardly was on its way meanwhile: half of the time after which entries are sent again.
+	// An acknowledgement with a lower offset may be delayed. It is taken as valid if the offset is 0, or if it
+	// arrives so long after the last progress that it can hardly have been in flight since: half of RetransmitMs.
 	restarted := ack.Offset == 0 || n.nowMs > snapshot.ackedAtMs+n.RetransmitMs/2
 	switch offset := ack.Offset; {
 	case offset > snapshot.Offset:
@@ -130,14 +131,14 @@
 		return
 	}
 	p.sentAtMs = 0
-	if snapshot.Offset == snapshot.Size { // the member is writing it to disk
+	if snapshot.Offset == snapshot.Size { // the peer is writing the snapshot to disk
 		p.sentAtMs = n.nowMs
 		return
 	}
 	n.replicate(m.From, p)
 }
 
-// stepSnapshotRequest sends a member the snapshot, from its start.
+// stepSnapshotRequest starts sending the snapshot to a peer, from its first chunk.
 func (n *Node) stepSnapshotRequest(m Message) {
 	p := n.responder(m)
 	if p == nil {
@@ -147,8 +148,8 @@
 	n.replicate(m.From, p)
 }
 
-// stepSnapshotChunk takes in a part of a snapshot, and installs it once it is complete. Chunks out of order, of other
-// snapshots, or with invalid sizes change nothing.
+// stepSnapshotChunk handles a chunk of a snapshot and installs the snapshot once it is complete. Chunks that are out
+// of order, belong to other snapshots or have invalid sizes change nothing.
 func (n *Node) stepSnapshotChunk(m Message) {
 	if !n.acceptLeader(m.From) || n.diskBacklogFull() {
 		return
@@ -159,7 +160,7 @@
 		return
 	}
 	if chunk.Index <= n.commitIndex && (!n.snapshotWanted || chunk.Index < n.log.snapshot.Index) {
-		n.persist(Write{}, Message{Type: MsgAppendAccepted, To: m.From, Index: n.commitIndex}) // once that is on disk
+		n.persist(Write{}, Message{Type: MsgAppendAccepted, To: m.From, Index: n.commitIndex}) // after the pending writes
 		return
 	}
 	if (n.incoming == nil || !n.incoming.sameSnapshot(chunk)) && !n.startIncoming(m) {
@@ -180,9 +181,10 @@
 	n.finishIncoming(m)
 }
 
-// startIncoming begins to receive a snapshot, in place of one that is incomplete. It returns false if the chunk is not the
-// snapshot's first. It does so too for an older snapshot of the same leader, which only goes on to newer ones: the chunk
-// is late, unless the newer snapshot has not grown for long.
+// startIncoming starts to receive a snapshot, in place of an incomplete one. It returns false if the chunk is not the
+// first of the snapshot. It also returns false for an older snapshot from the same leader: a leader only moves on to
+// newer snapshots, so the chunk is delayed, unless the newer snapshot has made no progress for two retransmission
+// timeouts.
 func (n *Node) startIncoming(m Message) bool {
 	chunk, current := m.Chunk, n.incoming
 	late := current != nil && current.leaderTerm == m.Term && current.Index > chunk.Index &&
@@ -199,7 +201,7 @@
 	return true
 }
 
-// finishIncoming installs a snapshot that is complete. If its digest is wrong it is received again.
+// finishIncoming installs a complete snapshot. If the digest does not match, the transfer restarts.
 func (n *Node) finishIncoming(m Message) {
 	incoming := n.incoming
 	n.incoming = nil
@@ -217,7 +219,7 @@
 	}, m.From)
 }
 
-// ackChunk answers a chunk with the number of bytes that have arrived in order.
+// ackChunk acknowledges a chunk with the number of bytes received in order.
 func (n *Node) ackChunk(m Message, received int) {
 	ack := &SnapshotChunk{Index: m.Chunk.Index, Digest: m.Chunk.Digest, Size: m.Chunk.Size, Offset: uint64(received)}
 	n.send(Message{Type: MsgSnapshotChunkAck, To: m.From, Chunk: ack})
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// Counters count since the node was created.
+// Counters holds event counts since the node was created.
 type Counters struct {
 	ChunksSent         int64
 	ChunksIgnored      int64 // chunks and acknowledgements that were late, out of order or invalid
-	SnapshotTransfers  int64 // snapshots that began to be sent
+	SnapshotTransfers  int64 // snapshot transfers started
 	SnapshotsInstalled int64
-	DiskHandovers      int64 // transfers of leadership that began since this node's disk had stalled
-	DiscardedMessages  int64 // for another ID, from one that is no member, or from more learners than are tracked
+	DiskHandovers      int64 // leadership transfers started because this node's disk was stalled
+	DiscardedMessages  int64 // messages to another ID, from non-members, or from learners beyond the tracked number
 }
 
-// Status is a copy of a node's state, for operators.
+// Status is a snapshot of a node's state for operators.
 type Status struct {
 	ID, Leader                 ID // Leader is empty if unknown
 	Term                       uint64
 	SnapshotIndex, CommitIndex uint64
 	LastIndex, PersistedIndex  uint64
 	Members                    []ID
-	Learners                   []ID // of a leader
+	Learners                   []ID // empty unless this node is the leader
 	HoldsLease                 bool
 	DiscardedMessages          int64
 }
 
-// Status returns the node's state.
+// Status returns the state of the node.
 func (n *Node) Status(nowMs int64) Status {
 	return Status{
 		ID:                n.id,
@@ -41,7 +41,7 @@
 	}
 }
 
-// learners returns the learners that a leader tracks, in order.
+// learners returns the learners tracked by a leader, in sorted order.
 func (n *Node) learners() (learners []ID) {
 	for _, id := range n.peerIDs() {
 		if n.peers[id].learner {
--- a/internal/consensus/transfer.go
+++ b/internal/consensus/transfer.go
@@ -1,14 +1,14 @@
 package consensus
 
-// TransferLeadership ends this leader's lease, and has the member with the longest log take over leadership (3.10).
-// Without a member to take over, or on a node that does not lead, nothing happens.
+// TransferLeadership gives up the leader's lease and transfers leadership to the member with the longest log (3.10).
+// It does nothing if there is no suitable member or this node is not the leader.
 func (n *Node) TransferLeadership(nowMs int64) Ready {
 	n.advanceClock(nowMs)
 	n.startTransfer()
 	return n.takeReady()
 }
 
-// CanTransferLeadership says whether TransferLeadership would do something.
+// CanTransferLeadership reports whether TransferLeadership would have an effect.
 func (n *Node) CanTransferLeadership() bool {
 	return n.role == leader && !n.leadership.transferring && n.bestTransferee() != ""
 }
@@ -26,8 +26,8 @@
 	n.finishTransfer()
 }
 
-// bestTransferee returns the member that was heard lately and holds most, rather one that is not leaving; empty if there is
-// none.
+// bestTransferee returns the member with the longest log among those heard from within LeaseMs, preferring members
+// that are not leaving. It returns an empty ID if there is none.
 func (n *Node) bestTransferee() ID {
 	best := ID("")
 	for _, id := range n.peerIDs() {
@@ -49,8 +49,8 @@
 	return n.peers[id].matchIndex > n.peers[than].matchIndex
 }
 
-// finishTransfer has the transferee start its election once it holds the whole log. Before that, members that hold more
-// would refuse their votes.
+// finishTransfer tells the transferee to start its election once it holds the whole log. Before that, members with
+// longer logs would refuse to vote for it.
 func (n *Node) finishTransfer() {
 	transferee := n.leadership.transferee
 	if !n.leadership.transferring || transferee == "" {
@@ -61,12 +61,13 @@
 	}
 	n.leadership.transferee = ""
 	n.send(Message{Type: MsgTimeoutNow, To: transferee})
-	if !n.isMember(n.id) { // the new leader will not contact it
+	if !n.isMember(n.id) { // the new leader will not contact a removed member
 		n.becomeFollower(transferee)
 	}
 }
 
-// stepTimeoutNow starts an election on behalf of the leader. There is no Pre-Vote, since the leader's lease is over.
+// stepTimeoutNow starts an election on behalf of the leader. There is no Pre-Vote, since the leader has given up its
+// lease.
 func (n *Node) stepTimeoutNow(m Message) {
 	if n.role != leader && m.From == n.leaderID && n.isMember(n.id) {
 		n.campaign(campaignTransfer)
