--- a/internal/consensus/benchmark_test.go
+++ b/internal/consensus/benchmark_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// benchGroup is a group whose messages arrive and whose writes are on disk at once.
+// benchGroup is a group in which messages are delivered and writes are persisted without delay.
 type benchGroup struct {
 	nodes            map[ID]*Node
 	nowMs            int64
@@ -13,7 +13,7 @@
 	committed        int
 }
 
-// newBenchGroup returns a group, and its leader.
+// newBenchGroup returns a group and its leader.
 func newBenchGroup(members int) (group *benchGroup, leader *Node) {
 	g := &benchGroup{nodes: map[ID]*Node{}}
 	var ids []ID
@@ -52,14 +52,14 @@
 	}
 }
 
-// compact has all members take a snapshot.
+// compact makes all members take a snapshot.
 func (g *benchGroup) compact() {
 	for id, node := range g.nodes {
 		g.handleReady(id, node.Compact(node.appliedIndex, nil, 200, g.nowMs))
 	}
 }
 
-// One entry, from its proposal to its commitment by all members of a group, all computed here.
+// Measures the computation of all members for one entry, from its proposal to its commit on every member.
 func BenchmarkCommit(b *testing.B) {
 	const snapshotEvery = 400 // entries
 	for _, members := range []int{3, 5, 7, 15} {
@@ -85,7 +85,7 @@
 	}
 }
 
-// One round of heartbeats and their responses.
+// Measures one round of heartbeats and responses.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, members := range []int{3, 5, 7, 15} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -13,20 +13,20 @@
 // diskBacklogFull reports whether the number of pending writes has reached maxPendingWrites.
 func (n *Node) diskBacklogFull() bool { return len(n.pendingWrites) >= maxPendingWrites }
 
-// handOverIfDiskStalled transfers leadership if the leader's disk is stalled and a majority of members have persisted
+// transferIfDiskStalled transfers leadership if the leader's disk is stalled and a majority of members have persisted
 // entries that the leader has not: they can elect another leader without this node's disk. Otherwise the leader
 // continues, since a leader without a working disk is better than no leader.
-func (n *Node) handOverIfDiskStalled() {
-	if n.leadership.transferring || !n.diskStalled() || !n.hasQuorum(n.outrunsOwnDisk) {
+func (n *Node) transferIfDiskStalled() {
+	if n.leadership.transferInProgress || !n.diskStalled() || !n.hasQuorum(n.aheadOfLocalDisk) {
 		return
 	}
 	n.DiskHandovers++
 	n.startTransfer()
 }
 
-// outrunsOwnDisk reports whether another member was heard from within LeaseMs and has persisted entries that this
+// aheadOfLocalDisk reports whether another member was heard from within LeaseMs and has persisted entries that this
 // node has not.
-func (n *Node) outrunsOwnDisk(id ID) bool {
+func (n *Node) aheadOfLocalDisk(id ID) bool {
 	p := n.peers[id]
 	return id != n.id && p != nil && p.matchIndex > n.persistedIndex && n.nowMs < p.heardAtMs+n.LeaseMs
 }
--- a/internal/consensus/disk_test.go
+++ b/internal/consensus/disk_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stallDisk has a node's writes wait from now on.
-func (n *network) stallDisk(id ID) { n.stalled = id }
+// stallDisk leaves all further writes of a node pending.
+func (n *network) stallDisk(id ID) { n.stalledDisk = id }
 
-// runFor ticks all nodes but those in down, and delivers their messages.
+// runFor ticks the nodes except those in down, and delivers the messages between them.
 func (n *network) runFor(durationMs int64, down ...ID) {
 	isDown := map[ID]bool{}
 	for _, id := range down {
@@ -25,7 +25,8 @@
 	}
 }
 
-// A leader whose disk has stalled hands over within its bound and a few messages, and what was proposed meanwhile is committed.
+// A leader with a stalled disk transfers its leadership soon after DiskTimeoutMs, and an entry proposed in the
+// meantime is committed.
 func TestLeaderWithAStalledDiskHandsOver(t *testing.T) {
 	n := newNetworkLedByC(t)
 	n.runFor(600)
@@ -37,7 +38,7 @@
 	for holders := n.leaseHolders(); len(holders) != 1 || holders[0] == "c"; holders = n.leaseHolders() {
 		n.requireOneLease()
 		n.runFor(20)
-		require.Less(t, n.nowMs-stalledAtMs, n.nodes["c"].DiskTimeoutMs+300, "it has not handed over")
+		require.Less(t, n.nowMs-stalledAtMs, n.nodes["c"].DiskTimeoutMs+300, "the leader has not transferred its leadership")
 	}
 	require.EqualValues(t, 1, n.nodes["c"].DiskHandovers)
 	n.runFor(300)
@@ -46,7 +47,8 @@
 	require.Len(t, n.leaseHolders(), 1)
 }
 
-// Where no other leader could be elected without its disk, a leader stays: it can still grant leases.
+// A leader with a stalled disk keeps its leadership, and its lease, if no other member could be elected without that
+// disk.
 func TestLeaderWithAStalledDiskStaysWhereNobodyElseCanLead(t *testing.T) {
 	n := newNetworkLedByC(t)
 	n.runFor(600)
@@ -58,7 +60,8 @@
 	require.Zero(t, n.nodes["c"].DiskHandovers)
 }
 
-// Writes that wait for a stalled disk are bounded: a leader refuses proposals, a follower ignores entries.
+// The number of writes pending on a stalled disk is bounded: a leader rejects proposals, and a follower ignores
+// entries.
 func TestPendingWritesAreBounded(t *testing.T) {
 	n := newNetworkLedByC(t)
 	n.runFor(600)
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -34,9 +34,9 @@
 	preVoteRound  uint64      // number of the last Pre-Vote round
 }
 
-// firstPreVoteRound returns an initial round number that differs from those used before a restart: 50 bits are
+// initialPreVoteRound returns an initial round number that differs from those used before a restart: 50 bits are
 // random, and 13 bits are left for counting.
-func firstPreVoteRound(random float64) uint64 {
+func initialPreVoteRound(random float64) uint64 {
 	const randomBits, countBits = 50, 13
 	return uint64(random*(1<<randomBits)) << countBits
 }
@@ -79,8 +79,8 @@
 // preVoteDelayMs returns the randomized delay until the next Pre-Vote: half a heartbeat interval plus up to half of
 // ElectionJitterMs. Pre-Votes can be retried sooner than elections since they disturb no other member and wait for no
 // disk.
-func (n *Node) preVoteDelayMs(drawn float64) int64 {
-	return n.HeartbeatMs/2 + int64(drawn*float64(n.ElectionJitterMs)/2)
+func (n *Node) preVoteDelayMs(randomValue float64) int64 {
+	return n.HeartbeatMs/2 + int64(randomValue*float64(n.ElectionJitterMs)/2)
 }
 
 // resetCampaignTimer sets a randomized deadline for the next campaign. Elections back off, since competing candidates
@@ -97,7 +97,7 @@
 // requestPreVotes sends Pre-Vote requests to all other voters. Cold starts reported in earlier rounds do not count:
 // their senders may have granted a lease since.
 func (n *Node) requestPreVotes(request Message) {
-	n.election.votes = map[ID]bool{n.id: !n.boundByLease()}
+	n.election.votes = map[ID]bool{n.id: !n.hasUnexpiredPromise()}
 	n.election.preVoteRound++
 	request.PreVoteRound = n.election.preVoteRound
 	for _, voter := range n.otherVoters() {
@@ -112,7 +112,7 @@
 func (n *Node) requestVotes(request Message) {
 	n.election.votes = map[ID]bool{n.id: false}
 	n.hardState.Term, n.hardState.Vote = n.hardState.Term+1, n.id
-	granted := !n.boundByLease() || request.LeadershipTransfer || request.ColdStart
+	granted := !n.hasUnexpiredPromise() || request.LeadershipTransfer || request.ColdStart
 	messages := []Message{{Type: MsgVoteResponse, To: n.id, Granted: granted}}
 	for _, voter := range n.otherVoters() {
 		request.To = voter
@@ -134,21 +134,21 @@
 // countPreVotes starts an election if the Pre-Vote has succeeded. If no member has heard from a leader since it
 // started, there is neither a leader nor a lease to wait for.
 func (n *Node) countPreVotes() {
-	if n.stopCampaignOfRemoved() {
+	if n.abortCampaignIfRemoved() {
 		return
 	}
-	n.election.allColdStarts = n.everyMemberColdStarted()
+	n.election.allColdStarts = n.allMembersColdStarted()
 	if n.election.allColdStarts || n.hasQuorum(func(id ID) bool { return n.election.votes[id] }) {
 		n.campaign(campaignElection)
 	}
 }
 
-// everyMemberColdStarted reports whether each member has heard from no leader since it started. For a member that has
+// allMembersColdStarted reports whether each member has heard from no leader since it started. For a member that has
 // lost its disk, the report of its successor at the same address counts. A successor holds no entries, so a majority
 // of the members must have answered themselves; none of that majority knows of members that this node does not know.
-func (n *Node) everyMemberColdStarted() bool {
+func (n *Node) allMembersColdStarted() bool {
 	coldStarted := func(id ID) bool { return n.election.coldStarts[id] }
-	return n.hasQuorum(coldStarted) && n.everyMember(func(id ID) bool {
+	return n.hasQuorum(coldStarted) && n.allMembers(func(id ID) bool {
 		return coldStarted(id) || n.successorColdStarted(id)
 	})
 }
@@ -165,7 +165,7 @@
 
 // countVotes makes this node the leader if a majority has voted for it.
 func (n *Node) countVotes() {
-	if n.stopCampaignOfRemoved() {
+	if n.abortCampaignIfRemoved() {
 		return
 	}
 	n.election.allColdStarts = false
@@ -174,9 +174,9 @@
 	}
 }
 
-// stopCampaignOfRemoved ends the campaign if the commit point in a response has shown that this node is no longer a
+// abortCampaignIfRemoved ends the campaign if the commit point in a response has shown that this node is no longer a
 // member. It reports whether it did so.
-func (n *Node) stopCampaignOfRemoved() bool {
+func (n *Node) abortCampaignIfRemoved() bool {
 	if n.isMember(n.id) {
 		return false
 	}
@@ -286,11 +286,11 @@
 func (n *Node) leaseForbidsVote(m Message) bool {
 	switch {
 	case m.ColdStart && !n.leaderSeen,
-		m.LeadershipTransfer && n.role == leader && n.leadership.transferring,
+		m.LeadershipTransfer && n.role == leader && n.leadership.transferInProgress,
 		m.LeadershipTransfer && n.role == follower && n.nowMs >= n.startedAtMs+n.LeaseMs:
 		return false
 	}
-	return n.boundByLease() || n.role == leader && n.nowMs < n.leaseUntilMs()+n.LeaseMs/leaderVoteDelayDivisor
+	return n.hasUnexpiredPromise() || n.role == leader && n.nowMs < n.quorumLeaseEndMs()+n.LeaseMs/leaderVoteDelayDivisor
 }
 
 // tiesWith reports whether this node is running a Pre-Vote with the same last log entry as the candidate. Two such
--- a/internal/consensus/explore_checks_test.go
+++ b/internal/consensus/explore_checks_test.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// progressCheckEvery is of how many systems one is played on without a member, by hash.
-const progressCheckEvery = 1500
+// progressCheckInterval selects the systems whose progress is checked: one in this many, by hash.
+const progressCheckInterval = 1500
 
-// check asserts what must hold at each moment.
+// check asserts the invariants of a system.
 func (x *explorer) check(s *system) {
 	x.checkOneLease(s)
-	if s.unrecovered != "" && s.recovered() {
-		s.unrecovered = ""
+	if s.unrecoveredMember != "" && s.recovered() {
+		s.unrecoveredMember = ""
 	}
 	if hash := s.diskHash(); !x.checkedDisks[hash] {
 		x.checkedDisks[hash] = true
-		if s.unrecovered != "" {
+		if s.unrecoveredMember != "" {
 			x.checkSurvives(s, "")
 			return
 		}
 		x.checkSurvivesAnyLoss(s)
 	}
-	if x.disabled == allEnabled && s.unrecovered == "" && s.hash()%progressCheckEvery == 0 {
+	if x.disabled == allEnabled && s.unrecoveredMember == "" && s.hash()%progressCheckInterval == 0 {
 		x.checkProgressAfterAnyLoss(s)
 	}
 }
@@ -42,7 +42,7 @@
 	}
 }
 
-// checkPromotion asserts that who becomes a member holds all that was committed.
+// checkPromotion asserts that a learner that becomes a member holds all committed entries.
 func (x *explorer) checkPromotion(s *system, members []ID) {
 	current := s.configurations[s.latestConfigurationIndex()]
 	for _, r := range s.replicas {
@@ -53,6 +53,7 @@
 	}
 }
 
+// checkSurvivesAnyLoss asserts checkSurvives for the loss of each running replica.
 func (x *explorer) checkSurvivesAnyLoss(s *system) {
 	for _, r := range s.replicas {
 		if r.node != nil {
@@ -61,8 +62,9 @@
 	}
 }
 
-// checkSurvives asserts that if all lose their power now, and one its disk, the disks still hold all that was committed,
-// and some replica that holds it can be elected. Both are worked out from the rules, not by nodes.
+// checkSurvives asserts that after a power loss of all replicas and the loss of one disk, the remaining disks hold
+// all committed entries, and a replica that holds them can be elected. Both are derived from the protocol's rules,
+// without running nodes.
 func (x *explorer) checkSurvives(s *system, lost ID) {
 	var remaining []*replica
 	for _, r := range s.replicas {
@@ -78,12 +80,12 @@
 		if x.electable(r, remaining) {
 			return
 		}
-		failure = "no majority"
+		failure = "no majority elects a replica that holds all"
 	}
-	x.fail(s, "all lose power, %q its disk: %s of %d entries (%s)", lost, failure, len(s.committed)-1, s.describe())
+	x.fail(s, "after a power loss of all replicas and the loss of %q's disk: %s of %d entries (%s)", lost, failure, len(s.committed)-1, s.describe())
 }
 
-// holds says whether a disk holds all committed entries.
+// holds reports whether a replica's disk holds all committed entries.
 func (r *replica) holds(committed []string) bool {
 	if len(r.disk.Entries)+1 < len(committed) {
 		return false
@@ -96,7 +98,7 @@
 	return true
 }
 
-// electable says whether a replica could win an election among those that remain.
+// electable reports whether a replica could win an election among the remaining replicas.
 func (x *explorer) electable(candidate *replica, remaining []*replica) bool {
 	active := x.activeConfigurations(candidate, remaining)
 	isMember := slices.ContainsFunc(active, func(members []ID) bool { return slices.Contains(members, candidate.id) })
@@ -117,7 +119,8 @@
 	return true
 }
 
-// activeConfigurations returns the configurations of which a candidate needs majorities, with what votes tell it.
+// activeConfigurations returns the configurations in which a candidate needs majorities, given the commit points
+// carried by the votes.
 func (x *explorer) activeConfigurations(candidate *replica, remaining []*replica) [][]ID {
 	committedIndex := candidate.disk.HardState.CommittedConfigIndex
 	for _, voter := range remaining {
@@ -144,7 +147,7 @@
 	return active
 }
 
-// upToDateFor says whether a candidate's disk is at least as up to date as a voter's (3.6.1).
+// upToDateFor reports whether a candidate's disk is at least as up to date as a voter's (3.6.1).
 func (r *replica) upToDateFor(voter *replica) bool {
 	lastIndex, voterLastIndex := uint64(len(r.disk.Entries)), uint64(len(voter.disk.Entries))
 	term, _ := r.diskTerm(lastIndex)
@@ -152,7 +155,8 @@
 	return term > voterTerm || term == voterTerm && lastIndex >= voterLastIndex
 }
 
-// diskTerm returns the term of an entry on disk; false if it isn't there. Explored systems have no snapshots.
+// diskTerm returns the term of an entry on disk, or false if the entry is not there. Explored systems take no
+// snapshots.
 func (r *replica) diskTerm(index uint64) (term uint64, known bool) {
 	if index == 0 || index > uint64(len(r.disk.Entries)) {
 		return 0, index == 0
@@ -160,6 +164,7 @@
 	return r.disk.Entries[index-1].Term, true
 }
 
+// checkProgressAfterAnyLoss asserts checkProgress for the loss of each running replica.
 func (x *explorer) checkProgressAfterAnyLoss(s *system) {
 	for i, r := range s.replicas {
 		if r.node != nil {
@@ -169,46 +174,47 @@
 	}
 }
 
-// checkProgress asserts that without one replica the others, once they hear each other, elect a leader again, with all that was
-// committed, in 12 s.
+// checkProgress asserts that after the permanent loss of one replica, and with the network healed, the others elect a
+// leader within 12 s that has committed all committed entries.
 func (x *explorer) checkProgress(s *system, lost int) {
 	const stepMs, maxSteps = 50, 240
-	next := s.successor(fmt.Sprintf("%s is lost, the others go on", s.replicas[lost].id))
-	next.cutOff = 0
+	next := s.successor(fmt.Sprintf("%s is lost, the network heals", s.replicas[lost].id))
+	next.partition = 0
 	gone := *next.replicas[lost]
 	gone.node, gone.unsynced = nil, nil
 	gone.updateHash()
 	next.replicas[lost] = &gone
-	random := rand.New(rand.NewPCG(s.hash(), 1)) // fixed numbers could keep candidates in step with each other for good
+	random := rand.New(rand.NewPCG(s.hash(), 1)) // without varying random numbers, candidates could stay in lockstep forever
 	for i := range next.replicas {
 		x.stepReplica(next, i, func(node *Node) Ready { node.random = random.Float64; return Ready{} })
 	}
 	for next.heartbeats = 0; next.heartbeats < maxSteps; {
-		if !x.performAll(next) {
+		if !x.drainEvents(next) {
 			return
 		}
 		if next.leaderHolds(len(s.committed) - 1) {
 			return
 		}
-		x.passTime(next, stepMs)
+		x.advanceTime(next, stepMs)
 	}
 	x.fail(next, "no leader (%s)", next.describe())
 }
 
-// performAll has all pending events happen, and those that follow at once. It fails if there is no end of them.
-func (x *explorer) performAll(s *system) bool {
+// drainEvents processes all pending events and those that they cause. It returns false, and reports a violation, if
+// the number of events exceeds a limit.
+func (x *explorer) drainEvents(s *system) bool {
 	const maxEvents = 3000
 	for events := 0; len(s.pending) > 0; events++ {
 		if events > maxEvents {
-			x.fail(s, "no end of messages: %+v", s.pending[0].message)
+			x.fail(s, "too many events, the next of which is %+v", s.pending[0].message)
 			return false
 		}
-		x.performFirst(s)
+		x.processNextEvent(s)
 	}
 	return true
 }
 
-// leaderHolds says whether a leader holds the lease, and has committed all up to an index.
+// leaderHolds reports whether a leader holds the lease and has committed all entries up to an index.
 func (s *system) leaderHolds(index int) bool {
 	return slices.ContainsFunc(s.replicas, func(r *replica) bool {
 		return r.node != nil && r.node.HoldsLease(s.nowMs) && int(r.node.CommitIndex()) >= index
--- a/internal/consensus/explore_events_test.go
+++ b/internal/consensus/explore_events_test.go
@@ -9,19 +9,19 @@
 
 const (
 	heartbeatMs = 130 // of DefaultConfig
-	leaseEndMs  = 960 // after which any lease is over and any election timer has fired
+	leaseEndMs  = 960 // after this time any lease has expired and any election timer has fired
 )
 
-// explorer visits the systems of a course and of its deviations, and asserts for each what must hold.
+// explorer visits the systems on a default path and its deviations, and asserts the invariants for each.
 type explorer struct {
 	disabled       safeguard
-	seen           map[uint64]int8 // by hash: deviations left when it was visited, plus one
+	seen           map[uint64]int8 // by hash: number of deviations left at the visit, plus one
 	checkedDisks   map[uint64]bool // by diskHash
 	states         int
 	progressChecks int
 	maxHeartbeats  int
 	limits         faultCounts
-	violation      string // the first
+	violation      string // the first violation found
 }
 
 func newExplorer(disabled safeguard, maxHeartbeats int) *explorer {
@@ -34,7 +34,7 @@
 	}
 }
 
-// initialSystem returns a system with a leader of some time, and two learners that hold the whole log.
+// initialSystem returns a system with an established leader, and two learners that hold the whole log.
 func (x *explorer) initialSystem() *system {
 	founders := []ID{"a", "b", "c"}
 	s := &system{nowMs: 1 << 20, committed: []string{""}, configurations: map[uint64][]ID{0: founders}}
@@ -47,7 +47,7 @@
 		x.start(s, i)
 	}
 	for s.heartbeats < 24 {
-		s = x.usualStep(s)
+		s = x.defaultStep(s)
 		if s.heartbeats == 10 && s.proposals == 0 && len(s.pending) == 0 {
 			s.proposals++
 			x.stepReplica(s, s.leaderIndex(), func(node *Node) Ready {
@@ -57,13 +57,14 @@
 		}
 	}
 	for len(s.pending) > 0 {
-		s = x.usualStep(s)
+		s = x.defaultStep(s)
 	}
 	s.heartbeats, s.previous, s.event = 0, nil, ""
 	return s
 }
 
-// explore visits a system's usual course, and all courses that deviate from it at most so many times.
+// explore visits the systems on the default path from s, and on all paths with at most deviationsLeft deviations from
+// it.
 func (x *explorer) explore(s *system, deviationsLeft int) {
 	for x.violation == "" && s.heartbeats <= x.maxHeartbeats && !s.tooManyLosses {
 		hash := s.hash()
@@ -78,28 +79,28 @@
 				x.explore(deviation, deviationsLeft-1)
 			}
 		}
-		s = x.usualStep(s)
+		s = x.defaultStep(s)
 	}
 }
 
-// usualStep returns the next system of the usual course.
-func (x *explorer) usualStep(s *system) *system {
+// defaultStep returns the next system on the default path.
+func (x *explorer) defaultStep(s *system) *system {
 	if len(s.pending) == 0 {
 		next := s.successor("time passes")
-		x.passTime(next, heartbeatMs)
+		x.advanceTime(next, heartbeatMs)
 		return next
 	}
 	next := s.successor("")
-	x.performFirst(next)
+	x.processNextEvent(next)
 	return next
 }
 
-// deviations returns all systems that may come next instead of that of the usual course.
+// deviations returns all systems that may follow instead of the next one on the default path.
 func (x *explorer) deviations(s *system) []*system {
 	systems := x.reorderings(s)
-	if s.cutOff != 0 {
-		healed := s.successor("the halves meet")
-		healed.cutOff = 0
+	if s.partition != 0 {
+		healed := s.successor("the partition heals")
+		healed.partition = 0
 		systems = append(systems, healed)
 	}
 	for i, r := range s.replicas {
@@ -110,27 +111,27 @@
 	return systems
 }
 
-// reorderings returns the deviations of the pending events.
+// reorderings returns the deviations that affect pending events or let time pass before they are processed.
 func (x *explorer) reorderings(s *system) (systems []*system) {
 	if len(s.pending) == 0 {
 		return nil
 	}
 	if len(s.pending) > 1 {
-		late := s.successor("late")
+		late := s.successor("event delayed")
 		late.pending = append(late.pending[1:], late.pending[0])
 		systems = append(systems, late)
 	}
 	if s.pending[0].message != nil {
-		lost := s.successor("lost")
+		lost := s.successor("message lost")
 		lost.pending = lost.pending[1:]
 		systems = append(systems, lost)
 	}
 	early := s.successor("time passes early")
-	x.passTime(early, heartbeatMs)
+	x.advanceTime(early, heartbeatMs)
 	return append(systems, early)
 }
 
-// faults returns the deviations of a replica.
+// faults returns the deviations that affect one replica.
 func (x *explorer) faults(s *system, i int) (systems []*system) {
 	id, node := s.replicas[i].id, s.replicas[i].node
 	add := func(event string, apply func(next *system)) {
@@ -141,15 +142,15 @@
 	if s.faults.powerLosses < x.limits.powerLosses {
 		add("loses power", func(next *system) { x.losePower(next, i) })
 	}
-	if s.faults.losses < x.limits.losses && s.unrecovered == "" && s.isMember(id) {
-		add("loses its disk", func(next *system) { next.faults.losses++; x.lose(next, i, true) })
-		add("is lost", func(next *system) { next.faults.losses++; x.lose(next, i, false) })
+	if s.faults.losses < x.limits.losses && s.unrecoveredMember == "" && s.isMember(id) {
+		add("loses its disk", func(next *system) { next.faults.losses++; x.loseReplica(next, i, true) })
+		add("is lost permanently", func(next *system) { next.faults.losses++; x.loseReplica(next, i, false) })
 	}
 	if s.faults.leaves < x.limits.leaves && node.LeaveState() == LeaveNotStarted {
 		add("leaves", func(next *system) { next.faults.leaves++; x.leave(next, i) })
 	}
 	if s.faults.leaseEnds < x.limits.leaseEnds && node.isMember(id) && !node.IsLeader() {
-		add("hears nobody", func(next *system) { x.endLease(next, i) })
+		add("receives no heartbeat until all leases expire", func(next *system) { x.expireLeases(next, i) })
 	}
 	if s.faults.proposals < x.limits.proposals && node.HoldsLease(s.nowMs) {
 		add("proposes", func(next *system) { x.propose(next, i) })
@@ -168,7 +169,7 @@
 	x.stepReplica(s, i, func(node *Node) Ready { return node.Leave(s.nowMs) })
 }
 
-func (x *explorer) endLease(s *system, i int) {
+func (x *explorer) expireLeases(s *system, i int) {
 	s.faults.leaseEnds++
 	s.nowMs += leaseEndMs
 	x.stepReplica(s, i, func(node *Node) Ready { return node.Tick(s.nowMs) })
@@ -183,7 +184,7 @@
 	})
 }
 
-func (x *explorer) passTime(s *system, durationMs int64) {
+func (x *explorer) advanceTime(s *system, durationMs int64) {
 	s.nowMs += durationMs
 	s.heartbeats++
 	for i := range s.replicas {
@@ -202,12 +203,13 @@
 	s.pending = slices.DeleteFunc(s.pending, func(event pendingEvent) bool { return event.replica == i && event.message == nil })
 }
 
-// lose takes a replica out of the system with its disk. It may return with an empty one, under an ID that none had before.
-func (x *explorer) lose(s *system, i int, returns bool) {
+// loseReplica removes a replica and its disk from the system. With returns, it restarts with an empty disk under an
+// ID that has not been used before.
+func (x *explorer) loseReplica(s *system, i int, returns bool) {
 	r := *s.replicas[i]
 	s.replicas[i] = &r
 	if s.isMember(r.id) {
-		s.unrecovered, s.lostAtMs = r.id, s.nowMs
+		s.unrecoveredMember, s.lostAtMs = r.id, s.nowMs
 	}
 	r.node, r.unsynced, r.disk, r.founders = nil, nil, RestoredState{}, nil
 	r.updateHash()
@@ -222,8 +224,8 @@
 	x.start(s, i)
 }
 
-// performFirst has the first pending event happen.
-func (x *explorer) performFirst(s *system) {
+// processNextEvent processes the first pending event.
+func (x *explorer) processNextEvent(s *system) {
 	event := s.pending[0]
 	s.pending = slices.Delete(s.pending, 0, 1)
 	if event.message != nil {
@@ -247,7 +249,7 @@
 	})
 }
 
-// stepReplica has a call happen at a copy of a replica's node, and shuts the replica down once it may leave.
+// stepReplica calls a copy of a replica's node, and shuts the replica down once it may leave.
 func (x *explorer) stepReplica(s *system, i int, call func(*Node) Ready) {
 	if s.replicas[i].node == nil {
 		return
@@ -271,7 +273,7 @@
 	r.updateHash()
 }
 
-// disableBefore disables a safeguard by what a node is made to believe.
+// disableBefore disables a safeguard by changing what a node knows before a call.
 func (x *explorer) disableBefore(node *Node) {
 	switch x.disabled {
 	case learnersCatchUpFirst:
@@ -314,10 +316,10 @@
 	}
 }
 
-// send makes a message pending at its receiver, or at all others if it has none.
+// send queues a message to its receiver, or to all other replicas if it has none.
 func (s *system) send(from int, m *Message) {
 	for i, to := range s.replicas {
-		if i != from && to.node != nil && s.cutOff.has(i) == s.cutOff.has(from) && (m.To == "" || m.To.Address() == to.id.Address()) {
+		if i != from && to.node != nil && s.partition.has(i) == s.partition.has(from) && (m.To == "" || m.To.Address() == to.id.Address()) {
 			h := newHasher()
 			h.message(m)
 			h.ints(int64(i))
@@ -326,7 +328,7 @@
 	}
 }
 
-// apply notes a committed entry, and asserts that it is what others have committed there.
+// apply records a committed entry, and asserts that it equals the entry that others have committed at this index.
 func (x *explorer) apply(s *system, r *replica, committed Committed) {
 	entry := fmt.Sprintf("%d:%s", committed.Term, committed.Data)
 	switch {
@@ -345,7 +347,7 @@
 	}
 }
 
-// fail notes the first violation, with the events that led to it.
+// fail records the first violation and the events that led to it.
 func (x *explorer) fail(s *system, format string, args ...any) {
 	if x.violation == "" {
 		x.violation = fmt.Sprintf(format, args...) + "\nafter\n" + strings.Join(s.path(), "\n")
--- a/internal/consensus/explore_hash_test.go
+++ b/internal/consensus/explore_hash_test.go
@@ -8,7 +8,7 @@
 
 var hashSeed = maphash.MakeSeed()
 
-// hasher hashes what tells systems apart. What all of them have in common, as the configuration, is left out.
+// hasher hashes the state in which systems differ. State that all of them share, such as Config, is left out.
 type hasher struct{ maphash.Hash }
 
 func newHasher() *hasher {
@@ -116,18 +116,18 @@
 }
 
 func (h *hasher) leadership(l *leadershipState) {
-	h.ints(l.sinceMs, int64(l.termStartIndex), l.nextHeartbeatAtMs, l.transferStartedAtMs)
-	h.bools(l.transferring)
+	h.ints(l.startedAtMs, int64(l.termStartIndex), l.nextHeartbeatAtMs, l.transferStartedAtMs)
+	h.bools(l.transferInProgress)
 	h.ids(l.transferee)
 }
 
 func (h *hasher) progress(p *progress) {
 	h.ints(int64(p.nextIndex), int64(p.matchIndex), int64(p.persistedConfigIndex))
-	h.ints(p.sentAtMs, p.heartbeatAckedAtMs, p.heardAtMs, p.leaveRequestedAtMs, p.leavingSinceMs)
+	h.ints(p.sentAtMs, p.heartbeatAckedAtMs, p.heardAtMs, p.lastLeaveRequestAtMs, p.firstLeaveRequestAtMs)
 	h.bools(p.learner)
 }
 
-// updateHash is called after each change of a replica.
+// updateHash recomputes the hashes of a replica. It must be called after each change.
 func (r *replica) updateHash() {
 	h := newHasher()
 	h.ids(r.id)
@@ -153,8 +153,8 @@
 	h := newHasher()
 	h.ints(s.nowMs, int64(s.proposals))
 	h.ints(int64(s.faults.powerLosses), int64(s.faults.losses), int64(s.faults.leaves), int64(s.faults.leaseEnds), int64(s.faults.proposals))
-	h.ids(s.unrecovered, s.unreplaced)
-	h.ints(int64(s.cutOff))
+	h.ids(s.unrecoveredMember, s.unreplacedMember)
+	h.ints(int64(s.partition))
 	for _, r := range s.replicas {
 		h.ints(int64(r.hash))
 	}
@@ -164,9 +164,9 @@
 	return h.Sum64()
 }
 
-// diskHash identifies what the disks hold, with what is to be asserted of it.
+// diskHash identifies the contents of the disks, and the assertions that apply to them.
 func (s *system) diskHash() uint64 {
-	hash := uint64(len(s.committed))<<32 ^ uint64(len(s.unrecovered))
+	hash := uint64(len(s.committed))<<32 ^ uint64(len(s.unrecoveredMember))
 	for i, r := range s.replicas {
 		hash = hash*1000003 ^ r.diskHash + uint64(i)
 	}
--- a/internal/consensus/explore_system_test.go
+++ b/internal/consensus/explore_system_test.go
@@ -7,36 +7,37 @@
 	"strings"
 )
 
-// founderCount is how many replicas are members at first. The others are learners.
+// founderCount is the number of initial members. The other replicas are learners.
 const founderCount = 3
 
-// system is three members and two learners at one moment. Its usual course: messages arrive and writes are synced in
-// their order, and when nothing is pending, a heartbeat interval passes. At each moment the system may deviate from that
-// course, a bounded number of times: a message is late or lost, a disk is late, time passes or a lease ends before
-// messages arrive, a machine loses power, its disk, or is lost, a member leaves, an entry is proposed. An explorer visits
-// all systems that come about, with real nodes; those that are alike in every respect once.
+// system is the state of three members and two learners at one point in time. On its default path, messages are
+// delivered and writes are synced in order, and when no event is pending, time advances by a heartbeat interval. At
+// each point the system may deviate from that path, a bounded number of times: a message or a sync is delayed, a
+// message is lost, time passes or a lease expires before messages are delivered, a machine loses power or its disk or
+// is lost, a member leaves, or an entry is proposed. An explorer visits all reachable systems with real nodes, and
+// identical systems once.
 type system struct {
-	replicas       []*replica // never changed: an event puts a copy in its place
-	pending        []pendingEvent
-	nowMs          int64
-	committed      []string        // by index
-	configurations map[uint64][]ID // those committed, by index
-	unrecovered    ID              // a member whose loss has not been made up for
-	lostAtMs       int64
-	unreplaced     ID   // a member that may shut down without a replacement
-	tooManyLosses  bool // at once; nothing is asserted any more
-	faults         faultCounts
-	cutOff         replicaSet // these and the others don't hear each other
-	proposals      int
-	heartbeats     int
-	previous       *system
-	event          string // that led here from previous
+	replicas          []*replica // copy on write: an event replaces a replica instead of changing it
+	pending           []pendingEvent
+	nowMs             int64
+	committed         []string        // committed entries by index
+	configurations    map[uint64][]ID // committed configurations by index
+	unrecoveredMember ID              // lost member whose loss the group has not recovered from
+	lostAtMs          int64           // when unrecoveredMember was lost
+	unreplacedMember  ID              // member that may shut down without a replacement
+	tooManyLosses     bool            // more simultaneous losses than the group tolerates; nothing is asserted from then on
+	faults            faultCounts
+	partition         replicaSet // replicas that cannot communicate with the others; 0 if there is no partition
+	proposals         int
+	heartbeats        int
+	previous          *system
+	event             string // event that led from previous to this system
 }
 
-// faultCounts counts the deviations of which a course has only so many.
+// faultCounts counts the faults and proposals that are limited on each path.
 type faultCounts struct{ powerLosses, losses, leaves, leaseEnds, proposals int8 }
 
-// replicaSet is a set of replicas, by their places.
+// replicaSet is a set of replica positions.
 type replicaSet uint8
 
 func setOf(places ...int) (set replicaSet) {
@@ -52,21 +53,21 @@
 type replica struct {
 	id       ID
 	founders []ID
-	node     *Node // nil: lost, or shut down
+	node     *Node // nil if lost or shut down
 	disk     RestoredState
 	unsynced []Write
 	hash     uint64
 	diskHash uint64
 }
 
-// pendingEvent is a message in flight, or the sync of a disk.
+// pendingEvent is a message in flight or a pending disk sync.
 type pendingEvent struct {
 	replica int
-	message *Message // nil: a sync
+	message *Message // nil for a sync
 	hash    uint64
 }
 
-// cloneNode copies all that a call may change. The entries of a Message or Write are never changed.
+// cloneNode copies a node with all state that a call may change. The entries of a Message or Write are immutable.
 func cloneNode(node *Node) *Node {
 	clone := *node
 	clone.log.entries = slices.Clone(node.log.entries)
@@ -82,7 +83,7 @@
 	return &clone
 }
 
-// successor returns a copy of the system, for an event to change.
+// successor returns a copy of the system to which an event can be applied.
 func (s *system) successor(event string) *system {
 	next := *s
 	next.replicas, next.pending, next.committed = slices.Clone(s.replicas), slices.Clone(s.pending), slices.Clip(s.committed)
@@ -90,15 +91,15 @@
 	return &next
 }
 
-// leaderIndex returns the place of the replica that leads; -1 if none does.
+// leaderIndex returns the position of the leader, or -1 if there is none.
 func (s *system) leaderIndex() int {
 	return slices.IndexFunc(s.replicas, func(r *replica) bool { return r.node != nil && r.node.IsLeader() })
 }
 
-// followerIndex returns the place of a founder that doesn't lead, while a founder does.
+// followerIndex returns the position of a founder that is not the leader, given that a founder is.
 func (s *system) followerIndex() int { return (s.leaderIndex() + 1) % founderCount }
 
-// isMember says whether any node counts an ID among the members.
+// isMember reports whether any node considers an ID a member.
 func (s *system) isMember(id ID) bool {
 	return slices.ContainsFunc(s.replicas, func(r *replica) bool { return r.node != nil && r.node.isMember(id) })
 }
@@ -108,24 +109,25 @@
 	return slices.Max(slices.Collect(maps.Keys(s.configurations)))
 }
 
-// noteUnreplaced notes that a member may shut down without a replacement. That is a loss from now on, and one too many if
-// another was lost so lately that it could not be known.
+// noteUnreplaced records that a member may shut down without a replacement. This counts as a loss, and as one too
+// many if another member was lost within the last two heartbeat intervals, so that the leader could not know.
 func (s *system) noteUnreplaced(id ID) {
-	s.unreplaced = id
+	s.unreplacedMember = id
 	switch {
-	case s.unrecovered == "":
-		s.unrecovered, s.lostAtMs = id, s.nowMs
-	case s.unrecovered != id && s.nowMs <= s.lostAtMs+2*heartbeatMs:
+	case s.unrecoveredMember == "":
+		s.unrecoveredMember, s.lostAtMs = id, s.nowMs
+	case s.unrecoveredMember != id && s.nowMs <= s.lostAtMs+2*heartbeatMs:
 		s.tooManyLosses = true
 	}
 }
 
-// recovered says whether the last loss is made up for: all members by the newest configuration are there, a majority of
-// them has it on disk as committed, and no change is under way that would make the lost one a member again.
+// recovered reports whether the group has recovered from the last loss: all members of the newest configuration are
+// running, a majority of them has persisted it as committed, and no change in progress would make the lost one a
+// member again.
 func (s *system) recovered() bool {
 	newest := s.latestConfigurationIndex()
 	for _, event := range s.pending {
-		if event.message != nil && namesMember(event.message.Entries, event.message.Index+1, newest, s.unrecovered) {
+		if event.message != nil && namesMember(event.message.Entries, event.message.Index+1, newest, s.unrecoveredMember) {
 			return false
 		}
 	}
@@ -134,10 +136,10 @@
 		if r.node == nil {
 			continue
 		}
-		if namesMember(r.node.log.entries, 1, newest, s.unrecovered) || namesMember(r.disk.Entries, 1, newest, s.unrecovered) {
+		if namesMember(r.node.log.entries, 1, newest, s.unrecoveredMember) || namesMember(r.disk.Entries, 1, newest, s.unrecoveredMember) {
 			return false
 		}
-		if !slices.Contains(s.configurations[newest], r.id) || r.id == s.unreplaced {
+		if !slices.Contains(s.configurations[newest], r.id) || r.id == s.unreplacedMember {
 			continue
 		}
 		present++
@@ -148,13 +150,13 @@
 	return present == len(s.configurations[newest]) && 2*informed > present
 }
 
-// namesMember says whether a configuration behind an index, among entries that begin at firstIndex, has a member.
+// namesMember reports whether any configuration after an index includes a member. The entries begin at firstIndex.
 func namesMember(entries []Entry, firstIndex, after uint64, member ID) bool {
 	skip := min(uint64(len(entries)), after+1-min(firstIndex, after+1))
 	return slices.ContainsFunc(entries[skip:], func(entry Entry) bool { return slices.Contains(entry.Members, member) })
 }
 
-// describe is what the disks hold, for reports.
+// describe summarizes the contents of the disks.
 func (s *system) describe() string {
 	var descriptions []string
 	for _, r := range s.replicas {
@@ -166,7 +168,7 @@
 	return strings.Join(descriptions, "; ")
 }
 
-// path is the events that led to the system.
+// path returns the events that led to the system.
 func (s *system) path() []string {
 	var events []string
 	for ; s != nil; s = s.previous {
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -9,12 +9,12 @@
 )
 
 var (
-	maxDeviations = flag.Int("deviations", 0, "most deviations of an explored system from its usual course; 0: as in CI")
-	maxHeartbeats = flag.Int("beats", 26, "heartbeats that a system is explored for, with -deviations")
-	scenarioName  = flag.String("course", "", "the only scenario to explore; empty: all")
+	maxDeviations = flag.Int("deviations", 0, "maximum number of deviations from the default path; 0: as in CI")
+	maxHeartbeats = flag.Int("beats", 26, "number of heartbeats to explore, with -deviations")
+	scenarioName  = flag.String("course", "", "name of the scenario to explore; empty: all")
 )
 
-// Safeguards that explorations disable, beside those of simulations.
+// Safeguards that only explorations disable.
 const (
 	learnersCatchUpFirst  safeguard = "a learner is promoted once it holds all committed entries"
 	jointMajorities       safeguard = "majorities of all active configurations are needed"
@@ -23,7 +23,7 @@
 	votesCarryCommitPoint safeguard = "votes carry what is known to be committed"
 )
 
-// scenario is an event that an exploration begins with.
+// scenario is the initial event of an exploration.
 type scenario struct {
 	name  string
 	begin func(x *explorer, s *system)
@@ -56,35 +56,35 @@
 		x.leave(s, leaderIndex)
 		x.leave(s, followerIndex)
 	}},
-	{followerLosesDisk, func(x *explorer, s *system) { x.lose(s, s.followerIndex(), true) }},
-	{leaderIsLost, func(x *explorer, s *system) { x.lose(s, s.leaderIndex(), false) }},
+	{followerLosesDisk, func(x *explorer, s *system) { x.loseReplica(s, s.followerIndex(), true) }},
+	{leaderIsLost, func(x *explorer, s *system) { x.loseReplica(s, s.leaderIndex(), false) }},
 	{powerAndFollowersDisk, func(x *explorer, s *system) {
 		emptied := s.followerIndex()
 		x.restartAll(s, func(i int) bool { return i != emptied })
-		x.lose(s, emptied, true)
+		x.loseReplica(s, emptied, true)
 	}},
 	{powerAndLeadersDisk, func(x *explorer, s *system) {
 		emptied := s.leaderIndex()
 		x.restartAll(s, func(i int) bool { return i != emptied })
-		x.lose(s, emptied, true)
+		x.loseReplica(s, emptied, true)
 	}},
-	{leaderIsCutOff, func(_ *explorer, s *system) { s.cutOff = setOf(s.leaderIndex(), founderCount) }},
+	{leaderIsCutOff, func(_ *explorer, s *system) { s.partition = setOf(s.leaderIndex(), founderCount) }},
 	{halvesAndLostDisk, func(x *explorer, s *system) {
-		s.cutOff = setOf(s.leaderIndex(), founderCount)
-		x.lose(s, s.followerIndex(), true)
+		s.partition = setOf(s.leaderIndex(), founderCount)
+		x.loseReplica(s, s.followerIndex(), true)
 	}},
 	{halvesAndLostPower, func(x *explorer, s *system) {
-		s.cutOff = setOf(s.leaderIndex(), founderCount)
-		x.restartAll(s, func(i int) bool { return !s.cutOff.has(i) })
+		s.partition = setOf(s.leaderIndex(), founderCount)
+		x.restartAll(s, func(i int) bool { return !s.partition.has(i) })
 	}},
 	{followersPowerAndDisk, func(x *explorer, s *system) {
 		leaderIndex, emptied := s.leaderIndex(), s.followerIndex()
 		x.restartAll(s, func(i int) bool { return i != leaderIndex && i != emptied })
-		x.lose(s, emptied, true)
+		x.loseReplica(s, emptied, true)
 	}},
 }
 
-// restartAll restarts replicas from their disks, at once.
+// restartAll restarts the selected replicas from their disks at the same time.
 func (x *explorer) restartAll(s *system, affects func(i int) bool) {
 	for i := range s.replicas {
 		if affects(i) && s.replicas[i].node != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// restartLearnersEmpty replaces the learners by new ones, which hold nothing.
+// restartLearnersEmpty replaces the learners by new ones with empty disks.
 func (x *explorer) restartLearnersEmpty(s *system) {
 	for i := founderCount; i < len(s.replicas); i++ {
 		id := s.replicas[i].id
@@ -111,14 +111,14 @@
 	}
 }
 
-// depth bounds an exploration.
+// depth limits an exploration.
 type depth struct{ deviations, heartbeats int }
 
-// exploreScenarios explores one scenario, or all if no name is given, until a violation is found.
+// exploreScenarios explores the named scenario, or all if name is empty, until it finds a violation.
 func exploreScenarios(t *testing.T, disabled safeguard, bounds depth, name string) (x *explorer) {
 	x = newExplorer(disabled, bounds.heartbeats)
 	defer func() {
-		if assertion := recover(); assertion != nil { // of the node itself
+		if assertion := recover(); assertion != nil { // a panic in the node
 			x.violation = fmt.Sprint(assertion)
 		}
 	}()
@@ -155,12 +155,12 @@
 	for _, bounds := range depths {
 		x := exploreScenarios(t, allEnabled, bounds, *scenarioName)
 		require.Empty(t, x.violation)
-		t.Logf("%d deviations, %d heartbeats: %d states, %d of disks, %d went on without a member", bounds.deviations,
+		t.Logf("%d deviations, %d heartbeats: %d states, %d states of disks, %d checks of progress after a loss", bounds.deviations,
 			bounds.heartbeats, x.states, len(x.checkedDisks), x.progressChecks)
 	}
 }
 
-// Each safeguard is disabled in turn, and the exploration must detect that.
+// The exploration must detect each safeguard that is disabled.
 func TestExplorationDetectsDisabledSafeguards(t *testing.T) {
 	for _, test := range []struct {
 		disabled safeguard
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -1,18 +1,18 @@
 package consensus
 
 const (
-	// quorumLostLeases is the number of lease durations after the end of its own lease at which a leader steps down.
-	quorumLostLeases = 2
+	// quorumTimeoutLeases is the number of lease durations after the end of its own lease at which a leader steps down.
+	quorumTimeoutLeases = 2
 	// learnerTimeoutLeases is the number of lease durations of silence after which a leader stops tracking a learner.
 	learnerTimeoutLeases = 4
 )
 
 // leadershipState is a leader's state for its term, apart from the progress of its peers.
 type leadershipState struct {
-	sinceMs             int64  // when this node was elected
+	startedAtMs         int64  // when this node was elected
 	termStartIndex      uint64 // index of the first entry of the leader's term; 0 if this node is not leader
 	nextHeartbeatAtMs   int64
-	transferring        bool // the leader has given up its lease for a transfer of leadership
+	transferInProgress  bool // the leader has given up its lease for a transfer of leadership
 	transferStartedAtMs int64
 	transferee          ID // next leader; empty once MsgTimeoutNow has been sent to it
 }
@@ -21,8 +21,8 @@
 // committed only through an entry of the current term (3.6.2, 6.4).
 func (n *Node) becomeLeader() {
 	n.role, n.leaderID, n.leaderSeen = leader, n.id, true
-	n.leadership.transferring = false
-	n.leadership.nextHeartbeatAtMs, n.leadership.sinceMs = n.nowMs, n.nowMs
+	n.leadership.transferInProgress = false
+	n.leadership.nextHeartbeatAtMs, n.leadership.startedAtMs = n.nowMs, n.nowMs
 	n.peers = map[ID]*progress{}
 	n.syncPeers()
 	n.peers[n.id].matchIndex = n.persistedIndex
@@ -38,20 +38,20 @@
 // tickLeader sends due heartbeats and retransmissions. The leader steps down if it has lost its quorum or if a
 // transfer of leadership has timed out.
 func (n *Node) tickLeader() {
-	quorumLost := n.nowMs > max(n.leaseUntilMs(), n.leadership.sinceMs)+quorumLostLeases*n.LeaseMs
-	transferFailed := n.leadership.transferring && n.nowMs > n.leadership.transferStartedAtMs+n.LeaseMs
+	quorumLost := n.nowMs > max(n.quorumLeaseEndMs(), n.leadership.startedAtMs)+quorumTimeoutLeases*n.LeaseMs
+	transferFailed := n.leadership.transferInProgress && n.nowMs > n.leadership.transferStartedAtMs+n.LeaseMs
 	if quorumLost || transferFailed {
 		n.becomeFollower("")
 		return
 	}
-	n.handOverIfDiskStalled()
+	n.transferIfDiskStalled()
 	heartbeatDue := n.nowMs >= n.leadership.nextHeartbeatAtMs
 	if heartbeatDue {
 		n.leadership.nextHeartbeatAtMs = n.nowMs + n.HeartbeatMs
 	}
 	for _, id := range n.peerIDs() {
 		p := n.peers[id]
-		if heartbeatDue && !n.leadership.transferring {
+		if heartbeatDue && !n.leadership.transferInProgress {
 			n.sendHeartbeat(id)
 		}
 		n.replicate(id, p)
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -25,10 +25,10 @@
 // false regardless of the time.
 func (n *Node) LeaseEndMs() int64 {
 	committedOwnTerm := n.leadership.termStartIndex > 0 && n.commitIndex >= n.leadership.termStartIndex
-	if n.role != leader || n.leadership.transferring || !committedOwnTerm {
+	if n.role != leader || n.leadership.transferInProgress || !committedOwnTerm {
 		return 0
 	}
-	return n.leaseUntilMs()
+	return n.quorumLeaseEndMs()
 }
 
 // RecentLeader returns the leader if it was heard from within two thirds of LeaseMs and is thus worth contacting, or
@@ -42,27 +42,27 @@
 	return n.leaderID
 }
 
-// leaseUntilMs returns when this leader's lease ends: when the promises of a majority may begin to expire, in any of
+// quorumLeaseEndMs returns when this leader's lease ends: when the promises of a majority may begin to expire, in any of
 // the active configurations. A promise counts from when the heartbeat that it answers was sent.
-func (n *Node) leaseUntilMs() int64 {
+func (n *Node) quorumLeaseEndMs() int64 {
 	earliest := int64(math.MaxInt64)
 	for _, config := range n.activeConfigurations() {
 		if len(config.members) == 0 {
 			return 0
 		}
-		confirmedAtMs := make([]int64, 0, len(config.members))
+		grantedAtMs := make([]int64, 0, len(config.members))
 		for _, member := range config.members {
-			confirmedAtMs = append(confirmedAtMs, n.leaseConfirmedAtMs(member))
+			grantedAtMs = append(grantedAtMs, n.leaseGrantedAtMs(member))
 		}
-		slices.SortFunc(confirmedAtMs, func(a, b int64) int { return cmp.Compare(b, a) })
-		quorumAtMs := confirmedAtMs[len(confirmedAtMs)/2]
+		slices.SortFunc(grantedAtMs, func(a, b int64) int { return cmp.Compare(b, a) })
+		quorumAtMs := grantedAtMs[len(grantedAtMs)/2]
 		earliest = min(earliest, quorumAtMs+n.LeaseMs*(maxDriftDivisor-1)/maxDriftDivisor)
 	}
 	return earliest
 }
 
-// leaseConfirmedAtMs returns the start of the latest lease granted by a member; 0 if it has granted none.
-func (n *Node) leaseConfirmedAtMs(member ID) int64 {
+// leaseGrantedAtMs returns the start of the latest lease granted by a member; 0 if it has granted none.
+func (n *Node) leaseGrantedAtMs(member ID) int64 {
 	if member == n.id {
 		return n.nowMs
 	}
@@ -72,8 +72,8 @@
 	return 0
 }
 
-// boundByLease reports whether a lease granted by this node, possibly before its last restart, may still be running.
-func (n *Node) boundByLease() bool {
+// hasUnexpiredPromise reports whether a lease granted by this node, possibly before its last restart, may still be running.
+func (n *Node) hasUnexpiredPromise() bool {
 	return n.nowMs < max(n.leaderHeardAtMs, n.startedAtMs)+n.LeaseMs
 }
 
@@ -81,7 +81,7 @@
 // not send heartbeats to such a member, since they would bind it to a lease: the member may still receive them, and
 // it may be the only one that the others could elect.
 func (n *Node) unresponsive(p *progress) bool {
-	return n.nowMs > p.heardAtMs+n.LeaseMs && n.nowMs > max(n.leaseUntilMs(), n.leadership.sinceMs+n.LeaseMs)
+	return n.nowMs > p.heardAtMs+n.LeaseMs && n.nowMs > max(n.quorumLeaseEndMs(), n.leadership.startedAtMs+n.LeaseMs)
 }
 
 // sendHeartbeat requests a lease from a member. To an unresponsive member it sends a Pre-Vote request with an empty
@@ -116,13 +116,13 @@
 
 // stepHeartbeatResponse extends the leader's lease.
 func (n *Node) stepHeartbeatResponse(m Message) {
-	p := n.responder(m)
+	p := n.responderProgress(m)
 	if p == nil {
 		return
 	}
 	p.heartbeatAckedAtMs = max(p.heartbeatAckedAtMs, min(m.SentAtMs, n.nowMs))
 	p.persistedConfigIndex = max(p.persistedConfigIndex, min(m.Index, n.log.lastIndex()))
 	if !m.Granted { // restarted since, or not leaving
-		p.leaveRequestedAtMs = 0
+		p.lastLeaveRequestAtMs = 0
 	}
 }
--- a/internal/consensus/lease_test.go
+++ b/internal/consensus/lease_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A restarted member doesn't vote for itself either while it may have granted a lease before.
+// A restarted member does not vote for itself either while a lease that it may have granted before the restart is
+// running.
 func TestCandidateHonoursItsOwnLease(t *testing.T) {
 	n := newNetworkLedByC(t)
 	n.nowMs += 20
@@ -25,7 +26,8 @@
 	require.Equal(t, []ID{"a"}, n.leaseHolders())
 }
 
-// A Pre-Vote response may say that its sender has heard no leader, arrive late, and no longer be true.
+// A delayed Pre-Vote response whose sender had heard from no leader must not count as a cold start in a later round,
+// since the sender may have granted a lease in the meantime.
 func TestStalePreVoteResponseIsNoColdStart(t *testing.T) {
 	n := newNetwork(t, "a", "b", "c")
 	n.nowMs += 200
@@ -51,7 +53,8 @@
 	}
 }
 
-// That some members have heard no leader since they started doesn't mean that no leader holds a lease from them.
+// If only some members have heard from no leader since they started, they may still have granted a lease before that,
+// so an election must wait for it.
 func TestTwoRestartedMembersWaitForLeases(t *testing.T) {
 	n := newNetworkLedByC(t)
 	n.heartbeatNow("c")
@@ -67,27 +70,29 @@
 	}
 }
 
-// A leader's lease ends before that of its granter while their clocks drift apart by no more than a tenth.
+// A leader's lease ends before the granting member may vote for another candidate, as long as their clocks drift
+// apart by at most a tenth.
 func TestLeaseToleratesClockDrift(t *testing.T) {
 	type clockRates struct{ leader, granter float64 }
 	for _, rates := range []clockRates{{1, 1}, {0.95, 1.05}, {1.05, 0.95}, {0.91, 1}, {1, 1.1}} {
 		require.False(t, leaseOutlivesPromise(t, rates.leader, rates.granter), "%v", rates)
 	}
 	for _, rates := range []clockRates{{0.93, 1.07}, {0.88, 1}, {1, 1.13}} {
-		require.True(t, leaseOutlivesPromise(t, rates.leader, rates.granter), "%v: too much drift isn't detected", rates)
+		require.True(t, leaseOutlivesPromise(t, rates.leader, rates.granter), "%v: the drift exceeds the tolerated tenth, but the lease did not outlive the promise", rates)
 	}
 }
 
-// leaseOutlivesPromise says whether a leader holds its lease at a time when its granter may vote for another.
+// leaseOutlivesPromise reports whether the leader holds its lease at a time when the granting member may vote for
+// another candidate.
 func leaseOutlivesPromise(t *testing.T, leaderRate, granterRate float64) bool {
 	n := newNetworkLedByC(t)
 	leader, granter, startMs := n.nodes["c"], n.nodes["a"], n.nowMs
 	n.heartbeatNow("c")
-	n.deliver(between("a", "c")) // the worst case: no time passes on the way
+	n.deliver(between("a", "c")) // worst case: the heartbeat and its response take no time
 	for passedMs := range 1000 {
 		granter.advanceClock(startMs + int64(float64(passedMs)*granterRate))
 		leaderMs := startMs + int64(float64(passedMs)*leaderRate)
-		if leader.HoldsLease(leaderMs) && !granter.boundByLease() {
+		if leader.HoldsLease(leaderMs) && !granter.hasUnexpiredPromise() {
 			return true
 		}
 	}
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -66,8 +66,8 @@
 		if n.leaderID != "" {
 			n.send(Message{Type: MsgLeave, To: n.leaderID, SentAtMs: n.nowMs})
 		}
-	case n.leadership.transferring:
-	case n.isMember(n.id) && n.mustStay(n.id):
+	case n.leadership.transferInProgress:
+	case n.isMember(n.id) && n.mustDeferShutdown(n.id):
 		n.promoteLearner()
 	case n.isMember(n.id) || n.configurationDurable():
 		n.leave.finish(!n.isMember(n.id))
@@ -79,24 +79,24 @@
 // the request since.
 func (n *Node) isLeaving(id ID) bool {
 	p := n.peers[id]
-	return p != nil && p.leaveRequestedAtMs > 0 && n.nowMs <= p.leaveRequestedAtMs+n.RemovalTimeoutMs
+	return p != nil && p.lastLeaveRequestAtMs > 0 && n.nowMs <= p.lastLeaveRequestAtMs+n.RemovalTimeoutMs
 }
 
-// mustStay reports whether a leaving member must not shut down yet. One reason is that it may still be replaced: a
+// mustDeferShutdown reports whether a leaving member must not shut down yet. One reason is that it may still be replaced: a
 // membership change is in progress, a learner is available, or learners have not had time to report to this leader.
 // The other is that the remaining members that have answered since its request are not a majority.
-func (n *Node) mustStay(id ID) bool {
+func (n *Node) mustDeferShutdown(id ID) bool {
 	if len(n.activeConfigurations()) > 1 || len(n.responsiveLearners()) > 0 ||
-		!n.HoldsLease(n.nowMs) || n.nowMs < n.leadership.sinceMs+n.LeaseMs {
+		!n.HoldsLease(n.nowMs) || n.nowMs < n.leadership.startedAtMs+n.LeaseMs {
 		return true
 	}
-	sinceMs := n.peers[id].leavingSinceMs
+	startedAtMs := n.peers[id].firstLeaveRequestAtMs
 	return !n.hasQuorum(func(member ID) bool {
 		if member == id || member == n.id {
 			return member != id
 		}
 		p := n.peers[member]
-		return p != nil && p.heartbeatAckedAtMs > sinceMs && !n.isLeaving(member)
+		return p != nil && p.heartbeatAckedAtMs > startedAtMs && !n.isLeaving(member)
 	})
 }
 
@@ -118,7 +118,7 @@
 		return
 	}
 	p.markLeaving(n.nowMs) // a learner that joins later may replace it without waiting for RemovalTimeoutMs
-	if n.mustStay(m.From) {
+	if n.mustDeferShutdown(m.From) {
 		n.promoteLearner()
 		return
 	}
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	maxLeaveMs         = 4500 // a member shuts down after this, replaced or not
-	leavePollMs        = 30
-	recoveredWithinMs  = 4500 // after a loss, entries are acknowledged again
-	standbyRunsBefore  = 4000 // ms that a standby runs before the member that it is to replace leaves
-	restartedMayTakeMs = 9000 // after which a lost member no longer counts as failed
+	maxLeaveMs        = 4500 // a leaving member shuts down after this time even if it may not
+	leavePollMs       = 30
+	recoveryTimeoutMs = 4500 // time within which entries must be acknowledged again after a loss
+	standbyLeadTimeMs = 4000 // time that a standby runs before the member that it is to replace leaves
+	failureGraceMs    = 9000 // time after which a lost member no longer counts as failed
 )
 
-// leaveSimulation has members leave: for good, with a standby at another address started before, or to be restarted in
-// place. When one was replaced, another is lost at once.
+// leaveSimulation makes members leave: permanently, after a standby at another address was started, or for a restart
+// in place. After each replacement, another member fails at once.
 type leaveSimulation struct {
 	*simulation
 	standbyCount              int
 	leaveCount, replacedCount int
-	totalMs, maxMs            int64 // from Leave to shutdown, of those that were replaced
+	totalMs, maxMs            int64 // from Leave to shutdown, of replaced members
 }
 
 func newLeaveSimulation(seed uint64, size simulatedSize) *leaveSimulation {
@@ -31,21 +31,21 @@
 	return l
 }
 
-// memberOrLeader picks a member, more likely the leader.
+// memberOrLeader picks a random member, with a higher probability for the leader.
 func (l *leaveSimulation) memberOrLeader() *simMember {
 	m := l.randomMember()
 	for _, other := range l.members {
-		if other.up && other.node.IsLeader() && l.OneIn(2) {
+		if other.running && other.node.IsLeader() && l.OneIn(2) {
 			m = other
 		}
 	}
 	return m
 }
 
-// scheduleLeave has a member leave, again and again.
+// scheduleLeave makes a member leave, and schedules the next time.
 func (l *leaveSimulation) scheduleLeave() {
 	l.After(l.Between(2500, 5000), l.scheduleLeave)
-	if l.faultFree || l.failedMembers()+l.leaving >= l.maxFailures {
+	if l.faultFree || l.failedMembers()+l.leavingCount >= l.maxFailures {
 		return
 	}
 	m := l.memberOrLeader()
@@ -56,61 +56,61 @@
 	l.standbyCount++
 	address := fmt.Sprintf("s%d", l.standbyCount)
 	l.addMember(address, ID(address+"+0"), nil)
-	l.After(standbyRunsBefore, func() {
-		if l.failedMembers()+l.leaving < l.maxFailures {
+	l.After(standbyLeadTimeMs, func() {
+		if l.failedMembers()+l.leavingCount < l.maxFailures {
 			l.leave(m, true)
 		}
 	})
 }
 
-// leave has a member leave, and shut down when it may.
-func (l *leaveSimulation) leave(m *simMember, forGood bool) {
-	if !m.up || m.paused {
+// leave makes a member leave, and shuts it down when it may.
+func (l *leaveSimulation) leave(m *simMember, permanent bool) {
+	if !m.running || m.paused {
 		return
 	}
-	l.leaving++
+	l.leavingCount++
 	l.LogFault("%s leaves", m.id)
 	if l.disabled == leaveWaitsForLearner {
 		m.handleReady(m.node.TransferLeadership(l.Now))
 	} else {
 		m.handleReady(m.node.Leave(l.Now))
 	}
-	l.pollLeave(m, m.incarnation, l.Now, forGood)
+	l.pollLeave(m, m.incarnation, l.Now, permanent)
 }
 
 // pollLeave shuts a member down once it may, or after maxLeaveMs.
-func (l *leaveSimulation) pollLeave(m *simMember, incarnation int, startedAtMs int64, forGood bool) {
+func (l *leaveSimulation) pollLeave(m *simMember, incarnation int, startedAtMs int64, permanent bool) {
 	l.After(leavePollMs, func() {
 		state := m.node.LeaveState()
 		if l.disabled == leaveWaitsForLearner {
 			state = LeaveReplaced
 		}
 		switch {
-		case !m.up || m.incarnation != incarnation: // another fault has ended it
-			l.leaving--
+		case !m.running || m.incarnation != incarnation: // ended by another fault
+			l.leavingCount--
 		case state.Done() && !m.node.IsLeader() || l.Now > startedAtMs+maxLeaveMs:
-			l.leaving--
-			l.shutDown(m, state, forGood)
+			l.leavingCount--
+			l.shutDown(m, state, permanent)
 			if state == LeaveReplaced {
 				l.replacedCount++
 				l.totalMs += l.Now - startedAtMs
 				l.maxMs = max(l.maxMs, l.Now-startedAtMs)
-				l.loseAnother()
+				l.failAnotherMember()
 			}
 		default:
-			l.pollLeave(m, incarnation, startedAtMs, forGood)
+			l.pollLeave(m, incarnation, startedAtMs, permanent)
 		}
 	})
 }
 
-// shutDown ends a member's process. It is restarted unless it left for good and isn't needed as a member.
-func (l *leaveSimulation) shutDown(m *simMember, state LeaveState, forGood bool) {
+// shutDown ends a member's process. It is restarted unless it left permanently and is not needed as a member.
+func (l *leaveSimulation) shutDown(m *simMember, state LeaveState, permanent bool) {
 	isMember := slices.ContainsFunc(l.members, func(other *simMember) bool {
-		return other.up && slices.Contains(other.node.Members(), m.id)
+		return other.running && slices.Contains(other.node.Members(), m.id)
 	})
 	l.LogFault("%s shuts down, replaced %v", m.id, state == LeaveReplaced)
 	m.crash(false)
-	if forGood && (state == LeaveReplaced || !isMember) {
+	if permanent && (state == LeaveReplaced || !isMember) {
 		l.members = slices.DeleteFunc(slices.Clone(l.members), func(other *simMember) bool { return other == m })
 	} else {
 		l.After(l.Between(50, 1500), m.start)
@@ -121,13 +121,14 @@
 	}
 }
 
-// loseAnother has a member fail right after another was replaced, and asserts that the others serve again.
-func (l *leaveSimulation) loseAnother() {
+// failAnotherMember makes a member fail right after another was replaced, and asserts that the group acknowledges
+// entries again within recoveryTimeoutMs.
+func (l *leaveSimulation) failAnotherMember() {
 	if l.faultFree || l.failedMembers() > l.maxFailures {
 		return
 	}
 	m := l.memberOrLeader()
-	if !m.up || m.paused {
+	if !m.running || m.paused {
 		return
 	}
 	diskLost := l.OneIn(2)
@@ -141,11 +142,11 @@
 		}
 		m.start()
 	})
-	l.After(restartedMayTakeMs, func() { m.failedAtMs = 0 })
+	l.After(failureGraceMs, func() { m.failedAtMs = 0 })
 	acknowledged, slowDisks := len(l.acknowledged), l.slowDisks
-	l.After(recoveredWithinMs, func() {
-		if len(l.acknowledged) == acknowledged && !slowDisks { // slow disks everywhere are more than maxFailures
-			l.Violate("nothing was acknowledged for %d ms after %s failed", recoveredWithinMs, m.id)
+	l.After(recoveryTimeoutMs, func() {
+		if len(l.acknowledged) == acknowledged && !slowDisks { // slow disks on all members exceed maxFailures
+			l.Violate("nothing was acknowledged for %d ms after %s failed", recoveryTimeoutMs, m.id)
 		}
 	})
 }
@@ -192,7 +193,7 @@
 		"to a request before a restart": func(m *Message) { m.SentAtMs = 1900 },
 		"of a member that doesn't lead": func(m *Message) { m.From = "c" },
 		"of an older term":              func(m *Message) { m.Term = 2 },
-		"to a request to come":          func(m *Message) { m.SentAtMs = 9000 },
+		"to a future request":           func(m *Message) { m.SentAtMs = 9000 },
 	} {
 		stale := response
 		change(&stale)
@@ -203,7 +204,7 @@
 	require.Equal(t, LeaveReplaced, node.LeaveState())
 }
 
-// A leader that leaves is succeeded in about the time of an election, even if some members hold an entry that the
+// A leaving leader is succeeded within about the time of an election, even if some members hold an entry that the
 // transferee lacks at first.
 func TestLeavingLeaderIsSucceededQuickly(t *testing.T) {
 	worstMs := int64(0)
@@ -223,7 +224,7 @@
 	t.Logf("no leader for %d ms at most", worstMs)
 }
 
-// leaveAndRestart has a leader leave and come back, and returns for how long at most there was no leader meanwhile.
+// leaveAndRestart makes a leader leave and restart, and returns the longest time without a leader.
 func (s *simulation) leaveAndRestart(leader *simMember) (worstMs int64) {
 	leader.handleReady(leader.node.Leave(s.Now))
 	endMs, ledAtMs := s.Now+2500, s.Now
@@ -233,7 +234,7 @@
 			ledAtMs = s.Now
 		}
 		worstMs = max(worstMs, s.Now-ledAtMs)
-		if leader.up && leader.node.LeaveState().Done() && !leader.node.IsLeader() {
+		if leader.running && leader.node.LeaveState().Done() && !leader.node.IsLeader() {
 			leader.crash(false)
 			s.After(700, leader.start)
 		}
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -13,7 +13,7 @@
 // kept for lagging members.
 type raftLog struct {
 	snapshot         Snapshot // Index is 0 if there is none
-	retained         []Entry  // compacted entries, ending at snapshot.Index
+	retainedEntries  []Entry  // compacted entries, ending at snapshot.Index
 	retainedPrevTerm uint64   // term of the entry before the first retained one
 	entries          []Entry  // entries from snapshot.Index+1
 }
@@ -21,18 +21,18 @@
 func (l *raftLog) lastIndex() uint64 { return l.snapshot.Index + uint64(len(l.entries)) }
 
 // compactedIndex returns the index of the last entry that is no longer in memory.
-func (l *raftLog) compactedIndex() uint64 { return l.snapshot.Index - uint64(len(l.retained)) }
+func (l *raftLog) compactedIndex() uint64 { return l.snapshot.Index - uint64(len(l.retainedEntries)) }
 
 // entry returns the entry at an index in (compactedIndex, lastIndex].
 func (l *raftLog) entry(index uint64) Entry {
 	if index <= l.snapshot.Index {
-		return l.retained[index-l.compactedIndex()-1]
+		return l.retainedEntries[index-l.compactedIndex()-1]
 	}
 	return l.entries[index-l.snapshot.Index-1]
 }
 
-// between returns the entries in (after, through]. All must be above compactedIndex.
-func (l *raftLog) between(after, through uint64) []Entry {
+// entriesBetween returns the entries in (after, through]. All must be above compactedIndex.
+func (l *raftLog) entriesBetween(after, through uint64) []Entry {
 	entries := make([]Entry, 0, through-after)
 	for index := after + 1; index <= through; index++ {
 		entries = append(entries, l.entry(index))
@@ -61,8 +61,8 @@
 
 // dropRetained discards the first count retained entries.
 func (l *raftLog) dropRetained(count int) {
-	l.retainedPrevTerm = l.retained[count-1].Term
-	l.retained = slices.Clone(l.retained[count:])
+	l.retainedPrevTerm = l.retainedEntries[count-1].Term
+	l.retainedEntries = slices.Clone(l.retainedEntries[count:])
 }
 
 // CommittedAfter returns the data of each committed entry after index. ok is false if some of these entries have been
@@ -71,7 +71,7 @@
 	if index < n.log.compactedIndex() || index > n.appliedIndex {
 		return nil, false
 	}
-	for _, entry := range n.log.between(index, n.appliedIndex) {
+	for _, entry := range n.log.entriesBetween(index, n.appliedIndex) {
 		data = append(data, entry.Data)
 	}
 	return data, true
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -109,9 +109,9 @@
 	return true
 }
 
-// everyMember reports whether has returns true for all members of all active configurations; false if there are no
+// allMembers reports whether has returns true for all members of all active configurations; false if there are no
 // members.
-func (n *Node) everyMember(has func(ID) bool) bool {
+func (n *Node) allMembers(has func(ID) bool) bool {
 	count := 0
 	for _, config := range n.activeConfigurations() {
 		for _, member := range config.members {
@@ -135,7 +135,7 @@
 }
 
 // tickJoin broadcasts a request that the leader track this node. It does so twice per lease, so that a new leader,
-// which knows no learners, hears from them before mustStay stops waiting for them.
+// which knows no learners, hears from them before mustDeferShutdown stops waiting for them.
 func (n *Node) tickJoin() {
 	if n.nowMs >= n.nextJoinAtMs {
 		n.nextJoinAtMs = n.nowMs + n.LeaseMs/2
@@ -151,7 +151,7 @@
 		n.ready.Messages = append(n.ready.Messages, m)
 		return
 	}
-	if n.role != leader || n.isMember(m.From) || n.leadership.transferring {
+	if n.role != leader || n.isMember(m.From) || n.leadership.transferInProgress {
 		return
 	}
 	if n.peers[m.From] == nil && !n.addLearner(m) {
@@ -204,23 +204,23 @@
 		if n.peers[id].matchIndex < n.commitIndex {
 			continue
 		}
-		if members, ok := n.membersWith(id); ok {
+		if members, ok := n.membersWithLearner(id); ok {
 			n.appendEntry(Entry{Term: n.hardState.Term, Members: members})
 			return
 		}
 	}
 }
 
-// membersWith returns the members after the promotion of a learner. The learner replaces an earlier member at its
+// membersWithLearner returns the members after the promotion of a learner. The learner replaces an earlier member at its
 // address, a leaving member, or a silent one; otherwise it is added while there are fewer than MaxMembers, since more
 // members would only enlarge the majorities. It returns false if there is no vacancy.
-func (n *Node) membersWith(learner ID) ([]ID, bool) {
+func (n *Node) membersWithLearner(learner ID) ([]ID, bool) {
 	current := n.Members()
 	next := slices.DeleteFunc(slices.Clone(current), func(member ID) bool {
 		return member != n.id && learner.TakesPlaceOf(member)
 	})
 	if len(next) == len(current) {
-		replaced := n.replaceableMember(next)
+		replaced := n.replaceableMemberIndex(next)
 		switch {
 		case replaced >= 0:
 			next = slices.Delete(next, replaced, replaced+1)
@@ -233,9 +233,9 @@
 	return next, true
 }
 
-// replaceableMember returns the position of a leaving member, or else of one that has been silent for more than
+// replaceableMemberIndex returns the position of a leaving member, or else of one that has been silent for more than
 // RemovalTimeoutMs, or -1.
-func (n *Node) replaceableMember(members []ID) int {
+func (n *Node) replaceableMemberIndex(members []ID) int {
 	if leaving := slices.IndexFunc(members, n.isLeaving); leaving >= 0 {
 		return leaving
 	}
--- a/internal/consensus/membership_test.go
+++ b/internal/consensus/membership_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A member that is lost for good is replaced at another address, or returns at its own with an empty disk. The time from
-// the new one's start until it is a member is the time until another loss is survived.
+// A member that is lost permanently is replaced at another address, or returns at its own with an empty disk. The
+// group tolerates another loss once the replacement is a member, so this must not take long after its start.
 func TestReplacementIsPromotedInTime(t *testing.T) {
 	const seeds = 60
 	for _, place := range []struct{ name, address string }{{"another address", "m9"}, {"its own address", ""}} {
@@ -23,8 +23,8 @@
 	}
 }
 
-// replaceMember replaces a member by a new one, at its own address if none is given, and returns how long it takes until
-// a majority has it on disk that the new one is a member.
+// replaceMember replaces a member by a new one, at its own address if none is given. It returns how long it takes
+// until the new one is a member and a majority has persisted that configuration as committed.
 func replaceMember(t *testing.T, seed uint64, address string) (tookMs int64) {
 	s := newSimulation(seed, 3, 1)
 	s.After(500, s.propose)
@@ -41,7 +41,7 @@
 	startedAtMs := s.Now
 	for promoted := false; !promoted && s.Now < startedAtMs+10000; s.RunFor(10) {
 		promoted = slices.ContainsFunc(s.members, func(leader *simMember) bool {
-			return leader.up && leader.node.HoldsLease(s.Now) && leader.node.configurationDurable() &&
+			return leader.running && leader.node.HoldsLease(s.Now) && leader.node.configurationDurable() &&
 				slices.Contains(leader.node.Members(), m.id)
 		})
 	}
@@ -49,7 +49,7 @@
 	return s.Now - startedAtMs
 }
 
-// newLeader returns node a, a leader that holds the lease in a group of a, b and c.
+// newLeader returns node a as leader with a lease in a group of a, b and c.
 func newLeader(nowMs int64) *Node {
 	node := New("a", DefaultConfig(1), RestoredState{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, nowMs)
 	nowMs += 1000
@@ -78,7 +78,7 @@
 		require.Equal(t, lastIndex, node.LastIndex(), what)
 	}
 	node.Step(Message{Type: MsgLeave, From: "x", To: "a", Term: 1, SentAtMs: nowMs}, nowMs)
-	requireDiscarded(1, "from one that is no member")
+	requireDiscarded(1, "from a non-member")
 	node.Step(Message{Type: MsgLeave, From: "b", To: "a+old", Term: 1, SentAtMs: nowMs}, nowMs)
 	requireDiscarded(2, "to an earlier member at this address")
 	node.Step(Message{Type: MsgLeave, From: "", To: "a", Term: 1}, nowMs)
@@ -91,13 +91,13 @@
 	}
 	requireDiscarded(3+joining-maxLearners, "more learners than are tracked")
 	require.Len(t, node.Status(nowMs).Learners, maxLearners)
-	for i := range 100 { // all at one address count as one learner
+	for i := range 100 { // learners at the same address count as one
 		node.Step(Message{Type: MsgJoin, From: ID(fmt.Sprintf("j1+%d", i+5)), Index: 0}, nowMs)
 	}
 	require.Len(t, node.Status(nowMs).Learners, maxLearners)
 }
 
-// A learner knows its seeds only, and the leader need not be one of them.
+// A learner knows only its seeds, and none of them may be the leader, so a follower forwards its join request.
 func TestJoinIsForwardedByFollower(t *testing.T) {
 	n := newNetworkLedByC(t)
 	n.nowMs += 140
@@ -116,7 +116,8 @@
 	require.Equal(t, ID("c"), n.nodes["d+1"].Leader())
 }
 
-// A member that returns with an empty disk is another member, and messages for the earlier one are not for it.
+// A node at the address of an earlier member, whose disk was lost, discards messages that are addressed to that
+// member.
 func TestMessagesForEarlierMemberAtAddressAreDiscarded(t *testing.T) {
 	node := New("b+1", DefaultConfig(1), RestoredState{}, nil, func() float64 { return 0 }, 1000)
 	require.Empty(t, node.Step(Message{Type: MsgAppend, From: "a", To: "b", Term: 3, Entries: []Entry{{Term: 3, Data: []byte("x")}}}, 1010))
--- a/internal/consensus/network_test.go
+++ b/internal/consensus/network_test.go
@@ -6,15 +6,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// network is members with disks that sync at once, and messages that stay in flight until a test delivers them.
+// network is a group of members whose disks sync at once, and whose messages stay in flight until a test delivers
+// them.
 type network struct {
-	t        *testing.T
-	nowMs    int64
-	nodes    map[ID]*Node
-	disks    map[ID]*RestoredState
-	inFlight []Message
-	stalled  ID      // whose disk takes no writes
-	drawn    float64 // what the nodes draw as random numbers; grows with each start
+	t           *testing.T
+	nowMs       int64
+	nodes       map[ID]*Node
+	disks       map[ID]*RestoredState
+	inFlight    []Message
+	stalledDisk ID      // member whose disk completes no writes
+	randomValue float64 // random number returned to the nodes; increases with each start
 }
 
 func newNetwork(t *testing.T, ids ...ID) *network {
@@ -28,14 +29,15 @@
 	return n
 }
 
-// newNetworkLedByC returns members a, b and c. c has been elected with a's vote, and b has heard nothing of it.
+// newNetworkLedByC returns members a, b and c. c has been elected with a's vote, and b has received no messages from
+// it.
 func newNetworkLedByC(t *testing.T) *network {
 	n := newNetwork(t, "a", "b", "c")
 	n.electC("a")
 	return n
 }
 
-// electC has c elected with the vote of another member.
+// electC elects c with the vote of another member.
 func (n *network) electC(voter ID) {
 	n.nowMs += 800
 	for range 20 {
@@ -49,13 +51,13 @@
 
 // start starts a member from its disk.
 func (n *network) start(id ID, founders ...ID) {
-	n.drawn += 0.01
-	n.nodes[id] = New(id, DefaultConfig(1), *n.disks[id], founders, func() float64 { return n.drawn }, n.nowMs)
+	n.randomValue += 0.01
+	n.nodes[id] = New(id, DefaultConfig(1), *n.disks[id], founders, func() float64 { return n.randomValue }, n.nowMs)
 }
 
 func (n *network) handleReady(id ID, ready Ready) {
 	n.inFlight = append(n.inFlight, ready.Messages...)
-	if id == n.stalled {
+	if id == n.stalledDisk {
 		return
 	}
 	for _, write := range ready.Writes {
@@ -66,13 +68,13 @@
 
 func (n *network) tick(id ID) { n.handleReady(id, n.nodes[id].Tick(n.nowMs)) }
 
-// heartbeatNow has a leader send heartbeats at once.
+// heartbeatNow makes a leader send heartbeats at once.
 func (n *network) heartbeatNow(id ID) {
 	n.nodes[id].leadership.nextHeartbeatAtMs = 0
 	n.tick(id)
 }
 
-// deliver delivers the messages that match, and those sent in answer, until none is left.
+// deliver delivers the matching messages, and those sent in response, until none are left.
 func (n *network) deliver(matches func(m Message) bool) {
 	for delivered := true; delivered; {
 		delivered = false
@@ -91,7 +93,7 @@
 
 func everyMessage(Message) bool { return true }
 
-// between matches the messages of two members to each other.
+// between matches the messages between two members.
 func between(x, y ID) func(Message) bool {
 	return func(m Message) bool { return m.From == x && m.To == y || m.From == y && m.To == x }
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -10,8 +10,8 @@
 	leader
 )
 
-// joinAfterLeases is the number of lease durations without a leader after which a member sends MsgJoin.
-const joinAfterLeases = 3
+// joinDelayLeases is the number of lease durations without a leader after which a member sends MsgJoin.
+const joinDelayLeases = 3
 
 // Node is a member of the group or a learner. It is not safe for concurrent use.
 type Node struct {
@@ -43,7 +43,7 @@
 	peers           map[ID]*progress // leader only: all members and learners, including this node
 	leadership      leadershipState
 
-	incoming                *incomingSnapshot // nil if no snapshot is being received
+	incomingTransfer        *incomingSnapshot // nil if no snapshot is being received
 	snapshotWanted          bool              // the state built from the log is wrong and must be replaced
 	nextSnapshotRequestAtMs int64
 
@@ -74,9 +74,9 @@
 	n.configurations = []configuration{{index: snapshot.Index, members: snapshot.Members}}
 	n.addConfigurations(snapshot.Index, n.log.entries)
 
-	drawn := n.random()
-	n.election.timeoutAtMs = nowMs + n.preVoteDelayMs(drawn)
-	n.election.preVoteRound = firstPreVoteRound(drawn)
+	randomValue := n.random()
+	n.election.timeoutAtMs = nowMs + n.preVoteDelayMs(randomValue)
+	n.election.preVoteRound = initialPreVoteRound(randomValue)
 	return n
 }
 
@@ -108,7 +108,7 @@
 	case n.nowMs >= n.election.timeoutAtMs && n.isMember(n.id):
 		n.campaign(campaignPreVote)
 	case n.leave.started(): // a leaving member does not ask to be contacted again
-	case !n.isMember(n.id) || n.leaderID == "" && n.nowMs > n.leaderHeardAtMs+joinAfterLeases*n.LeaseMs:
+	case !n.isMember(n.id) || n.leaderID == "" && n.nowMs > n.leaderHeardAtMs+joinDelayLeases*n.LeaseMs:
 		n.tickJoin()
 	}
 	return n.takeReady()
@@ -203,7 +203,7 @@
 func (n *Node) becomeFollower(leaderID ID) {
 	n.role, n.leaderID = follower, leaderID
 	n.peers, n.election.votes = nil, nil
-	n.leadership.termStartIndex, n.leadership.transferring = 0, false
+	n.leadership.termStartIndex, n.leadership.transferInProgress = 0, false
 	n.resetElectionTimer()
 }
 
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// simulatedSize is the size of a group, and how many of its members may fail at once.
+// simulatedSize is the size of a group and the number of members that may fail at once.
 type simulatedSize struct{ members, maxFailures int }
 
 func TestSimulateAcknowledgedEntriesSurviveFaults(t *testing.T) {
@@ -27,7 +27,7 @@
 	require.Greater(t, acknowledged, 60*simulationCount(), "too few acknowledgements for the test to mean anything")
 }
 
-// Each safeguard is disabled in turn, and a simulation must detect that.
+// Some simulation must detect each safeguard that is disabled.
 func TestSimulationDetectsDisabledSafeguards(t *testing.T) {
 	const maxSeeds = 300
 	for _, disabled := range []safeguard{syncBeforeAck, newIDForEmptyDisk, leasesAreHonoured} {
@@ -42,7 +42,7 @@
 	}
 }
 
-// simulateWithout runs a simulation with a safeguard disabled, and returns the last violation that is one of safety.
+// simulateWithout runs a simulation with a safeguard disabled, and returns the last violation that concerns safety.
 func simulateWithout(disabled safeguard, seed uint64) (violation string) {
 	s := newSimulation(seed, 3, 1)
 	s.disabled = disabled
@@ -53,7 +53,7 @@
 	}
 	func() {
 		defer func() {
-			if assertion := recover(); assertion != nil { // of the node itself
+			if assertion := recover(); assertion != nil { // a panic in the node
 				s.Violate("%v", assertion)
 			}
 		}()
@@ -74,7 +74,7 @@
 	s.faultFree = true
 	s.After(500, s.propose)
 	s.RunFor(3000)
-	// A member that lags and one that holds nothing must not make up a majority.
+	// A lagging member and a node with an empty disk must not form a majority.
 	lagging, emptied := s.members[0], s.members[1]
 	if lagging.node.IsLeader() {
 		lagging, emptied = emptied, lagging
@@ -114,7 +114,7 @@
 	require.NotNil(t, s.leaseHolder(), "no leader 400 ms after all members were restarted")
 }
 
-// A loss of power of all members may come with the loss of a disk, of the leader's too.
+// All members may lose power at the same time as one of them, possibly the leader, loses its disk.
 func TestColdStartWithAnEmptyDiskDoesNotWaitForLeases(t *testing.T) {
 	for _, leaderLosesDisk := range []bool{false, true} {
 		s := newSimulation(3, 3, 0)
@@ -144,7 +144,7 @@
 	}
 }
 
-// coldStartCandidate returns a member of three that asks for Pre-Votes after a restart, and its requests.
+// coldStartCandidate returns a member of a group of three that starts a Pre-Vote after a restart, and its requests.
 func coldStartCandidate(t *testing.T) (*Node, []Message) {
 	entries := []Entry{{Term: 1, Data: []byte("x")}}
 	restored := RestoredState{HardState: HardState{Term: 1, Vote: "b"}, Entries: entries}
@@ -155,7 +155,8 @@
 	return node, requests
 }
 
-// A process that has lost its disk tells a candidate that its predecessor has ended, unless it has heard a leader since.
+// A process with an empty disk reports to a candidate that the earlier member at its address has ended, unless it has
+// heard from a leader since it started.
 func TestSuccessorReportsAColdStart(t *testing.T) {
 	_, requests := coldStartCandidate(t)
 	successor := New("c+2", DefaultConfig(1), RestoredState{}, nil, func() float64 { return 0 }, 1050)
@@ -164,7 +165,7 @@
 	require.Len(t, answers, 1)
 	require.True(t, answers[0].ColdStart && !answers[0].Granted && answers[0].To == "a")
 	requests[1].From = "c"
-	require.Empty(t, successor.Step(requests[1], 1115).Messages, "its predecessor asks, and has ended")
+	require.Empty(t, successor.Step(requests[1], 1115).Messages, "the request is from the earlier member at its address, which has ended")
 	successor.Step(Message{Type: MsgHeartbeat, From: "b", To: "c+2", Term: 1}, 1120)
 	requests[1].From = "a"
 	answers = successor.Step(requests[1], 1130).Messages
@@ -179,7 +180,8 @@
 	require.Empty(t, successor.Step(requests[1], 1140).Messages, "it has no vote")
 }
 
-// Successors know of no entry, so they are no majority; and a member that does not answer may hold a lease.
+// Nodes with empty disks know no entries and do not count for a majority, and a member that has not answered may have
+// granted a lease.
 func TestSuccessorsAreNoMajority(t *testing.T) {
 	node, requests := coldStartCandidate(t)
 	report := func(from ID) Message {
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -56,17 +56,17 @@
 	n.ready.Messages = append(n.ready.Messages, m)
 }
 
-// persist requests a write. The messages in after are sent once the write is persisted.
-func (n *Node) persist(write Write, after ...Message) {
+// persist requests a write. The messages are sent once the write is persisted.
+func (n *Node) persist(write Write, heldMessages ...Message) {
 	n.lastWriteSeq++
 	write.Seq = n.lastWriteSeq
 	if write.FirstIndex > 0 {
-		n.truncatePending(write.FirstIndex - 1)
+		n.truncatePendingWrites(write.FirstIndex - 1)
 	}
-	for i := range after {
-		after[i].From, after[i].Term = n.id, n.hardState.Term
+	for i := range heldMessages {
+		heldMessages[i].From, heldMessages[i].Term = n.id, n.hardState.Term
 	}
-	pending := pendingWrite{seq: write.Seq, requestedAtMs: n.nowMs, lastIndex: n.log.lastIndex(), messages: after}
+	pending := pendingWrite{seq: write.Seq, requestedAtMs: n.nowMs, lastIndex: n.log.lastIndex(), messages: heldMessages}
 	if write.HardState != nil {
 		pending.configIndex = write.HardState.CommittedConfigIndex
 	}
@@ -75,14 +75,14 @@
 }
 
 // persistHardState requests a write of the hard state.
-func (n *Node) persistHardState(after ...Message) {
+func (n *Node) persistHardState(heldMessages ...Message) {
 	hardState := n.hardState
-	n.persist(Write{HardState: &hardState}, after...)
+	n.persist(Write{HardState: &hardState}, heldMessages...)
 }
 
-// truncatePending limits what earlier writes persist to the entries up to lastIndex, since the entries after it are
+// truncatePendingWrites limits what earlier writes persist to the entries up to lastIndex, since the entries after it are
 // about to be replaced.
-func (n *Node) truncatePending(lastIndex uint64) {
+func (n *Node) truncatePendingWrites(lastIndex uint64) {
 	n.persistedIndex = min(n.persistedIndex, lastIndex)
 	for i := range n.pendingWrites {
 		n.pendingWrites[i].lastIndex = min(n.pendingWrites[i].lastIndex, lastIndex)
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -12,7 +12,7 @@
 // or has reached maxPendingWrites because its disk is stalled.
 func (n *Node) Propose(data []byte, nowMs int64) (index uint64, ready Ready) {
 	n.advanceClock(nowMs)
-	if n.role != leader || n.leadership.transferring || n.diskBacklogFull() {
+	if n.role != leader || n.leadership.transferInProgress || n.diskBacklogFull() {
 		return 0, n.takeReady()
 	}
 	n.appendEntry(Entry{Term: n.hardState.Term, Data: data})
@@ -36,13 +36,13 @@
 // one message with entries is in flight per peer.
 func (n *Node) replicate(id ID, p *progress) {
 	retransmitMs := n.RetransmitMs
-	if p.outgoing != nil { // chunks are acknowledged before they are on disk, so two heartbeat intervals suffice
+	if p.outgoingTransfer != nil { // chunks are acknowledged before they are on disk, so two heartbeat intervals suffice
 		retransmitMs = 2 * n.HeartbeatMs
 	}
 	if p.sentAtMs != 0 && n.nowMs < p.sentAtMs+retransmitMs || n.unresponsive(p) {
 		return
 	}
-	if p.outgoing != nil || p.snapshotWanted || p.nextIndex <= n.log.compactedIndex() {
+	if p.outgoingTransfer != nil || p.snapshotWanted || p.nextIndex <= n.log.compactedIndex() {
 		n.sendSnapshotChunks(id, p)
 		return
 	}
@@ -69,7 +69,7 @@
 		Index:       prevIndex,
 		PrevTerm:    prevTerm,
 		CommitIndex: n.commitIndex,
-		Entries:     n.log.between(prevIndex, through),
+		Entries:     n.log.entriesBetween(prevIndex, through),
 	})
 }
 
@@ -88,7 +88,7 @@
 	}
 	through := m.Index + uint64(len(m.Entries))
 	accepted := Message{Type: MsgAppendAccepted, To: m.From, Index: through}
-	if index, entries := n.skipPresent(m.Index, m.Entries); len(entries) == 0 {
+	if index, entries := n.skipExisting(m.Index, m.Entries); len(entries) == 0 {
 		n.persist(Write{}, accepted) // after the pending writes, which may hold the repeated entries
 	} else {
 		n.replaceAfter(index, entries, accepted)
@@ -107,9 +107,9 @@
 	return true
 }
 
-// skipPresent skips the leading entries that are already in the log. It returns the index before the first remaining
+// skipExisting skips the leading entries that are already in the log. It returns the index before the first remaining
 // entry, and the remaining entries.
-func (n *Node) skipPresent(index uint64, entries []Entry) (uint64, []Entry) {
+func (n *Node) skipExisting(index uint64, entries []Entry) (uint64, []Entry) {
 	for len(entries) > 0 {
 		if term, known := n.log.term(index + 1); !known || term != entries[0].Term {
 			break
@@ -132,13 +132,13 @@
 
 // stepAppendAccepted records what a peer has persisted and sends the entries that follow.
 func (n *Node) stepAppendAccepted(m Message) {
-	p := n.responder(m)
+	p := n.responderProgress(m)
 	if p == nil {
 		return
 	}
 	p.sentAtMs = 0
-	if p.outgoing != nil && m.Index >= p.outgoing.Index {
-		p.outgoing, p.snapshotWanted = nil, false
+	if p.outgoingTransfer != nil && m.Index >= p.outgoingTransfer.Index {
+		p.outgoingTransfer, p.snapshotWanted = nil, false
 	}
 	p.matchIndex = max(p.matchIndex, min(m.Index, n.log.lastIndex()))
 	p.nextIndex = max(p.nextIndex, p.matchIndex+1)
@@ -152,7 +152,7 @@
 // stepAppendRejected moves nextIndex back to where the peer's log may match. It also lowers matchIndex, since the
 // peer's disk may have been replaced by an older copy.
 func (n *Node) stepAppendRejected(m Message) {
-	p := n.responder(m)
+	p := n.responderProgress(m)
 	if p == nil {
 		return
 	}
--- a/internal/consensus/simulation_faults_test.go
+++ b/internal/consensus/simulation_faults_test.go
@@ -8,19 +8,19 @@
 // failedMembers counts the members that are down, paused or partitioned, or have not caught up since.
 func (s *simulation) failedMembers() (count int) {
 	for _, m := range s.members {
-		if !m.up || m.paused || len(m.unreachable) > 0 || m.failedAtMs > 0 && !m.caughtUp() {
+		if !m.running || m.paused || len(m.unreachable) > 0 || m.failedAtMs > 0 && !m.caughtUp() {
 			count++
 		}
 	}
 	return count
 }
 
-// caughtUp says whether a member that has failed counts again: it is a member by a committed configuration, and holds
-// all but the newest entries.
+// caughtUp reports whether a member has recovered from a failure: it is a member of the committed configuration and
+// has committed all but the newest entries.
 func (m *simMember) caughtUp() bool {
 	s := m.sim
 	for _, leader := range s.members {
-		if !leader.up || !leader.node.HoldsLease(s.Now) || len(leader.node.activeConfigurations()) != 1 {
+		if !leader.running || !leader.node.HoldsLease(s.Now) || len(leader.node.activeConfigurations()) != 1 {
 			continue
 		}
 		if slices.Contains(leader.node.Members(), m.id) && s.Now > m.failedAtMs+simMinCatchUpMs &&
@@ -32,9 +32,9 @@
 	return false
 }
 
-// crash ends a process. Without a loss of power, some of what was not synced is on disk.
+// crash ends a process. Without a power loss, some of the unsynced writes reach the disk.
 func (m *simMember) crash(powerLost bool) {
-	m.up = false
+	m.running = false
 	if !powerLost {
 		for _, write := range m.unsynced {
 			if m.sim.OneIn(2) {
@@ -46,7 +46,7 @@
 	m.unsynced = nil
 }
 
-// replaceDisk gives a member an empty disk, and with that a new ID.
+// replaceDisk gives a member an empty disk, and with it a new ID.
 func (m *simMember) replaceDisk(id ID) {
 	if m.sim.disabled == newIDForEmptyDisk {
 		m.disk, m.founders = RestoredState{}, []ID{"m0", "m1", "m2"}
@@ -55,21 +55,22 @@
 	m.disk, m.founders, m.id = RestoredState{}, nil, id
 }
 
-// injectFault has a random fault befall a member, often the leader, again and again, unless too many have failed already.
+// injectFault injects a random fault into a member, often the leader, unless too many have failed already, and
+// schedules the next one.
 func (s *simulation) injectFault() {
 	s.After(s.Between(300, 2500), s.injectFault)
-	if s.faultFree || s.noRandomFaults || s.failedMembers()+s.leaving >= s.maxFailures {
+	if s.faultFree || s.noRandomFaults || s.failedMembers()+s.leavingCount >= s.maxFailures {
 		return
 	}
 	m := s.randomMember()
 	if s.OneIn(3) {
 		for _, other := range s.members {
-			if other.up && other.node.IsLeader() {
+			if other.running && other.node.IsLeader() {
 				m = other
 			}
 		}
 	}
-	if !m.up || m.paused {
+	if !m.running || m.paused {
 		return
 	}
 	durationMs := s.Between(50, 4000)
@@ -90,7 +91,7 @@
 	m.sim.After(durationMs, m.start)
 }
 
-// loseDisk has a member return with an empty disk, at its address or, as another machine, elsewhere.
+// loseDisk restarts a member with an empty disk, at its own address or, as another machine, at a new one.
 func (m *simMember) loseDisk(durationMs int64) {
 	s := m.sim
 	s.LogFault("%s loses its disk", m.id)
@@ -109,13 +110,13 @@
 	m.sim.LogFault("%s is paused", m.id)
 	m.paused = true
 	m.sim.After(durationMs, func() {
-		if !m.up || !m.paused {
+		if !m.running || !m.paused {
 			return
 		}
 		m.paused = false
-		deferred := m.deferred
-		m.deferred = nil
-		for _, action := range deferred {
+		deferredActions := m.deferredActions
+		m.deferredActions = nil
+		for _, action := range deferredActions {
 			action()
 		}
 	})
@@ -132,15 +133,15 @@
 	s.After(durationMs, func() { clear(m.unreachable) })
 }
 
-// transferLeadership is no failure: the member goes on.
+// transferLeadership does not count as a failure, since the member continues to run.
 func (m *simMember) transferLeadership(int64) {
 	m.sim.LogFault("%s transfers its leadership", m.id)
 	m.failedAtMs = 0
 	m.handleReady(m.node.TransferLeadership(m.sim.Now))
 }
 
-// losePowerEverywhere is the closing fault: all members lose their power, and some their disks.
-func (s *simulation) losePowerEverywhere(disksLost int) {
+// losePowerOfAllMembers is the final fault of a simulation: all members lose power, and some of them their disks.
+func (s *simulation) losePowerOfAllMembers(disksLost int) {
 	s.LogFault("all lose power, %d their disks", disksLost)
 	for i, k := range s.Rand.Perm(len(s.members)) {
 		m := s.members[k]
--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -12,7 +12,8 @@
 
 var simulations = flag.Int("seeds", 1000, "number of simulations to run")
 
-// simulationCount is how many simulations a test runs: a tenth in short runs, as under the race detector.
+// simulationCount returns the number of simulations that a test runs: a tenth in short runs, as under the race
+// detector.
 func simulationCount() int {
 	if testing.Short() {
 		return max(1, *simulations/10)
@@ -20,7 +21,7 @@
 	return *simulations
 }
 
-// safeguard is a rule of the protocol that a test disables, to show that a violation is detected.
+// safeguard is a rule of the protocol that a test disables to show that the resulting violations are detected.
 type safeguard string
 
 const (
@@ -32,54 +33,54 @@
 )
 
 const (
-	simulationStartMs  = 1 << 30
-	simTickMs          = 20
-	simFounders        = 3
-	simSnapshotEvery   = 40  // entries
-	simRetainedEntries = 10  // after a snapshot
-	simChunkBytes      = 64  // so that snapshots take many chunks
-	simRetainedBytes   = 100 // so that members that lag need snapshots
-	simMinCatchUpMs    = 4000
+	simulationStartMs   = 1 << 30
+	simTickMs           = 20
+	simFounders         = 3
+	simSnapshotInterval = 40  // entries
+	simRetainedEntries  = 10  // after a snapshot
+	simChunkBytes       = 64  // small, so that a snapshot takes many chunks
+	simRetainedBytes    = 100 // small, so that lagging members need snapshots
+	simMinCatchUpMs     = 4000
 )
 
-// simulation is a group of members on a network that loses, delays and partitions, with disks that lose what was not
-// synced. After each step it asserts that all members commit the same entries in one order, and that no two hold a lease
-// at once; in the end, that no acknowledged entry is gone.
+// simulation is a group of members on a network that loses, delays and partitions, with disks that lose unsynced
+// writes. After each step it asserts that all members commit the same entries in the same order and that no two
+// members hold a lease at once, and at the end that no acknowledged entry is lost.
 type simulation struct {
 	*scheduler.Scheduler
 	memberCount, maxFailures int
 	members                  []*simMember
-	committed                []string // by index, as the first member to commit it had it
+	committed                []string // by index, as committed by the first member to do so
 	acknowledged             []string
 	proposed                 int
-	faultFree                bool // no faults of members or the network from now on
-	noRandomFaults           bool // none but those that a test injects; the network loses and delays
+	faultFree                bool // disables all faults from now on
+	noRandomFaults           bool // disables random member faults; the network still loses and delays messages
 	slowDisks                bool
 	disabled                 safeguard
-	corrupt                  func(m *Message) (copies int) // nil: messages arrive unchanged, or not at all
-	leaving                  int                           // members that have been told to leave and are still there
+	corrupt                  func(m *Message) (copies int) // changes a message and returns the number of copies to deliver; nil if messages are only lost or delayed
+	leavingCount             int                           // members that have been told to leave and have not shut down
 }
 
 // simMember is a process with its disk.
 type simMember struct {
-	sim         *simulation
-	address     string
-	node        *Node
-	up          bool
-	incarnation int
-	id          ID
-	founders    []ID
-	disk        RestoredState
-	unsynced    []Write
-	unreachable map[string]bool // addresses
-	paused      bool
-	deferred    []func()          // what is to run when the pause ends
-	proposals   map[uint64]string // not acknowledged yet, by index
-	failedAtMs  int64             // when it last failed; 0 once it has caught up
+	sim             *simulation
+	address         string
+	node            *Node
+	running         bool
+	incarnation     int
+	id              ID
+	founders        []ID
+	disk            RestoredState
+	unsynced        []Write
+	unreachable     map[string]bool // addresses of the members that cannot be reached
+	paused          bool
+	deferredActions []func()          // actions to run when the pause ends
+	proposals       map[uint64]string // unacknowledged proposals by index
+	failedAtMs      int64             // when the member last failed; 0 once it has caught up
 
-	// No two machines are alike.
-	diskFactor int64 // how many times as long as the fastest its disk takes
-	tickMs     int64 // between two ticks
+	// Machines differ in speed.
+	diskFactor int64 // disk latency as a multiple of the fastest disk's
+	tickMs     int64 // tick interval
 }
 
 func newSimulation(seed uint64, memberCount, maxFailures int) *simulation {
@@ -114,11 +115,11 @@
 	m.start()
 }
 
-// start starts a process from what the disk holds.
+// start starts a process from the contents of the disk.
 func (m *simMember) start() {
 	s := m.sim
 	m.incarnation++
-	m.up, m.paused, m.deferred, m.proposals = true, false, nil, map[uint64]string{}
+	m.running, m.paused, m.deferredActions, m.proposals = true, false, nil, map[uint64]string{}
 	restored := m.disk
 	restored.Entries = slices.Clone(restored.Entries)
 	config := DefaultConfig(s.maxFailures)
@@ -130,10 +131,10 @@
 	m.tick(m.incarnation)
 }
 
-// forgetLeases has a member forget, again and again, what it has granted, and campaign at times.
+// forgetLeases periodically makes a member forget the leases that it has granted, and sometimes campaign.
 func (m *simMember) forgetLeases(incarnation int) {
 	m.sim.After(10, func() {
-		if !m.up || m.incarnation != incarnation {
+		if !m.running || m.incarnation != incarnation {
 			return
 		}
 		m.node.leaderHeardAtMs, m.node.startedAtMs = 0, 0
@@ -144,12 +145,12 @@
 	})
 }
 
-// perform does something in a process, if that still runs: now, or when its pause ends.
-func (m *simMember) perform(incarnation int, action func()) {
+// runIfAlive runs an action in a process that is still running: now, or when its pause ends.
+func (m *simMember) runIfAlive(incarnation int, action func()) {
 	switch {
-	case !m.up || m.incarnation != incarnation:
+	case !m.running || m.incarnation != incarnation:
 	case m.paused:
-		m.deferred = append(m.deferred, action)
+		m.deferredActions = append(m.deferredActions, action)
 	default:
 		action()
 	}
@@ -157,7 +158,7 @@
 
 func (m *simMember) tick(incarnation int) {
 	m.sim.After(m.tickMs, func() {
-		m.perform(incarnation, func() {
+		m.runIfAlive(incarnation, func() {
 			m.handleReady(m.node.Tick(m.sim.Now))
 			m.tick(incarnation)
 		})
@@ -166,7 +167,7 @@
 
 func (m *simMember) handleReady(ready Ready) {
 	for _, write := range ready.Writes {
-		m.save(write)
+		m.syncLater(write)
 	}
 	for _, message := range ready.Messages {
 		for _, to := range m.sim.members {
@@ -181,8 +182,8 @@
 	m.sim.checkOneLease()
 }
 
-// save syncs a write after a while, with all before it, and reports it.
-func (m *simMember) save(write Write) {
+// syncLater syncs a write and all earlier ones after a delay, and reports it.
+func (m *simMember) syncLater(write Write) {
 	s, incarnation := m.sim, m.incarnation
 	m.unsynced = append(m.unsynced, write)
 	delayMs := s.Between(0, 4) * m.diskFactor
@@ -193,7 +194,7 @@
 		delayMs = 0
 	}
 	s.After(delayMs, func() {
-		m.perform(incarnation, func() {
+		m.runIfAlive(incarnation, func() {
 			for s.disabled != syncBeforeAck && len(m.unsynced) > 0 && m.unsynced[0].Seq <= write.Seq {
 				m.disk.ApplyWrite(m.unsynced[0])
 				m.unsynced = m.unsynced[1:]
@@ -213,7 +214,7 @@
 	}
 	incarnation := to.incarnation
 	receive := func(message Message) {
-		to.perform(incarnation, func() { to.handleReady(to.node.Step(message, s.Now)) })
+		to.runIfAlive(incarnation, func() { to.handleReady(to.node.Step(message, s.Now)) })
 	}
 	if s.corrupt != nil {
 		for range s.corrupt(&message) {
@@ -229,7 +230,7 @@
 	})
 }
 
-// apply takes in a committed entry or snapshot, and asserts that it is what other members have committed there.
+// apply applies a committed entry or snapshot, and asserts that it equals what other members have committed there.
 func (m *simMember) apply(committed Committed) {
 	s := m.sim
 	if committed.Snapshot != nil {
@@ -250,12 +251,12 @@
 		s.Violate("%s commits %d before %d", m.id, committed.Index, len(s.committed))
 	}
 	m.acknowledge(committed)
-	if committed.Index%simSnapshotEvery == 0 && !m.paused {
+	if committed.Index%simSnapshotInterval == 0 && !m.paused {
 		m.compact(committed.Index)
 	}
 }
 
-// acknowledge notes that a proposal of this member has been committed.
+// acknowledge records that a proposal of this member has been committed.
 func (m *simMember) acknowledge(committed Committed) {
 	data, ok := m.proposals[committed.Index]
 	if !ok {
@@ -267,11 +268,11 @@
 	}
 }
 
-// compact takes a snapshot, once all that comes with the entry at index has been applied.
+// compact takes a snapshot, after the entries committed together with the one at index have been applied.
 func (m *simMember) compact(index uint64) {
 	s, incarnation := m.sim, m.incarnation
 	s.After(0, func() {
-		m.perform(incarnation, func() {
+		m.runIfAlive(incarnation, func() {
 			if m.node.CommitIndex() >= index {
 				m.handleReady(m.node.Compact(index, []byte(s.stateAt(index)), simRetainedEntries, s.Now))
 			}
@@ -279,7 +280,7 @@
 	})
 }
 
-// stateAt is the state machine's state: all that was committed up to an index.
+// stateAt returns the state of the state machine: all entries committed up to an index.
 func (s *simulation) stateAt(index uint64) string {
 	return strings.Join(s.committed[1:min(uint64(len(s.committed)), index+1)], " ")
 }
@@ -288,7 +289,7 @@
 func (s *simulation) checkOneLease() {
 	var holder *simMember
 	for _, m := range s.members {
-		if !m.up || m.paused || !m.node.HoldsLease(s.Now) {
+		if !m.running || m.paused || !m.node.HoldsLease(s.Now) {
 			continue
 		}
 		if holder != nil {
@@ -298,11 +299,11 @@
 	}
 }
 
-// propose has a member propose an entry, if it is the leader, again and again.
+// propose makes a random member propose an entry if it holds the lease, and schedules the next proposal.
 func (s *simulation) propose() {
 	s.After(s.Between(5, 60), s.propose)
 	m := s.randomMember()
-	m.perform(m.incarnation, func() {
+	m.runIfAlive(m.incarnation, func() {
 		if !m.node.HoldsLease(s.Now) {
 			return
 		}
@@ -318,17 +319,18 @@
 
 func (s *simulation) randomMember() *simMember { return s.members[s.Rand.IntN(len(s.members))] }
 
-// leaseHolder returns the member that holds the lease; nil if none does.
+// leaseHolder returns the member that holds the lease, or nil if none does.
 func (s *simulation) leaseHolder() *simMember {
 	for _, m := range s.members {
-		if m.up && m.node.HoldsLease(s.Now) {
+		if m.running && m.node.HoldsLease(s.Now) {
 			return m
 		}
 	}
 	return nil
 }
 
-// run plays the whole simulation: faults for durationMs, a while without, and the closing fault.
+// run runs the whole simulation: a phase with faults for durationMs, a phase without faults, and a final power loss
+// of all members.
 func (s *simulation) run(durationMs int64) {
 	s.After(500, s.propose)
 	faultsFromMs := int64(3000)
@@ -342,21 +344,22 @@
 		clear(m.unreachable)
 	}
 	s.RunFor(14000)
-	// Without new IDs: at the moment of an acknowledgement, when some may not hold the entry yet.
+	// Without new IDs, the power loss must coincide with an acknowledgement, when some members may not hold the entry
+	// yet.
 	for before := len(s.acknowledged); s.disabled == newIDForEmptyDisk && len(s.acknowledged) == before; {
 		s.RunFor(1)
 	}
-	s.losePowerEverywhere(s.maxFailures)
+	s.losePowerOfAllMembers(s.maxFailures)
 	s.RunFor(12000)
 	s.checkFinalState()
 }
 
-// checkFinalState asserts that there is one leader, that every acknowledged entry is committed, and that all members have
+// checkFinalState asserts that there is one leader, every acknowledged entry is committed, and all members have
 // caught up.
 func (s *simulation) checkFinalState() {
 	leaseHolders := 0
 	for _, m := range s.members {
-		if m.up && m.node.HoldsLease(s.Now) {
+		if m.running && m.node.HoldsLease(s.Now) {
 			leaseHolders++
 		}
 	}
@@ -370,13 +373,13 @@
 		}
 	}
 	for _, m := range s.members {
-		if m.up && slices.Contains(m.node.Members(), m.id) && int(m.node.CommitIndex()) < len(s.committed)-3 {
+		if m.running && slices.Contains(m.node.Members(), m.id) && int(m.node.CommitIndex()) < len(s.committed)-3 {
 			s.Violate("%s has committed %d of %d", m.id, m.node.CommitIndex(), len(s.committed)-1)
 		}
 	}
 }
 
-// report is the violations, and the faults that led to them.
+// report returns the violations and the faults that led to them.
 func (s *simulation) report() string {
 	return strings.Join(s.Violations, "\n") + "\nafter\n" + strings.Join(s.FaultLog, "\n")
 }
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -48,7 +48,7 @@
 			members = entry.Members
 		}
 	}
-	n.log.retained = append(n.log.retained, n.log.entries[:compacted]...)
+	n.log.retainedEntries = append(n.log.retainedEntries, n.log.entries[:compacted]...)
 	n.log.entries = slices.Clone(n.log.entries[compacted:])
 	n.log.snapshot = Snapshot{Index: index, Term: term, Members: members, Data: state}
 	n.trimRetained(int(retain))
@@ -63,14 +63,14 @@
 func (n *Node) trimRetained(retain int) {
 	transferIndex := n.log.snapshot.Index
 	for _, p := range n.peers {
-		if p.outgoing != nil {
-			transferIndex = min(transferIndex, p.outgoing.Index)
+		if p.outgoingTransfer != nil {
+			transferIndex = min(transferIndex, p.outgoingTransfer.Index)
 		}
 	}
-	retained, bytes := n.log.retained, 0
-	for i := len(retained) - 1; i >= 0; i-- {
-		bytes += len(retained[i].Data)
-		recent := len(retained)-i <= retain && bytes <= n.RetainedBytes
+	retainedEntries, bytes := n.log.retainedEntries, 0
+	for i := len(retainedEntries) - 1; i >= 0; i-- {
+		bytes += len(retainedEntries[i].Data)
+		recent := len(retainedEntries)-i <= retain && bytes <= n.RetainedBytes
 		behindTransfer := n.log.compactedIndex()+uint64(i) >= transferIndex && bytes <= n.TransferRetainedBytes
 		if !recent && !behindTransfer {
 			n.log.dropRetained(i + 1)
@@ -97,15 +97,15 @@
 	n.log = raftLog{snapshot: snapshot, retainedPrevTerm: snapshot.Term, entries: tail}
 	n.ready.Committed = append(n.ready.Committed, Committed{Index: snapshot.Index, Term: snapshot.Term, Snapshot: &snapshot})
 	if alreadyCommitted {
-		n.reapply(&snapshot, from)
+		n.reapplyFromSnapshot(&snapshot, from)
 	} else {
 		n.advanceToSnapshot(&snapshot, from)
 	}
 }
 
-// reapply replaces a wrong state by the snapshot, and returns all entries after it that had been applied for the
+// reapplyFromSnapshot replaces a wrong state by the snapshot, and returns all entries after it that had been applied for the
 // caller to apply again.
-func (n *Node) reapply(snapshot *Snapshot, from ID) {
+func (n *Node) reapplyFromSnapshot(snapshot *Snapshot, from ID) {
 	n.persist(Write{Snapshot: snapshot, CompactThrough: snapshot.Index},
 		Message{Type: MsgAppendAccepted, To: from, Index: n.commitIndex})
 	for index := snapshot.Index + 1; index <= n.appliedIndex; index++ {
--- a/internal/consensus/snapshot_test.go
+++ b/internal/consensus/snapshot_test.go
@@ -12,7 +12,8 @@
 	"ferrypitch/internal/simulation/scheduler"
 )
 
-// corruptMessage loses a message, or changes a snapshot chunk, or duplicates it. It returns how often the message arrives.
+// corruptMessage drops or duplicates a message, or changes a snapshot chunk. It returns the number of copies to
+// deliver.
 func (s *simulation) corruptMessage(m *Message) (copies int) {
 	if s.OneIn(20) {
 		return 0
@@ -47,8 +48,8 @@
 	return &chunk
 }
 
-// A member that was away for any number of entries catches up in time, while entries go on to be committed, chunks of the
-// snapshot are lost, duplicated, reordered or changed, and the leader changes.
+// A member catches up in time after any downtime while entries are being committed, chunks of the snapshot are lost,
+// duplicated, reordered or corrupted, and the leader changes.
 func TestSimulateSnapshotTransferUnderFaults(t *testing.T) {
 	installed, ignored, transfers := int64(0), int64(0), 0
 	for seed := range max(8, simulationCount()/8) {
@@ -65,7 +66,8 @@
 	require.Positive(t, transfers)
 }
 
-// catchUpUnderFaults plays one member's absence and return, and returns it, and how often leadership was transferred.
+// catchUpUnderFaults stops and restarts a member while the network injects faults. It returns the member and the
+// number of leadership transfers.
 func (s *simulation) catchUpUnderFaults() (m *simMember, transfers *int) {
 	const catchUpMs = 4000
 	s.faultFree = true
@@ -88,7 +90,7 @@
 	transfers = new(int)
 	s.After(s.Between(0, 2000), func() {
 		for _, other := range s.members {
-			if other.up && other != m && other.node.IsLeader() && s.OneIn(2) {
+			if other.running && other != m && other.node.IsLeader() && s.OneIn(2) {
 				*transfers++
 				other.handleReady(other.node.TransferLeadership(s.Now))
 			}
@@ -102,7 +104,7 @@
 	return m, transfers
 }
 
-// splitSnapshot returns the chunks of a snapshot, as a leader sends them.
+// splitSnapshot splits a snapshot into chunks as a leader sends them.
 func splitSnapshot(index uint64, data []byte, chunkBytes int) (chunks []*SnapshotChunk) {
 	sum := blake3.Sum256(data)
 	for offset := 0; offset < len(data); offset += chunkBytes {
@@ -119,7 +121,7 @@
 	return chunks
 }
 
-// newFollower returns node a, with an empty log, in a group of a, b and c.
+// newFollower returns node a with an empty log in a group of a, b and c.
 func newFollower() *Node {
 	return New("a", DefaultConfig(1), RestoredState{}, []ID{"a", "b", "c"}, func() float64 { return 0 }, 1000)
 }
@@ -128,7 +130,7 @@
 	return Message{Type: MsgSnapshotChunk, From: from, To: "a", Term: term, Chunk: chunk}
 }
 
-// ackedOffset returns the offset that a follower acknowledges; -1 if it sends no acknowledgement.
+// ackedOffset returns the offset acknowledged by a follower, or -1 if it sends no acknowledgement.
 func ackedOffset(ready Ready) int {
 	for _, m := range ready.Messages {
 		if m.Type == MsgSnapshotChunkAck {
@@ -148,7 +150,7 @@
 	}
 	require.Equal(t, 300, ackedOffset(node.Step(chunkMessage("b", 1, chunks[1]), 1020)), "a duplicate")
 	require.Equal(t, 300, ackedOffset(node.Step(chunkMessage("b", 1, chunks[4]), 1020)), "out of order")
-	require.Equal(t, 300, ackedOffset(node.Step(chunkMessage("c", 2, chunks[0]), 1030)), "a new leader need not start again")
+	require.Equal(t, 300, ackedOffset(node.Step(chunkMessage("c", 2, chunks[0]), 1030)), "a transfer continues under a new leader")
 	require.Equal(t, -1, ackedOffset(node.Step(chunkMessage("b", 1, chunks[3]), 1040)), "a former leader")
 	require.Equal(t, -1, ackedOffset(node.Step(chunkMessage("c", 2, older[0]), 1040)), "an older snapshot, late")
 	require.Equal(t, 400, ackedOffset(node.Step(chunkMessage("c", 2, chunks[3]), 1050)))
@@ -158,7 +160,7 @@
 	require.EqualValues(t, 4, node.ChunksIgnored)
 }
 
-// A snapshot that arrives twice, or entries that it replaces, are not acknowledged before the snapshot is on disk.
+// A duplicate of a snapshot, or of entries that it replaces, is not acknowledged before the snapshot is on disk.
 func TestSnapshotIsAcknowledgedOncePersisted(t *testing.T) {
 	node := newFollower()
 	chunk := splitSnapshot(9, []byte("state"), 100)[0]
@@ -192,7 +194,7 @@
 		chunk := *splitSnapshot(9, data, 100)[0]
 		change(&chunk)
 		node.Step(chunkMessage("b", 1, &chunk), 1010)
-		require.Nil(t, node.incoming, name)
+		require.Nil(t, node.incomingTransfer, name)
 		require.EqualValues(t, 1, node.ChunksIgnored, name)
 	}
 	node := newFollower()
@@ -201,12 +203,12 @@
 	chunk := splitSnapshot(9, data, 1000)[0]
 	chunk.Digest[0]++
 	ready := node.Step(chunkMessage("b", 1, chunk), 1010)
-	require.Empty(t, ready.Committed, "another digest")
-	require.Equal(t, 0, ackedOffset(ready), "it is to be sent again")
-	require.Nil(t, node.incoming)
+	require.Empty(t, ready.Committed, "digest mismatch")
+	require.Equal(t, 0, ackedOffset(ready), "the transfer restarts")
+	require.Nil(t, node.incomingTransfer)
 }
 
-// slowTransfer is a leader and a learner that lacks all, on a link where a chunk takes far longer than an entry.
+// slowTransfer is a leader and a learner with an empty log, on a link that delays chunks far more than entries.
 type slowTransfer struct {
 	t               *testing.T
 	nowMs           int64
@@ -220,8 +222,8 @@
 	message     Message
 }
 
-// playSlowTransfer plays 11 s in which the leader commits entries, takes snapshots, and sends one to the learner.
-func playSlowTransfer(t *testing.T, transferRetainedBytes int) (leader, learner *Node) {
+// runSlowTransfer simulates 11 s in which the leader commits entries, takes snapshots, and sends one to the learner.
+func runSlowTransfer(t *testing.T, transferRetainedBytes int) (leader, learner *Node) {
 	config := DefaultConfig(1)
 	config.ChunkBytes, config.RetainedBytes, config.TransferRetainedBytes = 100, 200, transferRetainedBytes
 	config.RemovalTimeoutMs = 1 << 40
@@ -272,13 +274,13 @@
 	s.inFlight = append(s.inFlight, delayedMessage{s.nowMs + delayMs, to, m})
 }
 
-// compact has the leader take a snapshot, and asserts that it retains no more than it may.
+// compact makes the leader take a snapshot, and asserts that it retains no more entries than its limits allow.
 func (s *slowTransfer) compact(index uint64) {
 	state := bytes.Repeat([]byte("s"), 3000+int(index))
 	s.handleReady(s.leader, s.leader.Compact(index, state, 10, s.nowMs))
 	const entryBytes = 8
 	maxBytes := max(s.leader.TransferRetainedBytes, s.leader.RetainedBytes)
-	require.LessOrEqual(s.t, len(s.leader.log.retained)*entryBytes, maxBytes+entryBytes)
+	require.LessOrEqual(s.t, len(s.leader.log.retainedEntries)*entryBytes, maxBytes+entryBytes)
 }
 
 func (s *slowTransfer) deliver() {
@@ -293,17 +295,17 @@
 	}
 }
 
-// Entries are committed while a member receives a snapshot of 30 chunks. Those behind it are retained, within a bound, so
-// one transfer is enough. Where the bound is too small, the transfer starts again, and nothing else is lost.
+// Entries are committed while a member receives a snapshot of 30 chunks. The entries after the snapshot are retained
+// up to a limit, so one transfer is enough. If the limit is too small, the transfer restarts without further loss.
 func TestEntriesBehindTransferAreRetained(t *testing.T) {
-	leader, learner := playSlowTransfer(t, 1<<20)
+	leader, learner := runSlowTransfer(t, 1<<20)
 	require.EqualValues(t, 1, leader.SnapshotTransfers)
 	require.Greater(t, learner.CommitIndex()+40, leader.CommitIndex())
-	leader, _ = playSlowTransfer(t, 400)
-	require.Greater(t, leader.SnapshotTransfers, int64(1), "a new transfer, since entries behind the first were gone")
+	leader, _ = runSlowTransfer(t, 400)
+	require.Greater(t, leader.SnapshotTransfers, int64(1), "the transfer must restart since the entries after the first snapshot are gone")
 }
 
-// Compacted entries stay in memory for members and proxies that lag, bounded by number and by bytes.
+// Compacted entries are retained in memory for lagging members and proxies, limited by number and size.
 func TestRetainedEntriesAreBounded(t *testing.T) {
 	config := DefaultConfig(1)
 	config.RetainedBytes = 500
@@ -335,7 +337,7 @@
 	}
 }
 
-// A member whose state is wrong gets the leader's, though it holds the whole log.
+// A member whose state is wrong receives the leader's snapshot although it holds the whole log.
 func TestRequestSnapshotReplacesState(t *testing.T) {
 	s := newSimulation(5, 3, 1)
 	s.faultFree = true
@@ -354,7 +356,7 @@
 	require.Empty(t, s.Violations, s.report())
 }
 
-// A member whose disk was replaced by an older copy gets what it lacks, even if no more entries are proposed.
+// A member whose disk was replaced by an older copy catches up even if no further entries are proposed.
 func TestMemberWithOlderDiskCatchesUp(t *testing.T) {
 	s := newSimulation(5, 3, 1)
 	s.faultFree = true
@@ -383,10 +385,10 @@
 	require.Empty(t, s.Violations, s.report())
 }
 
-// Entries that a member has acknowledged, and then lost, do not count for a majority.
+// Entries that a member has acknowledged and then lost do not count towards a majority.
 func TestRejectedAppendLowersMatchIndex(t *testing.T) {
 	node := newFollower()
-	node.hardState.Term, node.role, node.leaderID, node.leaderSeen, node.leadership.sinceMs = 1, leader, "a", true, 2000
+	node.hardState.Term, node.role, node.leaderID, node.leaderSeen, node.leadership.startedAtMs = 1, leader, "a", true, 2000
 	node.peers = map[ID]*progress{}
 	node.syncPeers()
 	var ready Ready
@@ -399,7 +401,7 @@
 	respond(MsgAppendAccepted, 5)
 	respond(MsgAppendRejected, 2)
 	node.Persisted(ready.Writes[len(ready.Writes)-1].Seq, 2020)
-	require.EqualValues(t, 2, node.CommitIndex(), "only the leader holds the rest")
+	require.EqualValues(t, 2, node.CommitIndex(), "only the leader holds the remaining entries")
 	respond(MsgAppendAccepted, 5)
 	require.EqualValues(t, 5, node.CommitIndex())
 }
@@ -418,7 +420,7 @@
 					t.Fatalf("%q is installed", committed.Snapshot.Data)
 				}
 			}
-			if node.incoming != nil && len(node.incoming.data) > int(node.incoming.Size) {
+			if node.incomingTransfer != nil && len(node.incomingTransfer.data) > int(node.incomingTransfer.Size) {
 				t.Fatal("more data than the snapshot's size")
 			}
 		}
--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -42,33 +42,33 @@
 // outgoingSnapshot is a snapshot in transfer to a peer. Offset is the number of bytes that the peer has acknowledged.
 type outgoingSnapshot struct {
 	SnapshotChunk
-	data       []byte
-	nextOffset uint64 // offset of the next chunk to send
-	resent     bool   // the chunk at Offset was retransmitted after the peer reported a later chunk out of order
-	ackedAtMs  int64  // when Offset last changed
+	data          []byte
+	nextOffset    uint64 // offset of the next chunk to send
+	retransmitted bool   // the chunk at Offset was retransmitted after the peer reported a later chunk out of order
+	ackedAtMs     int64  // when Offset last changed
 }
 
 // acknowledge records that the peer has received the snapshot up to an offset.
 func (s *outgoingSnapshot) acknowledge(offset, nextOffset uint64, nowMs int64) {
-	s.Offset, s.nextOffset, s.resent, s.ackedAtMs = offset, nextOffset, false, nowMs
+	s.Offset, s.nextOffset, s.retransmitted, s.ackedAtMs = offset, nextOffset, false, nowMs
 }
 
 // incomingSnapshot is a snapshot that has been received in part.
 type incomingSnapshot struct {
 	SnapshotChunk
-	leaderTerm uint64 // term of the sender of the last chunk
-	data       []byte
-	grewAtMs   int64 // when data was last received
+	leaderTerm   uint64 // term of the sender of the last chunk
+	data         []byte
+	lastDataAtMs int64 // when data was last received
 }
 
 // sendSnapshotChunks sends the next chunks of a snapshot to a peer. A transfer restarts with the latest snapshot only
 // if the entries that follow the one in transfer are gone.
 func (n *Node) sendSnapshotChunks(id ID, p *progress) {
-	if p.outgoing == nil || p.outgoing.Index < n.log.compactedIndex() {
+	if p.outgoingTransfer == nil || p.outgoingTransfer.Index < n.log.compactedIndex() {
 		n.SnapshotTransfers++
-		p.outgoing = newOutgoingSnapshot(n.log.snapshot)
+		p.outgoingTransfer = newOutgoingSnapshot(n.log.snapshot)
 	}
-	snapshot := p.outgoing
+	snapshot := p.outgoingTransfer
 	timedOut := p.sentAtMs != 0
 	if timedOut {
 		snapshot.nextOffset = snapshot.Offset
@@ -108,11 +108,11 @@
 // stepSnapshotChunkAck sends the chunks that follow what the peer has received. A repeated offset means that a chunk
 // was lost, and it is retransmitted at once. Other losses are detected by the timeout in replicate.
 func (n *Node) stepSnapshotChunkAck(m Message) {
-	p := n.responder(m)
+	p := n.responderProgress(m)
 	if p == nil {
 		return
 	}
-	snapshot, ack := p.outgoing, m.Chunk
+	snapshot, ack := p.outgoingTransfer, m.Chunk
 	if snapshot == nil || ack == nil || !ack.sameSnapshot(&snapshot.SnapshotChunk) || ack.Offset > snapshot.Size {
 		n.ChunksIgnored++
 		return
@@ -125,8 +125,8 @@
 		snapshot.acknowledge(offset, max(snapshot.nextOffset, offset), n.nowMs)
 	case offset < snapshot.Offset && restarted:
 		snapshot.acknowledge(offset, offset, n.nowMs)
-	case offset == snapshot.Offset && offset < snapshot.nextOffset && !snapshot.resent:
-		snapshot.nextOffset, snapshot.resent = offset, true
+	case offset == snapshot.Offset && offset < snapshot.nextOffset && !snapshot.retransmitted:
+		snapshot.nextOffset, snapshot.retransmitted = offset, true
 	default:
 		return
 	}
@@ -140,11 +140,11 @@
 
 // stepSnapshotRequest starts sending the snapshot to a peer, from its first chunk.
 func (n *Node) stepSnapshotRequest(m Message) {
-	p := n.responder(m)
+	p := n.responderProgress(m)
 	if p == nil {
 		return
 	}
-	p.sentAtMs, p.outgoing, p.snapshotWanted = 0, nil, true
+	p.sentAtMs, p.outgoingTransfer, p.snapshotWanted = 0, nil, true
 	n.replicate(m.From, p)
 }
 
@@ -163,32 +163,32 @@
 		n.persist(Write{}, Message{Type: MsgAppendAccepted, To: m.From, Index: n.commitIndex}) // after the pending writes
 		return
 	}
-	if (n.incoming == nil || !n.incoming.sameSnapshot(chunk)) && !n.startIncoming(m) {
+	if (n.incomingTransfer == nil || !n.incomingTransfer.sameSnapshot(chunk)) && !n.startIncomingSnapshot(m) {
 		return
 	}
-	incoming := n.incoming
-	incoming.leaderTerm = m.Term
-	if chunk.Offset != uint64(len(incoming.data)) {
+	incomingTransfer := n.incomingTransfer
+	incomingTransfer.leaderTerm = m.Term
+	if chunk.Offset != uint64(len(incomingTransfer.data)) {
 		n.ChunksIgnored++
-		n.ackChunk(m, len(incoming.data))
+		n.ackChunk(m, len(incomingTransfer.data))
 		return
 	}
-	incoming.data, incoming.grewAtMs = append(incoming.data, chunk.Data...), n.nowMs
-	if uint64(len(incoming.data)) < incoming.Size {
-		n.ackChunk(m, len(incoming.data))
+	incomingTransfer.data, incomingTransfer.lastDataAtMs = append(incomingTransfer.data, chunk.Data...), n.nowMs
+	if uint64(len(incomingTransfer.data)) < incomingTransfer.Size {
+		n.ackChunk(m, len(incomingTransfer.data))
 		return
 	}
-	n.finishIncoming(m)
+	n.finishIncomingSnapshot(m)
 }
 
-// startIncoming starts to receive a snapshot, in place of an incomplete one. It returns false if the chunk is not the
+// startIncomingSnapshot starts to receive a snapshot, in place of an incomplete one. It returns false if the chunk is not the
 // first of the snapshot. It also returns false for an older snapshot from the same leader: a leader only moves on to
 // newer snapshots, so the chunk is delayed, unless the newer snapshot has made no progress for two retransmission
 // timeouts.
-func (n *Node) startIncoming(m Message) bool {
-	chunk, current := m.Chunk, n.incoming
+func (n *Node) startIncomingSnapshot(m Message) bool {
+	chunk, current := m.Chunk, n.incomingTransfer
 	late := current != nil && current.leaderTerm == m.Term && current.Index > chunk.Index &&
-		n.nowMs < current.grewAtMs+2*n.RetransmitMs
+		n.nowMs < current.lastDataAtMs+2*n.RetransmitMs
 	if late || chunk.Offset != 0 {
 		n.ChunksIgnored++
 		if !late {
@@ -196,26 +196,26 @@
 		}
 		return false
 	}
-	n.incoming = &incomingSnapshot{SnapshotChunk: *chunk, grewAtMs: n.nowMs}
-	n.incoming.Data = nil
+	n.incomingTransfer = &incomingSnapshot{SnapshotChunk: *chunk, lastDataAtMs: n.nowMs}
+	n.incomingTransfer.Data = nil
 	return true
 }
 
-// finishIncoming installs a complete snapshot. If the digest does not match, the transfer restarts.
-func (n *Node) finishIncoming(m Message) {
-	incoming := n.incoming
-	n.incoming = nil
-	if digest(incoming.data) != incoming.Digest {
+// finishIncomingSnapshot installs a complete snapshot. If the digest does not match, the transfer restarts.
+func (n *Node) finishIncomingSnapshot(m Message) {
+	incomingTransfer := n.incomingTransfer
+	n.incomingTransfer = nil
+	if digest(incomingTransfer.data) != incomingTransfer.Digest {
 		n.ChunksIgnored++
 		n.ackChunk(m, 0)
 		return
 	}
-	n.ackChunk(m, len(incoming.data))
+	n.ackChunk(m, len(incomingTransfer.data))
 	n.installSnapshot(Snapshot{
-		Index:   incoming.Index,
-		Term:    incoming.Term,
-		Members: incoming.Members,
-		Data:    incoming.data,
+		Index:   incomingTransfer.Index,
+		Term:    incomingTransfer.Term,
+		Members: incomingTransfer.Members,
+		Data:    incomingTransfer.data,
 	}, m.From)
 }
 
--- a/internal/consensus/transfer.go
+++ b/internal/consensus/transfer.go
@@ -10,18 +10,18 @@
 
 // CanTransferLeadership reports whether TransferLeadership would have an effect.
 func (n *Node) CanTransferLeadership() bool {
-	return n.role == leader && !n.leadership.transferring && n.bestTransferee() != ""
+	return n.role == leader && !n.leadership.transferInProgress && n.bestTransferee() != ""
 }
 
 func (n *Node) startTransfer() {
-	if n.role != leader || n.leadership.transferring {
+	if n.role != leader || n.leadership.transferInProgress {
 		return
 	}
 	transferee := n.bestTransferee()
 	if transferee == "" {
 		return
 	}
-	n.leadership.transferring, n.leadership.transferee = true, transferee
+	n.leadership.transferInProgress, n.leadership.transferee = true, transferee
 	n.leadership.transferStartedAtMs = n.nowMs
 	n.finishTransfer()
 }
@@ -42,18 +42,18 @@
 	return best
 }
 
-func (n *Node) betterTransferee(id, than ID) bool {
-	if n.isLeaving(id) != n.isLeaving(than) {
-		return n.isLeaving(than)
+func (n *Node) betterTransferee(id, other ID) bool {
+	if n.isLeaving(id) != n.isLeaving(other) {
+		return n.isLeaving(other)
 	}
-	return n.peers[id].matchIndex > n.peers[than].matchIndex
+	return n.peers[id].matchIndex > n.peers[other].matchIndex
 }
 
 // finishTransfer tells the transferee to start its election once it holds the whole log. Before that, members with
 // longer logs would refuse to vote for it.
 func (n *Node) finishTransfer() {
 	transferee := n.leadership.transferee
-	if !n.leadership.transferring || transferee == "" {
+	if !n.leadership.transferInProgress || transferee == "" {
 		return
 	}
 	if p := n.peers[transferee]; p == nil || p.matchIndex < n.log.lastIndex() {
