--- a/internal/consensus/benchmark_test.go
+++ b/internal/consensus/benchmark_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// Measures the computation of all members for one entry, from its proposal to its commit on every member.
+// Measures one entry, from its proposal to its commit on every member. All members are computed in this process.
 func BenchmarkCommit(b *testing.B) {
 	const snapshotEvery = 400 // entries
 	for _, members := range []int{3, 5, 7, 15} {
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -156,7 +156,7 @@
 // successorColdStarted reports whether a process at the member's address, with another ID, has reported a cold start.
 func (n *Node) successorColdStarted(member ID) bool {
 	for id, coldStart := range n.election.coldStarts {
-		if coldStart && id.TakesPlaceOf(member) {
+		if coldStart && id.SharesAddressWith(member) {
 			return true
 		}
 	}
--- a/internal/consensus/explore_checks_test.go
+++ b/internal/consensus/explore_checks_test.go
@@ -82,7 +82,8 @@
 		}
 		failure = "no majority elects a replica that holds all"
 	}
-	x.fail(s, "after a power loss of all replicas and the loss of %q's disk: %s of %d entries (%s)", lost, failure, len(s.committed)-1, s.describe())
+	x.fail(s, "after a power loss of all replicas and the loss of %q's disk: %s of %d entries (%s)", lost, failure,
+		len(s.committed)-1, s.describe())
 }
 
 // holds reports whether a replica's disk holds all committed entries.
@@ -180,10 +181,10 @@
 	const stepMs, maxSteps = 50, 240
 	next := s.successor(fmt.Sprintf("%s is lost, the network heals", s.replicas[lost].id))
 	next.partition = 0
-	gone := *next.replicas[lost]
-	gone.node, gone.unsynced = nil, nil
-	gone.updateHash()
-	next.replicas[lost] = &gone
+	stopped := *next.replicas[lost]
+	stopped.node, stopped.unsynced = nil, nil
+	stopped.updateHash()
+	next.replicas[lost] = &stopped
 	random := rand.New(rand.NewPCG(s.hash(), 1)) // without varying random numbers, candidates could stay in lockstep forever
 	for i := range next.replicas {
 		x.stepReplica(next, i, func(node *Node) Ready { node.random = random.Float64; return Ready{} })
--- a/internal/consensus/explore_events_test.go
+++ b/internal/consensus/explore_events_test.go
@@ -15,7 +15,7 @@
 // explorer visits the systems on a default path and its deviations, and asserts the invariants for each.
 type explorer struct {
 	disabled       safeguard
-	seen           map[uint64]int8 // by hash: number of deviations left at the visit, plus one
+	visited        map[uint64]int8 // by hash: number of deviations left at the visit, plus one
 	checkedDisks   map[uint64]bool // by diskHash
 	states         int
 	progressChecks int
@@ -27,10 +27,10 @@
 func newExplorer(disabled safeguard, maxHeartbeats int) *explorer {
 	return &explorer{
 		disabled:      disabled,
-		seen:          map[uint64]int8{},
+		visited:       map[uint64]int8{},
 		checkedDisks:  map[uint64]bool{},
 		maxHeartbeats: maxHeartbeats,
-		limits:        faultCounts{powerLosses: 1, losses: 1, leaves: 1, leaseEnds: 1, proposals: 1},
+		limits:        faultCounts{powerLosses: 1, losses: 1, leaves: 1, leaseExpiries: 1, proposals: 1},
 	}
 }
 
@@ -68,10 +68,10 @@
 func (x *explorer) explore(s *system, deviationsLeft int) {
 	for x.violation == "" && s.heartbeats <= x.maxHeartbeats && !s.tooManyLosses {
 		hash := s.hash()
-		if int(x.seen[hash]) > deviationsLeft {
+		if int(x.visited[hash]) > deviationsLeft {
 			return
 		}
-		x.seen[hash] = int8(deviationsLeft + 1)
+		x.visited[hash] = int8(deviationsLeft + 1)
 		x.states++
 		x.check(s)
 		if deviationsLeft > 0 {
@@ -149,7 +149,7 @@
 	if s.faults.leaves < x.limits.leaves && node.LeaveState() == LeaveNotStarted {
 		add("leaves", func(next *system) { next.faults.leaves++; x.leave(next, i) })
 	}
-	if s.faults.leaseEnds < x.limits.leaseEnds && node.isMember(id) && !node.IsLeader() {
+	if s.faults.leaseExpiries < x.limits.leaseExpiries && node.isMember(id) && !node.IsLeader() {
 		add("receives no heartbeat until all leases expire", func(next *system) { x.expireLeases(next, i) })
 	}
 	if s.faults.proposals < x.limits.proposals && node.HoldsLease(s.nowMs) {
@@ -170,7 +170,7 @@
 }
 
 func (x *explorer) expireLeases(s *system, i int) {
-	s.faults.leaseEnds++
+	s.faults.leaseExpiries++
 	s.nowMs += leaseEndMs
 	x.stepReplica(s, i, func(node *Node) Ready { return node.Tick(s.nowMs) })
 }
@@ -203,9 +203,9 @@
 	s.pending = slices.DeleteFunc(s.pending, func(event pendingEvent) bool { return event.replica == i && event.message == nil })
 }
 
-// loseReplica removes a replica and its disk from the system. With returns, it restarts with an empty disk under an
-// ID that has not been used before.
-func (x *explorer) loseReplica(s *system, i int, returns bool) {
+// loseReplica removes a replica and its disk from the system. If restarts is true, it restarts with an empty disk
+// under an ID that has not been used before.
+func (x *explorer) loseReplica(s *system, i int, restarts bool) {
 	r := *s.replicas[i]
 	s.replicas[i] = &r
 	if s.isMember(r.id) {
@@ -213,7 +213,7 @@
 	}
 	r.node, r.unsynced, r.disk, r.founders = nil, nil, RestoredState{}, nil
 	r.updateHash()
-	if !returns {
+	if !restarts {
 		return
 	}
 	if x.disabled == newIDForEmptyDisk {
--- a/internal/consensus/explore_hash_test.go
+++ b/internal/consensus/explore_hash_test.go
@@ -152,7 +152,7 @@
 func (s *system) hash() uint64 {
 	h := newHasher()
 	h.ints(s.nowMs, int64(s.proposals))
-	h.ints(int64(s.faults.powerLosses), int64(s.faults.losses), int64(s.faults.leaves), int64(s.faults.leaseEnds), int64(s.faults.proposals))
+	h.ints(int64(s.faults.powerLosses), int64(s.faults.losses), int64(s.faults.leaves), int64(s.faults.leaseExpiries), int64(s.faults.proposals))
 	h.ids(s.unrecoveredMember, s.unreplacedMember)
 	h.ints(int64(s.partition))
 	for _, r := range s.replicas {
--- a/internal/consensus/explore_system_test.go
+++ b/internal/consensus/explore_system_test.go
@@ -35,13 +35,13 @@
 }
 
 // faultCounts counts the faults and proposals that are limited on each path.
-type faultCounts struct{ powerLosses, losses, leaves, leaseEnds, proposals int8 }
+type faultCounts struct{ powerLosses, losses, leaves, leaseExpiries, proposals int8 }
 
 // replicaSet is a set of replica positions.
 type replicaSet uint8
 
-func setOf(places ...int) (set replicaSet) {
-	for _, i := range places {
+func setOf(positions ...int) (set replicaSet) {
+	for _, i := range positions {
 		set |= 1 << i
 	}
 	return set
@@ -127,7 +127,7 @@
 func (s *system) recovered() bool {
 	newest := s.latestConfigurationIndex()
 	for _, event := range s.pending {
-		if event.message != nil && namesMember(event.message.Entries, event.message.Index+1, newest, s.unrecoveredMember) {
+		if event.message != nil && includesMember(event.message.Entries, event.message.Index+1, newest, s.unrecoveredMember) {
 			return false
 		}
 	}
@@ -136,7 +136,7 @@
 		if r.node == nil {
 			continue
 		}
-		if namesMember(r.node.log.entries, 1, newest, s.unrecoveredMember) || namesMember(r.disk.Entries, 1, newest, s.unrecoveredMember) {
+		if includesMember(r.node.log.entries, 1, newest, s.unrecoveredMember) || includesMember(r.disk.Entries, 1, newest, s.unrecoveredMember) {
 			return false
 		}
 		if !slices.Contains(s.configurations[newest], r.id) || r.id == s.unreplacedMember {
@@ -150,8 +150,8 @@
 	return present == len(s.configurations[newest]) && 2*informed > present
 }
 
-// namesMember reports whether any configuration after an index includes a member. The entries begin at firstIndex.
-func namesMember(entries []Entry, firstIndex, after uint64, member ID) bool {
+// includesMember reports whether any configuration after an index includes a member. The entries begin at firstIndex.
+func includesMember(entries []Entry, firstIndex, after uint64, member ID) bool {
 	skip := min(uint64(len(entries)), after+1-min(firstIndex, after+1))
 	return slices.ContainsFunc(entries[skip:], func(entry Entry) bool { return slices.Contains(entry.Members, member) })
 }
--- a/internal/consensus/explore_test.go
+++ b/internal/consensus/explore_test.go
@@ -30,24 +30,24 @@
 }
 
 const (
-	followerLeaves         = "a follower leaves"
-	leaderLeaves           = "the leader leaves"
-	followerLeavesToEmpty  = "a follower leaves, and the learners have just started"
-	leaderAndFollowerLeave = "the leader and a follower leave"
-	followerLosesDisk      = "a follower loses its disk"
-	leaderIsLost           = "the leader is lost"
-	powerAndFollowersDisk  = "all lose power, and a follower its disk"
-	powerAndLeadersDisk    = "all lose power, and the leader its disk"
-	followersPowerAndDisk  = "all but the leader lose power, and one of them its disk"
-	leaderIsCutOff         = "the leader is cut off with a learner"
-	halvesAndLostDisk      = "the leader is cut off with a learner, and one of the others loses its disk"
-	halvesAndLostPower     = "the leader is cut off with a learner, and the others lose power"
+	followerLeaves                  = "a follower leaves"
+	leaderLeaves                    = "the leader leaves"
+	followerLeavesWithEmptyLearners = "a follower leaves, and the learners have just started"
+	leaderAndFollowerLeave          = "the leader and a follower leave"
+	followerLosesDisk               = "a follower loses its disk"
+	leaderIsLost                    = "the leader is lost"
+	powerAndFollowerDiskLost        = "all lose power, and a follower its disk"
+	powerAndLeaderDiskLost          = "all lose power, and the leader its disk"
+	followerPowerAndDiskLost        = "all but the leader lose power, and one of them its disk"
+	leaderPartitioned               = "the leader is cut off with a learner"
+	partitionAndLostDisk            = "the leader is cut off with a learner, and one of the others loses its disk"
+	partitionAndLostPower           = "the leader is cut off with a learner, and the others lose power"
 )
 
 var scenarios = []scenario{
 	{followerLeaves, func(x *explorer, s *system) { x.leave(s, s.followerIndex()) }},
 	{leaderLeaves, func(x *explorer, s *system) { x.leave(s, s.leaderIndex()) }},
-	{followerLeavesToEmpty, func(x *explorer, s *system) {
+	{followerLeavesWithEmptyLearners, func(x *explorer, s *system) {
 		x.restartLearnersEmpty(s)
 		x.leave(s, s.followerIndex())
 	}},
@@ -58,26 +58,26 @@
 	}},
 	{followerLosesDisk, func(x *explorer, s *system) { x.loseReplica(s, s.followerIndex(), true) }},
 	{leaderIsLost, func(x *explorer, s *system) { x.loseReplica(s, s.leaderIndex(), false) }},
-	{powerAndFollowersDisk, func(x *explorer, s *system) {
+	{powerAndFollowerDiskLost, func(x *explorer, s *system) {
 		emptied := s.followerIndex()
 		x.restartAll(s, func(i int) bool { return i != emptied })
 		x.loseReplica(s, emptied, true)
 	}},
-	{powerAndLeadersDisk, func(x *explorer, s *system) {
+	{powerAndLeaderDiskLost, func(x *explorer, s *system) {
 		emptied := s.leaderIndex()
 		x.restartAll(s, func(i int) bool { return i != emptied })
 		x.loseReplica(s, emptied, true)
 	}},
-	{leaderIsCutOff, func(_ *explorer, s *system) { s.partition = setOf(s.leaderIndex(), founderCount) }},
-	{halvesAndLostDisk, func(x *explorer, s *system) {
+	{leaderPartitioned, func(_ *explorer, s *system) { s.partition = setOf(s.leaderIndex(), founderCount) }},
+	{partitionAndLostDisk, func(x *explorer, s *system) {
 		s.partition = setOf(s.leaderIndex(), founderCount)
 		x.loseReplica(s, s.followerIndex(), true)
 	}},
-	{halvesAndLostPower, func(x *explorer, s *system) {
+	{partitionAndLostPower, func(x *explorer, s *system) {
 		s.partition = setOf(s.leaderIndex(), founderCount)
 		x.restartAll(s, func(i int) bool { return !s.partition.has(i) })
 	}},
-	{followersPowerAndDisk, func(x *explorer, s *system) {
+	{followerPowerAndDiskLost, func(x *explorer, s *system) {
 		leaderIndex, emptied := s.leaderIndex(), s.followerIndex()
 		x.restartAll(s, func(i int) bool { return i != leaderIndex && i != emptied })
 		x.loseReplica(s, emptied, true)
@@ -166,7 +166,7 @@
 		disabled safeguard
 		scenario string
 	}{
-		{learnersCatchUpFirst, followerLeavesToEmpty},
+		{learnersCatchUpFirst, followerLeavesWithEmptyLearners},
 		{jointMajorities, leaderAndFollowerLeave},
 		{configIndexPersisted, leaderLeaves},
 		{leaveWaitsForLearner, followerLeaves},
--- a/internal/consensus/lease_test.go
+++ b/internal/consensus/lease_test.go
@@ -78,7 +78,7 @@
 		require.False(t, leaseOutlivesPromise(t, rates.leader, rates.granter), "%v", rates)
 	}
 	for _, rates := range []clockRates{{0.93, 1.07}, {0.88, 1}, {1, 1.13}} {
-		require.True(t, leaseOutlivesPromise(t, rates.leader, rates.granter), "%v: the drift exceeds the tolerated tenth, but the lease did not outlive the promise", rates)
+		require.True(t, leaseOutlivesPromise(t, rates.leader, rates.granter), "%v: excessive drift is not detected", rates)
 	}
 }
 
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -19,9 +19,9 @@
 	return address
 }
 
-// TakesPlaceOf reports whether two different IDs share an address. Their processes cannot run at the same time, so if
+// SharesAddressWith reports whether two different IDs share an address. Their processes cannot run at the same time, so if
 // the process of this ID is running, that of the other has ended.
-func (id ID) TakesPlaceOf(other ID) bool { return id != other && id.Address() == other.Address() }
+func (id ID) SharesAddressWith(other ID) bool { return id != other && id.Address() == other.Address() }
 
 // configuration is the set of voting members in effect from the entry at index (4.1).
 type configuration struct {
@@ -217,7 +217,7 @@
 func (n *Node) membersWithLearner(learner ID) ([]ID, bool) {
 	current := n.Members()
 	next := slices.DeleteFunc(slices.Clone(current), func(member ID) bool {
-		return member != n.id && learner.TakesPlaceOf(member)
+		return member != n.id && learner.SharesAddressWith(member)
 	})
 	if len(next) == len(current) {
 		replaced := n.replaceableMemberIndex(next)
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -56,7 +56,7 @@
 	PreVote            bool           // of MsgVoteRequest and MsgVoteResponse
 	LeadershipTransfer bool           // of MsgVoteRequest: the leader has given up its lease and requested this election
 	Granted            bool           // of MsgVoteResponse, MsgLeaveResponse and MsgHeartbeatResponse
-	ColdStart          bool           // MsgVoteResponse: the sender has heard from no leader since its start; MsgVoteRequest: no member has
+	ColdStart          bool           // of MsgVoteResponse: the sender has heard no leader since its start; of MsgVoteRequest: no member has
 	PreVoteRound       uint64         // of a Pre-Vote: echoed in the response; a cold start counts only in its own round
 	CommitTerm         uint64         // of MsgVoteRequest, MsgVoteResponse and MsgLeaveResponse: term of the entry at CommitIndex
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -124,7 +124,7 @@
 		n.DiscardedMessages++
 	case m.To == "" || m.To == n.id:
 		n.step(m)
-	case m.Type == MsgVoteRequest && m.PreVote && n.id.TakesPlaceOf(m.To) && !n.id.TakesPlaceOf(m.From):
+	case m.Type == MsgVoteRequest && m.PreVote && n.id.SharesAddressWith(m.To) && !n.id.SharesAddressWith(m.From):
 		n.reportColdStart(m)
 	default:
 		n.DiscardedMessages++
--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -52,12 +52,12 @@
 	members                  []*simMember
 	committed                []string // by index, as committed by the first member to do so
 	acknowledged             []string
-	proposed                 int
+	proposalCount            int
 	faultFree                bool // disables all faults from now on
 	noRandomFaults           bool // disables random member faults; the network still loses and delays messages
 	slowDisks                bool
 	disabled                 safeguard
-	corrupt                  func(m *Message) (copies int) // changes a message and returns the number of copies to deliver; nil if messages are only lost or delayed
+	corrupt                  func(m *Message) (copies int) // changes a message and returns the number of copies to deliver; may be nil
 	leavingCount             int                           // members that have been told to leave and have not shut down
 }
 
@@ -307,8 +307,8 @@
 		if !m.node.HoldsLease(s.Now) {
 			return
 		}
-		s.proposed++
-		data := fmt.Sprintf("c%d", s.proposed)
+		s.proposalCount++
+		data := fmt.Sprintf("c%d", s.proposalCount)
 		index, ready := m.node.Propose([]byte(data), s.Now)
 		if index > 0 {
 			m.proposals[index] = data
