--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -217,7 +217,7 @@
 			granted = false
 		} else {
 			n.becomeFollower("")
-			// leave time for the other candidate's election and first heartbeat
+			// Leaves time for the other candidate's election and first heartbeat.
 			n.election.timeoutAtMs = n.nowMs + 2*n.HeartbeatMs + n.jitterMs()
 		}
 	}
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -32,9 +32,9 @@
 }
 
 // RecentLeader returns the leader if it was heard from within two thirds of LeaseMs and is thus worth contacting, or
-// an empty ID otherwise. With DefaultConfig, two thirds of a lease last for three heartbeats, so a single lost
-// heartbeat has no effect. It is also less than a leader's lease, so callers stop waiting for a failed leader before
-// another can be elected. The leader's lease may end before or after that time.
+// an empty ID otherwise. With DefaultConfig, two thirds of a lease span three heartbeat intervals, so a single lost
+// heartbeat has no effect. The time is also shorter than a leader's lease, so callers stop waiting for a failed
+// leader before another can be elected. The leader's lease may end before or after that time.
 func (n *Node) RecentLeader(nowMs int64) ID {
 	if n.role != leader && nowMs > n.leaderHeardAtMs+n.LeaseMs*2/3 {
 		return ""
@@ -42,8 +42,8 @@
 	return n.leaderID
 }
 
-// quorumLeaseEndMs returns when this leader's lease ends: when the promises of a majority may begin to expire, in any of
-// the active configurations. A promise counts from when the heartbeat that it answers was sent.
+// quorumLeaseEndMs returns when this leader's lease ends: when the promises of a majority may begin to expire, in any
+// of the active configurations. A promise counts from when the heartbeat that it answers was sent.
 func (n *Node) quorumLeaseEndMs() int64 {
 	earliest := int64(math.MaxInt64)
 	for _, config := range n.activeConfigurations() {
@@ -72,7 +72,8 @@
 	return 0
 }
 
-// hasUnexpiredPromise reports whether a lease granted by this node, possibly before its last restart, may still be running.
+// hasUnexpiredPromise reports whether a lease granted by this node, possibly before its last restart, may still be
+// running.
 func (n *Node) hasUnexpiredPromise() bool {
 	return n.nowMs < max(n.leaderHeardAtMs, n.startedAtMs)+n.LeaseMs
 }
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -82,9 +82,9 @@
 	return p != nil && p.lastLeaveRequestAtMs > 0 && n.nowMs <= p.lastLeaveRequestAtMs+n.RemovalTimeoutMs
 }
 
-// mustDeferShutdown reports whether a leaving member must not shut down yet. One reason is that it may still be replaced: a
-// membership change is in progress, a learner is available, or learners have not had time to report to this leader.
-// The other is that the remaining members that have answered since its request are not a majority.
+// mustDeferShutdown reports whether a leaving member must not shut down yet. One reason is that it may still be
+// replaced: a membership change is in progress, a learner is available, or learners have not had time to report to
+// this leader. The other is that the remaining members that have answered since its request are not a majority.
 func (n *Node) mustDeferShutdown(id ID) bool {
 	if len(n.activeConfigurations()) > 1 || len(n.responsiveLearners()) > 0 ||
 		!n.HoldsLease(n.nowMs) || n.nowMs < n.leadership.startedAtMs+n.LeaseMs {
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -19,8 +19,8 @@
 	return address
 }
 
-// SharesAddressWith reports whether two different IDs share an address. Their processes cannot run at the same time, so if
-// the process of this ID is running, that of the other has ended.
+// SharesAddressWith reports whether two different IDs share an address. Their processes cannot run at the same time,
+// so if the process of this ID is running, that of the other has ended.
 func (id ID) SharesAddressWith(other ID) bool { return id != other && id.Address() == other.Address() }
 
 // configuration is the set of voting members in effect from the entry at index (4.1).
@@ -29,6 +29,7 @@
 	members []ID
 }
 
+// hasQuorum reports whether has returns true for a majority of the members.
 func (c configuration) hasQuorum(has func(ID) bool) bool {
 	count := 0
 	for _, member := range c.members {
@@ -211,9 +212,9 @@
 	}
 }
 
-// membersWithLearner returns the members after the promotion of a learner. The learner replaces an earlier member at its
-// address, a leaving member, or a silent one; otherwise it is added while there are fewer than MaxMembers, since more
-// members would only enlarge the majorities. It returns false if there is no vacancy.
+// membersWithLearner returns the members after the promotion of a learner. The learner replaces an earlier member at
+// its address, a leaving member, or a silent one; otherwise it is added while there are fewer than MaxMembers, since
+// more members would only enlarge the majorities. It returns false if there is no vacancy.
 func (n *Node) membersWithLearner(learner ID) ([]ID, bool) {
 	current := n.Members()
 	next := slices.DeleteFunc(slices.Clone(current), func(member ID) bool {
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -57,8 +57,8 @@
 	return ids
 }
 
-// responderProgress returns the progress of the sender of a response and records that the sender was heard from. It returns
-// nil if this node is not the leader or does not track the sender.
+// responderProgress returns the progress of the sender of a response and records that the sender was heard from. It
+// returns nil if this node is not the leader or does not track the sender.
 func (n *Node) responderProgress(m Message) *progress {
 	p := n.peers[m.From]
 	if n.role != leader || p == nil {
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -80,8 +80,8 @@
 	n.persist(Write{HardState: &hardState}, heldMessages...)
 }
 
-// truncatePendingWrites limits what earlier writes persist to the entries up to lastIndex, since the entries after it are
-// about to be replaced.
+// truncatePendingWrites limits what earlier writes persist to the entries up to lastIndex, since the entries after it
+// are about to be replaced.
 func (n *Node) truncatePendingWrites(lastIndex uint64) {
 	n.persistedIndex = min(n.persistedIndex, lastIndex)
 	for i := range n.pendingWrites {
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// reapplyFromSnapshot replaces a wrong state by the snapshot, and returns all entries after it that had been applied for the
-// caller to apply again.
+// reapplyFromSnapshot replaces a wrong state by the snapshot, and returns all entries after it that had been applied
+// for the caller to apply again.
 func (n *Node) reapplyFromSnapshot(snapshot *Snapshot, from ID) {
 	n.persist(Write{Snapshot: snapshot, CompactThrough: snapshot.Index},
 		Message{Type: MsgAppendAccepted, To: from, Index: n.commitIndex})
--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -181,10 +181,10 @@
 	n.finishIncomingSnapshot(m)
 }
 
-// startIncomingSnapshot starts to receive a snapshot, in place of an incomplete one. It returns false if the chunk is not the
-// first of the snapshot. It also returns false for an older snapshot from the same leader: a leader only moves on to
-// newer snapshots, so the chunk is delayed, unless the newer snapshot has made no progress for two retransmission
-// timeouts.
+// startIncomingSnapshot starts to receive a snapshot, in place of an incomplete one. It returns false if the chunk is
+// not the first of the snapshot. It also returns false for an older snapshot from the same leader: a leader only
+// moves on to newer snapshots, so the chunk is delayed, unless the newer snapshot has made no progress for two
+// retransmission timeouts.
 func (n *Node) startIncomingSnapshot(m Message) bool {
 	chunk, current := m.Chunk, n.incomingTransfer
 	late := current != nil && current.leaderTerm == m.Term && current.Index > chunk.Index &&
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -12,7 +12,7 @@
 	DiscardedMessages  int64 // messages to another ID, from non-members, or from learners beyond the tracked number
 }
 
-// Status is a snapshot of a node's state for operators.
+// Status is a copy of a node's state for operators.
 type Status struct {
 	ID, Leader                 ID // Leader is empty if unknown
 	Term                       uint64
--- a/internal/consensus/transfer.go
+++ b/internal/consensus/transfer.go
@@ -42,6 +42,7 @@
 	return best
 }
 
+// betterTransferee reports whether leadership should rather go to id than to other.
 func (n *Node) betterTransferee(id, other ID) bool {
 	if n.isLeaving(id) != n.isLeaving(other) {
 		return n.isLeaving(other)
