--- a/internal/consensus/disk_test.go
+++ b/internal/consensus/disk_test.go
@@ -75,7 +75,7 @@
 		n.handleReady("c", ready)
 	}
 	require.GreaterOrEqual(t, refused, maxPendingWrites)
-	require.LessOrEqual(t, n.nodes["c"].UnpersistedWrites(), maxPendingWrites)
+	require.LessOrEqual(t, n.nodes["c"].PendingWriteCount(), maxPendingWrites)
 
 	n = newNetworkLedByC(t)
 	n.runFor(600)
@@ -88,5 +88,5 @@
 		n.handleReady("c", n.nodes["c"].Tick(n.nowMs))
 		n.deliver(everyMessage)
 	}
-	require.LessOrEqual(t, n.nodes["a"].UnpersistedWrites(), maxPendingWrites)
+	require.LessOrEqual(t, n.nodes["a"].PendingWriteCount(), maxPendingWrites)
 }
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -80,8 +80,8 @@
 // LatestSnapshot returns the latest snapshot. Its Index is 0 if there is none yet.
 func (n *Node) LatestSnapshot() Snapshot { return n.log.snapshot }
 
-// SinceSnapshot returns the number of entries committed since the latest snapshot, and the total size of their data.
-func (n *Node) SinceSnapshot() (entries uint64, bytes int) {
+// LogSizeSinceSnapshot returns the number of entries committed since the latest snapshot, and the total size of their data.
+func (n *Node) LogSizeSinceSnapshot() (entries uint64, bytes int) {
 	entries = n.appliedIndex - n.log.snapshot.Index
 	for _, entry := range n.log.entries[:entries] {
 		bytes += len(entry.Data)
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -120,5 +120,5 @@
 	}
 }
 
-// UnpersistedWrites returns the number of writes not yet reported by Persisted.
-func (n *Node) UnpersistedWrites() int { return len(n.pendingWrites) }
+// PendingWriteCount returns the number of writes not yet reported by Persisted.
+func (n *Node) PendingWriteCount() int { return len(n.pendingWrites) }
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -182,7 +182,7 @@
 
 // compactLog replaces the log by a snapshot once it is long (Raft 5).
 func (s *Server) compactLog() {
-	entries, bytes := s.consensus.SinceSnapshot()
+	entries, bytes := s.consensus.LogSizeSinceSnapshot()
 	if entries > maxLogEntries || bytes > max(minLogBytes, 2*len(s.consensus.LatestSnapshot().Data)) {
 		s.carryOut(s.consensus.Compact(s.state.Index, s.state.Snapshot(), keptLogEntries, s.clock.Now()))
 	}
--- a/internal/control/bench_growth_test.go
+++ b/internal/control/bench_growth_test.go
@@ -41,7 +41,7 @@
 	for _, m := range c.members {
 		sent, stored, syncs = sent+m.sentBytes, stored+m.storedBytes, syncs+m.syncs
 	}
-	entries, logBytes := c.members[0].server.consensus.SinceSnapshot()
+	entries, logBytes := c.members[0].server.consensus.LogSizeSinceSnapshot()
 	snapshot := c.members[0].server.state.Snapshot()
 	perChange := float64(changes)
 	b.ReportMetric(float64(sent)/perChange, "sent_B/change")
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -105,7 +105,7 @@
 		"snapshot_chunks_sent":         s.consensus.ChunksSent,
 		"snapshot_chunks_ignored":      s.consensus.ChunksIgnored,
 		"disk_handovers":               s.consensus.DiskHandovers,
-		"pending_writes":               int64(s.consensus.UnpersistedWrites()),
+		"pending_writes":               int64(s.consensus.PendingWriteCount()),
 		"discarded_consensus_messages": s.consensus.DiscardedMessages,
 
 		"rpc_bytes_sent":     rpc.BytesSent.Load(),
