--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -3,76 +3,77 @@
 import "github.com/zeebo/blake3"
 
 const (
-	// maxChunksInFlight is how many chunks a leader sends ahead of the last acknowledgement.
+	// maxChunksInFlight is the maximum number of chunks that a leader sends beyond the last acknowledgement.
 	maxChunksInFlight = 4
 
-	// Bounds of what is accepted from the network.
+	// Limits on chunks received from the network.
 	maxChunkBytes      = 1 << 20
 	maxSnapshotBytes   = 24 << 20
 	maxSnapshotMembers = 1 << 10
 )
 
-// SnapshotChunk is a part of a snapshot. In an acknowledgement it has no data, and Offset is how much has arrived.
+// SnapshotChunk is a chunk of a snapshot. An acknowledgement has no data, and its Offset is the number of bytes
+// received.
 type SnapshotChunk struct {
 	Index, Term  uint64   // of the snapshot
 	Members      []ID     // of the snapshot
 	Digest       [16]byte // BLAKE3 of the snapshot's data, truncated
-	Size, Offset uint64   // bytes of the snapshot's data, and where this chunk's begins
+	Size, Offset uint64   // size of the snapshot's data, and position of this chunk in it, in bytes
 	Data         []byte
 }
 
-// digest returns the Digest of a snapshot's data.
+// digest returns the truncated BLAKE3 hash of a snapshot's data.
 func digest(data []byte) [16]byte {
 	sum := blake3.Sum256(data)
 	return [16]byte(sum[:16])
 }
 
-// sameSnapshot says whether two chunks are of the same snapshot.
+// sameSnapshot reports whether two chunks belong to the same snapshot.
 func (c *SnapshotChunk) sameSnapshot(other *SnapshotChunk) bool {
 	return c.Index == other.Index && c.Digest == other.Digest && c.Size == other.Size
 }
 
-// valid says whether the sizes of a received chunk, which may be nil, are within bounds and agree with each other.
+// valid reports whether the sizes in a received chunk, which may be nil, are consistent and within limits.
 func (c *SnapshotChunk) valid() bool {
 	return c != nil && c.Size <= maxSnapshotBytes && c.Offset <= c.Size && len(c.Data) <= maxChunkBytes &&
 		uint64(len(c.Data)) <= c.Size-c.Offset && len(c.Members) <= maxSnapshotMembers
 }
 
-// outgoingSnapshot is a snapshot that is being sent to a member, which has received it up to Offset.
+// outgoingSnapshot is a snapshot in transfer to a peer. Offset is the number of bytes that the peer has acknowledged.
 type outgoingSnapshot struct {
 	SnapshotChunk
-	data       []byte
-	nextOffset uint64 // of the next chunk
-	resent     bool   // the chunk at Offset was sent again, since the member has reported a later one out of order
-	ackedAtMs  int64  // when Offset last changed
+	data          []byte
+	nextOffset    uint64 // offset of the next chunk to send
+	retransmitted bool   // the chunk at Offset was retransmitted after the peer reported a later chunk out of order
+	ackedAtMs     int64  // when Offset last changed
 }
 
-// acknowledge notes that the member has received the snapshot up to an offset.
+// acknowledge records that the peer has received the snapshot up to an offset.
 func (s *outgoingSnapshot) acknowledge(offset, nextOffset uint64, nowMs int64) {
-	s.Offset, s.nextOffset, s.resent, s.ackedAtMs = offset, nextOffset, false, nowMs
+	s.Offset, s.nextOffset, s.retransmitted, s.ackedAtMs = offset, nextOffset, false, nowMs
 }
 
-// incomingSnapshot is a snapshot of which some chunks have arrived.
+// incomingSnapshot is a snapshot that has been received in part.
 type incomingSnapshot struct {
 	SnapshotChunk
-	leaderTerm uint64 // of the last chunk's sender
-	data       []byte
-	grewAtMs   int64
+	leaderTerm   uint64 // term of the sender of the last chunk
+	data         []byte
+	lastDataAtMs int64 // when data was last received
 }
 
-// sendSnapshotChunks sends the next chunks of a snapshot to a member. A transfer is started again with the newest snapshot
-// only if the entries behind the one that is being sent are gone.
+// sendSnapshotChunks sends the next chunks of a snapshot to a peer. A transfer restarts with the latest snapshot only
+// if the entries that follow the one in transfer are gone.
 func (n *Node) sendSnapshotChunks(id ID, p *progress) {
-	if p.outgoing == nil || p.outgoing.Index < n.log.compactedIndex() {
+	if p.outgoingTransfer == nil || p.outgoingTransfer.Index < n.log.compactedIndex() {
 		n.SnapshotTransfers++
-		p.outgoing = newOutgoingSnapshot(n.log.snapshot)
+		p.outgoingTransfer = newOutgoingSnapshot(n.log.snapshot)
 	}
-	snapshot := p.outgoing
+	snapshot := p.outgoingTransfer
 	timedOut := p.sentAtMs != 0
 	if timedOut {
 		snapshot.nextOffset = snapshot.Offset
 	}
-	if timedOut || snapshot.Size == 0 { // even if there is no data left: the member acknowledges it again
+	if timedOut || snapshot.Size == 0 { // even without data left to send, to make the peer repeat its acknowledgement
 		n.sendChunk(id, snapshot)
 	}
 	windowEnd := min(snapshot.Size, snapshot.Offset+maxChunksInFlight*uint64(n.ChunkBytes))
@@ -104,51 +105,51 @@
 	n.send(Message{Type: MsgSnapshotChunk, To: id, Chunk: &chunk, CommitIndex: n.commitIndex})
 }
 
-// stepSnapshotChunkAck goes on behind what the member has received. The same offset twice means that a chunk was lost,
-// and it is sent again at once. Other losses are found by time-out, in replicate.
+// stepSnapshotChunkAck sends the chunks that follow what the peer has received. A repeated offset means that a chunk
+// was lost, and it is retransmitted at once. Other losses are detected by the timeout in replicate.
 func (n *Node) stepSnapshotChunkAck(m Message) {
-	p := n.responder(m)
+	p := n.responderProgress(m)
 	if p == nil {
 		return
 	}
-	snapshot, ack := p.outgoing, m.Chunk
+	snapshot, ack := p.outgoingTransfer, m.Chunk
 	if snapshot == nil || ack == nil || !ack.sameSnapshot(&snapshot.SnapshotChunk) || ack.Offset > snapshot.Size {
 		n.ChunksIgnored++
 		return
 	}
-	// An ack that goes back may be late. It is not if it goes back to the start, or comes so long after the last progress
-	// that it hardly was on its way meanwhile: half of the time after which entries are sent again.
+	// An acknowledgement with a lower offset may be delayed. It is taken as valid if the offset is 0, or if it
+	// arrives so long after the last progress that it can hardly have been in flight since: half of RetransmitMs.
 	restarted := ack.Offset == 0 || n.nowMs > snapshot.ackedAtMs+n.RetransmitMs/2
 	switch offset := ack.Offset; {
 	case offset > snapshot.Offset:
 		snapshot.acknowledge(offset, max(snapshot.nextOffset, offset), n.nowMs)
 	case offset < snapshot.Offset && restarted:
 		snapshot.acknowledge(offset, offset, n.nowMs)
-	case offset == snapshot.Offset && offset < snapshot.nextOffset && !snapshot.resent:
-		snapshot.nextOffset, snapshot.resent = offset, true
+	case offset == snapshot.Offset && offset < snapshot.nextOffset && !snapshot.retransmitted:
+		snapshot.nextOffset, snapshot.retransmitted = offset, true
 	default:
 		return
 	}
 	p.sentAtMs = 0
-	if snapshot.Offset == snapshot.Size { // the member is writing it to disk
+	if snapshot.Offset == snapshot.Size { // the peer is writing the snapshot to disk
 		p.sentAtMs = n.nowMs
 		return
 	}
 	n.replicate(m.From, p)
 }
 
-// stepSnapshotRequest sends a member the snapshot, from its start.
+// stepSnapshotRequest starts sending the snapshot to a peer, from its first chunk.
 func (n *Node) stepSnapshotRequest(m Message) {
-	p := n.responder(m)
+	p := n.responderProgress(m)
 	if p == nil {
 		return
 	}
-	p.sentAtMs, p.outgoing, p.snapshotWanted = 0, nil, true
+	p.sentAtMs, p.outgoingTransfer, p.snapshotWanted = 0, nil, true
 	n.replicate(m.From, p)
 }
 
-// stepSnapshotChunk takes in a part of a snapshot, and installs it once it is complete. Chunks out of order, of other
-// snapshots, or with invalid sizes change nothing.
+// stepSnapshotChunk handles a chunk of a snapshot and installs the snapshot once it is complete. Chunks that are out
+// of order, belong to other snapshots or have invalid sizes change nothing.
 func (n *Node) stepSnapshotChunk(m Message) {
 	if !n.acceptLeader(m.From) || n.diskBacklogFull() {
 		return
@@ -159,34 +160,35 @@
 		return
 	}
 	if chunk.Index <= n.commitIndex && (!n.snapshotWanted || chunk.Index < n.log.snapshot.Index) {
-		n.persist(Write{}, Message{Type: MsgAppendAccepted, To: m.From, Index: n.commitIndex}) // once that is on disk
+		n.persist(Write{}, Message{Type: MsgAppendAccepted, To: m.From, Index: n.commitIndex}) // after the pending writes
 		return
 	}
-	if (n.incoming == nil || !n.incoming.sameSnapshot(chunk)) && !n.startIncoming(m) {
+	if (n.incomingTransfer == nil || !n.incomingTransfer.sameSnapshot(chunk)) && !n.startIncomingSnapshot(m) {
 		return
 	}
-	incoming := n.incoming
-	incoming.leaderTerm = m.Term
-	if chunk.Offset != uint64(len(incoming.data)) {
+	incomingTransfer := n.incomingTransfer
+	incomingTransfer.leaderTerm = m.Term
+	if chunk.Offset != uint64(len(incomingTransfer.data)) {
 		n.ChunksIgnored++
-		n.ackChunk(m, len(incoming.data))
+		n.ackChunk(m, len(incomingTransfer.data))
 		return
 	}
-	incoming.data, incoming.grewAtMs = append(incoming.data, chunk.Data...), n.nowMs
-	if uint64(len(incoming.data)) < incoming.Size {
-		n.ackChunk(m, len(incoming.data))
+	incomingTransfer.data, incomingTransfer.lastDataAtMs = append(incomingTransfer.data, chunk.Data...), n.nowMs
+	if uint64(len(incomingTransfer.data)) < incomingTransfer.Size {
+		n.ackChunk(m, len(incomingTransfer.data))
 		return
 	}
-	n.finishIncoming(m)
+	n.finishIncomingSnapshot(m)
 }
 
-// startIncoming begins to receive a snapshot, in place of one that is incomplete. It returns false if the chunk is not the
-// snapshot's first. It does so too for an older snapshot of the same leader, which only goes on to newer ones: the chunk
-// is late, unless the newer snapshot has not grown for long.
-func (n *Node) startIncoming(m Message) bool {
-	chunk, current := m.Chunk, n.incoming
+// startIncomingSnapshot starts to receive a snapshot, in place of an incomplete one. It returns false if the chunk is
+// not the first of the snapshot. It also returns false for an older snapshot from the same leader: a leader only
+// moves on to newer snapshots, so the chunk is delayed, unless the newer snapshot has made no progress for two
+// retransmission timeouts.
+func (n *Node) startIncomingSnapshot(m Message) bool {
+	chunk, current := m.Chunk, n.incomingTransfer
 	late := current != nil && current.leaderTerm == m.Term && current.Index > chunk.Index &&
-		n.nowMs < current.grewAtMs+2*n.RetransmitMs
+		n.nowMs < current.lastDataAtMs+2*n.RetransmitMs
 	if late || chunk.Offset != 0 {
 		n.ChunksIgnored++
 		if !late {
@@ -194,30 +196,30 @@
 		}
 		return false
 	}
-	n.incoming = &incomingSnapshot{SnapshotChunk: *chunk, grewAtMs: n.nowMs}
-	n.incoming.Data = nil
+	n.incomingTransfer = &incomingSnapshot{SnapshotChunk: *chunk, lastDataAtMs: n.nowMs}
+	n.incomingTransfer.Data = nil
 	return true
 }
 
-// finishIncoming installs a snapshot that is complete. If its digest is wrong it is received again.
-func (n *Node) finishIncoming(m Message) {
-	incoming := n.incoming
-	n.incoming = nil
-	if digest(incoming.data) != incoming.Digest {
+// finishIncomingSnapshot installs a complete snapshot. If the digest does not match, the transfer restarts.
+func (n *Node) finishIncomingSnapshot(m Message) {
+	incomingTransfer := n.incomingTransfer
+	n.incomingTransfer = nil
+	if digest(incomingTransfer.data) != incomingTransfer.Digest {
 		n.ChunksIgnored++
 		n.ackChunk(m, 0)
 		return
 	}
-	n.ackChunk(m, len(incoming.data))
+	n.ackChunk(m, len(incomingTransfer.data))
 	n.installSnapshot(Snapshot{
-		Index:   incoming.Index,
-		Term:    incoming.Term,
-		Members: incoming.Members,
-		Data:    incoming.data,
+		Index:   incomingTransfer.Index,
+		Term:    incomingTransfer.Term,
+		Members: incomingTransfer.Members,
+		Data:    incomingTransfer.data,
 	}, m.From)
 }
 
-// ackChunk answers a chunk with the number of bytes that have arrived in order.
+// ackChunk acknowledges a chunk with the number of bytes received in order.
 func (n *Node) ackChunk(m Message, received int) {
 	ack := &SnapshotChunk{Index: m.Chunk.Index, Digest: m.Chunk.Digest, Size: m.Chunk.Size, Offset: uint64(received)}
 	n.send(Message{Type: MsgSnapshotChunkAck, To: m.From, Chunk: ack})
--- a/internal/consensus/transfer.go
+++ b/internal/consensus/transfer.go
@@ -1,33 +1,33 @@
 package consensus
 
-// TransferLeadership ends this leader's lease, and has the member with the longest log take over leadership (3.10).
-// Without a member to take over, or on a node that does not lead, nothing happens.
+// TransferLeadership gives up the leader's lease and transfers leadership to the member with the longest log (3.10).
+// It does nothing if there is no suitable member or this node is not the leader.
 func (n *Node) TransferLeadership(nowMs int64) Ready {
 	n.advanceClock(nowMs)
 	n.startTransfer()
 	return n.takeReady()
 }
 
-// CanTransferLeadership says whether TransferLeadership would do something.
+// CanTransferLeadership reports whether TransferLeadership would have an effect.
 func (n *Node) CanTransferLeadership() bool {
-	return n.role == leader && !n.leadership.transferring && n.bestTransferee() != ""
+	return n.role == leader && !n.leadership.transferInProgress && n.bestTransferee() != ""
 }
 
 func (n *Node) startTransfer() {
-	if n.role != leader || n.leadership.transferring {
+	if n.role != leader || n.leadership.transferInProgress {
 		return
 	}
 	transferee := n.bestTransferee()
 	if transferee == "" {
 		return
 	}
-	n.leadership.transferring, n.leadership.transferee = true, transferee
+	n.leadership.transferInProgress, n.leadership.transferee = true, transferee
 	n.leadership.transferStartedAtMs = n.nowMs
 	n.finishTransfer()
 }
 
-// bestTransferee returns the member that was heard lately and holds most, rather one that is not leaving; empty if there is
-// none.
+// bestTransferee returns the member with the longest log among those heard from within LeaseMs, preferring members
+// that are not leaving. It returns an empty ID if there is none.
 func (n *Node) bestTransferee() ID {
 	best := ID("")
 	for _, id := range n.peerIDs() {
@@ -42,18 +42,19 @@
 	return best
 }
 
-func (n *Node) betterTransferee(id, than ID) bool {
-	if n.isLeaving(id) != n.isLeaving(than) {
-		return n.isLeaving(than)
+// betterTransferee reports whether leadership should rather go to id than to other.
+func (n *Node) betterTransferee(id, other ID) bool {
+	if n.isLeaving(id) != n.isLeaving(other) {
+		return n.isLeaving(other)
 	}
-	return n.peers[id].matchIndex > n.peers[than].matchIndex
+	return n.peers[id].matchIndex > n.peers[other].matchIndex
 }
 
-// finishTransfer has the transferee start its election once it holds the whole log. Before that, members that hold more
-// would refuse their votes.
+// finishTransfer tells the transferee to start its election once it holds the whole log. Before that, members with
+// longer logs would refuse to vote for it.
 func (n *Node) finishTransfer() {
 	transferee := n.leadership.transferee
-	if !n.leadership.transferring || transferee == "" {
+	if !n.leadership.transferInProgress || transferee == "" {
 		return
 	}
 	if p := n.peers[transferee]; p == nil || p.matchIndex < n.log.lastIndex() {
@@ -61,12 +62,13 @@
 	}
 	n.leadership.transferee = ""
 	n.send(Message{Type: MsgTimeoutNow, To: transferee})
-	if !n.isMember(n.id) { // the new leader will not contact it
+	if !n.isMember(n.id) { // the new leader will not contact a removed member
 		n.becomeFollower(transferee)
 	}
 }
 
-// stepTimeoutNow starts an election on behalf of the leader. There is no Pre-Vote, since the leader's lease is over.
+// stepTimeoutNow starts an election on behalf of the leader. There is no Pre-Vote, since the leader has given up its
+// lease.
 func (n *Node) stepTimeoutNow(m Message) {
 	if n.role != leader && m.From == n.leaderID && n.isMember(n.id) {
 		n.campaign(campaignTransfer)
