--- a/policy/env_test.go
+++ b/policy/env_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// testEnv is a router with a few hosts, and its caller, which records what it is asked for.
+// testEnv is a router with a few hosts, and its Caller, which records the calls.
 type testEnv struct {
 	t               *testing.T
 	router          *Router
 	now             TenthMs
-	sent            []*Host
+	dispatched      []*Host
 	finalAnswer     map[*Command]string
-	comeback        TenthMs
+	retryAfter      TenthMs
 	dispatchTimeout TenthMs // of the last dispatch
 	commands        int
 	probes          []*Host
@@ -17,8 +17,8 @@
 	messages        []string
 	hosts           []*Host
 
-	forgotten []*Host
-	watches   []TenthMs
+	released     []*Host
+	listRequests []TenthMs
 }
 
 func (e *testEnv) Dispatch(command *Command, host *Host, timeout TenthMs) {
@@ -26,47 +26,54 @@
 	if e.finalAnswer[command] != "" {
 		e.t.Errorf("%s: dispatched after its final answer", command.Name)
 	}
-	e.sent = append(e.sent, host)
+	e.dispatched = append(e.dispatched, host)
 }
 
-func (e *testEnv) Throttle(command *Command, comeback TenthMs) {
-	e.comeback = comeback
+func (e *testEnv) RejectRetryable(command *Command, retryAfter TenthMs) {
+	e.retryAfter = retryAfter
 	e.finish(command, "throttled")
 }
-func (e *testEnv) Fail(command *Command) { e.finish(command, "failed") }
-func (e *testEnv) Probe(host *Host)      { e.probes = append(e.probes, host) }
-func (e *testEnv) Close(host *Host)      { e.closed = append(e.closed, host) }
-func (e *testEnv) Forget(host *Host)     { e.forgotten = append(e.forgotten, host) }
-func (e *testEnv) Tell(body string)      { e.messages = append(e.messages, body) }
-func (e *testEnv) Wake(TenthMs)          {}
-func (e *testEnv) Watch()                { e.watches = append(e.watches, e.now) }
-
-func (e *testEnv) finish(command *Command, how string) {
+func (e *testEnv) Fail(command *Command)     { e.finish(command, "failed") }
+func (e *testEnv) Probe(host *Host)          { e.probes = append(e.probes, host) }
+func (e *testEnv) CloseIdleConns(host *Host) { e.closed = append(e.closed, host) }
+func (e *testEnv) ReleaseHost(host *Host)    { e.released = append(e.released, host) }
+func (e *testEnv) Broadcast(body string)     { e.messages = append(e.messages, body) }
+func (e *testEnv) ScheduleWakeUp(TenthMs)    {}
+func (e *testEnv) RequestHostList()          { e.listRequests = append(e.listRequests, e.now) }
+
+func (e *testEnv) finish(command *Command, answer string) {
 	if e.finalAnswer[command] != "" {
-		e.t.Errorf("%s: %s after it was %s", command.Name, how, e.finalAnswer[command])
+		e.t.Errorf("%s: %s after it was %s", command.Name, answer, e.finalAnswer[command])
 	}
-	e.finalAnswer[command] = how
+	e.finalAnswer[command] = answer
 }
 
-// The command groups of the tests, in this order in Deployment.Groups.
+// The command groups of the tests, in the order of Deployment.Groups.
 var (
-	boundedRead = CommandGroup{Need: BoundedStaleness, Bound: 5000, Target: 3000, Timeout: 8000, Benefit: 1}
-	sessionRead = CommandGroup{Need: ReadYourWrites, Target: 3000, Timeout: 8000, Benefit: 1}
-	freshRead   = CommandGroup{Need: Strong, Target: 3000, Timeout: 8000, Benefit: 1}
+	boundedRead = CommandGroup{
+		ConsistencyLevel: BoundedStaleness, MaxStaleness: 5000, ResponseTarget: 3000, Timeout: 8000, Benefit: 1,
+	}
+	sessionRead = CommandGroup{ConsistencyLevel: ReadYourWrites, ResponseTarget: 3000, Timeout: 8000, Benefit: 1}
+	freshRead   = CommandGroup{ConsistencyLevel: Strong, ResponseTarget: 3000, Timeout: 8000, Benefit: 1}
 	keyedWrite  = CommandGroup{
-		Effect: Keyed, Need: Write, Target: 5000, Timeout: 30000, Memory: 20000, Benefit: 3,
-		LateShare: 0.5,
+		IdempotencyClass: Keyed, ConsistencyLevel: Write, ResponseTarget: 5000, Timeout: 30000, KeyRetention: 20000, Benefit: 3,
+		LateBenefitFraction: 0.5,
+	}
+	mutatingWrite = CommandGroup{
+		IdempotencyClass: NotIdempotent, ConsistencyLevel: Write, ResponseTarget: 5000, Timeout: 30000, Benefit: 3,
+		LateBenefitFraction: 0.5,
 	}
-	mutatingWrite = CommandGroup{Effect: NotIdempotent, Need: Write, Target: 5000, Timeout: 30000, Benefit: 3, LateShare: 0.5}
 )
 
-// newTestEnv makes a router with hosts a (primary), b, c... whose positions are known.
+// newTestEnv creates a router with hosts a (primary), b, c... whose positions are known.
 func newTestEnv(t *testing.T, hosts int, change func(*Deployment)) *testEnv {
 	env := &testEnv{t: t, now: 1000000, finalAnswer: map[*Command]string{}}
 	bounded, session, fresh, keyed, mutating := boundedRead, sessionRead, freshRead, keyedWrite, mutatingWrite
 	deployment := Deployment{
-		Tick: 50, Routers: 1, Dispatches: 8, Probes: true, Reports: true, Comeback: 10000, Streams: 1,
-		IdleFor: 150000, ConnectFor: 2500, FallFactor: 2, FallSpan: 10000, ColdFrom: 0.2, ColdFor: 150000,
+		Tick: 50, RouterCount: 1, MaxDispatches: 8, ProbesEnabled: true, PositionsReported: true,
+		MaxRetryAfter: 10000, StreamsPerConn: 1,
+		IdleConnTimeout: 150000, ConnectTimeout: 2500, ColdOverloadFactor: 2, ColdOverloadWindow: 10000,
+		ColdCapacity: 0.2, ColdDuration: 150000,
 		Groups: []*CommandGroup{&bounded, &session, &fresh, &keyed, &mutating},
 	}
 	if change != nil {
@@ -84,11 +91,11 @@
 		host.ReportLoad(env.now, Replica)
 	}
 	env.hosts[0].updateRole(Primary, env.now)
-	env.hosts[0].lateness = lateRatio * 0.9 // nothing spills to the primary
+	env.hosts[0].latencyRatio = overloadRatio * 0.9 // so that no reads spill to the primary
 	return env
 }
 
-// advance lets a span pass, and wakes the router every 10 ms.
+// advance moves the time forward, and calls WakeUp every 10 ms.
 func (e *testEnv) advance(span TenthMs) {
 	for end := e.now + span; e.now < end; {
 		e.now += 100
@@ -97,10 +104,10 @@
 	}
 }
 
-// submit takes in a command of the group that has the need and effect.
+// submit submits a command of the group with that consistency and idempotency.
 func (e *testEnv) submit(need Consistency, effect Idempotency, session string, since TenthMs) *Command {
 	for _, group := range e.router.Groups {
-		if group.Need == need && group.Effect == effect {
+		if group.ConsistencyLevel == need && group.IdempotencyClass == effect {
 			e.commands++
 			return e.router.Submit(string(rune('0'+e.commands)), group, 1, session, e.now+group.Timeout, since, false)
 		}
@@ -108,7 +115,7 @@
 	panic("no such command group")
 }
 
-// answer answers a command after a span.
+// answer ends a command's dispatch as Answered after some time.
 func (e *testEnv) answer(command *Command, after TenthMs) {
 	e.advance(after)
 	role := Replica
@@ -118,16 +125,16 @@
 	command.EndDispatch(Answered, e.now-20, role, after, true)
 }
 
-// failIf fails the test, which goes on, if the condition holds.
+// failIf marks the test as failed if the condition holds, and continues.
 func (e *testEnv) failIf(condition bool, message string) {
 	if e.t.Helper(); condition {
 		e.t.Error(message)
 	}
 }
 
-// answerReads takes in bounded reads and answers them, with all positions known.
-func (e *testEnv) answerReads(many int, after TenthMs) {
-	for range many {
+// answerReads submits and answers bounded reads, and keeps all positions known.
+func (e *testEnv) answerReads(count int, after TenthMs) {
+	for range count {
 		if command := e.submit(BoundedStaleness, Idempotent, "", 0); command.Host != nil {
 			e.answer(command, after)
 		}
@@ -135,14 +142,14 @@
 	}
 }
 
-// refreshPositions makes it known that all hosts are up to date.
+// refreshPositions reports all hosts as up to date.
 func (e *testEnv) refreshPositions() {
 	for _, host := range e.hosts {
 		host.updatePosition(e.now)
 	}
 }
 
-// submitUntilSentTo takes in bounded reads until one is sent to the host; the others are answered.
+// submitUntilSentTo submits bounded reads until one is dispatched to the host; the others are answered.
 func (e *testEnv) submitUntilSentTo(host *Host) *Command {
 	for range 50 {
 		command := e.submit(BoundedStaleness, Idempotent, "", 0)
@@ -153,15 +160,15 @@
 		}
 		e.refreshPositions()
 	}
-	panic("nothing went there")
+	panic("no read was dispatched to the host")
 }
 
-// dispatchesTo counts the dispatches to a host so far.
-func (e *testEnv) dispatchesTo(host *Host) (sent int) {
-	for _, sentTo := range e.sent {
-		if sentTo == host {
-			sent++
+// dispatchesTo returns the number of dispatches to a host so far.
+func (e *testEnv) dispatchesTo(host *Host) (dispatched int) {
+	for _, target := range e.dispatched {
+		if target == host {
+			dispatched++
 		}
 	}
-	return sent
+	return dispatched
 }
