--- a/internal/proxy/benchmark_test.go
+++ b/internal/proxy/benchmark_test.go
@@ -25,7 +25,7 @@
 
 var benchmarkSettings = &settings.Settings{Node: "edge-waco-hall-0", Zone: "waco-hall"}
 
-// noLeader is the link to a control plane that can't be reached.
+// noLeader is a leaderLink without a leader: it drops all requests.
 type noLeader struct{}
 
 func (noLeader) reportSuspect(*rpc.SuspectReport) {}
@@ -33,7 +33,7 @@
 func (noLeader) requestQuota(*quota.Request) {}
 func (noLeader) renewLease()                 {}
 
-// newBenchmarkServer is a proxy with a state and without sessions; no connection to a host opens.
+// newBenchmarkServer returns a proxy with a replicated state of the given size and without sessions. All its dials fail.
 func newBenchmarkServer(b *testing.B, size statesize.Size) *Server {
 	b.Helper()
 	server := newServer(benchmarkSettings, hclog.NewNullLogger(), eventloop.NewMonotonicClock(time.Now), 1, tenancy.Secret{})
@@ -57,7 +57,7 @@
 	}
 }
 
-// A change of one primary, from its frame to the policy.
+// BenchmarkLogUpdate applies a log update that changes one primary.
 func BenchmarkLogUpdate(b *testing.B) {
 	forEachSize(b, func(b *testing.B, server *Server) {
 		term := uint64(1)
@@ -72,7 +72,7 @@
 	})
 }
 
-// What is done with each lease and every sweepInterval.
+// BenchmarkSweep runs the sweep, as a proxy does with each lease and every sweepInterval.
 func BenchmarkSweep(b *testing.B) {
 	forEachSize(b, func(b *testing.B, server *Server) {
 		for b.Loop() {
@@ -81,7 +81,7 @@
 	})
 }
 
-// The policy's look at its hosts, every 50 ms.
+// BenchmarkPolicyWake wakes the policy every 50 ms to check its hosts.
 func BenchmarkPolicyWake(b *testing.B) {
 	forEachSize(b, func(b *testing.B, server *Server) {
 		now := server.refreshPolicyTime()
@@ -94,7 +94,7 @@
 	})
 }
 
-// A start with a snapshot, and the memory that a proxy has then.
+// BenchmarkSnapshotRestore starts a proxy from a snapshot, and reports the heap memory that the proxy uses afterwards.
 func BenchmarkSnapshotRestore(b *testing.B) {
 	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// A datagram between proxies, made, encoded and decoded; each proxy sends about four a second.
+// BenchmarkGossipDatagram creates, encodes and decodes a datagram between proxies. Each proxy sends about four per second.
 func BenchmarkGossipDatagram(b *testing.B) {
 	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) {
--- a/internal/proxy/connlimit/connlimit_test.go
+++ b/internal/proxy/connlimit/connlimit_test.go
@@ -8,21 +8,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// conn is a connection of one tenant: busy until a time, then idle until another.
+// conn is a connection of one tenant. It is busy until busyUntil, then idle until idleUntil.
 type conn struct {
 	busyUntil, idleUntil time.Duration
 	tenant               int
 }
 
-// load is the use that all proxies together make of one host.
+// load describes how all proxies together use one host.
 type load struct {
 	conns, proxies int
 	usesPerSecond  float64
-	busy           time.Duration // for one use
-	tenants        int           // 1: connections serve all clients
+	busy           time.Duration // duration of one use
+	tenants        int           // 1: each connection may serve any client
 }
 
-// simulation has the connections of each proxy, and what became of the uses.
+// simulation holds the open connections of each proxy and counts the uses by result.
 type simulation struct {
 	load
 	share Share
@@ -31,7 +31,7 @@
 	uses, opened, rejected int
 }
 
-// expire closes connections that were idle for too long, and returns how many remain at all proxies.
+// expire closes connections whose idle timeout has passed, and returns how many remain open at all proxies.
 func (s *simulation) expire(now time.Duration) (total int) {
 	for proxy, conns := range s.held {
 		var kept []conn
@@ -46,7 +46,7 @@
 	return total
 }
 
-// idle returns the index of a proxy's last idle connection of a tenant, or -1.
+// idle returns the index of a proxy's last idle connection for a tenant, or -1.
 func (s *simulation) idle(proxy, tenant int, now time.Duration) int {
 	index := -1
 	for i, c := range s.held[proxy] {
@@ -78,8 +78,8 @@
 	c.idleUntil = c.busyUntil + time.Duration(s.share.IdleTimeoutMs(index, s.tenants > 1))*time.Millisecond
 }
 
-// Proxies that need a host now and then: busy and idle connections together stay within the host's limit, except for a moment
-// now and then, when a connection is rejected and tried again.
+// Proxies use a host at random times. Their busy and idle connections together stay within the host's limit: fewer than 1 in 200
+// uses is rejected because the host has no connection left.
 func TestProxiesTogetherStayWithinAHostsLimit(t *testing.T) {
 	for _, l := range []load{
 		{35, 63, 25, 60 * time.Millisecond, 1},
--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -18,47 +18,47 @@
 const (
 	leaseRenewInterval = 300 * time.Millisecond
 
-	// controlSilenceTimeout is how long a member may send nothing before the link to it is ended.
+	// controlSilenceTimeout is how long the leader may send nothing before the link to it is closed.
 	controlSilenceTimeout = 700 * time.Millisecond
 
-	// welcomeTimeout bounds the wait for the first frame. The kernel of a process that stands still accepts connections.
+	// welcomeTimeout bounds the wait for the first frame: the kernel accepts connections even for a process that is suspended.
 	welcomeTimeout = 400 * time.Millisecond
 
 	controlSendTimeout = time.Second
 	controlDialTimeout = 200 * time.Millisecond
 
-	// firstControlRetryMs and maxControlRetryMs bound the wait after a member that was left. Thousands of proxies that lose a
-	// leader at once must not connect to the others all the time until one of these leads.
+	// firstControlRetryMs and maxControlRetryMs bound the backoff between connections to members. Thousands of proxies may lose
+	// the leader at once, and must not keep connecting to the other members until a new leader is elected.
 	firstControlRetryMs = 30
 	maxControlRetryMs   = 400
 
-	// maxLinkCommands may wait for the link; more are lost.
+	// maxLinkCommands is the capacity of the link's command queue; further commands are dropped.
 	maxLinkCommands = 256
 )
 
 var (
 	errNotLeader     = errors.New("the member is not the leader")
-	errLeaseRejected = errors.New("the member grants no lease")
+	errLeaseRejected = errors.New("the member rejected the lease request")
 	errNoWelcome     = errors.New("the first frame is not a welcome")
-	errStopped       = errors.New("this proxy stops")
+	errShuttingDown  = errors.New("the proxy is shutting down")
 )
 
-// linkCommand is what the event loop has the link send: one of these.
+// linkCommand tells the link what to send to the leader. Exactly one field is set.
 type linkCommand struct {
 	quota      *quota.Request
 	suspect    *rpc.SuspectReport
 	renewLease bool
 }
 
-// controlLink follows the control plane: it finds the member that is the leader, receives its log updates and renews the lease.
-// All but commands belongs to the goroutine of run. It is the Server's leaderLink.
+// controlLink connects the proxy to the control plane: it finds the member that is the leader, receives its log updates and renews
+// the lease. It is the Server's leaderLink. Except for commands, its fields belong to the goroutine of run.
 type controlLink struct {
 	server      *Server
 	commands    chan linkCommand
-	members     []string // addresses, as last received
-	nextAddress string   // the leader, as a member has named it; empty: members are tried in turn
-	turn        int
-	backoff     retry.Backoff // of connecting; it begins anew with a lease
+	members     []string // their addresses, as last received from a member
+	leaderHint  string   // address of the leader according to another member; empty: members are tried round-robin
+	memberIndex int
+	backoff     retry.Backoff // between connection attempts; reset when a lease is granted
 }
 
 func newControlLink(s *Server) *controlLink {
@@ -80,16 +80,16 @@
 func (l *controlLink) enqueue(command linkCommand) {
 	select {
 	case l.commands <- command:
-	default: // lost; the event loop must not block
+	default: // dropped, since the event loop must not block
 	}
 }
 
-// run follows one member after another until ctx ends.
+// run connects to one member after another until the server's context is canceled.
 func (l *controlLink) run() {
 	ctx := l.server.ctx
 	for ctx.Err() == nil {
 		if address := l.chooseMember(); address != "" {
-			_ = l.follow(address) // whatever the reason, the next member is tried
+			_ = l.follow(address) // the next member is tried whatever the error
 		}
 		select {
 		case <-ctx.Done():
@@ -98,10 +98,10 @@
 	}
 }
 
-// chooseMember returns the address of the member to follow next; empty: none is known.
+// chooseMember returns the address of the member to connect to next, or "" if none is known.
 func (l *controlLink) chooseMember() string {
-	if address := l.nextAddress; address != "" {
-		l.nextAddress = ""
+	if address := l.leaderHint; address != "" {
+		l.leaderHint = ""
 		return address
 	}
 	addresses := slices.Clone(l.members)
@@ -113,12 +113,12 @@
 	if len(addresses) == 0 {
 		return ""
 	}
-	l.turn++
-	return addresses[l.turn%len(addresses)]
+	l.memberIndex++
+	return addresses[l.memberIndex%len(addresses)]
 }
 
-// controlAddresses are addresses of members of the control plane, as other proxies and the settings name them. Other proxies
-// come first: they may know of a change since the settings were written.
+// controlAddresses returns the addresses of control-plane members known from other proxies and from the settings. Those from
+// other proxies come first, since the membership may have changed after the settings were written.
 func (s *Server) controlAddresses() []string {
 	addresses, _ := query(s.queue, func() []string {
 		seeds := s.settings.SeedHosts()
@@ -131,8 +131,8 @@
 	return addresses
 }
 
-// follow connects to a member and, if it is the leader, stays with it until the connection ends. The error says why the member
-// was left.
+// follow connects to a member and, if it is the leader, stays connected until the connection fails. The error says why the
+// connection ended.
 func (l *controlLink) follow(address string) error {
 	s := l.server
 	ctx, cancel := context.WithCancel(s.ctx)
@@ -146,13 +146,13 @@
 	stop := context.AfterFunc(ctx, func() { closeControlConn(conn) })
 	defer stop()
 
-	welcome, version, err := l.greetMember(conn)
+	welcome, version, err := l.handshake(conn)
 	if err != nil {
 		return err
 	}
 	if !welcome.IsLeader {
 		if welcome.Leader != address {
-			l.nextAddress = welcome.Leader
+			l.leaderHint = welcome.Leader
 		}
 		return errNotLeader
 	}
@@ -163,13 +163,13 @@
 	})
 	defer s.queue.Put(eventloop.PriorityControl, s.lenderLost)
 	err = l.followLeader(ctx, cancel, conn)
-	l.reportLinkEnd(address, err)
+	l.logLinkEnd(address, err)
 	return err
 }
 
-// reportLinkEnd tells an operator why the link to a leader has ended: whether this side heard nothing for too long, or the other
-// side broke it off.
-func (l *controlLink) reportLinkEnd(address string, reason error) {
+// logLinkEnd counts and logs why the link to a leader ended: either the leader sent nothing for controlSilenceTimeout, or the
+// connection was closed or failed.
+func (l *controlLink) logLinkEnd(address string, reason error) {
 	s := l.server
 	if s.ctx.Err() != nil {
 		return
@@ -181,18 +181,18 @@
 	s.log.Info("link to the leader ended", "leader", address, "silent", silent, "reason", reason)
 }
 
-// closeControlConn closes a connection, also one that is closed.
+// closeControlConn closes a connection. It may be called more than once.
 func closeControlConn(conn *rpc.Conn) {
-	_ = conn.Close() // fails only if it was closed before
+	_ = conn.Close() // fails only if it is already closed
 }
 
-// greetMember says up to where this proxy has applied the log, and returns the member's welcome and the
-// version of the protocol that the member speaks.
-func (l *controlLink) greetMember(conn *rpc.Conn) (welcome *rpc.ProxyWelcome, version uint32, err error) {
+// handshake sends the index up to which this proxy has applied the log, and returns the member's welcome and the protocol version
+// that the member speaks.
+func (l *controlLink) handshake(conn *rpc.Conn) (welcome *rpc.ProxyWelcome, version uint32, err error) {
 	s := l.server
 	index, ok := query(s.queue, s.replica.resumeIndex)
 	if !ok {
-		return nil, 0, errStopped
+		return nil, 0, errShuttingDown
 	}
 	hello := &rpc.ProxyHello{Node: s.settings.Node, Incarnation: s.incarnation, Zone: s.settings.Zone, AppliedIndex: index, Version: rpc.ProtocolVersion}
 	if err := conn.Send(&rpc.Frame{Version: rpc.ProtocolVersion, ProxyHello: hello}, controlSendTimeout); err != nil {
@@ -212,8 +212,8 @@
 	return welcome, rpc.SpokenVersion(frame.Version), nil
 }
 
-// followLeader receives log updates and leases until the connection ends. A second goroutine requests the leases; it has ended
-// when followLeader returns.
+// followLeader receives log updates and lease responses until the connection fails. A second goroutine requests the leases; it
+// has ended when followLeader returns.
 func (l *controlLink) followLeader(ctx context.Context, cancel context.CancelFunc, conn *rpc.Conn) error {
 	requests := newLeaseRequestTimes()
 	renewalEnded := make(chan struct{})
@@ -246,8 +246,8 @@
 	}
 }
 
-// handleLogUpdate has the event loop apply a log update. If it does not fit, the link is made anew, and the leader sends what
-// is missing.
+// handleLogUpdate has the event loop apply a log update. If the update does not fit the state, the connection is closed; the leader
+// sends what is missing on the next one.
 func (l *controlLink) handleLogUpdate(conn *rpc.Conn, update *rpc.LogUpdate) {
 	s := l.server
 	l.members = update.Members
@@ -263,7 +263,8 @@
 	})
 }
 
-// handleSnapshotChunk has the event loop take in a part of a snapshot, and acknowledges it.
+// handleSnapshotChunk has the event loop add a chunk to the incoming snapshot, and acknowledges it. If the chunk is rejected, the
+// connection is closed.
 func (l *controlLink) handleSnapshotChunk(conn *rpc.Conn, chunk *rpc.SnapshotChunk) {
 	s := l.server
 	l.members = chunk.Members
@@ -276,7 +277,7 @@
 		err = conn.Send(&rpc.Frame{Version: rpc.ProtocolVersion, ChunkAck: ack}, controlSendTimeout)
 	}
 	if err != nil {
-		s.log.Error("snapshot was not taken", "error", err)
+		s.log.Error("snapshot chunk not applied; closing the link to the leader", "error", err)
 		closeControlConn(conn)
 	}
 }
@@ -285,7 +286,7 @@
 	if len(response.Members) > 0 {
 		l.members = response.Members
 	}
-	if response.Postponed { // the answer to the same request follows
+	if response.Postponed { // another response to the same request follows
 		return nil
 	}
 	requestedAt := requests.take(response.Serial)
@@ -299,7 +300,7 @@
 			closeControlConn(conn)
 			return
 		}
-		s.leaseGranted(response, requestedAt)
+		s.handleLeaseGrant(response, requestedAt)
 	})
 	return nil
 }
--- a/internal/proxy/control_link_test.go
+++ b/internal/proxy/control_link_test.go
@@ -15,8 +15,8 @@
 	"ferrypitch/internal/settings"
 )
 
-// The kernel of a member that stands still accepts connections, and no welcome ever comes: a valid lease must not be spent on
-// waiting for one.
+// The kernel accepts connections for a member that is suspended, but no welcome ever arrives. The proxy must disconnect after
+// welcomeTimeout, before its lease expires.
 func TestSilentMemberIsLeftAfterWelcomeTimeout(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/proxy/counters.go
+++ b/internal/proxy/counters.go
@@ -10,60 +10,60 @@
 	"ferrypitch/policy"
 )
 
-// counters count since the proxy's start. Socket readers add to some of them, so they are atomic.
+// counters holds counts since the start of the proxy. They are atomic because socket readers increment some of them.
 type counters struct {
-	sessionsAccepted  atomic.Int64 // client sockets
-	malformedInputs   atomic.Int64 // messages and datagrams that broke a protocol
+	sessionsAccepted  atomic.Int64 // client connections accepted
+	malformedInputs   atomic.Int64 // messages and datagrams that violate a protocol
 	unknownDatabase   atomic.Int64 // sessions and statements for a database without a route
-	clientDisconnects atomic.Int64 // clients that left before their answer
-
-	deniedSessions       atomic.Int64 // clients whose key no tenant has
-	revokedSessions      atomic.Int64 // sessions at rest ended since their key was taken away
-	revokedStatements    atomic.Int64 // statements not sent since their key was taken away, or may have been
-	revokedTransactions  atomic.Int64 // idle transactions rolled back since their key was taken away
-	connsClosedForTenant atomic.Int64 // connections to hosts closed to open one for another tenant
-
-	statements             atomic.Int64 // that go to a host
-	statementsQueued       atomic.Int64 // for which no host was available at once
-	dispatches             atomic.Int64 // attempts; those beyond one a statement are retries
-	rejected               atomic.Int64 // statements of which nothing is kept
+	clientDisconnects atomic.Int64 // clients that disconnected before their statement was answered
+
+	deniedSessions       atomic.Int64 // sessions of clients whose key belongs to no tenant
+	revokedSessions      atomic.Int64 // idle sessions closed because their key was revoked
+	revokedStatements    atomic.Int64 // statements not sent because their key was, or may have been, revoked
+	revokedTransactions  atomic.Int64 // idle transactions rolled back because their key was revoked
+	connsClosedForTenant atomic.Int64 // host connections closed to open one for another tenant
+
+	statements             atomic.Int64 // statements that need a host
+	statementsQueued       atomic.Int64 // of these, those for which no host was available at once
+	dispatches             atomic.Int64 // attempts to execute a statement at a host, retries included
+	rejected               atomic.Int64 // statements answered with an error that guarantees they had no effect
 	throttled              atomic.Int64 // statements for which the policy found no host in time
-	failed                 atomic.Int64 // statements that the policy gave up, which may have run
-	leaseExpiredBeforeSend atomic.Int64 // statements not sent, since a lease or a primary's epoch had ended
-	rejectedAtLeaseLoss    atomic.Int64 // statements that waited for a host when the lease expired
-	floorUnknown           atomic.Int64 // reads that had to go to the primary, since no floor (least position to see) was known
-	acksAfterRevocation    atomic.Int64 // writes acknowledged by a primary that was revoked meanwhile
-	responsesLost          atomic.Int64 // transactions ended since a response counts as lost
-	unexpectedResponses    atomic.Int64 // of hosts, to nothing or of the wrong form
-
-	connsDialed     atomic.Int64 // to hosts
-	connsFailed     atomic.Int64 // of these, those that did not open
-	connsRefused    atomic.Int64 // of these, those that a host refused since it is at its limit
-	setupStatements atomic.Int64 // sent to bring a connection to a session's values
+	failed                 atomic.Int64 // statements given up by the policy that may have been executed
+	leaseExpiredBeforeSend atomic.Int64 // statements not sent because the lease or the primary's epoch had ended
+	rejectedAtLeaseLoss    atomic.Int64 // statements rejected while waiting for a host, because the lease expired
+	floorUnknown           atomic.Int64 // reads sent to the primary because no position was known that they must include (floor)
+	acksAfterRevocation    atomic.Int64 // writes acknowledged by a primary after its revocation
+	responsesLost          atomic.Int64 // transactions aborted because a response was considered lost
+	unexpectedResponses    atomic.Int64 // responses of hosts without a request or of the wrong form
+
+	connsDialed     atomic.Int64 // connections to hosts
+	connsFailed     atomic.Int64 // of these, those that failed to open
+	connsRefused    atomic.Int64 // of these, those refused by a host at its connection limit
+	setupStatements atomic.Int64 // sent to restore a session's settings on a connection
 	setupErrors     atomic.Int64
-	suspectReports  atomic.Int64 // of primaries that can't be reached
-
-	quotaRefused  atomic.Int64 // operations refused, since their tenant was at its limit
-	quotaWaits    atomic.Int64 // operations held until the lender of tokens had answered
-	quotaUnknown  atomic.Int64 // operations rejected since no lender had answered
-	quotaRequests atomic.Int64 // to the lender of tokens
-
-	leaseRequests  atomic.Int64
-	leasesGranted  atomic.Int64
-	controlLinks   atomic.Int64 // to a leader of the control plane
-	leaderSilences atomic.Int64 // of these, those left since the leader sent nothing for too long
-	logGaps        atomic.Int64 // log updates that did not follow on the state
-	stateDiverged  atomic.Int64 // log updates that did not fit the state
-	configUpdates  atomic.Int64
-
-	statementDurations metrics.Histogram // from the arrival of statements to their answers
-	hostResponses      metrics.Histogram // from sending statements to hosts to their responses
-
-	outcomes   [policy.Misrouted + 1]atomic.Int64 // of attempts
-	errorsSent [errcode.KindCount]atomic.Int64    // of the proxy's own
+	suspectReports  atomic.Int64 // reports to the control plane of unreachable primaries
+
+	quotaRefused  atomic.Int64 // operations refused because their tenant was at its limit
+	quotaWaits    atomic.Int64 // operations delayed until the leader answered a request for tokens
+	quotaUnknown  atomic.Int64 // operations rejected because no leader answered a request for tokens
+	quotaRequests atomic.Int64 // requests for tokens sent to the leader
+
+	leaseRequests    atomic.Int64
+	leasesGranted    atomic.Int64
+	controlLinks     atomic.Int64 // connections to a leader of the control plane
+	leaderSilences   atomic.Int64 // of these, those closed because the leader sent nothing for controlSilenceTimeout
+	logGaps          atomic.Int64 // log updates that left out entries
+	stateDivergences atomic.Int64 // log updates that do not fit the state, and digests that differ
+	configUpdates    atomic.Int64
+
+	statementDurations metrics.Histogram // from the arrival of a statement to its answer
+	hostResponses      metrics.Histogram // from sending a statement to a host to its response
+
+	outcomes   [policy.Misrouted + 1]atomic.Int64 // of attempts, by outcome
+	errorsSent [errcode.KindCount]atomic.Int64    // errors generated by the proxy itself, by kind
 }
 
-// values are the counters by the names that the status shows. membership may be nil.
+// values returns the counters by the names used in the status. membership may be nil.
 func (c *counters) values(membership *gossip.Membership) map[string]int64 {
 	values := map[string]int64{
 		"sessions_accepted":  c.sessionsAccepted.Load(),
@@ -109,7 +109,7 @@
 		"rpc_bytes_sent":     rpc.BytesSent.Load(),
 		"rpc_bytes_received": rpc.BytesReceived.Load(),
 		"log_gaps":           c.logGaps.Load(),
-		"state_divergences":  c.stateDiverged.Load(),
+		"state_divergences":  c.stateDivergences.Load(),
 		"config_updates":     c.configUpdates.Load(),
 	}
 	if membership != nil {
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -5,12 +5,12 @@
 //	client <- clientSession <- statement <- policy: retry or finish <- hostConn <- host
 //	control plane -> controlLink -> replicated state -> reconcile -> services, routes, hostPools
 //
-// One goroutine, the event loop, owns all state but the sockets. Readers of sockets, the control link and signal handling
-// run in goroutines of their own and hand what they receive to the event loop over its queue. The event loop never blocks:
-// it writes through nonblockingConn.
+// One goroutine, the event loop, owns all state except the sockets. Socket readers, the control link and signal handling run in
+// goroutines of their own and pass what they receive to the event loop through its queue. The event loop never blocks: it writes
+// through nonblockingConn.
 //
-// Package policy chooses hosts, package session interprets statements, package position says what a read must see, and
-// package lease says until when the replicated state may be acted on. A connection to the primary is used as such only while
-// the lease is valid and the primary is the one that was appointed (primaryEpoch): this is what keeps two proxies from
-// treating different hosts as the primary.
+// Package policy chooses hosts, package session interprets statements, package position computes the log position that a read
+// must include, and package lease determines how long the replicated state may be relied on. A proxy treats a host as the primary
+// only while its lease is valid and the host's appointment is still in force (primaryEpoch). This keeps two proxies from treating
+// different hosts as the primary.
 package proxy
--- a/internal/proxy/event_loop.go
+++ b/internal/proxy/event_loop.go
@@ -6,18 +6,18 @@
 	"ferrypitch/internal/eventloop"
 )
 
-// sweepInterval is how often the sweep looks for what no event tells: silent hosts, idle connections, lost responses.
+// sweepInterval is how often the sweep checks for conditions that no event reports: silent hosts, idle connections, lost responses.
 const sweepInterval = 50 * time.Millisecond
 
 type timer = *eventloop.Timer[func()]
 
-// actionQueue is what is left to do when the current event has been handled. The policy must not be called back from
-// within its own calls, and a connection must not be closed by the code that writes to it.
+// actionQueue holds actions deferred until the current event has been handled: the policy must not be re-entered from its own
+// callbacks, and a connection must not be closed by the code that is writing to it.
 type actionQueue struct{ actions []func() }
 
 func (q *actionQueue) add(action func()) { q.actions = append(q.actions, action) }
 
-// run runs all actions, and those that they add.
+// run runs all actions, including those added by other actions.
 func (q *actionQueue) run() {
 	for len(q.actions) > 0 {
 		next := q.actions[0]
@@ -27,7 +27,7 @@
 	q.actions = nil
 }
 
-// runEventLoop is the goroutine that owns all state; it ends with ctx.
+// runEventLoop runs the goroutine that owns all state, until the server's context is canceled.
 func (s *Server) runEventLoop() {
 	defer s.queue.Close()
 	wakeUp := time.NewTimer(0)
@@ -45,7 +45,7 @@
 	}
 }
 
-// nextDeadline is when step is to be called at the latest.
+// nextDeadline returns the latest time at which step must be called again.
 func (s *Server) nextDeadline() time.Time {
 	next := s.clock.Time().Add(sweepInterval)
 	if first := s.timers.First(); first != nil && first.Deadline.Before(next) {
@@ -57,7 +57,7 @@
 	return next
 }
 
-// step handles the most urgent event of those that are due; false: there is none.
+// step handles the due event of the highest priority. It returns false if none is due.
 func (s *Server) step() bool {
 	defer s.deferred.run()
 	for priority := eventloop.PriorityControl; priority <= eventloop.PriorityOutcomes; priority++ {
@@ -87,7 +87,7 @@
 	return false
 }
 
-// query runs read in the event loop and returns its result; false: the event loop has ended.
+// query runs read in the event loop and returns its result. ok is false if the event loop has ended.
 func query[T any](queue *eventloop.Queue, read func() T) (result T, ok bool) {
 	return eventloop.Call(queue, eventloop.PriorityControl, read)
 }
--- a/internal/proxy/gossip.go
+++ b/internal/proxy/gossip.go
@@ -13,14 +13,14 @@
 const (
 	maxDatagramBytes = 8 << 10
 
-	// gossipRetryInterval is waited after a failed read, which may fail again at once.
+	// gossipRetryInterval is the pause after a failed read, since the next read may fail immediately too.
 	gossipRetryInterval = 50 * time.Millisecond
 
-	// gossipWriteTimeout bounds the time that the event loop spends on a datagram.
+	// gossipWriteTimeout bounds the time that the event loop spends on sending a datagram.
 	gossipWriteTimeout = time.Millisecond
 )
 
-// receiveGossip hands datagrams of other proxies to the event loop until ctx ends.
+// receiveGossip passes datagrams from other proxies to the event loop until the server's context is canceled.
 func (s *Server) receiveGossip() {
 	datagram := make([]byte, maxDatagramBytes)
 	for {
@@ -46,7 +46,7 @@
 	}
 }
 
-// sendGossip sends datagrams. One that can't be sent at once is lost, as any may be.
+// sendGossip sends datagrams. A datagram that can't be sent within gossipWriteTimeout is dropped; gossip tolerates lost datagrams.
 func (s *Server) sendGossip(outgoing []gossip.Outgoing) {
 	for _, out := range outgoing {
 		to, err := net.ResolveUDPAddr("udp4", out.To)
@@ -61,7 +61,7 @@
 	}
 }
 
-// tickGossip sends the probes and updates that are due. seeds are addresses of proxies that the control plane has named.
+// tickGossip sends the probes and updates that are due. seeds are the IP addresses of proxies received from the control plane.
 func (s *Server) tickGossip(seeds []string) {
 	if s.membership == nil {
 		return
--- a/internal/proxy/heartbeat_test.go
+++ b/internal/proxy/heartbeat_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A heartbeat for a host that is known at another address is rejected, by whichever member receives it, and changes nothing.
+// A heartbeat that names another address than the known one of a host is rejected by every member and changes nothing.
 func TestHeartbeatFromAnotherAddressIsRejected(t *testing.T) {
 	sim := newClusterSimulation(3, 1, 0)
 	sim.RunFor(2 * second)
@@ -19,5 +19,5 @@
 		require.Equal(t, http.StatusBadRequest, status)
 	}
 	sim.RunFor(2 * second)
-	require.Zero(t, sim.cluster.promotions, "its primary was good")
+	require.Zero(t, sim.cluster.promotions, "the primary was healthy")
 }
--- a/internal/proxy/lease_loss.go
+++ b/internal/proxy/lease_loss.go
@@ -9,12 +9,13 @@
 	"ferrypitch/policy"
 )
 
-// A proxy whose lease has expired can't tell whether its primaries and its configuration are still the ones in force. What needs
-// that and was not sent yet is rejected at once, with the time after which the client is to retry: at another proxy, or here once
-// the lease is renewed.
+// A proxy whose lease has expired can't tell whether its primaries and its configuration are still in force. Statements that depend
+// on them and have not been sent yet are rejected at once, with the delay after which the client should retry: at another proxy, or
+// at this one once the lease is renewed.
 
-// needsLease says that only the primary may serve a statement now, or that its tenant's key can't be relied on any more. All other statements are reads that a host itself refuses
-// where it lacks the position that they must see.
+// needsLease reports whether only the primary may serve a statement at this moment, or whether its tenant's key may have been
+// revoked. All other statements are reads; a host refuses a read itself if it has not reached the position that the read must
+// include.
 func (s *Server) needsLease(stmt *statement) bool {
 	if stmt.step.MayWrite || stmt.route.stalenessBound == 0 || stmt.tenant != "" && s.keysOutdated() {
 		return true
@@ -22,18 +23,18 @@
 	return !stmt.route.service.positions.CoversBound(s.refreshPolicyTime(), stmt.route.stalenessBound)
 }
 
-// comebackMs is after how many milliseconds a client is to retry when no lease is valid: its attempts are then spread over its
-// deadline, since how long the outage lasts is not known.
+// comebackMs returns the delay, in milliseconds, after which a client should retry while no lease is valid. Since the duration of
+// the outage is unknown, the delay spreads the client's attempts over its deadline.
 func (r *route) comebackMs() int64 {
 	attempts := max(1, int64(r.MaxTries)) + 1
-	return max(minComebackMs, r.deadline.Milliseconds()/attempts)
+	return max(minRetryAfterMs, r.deadline.Milliseconds()/attempts)
 }
 
-// minComebackMs keeps clients of short deadlines from retrying in vain.
-const minComebackMs = 100
+// minRetryAfterMs is the least retry delay, in milliseconds; it keeps clients with short deadlines from retrying too soon.
+const minRetryAfterMs = 100
 
-// rejectUnsentStatements rejects the statements that wait for a host and need the lease. A write of which an earlier attempt may
-// have run stays: its outcome is the policy's to tell.
+// rejectUnsentStatements rejects the statements that wait for a host and need the lease. Statements of which an earlier attempt may
+// have been executed are kept: the policy determines their outcome.
 func (s *Server) rejectUnsentStatements() {
 	for _, id := range slices.Sorted(maps.Keys(s.statements)) {
 		stmt := s.statements[id]
@@ -46,12 +47,13 @@
 	}
 }
 
-// awaitsHost says that a statement is not with any host: the policy queues it, or it waits for a connection.
+// awaitsHost reports whether a statement has not been sent to a host: it is queued by the policy or waits for a connection.
 func (stmt *statement) awaitsHost() bool {
 	return stmt.command.Host == nil || stmt.attempt.conn == nil
 }
 
-// withdraw has the policy drop a statement that was answered, or whose client is gone. What was sent runs to its end.
+// withdraw removes from the policy a statement that has been answered or whose client has disconnected. An attempt that was
+// already sent runs to completion.
 func (s *Server) withdraw(stmt *statement) {
 	stmt.command.Abandon()
 	if stmt.attempt.conn == nil && !stmt.attempt.over && stmt.command.Host != nil {
@@ -61,8 +63,8 @@
 	s.forgetIfOver(stmt)
 }
 
-// drainWithoutLease ends sessions that have asked for nothing of late, once the lease has been invalid for staleConfigGrace. A
-// session that has just begun stays: what its client is about to send would be lost.
+// drainWithoutLease closes the sessions that have been idle for staleConfigGrace, once the lease has been invalid for that long. A
+// session that has just begun stays open, because its client's first statement would be lost.
 func (s *Server) drainWithoutLease(now time.Time) {
 	if !s.lease.lostFor(staleConfigGrace, now) {
 		return
--- a/internal/proxy/lease_loss_test.go
+++ b/internal/proxy/lease_loss_test.go
@@ -9,7 +9,7 @@
 	"ferrypitch/internal/wire"
 )
 
-// recordedConn is a client's connection that keeps what it is sent.
+// recordedConn is a client connection that records what is written to it.
 type recordedConn struct {
 	lines  []byte
 	closed bool
@@ -23,14 +23,14 @@
 func (c *recordedConn) finish()      { c.closed = true }
 func (c *recordedConn) close()       { c.closed = true }
 
-// take returns what was sent since the last call.
+// take returns what was written since the last call.
 func (c *recordedConn) take() string {
 	lines := string(c.lines)
 	c.lines = nil
 	return lines
 }
 
-// ask sends a statement of a session.
+// ask sends a statement as the client of a session.
 func ask(t *testing.T, proxy *proxyProcess, session *clientSession, line string) {
 	t.Helper()
 	request, err := wire.ParseRequest([]byte(line))
@@ -40,7 +40,7 @@
 	})
 }
 
-// begin begins a session for a database.
+// begin opens a session for a database.
 func begin(proxy *proxyProcess, database string) (*clientSession, *recordedConn) {
 	conn := &recordedConn{}
 	session := &clientSession{server: proxy.server, out: conn}
@@ -48,8 +48,8 @@
 	return session, conn
 }
 
-// Without a valid lease a proxy rejects at once what only the primary may serve: statements that wait for a host, those that come
-// later, and those of sessions that begin later. A session whose database is unknown waits, since the route may be new.
+// Without a valid lease a proxy immediately rejects statements that only the primary may serve: those that wait for a host, those
+// that arrive later, and those of sessions opened later. A session for an unknown database waits, since its route may be new.
 func TestStatementsAreRejectedAtOnceWithoutALease(t *testing.T) {
 	const noLease = "ERROR RETRY this router is not known to be up to date; 333\r\n"
 	sim := newSimulation(1, 1, 0)
@@ -58,7 +58,7 @@
 	waiting, waitingConn := begin(proxy, "lead")
 	require.Equal(t, "IDLE I -\r\n", waitingConn.take())
 
-	for _, host := range sim.database.Hosts { // so that the statement waits for a connection
+	for _, host := range sim.database.Hosts { // without connections, the statement has to wait for one
 		host.Unreachable = true
 		pool := proxy.server.pools[host.ID]
 		proxy.run(proxy.incarnation, func(server *Server) {
@@ -72,7 +72,7 @@
 	require.True(t, proxy.server.leaseValid())
 	ask(t, proxy, waiting, "QUERY c1 STORE a b")
 	for proxy.server.leaseValid() {
-		require.Empty(t, waitingConn.take(), "it waits while the lease is valid")
+		require.Empty(t, waitingConn.take(), "the statement waits while the lease is valid")
 		sim.RunFor(1 * millisecond)
 	}
 	sim.RunFor(50 * millisecond)
@@ -92,12 +92,12 @@
 	require.Contains(t, unknownConn.take(), "ERROR RETRY")
 }
 
-// A client is told to come back so that its attempts are spread over its deadline.
+// The retry delay sent to a client spreads its attempts over its deadline.
 func TestComebackSpreadsAttemptsOverTheDeadline(t *testing.T) {
 	for _, test := range []struct {
 		deadlineMs, maxTries float64
 		wantMs               int64
-	}{{1000, 2, 333}, {6000, 2, 2000}, {2000, 0, 1000}, {150, 2, minComebackMs}} {
+	}{{1000, 2, 333}, {6000, 2, 2000}, {2000, 0, 1000}, {150, 2, minRetryAfterMs}} {
 		r := &route{deadline: settings.Duration(test.deadlineMs)}
 		r.MaxTries = test.maxTries
 		require.Equal(t, test.wantMs, r.comebackMs())
--- a/internal/proxy/lease_renewal.go
+++ b/internal/proxy/lease_renewal.go
@@ -8,14 +8,14 @@
 	"ferrypitch/internal/rpc"
 )
 
-// rememberedLeaseRequests is how many requests may be without a response; older ones are forgotten.
-const rememberedLeaseRequests = 64
+// maxPendingLeaseRequests is how many lease requests without a response are remembered; older ones are removed.
+const maxPendingLeaseRequests = 64
 
-// leaseRequestTimes are the times of lease requests that have no response yet, in milliseconds of the clock. It is shared by
-// the goroutines that send requests and receive responses.
+// leaseRequestTimes records when lease requests without a response were sent, in milliseconds of the server's clock. The
+// goroutines that send requests and receive responses share it.
 type leaseRequestTimes struct {
 	mu     sync.Mutex
-	sentAt map[uint64]int64 // by serial
+	sentAt map[uint64]int64 // by serial number of the request
 }
 
 func newLeaseRequestTimes() *leaseRequestTimes { return &leaseRequestTimes{sentAt: map[uint64]int64{}} }
@@ -24,10 +24,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sentAt[serial] = sentAt
-	delete(r.sentAt, serial-rememberedLeaseRequests)
+	delete(r.sentAt, serial-maxPendingLeaseRequests)
 }
 
-// take returns when a request was sent, and forgets it; 0: it is not known.
+// take returns the time at which a request was sent and removes it. It returns 0 if the request is not known.
 func (r *leaseRequestTimes) take(serial uint64) int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,8 +36,8 @@
 	return sentAt
 }
 
-// renewLeases requests leases and sends reports, until ctx or the connection ends. The time of a request is taken
-// before it is sent: a lease counts from then.
+// renewLeases requests leases and sends reports until ctx is canceled or the connection fails. It records the time of a request
+// before sending it, since the lease is valid from that time.
 func (l *controlLink) renewLeases(ctx context.Context, conn *rpc.Conn, requests *leaseRequestTimes) {
 	s := l.server
 	renewal := time.NewTicker(leaseRenewInterval)
@@ -61,7 +61,7 @@
 	}
 }
 
-// frame is what a command sends, other than a lease request.
+// frame returns the frame that a command sends. The command must not be a lease request.
 func (c linkCommand) frame() *rpc.Frame {
 	if c.quota != nil {
 		return &rpc.Frame{Version: rpc.ProtocolVersion, NeedsVersion: rpc.VersionQuotas, QuotaRequest: c.quota}
@@ -69,7 +69,8 @@
 	return &rpc.Frame{SuspectReport: c.suspect}
 }
 
-// sendReports sends reports and requests for tokens until the next lease request is due; false: ctx or the connection has ended.
+// sendReports sends reports and requests for tokens until the next lease request is due. It returns false if ctx was canceled or
+// the connection failed.
 func (l *controlLink) sendReports(ctx context.Context, conn *rpc.Conn, renewal *time.Ticker) bool {
 	for {
 		select {
@@ -89,26 +90,26 @@
 	}
 }
 
-// leaseGranted extends the lease, once the log is applied up to where it was when the lease was granted. requestedAt is when it was
-// requested, in milliseconds of the clock; 0: not known.
-func (s *Server) leaseGranted(granted *rpc.LeaseResponse, requestedAt int64) {
+// handleLeaseGrant extends the lease once the log is applied up to the leader's commit index at the time of the grant. requestedAt
+// is the time of the lease request, in milliseconds of the server's clock, or 0 if it is not known.
+func (s *Server) handleLeaseGrant(granted *rpc.LeaseResponse, requestedAt int64) {
 	if requestedAt == 0 {
 		return
 	}
 	s.counters.leasesGranted.Add(1)
-	s.lease.hold(pendingGrant{requestedAt, granted.CommitIndex, granted.ProxyCount})
-	s.takeReleasedLeases()
+	s.lease.addPending(pendingGrant{requestedAt, granted.CommitIndex, granted.ProxyCount})
+	s.applyPendingLeases()
 }
 
-// takeReleasedLeases takes in the leases for which the log is applied far enough.
-func (s *Server) takeReleasedLeases() {
-	if s.lease.release(s.replica.state.Index) {
+// applyPendingLeases extends the lease by the pending grants whose commit index has been applied.
+func (s *Server) applyPendingLeases() {
+	if s.lease.applyPending(s.replica.state.Index) {
 		s.sweep(s.clock.Time())
 	}
 }
 
-// reportRevocationApplied has the leader learn at once that a revocation was applied here: the next primary is not appointed
-// before all proxies have.
+// reportRevocationApplied tells the leader immediately, by a lease request, that a revocation was applied here: the next primary is
+// appointed only after all proxies have applied it.
 func (s *Server) reportRevocationApplied() {
 	if s.revocationUnreported {
 		s.revocationUnreported = false
--- a/internal/proxy/log_update_test.go
+++ b/internal/proxy/log_update_test.go
@@ -11,14 +11,14 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// configWithDeadline is a configuration of one route.
+// configWithDeadline returns an update to a configuration that has one route with the given deadline.
 func configWithDeadline(baseVersion int64, deadlineMs int) *statemachine.ConfigUpdate {
 	return &statemachine.ConfigUpdate{BaseVersion: baseVersion, Body: fmt.Appendf(nil,
 		`{"Generation":%d,"Routes":[{"Name":"r","Host":"db","Kind":"leader","DeadlineMs":%d,"Service":"s"}],"Services":[{"Name":"s"}]}`,
 		baseVersion+1, deadlineMs)}
 }
 
-// applyConfig applies a configuration to a state, and returns the log's entry.
+// applyConfig applies a configuration update to state, and returns its log entry.
 func applyConfig(t *testing.T, state *statemachine.State, update *statemachine.ConfigUpdate) (entry []byte) {
 	t.Helper()
 	checked, err := state.CheckConfig(update)
@@ -30,8 +30,8 @@
 	return entry
 }
 
-// A proxy applies no log update that does not fit its state: it goes on with what it has, ends the link, and is repaired by a
-// snapshot, if that is intact.
+// A proxy does not apply a log update that leaves out entries or does not match its state. It keeps serving with its current state,
+// closes the link, and is repaired by the next intact snapshot.
 func TestLogGapsAndDivergenceAreRepairedBySnapshot(t *testing.T) {
 	sim := newSimulation(1, 1, 0)
 	sim.RunFor(500 * millisecond)
@@ -49,15 +49,15 @@
 
 	err := server.applyLogUpdate(&rpc.LogUpdate{Entries: [][]byte{second, third}, LastIndex: 1003})
 	require.ErrorIs(t, err, statemachine.ErrDiverged)
-	require.EqualValues(t, 1, server.counters.stateDiverged.Load())
-	require.EqualValues(t, 1001, server.replica.state.Index, "it has not come further")
+	require.EqualValues(t, 1, server.counters.stateDivergences.Load())
+	require.EqualValues(t, 1001, server.replica.state.Index, "no entry was applied")
 	require.Zero(t, server.replica.resumeIndex(), "a snapshot is needed")
-	require.EqualValues(t, 101, server.routes["db"].DeadlineMs, "what it has serves on")
+	require.EqualValues(t, 101, server.routes["db"].DeadlineMs, "the proxy keeps serving with its current state")
 
 	corrupt := bytes.Clone(state.Snapshot())
 	corrupt[len(corrupt)-9]++
 	require.Error(t, server.applyLogUpdate(&rpc.LogUpdate{Snapshot: corrupt, LastIndex: 1003}))
-	require.EqualValues(t, 2, server.counters.stateDiverged.Load())
+	require.EqualValues(t, 2, server.counters.stateDivergences.Load())
 
 	require.NoError(t, server.applyLogUpdate(&rpc.LogUpdate{Snapshot: state.Snapshot(), LastIndex: 1003}))
 	require.EqualValues(t, 1003, server.replica.resumeIndex())
--- a/internal/proxy/lossdetect/lossdetect_test.go
+++ b/internal/proxy/lossdetect/lossdetect_test.go
@@ -19,17 +19,17 @@
 
 type request struct{ sentAt, dueAt policy.TenthMs }
 
-// host executes requests in a few slots; it is slower from 20000 to 40000.
+// host executes requests in four slots. It is five times as slow between times 20000 and 40000.
 type host struct {
 	seed        int
 	random      *rand.Rand
 	slotFreeAt  [4]policy.TenthMs
 	outstanding []request
-	lostSentAt  policy.TenthMs // of the request whose response never arrives; 0: none yet
+	lostSentAt  policy.TenthMs // when the request whose response is lost was sent; 0: not yet
 	detector    Detector
 }
 
-// send sends a request, unless it is the one whose response is lost; that one is only noted.
+// send executes a request. For the request whose response is lost, it only records the time.
 func (h *host) send(now policy.TenthMs) {
 	work := policy.TenthMs(40 + h.random.ExpFloat64()*60)
 	if now > 20000 && now < 40000 {
@@ -49,12 +49,12 @@
 	h.outstanding = append(h.outstanding, request{now, h.slotFreeAt[slot]})
 }
 
-// receive receives the responses that are due. None that is outstanding may be considered lost.
+// receive passes the responses that are due to the detector, and checks that none of the others is considered lost.
 func (h *host) receive(t *testing.T, now policy.TenthMs) {
 	var remaining []request
 	for _, r := range h.outstanding {
 		if now < r.dueAt {
-			require.False(t, h.detector.Lost(r.sentAt, now), "seed %d: one outstanding for %d is considered lost", h.seed, now-r.sentAt)
+			require.False(t, h.detector.Lost(r.sentAt, now), "seed %d: a response outstanding for %d is considered lost", h.seed, now-r.sentAt)
 			remaining = append(remaining, r)
 			continue
 		}
@@ -63,8 +63,8 @@
 	h.outstanding = remaining
 }
 
-// Hosts with queues, some slowed in the middle: a response that is outstanding is not considered lost, and one that never
-// arrives is, in good time.
+// Hosts queue requests and are slow for a part of the run. A response that is merely outstanding must not be considered lost, and
+// one that never arrives must be detected in more than 290 of 300 runs, after less than 500 ms on average.
 func TestOnlyAResponseThatOthersOvertookByFarIsLost(t *testing.T) {
 	found, waited := 0, policy.TenthMs(0)
 	for seed := range 300 {
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -5,10 +5,10 @@
 	"ferrypitch/internal/metrics"
 )
 
-// metricsNamespace begins the names of all figures of a proxy.
+// metricsNamespace is the prefix of the names of a proxy's metrics.
 const metricsNamespace = "ferrypitch_proxy"
 
-// counterFamilies say what the counters of the status are.
+// counterFamilies describes the metrics that are made from the counters of the status.
 var counterFamilies = metrics.Counters{
 	Plain: metrics.ByStatusName(
 		metrics.Count("sessions_accepted", "Client connections accepted."),
@@ -60,7 +60,7 @@
 	},
 }
 
-// Families that are not counters of the status.
+// Metric families that are not counters of the status.
 var (
 	readyFamily = metrics.Family{
 		Name: "ready", Help: "1 if the platform may send clients here.", Kind: metrics.Gauge,
@@ -94,12 +94,12 @@
 	}
 )
 
-// metricsSource reads the figures in the event loop.
+// metricsSource collects the metrics in the event loop. ok is false if the event loop has ended.
 func (s *Server) metricsSource() (samples []metrics.Sample, ok bool) {
 	return eventloop.Call(s.queue, eventloop.PriorityOutcomes, s.metricSamples)
 }
 
-// metricSamples are the figures at this moment.
+// metricSamples returns the current values of all metrics.
 func (s *Server) metricSamples() []metrics.Sample {
 	status := s.status()
 	ready := 0.0
--- a/internal/proxy/metrics_test.go
+++ b/internal/proxy/metrics_test.go
@@ -12,7 +12,7 @@
 	"ferrypitch/internal/metrics"
 )
 
-// Every counter of the status is shown, by the conventions of the format, and documented.
+// Every counter of the status is exported as a metric, follows the naming conventions of Prometheus, and is documented.
 func TestMetricsOfAServingProxy(t *testing.T) {
 	sim := newSimulation(1, 3, 9)
 	sim.RunFor(4 * second)
@@ -36,6 +36,6 @@
 	docs, err := os.ReadFile("../../docs/operators/metrics.md")
 	require.NoError(t, err)
 	for _, sample := range samples {
-		require.Contains(t, string(docs), "`ferrypitch_proxy_"+sample.Family.Name+"`", "it is not documented")
+		require.Contains(t, string(docs), "`ferrypitch_proxy_"+sample.Family.Name+"`", "the metric is not documented")
 	}
 }
--- a/internal/proxy/outage_test.go
+++ b/internal/proxy/outage_test.go
@@ -10,13 +10,13 @@
 	"ferrypitch/internal/fake/database"
 )
 
-var outages = flag.Int("outages", 12, "simulations for each kind of fail-over")
+var outages = flag.Int("outages", 12, "simulations for each kind of failover")
 
-// outageKind is a kind of fail-over.
+// outageKind is a kind of failover.
 type outageKind struct {
-	name   string
-	mostMs int64 // of the longest gap between two acknowledged writes
-	inject func(sim *simulation)
+	name     string
+	maxGapMs int64 // upper bound of the longest gap between two acknowledged writes
+	inject   func(sim *simulation)
 }
 
 var outageKinds = []outageKind{
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// leader is the member that leads, or the first one if none does.
+// leader returns the member that is the leader, or the first member if none is.
 func (c *controlCluster) leader() *member {
 	for _, m := range c.members {
 		if m.Up() && m.isLeader() {
@@ -70,8 +70,8 @@
 	return c.members[0]
 }
 
-// The time between two acknowledged writes of a service through each kind of fail-over, where the platform takes 300 ms for
-// a promotion: go test ./internal/proxy -run Outage -outages 50 -v prints the table of docs/results.md.
+// Bounds the longest time between two acknowledged writes of a service during each kind of failover, if the platform takes 300 ms
+// for a promotion. go test ./internal/proxy -run Outage -outages 50 -v prints the table of docs/results.md.
 func TestOutageByKindOfFailover(t *testing.T) {
 	if testing.Short() {
 		t.Skip("played in full runs")
@@ -87,12 +87,12 @@
 			worstSeed := slices.Index(gapsMs, worst)
 			slices.Sort(gapsMs)
 			t.Logf("median %d ms, worst %d ms of %d (seed %d)", gapsMs[len(gapsMs)/2], worst, len(gapsMs), worstSeed)
-			require.Less(t, worst, kind.mostMs)
+			require.Less(t, worst, kind.maxGapMs)
 		})
 	}
 }
 
-// gapMs is the longest gap between two acknowledged writes in one simulation, in milliseconds.
+// gapMs returns the longest gap between two acknowledged writes in one simulation, in milliseconds.
 func (kind outageKind) gapMs(t *testing.T, seed uint64) int64 {
 	t.Helper()
 	sim := newClusterSimulation(seed+50000, 3, 18)
--- a/internal/proxy/pending_lease_test.go
+++ b/internal/proxy/pending_lease_test.go
@@ -8,20 +8,20 @@
 	"ferrypitch/internal/rpc"
 )
 
-// A lease that arrives before the updates of the log that it requires was lost; it must count from when these are applied.
+// A grant may arrive before the log updates that it requires. It must not be dropped, but take effect once these are applied.
 func TestLeaseThatOvertakesTheLogCountsOnceItIsApplied(t *testing.T) {
 	sim := newSimulation(1, 1, 0)
 	sim.RunFor(500 * millisecond)
 	server := sim.proxies[0].server
 	server.lease.drop()
 	next := server.replica.state.Index + 1
-	server.leaseGranted(&rpc.LeaseResponse{Granted: true, CommitIndex: next}, server.clock.Now())
+	server.handleLeaseGrant(&rpc.LeaseResponse{Granted: true, CommitIndex: next}, server.clock.Now())
 	require.False(t, server.leaseValid())
 	require.NoError(t, server.applyLogUpdate(&rpc.LogUpdate{Entries: [][]byte{nil}, LastIndex: next}))
 	require.True(t, server.leaseValid())
 }
 
-// The grant that follows a postponed answer to the same request was ignored, since the time of the request was forgotten.
+// A postponed response must not remove the time of its request, because the grant that follows would then be ignored.
 func TestGrantAfterAPostponedAnswerCounts(t *testing.T) {
 	sim := newSimulation(1, 1, 0)
 	sim.RunFor(500 * millisecond)
@@ -32,14 +32,14 @@
 	require.EqualValues(t, 41, requests.take(7))
 }
 
-// Leases that never count are forgotten, the oldest first.
+// At most maxPendingGrants grants wait for log updates; beyond that the oldest are dropped.
 func TestPendingLeasesAreBounded(t *testing.T) {
 	var lease proxyLease
 	for i := range uint64(3 * maxPendingGrants) {
-		lease.hold(pendingGrant{requestedAtMs: 1, commitIndex: i + 1})
+		lease.addPending(pendingGrant{requestedAtMs: 1, commitIndex: i + 1})
 	}
 	require.Len(t, lease.pending, maxPendingGrants)
-	require.False(t, lease.release(2*maxPendingGrants))
-	require.True(t, lease.release(3*maxPendingGrants))
+	require.False(t, lease.applyPending(2*maxPendingGrants))
+	require.True(t, lease.applyPending(3*maxPendingGrants))
 	require.Empty(t, lease.pending)
 }
--- a/internal/proxy/position/position_test.go
+++ b/internal/proxy/position/position_test.go
@@ -27,14 +27,14 @@
 	require.Equal(t, []sample{{1000, at(10)}, {2000, at(20)}}, tracker.samples, "unknown, or older by time or position")
 	tracker.Add(2100, at(21))
 	tracker.Add(2150, at(22))
-	require.Equal(t, []sample{{1000, at(10)}, {2000, at(20)}, {2150, at(22)}}, tracker.samples, "too close to the last but one")
+	require.Equal(t, []sample{{1000, at(10)}, {2000, at(20)}, {2150, at(22)}}, tracker.samples, "too close to the second to last")
 
 	for i := range 2 * policy.TenthMs(maxSamples) {
-		tracker.Add(10000+i*minSpacing, at(uint64(100+i)))
+		tracker.Add(10000+i*minSampleSpacing, at(uint64(100+i)))
 	}
 	require.Len(t, tracker.samples, maxSamples)
 	latest, position := tracker.Latest()
-	require.Equal(t, 10000+(2*maxSamples-1)*minSpacing, latest)
+	require.Equal(t, 10000+(2*maxSamples-1)*minSampleSpacing, latest)
 	require.Equal(t, at(100+2*maxSamples-1), position)
 }
 
--- a/internal/proxy/proxy_lease.go
+++ b/internal/proxy/proxy_lease.go
@@ -6,32 +6,34 @@
 	"ferrypitch/internal/lease"
 )
 
-// proxyLease is the lease under which this proxy may treat a host as the primary, and a configuration as the newest.
+// proxyLease is the lease under which this proxy may treat a host as the primary and its configuration as current.
 type proxyLease struct {
 	holder     lease.Holder
-	validAt    time.Time // when it was last seen to be valid
-	proxyCount int       // proxies that hold one, as the last grant said
+	validAt    time.Time // when the sweep last found the lease valid
+	proxyCount int       // number of proxies with a lease, according to the last grant
 	pending    []pendingGrant
 }
 
-// pendingGrant is a lease that overtook updates of the log: it counts once these are applied here.
+// pendingGrant is a grant that arrived before the log updates that it requires. It takes effect once the log is applied up to
+// commitIndex.
 type pendingGrant struct {
 	requestedAtMs int64
 	commitIndex   uint64
 	proxyCount    int
 }
 
-// maxPendingGrants is how many leases may wait for updates of the log; the oldest is the first to go.
+// maxPendingGrants is how many grants may wait for log updates; beyond that the oldest is dropped.
 const maxPendingGrants = 16
 
-// hold keeps a lease until the log has been applied up to its index.
-func (l *proxyLease) hold(granted pendingGrant) {
+// addPending keeps a grant until the log has been applied up to its commit index.
+func (l *proxyLease) addPending(granted pendingGrant) {
 	l.pending = append(l.pending, granted)
 	l.pending = l.pending[max(0, len(l.pending)-maxPendingGrants):]
 }
 
-// release takes in the leases that waited for the log up to an index, and says whether there were any.
-func (l *proxyLease) release(appliedIndex uint64) (renewed bool) {
+// applyPending renews the lease by the pending grants whose commit index is at most appliedIndex, and reports whether there were
+// any.
+func (l *proxyLease) applyPending(appliedIndex uint64) (renewed bool) {
 	for len(l.pending) > 0 && l.pending[0].commitIndex <= appliedIndex {
 		l.renew(l.pending[0].requestedAtMs, l.pending[0].proxyCount)
 		l.pending, renewed = l.pending[1:], true
@@ -39,7 +41,8 @@
 	return renewed
 }
 
-// renew takes in a lease that was requested at a time of the clock. proxyCount is 0 where the grant does not say.
+// renew extends the lease by a grant requested at requestedAtMs of the server's clock. proxyCount is 0 if the grant does not
+// state it.
 func (l *proxyLease) renew(requestedAtMs int64, proxyCount int) {
 	l.holder.Renew(requestedAtMs)
 	if proxyCount > 0 {
@@ -47,10 +50,10 @@
 	}
 }
 
-// drop gives the lease up.
+// drop invalidates the lease and removes all pending grants.
 func (l *proxyLease) drop() { l.holder, l.pending = lease.Holder{}, nil }
 
-// lostFor says whether the lease has not been valid for longer than a span.
+// lostFor reports whether the lease has been invalid for longer than span.
 func (l *proxyLease) lostFor(span time.Duration, now time.Time) bool {
 	return now.Sub(l.validAt) > span
 }
--- a/internal/proxy/readiness.go
+++ b/internal/proxy/readiness.go
@@ -11,11 +11,11 @@
 const (
 	readinessPath = "/readiness"
 
-	// statusTimeout is how long the event loop may take to answer an operator.
+	// statusTimeout is how long an operator's request waits for the event loop.
 	statusTimeout = 2 * time.Second
 )
 
-// endpoint is a call of an operator that the readiness server answers, with JSON. handle runs in the event loop.
+// endpoint is a request for operators that the readiness server answers with JSON. handle runs in the event loop.
 type endpoint struct {
 	method, path string
 	handle       func(s *Server) any
@@ -25,7 +25,7 @@
 	{method: http.MethodGet, path: StatusPath, handle: func(s *Server) any { return s.status() }},
 }
 
-// serveReadiness tells the platform by status 200 or 503 whether clients may be sent here, and answers operators.
+// serveReadiness answers the platform's readiness checks with status 200 or 503, and the requests of operators.
 func (s *Server) serveReadiness(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == readinessPath {
 		if !s.ready.Load() {
@@ -48,7 +48,7 @@
 	select {
 	case result := <-results:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(result) // fails only if the operator is gone
+		_ = json.NewEncoder(w).Encode(result) // fails only if the operator has disconnected
 	case <-time.After(statusTimeout):
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
--- a/internal/proxy/reconcile.go
+++ b/internal/proxy/reconcile.go
@@ -10,7 +10,7 @@
 	"ferrypitch/policy"
 )
 
-// reconcile brings services, hosts, primaries and routes in line with the replicated state.
+// reconcile updates services, hosts, primaries and routes to match the replicated state.
 func (s *Server) reconcile() {
 	s.refreshPolicyTime()
 	s.reconcileServices()
@@ -45,10 +45,10 @@
 	}
 }
 
-// reconcileHost brings one host in line, and says whether the policy's host list changed.
+// reconcileHost updates one host to match the replicated state, and reports whether the policy's host list changed.
 func (s *Server) reconcileHost(want statemachine.Host) (changed bool) {
 	pool := s.pools[want.ID]
-	if pool != nil && (pool.Address != want.Address || pool.Service != want.Service) { // another host under the same name
+	if pool != nil && (pool.Address != want.Address || pool.Service != want.Service) { // another host with the same ID
 		pool.remove()
 		pool = nil
 	}
@@ -73,8 +73,8 @@
 	return pool
 }
 
-// standingOf is a host's standing in the policy's host list. A primary that drains is used until another is appointed, or until
-// the platform's bound for draining is nearly over.
+// standingOf returns the state that a host should have in the policy's host list. A draining primary remains active until another
+// host is appointed or the platform's time limit for draining is almost reached.
 func (s *Server) standingOf(pool *hostPool) policy.ListState {
 	if !pool.Draining {
 		return policy.Active
@@ -89,12 +89,13 @@
 	return policy.Draining
 }
 
-// announce updates the policy's host list. Who the primary is it learns by SetPrimary; kind and boot time are not known here.
+// announce updates the host's entry in the policy's host list. SetPrimary, not this call, marks the primary. The host's kind and
+// boot time are unknown.
 func (p *hostPool) announce(standing policy.ListState, capacity float64) {
 	p.policyHost.UpdateListing(standing, false, p.Zone, "", capacity, 0)
 }
 
-// remove has the policy send nothing more to a host, and ends it.
+// remove removes a host from the policy's host list and retires its pool.
 func (p *hostPool) remove() {
 	p.announce(policy.Removed, 1)
 	p.retire()
@@ -102,44 +103,45 @@
 
 func (s *Server) reconcilePrimaries() {
 	for _, name := range s.changedPrimaries() {
-		svc, want := s.serviceNamed(name), s.replica.state.Primaries[name]
-		was := svc.primary
-		svc.primary = want
-		if primaryChanged(was, want) {
-			s.changePrimary(svc, was)
+		svc, current := s.serviceNamed(name), s.replica.state.Primaries[name]
+		previous := svc.primary
+		svc.primary = current
+		if primaryChanged(previous, current) {
+			s.changePrimary(svc, previous)
 		}
 	}
 }
 
-// primaryChanged says that a change concerns this proxy: another primary, a revocation, or during one another nominee.
-func primaryChanged(was, want statemachine.Primary) bool {
-	if was.Host != want.Host || was.ChangedAt != want.ChangedAt || was.Revoked != want.Revoked {
+// primaryChanged reports whether a change concerns this proxy: another primary, a revocation, or another nominee during a
+// revocation.
+func primaryChanged(previous, current statemachine.Primary) bool {
+	if previous.Host != current.Host || previous.ChangedAt != current.ChangedAt || previous.Revoked != current.Revoked {
 		return true
 	}
-	return want.Revoked && was.Nominee != want.Nominee
+	return current.Revoked && previous.Nominee != current.Nominee
 }
 
-// changePrimary stops using the old primary of a service as such, and then starts using the new one.
-func (s *Server) changePrimary(svc *service, was statemachine.Primary) {
-	want := svc.primary
-	if old := s.pools[was.Host]; old != nil && (want.Revoked || want.Host != was.Host) {
+// changePrimary stops treating the previous host as the primary of a service, and then starts treating the current one as such.
+func (s *Server) changePrimary(svc *service, previous statemachine.Primary) {
+	current := svc.primary
+	if old := s.pools[previous.Host]; old != nil && (current.Revoked || current.Host != previous.Host) {
 		old.policyHost.SetPrimary(false)
 		s.abortPrimaryWork(old)
 	}
-	if want.Revoked {
-		s.revocationUnreported = s.revocationUnreported || !was.Revoked
-		s.policy.ExpectPrimary(svc.policySet, position.NextPrimaryDue(s.policyNow, s.replica.state.LastPromotionMs, want.Nominee != ""))
+	if current.Revoked {
+		s.revocationUnreported = s.revocationUnreported || !previous.Revoked
+		s.policy.ExpectPrimary(svc.policySet, position.NextPrimaryDue(s.policyNow, s.replica.state.LastPromotionMs, current.Nominee != ""))
 		return
 	}
 	svc.positions.Clear()
-	if pool := s.pools[want.Host]; pool != nil {
+	if pool := s.pools[current.Host]; pool != nil {
 		pool.policyHost.SetPrimary(true)
-		s.log.Info("primary changed", "service", svc.name, "host", want.Host, "term", want.Term)
+		s.log.Info("primary changed", "service", svc.name, "host", current.Host, "term", current.Term)
 	}
 }
 
-// abortPrimaryWork ends what was sent to a host in its epoch as the primary: the next primary is chosen without regard to what
-// it acknowledges from now on.
+// abortPrimaryWork aborts the transactions and writes sent to a host in its epoch as the primary: the next primary is chosen
+// without regard to what this host acknowledges from now on.
 func (s *Server) abortPrimaryWork(pool *hostPool) {
 	for _, conn := range pool.connsByAge() {
 		stmt, client := conn.statement, conn.session
@@ -179,15 +181,15 @@
 	s.applyTenants()
 }
 
-// replaceRoutes makes routes of the configured ones. Those that are as before keep what the policy has learned of them.
+// replaceRoutes replaces the routes by the configured ones. Unchanged routes are kept, with what the policy has learned about them.
 func (s *Server) replaceRoutes(configured []config.Route) {
-	last := make(map[string]int, len(configured)) // of several for one database the last one counts
+	last := make(map[string]int, len(configured)) // the last route of a database takes precedence
 	for i, r := range configured {
 		last[r.Host] = i
 	}
 	for i, r := range configured {
-		was := s.routes[r.Host]
-		if last[r.Host] == i && (was == nil || was.Route != r) {
+		previous := s.routes[r.Host]
+		if last[r.Host] == i && (previous == nil || previous.Route != r) {
 			s.routes[r.Host] = s.newRoute(r)
 		}
 	}
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -23,23 +23,24 @@
 const (
 	clientKeepAlive = 15 * time.Second
 
-	// What a caller of the readiness server may take and send: it is the platform, or an operator.
+	// Limits on requests to the readiness server, which the platform and operators send.
 	readinessHeaderTimeout  = 2 * time.Second
 	readinessIdleTimeout    = 20 * time.Second
 	readinessMaxHeaderBytes = 8 << 10
 
-	// stopTimeout is how long Run waits for goroutines whose sockets are closed.
+	// stopTimeout is how long Run waits for goroutines to return after their sockets have been closed.
 	stopTimeout = 300 * time.Millisecond
 )
 
-// Run serves clients until a signal arrives on signals, and then shuts down gracefully. A signal on reload has the settings
-// read again. The figures are shown at the endpoint, if it is set. An error names the setting whose socket can't be opened.
+// Run serves clients until a signal arrives on signals, and then shuts down gracefully. On a signal on reload it reloads the
+// settings. If endpoint is set, it serves metrics there. An error names the setting that is missing or whose
+// socket can't be opened.
 func Run(cfg *settings.Settings, endpoint metrics.Endpoint, signals, reload <-chan os.Signal, log hclog.Logger) error {
 	if cfg.Listen.Front == "" {
-		return trace.BadParameter("Listen.Front: missing; this program serves clients")
+		return trace.BadParameter("Listen.Front: missing; the proxy accepts clients at this address")
 	}
 	if cfg.Listen.Readiness == "" {
-		return trace.BadParameter("Listen.Readiness: missing; the platform asks there")
+		return trace.BadParameter("Listen.Readiness: missing; the platform checks readiness at this address")
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -63,13 +64,14 @@
 	stop()
 	<-eventLoopEnded
 	s.closeConns()
-	s.awaitTasks()
+	s.waitForTasks()
 	log.Info("stopped", "statements", s.counters.statements.Load(), "rejected", s.counters.rejected.Load(),
 		"failed", s.counters.failed.Load(), "dialed", s.counters.connsDialed.Load())
 	return nil
 }
 
-// listen opens the sockets and starts their readers. The sockets close with ctx, also those opened before a failure.
+// listen opens the sockets and starts their readers. The sockets are closed when ctx is canceled, including those opened before an
+// error.
 func (s *Server) listen() (err error) {
 	if s.gossipConn, err = net.ListenPacket("udp4", s.settings.PeerAddress(s.settings.Ip)); err != nil {
 		return trace.Wrap(err, "PortRange")
@@ -103,14 +105,14 @@
 	return nil
 }
 
-// closeAtStop closes a socket when ctx ends, which ends its reader.
+// closeAtStop closes a socket when ctx is canceled, which ends its reader.
 func (s *Server) closeAtStop(socket io.Closer) {
 	context.AfterFunc(s.ctx, func() {
-		_ = socket.Close() // fails only if it was closed before
+		_ = socket.Close() // fails only if it is already closed
 	})
 }
 
-// closeConns closes the sockets of sessions and hosts, after the event loop has ended.
+// closeConns closes the connections of clients and to hosts. It must be called after the event loop has ended.
 func (s *Server) closeConns() {
 	for client := range s.sessions.open {
 		client.out.close()
@@ -122,7 +124,7 @@
 	}
 }
 
-func (s *Server) awaitTasks() {
+func (s *Server) waitForTasks() {
 	done := make(chan struct{})
 	go func() { s.tasks.Wait(); close(done) }()
 	select {
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -22,35 +22,35 @@
 )
 
 const (
-	eventQueueLength = 2048 // commands of clients that may wait for the event loop
+	eventQueueLength = 2048 // capacity of the event loop's queue for commands of clients
 
-	// assumedProxyCount is how many proxies share the hosts' connections until the first lease says how many there are.
+	// assumedProxyCount is how many proxies are assumed to share the hosts' connections until the first lease states the number.
 	assumedProxyCount = 12
 )
 
-// leaderLink is the way to the leader of the control plane. What is sent while no leader is known is lost.
+// leaderLink sends requests to the leader of the control plane. Requests made while no leader is connected are dropped.
 type leaderLink interface {
 	// reportSuspect reports a primary that can't be reached.
 	reportSuspect(report *rpc.SuspectReport)
-	// renewLease requests a lease at once. The request also says up to where the log has been applied.
+	// renewLease requests a lease immediately. The request also reports the index up to which the log has been applied.
 	renewLease()
-	// requestQuota asks for tokens of tenants.
+	// requestQuota requests rate-limit tokens for tenants.
 	requestQuota(request *quota.Request)
 }
 
-// Server is one proxy. Its fields belong to the event loop, unless they say otherwise.
+// Server is one proxy. Its fields belong to the event loop unless noted otherwise.
 type Server struct {
-	// Set before the event loop starts and then only read, from any goroutine.
+	// Set before the event loop starts and read-only afterwards; any goroutine may read them.
 	settings    *settings.Settings
 	log         hclog.Logger
 	clock       eventloop.MonotonicClock
 	queue       *eventloop.Queue
-	ctx         context.Context // ends with the process
-	tasks       sync.WaitGroup  // goroutines that end after ctx
+	ctx         context.Context // canceled when the process stops
+	tasks       sync.WaitGroup  // goroutines that end after ctx is canceled
 	incarnation uint64
-	secret      tenancy.Secret // of the hashes of clients' keys
+	secret      tenancy.Secret // keys the hashes of clients' API keys
 
-	// The event loop.
+	// Event loop.
 	timers      eventloop.Timers[func()]
 	deferred    actionQueue
 	nextSweepAt time.Time
@@ -58,26 +58,26 @@
 	// Placement of statements.
 	placement
 	admission
-	statements map[string]*statement // those that the policy knows, by commandID
+	statements map[string]*statement // submitted to the policy, by commandID
 	sessions   sessionTable
-	lastID     uint64 // of sessions, statements and connections
+	lastID     uint64 // last number given to a session, statement or connection
 
-	// What the control plane says.
+	// State received from the control plane.
 	replica              stateReplica
-	config               *config.Config // in force; nil: none yet
-	tenants              tenancy.Index  // of config
-	servicesOf           *config.Config // whose services were taken in last
+	config               *config.Config // in force; nil until the first one arrives
+	tenants              tenancy.Index  // tenants of config
+	servicesOf           *config.Config // the configuration whose services were applied last
 	lease                proxyLease
-	revocationUnreported bool // a revocation was applied and the leader does not know it yet
+	revocationUnreported bool // a revocation was applied and has not been reported to the leader
 	leader               leaderLink
 
 	// Other proxies.
-	membership   *gossip.Membership // nil: other proxies are not looked for
+	membership   *gossip.Membership // nil: gossip is disabled
 	gossipConn   net.PacketConn
-	nextGossipAt int64 // milliseconds of clock
-	aliveProxies int   // this one included, as of the last sweep; 0: other proxies are not looked for
+	nextGossipAt int64 // in milliseconds of clock
+	aliveProxies int   // number of live proxies at the last sweep, this one included; 0: gossip is disabled
 
-	// dial connects in the background; hostPool.connOpened receives the result in the event loop.
+	// dial opens a connection in the background; hostPool.connOpened receives the result in the event loop.
 	dial func(*hostConn)
 
 	shutdown shutdownState
@@ -85,8 +85,8 @@
 	counters counters
 }
 
-// newServer makes a proxy without its sockets. seed is the incarnation and the source of the policy's random choices; secret keys
-// the hashes of clients' keys.
+// newServer returns a proxy without sockets. seed determines the incarnation and seeds the policy's random choices; secret keys the
+// hashes of clients' API keys.
 func newServer(cfg *settings.Settings, log hclog.Logger, clock eventloop.MonotonicClock, seed uint64, secret tenancy.Secret) *Server {
 	s := &Server{
 		settings:    cfg,
@@ -106,18 +106,19 @@
 	return s
 }
 
-// newMembership starts the gossip with other proxies. The wall clock makes each incarnation's number greater than the last.
+// newMembership returns the gossip state of this proxy. Its incarnation number is taken from the wall clock, so that it is greater
+// than that of the previous incarnation.
 func (s *Server) newMembership() *gossip.Membership {
 	return gossip.New(s.settings.Node, s.settings.PeerAddress(s.settings.Ip), uint64(time.Now().UnixNano()),
 		gossip.DefaultConfig(), rand.IntN, s.clock.Now())
 }
 
-// configCurrent says that the configuration is known to be in force.
+// configCurrent reports whether the configuration is known to be in force.
 func (s *Server) configCurrent() bool { return s.config != nil && s.leaseValid() }
 
 func (s *Server) leaseValid() bool { return s.lease.holder.Valid(s.clock.Now()) }
 
-// connShare is this proxy's share of a host's connections.
+// connShare returns this proxy's share of a host's connections.
 func (s *Server) connShare(pool *hostPool) connlimit.Share {
 	share := connlimit.ShareOf(pool.service.maxConns, max(s.lease.proxyCount, s.aliveProxies))
 	if s.clock.Since().Milliseconds() < connlimit.WarmUpMs {
@@ -126,7 +127,7 @@
 	return share
 }
 
-// nextID numbers sessions, statements and connections, in one sequence.
+// nextID returns the next number of the sequence that sessions, statements and connections share.
 func (s *Server) nextID() uint64 {
 	s.lastID++
 	return s.lastID
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -11,46 +11,46 @@
 )
 
 const (
-	// defaultMaxConns is how many connections a host takes of all proxies, where the configuration does not say.
+	// defaultMaxConns is how many connections a host accepts from all proxies if the configuration does not say.
 	defaultMaxConns = 32
 
-	// lateShare is what an answer past its latency target is worth, as a part of one in time.
+	// lateShare is the value of an answer past its latency target, as a fraction of the value of one in time.
 	lateShare = 0.5
 
-	// defaultTargetShare of a route's deadline is its latency target, where the configuration gives none.
+	// defaultTargetShare is the fraction of a route's deadline that is its latency target if the configuration has none.
 	defaultTargetShare = 1.0 / 4
 )
 
-// primaryEpoch is the period in which one host is the primary of its service, named by the log index of the change that
-// appointed it.
+// primaryEpoch identifies the period during which one host is the primary of its service. It is the log index of the change that
+// appointed the host.
 type primaryEpoch uint64
 
-// noEpoch stands for a host that is not treated as the primary.
+// noEpoch means that a host is not treated as the primary.
 const noEpoch primaryEpoch = 0
 
 // service is a set of hosts with one primary.
 type service struct {
 	name      string
-	policySet int64 // number of its replica set in calls of the policy
+	policySet int64 // number of its replica set in calls to the policy
 	primary   statemachine.Primary
-	positions position.Tracker // of the primary
-	maxConns  int              // at each host, of all proxies
-	used      bool             // a session has asked for it
+	positions position.Tracker // known log positions of the primary
+	maxConns  int              // connections that each host accepts from all proxies
+	used      bool             // a session has requested it
 
-	lastTenant string // whose session has asked for it last
+	lastTenant string // tenant of the session that requested it last
 }
 
-// isPrimary says that a host is the primary by the log, whether or not the lease is valid.
+// isPrimary reports whether a host is the primary according to the log, whether or not the lease is valid.
 func (svc *service) isPrimary(hostID string) bool {
 	return svc.primary.Host == hostID && !svc.primary.Revoked
 }
 
-// inEpoch says that an epoch has not ended.
+// inEpoch reports whether epoch is the current epoch and the primary has not been revoked.
 func (svc *service) inEpoch(epoch primaryEpoch) bool {
 	return primaryEpoch(svc.primary.ChangedAt) == epoch && !svc.primary.Revoked
 }
 
-// epochOf returns the epoch in which a host may be treated as the primary at this moment; noEpoch: it may not.
+// epochOf returns the current epoch if the host may be treated as the primary at this moment, otherwise noEpoch.
 func (s *Server) epochOf(pool *hostPool) primaryEpoch {
 	if !pool.service.isPrimary(pool.ID) || !s.leaseValid() {
 		return noEpoch
@@ -58,21 +58,21 @@
 	return primaryEpoch(pool.service.primary.ChangedAt)
 }
 
-// mayActOn says that the primary of an epoch may be treated as such at this moment.
+// mayActOn reports whether the primary of epoch may be treated as such at this moment.
 func (s *Server) mayActOn(svc *service, epoch primaryEpoch) bool {
 	return svc.inEpoch(epoch) && s.leaseValid()
 }
 
-// route is a route of the configuration in force, with what the policy needs for its statements.
+// route is a route of the configuration in force, with the policy's command groups for its statements.
 type route struct {
 	config.Route
 	service        *service
 	deadline       time.Duration
-	stalenessBound policy.TenthMs // 0: a read must see every write
+	stalenessBound policy.TenthMs // 0: a read must include every acknowledged write
 	readsOwnWrites bool
 
-	readGroup  *policy.CommandGroup // reads as the route allows
-	freshGroup *policy.CommandGroup // reads that must see every write
+	readGroup  *policy.CommandGroup // reads with the route's consistency
+	freshGroup *policy.CommandGroup // reads that must include every acknowledged write
 	writeGroup *policy.CommandGroup
 }
 
@@ -99,7 +99,7 @@
 	return r
 }
 
-// newGroup readies the policy for statements of a route that have the same needs.
+// newGroup creates the policy's command group for the statements of a route that need the same consistency.
 func (s *Server) newGroup(r *route, need policy.Consistency, operation retry.Operation) *policy.CommandGroup {
 	effect := policy.NotIdempotent
 	if retry.Idempotent(operation) {
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// platformNoticeTime is how long the platform may take to see that this proxy is not ready and to send clients elsewhere.
+	// platformNoticeTime is how long the platform may take to notice that this proxy is not ready and to direct clients elsewhere.
 	platformNoticeTime = 2500 * time.Millisecond
 	shutdownPoll       = 100 * time.Millisecond
 )
 
-// shutdownState is how far a graceful shutdown has come.
+// shutdownState is the progress of a graceful shutdown.
 type shutdownState struct {
-	begun     bool // SIGTERM has come
-	closeIdle bool // the platform has had time to notice: sessions end as soon as they are idle
+	begun     bool // SIGTERM was received
+	closeIdle bool // the platform has had time to notice: sessions are closed as soon as they are idle
 }
 
-// handleSignals returns when the process is to end: after a graceful shutdown, or with ctx.
+// handleSignals returns when the process should end: after a graceful shutdown, or when the server's context is canceled.
 func (s *Server) handleSignals(signals, reload <-chan os.Signal) {
 	for {
 		select {
@@ -36,29 +36,31 @@
 	}
 }
 
-// reloadSettings takes over those settings that may change while the proxy runs; settings with an error change nothing.
+// reloadSettings rereads the settings and applies those that may change while the proxy runs. If the settings are invalid, it
+// changes nothing.
 func (s *Server) reloadSettings() {
 	read, err := settings.Read()
 	if err != nil {
-		s.log.Error("settings rejected", "error", err)
+		s.log.Error("settings not reloaded", "error", err)
 		return
 	}
 	s.queue.Put(eventloop.PriorityControl, func() { s.settings.SeedPeers, s.settings.Bounds = read.SeedPeers, read.Bounds })
 	s.log.Info("settings reloaded", "seeds", read.SeedPeers)
 }
 
-// shutdownPhases says, for a grace, from when sessions are closed as they become idle, and when what is left is answered. A statement
-// that is with its host may take until the last sixth of the grace; the rest is for the answers to go out.
+// shutdownPhases divides the grace period of a shutdown. After closeIdleAfter, sessions are closed as they become idle; after
+// answerAfter, all pending statements are answered with an error. A statement that was sent to a host may take until the last sixth
+// of the grace period; the rest is left for sending the answers.
 func shutdownPhases(grace time.Duration) (closeIdleAfter, answerAfter time.Duration) {
 	return min(platformNoticeTime, grace/2), grace * 11 / 12
 }
 
-// shutDown ends sessions within the grace that the settings give. It first reports that this proxy is not ready and serves on
-// until the platform has noticed; then it closes sessions as they become idle; in the last moments of the grace it answers what is
-// left.
+// shutDown closes all sessions within the grace period of the settings. It first reports that this proxy is not ready and keeps
+// serving until the platform has noticed, then closes sessions as they become idle. Near the end of the grace period it answers
+// all pending statements with an error.
 func (s *Server) shutDown() {
 	s.log.Info("shutting down")
-	began := time.Now()
+	startedAt := time.Now()
 	closeIdleAfter, answerAfter := shutdownPhases(settings.Duration(s.settings.Bounds.GraceS * 1000))
 	s.queue.Put(eventloop.PriorityControl, func() {
 		s.shutdown.begun = true
@@ -66,14 +68,14 @@
 	})
 	for {
 		time.Sleep(shutdownPoll)
-		left, ok := query(s.queue, func() int {
-			if time.Since(began) > closeIdleAfter {
+		openSessions, ok := query(s.queue, func() int {
+			if time.Since(startedAt) > closeIdleAfter {
 				s.drainIdleSessions()
 			}
 			return len(s.sessions.open)
 		})
-		spent := time.Since(began)
-		if !ok || spent > answerAfter || left == 0 && spent > closeIdleAfter {
+		elapsed := time.Since(startedAt)
+		if !ok || elapsed > answerAfter || openSessions == 0 && elapsed > closeIdleAfter {
 			query(s.queue, func() struct{} {
 				s.failPendingStatements()
 				return struct{}{}
@@ -83,7 +85,7 @@
 	}
 }
 
-// drainIdleSessions ends the sessions that are idle, and from now on each one that becomes so.
+// drainIdleSessions closes the idle sessions, and from now on each session that becomes idle.
 func (s *Server) drainIdleSessions() {
 	s.shutdown.closeIdle = true
 	for client := range s.sessions.open {
@@ -93,7 +95,7 @@
 	}
 }
 
-// failPendingStatements answers every statement that has no answer, as this proxy ends.
+// failPendingStatements answers every pending statement with an error, because the proxy is about to stop.
 func (s *Server) failPendingStatements() {
 	for _, client := range s.sessions.byAge() {
 		stmt := client.statement
@@ -109,8 +111,9 @@
 	}
 }
 
-// shutdownError is the answer to a statement that is still pending at the end: what was not sent has not run. It follows the rule
-// of commitInDoubt, as failPinned does; a single write that was sent counts like one whose attempt has ended (endAttempt).
+// shutdownError returns the error for a statement that is still pending when the proxy stops. A statement that was not sent has not
+// been executed. Like failPinned, it applies the rule of commitInDoubt; a single write that was sent is treated like one whose
+// attempt has ended (endAttempt).
 func (stmt *statement) shutdownError() errcode.Kind {
 	switch {
 	case stmt.commitInDoubt():
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What is with its host at SIGTERM may take until the last sixth of the grace, and an open transaction has more than half of it; the
-// answers have time to go out before the platform kills the process.
+// A statement that was sent to a host before SIGTERM may take until the last sixth of the grace period, and an open transaction has
+// more than half of it. At least a twelfth is left for sending the answers before the platform kills the process.
 func TestShutdownUsesTheGrace(t *testing.T) {
 	for _, grace := range []time.Duration{time.Second, 4 * time.Second, 6 * time.Second, 30 * time.Second} {
 		closeIdleAfter, answerAfter := shutdownPhases(grace)
@@ -17,11 +17,11 @@
 		require.GreaterOrEqual(t, grace-answerAfter, grace/12)
 	}
 	closeIdleAfter, _ := shutdownPhases(6 * time.Second)
-	require.Greater(t, closeIdleAfter, 2*time.Second, "the platform asks each second, and takes a machine out after two misses")
+	require.Greater(t, closeIdleAfter, 2*time.Second, "the platform checks every second, and stops routing to a machine after two failed checks")
 }
 
-// From SIGTERM on a proxy reports that it is not ready, whatever it holds, and serves on until the platform has noticed; then it ends
-// its sessions as they become idle.
+// From SIGTERM on, a proxy reports that it is not ready even with a valid lease, and keeps serving until the platform has noticed.
+// Then it closes its sessions as they become idle.
 func TestShutdownIsNotReadyAndServesUntilThePlatformHasNoticed(t *testing.T) {
 	sim := newSimulation(1, 3, 9)
 	sim.RunFor(2 * second)
@@ -37,7 +37,7 @@
 	server.drainIdleSessions()
 	busy := 0
 	for client := range server.sessions.open {
-		require.Equal(t, client.idle(), client.ending, "just the idle sessions end")
+		require.Equal(t, client.idle(), client.ending, "only idle sessions end")
 		if !client.idle() {
 			busy++
 		}
@@ -45,6 +45,6 @@
 	require.Positive(t, busy)
 	sim.RunFor(second)
 	for client := range server.sessions.open {
-		require.True(t, client.ending || !client.idle(), "a session that became idle is left open")
+		require.True(t, client.ending || !client.idle(), "a session that became idle was not closed")
 	}
 }
--- a/internal/proxy/simulation_cluster_test.go
+++ b/internal/proxy/simulation_cluster_test.go
@@ -16,55 +16,55 @@
 const (
 	clusterSize = 3
 
-	// clockDriftThousandths is how far the clock of any process in a cluster simulation may drift.
+	// clockDriftThousandths is the maximum clock drift of any process in a cluster simulation, in thousandths.
 	clockDriftThousandths = 10
 
-	// callAttempts is how often a host sends a call again that is not acknowledged.
+	// callAttempts is how often a host retries a call that is not acknowledged.
 	callAttempts = 4
 )
 
-// controlCluster is the control plane with its members: their log, disks that lose what was not synced, fail-over, and the
-// platform. The platform is slow, refuses, or gives no clear answer; where it checks fencing tokens, it refuses older ones.
+// controlCluster is a control plane of several members, with their log, disks that lose unsynced writes, and failover, and the
+// platform. The platform may be slow, reject a call, or answer ambiguously. Where it checks fencing tokens, it rejects older ones.
 type controlCluster struct {
 	sim          *simulation
-	members      []*member          // that callers and proxies know of
-	memberAt     map[string]*member // every member, by address
-	machineCount int                // disks and machines that came after the first
-	connCount    int                // connections of proxies to members
+	members      []*member          // those known to callers and proxies
+	memberAt     map[string]*member // all members, including replaced ones, by address
+	machineCount int                // disks and machines added after the initial ones
+	connCount    int                // number of connections opened by proxies to members
 	faultCounts  [memberFaultKinds]int
 	operator     *operator
-	struckAt     int64  // when the closing fault came; 0: not yet
-	proxyVersion uint32 // of the protocol that proxies speak
+	struckAt     int64  // when the closing fault was scheduled; 0: not yet
+	proxyVersion uint32 // protocol version of the proxies
 
 	// Tenants.
-	tenants    string  // of the configuration; empty: clients are not counted
-	operations []int64 // when hosts ran one
+	tenants    string  // tenants in the configuration, in JSON; empty: operations are not recorded
+	operations []int64 // times at which hosts executed an operation
 
 	// Hosts.
 	lastCallSeq   int64
 	draining      map[string]bool
 	replacedHosts int
-	leaveFirst    bool // hosts leave without draining first, and serve on
+	leaveFirst    bool // hosts leave without draining first, and keep serving
 	leaving       map[string]bool
-	lateCalls     bool // now and then a host's call arrives seconds late, after later ones
+	lateCalls     bool // some calls of hosts arrive seconds late, after later calls
 
 	// The platform.
 	promotions     int
-	platformFences bool // it checks fencing tokens
+	platformFences bool // the platform checks fencing tokens
 	highestToken   map[string]uint64
 	tokenOwners    map[uint64]string
-	promotionTime  func() int64 // nil: by chance
+	promotionTime  func() int64 // duration of a promotion; nil: random
 
-	// Safeguards that a test may remove.
-	fakeAnswer    func(failover.HostQuery, *database.Host) bool // the host is not asked, and its answer made up
+	// Safeguards that a test may disable.
+	fakeAnswer    func(failover.HostQuery, *database.Host) bool // true: the host is not queried, and its answer is forged
 	hostAddress   func(hostID string) string
-	lateOneIn     int  // one command to hosts and the platform in so many is written late
-	ignoresLease  bool // a member writes what it decided although its lease is over
-	losesLog      bool // a new host lacks the log of the one that was at its address
-	keepsIdentity bool // a member whose disk is lost keeps its vote
+	lateOneIn     int  // one in lateOneIn commands to hosts and the platform is written late
+	ignoresLease  bool // a member writes commands even after its lease has expired
+	losesLog      bool // a replacement host starts without the log of the host it replaces
+	keepsIdentity bool // a member whose disk was lost keeps its identity, and so its vote
 }
 
-// newClusterSimulation makes a simulation whose control plane has members that fail.
+// newClusterSimulation returns a simulation whose control plane has several members, which fail.
 func newClusterSimulation(seed uint64, proxies, clients int) *simulation {
 	sim := newBareSimulation(seed)
 	c := &controlCluster{
@@ -96,7 +96,8 @@
 	return sim
 }
 
-// proxyVersionOf is the version that proxies speak: for a quarter of the seeds the oldest, for an eighth the one before the newest.
+// proxyVersionOf returns the protocol version of the proxies: the oldest for a quarter of the seeds, and the second newest for an
+// eighth.
 func proxyVersionOf(seed uint64) uint32 {
 	switch {
 	case seed%4 == 3:
@@ -107,7 +108,7 @@
 	return rpc.ProtocolVersion
 }
 
-// installConfig sends the first configuration to members in turn until one has applied it.
+// installConfig sends the first configuration to the members in turn until one has applied it.
 func (c *controlCluster) installConfig(turn int) {
 	sim, applied := c.sim, false
 	sim.After(100*millisecond, func() {
@@ -125,7 +126,7 @@
 	})
 }
 
-// sendHeartbeat is a host's: to members in turn, until one acknowledges it.
+// sendHeartbeat sends a host's heartbeat to the members in turn, until one acknowledges it or the retries are used up.
 func (c *controlCluster) sendHeartbeat(host *database.Host) {
 	c.lastCallSeq++
 	request := control.HeartbeatRequest{
@@ -150,7 +151,7 @@
 	c.callMember(host.ID, "/Instances.Heartbeat/"+host.ID, body, c.sim.Rand.IntN(clusterSize), callAttempts)
 }
 
-// callMember makes a host's call of a member, and of the next one if it is not acknowledged.
+// callMember sends a host's call to a member, and retries it at the next member if it is not acknowledged.
 func (c *controlCluster) callMember(hostID, path string, body []byte, turn, retries int) {
 	sim, acknowledged := c.sim, false
 	delay := sim.Between(1*millisecond, 4*millisecond)
@@ -165,7 +166,7 @@
 		m.Run(m.Incarnation(), func() {
 			m.server.HandleCall(http.MethodPost, path, "", body, func(status int, _ []byte) {
 				if !acknowledged && status == http.StatusOK {
-					acknowledged = !sim.OneIn(10) // else the answer is lost
+					acknowledged = !sim.OneIn(10) // otherwise the answer is lost
 				}
 			})
 		})
@@ -177,7 +178,7 @@
 	})
 }
 
-// drainHost has a host leave. A new host in its place takes over its log.
+// drainHost makes a host drain and leave. A new host takes its place with its log.
 func (c *controlCluster) drainHost(host *database.Host) {
 	sim := c.sim
 	if host == nil || len(c.draining)+len(c.leaving) > 0 {
@@ -201,8 +202,8 @@
 	})
 }
 
-// leaveOnlyReplica has only the host that leaves receive the primary's log for a while, and the primary crash after that: what was
-// acknowledged in between is on no other host that runs.
+// leaveOnlyReplica makes the leaving host the only replica that receives the primary's log for a while, and then crashes the
+// primary: the writes acknowledged in between are on no other running host.
 func (c *controlCluster) leaveOnlyReplica(leaving *database.Host) {
 	sim := c.sim
 	primary := sim.database.Primary()
@@ -230,7 +231,7 @@
 	c.callMember(hostID, "/Instances.Leave/"+hostID, nil, c.sim.Rand.IntN(clusterSize), callAttempts)
 }
 
-// replaceHost ends the process of a host that has left, and begins another with its log under another ID.
+// replaceHost stops a host that has left, and starts another one with its log under a new ID.
 func (c *controlCluster) replaceHost(host *database.Host) {
 	left := host.ID
 	host.Crash(false, c.sim.Between(200*millisecond, 900*millisecond))
@@ -244,7 +245,7 @@
 	c.sim.LogFault("%s replaces %s", host.ID, left)
 }
 
-// executePromotion is the platform's part of a promotion.
+// executePromotion executes a promotion as the platform does, and returns the outcome that the platform reports.
 func (c *controlCluster) executePromotion(promotion failover.Promotion) failover.PromotionOutcome {
 	sim, host := c.sim, c.sim.database.Host(promotion.Host)
 	switch {
--- a/internal/proxy/simulation_control_test.go
+++ b/internal/proxy/simulation_control_test.go
@@ -6,7 +6,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// reliableControl is a control plane of one member that never fails. What it sends may come late or not at all.
+// reliableControl is a control plane of one member that never fails. Its messages may be delayed or lost.
 type reliableControl struct {
 	sim         *simulation
 	state       *statemachine.State
@@ -14,7 +14,7 @@
 	grantor     *lease.Grantor
 	coordinator *failover.Coordinator
 
-	// Safeguards that a test may remove.
+	// Safeguards that a test may disable.
 	allCaughtUp func(index uint64) bool
 	alterResult func(failover.HostQuery, *failover.QueryResult)
 }
@@ -25,7 +25,7 @@
 {"Name":"c","Host":"own","PathPrefix":"/","Kind":"owned","DeadlineMs":1000,"TargetMs":150,"Priority":2,"Service":"db","MaxTries":2,"StalenessMs":900}],
 "Services":[{"Name":"db","MaxConns":60,"SyncReplicas":1}],"Limits":{"TxnIdleMs":2000}}`
 
-// heartbeatMs is how often hosts send heartbeats.
+// heartbeatMs is the interval between heartbeats of a host, in milliseconds.
 const heartbeatMs = 1200
 
 func newReliableControl(sim *simulation) *reliableControl {
@@ -47,7 +47,7 @@
 	c.tick()
 }
 
-// apply appends a change to the log, and sends it to the proxies.
+// apply appends a change to the log, applies it, and sends it to the proxies.
 func (c *reliableControl) apply(change statemachine.Change) {
 	c.log = append(c.log, statemachine.EncodeChange(change))
 	if err := c.state.Apply(uint64(len(c.log)), change); err != nil {
@@ -73,7 +73,7 @@
 	c.evaluate()
 }
 
-// evaluate carries out what the coordinator asks for.
+// evaluate executes the actions that the coordinator requests.
 func (c *reliableControl) evaluate() {
 	sim := c.sim
 	actions := c.coordinator.Tick(c.state, c.allCaughtUp, c.nowMs())
@@ -89,7 +89,7 @@
 	}
 }
 
-// promote is a call of the platform, which may refuse it, fail, or give no clear answer.
+// promote calls the platform, which may reject the promotion, fail, or answer ambiguously.
 func (c *reliableControl) promote(promotion failover.Promotion) {
 	sim := c.sim
 	outcome, host := failover.PromotionSucceeded, sim.database.Host(promotion.Host)
--- a/internal/proxy/simulation_faults_test.go
+++ b/internal/proxy/simulation_faults_test.go
@@ -6,7 +6,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// injectFaults injects one fault after another until faultsEnd.
+// injectFaults injects random faults until faultsEnd.
 func (sim *simulation) injectFaults() {
 	if sim.Now > sim.StartTime+faultsEnd {
 		return
@@ -24,7 +24,7 @@
 	case 2:
 		sim.crashHost(host)
 	case 3:
-		sim.deafenReplica(host)
+		sim.stopReplication(host)
 	case 4:
 		proxy.crash()
 	case 5:
@@ -57,15 +57,15 @@
 	if sim.hostsDown() > 0 {
 		return
 	}
-	back, dark := sim.Between(500*millisecond, 4*second), sim.OneIn(2)
-	if !dark && !host.IsPrimary && sim.OneIn(2) {
-		back = 6 * second // long enough to count as gone
+	downtime, unreachable := sim.Between(500*millisecond, 4*second), sim.OneIn(2)
+	if !unreachable && !host.IsPrimary && sim.OneIn(2) {
+		downtime = 6 * second // long enough to be considered missing
 	}
-	host.Crash(dark, back)
+	host.Crash(unreachable, downtime)
 }
 
-// deafenReplica has a replica receive nothing of the primary's log for a while.
-func (sim *simulation) deafenReplica(host *database.Host) {
+// stopReplication stops the replication of the primary's log to a replica for a while, unless that of another replica is stopped.
+func (sim *simulation) stopReplication(host *database.Host) {
 	for _, other := range sim.database.Hosts {
 		if other.ReplicationStopped {
 			return
@@ -88,8 +88,8 @@
 	return down
 }
 
-// drainPrimary has the primary leave, and come back under its name. With a controlCluster it may be a replica, and comes back
-// under another.
+// drainPrimary makes the primary drain, leave, and return under the same ID. With a controlCluster it may also drain a replica, and
+// the host returns under a new ID.
 func (sim *simulation) drainPrimary() {
 	if sim.cluster != nil {
 		host := sim.database.Primary()
@@ -108,18 +108,18 @@
 	drained := control.state.Hosts[primary.Host]
 	drained.Draining = true
 	control.apply(statemachine.Change{AddHost: &drained})
-	sim.After(3*second, func() { // it is replaced: the same machine serves again under its name
+	sim.After(3*second, func() { // the same machine returns under the same ID
 		control.apply(statemachine.Change{RemoveHost: drained.ID})
 		control.state.RemovedHosts = nil
 		drained.Draining = false
 		control.apply(statemachine.Change{AddHost: &drained})
-		for _, proxy := range sim.proxies { // they forget the removal, too
+		for _, proxy := range sim.proxies { // the proxies must not remember the removal either
 			proxy.run(proxy.incarnation, func(server *Server) { server.replica.state.RemovedHosts = nil })
 		}
 	})
 }
 
-// executeAfterFreeze has a frozen host execute a command once it goes on; several of them in no order.
+// executeAfterFreeze makes a frozen host execute a command after it resumes. Several commands execute in arbitrary order.
 func (sim *simulation) executeAfterFreeze(query failover.HostQuery, host *database.Host) {
 	crashes := host.Crashes
 	sim.After(sim.frozenUntil[host.ID]-sim.Now+int64(query.Serial*97%300)*millisecond, func() {
--- a/internal/proxy/simulation_member_conn_test.go
+++ b/internal/proxy/simulation_member_conn_test.go
@@ -10,30 +10,31 @@
 	// reconnectDelay is how long a proxy waits before it connects to the next member.
 	reconnectDelay = 60 * millisecond
 
-	// closeNoticeDelay is how long a member takes to see that a connection has ended.
+	// closeNoticeDelay is how long a member takes to notice that a connection was closed.
 	closeNoticeDelay = 2 * millisecond
 
 	renewInterval = 300 * millisecond
 )
 
-// memberConn is a proxy's connection to a member, at both ends.
+// memberConn is a connection between a proxy and a member, with the state of both ends.
 type memberConn struct {
-	id                int // by when it was opened
+	id                int // in the order of opening
 	proxy             *proxyProcess
 	proxyIncarnation  int
 	member            *member
 	memberIncarnation int
 
-	proxyConn      *control.ProxyConn // the member's handle; nil: it has not seen the hello yet
-	welcomed       bool               // the member is the leader
+	proxyConn      *control.ProxyConn // the member's handle; nil until the member has received the hello
+	welcomed       bool               // the member has accepted the proxy as the leader
 	closed         bool
-	broken         bool // by a partition: what was sent meanwhile never arrives, nor what came after it
+	broken         bool // by a partition: frames that should have arrived during it, and all later ones, are lost
 	lastReceivedAt int64
 
 	lastSerial  uint64
 	requestedAt map[uint64]int64 // lease requests by serial, in milliseconds of the proxy's clock
 
-	// Each direction keeps its order, except that leases overtake updates of the log on their way to a proxy that knows it.
+	// Frames arrive in order in each direction, except that lease responses may overtake log updates on the way to a proxy whose
+	// protocol version supports it.
 	lastArrivalAtMember int64
 	lastArrivalAtProxy  int64
 	lastLeaseAtProxy    int64
@@ -75,18 +76,18 @@
 	conn.checkSilence()
 }
 
-// sendToMember does what arrives at the member.
+// sendToMember calls do at the member after the network delay.
 func (c *memberConn) sendToMember(do func()) {
 	sim := c.proxy.sim
 	c.lastArrivalAtMember = max(c.lastArrivalAtMember+1, sim.Now+sim.Between(millisecond/2, 3*millisecond))
 	sim.After(c.lastArrivalAtMember-sim.Now, func() {
-		if c.usable() {
+		if c.canDeliver() {
 			c.member.Run(c.memberIncarnation, do)
 		}
 	})
 }
 
-// sendToProxy is the member's end.
+// sendToProxy delivers a frame of the member to the proxy after the network delay.
 func (c *memberConn) sendToProxy(frame *rpc.Frame) bool {
 	sim := c.proxy.sim
 	last := &c.lastArrivalAtProxy
@@ -95,20 +96,20 @@
 	}
 	*last = max(*last+1, sim.Now+sim.Between(millisecond/2, 3*millisecond))
 	sim.After(*last-sim.Now, func() {
-		if c.usable() {
+		if c.canDeliver() {
 			c.proxy.run(c.proxyIncarnation, func(server *Server) { c.receive(server, frame) })
 		}
 	})
 	return true
 }
 
-// usable says whether something arrives now. What a partition holds up holds up all that is behind it.
-func (c *memberConn) usable() bool {
+// canDeliver reports whether a frame that is due now arrives. A partition breaks the connection: later frames are lost, too.
+func (c *memberConn) canDeliver() bool {
 	c.broken = c.broken || c.proxy.partitioned
 	return !c.closed && !c.broken
 }
 
-// receive does what controlLink does with a frame.
+// receive handles a frame as controlLink does.
 func (c *memberConn) receive(server *Server, frame *rpc.Frame) {
 	if c.closed {
 		return
@@ -142,7 +143,7 @@
 			c.close()
 			return
 		}
-		server.leaseGranted(frame.LeaseResponse, requestedAt)
+		server.handleLeaseGrant(frame.LeaseResponse, requestedAt)
 	}
 }
 
@@ -156,7 +157,8 @@
 	c.sendToMember(func() { c.member.server.HandleProxyFrame(c.proxyConn, &rpc.Frame{ChunkAck: ack}) })
 }
 
-// followRedirect ends the connection, and connects the proxy to the member that is the leader, if it knows of that.
+// followRedirect closes the connection and connects the proxy to the leader that the member named, or to the next member if it
+// named none.
 func (c *memberConn) followRedirect(leader string) {
 	sim, proxy := c.proxy.sim, c.proxy
 	c.closed = true
@@ -170,7 +172,7 @@
 	sim.After(reconnectDelay, func() { proxy.connectToNextMember(c.proxyIncarnation) })
 }
 
-// close ends the connection at both ends; the proxy connects to the next member.
+// close closes the connection at both ends. The proxy then connects to the next member.
 func (c *memberConn) close() {
 	if c.closed {
 		return
@@ -186,7 +188,7 @@
 	sim.After(reconnectDelay, func() { c.proxy.connectToNextMember(c.proxyIncarnation) })
 }
 
-// checkSilence ends the connection when the proxy has received nothing for controlSilenceTimeout.
+// checkSilence closes the connection when the proxy has received nothing for controlSilenceTimeout.
 func (c *memberConn) checkSilence() {
 	sim := c.proxy.sim
 	limit := controlSilenceTimeout.Milliseconds() * millisecond
@@ -217,17 +219,17 @@
 	})
 }
 
-// memberLink is a proxy's leaderLink to the member that it is connected to.
+// memberLink is the leaderLink of a proxy in a simulation with a controlCluster.
 type memberLink struct{ proxy *proxyProcess }
 
 func (l memberLink) renewLease() {
-	if conn := l.proxy.memberConn; conn.toLeader() {
+	if conn := l.proxy.memberConn; conn.connectedToLeader() {
 		l.proxy.sim.After(0, conn.renewLease)
 	}
 }
 
 func (l memberLink) requestQuota(request *quota.Request) {
-	if conn := l.proxy.memberConn; conn.toLeader() {
+	if conn := l.proxy.memberConn; conn.connectedToLeader() {
 		conn.sendToMember(func() {
 			conn.member.server.HandleProxyFrame(conn.proxyConn, &rpc.Frame{QuotaRequest: request})
 		})
@@ -235,12 +237,12 @@
 }
 
 func (l memberLink) reportSuspect(report *rpc.SuspectReport) {
-	if conn := l.proxy.memberConn; conn.toLeader() {
+	if conn := l.proxy.memberConn; conn.connectedToLeader() {
 		conn.sendToMember(func() {
 			conn.member.server.HandleProxyFrame(conn.proxyConn, &rpc.Frame{SuspectReport: report})
 		})
 	}
 }
 
-// toLeader says that the connection is open and the member at its end is the leader. c may be nil.
-func (c *memberConn) toLeader() bool { return c != nil && !c.closed && c.welcomed }
+// connectedToLeader reports whether the connection is open and its member is the leader. c may be nil.
+func (c *memberConn) connectedToLeader() bool { return c != nil && !c.closed && c.welcomed }
--- a/internal/proxy/simulation_member_faults_test.go
+++ b/internal/proxy/simulation_member_faults_test.go
@@ -7,33 +7,33 @@
 	"ferrypitch/internal/control/storage"
 )
 
-// memberFault is a fault of one member.
+// memberFault is a fault injected at one member.
 type memberFault struct {
 	*member
-	sim      *simulation
-	seat     int   // of the member in controlCluster.members
-	duration int64 // until it ends, or the member comes back
+	sim         *simulation
+	memberIndex int   // index of the member in controlCluster.members
+	duration    int64 // until the fault ends or the member restarts
 }
 
 const memberFaultKinds = 12
 
-// memberFaults are drawn from with equal chance.
+// memberFaults are chosen with equal probability. A function that is listed twice is twice as likely.
 var memberFaults = [memberFaultKinds]func(memberFault){
 	memberFault.crashAndRestart,
 	memberFault.crashAndRestart,
 	memberFault.freeze,
 	memberFault.partition,
-	memberFault.loseHosts,
+	memberFault.partitionFromHosts,
 	memberFault.receiveNothing,
 	memberFault.sendNothing,
 	memberFault.resetConnections,
 	memberFault.restartGracefully,
 	memberFault.loseDisk,
-	memberFault.dieForGood,
+	memberFault.failPermanently,
 	memberFault.replaceGracefully,
 }
 
-// injectFaults injects faults of members, beside all other faults, until faultsEnd.
+// injectFaults injects faults of members, in addition to all other faults, until faultsEnd.
 func (c *controlCluster) injectFaults() {
 	sim := c.sim
 	if sim.Now > sim.StartTime+faultsEnd {
@@ -43,7 +43,7 @@
 	sim.After(sim.Between(200*millisecond, 1500*millisecond), c.injectFaults)
 }
 
-// recentFault says whether a member has had a fault of late.
+// recentFault reports whether any member has a fault or had one within the last three seconds.
 func (c *controlCluster) recentFault() bool {
 	for _, m := range c.members {
 		if m.faultEndsAt > 0 && c.sim.Now < m.faultEndsAt+3*second {
@@ -53,21 +53,22 @@
 	return false
 }
 
-// injectMemberFault injects a fault of one member, if all others have been without for a while.
+// injectMemberFault injects a fault at one member, unless there was a recent fault. In half of the cases it prefers the
+// leader.
 func (c *controlCluster) injectMemberFault() {
 	sim := c.sim
 	if c.recentFault() {
 		return
 	}
-	seat := sim.Rand.IntN(clusterSize)
+	memberIndex := sim.Rand.IntN(clusterSize)
 	if sim.OneIn(2) {
 		for i, m := range c.members {
 			if m.Up() && m.isLeader() {
-				seat = i
+				memberIndex = i
 			}
 		}
 	}
-	fault := memberFault{member: c.members[seat], sim: sim, seat: seat, duration: sim.Between(50*millisecond, 3*second)}
+	fault := memberFault{member: c.members[memberIndex], sim: sim, memberIndex: memberIndex, duration: sim.Between(50*millisecond, 3*second)}
 	fault.faultEndsAt = sim.Now + fault.duration
 	kind := sim.Rand.IntN(memberFaultKinds)
 	c.faultCounts[kind]++
@@ -103,7 +104,7 @@
 	f.healLater()
 }
 
-func (f memberFault) loseHosts() {
+func (f memberFault) partitionFromHosts() {
 	f.sim.LogFault("member %s is partitioned from hosts and the platform", f.ip)
 	f.hostsUnreachable = true
 	f.healLater()
@@ -141,15 +142,15 @@
 	f.sim.After(f.duration, f.restartWiped)
 }
 
-func (f memberFault) dieForGood() {
+func (f memberFault) failPermanently() {
 	f.sim.LogFault("member %s dies for good", f.ip)
 	f.crash(true)
 	f.faultEndsAt += 3 * second
-	f.sim.After(f.duration, func() { f.cluster.replaceMember(f.seat) })
+	f.sim.After(f.duration, func() { f.cluster.replaceMember(f.memberIndex) })
 }
 
 func (f memberFault) replaceGracefully() {
-	next := f.cluster.replaceMember(f.seat)
+	next := f.cluster.replaceMember(f.memberIndex)
 	f.faultEndsAt = f.sim.Now + 6*second
 	f.sim.After(2*second+f.duration, func() {
 		f.sim.LogFault("member %s is shut down, %s takes its place", f.ip, next.ip)
@@ -157,7 +158,7 @@
 	})
 }
 
-// closingFault has one member lose its disk and all other machines, proxies too, lose power at the same moment.
+// closingFault makes one member lose its disk and all other machines, including proxies, lose power at the same time.
 func (c *controlCluster) closingFault() {
 	sim := c.sim
 	wiped := sim.Rand.IntN(clusterSize)
@@ -188,24 +189,24 @@
 	m.start()
 }
 
-// newIdentity is that of a member with an empty disk.
+// newIdentity returns the identity of a member that starts with an empty disk.
 func (c *controlCluster) newIdentity(ip string) storage.Identity {
 	c.machineCount++
 	return storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%08x", ip, c.machineCount))}
 }
 
-// replaceMember starts a machine at a new address. Callers and proxies learn of it in the place of another.
-func (c *controlCluster) replaceMember(seat int) *member {
+// replaceMember starts a member at a new address. For callers and proxies it takes the place of the given member.
+func (c *controlCluster) replaceMember(memberIndex int) *member {
 	sim := c.sim
 	ip := fmt.Sprintf("10.0.1.%d", c.machineCount+1)
 	m := &member{cluster: c, ip: ip, identity: c.newIdentity(ip), clockDrift: sim.drawClockDrift(), faultEndsAt: sim.Now + 5*second}
-	sim.LogFault("member %s replaces %s", ip, c.members[seat].ip)
-	c.members[seat], c.memberAt[ip] = m, m
+	sim.LogFault("member %s replaces %s", ip, c.members[memberIndex].ip)
+	c.members[memberIndex], c.memberAt[ip] = m, m
 	m.start()
 	return m
 }
 
-// resetConns resets a member's connections to members and proxies, again and again until a time.
+// resetConns repeatedly resets a member's connections to other members and, at random, to proxies, until the given time.
 func (c *controlCluster) resetConns(m *member, incarnation int, until int64) {
 	sim := c.sim
 	if !m.Is(incarnation) || sim.Now > until {
--- a/internal/proxy/simulation_member_test.go
+++ b/internal/proxy/simulation_member_test.go
@@ -23,10 +23,10 @@
 	"ferrypitch/internal/wire"
 )
 
-// platformTimeout is how long a member waits for the platform's answer.
+// platformTimeout is how long a member waits for a response of the platform.
 const platformTimeout = 900 * millisecond
 
-// member is a process of the control plane without its sockets, through its incarnations.
+// member is a control-plane member without sockets, across the incarnations of its process.
 type member struct {
 	memberprocess.Process
 
@@ -35,20 +35,20 @@
 	identity   storage.Identity
 	server     *control.Server
 	clockDrift int64
-	diskFactor int64 // how many times as long as the fastest its disk takes; 0: not drawn yet
+	diskFactor int64 // factor by which the disk is slower than the fastest; 0: not chosen yet
 	disk       memberdisk.Disk
 
-	// Faults of its network.
+	// Network faults.
 	partitioned      bool // from the other members
-	receivesNothing  bool // of the other members
-	sendsNothing     bool // that reaches the other members
-	hostsUnreachable bool // and the platform
-	resetCount       int  // of its connections to members: what was in flight is lost
+	receivesNothing  bool // frames from other members are lost
+	sendsNothing     bool // frames to other members are lost
+	hostsUnreachable bool // and the platform, too
+	resetCount       int  // resets of its connections to members; each loses the frames in flight
 
-	conns       map[*memberConn]bool // of proxies
-	lastArrival map[string]int64     // what goes to one member keeps its order
+	conns       map[*memberConn]bool // connections from proxies
+	lastArrival map[string]int64     // by destination member, which receives frames in order
 
-	// faultEndsAt is when its last fault ended, and what was lost by it is repaired; 0: it had none.
+	// faultEndsAt is when the effects of the last fault are over; 0: there was no fault.
 	faultEndsAt int64
 }
 
@@ -93,7 +93,7 @@
 	})
 }
 
-// send brings a frame to another member.
+// send sends a frame to another member.
 func (m *member) send(ip string, frame *rpc.Frame) {
 	sim, to := m.cluster.sim, m.cluster.memberAt[ip]
 	if to == nil || to == m {
@@ -110,7 +110,7 @@
 	})
 }
 
-// persist syncs writes to the disk.
+// persist writes to the disk and, after a random delay, syncs it.
 func (m *member) persist(incarnation int, writes []consensus.Write) {
 	sim := m.cluster.sim
 	m.disk.Write(writes)
@@ -130,8 +130,8 @@
 	})
 }
 
-// writeUnderLease writes what was decided in a term, unless the lease is over by then: the goroutine that writes may be late. It
-// checks that nothing goes out while another member acts as the leader.
+// writeUnderLease calls write for a command that was decided in a term, or withhold if the member's lease has expired by then, since
+// the goroutine that writes may be delayed. It checks that no command is sent while another member is the leader.
 func (m *member) writeUnderLease(incarnation int, term uint64, what string, write, withhold func()) {
 	sim, c := m.cluster.sim, m.cluster
 	late := int64(0)
@@ -155,7 +155,7 @@
 	})
 }
 
-// queryHost sends a command to a host. Only those that change the host need the lease.
+// queryHost sends a command to a host. Only commands that change the host need the lease.
 func (m *member) queryHost(incarnation int, query failover.HostQuery) {
 	if query.Command == failover.Stat {
 		m.sendQuery(incarnation, query)
@@ -188,14 +188,14 @@
 	})
 }
 
-// promote calls the platform.
+// promote sends a promotion to the platform, if the lease is still valid.
 func (m *member) promote(incarnation int, promotion failover.Promotion) {
 	m.writeUnderLease(incarnation, promotion.LeaderTerm, "a promotion", func() { m.sendPromotion(incarnation, promotion) }, func() {
 		m.server.PromotionFinished(promotion, failover.PromotionNotExecuted)
 	})
 }
 
-// sendPromotion is a call of the platform that goes out now. It checks that a fencing token has one owner.
+// sendPromotion sends a promotion to the platform immediately. It checks that each fencing token has only one owner.
 func (m *member) sendPromotion(incarnation int, promotion failover.Promotion) {
 	sim, c := m.cluster.sim, m.cluster
 	c.promotions++
@@ -204,9 +204,9 @@
 		sim.Violate("a fencing token of %s is used by %s", owner, promotion.Owner)
 	}
 	c.tokenOwners[promotion.FencingToken] = promotion.Owner
-	way := sim.Between(2*millisecond, 20*millisecond)
+	requestDelay := sim.Between(2*millisecond, 20*millisecond)
 	if c.promotionTime == nil && sim.OneIn(6) {
-		way = sim.Between(100*millisecond, 2*second) // it is slow
+		requestDelay = sim.Between(100*millisecond, 2*second) // the platform is slow
 	}
 	finish := func(outcome failover.PromotionOutcome) {
 		m.Run(incarnation, func() { m.server.PromotionFinished(promotion, outcome) })
@@ -215,19 +215,19 @@
 		sim.After(600*millisecond, func() { finish(failover.PromotionNotExecuted) })
 		return
 	}
-	sim.After(way, func() {
+	sim.After(requestDelay, func() {
 		outcome := c.executePromotion(promotion)
-		if way <= platformTimeout {
+		if requestDelay <= platformTimeout {
 			sim.After(sim.Between(2*millisecond, 8*millisecond), func() { finish(outcome) })
 		}
 	})
-	if way > platformTimeout {
+	if requestDelay > platformTimeout {
 		sim.After(platformTimeout, func() { finish(failover.PromotionUnknown) })
 	}
 }
 
-// checkStates checks that no member and no proxy has found its state to differ from that of a majority: no fault of a simulation
-// changes memory.
+// checkStates checks that no member and no proxy has detected a state that differs from that of a majority, since no simulated fault
+// corrupts memory.
 func (c *controlCluster) checkStates() {
 	for _, m := range c.members {
 		if diverged := m.server.StateDivergences.Load(); diverged > 0 {
@@ -235,7 +235,7 @@
 		}
 	}
 	for _, proxy := range c.sim.proxies {
-		if diverged := proxy.server.counters.stateDiverged.Load(); diverged > 0 {
+		if diverged := proxy.server.counters.stateDivergences.Load(); diverged > 0 {
 			c.sim.Violate("STATE: the state of %s has diverged %d times", proxy.name, diverged)
 		}
 	}
@@ -254,7 +254,7 @@
 	return leads
 }
 
-// crash ends the process. Without a loss of power, the disk may still take some of what was not synced.
+// crash ends the process. Unless power is lost, the disk may still keep some of the unsynced writes.
 func (m *member) crash(powerLost bool) {
 	sim := m.cluster.sim
 	m.End()
@@ -266,7 +266,7 @@
 	}
 }
 
-// shutDown is SIGTERM: the member serves on until it says that it may stop, or for 6 s.
+// shutDown simulates SIGTERM: the member keeps serving until it reports that its shutdown is complete, for at most 6 s.
 func (m *member) shutDown(then func()) {
 	sim, incarnation := m.cluster.sim, m.Incarnation()
 	until := sim.Now + 6*second
@@ -298,19 +298,19 @@
 	m.partitioned, m.receivesNothing, m.sendsNothing, m.hostsUnreachable = false, false, false, false
 }
 
-// heal ends faults of the network, if the incarnation has not ended.
+// heal ends network faults, unless the incarnation has ended.
 func (m *member) heal(incarnation int) {
 	if m.Incarnation() == incarnation {
 		m.healNetwork()
 	}
 }
 
-// connsByAge are the connections of proxies, the oldest first.
+// connsByAge returns the connections from proxies, oldest first.
 func (m *member) connsByAge() []*memberConn {
 	return slices.SortedFunc(maps.Keys(m.conns), func(a, b *memberConn) int { return cmp.Compare(a.id, b.id) })
 }
 
-// faultLogWriter puts what a member logs among the faults, when one seed is looked at.
+// faultLogWriter adds the log output of a member to the fault log, when only one seed is run.
 type faultLogWriter struct {
 	sim *simulation
 	ip  string
--- a/internal/proxy/simulation_proxy_test.go
+++ b/internal/proxy/simulation_proxy_test.go
@@ -16,7 +16,7 @@
 	"ferrypitch/internal/wire"
 )
 
-// proxyProcess is a whole proxy without its sockets, through its incarnations.
+// proxyProcess is a complete proxy without sockets, across the incarnations of its process.
 type proxyProcess struct {
 	sim         *simulation
 	name        string
@@ -29,8 +29,8 @@
 	nextStepAt  int64 // when its event loop runs next
 
 	// With a reliableControl.
-	sentIndex   uint64 // up to where the log was sent to it
-	lastArrival int64  // log updates and leases keep their order
+	sentIndex   uint64 // index up to which the log was sent to the proxy
+	lastArrival int64  // of the last log update or lease; they arrive in order
 
 	// With a controlCluster.
 	memberConn *memberConn
@@ -61,7 +61,7 @@
 	p.renewPeriodically(incarnation)
 }
 
-// run runs do in the proxy's event loop: later if it is frozen, never if its incarnation has ended.
+// run calls do in the proxy's event loop: after a delay if the proxy is frozen, and never if its incarnation has ended.
 func (p *proxyProcess) run(incarnation int, do func(server *Server)) {
 	sim := p.sim
 	if !p.up || p.incarnation != incarnation {
@@ -104,7 +104,7 @@
 	})
 }
 
-// sendLogUpdates sends a proxy the entries that it lacks, in order.
+// sendLogUpdates sends the proxy, in order, the log entries that it has not received.
 func (p *proxyProcess) sendLogUpdates() {
 	sim, incarnation, log := p.sim, p.incarnation, p.sim.control.log
 	if !p.up || p.partitioned || p.sentIndex == uint64(len(log)) {
@@ -119,7 +119,7 @@
 			return
 		}
 		p.run(incarnation, func(server *Server) {
-			_ = server.applyLogUpdate(update) // what is missing comes with the next
+			_ = server.applyLogUpdate(update) // missing entries are sent with the next update
 			server.reportRevocationApplied()
 		})
 	})
@@ -152,7 +152,7 @@
 		control.evaluate()
 		p.lastArrival = max(p.lastArrival, sim.Now+sim.Between(1*millisecond, 4*millisecond))
 		sim.After(p.lastArrival-sim.Now, func() {
-			p.run(incarnation, func(server *Server) { server.leaseGranted(granted, requestedAt) })
+			p.run(incarnation, func(server *Server) { server.handleLeaseGrant(granted, requestedAt) })
 		})
 	})
 }
@@ -175,7 +175,7 @@
 	sim.After(sim.Between(2*millisecond, 15*millisecond), func() {
 		host := sim.database.Host(hostID)
 		switch {
-		case host == nil: // another uses its address
+		case host == nil: // another host uses its address
 			p.run(incarnation, func(*Server) { pool.connOpened(conn, wire.Response{Code: wire.CodeWrongNode}, nil) })
 		case host.Unreachable:
 			finish(1500*millisecond, wire.Response{}, errTimedOut)
@@ -191,7 +191,7 @@
 	})
 }
 
-// crash ends the process; it starts again after a while.
+// crash ends the process, which restarts after a while.
 func (p *proxyProcess) crash() {
 	sim := p.sim
 	if !p.up {
--- a/internal/proxy/simulation_quota_test.go
+++ b/internal/proxy/simulation_quota_test.go
@@ -22,12 +22,12 @@
 	simulatedBounds = settings.Bounds{QuotaWindowS: 5, QuotaExcess: 0.1, QuotaSlack: 5}
 )
 
-// configBody is the first configuration, with the tenants of the simulation.
+// configBody returns the initial configuration with the tenants of the simulation.
 func (c *controlCluster) configBody() string {
 	return strings.Replace(initialConfig, `"Services":`, c.tenants+`"Services":`, 1)
 }
 
-// noteOperation counts what a host runs for a client: a statement outside transactions, or a BEGIN.
+// noteOperation records an operation that a host executes for a client: a statement outside transactions, or a BEGIN.
 func (c *simulatedHostConn) noteOperation(verb string) {
 	sim := c.proxy.sim
 	if sim.cluster == nil || sim.cluster.tenants == "" || c.State == stateInTransaction || verb == "COMMIT" || verb == "ABORT" {
@@ -36,8 +36,8 @@
 	sim.cluster.operations = append(sim.cluster.operations, sim.Now)
 }
 
-// mostOperations is the most operations in any window of the rule.
-func (c *controlCluster) mostOperations() (most int) {
+// maxOperationsInWindow returns the maximum number of operations in any window of five seconds, the window of the quota.
+func (c *controlCluster) maxOperationsInWindow() (most int) {
 	slices.Sort(c.operations)
 	first := 0
 	for i, at := range c.operations {
@@ -55,14 +55,15 @@
 	return sim
 }
 
-// With members, proxies, links and hosts that fail, and all clients of one tenant, no window has more operations than the rule allows.
+// While members, proxies, links and hosts fail and all clients belong to one tenant, no window has more operations than the tenant's
+// quota allows.
 func TestSimulationKeepsTheLimitOfATenant(t *testing.T) {
 	tolerance := quota.Tolerance{WindowS: simulatedBounds.QuotaWindowS, Excess: simulatedBounds.QuotaExcess, Slack: simulatedBounds.QuotaSlack}
 	allowed, count := tolerance.MaxInWindow(simulatedLimit), max(1, seedCount()/20)
 	operations, refused, most := 0, int64(0), 0
 	simulateAll(t, count, newQuotaSimulation, func(sim *simulation) {
 		operations += len(sim.cluster.operations)
-		most = max(most, sim.cluster.mostOperations())
+		most = max(most, sim.cluster.maxOperationsInWindow())
 		for _, p := range sim.proxies {
 			refused += p.server.counters.quotaRefused.Load()
 		}
--- a/internal/proxy/simulation_run_test.go
+++ b/internal/proxy/simulation_run_test.go
@@ -18,14 +18,15 @@
 	onlySeed  = flag.Int("only", -1, "the one seed to run")
 )
 
-// Simulations make much garbage and hold little: the collector runs a quarter as often, which takes a quarter off the time.
+// Simulations allocate much and retain little. With a GC percentage of 400 the collector runs a quarter as often, which saves a
+// quarter of the running time.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	debug.SetGCPercent(400)
 	os.Exit(m.Run())
 }
 
-// seedCount is how many seeds are run: a tenth in short runs, as under the race detector.
+// seedCount returns the number of seeds to run: a tenth of them in short mode, as under the race detector.
 func seedCount() int {
 	if testing.Short() {
 		return max(1, *seeds/10)
@@ -33,7 +34,7 @@
 	return *seeds
 }
 
-// simulateAll runs simulations in parallel, and fails with the least seed that has violations. visit sees each of them.
+// simulateAll runs simulations in parallel, calls visit for each of them, and fails with the lowest seed that has violations.
 func simulateAll(t *testing.T, count int, build func(seed uint64) *simulation, visit func(*simulation)) {
 	t.Helper()
 	var mu sync.Mutex
@@ -90,14 +91,14 @@
 		return
 	}
 	require.Greater(t, served, 300*seedCount(), "too little was served for this to prove anything")
-	require.Greater(t, promotions, seedCount()/2, "too few fail-overs for this to prove anything")
+	require.Greater(t, promotions, seedCount()/2, "too few failovers for this to prove anything")
 	require.Greater(t, versions, 3*seedCount(), "too few changes of the configuration for this to prove anything")
 	t.Logf("%d simulations, %d statements served, %d promotions; faults of members by kind: %v; %d versions confirmed, %d requests repeated",
 		seedCount(), served, promotions, faults, versions, repeated)
 }
 
-// Hosts that say nothing before they leave receive writes until they end: a failover in that time must ask them, and a primary
-// that leaves so is switched over while it serves.
+// Hosts that leave without draining first receive writes until they stop. A failover in that time must query them, and a primary
+// that leaves in this way is switched over while it keeps serving.
 func TestSimulationKeepsGuaranteesWithHostsThatLeaveFirst(t *testing.T) {
 	served, replaced, promotions := 0, 0, 0
 	build := func(seed uint64) *simulation {
@@ -118,8 +119,8 @@
 	t.Logf("%d statements served, %d hosts left without draining first, %d promotions", served, replaced, promotions)
 }
 
-// A member loses its disk, and all other machines lose power, right after a change of the configuration was confirmed: what clients and
-// operators were told is still true, and the system serves again.
+// Right after a configuration change was confirmed, one member loses its disk and all other machines lose power. Everything that
+// clients and operators were told must still hold, and the system must serve writes again.
 func TestSimulationKeepsGuaranteesThroughAClosingFault(t *testing.T) {
 	served, struck, unrecovered := 0, 0, 0
 	build := func(seed uint64) *simulation {
@@ -144,7 +145,7 @@
 	}
 }
 
-// Calls of hosts that arrive seconds late, after later ones, neither bring a removed host back nor undo a drain.
+// Calls of hosts that arrive seconds late, after later calls, neither bring a removed host back nor undo a drain.
 func TestSimulationKeepsGuaranteesWithLateHostCalls(t *testing.T) {
 	served := 0
 	build := func(seed uint64) *simulation {
@@ -159,7 +160,7 @@
 	}
 }
 
-// Clients name themselves by keys that are added, taken away and replaced all the time.
+// Clients authenticate with keys that are continually added, revoked and replaced.
 func TestSimulationKeepsGuaranteesWithTenants(t *testing.T) {
 	served, runs, denials, removed, count := 0, 0, 0, 0, max(1, seedCount()/4)
 	build := func(seed uint64) *simulation { return newSimulationWithTenants(seed, 3, 9) }
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -12,33 +12,33 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// A simulation is whole proxies without their sockets, hosts that replicate, a control plane that fails over and grants
-// leases, and clients, on one thread with seeded chance. After each statement the guarantees of the wire are checked: no stale
-// read, no write twice, none lost, nothing kept where that was answered, each statement on the connection of its transaction
-// with the values that its client has set.
+// A simulation consists of complete proxies without sockets, hosts that replicate, a control plane that performs failovers and
+// grants leases, and clients. It runs in one thread and is deterministic for a seed. After each statement it checks the guarantees
+// of the wire protocol: no stale read, no write applied twice, no acknowledged write lost, no effect of a statement that was
+// answered as having none, and each statement on the connection of its transaction with the settings of its client.
 type simulation struct {
 	*scheduler.Scheduler
 	epoch         time.Time
-	maxClockDrift int64 // of any process, in thousandths
+	maxClockDrift int64 // maximum of any process, in thousandths
 
 	database    *database.Group
-	frozenUntil map[string]int64 // hosts that stand still, until when
-	resetOneIn  int              // one write to a host in so many meets a reset of its connection; 0: none
+	frozenUntil map[string]int64 // by host: the time until which it is frozen
+	resetOneIn  int              // the connection is reset at one in resetOneIn writes to a host; 0: never
 
-	control *reliableControl // the control plane: this one, or
-	cluster *controlCluster  // its members
+	control *reliableControl // the control plane, if it never fails; otherwise nil
+	cluster *controlCluster  // the control plane, if its members may fail; otherwise nil
 	proxies []*proxyProcess
 	clients []*client
 	checker *checker.Checker
-	tenants *simulatedTenants // nil: clients are not asked who they are
+	tenants *simulatedTenants // nil: clients do not authenticate
 
 	served          int   // statements answered without an error
-	dials           int   // of proxies to hosts
-	lastWriteAt     int64 // when a write was last acknowledged
+	dials           int   // connection attempts of proxies to hosts
+	lastWriteAt     int64 // when the last write was acknowledged
 	longestWriteGap int64 // between two acknowledged writes
 }
 
-// Spans of simulated time, in the scheduler's units of 100 µs.
+// Durations in simulated time, in the scheduler's units of 100 µs.
 const (
 	millisecond = 10
 	second      = 1000 * millisecond
@@ -48,12 +48,12 @@
 const unitDuration = 100 * time.Microsecond
 
 const (
-	faultsEnd          = 8 * second // no fault begins later
+	faultsEnd          = 8 * second // no fault is injected later
 	simulationLength   = 16 * second
-	clusterExtraLength = 6 * second // a host that is down for six seconds and a slow platform can add up
+	clusterExtraLength = 6 * second // the delays of a host that is down for six seconds and of a slow platform can add up
 )
 
-// newSimulation makes a simulation whose control plane never fails.
+// newSimulation returns a simulation whose control plane never fails.
 func newSimulation(seed uint64, proxies, clients int) *simulation {
 	sim := newBareSimulation(seed)
 	sim.control = newReliableControl(sim)
@@ -105,7 +105,7 @@
 	}
 }
 
-// run runs the simulation and checks what is left in the end. A panic is a violation.
+// run runs the simulation and checks the final state. A panic is a violation.
 func (sim *simulation) run() {
 	sim.After(second, sim.injectFaults)
 	if sim.cluster != nil {
@@ -135,12 +135,12 @@
 	}
 }
 
-// report is what was violated, and the faults before.
+// report returns the violations, followed by the faults that were injected.
 func (sim *simulation) report() string {
 	return strings.Join(sim.Violations, "\n") + "\nafter\n" + strings.Join(sim.FaultLog, "\n")
 }
 
-// heartbeat is a host's, to the control plane.
+// heartbeat sends a host's heartbeat to the control plane.
 func (sim *simulation) heartbeat(host *database.Host) {
 	isPrimary := host.IsPrimary
 	if sim.cluster != nil {
@@ -157,14 +157,14 @@
 	})
 }
 
-// clock is a monotonic clock with a drift in thousandths.
+// clock returns a monotonic clock that drifts by the given thousandths.
 func (sim *simulation) clock(drift int64) func() time.Time {
 	return func() time.Time {
 		return sim.time().Add(time.Duration((sim.Now-sim.StartTime)*drift/1000) * unitDuration)
 	}
 }
 
-// drawClockDrift draws the drift of a process's clock, in thousandths.
+// drawClockDrift returns a random drift for the clock of a process, in thousandths.
 func (sim *simulation) drawClockDrift() int64 {
 	if sim.maxClockDrift == 0 {
 		return 0
@@ -176,7 +176,7 @@
 	return sim.epoch.Add(time.Duration(sim.Now) * unitDuration)
 }
 
-// checkFreshness checks that a read misses nothing that it must see.
+// checkFreshness checks that a read includes all writes that it must see.
 func (sim *simulation) checkFreshness(host *database.Host, _ *database.Conn, requestID string) {
 	if c, present := sim.ownerOf(requestID); c != nil && present && c.beganAt > 0 {
 		sim.checker.CheckRead(host, checker.Reader{Kind: c.routeKind, Session: c.sessionName(), BeganAt: c.beganAt})
--- a/internal/proxy/snapshot_chunks_test.go
+++ b/internal/proxy/snapshot_chunks_test.go
@@ -13,7 +13,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// chunksOf cuts a snapshot into chunks.
+// chunksOf splits a snapshot into chunks.
 func chunksOf(index uint64, snapshot []byte, chunkBytes int) (chunks []*rpc.SnapshotChunk) {
 	sum := blake3.Sum256(snapshot)
 	for offset := 0; offset < len(snapshot); offset += chunkBytes {
@@ -25,7 +25,7 @@
 	return chunks
 }
 
-// largeState is a state whose snapshot has some hundred KB.
+// largeState returns a state whose snapshot has a size of some hundred KB.
 func largeState(t *testing.T) *statemachine.State {
 	t.Helper()
 	var routes bytes.Buffer
@@ -38,7 +38,7 @@
 	return state
 }
 
-// A snapshot of any size arrives in chunks, whatever their size, and is acknowledged as it grows.
+// A snapshot is assembled from chunks of any size, and each chunk is acknowledged with the number of bytes received so far.
 func TestSnapshotArrivesInChunks(t *testing.T) {
 	state := largeState(t)
 	for _, chunkBytes := range []int{1 << 10, 128 << 10, 1 << 20} {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Chunks that don't continue what came before, or lie about sizes or the digest, are refused, and leave the state as it was. The
-// snapshot may then be sent anew.
+// Chunks that don't continue the previous one, or whose sizes or digest are wrong, are rejected and leave the state unchanged. The
+// snapshot can then be sent again.
 func TestChunksThatDoNotFitAreRefused(t *testing.T) {
 	state := largeState(t)
 	for name, change := range map[string]func(chunks []*rpc.SnapshotChunk) []*rpc.SnapshotChunk{
@@ -110,8 +110,8 @@
 	}
 }
 
-// A proxy whose state differs from that of a majority at the same index gives up its lease, and is repaired by a snapshot. A digest of
-// another index says nothing.
+// A proxy whose state differs from that of a majority at the same index drops its lease and is repaired by a snapshot. It ignores
+// digests of other indexes.
 func TestProxyWithAWrongStateFindsOut(t *testing.T) {
 	for seed := range uint64(8) {
 		sim := newClusterSimulation(seed, 2, 6)
@@ -127,9 +127,9 @@
 		other := proxy.server.replica.state.Digest()
 		other.Index++
 		require.NoError(t, proxy.server.checkDigest(&rpc.LeaseResponse{Digest: &other}))
-		for deadline := sim.Now + 4*second; proxy.server.counters.stateDiverged.Load() == 0; {
+		for deadline := sim.Now + 4*second; proxy.server.counters.stateDivergences.Load() == 0; {
 			sim.RunFor(10 * millisecond)
-			require.Less(t, sim.Now, deadline, "seed %d: it has not found out", seed)
+			require.Less(t, sim.Now, deadline, "seed %d: the divergence was not detected", seed)
 		}
 		require.False(t, proxy.server.leaseValid(), "seed %d", seed)
 		sim.RunFor(second)
@@ -139,7 +139,7 @@
 	}
 }
 
-// Chunks of any content end in an error or a snapshot, and never take more memory than came.
+// Chunks of any content result in an error or a snapshot, and never use more memory than the data received.
 func FuzzSnapshotChunks(f *testing.F) {
 	f.Add(uint64(1), uint64(10), uint64(0), []byte("0123456789"))
 	f.Add(uint64(1), uint64(1<<40), uint64(3), []byte("x"))
--- a/internal/proxy/state_replica.go
+++ b/internal/proxy/state_replica.go
@@ -10,28 +10,28 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// Reasons why an update of the log does not fit the replicated state, beside statemachine.ErrDiverged and statemachine.ErrBadSnapshot.
-// The link has to be made anew, and the leader sends what is missing.
+// Errors of log updates that do not fit the replicated state, besides statemachine.ErrDiverged and statemachine.ErrBadSnapshot. The
+// link must then be closed; the leader sends what is missing on the next one.
 var (
-	errLogGap       = errors.New("entries of the log are missing")
-	errBadChunk     = errors.New("chunk of a snapshot does not fit")
-	errStateDiffers = errors.New("state differs from that of a majority")
+	errLogGap       = errors.New("log entries are missing")
+	errBadChunk     = errors.New("invalid snapshot chunk")
+	errStateDiffers = errors.New("replicated state differs from that of a majority of the members")
 )
 
-// maxChunkBytes is the longest data of one chunk that is accepted.
+// maxChunkBytes is the maximum length of the data in one chunk.
 const maxChunkBytes = 1 << 20
 
-// stateReplica is this proxy's copy of the replicated state. It applies the control plane's log, takes snapshots, whole or in chunks,
-// and compares itself with the digest of a majority of the members. It knows no sockets and no clock.
+// stateReplica is this proxy's copy of the replicated state. It applies the control plane's log, restores snapshots, whole or in
+// chunks, and compares itself with the digest of a majority of the members. It uses no sockets and no clock.
 type stateReplica struct {
 	state    *statemachine.State
-	diverged bool             // state is not what the log builds: a snapshot is needed
-	incoming incomingSnapshot // of which some chunks have arrived on the present link
+	diverged bool             // state does not match the log: a snapshot is needed
+	incoming incomingSnapshot // received in part on the current link
 }
 
 func newStateReplica() stateReplica { return stateReplica{state: &statemachine.State{}} }
 
-// resumeIndex is up to where the log has been applied; 0: a snapshot is needed.
+// resumeIndex returns the index up to which the log has been applied, or 0 if a snapshot is needed.
 func (r *stateReplica) resumeIndex() uint64 {
 	if r.diverged {
 		return 0
@@ -39,8 +39,8 @@
 	return r.state.Index
 }
 
-// apply applies an update of the log; changed is false where it holds nothing new. After an error entries before the one at fault stay
-// applied.
+// apply applies a log update. changed is false if the update is a snapshot older than the state. After an error, the entries before
+// the one that failed remain applied.
 func (r *stateReplica) apply(update *rpc.LogUpdate) (changed bool, err error) {
 	if update.Snapshot != nil {
 		return r.restore(update)
@@ -48,7 +48,7 @@
 	return true, r.applyEntries(update)
 }
 
-// restore replaces the state by a snapshot, unless it is newer.
+// restore replaces the state by a snapshot, unless the state is newer.
 func (r *stateReplica) restore(update *rpc.LogUpdate) (restored bool, err error) {
 	state, err := statemachine.Restore(update.Snapshot)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return true, nil
 }
 
-// applyEntries applies those entries that are new here, in the log's order.
+// applyEntries applies, in log order, the entries that have not been applied yet.
 func (r *stateReplica) applyEntries(update *rpc.LogUpdate) error {
 	first := update.LastIndex - uint64(len(update.Entries)) + 1
 	if first > r.state.Index+1 {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// applyEntry applies one entry. Errors other than ErrDiverged are part of the log: every replica refuses the entry alike.
+// applyEntry applies one entry. Errors other than ErrDiverged are deterministic: every replica rejects the same entry.
 func (r *stateReplica) applyEntry(index uint64, entry []byte) error {
 	if len(entry) == 0 {
 		return nil
@@ -94,7 +94,8 @@
 	return r.state.Apply(index, change)
 }
 
-// addChunk takes in a part of a snapshot. It returns the acknowledgement, and the whole snapshot as an update once it is complete.
+// addChunk adds a chunk to the incoming snapshot. It returns the acknowledgement and, once the snapshot is complete, the snapshot as
+// a log update.
 func (r *stateReplica) addChunk(chunk *rpc.SnapshotChunk) (ack *rpc.ChunkAck, complete *rpc.LogUpdate, err error) {
 	done, err := r.incoming.add(chunk)
 	if err != nil {
@@ -109,8 +110,8 @@
 	return ack, complete, nil
 }
 
-// compare compares the state with the digest of a majority of the members, which may be nil. Digests of other indices say nothing. A
-// state that differs is given up: the error is errStateDiffers and names the ranges.
+// compare compares the state with the digest of a majority of the members, which may be nil. It ignores digests of other indexes. If
+// they differ, it marks the state as diverged and returns errStateDiffers with the ranges that differ.
 func (r *stateReplica) compare(agreed *statemachine.Digest) error {
 	if agreed == nil || r.diverged || agreed.Index != r.state.Index {
 		return nil
@@ -123,7 +124,7 @@
 	return fmt.Errorf("%w at index %d: %s", errStateDiffers, own.Index, own.Difference(*agreed))
 }
 
-// incomingSnapshot is a snapshot of which some chunks have arrived. Memory grows with what came, not with what was announced.
+// incomingSnapshot is a snapshot received in part. Its memory grows with the data received, not with the announced size.
 type incomingSnapshot struct {
 	index  uint64
 	digest [16]byte
@@ -131,8 +132,8 @@
 	data   []byte
 }
 
-// add takes in a chunk, in the order of the offsets, and says whether the snapshot is complete. The error is errBadChunk for a chunk
-// that does not continue what came before, or that lies about sizes or the digest.
+// add appends a chunk and reports whether the snapshot is complete. Chunks must arrive in the order of their offsets. The error is
+// errBadChunk for a chunk that does not continue the previous one, or whose sizes or digest are wrong.
 func (in *incomingSnapshot) add(chunk *rpc.SnapshotChunk) (complete bool, err error) {
 	if chunk.Offset == 0 {
 		*in = incomingSnapshot{index: chunk.Index, digest: chunk.Digest, size: chunk.Size}
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -4,43 +4,43 @@
 	"ferrypitch/policy"
 )
 
-// StatusPath is where a proxy's readiness server answers GET with Status as JSON.
+// StatusPath is the path at which a proxy's readiness server answers GET requests with Status as JSON.
 const StatusPath = "/Router.Status"
 
-// Status is what a proxy shows of itself.
+// Status is the state that a proxy reports to operators.
 type Status struct {
 	Node             string
 	Ready            bool
-	ConfigVersion    int64  // of the configuration in force; 0: none
-	AppliedIndex     uint64 // of the control plane's log
+	ConfigVersion    int64  // version of the configuration in force; 0: none
+	AppliedIndex     uint64 // index up to which the control plane's log is applied
 	LeaseRemainingMs int64  // 0: no valid lease
 	Sessions         int
-	Statements       int      // that have no answer yet
-	ControlMembers   []string // addresses, as last received
-	Proxies          []string // names of those that are alive, this one included
+	Statements       int      // statements without an answer
+	ControlMembers   []string // addresses of control-plane members, as last received
+	Proxies          []string // names of live proxies, this one included
 	TenantsAtLimit   []string // names of tenants whose operations are refused here
 	Services         map[string]ServiceStatus
 	Hosts            map[string]HostStatus
 	Counters         map[string]int64
 }
 
-// ServiceStatus is a service as this proxy knows it.
+// ServiceStatus is the state of a service as known to this proxy.
 type ServiceStatus struct {
 	Primary       string
 	Revoked       bool   // the primary is to be replaced
-	Position      string // of the primary, as last known
+	Position      string // last known log position of the primary
 	PositionAgeMs int64  // -1: no position is known
 }
 
-// HostStatus is a host and this proxy's connections to it.
+// HostStatus is the state of a host and of this proxy's connections to it.
 type HostStatus struct {
 	Service, Address, Zone string
 	Standing               string // in, draining or gone
-	Conns                  int    // that are open
+	Conns                  int    // open connections
 	IdleConns              int
 	DialingConns           int
 	MaxConns               int // this proxy's share
-	QueuedStatements       int // that wait for a connection
+	QueuedStatements       int // statements that wait for a connection
 }
 
 var standingNames = map[policy.ListState]string{policy.Active: "in", policy.Draining: "draining", policy.Removed: "gone"}
--- a/internal/proxy/status_test.go
+++ b/internal/proxy/status_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The status of a proxy that serves shows its lease, sessions, hosts and counters, and can be read back from JSON.
+// The status of a serving proxy contains its lease, sessions, hosts and counters, and survives a round trip through JSON.
 func TestStatusShowsAServingProxy(t *testing.T) {
 	sim := newSimulation(1, 3, 9)
 	sim.RunFor(2 * second)
@@ -36,11 +36,11 @@
 	require.Equal(t, status, decoded)
 }
 
-// The platform is answered by status, an operator by JSON, and all else by 404.
+// The readiness server answers the platform by the status code, operators in JSON, and all other requests with 404.
 func TestReadinessServerAnswersByPath(t *testing.T) {
 	sim := newSimulation(1, 1, 0)
 	server := sim.proxies[0].server
-	go func() { // answers one operator
+	go func() { // runs the event loop for one operator request
 		<-server.queue.Ready
 		for server.step() {
 		}
