--- a/internal/proxy/connlimit/connlimit_test.go
+++ b/internal/proxy/connlimit/connlimit_test.go
@@ -25,22 +25,22 @@
 // simulation holds the open connections of each proxy and counts the uses by result.
 type simulation struct {
 	load
-	share Share
-	held  [][]conn
+	share     Share
+	openConns [][]conn // by proxy
 
 	uses, opened, rejected int
 }
 
 // expire closes connections whose idle timeout has passed, and returns how many remain open at all proxies.
 func (s *simulation) expire(now time.Duration) (total int) {
-	for proxy, conns := range s.held {
+	for proxy, conns := range s.openConns {
 		var kept []conn
 		for _, c := range conns {
 			if now < c.idleUntil {
 				kept = append(kept, c)
 			}
 		}
-		s.held[proxy] = kept
+		s.openConns[proxy] = kept
 		total += len(kept)
 	}
 	return total
@@ -49,7 +49,7 @@
 // idle returns the index of a proxy's last idle connection for a tenant, or -1.
 func (s *simulation) idle(proxy, tenant int, now time.Duration) int {
 	index := -1
-	for i, c := range s.held[proxy] {
+	for i, c := range s.openConns[proxy] {
 		if now >= c.busyUntil && c.tenant == tenant {
 			index = i
 		}
@@ -62,7 +62,7 @@
 	total := s.expire(now)
 	index := s.idle(proxy, tenant, now)
 	if index < 0 {
-		if len(s.held[proxy]) >= s.share.MaxConns() {
+		if len(s.openConns[proxy]) >= s.share.MaxConns() {
 			return
 		}
 		if total >= s.conns-reservedConns {
@@ -70,10 +70,10 @@
 			return
 		}
 		s.opened++
-		s.held[proxy] = append(s.held[proxy], conn{tenant: tenant})
-		index = len(s.held[proxy]) - 1
+		s.openConns[proxy] = append(s.openConns[proxy], conn{tenant: tenant})
+		index = len(s.openConns[proxy]) - 1
 	}
-	c := &s.held[proxy][index]
+	c := &s.openConns[proxy][index]
 	c.busyUntil = now + s.busy
 	c.idleUntil = c.busyUntil + time.Duration(s.share.IdleTimeoutMs(index, s.tenants > 1))*time.Millisecond
 }
@@ -90,7 +90,7 @@
 		{57, 9, 100, 30 * time.Millisecond, 1},
 	} {
 		random := rand.New(rand.NewPCG(1, 2))
-		s := &simulation{load: l, share: ShareOf(l.conns, l.proxies), held: make([][]conn, l.proxies)}
+		s := &simulation{load: l, share: ShareOf(l.conns, l.proxies), openConns: make([][]conn, l.proxies)}
 		now := time.Duration(0)
 		for now < 60*time.Second {
 			s.use(random.IntN(l.proxies), random.IntN(l.tenants), now)
--- a/internal/proxy/doc.go
+++ b/internal/proxy/doc.go
@@ -1,4 +1,4 @@
-// Package proxy is a process of the data plane (program ferrypitch-proxy): it accepts client sessions and forwards each
+// Package proxy implements the data-plane process (program ferrypitch-proxy): it accepts client sessions and forwards each
 // statement to a database host that may serve it.
 //
 //	client -> clientSession -> statement -> policy: which host -> hostPool -> hostConn -> host
--- a/internal/proxy/lossdetect/lossdetect_test.go
+++ b/internal/proxy/lossdetect/lossdetect_test.go
@@ -66,7 +66,7 @@
 // Hosts queue requests and are slow for a part of the run. A response that is merely outstanding must not be considered lost, and
 // one that never arrives must be detected in more than 290 of 300 runs, after less than 500 ms on average.
 func TestOnlyAResponseThatOthersOvertookByFarIsLost(t *testing.T) {
-	found, waited := 0, policy.TenthMs(0)
+	detected, waited := 0, policy.TenthMs(0)
 	for seed := range 300 {
 		h := &host{seed: seed, random: rand.New(rand.NewPCG(uint64(seed), 11))}
 		for now := policy.TenthMs(0); now < end; now += step {
@@ -75,12 +75,12 @@
 			}
 			h.receive(t, now)
 			if h.lostSentAt > 0 && h.detector.Lost(h.lostSentAt, now) {
-				found++
+				detected++
 				waited += now - h.lostSentAt
 				h.lostSentAt = never
 			}
 		}
 	}
-	require.Greater(t, found, 290)
-	require.Less(t, waited/policy.TenthMs(found), policy.TenthMs(5000), "tenths of a millisecond")
+	require.Greater(t, detected, 290)
+	require.Less(t, waited/policy.TenthMs(detected), policy.TenthMs(5000), "tenths of a millisecond")
 }
--- a/internal/proxy/reconcile.go
+++ b/internal/proxy/reconcile.go
@@ -46,22 +46,22 @@
 }
 
 // reconcileHost updates one host to match the replicated state, and reports whether the policy's host list changed.
-func (s *Server) reconcileHost(want statemachine.Host) (changed bool) {
-	pool := s.pools[want.ID]
-	if pool != nil && (pool.Address != want.Address || pool.Service != want.Service) { // another host with the same ID
+func (s *Server) reconcileHost(desired statemachine.Host) (changed bool) {
+	pool := s.pools[desired.ID]
+	if pool != nil && (pool.Address != desired.Address || pool.Service != desired.Service) { // another host with the same ID
 		pool.remove()
 		pool = nil
 	}
 	if pool == nil {
-		pool = s.newPool(want)
+		pool = s.newPool(desired)
 	}
-	pool.Host = want
+	pool.Host = desired
 	standing := s.standingOf(pool)
 	if pool.announced && pool.standing == standing {
 		return false
 	}
 	pool.standing, pool.announced = standing, true
-	pool.announce(standing, float64(max(1, want.Capacity)))
+	pool.announce(standing, float64(max(1, desired.Capacity)))
 	return true
 }
 
@@ -183,18 +183,18 @@
 
 // replaceRoutes replaces the routes by the configured ones. Unchanged routes are kept, with what the policy has learned about them.
 func (s *Server) replaceRoutes(configured []config.Route) {
-	last := make(map[string]int, len(configured)) // the last route of a database takes precedence
+	lastIndex := make(map[string]int, len(configured)) // the last route of a database takes precedence
 	for i, r := range configured {
-		last[r.Host] = i
+		lastIndex[r.Host] = i
 	}
 	for i, r := range configured {
 		previous := s.routes[r.Host]
-		if last[r.Host] == i && (previous == nil || previous.Route != r) {
+		if lastIndex[r.Host] == i && (previous == nil || previous.Route != r) {
 			s.routes[r.Host] = s.newRoute(r)
 		}
 	}
 	maps.DeleteFunc(s.routes, func(database string, _ *route) bool {
-		_, stays := last[database]
-		return !stays
+		_, kept := lastIndex[database]
+		return !kept
 	})
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -48,7 +48,7 @@
 	ctx         context.Context // canceled when the process stops
 	tasks       sync.WaitGroup  // goroutines that end after ctx is canceled
 	incarnation uint64
-	secret      tenancy.Secret // keys the hashes of clients' API keys
+	secret      tenancy.Secret // key for hashing clients' API keys
 
 	// Event loop.
 	timers      eventloop.Timers[func()]
@@ -85,8 +85,8 @@
 	counters counters
 }
 
-// newServer returns a proxy without sockets. seed determines the incarnation and seeds the policy's random choices; secret keys the
-// hashes of clients' API keys.
+// newServer returns a proxy without sockets. seed determines the incarnation and seeds the policy's random choices; secret is the
+// key for hashing clients' API keys.
 func newServer(cfg *settings.Settings, log hclog.Logger, clock eventloop.MonotonicClock, seed uint64, secret tenancy.Secret) *Server {
 	s := &Server{
 		settings:    cfg,
--- a/internal/proxy/simulation_cluster_test.go
+++ b/internal/proxy/simulation_cluster_test.go
@@ -26,15 +26,15 @@
 // controlCluster is a control plane of several members, with their log, disks that lose unsynced writes, and failover, and the
 // platform. The platform may be slow, reject a call, or answer ambiguously. Where it checks fencing tokens, it rejects older ones.
 type controlCluster struct {
-	sim          *simulation
-	members      []*member          // those known to callers and proxies
-	memberAt     map[string]*member // all members, including replaced ones, by address
-	machineCount int                // disks and machines added after the initial ones
-	connCount    int                // number of connections opened by proxies to members
-	faultCounts  [memberFaultKinds]int
-	operator     *operator
-	struckAt     int64  // when the closing fault was scheduled; 0: not yet
-	proxyVersion uint32 // protocol version of the proxies
+	sim             *simulation
+	members         []*member          // those known to callers and proxies
+	memberByAddress map[string]*member // all members, including replaced ones, by address
+	machineCount    int                // disks and machines added after the initial ones
+	connCount       int                // number of connections opened by proxies to members
+	faultCounts     [memberFaultKinds]int
+	operator        *operator
+	struckAt        int64  // when the closing fault was scheduled; 0: not yet
+	proxyVersion    uint32 // protocol version of the proxies
 
 	// Tenants.
 	tenants    string  // tenants in the configuration, in JSON; empty: operations are not recorded
@@ -68,16 +68,16 @@
 func newClusterSimulation(seed uint64, proxies, clients int) *simulation {
 	sim := newBareSimulation(seed)
 	c := &controlCluster{
-		sim:            sim,
-		memberAt:       map[string]*member{},
-		draining:       map[string]bool{},
-		leaving:        map[string]bool{},
-		platformFences: sim.OneIn(2),
-		lateOneIn:      20,
-		proxyVersion:   proxyVersionOf(seed),
-		highestToken:   map[string]uint64{},
-		tokenOwners:    map[uint64]string{},
-		hostAddress:    func(hostID string) string { return "10.1.0.1:100" + hostID[1:2] },
+		sim:             sim,
+		memberByAddress: map[string]*member{},
+		draining:        map[string]bool{},
+		leaving:         map[string]bool{},
+		platformFences:  sim.OneIn(2),
+		lateOneIn:       20,
+		proxyVersion:    proxyVersionOf(seed),
+		highestToken:    map[string]uint64{},
+		tokenOwners:     map[uint64]string{},
+		hostAddress:     func(hostID string) string { return "10.1.0.1:100" + hostID[1:2] },
 	}
 	sim.cluster, sim.maxClockDrift = c, clockDriftThousandths
 	var founders []consensus.ID
@@ -86,7 +86,7 @@
 	}
 	for _, id := range founders {
 		m := &member{cluster: c, ip: string(id), identity: storage.Identity{ID: id, Founders: founders}, clockDrift: sim.drawClockDrift()}
-		c.members, c.memberAt[m.ip] = append(c.members, m), m
+		c.members, c.memberByAddress[m.ip] = append(c.members, m), m
 		m.start()
 	}
 	sim.addHosts()
--- a/internal/proxy/simulation_control_test.go
+++ b/internal/proxy/simulation_control_test.go
@@ -113,12 +113,12 @@
 	sim, host := c.sim, c.sim.database.Host(query.Host)
 	sim.After(sim.Between(1*millisecond, 4*millisecond), func() {
 		result := failover.QueryResult{Query: query}
-		wayBack := sim.Between(1*millisecond, 4*millisecond)
+		responseDelay := sim.Between(1*millisecond, 4*millisecond)
 		switch {
 		case !host.Up && !host.Unreachable:
 			result.ConnectionRefused = true
 		case !host.Up || host.Unreachable || sim.Now < sim.frozenUntil[host.ID]:
-			result.TimedOut, wayBack = true, queryTimeout
+			result.TimedOut, responseDelay = true, queryTimeout
 			if host.Up && !host.Unreachable {
 				sim.executeAfterFreeze(query, host)
 			}
@@ -128,7 +128,7 @@
 				c.alterResult(query, &result)
 			}
 		}
-		sim.After(wayBack, func() {
+		sim.After(responseDelay, func() {
 			c.coordinator.QueryFinished(result, c.nowMs())
 			c.evaluate()
 		})
--- a/internal/proxy/simulation_member_conn_test.go
+++ b/internal/proxy/simulation_member_conn_test.go
@@ -25,7 +25,7 @@
 	memberIncarnation int
 
 	proxyConn      *control.ProxyConn // the member's handle; nil until the member has received the hello
-	welcomed       bool               // the member has accepted the proxy as the leader
+	welcomed       bool               // the member has welcomed the proxy and is the leader
 	closed         bool
 	broken         bool // by a partition: frames that should have arrived during it, and all later ones, are lost
 	lastReceivedAt int64
--- a/internal/proxy/simulation_member_faults_test.go
+++ b/internal/proxy/simulation_member_faults_test.go
@@ -201,7 +201,7 @@
 	ip := fmt.Sprintf("10.0.1.%d", c.machineCount+1)
 	m := &member{cluster: c, ip: ip, identity: c.newIdentity(ip), clockDrift: sim.drawClockDrift(), faultEndsAt: sim.Now + 5*second}
 	sim.LogFault("member %s replaces %s", ip, c.members[memberIndex].ip)
-	c.members[memberIndex], c.memberAt[ip] = m, m
+	c.members[memberIndex], c.memberByAddress[ip] = m, m
 	m.start()
 	return m
 }
--- a/internal/proxy/simulation_member_test.go
+++ b/internal/proxy/simulation_member_test.go
@@ -95,7 +95,7 @@
 
 // send sends a frame to another member.
 func (m *member) send(ip string, frame *rpc.Frame) {
-	sim, to := m.cluster.sim, m.cluster.memberAt[ip]
+	sim, to := m.cluster.sim, m.cluster.memberByAddress[ip]
 	if to == nil || to == m {
 		return
 	}
@@ -132,14 +132,14 @@
 
 // writeUnderLease calls write for a command that was decided in a term, or withhold if the member's lease has expired by then, since
 // the goroutine that writes may be delayed. It checks that no command is sent while another member is the leader.
-func (m *member) writeUnderLease(incarnation int, term uint64, what string, write, withhold func()) {
+func (m *member) writeUnderLease(incarnation int, term uint64, command string, write, withhold func()) {
 	sim, c := m.cluster.sim, m.cluster
-	late := int64(0)
+	delay := int64(0)
 	if c.promotionTime == nil && sim.OneIn(c.lateOneIn) {
-		late = sim.Between(1*millisecond, platformTimeout)
+		delay = sim.Between(1*millisecond, platformTimeout)
 	}
 	server := m.server
-	sim.After(late, func() {
+	sim.After(delay, func() {
 		m.Run(incarnation, func() {
 			if !c.ignoresLease && !server.MayAct(term) {
 				withhold()
@@ -147,7 +147,7 @@
 			}
 			for _, other := range c.members {
 				if other != m && other.Up() && other.isLeader() {
-					sim.Violate("LEASE: %s sends %s while %s leads", m.ip, what, other.ip)
+					sim.Violate("LEASE: %s sends %s while %s leads", m.ip, command, other.ip)
 				}
 			}
 			write()
@@ -170,12 +170,12 @@
 	sim := m.cluster.sim
 	sim.After(sim.Between(1*millisecond, 4*millisecond), func() {
 		result := failover.QueryResult{Query: query}
-		wayBack := sim.Between(1*millisecond, 4*millisecond)
+		responseDelay := sim.Between(1*millisecond, 4*millisecond)
 		switch host := sim.database.Host(query.Host); {
 		case host == nil || !host.Up && !host.Unreachable && !m.hostsUnreachable:
 			result.ConnectionRefused = true
 		case !host.Up || host.Unreachable || m.hostsUnreachable || sim.Now < sim.frozenUntil[host.ID]:
-			result.TimedOut, wayBack = true, queryTimeout
+			result.TimedOut, responseDelay = true, queryTimeout
 			if host.Up && !host.Unreachable && !m.hostsUnreachable {
 				sim.executeAfterFreeze(query, host)
 			}
@@ -184,7 +184,7 @@
 		default:
 			result.Status = host.Control(query.Command.Text(), query.Term)
 		}
-		sim.After(wayBack, func() { m.Run(incarnation, func() { m.server.QueryFinished(result) }) })
+		sim.After(responseDelay, func() { m.Run(incarnation, func() { m.server.QueryFinished(result) }) })
 	})
 }
 
@@ -226,9 +226,9 @@
 	}
 }
 
-// checkStates checks that no member and no proxy has detected a state that differs from that of a majority, since no simulated fault
+// checkNoDivergence checks that no member and no proxy has detected a state that differs from that of a majority, since no simulated fault
 // corrupts memory.
-func (c *controlCluster) checkStates() {
+func (c *controlCluster) checkNoDivergence() {
 	for _, m := range c.members {
 		if diverged := m.server.StateDivergences.Load(); diverged > 0 {
 			c.sim.Violate("STATE: the state of %s has diverged %d times", m.ip, diverged)
--- a/internal/proxy/simulation_proxy_test.go
+++ b/internal/proxy/simulation_proxy_test.go
@@ -28,11 +28,11 @@
 	frozenUntil int64
 	nextStepAt  int64 // when its event loop runs next
 
-	// With a reliableControl.
+	// Used with a reliableControl.
 	sentIndex   uint64 // index up to which the log was sent to the proxy
 	lastArrival int64  // of the last log update or lease; they arrive in order
 
-	// With a controlCluster.
+	// Used with a controlCluster.
 	memberConn *memberConn
 	nextMember int
 }
@@ -88,7 +88,7 @@
 	incarnation int
 }
 
-// requestQuota does nothing: a reliableControl lends no tokens.
+// requestQuota does nothing: a reliableControl grants no tokens.
 func (reliableControlLink) requestQuota(*quota.Request) {}
 
 func (l reliableControlLink) renewLease() { l.proxy.renewLease(l.incarnation) }
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -124,7 +124,7 @@
 	if sim.cluster == nil {
 		return
 	}
-	sim.cluster.checkStates()
+	sim.cluster.checkNoDivergence()
 	if sim.cluster.operator != nil {
 		sim.cluster.operator.checkFinalConfig()
 	}
