--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -114,7 +114,7 @@
 
 func (s *Server) rejectWithoutToken(stmt *statement) {
 	s.counters.quotaUnknown.Add(1)
-	s.reject(stmt, errcode.NoValidLease, stmt.route.comebackMs())
+	s.reject(stmt, errcode.NoValidLease, stmt.route.retryAfterMs())
 }
 
 // stopWaiting takes a statement from those that wait; false: it does not wait.
--- a/internal/proxy/changed.go
+++ b/internal/proxy/changed.go
@@ -69,9 +69,9 @@
 // servicesChanged says whether services of another configuration are to be taken in, and notes that they are.
 func (s *Server) servicesChanged() bool {
 	configured := s.replica.state.Config()
-	if configured == nil || configured == s.servicesOf {
+	if configured == nil || configured == s.reconciledServices {
 		return false
 	}
-	s.servicesOf = configured
+	s.reconciledServices = configured
 	return true
 }
--- a/internal/proxy/greeting.go
+++ b/internal/proxy/greeting.go
@@ -20,7 +20,7 @@
 	client.policyKey = formatID(client.id)
 	client.idleSince = s.clock.Time()
 	_, refused := s.refusalOf(client)
-	if refused && !s.configCurrent() && !s.shutdown.begun && s.sessions.await(client, s.clock.Time()) {
+	if refused && !s.configCurrent() && !s.shutdown.started && s.sessions.await(client, s.clock.Time()) {
 		return
 	}
 	s.greet(client)
--- a/internal/proxy/implausible_test.go
+++ b/internal/proxy/implausible_test.go
@@ -19,9 +19,9 @@
 		sim := newSimulation(3, 1, 0)
 		sim.RunFor(2 * second)
 		proxy := sim.proxies[0]
-		session, conn := begin(proxy, "lead")
+		session, conn := openSession(proxy, "lead")
 		conn.take()
-		ask(t, proxy, session, line)
+		sendStatement(t, proxy, session, line)
 		stmt := session.statement
 		require.NotNil(t, stmt)
 		for deadline := sim.Now + second; !stmt.attempt.sent; {
--- a/internal/proxy/lease_loss.go
+++ b/internal/proxy/lease_loss.go
@@ -23,9 +23,9 @@
 	return !stmt.route.service.positions.CoversBound(s.refreshPolicyTime(), stmt.route.stalenessBound)
 }
 
-// comebackMs returns the delay, in milliseconds, after which a client should retry while no lease is valid. Since the duration of
+// retryAfterMs returns the delay, in milliseconds, after which a client should retry while no lease is valid. Since the duration of
 // the outage is unknown, the delay spreads the client's attempts over its deadline.
-func (r *route) comebackMs() int64 {
+func (r *route) retryAfterMs() int64 {
 	attempts := max(1, int64(r.MaxTries)) + 1
 	return max(minRetryAfterMs, r.deadline.Milliseconds()/attempts)
 }
@@ -42,7 +42,7 @@
 			continue
 		}
 		s.counters.rejectedAtLeaseLoss.Add(1)
-		s.reject(stmt, errcode.NoValidLease, stmt.route.comebackMs())
+		s.reject(stmt, errcode.NoValidLease, stmt.route.retryAfterMs())
 		s.withdraw(stmt)
 	}
 }
@@ -66,7 +66,7 @@
 // drainWithoutLease closes the sessions that have been idle for staleConfigGrace, once the lease has been invalid for that long. A
 // session that has just begun stays open, because its client's first statement would be lost.
 func (s *Server) drainWithoutLease(now time.Time) {
-	if !s.lease.lostFor(staleConfigGrace, now) {
+	if !s.lease.invalidFor(staleConfigGrace, now) {
 		return
 	}
 	for _, client := range s.sessions.byAge() {
--- a/internal/proxy/lease_loss_test.go
+++ b/internal/proxy/lease_loss_test.go
@@ -9,29 +9,29 @@
 	"ferrypitch/internal/wire"
 )
 
-// recordedConn is a client connection that records what is written to it.
-type recordedConn struct {
+// recordingConn is a client connection that records what is written to it.
+type recordingConn struct {
 	lines  []byte
 	closed bool
 }
 
-func (c *recordedConn) write(data []byte) (int, bool) {
+func (c *recordingConn) write(data []byte) (int, bool) {
 	c.lines = append(c.lines, data...)
 	return len(data), true
 }
-func (c *recordedConn) stopReading() {}
-func (c *recordedConn) finish()      { c.closed = true }
-func (c *recordedConn) close()       { c.closed = true }
+func (c *recordingConn) stopReading() {}
+func (c *recordingConn) finish()      { c.closed = true }
+func (c *recordingConn) close()       { c.closed = true }
 
 // take returns what was written since the last call.
-func (c *recordedConn) take() string {
+func (c *recordingConn) take() string {
 	lines := string(c.lines)
 	c.lines = nil
 	return lines
 }
 
-// ask sends a statement as the client of a session.
-func ask(t *testing.T, proxy *proxyProcess, session *clientSession, line string) {
+// sendStatement sends a statement as the client of a session.
+func sendStatement(t *testing.T, proxy *proxyProcess, session *clientSession, line string) {
 	t.Helper()
 	request, err := wire.ParseRequest([]byte(line))
 	require.NoError(t, err)
@@ -40,9 +40,9 @@
 	})
 }
 
-// begin opens a session for a database.
-func begin(proxy *proxyProcess, database string) (*clientSession, *recordedConn) {
-	conn := &recordedConn{}
+// openSession opens a session for a database.
+func openSession(proxy *proxyProcess, database string) (*clientSession, *recordingConn) {
+	conn := &recordingConn{}
 	session := &clientSession{server: proxy.server, out: conn}
 	proxy.run(proxy.incarnation, func(server *Server) { server.beginSession(session, database) })
 	return session, conn
@@ -55,7 +55,7 @@
 	sim := newSimulation(1, 1, 0)
 	sim.RunFor(2 * second)
 	proxy := sim.proxies[0]
-	waiting, waitingConn := begin(proxy, "lead")
+	waiting, waitingConn := openSession(proxy, "lead")
 	require.Equal(t, "IDLE I -\r\n", waitingConn.take())
 
 	for _, host := range sim.database.Hosts { // without connections, the statement has to wait for one
@@ -70,7 +70,7 @@
 	proxy.partitioned = true
 	sim.RunFor(1250 * millisecond)
 	require.True(t, proxy.server.leaseValid())
-	ask(t, proxy, waiting, "QUERY c1 STORE a b")
+	sendStatement(t, proxy, waiting, "QUERY c1 STORE a b")
 	for proxy.server.leaseValid() {
 		require.Empty(t, waitingConn.take(), "the statement waits while the lease is valid")
 		sim.RunFor(1 * millisecond)
@@ -78,15 +78,15 @@
 	sim.RunFor(50 * millisecond)
 	require.Equal(t, noLease+"IDLE I -\r\n", waitingConn.take())
 
-	ask(t, proxy, waiting, "QUERY c2 FETCH a")
+	sendStatement(t, proxy, waiting, "QUERY c2 FETCH a")
 	require.Equal(t, noLease+"IDLE I -\r\n", waitingConn.take())
-	late, lateConn := begin(proxy, "lead")
+	late, lateConn := openSession(proxy, "lead")
 	require.Equal(t, "IDLE I -\r\n", lateConn.take())
-	ask(t, proxy, late, "QUERY c3 BEGIN")
+	sendStatement(t, proxy, late, "QUERY c3 BEGIN")
 	require.Equal(t, noLease+"IDLE I -\r\n", lateConn.take())
 	require.Positive(t, proxy.server.counters.rejectedAtLeaseLoss.Load())
 
-	_, unknownConn := begin(proxy, "another")
+	_, unknownConn := openSession(proxy, "another")
 	require.Empty(t, unknownConn.take())
 	sim.RunFor(waitingClientTimeout.Milliseconds()*millisecond + 100*millisecond)
 	require.Contains(t, unknownConn.take(), "ERROR RETRY")
@@ -100,6 +100,6 @@
 	}{{1000, 2, 333}, {6000, 2, 2000}, {2000, 0, 1000}, {150, 2, minRetryAfterMs}} {
 		r := &route{deadline: settings.Duration(test.deadlineMs)}
 		r.MaxTries = test.maxTries
-		require.Equal(t, test.wantMs, r.comebackMs())
+		require.Equal(t, test.wantMs, r.retryAfterMs())
 	}
 }
--- a/internal/proxy/log_update.go
+++ b/internal/proxy/log_update.go
@@ -38,7 +38,7 @@
 // checkDigest compares the state with the digest in a lease response. If they differ, it marks the state as diverged, drops the
 // lease and returns an error; the caller must then close the link and reconnect, and the leader sends a snapshot.
 func (s *Server) checkDigest(granted *rpc.LeaseResponse) error {
-	err := s.replica.compare(granted.Digest)
+	err := s.replica.compareDigest(granted.Digest)
 	if err != nil {
 		s.recordUpdateError(err)
 		s.lease.drop()
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -39,9 +39,9 @@
 	l.renew(9_000, 0)
 	require.Equal(t, 7, l.proxyCount)
 	require.True(t, l.holder.Valid(11_500), "an older request shortens nothing")
-	l.validAt = now
-	require.False(t, l.lostFor(time.Second, now.Add(time.Second)))
-	require.True(t, l.lostFor(time.Second, now.Add(time.Second+1)))
+	l.lastValidAt = now
+	require.False(t, l.invalidFor(time.Second, now.Add(time.Second)))
+	require.True(t, l.invalidFor(time.Second, now.Add(time.Second+1)))
 	l.drop()
 	require.False(t, l.holder.Valid(10_001))
 }
@@ -58,13 +58,13 @@
 	require.ErrorIs(t, err, errLogGap)
 
 	digest := replica.state.Digest()
-	require.NoError(t, replica.compare(nil))
-	require.NoError(t, replica.compare(&digest))
+	require.NoError(t, replica.compareDigest(nil))
+	require.NoError(t, replica.compareDigest(&digest))
 	digest.Index++
-	require.NoError(t, replica.compare(&digest), "of another index")
+	require.NoError(t, replica.compareDigest(&digest), "of another index")
 	digest.Index--
 	digest.Ranges[statemachine.RangeHosts]++
-	require.ErrorIs(t, replica.compare(&digest), errStateDiffers)
+	require.ErrorIs(t, replica.compareDigest(&digest), errStateDiffers)
 	require.Zero(t, replica.resumeIndex())
 
 	older := (&statemachine.State{Index: 1}).Snapshot()
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -148,7 +148,7 @@
 	s := p.server
 	pool := s.poolByPolicyHost[host]
 	pool.probePending = true
-	if s.connShare(pool).Scarce() && !pool.service.used {
+	if s.connShare(pool).Scarce() && !pool.service.requested {
 		return // probes of all proxies would take more than the host has: the first session of the service opens it
 	}
 	if pool.queue.dialing == 0 {
--- a/internal/proxy/proxy_lease.go
+++ b/internal/proxy/proxy_lease.go
@@ -8,10 +8,10 @@
 
 // proxyLease is the lease under which this proxy may treat a host as the primary and its configuration as current.
 type proxyLease struct {
-	holder     lease.Holder
-	validAt    time.Time // when the sweep last found the lease valid
-	proxyCount int       // number of proxies with a lease, according to the last grant
-	pending    []pendingGrant
+	holder      lease.Holder
+	lastValidAt time.Time // when the sweep last found the lease valid
+	proxyCount  int       // number of proxies with a lease, according to the last grant
+	pending     []pendingGrant
 }
 
 // pendingGrant is a grant that arrived before the log updates that it requires. It takes effect once the log is applied up to
@@ -53,7 +53,7 @@
 // drop invalidates the lease and removes all pending grants.
 func (l *proxyLease) drop() { l.holder, l.pending = lease.Holder{}, nil }
 
-// lostFor reports whether the lease has been invalid for longer than span.
-func (l *proxyLease) lostFor(span time.Duration, now time.Time) bool {
-	return now.Sub(l.validAt) > span
+// invalidFor reports whether the lease has been invalid for longer than span.
+func (l *proxyLease) invalidFor(span time.Duration, now time.Time) bool {
+	return now.Sub(l.lastValidAt) > span
 }
--- a/internal/proxy/reconcile.go
+++ b/internal/proxy/reconcile.go
@@ -23,7 +23,7 @@
 	if !s.servicesChanged() {
 		return
 	}
-	for _, svc := range s.servicesOf.Services {
+	for _, svc := range s.reconciledServices.Services {
 		if svc.MaxConns > 0 {
 			s.serviceNamed(svc.Name).maxConns = int(svc.MaxConns)
 		}
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -66,7 +66,7 @@
 	replica              stateReplica
 	config               *config.Config // in force; nil until the first one arrives
 	tenants              tenancy.Index  // tenants of config
-	servicesOf           *config.Config // the configuration whose services were applied last
+	reconciledServices   *config.Config // the configuration whose services were applied last
 	lease                proxyLease
 	revocationUnreported bool // a revocation was applied and has not been reported to the leader
 	leader               leaderLink
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -35,7 +35,7 @@
 	primary   statemachine.Primary
 	positions position.Tracker // known log positions of the primary
 	maxConns  int              // connections that each host accepts from all proxies
-	used      bool             // a session has requested it
+	requested bool             // a session has requested it
 
 	lastTenant string // tenant of the session that requested it last
 }
@@ -45,8 +45,8 @@
 	return svc.primary.Host == hostID && !svc.primary.Revoked
 }
 
-// inEpoch reports whether epoch is the current epoch and the primary has not been revoked.
-func (svc *service) inEpoch(epoch primaryEpoch) bool {
+// isCurrentEpoch reports whether epoch is the current epoch and the primary has not been revoked.
+func (svc *service) isCurrentEpoch(epoch primaryEpoch) bool {
 	return primaryEpoch(svc.primary.ChangedAt) == epoch && !svc.primary.Revoked
 }
 
@@ -58,9 +58,9 @@
 	return primaryEpoch(pool.service.primary.ChangedAt)
 }
 
-// mayActOn reports whether the primary of epoch may be treated as such at this moment.
-func (s *Server) mayActOn(svc *service, epoch primaryEpoch) bool {
-	return svc.inEpoch(epoch) && s.leaseValid()
+// primaryEpochValid reports whether the primary of epoch may be treated as such at this moment.
+func (s *Server) primaryEpochValid(svc *service, epoch primaryEpoch) bool {
+	return svc.isCurrentEpoch(epoch) && s.leaseValid()
 }
 
 // route is a route of the configuration in force, with the policy's command groups for its statements.
@@ -71,9 +71,9 @@
 	stalenessBound policy.TenthMs // 0: a read must include every acknowledged write
 	readsOwnWrites bool
 
-	readGroup  *policy.CommandGroup // reads with the route's consistency
-	freshGroup *policy.CommandGroup // reads that must include every acknowledged write
-	writeGroup *policy.CommandGroup
+	readGroup   *policy.CommandGroup // reads with the route's consistency
+	strongGroup *policy.CommandGroup // reads that must include every acknowledged write
+	writeGroup  *policy.CommandGroup
 }
 
 func (s *Server) newRoute(configured config.Route) *route {
@@ -86,11 +86,11 @@
 	if configured.Kind != config.KindLeader {
 		r.stalenessBound = millisecondsToTenths(configured.StalenessMs)
 	}
-	r.freshGroup = s.newGroup(r, policy.Strong, retry.Read)
+	r.strongGroup = s.newGroup(r, policy.Strong, retry.Read)
 	r.writeGroup = s.newGroup(r, policy.Write, retry.Write)
 	switch {
 	case r.stalenessBound == 0:
-		r.readGroup = r.freshGroup
+		r.readGroup = r.strongGroup
 	case r.readsOwnWrites:
 		r.readGroup = s.newGroup(r, policy.ReadYourWrites, retry.Read)
 	default:
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -17,7 +17,7 @@
 
 // shutdownState is the progress of a graceful shutdown.
 type shutdownState struct {
-	begun     bool // SIGTERM was received
+	started   bool // SIGTERM was received
 	closeIdle bool // the platform has had time to notice: sessions are closed as soon as they are idle
 }
 
@@ -63,7 +63,7 @@
 	startedAt := time.Now()
 	closeIdleAfter, answerAfter := shutdownPhases(settings.Duration(s.settings.Bounds.GraceS * 1000))
 	s.queue.Put(eventloop.PriorityControl, func() {
-		s.shutdown.begun = true
+		s.shutdown.started = true
 		s.sweep(s.clock.Time())
 	})
 	for {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -27,7 +27,7 @@
 	sim.RunFor(2 * second)
 	server := sim.proxies[0].server
 	require.True(t, server.status().Ready)
-	server.shutdown.begun = true
+	server.shutdown.started = true
 	server.sweep(server.clock.Time())
 	require.False(t, server.status().Ready)
 	answered := server.status().Counters["outcome_answered"]
--- a/internal/proxy/simulation_cluster_test.go
+++ b/internal/proxy/simulation_cluster_test.go
@@ -33,7 +33,7 @@
 	connCount       int                // number of connections opened by proxies to members
 	faultCounts     [memberFaultKinds]int
 	operator        *operator
-	struckAt        int64  // when the closing fault was scheduled; 0: not yet
+	closingFaultAt  int64  // when the closing fault was scheduled; 0: not yet
 	proxyVersion    uint32 // protocol version of the proxies
 
 	// Tenants.
--- a/internal/proxy/simulation_hostconn_test.go
+++ b/internal/proxy/simulation_hostconn_test.go
@@ -140,7 +140,7 @@
 		}
 		return
 	}
-	c.noteOperation(verb)
+	c.recordOperation(verb)
 	owner, present := sim.ownerOf(requestID)
 	switch {
 	case owner == nil:
--- a/internal/proxy/simulation_operator_test.go
+++ b/internal/proxy/simulation_operator_test.go
@@ -45,10 +45,10 @@
 func (c *controlCluster) strikeAfterConfirmation(count int64) {
 	c.operator.onConfirmed = func() {
 		count--
-		if count > 0 || c.struckAt > 0 || c.recentFault() {
+		if count > 0 || c.closingFaultAt > 0 || c.recentFault() {
 			return
 		}
-		c.struckAt = c.sim.Now
+		c.closingFaultAt = c.sim.Now
 		for _, m := range c.members {
 			m.faultEndsAt = c.sim.Now + 6*second
 		}
--- a/internal/proxy/simulation_quota_test.go
+++ b/internal/proxy/simulation_quota_test.go
@@ -27,8 +27,8 @@
 	return strings.Replace(initialConfig, `"Services":`, c.tenants+`"Services":`, 1)
 }
 
-// noteOperation records an operation that a host executes for a client: a statement outside transactions, or a BEGIN.
-func (c *simulatedHostConn) noteOperation(verb string) {
+// recordOperation records an operation that a host executes for a client: a statement outside transactions, or a BEGIN.
+func (c *simulatedHostConn) recordOperation(verb string) {
 	sim := c.proxy.sim
 	if sim.cluster == nil || sim.cluster.tenants == "" || c.State == stateInTransaction || verb == "COMMIT" || verb == "ABORT" {
 		return
--- a/internal/proxy/simulation_run_test.go
+++ b/internal/proxy/simulation_run_test.go
@@ -130,11 +130,11 @@
 	}
 	simulateAll(t, seedCount()/4, build, func(sim *simulation) {
 		served += sim.served
-		if sim.cluster.struckAt == 0 {
+		if sim.cluster.closingFaultAt == 0 {
 			return
 		}
 		struck++
-		if sim.lastWriteAt < sim.cluster.struckAt+2*second {
+		if sim.lastWriteAt < sim.cluster.closingFaultAt+2*second {
 			unrecovered++
 		}
 	})
--- a/internal/proxy/state_replica.go
+++ b/internal/proxy/state_replica.go
@@ -110,9 +110,9 @@
 	return ack, complete, nil
 }
 
-// compare compares the state with the digest of a majority of the members, which may be nil. It ignores digests of other indexes. If
-// they differ, it marks the state as diverged and returns errStateDiffers with the ranges that differ.
-func (r *stateReplica) compare(agreed *statemachine.Digest) error {
+// compareDigest compares the state with the digest of a majority of the members, which may be nil. It ignores digests of other
+// indexes. If they differ, it marks the state as diverged and returns errStateDiffers with the ranges that differ.
+func (r *stateReplica) compareDigest(agreed *statemachine.Digest) error {
 	if agreed == nil || r.diverged || agreed.Index != r.state.Index {
 		return nil
 	}
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -115,7 +115,7 @@
 	stmt.tenant = tenant
 	stmt.deadline = message.receivedAt.Add(stmt.route.deadline)
 	if s.needsLease(stmt) && !s.leaseValid() {
-		s.reject(stmt, errcode.NoValidLease, stmt.route.comebackMs())
+		s.reject(stmt, errcode.NoValidLease, stmt.route.retryAfterMs())
 		return
 	}
 	client.statement = stmt
@@ -156,16 +156,16 @@
 	case route.stalenessBound > 0:
 		s.counters.floorUnknown.Add(1)
 	}
-	return route.freshGroup, 0
+	return route.strongGroup, 0
 }
 
 // dialOnFirstUse makes the probes of a service's hosts that were put off until a session needs the service.
 func (s *Server) dialOnFirstUse(svc *service, tenant string) {
 	svc.lastTenant = tenant
-	if svc.used {
+	if svc.requested {
 		return
 	}
-	svc.used = true
+	svc.requested = true
 	for _, id := range s.replica.state.HostIDs(svc.name) {
 		if pool := s.pools[id]; pool != nil && pool.probePending && pool.queue.dialing == 0 && len(pool.conns) == 0 {
 			pool.dial(tenant)
--- a/internal/proxy/statement_response.go
+++ b/internal/proxy/statement_response.go
@@ -64,7 +64,7 @@
 	conn.pool.lossDetector.ResponseReceived(attempt.sentAt, now)
 	position := conn.pool.recordPosition(response.Position, attempt.sentAt, attempt.primaryEpoch)
 	switch {
-	case stmt.acknowledgesWrite(response) && !conn.pool.service.inEpoch(attempt.primaryEpoch):
+	case stmt.acknowledgesWrite(response) && !conn.pool.service.isCurrentEpoch(attempt.primaryEpoch):
 		s.counters.acksAfterRevocation.Add(1)
 		s.withdrawAcknowledgement(conn, stmt)
 	case stmt.isPinned():
--- a/internal/proxy/statement_send.go
+++ b/internal/proxy/statement_send.go
@@ -91,7 +91,7 @@
 	}
 	if stmt.isPinned() {
 		epoch := stmt.session.primaryEpoch
-		if epoch != noEpoch && !s.mayActOn(pool.service, epoch) {
+		if epoch != noEpoch && !s.primaryEpochValid(pool.service, epoch) {
 			return nil, false
 		}
 		attempt.primaryEpoch = epoch
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -32,7 +32,7 @@
 		}
 	}
 	if s.configCurrent() {
-		s.lease.validAt = now
+		s.lease.lastValidAt = now
 	} else {
 		s.rejectUnsentStatements()
 		s.drainWithoutLease(now)
@@ -41,7 +41,7 @@
 }
 
 func (s *Server) updateReadiness() {
-	ready := s.configCurrent() && !s.shutdown.begun && len(s.pools) > 0
+	ready := s.configCurrent() && !s.shutdown.started && len(s.pools) > 0
 	if ready != s.ready.Load() {
 		s.ready.Store(ready)
 		s.log.Info("readiness changed", "ready", ready)
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -71,7 +71,7 @@
 	_, held := s.admit(client, stmt.route)
 	switch {
 	case !s.configCurrent():
-		s.reject(stmt, errcode.NoValidLease, stmt.route.comebackMs())
+		s.reject(stmt, errcode.NoValidLease, stmt.route.retryAfterMs())
 	case held: // by another tenant: the client's next attempt runs under that one
 		s.reject(stmt, errcode.WriteNotSent, 0)
 	default:
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -46,17 +46,17 @@
 }
 
 // beginAs begins a session for a database with a tenant's key.
-func beginAs(proxy *proxyProcess, database, key string) (*clientSession, *recordedConn) {
-	conn := &recordedConn{}
+func beginAs(proxy *proxyProcess, database, key string) (*clientSession, *recordingConn) {
+	conn := &recordingConn{}
 	session := &clientSession{server: proxy.server, out: conn, keyHash: proxy.server.secret.Hash(key)}
 	proxy.run(proxy.incarnation, func(server *Server) { server.beginSession(session, database) })
 	return session, conn
 }
 
 // askAndTake sends a statement and returns its answer.
-func askAndTake(t *testing.T, sim *simulation, session *clientSession, conn *recordedConn, line string) string {
+func askAndTake(t *testing.T, sim *simulation, session *clientSession, conn *recordingConn, line string) string {
 	t.Helper()
-	ask(t, sim.proxies[0], session, line)
+	sendStatement(t, sim.proxies[0], session, line)
 	sim.RunFor(100 * millisecond)
 	return conn.take()
 }
@@ -121,9 +121,9 @@
 			}
 		})
 	}
-	ask(t, proxy, active, "QUERY c2 STORE a b")
+	sendStatement(t, proxy, active, "QUERY c2 STORE a b")
 	require.Empty(t, activeConn.take())
-	ask(t, proxy, draining, "QUERY c3 STORE a b")
+	sendStatement(t, proxy, draining, "QUERY c3 STORE a b")
 	draining.drain()
 	proxy.run(proxy.incarnation, func(server *Server) { server.handleReaderEnd(draining) })
 	applyTenantConfig(sim, "3", tenantsWithSpareKeys)
@@ -142,7 +142,7 @@
 	slow, slowConn := beginAs(proxy, "lead", northKey)
 	for _, begun := range []struct {
 		session *clientSession
-		conn    *recordedConn
+		conn    *recordingConn
 	}{{quick, quickConn}, {slow, slowConn}} {
 		require.Contains(t, askAndTake(t, sim, begun.session, begun.conn, "QUERY c1 BEGIN"), "IDLE T")
 		require.Contains(t, askAndTake(t, sim, begun.session, begun.conn, "QUERY c2 STORE a "+formatID(begun.session.id)), "IDLE T")
@@ -154,7 +154,7 @@
 		positionless(askAndTake(t, sim, slow, slowConn, "QUERY c4 COMMIT")))
 	for _, ended := range []struct {
 		session *clientSession
-		conn    *recordedConn
+		conn    *recordingConn
 	}{{quick, quickConn}, {slow, slowConn}} {
 		require.Equal(t, "ERROR DENIED the key was taken away\r\n", askAndTake(t, sim, ended.session, ended.conn, "QUERY c5 FETCH a"))
 	}
@@ -206,7 +206,7 @@
 	pool := proxy.server.pools[sim.database.Primary().ID]
 	share := func() int { return proxy.server.connShare(pool).MaxConns() }
 	var sessions []*clientSession
-	var conns []*recordedConn
+	var conns []*recordingConn
 	for i := range 60 {
 		session, conn := beginAs(proxy, "lead", []string{northKey, southKey}[i%2])
 		conn.take()
@@ -214,7 +214,7 @@
 	}
 	for turn := range 4 {
 		for _, session := range sessions {
-			ask(t, proxy, session, "QUERY c"+formatID(uint64(turn))+" FETCH a")
+			sendStatement(t, proxy, session, "QUERY c"+formatID(uint64(turn))+" FETCH a")
 			require.LessOrEqual(t, len(pool.conns)+pool.queue.dialing, share())
 		}
 		sim.RunFor(900 * millisecond)
@@ -262,7 +262,7 @@
 	keepBusy := func() {
 		for _, session := range busy {
 			if session.statement == nil {
-				ask(t, proxy, session, "QUERY c1 FETCH a")
+				sendStatement(t, proxy, session, "QUERY c1 FETCH a")
 			}
 		}
 	}
@@ -272,7 +272,7 @@
 	}
 	other, otherConn := beginAs(proxy, "lead", northKey)
 	otherConn.take()
-	ask(t, proxy, other, "QUERY c2 FETCH a")
+	sendStatement(t, proxy, other, "QUERY c2 FETCH a")
 	waited := 0
 	for ; waited < 900 && len(otherConn.lines) == 0; waited++ {
 		keepBusy()
