--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -55,9 +55,9 @@
 type controlLink struct {
 	server      *Server
 	commands    chan linkCommand
-	members     []string // their addresses, as last received from a member
-	leaderHint  string   // address of the leader according to another member; empty: members are tried round-robin
-	memberIndex int
+	members     []string      // their addresses, as last received from a member
+	leaderHint  string        // address of the leader according to another member; empty: members are tried round-robin
+	memberIndex int           // incremented to choose the next member round-robin
 	backoff     retry.Backoff // between connection attempts; reset when a lease is granted
 }
 
--- a/internal/proxy/lease_loss.go
+++ b/internal/proxy/lease_loss.go
@@ -30,7 +30,8 @@
 	return max(minRetryAfterMs, r.deadline.Milliseconds()/attempts)
 }
 
-// minRetryAfterMs is the least retry delay, in milliseconds; it keeps clients with short deadlines from retrying too soon.
+// minRetryAfterMs is the minimum retry delay, in milliseconds. It keeps clients with short deadlines from retrying before a
+// retry can succeed.
 const minRetryAfterMs = 100
 
 // rejectUnsentStatements rejects the statements that wait for a host and need the lease. Statements of which an earlier attempt may
--- a/internal/proxy/simulation_cluster_test.go
+++ b/internal/proxy/simulation_cluster_test.go
@@ -109,10 +109,10 @@
 }
 
 // installConfig sends the first configuration to the members in turn until one has applied it.
-func (c *controlCluster) installConfig(turn int) {
+func (c *controlCluster) installConfig(memberIndex int) {
 	sim, applied := c.sim, false
 	sim.After(100*millisecond, func() {
-		m := c.members[turn%clusterSize]
+		m := c.members[memberIndex%clusterSize]
 		m.Run(m.Incarnation(), func() {
 			m.server.HandleCall(http.MethodPost, "/Config.Replace", "0", []byte(c.configBody()), func(status int, _ []byte) {
 				applied = applied || status == http.StatusOK
@@ -120,7 +120,7 @@
 		})
 		sim.After(300*millisecond, func() {
 			if !applied {
-				c.installConfig(turn + 1)
+				c.installConfig(memberIndex + 1)
 			}
 		})
 	})
@@ -152,7 +152,7 @@
 }
 
 // callMember sends a host's call to a member, and retries it at the next member if it is not acknowledged.
-func (c *controlCluster) callMember(hostID, path string, body []byte, turn, retries int) {
+func (c *controlCluster) callMember(hostID, path string, body []byte, memberIndex, retries int) {
 	sim, acknowledged := c.sim, false
 	delay := sim.Between(1*millisecond, 4*millisecond)
 	if c.lateCalls && sim.OneIn(15) {
@@ -162,7 +162,7 @@
 		if host := sim.database.Host(hostID); host == nil || host.Unreachable {
 			return
 		}
-		m := c.members[turn%clusterSize]
+		m := c.members[memberIndex%clusterSize]
 		m.Run(m.Incarnation(), func() {
 			m.server.HandleCall(http.MethodPost, path, "", body, func(status int, _ []byte) {
 				if !acknowledged && status == http.StatusOK {
@@ -172,7 +172,7 @@
 		})
 		sim.After(sim.Between(200*millisecond, second), func() {
 			if !acknowledged && retries > 0 {
-				c.callMember(hostID, path, body, turn+1, retries-1)
+				c.callMember(hostID, path, body, memberIndex+1, retries-1)
 			}
 		})
 	})
--- a/internal/proxy/simulation_member_faults_test.go
+++ b/internal/proxy/simulation_member_faults_test.go
@@ -53,8 +53,8 @@
 	return false
 }
 
-// injectMemberFault injects a fault at one member, unless there was a recent fault. In half of the cases it prefers the
-// leader.
+// injectMemberFault injects a fault at one member, unless there was a recent fault. In half of the cases it chooses
+// the leader, if there is one.
 func (c *controlCluster) injectMemberFault() {
 	sim := c.sim
 	if c.recentFault() {
--- a/internal/proxy/simulation_run_test.go
+++ b/internal/proxy/simulation_run_test.go
@@ -122,7 +122,7 @@
 // Right after a configuration change was confirmed, one member loses its disk and all other machines lose power. Everything that
 // clients and operators were told must still hold, and the system must serve writes again.
 func TestSimulationKeepsGuaranteesThroughAClosingFault(t *testing.T) {
-	served, struck, unrecovered := 0, 0, 0
+	served, closingFaults, unrecovered := 0, 0, 0
 	build := func(seed uint64) *simulation {
 		sim := newClusterSimulation(seed, 3, 9)
 		sim.cluster.strikeAfterConfirmation(sim.Between(2, 4))
@@ -133,14 +133,14 @@
 		if sim.cluster.closingFaultAt == 0 {
 			return
 		}
-		struck++
+		closingFaults++
 		if sim.lastWriteAt < sim.cluster.closingFaultAt+2*second {
 			unrecovered++
 		}
 	})
-	require.Zero(t, unrecovered, "no write was acknowledged since the closing fault")
+	require.Zero(t, unrecovered, "no write was acknowledged after the closing fault")
 	if *onlySeed < 0 {
-		require.Greater(t, struck, seedCount()/8, "too few closing faults for this to prove anything")
+		require.Greater(t, closingFaults, seedCount()/8, "too few closing faults for this to prove anything")
 		require.Greater(t, served, 200*seedCount()/4, "too little was served for this to prove anything")
 	}
 }
@@ -176,7 +176,7 @@
 	require.Greater(t, served, 300*count, "too little was served for this to prove anything")
 	require.Greater(t, runs, 300*count, "too few statements of tenants for this to prove anything")
 	require.Greater(t, denials, 10*count, "too few denials for this to prove anything")
-	require.Greater(t, removed, 8*count, "too few keys were taken away for this to prove anything")
+	require.Greater(t, removed, 8*count, "too few keys were revoked for this to prove anything")
 	t.Logf("%d simulations, %d statements served, %d keys taken away, %d denials", count, served, removed, denials)
 }
 
