--- a/internal/proxy/connlimit/connlimit_test.go
+++ b/internal/proxy/connlimit/connlimit_test.go
@@ -8,48 +8,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// conn is a connection of one tenant: busy until a time, then idle until another.
+// conn is a connection of one tenant. It is busy until busyUntil, then idle until idleUntil.
 type conn struct {
 	busyUntil, idleUntil time.Duration
 	tenant               int
 }
 
-// load is the use that all proxies together make of one host.
+// load describes how all proxies together use one host.
 type load struct {
 	conns, proxies int
 	usesPerSecond  float64
-	busy           time.Duration // for one use
-	tenants        int           // 1: connections serve all clients
+	busy           time.Duration // duration of one use
+	tenants        int           // 1: each connection may serve any client
 }
 
-// simulation has the connections of each proxy, and what became of the uses.
+// simulation holds the open connections of each proxy and counts the uses by result.
 type simulation struct {
 	load
-	share Share
-	held  [][]conn
+	share     Share
+	openConns [][]conn // by proxy
 
 	uses, opened, rejected int
 }
 
-// expire closes connections that were idle for too long, and returns how many remain at all proxies.
+// expire closes connections whose idle timeout has passed, and returns how many remain open at all proxies.
 func (s *simulation) expire(now time.Duration) (total int) {
-	for proxy, conns := range s.held {
+	for proxy, conns := range s.openConns {
 		var kept []conn
 		for _, c := range conns {
 			if now < c.idleUntil {
 				kept = append(kept, c)
 			}
 		}
-		s.held[proxy] = kept
+		s.openConns[proxy] = kept
 		total += len(kept)
 	}
 	return total
 }
 
-// idle returns the index of a proxy's last idle connection of a tenant, or -1.
+// idle returns the index of a proxy's last idle connection for a tenant, or -1.
 func (s *simulation) idle(proxy, tenant int, now time.Duration) int {
 	index := -1
-	for i, c := range s.held[proxy] {
+	for i, c := range s.openConns[proxy] {
 		if now >= c.busyUntil && c.tenant == tenant {
 			index = i
 		}
@@ -62,7 +62,7 @@
 	total := s.expire(now)
 	index := s.idle(proxy, tenant, now)
 	if index < 0 {
-		if len(s.held[proxy]) >= s.share.MaxConns() {
+		if len(s.openConns[proxy]) >= s.share.MaxConns() {
 			return
 		}
 		if total >= s.conns-reservedConns {
@@ -70,16 +70,16 @@
 			return
 		}
 		s.opened++
-		s.held[proxy] = append(s.held[proxy], conn{tenant: tenant})
-		index = len(s.held[proxy]) - 1
+		s.openConns[proxy] = append(s.openConns[proxy], conn{tenant: tenant})
+		index = len(s.openConns[proxy]) - 1
 	}
-	c := &s.held[proxy][index]
+	c := &s.openConns[proxy][index]
 	c.busyUntil = now + s.busy
 	c.idleUntil = c.busyUntil + time.Duration(s.share.IdleTimeoutMs(index, s.tenants > 1))*time.Millisecond
 }
 
-// Proxies that need a host now and then: busy and idle connections together stay within the host's limit, except for a moment
-// now and then, when a connection is rejected and tried again.
+// Proxies use a host at random times. Their busy and idle connections together stay within the host's limit: fewer than 1 in 200
+// uses is rejected because the host has no connection left.
 func TestProxiesTogetherStayWithinAHostsLimit(t *testing.T) {
 	for _, l := range []load{
 		{35, 63, 25, 60 * time.Millisecond, 1},
@@ -90,7 +90,7 @@
 		{57, 9, 100, 30 * time.Millisecond, 1},
 	} {
 		random := rand.New(rand.NewPCG(1, 2))
-		s := &simulation{load: l, share: ShareOf(l.conns, l.proxies), held: make([][]conn, l.proxies)}
+		s := &simulation{load: l, share: ShareOf(l.conns, l.proxies), openConns: make([][]conn, l.proxies)}
 		now := time.Duration(0)
 		for now < 60*time.Second {
 			s.use(random.IntN(l.proxies), random.IntN(l.tenants), now)
