--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// maxAdmissionWait is how long a statement may wait for a token of its tenant. An answer of the lender takes a few milliseconds.
+	// maxAdmissionWait is the longest time that a statement waits for a token of its tenant. The lender, which is the leader of the
+	// control plane, answers within a few milliseconds.
 	maxAdmissionWait = 60 * time.Millisecond
 
-	// admissionWaitShare of its latency target is the longest that a statement waits.
+	// admissionWaitShare is the fraction of its latency target that a statement may wait for a token.
 	admissionWaitShare = 1.0 / 4
 )
 
-// admission keeps the operations of tenants within their limits. An operation is a statement outside transactions that goes to a
-// host, or a transaction, which its BEGIN stands for.
+// admission enforces the rate limits of tenants. An operation, which costs one token, is a statement outside transactions that goes
+// to a host, or a whole transaction, which is charged at its BEGIN.
 type admission struct {
-	accounts      *quota.Accounts
-	hasLender     bool         // the leader is followed
-	lenderVersion uint32       // of the protocol that the last leader spoke
-	waiting       []*statement // for a token, the oldest first
-	nextReportAt  int64        // milliseconds of the clock
+	accounts       *quota.Accounts
+	hasLender      bool         // this proxy is connected to the leader
+	lenderVersion  uint32       // protocol version of the last leader
+	waiting        []*statement // statements waiting for a token, the oldest first
+	nextReportAtMs int64        // when reportQuota sends the next report, in milliseconds of the clock
 }
 
-// quotaCharge is what a statement's tenant was charged for it.
+// quotaCharge is the quota state of one statement.
 type quotaCharge struct {
-	reserved    bool // a token is kept until the statement is sent
+	reserved    bool // a token is reserved until the statement is sent
 	reservation quota.Reservation
-	charged     bool // it was sent since the last time that an attempt may have run
+	charged     bool // the tenant was charged; cleared once an attempt may have run, so that the next one is charged again
 	timer       timer
 }
 
@@ -40,7 +41,7 @@
 	return admission{accounts: quota.NewAccounts()}
 }
 
-// replaceLimits takes the limits of a configuration's tenants.
+// replaceLimits sets which tenants are limited, from a new configuration.
 func (s *Server) replaceLimits(tenants []config.Tenant) {
 	var limited []string
 	for i := range tenants {
@@ -51,15 +52,16 @@
 	s.accounts.SetLimited(limited)
 }
 
-// counted says whether a statement is held to its tenant's limit. It is not while the leader is of a release that lends no tokens.
-func (s *Server) counted(stmt *statement) bool {
+// isQuotaLimited reports whether a statement counts against its tenant's limit. None does while the leader runs a release that does
+// not lend tokens.
+func (s *Server) isQuotaLimited(stmt *statement) bool {
 	return s.lenderVersion >= rpc.VersionQuotas && s.accounts.Limited(stmt.tenant)
 }
 
-// submitWithinQuota submits a statement outside transactions if its tenant has a token here, and else holds it until the lender has
-// answered.
+// submitWithinQuota submits a statement outside transactions if this proxy has a token of its tenant, rejects it if the tenant is at
+// its limit, and otherwise queues it until the lender answers.
 func (s *Server) submitWithinQuota(stmt *statement) {
-	if !s.counted(stmt) {
+	if !s.isQuotaLimited(stmt) {
 		s.submit(stmt)
 		return
 	}
@@ -68,7 +70,7 @@
 	case quota.Admitted:
 		s.submitReserved(stmt, reservation)
 	case quota.Refused:
-		s.refuseAtLimit(stmt)
+		s.rejectAtLimit(stmt)
 	case quota.Wait:
 		s.awaitToken(stmt)
 	}
@@ -79,12 +81,13 @@
 	s.submit(stmt)
 }
 
-func (s *Server) refuseAtLimit(stmt *statement) {
+func (s *Server) rejectAtLimit(stmt *statement) {
 	s.counters.quotaRefused.Add(1)
 	s.reject(stmt, errcode.QuotaExceeded, s.accounts.RetryAfterMs(stmt.tenant))
 }
 
-// awaitToken holds a statement for a short time. Without a leader nobody can say whether its tenant is at the limit.
+// awaitToken queues a statement for a short time. Without a lender it is rejected at once, since it can't be known whether its
+// tenant is at the limit.
 func (s *Server) awaitToken(stmt *statement) {
 	if !s.hasLender {
 		s.accounts.Abandon(stmt.tenant)
@@ -93,7 +96,7 @@
 	}
 	s.counters.quotaWaits.Add(1)
 	s.waiting = append(s.waiting, stmt)
-	stmt.quota.timer = s.timers.Add(s.clock.Time().Add(stmt.route.admissionWait()), func() { s.expireWait(stmt) })
+	stmt.quota.timer = s.timers.Add(s.clock.Time().Add(stmt.route.admissionWait()), func() { s.expireTokenWait(stmt) })
 	s.requestTokens()
 }
 
@@ -105,9 +108,9 @@
 	return min(maxAdmissionWait, time.Duration(target*admissionWaitShare*float64(time.Millisecond)))
 }
 
-// expireWait answers a statement whose wait has been too long.
-func (s *Server) expireWait(stmt *statement) {
-	s.stopWaiting(stmt)
+// expireTokenWait rejects a statement that has waited too long for a token.
+func (s *Server) expireTokenWait(stmt *statement) {
+	s.removeTokenWaiter(stmt)
 	s.accounts.Abandon(stmt.tenant)
 	s.rejectWithoutToken(stmt)
 }
@@ -117,8 +120,8 @@
 	s.reject(stmt, errcode.NoValidLease, stmt.route.comebackMs())
 }
 
-// stopWaiting takes a statement from those that wait; false: it does not wait.
-func (s *Server) stopWaiting(stmt *statement) bool {
+// removeTokenWaiter removes a statement from the queue for tokens. It reports whether the statement was in it.
+func (s *Server) removeTokenWaiter(stmt *statement) bool {
 	at := slices.Index(s.waiting, stmt)
 	if at < 0 {
 		return false
@@ -128,18 +131,19 @@
 	return true
 }
 
-// chargeOperation charges a statement's tenant when the statement has been sent, once for all attempts of which none may have run.
+// chargeOperation charges a statement's tenant when the statement has been sent. A retry is charged again only if an
+// earlier attempt may have run.
 func (s *Server) chargeOperation(stmt *statement) {
-	if stmt.isPinned() || stmt.quota.charged || !s.counted(stmt) {
+	if stmt.isPinned() || stmt.quota.charged || !s.isQuotaLimited(stmt) {
 		return
 	}
 	s.accounts.Spend(stmt.tenant, stmt.quota.reservation, s.clock.Now())
 	stmt.quota = quotaCharge{charged: true}
 }
 
-// releaseToken gives back the token of a statement that is over and was never sent.
+// releaseToken returns the token of a statement that ended without being sent.
 func (s *Server) releaseToken(stmt *statement) {
-	if s.stopWaiting(stmt) {
+	if s.removeTokenWaiter(stmt) {
 		s.accounts.Abandon(stmt.tenant)
 	}
 	if stmt.quota.reserved {
@@ -148,7 +152,7 @@
 	}
 }
 
-// requestTokens sends the lender what there is to report and to ask for, unless an answer is awaited.
+// requestTokens reports usage to the lender and requests tokens, unless there is nothing to send or a response is outstanding.
 func (s *Server) requestTokens() {
 	if !s.hasLender || s.lenderVersion < rpc.VersionQuotas {
 		return
@@ -156,35 +160,35 @@
 	now := s.clock.Now()
 	if request := s.accounts.Request(now); request != nil {
 		s.counters.quotaRequests.Add(1)
-		s.nextReportAt = now + s.accounts.ReportIntervalMs(now)
+		s.nextReportAtMs = now + s.accounts.ReportIntervalMs(now)
 		s.leader.requestQuota(request)
 	}
 }
 
-// reportQuota sends the periodic report.
+// reportQuota sends the periodic report to the lender when it is due.
 func (s *Server) reportQuota() {
-	if s.clock.Now() >= s.nextReportAt {
+	if s.clock.Now() >= s.nextReportAtMs {
 		s.requestTokens()
 	}
 }
 
-// quotaAnswered takes the lender's tokens and serves the statements that wait for them.
+// quotaAnswered adds the tokens that the lender has granted and serves the statements that wait for them.
 func (s *Server) quotaAnswered(response *quota.Response) {
 	now := s.clock.Now()
 	s.accounts.Answered(response, now)
 	for _, stmt := range slices.Clone(s.waiting) {
-		if !slices.Contains(s.waiting, stmt) { // the answer to another one has ended it
+		if !slices.Contains(s.waiting, stmt) { // ended as a consequence of an earlier one in this loop
 			continue
 		}
 		reservation, verdict := s.accounts.Retry(stmt.tenant, now)
 		if verdict == quota.Wait {
 			continue
 		}
-		s.stopWaiting(stmt)
+		s.removeTokenWaiter(stmt)
 		if verdict == quota.Admitted {
 			s.submitReserved(stmt, reservation)
 		} else {
-			s.refuseAtLimit(stmt)
+			s.rejectAtLimit(stmt)
 		}
 	}
 	if len(s.waiting) > 0 {
@@ -192,13 +196,13 @@
 	}
 }
 
-// lenderFound says that a leader is followed, and which version of the protocol it speaks.
+// lenderFound records that this proxy is connected to a leader, and the leader's protocol version.
 func (s *Server) lenderFound(version uint32) {
 	s.hasLender, s.lenderVersion = true, version
-	s.accounts.LinkLost() // what was asked of another
+	s.accounts.LinkLost() // requests to the previous leader get no response
 }
 
-// lenderLost says that no leader is followed any more.
+// lenderLost records that this proxy is no longer connected to a leader.
 func (s *Server) lenderLost() {
 	s.hasLender = false
 	s.accounts.LinkLost()
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -11,8 +11,8 @@
 	"ferrypitch/internal/rpc"
 )
 
-// limitedSession is a session of a tenant with a limit, at a proxy that follows a lender from which nothing is heard.
-func limitedSession(t *testing.T) (*simulation, *proxyProcess, *clientSession, *recordedConn) {
+// newLimitedSession returns a session of a tenant with a limit, at a proxy whose lender never answers by itself.
+func newLimitedSession(t *testing.T) (*simulation, *proxyProcess, *clientSession, *recordedConn) {
 	t.Helper()
 	sim := newSimulation(1, 1, 0)
 	sim.RunFor(2 * second)
@@ -25,16 +25,18 @@
 	return sim, proxy, session, conn
 }
 
-func lendTo(proxy *proxyProcess, answer quota.Answer) {
+// answerQuota delivers a lender's response for the tenant to the proxy.
+// answerQuota delivers a lender's response for the tenant to the proxy.
+func answerQuota(proxy *proxyProcess, answer quota.Answer) {
 	answer.Tenant = "t7"
 	proxy.run(proxy.incarnation, func(server *Server) {
 		server.quotaAnswered(&quota.Response{Serial: 1, Term: 1, Answers: []quota.Answer{answer}})
 	})
 }
 
-// A statement without a token is held for a quarter of its target of 150 ms, and never sent.
+// A statement without a token waits for a quarter of its latency target of 150 ms, and is then rejected without being sent.
 func TestStatementWithoutATokenIsNotHeldLong(t *testing.T) {
-	sim, proxy, session, conn := limitedSession(t)
+	sim, proxy, session, conn := newLimitedSession(t)
 	ask(t, proxy, session, "QUERY q1 FETCH 1")
 	sim.RunFor(30 * millisecond)
 	require.Empty(t, conn.take())
@@ -44,19 +46,19 @@
 
 	proxy.run(proxy.incarnation, (*Server).lenderLost)
 	ask(t, proxy, session, "QUERY q2 FETCH 1")
-	require.Contains(t, conn.take(), "ERROR RETRY", "nobody can be asked")
+	require.Contains(t, conn.take(), "ERROR RETRY", "there is no lender")
 }
 
 func TestStatementIsServedOrRefusedAsTheLenderSays(t *testing.T) {
-	sim, proxy, session, conn := limitedSession(t)
+	sim, proxy, session, conn := newLimitedSession(t)
 	ask(t, proxy, session, "QUERY q1 FETCH 1")
-	lendTo(proxy, quota.Answer{Granted: 1})
+	answerQuota(proxy, quota.Answer{Granted: 1})
 	sim.RunFor(200 * millisecond)
 	require.Contains(t, conn.take(), "DONE")
 
-	sim, proxy, session, conn = limitedSession(t)
+	sim, proxy, session, conn = newLimitedSession(t)
 	ask(t, proxy, session, "QUERY q1 FETCH 1")
-	lendTo(proxy, quota.Answer{AtLimit: true, RetryAfterMs: 300})
+	answerQuota(proxy, quota.Answer{AtLimit: true, RetryAfterMs: 300})
 	require.Contains(t, conn.take(), "ERROR OVERLOAD the tenant is at its limit; 300")
 	require.Equal(t, []string{"t7"}, proxy.server.status().TenantsAtLimit)
 	ask(t, proxy, session, "QUERY q2 FETCH 1")
@@ -65,11 +67,11 @@
 	require.Empty(t, proxy.server.status().TenantsAtLimit)
 }
 
-// The statements of a transaction cost nothing beside its BEGIN.
+// A transaction is charged at its BEGIN; its other statements are not charged.
 func TestTransactionCostsOneToken(t *testing.T) {
-	sim, proxy, session, conn := limitedSession(t)
+	sim, proxy, session, conn := newLimitedSession(t)
 	ask(t, proxy, session, "QUERY q1 BEGIN")
-	lendTo(proxy, quota.Answer{Granted: 1})
+	answerQuota(proxy, quota.Answer{Granted: 1})
 	for _, line := range []string{"QUERY q2 FETCH 1", "QUERY q3 STORE 1 x", "QUERY q4 COMMIT"} {
 		sim.RunFor(200 * millisecond)
 		ask(t, proxy, session, line)
@@ -79,14 +81,14 @@
 	require.Zero(t, proxy.server.counters.quotaUnknown.Load())
 }
 
-// A statement that was never sent gives its token back.
+// A statement that was never sent returns its token, so that the tenant's next one can use it.
 func TestTokenOfAnUnsentStatementIsGivenBack(t *testing.T) {
-	sim, proxy, session, conn := limitedSession(t)
+	sim, proxy, session, conn := newLimitedSession(t)
 	ask(t, proxy, session, "QUERY q1 FETCH 1")
 	for _, pool := range proxy.server.pools {
-		pool.service.primary.Revoked = true // no host can take it
+		pool.service.primary.Revoked = true // so that no host can serve it
 	}
-	lendTo(proxy, quota.Answer{Granted: 1})
+	answerQuota(proxy, quota.Answer{Granted: 1})
 	sim.RunFor(200 * millisecond) // a connection is opened in the tenant's name first
 	require.Contains(t, conn.take(), "no host can serve it")
 	_, verdict := proxy.server.accounts.Admit("t7", proxy.server.clock.Now())
--- a/internal/proxy/buffered_conn.go
+++ b/internal/proxy/buffered_conn.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	maxBacklogBytes   = 4 << 20
-	writeStallTimeout = 10 * time.Second // a peer that accepts no data for so long is dropped
+	maxBacklogBytes   = 4 << 20          // a connection with more unwritten data is closed
+	writeStallTimeout = 10 * time.Second // a connection whose peer accepts no data for so long is closed
 
-	// finishTimeout is how long a reader waits for the peer's end after the last bytes were written.
-	finishTimeout = 300 * time.Millisecond
+	// peerCloseTimeout is how long the reader waits for the peer to close after the last bytes were written.
+	peerCloseTimeout = 300 * time.Millisecond
 )
 
-// nonblockingConn is a connection as the event loop writes to it. None of its methods blocks.
+// nonblockingConn is the part of a connection that the event loop uses. None of its methods blocks.
 type nonblockingConn interface {
-	// write returns how many bytes went out at once; ok says that the rest, if any, will follow.
+	// write returns how many bytes were written at once. ok is true if the rest, if any, is buffered; false if the connection failed.
 	write(data []byte) (written int, ok bool)
-	// stopReading ends the connection's reader.
+	// stopReading makes the connection's reader stop.
 	stopReading()
-	// finish ends the written direction; the reader ends soon after.
+	// finish closes the write side; the reader ends soon after.
 	finish()
 	close()
 }
 
-// bufferedConn is a nonblockingConn over a socket: what the socket does not accept at once is buffered and written by a
-// goroutine that ends with the backlog or the socket.
+// bufferedConn is a nonblockingConn over a socket. Data that the socket does not accept at once is buffered in a backlog, which a
+// goroutine writes; the goroutine ends when the backlog is empty or the socket fails.
 type bufferedConn struct {
-	conn net.Conn
-	raw  syscall.RawConn // nil: the connection has no file descriptor, all goes by the backlog
+	conn    net.Conn
+	rawConn syscall.RawConn // nil if the connection has no file descriptor: all data then goes through the backlog
 
 	mu       sync.Mutex
 	backlog  []byte
-	draining bool
-	broken   bool
+	flushing bool
+	failed   bool
 }
 
 func newBufferedConn(conn net.Conn) *bufferedConn {
 	b := &bufferedConn{conn: conn}
 	if withDescriptor, ok := conn.(syscall.Conn); ok {
-		b.raw, _ = withDescriptor.SyscallConn() // nil on error: the backlog serves
+		b.rawConn, _ = withDescriptor.SyscallConn() // nil on error: all data then goes through the backlog
 	}
 	return b
 }
@@ -49,32 +49,32 @@
 func (b *bufferedConn) write(data []byte) (written int, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.broken {
+	if b.failed {
 		return 0, false
 	}
-	if !b.draining && b.raw != nil {
-		if written, ok = b.writeNow(data); !ok || written == len(data) {
+	if !b.flushing && b.rawConn != nil {
+		if written, ok = b.writeNonblocking(data); !ok || written == len(data) {
 			return written, ok
 		}
 	}
 	rest := data[written:]
 	if len(b.backlog)+len(rest) > maxBacklogBytes {
-		b.broken = true
+		b.failed = true
 		b.conn.Close()
 		return written, false
 	}
 	b.backlog = append(b.backlog, rest...)
-	if !b.draining {
-		b.draining = true
-		go b.drain()
+	if !b.flushing {
+		b.flushing = true
+		go b.flushBacklog()
 	}
 	return written, true
 }
 
-// writeNow writes what the socket accepts without blocking; ok false: the socket is broken.
-func (b *bufferedConn) writeNow(data []byte) (written int, ok bool) {
+// writeNonblocking writes what the socket accepts without blocking. ok is false if the socket failed.
+func (b *bufferedConn) writeNonblocking(data []byte) (written int, ok bool) {
 	var writeErr error
-	rawErr := b.raw.Write(func(descriptor uintptr) bool {
+	rawErr := b.rawConn.Write(func(descriptor uintptr) bool {
 		for {
 			written, writeErr = syscall.Write(int(descriptor), data)
 			if writeErr != syscall.EINTR {
@@ -84,20 +84,20 @@
 	})
 	written = max(written, 0)
 	if rawErr != nil || writeErr != nil && writeErr != syscall.EAGAIN {
-		b.broken = true
+		b.failed = true
 		return written, false
 	}
 	return written, true
 }
 
-// drain writes the backlog until none is left.
-func (b *bufferedConn) drain() {
+// flushBacklog writes the backlog until it is empty.
+func (b *bufferedConn) flushBacklog() {
 	for {
 		b.mu.Lock()
 		data := b.backlog
 		b.backlog = nil
 		if len(data) == 0 {
-			b.draining = false
+			b.flushing = false
 			b.mu.Unlock()
 			return
 		}
@@ -105,7 +105,7 @@
 		b.conn.SetWriteDeadline(time.Now().Add(writeStallTimeout))
 		if _, err := b.conn.Write(data); err != nil {
 			b.mu.Lock()
-			b.broken, b.draining = true, false
+			b.failed, b.flushing = true, false
 			b.mu.Unlock()
 			b.conn.Close()
 			return
@@ -117,10 +117,10 @@
 func (b *bufferedConn) stopReading() { b.conn.SetReadDeadline(time.Unix(1, 0)) }
 
 func (b *bufferedConn) finish() {
-	if half, ok := b.conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite() // the peer may be gone; the reader ends by its deadline
+	if writeCloser, ok := b.conn.(interface{ CloseWrite() error }); ok {
+		_ = writeCloser.CloseWrite() // the peer may be gone; the read deadline ends the reader in any case
 	}
-	b.conn.SetReadDeadline(time.Now().Add(finishTimeout))
+	b.conn.SetReadDeadline(time.Now().Add(peerCloseTimeout))
 }
 
 func (b *bufferedConn) close() { b.conn.Close() }
--- a/internal/proxy/changed.go
+++ b/internal/proxy/changed.go
@@ -6,10 +6,10 @@
 	"ferrypitch/policy"
 )
 
-// What is found here by one pass over all hosts or services is sorted only then, since it is little and the whole is not. The order
-// decides what the policy is told first, so that a simulation repeats exactly.
+// The functions in this file iterate over the map of all hosts or services and sort only the result, which is much smaller. The sort
+// makes the order of calls to the policy deterministic, so that a simulation with the same seed repeats exactly.
 
-// poolsInUse returns the hosts for which time alone may change something: those with connections, and those that drain.
+// poolsInUse returns the hosts that the periodic sweep must check: those with connections, and those that are draining.
 func (p *placement) poolsInUse() []string {
 	var ids []string
 	for id, pool := range p.pools {
@@ -21,8 +21,8 @@
 	return ids
 }
 
-// changedHosts returns the hosts of the replicated state that are new, that differ from what this proxy knows of them, or whose
-// standing depends on who the primary is.
+// changedHosts returns the hosts of the replicated state that are new, that differ from this proxy's pool for them, or that are
+// draining, whose list state depends on which host is the primary.
 func (s *Server) changedHosts() []string {
 	var ids []string
 	for id, want := range s.replica.state.Hosts {
@@ -35,7 +35,7 @@
 	return ids
 }
 
-// delistedHosts returns the hosts that have left the replicated state and are not removed here yet.
+// delistedHosts returns the hosts that are no longer in the replicated state but not yet marked as removed here.
 func (s *Server) delistedHosts() []string {
 	var ids []string
 	for id, pool := range s.pools {
@@ -47,7 +47,7 @@
 	return ids
 }
 
-// changedPrimaries returns the services whose primary differs from what this proxy knows.
+// changedPrimaries returns the services whose primary in the replicated state differs from the one this proxy uses.
 func (s *Server) changedPrimaries() []string {
 	var names []string
 	for name, want := range s.replica.state.Primaries {
@@ -59,14 +59,15 @@
 	return names
 }
 
-// countAliveProxies notes how many proxies share the connections of each host, by what other proxies say.
+// countAliveProxies updates the number of proxies that share the connections of each host, from gossip.
 func (s *Server) countAliveProxies() {
 	if s.membership != nil {
 		s.aliveProxies = s.membership.AliveCount()
 	}
 }
 
-// servicesChanged says whether services of another configuration are to be taken in, and notes that they are.
+// servicesChanged reports whether the configuration has changed since its services were last applied, and records the current
+// one as applied.
 func (s *Server) servicesChanged() bool {
 	configured := s.replica.state.Config()
 	if configured == nil || configured == s.servicesOf {
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// connectMessageTimeout is how long a client may take for CONNECT.
+	// connectMessageTimeout is how long a client may take to send CONNECT.
 	connectMessageTimeout = 10 * time.Second
 
-	// acceptRetryInterval is waited after a failed accept, as when there are no more file descriptors.
+	// acceptRetryInterval is the wait after a failed accept, for instance when no file descriptors are left.
 	acceptRetryInterval = 20 * time.Millisecond
 )
 
-// accept serves clients until ctx ends.
+// accept accepts clients and serves each in a goroutine until the server's context ends.
 func (s *Server) accept(listener net.Listener) {
 	for {
 		socket, err := listener.Accept()
@@ -40,8 +40,8 @@
 	}
 }
 
-// serveClient reads a client's messages and hands them to the event loop, which owns the session. It closes the socket only
-// while the event loop does not know the session, or has ended.
+// serveClient reads a client's messages and queues them for the event loop, which owns the session. It closes the socket itself only
+// before the session is handed over, or after the event loop has ended.
 func (s *Server) serveClient(socket net.Conn) {
 	client := &clientSession{server: s, out: newBufferedConn(socket)}
 	reader := &lineReader{conn: socket}
@@ -60,7 +60,7 @@
 	}
 }
 
-// readConnect reads CONNECT. It answers what is not one, and then closes the socket.
+// readConnect reads the client's CONNECT. If something else arrives, it answers with an error and closes the socket.
 func (s *Server) readConnect(reader *lineReader) (database, key string, ok bool) {
 	socket := reader.conn
 	socket.SetReadDeadline(time.Now().Add(connectMessageTimeout))
@@ -74,7 +74,7 @@
 		return request.Name, request.Value, true
 	}
 	s.counters.malformedInputs.Add(1)
-	if err != nil && len(line) == 0 { // it has said nothing
+	if err != nil && len(line) == 0 { // the client sent no line
 		socket.Close()
 	} else {
 		closeWithError(socket, s.errorReply(errcode.ConnectExpected, 0))
@@ -82,7 +82,7 @@
 	return "", "", false
 }
 
-// readMessages hands a client's messages to the event loop until it says BYE, breaks the protocol or is gone.
+// readMessages queues a client's messages for the event loop until the client sends BYE, violates the protocol or disconnects.
 func (s *Server) readMessages(client *clientSession, reader *lineReader) {
 	for {
 		line, _, err := reader.next()
@@ -90,26 +90,26 @@
 			return
 		}
 		receivedAt := time.Now()
-		request, invalid := wire.ParseRequest(line)
-		if invalid == nil && request.Kind == wire.Bye {
+		request, parseErr := wire.ParseRequest(line)
+		if parseErr == nil && request.Kind == wire.Bye {
 			return
 		}
-		if invalid != nil && request.ID == "" || invalid == nil && request.Kind == wire.Connect {
+		if parseErr != nil && request.ID == "" || parseErr == nil && request.Kind == wire.Connect {
 			s.counters.malformedInputs.Add(1)
 			s.queue.Put(eventloop.PriorityCommands, func() {
 				s.sendFinal(client, s.errorReply(errcode.BadMessage, 0))
 			})
 			return
 		}
-		message := clientMessage{request: request, err: invalid, receivedAt: receivedAt}
+		message := clientMessage{request: request, err: parseErr, receivedAt: receivedAt}
 		if !s.queue.Put(eventloop.PriorityCommands, func() { s.enqueueMessage(client, message) }) {
 			return
 		}
 	}
 }
 
-// closeWithError sends a last answer and closes the socket once the client has seen it: closing over unread bytes would reset
-// the connection, and the answer would be lost.
+// closeWithError sends a final error and closes the socket only after it has read to the end of the input or the read deadline:
+// closing a socket with unread bytes would reset the connection, and the client could lose the error.
 func closeWithError(socket net.Conn, lines []byte) {
 	out := newBufferedConn(socket)
 	out.write(lines)
--- a/internal/proxy/client_session.go
+++ b/internal/proxy/client_session.go
@@ -9,53 +9,53 @@
 	"ferrypitch/internal/wire"
 )
 
-// maxPipelined is how many messages a client may send before the first is answered.
+// maxPipelined is the maximum number of messages that wait behind the statement of a session that is being answered.
 const maxPipelined = 16
 
-// States of a session or a host connection, as the wire's IDLE gives them.
+// Transaction states of a session or a host connection, as encoded in IDLE.
 const (
 	stateIdle          = 'I'
 	stateInTransaction = 'T'
 )
 
-// clientSession is a client's connection. All but its socket belongs to the event loop.
+// clientSession is a client's connection and its session. Everything except the socket is owned by the event loop.
 type clientSession struct {
 	session.Session
 	server    *Server
 	out       nonblockingConn
 	id        uint64
-	policyKey string // the session in calls of the policy, which tracks the last write of each session under it
+	policyKey string // the session's name in calls to the policy, which tracks the last write of each session
 	database  string
-	keyHash   tenancy.KeyHash // of the key by which the client named itself
+	keyHash   tenancy.KeyHash // of the key in the client's CONNECT
 
-	pipelined    []clientMessage // received and not started yet
-	statement    *statement      // being answered; nil: none
-	lastPosition wire.Position   // of the host that answered last
+	pipelined    []clientMessage // received but not yet started, the oldest first
+	statement    *statement      // the one being answered; nil if there is none
+	lastPosition wire.Position   // from the last response of a host
 	idleSince    time.Time       // when the last statement was answered
 
-	// Of the open transaction.
+	// State of the open transaction.
 	pinnedConn   *hostConn
 	txnRoute     *route
-	primaryEpoch primaryEpoch // in which it began; noEpoch: it does not need the primary
-	keyLostAt    time.Time    // since when its tenant does not hold the key; zero: it does
+	primaryEpoch primaryEpoch // in which the transaction began; noEpoch if it does not need the primary
+	keyRevokedAt time.Time    // since when the tenant of its statement or transaction no longer holds the key; zero if it does
 
 	closed      bool
-	ending      bool // nothing more is read from it
-	readerEnded bool // the reader has ended before all that it had read was answered
+	ending      bool // nothing more is read from the client
+	readerEnded bool // the reader has ended, but messages that it had read are not all answered
 }
 
 // clientMessage is one message of a client after CONNECT.
 type clientMessage struct {
 	request    wire.Request
-	err        error // it is not a valid statement
+	err        error // non-nil if the message is not a valid statement
 	receivedAt time.Time
 }
 
-// idle says that the session may end without a loss for its client.
+// idle reports whether the session can be ended without losing a statement or transaction.
 func (c *clientSession) idle() bool { return c.statement == nil && c.IdleState() == stateIdle }
 
-// enqueueMessage takes a client's message. A session's messages are answered in order, so it waits behind those before it;
-// maxPipelined bounds what one client can have waiting.
+// enqueueMessage queues a client's message, since a session's messages are answered in order. A client that has more than
+// maxPipelined messages waiting gets an error, and its session ends.
 func (s *Server) enqueueMessage(client *clientSession, message clientMessage) {
 	if client.closed {
 		return
@@ -71,14 +71,14 @@
 	}
 }
 
-// processMessages handles a session's messages until one has to wait for a host; finishStatement then calls it again. Only when
-// nothing is left to answer is the session idle, and does a drain or the end of its reader that waited for this take effect.
+// processMessages handles a session's messages until one has to wait for a host; finishStatement then calls it again. When all
+// messages are answered, a pending drain or end of the reader takes effect.
 func (s *Server) processMessages(client *clientSession) {
 	for client.statement == nil && len(client.pipelined) > 0 && !client.closed {
 		message := client.pipelined[0]
 		client.pipelined = client.pipelined[1:]
 		if len(client.pipelined) == 0 {
-			client.pipelined = nil // many sessions, few messages: the space is given back
+			client.pipelined = nil // frees the array: most of the many sessions have no message waiting
 		}
 		s.handleStatement(client, message)
 	}
@@ -94,21 +94,21 @@
 	}
 }
 
-// respond sends a session an answer and the IDLE that ends it, by which the client knows the state of its session and the position
-// of the host that answered.
+// respond sends an answer to the client, followed by IDLE, which carries the session's transaction state and the log position of the
+// host that answered last.
 func (s *Server) respond(client *clientSession, lines []byte) {
 	if client.closed {
 		return
 	}
-	const idleLineBytes = 32 // about as long as an IDLE gets
+	const idleLineBytes = 32 // approximate maximum length of an IDLE line
 	answer := append(make([]byte, 0, len(lines)+idleLineBytes), lines...)
 	if _, ok := client.out.write(wire.AppendIdle(answer, client.IdleState(), client.lastPosition)); !ok {
 		client.out.close() // its reader ends the session
 	}
 }
 
-// sendFinal answers a client whose session can't go on. The socket stays open until the client has had time to read the answer: the
-// reader ends the session (handleReaderEnd).
+// sendFinal sends the last answer of a session that can't continue and closes the write side. The socket stays open so that the client
+// can read the answer; the session ends when its reader does (handleReaderEnd).
 func (s *Server) sendFinal(client *clientSession, lines []byte) {
 	if client.closed {
 		return
@@ -118,7 +118,7 @@
 	client.closed = true
 }
 
-// drain ends an idle session gracefully: no more is read from it, and what was read is answered first.
+// drain ends a session gracefully: it stops the reader, and messages that were already read are answered first.
 func (c *clientSession) drain() {
 	if !c.closed && !c.ending {
 		c.ending = true
@@ -126,7 +126,8 @@
 	}
 }
 
-// handleReaderEnd ends a session whose client is gone, or that drains.
+// handleReaderEnd ends a session whose client has disconnected or that is draining. A draining session with messages that are not
+// answered yet ends after them.
 func (s *Server) handleReaderEnd(client *clientSession) {
 	if client.ending && !client.closed && (client.statement != nil || len(client.pipelined) > 0) {
 		client.readerEnded = true
@@ -145,12 +146,12 @@
 	}
 }
 
-// pin keeps a connection for the transaction that a statement has begun on it.
+// pin assigns a connection to the session for the transaction that a BEGIN has opened on it.
 func (c *clientSession) pin(conn *hostConn, begin *statement) {
 	conn.session = c
 	c.pinnedConn, c.txnRoute, c.primaryEpoch = conn, begin.route, begin.attempt.primaryEpoch
 	if begin.step.ReadOnly && begin.route.stalenessBound > 0 && begin.group == begin.route.readGroup {
-		c.primaryEpoch = noEpoch // what BEGIN was fenced for holds for the whole transaction
+		c.primaryEpoch = noEpoch // the fence of the BEGIN covers the whole transaction, so it does not depend on the primary
 	}
 }
 
--- a/internal/proxy/conn_queue.go
+++ b/internal/proxy/conn_queue.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// connQueue is the statements that wait for a connection to a host, and the connections that are being opened for them. A connection
+// connQueue holds the statements that wait for a connection to a host, and counts the connections that are being opened. A connection
 // belongs to one tenant, so both are counted by tenant.
 type connQueue struct {
 	statements []*statement // the oldest first
-	dialing    int          // connections that are being opened, of all tenants
+	dialing    int          // connections that are being opened, over all tenants
 	byTenant   map[string]connDemand
 }
 
-// connDemand is what one tenant waits for.
+// connDemand counts the waiting statements and pending dials of one tenant.
 type connDemand struct {
 	waiting int // statements
 	dialing int // connections that are being opened
@@ -23,7 +23,7 @@
 	q.adjust(stmt.tenant, 1, 0)
 }
 
-// remove takes out a statement, if it waits.
+// remove removes a statement, if it is queued.
 func (q *connQueue) remove(stmt *statement) {
 	if i := slices.Index(q.statements, stmt); i >= 0 {
 		q.statements = slices.Delete(q.statements, i, i+1)
@@ -31,8 +31,8 @@
 	}
 }
 
-// take takes out a tenant's oldest statement; nil: none waits.
-func (q *connQueue) take(tenant string) *statement {
+// popForTenant removes and returns a tenant's oldest statement, or returns nil if there is none.
+func (q *connQueue) popForTenant(tenant string) *statement {
 	if q.byTenant[tenant].waiting == 0 {
 		return nil
 	}
@@ -45,12 +45,12 @@
 	return nil
 }
 
-func (q *connQueue) dialBegan(tenant string) {
+func (q *connQueue) dialStarted(tenant string) {
 	q.dialing++
 	q.adjust(tenant, 0, 1)
 }
 
-func (q *connQueue) dialEnded(tenant string) {
+func (q *connQueue) dialFinished(tenant string) {
 	q.dialing--
 	q.adjust(tenant, 0, -1)
 }
@@ -66,16 +66,16 @@
 	q.byTenant[tenant] = demand
 }
 
-// needsConn says that more of a tenant's statements wait than connections are being opened for it.
-func (q *connQueue) needsConn(tenant string) bool {
+// needsDial reports whether more statements of a tenant are waiting than connections are being opened for it.
+func (q *connQueue) needsDial(tenant string) bool {
 	demand := q.byTenant[tenant]
 	return demand.waiting > demand.dialing
 }
 
-// oldestWithoutDial is the oldest statement whose tenant needs a connection; nil: there is none.
+// oldestWithoutDial returns the oldest statement whose tenant needs another dial, or nil if there is none.
 func (q *connQueue) oldestWithoutDial() *statement {
 	for _, stmt := range q.statements {
-		if q.needsConn(stmt.tenant) {
+		if q.needsDial(stmt.tenant) {
 			return stmt
 		}
 	}
--- a/internal/proxy/conn_reset_test.go
+++ b/internal/proxy/conn_reset_test.go
@@ -8,8 +8,8 @@
 	"ferrypitch/policy"
 )
 
-// Connections to hosts are reset at each moment of what is sent, beside all other faults: no write runs twice, no guarantee is
-// broken, and what was never sent whole is retried.
+// Connections to hosts are reset before, during and after a write, in addition to all other faults of the simulation: no write may
+// run twice, no guarantee may be violated, and a statement that was never sent completely is retried.
 func TestConnectionResetsNeverRepeatAWrite(t *testing.T) {
 	seeds := 60
 	if testing.Short() {
@@ -28,6 +28,6 @@
 			}
 		}
 	}
-	require.Greater(t, notSent, int64(10*seeds), "never sent whole")
-	require.Greater(t, sent, int64(10*seeds), "sent whole")
+	require.Greater(t, notSent, int64(10*seeds), "not sent completely")
+	require.Greater(t, sent, int64(10*seeds), "sent completely")
 }
--- a/internal/proxy/greeting.go
+++ b/internal/proxy/greeting.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	maxWaitingClients    = 2048
-	waitingClientTimeout = 900 * time.Millisecond
+	maxWaitingClients    = 2048                   // clients whose CONNECT waits for a valid lease
+	waitingClientTimeout = 900 * time.Millisecond // after which the CONNECT is answered without one
 )
 
-// beginSession handles a client's CONNECT. A session whose route and key are known begins also without a valid lease: each of its
-// statements is then served or rejected by what the lease allows at that moment.
+// beginSession handles a client's CONNECT. If its route and key are known, the session begins even without a valid lease: the lease
+// is checked again for each statement. Otherwise the CONNECT may wait for a valid lease.
 func (s *Server) beginSession(client *clientSession, database string) {
 	client.database = database
 	client.id = s.nextID()
 	client.policyKey = formatID(client.id)
 	client.idleSince = s.clock.Time()
-	_, refused := s.refusalOf(client)
-	if refused && !s.configCurrent() && !s.shutdown.begun && s.sessions.await(client, s.clock.Time()) {
+	_, refused := s.connectRejection(client)
+	if refused && !s.configCurrent() && !s.shutdown.begun && s.sessions.addWaiting(client, s.clock.Time()) {
 		return
 	}
 	s.greet(client)
 }
 
-// greetWaitingClients answers the CONNECT of clients that wait for a valid lease, or have waited long enough.
+// greetWaitingClients answers waiting CONNECTs: all of them if the lease is valid, otherwise those that have timed out.
 func (s *Server) greetWaitingClients(now time.Time) {
 	current := s.configCurrent()
 	for client := s.sessions.takeWaiting(now, current); client != nil; client = s.sessions.takeWaiting(now, current) {
@@ -34,12 +34,12 @@
 	}
 }
 
-// greet answers CONNECT: with IDLE if a route has the database and a tenant holds the key, else with an error.
+// greet answers CONNECT: with IDLE if the database has a route and a tenant holds the key, otherwise with an error.
 func (s *Server) greet(client *clientSession) {
 	if client.closed {
 		return
 	}
-	kind, refused := s.refusalOf(client)
+	kind, refused := s.connectRejection(client)
 	if !refused {
 		s.sessions.open[client] = struct{}{}
 		client.out.write(wire.AppendIdle(nil, stateIdle, wire.Position{}))
@@ -54,8 +54,9 @@
 	s.sendFinal(client, s.errorReply(kind, 0))
 }
 
-// refusalOf is why a session can't begin. That its database or key is unknown is certain only under a valid lease.
-func (s *Server) refusalOf(client *clientSession) (kind errcode.Kind, refused bool) {
+// connectRejection returns whether and with which error CONNECT is rejected. An unknown database or key is final only under a valid
+// lease, since the configuration may be outdated otherwise.
+func (s *Server) connectRejection(client *clientSession) (kind errcode.Kind, refused bool) {
 	r := s.routes[client.database]
 	admitted := false
 	if r != nil {
--- a/internal/proxy/host_conn.go
+++ b/internal/proxy/host_conn.go
@@ -11,29 +11,29 @@
 	"ferrypitch/policy"
 )
 
-// connectTimeout bounds the opening of a socket to a host, and then the response to CONNECT.
+// connectTimeout limits the dial of a host and, separately, the wait for the response to CONNECT.
 const connectTimeout = 1500 * time.Millisecond
 
-// hostConn is a connection to a host. All but its socket belongs to the event loop.
+// hostConn is a connection to a host. Everything except the socket is owned by the event loop.
 type hostConn struct {
 	pool        *hostPool
-	tenant      string // whose statements it carries, and in whose name it is opened; empty: those of clients that are not asked
+	tenant      string // whose statements it carries, and as which it is authenticated; empty for clients that need no key
 	out         nonblockingConn
 	id          uint64
 	dialedAt    policy.TenthMs
-	dialedEpoch primaryEpoch // in which it was dialed, if the host was the primary
+	dialedEpoch primaryEpoch // in which it was dialed; noEpoch if the host was not the primary
 
-	state        session.ConnState
-	statement    *statement     // which is sent, or waits for the setup
-	session      *clientSession // whose transaction is open on it
-	pendingSetup int            // statements of the proxy's own that have no response yet
-	rollingBack  bool           // one of them is an ABORT
-	closed       bool
-	idleSince    time.Time
+	state           session.ConnState
+	statement       *statement     // in flight, or waiting for the setup statements
+	session         *clientSession // whose transaction is open on the connection
+	pendingInternal int            // statements of the proxy itself that have no response yet
+	rollingBack     bool           // one of the pending internal statements is an ABORT
+	closed          bool
+	idleSince       time.Time
 }
 
-// dialHost connects to a host, and then reads from it, in a goroutine of its own. CONNECT names the host that is expected,
-// since another may have its address by now.
+// dialHost connects to a host and then reads its responses, in a separate goroutine. CONNECT names the expected host, since its
+// address may have been reassigned to another.
 func (s *Server) dialHost(conn *hostConn) {
 	address, serviceName, hostID, identity := conn.pool.Address, conn.pool.Service, conn.pool.ID, conn.identity()
 	s.tasks.Go(func() {
@@ -53,7 +53,7 @@
 	})
 }
 
-// identity is who the host is told that the connection is for: the tenant, never its key.
+// identity returns the name that CONNECT sends to the host: the tenant, never its key.
 func (c *hostConn) identity() string {
 	if c.tenant == "" {
 		return proxyIdentity
@@ -61,7 +61,7 @@
 	return c.tenant
 }
 
-// connect sends CONNECT and reads the response.
+// connect sends CONNECT to a host and reads the response.
 func connect(reader *lineReader, serviceName, identity, hostID string) (response wire.Response, err error) {
 	reader.conn.SetDeadline(time.Now().Add(connectTimeout))
 	defer reader.conn.SetDeadline(time.Time{})
@@ -71,8 +71,8 @@
 	return reader.readResponse()
 }
 
-// readResponses hands responses to the event loop until the connection ends. It notes the time before the queue, so that a host does
-// not look silent (reportIfSilent) because the event loop is behind.
+// readResponses queues responses for the event loop until the connection ends. It takes the receive time before queueing, so that
+// a slow event loop does not make the host look silent (reportIfSilent).
 func (c *hostConn) readResponses(reader *lineReader) {
 	s := c.pool.server
 	for {
@@ -86,7 +86,8 @@
 	}
 }
 
-// releaseConn gives a connection to a statement of its tenant that waits, makes room for another tenant, or becomes idle.
+// releaseConn reuses a free connection: it serves the oldest waiting statement of its tenant, is closed to make room for another
+// tenant, or becomes idle.
 func (s *Server) releaseConn(conn *hostConn) {
 	pool := conn.pool
 	conn.statement, conn.session = nil, nil
@@ -94,12 +95,12 @@
 		s.closeConn(conn)
 		return
 	}
-	if pool.givesWay(conn) {
+	if pool.shouldYield(conn) {
 		s.counters.connsClosedForTenant.Add(1)
 		s.closeConn(conn)
 		return
 	}
-	for next := pool.queue.take(conn.tenant); next != nil; next = pool.queue.take(conn.tenant) {
+	for next := pool.queue.popForTenant(conn.tenant); next != nil; next = pool.queue.popForTenant(conn.tenant) {
 		if !next.attempt.over {
 			s.prepareAndSend(conn, next)
 			return
@@ -109,8 +110,8 @@
 	pool.idle = append(pool.idle, conn)
 }
 
-// closeConn closes a connection; the host rolls back the transaction that is open on it. It no longer counts against this proxy's
-// share of the host, so that another may be dialed in its place.
+// closeConn closes a connection; the host rolls back a transaction that is open on it. Another connection may be dialed in its place,
+// since it no longer counts against this proxy's share of the host's connections.
 func (s *Server) closeConn(conn *hostConn) {
 	pool := conn.pool
 	if !conn.closed {
@@ -124,7 +125,7 @@
 	pool.dialForQueued()
 }
 
-// connLost handles the end of a connection: the host has closed it, or it can't be used any more.
+// connLost handles a connection that the host has closed or that can no longer be used.
 func (s *Server) connLost(conn *hostConn) {
 	if conn.closed {
 		s.closeConn(conn)
@@ -151,14 +152,14 @@
 	}
 }
 
-// rollBack ends the transaction that is open on a connection, so that other sessions can use it.
+// rollBack rolls back the transaction that is open on a connection, so that other sessions can use the connection.
 func (s *Server) rollBack(conn *hostConn) {
 	conn.session = nil
 	if conn.closed {
 		return
 	}
 	conn.rollingBack = true
-	conn.pendingSetup++
+	conn.pendingInternal++
 	if _, ok := conn.out.write(wire.AppendQuery(nil, internalRequestID, "ABORT")); !ok {
 		s.closeConn(conn)
 	}
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// silentPrimaryTimeout is how long a primary may send nothing while it owes a response, before it is reported as suspect.
+	// silentPrimaryTimeout is how long a primary with a statement in flight may send nothing before it is reported as suspect.
 	silentPrimaryTimeout = 150 * time.Millisecond
 
-	// suspectReportIntervalMs is the shortest time between two reports of one host, in milliseconds.
+	// suspectReportIntervalMs is the minimum interval between two suspect reports of one host, in milliseconds.
 	suspectReportIntervalMs = 150
 
-	// drainReserve is left of the platform's bound for draining, or half of the bound if that is more: what the last statements
-	// and the host's own end take.
+	// drainReserve is how long before the platform's bound for draining a host the last statement is sent to it, or half of the bound
+	// if that is less. The last statements and the shutdown of the host take this time.
 	drainReserve = 1500 * time.Millisecond
 
-	// maxTenantWait is how long a statement waits for the connections of other tenants that have statements of their own to send. It
-	// is several times what a new connection takes.
+	// maxTenantWait is how long a statement waits before a connection of another tenant is closed for it although that tenant has
+	// statements waiting, too. It is several times as long as opening a connection takes.
 	maxTenantWait = 50 * time.Millisecond
 )
 
@@ -36,32 +36,33 @@
 type hostPool struct {
 	statemachine.Host
 	server     *Server
-	policyHost *policy.Host // the policy's handle of it
+	policyHost *policy.Host // handle in calls to the policy
 	service    *service
 
-	conns map[*hostConn]struct{} // all that are open
+	conns map[*hostConn]struct{} // all open connections
 	idle  []*hostConn            // the most recently used last
 	queue connQueue
 
-	lossDetector   lossdetect.Detector
-	lastResponseAt time.Time
-	lastReportedMs int64 // when it was last reported as suspect, in milliseconds of the clock
-	drainingSince  time.Time
+	lossDetector        lossdetect.Detector
+	lastResponseAt      time.Time
+	lastSuspectReportMs int64 // when the host was last reported as suspect, in milliseconds of the clock
+	drainingSince       time.Time
 
-	probePending bool // the policy waits for the next connection to open or fail
-	announced    bool // the policy knows its standing
+	probePending bool // the policy waits for the result of the next dial
+	announced    bool // the policy was told the host's list state
 	standing     policy.ListState
-	retired      bool // removed, or replaced by another host of the same name: it takes no statements
+	retired      bool // removed, or replaced by another host with the same id; gets no statements
 }
 
-// hostPosition is what a host's position says of it.
+// hostPosition is what a host's log position says about how current the host is, and about its role.
 type hostPosition struct {
-	asOf policy.TenthMs // it has all writes acknowledged before; positionUnknown: not known
-	role policy.Role
+	upToDateAsOf policy.TenthMs // the host has all writes acknowledged before this time; or positionUnknown
+	role         policy.Role
 }
 
-// assign sends a statement to the host, or queues it. What it then dials is not its own connection: the first of its tenant that is
-// free serves the tenant's oldest statement. If no more may be opened, an idle connection of another tenant is closed for it.
+// assign sends a statement to the host on an idle connection, or queues it and dials another connection if needed. A dialed connection
+// is not reserved for the statement: any connection of a tenant that becomes free serves the tenant's oldest statement. At the
+// connection limit, an idle connection of another tenant is closed to make room.
 func (p *hostPool) assign(stmt *statement) {
 	s := p.server
 	if conn := p.takeIdle(stmt); conn != nil {
@@ -71,8 +72,8 @@
 	stmt.attempt.queuedAt = s.clock.Time()
 	p.queue.push(stmt)
 	switch {
-	case !p.queue.needsConn(stmt.tenant):
-	case p.hasRoom():
+	case !p.queue.needsDial(stmt.tenant):
+	case p.canDial():
 		p.dial(stmt.tenant)
 	case len(p.idle) > 0:
 		s.counters.connsClosedForTenant.Add(1)
@@ -80,23 +81,24 @@
 	}
 }
 
-// hasRoom says that this proxy may open another connection to the host.
-func (p *hostPool) hasRoom() bool {
+// canDial reports whether this proxy may open another connection to the host.
+func (p *hostPool) canDial() bool {
 	return len(p.conns)+p.queue.dialing < p.server.connShare(p).MaxConns()
 }
 
-// givesWay says that a connection which is free is to be closed for the statement of another tenant: none of its own tenant's waits,
-// or the other has waited for long.
-func (p *hostPool) givesWay(conn *hostConn) bool {
+// shouldYield reports whether a free connection must be closed to make room for a statement of another tenant: because no statement of
+// its own tenant is waiting, or because the other statement has waited longer than maxTenantWait.
+func (p *hostPool) shouldYield(conn *hostConn) bool {
 	waiting := p.queue.oldestWithoutDial()
-	if waiting == nil || waiting.tenant == conn.tenant || p.hasRoom() {
+	if waiting == nil || waiting.tenant == conn.tenant || p.canDial() {
 		return false
 	}
 	waitedFor := p.server.clock.Time().Sub(waiting.attempt.queuedAt)
 	return p.queue.byTenant[conn.tenant].waiting == 0 || waitedFor > maxTenantWait
 }
 
-// takeIdle takes an idle connection of a statement's tenant: best one that has the session's values, next best one that has none.
+// takeIdle removes and returns an idle connection of the statement's tenant, or nil. It prefers a connection with the session's
+// variables, then one without variables.
 func (p *hostPool) takeIdle(stmt *statement) *hostConn {
 	client := stmt.session
 	best := -1
@@ -121,20 +123,20 @@
 	return conn
 }
 
-// dial opens a connection for a tenant in the background, since the event loop must not block; connOpened receives the result. Time and epoch are
-// those before CONNECT is sent: the position in its response is no older.
+// dial opens a connection for a tenant in the background, since the event loop must not block; connOpened receives the result. The
+// time and epoch are recorded before CONNECT is sent, so the position in its response is at least as new.
 func (p *hostPool) dial(tenant string) {
 	s := p.server
-	p.queue.dialBegan(tenant)
+	p.queue.dialStarted(tenant)
 	s.counters.connsDialed.Add(1)
 	dialedAt := s.refreshPolicyTime()
 	s.dial(&hostConn{pool: p, tenant: tenant, dialedAt: dialedAt, dialedEpoch: s.epochOf(p)})
 }
 
-// connOpened handles the result of dial: the host's response to CONNECT, or an error.
+// connOpened handles the result of a dial: the host's response to CONNECT, or an error.
 func (p *hostPool) connOpened(conn *hostConn, response wire.Response, err error) {
 	s := p.server
-	p.queue.dialEnded(conn.tenant)
+	p.queue.dialFinished(conn.tenant)
 	s.refreshPolicyTime()
 	succeeded := err == nil && response.Code == ""
 	if p.probePending {
@@ -156,8 +158,8 @@
 	s.releaseConn(conn)
 }
 
-// dialFailed ends the attempts that are queued for a connection. Where the host has only reached its limit of connections, those of
-// other tenants stay queued while any connection is open or being opened, and those of this one if it has connections that are open.
+// dialFailed ends the attempts that are queued for a connection. If the host only rejected the connection as overloaded, attempts of
+// other tenants stay queued while any connection is open or being opened, and attempts of this tenant while it has an open connection.
 func (p *hostPool) dialFailed(tenant string, code wire.Code, err error) {
 	s := p.server
 	s.counters.connsFailed.Add(1)
@@ -168,15 +170,15 @@
 	} else {
 		p.reportSuspect(errors.Is(err, syscall.ECONNREFUSED) || code == wire.CodeWrongNode)
 	}
-	nothingToWaitFor := len(p.conns) == 0 && p.queue.dialing == 0
+	noneExpected := len(p.conns) == 0 && p.queue.dialing == 0
 	for _, stmt := range slices.Clone(p.queue.statements) {
-		if outcome != policy.Overloaded || nothingToWaitFor || stmt.tenant == tenant && !p.hasConnOf(tenant) {
+		if outcome != policy.Overloaded || noneExpected || stmt.tenant == tenant && !p.hasConnOf(tenant) {
 			s.endAttempt(stmt, outcome)
 		}
 	}
 }
 
-// hasConnOf says that a connection of a tenant is open.
+// hasConnOf reports whether a connection of a tenant is open.
 func (p *hostPool) hasConnOf(tenant string) bool {
 	for conn := range p.conns {
 		if conn.tenant == tenant {
@@ -186,9 +188,9 @@
 	return false
 }
 
-// dialForQueued replaces a connection that was closed, which statements may have waited for.
+// dialForQueued dials connections for waiting statements after a connection was closed, within the connection limit.
 func (p *hostPool) dialForQueued() {
-	for !p.retired && p.hasRoom() {
+	for !p.retired && p.canDial() {
 		stmt := p.queue.oldestWithoutDial()
 		if stmt == nil {
 			return
@@ -197,38 +199,38 @@
 	}
 }
 
-// recordPosition records a host's position from a response to what was sent at sentAt in an epoch. It is a sample of the
-// primary's position only if that epoch has not ended.
+// recordPosition evaluates the position in a host's response to a message sent at sentAt in an epoch. It is recorded as a sample of
+// the primary's position only if that epoch has not ended.
 func (p *hostPool) recordPosition(position wire.Position, sentAt policy.TenthMs, epoch primaryEpoch) hostPosition {
 	svc := p.service
 	if epoch != noEpoch && epoch == primaryEpoch(svc.primary.ChangedAt) && svc.primary.Host == p.ID {
 		svc.positions.Add(sentAt, position)
-		return hostPosition{asOf: sentAt, role: policy.Primary}
+		return hostPosition{upToDateAsOf: sentAt, role: policy.Primary}
 	}
-	asOf := svc.positions.UpToDateAsOf(position)
+	upToDateAsOf := svc.positions.UpToDateAsOf(position)
 	switch {
-	case asOf < 0:
-		return hostPosition{asOf: positionUnknown, role: policy.UnknownRole}
-	case svc.isPrimary(p.ID): // by the log: that a lease has expired says nothing of the host
-		return hostPosition{asOf: asOf, role: policy.Primary}
+	case upToDateAsOf < 0:
+		return hostPosition{upToDateAsOf: positionUnknown, role: policy.UnknownRole}
+	case svc.isPrimary(p.ID): // as the log says: an expired lease of this proxy does not change the host's role
+		return hostPosition{upToDateAsOf: upToDateAsOf, role: policy.Primary}
 	}
-	return hostPosition{asOf: asOf, role: policy.Replica}
+	return hostPosition{upToDateAsOf: upToDateAsOf, role: policy.Replica}
 }
 
-// reportSuspect tells the control plane that a primary can't be reached. refused says that the host answered, but no longer
-// serves.
+// reportSuspect reports to the control plane that a primary can't be reached. refused is true if the host's address answered but
+// does not serve the host any more.
 func (p *hostPool) reportSuspect(refused bool) {
 	s := p.server
 	now := s.clock.Now()
-	if p.service.primary.Host != p.ID || now <= p.lastReportedMs+suspectReportIntervalMs {
+	if p.service.primary.Host != p.ID || now <= p.lastSuspectReportMs+suspectReportIntervalMs {
 		return
 	}
-	p.lastReportedMs = now
+	p.lastSuspectReportMs = now
 	s.counters.suspectReports.Add(1)
 	s.leader.reportSuspect(&rpc.SuspectReport{Service: p.Service, Host: p.ID, Refused: refused})
 }
 
-// reportIfSilent reports a primary that owes a response and has sent nothing since.
+// reportIfSilent reports a primary that has sent nothing since a statement was sent to it, for longer than silentPrimaryTimeout.
 func (p *hostPool) reportIfSilent(now time.Time) {
 	if !p.service.isPrimary(p.ID) {
 		return
@@ -246,8 +248,8 @@
 	}
 }
 
-// endLostTransactions ends transactions whose response counts as lost. That of a COMMIT which writes is waited for until its
-// deadline: without it nobody knows what was committed.
+// endLostTransactions ends transactions with a statement whose response is considered lost. A COMMIT of writes is excluded and waits
+// until its deadline: without its response the outcome is unknown.
 func (p *hostPool) endLostTransactions(now policy.TenthMs) {
 	s := p.server
 	for _, conn := range p.connsByAge() {
@@ -263,12 +265,12 @@
 	}
 }
 
-// closeExcessIdle closes idle connections over this proxy's share of the host's, or idle for long.
+// closeExcessIdle closes idle connections beyond this proxy's share of the host's connections, and those past their idle timeout.
 func (p *hostPool) closeExcessIdle(now time.Time) {
 	if len(p.idle) == 0 {
 		return
 	}
-	share, perTenant := p.server.connShare(p), p.server.tenants.AsksClients()
+	share, perTenant := p.server.connShare(p), p.server.tenants.RequiresKeys()
 	for len(p.idle) > 0 {
 		oldest := p.idle[0]
 		withinShare := len(p.conns)+p.queue.dialing <= share.MaxConns()
@@ -279,13 +281,13 @@
 	}
 }
 
-// drainExpired says that a draining host may be sent nothing more, whether it is the primary or not.
+// drainExpired reports whether a draining host, primary or not, must get no more statements.
 func (p *hostPool) drainExpired(now time.Time) bool {
 	bound := settings.Duration(p.server.settings.Bounds.DrainMs)
 	return p.Draining && bound > 0 && now.Sub(p.drainingSince) > max(bound/2, bound-drainReserve)
 }
 
-// retire ends a host that was removed, or that another has replaced. Statements that it was sent run to their end.
+// retire stops the use of a host that was removed or replaced. Statements in flight still complete.
 func (p *hostPool) retire() {
 	p.retired = true
 	for _, conn := range slices.Clone(p.idle) {
@@ -296,7 +298,7 @@
 	}
 }
 
-// connsByAge are the open connections, the oldest first, so that a seed of the simulation always runs the same.
+// connsByAge returns the open connections, the oldest first. The order makes simulations deterministic.
 func (p *hostPool) connsByAge() []*hostConn {
 	return slices.SortedFunc(maps.Keys(p.conns), func(a, b *hostConn) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/proxy/line_reader.go
+++ b/internal/proxy/line_reader.go
@@ -12,26 +12,28 @@
 const (
 	readChunkBytes = 2048
 
-	// maxIdleBufferBytes is how large an empty buffer may stay: a connection that once read a long line does not keep its space.
+	// maxIdleBufferBytes is the largest capacity that an empty buffer keeps, so that one long line does not occupy memory for the rest
+	// of the connection.
 	maxIdleBufferBytes = 16 << 10
 
-	// maxLateReads bounds the reads after a deadline: a client that goes on sending does not keep its session.
+	// maxLateReads limits the reads after a deadline, so that a client that keeps sending can't keep its session open.
 	maxLateReads = 8
 )
 
-// lineReader reads lines of the wire from a socket.
+// lineReader reads the lines of the wire protocol from a socket.
 type lineReader struct {
 	conn     net.Conn
 	buffer   []byte
-	consumed int // of buffer
+	consumed int // bytes of buffer that were returned as lines
 	chunk    [readChunkBytes]byte
 
-	lateReads int // after a deadline
+	lateReads int // reads after the deadline
 }
 
-// readArrived returns how many bytes it has read of what has already arrived at a socket, whose deadline may have passed: a process
-// that had no processor for a while finds both at once, and closing over unread bytes would reset the connection.
-func readArrived(conn net.Conn, chunk []byte) (count int) {
+// readAvailable reads bytes that have already arrived at a socket, even if its deadline has passed, and returns their number. A process
+// that got no CPU time for a while may find both the expired deadline and unread bytes, and closing a socket with unread bytes would
+// reset the connection.
+func readAvailable(conn net.Conn, chunk []byte) (count int) {
 	withDescriptor, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -41,7 +43,7 @@
 		return 0
 	}
 	err = raw.Control(func(descriptor uintptr) {
-		count, _ = syscall.Read(int(descriptor), chunk) // the socket does not block; on an error there is nothing to read
+		count, _ = syscall.Read(int(descriptor), chunk) // the socket is nonblocking; an error means that there is nothing to read
 	})
 	if err != nil {
 		return 0
@@ -49,9 +51,9 @@
 	return max(count, 0)
 }
 
-// next returns a line without and with its end. Both are valid until the following call.
+// next returns the next line, as line without and as raw with its terminator. Both are valid until the next call.
 func (r *lineReader) next() (line, raw []byte, err error) {
-	searched := 0 // bytes without an end of line
+	searched := 0 // bytes already searched for a line terminator
 	for {
 		unread := r.buffer[r.consumed:]
 		line, length, err := wire.CutLine(unread, searched)
@@ -73,7 +75,7 @@
 		count, err := r.conn.Read(r.chunk[:])
 		if errors.Is(err, os.ErrDeadlineExceeded) && r.lateReads < maxLateReads {
 			r.lateReads++
-			count = readArrived(r.conn, r.chunk[:])
+			count = readAvailable(r.conn, r.chunk[:])
 		}
 		if count == 0 && err != nil {
 			return nil, nil, err
@@ -82,12 +84,12 @@
 	}
 }
 
-// readResponse reads one response of a host.
+// readResponse reads one complete response of a host.
 func (r *lineReader) readResponse() (response wire.Response, err error) {
 	for {
 		line, raw, err := r.next()
 		if err != nil {
-			if response.Completed() && response.Code != "" { // CONNECT is refused with an error line and a close
+			if response.Completed() && response.Code != "" { // a host rejects CONNECT with an error line and closes the connection
 				return response, nil
 			}
 			return response, err
--- a/internal/proxy/line_reader_test.go
+++ b/internal/proxy/line_reader_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A session that is drained by a process that had no processor for a while is still read what had arrived before.
+// If the process gets no CPU time for a while, messages that arrived before the drain of their session are still read.
 func TestDrainedSessionIsReadWhatHadArrived(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -12,33 +12,33 @@
 	"ferrypitch/policy"
 )
 
-// Sessions wait in order, a bounded number of them, until the configuration is current or they have waited long enough.
+// A bounded number of sessions wait in order for their answer to CONNECT, until the configuration is current or they time out.
 func TestWaitingSessionsAreTakenInOrder(t *testing.T) {
 	table, began := newSessionTable(), time.Unix(1e9, 0)
 	first, second := &clientSession{id: 1}, &clientSession{id: 2}
-	require.True(t, table.await(first, began))
-	require.True(t, table.await(second, began.Add(time.Second)))
+	require.True(t, table.addWaiting(first, began))
+	require.True(t, table.addWaiting(second, began.Add(time.Second)))
 	require.Nil(t, table.takeWaiting(began, false))
 	require.Same(t, first, table.takeWaiting(began.Add(waitingClientTimeout+1), false))
 	require.Nil(t, table.takeWaiting(began.Add(waitingClientTimeout+1), false), "the second has not waited as long")
 	require.Same(t, second, table.takeWaiting(began, true))
 	require.Nil(t, table.takeWaiting(began, true))
 	for range maxWaitingClients {
-		require.True(t, table.await(first, began))
+		require.True(t, table.addWaiting(first, began))
 	}
-	require.False(t, table.await(second, began), "one too many")
+	require.False(t, table.addWaiting(second, began), "one too many")
 	table.open[second], table.open[first] = struct{}{}, struct{}{}
 	require.Equal(t, []*clientSession{first, second}, table.byAge())
 }
 
-// A lease counts from when it was requested, is dropped at once, and is lost for as long as it was not seen valid.
+// A lease is valid from the time of its request, ends at once when it is dropped, and is lost since it was last seen valid.
 func TestLeaseOfAProxy(t *testing.T) {
 	var l proxyLease
 	now := time.Unix(1e9, 0)
 	l.renew(10_000, 7)
 	l.renew(9_000, 0)
 	require.Equal(t, 7, l.proxyCount)
-	require.True(t, l.holder.Valid(11_500), "an older request shortens nothing")
+	require.True(t, l.holder.Valid(11_500), "an older request does not shorten the lease")
 	l.validAt = now
 	require.False(t, l.lostFor(time.Second, now.Add(time.Second)))
 	require.True(t, l.lostFor(time.Second, now.Add(time.Second+1)))
@@ -46,7 +46,7 @@
 	require.False(t, l.holder.Valid(10_001))
 }
 
-// A replica applies what follows, refuses gaps, and needs a snapshot once it has diverged or differs from the majority.
+// A replica applies consecutive entries, rejects gaps, and needs a snapshot once its state differs from the majority's.
 func TestStateReplica(t *testing.T) {
 	replica := newStateReplica()
 	entry := statemachine.EncodeChange(statemachine.Change{UpdateProxy: &statemachine.ProxyMembership{Name: "p"}})
@@ -61,7 +61,7 @@
 	require.NoError(t, replica.compare(nil))
 	require.NoError(t, replica.compare(&digest))
 	digest.Index++
-	require.NoError(t, replica.compare(&digest), "of another index")
+	require.NoError(t, replica.compare(&digest), "a digest of another index is not compared")
 	digest.Index--
 	digest.Ranges[statemachine.RangeHosts]++
 	require.ErrorIs(t, replica.compare(&digest), errStateDiffers)
@@ -79,7 +79,7 @@
 	require.EqualValues(t, 9, replica.resumeIndex())
 }
 
-// A host that is forgotten takes nothing of another that has its id by now.
+// Forgetting a removed host must not remove the pool of a new host that has taken over its id.
 func TestForgottenHostLeavesItsSuccessor(t *testing.T) {
 	p := newPlacement()
 	old, successor := &policy.Host{}, &policy.Host{}
--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -6,12 +6,12 @@
 	"ferrypitch/policy"
 )
 
-// placement is what decides where statements go: the policy, and the hosts, services and routes that it is told of.
+// placement holds the state that decides to which host a statement goes: the policy, and the hosts, services and routes it uses.
 type placement struct {
-	policy           *policy.Router // chooses the host of each statement, and decides on retries
-	policyNow        policy.TenthMs // when the policy was last called
-	policyWakeAt     time.Time      // when it is to be called; zero: it has not asked for that
-	pools            map[string]*hostPool
+	policy           *policy.Router       // chooses the host of each statement, and decides on retries
+	policyNow        policy.TenthMs       // time that was last set at the policy
+	policyWakeAt     time.Time            // next call of WakeUp; zero if none is scheduled
+	pools            map[string]*hostPool // by host id
 	poolByPolicyHost map[*policy.Host]*hostPool
 	services         map[string]*service
 	routes           map[string]*route // by database name
@@ -26,7 +26,7 @@
 	}
 }
 
-// serviceNamed returns a service, which it makes at its first mention.
+// serviceNamed returns a service, which it creates at the first use of the name.
 func (p *placement) serviceNamed(name string) *service {
 	svc := p.services[name]
 	if svc == nil {
@@ -36,7 +36,7 @@
 	return svc
 }
 
-// forgetHost drops a host that was removed. Another may have its id by now.
+// forgetHost deletes a removed host. It keeps the pool of a new host that has taken over the id.
 func (p *placement) forgetHost(host *policy.Host, pool *hostPool) {
 	delete(p.poolByPolicyHost, host)
 	if p.pools[pool.ID] == pool {
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// policyUnit is what a policy.TenthMs counts.
+	// policyUnit is the unit of policy.TenthMs.
 	policyUnit = 100 * time.Microsecond
 
 	tenthsPerMillisecond = 10
 
-	// policyTick is the shortest time between two calls of policy.Router.WakeUp.
+	// policyTick is the minimum interval between two calls of policy.Router.WakeUp.
 	policyTick policy.TenthMs = 50
 
-	// maxAttempts is how many hosts a statement may be sent to before its client is answered with an error.
+	// maxAttempts is the maximum number of attempts of a statement before its client gets an error.
 	maxAttempts = 3
 
-	// maxComeback is the longest wait, in tenths of a millisecond, that a rejected client is asked for.
-	maxComeback policy.TenthMs = 2000
+	// maxRetryAfter is the longest delay before a retry, in tenths of a millisecond, that is returned to a rejected client.
+	maxRetryAfter policy.TenthMs = 2000
 
-	// hostConnIdleTimeout is the span over which the policy looks for the most connections in use at once. When an idle
-	// connection is closed, package connlimit says.
+	// hostConnIdleTimeout is the window over which the policy takes the maximum number of connections in use at once. The idle
+	// timeout itself is computed by package connlimit.
 	hostConnIdleTimeout = 45 * time.Second
 )
 
-// deployment is what the policy is told of this kind of proxy: who the primary is comes from the control plane only, hosts
-// reject reads that they are too far behind for, a connection carries one statement at a time.
+// deployment returns the policy's parameters for this kind of proxy: only the control plane determines the primary, hosts reject
+// reads for which they lag too far behind, and a connection carries one statement at a time.
 func deployment(zone string, seed uint32) policy.Deployment {
 	return policy.Deployment{
 		Seed:       seed,
@@ -45,9 +45,9 @@
 		Streams:    1,
 		IdleFor:    toTenths(hostConnIdleTimeout),
 		ConnectFor: toTenths(connectTimeout),
-		Comeback:   maxComeback,
-		FallFactor: 1e6, // so great that no limit is put on what a host is sent after its start
-		ColdFrom:   1,   // a host has all of its capacity from its start on
+		Comeback:   maxRetryAfter,
+		FallFactor: 1e6, // large enough that a newly started host is never limited
+		ColdFrom:   1,   // a host has its full capacity from its start
 		ProbePrice: 0.01,
 	}
 }
@@ -60,7 +60,7 @@
 	return policy.TenthMs(ms * tenthsPerMillisecond)
 }
 
-// refreshPolicyTime tells the policy the present time, which it needs before any other call, and returns it.
+// refreshPolicyTime sets the policy's time to the current time and returns it. It must run before any other call to the policy.
 func (s *Server) refreshPolicyTime() policy.TenthMs {
 	s.policyNow = policy.TenthMs(eventloop.ClockOrigin)*tenthsPerMillisecond + toTenths(s.clock.Since())
 	if s.policy != nil {
@@ -69,7 +69,7 @@
 	return s.policyNow
 }
 
-// wakePolicy makes the call that the policy asked for. It is called again after policyTick if it asks for nothing.
+// wakePolicy calls policy.Router.WakeUp. If the policy does not schedule the next call itself, that is made after policyTick.
 func (s *Server) wakePolicy() {
 	s.policyWakeAt = time.Time{}
 	s.refreshPolicyTime()
@@ -85,19 +85,19 @@
 	}
 }
 
-// policyCaller carries out what the policy decides; it implements policy.Caller. All of it runs in the event loop, inside a
-// call to the policy: what could call the policy again is deferred until that has returned.
+// policyCaller executes the decisions of the policy; it implements policy.Caller. Its methods run in the event loop, inside a call to
+// the policy: work that could call the policy again is deferred until that call has returned.
 type policyCaller struct{ server *Server }
 
-// Dispatch begins an attempt at the host that the policy chose. It may time out before the statement does, so that there is time
-// left for another host.
+// Dispatch begins an attempt at the host that the policy chose. The attempt's timeout may end before the statement's deadline, so that
+// time is left for an attempt at another host.
 func (p policyCaller) Dispatch(command *policy.Command, host *policy.Host, timeout policy.TenthMs) {
 	s := p.server
 	stmt := s.statements[command.Name]
 	stmt.command = command
 	stmt.beginAttempt(s.poolByPolicyHost[host])
-	if !s.keyAllows(stmt) {
-		s.deferred.add(func() { s.withdrawForKey(stmt) })
+	if !s.isAuthorized(stmt) {
+		s.deferred.add(func() { s.withdrawUnauthorized(stmt) })
 		return
 	}
 	deadline := stmt.deadline
@@ -109,8 +109,8 @@
 	stmt.attempt.pool.assign(stmt)
 }
 
-// Throttle answers a statement that has not run, or that may run again.
-func (p policyCaller) Throttle(command *policy.Command, comeback policy.TenthMs) {
+// Throttle rejects a statement that has not run or that may safely run again. A read gets the last host's error, if there is one.
+func (p policyCaller) Throttle(command *policy.Command, retryAfter policy.TenthMs) {
 	s := p.server
 	stmt := s.statements[command.Name]
 	s.counters.throttled.Add(1)
@@ -120,12 +120,12 @@
 			s.finishStatement(stmt, stmt.hostResponse)
 			return
 		}
-		s.reject(stmt, errcode.NoHostAvailable, comeback/tenthsPerMillisecond)
+		s.reject(stmt, errcode.NoHostAvailable, retryAfter/tenthsPerMillisecond)
 	})
 }
 
-// Fail answers a statement that must not be retried. A write is in doubt if endAttempt found that it may have run; for COMMIT see
-// commitInDoubt, since statements of a transaction never come here.
+// Fail answers a statement that must not be retried. A write is in doubt if endAttempt recorded that it may have run. COMMIT is handled
+// by commitInDoubt, since statements of a transaction are not submitted to the policy.
 func (p policyCaller) Fail(command *policy.Command) {
 	s := p.server
 	stmt := s.statements[command.Name]
@@ -143,27 +143,27 @@
 	})
 }
 
-// Probe lets the policy learn whether a host is reachable and what it has: by opening a connection.
+// Probe opens a connection to a host, so that the policy learns whether the host is reachable and which position it has.
 func (p policyCaller) Probe(host *policy.Host) {
 	s := p.server
 	pool := s.poolByPolicyHost[host]
 	pool.probePending = true
 	if s.connShare(pool).Scarce() && !pool.service.used {
-		return // probes of all proxies would take more than the host has: the first session of the service opens it
+		return // probes of all proxies would exceed the host's connection limit; dialOnFirstUse opens the connection
 	}
 	if pool.queue.dialing == 0 {
 		pool.dial(pool.service.lastTenant)
 	}
 }
 
-// Close closes the idle connections to a host, which has none left for other proxies.
+// Close closes the idle connections to a host that has none left for other proxies.
 func (p policyCaller) Close(host *policy.Host) {
 	for _, conn := range slices.Clone(p.server.poolByPolicyHost[host].idle) {
 		p.server.closeConn(conn)
 	}
 }
 
-// Forget drops a host that was removed and that no statement names any more.
+// Forget deletes a removed host that no statement refers to any more.
 func (p policyCaller) Forget(host *policy.Host) {
 	s := p.server
 	pool := s.poolByPolicyHost[host]
@@ -174,10 +174,10 @@
 	s.forgetHost(host, pool)
 }
 
-// Watch does nothing: the host list comes without being asked for.
+// Watch does nothing: the control plane pushes the list of hosts.
 func (policyCaller) Watch() {}
 
-// Tell does nothing: the policies of several proxies exchange nothing.
+// Tell does nothing: the policies of different proxies exchange no messages.
 func (policyCaller) Tell(string) {}
 
 // Wake schedules a call of policy.Router.WakeUp.
--- a/internal/proxy/safeguard_test.go
+++ b/internal/proxy/safeguard_test.go
@@ -15,15 +15,15 @@
 	"ferrypitch/policy"
 )
 
-// removedSafeguard is a mutation of the system that the simulation must find.
+// removedSafeguard is a mutation of the system that the simulation must detect.
 type removedSafeguard struct {
 	name       string
-	violations string // one of these is reported, by its first word
+	violations string // first words of violations, one of which must be reported
 	build      func(seed uint64, proxies, clients int) *simulation
 	remove     func(sim *simulation)
 }
 
-// removedSafeguards are each found by a violation. Those with a reliableControl come first.
+// removedSafeguards lists the mutations, first those that run with a reliableControl.
 var removedSafeguards = []removedSafeguard{
 	{"a primary is replaced while proxies still act on the old one", "STALE LOST", newSimulation, func(sim *simulation) {
 		sim.control.allCaughtUp = func(uint64) bool { return true }
@@ -32,12 +32,12 @@
 		sim.After(5*second, func() { sim.proxies[0].partitioned = false })
 	}},
 	{"a lease that never expires", "STALE LOST", newSimulation, func(sim *simulation) {
-		sim.keepChanging(func(server *Server) { server.lease.holder.Renew(1 << 50) })
+		sim.changeRepeatedly(func(server *Server) { server.lease.holder.Renew(1 << 50) })
 	}},
 	{"a replica that has less is promoted", "LOST STALE", newSimulation, func(sim *simulation) {
 		sim.control.alterResult = func(query failover.HostQuery, result *failover.QueryResult) {
 			if query.Command == failover.Pause {
-				result.Status.Received = wire.Position{Timeline: 1} // all look alike
+				result.Status.Received = wire.Position{Timeline: 1} // all replicas report the same position
 			}
 		}
 	}},
@@ -49,15 +49,15 @@
 		}
 	}},
 	{"a write whose response is lost is retried", "TWICE", newSimulation, func(sim *simulation) {
-		sim.keepChangingRoutes(func(r *route) { r.writeGroup.Effect = policy.Idempotent })
+		sim.changeRoutesRepeatedly(func(r *route) { r.writeGroup.Effect = policy.Idempotent })
 	}},
 	{"a session's own writes are forgotten", "STALE", newSimulation, func(sim *simulation) {
-		sim.keepChanging(func(server *Server) {
+		sim.changeRepeatedly(func(server *Server) {
 			for session := range server.sessions.open {
 				session.Token = wire.Position{}
 			}
 		})
-		sim.keepChangingRoutes(func(r *route) {
+		sim.changeRoutesRepeatedly(func(r *route) {
 			if r.readsOwnWrites {
 				r.readsOwnWrites = false
 				r.readGroup.Need, r.readGroup.Bound = policy.BoundedStaleness, r.stalenessBound
@@ -65,11 +65,11 @@
 		})
 	}},
 	{"floors count as newer than they are", "STALE", newSimulation, func(sim *simulation) {
-		sim.keepChangingRoutes(func(r *route) { r.stalenessBound = max(r.stalenessBound, 0) * 8 })
-		sim.keepChangingRoutes(func(r *route) { r.stalenessBound = min(r.stalenessBound, 8*second) })
+		sim.changeRoutesRepeatedly(func(r *route) { r.stalenessBound = max(r.stalenessBound, 0) * 8 })
+		sim.changeRoutesRepeatedly(func(r *route) { r.stalenessBound = min(r.stalenessBound, 8*second) })
 	}},
 	{"a connection keeps what another session has set", "PINNED", newSimulation, func(sim *simulation) {
-		sim.keepChanging(func(server *Server) {
+		sim.changeRepeatedly(func(server *Server) {
 			for _, pool := range server.pools {
 				for conn := range pool.conns {
 					conn.state.VariablesKey = ""
@@ -78,7 +78,7 @@
 		})
 	}},
 	{"a connection carries the statements of other tenants", "UNASKED", newSimulationWithTenants, func(sim *simulation) {
-		sim.keepChanging(func(server *Server) {
+		sim.changeRepeatedly(func(server *Server) {
 			for _, pool := range server.pools {
 				for _, conn := range pool.idle {
 					conn.tenant = tenantName(0)
@@ -87,31 +87,31 @@
 		})
 	}},
 	{"a key that no tenant has is admitted", "ROUTE", newSimulationWithTenants, func(sim *simulation) {
-		sim.keepIndexing(func(configured *config.Config) {
+		sim.changeTenantsRepeatedly(func(configured *config.Config) {
 			configured.Tenants = append(configured.Tenants, config.Tenant{Name: tenantName(0), ApiKeys: []string{unknownKey}})
 		})
 	}},
 	{"keys that were taken away are admitted", "REVOKED DOWNGRADE", newSimulationWithTenants, func(sim *simulation) {
-		sim.keepIndexing(func(configured *config.Config) {
+		sim.changeTenantsRepeatedly(func(configured *config.Config) {
 			for key, history := range sim.tenants.history {
 				configured.Tenants = append(configured.Tenants, config.Tenant{Name: history.tenant, ApiKeys: []string{key}})
 			}
 		})
 	}},
 	{"a proxy that is cut off relies on its keys", "REVOKED", newSimulationWithTenants, func(sim *simulation) {
-		sim.keepChanging(func(server *Server) { server.settings.Bounds.RevokeClosed = false })
+		sim.changeRepeatedly(func(server *Server) { server.settings.Bounds.RevokeClosed = false })
 	}},
 	{"transactions of a key that was taken away go on", "DOWNGRADE", newSimulationWithTenants, func(sim *simulation) {
-		sim.keepChanging(func(server *Server) { server.settings.Bounds.DowngradeMs = 0 })
+		sim.changeRepeatedly(func(server *Server) { server.settings.Bounds.DowngradeMs = 0 })
 	}},
 	{"a proxy that is cut off denies keys that it does not know", "DENIED", newSimulationWithTenants, func(sim *simulation) {
-		sim.keepChanging(func(server *Server) { server.lease.holder.Renew(1 << 50) })
+		sim.changeRepeatedly(func(server *Server) { server.lease.holder.Renew(1 << 50) })
 	}},
 	{"paused replicas are not told to go on", "PAUSED", newClusterSimulation, func(sim *simulation) {
 		sim.cluster.fakeAnswer = func(query failover.HostQuery, _ *database.Host) bool { return query.Command == failover.Resume }
 	}},
 	{"what a removed replica may alone have had is forgotten", "LOST STALE", newClusterSimulation, func(sim *simulation) {
-		sim.cluster.losesLog = true // so the new host at its address does not have what it is taken to have
+		sim.cluster.losesLog = true // so the new host at its address lacks the log that it is assumed to have
 		sim.After(1500*millisecond, func() {
 			sim.database.Hosts[1].ReplicationStopped = true
 			sim.cluster.drainHost(sim.database.Hosts[2])
@@ -146,8 +146,8 @@
 	}},
 }
 
-// keepChanging changes all proxies, again and again.
-func (sim *simulation) keepChanging(change func(*Server)) {
+// changeRepeatedly applies a change to all proxies every 5 ms.
+func (sim *simulation) changeRepeatedly(change func(*Server)) {
 	var repeat func()
 	repeat = func() {
 		for _, proxy := range sim.proxies {
@@ -158,18 +158,18 @@
 	sim.After(0, repeat)
 }
 
-// keepChangingRoutes changes the routes of all proxies, again and again.
-func (sim *simulation) keepChangingRoutes(change func(*route)) {
-	sim.keepChanging(func(server *Server) {
+// changeRoutesRepeatedly applies a change to all routes of all proxies every 5 ms.
+func (sim *simulation) changeRoutesRepeatedly(change func(*route)) {
+	sim.changeRepeatedly(func(server *Server) {
 		for _, r := range server.routes {
 			change(r)
 		}
 	})
 }
 
-// keepIndexing has all proxies use the tenants of a changed configuration, again and again.
-func (sim *simulation) keepIndexing(change func(*config.Config)) {
-	sim.keepChanging(func(server *Server) {
+// changeTenantsRepeatedly makes all proxies use the tenants of a changed configuration every 5 ms.
+func (sim *simulation) changeTenantsRepeatedly(change func(*config.Config)) {
+	sim.changeRepeatedly(func(server *Server) {
 		if server.config != nil && server.config.HasTenants() {
 			changed := config.Config{Tenants: slices.Clone(server.config.Tenants)}
 			change(&changed)
@@ -178,7 +178,7 @@
 	})
 }
 
-// foundBy returns the violation that finds the removed safeguard in one seed; empty: there is none.
+// foundBy returns the violation by which a seed detects the removed safeguard, or an empty string if it does not.
 func (r removedSafeguard) foundBy(seed uint64) string {
 	sim := r.build(seed, 3, 9)
 	r.remove(sim)
@@ -193,10 +193,10 @@
 	return ""
 }
 
-// A simulation that does not find a removed safeguard proves nothing by finding no violations.
+// Each removed safeguard must cause a violation; otherwise a simulation without violations would not prove that the safeguard works.
 func TestSimulationCatchesEachRemovedSafeguard(t *testing.T) {
 	if testing.Short() {
-		t.Skip("played in full runs: a seed plays the same each time")
+		t.Skip("runs only without -short; a seed always gives the same result")
 	}
 	for _, safeguard := range removedSafeguards {
 		t.Run(safeguard.name, func(t *testing.T) {
--- a/internal/proxy/session/connstate.go
+++ b/internal/proxy/session/connstate.go
@@ -9,32 +9,32 @@
 	"ferrypitch/internal/wire"
 )
 
-// maxPrepared is how many prepared statements a host connection keeps before it is reset.
+// maxPrepared is the number of prepared statements on a host connection at which it is reset.
 const maxPrepared = 128
 
-// ConnState is the session state that a host connection has at its host. The zero value is a new connection.
+// ConnState is the session state that the host holds for one connection. The zero value is a new connection.
 type ConnState struct {
-	VariablesKey string            // key of the variables that are set, as a session with the same has
-	Prepared     map[string]string // texts of the prepared statements by PreparedName
+	VariablesKey string            // Session.VariablesKey of the variables that are set on the connection
+	Prepared     map[string]string // texts of the prepared statements, by PreparedName
 }
 
-// PreparedName returns the name under which a statement is prepared on host connections. It depends on the text alone, so that
-// sessions with the same statement share it, whatever names their clients gave it. Texts of one length may have the same name.
+// PreparedName returns the name under which a statement is prepared on host connections. It depends only on the text, so that
+// sessions with the same statement share it, whatever names their clients chose. Two texts of the same length can collide.
 func PreparedName(text string) string {
 	const base = 36
 	checksum := crc32.ChecksumIEEE([]byte(text))
 	return "f" + strconv.FormatUint(uint64(checksum), base) + strconv.FormatInt(int64(len(text)), base)
 }
 
-// Matches reports whether the connection has exactly the session's variables.
+// Matches reports whether exactly the session's variables are set on the connection.
 func (c *ConnState) Matches(session *Session) bool { return c.VariablesKey == session.VariablesKey() }
 
-// Prepare returns the statements to run on the connection before the request's own, so that it has the session's variables and
-// the prepared statement that the request executes. It records them as executed; if one of them fails, the connection must be
-// closed.
+// SetupStatements returns the statements to run on the connection before the request, so that the connection has the session's
+// variables and the prepared statement that the request executes. It records them as executed; if one of them fails, the caller
+// must close the connection.
 //
-// A connection inside the session's transaction can't be reset, so what is missing is added to what it has.
-func (c *ConnState) Prepare(session *Session, request wire.Request) (statements []string) {
+// A connection inside a transaction can't be reset, so only what is missing is added to its state.
+func (c *ConnState) SetupStatements(session *Session, request wire.Request) (statements []string) {
 	var text string
 	if request.Kind == wire.Execute {
 		text = session.Prepared[request.Name]
@@ -48,10 +48,10 @@
 		statements = c.reset(statements)
 		statements = c.setVariables(statements, session)
 	}
-	return c.prepare(statements, text)
+	return c.prepareText(statements, text)
 }
 
-// conflicts reports whether another text is prepared under the name of this one.
+// conflicts reports whether a different text with the same PreparedName is prepared on the connection.
 func (c *ConnState) conflicts(text string) bool {
 	prepared, ok := c.Prepared[PreparedName(text)]
 	return text != "" && ok && prepared != text
@@ -82,7 +82,7 @@
 	return statements
 }
 
-func (c *ConnState) prepare(statements []string, text string) []string {
+func (c *ConnState) prepareText(statements []string, text string) []string {
 	if text == "" {
 		return statements
 	}
--- a/internal/proxy/session/session.go
+++ b/internal/proxy/session/session.go
@@ -9,27 +9,27 @@
 	"ferrypitch/internal/wire"
 )
 
-// Bounds of what one session may keep.
+// Limits on the state of one session.
 const (
-	maxNames = 256       // variables, and as many prepared statements
-	maxBytes = 256 << 10 // names and values of both
+	maxNames = 256       // variables; the same limit applies to prepared statements
+	maxBytes = 256 << 10 // total size of the names and values of both
 )
 
-// Session is the state of one client connection. The zero value is a new session, idle and with nothing set.
+// Session is the state of one client connection. The zero value is a new session: idle, without variables or prepared statements.
 type Session struct {
 	Variables      map[string]string     // variables by name
-	Prepared       map[string]string     // texts of prepared statements by the client's names
-	Token          wire.Position         // greatest position of the session's writes, which its reads must include
+	Prepared       map[string]string     // texts of prepared statements, by the client's names
+	Token          wire.Position         // greatest log position of the session's writes, which its reads must include
 	State          wire.TransactionState // zero is StateIdle
 	ReadOnly       bool                  // the transaction was begun read-only
 	TxnConnLost    bool                  // the connection of the transaction was lost
 	MayHaveWritten bool                  // the transaction may have written
 
-	variablesKey     string // of Variables, if it is not outdated
-	variablesChanged bool   // variablesKey is outdated
+	variablesKey     string // cached VariablesKey; valid unless variablesChanged
+	variablesChanged bool   // variablesKey must be computed again
 }
 
-// IdleState returns the transaction state that IDLE reports to the client.
+// IdleState returns the transaction state that is sent to the client in IDLE.
 func (s *Session) IdleState() wire.TransactionState {
 	if s.State == 0 {
 		return wire.StateIdle
@@ -37,8 +37,8 @@
 	return s.State
 }
 
-// Handle returns what a statement needs. It changes the session only if the statement is answered here; for the others,
-// HandleResponse does.
+// Handle returns the step that a request requires. It changes the session only if the request is answered locally; for the
+// others HandleResponse does.
 func (s *Session) Handle(request wire.Request) Step {
 	switch request.Kind {
 	case wire.Commit, wire.Abort:
@@ -86,7 +86,7 @@
 }
 
 func (s *Session) handleSet(request wire.Request) Step {
-	if !s.hasCapacity(len(s.Variables), request.Name, request.Value) {
+	if !s.canAddName(len(s.Variables), request.Name, request.Value) {
 		return reject(errcode.SessionTooLarge)
 	}
 	if s.Variables == nil {
@@ -98,7 +98,7 @@
 }
 
 func (s *Session) handlePrepare(request wire.Request) Step {
-	if !s.hasCapacity(len(s.Prepared), request.Name, request.Value) {
+	if !s.canAddName(len(s.Prepared), request.Name, request.Value) {
 		return reject(errcode.SessionTooLarge)
 	}
 	if s.Prepared == nil {
@@ -124,7 +124,7 @@
 	return s.execute("EXECUTE "+PreparedName(text)+" "+request.Arguments, wire.PreparedTextWrites(text))
 }
 
-// execute returns the step of a statement that a host is to execute.
+// execute returns the step of a statement that a host executes.
 func (s *Session) execute(text string, writes bool) Step {
 	step := Step{Action: RouteToHost, Text: text, MayWrite: writes}
 	if s.IdleState() == wire.StateInTransaction {
@@ -133,8 +133,8 @@
 	return step
 }
 
-// hasCapacity reports whether the session may keep one more name, where count are kept.
-func (s *Session) hasCapacity(count int, name, value string) bool {
+// canAddName reports whether a variable or prepared statement fits into the limits, count being how many of its kind exist.
+func (s *Session) canAddName(count int, name, value string) bool {
 	size := len(name) + len(value)
 	for _, kept := range []map[string]string{s.Variables, s.Prepared} {
 		for keptName, keptValue := range kept {
@@ -144,13 +144,13 @@
 	return count < maxNames && size <= maxBytes
 }
 
-// EndTransaction makes the session idle.
+// EndTransaction resets the transaction state to idle.
 func (s *Session) EndTransaction() {
 	s.State, s.TxnConnLost, s.ReadOnly, s.MayHaveWritten = wire.StateIdle, false, false, false
 }
 
-// HandleResponse applies a host's response to a step of RouteToHost or UsePinnedConn. It returns whether the session is in a
-// transaction and so keeps the connection.
+// HandleResponse applies a host's response to a RouteToHost or UsePinnedConn step. It reports whether the session is in a
+// transaction and therefore keeps the connection.
 func (s *Session) HandleResponse(step Step, response *wire.Response) (keepsConnection bool) {
 	executedWrite := step.MayWrite && !step.BeginsTransaction
 	if executedWrite || step.EndsTransaction && s.MayHaveWritten {
@@ -172,10 +172,10 @@
 	return true
 }
 
-// ConnectionLost records that the connection of the transaction was lost. The host rolls the transaction back.
+// ConnectionLost marks the transaction as failed because its connection was lost. The host rolls the transaction back.
 func (s *Session) ConnectionLost() { s.State, s.TxnConnLost = wire.StateFailed, true }
 
-// VariablesKey returns a string that sessions have in common if and only if they have the same variables.
+// VariablesKey returns a string that is equal for two sessions if and only if they have the same variables.
 func (s *Session) VariablesKey() string {
 	if s.variablesChanged {
 		s.variablesKey, s.variablesChanged = variablesKey(s.Variables), false
--- a/internal/proxy/session/session_test.go
+++ b/internal/proxy/session/session_test.go
@@ -93,7 +93,7 @@
 	require.False(t, session.MayHaveWritten)
 }
 
-func TestPrepareBringsAConnectionIntoTheSessionsState(t *testing.T) {
+func TestSetupStatementsGiveAConnectionTheSessionsState(t *testing.T) {
 	var conn ConnState
 	first, second := &Session{}, &Session{}
 	for _, text := range []string{"SET b 2", "SET a 1", "PREPARE p FETCH q"} {
@@ -102,34 +102,34 @@
 	name := PreparedName("FETCH q")
 	read, execute := parse(t, "FETCH x"), parse(t, "EXECUTE p 1")
 
-	require.Equal(t, []string{"SET a 1", "SET b 2"}, conn.Prepare(first, read), "a new connection")
-	require.Equal(t, []string{"PREPARE " + name + " FETCH q"}, conn.Prepare(first, execute))
-	require.Empty(t, conn.Prepare(first, execute), "already prepared")
-	require.Equal(t, []string{"RESET"}, conn.Prepare(second, read), "another session's")
+	require.Equal(t, []string{"SET a 1", "SET b 2"}, conn.SetupStatements(first, read), "a new connection")
+	require.Equal(t, []string{"PREPARE " + name + " FETCH q"}, conn.SetupStatements(first, execute))
+	require.Empty(t, conn.SetupStatements(first, execute), "already prepared")
+	require.Equal(t, []string{"RESET"}, conn.SetupStatements(second, read), "connection has another session's state")
 	second.Handle(parse(t, "SET c 3"))
 	second.State = 'T'
-	require.Equal(t, []string{"SET c 3"}, conn.Prepare(second, read), "no RESET in a transaction")
+	require.Equal(t, []string{"SET c 3"}, conn.SetupStatements(second, read), "no RESET in a transaction")
 }
 
-// Two texts of one length may have one name; here one is put in by hand.
-func TestPrepareReplacesAnotherTextOfTheSameName(t *testing.T) {
+// Two texts of the same length may have the same PreparedName; the test sets up such a collision directly.
+func TestSetupReplacesAnotherTextOfTheSameName(t *testing.T) {
 	session := &Session{Prepared: map[string]string{"p": "FETCH q"}}
 	name, execute := PreparedName("FETCH q"), parse(t, "EXECUTE p 1")
 
 	conn := ConnState{Prepared: map[string]string{name: "FETCH other"}}
-	require.Equal(t, []string{"RESET", "PREPARE " + name + " FETCH q"}, conn.Prepare(session, execute))
+	require.Equal(t, []string{"RESET", "PREPARE " + name + " FETCH q"}, conn.SetupStatements(session, execute))
 
 	conn = ConnState{Prepared: map[string]string{name: "FETCH other"}}
 	session.State = 'T'
-	require.Equal(t, []string{"CLOSE " + name, "PREPARE " + name + " FETCH q"}, conn.Prepare(session, execute))
+	require.Equal(t, []string{"CLOSE " + name, "PREPARE " + name + " FETCH q"}, conn.SetupStatements(session, execute))
 	require.Equal(t, map[string]string{name: "FETCH q"}, conn.Prepared)
 }
 
-func TestPrepareResetsAConnectionWithManyPreparedStatements(t *testing.T) {
+func TestSetupResetsAConnectionWithManyPreparedStatements(t *testing.T) {
 	conn := ConnState{Prepared: map[string]string{}}
 	for i := range maxPrepared {
 		conn.Prepared[fmt.Sprint(i)] = "FETCH q"
 	}
-	require.Equal(t, []string{"RESET"}, conn.Prepare(&Session{}, parse(t, "FETCH x")))
+	require.Equal(t, []string{"RESET"}, conn.SetupStatements(&Session{}, parse(t, "FETCH x")))
 	require.Empty(t, conn.Prepared)
 }
--- a/internal/proxy/session/step.go
+++ b/internal/proxy/session/step.go
@@ -5,27 +5,27 @@
 	"ferrypitch/internal/wire"
 )
 
-// Action is what a statement needs.
+// Action is how a statement is handled.
 type Action uint8
 
-// The actions.
+// Values of Action.
 const (
 	AnswerLocally      Action = iota // send Step.Reply
-	RouteToHost                      // choose a host, and take a connection to it
+	RouteToHost                      // choose a host and a connection to it
 	UsePinnedConn                    // use the connection of the session's transaction
-	EndLostTransaction               // send Step.Reply: it ends a transaction whose connection was lost
+	EndLostTransaction               // send Step.Reply; a transaction whose connection was lost is ended
 )
 
-// Step is what a statement needs, as the session stands.
+// Step describes how a statement is handled in the current state of the session.
 type Step struct {
 	Action            Action
-	Reply             []byte // if no host is needed; without IDLE
-	MayWrite          bool   // it may write, or begins a transaction that may
-	BeginsTransaction bool   // it begins a transaction
-	ReadOnly          bool   // the transaction that it begins is read-only
-	EndsTransaction   bool   // it is COMMIT or ABORT
-	IsCommit          bool   // it is COMMIT
-	Text              string // as sent to a host
+	Reply             []byte // answer without IDLE, if no host is needed
+	MayWrite          bool   // the statement may write, or begins a transaction that may
+	BeginsTransaction bool   // the statement is BEGIN
+	ReadOnly          bool   // the BEGIN is read-only
+	EndsTransaction   bool   // the statement is COMMIT or ABORT
+	IsCommit          bool   // the statement is COMMIT
+	Text              string // statement text to send to the host
 }
 
 func answerLocally(reply []byte) Step { return Step{Action: AnswerLocally, Reply: reply} }
--- a/internal/proxy/simulation_client_test.go
+++ b/internal/proxy/simulation_client_test.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	clientDelay     = 3 * millisecond // of each way, always: so the order stays
-	connectPatience = 2500 * millisecond
-	answerPatience  = 4 * second
+	clientDelay            = 3 * millisecond // in each direction; constant, so that messages stay in order
+	connectAnswerTimeout   = 2500 * millisecond
+	statementAnswerTimeout = 4 * second
 )
 
-// client is one session after another.
+// client runs one session after another.
 type client struct {
 	sim       *simulation
 	index     int
-	routeKind string // the database that it asks for
-	key       string // of its tenant, by which its session named itself
+	routeKind string // the database in its CONNECT
+	key       string // in the CONNECT of its session
 
 	sessionNumber    int
 	session          *clientSession
 	proxy            *proxyProcess
 	proxyIncarnation int
-	received         []byte // without a complete answer yet
+	received         []byte // bytes of an answer that is not complete yet
 
-	values        map[string]string // set by the session
+	values        map[string]string // variables set by the session
 	prepared      map[string]string
 	requestCount  int
 	pending       pendingRequest
-	beganAt       int64 // when its statement, or its transaction, began
+	beganAt       int64 // when the current statement or transaction began
 	sentAt        int64 // when the pending request was sent
 	inTransaction bool
-	uncommitted   []string // data stored in this transaction
+	uncommitted   []string // data stored in the open transaction
 }
 
-// pendingRequest is what has no answer yet. The zero value is none.
+// pendingRequest is a request without an answer. The zero value stands for no request.
 type pendingRequest struct {
 	id, verb string
-	name     string // that is set, prepared or executed
-	data     string // that is set, prepared or stored
+	name     string // of the variable or prepared statement
+	data     string // value, text or data to store
 }
 
-// ownerOf is whose statement an id names, and whether the session that sent it is there.
+// ownerOf returns the client that sent a request, and whether the client's session is still the one that sent it.
 func (sim *simulation) ownerOf(requestID string) (c *client, present bool) {
 	index, rest, _ := strings.Cut(strings.TrimPrefix(requestID, "c"), ".")
 	i, err := strconv.Atoi(index)
@@ -64,27 +64,27 @@
 	sessionNumber int
 }
 
-func (x simulatedClientConn) write(data []byte) (written int, ok bool) {
+func (c simulatedClientConn) write(data []byte) (written int, ok bool) {
 	data = slices.Clone(data)
-	x.client.sim.After(clientDelay, func() {
-		if x.client.sessionNumber == x.sessionNumber {
-			x.client.receive(data)
+	c.client.sim.After(clientDelay, func() {
+		if c.client.sessionNumber == c.sessionNumber {
+			c.client.receive(data)
 		}
 	})
 	return len(data), true
 }
 
-func (x simulatedClientConn) stopReading() {
-	x.client.sim.After(1, func() { x.client.disconnect(x.sessionNumber) })
+func (c simulatedClientConn) stopReading() {
+	c.client.sim.After(1, func() { c.client.disconnect(c.sessionNumber) })
 }
 
-func (x simulatedClientConn) finish() { x.close() }
+func (c simulatedClientConn) finish() { c.close() }
 
-func (x simulatedClientConn) close() {
-	x.client.sim.After(clientDelay+1, func() { x.client.connClosed(x.sessionNumber) })
+func (c simulatedClientConn) close() {
+	c.client.sim.After(clientDelay+1, func() { c.client.connClosed(c.sessionNumber) })
 }
 
-// connect begins a session at any proxy.
+// connect begins a session at a random proxy.
 func (c *client) connect() {
 	sim := c.sim
 	c.sessionNumber++
@@ -107,7 +107,7 @@
 	sim.After(clientDelay, func() {
 		proxy.run(incarnation, func(server *Server) { server.beginSession(session, c.routeKind) })
 	})
-	c.expectAnswer(connectPatience)
+	c.expectAnswer(connectAnswerTimeout)
 }
 
 // expectAnswer checks that the pending request is answered in time, unless its proxy crashes or freezes.
@@ -123,7 +123,7 @@
 	})
 }
 
-// disconnect is the client's end of the connection.
+// disconnect closes the connection from the client's side.
 func (c *client) disconnect(sessionNumber int) {
 	if c.sessionNumber == sessionNumber {
 		session := c.session
@@ -131,33 +131,33 @@
 	}
 }
 
-// connClosed is the proxy's end of the connection.
+// connClosed handles the close of the connection by the proxy.
 func (c *client) connClosed(sessionNumber int) {
 	if c.sessionNumber == sessionNumber {
 		c.reconnectLater()
 	}
 }
 
-// reconnectLater ends the session, and begins another. A pending request got no answer, which promises nothing.
+// reconnectLater ends the session and begins another after a delay. The outcome of a pending request stays unknown.
 func (c *client) reconnectLater() {
 	c.sessionNumber++
 	c.pending = pendingRequest{}
 	sessionNumber := c.sessionNumber
 	c.sim.After(c.sim.Between(20*millisecond, 400*millisecond), func() {
-		if c.sessionNumber == sessionNumber { // it may end twice before it begins again
+		if c.sessionNumber == sessionNumber { // the session may end twice before the next one begins
 			c.connect()
 		}
 	})
 }
 
-// receive takes in bytes of the proxy.
+// receive handles bytes from the proxy.
 func (c *client) receive(data []byte) {
 	c.received = append(c.received, data...)
 	var answer wire.Response
 	for rest := c.received; ; {
 		line, length, err := wire.CutLine(rest, 0)
 		if err != nil {
-			c.sim.Violate("%d is sent what is no line", c.index)
+			c.sim.Violate("%d is sent an invalid line", c.index)
 		}
 		if length == 0 {
 			return
@@ -178,7 +178,7 @@
 func (c *client) handleAnswer(answer *wire.Response) {
 	sim, request := c.sim, c.pending
 	if request.verb == "" {
-		sim.Violate("%d is answered without having asked: %+v", c.index, answer)
+		sim.Violate("%d is sent an answer without a pending request: %+v", c.index, answer)
 		return
 	}
 	c.pending = pendingRequest{}
@@ -212,7 +212,7 @@
 	c.actAfter(sim.Between(1*millisecond, 60*millisecond))
 }
 
-// recordServed counts a statement that a host has executed, and checks that the answer is its own.
+// recordServed counts a statement that a host has executed, and checks that the answer belongs to the request.
 func (c *client) recordServed(request pendingRequest, answer *wire.Response) {
 	sim := c.sim
 	if request.verb != "FETCH" && request.verb != "STORE" && request.verb != "COMMIT" {
@@ -230,7 +230,7 @@
 	}
 }
 
-// recordAnswer notes what an answer says of the session and, for the checker, of what it wrote.
+// recordAnswer updates the expected session state from an answer, and reports the outcome of writes to the checker.
 func (c *client) recordAnswer(request pendingRequest, answer *wire.Response) {
 	sim, succeeded := c.sim, answer.Code == ""
 	switch request.verb {
@@ -265,7 +265,7 @@
 	c.sim.After(after, func() { c.act(sessionNumber) })
 }
 
-// act sends the next request of a session, or ends it.
+// act sends the next request of a session, or disconnects.
 func (c *client) act(sessionNumber int) {
 	sim := c.sim
 	if c.sessionNumber != sessionNumber || c.pending.verb != "" {
@@ -282,12 +282,12 @@
 	if !c.inTransaction || c.beganAt == 0 {
 		c.beganAt = sim.Now
 	}
-	request, text := c.drawRequest(item, data)
+	request, text := c.randomRequest(item, data)
 	c.send(sessionNumber, request, text)
 }
 
-// drawRequest draws what a session asks for next.
-func (c *client) drawRequest(item, data string) (request pendingRequest, text string) {
+// randomRequest returns a random next request of a session and its text.
+func (c *client) randomRequest(item, data string) (request pendingRequest, text string) {
 	sim := c.sim
 	switch chance := sim.Rand.IntN(20); {
 	case chance == 0:
@@ -295,8 +295,8 @@
 		return pendingRequest{verb: "SET", name: name, data: data}, "SET " + name + " " + data
 	case chance == 1:
 		name := fmt.Sprintf("p%d", sim.Rand.IntN(2))
-		shape := []string{"FETCH q", "STORE z"}[sim.Rand.IntN(2)] + fmt.Sprint(sim.Rand.IntN(3))
-		return pendingRequest{verb: "PREPARE", name: name, data: shape}, "PREPARE " + name + " " + shape
+		preparedText := []string{"FETCH q", "STORE z"}[sim.Rand.IntN(2)] + fmt.Sprint(sim.Rand.IntN(3))
+		return pendingRequest{verb: "PREPARE", name: name, data: preparedText}, "PREPARE " + name + " " + preparedText
 	case chance < 5 && !c.inTransaction:
 		if sim.OneIn(2) {
 			return pendingRequest{verb: "BEGIN"}, "BEGIN FETCH"
@@ -319,7 +319,7 @@
 	}
 }
 
-// send sends a request of a session, if that is still there.
+// send sends a request, if its session is still the current one.
 func (c *client) send(sessionNumber int, request pendingRequest, text string) {
 	sim := c.sim
 	if c.sessionNumber != sessionNumber {
@@ -340,5 +340,5 @@
 		message := clientMessage{request: parsed, receivedAt: sim.clock(proxy.clockDrift)()}
 		proxy.run(incarnation, func(server *Server) { server.enqueueMessage(session, message) })
 	})
-	c.expectAnswer(answerPatience)
+	c.expectAnswer(statementAnswerTimeout)
 }
--- a/internal/proxy/simulation_hostconn_test.go
+++ b/internal/proxy/simulation_hostconn_test.go
@@ -8,16 +8,16 @@
 	"ferrypitch/internal/wire"
 )
 
-// simulatedHostConn is a proxy's connection to a host, at both ends: a nonblockingConn for the proxy.
+// simulatedHostConn simulates both ends of a connection from a proxy to a host. It is the proxy's nonblockingConn.
 type simulatedHostConn struct {
 	*database.Conn
 	proxy         *proxyProcess
 	incarnation   int // of the proxy
 	conn          *hostConn
-	received      []byte // by the host, without an end of line yet
+	received      []byte // bytes at the host that are not a complete line yet
 	closed        bool
 	responsesLost bool
-	lastArrival   int64 // what goes over one connection keeps its order
+	lastArrival   int64 // of data on this connection, which stays in order
 }
 
 func (c *simulatedHostConn) write(data []byte) (written int, ok bool) {
@@ -41,7 +41,7 @@
 	sim.After(sim.Between(1*millisecond, 3*millisecond), c.Close)
 }
 
-// resetDuringWrite ends the connection before, while or after a statement is written, or after it has run.
+// resetDuringWrite resets the connection before, during or after the write of a statement, or after the statement has run.
 func (c *simulatedHostConn) resetDuringWrite(data []byte) (written int, ok bool) {
 	const (
 		beforeWrite = iota
@@ -71,14 +71,14 @@
 	return len(data), true
 }
 
-// deliver does what arrives after a time, behind all that was sent before.
+// deliver calls do after a delay, and after everything that was sent earlier on this connection.
 func (c *simulatedHostConn) deliver(after int64, do func()) {
 	sim := c.proxy.sim
 	c.lastArrival = max(c.lastArrival+1, sim.Now+after)
 	sim.After(c.lastArrival-sim.Now, do)
 }
 
-// notifyClosed has the proxy see that the host has ended the connection.
+// notifyClosed makes the proxy detect that the host has closed the connection.
 func (c *simulatedHostConn) notifyClosed() {
 	sim := c.proxy.sim
 	sim.After(sim.Between(millisecond/2, 3*millisecond), func() {
@@ -86,7 +86,7 @@
 	})
 }
 
-// deliverResponse brings a response to the proxy.
+// deliverResponse delivers a response to the proxy after a delay, unless it is lost.
 func (c *simulatedHostConn) deliverResponse(after int64, response wire.Response) {
 	sim := c.proxy.sim
 	c.deliver(after+sim.Between(millisecond/2, 3*millisecond), func() {
@@ -96,7 +96,7 @@
 	})
 }
 
-// receive is the host's end: it executes the statements that have arrived.
+// receive runs at the host and executes the statements that have arrived completely.
 func (c *simulatedHostConn) receive(data []byte) {
 	host, sim := c.Host, c.proxy.sim
 	if !host.Up || host.Unreachable || !host.Conns[c.Conn] {
@@ -110,7 +110,7 @@
 	for {
 		line, length, err := wire.CutLine(c.received, 0)
 		if err != nil {
-			sim.Violate("%s is sent what is no line: %v", host.ID, err)
+			sim.Violate("%s is sent an invalid line: %v", host.ID, err)
 		}
 		if length == 0 {
 			return
@@ -126,7 +126,8 @@
 	}
 }
 
-// checkStatement checks that a statement is its client's, on the connection of its transaction, with its values and names.
+// checkStatement checks that a statement was sent by its client and runs on the connection of its transaction, with the client's
+// variables and prepared statements.
 func (c *simulatedHostConn) checkStatement(requestID, text string) {
 	sim := c.proxy.sim
 	verb, rest, _ := strings.Cut(text, " ")
@@ -146,15 +147,15 @@
 	case owner == nil:
 		sim.Violate("UNASKED: %s runs %s %s", c.Host.ID, requestID, text)
 		return
-	case !present: // its session is over
+	case !present: // its session has ended
 		return
 	}
 	sim.tenants.checkStatement(c, owner, requestID)
 	switch {
 	case verb == "EXECUTE":
 		name, _, _ := strings.Cut(rest, " ")
-		if shape, want := c.Prepared[name], owner.prepared[owner.pending.name]; shape != want {
-			sim.Violate("PINNED: %s runs %q for %q", c.Host.ID, shape, want)
+		if preparedText, want := c.Prepared[name], owner.prepared[owner.pending.name]; preparedText != want {
+			sim.Violate("PINNED: %s runs %q for %q", c.Host.ID, preparedText, want)
 		}
 		fallthrough
 	case verb != "COMMIT" && verb != "ABORT":
--- a/internal/proxy/simulation_operator_test.go
+++ b/internal/proxy/simulation_operator_test.go
@@ -9,22 +9,22 @@
 	"ferrypitch/internal/config"
 )
 
-// operatorEnd is when operators stop to change the configuration.
+// operatorEnd is when the operators stop changing the configuration, after the start of the simulation.
 const operatorEnd = 11 * second
 
-// operator is two people who change the configuration at once, each from the version that was last seen. Answers are lost; a
-// request without an answer is sent again to another member, and a confirmed one is repeated later. It is checked that one
-// version is confirmed to one of them only, that a confirmed request is not rejected when it is repeated, and that the final
-// version is not older than any that was confirmed.
+// operator simulates two people who change the configuration concurrently, each based on the newest version seen. Some responses are
+// lost; a request without a response is retried at another member, and some confirmed requests are repeated later. The checks are
+// that a version is confirmed for one change only, that a confirmed request is not rejected when it is repeated, and that the final
+// version is not older than any confirmed one.
 type operator struct {
 	cluster          *controlCluster
-	newestVersion    int64            // that anybody has seen
+	newestVersion    int64            // seen by either person
 	confirmed        map[int64]string // bodies by version
-	onConfirmed      func()           // called at each confirmation; nil: nothing
+	onConfirmed      func()           // called at each confirmation, unless nil
 	repeatedRequests int
 }
 
-// configRequest replaces the configuration.
+// configRequest is a request to replace the configuration.
 type configRequest struct {
 	baseVersion int64
 	version     int64
@@ -40,8 +40,8 @@
 	return o
 }
 
-// strikeAfterConfirmation has the closing fault come right after so many confirmations, or a later one if a member has had a fault of
-// late: that would be more than may be lost at once.
+// strikeAfterConfirmation injects the closing fault right after the given number of confirmations. If a member has had a fault
+// recently, it waits for a later confirmation, since both faults together would exceed the number that must be tolerated at once.
 func (c *controlCluster) strikeAfterConfirmation(count int64) {
 	c.operator.onConfirmed = func() {
 		count--
@@ -63,21 +63,21 @@
 		return
 	}
 	version := max(1, o.newestVersion) + 1
-	limits := fmt.Sprintf(`"Limits":{"TxnIdleMs":2000,"MaxBodyBytes":%d}`, 1000+100*turn+person) // each body is another
+	limits := fmt.Sprintf(`"Limits":{"TxnIdleMs":2000,"MaxBodyBytes":%d}`, 1000+100*turn+person) // makes each body unique
 	body := strings.Replace(o.cluster.configBody(), `"Limits":{"TxnIdleMs":2000}`, limits, 1)
 	body = strings.Replace(body, `"Generation":1`, fmt.Sprintf(`"Generation":%d`, version), 1)
 	o.send(&configRequest{baseVersion: version - 1, version: version, body: body}, sim.Rand.IntN(clusterSize), 5)
 	sim.After(sim.Between(second, 3*second), func() { o.sendNextChange(person, turn+1) })
 }
 
-// send sends a request to a member, and again to the next one if it gets no answer.
+// send sends a request to a member, and retries it at the next one if there is no response.
 func (o *operator) send(request *configRequest, seat, retries int) {
 	sim := o.cluster.sim
 	sim.After(sim.Between(1*millisecond, 4*millisecond), func() {
 		answered, m := false, o.cluster.members[seat%clusterSize]
 		handle := func(status int, body []byte) {
 			if sim.OneIn(4) {
-				return // it is lost
+				return // the response is lost
 			}
 			answered = answered || status < http.StatusInternalServerError
 			o.handleAnswer(request, status, body)
@@ -90,7 +90,7 @@
 			switch {
 			case !answered && retries > 0:
 				o.send(request, seat+1, retries-1)
-			case answered && request.confirmed && retries > 0 && sim.OneIn(3): // once more, behind other requests
+			case answered && request.confirmed && retries > 0 && sim.OneIn(3): // repeated after later requests
 				o.repeatedRequests++
 				sim.After(sim.Between(0, 3*second), func() { o.send(request, sim.Rand.IntN(clusterSize), 0) })
 			}
@@ -117,7 +117,7 @@
 	}
 }
 
-// checkFinalConfig checks the configuration that is in force in the end.
+// checkFinalConfig checks the configuration that is in effect at the end of the simulation.
 func (o *operator) checkFinalConfig() {
 	sim := o.cluster.sim
 	for _, m := range o.cluster.members {
@@ -128,11 +128,11 @@
 			final, _ := config.PeekGeneration(body)
 			for version, confirmed := range o.confirmed {
 				if version > final || version == final && confirmed != string(body) {
-					sim.Violate("ORDER: version %d was confirmed, and %d is in force", version, final)
+					sim.Violate("ORDER: version %d was confirmed, and %d is in effect", version, final)
 				}
 			}
 		})
 		return
 	}
-	sim.Violate("no member of the control plane is the leader in the end")
+	sim.Violate("no member of the control plane is the leader at the end")
 }
--- a/internal/proxy/simulation_tenants_test.go
+++ b/internal/proxy/simulation_tenants_test.go
@@ -13,42 +13,43 @@
 )
 
 const (
-	tenantCount      = 4
-	keyChangesEnd    = 12 * second
-	simulationRevoke = 2500 // RevokeMs
-	downgradeMs      = 250
+	tenantCount   = 4
+	keyChangesEnd = 12 * second // after the start of the simulation
+	revokeBoundMs = 2500        // RevokeMs
+	downgradeMs   = 250
 
-	// denialGrace is how long a key may be unknown to a proxy with a valid lease.
+	// denialGrace is how long a proxy with a valid lease may take to know a new key.
 	denialGrace = 2500 * millisecond
 
-	// tenantStaleness is the staleness bound of simulations with tenants: reads go on for so long without a lease that the bound on
-	// revocations decides.
+	// tenantStaleness is the staleness bound of simulations with tenants. It is long enough that reads without a lease are stopped by
+	// the bound on revocations and not by their staleness.
 	tenantStaleness = 4 * second
 )
 
-// simulatedTenants are the tenants of a simulation, whose keys an operator keeps adding and taking away, and what its rules count from.
+// simulatedTenants are the tenants of a simulation, whose keys are added and removed all the time, and the data for the checks on
+// keys.
 type simulatedTenants struct {
 	sim     *simulation
 	version int64
-	keys    [tenantCount][]string // of the newest configuration
+	keys    [tenantCount][]string // by tenant, in the newest configuration, the oldest first
 	history map[string]*keyHistory
-	effects map[string][]versionEffect // by incarnation of a proxy
+	effects map[string][]versionEffect // by processName
 	keyRuns int                        // statements that hosts ran under a key
 	denials int
 	removed int
 }
 
-// keyHistory is what became of a key. Its versions and times are those of configurations.
+// keyHistory records the configuration versions that added and removed a key, and their times.
 type keyHistory struct {
 	tenant             string
-	addedIn, removedIn int64 // removedIn 0: it is held
+	addedIn, removedIn int64 // removedIn is 0 while the key is held
 	addedAt, removedAt int64
 }
 
-// versionEffect is when a host first saw that a proxy has a version.
+// versionEffect is the time at which a host first saw an effect of a version at a proxy.
 type versionEffect struct{ version, seenAt int64 }
 
-// newSimulationWithTenants is a simulation whose clients name themselves by keys that change.
+// newSimulationWithTenants returns a simulation whose clients authenticate with keys that change.
 func newSimulationWithTenants(seed uint64, proxies, clients int) *simulation {
 	sim := newSimulation(seed, proxies, clients)
 	t := &simulatedTenants{sim: sim, version: 1, history: map[string]*keyHistory{}, effects: map[string][]versionEffect{}}
@@ -65,9 +66,9 @@
 	return sim
 }
 
-// tenantBounds are the settings of proxies in a simulation with tenants.
+// tenantBounds returns the bounds in the settings of proxies in a simulation with tenants.
 func tenantBounds() settings.Bounds {
-	return settings.Bounds{RevokeClosed: true, RevokeMs: simulationRevoke, ConfigApplyMs: 4000, DowngradeMs: downgradeMs}
+	return settings.Bounds{RevokeClosed: true, RevokeMs: revokeBoundMs, ConfigApplyMs: 4000, DowngradeMs: downgradeMs}
 }
 
 func tenantName(tenant int) string { return fmt.Sprintf("tenant%d", tenant) }
@@ -79,7 +80,7 @@
 	t.keys[tenant] = append(t.keys[tenant], key)
 }
 
-// removeKey takes a tenant's oldest key out of the next configuration.
+// removeKey removes a tenant's oldest key from the next configuration.
 func (t *simulatedTenants) removeKey(tenant int) {
 	removed := t.history[t.keys[tenant][0]]
 	removed.removedIn, removed.removedAt = t.version+1, t.sim.Now
@@ -87,7 +88,7 @@
 	t.removed++
 }
 
-// changeKeys adds a key, takes one away, or replaces one in one version.
+// changeKeys adds, removes or replaces a key in one configuration version, and schedules the next change.
 func (t *simulatedTenants) changeKeys() {
 	sim := t.sim
 	if sim.Now > sim.StartTime+keyChangesEnd {
@@ -122,8 +123,8 @@
 	t.sim.control.apply(statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{BaseVersion: base, Body: []byte(body)}})
 }
 
-// chooseKey is the key for a client's next session: mostly the newest of its tenant, or one that may go soon, was taken away, or was
-// never held.
+// chooseKey returns the key for a client's next session: the newest or the oldest one of its tenant, any key that was ever held, or
+// one that was never held.
 func (t *simulatedTenants) chooseKey(c *client) string {
 	sim, held := t.sim, t.keys[c.index%tenantCount]
 	switch {
@@ -137,33 +138,33 @@
 	return held[len(held)-1]
 }
 
-// checkStatement checks that a host may run a client's statement on a connection.
-func (t *simulatedTenants) checkStatement(x *simulatedHostConn, owner *client, requestID string) {
+// checkStatement checks that the client's key allows a host to run a statement on a connection.
+func (t *simulatedTenants) checkStatement(conn *simulatedHostConn, owner *client, requestID string) {
 	if t == nil || owner.pending.id != requestID {
 		return
 	}
 	sim := t.sim
 	key := t.history[owner.key]
 	if key == nil {
-		sim.Violate("ROUTE: %s runs %s, whose key no configuration ever held", x.Host.ID, requestID)
+		sim.Violate("ROUTE: %s runs %s, whose key no configuration ever held", conn.Host.ID, requestID)
 		return
 	}
 	t.keyRuns++
-	if x.Identity != key.tenant {
-		sim.Violate("UNASKED: %s runs %s of %s as %q", x.Host.ID, requestID, key.tenant, x.Identity)
+	if conn.Identity != key.tenant {
+		sim.Violate("UNASKED: %s runs %s of %s as %q", conn.Host.ID, requestID, key.tenant, conn.Identity)
 	}
-	if key.removedIn > 0 && owner.sentAt > key.removedAt+simulationRevoke*millisecond {
-		sim.Violate("REVOKED: %s runs %s, sent %d ms after its key was taken away", x.Host.ID, requestID, (owner.sentAt-key.removedAt)/millisecond)
+	if key.removedIn > 0 && owner.sentAt > key.removedAt+revokeBoundMs*millisecond {
+		sim.Violate("REVOKED: %s runs %s, sent %d ms after its key was revoked", conn.Host.ID, requestID, (owner.sentAt-key.removedAt)/millisecond)
 	}
-	t.checkOrder(x.proxy.processName(), key, owner, requestID)
+	t.checkNoDowngrade(conn.proxy.processName(), key, owner, requestID)
 }
 
-// checkOrder checks that a proxy does not go back to an older version than one whose effect a host has seen.
-func (t *simulatedTenants) checkOrder(process string, key *keyHistory, owner *client, requestID string) {
+// checkNoDowngrade checks that a proxy does not act on an older version than one whose effect a host has seen.
+func (t *simulatedTenants) checkNoDowngrade(process string, key *keyHistory, owner *client, requestID string) {
 	effects := t.effects[process]
 	for _, effect := range effects {
 		if key.removedIn > 0 && key.removedIn <= effect.version && owner.sentAt > effect.seenAt+downgradeMs*millisecond {
-			t.sim.Violate("DOWNGRADE: %s has %s run, whose key is not in version %d", process, requestID, effect.version)
+			t.sim.Violate("DOWNGRADE: %s sends %s, whose key is not in version %d", process, requestID, effect.version)
 		}
 	}
 	if !slices.ContainsFunc(effects, func(e versionEffect) bool { return e.version >= key.addedIn }) {
@@ -171,7 +172,7 @@
 	}
 }
 
-// checkDenial checks that a client whose key has been held for long is not denied.
+// checkDenial checks that a client is not denied if its key has been held for longer than denialGrace.
 func (t *simulatedTenants) checkDenial(c *client, code wire.Code) {
 	if code != wire.CodeDenied {
 		return
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -16,45 +16,47 @@
 	request    wire.Request
 	step       session.Step
 	route      *route
-	tenant     string // under which it runs; empty: clients of its route are not asked who they are
+	tenant     string // under which it runs; empty if clients of its route need no key
 	quota      quotaCharge
 	group      *policy.CommandGroup
-	receivedAt time.Time // when its line was read; the deadline counts from it
-	deadline   time.Time // of its answer, over all attempts
+	receivedAt time.Time // when its line was read; the deadline is relative to this
+	deadline   time.Time // for its answer, over all attempts
 
-	// The statement in calls of the policy. Empty and nil in a transaction, whose statements all go to the host of its BEGIN.
+	// Name and handle of the statement in calls to the policy. Empty and nil inside a transaction, whose statements all go to the
+	// host of its BEGIN.
 	commandID string
 	command   *policy.Command
 
 	attempt      attempt
 	mayHaveRun   bool   // some attempt may have run
-	finished     bool   // its client has its answer, or is gone
-	hostResponse []byte // the last host's answer or error, for the case that no other host can be tried
+	finished     bool   // the client was answered or has disconnected
+	hostResponse []byte // the last host's answer or error, sent if no other host can be tried
 }
 
-// attempt is one dispatch of a statement to a host. It has the time of its sending twice: the policy and package position count in
-// tenths of a millisecond, timers and the check for silent primaries in time.Time. Both are of the server's clock.
+// attempt is one dispatch of a statement to a host. The send time is stored twice, both from the server's clock: as sentAt for the
+// policy and package position, which use tenths of a millisecond, and as writtenAt for the check for silent primaries.
 type attempt struct {
 	pool      *hostPool
-	conn      *hostConn // nil: it is queued for one
-	queuedAt  time.Time // when it began to wait for a connection
+	conn      *hostConn // nil while the statement is queued for one
+	queuedAt  time.Time // when the statement was queued for a connection
 	timer     timer
-	connReady bool      // what the session has set is set on conn
-	sent      bool      // some of it may be with the host
-	writtenAt time.Time // when it was sent, for reportIfSilent
+	connReady bool      // conn has the session's state
+	sent      bool      // the host may have received the whole statement
+	writtenAt time.Time // when the statement was sent, for reportIfSilent
 	over      bool
 
-	// These two keep the value of the attempt before until this one is sent: if it ends before that, elapsed counts from sentAt
-	// for the policy (policy.Host.recordConns uses it for unreachable hosts), and expireAttempt reports a suspect by primaryEpoch.
-	sentAt       policy.TenthMs // in tenths of a millisecond; 0: nothing was sent yet
-	primaryEpoch primaryEpoch   // in which it was sent to the primary; noEpoch: it was sent with a position, to any host
+	// These two keep the previous attempt's value until this attempt is sent. If this attempt ends before that, elapsed is relative to
+	// that sentAt (policy.Host.recordConns uses it for unreachable hosts), and expireAttempt decides by that primaryEpoch whether
+	// to report the host as suspect.
+	sentAt       policy.TenthMs // in tenths of a millisecond; 0 if nothing was sent yet
+	primaryEpoch primaryEpoch   // in which it was sent to the primary; noEpoch if it was sent with a fence
 }
 
 func (stmt *statement) beginAttempt(pool *hostPool) {
 	stmt.attempt = attempt{pool: pool, sentAt: stmt.attempt.sentAt, primaryEpoch: stmt.attempt.primaryEpoch}
 }
 
-// elapsed is how long ago the statement was sent, in tenths of a millisecond; 0: it was not.
+// elapsed returns how long ago the statement was sent, in tenths of a millisecond, or 0 if it was not.
 func (a *attempt) elapsed(now policy.TenthMs) policy.TenthMs {
 	if a.sentAt > 0 {
 		return now - a.sentAt
@@ -64,22 +66,24 @@
 
 func (stmt *statement) isPinned() bool { return stmt.step.Action == session.UsePinnedConn }
 
-// writesData says that the statement itself may write. BEGIN does not, though it may ask for the primary.
+// writesData reports whether the statement itself may write. BEGIN does not, though it may require the primary.
 func (stmt *statement) writesData() bool { return stmt.step.MayWrite && !stmt.step.BeginsTransaction }
 
-// ownWrites is what the session wrote itself and must see, where its route promises that.
-func (stmt *statement) ownWrites() wire.Position {
+// ownWritePosition returns the position of the session's own last write if its route guarantees that reads include it.
+func (stmt *statement) ownWritePosition() wire.Position {
 	if stmt.route.readsOwnWrites {
 		return stmt.session.Token
 	}
 	return wire.Position{}
 }
 
-// formatID makes the name of a statement or session in calls of the policy. The base must stay: the policy hashes the name.
+// formatID returns the name of a statement or session in calls to the policy. The base must not change, since the policy hashes the
+// name.
 func formatID(id uint64) string { return strconv.FormatUint(id, 36) }
 
-// handleStatement starts on a session's next statement. Route and tenant are looked up for each, since the configuration may have
-// changed since CONNECT. That one is gone is final only under a valid lease; without one the client may retry at another proxy.
+// handleStatement starts a session's next statement. Route and tenant are looked up for each statement, since the configuration may
+// have changed since CONNECT. A missing route or key is final only under a valid lease; without one the client may retry at another
+// proxy.
 func (s *Server) handleStatement(client *clientSession, message clientMessage) {
 	if message.err != nil {
 		s.respond(client, s.errorReply(errcode.BadStatement, 0))
@@ -109,7 +113,7 @@
 	}
 	tenant, admitted := s.admit(client, stmt.route)
 	if !admitted {
-		s.rejectKey(stmt)
+		s.rejectUnauthorized(stmt)
 		return
 	}
 	stmt.tenant = tenant
@@ -122,7 +126,7 @@
 	s.submitWithinQuota(stmt)
 }
 
-// submit has the policy choose a host, now or when one is available.
+// submit hands a statement to the policy, which chooses a host at once or when one becomes available.
 func (s *Server) submit(stmt *statement) {
 	now := s.refreshPolicyTime()
 	route := stmt.route
@@ -140,9 +144,9 @@
 	s.forgetIfOver(stmt)
 }
 
-// readOrWriteGroup is the policy's group for a statement, and by how much a session's read may lag behind other sessions'
-// writes. A bounded read has a floor: the least position that it must see, known from samples of the primary's position
-// (position.Tracker.Floor). It goes to the primary while no floor is known, and where the route allows no staleness.
+// readOrWriteGroup returns the policy's group for a statement, and by how much a session's read may lag behind other sessions'
+// writes. A read with bounded staleness has a floor: the minimum position that it must see, derived from samples of the primary's
+// position (position.Tracker.Floor). It goes to the primary if no floor is known or if the route allows no staleness.
 func (s *Server) readOrWriteGroup(stmt *statement, now policy.TenthMs) (group *policy.CommandGroup, staleness policy.TenthMs) {
 	route := stmt.route
 	switch {
@@ -159,7 +163,7 @@
 	return route.freshGroup, 0
 }
 
-// dialOnFirstUse makes the probes of a service's hosts that were put off until a session needs the service.
+// dialOnFirstUse runs the probes of a service's hosts that were deferred until a session uses the service (policyCaller.Probe).
 func (s *Server) dialOnFirstUse(svc *service, tenant string) {
 	svc.lastTenant = tenant
 	if svc.used {
@@ -173,15 +177,15 @@
 	}
 }
 
-// forgetIfOver forgets a statement for which the policy will make no more calls.
+// forgetIfOver deletes a statement for which the policy will make no more calls.
 func (s *Server) forgetIfOver(stmt *statement) {
 	if stmt.command != nil && stmt.command.IsFinished() {
 		delete(s.statements, stmt.commandID)
 	}
 }
 
-// finishStatement gives a statement its answer, and its session goes on to the next. An attempt may end after its client is gone
-// or was answered: then there is nothing left to do.
+// finishStatement answers a statement and starts the session's next message. It does nothing if the client was already answered or
+// has disconnected, which may happen before an attempt ends.
 func (s *Server) finishStatement(stmt *statement, lines []byte) {
 	if stmt.finished {
 		return
@@ -195,21 +199,21 @@
 	s.processMessages(client)
 }
 
-// reject answers a statement of which nothing is kept. retryAfterMs is when the client may retry, in milliseconds; 0: as
-// the kind says.
+// reject answers a statement that has had no effect with an error. The client may retry after retryAfterMs milliseconds; 0 stands for
+// the default of the error kind.
 func (s *Server) reject(stmt *statement, kind errcode.Kind, retryAfterMs int64) {
 	s.counters.rejected.Add(1)
 	s.finishStatement(stmt, s.errorReply(kind, retryAfterMs))
 }
 
-// errorReply is an error of this proxy's own, as it goes to a client. It counts it.
+// errorReply counts and encodes an error of the proxy itself for a client.
 func (s *Server) errorReply(kind errcode.Kind, retryAfterMs int64) []byte {
 	s.counters.errorsSent[kind].Add(1)
 	return kind.Append(nil, retryAfterMs)
 }
 
-// abandonStatement handles the end of a client that waits for its answer. What was sent runs to its end, and its connection is
-// reused.
+// abandonStatement handles the disconnect of a client that waits for an answer. A statement in flight still completes, and its
+// connection is reused.
 func (s *Server) abandonStatement(stmt *statement) {
 	if stmt.finished {
 		return
--- a/internal/proxy/statement_outcome.go
+++ b/internal/proxy/statement_outcome.go
@@ -8,8 +8,8 @@
 	"ferrypitch/policy"
 )
 
-// endAttempt ends an attempt that brought no response. The policy then decides on a retry; a statement of a transaction is
-// never retried, since its transaction is gone with the connection.
+// endAttempt ends an attempt without a response. The policy then decides on a retry. A statement of a transaction is never retried,
+// since the transaction was lost with its connection.
 func (s *Server) endAttempt(stmt *statement, outcome policy.Outcome) {
 	attempt := &stmt.attempt
 	if attempt.over {
@@ -28,15 +28,15 @@
 	s.reportFailure(stmt, outcome)
 }
 
-// reportFailure tells the policy of an attempt of a statement outside transactions that brought no answer. The policy then retries
-// the statement or gives it up.
+// reportFailure reports a failed attempt of a statement outside transactions to the policy, which then retries the statement or gives
+// up.
 func (s *Server) reportFailure(stmt *statement, outcome policy.Outcome) {
 	attempt := &stmt.attempt
 	now := s.refreshPolicyTime()
 	s.counters.outcomes[outcome].Add(1)
 	if attempt.sent && outcome != policy.Expired {
 		stmt.mayHaveRun = stmt.mayHaveRun || stmt.writesData()
-		stmt.quota.charged = false // it may have run; the next attempt is another operation
+		stmt.quota.charged = false // it may have run, so the next attempt is charged as another operation
 	}
 	if !attempt.sent && outcome == policy.Reset {
 		outcome = policy.Unreachable
@@ -45,14 +45,15 @@
 	s.forgetIfOver(stmt)
 }
 
-// commitInDoubt says that a statement is a COMMIT which may have been executed, as long as it has no response. It is the rule of
-// retry.Commit in package retry: in doubt once all of it was sent, rolled back before. A transaction that has written nothing
-// leaves nothing to doubt. The same rule for a single write (retry.Write) is attempt.sent in endAttempt, which sets mayHaveRun.
+// commitInDoubt reports whether a statement without a response is a COMMIT that may have been executed. This is the rule of
+// retry.Commit in package retry: the outcome is in doubt once the COMMIT was sent completely, and the transaction is rolled back
+// otherwise. A transaction without writes is never in doubt. For a single write (retry.Write) the same rule is attempt.sent in
+// reportFailure, which sets mayHaveRun.
 func (stmt *statement) commitInDoubt() bool {
 	return stmt.isPinned() && stmt.step.IsCommit && stmt.attempt.sent && stmt.session.MayHaveWritten
 }
 
-// failPinned answers a statement of a transaction whose connection is gone. The host has rolled the transaction back, unless a
+// failPinned answers a statement of a transaction whose connection was lost. The host has rolled the transaction back, unless a
 // COMMIT was sent.
 func (s *Server) failPinned(stmt *statement) {
 	client := stmt.session
@@ -73,27 +74,27 @@
 	}
 }
 
-// closeAndEndAttempt ends an attempt together with its connection. The connection gives up statement and session first, so that
-// nothing later handles them as still open on it.
+// closeAndEndAttempt ends an attempt and closes its connection. The connection is detached from the statement and session first, so
+// that no later handler treats them as still using it.
 func (s *Server) closeAndEndAttempt(conn *hostConn, stmt *statement, outcome policy.Outcome) {
 	conn.statement, conn.session = nil, nil
 	s.closeConn(conn)
 	s.endAttempt(stmt, outcome)
 }
 
-// startAttemptTimer bounds an attempt. Its response or endAttempt removes the timer.
+// startAttemptTimer sets the deadline of an attempt. The response or endAttempt removes the timer.
 func (s *Server) startAttemptTimer(stmt *statement, deadline time.Time) {
 	stmt.attempt.timer = s.timers.Add(deadline, func() { s.expireAttempt(stmt) })
 }
 
-// expireAttempt ends an attempt at its deadline. Its connection is closed: a late response would be mistaken for the next
-// statement's.
+// expireAttempt ends an attempt at its deadline. Its connection is closed, since a late response would be taken for the response to
+// the next statement.
 func (s *Server) expireAttempt(stmt *statement) {
 	attempt := &stmt.attempt
 	if attempt.over {
 		return
 	}
-	outcome := policy.Expired // it was queued
+	outcome := policy.Expired // the attempt was still queued
 	if conn := attempt.conn; conn != nil {
 		conn.statement, conn.session = nil, nil
 		s.closeConn(conn)
--- a/internal/proxy/statement_response.go
+++ b/internal/proxy/statement_response.go
@@ -8,10 +8,10 @@
 	"ferrypitch/policy"
 )
 
-// positionUnknown says that it is not known as of when a host is up to date.
+// positionUnknown is the up-to-date time of a host whose position can't be dated.
 const positionUnknown policy.TenthMs = -1
 
-// handleResponse handles a host's response: to a setup statement, or to the client's statement.
+// handleResponse handles a host's response to an internal statement of the proxy or to a client's statement.
 func (s *Server) handleResponse(conn *hostConn, response *wire.Response, receivedAt time.Time) {
 	if conn.closed {
 		return
@@ -19,8 +19,8 @@
 	conn.pool.lastResponseAt = receivedAt
 	stmt := conn.statement
 	switch {
-	case conn.pendingSetup > 0:
-		s.completeSetup(conn, response)
+	case conn.pendingInternal > 0:
+		s.completeInternal(conn, response)
 	case stmt == nil || !stmt.attempt.sent || !response.Completed():
 		s.counters.unexpectedResponses.Add(1)
 		s.connLost(conn)
@@ -29,17 +29,18 @@
 	}
 }
 
-// completeSetup handles the response to a statement of the proxy's own. After the last one the connection is ready: for the
-// statement that waits for it, or after a rollback for any. ABORT may fail if the host says that no transaction is open anyway.
-func (s *Server) completeSetup(conn *hostConn, response *wire.Response) {
-	conn.pendingSetup--
+// completeInternal handles the response to an internal statement of the proxy. After the last one the connection is ready: for the
+// statement that waits for it or, after a rollback, for any statement. An error of ABORT is accepted if the host reports that no
+// transaction is open.
+func (s *Server) completeInternal(conn *hostConn, response *wire.Response) {
+	conn.pendingInternal--
 	rolledBack := conn.rollingBack && response.State == stateIdle
 	if response.Code != "" && !rolledBack {
 		s.counters.setupErrors.Add(1)
-		s.connLost(conn) // what is set on it is not known
+		s.connLost(conn) // the session state of the connection is unknown
 		return
 	}
-	if conn.pendingSetup > 0 {
+	if conn.pendingInternal > 0 {
 		return
 	}
 	if conn.rollingBack {
@@ -52,8 +53,8 @@
 	}
 }
 
-// completeAttempt handles the host's response to a client's statement. What it says of the host, its response time and position, is
-// recorded first: it holds whether or not the client gets this answer.
+// completeAttempt handles the host's response to a client's statement. The response time and position are recorded first, since they
+// are valid whether or not the client gets this answer.
 func (s *Server) completeAttempt(conn *hostConn, stmt *statement, response *wire.Response) {
 	now := s.refreshPolicyTime()
 	attempt := &stmt.attempt
@@ -74,14 +75,15 @@
 	}
 }
 
-// acknowledgesWrite says that a response of a primary makes a write durable in the eyes of the client.
+// acknowledgesWrite reports whether a response of a primary, passed on to the client, would acknowledge a write.
 func (stmt *statement) acknowledgesWrite(response *wire.Response) bool {
 	writes := stmt.writesData() || stmt.step.IsCommit && stmt.session.MayHaveWritten
 	return stmt.attempt.primaryEpoch != noEpoch && writes && response.Code == ""
 }
 
-// withdrawAcknowledgement answers a write that a primary acknowledged after it was revoked: the next primary was chosen without
-// that write, so it may be lost. Unlike a lost answer (commitInDoubt), this is in doubt although the host acknowledged it.
+// withdrawAcknowledgement answers a write that a primary acknowledged after it was revoked. The next primary was chosen without
+// regard to that write, which may be lost. Unlike after a lost response (commitInDoubt), the write is in doubt although the host
+// acknowledged it.
 func (s *Server) withdrawAcknowledgement(conn *hostConn, stmt *statement) {
 	client := stmt.session
 	conn.session = nil
@@ -104,7 +106,7 @@
 	s.finishStatement(stmt, s.errorReply(errcode.InDoubtPrimaryReplaced, 0))
 }
 
-// completePinned passes the response to a statement of a transaction on to the client. The connection stays with the session
+// completePinned forwards the response to a statement of a transaction to the client. The connection stays pinned to the session
 // while the transaction is open.
 func (s *Server) completePinned(conn *hostConn, stmt *statement, response *wire.Response) {
 	client := stmt.session
@@ -118,8 +120,8 @@
 	s.finishStatement(stmt, response.Lines)
 }
 
-// completeRouted handles the response to a statement outside a transaction. Unless it is the answer, the policy decides between
-// another host and giving up; for the latter (Throttle, Fail) the host's error is kept.
+// completeRouted handles the response to a statement outside a transaction. Unless the response is the answer, the policy decides
+// whether to retry at another host or to give up; for the latter (Throttle, Fail) the host's error is stored.
 func (s *Server) completeRouted(conn *hostConn, stmt *statement, response *wire.Response, position hostPosition, now policy.TenthMs) {
 	if !stmt.isPlausible(response) {
 		s.counters.unexpectedResponses.Add(1)
@@ -132,16 +134,17 @@
 		stmt.hostResponse = response.Lines
 	}
 	if outcome == policy.Answered {
-		s.passOn(conn, stmt, response)
+		s.forwardResponse(conn, stmt, response)
 	} else {
 		s.releaseOrRollBack(conn, response)
 	}
 	s.counters.outcomes[outcome].Add(1)
-	stmt.command.EndDispatch(outcome, position.asOf, position.role, now-stmt.attempt.sentAt, stmt.finished)
+	stmt.command.EndDispatch(outcome, position.upToDateAsOf, position.role, now-stmt.attempt.sentAt, stmt.finished)
 	s.forgetIfOver(stmt)
 }
 
-// isPlausible says that a host may answer so: a BEGIN opens a transaction, and all else is stamped and leaves none open.
+// isPlausible reports whether a response follows the protocol: a success of BEGIN opens a transaction, and any other success carries
+// a stamp and leaves no transaction open.
 func (stmt *statement) isPlausible(response *wire.Response) bool {
 	switch {
 	case response.Code != "":
@@ -152,14 +155,14 @@
 	return response.State == stateIdle && response.HasStamp
 }
 
-// passOn gives the client the host's answer. A BEGIN pins the connection to the session.
-func (s *Server) passOn(conn *hostConn, stmt *statement, response *wire.Response) {
+// forwardResponse sends the host's answer to the client. A BEGIN pins the connection to the session.
+func (s *Server) forwardResponse(conn *hostConn, stmt *statement, response *wire.Response) {
 	client := stmt.session
 	client.lastPosition = response.Position
 	switch opened := client.HandleResponse(stmt.step, response); {
 	case !opened:
 		s.releaseConn(conn)
-	case stmt.finished: // its client is gone
+	case stmt.finished: // the client has disconnected
 		client.EndTransaction()
 		s.rollBack(conn)
 	default:
@@ -168,7 +171,7 @@
 	s.finishStatement(stmt, response.Lines)
 }
 
-// releaseOrRollBack makes a connection available again after its statement.
+// releaseOrRollBack makes a connection available again after a statement, with a rollback if a transaction is open on it.
 func (s *Server) releaseOrRollBack(conn *hostConn, response *wire.Response) {
 	if response.State == stateIdle {
 		s.releaseConn(conn)
@@ -177,7 +180,7 @@
 	}
 }
 
-// outcomeOf is what a host's response code means to the policy.
+// outcomeOf returns the policy's outcome for a host's response code.
 func outcomeOf(code wire.Code) policy.Outcome {
 	switch code {
 	case "":
--- a/internal/proxy/statement_send.go
+++ b/internal/proxy/statement_send.go
@@ -7,10 +7,10 @@
 	"ferrypitch/policy"
 )
 
-// internalRequestID marks statements of the proxy's own on a host connection.
+// internalRequestID is the request ID of the proxy's internal statements on host connections.
 const internalRequestID = "-"
 
-// sendPinned sends a statement of a transaction on the transaction's connection.
+// sendPinned sends a statement of a transaction on the connection pinned to the transaction.
 func (s *Server) sendPinned(stmt *statement) {
 	client := stmt.session
 	conn := client.pinnedConn
@@ -27,15 +27,15 @@
 	s.prepareAndSend(conn, stmt)
 }
 
-// prepareAndSend puts a statement on a connection: first what the session has set, if the connection has other values, and
-// once that is acknowledged the statement.
+// prepareAndSend assigns a statement to a connection. If the connection has a different session state, setup statements are sent
+// first, and the statement follows once they are all acknowledged.
 func (s *Server) prepareAndSend(conn *hostConn, stmt *statement) {
 	conn.statement, stmt.attempt.conn = stmt, conn
-	if !s.keyAllows(stmt) {
-		s.sendStatement(conn, stmt) // which refuses it; nothing is set up under a key that is gone
+	if !s.isAuthorized(stmt) {
+		s.sendStatement(conn, stmt) // rejects the statement; no setup is done under a revoked key
 		return
 	}
-	setup := conn.state.Prepare(&stmt.session.Session, stmt.request)
+	setup := conn.state.SetupStatements(&stmt.session.Session, stmt.request)
 	if len(setup) == 0 {
 		s.sendStatement(conn, stmt)
 		return
@@ -45,14 +45,14 @@
 	for _, text := range setup {
 		lines = wire.AppendQuery(lines, internalRequestID, text)
 	}
-	conn.pendingSetup += len(setup)
+	conn.pendingInternal += len(setup)
 	if _, ok := conn.out.write(lines); !ok {
 		s.deferred.add(func() { s.connLost(conn) })
 	}
 }
 
-// sendStatement writes a statement, if the host may still serve it: the lease may have expired, the primary may have been replaced
-// and the key may have been taken away since the policy chose the host.
+// sendStatement writes a statement to the host, unless the host may no longer serve it: since the policy chose the host, the lease may
+// have expired, the primary may have been replaced or the key may have been revoked.
 func (s *Server) sendStatement(conn *hostConn, stmt *statement) {
 	now := s.refreshPolicyTime()
 	attempt := &stmt.attempt
@@ -73,7 +73,7 @@
 	}
 	attempt.sentAt, attempt.sent, attempt.writtenAt = now, true, s.clock.Time()
 	if written, ok := conn.out.write(line); !ok {
-		attempt.sent = retry.ProgressOf(written, len(line)) == retry.Sent // a line that was cut off never runs
+		attempt.sent = retry.ProgressOf(written, len(line)) == retry.Sent // a host never executes an incomplete line
 		s.deferred.add(func() { s.connLost(conn) })
 	}
 	if attempt.sent {
@@ -81,12 +81,12 @@
 	}
 }
 
-// encodeStatement is a statement as the host may run it now; false: it may not. Where the host is not known to be the primary,
-// a read carries a fence: its floor, or the session's own last write if that is later. The host itself rejects the read while it
-// lacks that position, so that a wrong guess of the policy costs an attempt and never shows old data.
+// encodeStatement returns a statement as the host may execute it now, or false if it may not. If the host is not known to be the
+// primary, a read carries a fence: its floor, or the position of the session's own last write if that is later. The host rejects the
+// read while it lacks that position, so a wrong choice of the policy costs an attempt but never returns stale data.
 func (s *Server) encodeStatement(pool *hostPool, stmt *statement, now policy.TenthMs) (line []byte, ok bool) {
 	attempt := &stmt.attempt
-	if !s.keyAllows(stmt) {
+	if !s.isAuthorized(stmt) {
 		return nil, false
 	}
 	if stmt.isPinned() {
@@ -102,16 +102,16 @@
 		return wire.AppendQuery(nil, stmt.request.ID, stmt.step.Text), true
 	}
 	route := stmt.route
-	fence, known := pool.service.positions.Fence(now, route.stalenessBound, stmt.ownWrites())
+	fence, known := pool.service.positions.Fence(now, route.stalenessBound, stmt.ownWritePosition())
 	if stmt.group != route.readGroup || route.stalenessBound == 0 || !known {
 		return nil, false
 	}
 	return wire.AppendFencedQuery(nil, stmt.request.ID, fence, stmt.step.Text), true
 }
 
-// countUnsent counts a statement that may not be sent, by its reason.
+// countUnsent counts a statement that may not be sent, by reason.
 func (s *Server) countUnsent(stmt *statement) {
-	if s.keyAllows(stmt) {
+	if s.isAuthorized(stmt) {
 		s.counters.leaseExpiredBeforeSend.Add(1)
 	} else {
 		s.counters.revokedStatements.Add(1)
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -7,11 +7,11 @@
 	"ferrypitch/policy"
 )
 
-// staleConfigGrace is how long a proxy without a valid lease keeps sessions that ask for nothing. Other proxies may have a
-// lease: clients are let go to them.
+// staleConfigGrace is how long a proxy without a valid lease keeps idle sessions open. It closes them afterwards so that the clients
+// reconnect to other proxies, which may have a lease.
 const staleConfigGrace = 500 * time.Millisecond
 
-// sweep checks all that is bound to time instead of an event. It runs every sweepInterval, with each lease and at shutdown.
+// sweep performs the checks that depend on time instead of an event. It runs every sweepInterval, with each lease and at shutdown.
 func (s *Server) sweep(now time.Time) {
 	s.updateReadiness()
 	s.greetWaitingClients(now)
@@ -21,7 +21,7 @@
 	s.countAliveProxies()
 	for _, id := range s.poolsInUse() {
 		pool := s.pools[id]
-		if pool == nil { // closing the connections of another has ended it
+		if pool == nil { // removed as a consequence of closing connections of another host
 			continue
 		}
 		pool.closeExcessIdle(now)
@@ -48,7 +48,7 @@
 	}
 }
 
-// rollBackIdleTransactions frees connections of transactions whose client has sent nothing for too long.
+// rollBackIdleTransactions rolls back transactions whose client has been idle longer than TxnIdleMs, which frees their connections.
 func (s *Server) rollBackIdleTransactions(now time.Time) {
 	if s.config == nil || s.config.Limits.TxnIdleMs <= 0 {
 		return
--- a/internal/proxy/tenancy/bounds.go
+++ b/internal/proxy/tenancy/bounds.go
@@ -1,26 +1,26 @@
 package tenancy
 
 const (
-	// maxTransactionGraceMs is how long an open transaction of a key that was taken away may take to end, at most.
+	// maxTransactionGraceMs is the longest time that an open transaction may go on after its key was revoked.
 	maxTransactionGraceMs = 1000
 
-	// boundShare is the part of a bound of the platform that a proxy uses up itself; the others are left for updates that arrive
-	// late and for statements that are on their way.
+	// boundShare is the fraction of a platform bound that a proxy uses itself. The rest is left for late configuration updates and
+	// for statements in flight.
 	boundShare = 1.0 / 4
 
-	// downgradeShare is the part of the platform's bound for going back to an older version that a transaction may use.
+	// downgradeShare is the fraction of DowngradeMs that a transaction may use.
 	downgradeShare = 1.0 / 2
 )
 
-// Bounds are the platform's bounds on the use of a key that was taken away, in milliseconds.
+// Bounds are the platform's bounds on the use of a revoked key, in milliseconds.
 type Bounds struct {
-	RevokeMs      float64 // from the acknowledgement of the change until nothing runs under the key
-	ConfigApplyMs float64 // from the acknowledgement of any change until proxies act on it
-	DowngradeMs   float64 // from the first effect of a version at a proxy until it acts on no older one; 0: no bound
+	RevokeMs      float64 // from the acknowledgement of the revocation until nothing runs under the key
+	ConfigApplyMs float64 // from the acknowledgement of a configuration change until proxies apply it
+	DowngradeMs   float64 // from the first effect of a version at a proxy until it acts on no older version; 0: no bound
 }
 
-// TransactionGraceMs returns how long after a proxy has applied the removal of a key an open transaction of it may still send
-// statements, so that most of them end by themselves.
+// TransactionGraceMs returns the grace period of open transactions: how long they may still send statements after the proxy has
+// applied the revocation of their key. Most transactions end within it.
 func (b Bounds) TransactionGraceMs() int64 {
 	grace := min(maxTransactionGraceMs, boundShare*b.RevokeMs, boundShare*b.ConfigApplyMs)
 	if b.DowngradeMs > 0 {
@@ -29,5 +29,6 @@
 	return int64(grace)
 }
 
-// MaxLeaseLossMs returns for how long without a valid lease, which shows that the configuration is new, keys may still be relied on.
+// MaxLeaseLossMs returns how long keys may still be accepted after the lease has expired. Only a valid lease shows that the
+// configuration, and with it the list of keys, is current.
 func (b Bounds) MaxLeaseLossMs() int64 { return int64(boundShare * b.RevokeMs) }
--- a/internal/proxy/tenancy/tenancy.go
+++ b/internal/proxy/tenancy/tenancy.go
@@ -1,14 +1,14 @@
-// Package tenancy finds the tenant that holds a client's key, and says how long what began under a key may go on once the key is
-// taken away.
+// Package tenancy maps clients' keys to tenants, and bounds how long sessions and transactions may go on after their key is
+// revoked.
 //
-//	CONNECT's key, Secret of the process -> Secret.Hash -> KeyHash, which the session keeps in place of the key
+//	CONNECT's key, Secret of the process -> Secret.Hash -> KeyHash, which the session stores instead of the key
 //	tenants of the configuration         -> NewIndex    -> Index
-//	KeyHash                              -> Index.Admit -> name of the tenant, which hosts are told
+//	KeyHash                              -> Index.Admit -> name of the tenant, which is sent to hosts
 //
-// Keys are compared by their keyed hashes alone: the time of a comparison says nothing of a key, and nobody outside the process can
-// work out a hash.
+// Keys are compared only by their keyed hashes: the time of a comparison reveals nothing about a key, and a hash can't be computed
+// outside the process.
 //
-// The package is pure: the secret is an argument, and times are numbers of milliseconds.
+// The package reads no clock and no random source: the secret is an argument, and times are numbers of milliseconds.
 package tenancy
 
 import (
@@ -17,7 +17,7 @@
 	"ferrypitch/internal/config"
 )
 
-// Secret is the key of a process's hashes, drawn at its start.
+// Secret is the process's key for KeyHash, generated at start.
 type Secret [32]byte
 
 // KeyHash is the keyed hash of a client's key.
@@ -29,7 +29,7 @@
 func (s Secret) hasher() *blake3.Hasher {
 	hasher, err := blake3.NewKeyed(s[:])
 	if err != nil {
-		panic(err) // only for a secret of another length
+		panic(err) // NewKeyed fails only if the key is not 32 bytes long
 	}
 	return hasher
 }
@@ -41,11 +41,11 @@
 	return hash
 }
 
-// Index finds the tenants of one configuration by the hashes of their keys. The zero value is that of a configuration which does not
-// ask who clients are.
+// Index maps the hashes of the keys in one configuration to their tenants. The zero value is the index of a configuration without
+// a list of tenants, where clients need no key.
 type Index struct {
-	asks    bool // clients have to name themselves
-	tenants map[KeyHash]string
+	keysRequired bool // the configuration has a list of tenants
+	tenants      map[KeyHash]string
 }
 
 // NewIndex returns the index of a configuration.
@@ -53,7 +53,7 @@
 	if !configured.HasTenants() {
 		return Index{}
 	}
-	index := Index{asks: true, tenants: make(map[KeyHash]string, len(configured.Tenants))}
+	index := Index{keysRequired: true, tenants: make(map[KeyHash]string, len(configured.Tenants))}
 	hasher := secret.hasher()
 	for i := range configured.Tenants {
 		tenant := &configured.Tenants[i]
@@ -64,21 +64,23 @@
 	return index
 }
 
-// AsksClients reports whether clients have to name themselves, except on public routes.
-func (i Index) AsksClients() bool { return i.asks }
+// RequiresKeys reports whether clients need a key, except on public routes.
+func (i Index) RequiresKeys() bool { return i.keysRequired }
 
-// Admit returns the tenant under which a client's statements run on a route. The name is empty where clients are not asked who they
-// are: on a public route, and if the configuration has no list of tenants. ok is false if no tenant holds the key.
+// Admit returns the tenant under which a client's statements run on a route. The name is empty where clients need no key: on a
+// public route, and if the configuration has no list of tenants. ok is false if no tenant holds the key.
 func (i Index) Admit(publicRoute bool, key KeyHash) (tenant string, ok bool) {
-	if i.AsksNobody(publicRoute) {
+	if i.AllowsAnonymous(publicRoute) {
 		return "", true
 	}
 	tenant, ok = i.tenants[key]
 	return tenant, ok
 }
 
-// AsksNobody reports whether clients of a route need no key.
-func (i Index) AsksNobody(publicRoute bool) bool { return publicRoute || !i.asks }
+// AllowsAnonymous reports whether clients of a route need no key.
+func (i Index) AllowsAnonymous(publicRoute bool) bool { return publicRoute || !i.keysRequired }
 
-// Holds reports whether a tenant still holds the key under which work of its own began.
-func (i Index) Holds(tenant string, key KeyHash) bool { return !i.asks || i.tenants[key] == tenant }
+// TenantHoldsKey reports whether the tenant under which a session's statement or transaction began still holds the session's key.
+func (i Index) TenantHoldsKey(tenant string, key KeyHash) bool {
+	return !i.keysRequired || i.tenants[key] == tenant
+}
--- a/internal/proxy/tenancy/tenancy_test.go
+++ b/internal/proxy/tenancy/tenancy_test.go
@@ -28,23 +28,23 @@
 	require.False(t, ok, "the hash of another process")
 	tenant, ok := index.Admit(true, secret.Hash("k4"))
 	require.True(t, ok)
-	require.Empty(t, tenant, "a public route asks nobody")
+	require.Empty(t, tenant, "a public route needs no key")
 	tenant, ok = Index{}.Admit(false, secret.Hash("k4"))
 	require.True(t, ok)
 	require.Empty(t, tenant)
 	_, ok = NewIndex(secret, &config.Config{Tenants: []config.Tenant{}}).Admit(false, secret.Hash("k1"))
-	require.False(t, ok, "an empty list admits nobody")
+	require.False(t, ok, "an empty list of tenants admits no key")
 }
 
 func TestWorkGoesOnWhileItsTenantHoldsTheKey(t *testing.T) {
 	secret := Secret{1}
 	index := NewIndex(secret, configured)
-	require.True(t, index.Holds("north", secret.Hash("k2")))
-	require.False(t, index.Holds("south", secret.Hash("k2")), "the key is another tenant's now")
-	require.False(t, index.Holds("north", secret.Hash("k9")))
-	require.False(t, index.AsksNobody(false), "work that began before anybody was asked does not go on")
-	require.True(t, index.AsksNobody(true))
-	require.True(t, Index{}.AsksNobody(false))
+	require.True(t, index.TenantHoldsKey("north", secret.Hash("k2")))
+	require.False(t, index.TenantHoldsKey("south", secret.Hash("k2")), "the key belongs to another tenant")
+	require.False(t, index.TenantHoldsKey("north", secret.Hash("k9")))
+	require.False(t, index.AllowsAnonymous(false), "work that began without a key does not go on")
+	require.True(t, index.AllowsAnonymous(true))
+	require.True(t, Index{}.AllowsAnonymous(false))
 }
 
 func TestBoundsOnRevokedKeys(t *testing.T) {
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -9,15 +9,15 @@
 	"ferrypitch/internal/proxy/tenancy"
 )
 
-// Where the configuration lists tenants, a client names itself by a key, and its statements run on connections that this proxy opened
-// in the name of the key's tenant. Keys can be taken away at any time: the key is looked up for each statement outside a transaction,
-// and again right before it is sent.
+// If the configuration lists tenants, a client authenticates with a key, and its statements run on connections that this proxy has
+// opened as the key's tenant. A key can be revoked at any time, so it is looked up for each statement outside a transaction, and again
+// right before the statement is sent.
 
-// proxyIdentity is what hosts are told in place of a tenant where clients are not asked who they are.
+// proxyIdentity is sent to hosts instead of a tenant's name where clients need no key.
 const proxyIdentity = "proxy"
 
-// admit returns the tenant under which a session's statements run on a route, empty where clients are not asked. ok is false if no
-// tenant holds the session's key.
+// admit returns the tenant under which a session's statements run on a route, which is empty where clients need no key. ok is false if
+// no tenant holds the session's key.
 func (s *Server) admit(client *clientSession, r *route) (tenant string, ok bool) {
 	return s.tenants.Admit(r.Public, client.keyHash)
 }
@@ -27,16 +27,17 @@
 	return tenancy.Bounds{RevokeMs: bounds.RevokeMs, ConfigApplyMs: bounds.ConfigApplyMs, DowngradeMs: bounds.DowngradeMs}
 }
 
-// keysOutdated says that the lease ended too long ago to rely on any key, where revocations bind proxies that are cut off, too.
+// keysOutdated reports whether the lease expired too long ago to accept any key. It applies only with the setting RevokeClosed, under
+// which revocations also bind proxies that are partitioned from the control plane.
 func (s *Server) keysOutdated() bool {
 	return s.settings.Bounds.RevokeClosed && s.clock.Now() >= s.lease.holder.ExpiresAt()+s.tenancyBounds().MaxLeaseLossMs()
 }
 
-// keyAllows says that a statement may be sent under its client's key at this moment. A transaction of a key that was taken away may
-// go on for a short time, in which most end.
-func (s *Server) keyAllows(stmt *statement) bool {
+// isAuthorized reports whether a statement may be sent under its client's key now. A transaction whose key was revoked may go on for a
+// grace period, within which most transactions end.
+func (s *Server) isAuthorized(stmt *statement) bool {
 	switch {
-	case s.runsAs(stmt.session, stmt.tenant):
+	case s.tenantHoldsKey(stmt.session, stmt.tenant):
 		return stmt.tenant == "" || !s.keysOutdated()
 	case stmt.tenant != "" && s.keysOutdated():
 		return false
@@ -44,96 +45,97 @@
 	return stmt.isPinned() && !s.transactionGraceOver(stmt.session)
 }
 
-// runsAs says that work of a session which began under a tenant may go on as that tenant's, by the configuration in force. Without a
-// tenant it may while the session's route asks nobody.
-func (s *Server) runsAs(client *clientSession, tenant string) bool {
+// tenantHoldsKey reports whether, by the current configuration, a tenant holds the session's key, so that a statement or transaction
+// that began under the tenant may go on. For an empty tenant it reports whether the session's route needs no key.
+func (s *Server) tenantHoldsKey(client *clientSession, tenant string) bool {
 	if tenant != "" {
-		return s.tenants.Holds(tenant, client.keyHash)
+		return s.tenants.TenantHoldsKey(tenant, client.keyHash)
 	}
 	r := s.routes[client.database]
-	return r == nil || s.tenants.AsksNobody(r.Public)
+	return r == nil || s.tenants.AllowsAnonymous(r.Public)
 }
 
 func (s *Server) transactionGrace() time.Duration {
 	return time.Duration(s.tenancyBounds().TransactionGraceMs()) * time.Millisecond
 }
 
-// transactionGraceOver says that the key of a session's transaction was taken away too long ago for the transaction to go on.
+// transactionGraceOver reports whether the grace period of the session's transaction, after the revocation of its key, has ended.
 func (s *Server) transactionGraceOver(client *clientSession) bool {
-	return !client.keyLostAt.IsZero() && s.clock.Time().Sub(client.keyLostAt) >= s.transactionGrace()
+	return !client.keyRevokedAt.IsZero() && s.clock.Time().Sub(client.keyRevokedAt) >= s.transactionGrace()
 }
 
-// rejectKey answers a statement that may not run under its client's key, and of which nothing has run. That no tenant holds the key is
-// final only under a valid lease; without one the client may retry at another proxy.
-func (s *Server) rejectKey(stmt *statement) {
+// rejectUnauthorized answers a statement that may not run under its client's key and that has not run. An unknown key is final only
+// under a valid lease; without one the client may retry at another proxy.
+func (s *Server) rejectUnauthorized(stmt *statement) {
 	client := stmt.session
 	s.counters.revokedStatements.Add(1)
 	_, held := s.admit(client, stmt.route)
 	switch {
 	case !s.configCurrent():
 		s.reject(stmt, errcode.NoValidLease, stmt.route.comebackMs())
-	case held: // by another tenant: the client's next attempt runs under that one
+	case held: // by another tenant, under which a retry of the client runs
 		s.reject(stmt, errcode.WriteNotSent, 0)
 	default:
 		stmt.finished, client.statement = true, nil
 		s.releaseToken(stmt)
 		s.counters.rejected.Add(1)
 		s.sendFinal(client, s.errorReply(errcode.KeyRevoked, 0))
-		s.processMessages(client) // its reader may have ended before
+		s.processMessages(client) // its reader may already have ended
 	}
 }
 
-// withdrawForKey answers a statement that the policy has, like rejectKey, and takes it back from the policy.
-func (s *Server) withdrawForKey(stmt *statement) {
+// withdrawUnauthorized answers a statement like rejectUnauthorized and withdraws it from the policy.
+func (s *Server) withdrawUnauthorized(stmt *statement) {
 	if !stmt.finished {
-		s.rejectKey(stmt)
+		s.rejectUnauthorized(stmt)
 	}
 	s.withdraw(stmt)
 }
 
-// applyTenants has sessions, statements and transactions follow the tenants of a new configuration.
+// applyTenants applies the tenants of a new configuration to sessions, statements and transactions.
 func (s *Server) applyTenants() {
-	transactionsLost := false
+	keysRevoked := false
 	for _, client := range s.sessions.byAge() {
-		transactionsLost = s.noteKeyLoss(client) || transactionsLost
-		if client.idle() && !s.admitted(client) {
+		keysRevoked = s.trackKeyRevocation(client) || keysRevoked
+		if client.idle() && !s.isAdmitted(client) {
 			s.counters.revokedSessions.Add(1)
 			client.drain()
 		}
 	}
 	s.withdrawRevokedStatements()
-	if transactionsLost {
+	if keysRevoked {
 		s.timers.Add(s.clock.Time().Add(s.transactionGrace()), s.endRevokedTransactions)
 	}
 }
 
-// admitted says that a session may begin statements, as far as its key goes.
-func (s *Server) admitted(client *clientSession) bool {
+// isAdmitted reports whether the session's key allows new statements.
+func (s *Server) isAdmitted(client *clientSession) bool {
 	r := s.routes[client.database]
 	if r == nil {
-		return true // the route says what becomes of it
+		return true // a removed route is handled by reconciliation and by handleStatement
 	}
 	_, ok := s.admit(client, r)
 	return ok
 }
 
-// noteKeyLoss notes since when the tenant of a session's transaction or statement does not hold the session's key, and says whether
-// that is so.
-func (s *Server) noteKeyLoss(client *clientSession) (lost bool) {
-	if !client.isActive() || s.runsAs(client, client.activeTenant()) {
-		client.keyLostAt = time.Time{}
+// trackKeyRevocation records since when the tenant of a session's statement or transaction no longer holds the session's key. It
+// reports whether the key is revoked.
+func (s *Server) trackKeyRevocation(client *clientSession) (revoked bool) {
+	if !client.isActive() || s.tenantHoldsKey(client, client.activeTenant()) {
+		client.keyRevokedAt = time.Time{}
 		return false
 	}
-	if client.keyLostAt.IsZero() {
-		client.keyLostAt = s.clock.Time()
+	if client.keyRevokedAt.IsZero() {
+		client.keyRevokedAt = s.clock.Time()
 	}
 	return true
 }
 
-// isActive says that a statement or a transaction of the session is under way.
+// isActive reports whether the session has a statement or transaction in progress.
 func (c *clientSession) isActive() bool { return c.statement != nil || c.pinnedConn != nil }
 
-// activeTenant is the tenant under which a session's statement or transaction runs; empty: there is neither, or nobody was asked.
+// activeTenant returns the tenant under which the session's statement or transaction runs. It is empty if there is neither, or if the
+// client needed no key.
 func (c *clientSession) activeTenant() string {
 	switch {
 	case c.statement != nil:
@@ -144,24 +146,24 @@
 	return ""
 }
 
-// withdrawRevokedStatements ends the statements that wait for a host and whose key was taken away. A write of which an earlier attempt
-// may have run stays: its outcome is the policy's to tell.
+// withdrawRevokedStatements rejects the statements that wait for a host and whose key was revoked. A write of which an earlier attempt
+// may have run is left to the policy, which determines its outcome.
 func (s *Server) withdrawRevokedStatements() {
 	for _, id := range slices.Sorted(maps.Keys(s.statements)) {
 		stmt := s.statements[id]
-		if stmt == nil || stmt.finished || stmt.mayHaveRun || stmt.command == nil || !stmt.awaitsHost() || s.keyAllows(stmt) {
+		if stmt == nil || stmt.finished || stmt.mayHaveRun || stmt.command == nil || !stmt.awaitsHost() || s.isAuthorized(stmt) {
 			continue
 		}
-		s.withdrawForKey(stmt)
+		s.withdrawUnauthorized(stmt)
 	}
 }
 
-// endRevokedTransactions rolls back the open transactions whose key was taken away, where no statement is with the host. One whose
-// statement is there ends with the client's next.
+// endRevokedTransactions rolls back the open transactions whose key was revoked and that have no statement in flight. A transaction
+// with a statement in flight ends at the client's next statement.
 func (s *Server) endRevokedTransactions() {
 	for _, client := range s.sessions.byAge() {
 		conn := client.pinnedConn
-		if conn == nil || client.statement != nil || s.runsAs(client, conn.tenant) || !s.transactionGraceOver(client) {
+		if conn == nil || client.statement != nil || s.tenantHoldsKey(client, conn.tenant) || !s.transactionGraceOver(client) {
 			continue
 		}
 		s.counters.revokedTransactions.Add(1)
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -15,7 +15,7 @@
 	"ferrypitch/internal/wire"
 )
 
-// Keys of tenantConfig and one that no configuration has.
+// Keys in tenantsWithAllKeys, and one that is in no configuration.
 const (
 	northKey, northSpareKey, southKey, unknownKey = "north-key", "north-spare-key", "south-key", "unknown-key"
 
@@ -23,13 +23,13 @@
 	tenantsWithSpareKeys = `[{"Name":"north","ApiKeys":["north-spare-key"]},{"Name":"south","ApiKeys":["south-key"]}]`
 )
 
-// withTenants is the initial configuration in a version with tenants.
+// withTenants returns the initial configuration with another version and a list of tenants.
 func withTenants(version, tenants string) []byte {
 	body := strings.Replace(initialConfig, `"Generation":1`, `"Generation":`+version, 1)
 	return []byte(strings.Replace(body, `"Services":`, `"Tenants":`+tenants+`,"Services":`, 1))
 }
 
-// newTenantSimulation is one proxy, whose clients have to name themselves.
+// newTenantSimulation returns a simulation of one proxy whose clients need a key.
 func newTenantSimulation(t *testing.T) (*simulation, *proxyProcess) {
 	t.Helper()
 	sim := newSimulation(1, 1, 0)
@@ -40,6 +40,7 @@
 	return sim, proxy
 }
 
+// applyTenantConfig commits a configuration with these tenants and waits until the proxy has applied it.
 func applyTenantConfig(sim *simulation, version, tenants string) {
 	sim.control.apply(statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{BaseVersion: sim.control.state.Generation, Body: withTenants(version, tenants)}})
 	sim.RunFor(20 * millisecond)
@@ -53,16 +54,16 @@
 	return session, conn
 }
 
-// askAndTake sends a statement and returns its answer.
-func askAndTake(t *testing.T, sim *simulation, session *clientSession, conn *recordedConn, line string) string {
+// sendAndTake sends a statement and returns its answer.
+func sendAndTake(t *testing.T, sim *simulation, session *clientSession, conn *recordedConn, line string) string {
 	t.Helper()
 	ask(t, sim.proxies[0], session, line)
 	sim.RunFor(100 * millisecond)
 	return conn.take()
 }
 
-// identities are who the hosts' connections are for.
-func (sim *simulation) identities() (names []string) {
+// connIdentities returns the identities that CONNECT named on the open connections of all hosts.
+func (sim *simulation) connIdentities() (names []string) {
 	for _, host := range sim.database.Hosts {
 		for conn := range host.Conns {
 			names = append(names, conn.Identity)
@@ -78,10 +79,10 @@
 		require.Equal(t, "IDLE I -\r\n", conn.take())
 		ran := ""
 		sim.database.OnRead = func(_ *database.Host, c *database.Conn, _ string) { ran = c.Identity }
-		require.Contains(t, askAndTake(t, sim, session, conn, "QUERY c1 FETCH a"), "DONE")
+		require.Contains(t, sendAndTake(t, sim, session, conn, "QUERY c1 FETCH a"), "DONE")
 		require.Equal(t, tenant, ran)
 	}
-	for _, name := range sim.identities() {
+	for _, name := range sim.connIdentities() {
 		require.Contains(t, []string{"north", "south", proxyIdentity}, name)
 	}
 }
@@ -98,7 +99,7 @@
 	sim.RunFor(1700 * millisecond)
 	require.False(t, proxy.server.leaseValid())
 	_, conn = beginAs(proxy, "lead", unknownKey)
-	require.Empty(t, conn.take(), "the key may have been added just now")
+	require.Empty(t, conn.take(), "the key may be in a newer configuration")
 	sim.RunFor(waitingClientTimeout.Milliseconds()*millisecond + 100*millisecond)
 	require.Contains(t, conn.take(), "ERROR RETRY")
 }
@@ -106,13 +107,13 @@
 func TestRevokedKeyEndsSessionsAndStatements(t *testing.T) {
 	sim, proxy := newTenantSimulation(t)
 	spare, spareConn := beginAs(proxy, "lead", northSpareKey)
-	require.Contains(t, askAndTake(t, sim, spare, spareConn, "QUERY c1 FETCH a"), "DONE")
-	atRest, _ := beginAs(proxy, "lead", northKey)
+	require.Contains(t, sendAndTake(t, sim, spare, spareConn, "QUERY c1 FETCH a"), "DONE")
+	idle, _ := beginAs(proxy, "lead", northKey)
 	active, activeConn := beginAs(proxy, "lead", northKey)
 	activeConn.take()
 	draining, drainingConn := beginAs(proxy, "lead", northKey)
 	drainingConn.take()
-	for _, host := range sim.database.Hosts { // so that the statement waits for a connection
+	for _, host := range sim.database.Hosts { // so that statements have to wait for a connection
 		host.Unreachable = true
 		pool := proxy.server.pools[host.ID]
 		proxy.run(proxy.incarnation, func(server *Server) {
@@ -127,7 +128,7 @@
 	draining.drain()
 	proxy.run(proxy.incarnation, func(server *Server) { server.handleReaderEnd(draining) })
 	applyTenantConfig(sim, "3", tenantsWithSpareKeys)
-	require.True(t, atRest.ending)
+	require.True(t, idle.ending)
 	require.Equal(t, "ERROR DENIED the key was taken away\r\n", activeConn.take())
 	require.True(t, activeConn.closed)
 	require.Equal(t, "ERROR DENIED the key was taken away\r\n", drainingConn.take())
@@ -144,19 +145,19 @@
 		session *clientSession
 		conn    *recordedConn
 	}{{quick, quickConn}, {slow, slowConn}} {
-		require.Contains(t, askAndTake(t, sim, begun.session, begun.conn, "QUERY c1 BEGIN"), "IDLE T")
-		require.Contains(t, askAndTake(t, sim, begun.session, begun.conn, "QUERY c2 STORE a "+formatID(begun.session.id)), "IDLE T")
+		require.Contains(t, sendAndTake(t, sim, begun.session, begun.conn, "QUERY c1 BEGIN"), "IDLE T")
+		require.Contains(t, sendAndTake(t, sim, begun.session, begun.conn, "QUERY c2 STORE a "+formatID(begun.session.id)), "IDLE T")
 	}
 	applyTenantConfig(sim, "3", tenantsWithSpareKeys)
-	require.Contains(t, askAndTake(t, sim, quick, quickConn, "QUERY c3 COMMIT"), "IDLE I")
+	require.Contains(t, sendAndTake(t, sim, quick, quickConn, "QUERY c3 COMMIT"), "IDLE I")
 	sim.RunFor(100 * millisecond)
 	require.Equal(t, "ERROR ABORTED the transaction was rolled back; 100\r\nIDLE I -\r\n",
-		positionless(askAndTake(t, sim, slow, slowConn, "QUERY c4 COMMIT")))
+		withoutPosition(sendAndTake(t, sim, slow, slowConn, "QUERY c4 COMMIT")))
 	for _, ended := range []struct {
 		session *clientSession
 		conn    *recordedConn
 	}{{quick, quickConn}, {slow, slowConn}} {
-		require.Equal(t, "ERROR DENIED the key was taken away\r\n", askAndTake(t, sim, ended.session, ended.conn, "QUERY c5 FETCH a"))
+		require.Equal(t, "ERROR DENIED the key was taken away\r\n", sendAndTake(t, sim, ended.session, ended.conn, "QUERY c5 FETCH a"))
 	}
 	_, kept := sim.database.FindWrite(formatID(quick.id))
 	require.True(t, kept)
@@ -164,7 +165,7 @@
 	require.False(t, kept)
 }
 
-// A transaction of a client that nobody asked for a key must not outlive the configuration that asks for one.
+// A transaction that began while clients needed no key must end once the configuration requires one.
 func TestTransactionWithoutATenantEndsOnceKeysAreAskedFor(t *testing.T) {
 	sim := newSimulation(1, 1, 0)
 	proxy := sim.proxies[0]
@@ -172,15 +173,15 @@
 	sim.RunFor(2 * second)
 	client, conn := beginAs(proxy, "lead", unknownKey)
 	conn.take()
-	require.Contains(t, askAndTake(t, sim, client, conn, "QUERY c1 BEGIN"), "IDLE T")
+	require.Contains(t, sendAndTake(t, sim, client, conn, "QUERY c1 BEGIN"), "IDLE T")
 	applyTenantConfig(sim, "2", tenantsWithAllKeys)
 	sim.RunFor(200 * millisecond)
-	require.Contains(t, askAndTake(t, sim, client, conn, "QUERY c2 COMMIT"), "ERROR ABORTED")
-	require.Equal(t, "ERROR DENIED the key was taken away\r\n", askAndTake(t, sim, client, conn, "QUERY c3 FETCH a"))
+	require.Contains(t, sendAndTake(t, sim, client, conn, "QUERY c2 COMMIT"), "ERROR ABORTED")
+	require.Equal(t, "ERROR DENIED the key was taken away\r\n", sendAndTake(t, sim, client, conn, "QUERY c3 FETCH a"))
 }
 
-// positionless is an answer without the position of its IDLE.
-func positionless(answer string) string {
+// withoutPosition replaces the position in the IDLE of an answer by "-".
+func withoutPosition(answer string) string {
 	cut := strings.LastIndexByte(answer, ' ')
 	return answer[:cut] + " -\r\n"
 }
@@ -189,16 +190,16 @@
 	sim, proxy := newTenantSimulation(t)
 	session, conn := beginAs(proxy, "own", northKey)
 	conn.take()
-	require.Contains(t, askAndTake(t, sim, session, conn, "QUERY c0 STORE a b"), "DONE") // so that a position is known
-	require.Contains(t, askAndTake(t, sim, session, conn, "QUERY c1 BEGIN FETCH"), "IDLE T")
+	require.Contains(t, sendAndTake(t, sim, session, conn, "QUERY c0 STORE a b"), "DONE") // so that a position is known
+	require.Contains(t, sendAndTake(t, sim, session, conn, "QUERY c1 BEGIN FETCH"), "IDLE T")
 	proxy.partitioned = true
 	sim.RunFor(1500 * millisecond)
 	for proxy.server.leaseValid() {
 		sim.RunFor(10 * millisecond)
 	}
-	require.Contains(t, askAndTake(t, sim, session, conn, "QUERY c2 FETCH a"), "DONE", "a short loss of the lease is borne")
+	require.Contains(t, sendAndTake(t, sim, session, conn, "QUERY c2 FETCH a"), "DONE", "a short loss of the lease is tolerated")
 	sim.RunFor(1300 * millisecond)
-	require.Contains(t, askAndTake(t, sim, session, conn, "QUERY c3 FETCH a"), "ABORTED", "frozen or cut off, it may lack a revocation")
+	require.Contains(t, sendAndTake(t, sim, session, conn, "QUERY c3 FETCH a"), "ABORTED", "a frozen or partitioned proxy may lack a revocation")
 }
 
 func TestConnectionsServeOneTenantWithinTheShare(t *testing.T) {
@@ -226,7 +227,7 @@
 	require.Empty(t, pool.queue.byTenant)
 }
 
-// A statement that waited behind the dials of other tenants must not stay once all of these were refused.
+// A statement that waited while connections were dialed for other tenants must not stay queued once all these dials were rejected.
 func TestStatementIsNotLeftWithoutADialAtAFullHost(t *testing.T) {
 	sim, proxy := newTenantSimulation(t)
 	pool := proxy.server.pools[sim.database.Primary().ID]
@@ -246,7 +247,7 @@
 	require.Empty(t, pool.queue.statements)
 }
 
-// A tenant whose statements never stop waiting for connections must not hold all that a proxy may open.
+// A tenant that always has statements waiting must not occupy all connections that a proxy may open.
 func TestBusyTenantLeavesConnectionsToOthers(t *testing.T) {
 	sim, proxy := newTenantSimulation(t)
 	sim.database.LostAnswerOneIn, sim.database.RejectedWriteOneIn = 0, 0
@@ -279,7 +280,7 @@
 		sim.RunFor(1 * millisecond)
 	}
 	require.Contains(t, otherConn.take(), "DONE")
-	require.Less(t, waited, 150, "milliseconds that it waited")
+	require.Less(t, waited, 150, "milliseconds until the answer")
 	require.Positive(t, proxy.server.counters.connsClosedForTenant.Load())
 }
 
@@ -287,11 +288,11 @@
 	sim, proxy := newTenantSimulation(t)
 	session, conn := beginAs(proxy, "lead", northKey)
 	conn.take()
-	require.Contains(t, askAndTake(t, sim, session, conn, "QUERY c1 FETCH a"), "DONE")
+	require.Contains(t, sendAndTake(t, sim, session, conn, "QUERY c1 FETCH a"), "DONE")
 	applyTenantConfig(sim, "3", `[{"Name":"south","ApiKeys":["north-key"]}]`)
 	ran := ""
 	sim.database.OnRead = func(_ *database.Host, c *database.Conn, _ string) { ran = c.Identity }
-	require.Contains(t, askAndTake(t, sim, session, conn, "QUERY c2 FETCH a"), "DONE")
+	require.Contains(t, sendAndTake(t, sim, session, conn, "QUERY c2 FETCH a"), "DONE")
 	require.Equal(t, "south", ran)
 	require.Equal(t, tenancy.Secret{}.Hash(northKey), session.keyHash)
 }
