--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -25,7 +25,7 @@
 	accounts       *quota.Accounts
 	hasLender      bool         // this proxy is connected to the leader
 	lenderVersion  uint32       // protocol version of the last leader
-	waiting        []*statement // statements waiting for a token, the oldest first
+	tokenWaiters   []*statement // statements waiting for a token, the oldest first
 	nextReportAtMs int64        // when reportQuota sends the next report, in milliseconds of the clock
 }
 
@@ -86,8 +86,8 @@
 	s.reject(stmt, errcode.QuotaExceeded, s.accounts.RetryAfterMs(stmt.tenant))
 }
 
-// awaitToken queues a statement for a short time. Without a lender it is rejected at once, since it can't be known whether its
-// tenant is at the limit.
+// awaitToken queues a statement until the lender answers or admissionWait ends. Without a lender the statement is rejected at once,
+// since it can't be known whether its tenant is at the limit.
 func (s *Server) awaitToken(stmt *statement) {
 	if !s.hasLender {
 		s.accounts.Abandon(stmt.tenant)
@@ -95,7 +95,7 @@
 		return
 	}
 	s.counters.quotaWaits.Add(1)
-	s.waiting = append(s.waiting, stmt)
+	s.tokenWaiters = append(s.tokenWaiters, stmt)
 	stmt.quota.timer = s.timers.Add(s.clock.Time().Add(stmt.route.admissionWait()), func() { s.expireTokenWait(stmt) })
 	s.requestTokens()
 }
@@ -122,11 +122,11 @@
 
 // removeTokenWaiter removes a statement from the queue for tokens. It reports whether the statement was in it.
 func (s *Server) removeTokenWaiter(stmt *statement) bool {
-	at := slices.Index(s.waiting, stmt)
+	at := slices.Index(s.tokenWaiters, stmt)
 	if at < 0 {
 		return false
 	}
-	s.waiting = slices.Delete(s.waiting, at, at+1)
+	s.tokenWaiters = slices.Delete(s.tokenWaiters, at, at+1)
 	s.timers.Remove(stmt.quota.timer)
 	return true
 }
@@ -176,8 +176,8 @@
 func (s *Server) quotaAnswered(response *quota.Response) {
 	now := s.clock.Now()
 	s.accounts.Answered(response, now)
-	for _, stmt := range slices.Clone(s.waiting) {
-		if !slices.Contains(s.waiting, stmt) { // ended as a consequence of an earlier one in this loop
+	for _, stmt := range slices.Clone(s.tokenWaiters) {
+		if !slices.Contains(s.tokenWaiters, stmt) { // ended as a consequence of an earlier one in this loop
 			continue
 		}
 		reservation, verdict := s.accounts.Retry(stmt.tenant, now)
@@ -191,7 +191,7 @@
 			s.rejectAtLimit(stmt)
 		}
 	}
-	if len(s.waiting) > 0 {
+	if len(s.tokenWaiters) > 0 {
 		s.requestTokens()
 	}
 }
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -42,7 +42,7 @@
 	require.Empty(t, conn.take())
 	sim.RunFor(15 * millisecond)
 	require.Contains(t, conn.take(), "ERROR RETRY")
-	require.Empty(t, proxy.server.waiting)
+	require.Empty(t, proxy.server.tokenWaiters)
 
 	proxy.run(proxy.incarnation, (*Server).lenderLost)
 	ask(t, proxy, session, "QUERY q2 FETCH 1")
--- a/internal/proxy/parts_test.go
+++ b/internal/proxy/parts_test.go
@@ -31,7 +31,8 @@
 	require.Equal(t, []*clientSession{first, second}, table.byAge())
 }
 
-// A lease is valid from the time of its request, ends at once when it is dropped, and is lost since it was last seen valid.
+// A lease is valid from the time of its request and ends at once when it is dropped. The time without a lease counts from when it
+// was last seen valid.
 func TestLeaseOfAProxy(t *testing.T) {
 	var l proxyLease
 	now := time.Unix(1e9, 0)
--- a/internal/proxy/safeguard_test.go
+++ b/internal/proxy/safeguard_test.go
@@ -34,7 +34,7 @@
 	{"a lease that never expires", "STALE LOST", newSimulation, func(sim *simulation) {
 		sim.changeRepeatedly(func(server *Server) { server.lease.holder.Renew(1 << 50) })
 	}},
-	{"a replica that has less is promoted", "LOST STALE", newSimulation, func(sim *simulation) {
+	{"a replica with an older position is promoted", "LOST STALE", newSimulation, func(sim *simulation) {
 		sim.control.alterResult = func(query failover.HostQuery, result *failover.QueryResult) {
 			if query.Command == failover.Pause {
 				result.Status.Received = wire.Position{Timeline: 1} // all replicas report the same position
@@ -68,7 +68,7 @@
 		sim.changeRoutesRepeatedly(func(r *route) { r.stalenessBound = max(r.stalenessBound, 0) * 8 })
 		sim.changeRoutesRepeatedly(func(r *route) { r.stalenessBound = min(r.stalenessBound, 8*second) })
 	}},
-	{"a connection keeps what another session has set", "PINNED", newSimulation, func(sim *simulation) {
+	{"a connection keeps another session's variables", "PINNED", newSimulation, func(sim *simulation) {
 		sim.changeRepeatedly(func(server *Server) {
 			for _, pool := range server.pools {
 				for conn := range pool.conns {
@@ -91,26 +91,26 @@
 			configured.Tenants = append(configured.Tenants, config.Tenant{Name: tenantName(0), ApiKeys: []string{unknownKey}})
 		})
 	}},
-	{"keys that were taken away are admitted", "REVOKED DOWNGRADE", newSimulationWithTenants, func(sim *simulation) {
+	{"revoked keys are admitted", "REVOKED DOWNGRADE", newSimulationWithTenants, func(sim *simulation) {
 		sim.changeTenantsRepeatedly(func(configured *config.Config) {
 			for key, history := range sim.tenants.history {
 				configured.Tenants = append(configured.Tenants, config.Tenant{Name: history.tenant, ApiKeys: []string{key}})
 			}
 		})
 	}},
-	{"a proxy that is cut off relies on its keys", "REVOKED", newSimulationWithTenants, func(sim *simulation) {
+	{"a partitioned proxy keeps accepting keys", "REVOKED", newSimulationWithTenants, func(sim *simulation) {
 		sim.changeRepeatedly(func(server *Server) { server.settings.Bounds.RevokeClosed = false })
 	}},
-	{"transactions of a key that was taken away go on", "DOWNGRADE", newSimulationWithTenants, func(sim *simulation) {
+	{"transactions of a revoked key go on", "DOWNGRADE", newSimulationWithTenants, func(sim *simulation) {
 		sim.changeRepeatedly(func(server *Server) { server.settings.Bounds.DowngradeMs = 0 })
 	}},
-	{"a proxy that is cut off denies keys that it does not know", "DENIED", newSimulationWithTenants, func(sim *simulation) {
+	{"a partitioned proxy denies unknown keys", "DENIED", newSimulationWithTenants, func(sim *simulation) {
 		sim.changeRepeatedly(func(server *Server) { server.lease.holder.Renew(1 << 50) })
 	}},
-	{"paused replicas are not told to go on", "PAUSED", newClusterSimulation, func(sim *simulation) {
+	{"paused replicas are not resumed", "PAUSED", newClusterSimulation, func(sim *simulation) {
 		sim.cluster.fakeAnswer = func(query failover.HostQuery, _ *database.Host) bool { return query.Command == failover.Resume }
 	}},
-	{"what a removed replica may alone have had is forgotten", "LOST STALE", newClusterSimulation, func(sim *simulation) {
+	{"writes that only a removed replica may have are forgotten", "LOST STALE", newClusterSimulation, func(sim *simulation) {
 		sim.cluster.losesLog = true // so the new host at its address lacks the log that it is assumed to have
 		sim.After(1500*millisecond, func() {
 			sim.database.Hosts[1].ReplicationStopped = true
@@ -131,7 +131,7 @@
 		})
 		sim.After(9*second, crashed.start)
 	}},
-	{"a command or promotion goes out when the lease of its decision is over", "LEASE", newClusterSimulation, func(sim *simulation) {
+	{"a command or promotion is sent after the lease of its decision has expired", "LEASE", newClusterSimulation, func(sim *simulation) {
 		sim.cluster.ignoresLease, sim.cluster.lateOneIn = true, 2
 	}},
 	{"a proxy's clock is slower than leases allow", "STALE LOST", newClusterSimulation, func(sim *simulation) {
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -77,10 +77,10 @@
 	for key, tenant := range map[string]string{northKey: "north", southKey: "south"} {
 		session, conn := beginAs(sim.proxies[0], "lead", key)
 		require.Equal(t, "IDLE I -\r\n", conn.take())
-		ran := ""
-		sim.database.OnRead = func(_ *database.Host, c *database.Conn, _ string) { ran = c.Identity }
+		identity := ""
+		sim.database.OnRead = func(_ *database.Host, c *database.Conn, _ string) { identity = c.Identity }
 		require.Contains(t, sendAndTake(t, sim, session, conn, "QUERY c1 FETCH a"), "DONE")
-		require.Equal(t, tenant, ran)
+		require.Equal(t, tenant, identity)
 	}
 	for _, name := range sim.connIdentities() {
 		require.Contains(t, []string{"north", "south", proxyIdentity}, name)
@@ -251,8 +251,8 @@
 func TestBusyTenantLeavesConnectionsToOthers(t *testing.T) {
 	sim, proxy := newTenantSimulation(t)
 	sim.database.LostAnswerOneIn, sim.database.RejectedWriteOneIn = 0, 0
-	few := strings.Replace(string(withTenants("3", tenantsWithAllKeys)), `"MaxConns":60`, `"MaxConns":4`, 1)
-	update := &statemachine.ConfigUpdate{BaseVersion: sim.control.state.Generation, Body: []byte(few)}
+	body := strings.Replace(string(withTenants("3", tenantsWithAllKeys)), `"MaxConns":60`, `"MaxConns":4`, 1)
+	update := &statemachine.ConfigUpdate{BaseVersion: sim.control.state.Generation, Body: []byte(body)}
 	sim.control.apply(statemachine.Change{UpdateConfig: update})
 	sim.RunFor(20 * millisecond)
 	var busy []*clientSession
@@ -290,9 +290,9 @@
 	conn.take()
 	require.Contains(t, sendAndTake(t, sim, session, conn, "QUERY c1 FETCH a"), "DONE")
 	applyTenantConfig(sim, "3", `[{"Name":"south","ApiKeys":["north-key"]}]`)
-	ran := ""
-	sim.database.OnRead = func(_ *database.Host, c *database.Conn, _ string) { ran = c.Identity }
+	identity := ""
+	sim.database.OnRead = func(_ *database.Host, c *database.Conn, _ string) { identity = c.Identity }
 	require.Contains(t, sendAndTake(t, sim, session, conn, "QUERY c2 FETCH a"), "DONE")
-	require.Equal(t, "south", ran)
+	require.Equal(t, "south", identity)
 	require.Equal(t, tenancy.Secret{}.Hash(northKey), session.keyHash)
 }
