--- a/internal/proxy/changed.go
+++ b/internal/proxy/changed.go
@@ -22,7 +22,7 @@
 }
 
 // changedHosts returns the hosts of the replicated state that are new, that differ from this proxy's pool for them, or that are
-// draining, whose list state depends on which host is the primary.
+// draining, whose standing depends on which host is the primary.
 func (s *Server) changedHosts() []string {
 	var ids []string
 	for id, want := range s.replica.state.Hosts {
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -111,8 +111,8 @@
 	idle, _ := beginAs(proxy, "lead", northKey)
 	active, activeConn := beginAs(proxy, "lead", northKey)
 	activeConn.take()
-	draining, drainingConn := beginAs(proxy, "lead", northKey)
-	drainingConn.take()
+	drained, drainedConn := beginAs(proxy, "lead", northKey)
+	drainedConn.take()
 	for _, host := range sim.database.Hosts { // so that statements have to wait for a connection
 		host.Unreachable = true
 		pool := proxy.server.pools[host.ID]
@@ -124,15 +124,15 @@
 	}
 	ask(t, proxy, active, "QUERY c2 STORE a b")
 	require.Empty(t, activeConn.take())
-	ask(t, proxy, draining, "QUERY c3 STORE a b")
-	draining.drain()
-	proxy.run(proxy.incarnation, func(server *Server) { server.handleReaderEnd(draining) })
+	ask(t, proxy, drained, "QUERY c3 STORE a b")
+	drained.drain()
+	proxy.run(proxy.incarnation, func(server *Server) { server.handleReaderEnd(drained) })
 	applyTenantConfig(sim, "3", tenantsWithSpareKeys)
 	require.True(t, idle.ending)
 	require.Equal(t, "ERROR DENIED the key was taken away\r\n", activeConn.take())
 	require.True(t, activeConn.closed)
-	require.Equal(t, "ERROR DENIED the key was taken away\r\n", drainingConn.take())
-	require.NotContains(t, proxy.server.sessions.open, draining)
+	require.Equal(t, "ERROR DENIED the key was taken away\r\n", drainedConn.take())
+	require.NotContains(t, proxy.server.sessions.open, drained)
 	require.False(t, spare.ending, "another key of the same tenant")
 	require.Empty(t, proxy.server.statements)
 }
