--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -25,7 +25,6 @@
 	return sim, proxy, session, conn
 }
 
-// answerQuota delivers a lender's response for the tenant to the proxy.
 // answerQuota delivers a lender's response for the tenant to the proxy.
 func answerQuota(proxy *proxyProcess, answer quota.Answer) {
 	answer.Tenant = "t7"
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -124,7 +124,7 @@
 	})
 }
 
-// Fail answers a statement that must not be retried. A write is in doubt if endAttempt recorded that it may have run. COMMIT is handled
+// Fail answers a statement that must not be retried. A write is in doubt if reportFailure recorded that it may have run. COMMIT is handled
 // by commitInDoubt, since statements of a transaction are not submitted to the policy.
 func (p policyCaller) Fail(command *policy.Command) {
 	s := p.server
--- a/internal/proxy/session/session.go
+++ b/internal/proxy/session/session.go
@@ -23,7 +23,7 @@
 	State          wire.TransactionState // zero is StateIdle
 	ReadOnly       bool                  // the transaction was begun read-only
 	TxnConnLost    bool                  // the connection of the transaction was lost
-	MayHaveWritten bool                  // the transaction may have written
+	MayHaveWritten bool                  // the open transaction may have written
 
 	variablesKey     string // cached VariablesKey; valid unless variablesChanged
 	variablesChanged bool   // variablesKey must be computed again
