--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -58,8 +58,8 @@
 	return s.lenderVersion >= rpc.VersionQuotas && s.accounts.Limited(stmt.tenant)
 }
 
-// submitWithinQuota submits a statement outside transactions if this proxy has a token of its tenant, rejects it if the tenant is at
-// its limit, and otherwise queues it until the lender answers.
+// submitWithinQuota submits a statement outside transactions if this proxy has a token of its tenant, rejects it if the tenant
+// is at its limit, and otherwise queues it until the lender answers.
 func (s *Server) submitWithinQuota(stmt *statement) {
 	if !s.isQuotaLimited(stmt) {
 		s.submit(stmt)
--- a/internal/proxy/buffered_conn.go
+++ b/internal/proxy/buffered_conn.go
@@ -17,7 +17,8 @@
 
 // nonblockingConn is the part of a connection that the event loop uses. None of its methods blocks.
 type nonblockingConn interface {
-	// write returns how many bytes were written at once. ok is true if the rest, if any, is buffered; false if the connection failed.
+	// write returns how many bytes were written at once. ok is true if the rest, if any, is buffered; false if the connection
+	// failed.
 	write(data []byte) (written int, ok bool)
 	// stopReading makes the connection's reader stop.
 	stopReading()
--- a/internal/proxy/changed.go
+++ b/internal/proxy/changed.go
@@ -6,8 +6,8 @@
 	"ferrypitch/policy"
 )
 
-// The functions in this file iterate over the map of all hosts or services and sort only the result, which is much smaller. The sort
-// makes the order of calls to the policy deterministic, so that a simulation with the same seed repeats exactly.
+// The functions in this file iterate over the map of all hosts or services and sort only the result, which is much smaller. The
+// sort makes the order of calls to the policy deterministic, so that a simulation with the same seed repeats exactly.
 
 // poolsInUse returns the hosts that the periodic sweep must check: those with connections, and those that are draining.
 func (p *placement) poolsInUse() []string {
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// serveClient reads a client's messages and queues them for the event loop, which owns the session. It closes the socket itself only
-// before the session is handed over, or after the event loop has ended.
+// serveClient reads a client's messages and queues them for the event loop, which owns the session. It closes the socket itself
+// only before the session is handed over, or after the event loop has ended.
 func (s *Server) serveClient(socket net.Conn) {
 	client := &clientSession{server: s, out: newBufferedConn(socket)}
 	reader := &lineReader{conn: socket}
--- a/internal/proxy/client_session.go
+++ b/internal/proxy/client_session.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// respond sends an answer to the client, followed by IDLE, which carries the session's transaction state and the log position of the
-// host that answered last.
+// respond sends an answer to the client, followed by IDLE, which carries the session's transaction state and the log position of
+// the host that answered last.
 func (s *Server) respond(client *clientSession, lines []byte) {
 	if client.closed {
 		return
@@ -107,8 +107,8 @@
 	}
 }
 
-// sendFinal sends the last answer of a session that can't continue and closes the write side. The socket stays open so that the client
-// can read the answer; the session ends when its reader does (handleReaderEnd).
+// sendFinal sends the last answer of a session that can't continue and closes the write side. The socket stays open so that the
+// client can read the answer; the session ends when its reader does (handleReaderEnd).
 func (s *Server) sendFinal(client *clientSession, lines []byte) {
 	if client.closed {
 		return
--- a/internal/proxy/conn_queue.go
+++ b/internal/proxy/conn_queue.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// connQueue holds the statements that wait for a connection to a host, and counts the connections that are being opened. A connection
-// belongs to one tenant, so both are counted by tenant.
+// connQueue holds the statements that wait for a connection to a host, and counts the connections that are being opened. A
+// connection belongs to one tenant, so both are counted by tenant.
 type connQueue struct {
 	statements []*statement // the oldest first
 	dialing    int          // connections that are being opened, over all tenants
--- a/internal/proxy/host_conn.go
+++ b/internal/proxy/host_conn.go
@@ -110,8 +110,8 @@
 	pool.idle = append(pool.idle, conn)
 }
 
-// closeConn closes a connection; the host rolls back a transaction that is open on it. Another connection may be dialed in its place,
-// since it no longer counts against this proxy's share of the host's connections.
+// closeConn closes a connection; the host rolls back a transaction that is open on it. Another connection may be dialed in its
+// place, since it no longer counts against this proxy's share of the host's connections.
 func (s *Server) closeConn(conn *hostConn) {
 	pool := conn.pool
 	if !conn.closed {
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -23,8 +23,8 @@
 	// suspectReportIntervalMs is the minimum interval between two suspect reports of one host, in milliseconds.
 	suspectReportIntervalMs = 150
 
-	// drainReserve is how long before the platform's bound for draining a host the last statement is sent to it, or half of the bound
-	// if that is less. The last statements and the shutdown of the host take this time.
+	// drainReserve is how long before the platform's bound for draining a host the last statement is sent to it, or half of the
+	// bound if that is less. The last statements and the shutdown of the host take this time.
 	drainReserve = 1500 * time.Millisecond
 
 	// maxTenantWait is how long a statement waits before a connection of another tenant is closed for it although that tenant has
@@ -60,9 +60,9 @@
 	role         policy.Role
 }
 
-// assign sends a statement to the host on an idle connection, or queues it and dials another connection if needed. A dialed connection
-// is not reserved for the statement: any connection of a tenant that becomes free serves the tenant's oldest statement. At the
-// connection limit, an idle connection of another tenant is closed to make room.
+// assign sends a statement to the host on an idle connection, or queues it and dials another connection if needed. A dialed
+// connection is not reserved for the statement: any connection of a tenant that becomes free serves the tenant's oldest
+// statement. At the connection limit, an idle connection of another tenant is closed to make room.
 func (p *hostPool) assign(stmt *statement) {
 	s := p.server
 	if conn := p.takeIdle(stmt); conn != nil {
@@ -86,8 +86,8 @@
 	return len(p.conns)+p.queue.dialing < p.server.connShare(p).MaxConns()
 }
 
-// shouldYield reports whether a free connection must be closed to make room for a statement of another tenant: because no statement of
-// its own tenant is waiting, or because the other statement has waited longer than maxTenantWait.
+// shouldYield reports whether a free connection must be closed to make room for a statement of another tenant: because no
+// statement of its own tenant is waiting, or because the other statement has waited longer than maxTenantWait.
 func (p *hostPool) shouldYield(conn *hostConn) bool {
 	waiting := p.queue.oldestWithoutDial()
 	if waiting == nil || waiting.tenant == conn.tenant || p.canDial() {
@@ -158,8 +158,9 @@
 	s.releaseConn(conn)
 }
 
-// dialFailed ends the attempts that are queued for a connection. If the host only rejected the connection as overloaded, attempts of
-// other tenants stay queued while any connection is open or being opened, and attempts of this tenant while it has an open connection.
+// dialFailed ends the attempts that are queued for a connection. If the host only rejected the connection as overloaded,
+// attempts of other tenants stay queued while any connection is open or being opened, and attempts of this tenant while it has
+// an open connection.
 func (p *hostPool) dialFailed(tenant string, code wire.Code, err error) {
 	s := p.server
 	s.counters.connsFailed.Add(1)
@@ -248,8 +249,8 @@
 	}
 }
 
-// endLostTransactions ends transactions with a statement whose response is considered lost. A COMMIT of writes is excluded and waits
-// until its deadline: without its response the outcome is unknown.
+// endLostTransactions ends transactions with a statement whose response is considered lost. A COMMIT of writes is excluded and
+// waits until its deadline: without its response the outcome is unknown.
 func (p *hostPool) endLostTransactions(now policy.TenthMs) {
 	s := p.server
 	for _, conn := range p.connsByAge() {
--- a/internal/proxy/implausible_test.go
+++ b/internal/proxy/implausible_test.go
@@ -8,8 +8,8 @@
 	"ferrypitch/internal/wire"
 )
 
-// A response that violates the protocol, such as a success of BEGIN that opens no transaction or an answer without its stamp, counts
-// as a failed attempt: the client gets another host's answer or an error without waiting for its deadline.
+// A response that violates the protocol, such as a success of BEGIN that opens no transaction or an answer without its stamp,
+// counts as a failed attempt: the client gets another host's answer or an error without waiting for its deadline.
 func TestImplausibleResponseIsAFailedAttempt(t *testing.T) {
 	for line, want := range map[string]string{
 		"QUERY c1 BEGIN":     "ERROR RETRY",
--- a/internal/proxy/line_reader.go
+++ b/internal/proxy/line_reader.go
@@ -12,8 +12,8 @@
 const (
 	readChunkBytes = 2048
 
-	// maxIdleBufferBytes is the largest capacity that an empty buffer keeps, so that one long line does not occupy memory for the rest
-	// of the connection.
+	// maxIdleBufferBytes is the largest capacity that an empty buffer keeps, so that one long line does not occupy memory for
+	// the rest of the connection.
 	maxIdleBufferBytes = 16 << 10
 
 	// maxLateReads limits the reads after a deadline, so that a client that keeps sending can't keep its session open.
@@ -30,9 +30,9 @@
 	lateReads int // reads after the deadline
 }
 
-// readAvailable reads bytes that have already arrived at a socket, even if its deadline has passed, and returns their number. A process
-// that got no CPU time for a while may find both the expired deadline and unread bytes, and closing a socket with unread bytes would
-// reset the connection.
+// readAvailable reads bytes that have already arrived at a socket, even if its deadline has passed, and returns their number. A
+// process that got no CPU time for a while may find both the expired deadline and unread bytes, and closing a socket with unread
+// bytes would reset the connection.
 func readAvailable(conn net.Conn, chunk []byte) (count int) {
 	withDescriptor, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -85,12 +85,12 @@
 	}
 }
 
-// policyCaller executes the decisions of the policy; it implements policy.Caller. Its methods run in the event loop, inside a call to
-// the policy: work that could call the policy again is deferred until that call has returned.
+// policyCaller executes the decisions of the policy; it implements policy.Caller. Its methods run in the event loop, inside a
+// call to the policy: work that could call the policy again is deferred until that call has returned.
 type policyCaller struct{ server *Server }
 
-// Dispatch begins an attempt at the host that the policy chose. The attempt's timeout may end before the statement's deadline, so that
-// time is left for an attempt at another host.
+// Dispatch begins an attempt at the host that the policy chose. The attempt's timeout may end before the statement's deadline,
+// so that time is left for an attempt at another host.
 func (p policyCaller) Dispatch(command *policy.Command, host *policy.Host, timeout policy.TenthMs) {
 	s := p.server
 	stmt := s.statements[command.Name]
@@ -124,8 +124,8 @@
 	})
 }
 
-// Fail answers a statement that must not be retried. A write is in doubt if reportFailure recorded that it may have run. COMMIT is handled
-// by commitInDoubt, since statements of a transaction are not submitted to the policy.
+// Fail answers a statement that must not be retried. A write is in doubt if reportFailure recorded that it may have run. COMMIT
+// is handled by commitInDoubt, since statements of a transaction are not submitted to the policy.
 func (p policyCaller) Fail(command *policy.Command) {
 	s := p.server
 	stmt := s.statements[command.Name]
--- a/internal/proxy/safeguard_test.go
+++ b/internal/proxy/safeguard_test.go
@@ -131,7 +131,7 @@
 		})
 		sim.After(9*second, crashed.start)
 	}},
-	{"a command or promotion is sent after the lease of its decision has expired", "LEASE", newClusterSimulation, func(sim *simulation) {
+	{"a command or promotion is sent after its lease has expired", "LEASE", newClusterSimulation, func(sim *simulation) {
 		sim.cluster.ignoresLease, sim.cluster.lateOneIn = true, 2
 	}},
 	{"a proxy's clock is slower than leases allow", "STALE LOST", newClusterSimulation, func(sim *simulation) {
@@ -193,7 +193,8 @@
 	return ""
 }
 
-// Each removed safeguard must cause a violation; otherwise a simulation without violations would not prove that the safeguard works.
+// Each removed safeguard must cause a violation; otherwise a simulation without violations would not prove that the safeguard
+// works.
 func TestSimulationCatchesEachRemovedSafeguard(t *testing.T) {
 	if testing.Short() {
 		t.Skip("runs only without -short; a seed always gives the same result")
--- a/internal/proxy/session_table.go
+++ b/internal/proxy/session_table.go
@@ -13,8 +13,9 @@
 	waiting []waitingClient // the oldest first
 }
 
-// waitingClient is a session whose database or key this proxy does not know, and whose CONNECT arrived while the lease was not valid.
-// It waits a short time for a lease, since the route or key may have been added to a configuration that this proxy does not have yet.
+// waitingClient is a session whose database or key this proxy does not know, and whose CONNECT arrived while the lease was not
+// valid. It waits a short time for a lease, since the route or key may have been added to a configuration that this proxy does
+// not have yet.
 type waitingClient struct {
 	session   *clientSession
 	arrivedAt time.Time
@@ -38,8 +39,9 @@
 	return true
 }
 
-// takeWaiting removes and returns the session that has waited longest, if its CONNECT must be answered now: because the configuration
-// is known to be current, or because the session has waited longer than waitingClientTimeout. It returns nil otherwise.
+// takeWaiting removes and returns the session that has waited longest, if its CONNECT must be answered now: because the
+// configuration is known to be current, or because the session has waited longer than waitingClientTimeout. It returns nil
+// otherwise.
 func (t *sessionTable) takeWaiting(now time.Time, current bool) *clientSession {
 	if len(t.waiting) == 0 || !current && now.Sub(t.waiting[0].arrivedAt) <= waitingClientTimeout {
 		return nil
--- a/internal/proxy/simulation_operator_test.go
+++ b/internal/proxy/simulation_operator_test.go
@@ -12,10 +12,10 @@
 // operatorEnd is when the operators stop changing the configuration, after the start of the simulation.
 const operatorEnd = 11 * second
 
-// operator simulates two people who change the configuration concurrently, each based on the newest version seen. Some responses are
-// lost; a request without a response is retried at another member, and some confirmed requests are repeated later. The checks are
-// that a version is confirmed for one change only, that a confirmed request is not rejected when it is repeated, and that the final
-// version is not older than any confirmed one.
+// operator simulates two people who change the configuration concurrently, each based on the newest version seen. Some responses
+// are lost; a request without a response is retried at another member, and some confirmed requests are repeated later. The
+// checks are that a version is confirmed for one change only, that a confirmed request is not rejected when it is repeated, and
+// that the final version is not older than any confirmed one.
 type operator struct {
 	cluster          *controlCluster
 	newestVersion    int64            // seen by either person
--- a/internal/proxy/simulation_tenants_test.go
+++ b/internal/proxy/simulation_tenants_test.go
@@ -21,8 +21,8 @@
 	// denialGrace is how long a proxy with a valid lease may take to know a new key.
 	denialGrace = 2500 * millisecond
 
-	// tenantStaleness is the staleness bound of simulations with tenants. It is long enough that reads without a lease are stopped by
-	// the bound on revocations and not by their staleness.
+	// tenantStaleness is the staleness bound of simulations with tenants. It is long enough that reads without a lease are
+	// stopped by the bound on revocations and not by their staleness.
 	tenantStaleness = 4 * second
 )
 
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -45,9 +45,9 @@
 	writtenAt time.Time // when the statement was sent, for reportIfSilent
 	over      bool
 
-	// These two keep the previous attempt's value until this attempt is sent. If this attempt ends before that, elapsed is relative to
-	// that sentAt (policy.Host.recordConns uses it for unreachable hosts), and expireAttempt decides by that primaryEpoch whether
-	// to report the host as suspect.
+	// These two keep the previous attempt's value until this attempt is sent. If this attempt ends before that, elapsed is
+	// relative to that sentAt (policy.Host.recordConns uses it for unreachable hosts), and expireAttempt decides by that
+	// primaryEpoch whether to report the host as suspect.
 	sentAt       policy.TenthMs // in tenths of a millisecond; 0 if nothing was sent yet
 	primaryEpoch primaryEpoch   // in which it was sent to the primary; noEpoch if it was sent with a fence
 }
@@ -199,8 +199,8 @@
 	s.processMessages(client)
 }
 
-// reject answers a statement that has had no effect with an error. The client may retry after retryAfterMs milliseconds; 0 stands for
-// the default of the error kind.
+// reject answers a statement that has had no effect with an error. The client may retry after retryAfterMs milliseconds; 0
+// stands for the default of the error kind.
 func (s *Server) reject(stmt *statement, kind errcode.Kind, retryAfterMs int64) {
 	s.counters.rejected.Add(1)
 	s.finishStatement(stmt, s.errorReply(kind, retryAfterMs))
--- a/internal/proxy/statement_outcome.go
+++ b/internal/proxy/statement_outcome.go
@@ -28,8 +28,8 @@
 	s.reportFailure(stmt, outcome)
 }
 
-// reportFailure reports a failed attempt of a statement outside transactions to the policy, which then retries the statement or gives
-// up.
+// reportFailure reports a failed attempt of a statement outside transactions to the policy, which then retries the statement or
+// gives up.
 func (s *Server) reportFailure(stmt *statement, outcome policy.Outcome) {
 	attempt := &stmt.attempt
 	now := s.refreshPolicyTime()
--- a/internal/proxy/statement_response.go
+++ b/internal/proxy/statement_response.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// completeAttempt handles the host's response to a client's statement. The response time and position are recorded first, since they
-// are valid whether or not the client gets this answer.
+// completeAttempt handles the host's response to a client's statement. The response time and position are recorded first, since
+// they are valid whether or not the client gets this answer.
 func (s *Server) completeAttempt(conn *hostConn, stmt *statement, response *wire.Response) {
 	now := s.refreshPolicyTime()
 	attempt := &stmt.attempt
@@ -143,8 +143,8 @@
 	s.forgetIfOver(stmt)
 }
 
-// isPlausible reports whether a response follows the protocol: a success of BEGIN opens a transaction, and any other success carries
-// a stamp and leaves no transaction open.
+// isPlausible reports whether a response follows the protocol: a success of BEGIN opens a transaction, and any other success
+// carries a stamp and leaves no transaction open.
 func (stmt *statement) isPlausible(response *wire.Response) bool {
 	switch {
 	case response.Code != "":
--- a/internal/proxy/statement_send.go
+++ b/internal/proxy/statement_send.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// sendStatement writes a statement to the host, unless the host may no longer serve it: since the policy chose the host, the lease may
-// have expired, the primary may have been replaced or the key may have been revoked.
+// sendStatement writes a statement to the host, unless the host may no longer serve it: since the policy chose the host, the
+// lease may have expired, the primary may have been replaced or the key may have been revoked.
 func (s *Server) sendStatement(conn *hostConn, stmt *statement) {
 	now := s.refreshPolicyTime()
 	attempt := &stmt.attempt
@@ -82,8 +82,8 @@
 }
 
 // encodeStatement returns a statement as the host may execute it now, or false if it may not. If the host is not known to be the
-// primary, a read carries a fence: its floor, or the position of the session's own last write if that is later. The host rejects the
-// read while it lacks that position, so a wrong choice of the policy costs an attempt but never returns stale data.
+// primary, a read carries a fence: its floor, or the position of the session's own last write if that is later. The host rejects
+// the read while it lacks that position, so a wrong choice of the policy costs an attempt but never returns stale data.
 func (s *Server) encodeStatement(pool *hostPool, stmt *statement, now policy.TenthMs) (line []byte, ok bool) {
 	attempt := &stmt.attempt
 	if !s.isAuthorized(stmt) {
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -7,8 +7,8 @@
 	"ferrypitch/policy"
 )
 
-// staleConfigGrace is how long a proxy without a valid lease keeps idle sessions open. It closes them afterwards so that the clients
-// reconnect to other proxies, which may have a lease.
+// staleConfigGrace is how long a proxy without a valid lease keeps idle sessions open. It closes them afterwards so that the
+// clients reconnect to other proxies, which may have a lease.
 const staleConfigGrace = 500 * time.Millisecond
 
 // sweep performs the checks that depend on time instead of an event. It runs every sweepInterval, with each lease and at shutdown.
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -9,15 +9,15 @@
 	"ferrypitch/internal/proxy/tenancy"
 )
 
-// If the configuration lists tenants, a client authenticates with a key, and its statements run on connections that this proxy has
-// opened as the key's tenant. A key can be revoked at any time, so it is looked up for each statement outside a transaction, and again
-// right before the statement is sent.
+// If the configuration lists tenants, a client authenticates with a key, and its statements run on connections that this proxy
+// has opened as the key's tenant. A key can be revoked at any time, so it is looked up for each statement outside a transaction,
+// and again right before the statement is sent.
 
 // proxyIdentity is sent to hosts instead of a tenant's name where clients need no key.
 const proxyIdentity = "proxy"
 
-// admit returns the tenant under which a session's statements run on a route, which is empty where clients need no key. ok is false if
-// no tenant holds the session's key.
+// admit returns the tenant under which a session's statements run on a route, which is empty where clients need no key. ok is
+// false if no tenant holds the session's key.
 func (s *Server) admit(client *clientSession, r *route) (tenant string, ok bool) {
 	return s.tenants.Admit(r.Public, client.keyHash)
 }
@@ -27,14 +27,14 @@
 	return tenancy.Bounds{RevokeMs: bounds.RevokeMs, ConfigApplyMs: bounds.ConfigApplyMs, DowngradeMs: bounds.DowngradeMs}
 }
 
-// keysOutdated reports whether the lease expired too long ago to accept any key. It applies only with the setting RevokeClosed, under
-// which revocations also bind proxies that are partitioned from the control plane.
+// keysOutdated reports whether the lease expired too long ago to accept any key. It applies only with the setting RevokeClosed,
+// under which revocations also bind proxies that are partitioned from the control plane.
 func (s *Server) keysOutdated() bool {
 	return s.settings.Bounds.RevokeClosed && s.clock.Now() >= s.lease.holder.ExpiresAt()+s.tenancyBounds().MaxLeaseLossMs()
 }
 
-// isAuthorized reports whether a statement may be sent under its client's key now. A transaction whose key was revoked may go on for a
-// grace period, within which most transactions end.
+// isAuthorized reports whether a statement may be sent under its client's key now. A transaction whose key was revoked may go on
+// for a grace period, within which most transactions end.
 func (s *Server) isAuthorized(stmt *statement) bool {
 	switch {
 	case s.tenantHoldsKey(stmt.session, stmt.tenant):
@@ -45,8 +45,8 @@
 	return stmt.isPinned() && !s.transactionGraceOver(stmt.session)
 }
 
-// tenantHoldsKey reports whether, by the current configuration, a tenant holds the session's key, so that a statement or transaction
-// that began under the tenant may go on. For an empty tenant it reports whether the session's route needs no key.
+// tenantHoldsKey reports whether, by the current configuration, a tenant holds the session's key, so that a statement or
+// transaction that began under the tenant may go on. For an empty tenant it reports whether the session's route needs no key.
 func (s *Server) tenantHoldsKey(client *clientSession, tenant string) bool {
 	if tenant != "" {
 		return s.tenants.TenantHoldsKey(tenant, client.keyHash)
@@ -134,8 +134,8 @@
 // isActive reports whether the session has a statement or transaction in progress.
 func (c *clientSession) isActive() bool { return c.statement != nil || c.pinnedConn != nil }
 
-// activeTenant returns the tenant under which the session's statement or transaction runs. It is empty if there is neither, or if the
-// client needed no key.
+// activeTenant returns the tenant under which the session's statement or transaction runs. It is empty if there is neither, or
+// if the client needed no key.
 func (c *clientSession) activeTenant() string {
 	switch {
 	case c.statement != nil:
@@ -146,8 +146,8 @@
 	return ""
 }
 
-// withdrawRevokedStatements rejects the statements that wait for a host and whose key was revoked. A write of which an earlier attempt
-// may have run is left to the policy, which determines its outcome.
+// withdrawRevokedStatements rejects the statements that wait for a host and whose key was revoked. A write of which an earlier
+// attempt may have run is left to the policy, which determines its outcome.
 func (s *Server) withdrawRevokedStatements() {
 	for _, id := range slices.Sorted(maps.Keys(s.statements)) {
 		stmt := s.statements[id]
