--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// quotaAnswered adds the tokens that the lender has granted and serves the statements that wait for them.
-func (s *Server) quotaAnswered(response *quota.Response) {
+// handleQuotaResponse adds the tokens that the lender has granted and serves the statements that wait for them.
+func (s *Server) handleQuotaResponse(response *quota.Response) {
 	now := s.clock.Now()
 	s.accounts.Answered(response, now)
 	for _, stmt := range slices.Clone(s.tokenWaiters) {
@@ -196,14 +196,14 @@
 	}
 }
 
-// lenderFound records that this proxy is connected to a leader, and the leader's protocol version.
-func (s *Server) lenderFound(version uint32) {
+// setLender records that this proxy is connected to a leader, and the leader's protocol version.
+func (s *Server) setLender(version uint32) {
 	s.hasLender, s.lenderVersion = true, version
 	s.accounts.LinkLost() // requests to the previous leader get no response
 }
 
-// lenderLost records that this proxy is no longer connected to a leader.
-func (s *Server) lenderLost() {
+// clearLender records that this proxy is no longer connected to a leader.
+func (s *Server) clearLender() {
 	s.hasLender = false
 	s.accounts.LinkLost()
 }
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -19,7 +19,7 @@
 	proxy := sim.proxies[0]
 	proxy.server.tenants = tenancy.NewIndex(proxy.server.secret, &config.Config{Tenants: []config.Tenant{{Name: "t7", ApiKeys: []string{simulatedKey}}}})
 	proxy.server.accounts.SetLimited([]string{"t7"})
-	proxy.run(proxy.incarnation, func(server *Server) { server.lenderFound(rpc.ProtocolVersion) })
+	proxy.run(proxy.incarnation, func(server *Server) { server.setLender(rpc.ProtocolVersion) })
 	session, conn := beginAs(proxy, "lead", simulatedKey)
 	conn.take()
 	return sim, proxy, session, conn
@@ -29,7 +29,7 @@
 func answerQuota(proxy *proxyProcess, answer quota.Answer) {
 	answer.Tenant = "t7"
 	proxy.run(proxy.incarnation, func(server *Server) {
-		server.quotaAnswered(&quota.Response{Serial: 1, Term: 1, Answers: []quota.Answer{answer}})
+		server.handleQuotaResponse(&quota.Response{Serial: 1, Term: 1, Answers: []quota.Answer{answer}})
 	})
 }
 
@@ -43,7 +43,7 @@
 	require.Contains(t, conn.take(), "ERROR RETRY")
 	require.Empty(t, proxy.server.tokenWaiters)
 
-	proxy.run(proxy.incarnation, (*Server).lenderLost)
+	proxy.run(proxy.incarnation, (*Server).clearLender)
 	ask(t, proxy, session, "QUERY q2 FETCH 1")
 	require.Contains(t, conn.take(), "ERROR RETRY", "there is no lender")
 }
--- a/internal/proxy/buffered_conn.go
+++ b/internal/proxy/buffered_conn.go
@@ -22,8 +22,8 @@
 	write(data []byte) (written int, ok bool)
 	// stopReading makes the connection's reader stop.
 	stopReading()
-	// finish closes the write side; the reader ends soon after.
-	finish()
+	// closeWrite closes the write side; the reader ends soon after.
+	closeWrite()
 	close()
 }
 
@@ -117,7 +117,7 @@
 
 func (b *bufferedConn) stopReading() { b.conn.SetReadDeadline(time.Unix(1, 0)) }
 
-func (b *bufferedConn) finish() {
+func (b *bufferedConn) closeWrite() {
 	if writeCloser, ok := b.conn.(interface{ CloseWrite() error }); ok {
 		_ = writeCloser.CloseWrite() // the peer may be gone; the read deadline ends the reader in any case
 	}
--- a/internal/proxy/changed.go
+++ b/internal/proxy/changed.go
@@ -27,7 +27,7 @@
 	var ids []string
 	for id, want := range s.replica.state.Hosts {
 		pool := s.pools[id]
-		if pool == nil || pool.Host != want || !pool.announced || pool.standing == policy.Removed || want.Draining {
+		if pool == nil || pool.Host != want || !pool.announcedToPolicy || pool.standing == policy.Removed || want.Draining {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/proxy/client_reader.go
+++ b/internal/proxy/client_reader.go
@@ -113,7 +113,7 @@
 func closeWithError(socket net.Conn, lines []byte) {
 	out := newBufferedConn(socket)
 	out.write(lines)
-	out.finish()
+	out.closeWrite()
 	var discarded [readChunkBytes]byte
 	for {
 		if _, err := socket.Read(discarded[:]); err != nil {
--- a/internal/proxy/client_session.go
+++ b/internal/proxy/client_session.go
@@ -40,7 +40,7 @@
 	keyRevokedAt time.Time    // since when the tenant of its statement or transaction no longer holds the key; zero if it does
 
 	closed      bool
-	ending      bool // nothing more is read from the client
+	draining    bool // nothing more is read from the client
 	readerEnded bool // the reader has ended, but messages that it had read are not all answered
 }
 
@@ -51,8 +51,8 @@
 	receivedAt time.Time
 }
 
-// idle reports whether the session can be ended without losing a statement or transaction.
-func (c *clientSession) idle() bool { return c.statement == nil && c.IdleState() == stateIdle }
+// isIdle reports whether the session can be ended without losing a statement or transaction.
+func (c *clientSession) isIdle() bool { return c.statement == nil && c.CurrentState() == stateIdle }
 
 // enqueueMessage queues a client's message, since a session's messages are answered in order. A client that has more than
 // maxPipelined messages waiting gets an error, and its session ends.
@@ -89,7 +89,7 @@
 	switch {
 	case client.readerEnded:
 		s.handleReaderEnd(client)
-	case s.shutdown.closeIdle && client.idle() && len(s.sessions.open) > 0:
+	case s.shutdown.closeIdle && client.isIdle() && len(s.sessions.open) > 0:
 		client.drain()
 	}
 }
@@ -102,7 +102,7 @@
 	}
 	const idleLineBytes = 32 // approximate maximum length of an IDLE line
 	answer := append(make([]byte, 0, len(lines)+idleLineBytes), lines...)
-	if _, ok := client.out.write(wire.AppendIdle(answer, client.IdleState(), client.lastPosition)); !ok {
+	if _, ok := client.out.write(wire.AppendIdle(answer, client.CurrentState(), client.lastPosition)); !ok {
 		client.out.close() // its reader ends the session
 	}
 }
@@ -114,14 +114,14 @@
 		return
 	}
 	client.out.write(lines)
-	client.out.finish()
+	client.out.closeWrite()
 	client.closed = true
 }
 
 // drain ends a session gracefully: it stops the reader, and messages that were already read are answered first.
 func (c *clientSession) drain() {
-	if !c.closed && !c.ending {
-		c.ending = true
+	if !c.closed && !c.draining {
+		c.draining = true
 		c.out.stopReading()
 	}
 }
@@ -129,7 +129,7 @@
 // handleReaderEnd ends a session whose client has disconnected or that is draining. A draining session with messages that are not
 // answered yet ends after them.
 func (s *Server) handleReaderEnd(client *clientSession) {
-	if client.ending && !client.closed && (client.statement != nil || len(client.pipelined) > 0) {
+	if client.draining && !client.closed && (client.statement != nil || len(client.pipelined) > 0) {
 		client.readerEnded = true
 		return
 	}
@@ -158,7 +158,7 @@
 // pinnedConnLost handles the loss of the connection that the session's transaction is open on.
 func (c *clientSession) pinnedConnLost() {
 	c.pinnedConn = nil
-	if c.IdleState() != stateIdle {
+	if c.CurrentState() != stateIdle {
 		c.ConnectionLost()
 	}
 }
--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -159,9 +159,9 @@
 	s.counters.controlLinks.Add(1)
 	s.queue.Put(eventloop.PriorityControl, func() {
 		s.tickGossip(welcome.Proxies)
-		s.lenderFound(version)
+		s.setLender(version)
 	})
-	defer s.queue.Put(eventloop.PriorityControl, s.lenderLost)
+	defer s.queue.Put(eventloop.PriorityControl, s.clearLender)
 	err = l.followLeader(ctx, cancel, conn)
 	l.reportLinkEnd(address, err)
 	return err
@@ -237,7 +237,7 @@
 			l.handleSnapshotChunk(conn, frame.SnapshotChunk)
 		case frame.QuotaResponse != nil:
 			s := l.server
-			s.queue.Put(eventloop.PriorityControl, func() { s.quotaAnswered(frame.QuotaResponse) })
+			s.queue.Put(eventloop.PriorityControl, func() { s.handleQuotaResponse(frame.QuotaResponse) })
 		case frame.LeaseResponse != nil:
 			if err := l.handleLeaseResponse(conn, frame.LeaseResponse, requests); err != nil {
 				return err
--- a/internal/proxy/host_conn.go
+++ b/internal/proxy/host_conn.go
@@ -101,7 +101,7 @@
 		return
 	}
 	for next := pool.queue.popForTenant(conn.tenant); next != nil; next = pool.queue.popForTenant(conn.tenant) {
-		if !next.attempt.over {
+		if !next.attempt.ended {
 			s.prepareAndSend(conn, next)
 			return
 		}
@@ -143,7 +143,7 @@
 	if client != nil {
 		client.pinnedConnLost()
 	}
-	if stmt != nil && !stmt.attempt.over {
+	if stmt != nil && !stmt.attempt.ended {
 		outcome := policy.Unreachable
 		if stmt.attempt.sent {
 			outcome = policy.Reset
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -48,10 +48,10 @@
 	lastSuspectReportMs int64 // when the host was last reported as suspect, in milliseconds of the clock
 	drainingSince       time.Time
 
-	probePending bool             // the policy waits for the result of the next dial
-	announced    bool             // the policy was told the standing
-	standing     policy.ListState // state in the policy's host list
-	retired      bool             // removed, or replaced by another host with the same id; gets no statements
+	probePending      bool             // the policy waits for the result of the next dial
+	announcedToPolicy bool             // the policy was told the standing
+	standing          policy.ListState // state in the policy's host list
+	retired           bool             // removed, or replaced by another host with the same id; gets no statements
 }
 
 // hostPosition is what a host's log position says about how current the host is, and about its role.
--- a/internal/proxy/lease_loss.go
+++ b/internal/proxy/lease_loss.go
@@ -16,7 +16,7 @@
 // needsLease says that only the primary may serve a statement now, or that its tenant's key can't be relied on any more. All other statements are reads that a host itself refuses
 // where it lacks the position that they must see.
 func (s *Server) needsLease(stmt *statement) bool {
-	if stmt.step.MayWrite || stmt.route.stalenessBound == 0 || stmt.tenant != "" && s.keysOutdated() {
+	if stmt.step.MayWrite || stmt.route.stalenessBound == 0 || stmt.tenant != "" && s.keysStale() {
 		return true
 	}
 	return !stmt.route.service.positions.CoversBound(s.refreshPolicyTime(), stmt.route.stalenessBound)
@@ -54,11 +54,11 @@
 // withdraw has the policy drop a statement that was answered, or whose client is gone. What was sent runs to its end.
 func (s *Server) withdraw(stmt *statement) {
 	stmt.command.Abandon()
-	if stmt.attempt.conn == nil && !stmt.attempt.over && stmt.command.Host != nil {
+	if stmt.attempt.conn == nil && !stmt.attempt.ended && stmt.command.Host != nil {
 		s.endAttempt(stmt, policy.Expired)
 		return
 	}
-	s.forgetIfOver(stmt)
+	s.forgetIfFinished(stmt)
 }
 
 // drainWithoutLease ends sessions that have asked for nothing of late, once the lease has been invalid for staleConfigGrace. A
@@ -68,7 +68,7 @@
 		return
 	}
 	for _, client := range s.sessions.byAge() {
-		if client.idle() && now.Sub(client.idleSince) > staleConfigGrace {
+		if client.isIdle() && now.Sub(client.idleSince) > staleConfigGrace {
 			client.drain()
 		}
 	}
--- a/internal/proxy/lease_loss_test.go
+++ b/internal/proxy/lease_loss_test.go
@@ -20,7 +20,7 @@
 	return len(data), true
 }
 func (c *recordedConn) stopReading() {}
-func (c *recordedConn) finish()      { c.closed = true }
+func (c *recordedConn) closeWrite()  { c.closed = true }
 func (c *recordedConn) close()       { c.closed = true }
 
 // take returns what was sent since the last call.
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -115,7 +115,7 @@
 	stmt := s.statements[command.Name]
 	s.counters.throttled.Add(1)
 	s.deferred.add(func() {
-		s.forgetIfOver(stmt)
+		s.forgetIfFinished(stmt)
 		if stmt.hostResponse != nil && !stmt.step.MayWrite {
 			s.finishStatement(stmt, stmt.hostResponse)
 			return
@@ -131,7 +131,7 @@
 	stmt := s.statements[command.Name]
 	s.counters.failed.Add(1)
 	s.deferred.add(func() {
-		s.forgetIfOver(stmt)
+		s.forgetIfFinished(stmt)
 		switch {
 		case stmt.hostResponse != nil:
 			s.finishStatement(stmt, stmt.hostResponse)
--- a/internal/proxy/reconcile.go
+++ b/internal/proxy/reconcile.go
@@ -57,10 +57,10 @@
 	}
 	pool.Host = want
 	standing := s.standingOf(pool)
-	if pool.announced && pool.standing == standing {
+	if pool.announcedToPolicy && pool.standing == standing {
 		return false
 	}
-	pool.standing, pool.announced = standing, true
+	pool.standing, pool.announcedToPolicy = standing, true
 	pool.announce(standing, float64(max(1, want.Capacity)))
 	return true
 }
@@ -172,7 +172,7 @@
 	s.replaceRoutes(configured.Routes)
 	s.replaceLimits(configured.Tenants)
 	for _, client := range s.sessions.byAge() {
-		if client.idle() && s.routes[client.database] == nil {
+		if client.isIdle() && s.routes[client.database] == nil {
 			client.drain()
 		}
 	}
--- a/internal/proxy/session/connstate.go
+++ b/internal/proxy/session/connstate.go
@@ -39,7 +39,7 @@
 	if request.Kind == wire.Execute {
 		text = session.Prepared[request.Name]
 	}
-	if session.IdleState() == wire.StateInTransaction {
+	if session.CurrentState() == wire.StateInTransaction {
 		statements = c.closeConflicting(statements, text)
 		if !c.Matches(session) {
 			statements = c.setVariables(statements, session)
--- a/internal/proxy/session/session.go
+++ b/internal/proxy/session/session.go
@@ -29,8 +29,8 @@
 	variablesChanged bool   // variablesKey must be computed again
 }
 
-// IdleState returns the transaction state that is sent to the client in IDLE.
-func (s *Session) IdleState() wire.TransactionState {
+// CurrentState returns the transaction state that is sent to the client in IDLE.
+func (s *Session) CurrentState() wire.TransactionState {
 	if s.State == 0 {
 		return wire.StateIdle
 	}
@@ -44,7 +44,7 @@
 	case wire.Commit, wire.Abort:
 		return s.handleTransactionEnd(request)
 	}
-	if s.IdleState() == wire.StateFailed {
+	if s.CurrentState() == wire.StateFailed {
 		return reject(errcode.FailedTransaction)
 	}
 	switch request.Kind {
@@ -64,7 +64,7 @@
 
 func (s *Session) handleTransactionEnd(request wire.Request) Step {
 	isCommit := request.Kind == wire.Commit
-	if s.IdleState() == wire.StateIdle {
+	if s.CurrentState() == wire.StateIdle {
 		return reject(errcode.NoTransaction)
 	}
 	if !s.TxnConnLost {
@@ -78,7 +78,7 @@
 }
 
 func (s *Session) handleBegin(request wire.Request) Step {
-	if s.IdleState() == wire.StateInTransaction {
+	if s.CurrentState() == wire.StateInTransaction {
 		return reject(errcode.AlreadyInTransaction)
 	}
 	readOnly := request.Kind == wire.BeginReadOnly
@@ -127,7 +127,7 @@
 // execute returns the step of a statement that a host executes.
 func (s *Session) execute(text string, writes bool) Step {
 	step := Step{Action: RouteToHost, Text: text, MayWrite: writes}
-	if s.IdleState() == wire.StateInTransaction {
+	if s.CurrentState() == wire.StateInTransaction {
 		step.Action = UsePinnedConn
 	}
 	return step
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -87,7 +87,7 @@
 func (s *Server) drainIdleSessions() {
 	s.shutdown.closeIdle = true
 	for client := range s.sessions.open {
-		if client.idle() {
+		if client.isIdle() {
 			client.drain()
 		}
 	}
@@ -101,10 +101,10 @@
 			continue
 		}
 		kind := stmt.shutdownError()
-		if client.IdleState() != stateIdle {
+		if client.CurrentState() != stateIdle {
 			client.ConnectionLost()
 		}
-		client.ending, client.readerEnded = true, true
+		client.draining, client.readerEnded = true, true
 		s.finishStatement(stmt, s.errorReply(kind, 0))
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -37,14 +37,14 @@
 	server.drainIdleSessions()
 	busy := 0
 	for client := range server.sessions.open {
-		require.Equal(t, client.idle(), client.ending, "just the idle sessions end")
-		if !client.idle() {
+		require.Equal(t, client.isIdle(), client.draining, "just the idle sessions end")
+		if !client.isIdle() {
 			busy++
 		}
 	}
 	require.Positive(t, busy)
 	sim.RunFor(second)
 	for client := range server.sessions.open {
-		require.True(t, client.ending || !client.idle(), "a session that became idle is left open")
+		require.True(t, client.draining || !client.isIdle(), "a session that became idle is left open")
 	}
 }
--- a/internal/proxy/simulation_client_test.go
+++ b/internal/proxy/simulation_client_test.go
@@ -78,7 +78,7 @@
 	c.client.sim.After(1, func() { c.client.disconnect(c.sessionNumber) })
 }
 
-func (c simulatedClientConn) finish() { c.close() }
+func (c simulatedClientConn) closeWrite() { c.close() }
 
 func (c simulatedClientConn) close() {
 	c.client.sim.After(clientDelay+1, func() { c.client.connClosed(c.sessionNumber) })
--- a/internal/proxy/simulation_hostconn_test.go
+++ b/internal/proxy/simulation_hostconn_test.go
@@ -34,7 +34,7 @@
 }
 
 func (c *simulatedHostConn) stopReading() {}
-func (c *simulatedHostConn) finish()      {}
+func (c *simulatedHostConn) closeWrite()  {}
 func (c *simulatedHostConn) close() {
 	sim := c.proxy.sim
 	c.closed = true
--- a/internal/proxy/simulation_member_conn_test.go
+++ b/internal/proxy/simulation_member_conn_test.go
@@ -120,7 +120,7 @@
 		c.followRedirect(frame.ProxyWelcome.Leader)
 	case frame.ProxyWelcome != nil:
 		c.welcomed = true
-		server.lenderFound(min(sim.cluster.proxyVersion, rpc.SpokenVersion(frame.Version)))
+		server.setLender(min(sim.cluster.proxyVersion, rpc.SpokenVersion(frame.Version)))
 		sim.After(1, c.renewPeriodically)
 	case frame.LogUpdate != nil:
 		if server.applyLogUpdate(frame.LogUpdate) != nil {
@@ -131,7 +131,7 @@
 	case frame.SnapshotChunk != nil:
 		c.receiveChunk(server, frame.SnapshotChunk)
 	case frame.QuotaResponse != nil:
-		server.quotaAnswered(frame.QuotaResponse)
+		server.handleQuotaResponse(frame.QuotaResponse)
 	case frame.LeaseResponse != nil && frame.LeaseResponse.Postponed:
 	case frame.LeaseResponse != nil && !frame.LeaseResponse.Granted:
 		sim.After(1, c.close)
--- a/internal/proxy/simulation_operator_test.go
+++ b/internal/proxy/simulation_operator_test.go
@@ -40,9 +40,9 @@
 	return o
 }
 
-// strikeAfterConfirmation injects the closing fault right after the given number of confirmations. If a member has had a fault
+// injectFaultAfterConfirmation injects the closing fault right after the given number of confirmations. If a member has had a fault
 // recently, it waits for a later confirmation, since both faults together would exceed the number that must be tolerated at once.
-func (c *controlCluster) strikeAfterConfirmation(count int64) {
+func (c *controlCluster) injectFaultAfterConfirmation(count int64) {
 	c.operator.onConfirmed = func() {
 		count--
 		if count > 0 || c.struckAt > 0 || c.recentFault() {
--- a/internal/proxy/simulation_run_test.go
+++ b/internal/proxy/simulation_run_test.go
@@ -124,7 +124,7 @@
 	served, struck, unrecovered := 0, 0, 0
 	build := func(seed uint64) *simulation {
 		sim := newClusterSimulation(seed, 3, 9)
-		sim.cluster.strikeAfterConfirmation(sim.Between(2, 4))
+		sim.cluster.injectFaultAfterConfirmation(sim.Between(2, 4))
 		return sim
 	}
 	simulateAll(t, seedCount()/4, build, func(sim *simulation) {
@@ -165,7 +165,7 @@
 	build := func(seed uint64) *simulation { return newSimulationWithTenants(seed, 3, 9) }
 	simulateAll(t, count, build, func(sim *simulation) {
 		served += sim.served
-		runs += sim.tenants.keyRuns
+		runs += sim.tenants.executedUnderKey
 		denials += sim.tenants.denials
 		removed += sim.tenants.removed
 	})
--- a/internal/proxy/simulation_tenants_test.go
+++ b/internal/proxy/simulation_tenants_test.go
@@ -29,14 +29,14 @@
 // simulatedTenants are the tenants of a simulation, whose keys are added and removed all the time, and the data for the checks on
 // keys.
 type simulatedTenants struct {
-	sim     *simulation
-	version int64
-	keys    [tenantCount][]string // by tenant, in the newest configuration, the oldest first
-	history map[string]*keyHistory
-	effects map[string][]versionEffect // by processName
-	keyRuns int                        // statements that hosts ran under a key
-	denials int
-	removed int
+	sim              *simulation
+	version          int64
+	keys             [tenantCount][]string // by tenant, in the newest configuration, the oldest first
+	history          map[string]*keyHistory
+	effects          map[string][]versionEffect // by processName
+	executedUnderKey int                        // statements that hosts ran under a key
+	denials          int
+	removed          int
 }
 
 // keyHistory records the configuration versions that added and removed a key, and their times.
@@ -149,7 +149,7 @@
 		sim.Violate("ROUTE: %s runs %s, whose key no configuration ever held", conn.Host.ID, requestID)
 		return
 	}
-	t.keyRuns++
+	t.executedUnderKey++
 	if conn.Identity != key.tenant {
 		sim.Violate("UNASKED: %s runs %s of %s as %q", conn.Host.ID, requestID, key.tenant, conn.Identity)
 	}
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -43,7 +43,7 @@
 	connReady bool      // conn has the session's state
 	sent      bool      // the host may have received the whole statement
 	writtenAt time.Time // when the statement was sent, for reportIfSilent
-	over      bool
+	ended     bool
 
 	// These two keep the previous attempt's value until this attempt is sent. If this attempt ends before that, elapsed is
 	// relative to that sentAt (policy.Host.recordConns uses it for unreachable hosts), and expireAttempt decides by that
@@ -141,7 +141,7 @@
 	if command.IsQueued() {
 		s.counters.statementsQueued.Add(1)
 	}
-	s.forgetIfOver(stmt)
+	s.forgetIfFinished(stmt)
 }
 
 // readOrWriteGroup returns the policy's group for a statement, and by how much a session's read may lag behind other sessions'
@@ -177,8 +177,8 @@
 	}
 }
 
-// forgetIfOver deletes a statement for which the policy will make no more calls.
-func (s *Server) forgetIfOver(stmt *statement) {
+// forgetIfFinished deletes a statement for which the policy will make no more calls.
+func (s *Server) forgetIfFinished(stmt *statement) {
 	if stmt.command != nil && stmt.command.IsFinished() {
 		delete(s.statements, stmt.commandID)
 	}
--- a/internal/proxy/statement_outcome.go
+++ b/internal/proxy/statement_outcome.go
@@ -12,10 +12,10 @@
 // since the transaction was lost with its connection.
 func (s *Server) endAttempt(stmt *statement, outcome policy.Outcome) {
 	attempt := &stmt.attempt
-	if attempt.over {
+	if attempt.ended {
 		return
 	}
-	attempt.over = true
+	attempt.ended = true
 	s.timers.Remove(attempt.timer)
 	if attempt.pool != nil {
 		attempt.pool.queue.remove(stmt)
@@ -42,7 +42,7 @@
 		outcome = policy.Unreachable
 	}
 	stmt.command.EndDispatch(outcome, positionUnknown, policy.UnknownRole, attempt.elapsed(now), stmt.finished)
-	s.forgetIfOver(stmt)
+	s.forgetIfFinished(stmt)
 }
 
 // commitInDoubt reports whether a statement without a response is a COMMIT that may have been executed. This is the rule of
@@ -91,7 +91,7 @@
 // the next statement.
 func (s *Server) expireAttempt(stmt *statement) {
 	attempt := &stmt.attempt
-	if attempt.over {
+	if attempt.ended {
 		return
 	}
 	outcome := policy.Expired // the attempt was still queued
--- a/internal/proxy/statement_response.go
+++ b/internal/proxy/statement_response.go
@@ -58,7 +58,7 @@
 func (s *Server) completeAttempt(conn *hostConn, stmt *statement, response *wire.Response) {
 	now := s.refreshPolicyTime()
 	attempt := &stmt.attempt
-	attempt.over = true
+	attempt.ended = true
 	s.timers.Remove(attempt.timer)
 	conn.statement = nil
 	s.counters.hostResponses.Observe(toDuration(now - attempt.sentAt))
@@ -101,7 +101,7 @@
 	if stmt.commandID != "" {
 		stmt.mayHaveRun = true
 		stmt.command.EndDispatch(policy.TimedOut, positionUnknown, policy.UnknownRole, 0, true)
-		s.forgetIfOver(stmt)
+		s.forgetIfFinished(stmt)
 	}
 	s.finishStatement(stmt, s.errorReply(errcode.InDoubtPrimaryReplaced, 0))
 }
@@ -140,7 +140,7 @@
 	}
 	s.counters.outcomes[outcome].Add(1)
 	stmt.command.EndDispatch(outcome, position.upToDateAsOf, position.role, now-stmt.attempt.sentAt, stmt.finished)
-	s.forgetIfOver(stmt)
+	s.forgetIfFinished(stmt)
 }
 
 // isPlausible reports whether a response follows the protocol: a success of BEGIN opens a transaction, and any other success
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -55,7 +55,7 @@
 	}
 	limit := settings.Duration(s.config.Limits.TxnIdleMs)
 	for _, client := range s.sessions.byAge() {
-		if client.IdleState() != stateIdle && client.statement == nil && client.pinnedConn != nil && now.Sub(client.idleSince) > limit {
+		if client.CurrentState() != stateIdle && client.statement == nil && client.pinnedConn != nil && now.Sub(client.idleSince) > limit {
 			conn := client.pinnedConn
 			client.pinnedConn = nil
 			client.ConnectionLost()
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -27,9 +27,9 @@
 	return tenancy.Bounds{RevokeMs: bounds.RevokeMs, ConfigApplyMs: bounds.ConfigApplyMs, DowngradeMs: bounds.DowngradeMs}
 }
 
-// keysOutdated reports whether the lease expired too long ago to accept any key. It applies only with the setting RevokeClosed,
+// keysStale reports whether the lease expired too long ago to accept any key. It applies only with the setting RevokeClosed,
 // under which revocations also bind proxies that are partitioned from the control plane.
-func (s *Server) keysOutdated() bool {
+func (s *Server) keysStale() bool {
 	return s.settings.Bounds.RevokeClosed && s.clock.Now() >= s.lease.holder.ExpiresAt()+s.tenancyBounds().MaxLeaseLossMs()
 }
 
@@ -38,8 +38,8 @@
 func (s *Server) isAuthorized(stmt *statement) bool {
 	switch {
 	case s.tenantHoldsKey(stmt.session, stmt.tenant):
-		return stmt.tenant == "" || !s.keysOutdated()
-	case stmt.tenant != "" && s.keysOutdated():
+		return stmt.tenant == "" || !s.keysStale()
+	case stmt.tenant != "" && s.keysStale():
 		return false
 	}
 	return stmt.isPinned() && !s.transactionGraceOver(stmt.session)
@@ -97,7 +97,7 @@
 	keysRevoked := false
 	for _, client := range s.sessions.byAge() {
 		keysRevoked = s.trackKeyRevocation(client) || keysRevoked
-		if client.idle() && !s.isAdmitted(client) {
+		if client.isIdle() && !s.isAdmitted(client) {
 			s.counters.revokedSessions.Add(1)
 			client.drain()
 		}
--- a/internal/proxy/tenants_test.go
+++ b/internal/proxy/tenants_test.go
@@ -128,12 +128,12 @@
 	drained.drain()
 	proxy.run(proxy.incarnation, func(server *Server) { server.handleReaderEnd(drained) })
 	applyTenantConfig(sim, "3", tenantsWithSpareKeys)
-	require.True(t, idle.ending)
+	require.True(t, idle.draining)
 	require.Equal(t, "ERROR DENIED the key was taken away\r\n", activeConn.take())
 	require.True(t, activeConn.closed)
 	require.Equal(t, "ERROR DENIED the key was taken away\r\n", drainedConn.take())
 	require.NotContains(t, proxy.server.sessions.open, drained)
-	require.False(t, spare.ending, "another key of the same tenant")
+	require.False(t, spare.draining, "another key of the same tenant")
 	require.Empty(t, proxy.server.statements)
 }
 
