--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -11,52 +11,53 @@
 	"ferrypitch/internal/rpc"
 )
 
-// limitedSession is a session of a tenant with a limit, at a proxy that follows a lender from which nothing is heard.
-func limitedSession(t *testing.T) (*simulation, *proxyProcess, *clientSession, *recordingConn) {
+// newLimitedSession returns a session of a tenant with a limit, at a proxy whose lender never answers by itself.
+func newLimitedSession(t *testing.T) (*simulation, *proxyProcess, *clientSession, *recordingConn) {
 	t.Helper()
 	sim := newSimulation(1, 1, 0)
 	sim.RunFor(2 * second)
 	proxy := sim.proxies[0]
 	proxy.server.tenants = tenancy.NewIndex(proxy.server.secret, &config.Config{Tenants: []config.Tenant{{Name: "t7", ApiKeys: []string{simulatedKey}}}})
 	proxy.server.accounts.SetLimited([]string{"t7"})
-	proxy.run(proxy.incarnation, func(server *Server) { server.lenderFound(rpc.ProtocolVersion) })
+	proxy.run(proxy.incarnation, func(server *Server) { server.setLender(rpc.ProtocolVersion) })
 	session, conn := beginAs(proxy, "lead", simulatedKey)
 	conn.take()
 	return sim, proxy, session, conn
 }
 
-func lendTo(proxy *proxyProcess, answer quota.Answer) {
+// answerQuota delivers a lender's response for the tenant to the proxy.
+func answerQuota(proxy *proxyProcess, answer quota.Answer) {
 	answer.Tenant = "t7"
 	proxy.run(proxy.incarnation, func(server *Server) {
-		server.quotaAnswered(&quota.Response{Serial: 1, Term: 1, Answers: []quota.Answer{answer}})
+		server.handleQuotaResponse(&quota.Response{Serial: 1, Term: 1, Answers: []quota.Answer{answer}})
 	})
 }
 
-// A statement without a token is held for a quarter of its target of 150 ms, and never sent.
+// A statement without a token waits for a quarter of its latency target of 150 ms, and is then rejected without being sent.
 func TestStatementWithoutATokenIsNotHeldLong(t *testing.T) {
-	sim, proxy, session, conn := limitedSession(t)
+	sim, proxy, session, conn := newLimitedSession(t)
 	sendStatement(t, proxy, session, "QUERY q1 FETCH 1")
 	sim.RunFor(30 * millisecond)
 	require.Empty(t, conn.take())
 	sim.RunFor(15 * millisecond)
 	require.Contains(t, conn.take(), "ERROR RETRY")
-	require.Empty(t, proxy.server.waiting)
+	require.Empty(t, proxy.server.tokenWaiters)
 
-	proxy.run(proxy.incarnation, (*Server).lenderLost)
+	proxy.run(proxy.incarnation, (*Server).clearLender)
 	sendStatement(t, proxy, session, "QUERY q2 FETCH 1")
-	require.Contains(t, conn.take(), "ERROR RETRY", "nobody can be asked")
+	require.Contains(t, conn.take(), "ERROR RETRY", "there is no lender")
 }
 
 func TestStatementIsServedOrRefusedAsTheLenderSays(t *testing.T) {
-	sim, proxy, session, conn := limitedSession(t)
+	sim, proxy, session, conn := newLimitedSession(t)
 	sendStatement(t, proxy, session, "QUERY q1 FETCH 1")
-	lendTo(proxy, quota.Answer{Granted: 1})
+	answerQuota(proxy, quota.Answer{Granted: 1})
 	sim.RunFor(200 * millisecond)
 	require.Contains(t, conn.take(), "DONE")
 
-	sim, proxy, session, conn = limitedSession(t)
+	sim, proxy, session, conn = newLimitedSession(t)
 	sendStatement(t, proxy, session, "QUERY q1 FETCH 1")
-	lendTo(proxy, quota.Answer{AtLimit: true, RetryAfterMs: 300})
+	answerQuota(proxy, quota.Answer{AtLimit: true, RetryAfterMs: 300})
 	require.Contains(t, conn.take(), "ERROR OVERLOAD the tenant is at its limit; 300")
 	require.Equal(t, []string{"t7"}, proxy.server.status().TenantsAtLimit)
 	sendStatement(t, proxy, session, "QUERY q2 FETCH 1")
@@ -65,11 +66,11 @@
 	require.Empty(t, proxy.server.status().TenantsAtLimit)
 }
 
-// The statements of a transaction cost nothing beside its BEGIN.
+// A transaction is charged at its BEGIN; its other statements are not charged.
 func TestTransactionCostsOneToken(t *testing.T) {
-	sim, proxy, session, conn := limitedSession(t)
+	sim, proxy, session, conn := newLimitedSession(t)
 	sendStatement(t, proxy, session, "QUERY q1 BEGIN")
-	lendTo(proxy, quota.Answer{Granted: 1})
+	answerQuota(proxy, quota.Answer{Granted: 1})
 	for _, line := range []string{"QUERY q2 FETCH 1", "QUERY q3 STORE 1 x", "QUERY q4 COMMIT"} {
 		sim.RunFor(200 * millisecond)
 		sendStatement(t, proxy, session, line)
@@ -79,14 +80,14 @@
 	require.Zero(t, proxy.server.counters.quotaUnknown.Load())
 }
 
-// A statement that was never sent gives its token back.
+// A statement that was never sent returns its token, so that the tenant's next one can use it.
 func TestTokenOfAnUnsentStatementIsGivenBack(t *testing.T) {
-	sim, proxy, session, conn := limitedSession(t)
+	sim, proxy, session, conn := newLimitedSession(t)
 	sendStatement(t, proxy, session, "QUERY q1 FETCH 1")
 	for _, pool := range proxy.server.pools {
-		pool.service.primary.Revoked = true // no host can take it
+		pool.service.primary.Revoked = true // so that no host can serve it
 	}
-	lendTo(proxy, quota.Answer{Granted: 1})
+	answerQuota(proxy, quota.Answer{Granted: 1})
 	sim.RunFor(200 * millisecond) // a connection is opened in the tenant's name first
 	require.Contains(t, conn.take(), "no host can serve it")
 	_, verdict := proxy.server.accounts.Admit("t7", proxy.server.clock.Now())
--- a/internal/proxy/lease_loss.go
+++ b/internal/proxy/lease_loss.go
@@ -17,7 +17,7 @@
 // revoked. All other statements are reads; a host refuses a read itself if it has not reached the position that the read must
 // include.
 func (s *Server) needsLease(stmt *statement) bool {
-	if stmt.step.MayWrite || stmt.route.stalenessBound == 0 || stmt.tenant != "" && s.keysOutdated() {
+	if stmt.step.MayWrite || stmt.route.stalenessBound == 0 || stmt.tenant != "" && s.keysStale() {
 		return true
 	}
 	return !stmt.route.service.positions.CoversBound(s.refreshPolicyTime(), stmt.route.stalenessBound)
@@ -57,11 +57,11 @@
 // already sent runs to completion.
 func (s *Server) withdraw(stmt *statement) {
 	stmt.command.Abandon()
-	if stmt.attempt.conn == nil && !stmt.attempt.over && stmt.command.Host != nil {
+	if stmt.attempt.conn == nil && !stmt.attempt.ended && stmt.command.Host != nil {
 		s.endAttempt(stmt, policy.Expired)
 		return
 	}
-	s.forgetIfOver(stmt)
+	s.forgetIfFinished(stmt)
 }
 
 // drainWithoutLease closes the sessions that have been idle for staleConfigGrace, once the lease has been invalid for that long. A
@@ -71,7 +71,7 @@
 		return
 	}
 	for _, client := range s.sessions.byAge() {
-		if client.idle() && now.Sub(client.idleSince) > staleConfigGrace {
+		if client.isIdle() && now.Sub(client.idleSince) > staleConfigGrace {
 			client.drain()
 		}
 	}
--- a/internal/proxy/lease_loss_test.go
+++ b/internal/proxy/lease_loss_test.go
@@ -20,7 +20,7 @@
 	return len(data), true
 }
 func (c *recordingConn) stopReading() {}
-func (c *recordingConn) finish()      { c.closed = true }
+func (c *recordingConn) closeWrite()  { c.closed = true }
 func (c *recordingConn) close()       { c.closed = true }
 
 // take returns what was written since the last call.
