--- a/internal/lease/benchmark_test.go
+++ b/internal/lease/benchmark_test.go
@@ -7,7 +7,7 @@
 	"ferrypitch/internal/simulation/statesize"
 )
 
-// A grant, and the count of proxies that hold leases, which goes out with each.
+// Measures granting a lease, and counting the lease holders, which is sent with each grant.
 func BenchmarkGrant(b *testing.B) {
 	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Asked at each tick while a failover runs.
+// Measures the check that runs at each tick during a failover.
 func BenchmarkAllCaughtUp(b *testing.B) {
 	for _, size := range statesize.Sizes {
 		b.Run(size.String(), func(b *testing.B) {
@@ -39,7 +39,7 @@
 			}
 			for b.Loop() {
 				if !grantor.AllCaughtUp(2, nil, 5001) {
-					b.Fatal("all have applied it")
+					b.Fatal("AllCaughtUp is false although all proxies have applied the index")
 				}
 			}
 		})
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -2,41 +2,41 @@
 
 import "slices"
 
-// GrantMs is how long the control plane counts on a lease that it granted, in milliseconds. Longer rides out a change of
-// its leader; shorter lets a failover go on sooner when a proxy cannot be heard.
+// GrantMs is how long the control plane considers a granted lease valid, in milliseconds. A longer lease outlasts a change
+// of the control plane's leader; a shorter one lets a failover proceed sooner when a proxy is unreachable.
 const GrantMs = 1760
 
-// forgetAfterMs is how long after its lease expired a proxy is forgotten, in milliseconds.
-const forgetAfterMs = 60 * GrantMs
+// retentionMs is how long the grant of a proxy is kept after its lease has expired, in milliseconds.
+const retentionMs = 60 * GrantMs
 
-// Grantor is the control plane's side of all leases. The zero value cannot be used; see NewGrantor. It is not safe for
-// concurrent use.
+// Grantor is the control plane's side of the leases of all proxies. Create it with NewGrantor. It is not safe for concurrent
+// use.
 type Grantor struct {
-	leaderSince int64             // when this member began to lead the control plane
-	grants      map[string]*grant // by proxy
+	leaderSince int64             // when this member became the leader of the control plane
+	grants      map[string]*grant // by name of the proxy
 	holders     holderCount
 }
 
-// grant is what is known of one proxy and its lease.
+// grant is the state of one proxy and its lease.
 type grant struct {
 	incarnation       uint64
 	expiresAt         int64
 	appliedIndex      uint64
-	seenIncarnations  []uint64        // others that were observed while this one's lease ran
-	endedIncarnations map[uint64]bool // earlier ones, whose messages count no more
-	counted           bool            // it is among holderCount.holders
+	seenIncarnations  []uint64        // other incarnations observed while this one's lease was valid
+	endedIncarnations map[uint64]bool // earlier incarnations, whose messages are ignored
+	counted           bool            // included in holderCount.holders
 }
 
-// NewGrantor returns the grantor of a member that leads the control plane from nowMs on. Until then other members may have
-// granted leases.
+// NewGrantor returns the grantor of a member that becomes the leader of the control plane at nowMs. Earlier leaders may have
+// granted leases until then.
 func NewGrantor(nowMs int64) *Grantor {
 	return &Grantor{leaderSince: nowMs, grants: map[string]*grant{}}
 }
 
-// Grant grants a lease to an incarnation of a proxy that has applied the log up to appliedIndex, and says whether it did.
-// It does not if that is before requiredIndex, the latest revocation: a proxy that asks on without getting updates would
-// hold up a failover for good. Nor does it for an incarnation that has ended, whose request was delayed.
-// A new incarnation ends the lease of the one before, whether it is granted one or not.
+// Grant grants a lease to an incarnation of a proxy that has applied the log up to appliedIndex, and reports whether it did.
+// It rejects a proxy that has not applied requiredIndex, the latest revocation: otherwise a proxy that keeps renewing but
+// receives no updates would block a failover forever. It also rejects delayed requests of incarnations that have ended.
+// The request of a new incarnation ends the lease of the previous one, even if it is rejected.
 func (g *Grantor) Grant(proxy string, incarnation, appliedIndex, requiredIndex uint64, nowMs int64) bool {
 	current := g.grants[proxy]
 	if current != nil && current.endedIncarnations[incarnation] {
@@ -44,7 +44,7 @@
 	}
 	if current != nil && current.incarnation != incarnation {
 		g.holders.remove(current)
-		g.grants[proxy] = current.successor(incarnation)
+		g.grants[proxy] = current.nextIncarnation(incarnation)
 	}
 	g.Observe(proxy, incarnation, appliedIndex, nowMs)
 	if appliedIndex < requiredIndex {
@@ -55,8 +55,9 @@
 	return true
 }
 
-// successor returns the grant of a proxy's next incarnation, without a lease. Whatever was seen of others has ended.
-func (g *grant) successor(incarnation uint64) *grant {
+// nextIncarnation returns the grant of a proxy's next incarnation, without a lease. All other incarnations observed so far are
+// recorded as ended.
+func (g *grant) nextIncarnation(incarnation uint64) *grant {
 	next := &grant{incarnation: incarnation, endedIncarnations: map[uint64]bool{g.incarnation: true}}
 	for ended := range g.endedIncarnations {
 		next.endedIncarnations[ended] = true
@@ -67,19 +68,19 @@
 	return next
 }
 
-// Observe notes how far a proxy has applied the log, without granting a lease. It may be a late message of an earlier
-// incarnation, and so takes nothing from a lease that runs: only a request for a lease tells which incarnation lives.
+// Observe records how far a proxy has applied the log, without granting a lease. The message may be a delayed one of an earlier
+// incarnation, so it does not affect a valid lease: only a lease request shows which incarnation is running.
 func (g *Grantor) Observe(proxy string, incarnation, appliedIndex uint64, nowMs int64) {
 	current := g.grants[proxy]
 	switch {
 	case current == nil:
 		current = &grant{incarnation: incarnation}
 		g.grants[proxy] = current
-	case current.incarnation == incarnation: // the one that is known
+	case current.incarnation == incarnation: // the incarnation of the grant
 	case current.endedIncarnations[incarnation]:
 		return
 	case nowMs < current.expiresAt:
-		current.noteSeen(incarnation)
+		current.recordSeenIncarnation(incarnation)
 		return
 	default:
 		current.incarnation, current.appliedIndex = incarnation, 0
@@ -87,15 +88,16 @@
 	current.appliedIndex = max(current.appliedIndex, appliedIndex)
 }
 
-func (g *grant) noteSeen(incarnation uint64) {
+// recordSeenIncarnation records an incarnation that was observed while the lease of another one is valid.
+func (g *grant) recordSeenIncarnation(incarnation uint64) {
 	if !slices.Contains(g.seenIncarnations, incarnation) {
 		g.seenIncarnations = append(g.seenIncarnations, incarnation)
 	}
 }
 
-// AllCaughtUp says that no proxy acts any more on what the log said before an index: each has applied it, or its lease has
-// expired. proxies are all that were ever granted a lease by any member: until the leases that others may have granted have
-// expired, each of them must have been observed.
+// AllCaughtUp reports whether no proxy can act on a state of the log before index: each proxy has applied index, or its lease
+// has expired. proxies are all proxies that were ever granted a lease by any member. Until the leases that earlier leaders may
+// have granted have expired, each of these proxies must have been observed to have applied index.
 func (g *Grantor) AllCaughtUp(index uint64, proxies []string, nowMs int64) bool {
 	if nowMs < g.leaderSince+GrantMs {
 		for _, proxy := range proxies {
@@ -112,12 +114,13 @@
 	return true
 }
 
-// HolderCount returns how many proxies hold leases, and forgets those whose leases expired long ago.
+// HolderCount returns the number of proxies that hold a valid lease. It also deletes the grants that expired more than
+// retentionMs ago.
 func (g *Grantor) HolderCount(nowMs int64) int {
 	g.holders.expire(nowMs)
-	for _, lapsed := range g.holders.takeForgotten(nowMs) {
-		if g.grants[lapsed.proxy] == lapsed.grant && lapsed.grant.expiresAt == lapsed.expiresAt {
-			delete(g.grants, lapsed.proxy)
+	for _, expired := range g.holders.removeLongExpired(nowMs) {
+		if g.grants[expired.proxy] == expired.grant && expired.grant.expiresAt == expired.expiresAt {
+			delete(g.grants, expired.proxy)
 		}
 	}
 	return g.holders.holders
--- a/internal/lease/grantor_test.go
+++ b/internal/lease/grantor_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Over seeded runs with changes of leader and lost answers: whenever the control plane says that all proxies have caught up
-// with a change, none acts on what the log said before it.
+// Runs seeded simulations with leader changes and lost responses. Whenever AllCaughtUp is true for an index, no proxy with a
+// valid lease may act on a log before that index.
 func TestNoProxyActsAfterAllCaughtUp(t *testing.T) {
 	type simulatedProxy struct {
 		holder       Holder
@@ -29,24 +29,24 @@
 			switch random.IntN(12) {
 			case 0:
 				index++
-			case 1: // another member leads
+			case 1: // another member becomes the leader
 				grantor = NewGrantor(now)
 			case 2:
 				grantor.Observe(name, 1, current.appliedIndex, now)
 			case 3:
 				current.appliedIndex = index
-			default: // a request, its answer late or lost
-				asked := now + current.clockSkew
+			default: // a lease request; its response is delayed or lost
+				requested := now + current.clockSkew
 				now += random.Int64N(30)
 				grantor.Grant(name, 1, current.appliedIndex, 0, now)
 				if random.IntN(4) > 0 {
-					current.holder.Renew(asked)
+					current.holder.Renew(requested)
 				}
 			}
 			if grantor.AllCaughtUp(index, names, now) {
 				caughtUp++
 				for name, current := range proxies {
-					require.False(t, current.appliedIndex < index && current.holder.Valid(now+current.clockSkew), "seed %d: %s acts on index %d, all have caught up with %d", seed, name, current.appliedIndex, index)
+					require.False(t, current.appliedIndex < index && current.holder.Valid(now+current.clockSkew), "seed %d: %s may act on index %d although AllCaughtUp(%d)", seed, name, current.appliedIndex, index)
 				}
 			}
 		}
@@ -54,21 +54,21 @@
 	require.Greater(t, caughtUp, 1000)
 }
 
-// A proxy that asks on and gets no updates does not hold up a failover for longer than the lease that it has.
+// A proxy that keeps requesting leases but receives no updates must not block a failover beyond the expiry of its current lease.
 func TestProxyWithoutUpdatesBlocksOnlyUntilItsLeaseExpires(t *testing.T) {
 	grantor := NewGrantor(0)
-	at := int64(2 * GrantMs)
-	require.True(t, grantor.Grant("a", 1, 5, 0, at))
-	for now := at; now < at+GrantMs; now += 300 {
-		require.False(t, grantor.Grant("a", 1, 5, 6, now), "it has not applied the revocation")
+	grantedAt := int64(2 * GrantMs)
+	require.True(t, grantor.Grant("a", 1, 5, 0, grantedAt))
+	for now := grantedAt; now < grantedAt+GrantMs; now += 300 {
+		require.False(t, grantor.Grant("a", 1, 5, 6, now), "the proxy has not applied the revocation")
 		require.False(t, grantor.AllCaughtUp(6, []string{"a"}, now))
 	}
-	require.True(t, grantor.AllCaughtUp(6, []string{"a"}, at+GrantMs))
-	require.True(t, grantor.Grant("a", 1, 6, 6, at+GrantMs))
-	require.True(t, grantor.AllCaughtUp(6, []string{"a"}, at+GrantMs))
+	require.True(t, grantor.AllCaughtUp(6, []string{"a"}, grantedAt+GrantMs))
+	require.True(t, grantor.Grant("a", 1, 6, 6, grantedAt+GrantMs))
+	require.True(t, grantor.AllCaughtUp(6, []string{"a"}, grantedAt+GrantMs))
 }
 
-// The count that is kept equals one of all grants.
+// The incrementally maintained count must equal a count over all grants.
 func TestHolderCountFollowsRenewalsExpiriesAndIncarnations(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	grantor := NewGrantor(0)
@@ -76,7 +76,7 @@
 	for range 20_000 {
 		now += random.Int64N(300)
 		if random.IntN(200) == 0 {
-			now += 2 * forgetAfterMs
+			now += 2 * retentionMs
 		}
 		grantor.Grant(string(rune('a'+random.IntN(20))), uint64(1+random.IntN(2)+int(now/100_000)), 1, uint64(random.IntN(3)), now)
 		counted := 0
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -1,20 +1,22 @@
 package lease
 
-// holderValidityMs is how long a proxy acts under a lease, in milliseconds: a tenth less than the control plane counts, so
-// that the proxy's clock may run slower than the control plane's by as much. The leader lease of the control plane's log
-// tolerates the same drift.
+// holderValidityMs is how long a proxy considers its lease valid, in milliseconds. It is a tenth shorter than GrantMs, so that
+// the proxy's clock may run slower than the control plane's by that fraction. The leader lease of the control plane's
+// consensus tolerates the same drift.
 const holderValidityMs = GrantMs * 9 / 10
 
-// Holder is a proxy's side of its lease. The zero value holds none.
+// Holder is a proxy's side of its lease. The zero value holds no lease.
 type Holder struct {
 	expiresAt int64
 }
 
-// Renew takes in a lease that was granted to a request sent at askedAtMs. It never shortens the lease.
-func (h *Holder) Renew(askedAtMs int64) { h.expiresAt = max(h.expiresAt, askedAtMs+holderValidityMs) }
+// Renew extends the lease after the request sent at requestedAtMs was granted. It never shortens the lease.
+func (h *Holder) Renew(requestedAtMs int64) {
+	h.expiresAt = max(h.expiresAt, requestedAtMs+holderValidityMs)
+}
 
-// ExpiresAt returns when the lease ends, in milliseconds of the proxy's clock. Zero: none was held.
+// ExpiresAt returns when the lease ends, in milliseconds of the proxy's clock. It is 0 if no lease was ever held.
 func (h *Holder) ExpiresAt() int64 { return h.expiresAt }
 
-// Valid says whether the proxy may act on what it has applied of the log.
+// Valid reports whether the lease is valid, so that the proxy may act on the log that it has applied.
 func (h *Holder) Valid(nowMs int64) bool { return nowMs < h.expiresAt }
--- a/internal/lease/holder_count.go
+++ b/internal/lease/holder_count.go
@@ -1,24 +1,25 @@
 package lease
 
-// holderCount counts the leases that run, without going through all of them: all leases are equally long, so they expire in the order
-// in which they were granted.
+// holderCount counts the valid leases without iterating over all of them: all leases have the same duration, so they expire in the
+// order in which they were granted.
 type holderCount struct {
 	holders int
-	running []grantedLease // those that may run, the oldest first
-	expired []grantedLease // those that expired and were not renewed before, the oldest first
+	active  []grantedLease // leases that may be valid, oldest first
+	expired []grantedLease // leases that expired without a renewal, oldest first
 }
 
-// grantedLease is a lease as it was granted. Its grant has a later expiry if it was renewed since.
+// grantedLease is a lease at the time it was granted. If it was renewed since, its grant has a later expiry.
 type grantedLease struct {
 	proxy     string
 	grant     *grant
 	expiresAt int64
 }
 
+// add records a lease that was just granted or renewed.
 func (c *holderCount) add(proxy string, granted *grant) {
-	newest := len(c.running) - 1
-	if newest < 0 || c.running[newest].grant != granted || c.running[newest].expiresAt != granted.expiresAt {
-		c.running = append(c.running, grantedLease{proxy, granted, granted.expiresAt})
+	newest := len(c.active) - 1
+	if newest < 0 || c.active[newest].grant != granted || c.active[newest].expiresAt != granted.expiresAt {
+		c.active = append(c.active, grantedLease{proxy, granted, granted.expiresAt})
 	}
 	if !granted.counted {
 		granted.counted = true
@@ -26,7 +27,7 @@
 	}
 }
 
-// remove counts a grant no more.
+// remove excludes a grant from the count.
 func (c *holderCount) remove(granted *grant) {
 	if granted.counted {
 		granted.counted = false
@@ -34,11 +35,11 @@
 	}
 }
 
-// expire counts those leases no more that have expired.
+// expire removes the leases that have expired from the count.
 func (c *holderCount) expire(nowMs int64) {
-	for len(c.running) > 0 && nowMs >= c.running[0].expiresAt {
-		oldest := c.running[0]
-		c.running = c.running[1:]
+	for len(c.active) > 0 && nowMs >= c.active[0].expiresAt {
+		oldest := c.active[0]
+		c.active = c.active[1:]
 		if oldest.expiresAt == oldest.grant.expiresAt {
 			c.remove(oldest.grant)
 			c.expired = append(c.expired, oldest)
@@ -46,11 +47,11 @@
 	}
 }
 
-// takeForgotten removes and returns the leases that expired more than forgetAfterMs ago.
-func (c *holderCount) takeForgotten(nowMs int64) (forgotten []grantedLease) {
-	for len(c.expired) > 0 && nowMs > c.expired[0].expiresAt+forgetAfterMs {
-		forgotten = append(forgotten, c.expired[0])
+// removeLongExpired removes and returns the leases that expired more than retentionMs ago and were not renewed.
+func (c *holderCount) removeLongExpired(nowMs int64) (removed []grantedLease) {
+	for len(c.expired) > 0 && nowMs > c.expired[0].expiresAt+retentionMs {
+		removed = append(removed, c.expired[0])
 		c.expired = c.expired[1:]
 	}
-	return forgotten
+	return removed
 }
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -6,65 +6,67 @@
 )
 
 const (
-	// demandSpanMs is over how long the demand of a tenant is averaged, in milliseconds.
-	demandSpanMs = 2000
+	// demandTimeConstantMs is the time constant of the moving average of a tenant's demand, in milliseconds.
+	demandTimeConstantMs = 2000
 
-	// prefetchMs is how much demand a proxy holds tokens for, in milliseconds.
+	// prefetchMs is how many milliseconds of demand a proxy requests tokens for in advance.
 	prefetchMs = 1000
 
-	// idleDemandPerMs is the demand below which a proxy holds no tokens.
+	// idleDemandPerMs is the demand, in operations per millisecond, below which a proxy prefetches no tokens.
 	idleDemandPerMs = 0.1 / millisecondsPerSecond
 
-	// renewBeforeMs is how long before it expires a token is exchanged for a new one, in milliseconds.
+	// renewBeforeMs is the remaining lifetime, in milliseconds, below which a token is returned in exchange for a new one.
 	renewBeforeMs = 1000
 
-	// minReturnedMs is how long a token that is given back may still be spent, in milliseconds: one that the lender has written off
-	// when the report arrives would be taken for another.
-	minReturnedMs = requestTimeoutMs
+	// minReturnedLifetimeMs is the remaining lifetime, in milliseconds, that a token must exceed to be returned. If the lender
+	// had already expired the token when the report arrives, it would credit the return to another loan.
+	minReturnedLifetimeMs = requestTimeoutMs
 
-	// surplusFactor of the tokens that are wanted may be held before some are given back.
+	// surplusFactor times the target number of tokens may be held before the excess is returned. Conversely, no request is
+	// sent just to prefetch while at least the target divided by this factor is held.
 	surplusFactor = 2
 )
 
-// account is what a proxy holds of a tenant's tokens.
+// account is a proxy's state for one tenant: the tokens that it holds, what it has yet to report, and its demand.
 type account struct {
-	batches      []batch // the first to expire first
-	used         int     // of the present term's tokens, not reported yet
-	overdrawn    int     // sent without a token, not reported yet
-	waiting      int     // operations that wait for a token
-	refused      int     // operations that were refused since the last request
-	atLimitUntil int64
-	retryAfterMs int64 // what clients are told until then
-
-	demandPerMs float64
-	demandAt    int64 // when it was last brought up to date
+	batches      []tokenBatch // in order of expiry, earliest first
+	used         int          // tokens of the current term that were spent and not yet reported
+	overdrawn    int          // operations sent without a token and not yet reported
+	waiting      int          // operations waiting for a token
+	refused      int          // operations refused since the last request
+	atLimitUntil int64        // until when operations without a token are refused
+	retryAfterMs int64        // delay suggested to clients whose operations are refused
+
+	demandPerMs     float64 // moving average of arriving operations
+	demandUpdatedAt int64   // when demandPerMs was last updated
 }
 
-// batch is tokens of one answer.
-type batch struct {
-	term      uint64
+// tokenBatch is a number of tokens that were granted in one answer and expire together.
+type tokenBatch struct {
+	term      uint64 // term of the lender
 	expiresAt int64
 	count     int
 }
 
-// noteDemand counts one operation that arrives.
-func (a *account) noteDemand(nowMs int64) {
-	a.fadeDemand(nowMs)
-	a.demandPerMs += 1.0 / demandSpanMs
+// recordDemand adds an arriving operation to the moving average of the demand.
+func (a *account) recordDemand(nowMs int64) {
+	a.decayDemand(nowMs)
+	a.demandPerMs += 1.0 / demandTimeConstantMs
 }
 
-func (a *account) fadeDemand(nowMs int64) {
-	if elapsed := nowMs - a.demandAt; elapsed > 0 {
-		a.demandPerMs *= math.Exp(-float64(elapsed) / demandSpanMs)
-		a.demandAt = nowMs
+// decayDemand applies the exponential decay of the demand up to nowMs.
+func (a *account) decayDemand(nowMs int64) {
+	if elapsed := nowMs - a.demandUpdatedAt; elapsed > 0 {
+		a.demandPerMs *= math.Exp(-float64(elapsed) / demandTimeConstantMs)
+		a.demandUpdatedAt = nowMs
 	}
 }
 
-// take takes the token that expires first.
-func (a *account) take(nowMs int64) (batch, bool) {
+// takeToken removes and returns the token that expires first; false if there is none.
+func (a *account) takeToken(nowMs int64) (tokenBatch, bool) {
 	a.dropExpired(nowMs)
 	if len(a.batches) == 0 {
-		return batch{}, false
+		return tokenBatch{}, false
 	}
 	taken := a.batches[0]
 	a.batches[0].count--
@@ -81,8 +83,8 @@
 	}
 }
 
-// put adds tokens that have not expired.
-func (a *account) put(tokens batch, nowMs int64) {
+// addBatch inserts tokens in order of expiry. An empty or expired batch is ignored.
+func (a *account) addBatch(tokens tokenBatch, nowMs int64) {
 	if tokens.count <= 0 || tokens.expiresAt <= nowMs {
 		return
 	}
@@ -93,47 +95,49 @@
 	a.batches = slices.Insert(a.batches, at, tokens)
 }
 
-// ask reports what was used, gives back what expires soon or is too much, and asks for what the demand needs; false: there is
-// nothing to say. Tokens of an earlier term can't be given back: their lender is gone.
+// ask reports usage, returns tokens that expire soon or exceed the demand, and requests the tokens that the demand needs. It
+// returns false if there is nothing to report or request. Tokens of an earlier term are not returned, because their lender no
+// longer exists.
 func (a *account) ask(tenant string, term uint64, nowMs int64) (Ask, bool) {
 	a.dropExpired(nowMs)
-	a.fadeDemand(nowMs)
-	target := a.target()
-	kept, returned := a.giveBack(term, target*surplusFactor, nowMs)
+	a.decayDemand(nowMs)
+	targetTokens := a.targetTokens()
+	kept, returned := a.removeReturned(term, targetTokens*surplusFactor, nowMs)
 	urgent := a.waiting + a.refused
 	ask := Ask{Tenant: tenant, Used: a.used, Returned: returned, Overdrawn: a.overdrawn, Urgent: urgent}
-	ask.Want = urgent + max(0, target-kept)
-	if ask.Used == 0 && ask.Returned == 0 && ask.Overdrawn == 0 && urgent == 0 && kept*surplusFactor >= target {
+	ask.Want = urgent + max(0, targetTokens-kept)
+	if ask.Used == 0 && ask.Returned == 0 && ask.Overdrawn == 0 && urgent == 0 && kept*surplusFactor >= targetTokens {
 		return Ask{}, false
 	}
 	a.used, a.overdrawn, a.refused = 0, 0, 0
 	return ask, true
 }
 
-// target is how many tokens the demand of late asks for.
-func (a *account) target() int {
+// targetTokens returns how many tokens the proxy should hold for the recent demand.
+func (a *account) targetTokens() int {
 	if a.demandPerMs < idleDemandPerMs {
 		return 0
 	}
 	return int(math.Ceil(a.demandPerMs * prefetchMs))
 }
 
-// giveBack removes what is to be returned: what expires soon, though not at once, and what exceeds a number of tokens.
-func (a *account) giveBack(term uint64, atMost int, nowMs int64) (kept, returned int) {
+// removeReturned removes the tokens to return: those that expire within renewBeforeMs and those beyond maxTokens. Tokens that
+// expire within minReturnedLifetimeMs and tokens of earlier terms are kept.
+func (a *account) removeReturned(term uint64, maxTokens int, nowMs int64) (kept, returned int) {
 	for i := len(a.batches) - 1; i >= 0; i-- {
 		tokens := &a.batches[i]
 		keep := tokens.count
 		switch {
-		case tokens.term != term, tokens.expiresAt-nowMs <= minReturnedMs:
+		case tokens.term != term, tokens.expiresAt-nowMs <= minReturnedLifetimeMs:
 		case tokens.expiresAt-nowMs <= renewBeforeMs:
 			keep = 0
 		default:
-			keep = max(0, min(tokens.count, atMost-kept))
+			keep = max(0, min(tokens.count, maxTokens-kept))
 		}
 		returned += tokens.count - keep
 		kept += keep
 		tokens.count = keep
 	}
-	a.batches = slices.DeleteFunc(a.batches, func(tokens batch) bool { return tokens.count == 0 })
+	a.batches = slices.DeleteFunc(a.batches, func(tokens tokenBatch) bool { return tokens.count == 0 })
 	return kept, returned
 }
--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -5,70 +5,71 @@
 	"slices"
 )
 
-// How often a proxy reports what it has used, in milliseconds.
+// Intervals between a proxy's usage reports, in milliseconds; see ReportIntervalMs.
 const (
-	reportMs          = 250
-	successorReportMs = 50
+	reportIntervalMs        = 250
+	newTermReportIntervalMs = 50
 )
 
-// maxRefusalMs is for how long a proxy refuses without asking anew, in milliseconds.
+// maxRefusalMs is the longest time, in milliseconds, for which a proxy refuses operations before it requests tokens again.
 const maxRefusalMs = 600
 
 const (
-	// requestTimeoutMs is how long an answer is waited for before the next request, in milliseconds.
+	// requestTimeoutMs is how long a proxy waits for a response before it sends the next request, in milliseconds.
 	requestTimeoutMs = 400
 
-	// maxPendingRequests is how many requests may have no answer; the tokens of an older one have expired.
+	// maxPendingRequests limits the unanswered requests that are tracked. Tokens granted to an older request have expired.
 	maxPendingRequests = TokenLifeMs / requestTimeoutMs
 )
 
-// Verdict says what becomes of an operation.
+// Verdict is the admission decision for an operation.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Admitted Verdict = iota
-	Wait             // the lender has to be asked
-	Refused          // the tenant is at its limit
+	Admitted Verdict = iota // it may be sent
+	Wait                    // it has to wait for tokens from the lender
+	Refused                 // the tenant is at its limit
 )
 
-// Reservation is a token for an operation that is admitted and not yet sent. The zero value is none.
-type Reservation struct{ token batch }
+// Reservation is a token held by an admitted operation that is not yet sent. The zero value holds no token.
+type Reservation struct{ token tokenBatch }
 
-// Request is what a proxy sends to the lender. Its field names are part of the wire format.
+// Request is a proxy's message to the lender. Its field names are part of the wire format.
 type Request struct {
 	Serial uint64
-	Term   uint64 // of the lender of its tokens
+	Term   uint64 // term of the lender that the proxy's tokens are from
 	Asks   []Ask
 }
 
-// Response answers the request with the same serial. Its field names are part of the wire format.
+// Response is the lender's answer to the request with the same serial. Its field names are part of the wire format.
 type Response struct {
 	Serial  uint64
-	Term    uint64 // of the lender
+	Term    uint64 // term of the lender
 	Answers []Answer
 }
 
-// Accounts are all tokens of a proxy. The zero value cannot be used; see NewAccounts. It is not safe for concurrent use.
+// Accounts is the proxy's side of the quota protocol: it holds the tokens of all limited tenants and admits operations. Create it
+// with NewAccounts. It is not safe for concurrent use.
 type Accounts struct {
-	term      uint64 // of the newest lender that has answered
-	tenants   map[string]*account
-	serial    uint64
-	termSince int64 // when that lender answered first
-	pending   []pendingRequest
+	term          uint64              // latest term in which a lender has answered
+	tenants       map[string]*account // by name, limited tenants only
+	serial        uint64              // of the latest request
+	termStartedAt int64               // when the first response of the term arrived
+	pending       []pendingRequest
 }
 
-// pendingRequest is a request that has no answer yet.
+// pendingRequest is a request that is not answered yet.
 type pendingRequest struct {
 	serial uint64
 	sentAt int64
 	asks   []Ask
 }
 
-// NewAccounts returns accounts without tenants.
+// NewAccounts returns Accounts without limited tenants.
 func NewAccounts() *Accounts { return &Accounts{tenants: map[string]*account{}} }
 
-// SetLimited replaces the tenants whose operations are counted.
+// SetLimited replaces the set of tenants that have a limit. Tenants that remain keep their tokens.
 func (c *Accounts) SetLimited(names []string) {
 	tenants := make(map[string]*account, len(names))
 	for _, name := range names {
@@ -80,17 +81,17 @@
 	c.tenants = tenants
 }
 
-// Limited says whether a tenant's operations are counted.
+// Limited reports whether a tenant has a limit.
 func (c *Accounts) Limited(tenant string) bool { return c.tenants[tenant] != nil }
 
-// Admit decides on an operation that arrives. One that is to wait must come to Retry or Abandon.
+// Admit decides whether an arriving operation may be sent. After Wait, the caller must call Retry or Abandon.
 func (c *Accounts) Admit(tenant string, nowMs int64) (Reservation, Verdict) {
 	a := c.tenants[tenant]
 	if a == nil {
 		return Reservation{}, Admitted
 	}
-	a.noteDemand(nowMs)
-	if token, ok := a.take(nowMs); ok {
+	a.recordDemand(nowMs)
+	if token, ok := a.takeToken(nowMs); ok {
 		return Reservation{token}, Admitted
 	}
 	if nowMs < a.atLimitUntil {
@@ -101,13 +102,13 @@
 	return Reservation{}, Wait
 }
 
-// Retry decides anew on an operation that waits.
+// Retry decides again whether a waiting operation may be sent.
 func (c *Accounts) Retry(tenant string, nowMs int64) (Reservation, Verdict) {
 	a := c.tenants[tenant]
 	if a == nil {
 		return Reservation{}, Admitted
 	}
-	token, ok := a.take(nowMs)
+	token, ok := a.takeToken(nowMs)
 	switch {
 	case ok:
 		a.stopWaiting()
@@ -119,7 +120,7 @@
 	return Reservation{}, Wait
 }
 
-// Abandon ends the wait of an operation.
+// Abandon removes an operation from those waiting, after its caller has given up.
 func (c *Accounts) Abandon(tenant string) {
 	if a := c.tenants[tenant]; a != nil {
 		a.stopWaiting()
@@ -128,8 +129,8 @@
 
 func (a *account) stopWaiting() { a.waiting = max(0, a.waiting-1) }
 
-// Spend counts an operation that is sent now. Its reservation may have expired, or be none: then it takes another token, and where
-// there is none the tenant is overdrawn, which the lender takes off what it has.
+// Spend spends the reserved token for an operation that is sent now. If the reservation is empty or has expired, it takes another
+// token. If there is none, the operation counts as overdrawn, and the lender deducts it from the tenant's free tokens.
 func (c *Accounts) Spend(tenant string, reserved Reservation, nowMs int64) {
 	a := c.tenants[tenant]
 	if a == nil {
@@ -137,7 +138,7 @@
 	}
 	token, ok := reserved.token, reserved.token.expiresAt > nowMs
 	if !ok {
-		token, ok = a.take(nowMs)
+		token, ok = a.takeToken(nowMs)
 	}
 	switch {
 	case !ok:
@@ -147,14 +148,14 @@
 	}
 }
 
-// Release gives back the reservation of an operation that was not sent.
+// Release puts back the reserved token of an operation that was not sent.
 func (c *Accounts) Release(tenant string, reserved Reservation, nowMs int64) {
 	if a := c.tenants[tenant]; a != nil {
-		a.put(reserved.token, nowMs)
+		a.addBatch(reserved.token, nowMs)
 	}
 }
 
-// RetryAfterMs is when a tenant at its limit is likely to have tokens again.
+// RetryAfterMs returns in how many milliseconds a tenant at its limit is expected to have tokens again.
 func (c *Accounts) RetryAfterMs(tenant string) int64 {
 	if a := c.tenants[tenant]; a != nil {
 		return a.retryAfterMs
@@ -162,14 +163,15 @@
 	return 0
 }
 
-// Request is the next request to the lender; nil: there is nothing to say, or an answer is awaited. It must be sent after nowMs.
+// Request returns the next request to the lender, or nil if there is nothing to report or request, or if a request is still
+// within its timeout. It must be sent no earlier than nowMs, from which the lifetime of the granted tokens counts.
 func (c *Accounts) Request(nowMs int64) *Request {
 	if len(c.pending) > 0 && nowMs-c.pending[len(c.pending)-1].sentAt < requestTimeoutMs {
 		return nil
 	}
 	var asks []Ask
 	for _, name := range slices.Sorted(maps.Keys(c.tenants)) {
-		if ask, told := c.tenants[name].ask(name, c.term, nowMs); told {
+		if ask, ok := c.tenants[name].ask(name, c.term, nowMs); ok {
 			asks = append(asks, ask)
 		}
 	}
@@ -178,27 +180,29 @@
 	}
 	c.serial++
 	if len(c.pending) == maxPendingRequests {
-		c.reportAgain(c.pending[:1])
+		c.requeueOverdrawn(c.pending[:1])
 		c.pending = c.pending[1:]
 	}
 	c.pending = append(c.pending, pendingRequest{serial: c.serial, sentAt: nowMs, asks: asks})
 	return &Request{Serial: c.serial, Term: c.term, Asks: asks}
 }
 
-// takePending returns the request of an answer. Answers come in the order of the requests, so those before it will have none.
+// takePending removes and returns the pending request with a serial. Responses arrive in the order of their requests, so earlier
+// pending requests will not be answered and are dropped too.
 func (c *Accounts) takePending(serial uint64) (request pendingRequest, ok bool) {
-	place := slices.IndexFunc(c.pending, func(request pendingRequest) bool { return request.serial == serial })
-	if place < 0 {
+	position := slices.IndexFunc(c.pending, func(request pendingRequest) bool { return request.serial == serial })
+	if position < 0 {
 		return pendingRequest{}, false
 	}
-	request = c.pending[place]
-	c.reportAgain(c.pending[:place])
-	c.pending = c.pending[place+1:]
+	request = c.pending[position]
+	c.requeueOverdrawn(c.pending[:position])
+	c.pending = c.pending[position+1:]
 	return request, true
 }
 
-// reportAgain has what was overdrawn reported once more where a request may not have arrived. To count it twice is safe.
-func (c *Accounts) reportAgain(requests []pendingRequest) {
+// requeueOverdrawn schedules the overdrawn operations of requests that may not have arrived to be reported again. Reporting them
+// twice is safe: it only reduces the tenant's free tokens.
+func (c *Accounts) requeueOverdrawn(requests []pendingRequest) {
 	for _, request := range requests {
 		for _, ask := range request.asks {
 			if a := c.tenants[ask.Tenant]; a != nil {
@@ -208,7 +212,7 @@
 	}
 }
 
-// Answered takes the tokens of an answer. Their life counts from when the request was sent.
+// Answered adds the tokens granted in a response. Their lifetime counts from when the request was sent.
 func (c *Accounts) Answered(response *Response, nowMs int64) {
 	request, ok := c.takePending(response.Serial)
 	if !ok || response.Term < c.term {
@@ -222,7 +226,7 @@
 		if a == nil {
 			continue
 		}
-		a.put(batch{term: c.term, expiresAt: request.sentAt + TokenLifeMs, count: answer.Granted}, nowMs)
+		a.addBatch(tokenBatch{term: c.term, expiresAt: request.sentAt + TokenLifeMs, count: answer.Granted}, nowMs)
 		a.atLimitUntil = 0
 		if answer.AtLimit {
 			a.atLimitUntil, a.retryAfterMs = nowMs+min(answer.RetryAfterMs, maxRefusalMs), answer.RetryAfterMs
@@ -230,30 +234,30 @@
 	}
 }
 
-// beginTerm forgets what was used of an earlier lender's tokens: nobody counts them any more.
+// beginTerm switches to a new lender and resets the usage of the earlier lender's tokens, which the new one does not track.
 func (c *Accounts) beginTerm(term uint64, nowMs int64) {
-	c.term, c.termSince = term, nowMs
+	c.term, c.termStartedAt = term, nowMs
 	for _, a := range c.tenants {
 		a.used = 0
 	}
 }
 
-// ReportIntervalMs is how often to report what was used, in milliseconds. A new lender has few tokens until those of the last have
-// expired, so it learns sooner which of them are spent.
+// ReportIntervalMs returns the interval between usage reports, in milliseconds. It is shorter at the start of a term: the new
+// lender has few tokens until those of the earlier lender have expired, and frequent reports tell it sooner which are spent.
 func (c *Accounts) ReportIntervalMs(nowMs int64) int64 {
-	if c.term == 0 || nowMs-c.termSince < loanLifeMs {
-		return successorReportMs
+	if c.term == 0 || nowMs-c.termStartedAt < loanLifeMs {
+		return newTermReportIntervalMs
 	}
-	return reportMs
+	return reportIntervalMs
 }
 
-// LinkLost says that no answer will come to what was asked.
+// LinkLost drops all pending requests, because no response to them will arrive.
 func (c *Accounts) LinkLost() {
-	c.reportAgain(c.pending)
+	c.requeueOverdrawn(c.pending)
 	c.pending = nil
 }
 
-// AtLimit returns the names of the tenants that are at their limit, as the lender has said.
+// AtLimit returns the sorted names of the tenants that are at their limit according to the lender.
 func (c *Accounts) AtLimit(nowMs int64) []string {
 	var names []string
 	for name, a := range c.tenants {
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,13 +1,15 @@
-// Package quota keeps the operations of each tenant within its limit over all proxies together.
+// Package quota limits the operations of each tenant across all proxies, with a distributed token bucket.
 //
-// The leader of the control plane lends tokens for a short time, and a proxy spends one for each operation that it sends to a host:
+// The leader of the control plane lends tokens for a short time, and a proxy spends one token for each operation that it sends to
+// a host:
 //
 //	proxy: Accounts.Request at t0 --- used, returned, wanted --->  leader: Lender.Serve at t1
-//	proxy: Accounts.Answered, tokens until t0+life  <--- granted, until t1+life+margin at the lender
+//	proxy: Accounts.Answered, tokens valid until t0+lifetime  <--- granted; the lender counts them until t1+lifetime+margin
 //
-// Of each tenant, what is free and what is lent never exceeds a capacity, and what is free grows at the tenant's rate. So in any
-// window no more runs than the capacity and what the rate gives, wherever the tokens are spent. A token that is not spent in time is
-// gone, and the proxy counts its life from an earlier moment than the lender: whatever is lost, late or cut off errs to the safe side.
+// For each tenant, the sum of free and lent tokens never exceeds a capacity, and free tokens are refilled at the tenant's rate. So
+// the operations in any window are bounded by the capacity plus the refill in that window, wherever the tokens are spent. An
+// unspent token expires, and the proxy starts counting its lifetime earlier than the lender does. So lost messages, delays and
+// partitions can only reduce the number of operations, never let it exceed the limit.
 //
-// The package does no input or output and reads no clock: callers pass the time, in milliseconds of a monotonic clock of their own.
+// The package does no I/O and reads no clock: callers pass the time, in milliseconds of their own monotonic clock.
 package quota
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	// waitingMs is how long a proxy that got less than was urgent counts as waiting for more, in milliseconds.
-	waitingMs = 600
+	// shortfallLifetimeMs is how long a proxy that was granted fewer tokens than were urgent counts as waiting, in milliseconds.
+	shortfallLifetimeMs = 600
 
-	// prefetchReserve is the part of the capacity that is lent only for operations that wait.
-	prefetchReserve = 1.0 / 3
+	// prefetchReserveShare is the share of the capacity that is reserved for urgent tokens and never lent for prefetching.
+	prefetchReserveShare = 1.0 / 3
 
+	// Bounds of Answer.RetryAfterMs.
 	minRetryAfterMs = 100
 	maxRetryAfterMs = 5000
 )
@@ -22,47 +23,48 @@
 	Incarnation uint64
 }
 
-// Lender lends the tokens of all tenants in one term of the control plane's leader. It must be used only while that leader's lease is
-// held. It is not safe for concurrent use.
+// Lender is the control plane's side of the quota protocol: it lends the tokens of all tenants during one term of the leader. It
+// must be used only while the leader holds its leader lease. It is not safe for concurrent use.
 type Lender struct {
 	term      uint64
 	tolerance Tolerance
 	tenants   map[string]*tenant
 
-	Lent    int64 // tokens in all
-	Expired int64 // of these, those that were neither reported as used nor returned in time
+	Lent    int64 // total number of tokens lent
+	Expired int64 // lent tokens that were neither reported as used nor returned before they expired
 }
 
-// NewLender returns the lender of a term, which lends nothing until SetLimits.
+// NewLender returns the lender of a term. It lends nothing before SetLimits is called.
 func NewLender(term uint64, tolerance Tolerance) *Lender {
 	return &Lender{term: term, tolerance: tolerance, tenants: map[string]*tenant{}}
 }
 
-// Term is the term that the lender lends in.
+// Term returns the leader's term in which the lender was created.
 func (l *Lender) Term() uint64 { return l.term }
 
-// SetLimits replaces the limits by tenant. A tenant that is new here begins with little, since what others have lent of it is not
-// known; one that is gone is forgotten.
+// SetLimits replaces the limits, which are keyed by tenant. A new tenant starts with a reduced capacity, because an earlier lender
+// may have lent tokens that this one does not know of. A tenant without a limit is removed.
 func (l *Lender) SetLimits(limits map[string]Limit, nowMs int64) {
 	maps.DeleteFunc(l.tenants, func(name string, _ *tenant) bool {
-		_, stays := limits[name]
-		return !stays
+		_, limited := limits[name]
+		return !limited
 	})
 	for name, limit := range limits {
 		if current := l.tenants[name]; current != nil {
-			l.settle(current, nowMs)
+			l.advance(current, nowMs)
 			current.setLimit(limit, l.tolerance)
 			continue
 		}
 		added := newTenant(nowMs)
 		added.setLimit(limit, l.tolerance)
-		added.free = added.successorCapacity
+		added.free = added.newTermCapacity
 		l.tenants[name] = added
 	}
 }
 
-// Serve takes a proxy's reports of what it used, and lends it what it asks for as far as there is any. term is the lender's that the
-// proxy had its tokens from. The answers are in the order of the asks; a tenant without a limit gets none.
+// Serve processes a proxy's usage reports and lends it the requested tokens as far as they are available. term is that of the
+// lender that the reported tokens are from. The answers are in the order of the asks; malformed asks and those of tenants without
+// a limit get no answer.
 func (l *Lender) Serve(borrower Borrower, term uint64, asks []Ask, nowMs int64) []Answer {
 	var answers []Answer
 	for _, ask := range asks {
@@ -70,10 +72,10 @@
 		if current == nil || ask.malformed() {
 			continue
 		}
-		l.settle(current, nowMs)
+		l.advance(current, nowMs)
 		if term == l.term {
-			current.takeBack(borrower, ask.Used)
-			current.free += float64(current.takeBack(borrower, ask.Returned))
+			current.reduceLoans(borrower, ask.Used)
+			current.free += float64(current.reduceLoans(borrower, ask.Returned))
 		}
 		current.free -= float64(ask.Overdrawn)
 		answers = append(answers, l.lend(current, borrower, ask, nowMs))
@@ -81,25 +83,27 @@
 	return answers
 }
 
+// malformed reports whether a count is negative or Urgent exceeds Want.
 func (a Ask) malformed() bool {
 	return min(a.Used, a.Returned, a.Overdrawn, a.Want, a.Urgent) < 0 || a.Urgent > a.Want
 }
 
-// lend grants what is urgent while there is any, and what is wanted ahead only from what is above the reserve.
+// lend grants urgent tokens as far as they are available, and prefetched tokens only from above the reserve. While other proxies
+// wait for tokens, it leaves a share to them.
 func (l *Lender) lend(t *tenant, borrower Borrower, ask Ask, nowMs int64) Answer {
-	others, owed := t.othersWaiting(borrower, nowMs)
+	others, othersMissing := t.otherShortfalls(borrower, nowMs)
 	available := max(0, int(t.free))
 	if others > 0 && available > 1 {
-		available = max(1, available/(others+1), available-owed)
+		available = max(1, available/(others+1), available-othersMissing)
 	}
 	granted := min(ask.Urgent, available)
-	ahead := min(available, int(t.free-t.capacity*prefetchReserve)) - granted
-	granted += max(0, min(ask.Want-ask.Urgent, ahead))
+	prefetchable := min(available, int(t.free-t.capacity*prefetchReserveShare)) - granted
+	granted += max(0, min(ask.Want-ask.Urgent, prefetchable))
 	answer := Answer{Tenant: ask.Tenant, Granted: granted, AtLimit: granted < ask.Urgent}
-	delete(t.waiting, borrower)
+	delete(t.shortfalls, borrower)
 	if answer.AtLimit {
-		t.waiting[borrower] = shortfall{since: nowMs, count: ask.Urgent - granted}
-		answer.RetryAfterMs = t.retryAfterMs(owed + ask.Urgent - granted)
+		t.shortfalls[borrower] = shortfall{since: nowMs, count: ask.Urgent - granted}
+		answer.RetryAfterMs = t.retryAfterMs(othersMissing + ask.Urgent - granted)
 	}
 	if granted > 0 {
 		t.free -= float64(granted)
@@ -110,13 +114,14 @@
 	return answer
 }
 
-func (l *Lender) settle(t *tenant, nowMs int64) { l.Expired += int64(t.settle(nowMs)) }
+// advance brings a tenant up to nowMs and counts the tokens that expire.
+func (l *Lender) advance(t *tenant, nowMs int64) { l.Expired += int64(t.advance(nowMs)) }
 
-// AtLimit returns the names of the tenants that some proxy waits for tokens of.
+// AtLimit returns the sorted names of the tenants for whose tokens at least one proxy is waiting.
 func (l *Lender) AtLimit(nowMs int64) []string {
 	var names []string
 	for name, t := range l.tenants {
-		if waiting, _ := t.othersWaiting(Borrower{}, nowMs); waiting > 0 {
+		if waiting, _ := t.otherShortfalls(Borrower{}, nowMs); waiting > 0 {
 			names = append(names, name)
 		}
 	}
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -3,64 +3,65 @@
 import "math"
 
 const (
-	// TokenLifeMs is how long a proxy may spend a token after it asked for it, in milliseconds. Longer rides out a change of the
-	// leader; shorter frees sooner what a proxy that is cut off holds.
+	// TokenLifeMs is how long after the request a proxy may spend a token, in milliseconds. A longer lifetime lets proxies go on
+	// during a change of the leader; a shorter one frees the tokens of a disconnected proxy sooner.
 	TokenLifeMs = 3000
 
-	// loanLifeMs is how long the lender counts on a token. What it adds covers clocks that differ by clockDrift.
+	// loanLifeMs is how long the lender counts a token as lent, in milliseconds. The added margin covers clocks whose rates differ
+	// by up to clockDrift.
 	loanLifeMs = TokenLifeMs + 200
 
-	// clockDrift is by how much the rates of two clocks may differ, with room to spare.
+	// clockDrift is the tolerated relative difference between the rates of two clocks, with a safety margin.
 	clockDrift = 0.03
 
 	millisecondsPerSecond = 1000
 )
 
-// Limit is what a tenant may use over all proxies.
+// Limit is a tenant's limit across all proxies.
 type Limit struct {
 	RatePerS float64 // operations per second
-	Burst    float64 // operations beyond that at once
+	Burst    float64 // operations in a burst beyond the rate
 }
 
-// Tolerance is by how much the operations in a window may exceed a tenant's limit.
+// Tolerance defines how far the operations in a window may exceed a tenant's limit.
 type Tolerance struct {
-	WindowS float64
-	Excess  float64 // part of the limit
-	Slack   float64 // operations beyond that
+	WindowS float64 // length of the window, in seconds
+	Excess  float64 // fraction of the limit
+	Slack   float64 // number of operations, in addition to Excess
 }
 
-// MaxInWindow is how many operations may run in any window.
+// MaxInWindow returns the maximum number of operations in any window.
 func (t Tolerance) MaxInWindow(limit Limit) float64 {
 	return (limit.RatePerS*t.WindowS+limit.Burst)*(1+t.Excess) + t.Slack
 }
 
-// room is what the tolerance leaves beyond the limit when clocks drift.
-func (t Tolerance) room(limit Limit) float64 {
+// headroom returns how many operations beyond the limit the tolerance leaves after clock drift is deducted.
+func (t Tolerance) headroom(limit Limit) float64 {
 	exact := limit.RatePerS*t.WindowS + limit.Burst
 	return max(0, t.MaxInWindow(limit)-exact-limit.RatePerS*t.WindowS*clockDrift-1)
 }
 
-// How the room beyond a tenant's limit is used.
+// Shares of the headroom. The capacity, the refill rate and the lender of a new term each use a part of it.
 const (
-	capacityShare  = 0.4  // tokens free or lent beyond the burst: tenants of low rates would else have fewer than there are proxies
-	rateShare      = 0.1  // growth beyond the rate, over a window
-	successorShare = 0.25 // for each change of the leader; two may come in a window and the life of a token
+	capacityShare = 0.4  // capacity beyond the burst: without it tenants of low rates would have fewer tokens than there are proxies
+	rateShare     = 0.1  // refill beyond the rate, over a window
+	newTermShare  = 0.25 // for each change of the leader; two may occur within a window plus a token's lifetime
 )
 
-// capacity is how many tokens may be free or lent at once.
+// capacity returns the maximum number of tokens that are free or lent at once.
 func (t Tolerance) capacity(limit Limit) float64 {
-	return math.Max(1, limit.Burst+t.room(limit)*capacityShare)
+	return math.Max(1, limit.Burst+t.headroom(limit)*capacityShare)
 }
 
-// successorCapacity is the same while tokens of an earlier lender may still be spent, as many as its capacity.
-func (t Tolerance) successorCapacity(limit Limit) float64 {
-	return t.room(limit) * successorShare
+// newTermCapacity returns the capacity while tokens of an earlier lender, up to its full capacity, may still be spent.
+func (t Tolerance) newTermCapacity(limit Limit) float64 {
+	return t.headroom(limit) * newTermShare
 }
 
-// growthPerMs is how fast tokens become free.
-func (t Tolerance) growthPerMs(limit Limit) float64 {
+// refillRatePerMs returns the refill rate in tokens per millisecond.
+func (t Tolerance) refillRatePerMs(limit Limit) float64 {
 	if limit.RatePerS <= 0 || t.WindowS <= 0 {
 		return limit.RatePerS / millisecondsPerSecond
 	}
-	return (limit.RatePerS + t.room(limit)*rateShare/t.WindowS) / millisecondsPerSecond
+	return (limit.RatePerS + t.headroom(limit)*rateShare/t.WindowS) / millisecondsPerSecond
 }
--- a/internal/quota/message.go
+++ b/internal/quota/message.go
@@ -1,19 +1,19 @@
 package quota
 
-// Ask is what a proxy reports and asks for a tenant. Its field names are part of the wire format.
+// Ask is a proxy's usage report and token request for one tenant. Its field names are part of the wire format.
 type Ask struct {
 	Tenant    string
-	Used      int // tokens of this term's lender that were spent since the last request
-	Returned  int // tokens of this term's lender that it gives back
-	Overdrawn int // operations that it sent without a token
-	Want      int // tokens in all
-	Urgent    int // of these, those that operations wait for or were refused for lack of
+	Used      int // tokens of the request's term that were spent since the last request
+	Returned  int // unspent tokens of the request's term that the proxy returns
+	Overdrawn int // operations that were sent without a token
+	Want      int // tokens requested in total, including Urgent
+	Urgent    int // tokens for operations that are waiting or were refused
 }
 
-// Answer is what the lender grants a proxy for a tenant. Its field names are part of the wire format.
+// Answer is the lender's answer to an Ask. Its field names are part of the wire format.
 type Answer struct {
 	Tenant       string
-	Granted      int
-	AtLimit      bool  // there was less than was urgent
-	RetryAfterMs int64 // when there is likely to be more, if AtLimit
+	Granted      int   // number of tokens lent
+	AtLimit      bool  // Granted is less than Urgent
+	RetryAfterMs int64 // expected time until tokens are available, if AtLimit
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// defect takes a safeguard out. The zero value takes out none.
+// defect disables a safeguard through hooks in the simulation. The zero value disables none.
 type defect struct {
 	onNewLeader  func(*Lender)
 	onServed     func(*Lender)
@@ -40,154 +40,157 @@
 	}
 }
 
-// With lost and late messages, changes of leader, and proxies that end, stand still or are cut off, no window has more operations than
-// the rule allows.
+// With lost and delayed messages, leader changes, and proxies that restart, are suspended or partitioned, no window contains more
+// operations than the tolerance allows.
 func TestNoWindowExceedsTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{RatePerS: rapid.Float64Range(1, 250).Draw(t, "rate"), Burst: rapid.Float64Range(0, 250).Draw(t, "burst")}
 		proxies := rapid.IntRange(1, 20).Draw(t, "proxies")
-		w := disturbed(rapid.Uint64().Draw(t, "seed"), limit, proxies, defect{})
-		if most, allowed := w.mostInWindow(), testTolerance.MaxInWindow(limit); float64(most) > allowed {
-			t.Fatalf("%d operations in a window, %.1f are allowed", most, allowed)
+		sim := simulateFaults(rapid.Uint64().Draw(t, "seed"), limit, proxies, defect{})
+		if maximum, allowed := sim.maxOperationsInWindow(), testTolerance.MaxInWindow(limit); float64(maximum) > allowed {
+			t.Fatalf("%d operations in a window, %.1f are allowed", maximum, allowed)
 		}
 	})
 }
 
-// Each safeguard is needed: without it some history exceeds the limit.
+// Each safeguard is necessary: with it disabled, some simulation run exceeds the limit.
 func TestEachSafeguardOfTheLenderIsNeeded(t *testing.T) {
-	eachTenant := func(do func(*tenant)) func(*Lender) {
+	forEachTenant := func(apply func(*tenant)) func(*Lender) {
 		return func(lender *Lender) {
 			for _, t := range lender.tenants {
-				do(t)
+				apply(t)
 			}
 		}
 	}
-	for name, broken := range map[string]defect{
-		"a new leader does not wait for loans of the last": {onNewLeader: eachTenant(func(t *tenant) { t.establishedAt, t.free = 0, t.capacity })},
-		"the lender's end of a loan is before the proxy's": {onServed: eachTenant(func(t *tenant) {
+	for name, disabled := range map[string]defect{
+		"a new leader does not wait for loans of its predecessor to expire": {onNewLeader: forEachTenant(func(t *tenant) { t.earlierLoansExpiredAt, t.free = 0, t.capacity })},
+		"the lender expires a loan before the proxy does": {onServed: forEachTenant(func(t *tenant) {
 			for i := range t.loans {
-				t.loans[i].expiresAt = min(t.loans[i].expiresAt, t.settledAt+loanLifeMs/10)
+				t.loans[i].expiresAt = min(t.loans[i].expiresAt, t.advancedTo+loanLifeMs/10)
 			}
 		})},
-		"what is lent does not count": {onServed: eachTenant(func(t *tenant) { t.outstanding = 0 })},
-		"a token's life counts anew": {onAnswered: func(accounts *Accounts, nowMs int64) {
+		"lent tokens are not counted": {onServed: forEachTenant(func(t *tenant) { t.outstanding = 0 })},
+		"a token's lifetime is extended when the response arrives": {onAnswered: func(accounts *Accounts, nowMs int64) {
 			for i := range accounts.pending {
 				accounts.pending[i].sentAt = nowMs + 2*loanLifeMs
 			}
 		}},
-		"the end of a link frees the proxy's tokens": {onDisconnect: func(lender *Lender, b Borrower) { lender.tenants[tenantName].forgive(b) }},
+		"a lost connection frees the proxy's tokens": {onDisconnect: func(lender *Lender, b Borrower) { lender.tenants[tenantName].freeLoansOf(b) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limit := Limit{RatePerS: 50, Burst: 50}
 			for seed := range uint64(300) {
-				w := disturbed(seed, limit, 4, broken)
-				if float64(w.mostInWindow()) > testTolerance.MaxInWindow(limit) {
+				sim := simulateFaults(seed, limit, 4, disabled)
+				if float64(sim.maxOperationsInWindow()) > testTolerance.MaxInWindow(limit) {
 					return
 				}
 			}
-			t.Fatal("no history exceeds the limit")
+			t.Fatal("no simulation run exceeds the limit")
 		})
 	}
 }
 
-// forgive is what the lender must not do: count a proxy's tokens as unspent.
-func (t *tenant) forgive(borrower Borrower) {
-	t.free += float64(t.takeBack(borrower, t.outstanding))
+// freeLoansOf counts a proxy's lent tokens as unspent, which the lender must not do.
+func (t *tenant) freeLoansOf(borrower Borrower) {
+	t.free += float64(t.reduceLoans(borrower, t.outstanding))
 }
 
-// A tenant far over its limit gets nearly all that its rate allows, through one, some or all proxies, and never more than the rule allows.
+// A tenant whose demand far exceeds its limit is granted nearly its full rate through one, some or all proxies, and never more
+// than the tolerance allows.
 func TestHotTenantGetsItsRate(t *testing.T) {
 	for _, limit := range []Limit{{RatePerS: 3, Burst: 3}, {RatePerS: 16, Burst: 16}, {RatePerS: 231, Burst: 231}} {
-		for _, through := range []int{1, 16, 63} {
-			for _, times := range []float64{7.5, 20} {
-				t.Run(fmt.Sprintf("%g a second, %d proxies, %g times", limit.RatePerS, through, times), func(t *testing.T) {
-					w := newWorld(1, limit, 63)
-					for _, p := range w.proxies[:through] {
-						p.perS = limit.RatePerS / 1.6 * times / float64(through)
+		for _, proxyCount := range []int{1, 16, 63} {
+			for _, overload := range []float64{7.5, 20} {
+				t.Run(fmt.Sprintf("%g a second, %d proxies, %g times", limit.RatePerS, proxyCount, overload), func(t *testing.T) {
+					sim := newSimulation(1, limit, 63)
+					for _, p := range sim.proxies[:proxyCount] {
+						p.operationsPerS = limit.RatePerS / 1.6 * overload / float64(proxyCount)
 					}
-					w.run(5000)
-					before := len(w.runs)
-					w.run(20_000)
-					require.GreaterOrEqual(t, float64(len(w.runs)-before), 0.95*20*limit.RatePerS)
-					checkWindows(t, w)
+					sim.run(5000)
+					before := len(sim.sentTimes)
+					sim.run(20_000)
+					require.GreaterOrEqual(t, float64(len(sim.sentTimes)-before), 0.95*20*limit.RatePerS)
+					requireWithinLimit(t, sim)
 				})
 			}
 		}
 	}
 }
 
-// A tenant at its usual demand, spread over all proxies, is hardly ever refused.
+// At most 1 % of the operations are refused or time out when a tenant's usual demand is spread over all proxies.
 func TestUsualDemandIsServed(t *testing.T) {
 	for _, limit := range []Limit{{RatePerS: 3, Burst: 3}, {RatePerS: 16, Burst: 16}, {RatePerS: 231, Burst: 231}} {
 		t.Run(fmt.Sprintf("%g a second", limit.RatePerS), func(t *testing.T) {
-			w := newWorld(1, limit, 63)
-			w.run(4000)
-			for _, p := range w.proxies {
-				p.perS = limit.RatePerS / 1.6 / 63
+			sim := newSimulation(1, limit, 63)
+			sim.run(4000)
+			for _, p := range sim.proxies {
+				p.operationsPerS = limit.RatePerS / 1.6 / 63
 			}
-			w.run(60_000)
-			require.LessOrEqual(t, float64(w.refused+w.unknown), 0.01*float64(len(w.runs)))
+			sim.run(60_000)
+			require.LessOrEqual(t, float64(sim.refused+sim.timedOut), 0.01*float64(len(sim.sentTimes)))
 		})
 	}
 }
 
-func lend(lender *Lender, node string, term uint64, ask Ask, nowMs int64) Answer {
+// serveAsk serves one ask of a proxy for the test tenant.
+func serveAsk(lender *Lender, node string, term uint64, ask Ask, nowMs int64) Answer {
 	ask.Tenant = tenantName
 	return lender.Serve(Borrower{Node: node}, term, []Ask{ask}, nowMs)[0]
 }
 
-// A lender of 100 a second whose earlier loans are over, with what its capacity allows.
-func settledLender() (lender *Lender, nowMs int64) {
+// lenderWithFullCapacity returns a lender with a limit of 100 operations per second, at a time when all loans of an earlier lender
+// have expired and the full capacity is free.
+func lenderWithFullCapacity() (lender *Lender, nowMs int64) {
 	lender = NewLender(7, testTolerance)
 	lender.SetLimits(map[string]Limit{tenantName: {RatePerS: 100, Burst: 100}}, 0)
 	return lender, 10_000
 }
 
 func TestTokensOfAnEarlierTermAreNotTakenBack(t *testing.T) {
-	lender, now := settledLender()
-	all := lend(lender, "a", 7, Ask{Want: 1000, Urgent: 1000}, now).Granted
+	lender, now := lenderWithFullCapacity()
+	all := serveAsk(lender, "a", 7, Ask{Want: 1000, Urgent: 1000}, now).Granted
 	require.Equal(t, int(testTolerance.capacity(Limit{RatePerS: 100, Burst: 100})), all)
-	require.Zero(t, lend(lender, "b", 6, Ask{Returned: all, Want: 10, Urgent: 10}, now).Granted)
-	require.Zero(t, lend(lender, "a", 6, Ask{Returned: all, Want: 10, Urgent: 10}, now).Granted)
-	require.Equal(t, 10, lend(lender, "a", 7, Ask{Returned: all, Want: 10, Urgent: 10}, now).Granted)
+	require.Zero(t, serveAsk(lender, "b", 6, Ask{Returned: all, Want: 10, Urgent: 10}, now).Granted)
+	require.Zero(t, serveAsk(lender, "a", 6, Ask{Returned: all, Want: 10, Urgent: 10}, now).Granted)
+	require.Equal(t, 10, serveAsk(lender, "a", 7, Ask{Returned: all, Want: 10, Urgent: 10}, now).Granted)
 }
 
 func TestLowerLimitHoldsAtOnce(t *testing.T) {
-	lender, now := settledLender()
+	lender, now := lenderWithFullCapacity()
 	lower := Limit{RatePerS: 1, Burst: 1}
 	lender.SetLimits(map[string]Limit{tenantName: lower}, now)
-	require.LessOrEqual(t, float64(lend(lender, "a", 7, Ask{Want: 1000, Urgent: 1000}, now).Granted), testTolerance.capacity(lower))
+	require.LessOrEqual(t, float64(serveAsk(lender, "a", 7, Ask{Want: 1000, Urgent: 1000}, now).Granted), testTolerance.capacity(lower))
 	lender.SetLimits(map[string]Limit{}, now)
 	require.Empty(t, lender.Serve(Borrower{}, 7, []Ask{{Tenant: tenantName, Want: 1}}, now), "a tenant without a limit")
 	lender.SetLimits(map[string]Limit{tenantName: lower}, now)
-	require.LessOrEqual(t, float64(lend(lender, "a", 7, Ask{Want: 99, Urgent: 99}, now).Granted), testTolerance.successorCapacity(lower), "it begins anew")
+	require.LessOrEqual(t, float64(serveAsk(lender, "a", 7, Ask{Want: 99, Urgent: 99}, now).Granted), testTolerance.newTermCapacity(lower), "a tenant that is limited again starts with the reduced capacity")
 }
 
-// One proxy that asks for everything leaves a part to others that wait, and what is wanted ahead leaves a reserve.
+// A proxy that requests all tokens leaves a share to other waiting proxies, and prefetching leaves the reserve.
 func TestHotProxyLeavesTokensToOthers(t *testing.T) {
-	lender, now := settledLender()
-	all := lend(lender, "hot", 7, Ask{Want: 1000, Urgent: 1000}, now).Granted
-	require.Zero(t, lend(lender, "hot", 7, Ask{Used: all}, now).Granted)
-	require.True(t, lend(lender, "small", 7, Ask{Want: 1, Urgent: 1}, now).AtLimit)
+	lender, now := lenderWithFullCapacity()
+	all := serveAsk(lender, "hot", 7, Ask{Want: 1000, Urgent: 1000}, now).Granted
+	require.Zero(t, serveAsk(lender, "hot", 7, Ask{Used: all}, now).Granted)
+	require.True(t, serveAsk(lender, "small", 7, Ask{Want: 1, Urgent: 1}, now).AtLimit)
 	now += 100
-	require.Equal(t, 9, lend(lender, "hot", 7, Ask{Want: 1000, Urgent: 1000}, now).Granted, "all but what the other lacks")
-	require.Equal(t, 1, lend(lender, "small", 7, Ask{Want: 1, Urgent: 1}, now).Granted)
+	require.Equal(t, 9, serveAsk(lender, "hot", 7, Ask{Want: 1000, Urgent: 1000}, now).Granted, "all except the shortfall of the other proxy")
+	require.Equal(t, 1, serveAsk(lender, "small", 7, Ask{Want: 1, Urgent: 1}, now).Granted)
 
-	lender, now = settledLender()
-	ahead := lend(lender, "a", 7, Ask{Want: 1000}, now)
+	lender, now = lenderWithFullCapacity()
+	ahead := serveAsk(lender, "a", 7, Ask{Want: 1000}, now)
 	require.False(t, ahead.AtLimit)
-	require.Equal(t, 20, lend(lender, "b", 7, Ask{Want: 20, Urgent: 20}, now).Granted)
+	require.Equal(t, 20, serveAsk(lender, "b", 7, Ask{Want: 20, Urgent: 20}, now).Granted)
 }
 
 func TestMalformedAsksAreIgnored(t *testing.T) {
-	lender, now := settledLender()
+	lender, now := lenderWithFullCapacity()
 	for _, ask := range []Ask{{Used: -1}, {Returned: -5}, {Overdrawn: -9}, {Want: -1}, {Urgent: -1}, {Want: 1, Urgent: 2}} {
 		ask.Tenant = tenantName
 		require.Empty(t, lender.Serve(Borrower{}, 7, []Ask{ask}, now))
 	}
 }
 
-// Tokens of an answer that comes after the next request was sent were dropped, and stayed lent.
+// Guards against dropping the tokens of a response that arrives after the next request was sent: they stayed lent but unused.
 func TestLateAnswerIsNotThrownAway(t *testing.T) {
 	accounts := NewAccounts()
 	accounts.SetLimited([]string{"t"})
@@ -199,10 +202,10 @@
 	_, verdict = accounts.Retry("t", requestTimeoutMs+10)
 	require.Equal(t, Admitted, verdict)
 	_, verdict = accounts.Admit("t", TokenLifeMs)
-	require.Equal(t, Wait, verdict, "their life counts from the request that they answer")
+	require.Equal(t, Wait, verdict, "the lifetime of the tokens counts from the request that was answered")
 }
 
-// What was overdrawn was forgotten with the link on which it was reported.
+// Guards against losing the count of overdrawn operations when the connection on which it was reported is lost.
 func TestOverdrawnOperationsAreReportedAgainOnTheNextLink(t *testing.T) {
 	accounts := NewAccounts()
 	accounts.SetLimited([]string{"t"})
@@ -212,7 +215,8 @@
 	require.Equal(t, 1, accounts.Request(10).Asks[0].Overdrawn)
 }
 
-// A token that the lender writes off before the report arrives must not be given back: another one would be free twice.
+// A token that expires at the lender before the report arrives must not be returned: the lender would credit the return to another
+// loan, and a token would be free twice.
 func TestTokensAboutToExpireAreNotGivenBack(t *testing.T) {
 	accounts := NewAccounts()
 	accounts.SetLimited([]string{"t"})
@@ -220,6 +224,6 @@
 	request := accounts.Request(0)
 	accounts.Answered(&Response{Serial: request.Serial, Term: 1, Answers: []Answer{{Tenant: "t", Granted: 3}}}, 5)
 	accounts.Retry("t", 5)
-	late := accounts.Request(TokenLifeMs - minReturnedMs + 1)
+	late := accounts.Request(TokenLifeMs - minReturnedLifetimeMs + 1)
 	require.True(t, late == nil || late.Asks[0].Returned == 0)
 }
--- a/internal/quota/tenant.go
+++ b/internal/quota/tenant.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// tenant is what the lender knows of a tenant's tokens.
+// tenant is the lender's token bucket of one tenant.
 type tenant struct {
-	ratePerMs         float64 // at which free grows
-	capacity          float64 // of tokens that are free or lent
-	successorCapacity float64 // the same until establishedAt
-	establishedAt     int64   // when all tokens have expired that an earlier lender may have lent
+	refillPerMs           float64 // rate at which free is refilled
+	capacity              float64 // maximum number of tokens that are free or lent
+	newTermCapacity       float64 // replaces capacity until earlierLoansExpiredAt
+	earlierLoansExpiredAt int64   // when all tokens that an earlier lender may have lent have expired
 
-	free        float64 // below 0: overdrawn
-	settledAt   int64   // up to when free has grown and loans have expired
-	outstanding int     // sum of loans
-	loans       []loan  // by expiry, the first to expire first
-	waiting     map[Borrower]shortfall
+	free        float64 // number of free tokens; negative if overdrawn
+	advancedTo  int64   // time up to which refills and expiries are applied
+	outstanding int     // total count of loans
+	loans       []loan  // in order of expiry, earliest first
+	shortfalls  map[Borrower]shortfall
 }
 
-// shortfall is what a proxy got less than was urgent.
+// shortfall is the number of urgent tokens that a proxy was not granted.
 type shortfall struct {
 	since int64
 	count int
 }
 
-// loan is tokens that a proxy may still spend.
+// loan is a number of tokens that a proxy may still spend.
 type loan struct {
 	borrower  Borrower
 	expiresAt int64
@@ -33,81 +33,82 @@
 }
 
 func newTenant(nowMs int64) *tenant {
-	return &tenant{establishedAt: nowMs + loanLifeMs, settledAt: nowMs, waiting: map[Borrower]shortfall{}}
+	return &tenant{earlierLoansExpiredAt: nowMs + loanLifeMs, advancedTo: nowMs, shortfalls: map[Borrower]shortfall{}}
 }
 
 func (t *tenant) setLimit(limit Limit, tolerance Tolerance) {
-	t.ratePerMs = tolerance.growthPerMs(limit)
+	t.refillPerMs = tolerance.refillRatePerMs(limit)
 	t.capacity = tolerance.capacity(limit)
-	t.successorCapacity = min(t.capacity, tolerance.successorCapacity(limit))
-	t.grow(t.settledAt) // a lower limit holds at once
+	t.newTermCapacity = min(t.capacity, tolerance.newTermCapacity(limit))
+	t.refill(t.advancedTo) // applies a lower capacity immediately
 }
 
-// settle brings the tenant up to a time. Loans expire in their order: what is free can't have grown before a loan made room for it. It
-// returns how many tokens have expired.
-func (t *tenant) settle(nowMs int64) (expired int) {
+// advance applies refills and expiries up to nowMs and returns how many tokens have expired. Loans expire one by one in order,
+// because free cannot be refilled into a loan's share of the capacity before the loan has expired.
+func (t *tenant) advance(nowMs int64) (expired int) {
 	for len(t.loans) > 0 && t.loans[0].expiresAt <= nowMs {
-		t.growUntil(t.loans[0].expiresAt)
+		t.refillUntil(t.loans[0].expiresAt)
 		expired += t.loans[0].count
 		t.outstanding -= t.loans[0].count
 		t.loans = t.loans[1:]
 	}
-	t.growUntil(nowMs)
+	t.refillUntil(nowMs)
 	return expired
 }
 
-func (t *tenant) growUntil(nowMs int64) {
-	if t.settledAt < t.establishedAt && t.establishedAt < nowMs {
-		t.grow(t.establishedAt)
+// refillUntil refills up to nowMs, in two steps if the capacity changes at earlierLoansExpiredAt in between.
+func (t *tenant) refillUntil(nowMs int64) {
+	if t.advancedTo < t.earlierLoansExpiredAt && t.earlierLoansExpiredAt < nowMs {
+		t.refill(t.earlierLoansExpiredAt)
 	}
-	t.grow(nowMs)
+	t.refill(nowMs)
 }
 
-// grow adds what the rate gives up to a time, as far as the capacity at settledAt has room for it.
-func (t *tenant) grow(nowMs int64) {
+// refill adds free tokens at the refill rate up to nowMs, within the capacity that applies at advancedTo.
+func (t *tenant) refill(nowMs int64) {
 	capacity := t.capacity
-	if t.settledAt < t.establishedAt {
-		capacity = t.successorCapacity
+	if t.advancedTo < t.earlierLoansExpiredAt {
+		capacity = t.newTermCapacity
 	}
-	elapsed := max(0, nowMs-t.settledAt)
+	elapsed := max(0, nowMs-t.advancedTo)
 	room := capacity - float64(t.outstanding)
-	t.free = min(t.free+t.ratePerMs*float64(elapsed), max(room, min(t.free, 0)))
-	t.settledAt = max(t.settledAt, nowMs)
+	t.free = min(t.free+t.refillPerMs*float64(elapsed), max(room, min(t.free, 0)))
+	t.advancedTo = max(t.advancedTo, nowMs)
 }
 
-// takeBack ends loans of a proxy, those that expire first, and returns how many tokens there were of the count.
-func (t *tenant) takeBack(borrower Borrower, count int) (taken int) {
+// reduceLoans removes up to count tokens from a proxy's loans, earliest expiry first, and returns how many were removed.
+func (t *tenant) reduceLoans(borrower Borrower, count int) (removed int) {
 	for i := range t.loans {
 		if t.loans[i].borrower == borrower {
-			part := min(t.loans[i].count, count-taken)
+			part := min(t.loans[i].count, count-removed)
 			t.loans[i].count -= part
-			taken += part
+			removed += part
 		}
 	}
-	if taken > 0 {
-		t.outstanding -= taken
+	if removed > 0 {
+		t.outstanding -= removed
 		t.loans = slices.DeleteFunc(t.loans, func(l loan) bool { return l.count == 0 })
 	}
-	return taken
+	return removed
 }
 
-// othersWaiting is how many other proxies of late got less than was urgent, and by how much in all.
-func (t *tenant) othersWaiting(borrower Borrower, nowMs int64) (proxies, owed int) {
-	maps.DeleteFunc(t.waiting, func(_ Borrower, short shortfall) bool { return nowMs-short.since > waitingMs })
-	for other, short := range t.waiting {
+// otherShortfalls returns how many other proxies have a recent shortfall, and the sum of these shortfalls.
+func (t *tenant) otherShortfalls(borrower Borrower, nowMs int64) (proxies, missing int) {
+	maps.DeleteFunc(t.shortfalls, func(_ Borrower, short shortfall) bool { return nowMs-short.since > shortfallLifetimeMs })
+	for other, short := range t.shortfalls {
 		if other != borrower {
 			proxies++
-			owed += short.count
+			missing += short.count
 		}
 	}
-	return proxies, owed
+	return proxies, missing
 }
 
-// retryAfterMs is how long it takes until there is a token for each operation that came short. A client that comes again sooner takes
-// the token of another that comes for the first time, and is answered late.
+// retryAfterMs returns how long it takes until there is a token for each waiting operation. A client that retried sooner would
+// take the token of another client's first attempt, and be answered late.
 func (t *tenant) retryAfterMs(waiting int) int64 {
-	if t.ratePerMs <= 0 {
+	if t.refillPerMs <= 0 {
 		return maxRetryAfterMs
 	}
-	return int64(min(maxRetryAfterMs, max(minRetryAfterMs, float64(waiting)/t.ratePerMs)))
+	return int64(min(maxRetryAfterMs, max(minRetryAfterMs, float64(waiting)/t.refillPerMs)))
 }
--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -1,24 +1,24 @@
 package retry
 
-// Backoff spaces attempts that fail: the wait doubles with each, up to a bound, and each wait is drawn from its upper half, so that
-// many callers which fail together do not try again together.
+// Backoff computes the delays between retries: exponential backoff with jitter. The delay doubles with each failed attempt up to
+// MaxMs, and is drawn at random from the upper half of that range, so that callers that fail together do not retry together.
 type Backoff struct {
-	FirstMs, MaxMs float64 // the longest first wait, and the longest of all
+	FirstMs, MaxMs float64 // upper bounds of the first delay and of all delays, in milliseconds
 
-	failures int
+	failures int // counted until the delay reaches MaxMs
 }
 
-// NextMs returns how many milliseconds to wait before the next attempt. random is a random number in [0, 1).
+// NextMs returns the delay before the next attempt in milliseconds. random is a random number in [0, 1).
 func (b *Backoff) NextMs(random float64) float64 {
-	wait := b.FirstMs
+	delay := b.FirstMs
 	for range b.failures {
-		wait = min(wait*2, b.MaxMs)
+		delay = min(delay*2, b.MaxMs)
 	}
-	if wait < b.MaxMs {
+	if delay < b.MaxMs {
 		b.failures++
 	}
-	return wait * (1 + random) / 2
+	return delay * (1 + random) / 2
 }
 
-// Reset begins anew with the first wait, after an attempt that succeeded.
+// Reset returns to the first delay. Call it after an attempt has succeeded.
 func (b *Backoff) Reset() { b.failures = 0 }
--- a/internal/retry/decision.go
+++ b/internal/retry/decision.go
@@ -1,15 +1,15 @@
 package retry
 
-// Action is what follows a call without a clear answer.
+// Action is what the caller does after a call whose outcome is not known for certain.
 type Action uint8
 
 // The actions.
 const (
-	RetryNow      Action = iota // send it again at once: it was not executed, or has no effect
-	Reconsider                  // look at the present state first; a new call, with a new number, may follow
-	RolledBack                  // nothing of it remains, since the host rolls back when its connection ends; tell the caller so
-	InDoubt                     // never send it again; tell the caller that the outcome is unknown
-	CallerRetries               // leave it to the caller to send it again; the receiver recognizes the duplicate
+	RetryNow      Action = iota // send it again immediately: it was not executed or has no effect
+	Reconsider                  // re-evaluate the current state; a new call with a new number may follow
+	RolledBack                  // report a rollback to the caller: the host rolls back when the connection ends
+	InDoubt                     // never send it again; report to the caller that the outcome is unknown
+	CallerRetries               // leave the retry to the caller; the receiver recognizes duplicates
 )
 
 var actionNames = [...]string{
@@ -19,32 +19,32 @@
 // String returns the action's name in the table of docs/design/control-state.md.
 func (a Action) String() string { return actionNames[a] }
 
-// decisions has the actions for {NotSent, PartlySent, Sent}.
+// decisions holds the actions of each operation for the progress {NotSent, PartlySent, Sent}.
 var decisions = [OperationCount][ProgressCount]Action{
-	Read:                 {RetryNow, RetryNow, RetryNow},                // has no effect
+	Read:                 {RetryNow, RetryNow, RetryNow},                // no effect
 	Write:                {RetryNow, RetryNow, InDoubt},                 // may have been executed
-	Begin:                {RetryNow, RetryNow, RetryNow},                // rolled back at the end of its connection
-	TransactionStatement: {RolledBack, RolledBack, RolledBack},          // rolled back at the end of its connection
+	Begin:                {RetryNow, RetryNow, RetryNow},                // the host rolls back when the connection ends
+	TransactionStatement: {RolledBack, RolledBack, RolledBack},          // the host rolls back when the connection ends
 	Commit:               {RolledBack, RolledBack, InDoubt},             // may have been executed
-	Rollback:             {RolledBack, RolledBack, RolledBack},          // there is nothing to keep
-	Stat:                 {RetryNow, RetryNow, RetryNow},                // has no effect
+	Rollback:             {RolledBack, RolledBack, RolledBack},          // there is no write to keep
+	Stat:                 {RetryNow, RetryNow, RetryNow},                // no effect
 	Pause:                {RetryNow, RetryNow, Reconsider},              // may take effect late
 	Resume:               {RetryNow, RetryNow, Reconsider},              // may take effect late
-	StepDown:             {RetryNow, RetryNow, Reconsider},              // may take effect late; its term protects a later primary
+	StepDown:             {RetryNow, RetryNow, Reconsider},              // may take effect late; the term protects a later primary
 	Promotion:            {RetryNow, Reconsider, Reconsider},            // the nominee is asked whether it is the primary
-	OperatorChange:       {CallerRetries, CallerRetries, CallerRetries}, // recognized by base version and digest
-	HostHeartbeat:        {CallerRetries, CallerRetries, CallerRetries}, // recognized by its sequence number
-	HostLeave:            {CallerRetries, CallerRetries, CallerRetries}, // recognized by the host's id
-	LeaseRequest:         {Reconsider, Reconsider, Reconsider},          // the next request replaces it
-	ConsensusMessage:     {Reconsider, Reconsider, Reconsider},          // the leader's progress of each member says what to send
-	ForwardedCall:        {CallerRetries, CallerRetries, CallerRetries}, // recognized by its number
-	GossipProbe:          {Reconsider, Reconsider, Reconsider},          // the next probe has a new number
+	OperatorChange:       {CallerRetries, CallerRetries, CallerRetries}, // duplicates recognized by base version and digest
+	HostHeartbeat:        {CallerRetries, CallerRetries, CallerRetries}, // duplicates recognized by sequence number
+	HostLeave:            {CallerRetries, CallerRetries, CallerRetries}, // duplicates recognized by host id
+	LeaseRequest:         {Reconsider, Reconsider, Reconsider},          // replaced by the next request
+	ConsensusMessage:     {Reconsider, Reconsider, Reconsider},          // the leader resends by each member's progress
+	ForwardedCall:        {CallerRetries, CallerRetries, CallerRetries}, // duplicates recognized by call number
+	GossipProbe:          {Reconsider, Reconsider, Reconsider},          // replaced by the next probe, which has a new number
 }
 
-// Decide returns what follows an operation without a clear answer.
+// Decide returns the action after an operation whose outcome is not known for certain.
 func Decide(operation Operation, progress Progress) Action { return decisions[operation][progress] }
 
-// Idempotent reports whether an operation may be sent again however far it was written before.
+// Idempotent reports whether an operation may be sent again regardless of the progress of the previous attempt.
 func Idempotent(operation Operation) bool {
 	return decisions[operation] == [ProgressCount]Action{RetryNow, RetryNow, RetryNow}
 }
--- a/internal/retry/decision_test.go
+++ b/internal/retry/decision_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What may have been executed is retried at once only if it has no effect, and progress never makes a retry safer.
+// A call that may have been executed is retried immediately only if it has no effect. More progress never makes a
+// retry safer: if a partly written call is retried immediately, so is one of which nothing was written.
 func TestOnlyOperationsWithoutEffectAreRetriedOnceSent(t *testing.T) {
 	for operation := range OperationCount {
 		withoutEffect := operation == Read || operation == Begin || operation == Stat
--- a/internal/retry/operation.go
+++ b/internal/retry/operation.go
@@ -1,58 +1,58 @@
 package retry
 
-// Operation is what one process asks of another.
+// Operation is the kind of a call from one process to another.
 type Operation uint8
 
-// The operations, grouped by who is asked.
+// The operations, grouped by the receiver of the call.
 const (
-	// Of a database host, for a client.
+	// Sent to a database host on behalf of a client.
 
 	Read                 Operation = iota // a statement that only reads
 	Write                                 // a single statement that writes
 	Begin                                 // the first statement of a transaction
-	TransactionStatement                  // any other statement of a transaction, except its end
+	TransactionStatement                  // any later statement of a transaction, except COMMIT and ABORT
 	Commit                                // COMMIT of a transaction that has written
 	Rollback                              // ABORT, and COMMIT of a transaction that has only read
 
-	// Of a database host, for fail-over.
+	// Sent to a database host during a failover.
 
 	Stat
 	Pause
 	Resume
 	StepDown
 
-	// Of the platform.
+	// Sent to the platform.
 
 	Promotion
 
-	// Of a member of the control plane.
+	// Sent to a member of the control plane.
 
 	OperatorChange
 	HostHeartbeat
 	HostLeave
 	LeaseRequest
 	ConsensusMessage
-	ForwardedCall // an operator's or a host's call that one member passes to the leader
+	ForwardedCall // an operator's or a host's call that a member forwards to the leader
 
-	// Of another proxy.
+	// Sent to another proxy.
 
 	GossipProbe
 
 	OperationCount // number of operations
 )
 
-// Progress is how far a call was written when its connection failed or its caller stopped waiting for the answer.
+// Progress is how much of a call was written when its connection failed or its caller stopped waiting for the response.
 type Progress uint8
 
-// The degrees of progress.
+// The progress values.
 const (
-	NotSent       Progress = iota // nothing was written: the connection could not be made or was found closed
-	PartlySent                    // a part was written, which no process takes for a message
-	Sent                          // all was written; the call may have been executed, or may be yet
-	ProgressCount                 // number of degrees
+	NotSent       Progress = iota // nothing was written: the connection could not be established or was already closed
+	PartlySent                    // a part was written, which the receiver does not process as a message
+	Sent                          // everything was written; the call may have been executed or may still be
+	ProgressCount                 // number of progress values
 )
 
-// ProgressOf returns the progress of a message of size bytes after a write of written bytes.
+// ProgressOf returns the progress of a message of size bytes of which written bytes were written.
 func ProgressOf(written, size int) Progress {
 	switch {
 	case written == 0:
