--- a/internal/errcode/answers.go
+++ b/internal/errcode/answers.go
@@ -2,7 +2,7 @@
 
 import "ferrypitch/internal/wire"
 
-// HTTP statuses. They stand here because net/http, which has names for them, does more than a pure package may import.
+// HTTP status codes. They are defined here because a package without I/O must not import net/http.
 const (
 	badRequest         = 400
 	unauthorized       = 401
@@ -14,15 +14,16 @@
 	unavailable        = 503
 )
 
-// answer is what the caller of a kind gets.
+// answer holds what a caller receives for one kind of error.
 type answer struct {
 	name         string
-	code         wire.Code
+	code         wire.Code // empty: the kind is sent over HTTP only
 	httpStatus   int
-	retryAfterMs int64 // default wait before a retry; 0: none is named
+	retryAfterMs int64 // default delay before a retry; 0: none is sent
 	message      string
 }
 
+// answers maps each kind to its answer.
 var answers = [KindCount]answer{
 	NoValidLease:           {"no_valid_lease", wire.CodeRetry, unavailable, 500, "this router is not known to be up to date"},
 	UnknownDatabase:        {"unknown_database", wire.CodeNoDatabase, notFound, 0, "no such database"},
--- a/internal/errcode/doc.go
+++ b/internal/errcode/doc.go
@@ -1,10 +1,10 @@
-// Package errcode is the closed list of the errors that proxies and members of the control plane answer themselves. A table maps
-// each kind to its answer: the code and message of the wire's ERROR line, the status over HTTP, and how long the caller should
-// wait before it retries.
+// Package errcode defines all errors that proxies and members of the control plane generate themselves. A table maps each kind to
+// its answer: the code and message of the protocol's ERROR line, the HTTP status, and how long the caller should wait before it
+// retries.
 //
-//	Kind -> Append (ERROR line for a client) | HTTPStatus, Message (answer to an HTTP call)
+//	Kind -> Append (ERROR line for a client) | HTTPStatus, Message (response to an HTTP call)
 //
-// Errors of database hosts are not in the list; a proxy forwards them unchanged. docs/operators/system.md has the same table.
+// Errors of database hosts are not included; a proxy forwards them unchanged. docs/operators/system.md documents the same table.
 //
-// The package is pure: it holds no connection and reads no clock.
+// The package does no I/O and reads no clock.
 package errcode
--- a/internal/errcode/kind_test.go
+++ b/internal/errcode/kind_test.go
@@ -16,7 +16,7 @@
 	seen := map[string]bool{}
 	for kind := range KindCount {
 		require.NotEmpty(t, kind.String(), "kind %d", kind)
-		require.False(t, seen[kind.String()], "%s has the name of another kind", kind)
+		require.False(t, seen[kind.String()], "the name %s is used by another kind too", kind)
 		require.GreaterOrEqual(t, kind.HTTPStatus(), 400, "%s", kind)
 		code := cmp.Or(string(kind.Code()), "-")
 		row := fmt.Sprintf("\n| `%s` | %s | %d | %s |\n", kind, code, kind.HTTPStatus(), kind.Message())
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// ClockOrigin is what a clock shows when it starts, in milliseconds. It is large enough that no time before it, as now less
-// a time-out, is negative.
+// ClockOrigin is the initial reading of a clock, in milliseconds. It is large enough that subtracting a timeout from the current
+// time never gives a negative result.
 const ClockOrigin = 1 << 30
 
-// MonotonicClock is a monotonic clock in milliseconds. It does not go back when the machine's time is set, and runs on while the
-// process is suspended.
+// MonotonicClock is a monotonic clock in milliseconds. It is not affected when the system time is set, and it continues to run
+// while the process is suspended.
 type MonotonicClock struct {
 	now   func() time.Time
 	start time.Time
 }
 
-// NewMonotonicClock starts a clock. now is time.Now, or a simulation's.
+// NewMonotonicClock starts a clock. now is time.Now or the clock of a simulation.
 func NewMonotonicClock(now func() time.Time) MonotonicClock { return MonotonicClock{now, now()} }
 
-// Now returns the time in milliseconds, from ClockOrigin on.
+// Now returns the current time in milliseconds, starting at ClockOrigin.
 func (c MonotonicClock) Now() int64 { return ClockOrigin + c.Since().Milliseconds() }
 
-// Time returns the same time as a time.Time.
+// Time returns the current time as a time.Time.
 func (c MonotonicClock) Time() time.Time { return c.now() }
 
-// Since returns the time since the clock was started.
+// Since returns the time elapsed since the clock was started.
 func (c MonotonicClock) Since() time.Duration { return c.now().Sub(c.start) }
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,8 +1,9 @@
-// Package eventloop has the parts of an event loop: one goroutine owns a server's state, and other goroutines reach it only by
-// functions that they put into its queue.
+// Package eventloop provides the components of an event loop: one goroutine owns a server's state, and other goroutines access the
+// state only through functions that they put into the owner's queue.
 //
 //	any goroutine   -> Queue.Put -> Queue.Ready -> owner -> Queue.Take, in the order of Priority
-//	owner           -> Timers.Add -> Timers.First -> owner, when its deadline has passed
+//	owner           -> Timers.Add -> Timers.First -> owner, once the deadline has passed
 //
-// The loop itself is in each server, since what is due between two priorities differs. The owner closes the queue when it ends.
+// Each server implements the loop itself, because the work between two priorities differs. The owner closes the queue when it
+// ends.
 package eventloop
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -17,7 +17,7 @@
 	put(PriorityCommands, "command")
 	put(PriorityOutcomes, "outcome 1")
 	put(PriorityOutcomes, "outcome 2")
-	put(PriorityOutcomes, "outcome 3") // beyond the capacity, and does not block
+	put(PriorityOutcomes, "outcome 3") // exceeds the capacity but does not block
 	put(PriorityControl, "control event")
 	require.Equal(t, 5, queue.Len())
 	<-queue.Ready
@@ -47,7 +47,7 @@
 
 		putAndBlock()
 		queue.Close()
-		require.False(t, <-accepted, "blocked when the queue was closed")
+		require.False(t, <-accepted, "a blocked Put must fail when the queue is closed")
 		require.False(t, queue.Put(PriorityOutcomes, func() {}))
 		<-queue.Closed
 		require.Equal(t, 1, queue.Len())
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -2,40 +2,40 @@
 
 import "sync"
 
-// Priority is the order in which the owner takes what is in the queue.
+// Priority determines the order in which the owner takes functions from the queue.
 type Priority int
 
-// The priorities, the most urgent first.
+// The priorities, most urgent first.
 const (
-	PriorityControl  Priority = iota // what decides how the owner acts: membership, leases, shutdown; and queries of its state
-	PriorityOutcomes                 // results of what the owner started
+	PriorityControl  Priority = iota // events that control the owner's behavior (membership, leases, shutdown) and queries of its state
+	PriorityOutcomes                 // results of operations that the owner started
 	PriorityCommands                 // new work
-	PriorityReports                  // what its sender repeats by itself soon
+	PriorityReports                  // periodic reports, which the sender soon repeats
 	priorityCount
 )
 
-// Queue hands functions to the goroutine that owns a state. Functions of one priority are taken in the order in which they were
-// put. Put blocks while as many of its priority are waiting as the queue's capacity, which slows down the callers and loses
-// nothing. PriorityOutcomes never blocks; the work in flight bounds their number.
+// Queue passes functions to the goroutine that owns a state. Functions of the same priority are taken in FIFO order. Put blocks
+// while the number of waiting functions of its priority has reached the queue's capacity, which applies backpressure to the
+// callers and loses nothing. PriorityOutcomes never blocks; the number of operations in flight bounds it.
 type Queue struct {
 	capacity int
-	Ready    chan struct{} // receives after Put; one value may stand for several functions
-	Closed   chan struct{} // closed with the queue
+	Ready    chan struct{} // receives a value after Put; one value may stand for several functions
+	Closed   chan struct{} // closed by Close
 
 	mu       sync.Mutex
 	notFull  *sync.Cond
-	waiting  [priorityCount][]func()
+	waiting  [priorityCount][]func() // oldest first
 	isClosed bool
 }
 
-// NewQueue returns a queue with a capacity for each priority.
+// NewQueue returns a queue with the given capacity per priority.
 func NewQueue(capacity int) *Queue {
 	q := &Queue{capacity: capacity, Ready: make(chan struct{}, 1), Closed: make(chan struct{})}
 	q.notFull = sync.NewCond(&q.mu)
 	return q
 }
 
-// Put hands a function to the owner. It returns false, and the function will not be called, if the queue is closed.
+// Put adds a function for the owner to call. If the queue is closed, it returns false and the function is not called.
 func (q *Queue) Put(priority Priority, function func()) bool {
 	accepted := q.append(priority, function)
 	select {
@@ -45,7 +45,7 @@
 	return accepted
 }
 
-// TryPut is Put for callers that must not wait: it also returns false while as many of the priority are waiting as the capacity.
+// TryPut is like Put, but does not block: if the priority has reached the capacity, it returns false.
 func (q *Queue) TryPut(priority Priority, function func()) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -60,6 +60,7 @@
 	return true
 }
 
+// append adds a function and blocks while its priority is full. It returns false if the queue is closed.
 func (q *Queue) append(priority Priority, function func()) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -77,7 +78,7 @@
 	return priority != PriorityOutcomes && len(q.waiting[priority]) >= q.capacity
 }
 
-// Take removes the first function of a priority; it returns nil if there is none.
+// Take removes and returns the oldest function of a priority, or nil if there is none.
 func (q *Queue) Take(priority Priority) func() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -86,10 +87,10 @@
 		return nil
 	}
 	function := waiting[0]
-	waiting[0] = nil // so that it can be collected
+	waiting[0] = nil // allows the function to be garbage-collected
 	q.waiting[priority] = waiting[1:]
 	if len(waiting) == 1 {
-		q.waiting[priority] = nil // and the array too
+		q.waiting[priority] = nil // frees the backing array
 	}
 	if priority != PriorityOutcomes {
 		q.notFull.Signal()
@@ -97,7 +98,7 @@
 	return function
 }
 
-// Len returns how many functions of all priorities are waiting.
+// Len returns the number of waiting functions of all priorities.
 func (q *Queue) Len() (length int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -107,7 +108,7 @@
 	return length
 }
 
-// Close makes Put return false, also where it is blocked, and closes the channel that tells of it. It must be called once only.
+// Close makes all later and all blocked calls of Put return false, and closes the channel Closed. It must be called only once.
 func (q *Queue) Close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// removed is the index of a timer that is not among the Timers.
+// removed is the index of a timer that was removed from its Timers.
 const removed = -1
 
-// Timer is a value with the time at which it is due.
+// Timer is a value with a deadline.
 type Timer[T any] struct {
 	Deadline time.Time
 	Value    T
-	index    int // in the heap, or removed
+	index    int // index in the heap, or removed
 }
 
-// Timers is a set of timers, ordered by deadline. It belongs to one goroutine, which looks at First when it has nothing else to do;
-// no timer calls anything by itself. The zero value is empty.
+// Timers is a set of timers, ordered by deadline. Timers do not fire by themselves: the goroutine that owns the set polls First.
+// The zero value is an empty set. It is not safe for concurrent use.
 type Timers[T any] struct{ heap timerHeap[T] }
 
 // Add adds a timer.
@@ -26,7 +26,7 @@
 	return timer
 }
 
-// Remove removes a timer. Nil, and a timer that was removed before, is ignored.
+// Remove removes a timer. It ignores nil and timers that were already removed.
 func (t *Timers[T]) Remove(timer *Timer[T]) {
 	if timer != nil && timer.index != removed {
 		heap.Remove(&t.heap, timer.index)
@@ -41,7 +41,7 @@
 	return t.heap[0]
 }
 
-// All returns all timers in no particular order. The slice is valid until the next change of the set, and must not be modified.
+// All returns all timers in unspecified order. The slice must not be modified and is valid until the set changes.
 func (t *Timers[T]) All() []*Timer[T] { return t.heap }
 
 // Clear removes all timers.
@@ -52,13 +52,13 @@
 	t.heap = nil
 }
 
-// timerHeap implements heap.Interface.
+// timerHeap implements heap.Interface as a min-heap by deadline.
 type timerHeap[T any] []*Timer[T]
 
 // Len implements sort.Interface.
 func (h timerHeap[T]) Len() int { return len(h) }
 
-// Less implements sort.Interface: the timer that is due first comes first.
+// Less implements sort.Interface: timers are ordered by deadline, earliest first.
 func (h timerHeap[T]) Less(i, j int) bool { return h[i].Deadline.Before(h[j].Deadline) }
 
 // Swap implements sort.Interface.
@@ -78,7 +78,7 @@
 func (h *timerHeap[T]) Pop() any {
 	last := len(*h) - 1
 	timer := (*h)[last]
-	(*h)[last] = nil // so that it can be collected
+	(*h)[last] = nil // allows the timer to be garbage-collected
 	*h = (*h)[:last]
 	timer.index = removed
 	return timer
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// Counters maps the counters of a status, by their names there, to families. A counter whose name is a prefix of Labelled and a rest
-// is a sample of that family, with the rest as the value of its label.
+// Counters maps the counters of a status report, by name, to metric families. If a counter's name begins with a prefix in
+// Labelled, the counter is a sample of that family, with the rest of the name as the label value.
 type Counters struct {
-	Plain    map[string]Family
-	Labelled map[string]Family // by prefix
+	Plain    map[string]Family // by name of the counter
+	Labelled map[string]Family // by prefix of the counter's name
 }
 
-// Samples returns the samples of counters, in the order of their names. Counters without a family are left out.
+// Samples returns the samples of counters, sorted by counter name. Counters without a family are omitted.
 func (c *Counters) Samples(counters map[string]int64) (samples []Sample) {
 	for _, name := range slices.Sorted(maps.Keys(counters)) {
 		if family, labelValue, ok := c.FamilyOf(name); ok {
@@ -23,7 +23,7 @@
 	return samples
 }
 
-// FamilyOf returns the family of a counter, and the value of its label.
+// FamilyOf returns the family and the label value of a counter. ok is false if it has no family.
 func (c *Counters) FamilyOf(name string) (family Family, labelValue string, ok bool) {
 	if family, ok := c.Plain[name]; ok {
 		return family, "", true
@@ -36,20 +36,20 @@
 	return Family{}, "", false
 }
 
-// Count is the family of a counter of the status: its name with _total behind it.
+// Count returns the family of a counter that is exported under its name in the status report with the suffix _total.
 func Count(statusName, help string) Family { return CountAs(statusName, statusName+"_total", help) }
 
-// CountAs is the family of a counter that has another name in the status.
+// CountAs returns the family of a counter that is exported under a name unlike that in the status report.
 func CountAs(statusName, name, help string) Family {
 	return Family{Name: name, Help: help, Kind: Counter, statusName: statusName}
 }
 
-// PlainGauge is the family of a figure of the status that goes up and down.
+// PlainGauge returns the family of a gauge that is exported under its name in the status report.
 func PlainGauge(name, help string) Family {
 	return Family{Name: name, Help: help, Kind: Gauge, statusName: name}
 }
 
-// ByStatusName returns families that Count, CountAs and PlainGauge made, by their names in the status.
+// ByStatusName maps families created by Count, CountAs and PlainGauge by their names in the status report.
 func ByStatusName(families ...Family) map[string]Family {
 	named := make(map[string]Family, len(families))
 	for _, family := range families {
--- a/internal/metrics/doc.go
+++ b/internal/metrics/doc.go
@@ -1,8 +1,9 @@
-// Package metrics shows a process's figures over HTTP as text in the Prometheus format.
+// Package metrics exposes a process's metrics over HTTP in the Prometheus text format.
 //
-//	Family (name, help, kind)    Sample (its value now)    Source (all samples at one moment)
-//	Serve -> GET /PATH -> Source -> text
+//	Family (name, help, kind)    Sample (its current value)    Source (all current samples)
+//	Serve -> GET /PATH -> Source -> text format
 //
-// Nothing is gathered, allocated or locked before somebody asks: the figures stay where the process counts them, and a Source reads
-// them. Names follow the conventions of the format: a namespace, units in the name (seconds, bytes), _total behind counters.
+// Nothing is gathered, allocated or locked between requests: the process keeps its own counters, and a Source reads them on each
+// request. Names follow the Prometheus conventions: a namespace prefix, the unit in the name (seconds, bytes), and the suffix
+// _total for counters.
 package metrics
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// As a flag it may be absent, and is refused if it is given twice.
+// An Endpoint flag may be absent, and is rejected if it is given twice.
 func TestEndpointIsAFlag(t *testing.T) {
 	for arguments, want := range map[string]Endpoint{"": {}, "-metrics=1/a": {1, "/a"}} {
 		var endpoint Endpoint
@@ -46,7 +46,7 @@
 	require.ErrorContains(t, flags.Parse([]string{"-metrics=1/a", "-metrics=1/a"}), "metrics: given twice")
 }
 
-// exampleSource has a sample of each kind.
+// exampleSource returns samples of each kind of metric.
 func exampleSource() ([]Sample, bool) {
 	histogram := &Histogram{}
 	for _, duration := range []time.Duration{0, time.Millisecond, 3 * time.Millisecond, time.Minute} {
@@ -66,7 +66,7 @@
 	handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	require.Equal(t, http.StatusOK, answer.Code)
 	require.Contains(t, answer.Header().Get("Content-Type"), "text/plain")
-	shown := answer.Body.String()
+	body := answer.Body.String()
 	for _, line := range []string{
 		"# HELP test_calls_total Calls.", "# TYPE test_calls_total counter", "test_calls_total 7",
 		"test_sent_bytes_total 9", "# TYPE test_open gauge", "test_open 2",
@@ -74,10 +74,10 @@
 		`test_wait_seconds_bucket{le="0.001"} 2`, `test_wait_seconds_bucket{le="0.005"} 3`, `test_wait_seconds_bucket{le="+Inf"} 4`,
 		"test_wait_seconds_sum 60.004", "test_wait_seconds_count 4",
 	} {
-		require.Contains(t, shown, line+"\n")
+		require.Contains(t, body, line+"\n")
 	}
-	require.NotContains(t, shown, "unknown")
-	problems, err := promlint.New(bytes.NewBufferString(shown)).Lint()
+	require.NotContains(t, body, "unknown")
+	problems, err := promlint.New(bytes.NewBufferString(body)).Lint()
 	require.NoError(t, err)
 	require.Empty(t, problems)
 
@@ -86,7 +86,7 @@
 	require.Equal(t, http.StatusMethodNotAllowed, answer.Code)
 }
 
-// A process that is ending shows nothing, and fails nobody.
+// While the process shuts down, the handler returns an empty response with status 200.
 func TestEndingProcessShowsNothing(t *testing.T) {
 	answer := httptest.NewRecorder()
 	Handler("test", func() ([]Sample, bool) { return nil, false }).ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/", nil))
@@ -94,7 +94,7 @@
 	require.Empty(t, answer.Body.String())
 }
 
-// logLines receives what is logged.
+// logLines is an io.Writer that sends each log line to a channel.
 type logLines chan string
 
 func (l logLines) Write(line []byte) (int, error) {
@@ -102,7 +102,7 @@
 	return len(line), nil
 }
 
-// A port in use ends nothing: the process serves on, and so do its figures on another port. Serve ends with its context.
+// If the port is in use, Serve logs an error and retries until its context ends. On a free port it serves until its context ends.
 func TestServeBearsAPortInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -116,7 +116,7 @@
 		defer close(done)
 		Serve(ctx, "127.0.0.1", Endpoint{port, "/metrics"}, "test", exampleSource, log)
 	}()
-	require.Contains(t, <-logged, "metrics: the port can't be opened")
+	require.Contains(t, <-logged, "metrics: failed to listen")
 	cancel()
 	<-done
 
--- a/internal/metrics/sample.go
+++ b/internal/metrics/sample.go
@@ -1,33 +1,33 @@
 package metrics
 
-// Kind is how a figure behaves.
+// Kind is the type of a metric.
 type Kind uint8
 
-// Kinds.
+// The kinds of metrics.
 const (
-	Counter   Kind = iota // only rises while the process lives
-	Gauge                 // goes up and down
+	Counter   Kind = iota // only increases while the process runs
+	Gauge                 // may increase and decrease
 	Durations             // a histogram of durations
 )
 
-// Family is a figure: one number, or one for each value of a label.
+// Family describes a metric. It has one sample, or one sample for each value of its label.
 type Family struct {
 	Name  string // without the namespace; counters end in _total, durations in _seconds
-	Help  string // one sentence, with the unit where the name has none
+	Help  string // one sentence; gives the unit if the name does not
 	Kind  Kind
-	Label string // what Sample.LabelValue is a value of; empty: the family has one sample
+	Label string // name of the label that Sample.LabelValue is for; empty: the family has one sample
 
-	statusName string // of a counter: its name in the status
+	statusName string // name of the counter in the status report
 }
 
-// Sample is the value of a family at one moment.
+// Sample is the current value of a family for one label value.
 type Sample struct {
 	Family     Family
 	LabelValue string
-	Value      float64    // of a Counter or Gauge
-	Histogram  *Histogram // of Durations
+	Value      float64    // for a Counter or Gauge
+	Histogram  *Histogram // for Durations
 }
 
-// Source returns all samples of a process at one moment; ok is false if the process is ending. It is called by an HTTP handler, and
-// must not block for long.
+// Source returns all current samples of a process. ok is false if the process is shutting down. It is called by an HTTP handler
+// and must not block for long.
 type Source func() (samples []Sample, ok bool)
--- a/internal/metrics/serve.go
+++ b/internal/metrics/serve.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	listenRetryInterval = 5 * time.Second // after a port that could not be opened
-	headerTimeout       = 2 * time.Second
-	answerTimeout       = 2 * time.Second
-	idleTimeout         = 20 * time.Second
-	maxHeaderBytes      = 8 << 10
-	maxRequestsAtOnce   = 2 // more are answered 503
+	listenRetryInterval   = 5 * time.Second // delay after a failed attempt to listen
+	headerTimeout         = 2 * time.Second
+	responseTimeout       = 2 * time.Second
+	idleTimeout           = 20 * time.Second
+	maxHeaderBytes        = 8 << 10
+	maxConcurrentRequests = 2 // further requests are answered with 503
 )
 
-// Serve shows a process's figures until ctx ends. A port that can't be opened is tried again, since the process does its work
-// without it: the error is logged with the flag's name once.
+// Serve serves a process's metrics until ctx ends. If it cannot listen on the port, it retries, because the process can work
+// without serving metrics. It logs the error, with the name of the flag, only once.
 func Serve(ctx context.Context, ip string, endpoint Endpoint, namespace string, source Source, log hclog.Logger) {
 	address := net.JoinHostPort(ip, strconv.Itoa(endpoint.Port))
 	listener := listen(ctx, address, log)
@@ -34,7 +34,7 @@
 	server := &http.Server{
 		Handler:           mux,
 		ReadHeaderTimeout: headerTimeout,
-		WriteTimeout:      answerTimeout,
+		WriteTimeout:      responseTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
@@ -43,7 +43,7 @@
 	_ = server.Serve(listener) // ends with ctx
 }
 
-// listen opens the port, as soon as that is possible; nil: ctx has ended.
+// listen listens on address and retries until it succeeds. It returns nil if ctx has ended.
 func listen(ctx context.Context, address string, log hclog.Logger) net.Listener {
 	for logged := false; ctx.Err() == nil; {
 		listener, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
@@ -52,7 +52,7 @@
 		}
 		if !logged {
 			logged = true
-			log.Error("metrics: the port can't be opened, and is tried again", "address", address, "error", err)
+			log.Error("metrics: failed to listen, will retry", "address", address, "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -62,13 +62,13 @@
 	return nil
 }
 
-// Handler answers GET with the samples of a source as text.
+// Handler returns an HTTP handler that answers GET with the samples of source in the Prometheus text format.
 func Handler(namespace string, source Source) http.Handler {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&collector{namespace: namespace, source: source})
-	show := promhttp.HandlerFor(registry, promhttp.HandlerOpts{
+	metricsHandler := promhttp.HandlerFor(registry, promhttp.HandlerOpts{
 		ErrorHandling:       promhttp.ContinueOnError,
-		MaxRequestsInFlight: maxRequestsAtOnce,
+		MaxRequestsInFlight: maxConcurrentRequests,
 		DisableCompression:  true,
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -77,17 +77,17 @@
 			w.WriteHeader(http.StatusMethodNotAllowed)
 			return
 		}
-		show.ServeHTTP(w, r)
+		metricsHandler.ServeHTTP(w, r)
 	})
 }
 
-// collector is a prometheus.Collector that asks the source anew for each request.
+// collector is a prometheus.Collector that reads the source for each request.
 type collector struct {
 	namespace string
 	source    Source
 }
 
-// Describe implements prometheus.Collector. It describes nothing: which samples there are depends on the moment.
+// Describe implements prometheus.Collector. It describes nothing, because the set of samples may differ between requests.
 func (*collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
@@ -101,6 +101,7 @@
 	}
 }
 
+// metric converts a sample to a Prometheus metric.
 func (c *collector) metric(sample Sample) prometheus.Metric {
 	family := sample.Family
 	var labels, values []string
@@ -110,8 +111,8 @@
 	desc := prometheus.NewDesc(prometheus.BuildFQName(c.namespace, "", family.Name), family.Help, labels, nil)
 	switch family.Kind {
 	case Durations:
-		atMost, count, sumSeconds := sample.Histogram.cumulative()
-		return prometheus.MustNewConstHistogram(desc, count, sumSeconds, atMost, values...)
+		countByBound, count, sumSeconds := sample.Histogram.cumulative()
+		return prometheus.MustNewConstHistogram(desc, count, sumSeconds, countByBound, values...)
 	case Gauge:
 		return prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, sample.Value, values...)
 	}
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -11,22 +11,22 @@
 	"github.com/gravitational/trace"
 )
 
-// maxFileBytes is the largest settings file that is read (1 MiB).
+// maxFileBytes is the maximum size of a settings file (1 MiB).
 const maxFileBytes = 1 << 20
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Read reads the file that EnvVar names.
+// Read reads the settings file at the path in the environment variable EnvVar.
 func Read() (*Settings, error) {
 	path := os.Getenv(EnvVar)
 	if path == "" {
-		return nil, trace.BadParameter("%s: not set; it names the settings file", EnvVar)
+		return nil, trace.BadParameter("%s: not set; it must contain the path of the settings file", EnvVar)
 	}
 	return ReadFile(path)
 }
 
-// ReadFile reads a settings file. The error names the file and, for invalid content, the key; it is one of trace's NotFound,
-// LimitExceeded and BadParameter, or another error of the file system.
+// ReadFile reads and validates a settings file. The error names the file and, for invalid content, the key. It is a
+// trace.NotFound, trace.LimitExceeded or trace.BadParameter error, or another file system error.
 func ReadFile(path string) (*Settings, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -46,7 +46,8 @@
 	return settings, nil
 }
 
-// Parse parses and checks the text of a settings file. The error begins with the key, or with the line where there is none.
+// Parse parses and validates the text of a settings file. The error begins with the key, or with the line number if no key is
+// known.
 func Parse(text string) (*Settings, error) {
 	settings := &Settings{BeatMs: defaultBeatMs}
 	if _, err := toml.Decode(text, settings); err != nil {
@@ -56,11 +57,12 @@
 		return nil, validationError(err)
 	}
 	if first, last := settings.PortRange[0], settings.PortRange[1]; last < first {
-		return nil, fmt.Errorf("PortRange: %v: the second is to be no less than the first", settings.PortRange)
+		return nil, fmt.Errorf("PortRange: %v: the last port must not be less than the first", settings.PortRange)
 	}
 	return settings, nil
 }
 
+// decodeError returns an error with the key and line number of a TOML syntax error.
 func decodeError(err error) error {
 	var syntaxError toml.ParseError
 	if !errors.As(err, &syntaxError) {
@@ -72,7 +74,7 @@
 	return fmt.Errorf("line %d: %s", syntaxError.Position.Line, syntaxError.Message)
 }
 
-// validationError names the first invalid key and the rule that it breaks.
+// validationError returns an error with the first invalid key, its value and the rule that it violates.
 func validationError(err error) error {
 	var faults validator.ValidationErrors
 	if !errors.As(err, &faults) || len(faults) == 0 {
@@ -84,5 +86,5 @@
 	if fault.Param() != "" {
 		rule += " " + fault.Param()
 	}
-	return fmt.Errorf("%s: %v: %s is wanted", key, fault.Value(), rule)
+	return fmt.Errorf("%s: %v: must satisfy %s", key, fault.Value(), rule)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const good = `Node = "edge-1"
+const validSettings = `Node = "edge-1"
 Ip = "10.1.0.8"
 Zone = "a"
 PortRange = [7440,7455]
@@ -28,20 +28,20 @@
 `
 
 func TestParseNamesTheInvalidKey(t *testing.T) {
-	settings, err := Parse(good)
+	settings, err := Parse(validSettings)
 	require.NoError(t, err, "unknown fields are ignored")
 	require.Equal(t, "10.1.0.8:7440", settings.PeerAddress(settings.Ip))
 	require.Equal(t, []string{"10.1.0.11"}, settings.SeedHosts())
 	require.EqualValues(t, 1200, settings.BeatMs)
-	_, err = Parse(good + "[Limits]\n[Provider]\n[FaultBudget]\nMachines = 1\n[Zones]\n[Bounds.x]\n")
-	require.NoError(t, err, "an unknown table")
+	_, err = Parse(validSettings + "[Limits]\n[Provider]\n[FaultBudget]\nMachines = 1\n[Zones]\n[Bounds.x]\n")
+	require.NoError(t, err, "unknown tables are ignored")
 	for key, text := range map[string]string{
 		"Ip":           "Node = \"x\"\nIp = \"here\"\nZone = \"a\"\nPortRange = [1,2]\n",
 		"Node":         "Ip = \"10.0.0.1\"\nZone = \"a\"\nPortRange = [1,2]\n",
 		"PortRange":    "Node = \"x\"\nIp = \"10.0.0.1\"\nZone = \"a\"\nPortRange = [9,2]\n",
 		"SeedPeers[0]": "Node = \"x\"\nIp = \"10.0.0.1\"\nZone = \"a\"\nPortRange = [1,2]\nSeedPeers = [\"nowhere\"]\n",
 		"Node: line 1": "Node = \n",
-		"Limits.Cores": good + "[Limits]\nCores = -1\n",
+		"Limits.Cores": validSettings + "[Limits]\nCores = -1\n",
 	} {
 		_, err := Parse(text)
 		require.Error(t, err, key)
@@ -57,7 +57,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Add("PortRange = [1]\n")
 	f.Fuzz(func(_ *testing.T, text string) {
 		if settings, err := Parse(text); err == nil {
@@ -70,22 +70,22 @@
 func TestWatchReportsAChangedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.toml")
 	write := func(text string) { require.NoError(t, os.WriteFile(path, []byte(text), 0o600)) }
-	write(good)
+	write(validSettings)
 	t.Setenv(EnvVar, path)
-	synctest.Test(t, func(t *testing.T) { // on its clock
+	synctest.Test(t, func(t *testing.T) { // uses the fake clock of synctest
 		changed := make(chan os.Signal, 1)
 		go Watch(t.Context(), changed, syscall.SIGHUP)
 		time.Sleep(10 * watchInterval)
 		require.Empty(t, changed, "nothing changed")
 
-		write(good + "# more\n")
+		write(validSettings + "# more\n")
 		time.Sleep(10 * watchInterval)
 		require.Equal(t, syscall.SIGHUP, <-changed)
 		require.Empty(t, changed, "one change is reported once")
 
-		write(good)
+		write(validSettings)
 		time.Sleep(2 * watchInterval)
-		write(good + "# more\n")
+		write(validSettings + "# more\n")
 		time.Sleep(2 * watchInterval) // Watch does not block, though the channel is full
 		require.Len(t, changed, 1)
 	})
--- a/internal/settings/watch.go
+++ b/internal/settings/watch.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// watchInterval is how often Watch looks at the file.
+// watchInterval is the interval at which Watch checks the file.
 const watchInterval = time.Second
 
-// Watch sends signal on changed whenever the settings file has changed, until ctx ends. It never blocks: while a signal is
-// waiting in the channel, which must be buffered, none is added.
+// Watch polls the settings file until ctx ends, and sends signal to changed whenever the file has changed. Sending never blocks:
+// if the channel, which must be buffered, is full, no further signal is added.
 func Watch(ctx context.Context, changed chan<- os.Signal, signal os.Signal) {
 	path := os.Getenv(EnvVar)
 	last, _ := os.Stat(path)
@@ -34,6 +34,7 @@
 	}
 }
 
+// sameVersion reports whether two versions of a file have the same modification time and size.
 func sameVersion(a, b os.FileInfo) bool {
 	return a.ModTime().Equal(b.ModTime()) && a.Size() == b.Size()
 }
--- a/internal/wire/code.go
+++ b/internal/wire/code.go
@@ -17,10 +17,10 @@
 	CodeUnknownName Code = "UNKNOWN" // no such prepared statement
 	CodeMalformed   Code = "MALFORMED"
 	CodeNoDatabase  Code = "NODB"   // no such database
-	CodeDenied      Code = "DENIED" // no tenant has the client's key
+	CodeDenied      Code = "DENIED" // the client's key belongs to no tenant
 )
 
-// NothingKept reports whether the code guarantees that no effect of the attempt remains, so that the client may retry the whole
+// NothingKept reports whether the code guarantees that the attempt had no lasting effect, so that the client may retry the whole
 // operation.
 func (c Code) NothingKept() bool {
 	switch c {
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -18,13 +18,13 @@
 			if request, err := ParseRequest(line); err == nil && request.ID != "" {
 				again, err := ParseRequest(line)
 				if err != nil || again != request || string(AppendQuery(nil, request.ID, request.Text)) != string(rest[:size]) {
-					t.Fatalf("%q is not written as it was read", line)
+					t.Fatalf("%q is not encoded as it was received", line)
 				}
 			}
 			if complete, err := response.AddLine(line, rest[:size]); complete || err != nil {
 				response = Response{}
 			}
-			_, _ = ParseHostStatus(string(line)) // any line, only that it does not panic
+			_, _ = ParseHostStatus(string(line)) // must not panic on any line
 			rest = rest[size:]
 		}
 	})
--- a/internal/wire/line.go
+++ b/internal/wire/line.go
@@ -9,8 +9,8 @@
 // MaxMessageBytes is the protocol's limit on one message, in bytes (1 MiB).
 const MaxMessageBytes = 1 << 20
 
-// Errors of the parsers; they are wrapped with what was read, so compare with errors.Is. None may be retried on the same
-// connection, because the position of the next message in the stream is unknown.
+// Errors of the parsers. They are wrapped with the rejected input, so compare with errors.Is. After any of them the connection
+// cannot be used further, because the position of the next message in the stream is unknown.
 var (
 	// ErrMessageTooLong reports a message longer than MaxMessageBytes.
 	ErrMessageTooLong = errors.New("message is longer than 1 MiB")
@@ -20,9 +20,9 @@
 	ErrOutOfOrder = errors.New("response lines out of order")
 )
 
-// CutLine finds the first line of buffer. It returns the line without its CR LF and the number of bytes that it takes up
-// including them; size is 0 while the line is incomplete. The caller that read more bytes passes the length it has searched
-// before as searchFrom, so that a long line is not searched from its start again.
+// CutLine finds the first line of buffer. It returns the line without its CR LF, and its size in bytes including CR LF; size is 0
+// while the line is incomplete. A caller that has appended more bytes to an incomplete line passes the previous length of buffer
+// as searchFrom, so that the line is not searched from its start again.
 func CutLine(buffer []byte, searchFrom int) (line []byte, size int, err error) {
 	searchFrom = min(searchFrom, len(buffer))
 	offset := bytes.IndexByte(buffer[searchFrom:], '\n')
@@ -46,7 +46,7 @@
 	return line, end + 1, nil
 }
 
-// cutField returns the first field and what follows the space behind it.
+// cutField returns the first field and everything after the space that follows it.
 func cutField(fields []byte) (first, rest []byte) {
 	first, rest, _ = bytes.Cut(fields, []byte{' '})
 	return first, rest
--- a/internal/wire/position.go
+++ b/internal/wire/position.go
@@ -6,11 +6,11 @@
 	"strconv"
 )
 
-// noPosition is the wire's form of the zero Position.
+// noPosition is the protocol's encoding of the zero Position.
 const noPosition = "-"
 
-// Position is a position in a host's replication log. The timeline rises with each promotion, the number with each commit that
-// writes. The zero value is unknown and precedes all others.
+// Position is a position in a host's replication log. The timeline increases with each promotion, the number with each commit that
+// writes. The zero value means unknown and precedes all other positions.
 type Position struct{ Timeline, Number uint64 }
 
 // Before reports whether p precedes other: by timeline first, then by number.
--- a/internal/wire/request.go
+++ b/internal/wire/request.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// RequestKind says which message, and for QUERY which statement, a Request is.
+// RequestKind is the kind of a Request: the message, or for QUERY the statement.
 type RequestKind uint8
 
 // The statements of QUERY.
@@ -28,21 +28,21 @@
 	Bye
 )
 
-// noID is the id of statements that the client did not send: the proxy's own.
+// noID is the id of statements that the proxy sends itself, not on behalf of a client.
 const noID = "-"
 
 // Request is one message of a client.
 type Request struct {
 	Kind      RequestKind
-	ID        string // the client's id of a statement; empty for other messages
-	Text      string // a statement exactly as received
-	Name      string // of the variable or prepared statement; the database of Connect
-	Value     string // the value of Set, the prepared text of Prepare (FETCH or STORE and a shape), the client's identity of Connect
-	Arguments string // the arguments of Execute
+	ID        string // id that the client gave the statement; empty for other messages
+	Text      string // statement exactly as received
+	Name      string // name of the variable or prepared statement; database of Connect
+	Value     string // value of Set; prepared text of Prepare (FETCH or STORE and a shape); client's identity of Connect
+	Arguments string // arguments of Execute
 }
 
-// ParseRequest reads a client's line. The error is ErrMalformed. If the request that comes with it has an ID, the line was a
-// QUERY whose statement is unknown, and the connection remains usable; without one the connection must be closed.
+// ParseRequest parses a line from a client. The error is ErrMalformed. If the request returned with the error has an ID, the line
+// was a QUERY with an invalid statement, and the connection remains usable. Otherwise the connection must be closed.
 func ParseRequest(line []byte) (Request, error) {
 	word, fields := cutField(line)
 	switch string(word) {
@@ -79,7 +79,7 @@
 	return request, nil
 }
 
-// parseStatement fills in the request from its text. It returns false if the text is not a statement of the protocol.
+// parseStatement sets the fields of the request from Text. It returns false if Text is not a valid statement.
 func (r *Request) parseStatement() bool {
 	word, arguments, _ := strings.Cut(r.Text, " ")
 	switch word {
@@ -135,13 +135,13 @@
 	return r.Name != "" && (operation == "FETCH" || operation == "STORE") && shape != ""
 }
 
-// PreparedTextWrites reports whether a prepared text stores.
+// PreparedTextWrites reports whether a prepared text is a STORE.
 func PreparedTextWrites(preparedText string) bool {
 	const store = "STORE"
 	return len(preparedText) > len(store) && strings.HasPrefix(preparedText, store)
 }
 
-// AppendQuery appends a QUERY with a statement's id and text.
+// AppendQuery appends a QUERY with the id and text of a statement.
 func AppendQuery(buffer []byte, id, text string) []byte {
 	buffer = append(buffer, "QUERY "...)
 	buffer = append(buffer, id...)
@@ -151,7 +151,7 @@
 }
 
 // AppendFencedQuery appends a QUERY with a FENCE: the host executes the statement only if its log includes the position, and
-// answers LAGGING otherwise.
+// responds with LAGGING otherwise.
 func AppendFencedQuery(buffer []byte, id string, fence Position, text string) []byte {
 	buffer = append(buffer, "QUERY "...)
 	buffer = append(buffer, id...)
@@ -162,8 +162,8 @@
 	return append(buffer, '\r', '\n')
 }
 
-// AppendConnect appends the CONNECT that opens a connection to a host. The host rejects it with WRONGNODE unless it has the
-// service and host id; identity names the connection's owner.
+// AppendConnect appends the CONNECT that opens a connection to a host. The host rejects it with WRONGNODE unless service and
+// hostID are its own. identity identifies the owner of the connection.
 func AppendConnect(buffer []byte, service, identity, hostID string) []byte {
 	buffer = append(buffer, "CONNECT "...)
 	buffer = append(buffer, service...)
--- a/internal/wire/request_test.go
+++ b/internal/wire/request_test.go
@@ -25,7 +25,7 @@
 		require.NoError(t, err, line)
 		require.Equal(t, want, got, line)
 	}
-	for line, hasID := range map[string]bool{ // whether the error can be answered to an id
+	for line, hasID := range map[string]bool{ // whether the rejected request has an id to respond to
 		"": false, "HELLO": false, "QUERY": false, "QUERY - STAT": false, "BYE now": false, "CONNECT": false, "CONNECT db": false,
 		"QUERY x": true, "QUERY x FETCH": true, "QUERY x STORE a": true, "QUERY x FENCE 1.2 FETCH a": true, "QUERY x BEGIN STORE": true,
 		"QUERY x PREPARE s DROP q": true, "QUERY x COMMIT now": true, "QUERY x STAT": true, "QUERY x RESET": true, "QUERY x SET a": true,
--- a/internal/wire/response.go
+++ b/internal/wire/response.go
@@ -12,27 +12,27 @@
 	StateFailed        TransactionState = 'E' // in a transaction that failed and can only be rolled back
 )
 
-// maxKeptText is how many bytes of the first row and of an error's text a Response keeps as strings of their own.
-const maxKeptText = 256
+// maxRetainedTextBytes is the maximum length of the copies that a Response keeps of the first row and of an error text, in bytes.
+const maxRetainedTextBytes = 256
 
 // noStamp is the field of DONE for statements that leave no record at a host.
 const noStamp = "-"
 
-// Response collects the lines with which a host answers one message. The zero value is ready to use.
+// Response collects the lines of a host's response to one message. The zero value is ready to use.
 type Response struct {
 	Lines     []byte           // ROW, DONE and ERROR lines as received, without IDLE
-	RowCount  int              // how many ROW lines there were
-	FirstRow  string           // fields of the first row; empty if they are longer than 256 bytes
-	HasStamp  bool             // DONE had a stamp: the statement was executed by a host
-	Code      Code             // of ERROR; empty if there was none
-	ErrorText string           // of ERROR, its first 256 bytes
-	State     TransactionState // of IDLE
-	Position  Position         // of IDLE; unknown if it had none
+	RowCount  int              // number of ROW lines
+	FirstRow  string           // fields of the first ROW line; empty if longer than 256 bytes
+	HasStamp  bool             // DONE has a stamp: the statement was executed by a host
+	Code      Code             // code of ERROR; empty if there was none
+	ErrorText string           // first 256 bytes of the text of ERROR
+	State     TransactionState // state in IDLE
+	Position  Position         // position in IDLE; unknown if there was none
 	ended     bool             // DONE or ERROR was received
 }
 
-// AddLine adds a line; raw is the same line with its CR LF. It returns true with the IDLE that completes the response. After an
-// error, which is ErrMessageTooLong, ErrMalformed or ErrOutOfOrder, the connection must be closed.
+// AddLine adds a line; raw is the same line with its CR LF. It returns true if the line is the IDLE that completes the response.
+// The error is ErrMessageTooLong, ErrMalformed or ErrOutOfOrder; after it the connection must be closed.
 func (r *Response) AddLine(line, raw []byte) (complete bool, err error) {
 	word, fields := cutField(line)
 	if string(word) == "IDLE" {
@@ -63,7 +63,7 @@
 		return ErrOutOfOrder
 	}
 	r.RowCount++
-	if r.RowCount == 1 && len(fields) <= maxKeptText {
+	if r.RowCount == 1 && len(fields) <= maxRetainedTextBytes {
 		r.FirstRow = string(fields)
 	}
 	return nil
@@ -85,7 +85,7 @@
 	}
 	r.ended = true
 	r.Code = Code(code)
-	r.ErrorText = string(text[:min(len(text), maxKeptText)])
+	r.ErrorText = string(text[:min(len(text), maxRetainedTextBytes)])
 	return nil
 }
 
@@ -103,13 +103,13 @@
 	return err
 }
 
-// Completed reports whether DONE or ERROR was received. Only IDLE may follow.
+// Completed reports whether DONE or ERROR was received, after which only IDLE may follow.
 func (r *Response) Completed() bool { return r.ended }
 
-// AppendDone appends the DONE of a statement that the proxy answers itself.
+// AppendDone appends a DONE without a stamp, for a statement that the proxy answers itself.
 func AppendDone(buffer []byte) []byte { return append(buffer, "DONE -\r\n"...) }
 
-// AppendError appends an ERROR.
+// AppendError appends an ERROR with a code and text.
 func AppendError(buffer []byte, code Code, text string) []byte {
 	buffer = append(buffer, "ERROR "...)
 	buffer = append(buffer, code...)
--- a/internal/wire/status.go
+++ b/internal/wire/status.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// The roles in the row of a host's status.
+// The roles in a host's status row.
 const (
 	rolePrimary = "leader"
 	roleReplica = "follower"
 )
 
-// The fields of a status row. Hosts may append others.
+// The indexes of the fields of a status row. Hosts may append further fields.
 const (
 	statusRole = iota
 	statusTimeline
@@ -21,20 +21,20 @@
 	statusLagMs
 	statusBusy
 	statusConnections
-	statusFields // number of them
+	statusFields // number of fields
 )
 
-// HostStatus is what a host tells about itself in answer to STAT, PAUSE and STEPDOWN.
+// HostStatus is the status that a host reports in response to STAT, PAUSE and STEPDOWN.
 type HostStatus struct {
-	IsPrimary              bool     // it is the primary, as far as it knows
-	Timeline               uint64   // timeline that it is on
-	Received               Position // last position that it has received, though perhaps not applied
-	PausedTimeline         uint64   // timeline of the PAUSE in force; 0: it is not paused
-	LagMs                  int64    // milliseconds from receiving to applying
-	BusySlots, Connections int64    // slots in use, connections open
+	IsPrimary              bool     // the host considers itself the primary
+	Timeline               uint64   // current timeline
+	Received               Position // last position received, possibly not applied yet
+	PausedTimeline         uint64   // timeline of the PAUSE in effect; 0: not paused
+	LagMs                  int64    // replication delay between receiving and applying, in milliseconds
+	BusySlots, Connections int64    // slots in use and open connections
 }
 
-// ParseHostStatus reads the row of a status. The error is ErrMalformed; then the status is zero.
+// ParseHostStatus parses a status row. On an error, which is ErrMalformed, the returned status is the zero value.
 func ParseHostStatus(row string) (HostStatus, error) {
 	fields := strings.Fields(row)
 	if len(fields) < statusFields || fields[statusRole] != rolePrimary && fields[statusRole] != roleReplica {
@@ -47,7 +47,7 @@
 	}
 	var numbers [statusFields]uint64
 	for _, index := range []int{statusTimeline, statusPausedTimeline, statusLagMs, statusBusy, statusConnections} {
-		// 63 bits, so that each fits into an int64 too.
+		// 63 bits, so that each value also fits into an int64.
 		if numbers[index], err = strconv.ParseUint(fields[index], 10, 63); err != nil {
 			return HostStatus{}, malformedStatus(row)
 		}
--- a/internal/wire/status_test.go
+++ b/internal/wire/status_test.go
@@ -16,7 +16,8 @@
 	}
 }
 
-// Of a malformed status nothing counts, wherever the fault is: not its role, on which a failover would rest.
+// A malformed status must be discarded as a whole, whichever field is invalid. A role from a partly parsed status would mislead a
+// failover.
 func TestMalformedStatusIsNotReadInPart(t *testing.T) {
 	for _, row := range []string{"leader 7 3.1209 8 12 two 17", "leader 7 3-1209 8 12 2 17", "leader 7 3.1209 8 12 2 x"} {
 		status, err := ParseHostStatus(row)
