--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -7,7 +7,7 @@
 
 // The priorities, most urgent first.
 const (
-	PriorityControl  Priority = iota // events that control the owner's behavior (membership, leases, shutdown) and queries of its state
+	PriorityControl  Priority = iota // control events (membership, leases, shutdown) and queries of the owner's state
 	PriorityOutcomes                 // results of operations that the owner started
 	PriorityCommands                 // new work
 	PriorityReports                  // periodic reports, which the sender soon repeats
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -62,11 +62,11 @@
 
 func TestHandlerShowsTheFormat(t *testing.T) {
 	handler := Handler("test", exampleSource)
-	answer := httptest.NewRecorder()
-	handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", nil))
-	require.Equal(t, http.StatusOK, answer.Code)
-	require.Contains(t, answer.Header().Get("Content-Type"), "text/plain")
-	body := answer.Body.String()
+	recorder := httptest.NewRecorder()
+	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	require.Equal(t, http.StatusOK, recorder.Code)
+	require.Contains(t, recorder.Header().Get("Content-Type"), "text/plain")
+	body := recorder.Body.String()
 	for _, line := range []string{
 		"# HELP test_calls_total Calls.", "# TYPE test_calls_total counter", "test_calls_total 7",
 		"test_sent_bytes_total 9", "# TYPE test_open gauge", "test_open 2",
@@ -81,17 +81,17 @@
 	require.NoError(t, err)
 	require.Empty(t, problems)
 
-	answer = httptest.NewRecorder()
-	handler.ServeHTTP(answer, httptest.NewRequest(http.MethodPost, "/metrics", nil))
-	require.Equal(t, http.StatusMethodNotAllowed, answer.Code)
+	recorder = httptest.NewRecorder()
+	handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPost, "/metrics", nil))
+	require.Equal(t, http.StatusMethodNotAllowed, recorder.Code)
 }
 
 // While the process shuts down, the handler returns an empty response with status 200.
 func TestEndingProcessShowsNothing(t *testing.T) {
-	answer := httptest.NewRecorder()
-	Handler("test", func() ([]Sample, bool) { return nil, false }).ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/", nil))
-	require.Equal(t, http.StatusOK, answer.Code)
-	require.Empty(t, answer.Body.String())
+	recorder := httptest.NewRecorder()
+	Handler("test", func() ([]Sample, bool) { return nil, false }).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
+	require.Equal(t, http.StatusOK, recorder.Code)
+	require.Empty(t, recorder.Body.String())
 }
 
 // logLines is an io.Writer that sends each log line to a channel.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -33,7 +33,7 @@
 	CountsLoss   bool     // a failure of the machine counts against FaultBudget.Machines
 	DataDir      string
 	BeatMs       int64             `validate:"min=0"` // approximate interval between the heartbeats of a host
-	Zones        map[string]string // region of each zone, by zone
+	Zones        map[string]string // maps each zone to its region
 	Listen       Listen
 	Limits       Limits
 	FaultBudget  FaultBudget
--- a/internal/wire/line.go
+++ b/internal/wire/line.go
@@ -9,8 +9,8 @@
 // MaxMessageBytes is the protocol's limit on one message, in bytes (1 MiB).
 const MaxMessageBytes = 1 << 20
 
-// Errors of the parsers. They are wrapped with the rejected input, so compare with errors.Is. After any of them the connection
-// cannot be used further, because the position of the next message in the stream is unknown.
+// Errors of the parsers. They are wrapped with the rejected input, so compare with errors.Is. None may be retried on the same
+// connection, because the position of the next message in the stream is unknown.
 var (
 	// ErrMessageTooLong reports a message longer than MaxMessageBytes.
 	ErrMessageTooLong = errors.New("message is longer than 1 MiB")
