--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -121,7 +121,7 @@
 		all["rpc_refusals_received"] = s.environment.RefusedFrames()
 	}
 	if s.leading {
-		all["quota_tokens_lent"], all["quota_tokens_expired"] = s.quota.lender.Lent, s.quota.lender.Expired
+		all["quota_tokens_lent"], all["quota_tokens_expired"] = s.quota.lender.LentTokens, s.quota.lender.ExpiredTokens
 		s.addFailoverCounters(all)
 	}
 	return all
--- a/internal/control/failover/failover.go
+++ b/internal/control/failover/failover.go
@@ -100,7 +100,7 @@
 // primary has acknowledged nothing yet, since no proxy holds a lease on it, so another host may still be chosen.
 func (e *evaluation) oldPrimaryIsAhead(newPrimary wire.HostStatus) bool {
 	old, ok := e.steppedDownStatus()
-	return ok && e.service.promotedHostFailed && newPrimary.Received.Number < old.Received.Number
+	return ok && e.service.promotedHostFailed && newPrimary.ReceivedPosition.Number < old.ReceivedPosition.Number
 }
 
 // steppedDownStatus returns the old primary's status after it stepped down. Its log then holds every acknowledged write.
@@ -146,7 +146,7 @@
 	e.queryNominee()
 	old, oldKnown := service.statusSince(e.primary.Host, Stat, service.proxiesCaughtUpAt)
 	nominee, nomineeKnown := service.statusSince(e.primary.Nominee, Stat, service.proxiesCaughtUpAt)
-	if oldKnown && nomineeKnown && old.IsPrimary && nominee.Received.Number >= old.Received.Number {
+	if oldKnown && nomineeKnown && old.IsPrimary && nominee.ReceivedPosition.Number >= old.ReceivedPosition.Number {
 		e.requestPromotion(e.primary.Nominee)
 	}
 	return stop
@@ -197,9 +197,9 @@
 		return chosen, false
 	}
 	if e.isRegistered(e.primary.Host) {
-		chosen = e.moreAdvanced(chosen, candidate{e.primary.Host, old.Received})
+		chosen = e.moreAdvanced(chosen, candidate{e.primary.Host, old.ReceivedPosition})
 	}
-	return chosen, chosen.host != "" && chosen.position.Number >= old.Received.Number
+	return chosen, chosen.host != "" && chosen.position.Number >= old.ReceivedPosition.Number
 }
 
 // inRegistrationGrace reports whether replicas may be running that have not sent their first heartbeat. Such a replica may be
@@ -219,7 +219,7 @@
 		}
 		status, ok := e.pausedStatus(host)
 		if ok {
-			mostAdvanced = e.moreAdvanced(mostAdvanced, candidate{host, status.Received})
+			mostAdvanced = e.moreAdvanced(mostAdvanced, candidate{host, status.ReceivedPosition})
 			continue
 		}
 		e.query(host, Pause, e.nextTerm(), queryIntervalMs)
--- a/internal/control/failover/failover_test.go
+++ b/internal/control/failover/failover_test.go
@@ -16,7 +16,7 @@
 		}
 		h := newHarness(t)
 		h.run(500)
-		h.hosts["h1"].Received.Number = 90
+		h.hosts["h1"].ReceivedPosition.Number = 90
 		h.stopPrimary(silent)
 		h.suspectPrimary()
 		suspectedAt := h.now
@@ -38,7 +38,7 @@
 		"another host that reports as primary": func(h *harness) { h.hosts["h1"].IsPrimary = true },
 		"another primary in an earlier term":   func(h *harness) { h.hosts["h1"].IsPrimary, h.hosts["h1"].Timeline = true, 3 },
 		"a term far beyond the primary's":      func(h *harness) { h.hosts["h1"].IsPrimary, h.hosts["h1"].Timeline = true, 1<<63-1 },
-		"positions that decrease":              func(h *harness) { h.hosts["h1"].Received.Number, h.hosts["h0"].Received.Number = 3, 50 },
+		"positions that decrease":              func(h *harness) { h.hosts["h1"].ReceivedPosition.Number, h.hosts["h0"].ReceivedPosition.Number = 3, 50 },
 		"heartbeats of an unknown host":        func(h *harness) { h.coordinator.Heartbeat("h9", true, h.now) },
 		"a proxy that keeps suspecting":        func(h *harness) { h.suspectPrimary() },
 		"a replica that is silent":             func(h *harness) { h.hosts["h2"].up, h.hosts["h2"].silent = false, true },
@@ -106,7 +106,7 @@
 	h.run(promotionTimeoutMs + 2000)
 	require.Contains(t, h.coordinator.Transitions(h.state, h.now)["db"].WaitingFor, promoted, "its position is needed first")
 	h.hosts[promoted].up = true
-	h.hosts[promoted].Received.Number = 80
+	h.hosts[promoted].ReceivedPosition.Number = 80
 	h.run(1500)
 	require.Greater(t, len(h.promotions), 1)
 	require.NotEqual(t, promoted, h.promotions[len(h.promotions)-1].Host)
--- a/internal/control/failover/harness_test.go
+++ b/internal/control/failover/harness_test.go
@@ -63,7 +63,7 @@
 	h.startLeader("control", 1)
 	for i := range 3 {
 		hostID := fmt.Sprintf("h%d", i)
-		status := wire.HostStatus{IsPrimary: i == 0, Timeline: 4, Received: wire.Position{Timeline: 4, Number: 100}}
+		status := wire.HostStatus{IsPrimary: i == 0, Timeline: 4, ReceivedPosition: wire.Position{Timeline: 4, Number: 100}}
 		h.hosts[hostID] = &fakeHost{HostStatus: status, up: true}
 		h.apply(statemachine.Change{AddHost: &statemachine.Host{ID: hostID, Service: "db", Address: hostID}})
 	}
--- a/internal/control/failover/late_commands_test.go
+++ b/internal/control/failover/late_commands_test.go
@@ -80,15 +80,15 @@
 
 // write adds a write at a primary; it is acknowledged once one replica has received it.
 func (l *lateCommands) write(id string, primary *fakeHost) {
-	primary.Received = wire.Position{Timeline: primary.Timeline, Number: primary.Received.Number + 1}
+	primary.ReceivedPosition = wire.Position{Timeline: primary.Timeline, Number: primary.ReceivedPosition.Number + 1}
 	for n, other := range []string{"h0", "h1", "h2"} {
 		if l.now >= l.behindUntil[n] && l.random.IntN(30) == 0 {
 			l.behindUntil[n] = l.now + 30 + l.random.Int64N(400)
 		}
 		replica := l.hosts[other]
 		if other != id && !replica.IsPrimary && replica.PausedTimeline == 0 && l.now >= l.behindUntil[n] {
-			replica.Received = primary.Received
-			l.acknowledged = primary.Received.Number
+			replica.ReceivedPosition = primary.ReceivedPosition
+			l.acknowledged = primary.ReceivedPosition.Number
 		}
 	}
 }
@@ -99,11 +99,11 @@
 	if promoted.IsPrimary {
 		return
 	}
-	require.GreaterOrEqual(l.t, promoted.Received.Number, l.acknowledged, "seed %d: LOST by the promotion of %s", l.seed, hostID)
-	position := promoted.Received.Number
+	require.GreaterOrEqual(l.t, promoted.ReceivedPosition.Number, l.acknowledged, "seed %d: LOST by the promotion of %s", l.seed, hostID)
+	position := promoted.ReceivedPosition.Number
 	l.promote(hostID)
 	for id, host := range l.hosts {
-		host.Received.Number = min(host.Received.Number, position)
+		host.ReceivedPosition.Number = min(host.ReceivedPosition.Number, position)
 		if id != hostID && host.Timeline < promoted.Timeline && !host.IsPrimary {
 			host.Timeline = promoted.Timeline
 		}
--- a/internal/control/failover/replicas.go
+++ b/internal/control/failover/replicas.go
@@ -76,7 +76,7 @@
 			continue
 		}
 		status, ok := e.service.statusSince(host, Stat, primaryAskedAt)
-		if ok && !status.Received.Before(primaryStatus.Received) {
+		if ok && !status.ReceivedPosition.Before(primaryStatus.ReceivedPosition) {
 			e.emit(ReplicaMarkedMissing, gone)
 			e.coordinator.Counters.MarkedMissing++
 			delete(e.service.goneSince, gone)
--- a/internal/control/failover/switchover.go
+++ b/internal/control/failover/switchover.go
@@ -178,7 +178,7 @@
 		return false
 	}
 	received, ok := service.statusSince(nominee, Stat, service.startedAt)
-	if !ok || received.Received.Before(paused.position) || received.Received.Before(written.Received) {
+	if !ok || received.ReceivedPosition.Before(paused.position) || received.ReceivedPosition.Before(written.ReceivedPosition) {
 		e.query(nominee, Stat, 0, catchUpPollIntervalMs)
 		return false
 	}
@@ -211,8 +211,8 @@
 			return pauseProgress{mayAcknowledge: true}
 		default:
 			paused.pausedAt = max(paused.pausedAt, last.sentAt)
-			if paused.position.Before(status.Received) {
-				paused.position = status.Received
+			if paused.position.Before(status.ReceivedPosition) {
+				paused.position = status.ReceivedPosition
 			}
 		}
 	}
--- a/internal/control/failover/unknown_replicas_test.go
+++ b/internal/control/failover/unknown_replicas_test.go
@@ -62,7 +62,7 @@
 func TestUnregisteredReplicasAreExpectedAfterTheStart(t *testing.T) {
 	h := newHarness(t)
 	h.coordinator.RegistrationGraceUntil = h.now + 4000
-	h.hosts["h1"].Received.Number, h.hosts["h2"].Received.Number = 0, 0 // an unregistered replica acknowledged all writes
+	h.hosts["h1"].ReceivedPosition.Number, h.hosts["h2"].ReceivedPosition.Number = 0, 0 // an unregistered replica acknowledged all writes
 	h.run(1500)
 	h.drain("h0")
 	h.run(1000)
@@ -81,7 +81,7 @@
 func TestNomineeMustFollowThePrimary(t *testing.T) {
 	h := newHarness(t)
 	h.run(1500)
-	h.hosts["h0"].Received.Number = 130 // acknowledged by an unregistered replica
+	h.hosts["h0"].ReceivedPosition.Number = 130 // acknowledged by an unregistered replica
 	h.drain("h0")
 	h.run(1000)
 	require.Empty(t, h.promotions)
--- a/internal/eventloop/clock.go
+++ b/internal/eventloop/clock.go
@@ -17,10 +17,10 @@
 func NewMonotonicClock(now func() time.Time) MonotonicClock { return MonotonicClock{now, now()} }
 
 // Now returns the current time in milliseconds, starting at ClockOrigin.
-func (c MonotonicClock) Now() int64 { return ClockOrigin + c.Since().Milliseconds() }
+func (c MonotonicClock) Now() int64 { return ClockOrigin + c.Elapsed().Milliseconds() }
 
 // Time returns the current time as a time.Time.
 func (c MonotonicClock) Time() time.Time { return c.now() }
 
-// Since returns the time elapsed since the clock was started.
-func (c MonotonicClock) Since() time.Duration { return c.now().Sub(c.start) }
+// Elapsed returns the time elapsed since the clock was started.
+func (c MonotonicClock) Elapsed() time.Duration { return c.now().Sub(c.start) }
--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -85,6 +85,6 @@
 	require.EqualValues(t, ClockOrigin, clock.Now())
 	now = now.Add(1500 * time.Millisecond)
 	require.EqualValues(t, ClockOrigin+1500, clock.Now())
-	require.Equal(t, 1500*time.Millisecond, clock.Since())
+	require.Equal(t, 1500*time.Millisecond, clock.Elapsed())
 	require.Equal(t, now, clock.Time())
 }
--- a/internal/fake/database/conn.go
+++ b/internal/fake/database/conn.go
@@ -103,7 +103,7 @@
 
 // respondStatus answers a coordinator's statement with the row of a host's status.
 func (c *Conn) respondStatus(status wire.HostStatus) {
-	row := fmt.Sprintf("ROW %s %d %s %d 0 0 %d", roleName(status.IsPrimary), status.Timeline, status.Received, status.PausedTimeline, status.Connections)
+	row := fmt.Sprintf("ROW %s %d %s %d 0 0 %d", roleName(status.IsPrimary), status.Timeline, status.ReceivedPosition, status.PausedTimeline, status.Connections)
 	c.respond(0, row, doneWithoutStamp)
 }
 
--- a/internal/fake/database/host.go
+++ b/internal/fake/database/host.go
@@ -104,10 +104,10 @@
 		h.StepDown()
 	}
 	return wire.HostStatus{
-		IsPrimary:      h.IsPrimary,
-		Timeline:       h.Timeline,
-		Received:       h.PositionAt(len(h.Log)),
-		PausedTimeline: h.PausedTimeline,
-		Connections:    int64(len(h.Conns)),
+		IsPrimary:        h.IsPrimary,
+		Timeline:         h.Timeline,
+		ReceivedPosition: h.PositionAt(len(h.Log)),
+		PausedTimeline:   h.PausedTimeline,
+		Connections:      int64(len(h.Conns)),
 	}
 }
--- a/internal/lease/grantor.go
+++ b/internal/lease/grantor.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// GrantMs is how long the control plane considers a granted lease valid, in milliseconds. A longer lease outlasts a change
+// DurationMs is how long the control plane considers a granted lease valid, in milliseconds. A longer lease outlasts a change
 // of the control plane's leader; a shorter one lets a failover proceed sooner when a proxy is unreachable.
-const GrantMs = 1760
+const DurationMs = 1760
 
 // retentionMs is how long the grant of a proxy is kept after its lease has expired, in milliseconds.
-const retentionMs = 60 * GrantMs
+const retentionMs = 60 * DurationMs
 
 // Grantor is the control plane's side of the leases of all proxies. Create it with NewGrantor. It is not safe for concurrent
 // use.
@@ -50,7 +50,7 @@
 	if appliedIndex < requiredIndex {
 		return false
 	}
-	g.grants[proxy].expiresAt = nowMs + GrantMs
+	g.grants[proxy].expiresAt = nowMs + DurationMs
 	g.holders.add(proxy, g.grants[proxy])
 	return true
 }
@@ -99,7 +99,7 @@
 // has expired. proxies are all proxies that were ever granted a lease by any member. Until the leases that earlier leaders may
 // have granted have expired, each of these proxies must have been observed to have applied index.
 func (g *Grantor) AllCaughtUp(index uint64, proxies []string, nowMs int64) bool {
-	if nowMs < g.leaderSince+GrantMs {
+	if nowMs < g.leaderSince+DurationMs {
 		for _, proxy := range proxies {
 			if current := g.grants[proxy]; current == nil || current.appliedIndex < index {
 				return false
--- a/internal/lease/grantor_test.go
+++ b/internal/lease/grantor_test.go
@@ -57,15 +57,15 @@
 // A proxy that keeps requesting leases but receives no updates must not block a failover beyond the expiry of its current lease.
 func TestProxyWithoutUpdatesBlocksOnlyUntilItsLeaseExpires(t *testing.T) {
 	grantor := NewGrantor(0)
-	grantedAt := int64(2 * GrantMs)
+	grantedAt := int64(2 * DurationMs)
 	require.True(t, grantor.Grant("a", 1, 5, 0, grantedAt))
-	for now := grantedAt; now < grantedAt+GrantMs; now += 300 {
+	for now := grantedAt; now < grantedAt+DurationMs; now += 300 {
 		require.False(t, grantor.Grant("a", 1, 5, 6, now), "the proxy has not applied the revocation")
 		require.False(t, grantor.AllCaughtUp(6, []string{"a"}, now))
 	}
-	require.True(t, grantor.AllCaughtUp(6, []string{"a"}, grantedAt+GrantMs))
-	require.True(t, grantor.Grant("a", 1, 6, 6, grantedAt+GrantMs))
-	require.True(t, grantor.AllCaughtUp(6, []string{"a"}, grantedAt+GrantMs))
+	require.True(t, grantor.AllCaughtUp(6, []string{"a"}, grantedAt+DurationMs))
+	require.True(t, grantor.Grant("a", 1, 6, 6, grantedAt+DurationMs))
+	require.True(t, grantor.AllCaughtUp(6, []string{"a"}, grantedAt+DurationMs))
 }
 
 // The incrementally maintained count must equal a count over all grants.
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -1,9 +1,9 @@
 package lease
 
-// holderValidityMs is how long a proxy considers its lease valid, in milliseconds. It is a tenth shorter than GrantMs, so that
+// holderValidityMs is how long a proxy considers its lease valid, in milliseconds. It is a tenth shorter than DurationMs, so that
 // the proxy's clock may run slower than the control plane's by that fraction. The leader lease of the control plane's
 // consensus tolerates the same drift.
-const holderValidityMs = GrantMs * 9 / 10
+const holderValidityMs = DurationMs * 9 / 10
 
 // Holder is a proxy's side of its lease. The zero value holds no lease.
 type Holder struct {
--- a/internal/lease/holder_test.go
+++ b/internal/lease/holder_test.go
@@ -14,9 +14,9 @@
 			requested, granted := int64(1000), 1000+delay
 			var holder Holder
 			holder.Renew(int64(float64(requested) * proxyRate))
-			grantor := NewGrantor(-10 * GrantMs)
+			grantor := NewGrantor(-10 * DurationMs)
 			grantor.Grant("a", 1, 1, 0, int64(float64(granted)*controlRate))
-			for now := granted; now < granted+2*GrantMs; now++ {
+			for now := granted; now < granted+2*DurationMs; now++ {
 				if grantor.AllCaughtUp(2, []string{"a"}, int64(float64(now)*controlRate)) {
 					valid = valid || holder.Valid(int64(float64(now)*proxyRate))
 					break
--- a/internal/lease/incarnation_test.go
+++ b/internal/lease/incarnation_test.go
@@ -24,10 +24,10 @@
 		grantor.Observe("a", 3, 5, 9990)
 		require.True(t, grantor.Grant("a", 3, 5, 0, 10000))
 		late(grantor)
-		for now := int64(10100); now < 10000+GrantMs; now += 100 {
+		for now := int64(10100); now < 10000+DurationMs; now += 100 {
 			require.False(t, grantor.AllCaughtUp(6, proxies, now), "%s: the lease of the current incarnation is ignored", name)
 		}
-		require.True(t, grantor.AllCaughtUp(6, proxies, 10000+GrantMs), name)
+		require.True(t, grantor.AllCaughtUp(6, proxies, 10000+DurationMs), name)
 		require.True(t, grantor.Grant("a", 3, 6, 6, 20000), name)
 	}
 }
--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -7,10 +7,10 @@
 )
 
 // Counters maps the counters of a status report, by name, to metric families. If a counter's name begins with a prefix in
-// Labelled, the counter is a sample of that family, with the rest of the name as the label value.
+// Labeled, the counter is a sample of that family, with the rest of the name as the label value.
 type Counters struct {
-	Plain    map[string]Family // by name of the counter
-	Labelled map[string]Family // by prefix of the counter's name
+	Unlabeled map[string]Family // by name of the counter
+	Labeled   map[string]Family // by prefix of the counter's name
 }
 
 // Samples returns the samples of counters, sorted by counter name. Counters without a family are omitted.
@@ -25,10 +25,10 @@
 
 // FamilyOf returns the family and the label value of a counter. ok is false if it has no family.
 func (c *Counters) FamilyOf(name string) (family Family, labelValue string, ok bool) {
-	if family, ok := c.Plain[name]; ok {
+	if family, ok := c.Unlabeled[name]; ok {
 		return family, "", true
 	}
-	for prefix, family := range c.Labelled {
+	for prefix, family := range c.Labeled {
 		if rest, found := strings.CutPrefix(name, prefix); found {
 			return family, rest, true
 		}
@@ -36,20 +36,22 @@
 	return Family{}, "", false
 }
 
-// Count returns the family of a counter that is exported under its name in the status report with the suffix _total.
-func Count(statusName, help string) Family { return CountAs(statusName, statusName+"_total", help) }
+// CounterFamily returns the family of a counter that is exported under its name in the status report with the suffix _total.
+func CounterFamily(statusName, help string) Family {
+	return CounterFamilyAs(statusName, statusName+"_total", help)
+}
 
-// CountAs returns the family of a counter that is exported under a name unlike that in the status report.
-func CountAs(statusName, name, help string) Family {
+// CounterFamilyAs returns the family of a counter that is exported under a name unlike that in the status report.
+func CounterFamilyAs(statusName, name, help string) Family {
 	return Family{Name: name, Help: help, Kind: Counter, statusName: statusName}
 }
 
-// PlainGauge returns the family of a gauge that is exported under its name in the status report.
-func PlainGauge(name, help string) Family {
+// GaugeFamily returns the family of a gauge that is exported under its name in the status report.
+func GaugeFamily(name, help string) Family {
 	return Family{Name: name, Help: help, Kind: Gauge, statusName: name}
 }
 
-// ByStatusName maps families created by Count, CountAs and PlainGauge by their names in the status report.
+// ByStatusName maps families created by CounterFamily, CounterFamilyAs and GaugeFamily by their names in the status report.
 func ByStatusName(families ...Family) map[string]Family {
 	named := make(map[string]Family, len(families))
 	for _, family := range families {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -53,11 +53,11 @@
 		histogram.Observe(duration)
 	}
 	counters := Counters{
-		Plain:    ByStatusName(Count("calls", "Calls."), CountAs("bytes_sent", "sent_bytes_total", "Bytes."), PlainGauge("open", "Open.")),
-		Labelled: map[string]Family{"error_": {Name: "errors_total", Help: "Errors.", Label: "kind"}},
+		Unlabeled: ByStatusName(CounterFamily("calls", "Calls."), CounterFamilyAs("bytes_sent", "sent_bytes_total", "Bytes."), GaugeFamily("open", "Open.")),
+		Labeled:   map[string]Family{"error_": {Name: "errors_total", Help: "Errors.", Label: "kind"}},
 	}
 	samples := counters.Samples(map[string]int64{"calls": 7, "bytes_sent": 9, "open": 2, "error_a": 1, "error_b": 3, "unknown": 1})
-	return append(samples, Sample{Family: Family{Name: "wait_seconds", Help: "Waits.", Kind: Durations}, Histogram: histogram}), true
+	return append(samples, Sample{Family: Family{Name: "wait_seconds", Help: "Waits.", Kind: DurationHistogram}, Histogram: histogram}), true
 }
 
 func TestHandlerShowsTheFormat(t *testing.T) {
--- a/internal/metrics/sample.go
+++ b/internal/metrics/sample.go
@@ -5,9 +5,9 @@
 
 // The kinds of metrics.
 const (
-	Counter   Kind = iota // only increases while the process runs
-	Gauge                 // may increase and decrease
-	Durations             // a histogram of durations
+	Counter           Kind = iota // only increases while the process runs
+	Gauge                         // may increase and decrease
+	DurationHistogram             // a histogram of durations
 )
 
 // Family describes a metric. It has one sample, or one sample for each value of its label.
--- a/internal/metrics/serve.go
+++ b/internal/metrics/serve.go
@@ -110,7 +110,7 @@
 	}
 	desc := prometheus.NewDesc(prometheus.BuildFQName(c.namespace, "", family.Name), family.Help, labels, nil)
 	switch family.Kind {
-	case Durations:
+	case DurationHistogram:
 		countByBound, count, sumSeconds := sample.Histogram.cumulative()
 		return prometheus.MustNewConstHistogram(desc, count, sumSeconds, countByBound, values...)
 	case Gauge:
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -48,12 +48,12 @@
 			limited = append(limited, tenants[i].Name)
 		}
 	}
-	s.accounts.SetLimited(limited)
+	s.accounts.SetLimitedTenants(limited)
 }
 
 // counted says whether a statement is held to its tenant's limit. It is not while the leader is of a release that lends no tokens.
 func (s *Server) counted(stmt *statement) bool {
-	return s.lenderVersion >= rpc.VersionQuotas && s.accounts.Limited(stmt.tenant)
+	return s.lenderVersion >= rpc.VersionQuotas && s.accounts.IsLimited(stmt.tenant)
 }
 
 // submitWithinQuota submits a statement outside transactions if its tenant has a token here, and else holds it until the lender has
@@ -171,7 +171,7 @@
 // quotaAnswered takes the lender's tokens and serves the statements that wait for them.
 func (s *Server) quotaAnswered(response *quota.Response) {
 	now := s.clock.Now()
-	s.accounts.Answered(response, now)
+	s.accounts.HandleResponse(response, now)
 	for _, stmt := range slices.Clone(s.waiting) {
 		if !slices.Contains(s.waiting, stmt) { // the answer to another one has ended it
 			continue
@@ -195,11 +195,11 @@
 // lenderFound says that a leader is followed, and which version of the protocol it speaks.
 func (s *Server) lenderFound(version uint32) {
 	s.hasLender, s.lenderVersion = true, version
-	s.accounts.LinkLost() // what was asked of another
+	s.accounts.HandleDisconnect() // what was asked of another
 }
 
 // lenderLost says that no leader is followed any more.
 func (s *Server) lenderLost() {
 	s.hasLender = false
-	s.accounts.LinkLost()
+	s.accounts.HandleDisconnect()
 }
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -18,7 +18,7 @@
 	sim.RunFor(2 * second)
 	proxy := sim.proxies[0]
 	proxy.server.tenants = tenancy.NewIndex(proxy.server.secret, &config.Config{Tenants: []config.Tenant{{Name: "t7", ApiKeys: []string{simulatedKey}}}})
-	proxy.server.accounts.SetLimited([]string{"t7"})
+	proxy.server.accounts.SetLimitedTenants([]string{"t7"})
 	proxy.run(proxy.incarnation, func(server *Server) { server.lenderFound(rpc.ProtocolVersion) })
 	session, conn := beginAs(proxy, "lead", simulatedKey)
 	conn.take()
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -281,7 +281,7 @@
 
 // drainExpired says that a draining host may be sent nothing more, whether it is the primary or not.
 func (p *hostPool) drainExpired(now time.Time) bool {
-	bound := settings.Duration(p.server.settings.Bounds.DrainMs)
+	bound := settings.DurationFromMs(p.server.settings.Bounds.DrainMs)
 	return p.Draining && bound > 0 && now.Sub(p.drainingSince) > max(bound/2, bound-drainReserve)
 }
 
--- a/internal/proxy/lease_loss_test.go
+++ b/internal/proxy/lease_loss_test.go
@@ -98,7 +98,7 @@
 		deadlineMs, maxTries float64
 		wantMs               int64
 	}{{1000, 2, 333}, {6000, 2, 2000}, {2000, 0, 1000}, {150, 2, minComebackMs}} {
-		r := &route{deadline: settings.Duration(test.deadlineMs)}
+		r := &route{deadline: settings.DurationFromMs(test.deadlineMs)}
 		r.MaxTries = test.maxTries
 		require.Equal(t, test.wantMs, r.comebackMs())
 	}
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -62,7 +62,7 @@
 
 // refreshPolicyTime tells the policy the present time, which it needs before any other call, and returns it.
 func (s *Server) refreshPolicyTime() policy.TenthMs {
-	s.policyNow = policy.TenthMs(eventloop.ClockOrigin)*tenthsPerMillisecond + toTenths(s.clock.Since())
+	s.policyNow = policy.TenthMs(eventloop.ClockOrigin)*tenthsPerMillisecond + toTenths(s.clock.Elapsed())
 	if s.policy != nil {
 		s.policy.SetTime(s.policyNow)
 	}
--- a/internal/proxy/safeguard_test.go
+++ b/internal/proxy/safeguard_test.go
@@ -37,7 +37,7 @@
 	{"a replica that has less is promoted", "LOST STALE", newSimulation, func(sim *simulation) {
 		sim.control.alterResult = func(query failover.HostQuery, result *failover.QueryResult) {
 			if query.Command == failover.Pause {
-				result.Status.Received = wire.Position{Timeline: 1} // all look alike
+				result.Status.ReceivedPosition = wire.Position{Timeline: 1} // all look alike
 			}
 		}
 	}},
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -120,7 +120,7 @@
 // connShare is this proxy's share of a host's connections.
 func (s *Server) connShare(pool *hostPool) connlimit.Share {
 	share := connlimit.ShareOf(pool.service.maxConns, max(s.lease.proxyCount, s.aliveProxies))
-	if s.clock.Since().Milliseconds() < connlimit.WarmUpMs {
+	if s.clock.Elapsed().Milliseconds() < connlimit.WarmUpMs {
 		share = share.Halved()
 	}
 	return share
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -59,7 +59,7 @@
 func (s *Server) shutDown() {
 	s.log.Info("shutting down")
 	began := time.Now()
-	closeIdleAfter, answerAfter := shutdownPhases(settings.Duration(s.settings.Bounds.GraceS * 1000))
+	closeIdleAfter, answerAfter := shutdownPhases(settings.DurationFromMs(s.settings.Bounds.GraceS * 1000))
 	s.queue.Put(eventloop.PriorityControl, func() {
 		s.shutdown.begun = true
 		s.sweep(s.clock.Time())
--- a/internal/proxy/simulation_control_test.go
+++ b/internal/proxy/simulation_control_test.go
@@ -30,7 +30,7 @@
 
 func newReliableControl(sim *simulation) *reliableControl {
 	c := &reliableControl{sim: sim, state: &statemachine.State{}}
-	c.grantor = lease.NewGrantor(c.nowMs() - 10*lease.GrantMs) // no lease of another member can be valid
+	c.grantor = lease.NewGrantor(c.nowMs() - 10*lease.DurationMs) // no lease of another member can be valid
 	c.coordinator = failover.New("control", 1, heartbeatMs, c.nowMs())
 	c.coordinator.OnEvent = func(event failover.Event) { sim.LogFault("%s", event) }
 	c.allCaughtUp = func(index uint64) bool { return c.grantor.AllCaughtUp(index, c.state.ProxyNames(), c.nowMs()) }
--- a/internal/proxy/simulation_member_test.go
+++ b/internal/proxy/simulation_member_test.go
@@ -180,7 +180,7 @@
 				sim.executeAfterFreeze(query, host)
 			}
 		case m.cluster.fakeAnswer != nil && m.cluster.fakeAnswer(query, host):
-			result.Status = wire.HostStatus{Timeline: host.Timeline, Received: host.PositionAt(len(host.Log))}
+			result.Status = wire.HostStatus{Timeline: host.Timeline, ReceivedPosition: host.PositionAt(len(host.Log))}
 		default:
 			result.Status = host.Control(query.Command.Text(), query.Term)
 		}
--- a/internal/proxy/sweep.go
+++ b/internal/proxy/sweep.go
@@ -53,7 +53,7 @@
 	if s.config == nil || s.config.Limits.TxnIdleMs <= 0 {
 		return
 	}
-	limit := settings.Duration(s.config.Limits.TxnIdleMs)
+	limit := settings.DurationFromMs(s.config.Limits.TxnIdleMs)
 	for _, client := range s.sessions.byAge() {
 		if client.IdleState() != stateIdle && client.statement == nil && client.pinnedConn != nil && now.Sub(client.idleSince) > limit {
 			conn := client.pinnedConn
--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -19,7 +19,7 @@
 	requestTimeoutMs = 400
 
 	// maxPendingRequests limits the unanswered requests that are tracked. Tokens granted to an older request have expired.
-	maxPendingRequests = TokenLifeMs / requestTimeoutMs
+	maxPendingRequests = TokenLifetimeMs / requestTimeoutMs
 )
 
 // Verdict is the admission decision for an operation.
@@ -69,8 +69,8 @@
 // NewAccounts returns Accounts without limited tenants.
 func NewAccounts() *Accounts { return &Accounts{tenants: map[string]*account{}} }
 
-// SetLimited replaces the set of tenants that have a limit. Tenants that remain keep their tokens.
-func (c *Accounts) SetLimited(names []string) {
+// SetLimitedTenants replaces the set of tenants that have a limit. Tenants that remain keep their tokens.
+func (c *Accounts) SetLimitedTenants(names []string) {
 	tenants := make(map[string]*account, len(names))
 	for _, name := range names {
 		tenants[name] = c.tenants[name]
@@ -81,8 +81,8 @@
 	c.tenants = tenants
 }
 
-// Limited reports whether a tenant has a limit.
-func (c *Accounts) Limited(tenant string) bool { return c.tenants[tenant] != nil }
+// IsLimited reports whether a tenant has a limit.
+func (c *Accounts) IsLimited(tenant string) bool { return c.tenants[tenant] != nil }
 
 // Admit decides whether an arriving operation may be sent. After Wait, the caller must call Retry or Abandon.
 func (c *Accounts) Admit(tenant string, nowMs int64) (Reservation, Verdict) {
@@ -212,8 +212,8 @@
 	}
 }
 
-// Answered adds the tokens granted in a response. Their lifetime counts from when the request was sent.
-func (c *Accounts) Answered(response *Response, nowMs int64) {
+// HandleResponse adds the tokens granted in a response. Their lifetime counts from when the request was sent.
+func (c *Accounts) HandleResponse(response *Response, nowMs int64) {
 	request, ok := c.takePending(response.Serial)
 	if !ok || response.Term < c.term {
 		return
@@ -226,7 +226,7 @@
 		if a == nil {
 			continue
 		}
-		a.addBatch(tokenBatch{term: c.term, expiresAt: request.sentAt + TokenLifeMs, count: answer.Granted}, nowMs)
+		a.addBatch(tokenBatch{term: c.term, expiresAt: request.sentAt + TokenLifetimeMs, count: answer.Granted}, nowMs)
 		a.atLimitUntil = 0
 		if answer.AtLimit {
 			a.atLimitUntil, a.retryAfterMs = nowMs+min(answer.RetryAfterMs, maxRefusalMs), answer.RetryAfterMs
@@ -245,14 +245,14 @@
 // ReportIntervalMs returns the interval between usage reports, in milliseconds. It is shorter at the start of a term: the new
 // lender has few tokens until those of the earlier lender have expired, and frequent reports tell it sooner which are spent.
 func (c *Accounts) ReportIntervalMs(nowMs int64) int64 {
-	if c.term == 0 || nowMs-c.termStartedAt < loanLifeMs {
+	if c.term == 0 || nowMs-c.termStartedAt < loanLifetimeMs {
 		return newTermReportIntervalMs
 	}
 	return reportIntervalMs
 }
 
-// LinkLost drops all pending requests, because no response to them will arrive.
-func (c *Accounts) LinkLost() {
+// HandleDisconnect drops all pending requests, because no response to them will arrive.
+func (c *Accounts) HandleDisconnect() {
 	c.requeueOverdrawn(c.pending)
 	c.pending = nil
 }
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -4,7 +4,7 @@
 // a host:
 //
 //	proxy: Accounts.Request at t0 --- used, returned, wanted --->  leader: Lender.Serve at t1
-//	proxy: Accounts.Answered, tokens valid until t0+lifetime  <--- granted; the lender counts them until t1+lifetime+margin
+//	proxy: Accounts.HandleResponse, tokens valid until t0+lifetime  <--- granted; the lender counts them until t1+lifetime+margin
 //
 // For each tenant, the sum of free and lent tokens never exceeds a capacity, and free tokens are refilled at the tenant's rate. So
 // the operations in any window are bounded by the capacity plus the refill in that window, wherever the tokens are spent. An
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -30,8 +30,8 @@
 	tolerance Tolerance
 	tenants   map[string]*tenant
 
-	Lent    int64 // total number of tokens lent
-	Expired int64 // lent tokens that were neither reported as used nor returned before they expired
+	LentTokens    int64 // total number of tokens lent
+	ExpiredTokens int64 // lent tokens that were neither reported as used nor returned before they expired
 }
 
 // NewLender returns the lender of a term. It lends nothing before SetLimits is called.
@@ -108,14 +108,14 @@
 	if granted > 0 {
 		t.free -= float64(granted)
 		t.outstanding += granted
-		t.loans = append(t.loans, loan{borrower: borrower, expiresAt: nowMs + loanLifeMs, count: granted})
-		l.Lent += int64(granted)
+		t.loans = append(t.loans, loan{borrower: borrower, expiresAt: nowMs + loanLifetimeMs, count: granted})
+		l.LentTokens += int64(granted)
 	}
 	return answer
 }
 
 // advance brings a tenant up to nowMs and counts the tokens that expire.
-func (l *Lender) advance(t *tenant, nowMs int64) { l.Expired += int64(t.advance(nowMs)) }
+func (l *Lender) advance(t *tenant, nowMs int64) { l.ExpiredTokens += int64(t.advance(nowMs)) }
 
 // AtLimit returns the sorted names of the tenants for whose tokens at least one proxy is waiting.
 func (l *Lender) AtLimit(nowMs int64) []string {
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -3,13 +3,13 @@
 import "math"
 
 const (
-	// TokenLifeMs is how long after the request a proxy may spend a token, in milliseconds. A longer lifetime lets proxies go on
+	// TokenLifetimeMs is how long after the request a proxy may spend a token, in milliseconds. A longer lifetime lets proxies go on
 	// during a change of the leader; a shorter one frees the tokens of a disconnected proxy sooner.
-	TokenLifeMs = 3000
+	TokenLifetimeMs = 3000
 
-	// loanLifeMs is how long the lender counts a token as lent, in milliseconds. The added margin covers clocks whose rates differ
+	// loanLifetimeMs is how long the lender counts a token as lent, in milliseconds. The added margin covers clocks whose rates differ
 	// by up to clockDrift.
-	loanLifeMs = TokenLifeMs + 200
+	loanLifetimeMs = TokenLifetimeMs + 200
 
 	// clockDrift is the tolerated relative difference between the rates of two clocks, with a safety margin.
 	clockDrift = 0.03
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -66,13 +66,13 @@
 		"a new leader does not wait for loans of its predecessor to expire": {onNewLeader: forEachTenant(func(t *tenant) { t.earlierLoansExpiredAt, t.free = 0, t.capacity })},
 		"the lender expires a loan before the proxy does": {onServed: forEachTenant(func(t *tenant) {
 			for i := range t.loans {
-				t.loans[i].expiresAt = min(t.loans[i].expiresAt, t.advancedTo+loanLifeMs/10)
+				t.loans[i].expiresAt = min(t.loans[i].expiresAt, t.advancedTo+loanLifetimeMs/10)
 			}
 		})},
 		"lent tokens are not counted": {onServed: forEachTenant(func(t *tenant) { t.outstanding = 0 })},
 		"a token's lifetime is extended when the response arrives": {onAnswered: func(accounts *Accounts, nowMs int64) {
 			for i := range accounts.pending {
-				accounts.pending[i].sentAt = nowMs + 2*loanLifeMs
+				accounts.pending[i].sentAt = nowMs + 2*loanLifetimeMs
 			}
 		}},
 		"a lost connection frees the proxy's tokens": {onDisconnect: func(lender *Lender, b Borrower) { lender.tenants[tenantName].freeLoansOf(b) }},
@@ -193,25 +193,25 @@
 // Guards against dropping the tokens of a response that arrives after the next request was sent: they stayed lent but unused.
 func TestLateAnswerIsNotThrownAway(t *testing.T) {
 	accounts := NewAccounts()
-	accounts.SetLimited([]string{"t"})
+	accounts.SetLimitedTenants([]string{"t"})
 	_, verdict := accounts.Admit("t", 0)
 	require.Equal(t, Wait, verdict)
 	first := accounts.Request(0)
 	require.NotNil(t, accounts.Request(requestTimeoutMs))
-	accounts.Answered(&Response{Serial: first.Serial, Term: 1, Answers: []Answer{{Tenant: "t", Granted: 2}}}, requestTimeoutMs+10)
+	accounts.HandleResponse(&Response{Serial: first.Serial, Term: 1, Answers: []Answer{{Tenant: "t", Granted: 2}}}, requestTimeoutMs+10)
 	_, verdict = accounts.Retry("t", requestTimeoutMs+10)
 	require.Equal(t, Admitted, verdict)
-	_, verdict = accounts.Admit("t", TokenLifeMs)
+	_, verdict = accounts.Admit("t", TokenLifetimeMs)
 	require.Equal(t, Wait, verdict, "the lifetime of the tokens counts from the request that was answered")
 }
 
 // Guards against losing the count of overdrawn operations when the connection on which it was reported is lost.
 func TestOverdrawnOperationsAreReportedAgainOnTheNextLink(t *testing.T) {
 	accounts := NewAccounts()
-	accounts.SetLimited([]string{"t"})
+	accounts.SetLimitedTenants([]string{"t"})
 	accounts.Spend("t", Reservation{}, 0)
 	require.Equal(t, 1, accounts.Request(0).Asks[0].Overdrawn)
-	accounts.LinkLost()
+	accounts.HandleDisconnect()
 	require.Equal(t, 1, accounts.Request(10).Asks[0].Overdrawn)
 }
 
@@ -219,11 +219,11 @@
 // loan, and a token would be free twice.
 func TestTokensAboutToExpireAreNotGivenBack(t *testing.T) {
 	accounts := NewAccounts()
-	accounts.SetLimited([]string{"t"})
+	accounts.SetLimitedTenants([]string{"t"})
 	accounts.Admit("t", 0)
 	request := accounts.Request(0)
-	accounts.Answered(&Response{Serial: request.Serial, Term: 1, Answers: []Answer{{Tenant: "t", Granted: 3}}}, 5)
+	accounts.HandleResponse(&Response{Serial: request.Serial, Term: 1, Answers: []Answer{{Tenant: "t", Granted: 3}}}, 5)
 	accounts.Retry("t", 5)
-	late := accounts.Request(TokenLifeMs - minReturnedLifetimeMs + 1)
+	late := accounts.Request(TokenLifetimeMs - minReturnedLifetimeMs + 1)
 	require.True(t, late == nil || late.Asks[0].Returned == 0)
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -82,7 +82,7 @@
 		sim.lender.SetLimits(sim.limits(), sim.clock.at(sim.now))
 		sim.defect.newLeader(sim.lender)
 		for _, p := range sim.proxies {
-			p.accounts.LinkLost()
+			p.accounts.HandleDisconnect()
 		}
 	})
 }
@@ -120,7 +120,7 @@
 func (p *testProxy) restart() {
 	p.borrower.Incarnation++
 	p.accounts, p.clock, p.waitDeadlines, p.isDisconnected = NewAccounts(), p.simulation.randomClock(), nil, false
-	p.accounts.SetLimited([]string{tenantName})
+	p.accounts.SetLimitedTenants([]string{tenantName})
 }
 
 // step simulates one millisecond of a proxy: operations arrive, waiting ones time out, and reports are sent when due.
@@ -204,7 +204,7 @@
 		return
 	}
 	p.simulation.defect.answered(accounts, p.nowMs())
-	accounts.Answered(response, p.nowMs())
+	accounts.HandleResponse(response, p.nowMs())
 	for range p.waitDeadlines {
 		reservation, verdict := accounts.Retry(tenantName, p.nowMs())
 		if verdict == Wait {
--- a/internal/quota/tenant.go
+++ b/internal/quota/tenant.go
@@ -33,7 +33,7 @@
 }
 
 func newTenant(nowMs int64) *tenant {
-	return &tenant{earlierLoansExpiredAt: nowMs + loanLifeMs, advancedTo: nowMs, shortfalls: map[Borrower]shortfall{}}
+	return &tenant{earlierLoansExpiredAt: nowMs + loanLifetimeMs, advancedTo: nowMs, shortfalls: map[Borrower]shortfall{}}
 }
 
 func (t *tenant) setLimit(limit Limit, tolerance Tolerance) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -90,8 +90,8 @@
 	DutyPerS float64  // calls per second that the platform accepts from all processes together
 }
 
-// Duration converts milliseconds to a time.Duration.
-func Duration(milliseconds float64) time.Duration {
+// DurationFromMs converts milliseconds to a time.Duration.
+func DurationFromMs(milliseconds float64) time.Duration {
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
--- a/internal/wire/status.go
+++ b/internal/wire/status.go
@@ -28,7 +28,7 @@
 type HostStatus struct {
 	IsPrimary              bool     // the host considers itself the primary
 	Timeline               uint64   // current timeline
-	Received               Position // last position received, possibly not applied yet
+	ReceivedPosition       Position // last position received, possibly not applied yet
 	PausedTimeline         uint64   // timeline of the PAUSE in effect; 0: not paused
 	LagMs                  int64    // replication delay between receiving and applying, in milliseconds
 	BusySlots, Connections int64    // slots in use and open connections
@@ -42,7 +42,7 @@
 	}
 	status := HostStatus{IsPrimary: fields[statusRole] == rolePrimary}
 	var err error
-	if status.Received, err = ParsePosition([]byte(fields[statusReceived])); err != nil {
+	if status.ReceivedPosition, err = ParsePosition([]byte(fields[statusReceived])); err != nil {
 		return HostStatus{}, err
 	}
 	var numbers [statusFields]uint64
--- a/internal/wire/status_test.go
+++ b/internal/wire/status_test.go
@@ -9,7 +9,7 @@
 func TestParseHostStatus(t *testing.T) {
 	status, err := ParseHostStatus("follower 3 3.1209 0 12 2 17")
 	require.NoError(t, err)
-	require.Equal(t, HostStatus{Timeline: 3, Received: Position{3, 1209}, LagMs: 12, BusySlots: 2, Connections: 17}, status)
+	require.Equal(t, HostStatus{Timeline: 3, ReceivedPosition: Position{3, 1209}, LagMs: 12, BusySlots: 2, Connections: 17}, status)
 	for _, bad := range []string{"", "follower", "boss 3 3.1 0 1 2 3", "leader x 3.1 0 1 2 3", "leader 3 31 0 1 2 3", "leader 3 3.1 0 -1 2 3"} {
 		_, err = ParseHostStatus(bad)
 		require.Error(t, err, bad)
