--- a/internal/metrics/counters.go
+++ b/internal/metrics/counters.go
@@ -41,7 +41,7 @@
 	return CounterFamilyAs(statusName, statusName+"_total", help)
 }
 
-// CounterFamilyAs returns the family of a counter that is exported under a name unlike that in the status report.
+// CounterFamilyAs returns the family of a counter that is exported under a name other than that in the status report.
 func CounterFamilyAs(statusName, name, help string) Family {
 	return Family{Name: name, Help: help, Kind: Counter, statusName: statusName}
 }
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -9,7 +9,7 @@
 // For each tenant, the sum of free and lent tokens never exceeds a capacity, and free tokens are refilled at the tenant's rate. So
 // the operations in any window are bounded by the capacity plus the refill in that window, wherever the tokens are spent. An
 // unspent token expires, and the proxy starts counting its lifetime earlier than the lender does. So lost messages, delays and
-// partitions can only reduce the number of operations, never let it exceed the limit.
+// partitions can only reduce the number of operations.
 //
 // The package does no I/O and reads no clock: callers pass the time, in milliseconds of their own monotonic clock.
 package quota
