--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -49,13 +49,13 @@
 			limited = append(limited, tenants[i].Name)
 		}
 	}
-	s.accounts.SetLimited(limited)
+	s.accounts.SetLimitedTenants(limited)
 }
 
 // isQuotaLimited reports whether a statement counts against its tenant's limit. None does while the leader runs a release that does
 // not lend tokens.
 func (s *Server) isQuotaLimited(stmt *statement) bool {
-	return s.lenderVersion >= rpc.VersionQuotas && s.accounts.Limited(stmt.tenant)
+	return s.lenderVersion >= rpc.VersionQuotas && s.accounts.IsLimited(stmt.tenant)
 }
 
 // submitWithinQuota submits a statement outside transactions if this proxy has a token of its tenant, rejects it if the tenant
@@ -175,7 +175,7 @@
 // handleQuotaResponse adds the tokens that the lender has granted and serves the statements that wait for them.
 func (s *Server) handleQuotaResponse(response *quota.Response) {
 	now := s.clock.Now()
-	s.accounts.Answered(response, now)
+	s.accounts.HandleResponse(response, now)
 	for _, stmt := range slices.Clone(s.tokenWaiters) {
 		if !slices.Contains(s.tokenWaiters, stmt) { // ended as a consequence of an earlier one in this loop
 			continue
@@ -199,11 +199,11 @@
 // setLender records that this proxy is connected to a leader, and the leader's protocol version.
 func (s *Server) setLender(version uint32) {
 	s.hasLender, s.lenderVersion = true, version
-	s.accounts.LinkLost() // requests to the previous leader get no response
+	s.accounts.HandleDisconnect() // requests to the previous leader get no response
 }
 
 // clearLender records that this proxy is no longer connected to a leader.
 func (s *Server) clearLender() {
 	s.hasLender = false
-	s.accounts.LinkLost()
+	s.accounts.HandleDisconnect()
 }
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -284,7 +284,7 @@
 
 // drainExpired reports whether a draining host, primary or not, must get no more statements.
 func (p *hostPool) drainExpired(now time.Time) bool {
-	bound := settings.Duration(p.server.settings.Bounds.DrainMs)
+	bound := settings.DurationFromMs(p.server.settings.Bounds.DrainMs)
 	return p.Draining && bound > 0 && now.Sub(p.drainingSince) > max(bound/2, bound-drainReserve)
 }
 
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -62,7 +62,7 @@
 
 // refreshPolicyTime sets the policy's time to the current time and returns it. It must run before any other call to the policy.
 func (s *Server) refreshPolicyTime() policy.TenthMs {
-	s.policyNow = policy.TenthMs(eventloop.ClockOrigin)*tenthsPerMillisecond + toTenths(s.clock.Since())
+	s.policyNow = policy.TenthMs(eventloop.ClockOrigin)*tenthsPerMillisecond + toTenths(s.clock.Elapsed())
 	if s.policy != nil {
 		s.policy.SetTime(s.policyNow)
 	}
