--- a/internal/control/address_check.go
+++ b/internal/control/address_check.go
@@ -9,27 +9,27 @@
 	"ferrypitch/internal/errcode"
 )
 
-// An address belongs to one host at a time: a new host at the address of a known one replaces it. But a host's first heartbeat may
-// come late, after its process has ended and another has its address. So the known host is asked before it is removed: if it
-// answers under its id, the heartbeat is out of date.
+// Each address belongs to one host at a time: a new host at the address of a known host replaces it. The first heartbeat of a host
+// may be delayed, however, until its process has ended and another host uses the address. The known host is therefore queried
+// before it is removed: if it responds under its ID, the heartbeat is stale.
 
-// addressCheck is a heartbeat of a new host that waits for an answer of the known host at its address.
+// addressCheck is the pending first heartbeat of a new host while the known host at the same address is queried.
 type addressCheck struct {
-	accept  func() // the known host is gone
+	accept  func() // processes the heartbeat once the known host is confirmed gone
 	respond Responder
 }
 
-// checkAddress asks a known host whether it still is at its address.
-func (s *Server) checkAddress(occupant string, check addressCheck) {
-	host := s.state.Hosts[occupant]
-	query := s.coordinator.NewProbe(host.Service, occupant)
+// checkAddress queries a known host to find out whether it still runs at its address.
+func (s *Server) checkAddress(knownHost string, check addressCheck) {
+	host := s.state.Hosts[knownHost]
+	query := s.coordinator.NewProbe(host.Service, knownHost)
 	s.addressChecks[query] = check
 	s.HostQueries.Add(1)
 	s.environment.QueryHost(query, host)
 }
 
-// finishAddressCheck ends a check by the result of its query; false: the query is none of a check. Without a clear answer the new
-// host is to call again.
+// finishAddressCheck completes an address check with the result of its query. It returns false if the query does not belong to an
+// address check. If the query timed out, the heartbeat is rejected and the new host must retry.
 func (s *Server) finishAddressCheck(result failover.QueryResult) bool {
 	check, ok := s.addressChecks[result.Query]
 	if !ok {
@@ -48,7 +48,7 @@
 	return true
 }
 
-// dropAddressChecks ends all checks when this member's leadership ends.
+// dropAddressChecks rejects all pending address checks when this member loses leadership.
 func (s *Server) dropAddressChecks() {
 	pending := s.addressChecks
 	s.addressChecks = map[failover.HostQuery]addressCheck{}
--- a/internal/control/address_check_test.go
+++ b/internal/control/address_check_test.go
@@ -13,7 +13,7 @@
 	"ferrypitch/internal/wire"
 )
 
-// sendHeartbeat has a host at an address call a member; status is 0 until it is answered.
+// sendHeartbeat sends the heartbeat of a host at an address to a member. *status is 0 until there is a response.
 func sendHeartbeat(m *partitionMember, hostID, address string, callSeq int64) (status *int) {
 	status = new(int)
 	body, _ := json.Marshal(HeartbeatRequest{Service: "db", Address: address, State: hostServing, CallSeq: callSeq})
@@ -21,8 +21,8 @@
 	return status
 }
 
-// A first heartbeat for the address of a known host counts only if that host is gone: it may come so late that its sender has ended
-// and the known host has its address.
+// A first heartbeat for the address of a known host is accepted only if that host is gone: the heartbeat may be delayed until its
+// sender has ended and the known host uses the address.
 func TestFirstHeartbeatForAnAddressInUseIsChecked(t *testing.T) {
 	for name, test := range map[string]struct {
 		finish     func(result *failover.QueryResult)
@@ -53,7 +53,7 @@
 				result := failover.QueryResult{Query: queries[0]}
 				test.finish(&result)
 				leader.server.QueryFinished(result)
-				leader.server.QueryFinished(result) // a second time, it is unsolicited
+				leader.server.QueryFinished(result) // the duplicate is unsolicited
 			}
 			c.RunFor(100)
 			require.Equal(t, test.wantStatus, *status)
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// The log is compacted into a snapshot once it has more entries than maxLogEntries, or more bytes than minLogBytes and
-	// than twice the last snapshot: so the bytes written for snapshots stay in proportion to those of the entries.
+	// The log is compacted into a snapshot when it exceeds maxLogEntries entries, or when its size exceeds both minLogBytes and
+	// twice the size of the last snapshot. This keeps the bytes written for snapshots proportional to the bytes of the entries.
 	maxLogEntries = 400
 	minLogBytes   = 512 << 10
-	// keptLogEntries is how many entries before a snapshot stay in the log for members and proxies that are a little behind.
-	keptLogEntries = 200
-	// maxStaleCallSeqs is how many hosts that are gone, or are being added, have a number in Server.lastCallSeq.
+	// retainedLogEntries is the number of entries before a snapshot that stay in the log for members and proxies that lag slightly.
+	retainedLogEntries = 200
+	// maxStaleCallSeqs limits the entries of Server.lastCallSeq for hosts that were removed or are still being added.
 	maxStaleCallSeqs = 1024
 )
 
-// carryOut does what the consensus node asks for. Every call of the node must be followed by it, in the order of the calls: the
-// write-ahead log and the state depend on that order.
-func (s *Server) carryOut(ready consensus.Ready) {
+// processReady performs the writes, sends and applications that the consensus node requests. It must be called after every call to the
+// node, in the same order, because the write-ahead log and the state depend on that order.
+func (s *Server) processReady(ready consensus.Ready) {
 	if len(ready.Writes) > 0 {
 		s.environment.Persist(ready.Writes)
 	}
@@ -31,7 +31,7 @@
 		s.sendConsensus(&message)
 	}
 	s.committed = append(s.committed, ready.Committed...)
-	if !s.applying { // applying an entry may propose another and come back here; all are applied in their order
+	if !s.applying { // applying an entry may propose another and re-enter this function; entries must be applied in log order
 		s.applying = true
 		for len(s.committed) > 0 {
 			batch := s.committed
@@ -43,7 +43,7 @@
 	s.updateLeadership()
 }
 
-// sendConsensus sends a message to its addressee, or to all known members and seeds if it has none.
+// sendConsensus sends a message to its recipient, or to all known members and seeds if it has none.
 func (s *Server) sendConsensus(message *consensus.Message) {
 	if message.To != "" {
 		s.send(message.To.Address(), &rpc.Frame{Consensus: message})
@@ -54,7 +54,7 @@
 	}
 }
 
-// peerAddresses returns the sorted IP addresses of all members and seeds but this one.
+// peerAddresses returns the sorted IP addresses of all members and seeds except this member.
 func (s *Server) peerAddresses() []string {
 	all := append(s.memberAddresses(), s.settings.SeedHosts()...)
 	slices.Sort(all)
@@ -70,8 +70,8 @@
 	return all
 }
 
-// applyCommitted applies entries to the state and sends them to the proxies, as one update: a frame for each entry
-// could fill the proxies' queues when many are committed at once.
+// applyCommitted applies committed entries to the state and sends them to the proxies as a single update. One frame per entry
+// could fill the proxies' queues when many entries are committed at once.
 func (s *Server) applyCommitted(batch []consensus.Committed) {
 	update := &rpc.LogUpdate{Members: s.memberAddresses()}
 	for _, entry := range batch {
@@ -93,13 +93,13 @@
 		proxy.sendUpdate(s, update)
 	}
 	s.compactLog()
-	if s.leading { // the next step of a transition need not wait for a tick
+	if s.leading { // run the next failover step immediately instead of at the next tick
 		s.handleFailoverEvents()
 	}
 }
 
-// installSnapshot replaces the state by a snapshot of the leader, which also ends a divergence from the log. Proxies need the
-// snapshot too: the entries before it never pass through here.
+// installSnapshot replaces the state with a snapshot from the leader, which also resolves a divergence from the log. The snapshot
+// is sent to the proxies too, because this member never applies the entries that precede it.
 func (s *Server) installSnapshot(entry consensus.Committed, update *rpc.LogUpdate) {
 	state, err := statemachine.Restore(entry.Snapshot.Data)
 	if err != nil {
@@ -113,8 +113,8 @@
 	update.Snapshot, update.Entries, update.LastIndex = entry.Snapshot.Data, nil, entry.Index
 }
 
-// applyEntry applies one entry. A state that an entry does not fit is rebuilt, and proxies and callers see only the result: the
-// log decides, not one member's memory.
+// applyEntry applies one entry. If the entry reveals that the state diverged from the log, the state is rebuilt first, so that
+// proxies and callers see only the result: the log is authoritative, not the memory of a single member.
 func (s *Server) applyEntry(entry consensus.Committed, update *rpc.LogUpdate) {
 	change, err := s.applyTo(s.state, entry)
 	if errors.Is(err, statemachine.ErrDiverged) {
@@ -134,7 +134,7 @@
 	s.completeProposal(entry, err)
 }
 
-// applyTo applies an entry to a state and returns its change; nil if the entry holds none.
+// applyTo applies an entry to a state and returns the decoded change, or nil if the entry is empty or cannot be decoded.
 func (s *Server) applyTo(state *statemachine.State, entry consensus.Committed) (*statemachine.Change, error) {
 	if len(entry.Data) == 0 {
 		state.Index = max(state.Index, entry.Index)
@@ -149,7 +149,7 @@
 	return &change, state.Apply(entry.Index, change)
 }
 
-// rebuildState builds the state anew from this member's last snapshot and the log up to an index. err is the result of
+// rebuildState reconstructs the state from this member's latest snapshot and the log up to an index. err is the result of
 // applying the entry at that index.
 func (s *Server) rebuildState(index uint64) (rebuilt bool, err error) {
 	snapshot := s.consensus.LatestSnapshot()
@@ -169,26 +169,28 @@
 	return true, err
 }
 
-// fetchState asks the leader for its state where this member's own can't be restored. A diverged member does not lead.
+// fetchState marks this member as diverged and requests a snapshot from the leader, for when the state cannot be rebuilt locally.
+// A diverged member does not act as leader.
 func (s *Server) fetchState() {
 	s.diverged = true
-	s.carryOut(s.consensus.RequestSnapshot(s.clock.Now()))
+	s.processReady(s.consensus.RequestSnapshot(s.clock.Now()))
 }
 
-// refreshSnapshot makes a snapshot of the present state, for a member whose own is wrong: an older one may be before its log.
+// refreshSnapshot takes a snapshot of the current state for a member that requested one because its own state is wrong. An older
+// snapshot may precede the start of that member's log.
 func (s *Server) refreshSnapshot() {
-	s.carryOut(s.consensus.Compact(s.state.Index, s.state.Snapshot(), keptLogEntries, s.clock.Now()))
+	s.processReady(s.consensus.Compact(s.state.Index, s.state.Snapshot(), retainedLogEntries, s.clock.Now()))
 }
 
-// compactLog replaces the log by a snapshot once it is long (Raft 5).
+// compactLog replaces the log with a snapshot once it exceeds the limits (Raft dissertation, chapter 5).
 func (s *Server) compactLog() {
 	entries, bytes := s.consensus.SinceSnapshot()
 	if entries > maxLogEntries || bytes > max(minLogBytes, 2*len(s.consensus.LatestSnapshot().Data)) {
-		s.carryOut(s.consensus.Compact(s.state.Index, s.state.Snapshot(), keptLogEntries, s.clock.Now()))
+		s.processReady(s.consensus.Compact(s.state.Index, s.state.Snapshot(), retainedLogEntries, s.clock.Now()))
 	}
 }
 
-// changeApplied updates what depends on the state and is not part of it: fail-over and the sequence numbers of heartbeats.
+// changeApplied updates the data derived from the state: the failover coordinator and the sequence numbers of heartbeats.
 func (s *Server) changeApplied(change *statemachine.Change) {
 	switch {
 	case change.RemoveHost != "":
@@ -196,7 +198,7 @@
 		if s.leading {
 			s.coordinator.ForgetHost(change.RemoveHost)
 		}
-	case change.AddHost != nil: // it may have replaced another host at its address
+	case change.AddHost != nil: // may have replaced another host at the same address
 		s.forgetCallSeqs()
 	case !s.leading:
 	case change.RevokePrimary != nil:
@@ -214,7 +216,8 @@
 	}
 }
 
-// forgetCallSeqs drops the sequence numbers of hosts that are gone, once many are. Ids are not used again.
+// forgetCallSeqs drops the sequence numbers of hosts that no longer exist once there are more than maxStaleCallSeqs. This is safe
+// because host IDs are not reused.
 func (s *Server) forgetCallSeqs() {
 	if len(s.lastCallSeq) <= len(s.state.Hosts)+maxStaleCallSeqs {
 		return
--- a/internal/control/backup_api.go
+++ b/internal/control/backup_api.go
@@ -10,7 +10,7 @@
 	"ferrypitch/internal/eventloop"
 )
 
-// backupTimeout is for a response of some MB that another member may have to forward.
+// backupTimeout allows for a response of several MB that another member may have to forward.
 const backupTimeout = 10 * time.Second
 
 var memberSnapshot = endpoint{
@@ -21,8 +21,8 @@
 	handle:   (*Server).handleSnapshot,
 }
 
-// handleSnapshot answers with the state at the present index. It is the leader's, under its lease, so that it has all that was
-// acknowledged before the call came.
+// handleSnapshot responds with the state at the current index. Only the leader serves it, under its lease, so that the snapshot
+// contains everything that was acknowledged before the call was received.
 func (s *Server) handleSnapshot(_ string, _ apiCall, respond Responder) {
 	if !s.checkOwnConfig() || s.state.Index == 0 {
 		reject(respond, errcode.NoLeader, nil)
--- a/internal/control/backup_api_test.go
+++ b/internal/control/backup_api_test.go
@@ -12,8 +12,8 @@
 	"ferrypitch/internal/simulation/memberdisk"
 )
 
-// A snapshot that any member is asked for is the leader's; the control plane that three founders begin with it has the same state, leads
-// in a higher term, and goes on.
+// Every member responds with the leader's snapshot. A new control plane of three founders that is restored from it has the same
+// state, elects a leader in a higher term, and accepts changes.
 func TestSnapshotBeginsANewControlPlane(t *testing.T) {
 	c, leader, follower := newClusterWithState(t)
 	var body []byte
@@ -27,7 +27,7 @@
 	want := leader.server.state.Digest().Ranges
 
 	next := newPartitionCluster(77, 3, 2, 0, noSafeguard)
-	next.calm, next.operatorsStopped = true, true
+	next.faultsDisabled, next.operatorsStopped = true, true
 	founders := leader.identity.Founders
 	for _, m := range next.members {
 		m.crash(true)
@@ -61,7 +61,7 @@
 	require.Contains(t, next.members[2].server.state.Hosts, "later")
 }
 
-// A leader that holds no lease gives no snapshot: it may be behind what was acknowledged.
+// A leader without the lease must not provide a snapshot: its state may lack acknowledged changes.
 func TestSnapshotNeedsTheLease(t *testing.T) {
 	c, leader, _ := newClusterWithState(t)
 	for _, other := range c.members {
--- a/internal/control/bench_growth_test.go
+++ b/internal/control/bench_growth_test.go
@@ -10,8 +10,8 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// BenchmarkLogGrowth measures what changes cost three members, by routes and changes: bytes that the members send, bytes and
-// syncs on each disk, the size of a snapshot, what the log holds in the end, and the memory of one member's state.
+// BenchmarkLogGrowth measures the cost of changes for three members, by number of routes and changes: bytes sent, bytes and syncs
+// per disk, snapshot size, the final size of the log, and the memory of one member's state.
 func BenchmarkLogGrowth(b *testing.B) {
 	for _, routes := range []int{10, 100, 900, 2000} {
 		for _, changes := range []int64{10, 100, 400, 2000} {
@@ -53,7 +53,7 @@
 	b.ReportMetric(stateBytes(b, snapshot), "state_B")
 }
 
-// stateBytes measures the heap of one state.
+// stateBytes measures the heap size of one state.
 func stateBytes(b *testing.B, snapshot []byte) float64 {
 	const states = 16
 	var before, after runtime.MemStats
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -18,8 +18,8 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// soleLeader is the only member of a cluster, with a state, connected proxies and live hosts. What it sends is counted and not
-// encoded: internal/rpc measures the cost of a frame.
+// soleLeader is the only member of a cluster, with a state, connected proxies and live hosts. The frames that it sends are counted
+// but not encoded: internal/rpc measures the cost of encoding.
 type soleLeader struct {
 	*Server
 	frames   int
@@ -28,11 +28,11 @@
 	tickAtMs int64
 }
 
-func newSoleLeader(b testing.TB, e statesize.Size) *soleLeader {
-	plate := &settings.Settings{Node: "core-waco-hall-0", Ip: "10.1.0.11", Zone: "waco-hall", BeatMs: 1200}
-	plate.Listen.Control = "10.1.0.11:8782"
+func newSoleLeader(b testing.TB, size statesize.Size) *soleLeader {
+	nodeSettings := &settings.Settings{Node: "core-waco-hall-0", Ip: "10.1.0.11", Zone: "waco-hall", BeatMs: 1200}
+	nodeSettings.Listen.Control = "10.1.0.11:8782"
 	id := storage.Identity{ID: "10.1.0.11", Founders: []consensus.ID{"10.1.0.11"}}
-	server, err := New(plate, hclog.NewNullLogger(), eventloop.NewMonotonicClock(time.Now), id, consensus.RestoredState{}, func() float64 { return 0 }, 1)
+	server, err := New(nodeSettings, hclog.NewNullLogger(), eventloop.NewMonotonicClock(time.Now), id, consensus.RestoredState{}, func() float64 { return 0 }, 1)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -47,12 +47,12 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	index := server.state.Index
-	server.state = e.State()
+	server.state = size.State()
 	server.state.Index = index
-	for n := range e.Hosts() {
+	for n := range size.Hosts() {
 		server.coordinator.Heartbeat(statesize.HostAt(n).ID, n%3 == 0, server.clock.Now()+1<<40) // none times out during the benchmark
 	}
-	for n := range e.Proxies {
+	for n := range size.Proxies {
 		hello := &rpc.ProxyHello{Node: statesize.ProxyName(n), Incarnation: 1, Zone: "waco-hall", AppliedIndex: index}
 		s.proxies = append(s.proxies, server.AcceptProxy(hello, fmt.Sprintf("10.1.%d.%d", n/250, 1+n%250),
 			func(*rpc.Frame) bool { s.frames++; return true }, func() {}))
@@ -69,7 +69,7 @@
 	}
 }
 
-// keepLeading ticks as often as the event loop does, outside the measured time: the leader's lease would end without.
+// keepLeading ticks as often as the event loop does, outside the measured time, because the leader lease would expire otherwise.
 func (s *soleLeader) keepLeading(b *testing.B) {
 	now := s.clock.Now()
 	if now < s.tickAtMs {
@@ -83,9 +83,9 @@
 }
 
 func benchmarkSizes(b *testing.B, run func(b *testing.B, s *soleLeader)) {
-	for _, e := range statesize.Sizes {
-		b.Run(e.String(), func(b *testing.B) {
-			s := newSoleLeader(b, e)
+	for _, size := range statesize.Sizes {
+		b.Run(size.String(), func(b *testing.B) {
+			s := newSoleLeader(b, size)
 			s.frames = 0
 			run(b, s)
 			b.ReportMetric(float64(s.frames)/float64(b.N), "frames/op")
@@ -93,7 +93,7 @@
 	}
 }
 
-// One renewal of a proxy's lease.
+// BenchmarkLeaseRenewal measures the renewal of a proxy's lease.
 func BenchmarkLeaseRenewal(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, s *soleLeader) {
 		for b.Loop() {
@@ -103,7 +103,7 @@
 	})
 }
 
-// One heartbeat of a host that reports nothing new.
+// BenchmarkHeartbeat measures a heartbeat of a host whose reported data has not changed.
 func BenchmarkHeartbeat(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, s *soleLeader) {
 		h := statesize.HostAt(10)
@@ -120,7 +120,7 @@
 	})
 }
 
-// One change, from its proposal to a frame for each proxy.
+// BenchmarkChange measures a change from its proposal to the frames for all proxies.
 func BenchmarkChange(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, s *soleLeader) {
 		term := uint64(1)
@@ -133,12 +133,12 @@
 	})
 }
 
-// The welcome of a proxy without state, with a snapshot.
+// BenchmarkProxyWelcome measures accepting a proxy without state, including its snapshot.
 func BenchmarkProxyWelcome(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, s *soleLeader) {
 		for b.Loop() {
-			r := s.AcceptProxy(&rpc.ProxyHello{Node: statesize.ProxyName(7), Incarnation: 1, Zone: "waco-hall"}, "10.1.0.8", func(*rpc.Frame) bool { s.frames++; return true }, func() {})
-			s.ProxyDisconnected(r)
+			proxy := s.AcceptProxy(&rpc.ProxyHello{Node: statesize.ProxyName(7), Incarnation: 1, Zone: "waco-hall"}, "10.1.0.8", func(*rpc.Frame) bool { s.frames++; return true }, func() {})
+			s.ProxyDisconnected(proxy)
 		}
 	})
 }
--- a/internal/control/catch_up_test.go
+++ b/internal/control/catch_up_test.go
@@ -21,18 +21,18 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// byteCostCluster is three members on links and disks whose time depends on the bytes, and an operator who changes one route
-// after another. One unit of time is 1 ms.
+// byteCostCluster simulates three members on networks and disks whose delays depend on the number of bytes, and an operator that
+// changes one route after another. One unit of time is 1 ms.
 type byteCostCluster struct {
 	*scheduler.Scheduler
 	members          []*byteCostMember
 	routes           int
 	acknowledged     int64  // the newest acknowledged version
-	acknowledgedBody []byte // of it
-	pendingBody      []byte // of the update that is not acknowledged yet
+	acknowledgedBody []byte // body of that version
+	pendingBody      []byte // body of the update that is not acknowledged yet
 	updateIntervalMs int64
-	paddingBytes     int  // random bytes in each version
-	stopped          bool // the operator makes no more updates
+	paddingBytes     int  // random bytes added to each version
+	stopped          bool // whether the operator has stopped making updates
 	bytesPerMs       int64
 }
 
@@ -44,10 +44,10 @@
 	isolated     bool
 	identity     storage.Identity
 	disk         memberdisk.Disk
-	diskSlowdown int64 // factor
-	diskFreeAt   int64 // when all writes are done
+	diskSlowdown int64 // factor by which disk writes take longer
+	diskFreeAt   int64 // time at which all writes are done
 	linkFreeAt   map[string]int64
-	sentBytes    int64 // without forwarded calls
+	sentBytes    int64 // excluding forwarded calls
 
 	storedBytes, syncs int64
 }
@@ -92,7 +92,7 @@
 func (m *byteCostMember) tick(incarnation int) {
 	m.Run(incarnation, func() {
 		m.server.Tick()
-		if l := m.cluster.leader(); l == m && m.server.state.Generation < m.cluster.acknowledged {
+		if currentLeader := m.cluster.leader(); currentLeader == m && m.server.state.Generation < m.cluster.acknowledged {
 			m.cluster.Violate("%s leads with version %d, %d was acknowledged", m.identity.ID, m.server.state.Generation, m.cluster.acknowledged)
 		}
 		m.cluster.After(50, func() { m.tick(incarnation) })
@@ -127,12 +127,12 @@
 
 func (m *byteCostMember) persist(incarnation int, writes []consensus.Write) {
 	c, size := m.cluster, 0
-	for _, one := range writes {
-		for _, e := range one.Entries {
+	for _, write := range writes {
+		for _, e := range write.Entries {
 			size += len(e.Data)
 		}
-		if one.Snapshot != nil {
-			size += len(one.Snapshot.Data)
+		if write.Snapshot != nil {
+			size += len(write.Snapshot.Data)
 		}
 	}
 	m.storedBytes, m.syncs = m.storedBytes+int64(size), m.syncs+1
@@ -147,7 +147,7 @@
 	})
 }
 
-// configuration is the body of a version. Each changes one route.
+// configuration returns the body of a version. Each version changes one route.
 func (c *byteCostCluster) configuration(version int64) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"Generation":%d,"Routes":[`, version)
@@ -167,7 +167,7 @@
 	return b.Bytes()
 }
 
-// update makes an update at random members until it is acknowledged, and then the next.
+// update sends an update to random members until it is acknowledged, and then makes the next one.
 func (c *byteCostCluster) update() {
 	if c.stopped {
 		return
@@ -180,12 +180,12 @@
 		if done {
 			return
 		}
-		p := c.members[c.Rand.IntN(3)]
-		if l := c.leader(); l != nil && !c.OneIn(4) {
-			p = l
+		m := c.members[c.Rand.IntN(3)]
+		if currentLeader := c.leader(); currentLeader != nil && !c.OneIn(4) {
+			m = currentLeader
 		}
-		p.Run(p.Incarnation(), func() {
-			p.server.HandleCall(http.MethodPost, "/Config.Replace", fmt.Sprint(next-1), body, func(status int, answer []byte) {
+		m.Run(m.Incarnation(), func() {
+			m.server.HandleCall(http.MethodPost, "/Config.Replace", fmt.Sprint(next-1), body, func(status int, answer []byte) {
 				switch {
 				case status == http.StatusOK && !done:
 					done, c.acknowledged, c.acknowledgedBody = true, next, body
@@ -201,9 +201,9 @@
 }
 
 func (c *byteCostCluster) leader() *byteCostMember {
-	for _, p := range c.members {
-		if p.Up() && !p.isolated && p.server.leading && p.server.consensus.HoldsLease(p.server.clock.Now()) {
-			return p
+	for _, m := range c.members {
+		if m.Up() && !m.isolated && m.server.leading && m.server.consensus.HoldsLease(m.server.clock.Now()) {
+			return m
 		}
 	}
 	return nil
@@ -220,29 +220,29 @@
 	}
 }
 
-// absence is how a member comes to be behind.
-type absence int
+// outage is the reason why a member misses changes.
+type outage int
 
 const (
-	lostItsDisk absence = iota
+	diskLost outage = iota
 	restarted
 	isolated
 	restoredFromOldFile
-	absences
+	outageKinds
 )
 
-func (a absence) String() string {
+func (a outage) String() string {
 	return [...]string{"lost its disk", "restarted", "isolated", "restored from an older file"}[a]
 }
 
-// beAway makes a member miss changes for a while. It comes back with a disk that may be slow.
-func (m *byteCostMember) beAway(seed int, how absence) {
+// simulateOutage makes a member miss changes for a random time. It returns with a disk that may be slow.
+func (m *byteCostMember) simulateOutage(seed int, kind outage) {
 	c := m.cluster
 	old := m.disk.Copy()
-	if how == restoredFromOldFile {
+	if kind == restoredFromOldFile {
 		c.RunFor(c.Between(500, 6000))
 	}
-	if how == isolated {
+	if kind == isolated {
 		m.isolated = true
 	} else {
 		m.End()
@@ -252,8 +252,8 @@
 	if m.diskSlowdown = 1; c.OneIn(2) {
 		m.diskSlowdown = 25
 	}
-	switch how {
-	case lostItsDisk:
+	switch kind {
+	case diskLost:
 		m.identity, m.disk = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", m.ip(), seed))}, memberdisk.Disk{}
 		m.start()
 	case restarted:
@@ -265,9 +265,9 @@
 	m.isolated = false
 }
 
-// checkCatchUp asserts that a member that was away has all that was acknowledged by now within 4 s, and returns after how many
-// milliseconds.
-func (m *byteCostMember) checkCatchUp(how absence) (caughtUpAfter int64) {
+// checkCatchUp asserts that a member that was unavailable has everything that was acknowledged so far within 4 s. It returns the
+// time until then in milliseconds.
+func (m *byteCostMember) checkCatchUp(kind outage) (caughtUpAfter int64) {
 	c := m.cluster
 	acknowledged := c.acknowledged
 	caughtUp := func() bool { return m.server.state.Generation >= acknowledged && !m.server.diverged }
@@ -278,15 +278,15 @@
 		}
 	}
 	if !caughtUp() {
-		c.Violate("%s (%s, disk %d times slow) has version %d, %d was acknowledged before it came back", m.identity.ID, how, m.diskSlowdown,
+		c.Violate("%s (%s, disk %d times slow) has version %d, %d was acknowledged before it came back", m.identity.ID, kind, m.diskSlowdown,
 			m.server.state.Generation, acknowledged)
 	}
 	c.checkAgreement()
 	return caughtUpAfter
 }
 
-// checkPowerLoss crashes all members, starts them within 400 ms, and asserts that 2 s after the last start the leader serves
-// all that was acknowledged, and soon after all members have it.
+// checkPowerLoss crashes all members, restarts them within 400 ms, and asserts that 2 s after the last start the leader serves
+// everything that was acknowledged, and that all members have it 1.5 s later.
 func (c *byteCostCluster) checkPowerLoss() {
 	for _, m := range c.members {
 		m.End()
@@ -312,8 +312,8 @@
 	}
 }
 
-// A member that missed any number of changes catches up within CatchupS while changes go on, on a slow disk and with up to
-// 2,000 routes; and after a power loss of all members, what was acknowledged is served within 2 s of the last start.
+// A member that missed any number of changes catches up within CatchupS while changes continue, on a slow disk and with up to
+// 2,000 routes. After a power loss of all members, everything that was acknowledged is served within 2 s of the last start.
 func TestCatchUpUnderLoadAndRecoveryFromPowerLoss(t *testing.T) {
 	seeds := 12
 	if testing.Short() {
@@ -327,14 +327,14 @@
 			c.RunFor(500)
 		}
 		m := c.members[c.Rand.IntN(3)]
-		if l := c.leader(); l != nil && c.OneIn(2) {
-			m = l
+		if currentLeader := c.leader(); currentLeader != nil && c.OneIn(2) {
+			m = currentLeader
 		}
-		how := absence(c.Rand.IntN(int(absences)))
-		m.beAway(seed, how)
+		kind := outage(c.Rand.IntN(int(outageKinds)))
+		m.simulateOutage(seed, kind)
 		behind := c.acknowledged - m.server.state.Generation
-		after := m.checkCatchUp(how)
-		t.Logf("%s, %d routes, %d changes behind, a disk %d times as slow: caught up after %d ms", how, c.routes, behind, m.diskSlowdown, after)
+		after := m.checkCatchUp(kind)
+		t.Logf("%s, %d routes, %d changes behind, a disk %d times as slow: caught up after %d ms", kind, c.routes, behind, m.diskSlowdown, after)
 		snapshots += m.server.consensus.SnapshotsInstalled
 		acknowledged := c.acknowledged
 		c.checkPowerLoss()
@@ -344,7 +344,7 @@
 	require.Positive(t, snapshots, "snapshots")
 }
 
-// With large changes the log is compacted by their bytes: neither disk nor memory holds more than a few of them.
+// With large changes the log is compacted by its size in bytes, so that disk and memory hold only a few of the changes.
 func TestLogIsCompactedByItsBytes(t *testing.T) {
 	c := newByteCostCluster(3, 10, 20)
 	c.paddingBytes = 50_000
@@ -363,7 +363,7 @@
 	require.Empty(t, c.Violations)
 }
 
-// divergedState is a state at the same index and version as another, with another configuration.
+// divergedState returns a state with the same index and version as another but a different configuration.
 func divergedState(t *testing.T, state *statemachine.State) *statemachine.State {
 	diverged, err := statemachine.Restore(state.Snapshot())
 	require.NoError(t, err)
@@ -375,8 +375,8 @@
 	return diverged
 }
 
-// A member whose state diverged from the log rebuilds it from its own log, or, if its snapshot diverged too, fetches the
-// leader's.
+// A member whose state diverged from the log rebuilds it from its own snapshot and log, or, if its snapshot is wrong too, fetches the
+// state from the leader.
 func TestDivergedStateIsRebuiltOrFetched(t *testing.T) {
 	for _, disk := range []bool{false, true} {
 		c := newByteCostCluster(7, 20, 20)
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -22,17 +22,17 @@
 )
 
 const (
-	unitsPerMs     = int64(10) // of simulated time
+	unitsPerMs     = int64(10) // units of simulated time
 	unitsPerSecond = 1000 * unitsPerMs
 )
 
-// cluster simulates the members of a control plane, without hosts and proxies: their disks lose what is not synced, and their
-// network can be partitioned one way.
+// cluster simulates the members of a control plane without hosts and proxies. Disks lose unsynced writes, and the network can be
+// partitioned in one direction.
 type cluster struct {
 	*scheduler.Scheduler
 	members     []*clusterMember
-	blocked     map[[2]string]bool // from, to
-	faultsEndAt int64              // the last of them
+	blocked     map[[2]string]bool // by sender and receiver address
+	faultsEndAt int64              // end of the last fault
 }
 
 type clusterMember struct {
@@ -43,11 +43,11 @@
 	server    *Server
 	identity  storage.Identity
 	disk      memberdisk.Disk
-	arrivesAt map[string]int64 // when the last frame to another arrives
+	arrivesAt map[string]int64 // arrival time of the last frame, by receiver address
 
-	// No two machines are alike.
-	diskFactor int64 // how many times as long as the fastest its disk takes
-	tick       int64 // between two ticks
+	// Machines differ in the speed of their disks, timers and clocks.
+	diskFactor int64 // duration of disk writes relative to the fastest disk
+	tick       int64 // time between ticks
 	clockRate  float64
 }
 
@@ -107,7 +107,7 @@
 	m.tickFrom(incarnation)
 }
 
-// time is the member's own clock.
+// time returns the time on the member's own clock.
 func (m *clusterMember) time() time.Time {
 	return time.Unix(0, 0).Add(time.Duration(float64(m.cluster.Now) * m.clockRate * float64(time.Millisecond) / float64(unitsPerMs)))
 }
@@ -151,7 +151,7 @@
 	})
 }
 
-// crash ends the process. Unsynced writes are lost with the power, and else kept up to some write.
+// crash ends the process. A power loss discards all unsynced writes; otherwise a random prefix of them is kept.
 func (m *clusterMember) crash(powerLoss bool) {
 	m.End()
 	m.disk.Crash(func() bool { return !powerLoss && !m.cluster.OneIn(2) })
@@ -166,43 +166,43 @@
 	return nil
 }
 
-// complete reports whether every voting member runs.
-func (c *cluster) complete() bool {
-	l := c.leader()
-	if l == nil {
+// allVotersRunning reports whether there is a leader and every voting member is running.
+func (c *cluster) allVotersRunning() bool {
+	currentLeader := c.leader()
+	if currentLeader == nil {
 		return false
 	}
-	for _, id := range l.server.consensus.Members() {
+	for _, id := range currentLeader.server.consensus.Members() {
 		if !slices.ContainsFunc(c.members, func(m *clusterMember) bool { return m.Running() && m.identity.ID == id }) {
 			return false
 		}
 	}
-	return len(l.server.consensus.Members()) >= 3
+	return len(currentLeader.server.consensus.Members()) >= 3
 }
 
-// injectFault injects one fault after another. Faults may overlap, but a disk is lost only while there is no other.
+// injectFault injects faults at random intervals. Faults may overlap, but a disk is lost only while there is no other fault.
 func (c *cluster) injectFault(until int64) {
 	if c.Now > until {
 		return
 	}
 	c.After(c.Between(100*unitsPerMs, 2*unitsPerSecond), func() { c.injectFault(until) })
 	m := c.members[c.Rand.IntN(len(c.members))]
-	if l := c.leader(); l != nil && c.OneIn(2) {
-		m = l
+	if currentLeader := c.leader(); currentLeader != nil && c.OneIn(2) {
+		m = currentLeader
 	}
 	if !m.Running() {
 		return
 	}
 	duration := c.Between(50*unitsPerMs, 3*unitsPerSecond)
 	if c.OneIn(4) {
-		duration = c.Between(unitsPerMs, 50*unitsPerMs) // what is in flight may outlive it
+		duration = c.Between(unitsPerMs, 50*unitsPerMs) // frames in flight may outlast the fault
 	}
 	healthy := c.Now > c.faultsEndAt+3*unitsPerSecond
 	c.faultsEndAt = max(c.faultsEndAt, c.Now+duration)
 	m.randomFault(duration, healthy)
 }
 
-// randomFault injects a fault at a member, or at all. healthy says that there was no other fault of late.
+// randomFault injects a fault on one or all members. healthy is true if there was no other fault recently.
 func (m *clusterMember) randomFault(duration int64, healthy bool) {
 	c := m.cluster
 	switch c.Rand.IntN(9) {
@@ -212,7 +212,7 @@
 		m.crash(powerLoss)
 		c.After(duration, m.start)
 	case 2:
-		m.freeze(duration)
+		m.suspendFor(duration)
 	case 3, 4:
 		m.partition(duration)
 	case 5:
@@ -221,18 +221,18 @@
 		}
 	case 6:
 		c.LogFault("%s transfers its leadership", m.ip)
-		m.server.carryOut(m.server.consensus.TransferLeadership(m.server.clock.Now()))
+		m.server.processReady(m.server.consensus.TransferLeadership(m.server.clock.Now()))
 	case 7:
 		c.LogFault("%s takes a snapshot", m.ip)
-		m.server.carryOut(m.server.consensus.Compact(m.server.state.Index, m.server.state.Snapshot(), uint64(c.Rand.IntN(20)), m.server.clock.Now()))
+		m.server.processReady(m.server.consensus.Compact(m.server.state.Index, m.server.state.Snapshot(), uint64(c.Rand.IntN(20)), m.server.clock.Now()))
 	case 8:
-		if healthy && c.complete() {
+		if healthy && c.allVotersRunning() {
 			m.loseDisk(duration)
 		}
 	}
 }
 
-func (m *clusterMember) freeze(duration int64) {
+func (m *clusterMember) suspendFor(duration int64) {
 	c, incarnation := m.cluster, m.Incarnation()
 	c.LogFault("%s is suspended for %d ms", m.ip, duration/unitsPerMs)
 	m.Suspend()
--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	connReadTimeout   = 4 * time.Second // for the first frame of a connection, and between two frames of a proxy
-	memberReadTimeout = time.Hour       // between two frames of a member, which may have nothing to send
+	connReadTimeout   = 4 * time.Second // for the first frame of a connection, and between frames from a proxy
+	memberReadTimeout = time.Hour       // between frames from a member, which may have nothing to send
 	proxySendTimeout  = 2 * time.Second
 )
 
-// serveConn serves a connection of a member or a proxy until it ends.
+// serveConn serves a connection from a member or a proxy until it is closed.
 func (p *process) serveConn(conn *rpc.Conn) {
 	first, err := p.receive(conn, connReadTimeout)
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// receive returns the next frame that this version understands. It refuses others, and tells their sender why.
+// receive returns the next frame that this version supports. It refuses unsupported frames and reports the reason to the sender.
 func (p *process) receive(conn *rpc.Conn, timeout time.Duration) (*rpc.Frame, error) {
 	for {
 		frame, err := conn.Receive(timeout)
@@ -45,7 +45,8 @@
 	}
 }
 
-// serveProxy serves a proxy until its connection ends. Frames to it pass through a queue, since the event loop must not block.
+// serveProxy serves a proxy until its connection is closed. Outgoing frames pass through a queue because the event loop must not
+// block.
 func (p *process) serveProxy(conn *rpc.Conn, hello *rpc.ProxyHello) {
 	outgoing, closed := newProxyQueue(hello.Version), make(chan struct{})
 	closeConn := func() {
@@ -78,8 +79,8 @@
 	p.queue.Put(eventloop.PriorityControl, func() { p.server.ProxyDisconnected(proxy) })
 }
 
-// sendFrames waits for a proxy that reads slowly, in place of the event loop. A failed send closes the connection, which ends
-// its reader too; the proxy reconnects and catches up.
+// sendFrames writes queued frames to a proxy in a goroutine of its own, so that a slow reader does not block the event loop. A
+// failed send closes the connection, which also stops the reader; the proxy then reconnects and catches up.
 func sendFrames(conn *rpc.Conn, outgoing *proxyQueue, closed <-chan struct{}, drained func()) {
 	for frame := outgoing.take(closed); frame != nil; frame = outgoing.take(closed) {
 		if conn.Send(frame, proxySendTimeout) != nil {
--- a/internal/control/counters.go
+++ b/internal/control/counters.go
@@ -9,50 +9,50 @@
 
 // Counters count events since the start of the process.
 type Counters struct {
-	Calls                atomic.Int64 // HTTP calls of hosts and operators to this member
-	CallsRejected        atomic.Int64 // of these, answered with a status of 400 or above
+	Calls                atomic.Int64 // HTTP calls from hosts and operators to this member
+	CallsRejected        atomic.Int64 // HTTP calls answered with a status of 400 or above
 	CallsForwarded       atomic.Int64 // calls forwarded to the leader
-	CallsExpired         atomic.Int64 // calls whose callers waited no more when their turn came
-	Heartbeats           atomic.Int64 // valid heartbeats of hosts, processed here
-	LateHeartbeats       atomic.Int64 // first heartbeats of hosts whose address another has by now
+	CallsExpired         atomic.Int64 // calls dropped from the queue because their deadline had passed
+	Heartbeats           atomic.Int64 // valid host heartbeats processed by this member
+	LateHeartbeats       atomic.Int64 // first heartbeats discarded because another live host uses the address
 	Proposals            atomic.Int64 // changes proposed to the log
-	ProxySnapshots       atomic.Int64 // snapshots that began to be sent to proxies
-	UpdatesDeferred      atomic.Int64 // updates of the log that a proxy did not take at once, and got later with others
-	LeasesGranted        atomic.Int64 // to proxies
-	LeasesRejected       atomic.Int64 // this member was not the leader
-	LeasesPostponed      atomic.Int64 // the proxy had not applied the latest revocation of a primary
-	QuotaRequests        atomic.Int64 // requests of proxies for tokens of tenants that were answered
-	QuotaRequestsIgnored atomic.Int64 // of these, without an answer, since this member did not hold the leader's lease
-	HostQueries          atomic.Int64 // commands to hosts
-	Promotions           atomic.Int64 // calls to the platform
-	TermsLed             atomic.Int64 // how often this member became the leader
+	ProxySnapshots       atomic.Int64 // snapshot transfers to proxies that were started
+	UpdatesDeferred      atomic.Int64 // log updates that a proxy's queue refused and that were sent later with others
+	LeasesGranted        atomic.Int64 // leases granted to proxies
+	LeasesRejected       atomic.Int64 // lease requests rejected because this member did not hold the leader lease
+	LeasesPostponed      atomic.Int64 // lease requests postponed because the proxy had not applied the latest revocation of a primary
+	QuotaRequests        atomic.Int64 // proxies' requests for tenant tokens that were answered
+	QuotaRequestsIgnored atomic.Int64 // requests for tenant tokens left unanswered because this member did not hold the leader lease
+	HostQueries          atomic.Int64 // commands sent to hosts
+	Promotions           atomic.Int64 // promotion requests to the platform
+	TermsLed             atomic.Int64 // times this member became the leader
 	DiskErrors           atomic.Int64 // failed writes to the write-ahead log, each of which is retried
-	DiskDamages          atomic.Int64 // checks of the write-ahead log that found damage on disk, which was mended
-	StateDivergences     atomic.Int64 // changes that did not fit this member's state
+	DiskDamages          atomic.Int64 // checks of the write-ahead log that found and repaired damage on disk
+	StateDivergences     atomic.Int64 // times this member's state was found to differ from the log or from a majority
 
-	FramesRefused    atomic.Int64      // frames of other processes that need a newer version of the protocol
-	CommitDurations  metrics.Histogram // from proposals to their application here
+	FramesRefused    atomic.Int64      // frames from other processes that require a newer protocol version
+	CommitDurations  metrics.Histogram // from proposing a change to applying it on this member
 	PersistDurations metrics.Histogram // of writes to the write-ahead log
 
-	Discarded [discardReasonCount]atomic.Int64 // messages that were ignored or rejected, by reason
+	Discarded [discardReasonCount]atomic.Int64 // messages ignored or rejected, by reason
 }
 
-// discardReason is why a message of another process was ignored or rejected.
+// discardReason is the reason why a message from another process was ignored or rejected.
 type discardReason int
 
 const (
-	requestUnknownSender     discardReason = iota // the sender is no member, learner or seed, or comes from another address
-	requestMisdirected                            // it is for another member, or for the leader of another term
-	requestRepeated                               // it was processed before
-	requestOverLimit                              // too many calls are being forwarded from here
-	responseUnknownCall                           // no call of this process has its serial
-	responseLate                                  // the call is no longer pending: too late, or a duplicate
-	responseOtherIncarnation                      // it answers a call of an earlier process or of another member
-	responseOtherMember                           // it is not from the member that was asked
-	responseMalformed                             // its HTTP status is invalid
-	messageWrongSender                            // a consensus message that comes from another address than its sender's
-	frameUnknown                                  // a frame with nothing in it that this version knows
-	resultUnsolicited                             // a result of a host or the platform that no pending query of this term has
+	requestUnknownSender     discardReason = iota // the sender is not a member, learner or seed, or its address does not match
+	requestMisdirected                            // the request is addressed to another member or to the leader of another term
+	requestRepeated                               // the request was already processed
+	requestOverLimit                              // too many forwarded calls are pending or queued
+	responseUnknownCall                           // no call of this process has the response's serial
+	responseLate                                  // the call is no longer pending: the response is late or a duplicate
+	responseOtherIncarnation                      // the call was made by an earlier incarnation or by another member
+	responseOtherMember                           // the response is not from the member that the call was forwarded to
+	responseMalformed                             // the HTTP status is invalid
+	messageWrongSender                            // a message between members whose source address or sender is not the expected one
+	frameUnknown                                  // the frame has no payload that this version knows
+	resultUnsolicited                             // a result or acknowledgement that matches no pending query or transfer of this term
 	discardReasonCount
 )
 
@@ -74,8 +74,8 @@
 
 func (s *Server) discard(reason discardReason) { s.Discarded[reason].Add(1) }
 
-// counters returns all counters by their names in the output of the status command. Those of fail-over are present while this
-// member leads.
+// counters returns all counters by their names in the output of the status command. The failover counters are present only while
+// this member leads.
 func (s *Server) counters() map[string]int64 {
 	all := map[string]int64{
 		"calls":              s.Calls.Load(),
--- a/internal/control/event_loop_test.go
+++ b/internal/control/event_loop_test.go
@@ -31,7 +31,7 @@
 	return p
 }
 
-// A queue that is never empty must not keep the consensus from its timers.
+// The consensus timers must run even if the event queue is never empty.
 func TestTicksGoOnWhileEventsNeverEnd(t *testing.T) {
 	p := newProcess(t, 8)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -53,11 +53,11 @@
 	select {
 	case <-stopped:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the member has not become leader while events came")
+		t.Fatal("the member did not become leader while events arrived")
 	}
 }
 
-// A heartbeat for which there is no room is refused at once, and an order is still taken.
+// When the queue for heartbeats is full, a heartbeat is rejected immediately, and commands are still accepted.
 func TestCallsBeyondTheQueueAreRefusedAtOnce(t *testing.T) {
 	p := newProcess(t, 1)
 	handler := &apiHandler{ctx: t.Context(), server: p.server, queue: p.queue}
@@ -70,7 +70,7 @@
 	require.True(t, p.queue.TryPut(eventloop.PriorityCommands, func() {}))
 }
 
-// Consensus messages come on the connection of forwarded calls, and do not wait for room for these.
+// Consensus messages arrive on the same connection as forwarded calls and must not wait until there is room for these.
 func TestForwardedCallsBeyondTheQueueHoldUpNoConsensusMessages(t *testing.T) {
 	p := newProcess(t, 1)
 	done := make(chan struct{})
@@ -86,7 +86,7 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("a forwarded call waited for room")
+		t.Fatal("a forwarded call blocked on a full queue")
 	}
 	require.Equal(t, 4, p.queue.Len(), "one call, two refusals, one consensus message")
 }
--- a/internal/control/failover_cost_test.go
+++ b/internal/control/failover_cost_test.go
@@ -11,7 +11,7 @@
 	"ferrypitch/internal/simulation/statesize"
 )
 
-// What the leader evaluates must not grow with the number of services for each heartbeat, lease and tick.
+// The number of evaluations per heartbeat, lease renewal and tick must not grow with the number of services.
 func TestHeartbeatsRenewalsAndTicksEvaluateOnlyWhatHasNews(t *testing.T) {
 	s := newSoleLeader(t, statesize.Size{Proxies: 295, Databases: 120})
 	evaluated := func(what string, act func()) int64 {
--- a/internal/control/forwarding.go
+++ b/internal/control/forwarding.go
@@ -11,15 +11,15 @@
 	"ferrypitch/internal/rpc"
 )
 
-// Limits of the calls that are forwarded to the leader and not answered yet.
+// Limits for calls that were forwarded to the leader and have no response yet.
 const (
 	maxForwarded      = 4096
-	maxForwardedBytes = 32 << 20 // of their bodies
+	maxForwardedBytes = 32 << 20 // total size of their bodies
 )
 
-// forwarder holds the calls that this member has forwarded, and remembers those that others have forwarded to it. A response
-// counts once, for exactly one pending call of this incarnation, and only from the member that was asked. A request is
-// processed once, for members and seeds, and only by the leader of the sender's term.
+// forwarder tracks the calls that this member has forwarded and the requests that other members have forwarded to it. A response
+// is accepted once, for exactly one pending call of this incarnation, and only from the member that the call was sent to. A
+// request is processed once, only if it comes from a member or seed, and only by the leader of the sender's term.
 type forwarder struct {
 	incarnation  uint64
 	lastSerial   uint64
@@ -28,7 +28,7 @@
 	received     seenRequests
 }
 
-// forwardedCall is a call that another member was asked to process.
+// forwardedCall is a call that was forwarded to another member and has no response yet.
 type forwardedCall struct {
 	id         rpc.CallID
 	to         consensus.ID
@@ -50,7 +50,7 @@
 	delete(f.pending, serial)
 }
 
-// forward sends a call to the leader, once: hosts and operators repeat calls by themselves.
+// forward sends a call to the leader without retrying it: hosts and operators retry calls themselves.
 func (s *Server) forward(leader consensus.ID, call apiCall, timeout time.Duration, respond Responder) {
 	f := &s.forwarder
 	if len(f.pending) >= maxForwarded || f.pendingBytes+len(call.body) > maxForwardedBytes {
@@ -79,7 +79,7 @@
 	}})
 }
 
-// expireForwarded ends the calls whose time is over, and those at a member that is no longer known as the leader.
+// expireForwarded rejects the forwarded calls whose deadline has passed or whose recipient is no longer known to be the leader.
 func (s *Server) expireForwarded(now int64) {
 	for _, serial := range slices.Sorted(maps.Keys(s.forwarder.pending)) {
 		call := s.forwarder.pending[serial]
@@ -91,8 +91,8 @@
 	}
 }
 
-// handleForwardResponse passes the leader's response on to the caller. Responses may come late, twice, or from a member that
-// was not asked; passed on, one of these could acknowledge a change that the caller's call did not make.
+// handleForwardResponse returns the leader's response to the caller. Responses may be late, duplicated, or from a member that the
+// call was not sent to; returning one of these could acknowledge a change that the caller's call did not make.
 func (s *Server) handleForwardResponse(from string, response *rpc.ForwardResponse) {
 	f := &s.forwarder
 	call, pending := f.pending[response.Serial]
@@ -115,7 +115,7 @@
 
 const maxHTTPStatus = 599
 
-// handleForwardRequest processes a call that another member has forwarded.
+// handleForwardRequest processes a call that another member forwarded.
 func (s *Server) handleForwardRequest(from string, request *rpc.ForwardRequest) {
 	respond := s.forwardResponder(from, request)
 	switch {
@@ -123,8 +123,8 @@
 		s.discard(requestUnknownSender)
 	case request.To != s.id || request.Term != s.consensus.Term():
 		s.discard(requestMisdirected)
-		reject(respond, errcode.NoLeader, nil) // its caller can try another member at once
-	case !s.forwarder.received.first(requester{request.From, request.Incarnation}, request.Serial):
+		reject(respond, errcode.NoLeader, nil) // lets the caller try another member immediately
+	case !s.forwarder.received.record(requester{request.From, request.Incarnation}, request.Serial):
 		s.discard(requestRepeated)
 	default:
 		call := apiCall{method: request.Method, path: request.Path, baseVersion: request.BaseVersion, body: request.Body}
@@ -132,20 +132,20 @@
 	}
 }
 
-// refuseForwardRequest answers a call that does not fit into the queue, so that its caller can try another member at once.
+// refuseForwardRequest rejects a call because the queue is full, so that the caller can try another member immediately.
 func (s *Server) refuseForwardRequest(from string, request *rpc.ForwardRequest) {
 	s.discard(requestOverLimit)
 	reject(s.forwardResponder(from, request), errcode.NoLeader, nil)
 }
 
-// forwardResponder sends the response to a forwarded call to the member that it came from.
+// forwardResponder returns a Responder that sends the response to the member that forwarded the call.
 func (s *Server) forwardResponder(from string, request *rpc.ForwardRequest) Responder {
 	return func(status int, body []byte) {
 		s.send(from, &rpc.Frame{ForwardResponse: &rpc.ForwardResponse{CallID: request.CallID, By: s.id, Status: status, Body: body}})
 	}
 }
 
-// mayForward reports whether a process may forward calls to this member: a member, a learner, or one at a seed's address.
+// mayForward reports whether a process may forward calls to this member: it must be a member, a learner, or at a seed address.
 func (s *Server) mayForward(id consensus.ID) bool {
 	return slices.Contains(s.consensus.Members(), id) ||
 		slices.Contains(s.consensus.Status(s.clock.Now()).Learners, id) ||
--- a/internal/control/forwarding_simulation_test.go
+++ b/internal/control/forwarding_simulation_test.go
@@ -22,16 +22,16 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// forwardingCluster is three members on a network that loses, delays and repeats forwarded calls, while members restart, and
-// callers who each know the right response to their own call.
+// forwardingCluster simulates three members that restart, on a network that loses, delays and duplicates forwarded calls, and
+// callers that know the correct response to each of their calls.
 type forwardingCluster struct {
 	*scheduler.Scheduler
 	members   []*forwardingMember
 	lastToken int
-	logged    map[string]map[[2]uint64]bool // by token: term and index of its entries
+	logged    map[string]map[[2]uint64]bool // term and index of log entries, by token
 	responses map[string]int                // by kind and status
 
-	reuseIncarnation bool // takes a safeguard out
+	reuseIncarnation bool // removes the safeguard that each process start has its own incarnation
 }
 
 type forwardingMember struct {
@@ -50,8 +50,8 @@
 	for _, id := range ids {
 		c.members = append(c.members, &forwardingMember{cluster: c, ip: string(id), identity: storage.Identity{ID: id, Founders: ids}})
 	}
-	for _, s := range c.members {
-		s.start()
+	for _, m := range c.members {
+		m.start()
 	}
 	for i := range 4 {
 		c.After(int64(1000+i*17)*unitsPerMs, c.call)
@@ -111,8 +111,8 @@
 	})
 }
 
-// send delivers a frame to whoever is at an address by then. A forwarded call or its response may be lost, delayed for long, or
-// delivered twice, as when a connection breaks after it was written.
+// send delivers a frame to the process that runs at an address when it arrives. A forwarded call or its response may be lost,
+// delayed by seconds, or delivered twice, as when a connection fails after it was written.
 func (m *forwardingMember) send(ip string, frame *rpc.Frame) {
 	c := m.cluster
 	deliverAfter := func(after int64) {
@@ -130,10 +130,10 @@
 		return
 	}
 	switch c.Rand.IntN(12) {
-	case 0: // the connection is reset before all of it is written
-	case 1: // the network is silent, and delivers it after all
+	case 0: // the connection is reset before the frame is completely written
+	case 1: // the network delivers the frame after a long delay
 		deliverAfter(c.Between(100*unitsPerMs, 6000*unitsPerMs))
-	case 2: // it arrives on two connections
+	case 2: // the frame arrives on two connections
 		deliverAfter(latency)
 		deliverAfter(c.Between(unitsPerMs, 3000*unitsPerMs))
 	default:
@@ -141,20 +141,21 @@
 	}
 }
 
-// injectCrash crashes a member, which restarts with its disk soon after; mostly a follower, so that the term stays the same.
+// injectCrash crashes a member, which restarts with its disk after 20 to 600 ms. It mostly selects a follower, so that the term
+// stays the same.
 func (c *forwardingCluster) injectCrash() {
-	s := c.members[c.Rand.IntN(3)]
-	if s.Up() && !c.members[0].down() && !c.members[1].down() && !c.members[2].down() && (c.OneIn(4) || !s.server.leading) {
-		s.End()
-		c.After(c.Between(20*unitsPerMs, 600*unitsPerMs), s.start)
+	m := c.members[c.Rand.IntN(3)]
+	if m.Up() && !c.members[0].down() && !c.members[1].down() && !c.members[2].down() && (c.OneIn(4) || !m.server.leading) {
+		m.End()
+		c.After(c.Between(20*unitsPerMs, 600*unitsPerMs), m.start)
 	}
 	c.After(c.Between(300*unitsPerMs, 1500*unitsPerMs), c.injectCrash)
 }
 
 func (m *forwardingMember) down() bool { return !m.Up() }
 
-// testCall is a call that only one response is right for. Its token stands in the response to an invalid call, and in the log for
-// a valid one.
+// testCall is a call with exactly one correct response. Its token appears in the response if the call is invalid, and in the log if
+// it is valid.
 type testCall struct {
 	apiCall
 	kind  callKind
@@ -170,7 +171,7 @@
 	invalidHeartbeat callKind = "invalid heartbeat"
 )
 
-// call makes one call at one member and checks the response.
+// call makes a random call to a random member and checks the response.
 func (c *forwardingCluster) call() {
 	c.After(c.Between(10*unitsPerMs, 80*unitsPerMs), c.call)
 	m := c.members[c.Rand.IntN(3)]
@@ -199,7 +200,7 @@
 		call.kind, call.baseVersion = validUpdate, fmt.Sprint(generation)
 		call.body = fmt.Appendf(nil, `{"Generation":%d,"Routes":[],"Services":[]}`, c.lastToken)
 		digest := (&statemachine.State{}).Delta(&statemachine.ConfigUpdate{Body: call.body}, &config.Config{}).RequestDigest
-		call.token = string(digest[:]) // how the log identifies it
+		call.token = string(digest[:]) // identifies the update in the log
 	case 2:
 		call.kind, call.path = validHeartbeat, hostHeartbeat.path+call.token
 		call.body = fmt.Appendf(nil, `{"Service":"db","Address":"10.1.%d.%d:80","State":"serving","CallSeq":1}`, c.lastToken/200, c.lastToken%200)
@@ -225,12 +226,12 @@
 	}
 }
 
-// runAndCheck runs the cluster for 8 s and asserts that no call is in the log twice.
+// runAndCheck runs the cluster for 8 s and asserts that no call was logged twice.
 func (c *forwardingCluster) runAndCheck() {
 	c.RunFor(8000 * unitsPerMs)
-	for t, at := range c.logged {
-		if len(at) > 1 && t != "" {
-			c.Violate("TWICE: %s is in the log %d times", t, len(at))
+	for token, entries := range c.logged {
+		if len(entries) > 1 && token != "" {
+			c.Violate("TWICE: %s is in the log %d times", token, len(entries))
 		}
 	}
 }
@@ -263,7 +264,7 @@
 	t.Log(responses, discarded)
 }
 
-// With its safeguard taken out, the simulation detects wrong responses.
+// Without the safeguard of distinct incarnations, the simulation must detect responses that reach the wrong caller.
 func TestSimulationDetectsReusedIncarnations(t *testing.T) {
 	for seed := range 40 {
 		c := newForwardingCluster(uint64(seed))
--- a/internal/control/forwarding_test.go
+++ b/internal/control/forwarding_test.go
@@ -15,7 +15,7 @@
 	"ferrypitch/internal/simulation/scheduler"
 )
 
-// isolatedMember is one member by itself. What it sends is recorded.
+// isolatedMember is a single member without a network. The frames that it sends are recorded.
 type isolatedMember struct {
 	server   *Server
 	now      time.Time
@@ -51,12 +51,12 @@
 	}
 }
 
-// follow makes the member follow a leader.
+// follow makes the member accept a leader by delivering a heartbeat from it.
 func (m *isolatedMember) follow(leader consensus.ID, term uint64) {
 	m.server.HandleFrame(leader.Address(), &rpc.Frame{Consensus: &consensus.Message{Type: consensus.MsgHeartbeat, From: leader, To: m.server.id, Term: term, SentAtMs: 1}})
 }
 
-// A response counts once, for exactly one pending call, from exactly the member that the call was forwarded to.
+// A response is accepted once, for exactly one pending call, and only from the member that the call was forwarded to.
 func TestForwardResponseMatchesOnePendingCall(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(a *rpc.ForwardResponse, from *string)
@@ -96,7 +96,7 @@
 	}
 }
 
-// A forwarded call is processed once, if a member or seed sends it to this member in this term.
+// A forwarded call is processed once, and only if a member or seed sent it to this member in the current term.
 func TestForwardRequestIsProcessedOnceForPermittedSenders(t *testing.T) {
 	body := []byte(`{"Service":"db","Address":"10.1.0.1:80","State":"serving","CallSeq":1}`)
 	for name, test := range map[string]struct {
@@ -144,7 +144,7 @@
 	}
 }
 
-// A consensus message is discarded unless it comes from the address of its sender.
+// A consensus message whose source address is not that of its sender is discarded.
 func TestConsensusMessageFromAnotherAddressIsDiscarded(t *testing.T) {
 	for from, leader := range map[string]consensus.ID{"10.0.0.2": "10.0.0.2", "10.0.0.3": "", "10.9.9.9": ""} {
 		m := newIsolatedMember("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -154,7 +154,7 @@
 	}
 }
 
-// Pending calls are bounded in number and bytes, and so is what is remembered of requesters.
+// Pending calls are limited in number and bytes, and so is the number of requesters whose serials are tracked.
 func TestForwardedCallsAreBounded(t *testing.T) {
 	m := newIsolatedMember("10.0.0.1", "10.0.0.2", "10.0.0.3")
 	m.follow("10.0.0.2", 4)
@@ -179,13 +179,13 @@
 	m.server.HandleCall(http.MethodPost, "/Config.Replace", "0", append(large, 0), func(s int, _ []byte) { status = s })
 	require.Equal(t, http.StatusRequestEntityTooLarge, status)
 	for i := range 1000 {
-		require.True(t, m.server.forwarder.received.first(requester{"10.0.0.2", uint64(i)}, 1))
+		require.True(t, m.server.forwarder.received.record(requester{"10.0.0.2", uint64(i)}, 1))
 	}
 	require.Len(t, m.server.forwarder.received.windows, maxRequesters)
 	require.Len(t, m.server.forwarder.received.order, maxRequesters)
 }
 
-// The window against a set: each serial is accepted once in any order, and none that is older than the window.
+// Compares the window with a set of serials: each serial is accepted once, in any order, unless it is older than the window.
 func TestSerialWindowAcceptsEachSerialOnce(t *testing.T) {
 	for seed := range 200 {
 		w := scheduler.New(uint64(seed), 0, 1)
--- a/internal/control/host_api.go
+++ b/internal/control/host_api.go
@@ -16,18 +16,18 @@
 
 const (
 	maxHosts         = 4096
-	maxHostNameBytes = 128 // IDs, and names of services, zones and generations
+	maxHostNameBytes = 128 // for host IDs and the names of services, zones and generations
 	maxHostBodyBytes = 64 << 10
-	hostCallTimeout  = 950 * time.Millisecond // a host waits for a second
+	hostCallTimeout  = 950 * time.Millisecond // hosts give up after 1 s
 )
 
-// States of a host in its heartbeats.
+// Host states reported in heartbeats.
 const (
 	hostServing  = "serving"
 	hostDraining = "draining"
 )
 
-// rolePrimary is the database role of a primary in heartbeats.
+// rolePrimary is the database role that a primary reports in its heartbeats.
 const rolePrimary = "leader"
 
 // HeartbeatRequest is the JSON body of a host's heartbeat.
@@ -40,7 +40,7 @@
 	State      string // serving or draining
 	ColdLeftMs float64
 	DBRole     string `json:"DbRole"` // leader or follower
-	CallSeq    int64  // increases with each call of a host; older ones are ignored
+	CallSeq    int64  // increases with each call from a host; calls with a lower number are ignored
 }
 
 var hostHeartbeat = endpoint{
@@ -61,7 +61,7 @@
 	handle:       (*Server).handleLeave,
 }
 
-// handleHeartbeat notes that a host is alive, and proposes a change if it is new or reports something new of itself.
+// handleHeartbeat records that a host is alive, and proposes a change if the host is new or its reported data has changed.
 func (s *Server) handleHeartbeat(hostID string, call apiCall, respond Responder) {
 	var heartbeat HeartbeatRequest
 	if err := json.Unmarshal(call.body, &heartbeat); err != nil {
@@ -73,44 +73,44 @@
 		return
 	}
 	s.Heartbeats.Add(1)
-	result := func(err error) { s.respondHeartbeat(err, respond) }
+	done := func(err error) { s.respondHeartbeat(err, respond) }
 	previous, known := s.state.Hosts[hostID]
-	lastSeq, heard := s.lastCallSeq[hostID]
+	lastSeq, seen := s.lastCallSeq[hostID]
 	switch {
-	case known && heard && heartbeat.CallSeq < lastSeq:
-		result(nil) // it was overtaken
+	case known && seen && heartbeat.CallSeq < lastSeq:
+		done(nil) // reordered: a later heartbeat was already processed
 		return
 	case known && (previous.Address != heartbeat.Address || previous.Service != heartbeat.Service):
-		// A host keeps its address and service, and IDs are not reused.
+		// A host never changes its address or service, and host IDs are not reused.
 		reject(respond, errcode.InvalidBody, fmt.Errorf("host %s is known at %s, service %s", hostID, previous.Address, previous.Service))
 		return
 	}
 	accept := func() { s.acceptHeartbeat(hostID, &heartbeat, respond) }
 	if !known {
-		if occupant := s.state.HostAt(heartbeat.Address); occupant != "" {
-			s.checkAddress(occupant, addressCheck{accept: accept, respond: respond})
+		if knownHost := s.state.HostAt(heartbeat.Address); knownHost != "" {
+			s.checkAddress(knownHost, addressCheck{accept: accept, respond: respond})
 			return
 		}
 	}
 	accept()
 }
 
-// acceptHeartbeat takes in a heartbeat that is neither late nor contradicts what is known.
+// acceptHeartbeat processes a heartbeat that is neither stale nor in conflict with the state.
 func (s *Server) acceptHeartbeat(hostID string, heartbeat *HeartbeatRequest, respond Responder) {
 	s.lastCallSeq[hostID] = max(s.lastCallSeq[hostID], heartbeat.CallSeq)
 	s.coordinator.Heartbeat(hostID, heartbeat.DBRole == rolePrimary, s.clock.Now())
 	s.handleFailoverEvents()
-	result := func(err error) { s.respondHeartbeat(err, respond) }
+	done := func(err error) { s.respondHeartbeat(err, respond) }
 	previous, known := s.state.Hosts[hostID]
 	host := heartbeat.host(hostID, previous)
 	switch {
 	case known && host == previous:
-		result(nil)
+		done(nil)
 	case !known && len(s.state.Hosts) >= maxHosts:
 		reject(respond, errcode.TooManyPending, nil)
 	default:
 		s.log.Info("host changed", "id", hostID, "service", host.Service, "address", host.Address, "zone", host.Zone, "draining", host.Draining)
-		s.propose(statemachine.Change{AddHost: &host}, result)
+		s.propose(statemachine.Change{AddHost: &host}, done)
 	}
 }
 
@@ -131,12 +131,12 @@
 	return nil
 }
 
-// isHostName reports whether a name is non-empty, not too long, and can stand in a line of a host's protocol.
+// isHostName reports whether a name is non-empty, not too long, and can be part of a line of the host protocol.
 func isHostName(name string) bool {
 	return name != "" && len(name) <= maxHostNameBytes && !strings.ContainsAny(name, " \r\n")
 }
 
-// host is the host as the state keeps it. Draining is final.
+// host returns the host record for the replicated state. A host that has started draining remains draining.
 func (b *HeartbeatRequest) host(id string, previous statemachine.Host) statemachine.Host {
 	return statemachine.Host{
 		ID:         id,
@@ -150,40 +150,40 @@
 	}
 }
 
-// heartbeatResponse tells a host where its next heartbeat goes: to the leader directly.
+// heartbeatResponse names the address to which the host sends its next heartbeat, which is that of the leader.
 type heartbeatResponse struct {
 	BeatTarget string
 }
 
 func (s *Server) respondHeartbeat(err error, respond Responder) {
-	if err != nil && !errors.Is(err, statemachine.ErrNotFound) { // a removed host may send one more heartbeat
+	if err != nil && !errors.Is(err, statemachine.ErrNotFound) { // ErrNotFound: a removed host may send one more heartbeat
 		reject(respond, errorKind(err), err)
 		return
 	}
-	body, _ := json.Marshal(heartbeatResponse{s.apiAddress()}) // strings: it can't fail
+	body, _ := json.Marshal(heartbeatResponse{s.apiAddress()}) // strings only: cannot fail
 	respond(http.StatusOK, body)
 }
 
-// apiAddress is the address of this member's API. All members use the same port.
+// apiAddress returns the address of this member's API. All members use the same port.
 func (s *Server) apiAddress() string {
 	_, port, _ := net.SplitHostPort(s.settings.Listen.Control)
 	return net.JoinHostPort(s.settings.Ip, port)
 }
 
-// handleLeave removes a host that has drained, which ends now. One that never drained serves on for as long as drained ones
-// do before they leave: it stays listed, as draining, until its process has ended. A call for a host that is unknown or leaves
-// already is a repetition, and succeeds.
+// handleLeave removes a host that has drained and is about to exit. A host that leaves without draining first continues to serve
+// for as long as a draining host would, so it stays listed as draining until its process has ended. A call for a host that is
+// unknown or already leaving is a retry and succeeds.
 func (s *Server) handleLeave(hostID string, _ apiCall, respond Responder) {
 	host, known := s.state.Hosts[hostID]
-	result := func(err error) { respondResult(err, respond) }
+	done := func(err error) { respondResult(err, respond) }
 	switch {
 	case !known, s.state.IsLeaving(hostID):
 		respond(http.StatusOK, []byte("{}\n"))
 	case host.Draining:
 		s.log.Info("host removed", "id", hostID)
-		s.propose(statemachine.Change{RemoveHost: hostID}, result)
+		s.propose(statemachine.Change{RemoveHost: hostID}, done)
 	default:
 		s.log.Info("host leaves without draining first", "id", hostID)
-		s.propose(statemachine.Change{HostLeaving: hostID}, result)
+		s.propose(statemachine.Change{HostLeaving: hostID}, done)
 	}
 }
--- a/internal/control/host_client.go
+++ b/internal/control/host_client.go
@@ -18,27 +18,27 @@
 )
 
 const (
-	hostQueryTimeout    = 350 * time.Millisecond // for a command and its response, connecting included
-	hostConnIdleTimeout = 3 * time.Second        // an unused connection is closed after this
-	clientName          = "control"              // what this program calls itself to hosts
+	hostQueryTimeout    = 350 * time.Millisecond // for a command and its response, including connecting
+	hostConnIdleTimeout = 3 * time.Second        // after which an idle connection is closed
+	clientName          = "control"              // identifies this program to hosts in CONNECT
 )
 
-// hostClient sends commands to database hosts. It keeps one idle connection to each host for a short while.
+// hostClient sends commands to database hosts. It keeps at most one idle connection per host, for hostConnIdleTimeout.
 type hostClient struct {
-	dial   func(address string, timeout time.Duration) (net.Conn, error)
-	mayAct func(leaderTerm uint64) bool // whether what was decided in a term may still go out
+	dial       func(address string, timeout time.Duration) (net.Conn, error)
+	holdsLease func(leaderTerm uint64) bool // whether this member still holds the leader lease of a term
 
 	mu   sync.Mutex
 	idle map[string]*hostConn // by host ID
 }
 
-// newHostClient returns a client that connects from the address localIP until ctx ends. mayAct says whether a command that was
-// decided in a term of the control plane may be written now.
-func newHostClient(ctx context.Context, localIP string, mayAct func(leaderTerm uint64) bool) *hostClient {
+// newHostClient returns a client that connects from the address localIP until ctx ends. holdsLease reports whether this
+// member still holds the leader lease of a term, so that a command decided in that term may be written now.
+func newHostClient(ctx context.Context, localIP string, holdsLease func(leaderTerm uint64) bool) *hostClient {
 	dial := func(address string, timeout time.Duration) (net.Conn, error) {
 		return dialHost(ctx, localIP, address, timeout)
 	}
-	return &hostClient{dial: dial, mayAct: mayAct, idle: map[string]*hostConn{}}
+	return &hostClient{dial: dial, holdsLease: holdsLease, idle: map[string]*hostConn{}}
 }
 
 // query sends a command to a host and waits for the response until the deadline.
@@ -50,7 +50,7 @@
 		switch {
 		case errors.As(err, &refusal):
 			result.Code = refusal.Code
-			result.ConnectionRefused = refusal.Code == wire.CodeWrongNode // another host has its address: it is gone
+			result.ConnectionRefused = refusal.Code == wire.CodeWrongNode // another host uses its address, so the queried host is gone
 		default:
 			result.ConnectionRefused = errors.Is(err, syscall.ECONNREFUSED)
 			result.TimedOut = !result.ConnectionRefused
@@ -68,24 +68,24 @@
 	return result
 }
 
-// hostCommand is a command as a connection sends it.
+// hostCommand is a command to be sent on a connection to a host.
 type hostCommand struct {
 	text      string
 	operation retry.Operation
-	mayBeSent func() bool // looked at right before the command is written
+	mayBeSent func() bool // checked immediately before the command is written
 }
 
-// commandOf returns a query's command. One that changes its host may be sent only under the lease of the decision; any member may
-// ask for a status.
+// commandOf returns the command for a query. A command that changes the host may be sent only while the lease under which it was
+// decided is held; any member may send STAT.
 func (c *hostClient) commandOf(query failover.HostQuery) hostCommand {
 	return hostCommand{
 		text:      commandText(query),
 		operation: operations[query.Command],
-		mayBeSent: func() bool { return query.Command == failover.Stat || c.mayAct(query.LeaderTerm) },
+		mayBeSent: func() bool { return query.Command == failover.Stat || c.holdsLease(query.LeaderTerm) },
 	}
 }
 
-// commandText is a command as it is sent to a host.
+// commandText returns the text of a command in the host protocol.
 func commandText(query failover.HostQuery) string {
 	text := query.Command.Text()
 	if query.Command == failover.Pause || query.Command == failover.StepDown {
@@ -102,7 +102,7 @@
 	return conn
 }
 
-// keepIdle keeps a connection for the next command, and closes it unless that comes soon.
+// keepIdle keeps a connection for the next command, and closes it if it stays unused for hostConnIdleTimeout.
 func (c *hostClient) keepIdle(hostID string, conn *hostConn) {
 	conn.idleSince = time.Now()
 	c.mu.Lock()
@@ -126,18 +126,18 @@
 		return
 	}
 	if tcp, ok := conn.socket.(*net.TCPConn); ok {
-		tcp.SetLinger(-1) // no command is under way: end it by FIN instead of RST
+		tcp.SetLinger(-1) // no command is in flight: close with FIN instead of RST
 	}
 	conn.socket.Close()
 }
 
-// hostError is an error response of a host to CONNECT.
+// hostError is the error response of a host to CONNECT.
 type hostError struct{ Code wire.Code }
 
 // Error implements error.
 func (e *hostError) Error() string { return fmt.Sprintf("host rejects the connection: %s", e.Code) }
 
-// operations are the entries of commands in the retry table.
+// operations maps commands to their entries in the retry table.
 var operations = map[failover.Command]retry.Operation{
 	failover.Stat:     retry.Stat,
 	failover.Pause:    retry.Pause,
@@ -145,8 +145,9 @@
 	failover.StepDown: retry.StepDown,
 }
 
-// exchange sends a command on an idle connection, or on a new one if there is none, or if the idle one has ended and the retry
-// table allows the command to be sent again. It returns the connection for the next command; nil after an error.
+// exchange sends a command and reads its response. It uses the idle connection if there is one, and opens a new connection if
+// there is none, or if the idle one failed and the retry table allows the command to be sent again. It returns the connection for
+// reuse, or nil after an error.
 func (c *hostClient) exchange(idle *hostConn, host statemachine.Host, command hostCommand, deadline time.Time) (wire.Response, *hostConn, error) {
 	if idle != nil {
 		response, progress, err := idle.query(command, deadline)
@@ -155,12 +156,12 @@
 		}
 		idle.socket.Close()
 		var netErr net.Error
-		final := errors.Is(err, errLeaseOver) || errors.As(err, &netErr) && netErr.Timeout()
+		final := errors.Is(err, errLeaseExpired) || errors.As(err, &netErr) && netErr.Timeout()
 		if final || retry.Decide(command.operation, progress) != retry.RetryNow {
 			return wire.Response{}, nil, err
 		}
 	}
-	conn, err := c.connectOrRefusal(host, deadline)
+	conn, err := c.connectDetectingOverload(host, deadline)
 	if err != nil {
 		return wire.Response{}, nil, err
 	}
@@ -172,9 +173,10 @@
 	return response, conn, nil
 }
 
-// connectOrRefusal is connect, but tells a host that resets new connections, since it has as many as it takes, from one whose process
-// has just ended: the second connection to that one is refused. The reset may overtake the line that gives the reason.
-func (c *hostClient) connectOrRefusal(host statemachine.Host, deadline time.Time) (*hostConn, error) {
+// connectDetectingOverload calls connect and, if the connection is reset, calls it once more to tell two cases apart. A host at its
+// connection limit resets the second connection too, which is reported as OVERLOAD: the reset may arrive before the line that
+// states the reason. If the process of the host has just ended, the second connection is refused.
+func (c *hostClient) connectDetectingOverload(host statemachine.Host, deadline time.Time) (*hostConn, error) {
 	conn, err := c.connect(host, deadline)
 	if !errors.Is(err, syscall.ECONNRESET) {
 		return conn, err
@@ -186,7 +188,7 @@
 	return conn, err
 }
 
-// connect opens a connection to a host and names the host that it means, since addresses are reused.
+// connect opens a connection to a host. CONNECT includes the ID of the intended host because addresses are reused.
 func (c *hostClient) connect(host statemachine.Host, deadline time.Time) (*hostConn, error) {
 	socket, err := c.dial(host.Address, time.Until(deadline))
 	if err != nil {
@@ -209,8 +211,8 @@
 	return conn, nil
 }
 
-// dialHost opens a TCP connection whose unacknowledged bytes the kernel gives up within the time-out of a command, and drops
-// when the connection is closed or this process ends: a command must not reach its host after it was given up.
+// dialHost opens a TCP connection whose unacknowledged data the kernel discards after the timeout of a command, and also when the
+// connection is closed or this process ends: a command must not reach the host after it has timed out here.
 func dialHost(ctx context.Context, localIP, address string, timeout time.Duration) (net.Conn, error) {
 	socket, err := rpc.Dial(ctx, localIP, address, timeout)
 	if err != nil {
@@ -219,7 +221,7 @@
 	if tcp, ok := socket.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 		if raw, err := tcp.SyscallConn(); err == nil {
-			_ = rpc.UserTimeout(hostQueryTimeout)("", "", raw) // it fails only on a closed socket, as the next write does
+			_ = rpc.UserTimeout(hostQueryTimeout)("", "", raw) // fails only on a closed socket, where the next write fails too
 		}
 	}
 	return socket, nil
--- a/internal/control/host_client_test.go
+++ b/internal/control/host_client_test.go
@@ -18,15 +18,15 @@
 	"ferrypitch/internal/wire"
 )
 
-// scriptedSocket simulates a connection to a host: how much of a command can be written, and what is read then.
+// scriptedSocket simulates a connection to a host with a given limit on writes and given data to read.
 type scriptedSocket struct {
 	net.Conn
-	sentCommands  *[]string // on all connections
-	unexpected    bool      // what is readable was received before the command
-	writableBytes int       // bytes of the command that can be written; -1: all
+	sentCommands  *[]string // commands sent on all connections
+	unexpected    bool      // whether readable was received before the command
+	writableBytes int       // bytes of the command that can be written; -1 means all
 	readable      string
 	responds      string // becomes readable once the command is written
-	readError     error  // after readable
+	readError     error  // returned once readable is consumed
 	closed        bool
 }
 
@@ -59,19 +59,20 @@
 	statusResponse = "ROW follower 3 3.9 0 12 2 17\r\nDONE -\r\nIDLE I 3.7\r\n"
 )
 
-// always is the lease check of a member that leads throughout.
-func always(uint64) bool { return true }
+// alwaysHoldsLease is the lease check of a member that holds the lease at all times.
+func alwaysHoldsLease(uint64) bool { return true }
 
-// plainCommand is a command that may be sent at any time.
+// plainCommand returns a command that may be sent at any time.
 func plainCommand(command failover.Command, text string) hostCommand {
 	return hostCommand{text: text, operation: operations[command], mayBeSent: func() bool { return true }}
 }
 
-// A host that has as many connections as it takes is alive: it must not be taken for lost. One whose process has ended is.
+// A host that rejects connections because it is at its connection limit is alive and must not be considered lost. A host whose
+// process has ended is lost.
 func TestHostAtItsConnectionLimitHasAnswered(t *testing.T) {
 	const overloaded = "ERROR OVERLOAD connections\r\n"
 	for name, test := range map[string]struct {
-		dials []any // a scriptedSocket or an error, in turn
+		dials []any // result of each dial: a scriptedSocket or an error
 		want  failover.QueryResult
 	}{
 		"refused by a line":           {[]any{scriptedSocket{readable: overloaded, readError: io.EOF}}, failover.QueryResult{Code: wire.CodeOverload}},
@@ -80,7 +81,7 @@
 		"silent":                      {[]any{scriptedSocket{readError: os.ErrDeadlineExceeded}}, failover.QueryResult{TimedOut: true}},
 		"another host at its address": {[]any{scriptedSocket{readable: "ERROR WRONGNODE i-9\r\n", readError: io.EOF}}, failover.QueryResult{ConnectionRefused: true, Code: wire.CodeWrongNode}},
 	} {
-		client := &hostClient{mayAct: always, idle: map[string]*hostConn{}, dial: func(string, time.Duration) (net.Conn, error) {
+		client := &hostClient{holdsLease: alwaysHoldsLease, idle: map[string]*hostConn{}, dial: func(string, time.Duration) (net.Conn, error) {
 			next := test.dials[0]
 			test.dials = test.dials[1:]
 			if err, refused := next.(error); refused {
@@ -95,13 +96,13 @@
 	}
 }
 
-// An idle connection ends before, while or after a command is written, or stays silent. A command is sent again only if the
-// retry table allows it, and never after a timeout.
+// An idle connection is closed before, while or after a command is written, or the host does not respond. A command is sent again
+// only if the retry table allows it, and never after a timeout.
 func TestCommandOnIdleConnectionFollowsRetryTable(t *testing.T) {
 	for name, test := range map[string]struct {
 		kept scriptedSocket
-		stat int // how often the command is sent if it is STAT
-		rest int // if it is PAUSE, RESUME or STEPDOWN
+		stat int // number of times that STAT is sent
+		rest int // number of times that PAUSE, RESUME or STEPDOWN is sent
 	}{
 		"answered":              {scriptedSocket{writableBytes: -1, readable: statusResponse}, 1, 1},
 		"ended before writing":  {scriptedSocket{writableBytes: 0, readError: io.EOF}, 1, 1},
@@ -162,9 +163,9 @@
 	require.Empty(t, sent)
 }
 
-// An idle connection is checked before its use: whether it has ended, or something unexpected was received.
+// An idle connection that was closed or that has unsolicited data is detected before it is used.
 func TestStaleIdleConnectionIsDetected(t *testing.T) {
-	for name, do := range map[string]func(host net.Conn){
+	for name, act := range map[string]func(host net.Conn){
 		"ended":           func(host net.Conn) { host.Close() },
 		"reset":           func(host net.Conn) { host.(*net.TCPConn).SetLinger(0); host.Close() },
 		"unexpected data": func(host net.Conn) { host.Write([]byte(statusResponse)) },
@@ -179,12 +180,12 @@
 			host, err := l.Accept()
 			require.NoError(t, err)
 			defer host.Close()
-			require.False(t, hasEndedOrReadable(c), "it is idle")
-			do(host)
-			require.Eventually(t, func() bool { return hasEndedOrReadable(c) }, 5*time.Second, time.Millisecond)
-			_, m, err := (&hostConn{socket: c}).query(plainCommand(failover.Pause, "PAUSE 7"), time.Now().Add(time.Second))
+			require.False(t, closedOrReadable(c), "it is idle")
+			act(host)
+			require.Eventually(t, func() bool { return closedOrReadable(c) }, 5*time.Second, time.Millisecond)
+			_, progress, err := (&hostConn{socket: c}).query(plainCommand(failover.Pause, "PAUSE 7"), time.Now().Add(time.Second))
 			require.ErrorIs(t, err, errStaleConn)
-			require.Equal(t, retry.NotSent, m)
+			require.Equal(t, retry.NotSent, progress)
 		})
 	}
 }
--- a/internal/control/host_conn.go
+++ b/internal/control/host_conn.go
@@ -10,28 +10,28 @@
 	"ferrypitch/internal/wire"
 )
 
-// hostReadBytes is how much is read at once: a response is one short line.
+// hostReadBytes is the size of a read: a response is one short line.
 const hostReadBytes = 1024
 
-// errStaleConn is returned for an idle connection that has ended, or on which something came that no command asked for.
+// errStaleConn is returned for an idle connection that was closed or on which unsolicited data was received.
 var errStaleConn = errors.New("idle connection has ended or holds an unexpected response")
 
 // hostConn is a connection to a host. It carries one command at a time.
 type hostConn struct {
 	socket    net.Conn
-	unread    []byte // received and not parsed yet
+	unread    []byte // received but not parsed yet
 	idleSince time.Time
 }
 
-// query sends a command, if it may still be sent, and reads its response. progress says how far the command was written.
+// query sends a command, if it may still be sent, and reads its response. progress reports how much of the command was written.
 func (c *hostConn) query(command hostCommand, deadline time.Time) (response wire.Response, progress retry.Progress, err error) {
-	if len(c.unread) > 0 || hasEndedOrReadable(c.socket) {
+	if len(c.unread) > 0 || closedOrReadable(c.socket) {
 		return response, retry.NotSent, errStaleConn
 	}
 	c.socket.SetDeadline(deadline)
 	message := wire.AppendQuery(nil, "-", command.text)
 	if !command.mayBeSent() {
-		return response, retry.NotSent, errLeaseOver
+		return response, retry.NotSent, errLeaseExpired
 	}
 	written, err := c.socket.Write(message)
 	if err == nil {
@@ -42,7 +42,7 @@
 
 // readResponse reads lines until a response is complete.
 func (c *hostConn) readResponse() (response wire.Response, err error) {
-	scanned := 0 // bytes of unread that hold no end of line
+	scanned := 0 // leading bytes of unread that contain no line ending
 	for {
 		line, size, err := wire.CutLine(c.unread, scanned)
 		if err != nil {
@@ -51,7 +51,7 @@
 		if size == 0 {
 			scanned = len(c.unread)
 			if err := c.fill(); err != nil {
-				if response.Completed() && response.Code != "" { // a host rejects CONNECT by an error and a close
+				if response.Completed() && response.Code != "" { // a host rejects CONNECT with an error and closes the connection
 					return response, nil
 				}
 				return response, err
@@ -66,7 +66,7 @@
 	}
 }
 
-// fill reads some bytes.
+// fill appends the data of one read to unread.
 func (c *hostConn) fill() error {
 	var buffer [hostReadBytes]byte
 	n, err := c.socket.Read(buffer[:])
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// hasEndedOrReadable reports whether an idle connection has ended or something was received on it, without reading.
-func hasEndedOrReadable(conn net.Conn) bool {
+// closedOrReadable reports whether an idle connection was closed or has data to read, without consuming the data.
+func closedOrReadable(conn net.Conn) bool {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -17,15 +17,15 @@
 // Limits of the HTTP server.
 const (
 	httpHeaderTimeout  = 5 * time.Second
-	httpRequestTimeout = 15 * time.Second // reading the whole request, and again writing the response
+	httpRequestTimeout = 15 * time.Second // for reading the whole request, and again for writing the response
 	httpIdleTimeout    = 30 * time.Second
 	httpMaxHeaderBytes = 16 << 10
 )
 
-// retryAfterSeconds is the header Retry-After of calls that were refused for now.
+// retryAfterSeconds is the value of the Retry-After header for responses with status 429 or 503.
 const retryAfterSeconds = "1"
 
-// serveHTTP serves the API on a listener until the context ends.
+// serveHTTP serves the API on a listener until the context is canceled.
 func serveHTTP(ctx context.Context, listener net.Listener, handler http.Handler) error {
 	server := &http.Server{
 		Handler:           handler,
@@ -72,19 +72,19 @@
 	deadline := time.Now().Add(target.timeout)
 	queued := h.queue.TryPut(target.priority, func() {
 		if time.Now().After(deadline) {
-			h.server.CallsExpired.Add(1) // its caller waits no more
+			h.server.CallsExpired.Add(1) // the caller has already received a timeout
 			return
 		}
 		h.server.handleCall(call, true, func(status int, body []byte) {
 			select {
 			case response <- apiResponse{status, body}:
-			default: // the Server must not block, whatever comes twice
+			default: // a duplicate response must not block the Server
 			}
 		})
 	})
 	if !queued {
 		h.server.CallsRejected.Add(1)
-		writeError(w, errcode.NoLeader, "this member takes no call now")
+		writeError(w, errcode.NoLeader, "the request queue of this member is full")
 		return
 	}
 	timeout := time.NewTimer(target.timeout)
@@ -102,11 +102,11 @@
 	}
 }
 
-// readBody reads the body of a request. If it returns false it has responded with an error.
+// readBody reads the body of a request. If it returns false, it has already responded with an error.
 func readBody(w http.ResponseWriter, r *http.Request, maxBytes int64) (body []byte, ok bool) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
 	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded): // this process may have been suspended: the request may be valid
+	case errors.Is(err, os.ErrDeadlineExceeded): // this process may have been suspended, so the request may be valid
 		writeError(w, errcode.NoLeader, "the body did not arrive in time")
 	case err != nil:
 		writeError(w, errcode.InvalidBody, "the body is incomplete")
@@ -118,7 +118,7 @@
 	return nil, false
 }
 
-// writeError writes an error response. detail, if not empty, follows the text of the kind.
+// writeError writes an error response. detail, if not empty, is appended to the message of the kind.
 func writeError(w http.ResponseWriter, kind errcode.Kind, detail string) {
 	var text error
 	if detail != "" {
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -16,7 +16,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// A member may act from when it leads until its lease ends, also where its event loop stands still meanwhile.
+// MayAct returns true from the start of leadership until the lease ends, and no longer, even if the event loop is suspended.
 func TestMayActEndsWithTheLease(t *testing.T) {
 	c, leader, follower := newHealthyPartitionCluster(t)
 	term := leader.server.consensus.Term()
@@ -25,11 +25,11 @@
 	require.False(t, follower.server.MayAct(term))
 	leader.Suspend()
 	c.RunFor(700)
-	require.False(t, leader.server.MayAct(term), "its event loop stands still, and its lease is over")
+	require.False(t, leader.server.MayAct(term), "its event loop is suspended and its lease has expired")
 }
 
-// A lease that is lost between the decision and the write keeps each command that changes a host from being sent, on an idle
-// connection and on a new one. A status may be asked for by any member.
+// Commands that change a host are not sent, on an idle or a new connection, if the lease is lost between the decision and the write.
+// STAT may be sent by any member.
 func TestCommandsAreNotSentOnceTheLeaseIsOver(t *testing.T) {
 	for _, command := range []failover.Command{failover.Stat, failover.Pause, failover.Resume, failover.StepDown} {
 		var sent []string
@@ -40,9 +40,9 @@
 		idle.readable = ""
 		for _, kept := range []*hostConn{{socket: idle}, nil} {
 			client := &hostClient{
-				dial:   func(string, time.Duration) (net.Conn, error) { return answering(), nil },
-				mayAct: func(uint64) bool { return false },
-				idle:   map[string]*hostConn{},
+				dial:       func(string, time.Duration) (net.Conn, error) { return answering(), nil },
+				holdsLease: func(uint64) bool { return false },
+				idle:       map[string]*hostConn{},
 			}
 			if kept != nil {
 				client.idle["h1"] = kept
@@ -59,7 +59,8 @@
 	}
 }
 
-// A promotion is not sent once the lease is over, and may then be requested again. While the lease is held it is sent.
+// A promotion request is sent while the lease is held. Once the lease is lost, it is not sent and its outcome is "not executed", so
+// that it may be requested again.
 func TestPromotionIsNotSentOnceTheLeaseIsOver(t *testing.T) {
 	calls := 0
 	platform := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -68,7 +69,7 @@
 	}))
 	defer platform.Close()
 	for _, held := range []bool{false, true} {
-		client := &platformClient{localIP: "127.0.0.1", log: hclog.NewNullLogger(), mayAct: func(term uint64) bool { return held && term == 7 }}
+		client := &platformClient{localIP: "127.0.0.1", log: hclog.NewNullLogger(), holdsLease: func(term uint64) bool { return held && term == 7 }}
 		outcome := client.requestPromotion(context.Background(), platform.Listener.Addr().String(),
 			failover.Promotion{Service: "db", Host: "h1", LeaderTerm: 7})
 		if held {
--- a/internal/control/leader_loss_test.go
+++ b/internal/control/leader_loss_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// leaderLoss is how a leader is lost.
+// leaderLoss is the way in which a leader is lost.
 type leaderLoss string
 
 const (
@@ -21,35 +21,35 @@
 	cannotListen leaderLoss = "cannot receive"
 )
 
-// leaderLossRun is one cluster whose leader is lost. Times are in milliseconds.
+// leaderLossRun simulates one cluster whose leader is lost.
 type leaderLossRun struct {
 	*partitionCluster
-	lost       *partitionMember
-	confirmed  int64 // from the first attempt of an update to its confirmation; 0: never
-	newLeader  int64 // from the loss until another member leads
-	lostAt     int64
-	updateFrom int64
+	lostLeader        *partitionMember
+	confirmedAfterMs  int64 // time from the first attempt of the update to its confirmation; 0 if it was never confirmed
+	newLeaderAfterMs  int64 // time from the loss until another member leads
+	lostAtMs          int64
+	updateStartedAtMs int64
 }
 
-// runLeaderLoss loses the leader, and within the next half second makes an update at the others, which is retried with a
-// growing pause after a rejection, and after a second without a response. It returns nil if there was no leader to lose.
+// runLeaderLoss fails the leader and, within the next 500 ms, makes an update to the other members. The update is retried with a
+// growing backoff after a rejection or after 1 s without a response. It returns nil if there was no leader.
 func runLeaderLoss(seed uint64, loss leaderLoss) *leaderLossRun {
 	r := &leaderLossRun{partitionCluster: newPartitionCluster(seed, 3, 0, 0, noSafeguard)}
-	r.calm = true
+	r.faultsDisabled = true
 	r.RunFor(1500)
 	r.operatorsStopped = true
 	r.RunFor(1500 + r.Between(0, 400))
 	for _, m := range r.members {
 		if m.server.leading {
-			r.lost = m
+			r.lostLeader = m
 		}
 	}
-	if r.lost == nil {
+	if r.lostLeader == nil {
 		return nil
 	}
-	r.lostAt = r.Now
+	r.lostAtMs = r.Now
 	r.lose(loss)
-	r.watch()
+	r.pollForNewLeader()
 	r.After(r.Between(0, 500), r.update)
 	r.RunFor(8000)
 	return r
@@ -58,50 +58,50 @@
 func (r *leaderLossRun) lose(loss leaderLoss) {
 	switch loss {
 	case killed, poweredOff:
-		r.lost.crash(loss == poweredOff)
+		r.lostLeader.crash(loss == poweredOff)
 		return
 	case suspended:
-		r.lost.freeze(20000)
+		r.lostLeader.suspendFor(20000)
 		return
 	}
 	for _, other := range r.members {
-		if other == r.lost {
+		if other == r.lostLeader {
 			continue
 		}
 		if loss != cannotListen {
-			r.lost.blocked[other.ip] = dropFrames
+			r.lostLeader.blocked[other.ip] = dropFrames
 		}
 		if loss != cannotSend {
-			other.blocked[r.lost.ip] = dropFrames
+			other.blocked[r.lostLeader.ip] = dropFrames
 		}
 	}
 }
 
-// watch notes when another member leads.
-func (r *leaderLossRun) watch() {
+// pollForNewLeader records when another member starts to lead.
+func (r *leaderLossRun) pollForNewLeader() {
 	for _, m := range r.members {
-		if m != r.lost && m.server.leading {
-			r.newLeader = r.Now - r.lostAt
+		if m != r.lostLeader && m.server.leading {
+			r.newLeaderAfterMs = r.Now - r.lostAtMs
 			return
 		}
 	}
-	r.After(5, r.watch)
+	r.After(5, r.pollForNewLeader)
 }
 
 func (r *leaderLossRun) update() {
 	base := int64(0)
 	for _, m := range r.members {
-		if m != r.lost {
+		if m != r.lostLeader {
 			base = max(base, m.server.state.Generation)
 		}
 	}
-	r.updateFrom = r.Now
+	r.updateStartedAtMs = r.Now
 	r.attempt(base, fmt.Appendf(nil, `{"Generation":%d,"Routes":[{"Name":"x","Host":"h","PathPrefix":"/","Kind":"leader","DeadlineMs":500,"TargetMs":100,"Priority":1,"Service":"db","MaxTries":1}],"Services":[{"Name":"db","MaxConns":5}]}`, base+1000), 0)
 }
 
 func (r *leaderLossRun) attempt(base int64, body []byte, number int) {
 	m := r.members[r.Rand.IntN(3)]
-	for m == r.lost {
+	for m == r.lostLeader {
 		m = r.members[r.Rand.IntN(3)]
 	}
 	finished := false
@@ -120,36 +120,36 @@
 			return
 		}
 		finished = true
-		if r.confirmed == 0 {
-			r.confirmed = r.Now - r.updateFrom
+		if r.confirmedAfterMs == 0 {
+			r.confirmedAfterMs = r.Now - r.updateStartedAtMs
 		}
 	})
 	r.After(1000, retry)
 }
 
-// An update that is made when the leader is lost is confirmed soon by the majority.
+// An update made while the leader fails is confirmed by the majority within 1.2 s, or 2 s if the leader can still send.
 func TestUpdatesContinueAfterLeaderLoss(t *testing.T) {
 	t.Parallel()
 	for _, loss := range []leaderLoss{killed, poweredOff, suspended, partitioned, cannotSend, cannotListen} {
-		var confirmed, newLeader []int64
+		var confirmedAfterMs, newLeaderAfterMs []int64
 		for seed := range uint64(60) {
 			r := runLeaderLoss(seed, loss)
 			if r == nil {
 				continue
 			}
-			require.Positive(t, r.confirmed, "%s, seed %d: never confirmed", loss, seed)
-			confirmed, newLeader = append(confirmed, r.confirmed), append(newLeader, r.newLeader)
+			require.Positive(t, r.confirmedAfterMs, "%s, seed %d: never confirmed", loss, seed)
+			confirmedAfterMs, newLeaderAfterMs = append(confirmedAfterMs, r.confirmedAfterMs), append(newLeaderAfterMs, r.newLeaderAfterMs)
 		}
-		slices.Sort(confirmed)
-		slices.Sort(newLeader)
+		slices.Sort(confirmedAfterMs)
+		slices.Sort(newLeaderAfterMs)
 		bound := int64(1200)
-		if loss == cannotListen { // it must first find out that it has lost its lease
+		if loss == cannotListen { // the leader must first detect that it has lost its lease
 			bound = 2000
 		}
-		count := len(confirmed)
-		require.Less(t, confirmed[count-1], bound, loss)
-		require.Less(t, confirmed[count/2], bound*3/4, loss)
+		count := len(confirmedAfterMs)
+		require.Less(t, confirmedAfterMs[count-1], bound, loss)
+		require.Less(t, confirmedAfterMs[count/2], bound*3/4, loss)
 		t.Logf("%s: confirmed after %d ms, at most %d; another leads after %d, at most %d (%d losses)",
-			loss, confirmed[count/2], confirmed[count-1], newLeader[count/2], newLeader[count-1], count)
+			loss, confirmedAfterMs[count/2], confirmedAfterMs[count-1], newLeaderAfterMs[count/2], newLeaderAfterMs[count-1], count)
 	}
 }
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -9,15 +9,16 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// updateLeadership begins and ends acting as the leader. A member acts only under the leader lease of its consensus node (Raft
-// 6.4.1), and, once it does, until the node follows another leader: what it may do in between is checked by holdsLease.
+// updateLeadership starts and stops acting as the leader. A member starts when its consensus node holds the leader lease (Raft
+// dissertation, section 6.4.1) and stops when the node is no longer leader. In between the lease may lapse; holdsLease checks
+// whether an action is allowed.
 func (s *Server) updateLeadership() {
 	now := s.clock.Now()
 	defer s.publishLease()
 	holds := s.consensus.HoldsLease(now)
 	switch {
 	case holds && s.diverged && s.consensus.CanTransferLeadership():
-		s.carryOut(s.consensus.TransferLeadership(now))
+		s.processReady(s.consensus.TransferLeadership(now))
 	case holds && !s.leading && !s.diverged:
 		s.becomeLeader(now)
 	case s.leading && (s.diverged || !s.consensus.IsLeader()):
@@ -29,19 +30,20 @@
 	term := s.consensus.Term()
 	s.leading = true
 	s.TermsLed.Add(1)
-	s.ledTimeOffsetMs = s.state.LeaderTimeMs - now
+	s.leaderTimeOffsetMs = s.state.LeaderTimeMs - now
 	s.grantor = lease.NewGrantor(now)
-	s.digests.votes, s.digests.agreed = nil, statemachine.Digest{}
+	s.digests.votes, s.digests.majority = nil, statemachine.Digest{}
 	s.coordinator = failover.New(s.settings.Node, term, s.settings.BeatMs, now)
 	s.coordinator.RegistrationsDueUntil = now + max(0, failover.RegistrationGraceMs-s.state.LeaderTimeMs)
 	s.coordinator.OnEvent = func(event failover.Event) {
 		s.log.Info(event.Kind.String(), "service", event.Service, "host", event.Host)
 	}
-	s.beginLending(term, now)
+	s.startLender(term, now)
 	s.log.Info("became leader", "term", term, "members", s.consensus.Members())
 }
 
-// loseLeadership disconnects all proxies, which look for the new leader, and ends all pending proposals.
+// loseLeadership disconnects all proxies, so that they look for the new leader, and completes all pending proposals with
+// errOutcomeUnknown.
 func (s *Server) loseLeadership() {
 	s.leading = false
 	s.log.Info("lost leadership", "term", s.consensus.Term())
@@ -58,22 +60,22 @@
 	}
 }
 
-// tickFailover evaluates all services that are due, while this member holds the leader's lease.
+// tickFailover evaluates all services that are due, if this member holds the leader lease.
 func (s *Server) tickFailover() { s.runFailover((*failover.Coordinator).Tick) }
 
-// handleFailoverEvents evaluates the services of which something was heard, while this member holds the leader's lease.
+// handleFailoverEvents evaluates the services for which events were received, if this member holds the leader lease.
 func (s *Server) handleFailoverEvents() { s.runFailover((*failover.Coordinator).HandleEvents) }
 
-// failoverEvaluation is a method of the coordinator that evaluates services.
+// failoverEvaluation is the signature of the coordinator's methods that evaluate services.
 type failoverEvaluation func(c *failover.Coordinator, state *statemachine.State, allCaughtUp func(uint64) bool, nowMs int64) failover.Actions
 
-// runFailover evaluates services and carries out what fail-over asks for.
+// runFailover evaluates services and executes the resulting proposals, queries and promotions.
 func (s *Server) runFailover(evaluate failoverEvaluation) {
 	now := s.clock.Now()
 	if !s.holdsLease() {
 		return
 	}
-	var proxies []string // collected once, where they are needed
+	var proxies []string // loaded on first use
 	caughtUp := func(index uint64) bool {
 		if proxies == nil {
 			proxies = s.state.ProxyNames()
@@ -87,7 +89,7 @@
 	for _, query := range actions.Queries {
 		s.HostQueries.Add(1)
 		host, known := s.state.Hosts[query.Host]
-		if !known { // it was removed
+		if !known { // the host was removed
 			s.coordinator.QueryFinished(failover.QueryResult{Query: query, ConnectionRefused: true}, now)
 			continue
 		}
@@ -99,7 +101,7 @@
 	}
 }
 
-// QueryFinished processes the result of a query that the Environment was given.
+// QueryFinished processes the result of a query that was passed to Environment.QueryHost.
 func (s *Server) QueryFinished(result failover.QueryResult) {
 	if s.finishAddressCheck(result) {
 		return
@@ -111,7 +113,7 @@
 	s.handleFailoverEvents()
 }
 
-// PromotionFinished processes the outcome of a promotion that the Environment was given.
+// PromotionFinished processes the outcome of a promotion that was passed to Environment.Promote.
 func (s *Server) PromotionFinished(promotion failover.Promotion, outcome failover.PromotionOutcome) {
 	if !s.leading || !s.coordinator.PromotionFinished(promotion, outcome, s.clock.Now()) {
 		s.discard(resultUnsolicited)
--- a/internal/control/linearizability_test.go
+++ b/internal/control/linearizability_test.go
@@ -12,13 +12,13 @@
 )
 
 var (
-	seedCount = flag.Int("seeds", 200, "simulations to run")
-	firstSeed = flag.Int("first", 0, "the first seed")
-	onlySeed  = flag.Int("only", -1, "the only seed to run")
+	seedCount = flag.Int("seeds", 200, "number of simulations to run")
+	firstSeed = flag.Int("first", 0, "first seed")
+	onlySeed  = flag.Int("only", -1, "run only this seed")
 )
 
-// The histories of operators' calls are linearizable. Calls go to any member, are raced and repeated, and responses are lost,
-// while members crash, lose power or their disk, are suspended or partitioned, transfer leadership and take snapshots.
+// The histories of operators' calls are linearizable. Calls go to any member, run concurrently and are retried, and responses are
+// lost, while members crash, lose power or their disk, are suspended or partitioned, transfer leadership and take snapshots.
 func TestUpdatesAreLinearizable(t *testing.T) {
 	count := *seedCount
 	if testing.Short() {
@@ -58,7 +58,7 @@
 	}
 }
 
-// The model accepts what the operators' protocol allows and nothing else.
+// The model accepts exactly the histories that the operator API allows.
 func TestLinearizabilityModel(t *testing.T) {
 	one, other, same := &update{generation: 2, routes: []route{{"a", 1}}}, &update{generation: 2, routes: []route{{"b", 1}}}, &update{generation: 2, routes: []route{{"a", 1}}}
 	late, drop := &update{baseVersion: 2, generation: 2, routes: one.routes}, &update{baseVersion: 2, generation: 5, amendment: true, remove: "a"}
--- a/internal/control/member_frames.go
+++ b/internal/control/member_frames.go
@@ -7,8 +7,8 @@
 	"ferrypitch/internal/rpc"
 )
 
-// enqueueMemberFrame hands a frame of another member to the event loop. It never waits for room: consensus messages come on the
-// same connection as forwarded calls, and must not stand behind them.
+// enqueueMemberFrame queues a frame from another member for the event loop. It does not block when the queue for forwarded calls
+// is full, because consensus messages arrive on the same connection and must not be delayed by these calls.
 func (p *process) enqueueMemberFrame(from string, frame *rpc.Frame) {
 	if frame.ForwardRequest == nil {
 		p.queue.Put(eventloop.PriorityOutcomes, func() { p.server.HandleFrame(from, frame) })
@@ -21,7 +21,7 @@
 	deadline := time.Now().Add(timeout)
 	queued := p.queue.TryPut(priority, func() {
 		if time.Now().After(deadline) {
-			p.server.CallsExpired.Add(1) // the member that forwarded it has answered its caller by now
+			p.server.CallsExpired.Add(1) // the forwarding member has already answered its caller
 			return
 		}
 		p.server.HandleFrame(from, frame)
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -5,70 +5,70 @@
 	"ferrypitch/internal/metrics"
 )
 
-// metricsNamespace begins the names of all figures of a member.
+// metricsNamespace is the prefix of the names of all metrics of a member.
 const metricsNamespace = "ferrypitch_control"
 
-// counterFamilies say what the counters of the status are.
+// counterFamilies describes the metrics for the counters in the status.
 var counterFamilies = metrics.Counters{
 	Plain: metrics.ByStatusName(
-		metrics.Count("calls", "HTTP calls of hosts and operators to this member."),
+		metrics.Count("calls", "HTTP calls from hosts and operators to this member."),
 		metrics.Count("calls_rejected", "Calls answered with a status of 400 or above."),
 		metrics.Count("calls_forwarded", "Calls forwarded to the leader."),
-		metrics.Count("calls_expired", "Calls whose callers waited no more when their turn came."),
-		metrics.Count("heartbeats", "Valid heartbeats of hosts that were processed here."),
-		metrics.Count("late_heartbeats", "First heartbeats of hosts whose address another has by now."),
+		metrics.Count("calls_expired", "Calls dropped from the queue because their deadline had passed."),
+		metrics.Count("heartbeats", "Valid host heartbeats processed by this member."),
+		metrics.Count("late_heartbeats", "First heartbeats discarded because another live host uses the address."),
 		metrics.Count("proposals", "Changes proposed to the log."),
-		metrics.Count("proxy_snapshots", "Snapshots that began to be sent to proxies."),
-		metrics.Count("updates_deferred", "Updates of the log that a proxy did not take at once and got later with others."),
+		metrics.Count("proxy_snapshots", "Snapshot transfers to proxies that were started."),
+		metrics.Count("updates_deferred", "Log updates that a proxy's queue refused and that were sent later with others."),
 		metrics.Count("leases_granted", "Leases granted to proxies."),
-		metrics.Count("leases_rejected", "Leases rejected since this member was not the leader."),
-		metrics.Count("leases_postponed", "Leases postponed since the proxy had not applied the latest revocation of a primary."),
-		metrics.Count("quota_requests", "Requests of proxies for tokens of tenants that were answered."),
-		metrics.Count("quota_requests_ignored", "Requests for tokens without an answer, since this member did not hold the leader's lease."),
-		metrics.Count("quota_tokens_lent", "Tokens of tenants lent to proxies, in this leadership."),
-		metrics.Count("quota_tokens_expired", "Tokens that proxies neither reported as used nor gave back in time, in this leadership."),
+		metrics.Count("leases_rejected", "Lease requests rejected because this member did not hold the leader lease."),
+		metrics.Count("leases_postponed", "Lease requests postponed because the proxy had not applied the latest revocation of a primary."),
+		metrics.Count("quota_requests", "Proxies' requests for tenant tokens that were answered."),
+		metrics.Count("quota_requests_ignored", "Requests for tenant tokens left unanswered because this member did not hold the leader lease."),
+		metrics.Count("quota_tokens_lent", "Tenant tokens lent to proxies, in the current term as leader."),
+		metrics.Count("quota_tokens_expired", "Tokens that proxies neither reported as used nor returned in time, in the current term as leader."),
 		metrics.Count("host_queries", "Commands sent to hosts."),
-		metrics.Count("promotion_requests", "Calls of the platform for a promotion."),
+		metrics.Count("promotion_requests", "Promotion requests to the platform."),
 		metrics.Count("terms_led", "Times that this member became the leader."),
-		metrics.Count("frames_refused", "Frames of other processes that need a newer version of the protocol."),
-		metrics.CountAs("rpc_refusals_received", "refusals_received_total", "Frames of this member that others refused."),
+		metrics.Count("frames_refused", "Frames from other processes that require a newer protocol version."),
+		metrics.CountAs("rpc_refusals_received", "refusals_received_total", "Frames from this member that their receivers refused."),
 		metrics.Count("disk_errors", "Failed writes to the write-ahead log, each of which is retried."),
-		metrics.Count("disk_damages", "Checks of the write-ahead log that found damage on disk, which was mended."),
-		metrics.Count("disk_handovers", "Transfers of leadership that began since the disk had stalled."),
-		metrics.Count("state_divergences", "Changes that did not fit the state, and digests that differ from those of a majority."),
-		metrics.Count("snapshot_transfers", "Snapshots that began to be sent to members."),
-		metrics.Count("snapshots_installed", "Snapshots of the leader that were installed here."),
+		metrics.Count("disk_damages", "Checks of the write-ahead log that found and repaired damage on disk."),
+		metrics.Count("disk_handovers", "Leadership transfers started because the disk had stalled."),
+		metrics.Count("state_divergences", "Times that the state was found to differ from the log or from a majority."),
+		metrics.Count("snapshot_transfers", "Snapshot transfers to members that were started."),
+		metrics.Count("snapshots_installed", "Snapshots from the leader that were installed on this member."),
 		metrics.Count("snapshot_chunks_sent", "Chunks of snapshots sent to members."),
 		metrics.Count("snapshot_chunks_ignored", "Chunks and acknowledgements that were late, out of order or invalid."),
 		metrics.Count("rpc_frames_dropped", "Frames to other members that could not be sent."),
 		metrics.CountAs("rpc_bytes_sent", "rpc_sent_bytes_total", "Bytes sent to other processes of the system."),
 		metrics.CountAs("rpc_bytes_received", "rpc_received_bytes_total", "Bytes received from other processes of the system."),
-		metrics.Count("primaries_suspected", "Primaries that a proxy reported as unreachable, in this leadership."),
-		metrics.Count("suspicions_cleared", "Suspected primaries that answered a probe, in this leadership."),
-		metrics.Count("failovers", "Evaluations that found a primary lost, in this leadership."),
-		metrics.Count("switchovers", "Evaluations that nominated the successor of a draining primary, in this leadership."),
-		metrics.Count("hosts_promoted", "Promotions that the platform accepted, in this leadership."),
-		metrics.Count("failover_waits", "Evaluations of fail-overs in which no host could be chosen yet, in this leadership."),
-		metrics.Count("replicas_resumed", "Evaluations that found all replicas of a service receiving again, in this leadership."),
-		metrics.Count("replicas_missing", "Evaluations that marked a replica as missing, in this leadership."),
-		metrics.Count("failover_evaluations", "Evaluations of a service, in this leadership."),
-		metrics.PlainGauge("pending_writes", "Writes that wait for the disk."),
+		metrics.Count("primaries_suspected", "Primaries that a proxy reported as unreachable, in the current term as leader."),
+		metrics.Count("suspicions_cleared", "Suspected primaries that answered a probe, in the current term as leader."),
+		metrics.Count("failovers", "Evaluations that found a primary lost, in the current term as leader."),
+		metrics.Count("switchovers", "Evaluations that nominated the successor of a draining primary, in the current term as leader."),
+		metrics.Count("hosts_promoted", "Promotions that the platform accepted, in the current term as leader."),
+		metrics.Count("failover_waits", "Failover evaluations in which no host could be chosen yet, in the current term as leader."),
+		metrics.Count("replicas_resumed", "Evaluations that found all replicas of a service receiving again, in the current term as leader."),
+		metrics.Count("replicas_missing", "Evaluations that marked a replica as missing, in the current term as leader."),
+		metrics.Count("failover_evaluations", "Evaluations of a service, in the current term as leader."),
+		metrics.PlainGauge("pending_writes", "Writes waiting for the disk."),
 	),
 	Labelled: map[string]metrics.Family{
-		"discarded_": {Name: "discarded_messages_total", Help: "Messages of other processes that were ignored or rejected, by reason.", Kind: metrics.Counter, Label: "reason"},
+		"discarded_": {Name: "discarded_messages_total", Help: "Messages from other processes that were ignored or rejected, by reason.", Kind: metrics.Counter, Label: "reason"},
 	},
 }
 
-// Families that are not counters of the status.
+// Families for metrics other than the counters in the status.
 var (
 	holdsLeaseFamily = metrics.Family{
-		Name: "holds_lease", Help: "1 if this member leads and no other can.", Kind: metrics.Gauge,
+		Name: "holds_lease", Help: "1 if this member holds the leader lease, so that no other member can lead.", Kind: metrics.Gauge,
 	}
 	termFamily = metrics.Family{
-		Name: "term", Help: "Term of the consensus.", Kind: metrics.Gauge,
+		Name: "term", Help: "Current consensus term.", Kind: metrics.Gauge,
 	}
 	commitIndexFamily = metrics.Family{
-		Name: "commit_index", Help: "Index of the newest entry of the log that is known to be committed.", Kind: metrics.Gauge,
+		Name: "commit_index", Help: "Index of the newest log entry known to be committed.", Kind: metrics.Gauge,
 	}
 	membersFamily = metrics.Family{
 		Name: "voting_members", Help: "Voting members of the control plane.", Kind: metrics.Gauge,
@@ -77,32 +77,32 @@
 		Name: "config_version", Help: "Version of the configuration; 0 if there is none.", Kind: metrics.Gauge,
 	}
 	hostsFamily = metrics.Family{
-		Name: "hosts", Help: "Database hosts that are known.", Kind: metrics.Gauge,
+		Name: "hosts", Help: "Known database hosts.", Kind: metrics.Gauge,
 	}
 	proxiesFamily = metrics.Family{
-		Name: "proxies", Help: "Proxies that hold leases of this member.", Kind: metrics.Gauge,
+		Name: "proxies", Help: "Proxies that hold leases from this member.", Kind: metrics.Gauge,
 	}
-	revokedFamily = metrics.Family{
+	primaryRevokedFamily = metrics.Family{
 		Name: "primary_revoked", Help: "1 while a service has no primary, by service.", Kind: metrics.Gauge, Label: "service",
 	}
 	commitDurationFamily = metrics.Family{
-		Name: "commit_duration_seconds", Help: "Time from proposing a change to applying it at the leader.", Kind: metrics.Durations,
+		Name: "commit_duration_seconds", Help: "Time from proposing a change to applying it on the leader.", Kind: metrics.Durations,
 	}
 	persistDurationFamily = metrics.Family{
-		Name: "persist_duration_seconds", Help: "Time that writes to the write-ahead log take until they are synced.", Kind: metrics.Durations,
+		Name: "persist_duration_seconds", Help: "Time until writes to the write-ahead log are synced.", Kind: metrics.Durations,
 	}
 )
 
-// metricsSource reads the figures in the event loop.
+// metricsSource collects the samples in the event loop. ok is false if the loop has ended.
 func (p *process) metricsSource() (samples []metrics.Sample, ok bool) {
 	return eventloop.Call(p.queue, eventloop.PriorityOutcomes, p.server.metricSamples)
 }
 
-// metricSamples are the figures at this moment.
+// metricSamples returns the current samples of all metrics.
 func (s *Server) metricSamples() []metrics.Sample {
 	status := s.status()
 	samples := append(counterFamilies.Samples(status.Counters),
-		metrics.Sample{Family: holdsLeaseFamily, Value: oneIf(status.Consensus.HoldsLease)},
+		metrics.Sample{Family: holdsLeaseFamily, Value: boolValue(status.Consensus.HoldsLease)},
 		metrics.Sample{Family: termFamily, Value: float64(status.Consensus.Term)},
 		metrics.Sample{Family: commitIndexFamily, Value: float64(status.Consensus.CommitIndex)},
 		metrics.Sample{Family: membersFamily, Value: float64(len(status.Consensus.Members))},
@@ -113,12 +113,12 @@
 		metrics.Sample{Family: persistDurationFamily, Histogram: &s.PersistDurations},
 	)
 	for service, primary := range status.Primaries {
-		samples = append(samples, metrics.Sample{Family: revokedFamily, LabelValue: service, Value: oneIf(primary.Revoked)})
+		samples = append(samples, metrics.Sample{Family: primaryRevokedFamily, LabelValue: service, Value: boolValue(primary.Revoked)})
 	}
 	return samples
 }
 
-func oneIf(condition bool) float64 {
+func boolValue(condition bool) float64 {
 	if condition {
 		return 1
 	}
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -12,7 +12,7 @@
 	"ferrypitch/internal/metrics"
 )
 
-// Every counter of the status is shown, by the conventions of the format, and documented.
+// Every counter in the status is exported as a metric, follows the naming conventions of the format, and is documented.
 func TestMetricsOfALeader(t *testing.T) {
 	_, leader, _ := newHealthyPartitionCluster(t)
 	server := leader.server
--- a/internal/control/operator_api.go
+++ b/internal/control/operator_api.go
@@ -16,7 +16,7 @@
 	maxConfigBytes        = 4 << 20
 	configWriteTimeout    = 4 * time.Second
 	configReadTimeout     = time.Second
-	maxPendingUpdateBytes = 8 * maxConfigBytes // bounds the memory of configurations that are not committed yet
+	maxPendingUpdateBytes = 8 * maxConfigBytes // limits the memory for configurations that are not committed yet
 )
 
 var configReplace = endpoint{
@@ -61,11 +61,11 @@
 	respond(http.StatusOK, s.state.ConfigBody)
 }
 
-// pendingUpdates are the configuration updates that this member has proposed, with all calls that wait for each of them: an
-// update that a caller repeats while it is pending is proposed once.
+// pendingUpdates holds the configuration updates that this member has proposed and, for each, the calls that wait for its result:
+// an update that a caller retries while it is pending is proposed only once.
 type pendingUpdates struct {
 	waiting map[statemachine.RequestID][]proposalResult
-	bytes   int // of their bodies
+	bytes   int // total size of the request bodies
 }
 
 func (p *pendingUpdates) add(id statemachine.RequestID, bytes int, result proposalResult) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// updateConfig proposes a configuration. It is checked here, so that invalid ones do not get into the log, and again when it
-// is applied, since another update may be committed before it.
+// updateConfig proposes a configuration update. The update is validated here, so that invalid ones do not enter the log, and again
+// when it is applied, because another update may be committed first.
 func (s *Server) updateConfig(call apiCall, isAmendment bool, respond Responder) {
 	base, err := parseBaseVersion(call.baseVersion)
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 	config, err := s.state.CheckConfig(update)
 	switch {
-	case err != nil || config == nil: // invalid, or applied before
+	case err != nil || config == nil: // invalid or already applied
 		result(err)
 		return
 	case s.pendingUpdates.bytes+len(call.body) > maxPendingUpdateBytes:
@@ -121,7 +121,7 @@
 	})
 }
 
-// parseBaseVersion parses the header X-Base-Version: the version that an update builds on, 0 if it is missing.
+// parseBaseVersion parses the X-Base-Version header, the version that an update is based on. A missing header means 0.
 func parseBaseVersion(header string) (int64, error) {
 	if header == "" {
 		return 0, nil
--- a/internal/control/operator_api_test.go
+++ b/internal/control/operator_api_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newHealthyCluster returns a cluster without faults, and the server of its leader.
+// newHealthyCluster returns a cluster without faults and its leader.
 func newHealthyCluster(t *testing.T) (*cluster, *Server) {
 	c := newCluster(1, 3)
 	c.runGuarded(3 * unitsPerSecond)
@@ -20,7 +20,7 @@
 	return c, leader.server
 }
 
-// callRepeatedly makes one call many times at once. The returned map counts responses by status, also those that come later.
+// callRepeatedly makes the same call several times concurrently. statuses counts the responses by status, including later ones.
 func callRepeatedly(server *Server, path, base string, body []byte, times int) (statuses map[int]int, lastBody *string) {
 	statuses, lastBody = map[int]int{}, new(string)
 	for range times {
@@ -79,7 +79,8 @@
 	require.EqualValues(t, 1, server.state.Generation)
 }
 
-// One of several updates of the same version wins. The winner, repeated by many callers, is one entry and succeeds for each.
+// Exactly one of several updates based on the same version succeeds. If many callers make it, it is one log entry and each caller
+// gets success.
 func TestOneOfConcurrentUpdatesWins(t *testing.T) {
 	c, server := newHealthyCluster(t)
 	one, other := configBody(5, route{"a", 1}), configBody(5, route{"a", 2})
@@ -115,12 +116,12 @@
 	for _, m := range c.members {
 		require.Len(t, m.server.state.Config().Routes, 2000)
 	}
-	largest := func(gen int64) []byte { // of the longest body
+	largest := func(gen int64) []byte { // a body of the maximum length
 		b := configBody(gen)
 		return append(b, bytes.Repeat([]byte(" "), 4<<20-len(b))...)
 	}
 	var statuses [9]map[int]int
-	for i := range statuses { // the bytes of pending updates are bounded
+	for i := range statuses { // the total size of pending updates is limited
 		statuses[i], _ = callRepeatedly(server, "/Config.Replace", "1", largest(int64(10+i)), 2)
 	}
 	require.Equal(t, map[int]int{429: 2}, statuses[8])
@@ -138,7 +139,7 @@
 	require.Equal(t, http.StatusRequestEntityTooLarge, a.Code)
 }
 
-// When leadership is lost, the outcome of pending updates is unknown: they may be committed after all.
+// When leadership is lost, the outcome of pending updates is reported as unknown, because they may still be committed.
 func TestPendingUpdateIsUnknownAfterLostLeadership(t *testing.T) {
 	c, server := newHealthyCluster(t)
 	leader := c.leader()
@@ -158,8 +159,8 @@
 	require.Equal(t, map[int]int{200: 1}, statuses)
 }
 
-// Led time is nearly all the time while there is a leader, and stands still while there is none. All clocks run alike here: led time
-// is that of the leader's.
+// Leader time advances with real time while there is a leader, and stops while there is none. All clocks run at the same rate here
+// because leader time follows the leader's clock.
 func TestLedTimeNeverExceedsElapsedTime(t *testing.T) {
 	c, _ := newHealthyCluster(t)
 	for _, m := range c.members {
@@ -169,27 +170,28 @@
 	}
 	c.runGuarded(2 * unitsPerSecond)
 	generation := int64(0)
-	ledTimeMs := func() int64 {
+	leaderTimeMs := func() int64 {
 		statuses, _ := callRepeatedly(c.leader().server, "/Config.Replace", fmt.Sprint(generation), configBody(generation+1), 1)
 		c.runGuarded(unitsPerSecond)
 		require.Equal(t, map[int]int{200: 1}, statuses)
 		generation++
 		return c.leader().server.state.LeaderTimeMs
 	}
-	before := ledTimeMs()
+	before := leaderTimeMs()
 	c.runGuarded(60 * unitsPerSecond)
-	after := ledTimeMs()
+	after := leaderTimeMs()
 	require.InDelta(t, before+61_000, after, 100)
 	for _, m := range c.members { // no leader for a minute
 		m.crash(true)
 		c.After(60*unitsPerSecond, m.start)
 	}
 	c.runGuarded(70 * unitsPerSecond)
-	require.InDelta(t, after, ledTimeMs(), 10_000, "a minute without a leader is counted")
+	require.InDelta(t, after, leaderTimeMs(), 10_000, "a minute without a leader is counted")
 	require.LessOrEqual(t, c.leader().server.state.LeaderTimeMs, (c.Now-c.StartTime)/unitsPerMs)
 }
 
-// An entry of another term may take the index of a proposal before the proposing member learns that it has lost leadership.
+// An entry of another term at the index of a proposal must not complete it. Such an entry may be applied before the proposing member
+// learns that it has lost leadership.
 func TestEntryOfAnotherTermDoesNotCompleteProposal(t *testing.T) {
 	for seed := range uint64(150) {
 		c := newCluster(seed, 3)
--- a/internal/control/partition_cluster_test.go
+++ b/internal/control/partition_cluster_test.go
@@ -19,54 +19,54 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// safeguard is one of the mechanisms that a test takes out, to see that the simulation detects it.
+// safeguard is a mechanism that a test removes to verify that the simulation detects its absence.
 type safeguard string
 
 const (
 	noSafeguard        safeguard = ""
 	leaderLeaseCheck   safeguard = "leader lease check" // before an API call is processed
 	clockDriftBound    safeguard = "clock drift bound"
-	heartbeatSendTimes safeguard = "heartbeat send times" // the leader's lease counts from when its heartbeats were sent
-	leaderStickiness   safeguard = "leader stickiness"    // no votes while a leader is heard of
+	heartbeatSendTimes safeguard = "heartbeat send times" // the leader lease starts when the heartbeats were sent
+	leaderStickiness   safeguard = "leader stickiness"    // members grant no votes while they receive heartbeats from a leader
 )
 
-// blockMode is what becomes of frames on a partitioned connection.
+// blockMode is the effect of a partition on frames.
 type blockMode string
 
 const (
 	dropFrames  blockMode = "frames dropped"
-	delayFrames blockMode = "frames delayed" // most come once the partition ends
+	delayFrames blockMode = "frames delayed" // most frames arrive when the partition ends
 )
 
-// partitionCluster simulates members whose clocks drift apart on a network with partitions, one way or both, that drop or
-// delay frames for many seconds; operators that update the configuration, repeat calls without a response, and read; and
-// proxies that renew leases. Faults have no budget: whatever happens, at most one member may hold the leader's lease, each
-// response must be correct, and no proxy may hold a lease longer than the leader accounts for. One unit of time is 1 ms.
+// partitionCluster simulates members whose clocks drift apart, on a network with partitions in one or both directions that drop or
+// delay frames for many seconds; operators that update the configuration, retry calls without a response, and read; and proxies
+// that renew leases. The number of faults is not limited. At all times, at most one member may hold the leader lease, each
+// response must be correct, and no proxy may hold a lease longer than the leader assumes. One unit of time is 1 ms.
 type partitionCluster struct {
 	*scheduler.Scheduler
-	members          []*partitionMember
-	proxies          []*partitionProxy
-	operators        []*partitionOperator
-	drift            float64
-	removedSafeguard safeguard
-	calm             bool
-	operatorsStopped bool
-	delayed          []func() // deliveries that wait for the end of a partition
-
-	applied          []appliedVersion // all versions in their order; the first stands for none
-	confirmed        int              // updates
-	conflicts        int              // responses with status 412
+	members           []*partitionMember
+	proxies           []*partitionProxy
+	operators         []*partitionOperator
+	drift             float64
+	removedSafeguard  safeguard
+	faultsDisabled    bool
+	operatorsStopped  bool
+	delayedDeliveries []func() // deliveries that wait for the end of a partition
+
+	applied          []appliedVersion // all versions in order of application; the first represents the empty configuration
+	confirmed        int              // number of confirmed updates
+	conflicts        int              // number of responses with status 412
 	reads            int
-	delayedResponses int // of members that were suspended between processing a call and responding
+	delayedResponses int // responses of members that were suspended between processing a call and responding
 	leases           int
 }
 
-// appliedVersion is a version of the configuration that some member has applied.
+// appliedVersion is a version of the configuration that at least one member has applied.
 type appliedVersion struct {
 	generation     int64
 	digest         [16]byte
-	appliedAt      int64 // when it was first seen at a member
-	acknowledgedAt int64 // when a caller first got it in a response; 0: not yet
+	appliedAt      int64 // time at which it was first seen on a member
+	acknowledgedAt int64 // time of the first response that confirmed or returned it; 0 if there was none
 }
 
 type partitionMember struct {
@@ -79,8 +79,8 @@
 	startedAt    int64
 	identity     storage.Identity
 	disk         memberdisk.Disk
-	checkedIndex uint64               // up to which checkApplied has looked
-	blocked      map[string]blockMode // by the address of the receiver
+	checkedIndex uint64               // index of the state that checkApplied checked last
+	blocked      map[string]blockMode // by receiver address
 	links        map[*partitionLink]bool
 }
 
@@ -134,7 +134,7 @@
 	m.tick(incarnation)
 }
 
-// time is the member's monotonic clock.
+// time returns the time on the member's monotonic clock.
 func (m *partitionMember) time() time.Time {
 	return time.Unix(1e9, 0).Add(time.Duration(float64(m.cluster.Now-m.startedAt) * m.clockRate * 1e6))
 }
@@ -150,7 +150,7 @@
 	c := m.cluster
 	after := int64(50 / m.clockRate)
 	if c.OneIn(40) {
-		after += c.Between(0, 150) // timers are late
+		after += c.Between(0, 150) // late timer
 	}
 	c.After(after, func() {
 		m.run(incarnation, func() {
@@ -170,34 +170,34 @@
 
 func (c *partitionCluster) deliver(from, to *partitionMember, frame *rpc.Frame) {
 	latency := c.Between(1, 4)
-	if !c.calm && c.OneIn(60) {
+	if !c.faultsDisabled && c.OneIn(60) {
 		latency = c.Between(5, 900)
 	}
-	if !c.calm && c.OneIn(150) {
-		latency = c.Between(900, 20000) // long after what it responds to
+	if !c.faultsDisabled && c.OneIn(150) {
+		latency = c.Between(900, 20000) // later than the timeout of the call that it responds to
 	}
 	arrive := func() {
-		received := c.tamper(frame)
+		received := c.removeSafeguard(frame)
 		to.run(to.Incarnation(), func() { to.server.HandleFrame(from.ip, received) })
 	}
 	mode, blocked := from.blocked[to.ip]
 	switch {
 	case mode == delayFrames && !c.OneIn(3):
-		c.delayed = append(c.delayed, arrive)
+		c.delayedDeliveries = append(c.delayedDeliveries, arrive)
 	case blocked:
 	default:
 		c.After(latency, arrive)
 	}
 }
 
-// tamper takes out a safeguard of the consensus messages.
-func (c *partitionCluster) tamper(frame *rpc.Frame) *rpc.Frame {
+// removeSafeguard modifies consensus messages to disable a safeguard.
+func (c *partitionCluster) removeSafeguard(frame *rpc.Frame) *rpc.Frame {
 	if frame.Consensus == nil {
 		return frame
 	}
 	message := *frame.Consensus
 	switch {
-	case c.removedSafeguard == heartbeatSendTimes && message.Type == consensus.MsgHeartbeatResponse: // counted from the response
+	case c.removedSafeguard == heartbeatSendTimes && message.Type == consensus.MsgHeartbeatResponse: // the lease starts at the response
 		message.SentAtMs = 1 << 60
 	case c.removedSafeguard == leaderStickiness && message.Type == consensus.MsgVoteRequest:
 		message.LeadershipTransfer = true
@@ -212,7 +212,7 @@
 	m.disk.Write(writes)
 	sequence := writes[len(writes)-1].Seq
 	duration := c.Between(0, 5)
-	if !c.calm && c.OneIn(80) {
+	if !c.faultsDisabled && c.OneIn(80) {
 		duration = c.Between(50, 600)
 	}
 	c.After(duration, func() {
@@ -231,7 +231,7 @@
 	}
 }
 
-func (m *partitionMember) freeze(span int64) {
+func (m *partitionMember) suspendFor(span int64) {
 	c, incarnation := m.cluster, m.Incarnation()
 	if m.Suspended() || !m.Up() {
 		return
@@ -240,19 +240,19 @@
 	c.After(span, func() { m.Resume(incarnation) })
 }
 
-// call makes an API call at a member. The response may be delayed by a suspension of the process after it was decided.
+// call makes an API call to a member. The member may be suspended after processing the call, which delays the response.
 func (m *partitionMember) call(method, path, base string, body []byte, respond Responder) {
 	c, incarnation := m.cluster, m.Incarnation()
 	delayedRespond := func(status int, response []byte) {
-		if !c.calm && c.OneIn(60) {
+		if !c.faultsDisabled && c.OneIn(60) {
 			c.delayedResponses++
-			m.freeze(c.Between(20, 3000))
+			m.suspendFor(c.Between(20, 3000))
 		}
 		m.run(incarnation, func() { c.After(c.Between(1, 4), func() { respond(status, response) }) })
 	}
 	c.After(c.Between(1, 4), func() {
 		m.run(incarnation, func() {
-			if c.removedSafeguard == leaderLeaseCheck && m.server.leading { // whoever was the last leader processes it
+			if c.removedSafeguard == leaderLeaseCheck && m.server.leading { // a former leader processes the call too
 				target, id, _ := findEndpoint(method, path)
 				target.handle(m.server, id, apiCall{method, path, base, body}, delayedRespond)
 				return
@@ -265,7 +265,7 @@
 func (c *partitionCluster) run(span int64, wild bool) {
 	c.After(1500, func() { c.injectFault(wild) })
 	c.RunFor(span)
-	c.calm = true
+	c.faultsDisabled = true
 	for _, m := range c.members {
 		clear(m.blocked)
 	}
@@ -278,7 +278,7 @@
 	c.checkNothingLost()
 }
 
-// checkNothingLost asserts that the leader knows the latest acknowledged versions.
+// checkNothingLost asserts that the state of the leader includes the latest acknowledged versions.
 func (c *partitionCluster) checkNothingLost() {
 	for i, version := range c.applied {
 		if version.acknowledgedAt == 0 || i == 0 || i <= len(c.applied)-100 {
@@ -296,8 +296,8 @@
 	return strings.Join(c.Violations, "\n") + "\nafter\n" + strings.Join(c.FaultLog, "\n")
 }
 
-// checkInvariants is called after each step: all members have applied the same sequence of versions, at most one member holds
-// the leader's lease, and no proxy under a lease is behind what the leader assumes that all proxies have applied.
+// checkInvariants asserts after each step that all members have applied the same sequence of versions, at most one member holds the
+// leader lease, and each proxy with a lease has applied the index that the leader assumes all proxies have applied.
 func (c *partitionCluster) checkInvariants() {
 	var holder *partitionMember
 	for _, m := range c.members {
@@ -305,7 +305,7 @@
 			continue
 		}
 		c.checkApplied(m)
-		if m.server.consensus.HoldsLease(m.server.clock.Now()) { // a suspended one counts: it may resume at any moment
+		if m.server.consensus.HoldsLease(m.server.clock.Now()) { // including a suspended member, which may resume at any time
 			if holder != nil {
 				c.Violate("%s and %s both hold the leader lease", holder.ip, m.ip)
 			}
@@ -333,9 +333,9 @@
 	if len(updates) == 0 {
 		return
 	}
-	first := max(1, c.indexOf(updates[0].Digest)) // older ones are no longer remembered
+	first := max(1, c.indexOf(updates[0].Digest)) // the state does not retain older updates
 	for i, update := range updates {
-		generation := m.server.state.Generation // the base of the next one
+		generation := m.server.state.Generation // equals the base version of the next update
 		if i+1 < len(updates) {
 			generation = updates[i+1].BaseVersion
 		}
@@ -348,15 +348,15 @@
 	}
 }
 
-// indexOf returns the position in applied of the version with a digest, or -1.
+// indexOf returns the position in applied of the version with the given digest, or -1.
 func (c *partitionCluster) indexOf(digest [16]byte) int {
 	return slices.IndexFunc(c.applied, func(version appliedVersion) bool { return version.digest == digest })
 }
 
-// newestAcknowledged returns the position in applied of the newest version that a caller got in a response by a moment.
-func (c *partitionCluster) newestAcknowledged(by int64) int {
+// newestAcknowledged returns the position in applied of the newest version that was acknowledged no later than a given time.
+func (c *partitionCluster) newestAcknowledged(latest int64) int {
 	for i := len(c.applied) - 1; i > 0; i-- {
-		if at := c.applied[i].acknowledgedAt; at > 0 && at <= by {
+		if at := c.applied[i].acknowledgedAt; at > 0 && at <= latest {
 			return i
 		}
 	}
--- a/internal/control/partition_faults_test.go
+++ b/internal/control/partition_faults_test.go
@@ -1,9 +1,9 @@
 package control
 
-// injectFault injects one fault after another. Unless wild, a majority of the members stays up and connected.
-func (c *partitionCluster) injectFault(wild bool) {
-	c.After(c.Between(150, 1500), func() { c.injectFault(wild) })
-	if c.calm || !wild && c.faultyMembers() >= len(c.members)/2 {
+// injectFault injects faults at random intervals. Unless unlimited is true, a majority of the members stays up and connected.
+func (c *partitionCluster) injectFault(unlimited bool) {
+	c.After(c.Between(150, 1500), func() { c.injectFault(unlimited) })
+	if c.faultsDisabled || !unlimited && c.faultyMembers() >= len(c.members)/2 {
 		return
 	}
 	m := c.members[c.Rand.IntN(len(c.members))]
@@ -19,20 +19,20 @@
 	}
 	switch c.Rand.IntN(10) {
 	case 0:
-		c.restartSome(m, wild)
+		c.restartSome(m, unlimited)
 	case 1:
-		c.LogFault("%s is down for long", m.ip)
+		c.LogFault("%s loses power", m.ip)
 		m.crash(true)
 		c.After(c.Between(400, 4000), m.start)
 	case 2:
 		span := c.Between(50, 4000)
 		c.LogFault("%s is suspended for %d", m.ip, span)
-		m.freeze(span)
+		m.suspendFor(span)
 	case 3, 4, 5, 6:
 		m.partition(c.Between(100, 5000))
 	case 7:
 		c.LogFault("%s transfers its leadership", m.ip)
-		m.run(m.Incarnation(), func() { m.server.carryOut(m.server.consensus.TransferLeadership(m.server.clock.Now())) })
+		m.run(m.Incarnation(), func() { m.server.processReady(m.server.consensus.TransferLeadership(m.server.clock.Now())) })
 	case 8, 9:
 		c.proxies[c.Rand.IntN(len(c.proxies))].injectFault(m)
 	}
@@ -47,10 +47,10 @@
 	return count
 }
 
-// restartSome restarts a member; if wild, others with it.
-func (c *partitionCluster) restartSome(m *partitionMember, wild bool) {
+// restartSome restarts a member and, if unlimited is true, possibly others at the same time.
+func (c *partitionCluster) restartSome(m *partitionMember, unlimited bool) {
 	for _, other := range c.members {
-		if other == m || other.Up() && wild && c.OneIn(3) {
+		if other == m || other.Up() && unlimited && c.OneIn(3) {
 			c.LogFault("%s restarts", other.ip)
 			other.crash(c.OneIn(2))
 			c.After(c.Between(60, 400), other.start)
@@ -58,7 +58,7 @@
 	}
 }
 
-// injectFault restarts a proxy or slows its connections to a member.
+// injectFault restarts a proxy or delays the frames between it and a member.
 func (p *partitionProxy) injectFault(m *partitionMember) {
 	c := p.cluster
 	if c.OneIn(2) {
@@ -74,7 +74,7 @@
 	c.After(c.Between(100, 4000), func() { delete(p.slow, m.ip) })
 }
 
-// partition separates a member from one or all others, one way or both, and heals.
+// partition separates a member from one or all other members, in one or both directions, for a time.
 func (m *partitionMember) partition(span int64) {
 	c := m.cluster
 	mode, direction := []blockMode{dropFrames, delayFrames}[c.Rand.IntN(2)], c.Rand.IntN(3)
@@ -97,7 +97,7 @@
 	c.After(span, m.heal)
 }
 
-// heal ends all partitions of a member. Delayed frames arrive soon after.
+// heal ends all partitions of a member. Delayed frames of all partitions arrive within 30 ms.
 func (m *partitionMember) heal() {
 	c := m.cluster
 	c.LogFault("%s is connected again", m.ip)
@@ -105,9 +105,9 @@
 	for _, other := range c.members {
 		delete(other.blocked, m.ip)
 	}
-	delayed := c.delayed
-	c.delayed = nil
-	for _, arrive := range delayed {
+	delayedDeliveries := c.delayedDeliveries
+	c.delayedDeliveries = nil
+	for _, arrive := range delayedDeliveries {
 		c.After(c.Between(1, 30), arrive)
 	}
 }
--- a/internal/control/partition_halves_test.go
+++ b/internal/control/partition_halves_test.go
@@ -11,36 +11,37 @@
 	"ferrypitch/internal/control/storage"
 )
 
-// halvesWorld injects what the fault budget does not bound: the members cut into two halves while all callers and proxies reach both,
-// a minority that misses updates while the others go dark, power lost everywhere, and losses that overlap. Disks are lost only as far
-// as the budget allows, one of them while halves are cut. Service may rest; nothing acknowledged may be lost or shown older.
-type halvesWorld struct {
+// splitCluster simulates faults that the fault budget does not limit: the members are split into two halves that all callers and
+// proxies can reach, a minority misses updates while the others lose power, all members lose power, and failures overlap. Only the
+// number of lost disks is limited by the budget; a disk may be lost while the members are split. The service may be unavailable, but
+// no acknowledged update may be lost and no stale version may be returned.
+type splitCluster struct {
 	*partitionCluster
-	disksLeft     int  // that may still be lost
-	keepsIdentity bool // a member whose disk is lost keeps its vote: a safeguard that a test removes
-	halved        bool
-	counts        [halvesFaultKinds]int
+	diskLossBudget int  // number of disks that may still be lost
+	keepsIdentity  bool // removes the safeguard that a member whose disk is lost gets a new ID and no vote
+	split          bool
+	counts         [splitFaultKinds]int
 }
 
-const halvesFaultKinds = 6
+const splitFaultKinds = 6
 
-func newHalvesWorld(seed uint64, size int) *halvesWorld {
+func newSplitCluster(seed uint64, size int) *splitCluster {
 	c := newPartitionCluster(seed, size, 2, 0.05, noSafeguard)
-	return &halvesWorld{partitionCluster: c, disksLeft: max(1, (size-1)/2)}
+	return &splitCluster{partitionCluster: c, diskLossBudget: max(1, (size-1)/2)}
 }
 
-// injectFaults injects one fault after another until a time.
-func (w *halvesWorld) injectFaults(until int64) {
+// injectFaults injects faults at random intervals until a time.
+func (w *splitCluster) injectFaults(until int64) {
 	if w.Now > until {
 		return
 	}
 	w.After(w.Between(200, 1800), func() { w.injectFaults(until) })
-	kind := w.Rand.IntN(halvesFaultKinds)
+	kind := w.Rand.IntN(splitFaultKinds)
 	w.counts[kind]++
 	m := w.members[w.Rand.IntN(len(w.members))]
 	switch kind {
 	case 0, 1:
-		w.cutIntoHalves(w.Between(500, 6000))
+		w.splitInHalf(w.Between(500, 6000))
 	case 2:
 		w.crashFor(m, w.Between(100, 4000))
 	case 3:
@@ -55,20 +56,20 @@
 	}
 }
 
-// cutIntoHalves separates two halves from each other.
-func (w *halvesWorld) cutIntoHalves(span int64) {
-	if w.halved {
+// splitInHalf separates two random halves of the members from each other.
+func (w *splitCluster) splitInHalf(span int64) {
+	if w.split {
 		return
 	}
 	members := slices.Clone(w.members)
 	w.Rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-	one := members[:len(members)/2]
-	w.cut(one, members[len(members)/2:], span)
+	half := members[:len(members)/2]
+	w.splitBetween(half, members[len(members)/2:], span)
 }
 
-// cut separates two sets of members from each other.
-func (w *halvesWorld) cut(one, other []*partitionMember, span int64) {
-	w.halved = true
+// splitBetween separates two sets of members from each other.
+func (w *splitCluster) splitBetween(one, other []*partitionMember, span int64) {
+	w.split = true
 	mode := []blockMode{dropFrames, delayFrames}[w.Rand.IntN(2)]
 	w.LogFault("%d members are cut off from %d for %d, %s", len(one), len(other), span, mode)
 	for _, a := range one {
@@ -77,14 +78,14 @@
 		}
 	}
 	w.After(span, func() {
-		w.halved = false
+		w.split = false
 		for _, m := range w.members {
 			m.heal()
 		}
 	})
 }
 
-func (w *halvesWorld) crashFor(m *partitionMember, span int64) {
+func (w *splitCluster) crashFor(m *partitionMember, span int64) {
 	if !m.Up() {
 		return
 	}
@@ -97,12 +98,12 @@
 	})
 }
 
-// loseDisk has a member come back without its data, under a new identity.
-func (w *halvesWorld) loseDisk(m *partitionMember) {
-	if w.disksLeft == 0 || !m.Up() {
+// loseDisk restarts a member without its data, under a new identity.
+func (w *splitCluster) loseDisk(m *partitionMember) {
+	if w.diskLossBudget == 0 || !m.Up() {
 		return
 	}
-	w.disksLeft--
+	w.diskLossBudget--
 	w.LogFault("%s loses its disk", m.ip)
 	m.crash(true)
 	m.disk.Lose()
@@ -116,16 +117,16 @@
 	})
 }
 
-// leaveMinorityBehind cuts off a minority, which misses updates; then one of the others loses its disk and the rest go dark, and the
-// cut heals.
-func (w *halvesWorld) leaveMinorityBehind() {
-	if w.halved {
+// leaveMinorityBehind partitions a minority, which misses updates. Shortly before the partition heals, one of the other members
+// loses its disk and the rest lose power.
+func (w *splitCluster) leaveMinorityBehind() {
+	if w.split {
 		return
 	}
 	minority := (len(w.members) - 1) / 2
 	span := w.Between(1500, 4000)
 	others := w.members[minority:]
-	w.cut(w.members[:minority], others, span)
+	w.splitBetween(w.members[:minority], others, span)
 	w.After(span-w.Between(10, 300), func() {
 		w.loseDisk(others[0])
 		for _, m := range others[1:] {
@@ -134,9 +135,9 @@
 	})
 }
 
-// finish ends all faults, and checks that the members serve again in time and that nothing acknowledged is lost.
-func (w *halvesWorld) finish() {
-	w.calm = true
+// finish ends all faults and asserts that 8 s later the members serve updates again and that no acknowledged update is lost.
+func (w *splitCluster) finish() {
+	w.faultsDisabled = true
 	for _, m := range w.members {
 		clear(m.blocked)
 		if !m.Up() {
@@ -154,11 +155,11 @@
 
 func TestHalvesAndOverlappingLossesLoseNothing(t *testing.T) {
 	t.Parallel()
-	var counts [halvesFaultKinds]int
+	var counts [splitFaultKinds]int
 	confirmed := 0
 	sizes := []int{3, 3, 5, 6}
 	for seed := range partitionSeedCount() {
-		w := newHalvesWorld(uint64(seed), sizes[seed%len(sizes)])
+		w := newSplitCluster(uint64(seed), sizes[seed%len(sizes)])
 		w.After(1500, func() { w.injectFaults(w.StartTime + 12_000) })
 		w.RunFor(18_000)
 		w.finish()
@@ -174,15 +175,16 @@
 	require.Greater(t, confirmed, 8*partitionSeedCount())
 }
 
-// A member that forgets with its disk what it promised, and votes on, is found by something acknowledged that is lost or shown older.
+// The simulation must detect a member that loses its disk, and with it its votes and log, but keeps voting under the same identity:
+// an acknowledged update is lost or a stale version is returned.
 func TestHalvesSimulationDetectsAVoteOfAnEmptyDisk(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(400) {
-		w := newHalvesWorld(seed, 3)
+		w := newSplitCluster(seed, 3)
 		w.keepsIdentity = true
 		func() {
 			defer func() {
-				if p := recover(); p != nil { // an assertion of the log itself
+				if p := recover(); p != nil { // an assertion in the consensus log
 					w.Violate("LOST: %v", p)
 				}
 			}()
@@ -198,26 +200,26 @@
 	require.Fail(t, "400 seeds detected nothing")
 }
 
-// Right after an update was acknowledged, as many disks are lost as the budget allows, and all other machines lose power at the same
-// moment. What was acknowledged is still there when they are back.
+// Immediately after an update is acknowledged, as many disks are lost as the budget allows, and all other machines lose power at the
+// same time. The update must still be present after they restart.
 func TestClosingFaultLosesNothingAcknowledged(t *testing.T) {
 	t.Parallel()
 	struck := 0
 	sizes := []int{3, 5, 6}
 	for seed := range partitionSeedCount() {
-		w := newHalvesWorld(uint64(seed), sizes[seed%len(sizes)])
+		w := newSplitCluster(uint64(seed), sizes[seed%len(sizes)])
 		w.RunFor(2500 + int64(seed%7)*130)
 		acknowledged := w.newestAcknowledged(w.Now)
 		for deadline := w.Now + 3000; w.newestAcknowledged(w.Now) == acknowledged && w.Now < deadline; {
 			w.RunFor(1)
 		}
-		w.RunFor(w.Between(0, 6)) // at the very moment of the acknowledgement, and soon after
+		w.RunFor(w.Between(0, 6)) // from the time of the acknowledgement to 6 ms later
 		if w.newestAcknowledged(w.Now) > acknowledged {
 			struck++
 		}
 		members := slices.Clone(w.members)
 		w.Rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-		lost := w.disksLeft
+		lost := w.diskLossBudget
 		for _, m := range members[:lost] {
 			w.loseDisk(m)
 		}
--- a/internal/control/partition_operator_test.go
+++ b/internal/control/partition_operator_test.go
@@ -9,7 +9,7 @@
 	"github.com/zeebo/blake3"
 )
 
-// partitionOperator makes one update after another, each until its outcome is known, and reads between them.
+// partitionOperator makes updates in sequence, retrying each until its outcome is known, and reads the configuration in between.
 type partitionOperator struct {
 	cluster      *partitionCluster
 	number       int
@@ -29,7 +29,7 @@
 	})
 }
 
-// call makes a call at a random member. status is 0 if there is no response within a second.
+// call makes a call to a random member. status is 0 if there is no response within 1 s.
 func (o *partitionOperator) call(method, path, base string, body []byte, done func(status int, response []byte)) {
 	c := o.cluster
 	calledAt, finished := c.Now, false
@@ -43,7 +43,7 @@
 	if m.Up() {
 		m.call(method, path, base, body, func(status int, response []byte) {
 			c.checkResponse(path, base, body, calledAt, status, response)
-			if c.calm || !c.OneIn(8) { // else it is lost on its way
+			if c.faultsDisabled || !c.OneIn(8) { // otherwise the response is lost
 				finish(status, response)
 			}
 		})
@@ -83,7 +83,7 @@
 	})
 }
 
-// checkResponse compares a response with what was true while its call was under way, whether it reaches the caller or not.
+// checkResponse checks that a response was correct at some time during its call, whether it reaches the caller or not.
 func (c *partitionCluster) checkResponse(path, base string, body []byte, calledAt int64, status int, response []byte) {
 	switch {
 	case status == http.StatusServiceUnavailable:
@@ -131,12 +131,12 @@
 		c.Violate("REJECTED: an update that was applied")
 	}
 	builtOn := slices.IndexFunc(c.applied, func(version appliedVersion) bool { return fmt.Sprint(version.generation) == base })
-	if builtOn < 0 || builtOn == len(c.applied)-1 { // its base was the current version all the time
+	if builtOn < 0 || builtOn == len(c.applied)-1 { // its base was the current version during the whole call
 		c.Violate("REJECTED: 412 to an update of %s, which is the newest", base)
 	}
 }
 
-// digestOf is the digest by which the state machine remembers the body of an update.
+// digestOf returns the digest by which the state machine identifies the body of an update.
 func digestOf(body []byte) (digest [16]byte) {
 	hash := blake3.New()
 	hash.Write(body)
--- a/internal/control/partition_proxy_test.go
+++ b/internal/control/partition_proxy_test.go
@@ -17,7 +17,7 @@
 	applied     uint64
 	link        *partitionLink
 	attempts    int
-	slow        map[string]bool // by the address of the member
+	slow        map[string]bool // members to and from which frames are delayed, by address
 }
 
 func (p *partitionProxy) start() {
@@ -48,7 +48,7 @@
 	conn              *ProxyConn
 	closed            bool
 	receivedAt        int64
-	requestedAt       map[uint64]int64 // lease requests, by serial, on the proxy's clock
+	requestedAt       map[uint64]int64 // send times of lease requests on the proxy's clock, by serial
 	lastSerial        uint64
 	memberArrivesAt   int64
 	proxyArrivesAt    int64
@@ -65,7 +65,7 @@
 	m.links[link] = true
 	hello := &rpc.ProxyHello{Node: p.name, Incarnation: p.incarnation, Zone: "z", AppliedIndex: p.applied}
 	link.toMember(func() { link.conn = m.server.AcceptProxy(hello, p.name, link.send, func() { c.After(2, link.close) }) })
-	if c.OneIn(10) && !c.calm { // the same hello once more, by a delayed connection
+	if c.OneIn(10) && !c.faultsDisabled { // a duplicate of the hello arrives on a delayed connection
 		incarnation := m.Incarnation()
 		c.After(c.Between(100, 20000), func() {
 			m.run(incarnation, func() { m.server.AcceptProxy(hello, p.name, func(*rpc.Frame) bool { return true }, func() {}) })
@@ -74,7 +74,7 @@
 	link.watchSilence()
 }
 
-// latency is that of one frame. Frames on a slow connection may arrive when the proxy has connected elsewhere.
+// latency returns the latency of one frame. Frames on a slow connection may arrive after the proxy has connected to another member.
 func (l *partitionLink) latency() int64 {
 	c := l.proxy.cluster
 	latency := c.Between(1, 3)
@@ -84,7 +84,7 @@
 	return latency
 }
 
-// toMember runs a step at the member after the latency, in the order of calls.
+// toMember runs a step on the member after the latency. Steps keep the order of the calls.
 func (l *partitionLink) toMember(step func()) {
 	c := l.proxy.cluster
 	l.memberArrivesAt = max(l.memberArrivesAt+1, c.Now+l.latency())
@@ -127,7 +127,7 @@
 	p.checkLease()
 }
 
-// apply applies an update of the log. It returns false if entries are missing.
+// apply applies a log update. It returns false if entries are missing.
 func (p *partitionProxy) apply(update *rpc.LogUpdate) bool {
 	if update.Snapshot != nil {
 		state, err := statemachine.Restore(update.Snapshot)
@@ -149,14 +149,15 @@
 			continue
 		}
 		if change, err := statemachine.DecodeChange(data); err == nil && len(data) > 0 {
-			_ = p.state.Apply(index, change) // a change that is rejected here is rejected by all
+			_ = p.state.Apply(index, change) // a change that is rejected here is rejected by all replicas
 		}
 		p.applied = index
 	}
 	return true
 }
 
-// checkLease asserts that a proxy under a lease has applied all that was acknowledged before it can have requested the lease.
+// checkLease asserts that a proxy with a lease has applied everything that was acknowledged 1.8 s ago, the earliest time at which it
+// can have requested the lease.
 func (p *partitionProxy) checkLease() {
 	c := p.cluster
 	if !p.hasLease() {
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var partitionSeeds = flag.Int("partitionseeds", 100, "clusters to simulate with partitions")
+var partitionSeeds = flag.Int("partitionseeds", 100, "number of clusters to simulate with partitions")
 
 func partitionSeedCount() int {
 	if testing.Short() {
@@ -20,7 +20,7 @@
 
 func TestPartitionedMembersGiveNoWrongResponses(t *testing.T) {
 	t.Parallel()
-	confirms, refused, reads, answers, leased := 0, 0, 0, 0, 0
+	totalConfirmed, totalConflicts, reads, totalDelayed, totalLeases := 0, 0, 0, 0, 0
 	for seed := range partitionSeedCount() {
 		size := 3
 		if seed%5 == 4 {
@@ -36,17 +36,18 @@
 		if len(c.Violations) > 0 {
 			t.Fatalf("seed %d:\n%s", seed, c.report())
 		}
-		confirms, refused, reads, answers, leased = confirms+c.confirmed, refused+c.conflicts, reads+c.reads, answers+c.delayedResponses, leased+c.leases
+		totalConfirmed, totalConflicts, reads, totalDelayed, totalLeases =
+			totalConfirmed+c.confirmed, totalConflicts+c.conflicts, reads+c.reads, totalDelayed+c.delayedResponses, totalLeases+c.leases
 	}
 	n := partitionSeedCount()
-	t.Logf("%d clusters: %d updates confirmed, %d conflicts, %d reads, %d delayed responses, %d leases", n, confirms, refused, reads, answers, leased)
-	require.Greater(t, confirms, 10*n)
-	require.Greater(t, refused, n/2)
+	t.Logf("%d clusters: %d updates confirmed, %d conflicts, %d reads, %d delayed responses, %d leases", n, totalConfirmed, totalConflicts, reads, totalDelayed, totalLeases)
+	require.Greater(t, totalConfirmed, 10*n)
+	require.Greater(t, totalConflicts, n/2)
 	require.Greater(t, reads, 10*n)
-	require.Greater(t, leased, 20*n)
+	require.Greater(t, totalLeases, 20*n)
 }
 
-// Each safeguard, taken out, is detected; so is a clock that drifts by more than a tenth.
+// The simulation must detect the removal of each safeguard, and clocks that drift by more than 10 %.
 func TestPartitionSimulationDetectsEachRemovedSafeguard(t *testing.T) {
 	t.Parallel()
 	all := []safeguard{leaderLeaseCheck, clockDriftBound, heartbeatSendTimes, leaderStickiness}
@@ -63,15 +64,15 @@
 			c := newPartitionCluster(uint64(seed), 3, 2, drift, removed)
 			func() {
 				defer func() {
-					if p := recover(); p != nil { // an assertion of the log itself
+					if p := recover(); p != nil { // an assertion in the consensus log
 						c.Violate("two leaders: %v", p)
 					}
 				}()
 				c.run(9000, true)
 			}()
-			for _, b := range c.Violations {
-				if !strings.Contains(b, "without faults") {
-					detected = fmt.Sprintf("seed %d: %s", seed, b)
+			for _, violation := range c.Violations {
+				if !strings.Contains(violation, "without faults") {
+					detected = fmt.Sprintf("seed %d: %s", seed, violation)
 					break
 				}
 			}
--- a/internal/control/persist.go
+++ b/internal/control/persist.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// scrubInterval is how often the file is read and checked. It has a few MB at most.
+	// scrubInterval is the interval at which the write-ahead log file is read and checked. The file has a few MB at most.
 	scrubInterval     = 30 * time.Second
 	diskRetryInterval = 200 * time.Millisecond
-	walCompactBytes   = 2 << 20 // a shorter file is not compacted
+	walCompactBytes   = 2 << 20 // a smaller write-ahead log file is not compacted
 )
 
-// persistLoop is the goroutine that waits for the disk. Writes that are queued meanwhile share one sync.
+// persistLoop writes to the disk in a goroutine of its own. Writes queued during a sync share the next one.
 func (p *process) persistLoop() {
 	scrub := time.NewTicker(scrubInterval)
 	defer scrub.Stop()
@@ -32,7 +32,7 @@
 	}
 }
 
-// persistQueued writes what is queued, and compacts the file. It returns false if the context has ended.
+// persistQueued performs all queued writes and compacts the file. It returns false if the context was canceled.
 func (p *process) persistQueued() bool {
 	writes := p.writes.takeAll()
 	if len(writes) == 0 {
@@ -51,18 +51,18 @@
 	return true
 }
 
-// scrub checks the file, which is mended where it is damaged.
+// scrub checks the write-ahead log file, which is rewritten if it is damaged.
 func (p *process) scrub() {
 	damaged, err := p.wal.Scrub()
 	if damaged {
 		p.server.DiskDamages.Add(1)
-		p.log.Error("the write-ahead log was damaged on disk, and is written anew", "error", err)
+		p.log.Error("write-ahead log damaged on disk; rewriting it", "error", err)
 	} else if err != nil {
 		p.log.Error("checking the write-ahead log failed", "error", err)
 	}
 }
 
-// save writes until it succeeds. It returns false if the context ends before.
+// save retries a write until it succeeds. It returns false if the context is canceled first.
 func (p *process) save(writes []consensus.Write) bool {
 	for {
 		err := p.wal.Save(writes)
--- a/internal/control/platform_client.go
+++ b/internal/control/platform_client.go
@@ -19,27 +19,27 @@
 )
 
 const (
-	promotionTimeout       = 900 * time.Millisecond // for a call to the platform, from the decision on
+	promotionTimeout       = 900 * time.Millisecond // for a call to the platform, starting at the decision
 	platformConnectTimeout = 600 * time.Millisecond
 )
 
 // platformClient calls the platform that runs the database hosts.
 type platformClient struct {
-	localIP string
-	log     hclog.Logger
-	mayAct  func(leaderTerm uint64) bool // whether what was decided in a term may still go out
+	localIP    string
+	log        hclog.Logger
+	holdsLease func(leaderTerm uint64) bool // whether this member still holds the leader lease of a term
 }
 
-// promotionBody is the JSON body of a call for a promotion.
+// promotionBody is the JSON body of a promotion request.
 type promotionBody struct {
 	ID      string `json:"Id"`
 	Service string
 }
 
-// requestPromotion asks the platform to make a host the primary of its service. The platform rejects a fencing token that is
-// older than one it has seen.
+// requestPromotion asks the platform to promote a host to primary of its service. The platform rejects a fencing token that is
+// lower than one it has already seen.
 func (c *platformClient) requestPromotion(ctx context.Context, address string, promotion failover.Promotion) failover.PromotionOutcome {
-	body, _ := json.Marshal(promotionBody{ID: promotion.Host, Service: promotion.Service}) // strings: it can't fail
+	body, _ := json.Marshal(promotionBody{ID: promotion.Host, Service: promotion.Service}) // strings only: cannot fail
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, fmt.Sprintf("http://%s/promotion", address), bytes.NewReader(body))
 	if err != nil {
 		return failover.PromotionNotExecuted
@@ -47,7 +47,7 @@
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("X-Duty-Holder", promotion.Owner)
 	request.Header.Set("X-Fence-Token", strconv.FormatUint(promotion.FencingToken, 10))
-	var written atomic.Bool // the goroutine that writes may outlive the call
+	var written atomic.Bool // atomic because the transport's writing goroutine may outlive the call
 	transport := &http.Transport{
 		DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
@@ -55,7 +55,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &leaseCheckedConn{Conn: conn, mayAct: func() bool { return c.mayAct(promotion.LeaderTerm) }, written: &written}, nil
+			return &leaseCheckedConn{Conn: conn, holdsLease: func() bool { return c.holdsLease(promotion.LeaderTerm) }, written: &written}, nil
 		},
 	}
 	client := &http.Client{
@@ -64,7 +64,7 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		c.log.Info("promotion got no response", "host", promotion.Host, "error", err)
+		c.log.Info("promotion request failed without a response", "host", promotion.Host, "error", err)
 		progress := retry.NotSent
 		if written.Load() {
 			progress = retry.Sent
@@ -75,21 +75,21 @@
 		return failover.PromotionUnknown
 	}
 	response.Body.Close()
-	c.log.Info("promotion got a response", "host", promotion.Host, "status", response.StatusCode)
+	c.log.Info("promotion response received", "host", promotion.Host, "status", response.StatusCode)
 	return promotionOutcome(response.StatusCode)
 }
 
-// leaseCheckedConn is a connection that writes only while the lease of the decision is held.
+// leaseCheckedConn is a connection that writes only while the lease under which the promotion was decided is held.
 type leaseCheckedConn struct {
 	net.Conn
-	mayAct  func() bool
-	written *atomic.Bool // something was written
+	holdsLease func() bool
+	written    *atomic.Bool // set before the first write
 }
 
-// Write implements net.Conn. It returns errLeaseOver, and writes nothing, once the lease is over.
+// Write implements net.Conn. Once the lease is no longer held, it returns errLeaseExpired and writes nothing.
 func (c *leaseCheckedConn) Write(data []byte) (int, error) {
-	if !c.mayAct() {
-		return 0, errLeaseOver
+	if !c.holdsLease() {
+		return 0, errLeaseExpired
 	}
 	c.written.Store(true)
 	return c.Conn.Write(data)
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -7,51 +7,51 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// maxWelcomeProxies is how many other proxies a ProxyWelcome names as first contacts for gossip.
+// maxWelcomeProxies is the number of other proxies that a ProxyWelcome names as initial gossip peers.
 const maxWelcomeProxies = 5
 
 // ProxyConn is the connection of a proxy.
 type ProxyConn struct {
-	node           string
-	incarnation    uint64
-	serial         uint64 // in the order of acceptance
-	remoteIP       string
-	sentIndex      uint64 // of the last log entry that was sent
-	send           func(*rpc.Frame) bool
-	closeConn      func()
-	closed         bool
-	registering    bool           // the change that adds the proxy to the state is proposed
-	version        uint32         // of the protocol that the proxy speaks
-	snapshot       *proxySnapshot // that it is receiving; nil: none
-	awaitsSnapshot bool           // it has asked for one, and its turn has not come
-	behind         bool           // it reads more slowly than the log grows: updates wait until its next lease request
-	digestIndex    uint64         // of the newest digest that it was sent
-}
-
-// servedProxies are the proxies that this member serves.
+	node                string
+	incarnation         uint64
+	serial              uint64 // number in the order of acceptance
+	remoteIP            string
+	sentIndex           uint64 // of the last log entry that was sent
+	send                func(*rpc.Frame) bool
+	closeConn           func()
+	closed              bool
+	registrationPending bool           // the change that adds the proxy to the state is proposed
+	version             uint32         // of the protocol that the proxy speaks
+	snapshot            *proxySnapshot // that it is receiving; nil: none
+	snapshotQueued      bool           // it has asked for one, and its turn has not come
+	lagging             bool           // it reads more slowly than the log grows: updates wait until its next lease request
+	digestIndex         uint64         // of the newest digest that it was sent
+}
+
+// servedProxies is the set of proxies that this member serves.
 type servedProxies struct {
-	members map[*ProxyConn]struct{}
-	ordered []*ProxyConn // in the order of acceptance, so that a simulation repeats exactly
+	conns   map[*ProxyConn]struct{}
+	ordered []*ProxyConn // in the order of acceptance, which makes simulations deterministic
 }
 
-func newServedProxies() servedProxies { return servedProxies{members: map[*ProxyConn]struct{}{}} }
+func newServedProxies() servedProxies { return servedProxies{conns: map[*ProxyConn]struct{}{}} }
 
 func (p *servedProxies) add(conn *ProxyConn) {
-	p.members[conn] = struct{}{}
+	p.conns[conn] = struct{}{}
 	p.ordered = append(p.ordered, conn)
 }
 
-func (p *servedProxies) serves(conn *ProxyConn) bool {
-	_, served := p.members[conn]
+func (p *servedProxies) contains(conn *ProxyConn) bool {
+	_, served := p.conns[conn]
 	return served
 }
 
-// remove makes a new list, since the old one may be gone through.
+// remove removes a proxy. It replaces the ordered list instead of changing it, because a caller may be iterating over it.
 func (p *servedProxies) remove(conn *ProxyConn) {
-	if !p.serves(conn) {
+	if !p.contains(conn) {
 		return
 	}
-	delete(p.members, conn)
+	delete(p.conns, conn)
 	place := slices.Index(p.ordered, conn)
 	p.ordered = slices.Concat(p.ordered[:place], p.ordered[place+1:])
 }
@@ -63,39 +63,39 @@
 	}
 }
 
-// deliver sends a frame. It closes the connection of a proxy that does not read: a frame left out would be a gap in its log, and
-// once it reconnects it gets all that it lacks.
-func (c *ProxyConn) deliver(frame *rpc.Frame) {
+// sendOrClose sends a frame, or closes the connection if the proxy does not read. A dropped frame would leave a gap in the
+// proxy's log; after reconnecting, the proxy gets everything that it misses.
+func (c *ProxyConn) sendOrClose(frame *rpc.Frame) {
 	if !c.closed && !c.send(frame) {
 		c.close()
 	}
 }
 
-// sendUpdate sends an update of the log if it continues what was sent before, else all that is missing.
+// sendUpdate sends a log update if it directly follows the last entry that was sent; otherwise it sends everything that is missing.
 func (c *ProxyConn) sendUpdate(s *Server, update *rpc.LogUpdate) {
-	if c.snapshot != nil || c.awaitsSnapshot || c.behind {
+	if c.snapshot != nil || c.snapshotQueued || c.lagging {
 		return
 	}
 	if update.Snapshot == nil && c.sentIndex+uint64(len(update.Entries)) != update.LastIndex {
 		c.catchUp(s)
 		return
 	}
-	c.deliverUpdate(s, update)
+	c.trySendUpdate(s, update)
 }
 
-// deliverUpdate sends an update of the log. A proxy that does not take it is behind: it gets what it misses at once when its
-// queue is empty, or when it asks for its next lease. It neither loses its link nor keeps others waiting.
-func (c *ProxyConn) deliverUpdate(s *Server, update *rpc.LogUpdate) {
-	c.behind = !c.closed && !c.send(&rpc.Frame{LogUpdate: update})
-	if c.behind {
+// trySendUpdate sends a log update. If the proxy's queue refuses it, the proxy is lagging: it gets everything that it misses when its
+// queue is empty or when it requests its next lease. It neither loses its connection nor delays other proxies.
+func (c *ProxyConn) trySendUpdate(s *Server, update *rpc.LogUpdate) {
+	c.lagging = !c.closed && !c.send(&rpc.Frame{LogUpdate: update})
+	if c.lagging {
 		s.UpdatesDeferred.Add(1)
 		return
 	}
 	c.sentIndex = update.LastIndex
 }
 
-// catchUp sends all entries that are missing, or a snapshot where the log no longer has them. A proxy of a release before chunks
-// gets the snapshot in one frame.
+// catchUp sends all missing entries, or a snapshot if the log no longer contains them. A proxy of a release without support for
+// chunks gets the snapshot in one frame.
 func (c *ProxyConn) catchUp(s *Server) {
 	update := &rpc.LogUpdate{Members: s.memberAddresses(), LastIndex: s.state.Index}
 	entries, ok := s.consensus.CommittedAfter(c.sentIndex)
@@ -108,26 +108,27 @@
 	default:
 		update.Snapshot = s.state.Snapshot()
 	}
-	c.deliverUpdate(s, update)
+	c.trySendUpdate(s, update)
 }
 
-// ProxyDrained reports that a proxy which did not take an update has been sent all that waited for it.
+// ProxyDrained reports that the queue of a proxy that refused an update is empty again.
 func (s *Server) ProxyDrained(conn *ProxyConn) {
-	if s.proxies.serves(conn) {
-		conn.resume(s)
+	if s.proxies.contains(conn) {
+		conn.resumeUpdates(s)
 	}
 }
 
-// resume sends a proxy that was behind what it misses.
-func (c *ProxyConn) resume(s *Server) {
-	if c.behind && c.snapshot == nil && !c.awaitsSnapshot {
-		c.behind = false
+// resumeUpdates sends a lagging proxy everything that it misses.
+func (c *ProxyConn) resumeUpdates(s *Server) {
+	if c.lagging && c.snapshot == nil && !c.snapshotQueued {
+		c.lagging = false
 		c.catchUp(s)
 	}
 }
 
-// AcceptProxy welcomes a proxy, and serves it from then on if this member leads. send must not block; it returns false if the
-// proxy does not read what it is sent. closeConn is called at most once; ProxyDisconnected must follow.
+// AcceptProxy welcomes a proxy and, if this member holds the leader lease, serves it until it is disconnected. send must not block;
+// it returns false if the queue to the proxy does not accept the frame. closeConn is called at most once; ProxyDisconnected must
+// follow.
 func (s *Server) AcceptProxy(hello *rpc.ProxyHello, remoteIP string, send func(*rpc.Frame) bool, closeConn func()) *ProxyConn {
 	s.proxiesAccepted++
 	conn := &ProxyConn{
@@ -148,7 +149,7 @@
 	for _, other := range others[:min(len(others), maxWelcomeProxies)] {
 		welcome.Proxies = append(welcome.Proxies, other.remoteIP)
 	}
-	conn.deliver(&rpc.Frame{Version: s.protocolVersion, ProxyWelcome: welcome})
+	conn.sendOrClose(&rpc.Frame{Version: s.protocolVersion, ProxyWelcome: welcome})
 	if welcome.IsLeader {
 		s.proxies.add(conn)
 		s.grantor.Observe(hello.Node, hello.Incarnation, hello.AppliedIndex, s.clock.Now())
@@ -157,14 +158,14 @@
 	return conn
 }
 
-// HandleProxyFrame processes a frame of a proxy. It ignores those of proxies that are not served here any more.
+// HandleProxyFrame processes a frame from a proxy. It ignores frames from proxies that this member no longer serves.
 func (s *Server) HandleProxyFrame(conn *ProxyConn, frame *rpc.Frame) {
-	if !s.proxies.serves(conn) {
+	if !s.proxies.contains(conn) {
 		return
 	}
 	switch {
 	case frame.LeaseRequest != nil:
-		conn.resume(s)
+		conn.resumeUpdates(s)
 		s.renewLease(conn, frame.LeaseRequest)
 	case frame.SuspectReport != nil:
 		s.handleSuspectReport(conn, frame.SuspectReport)
@@ -177,11 +178,11 @@
 	}
 }
 
-// ProxyDisconnected reports that a proxy's connection has ended.
+// ProxyDisconnected reports that the connection of a proxy was closed.
 func (s *Server) ProxyDisconnected(conn *ProxyConn) {
 	s.proxies.remove(conn)
 	conn.close()
-	s.startTransfers() // the next in turn may have waited for this one's snapshot
+	s.startTransfers() // the closed connection may have occupied one of the concurrent snapshot transfers
 }
 
 func (s *Server) handleSuspectReport(conn *ProxyConn, report *rpc.SuspectReport) {
@@ -191,7 +192,7 @@
 	}
 }
 
-// renewLease grants a lease if this member holds the leader's.
+// renewLease grants a lease to a proxy if this member holds the leader lease.
 func (s *Server) renewLease(conn *ProxyConn, request *rpc.LeaseRequest) {
 	if _, known := s.state.Proxies[conn.node]; !known && s.leading {
 		s.registerProxy(conn, request)
@@ -201,7 +202,7 @@
 	response := &rpc.LeaseResponse{Serial: request.Serial, Granted: s.holdsLease(), CommitIndex: s.state.Index}
 	switch {
 	case response.Granted && !s.grantor.Grant(conn.node, conn.incarnation, request.AppliedIndex, s.state.LatestRevocation(), now):
-		s.LeasesPostponed.Add(1) // it asks again once it has applied the update that is on its way
+		s.LeasesPostponed.Add(1) // the proxy retries once it has applied the update in flight
 		conn.postponeLease(request)
 		s.handleFailoverEvents()
 		return
@@ -215,29 +216,30 @@
 			s.grantor.Observe(conn.node, conn.incarnation, request.AppliedIndex, now)
 		}
 	}
-	conn.deliver(&rpc.Frame{LeaseResponse: response})
+	conn.sendOrClose(&rpc.Frame{LeaseResponse: response})
 	if s.leading {
 		s.handleFailoverEvents()
 	}
 }
 
-// postponeLease tells a proxy to stay although it gets no lease yet: a member that says nothing is left.
+// postponeLease tells a proxy to stay connected although it gets no lease yet: a proxy disconnects from a silent member.
 func (c *ProxyConn) postponeLease(request *rpc.LeaseRequest) {
 	if c.version >= rpc.VersionPayloads {
-		c.deliver(&rpc.Frame{LeaseResponse: &rpc.LeaseResponse{Serial: request.Serial, Postponed: true}})
+		c.sendOrClose(&rpc.Frame{LeaseResponse: &rpc.LeaseResponse{Serial: request.Serial, Postponed: true}})
 	}
 }
 
-// registerProxy adds a proxy to the state before it gets its first lease: the next leader must wait for its lease to expire.
+// registerProxy adds a proxy to the replicated state before granting its first lease, because a new leader must know which leases
+// it has to wait for.
 func (s *Server) registerProxy(conn *ProxyConn, request *rpc.LeaseRequest) {
 	conn.postponeLease(request)
-	if conn.registering {
+	if conn.registrationPending {
 		return
 	}
-	conn.registering = true
+	conn.registrationPending = true
 	change := statemachine.Change{UpdateProxy: &statemachine.ProxyMembership{Name: conn.node}}
 	s.propose(change, func(err error) {
-		conn.registering = false
+		conn.registrationPending = false
 		if err == nil && !conn.closed {
 			s.renewLease(conn, request)
 		}
--- a/internal/control/proxy_queue.go
+++ b/internal/control/proxy_queue.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	proxyQueueFrames = 64 // of each kind that wait for one proxy
+	proxyQueueFrames = 64 // capacity of each of the two queues of a proxy
 
-	// updateInterval is the shortest time between two updates of the log for one proxy. What comes meanwhile is sent in one: where
-	// hundreds of hosts register at once, a frame for each of them and each proxy takes more than the leader's processor.
+	// updateInterval is the minimum time between two log updates for one proxy. Entries committed in between are sent in one
+	// update: when hundreds of hosts register at once, one frame per host and proxy exceeds the leader's CPU capacity.
 	updateInterval = 40 * time.Millisecond
 )
 
-// proxyQueue holds what waits for one proxy. Leases leave before updates of the log, whose order stays: a proxy that is sent much
-// does not take the leader for silent, and keeps its lease. At most one update waits; its proxy is behind then, and gets all that
-// it misses once that update has left. A proxy of an earlier version gets all frames in one order, at once: it has no use for a
-// lease that overtakes an update.
+// proxyQueue holds the outgoing frames for one proxy. Leases are sent before log updates and snapshot chunks, which keep their
+// order among themselves: a proxy that receives much data then does not consider the leader silent, and keeps its lease. At most
+// one log update is queued. Further updates are refused, and the proxy gets everything that it misses once the queued update was
+// sent. A proxy with an earlier protocol version gets all frames in a single order and without delay, because it does not support
+// a lease that overtakes an update.
 type proxyQueue struct {
 	urgent, updates chan *rpc.Frame
-	paced           bool        // urgent and updates are two queues
-	refused         atomic.Bool // an update was refused since the last one left
-	nextUpdateAt    time.Time   // of the goroutine that takes
+	prioritized     bool        // urgent and updates are separate queues
+	updateRefused   atomic.Bool // an update was refused since caughtUp last returned true
+	nextUpdateAt    time.Time   // used only by the goroutine that calls take
 }
 
 func newProxyQueue(version uint32) *proxyQueue {
-	q := &proxyQueue{updates: make(chan *rpc.Frame, proxyQueueFrames), paced: rpc.SpokenVersion(version) >= rpc.VersionPayloads}
+	q := &proxyQueue{updates: make(chan *rpc.Frame, proxyQueueFrames), prioritized: rpc.SpokenVersion(version) >= rpc.VersionPayloads}
 	q.urgent = q.updates
-	if q.paced {
+	if q.prioritized {
 		q.urgent = make(chan *rpc.Frame, proxyQueueFrames)
 	}
 	return q
 }
 
-// put queues a frame; false: the queue takes it not now.
+// put queues a frame. It returns false if the queue does not accept the frame now.
 func (q *proxyQueue) put(frame *rpc.Frame) bool {
 	queue := q.urgent
 	if frame.LogUpdate != nil || frame.SnapshotChunk != nil {
 		queue = q.updates
 	}
-	if q.paced && frame.LogUpdate != nil && len(q.updates) > 0 {
-		q.refused.Store(true)
+	if q.prioritized && frame.LogUpdate != nil && len(q.updates) > 0 {
+		q.updateRefused.Store(true)
 		return false
 	}
 	select {
@@ -53,12 +54,12 @@
 	}
 }
 
-// caughtUp says, once, that no update waits any more after one was refused.
+// caughtUp reports that an update was refused and that no update is queued any more. It returns true only once per refusal.
 func (q *proxyQueue) caughtUp() bool {
-	return len(q.updates) == 0 && q.refused.CompareAndSwap(true, false)
+	return len(q.updates) == 0 && q.updateRefused.CompareAndSwap(true, false)
 }
 
-// take waits for the next frame; nil: the connection is closed.
+// take waits for the next frame and returns it, or nil if the connection is closed.
 func (q *proxyQueue) take(closed <-chan struct{}) *rpc.Frame {
 	if wait := time.Until(q.nextUpdateAt); wait > 0 {
 		pause := time.NewTimer(wait)
@@ -82,7 +83,7 @@
 	case frame := <-q.urgent:
 		return frame
 	case frame := <-q.updates:
-		if q.paced && frame.LogUpdate != nil {
+		if q.prioritized && frame.LogUpdate != nil {
 			q.nextUpdateAt = time.Now().Add(updateInterval)
 		}
 		return frame
--- a/internal/control/proxy_queue_test.go
+++ b/internal/control/proxy_queue_test.go
@@ -9,7 +9,8 @@
 	"ferrypitch/internal/rpc"
 )
 
-// A proxy that was sent much heard nothing of its lease for 0.7 s and left. Leases must overtake what waits.
+// Lease responses must be sent before queued updates. If they wait behind much data, the proxy receives none for 0.7 s, considers the
+// leader silent, and disconnects.
 func TestLeasesOvertakeUpdatesOfTheLog(t *testing.T) {
 	closed := make(chan struct{})
 	q := newProxyQueue(rpc.ProtocolVersion)
@@ -26,21 +27,22 @@
 	require.Same(t, lease, old.take(closed))
 }
 
-// 360 hosts that registered within seconds were 360 frames for each of 295 proxies. Updates in a row must become one.
+// Consecutive updates must be merged into one. Otherwise 360 hosts that register within seconds cause 360 frames for each of 295
+// proxies.
 func TestUpdatesInARowArePaced(t *testing.T) {
 	closed := make(chan struct{})
 	q := newProxyQueue(rpc.ProtocolVersion)
 	update := func() *rpc.Frame { return &rpc.Frame{LogUpdate: &rpc.LogUpdate{}} }
 	require.True(t, q.put(update()))
 	require.False(t, q.put(update()))
-	require.False(t, q.caughtUp(), "one waits still")
-	begin := time.Now()
+	require.False(t, q.caughtUp(), "one update is still queued")
+	startedAt := time.Now()
 	require.NotNil(t, q.take(closed))
 	require.True(t, q.caughtUp())
 	require.False(t, q.caughtUp())
 	require.True(t, q.put(update()))
 	require.NotNil(t, q.take(closed))
-	require.GreaterOrEqual(t, time.Since(begin), updateInterval)
+	require.GreaterOrEqual(t, time.Since(startedAt), updateInterval)
 	close(closed)
 	require.Nil(t, q.take(closed))
 }
--- a/internal/control/proxy_snapshot.go
+++ b/internal/control/proxy_snapshot.go
@@ -8,53 +8,55 @@
 )
 
 const (
-	// snapshotChunkBytes is the data of one chunk for a proxy, and snapshotWindow how many chunks may be without an
-	// acknowledgement: a slow link is kept busy, and leases pass in between.
+	// snapshotChunkBytes is the amount of data in one chunk, and maxChunksInFlight the number of unacknowledged chunks per proxy.
+	// These keep a slow connection busy while leases can be sent in between.
 	snapshotChunkBytes = 32 << 10
-	snapshotWindow     = 3
+	maxChunksInFlight  = 3
 
-	// maxSnapshotTransfers is how many proxies receive a snapshot at a time: 18 MiB are without an acknowledgement at most.
+	// maxSnapshotTransfers is the number of proxies that receive a snapshot at the same time. It limits the unacknowledged data to
+	// 18 MiB.
 	maxSnapshotTransfers = 192
 
-	// maxSnapshotAge is how many bytes of entries may follow on a snapshot that is sent once more, as a part of its own size.
-	maxSnapshotAge = 1.0 / 4
+	// maxSnapshotLagRatio is the ratio of the bytes of entries after a snapshot to the size of the snapshot up to which the snapshot is
+	// reused for further proxies.
+	maxSnapshotLagRatio = 1.0 / 4
 )
 
-// encodedSnapshot is a snapshot of the state that all proxies which need one at about the same time receive.
+// encodedSnapshot is a snapshot of the state that is shared by all proxies that need one at about the same time.
 type encodedSnapshot struct {
-	state  *statemachine.State // of which it was taken; a state that was rebuilt since is another
+	state  *statemachine.State // from which it was taken; a rebuilt state is a different one
 	index  uint64
 	digest [16]byte
 	data   []byte
 }
 
-// proxySnapshot is a snapshot that a proxy is receiving. Updates of the log wait until it has all of it.
+// proxySnapshot is the transfer of a snapshot to a proxy. No log updates are sent until the transfer is complete.
 type proxySnapshot struct {
 	*encodedSnapshot
-	sent int // bytes
+	sentBytes int // bytes
 }
 
-// snapshotTransfers are the snapshots for proxies. Those beyond maxSnapshotTransfers wait in the order in which they asked.
+// snapshotTransfers schedules the snapshot transfers to proxies. Requests beyond maxSnapshotTransfers wait in order of arrival.
 type snapshotTransfers struct {
 	latest  *encodedSnapshot
 	waiting []*ProxyConn
 }
 
-// requestSnapshot has a proxy receive a snapshot when its turn has come.
+// requestSnapshot queues a snapshot transfer to a proxy.
 func (s *Server) requestSnapshot(conn *ProxyConn) {
-	if !conn.awaitsSnapshot {
-		conn.awaitsSnapshot = true
+	if !conn.snapshotQueued {
+		conn.snapshotQueued = true
 		s.transfers.waiting = append(s.transfers.waiting, conn)
 	}
 	s.startTransfers()
 }
 
-// startTransfers begins transfers while there are not too many.
+// startTransfers starts queued transfers until maxSnapshotTransfers are active.
 func (s *Server) startTransfers() {
 	for active := s.activeTransfers(); active < maxSnapshotTransfers && len(s.transfers.waiting) > 0; {
 		next := s.transfers.waiting[0]
 		s.transfers.waiting = s.transfers.waiting[1:]
-		if s.proxies.serves(next) && !next.closed {
+		if s.proxies.contains(next) && !next.closed {
 			next.startSnapshot(s)
 			active++
 		}
@@ -62,7 +64,7 @@
 }
 
 func (s *Server) activeTransfers() (active int) {
-	for conn := range s.proxies.members {
+	for conn := range s.proxies.conns {
 		if conn.snapshot != nil && !conn.closed {
 			active++
 		}
@@ -70,11 +72,11 @@
 	return active
 }
 
-// sharedSnapshot returns a snapshot from which the log goes on: the latest, unless many entries have followed on it.
+// sharedSnapshot returns a snapshot that the log continues from. It reuses the latest one unless too many entries follow it.
 func (s *Server) sharedSnapshot() *encodedSnapshot {
 	if latest := s.transfers.latest; latest != nil && latest.state == s.state {
 		entries, ok := s.consensus.CommittedAfter(latest.index)
-		if ok && float64(totalBytes(entries)) <= maxSnapshotAge*float64(len(latest.data)) {
+		if ok && float64(totalBytes(entries)) <= maxSnapshotLagRatio*float64(len(latest.data)) {
 			return latest
 		}
 	}
@@ -91,36 +93,37 @@
 	return total
 }
 
-// startSnapshot begins to send a snapshot.
+// startSnapshot starts the transfer of a snapshot.
 func (c *ProxyConn) startSnapshot(s *Server) {
-	c.awaitsSnapshot = false
+	c.snapshotQueued = false
 	c.snapshot = &proxySnapshot{encodedSnapshot: s.sharedSnapshot()}
 	s.ProxySnapshots.Add(1)
 	c.sendChunks(s, 0)
 }
 
-// sendChunks sends the chunks that the window allows beyond what the proxy has received.
+// sendChunks sends further chunks until maxChunksInFlight are unacknowledged. received is the number of bytes acknowledged.
 func (c *ProxyConn) sendChunks(s *Server, received int) {
 	snapshot := c.snapshot
-	for snapshot.sent < min(len(snapshot.data), received+snapshotWindow*snapshotChunkBytes) {
-		end := min(len(snapshot.data), snapshot.sent+snapshotChunkBytes)
-		c.deliver(&rpc.Frame{Version: s.protocolVersion, SnapshotChunk: &rpc.SnapshotChunk{
+	for snapshot.sentBytes < min(len(snapshot.data), received+maxChunksInFlight*snapshotChunkBytes) {
+		end := min(len(snapshot.data), snapshot.sentBytes+snapshotChunkBytes)
+		c.sendOrClose(&rpc.Frame{Version: s.protocolVersion, SnapshotChunk: &rpc.SnapshotChunk{
 			Index:   snapshot.index,
 			Digest:  snapshot.digest,
 			Size:    uint64(len(snapshot.data)),
-			Offset:  uint64(snapshot.sent),
-			Data:    snapshot.data[snapshot.sent:end],
+			Offset:  uint64(snapshot.sentBytes),
+			Data:    snapshot.data[snapshot.sentBytes:end],
 			Members: s.memberAddresses(),
 		}})
-		snapshot.sent = end
+		snapshot.sentBytes = end
 	}
 }
 
-// handleChunkAck goes on behind what a proxy has received. Once that is all, the log goes on behind the snapshot.
+// handleChunkAck continues the transfer after the acknowledged data. Once the proxy has the whole snapshot, it gets the log entries
+// that follow.
 func (s *Server) handleChunkAck(conn *ProxyConn, ack *rpc.ChunkAck) {
 	snapshot := conn.snapshot
 	switch {
-	case snapshot == nil || ack.Index != snapshot.index || ack.Received > uint64(snapshot.sent):
+	case snapshot == nil || ack.Index != snapshot.index || ack.Received > uint64(snapshot.sentBytes):
 		s.discard(resultUnsolicited)
 	case ack.Received < uint64(len(snapshot.data)):
 		conn.sendChunks(s, int(ack.Received))
--- a/internal/control/proxy_welcome_test.go
+++ b/internal/control/proxy_welcome_test.go
@@ -11,7 +11,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// welcomedProxy is a proxy whose frames are kept; full says that its queue takes no more.
+// welcomedProxy is a proxy that records the frames sent to it. While full is true, its queue refuses frames.
 type welcomedProxy struct {
 	*ProxyConn
 	frames []*rpc.Frame
@@ -38,7 +38,8 @@
 	}
 }
 
-// All proxies of a large deployment reconnected at once: each had a snapshot of its own encoded, and all were sent together.
+// When all proxies of a large deployment reconnect at once, they must share one encoded snapshot, and the number of concurrent
+// transfers must be limited.
 func TestSnapshotsForManyProxiesAreSharedAndRationed(t *testing.T) {
 	s := newSoleLeader(t, statesize.Sizes[0])
 	var proxies []*welcomedProxy
@@ -48,17 +49,17 @@
 	require.Equal(t, maxSnapshotTransfers, s.activeTransfers())
 	shared := s.transfers.latest
 	s.ProxyDisconnected(proxies[0].ProxyConn)
-	s.ProxyDisconnected(proxies[maxSnapshotTransfers+1].ProxyConn) // which still waits
+	s.ProxyDisconnected(proxies[maxSnapshotTransfers+1].ProxyConn) // still queued
 	for _, p := range proxies {
 		require.LessOrEqual(t, s.activeTransfers(), maxSnapshotTransfers)
 		p.receiveSnapshot(s.Server)
-		require.False(t, p.awaitsSnapshot && !p.closed)
+		require.False(t, p.snapshotQueued && !p.closed)
 	}
 	require.Zero(t, s.activeTransfers())
 	require.Same(t, shared, s.transfers.latest)
 }
 
-// Proxies whose links end while they receive snapshots must not hold up those that wait for a turn.
+// When connections are closed during snapshot transfers, the transfers of queued proxies must start.
 func TestWaitingProxiesGetSnapshotsWhenTransfersEndWithTheirLinks(t *testing.T) {
 	s := newSoleLeader(t, statesize.Sizes[0])
 	var proxies []*welcomedProxy
@@ -73,7 +74,8 @@
 	}
 }
 
-// A proxy that waited for its registration or a snapshot heard nothing for 0.7 s, left and came back for another snapshot.
+// A proxy that waits for its registration or a snapshot must get a response to its lease request. Without one for 0.7 s it
+// disconnects, reconnects and requests another snapshot.
 func TestProxyWithoutALeaseIsAnswered(t *testing.T) {
 	s := newSoleLeader(t, statesize.Sizes[0])
 	p := s.welcome("new", 0)
@@ -81,7 +83,7 @@
 	require.Equal(t, &rpc.LeaseResponse{Serial: 7, Postponed: true}, p.frames[len(p.frames)-1].LeaseResponse)
 }
 
-// A proxy that reads slowly lost its link whenever its queue was full. It must get what it misses on the same link.
+// A slow proxy whose queue is full must keep its connection and get the missing entries on it later.
 func TestSlowProxyKeepsItsLink(t *testing.T) {
 	s := newSoleLeader(t, statesize.Sizes[0])
 	p := s.welcome(statesize.ProxyName(0), s.state.Index)
