--- a/internal/control/run.go
+++ b/internal/control/run.go
@@ -25,16 +25,16 @@
 
 const (
 	tickInterval     = 50 * time.Millisecond
-	busyTickInterval = tickInterval / 3 // while a fail-over is under way
+	busyTickInterval = tickInterval / 3 // while a failover is in progress
 
 	eventQueueLength = 512
 
 	shutdownPollInterval = 30 * time.Millisecond
-	shutdownLinger       = 100 * time.Millisecond // for the last responses and messages to go out
+	shutdownLinger       = 100 * time.Millisecond // for the last responses and messages to be sent
 )
 
-// process runs a Server: it owns the goroutines, the sockets and the data directory. Its goroutines hand what they have for the
-// Server to the event loop by the queue.
+// process runs a Server: it owns the goroutines, the sockets and the data directory. Its goroutines pass their input for the
+// Server to the event loop through the queue.
 type process struct {
 	ctx      context.Context
 	tasks    *errgroup.Group
@@ -43,14 +43,14 @@
 	server   *Server
 	queue    *eventloop.Queue
 	wal      *storage.WAL
-	writes   *writeQueue // to the goroutine that waits for the disk
+	writes   *writeQueue // to persistLoop
 	mesh     *rpc.Mesh
 	hosts    *hostClient
 	platform *platformClient
 }
 
-// Run serves as one member until a signal to stop comes and the member has shut down, or until it fails. A signal on reload
-// makes it read the settings again. The figures are shown at the endpoint, if it is set.
+// Run runs one member until a signal arrives on signals and the member has shut down, or until it fails. A signal on reload makes
+// it reload the settings. Metrics are served at the endpoint, if it is set.
 func Run(settings *settings.Settings, endpoint metrics.Endpoint, signals, reload <-chan os.Signal, log hclog.Logger) error {
 	if settings.Listen.Control == "" {
 		return trace.BadParameter("Listen.Control: missing; this program serves the control plane")
@@ -85,7 +85,7 @@
 		writes:   newWriteQueue(),
 		mesh:     rpc.NewMesh(ctx, settings.Ip),
 		hosts:    newHostClient(ctx, settings.Ip, server.MayAct),
-		platform: &platformClient{localIP: settings.Ip, log: log, mayAct: server.MayAct},
+		platform: &platformClient{localIP: settings.Ip, log: log, holdsLease: server.MayAct},
 	}
 	server.SetEnvironment(p.environment())
 	waitForConns, err := p.start()
@@ -126,7 +126,7 @@
 	return waitForConns, nil
 }
 
-// Founders returns the first members of a new control plane, in order: those at the addresses of SeedPeers.
+// Founders returns the sorted initial members of a new control plane, which are those at the addresses of SeedPeers.
 func Founders(settings *settings.Settings) (founders []consensus.ID) {
 	for _, ip := range settings.SeedHosts() {
 		founders = append(founders, consensus.ID(ip))
@@ -135,9 +135,9 @@
 	return founders
 }
 
-// openDataDir opens the write-ahead log and returns this member's identity and what the log holds. A founder of a new system
-// is a member under its address; any other without data gets a random identity and starts as a learner, since what it had
-// promised as a member may be lost with its disk.
+// openDataDir opens the write-ahead log and returns this member's identity and the state restored from the log. A founder of a new
+// system uses its address as its ID. Any other process without data gets a random ID and starts as a learner, because votes and
+// acknowledgements that it gave as a member may have been lost with its disk.
 func openDataDir(settings *settings.Settings) (*storage.WAL, storage.Identity, consensus.RestoredState, error) {
 	self, founders := consensus.ID(settings.Ip), Founders(settings)
 	return storage.Open(settings.DataDir, func() storage.Identity {
@@ -160,8 +160,8 @@
 	}
 }
 
-// queryHost sends a command to a host in a goroutine of its own. Its time begins with the decision: a process that was
-// suspended since sends nothing.
+// queryHost sends a command to a host in a goroutine of its own. The timeout starts at the decision, so that a process that was
+// suspended in the meantime does not send the command.
 func (p *process) queryHost(query failover.HostQuery, host statemachine.Host) {
 	deadline := time.Now().Add(hostQueryTimeout)
 	p.tasks.Go(func() error {
@@ -171,7 +171,7 @@
 	})
 }
 
-// promote calls the platform in a goroutine of its own. Its time begins with the decision.
+// promote calls the platform in a goroutine of its own. The timeout starts at the decision.
 func (p *process) promote(promotion failover.Promotion) {
 	address := p.settings.Provider.Address
 	p.log.Info("requesting promotion", "service", promotion.Service, "host", promotion.Host, "fencing_token", promotion.FencingToken)
@@ -184,8 +184,8 @@
 	})
 }
 
-// runEventLoop is the goroutine that uses the Server: it runs what others queue, and the Server's timer. The timer comes before any
-// event: the consensus' own heartbeats must go out however many events wait.
+// runEventLoop is the goroutine that uses the Server: it runs the queued events and the Server's timer. The timer takes precedence
+// over events, because consensus heartbeats must be sent no matter how many events are queued.
 func (p *process) runEventLoop() {
 	defer p.queue.Close()
 	timer := time.NewTimer(tickInterval)
@@ -213,7 +213,7 @@
 	}
 }
 
-// tick advances the Server's timers, and returns when the next tick is due.
+// tick advances the Server's timers and returns the time until the next tick.
 func (p *process) tick() time.Duration {
 	if p.server.Tick() {
 		return busyTickInterval
@@ -221,14 +221,14 @@
 	return tickInterval
 }
 
-// eventPriorities is the order in which the event loop takes what waits: messages of members and outcomes, leases, orders, and
-// what hosts repeat by themselves.
+// eventPriorities is the order in which the event loop processes queued events: messages from members and outcomes of I/O, then
+// proxy leases, then commands, then host heartbeats, which are repeated anyway.
 var eventPriorities = [...]eventloop.Priority{
 	eventloop.PriorityOutcomes, eventloop.PriorityControl, eventloop.PriorityCommands, eventloop.PriorityReports,
 }
 
-// nextEvent looks through all priorities for each event, so that what arrives meanwhile with a higher priority does not wait for
-// a backlog of commands.
+// nextEvent returns the queued event with the highest priority, or nil. All priorities are checked for each event, so that a new
+// event with a higher priority does not wait for a backlog of commands.
 func (p *process) nextEvent() func() {
 	for _, priority := range eventPriorities {
 		if event := p.queue.Take(priority); event != nil {
@@ -238,7 +238,7 @@
 	return nil
 }
 
-// handleSignals returns once the member has shut down or the context has ended.
+// handleSignals processes signals. It returns once the member has shut down or the context is canceled.
 func (p *process) handleSignals(signals, reload <-chan os.Signal) {
 	for {
 		select {
@@ -253,7 +253,7 @@
 	}
 }
 
-// shutDown has the Server transfer its voting membership and leadership, and waits for it.
+// shutDown makes the Server transfer its voting membership and leadership, and waits until it has.
 func (p *process) shutDown() {
 	p.queue.Put(eventloop.PriorityControl, p.server.BeginShutdown)
 	for {
@@ -266,8 +266,8 @@
 	}
 }
 
-// reloadSettings takes over those settings that may change while the process runs. It runs in the event loop, which is the
-// only one to read them.
+// reloadSettings applies the settings that may change while the process runs. It runs in the event loop, the only goroutine that
+// reads them.
 func (p *process) reloadSettings() {
 	fresh, err := settings.Read()
 	if err != nil {
--- a/internal/control/seen_requests.go
+++ b/internal/control/seen_requests.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	maxRequesters = 64 // whose serials are remembered
-	windowBits    = 64 // serials that are remembered of each
+	maxRequesters = 64 // processes whose serials are tracked
+	windowBits    = 64 // serials tracked per process
 )
 
-// seenRequests remembers which forwarded requests came before, for the last maxRequesters processes that sent one.
+// seenRequests tracks which forwarded requests were already received, for the last maxRequesters processes that sent one.
 type seenRequests struct {
 	windows map[requester]*serialWindow
 	order   []requester // the keys of windows, oldest first
@@ -23,8 +23,8 @@
 	incarnation uint64
 }
 
-// first reports whether a request is seen for the first time, and remembers it.
-func (r *seenRequests) first(from requester, serial uint64) bool {
+// record marks a request as seen and reports whether it was seen for the first time.
+func (r *seenRequests) record(from requester, serial uint64) bool {
 	window := r.windows[from]
 	if window == nil {
 		if r.order = append(r.order, from); len(r.order) > maxRequesters {
@@ -37,11 +37,11 @@
 	return window.accept(serial)
 }
 
-// serialWindow is a sliding window over the serials of one requester, as the anti-replay window of RFC 4303, section 3.4.3. Bit
+// serialWindow is a sliding window over the serials of one requester, like the anti-replay window of RFC 4303, section 3.4.3. Bit
 // i of seen is set if newest-i was seen.
 type serialWindow struct{ newest, seen uint64 }
 
-// accept reports whether a serial is seen for the first time. One that is older than the window counts as seen.
+// accept marks a serial as seen and reports whether it was seen for the first time. A serial older than the window counts as seen.
 func (w *serialWindow) accept(serial uint64) bool {
 	if serial > w.newest {
 		w.seen = w.seen<<(serial-w.newest) | 1 // a shift by windowBits or more gives 0
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -13,8 +13,8 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// Server is one member of the control plane. All its methods but MayAct must be called by one goroutine; they don't block. Only
-// its Counters may be read and changed by others.
+// Server is one member of the control plane. All methods except MayAct must be called from a single goroutine; they do not block.
+// Other goroutines may read and change only the Counters.
 type Server struct {
 	settings    *settings.Settings
 	log         hclog.Logger
@@ -22,60 +22,61 @@
 	id          consensus.ID
 	environment Environment
 
-	protocolVersion uint32 // that this process speaks: rpc.ProtocolVersion, or an older one in tests
+	protocolVersion uint32 // version that this process speaks: rpc.ProtocolVersion, or an older one in tests
 
 	consensus     *consensus.Node
 	state         *statemachine.State
-	committed     []consensus.Committed // not applied yet
-	applying      bool                  // the loop that applies committed entries is on the stack
-	diverged      bool                  // state is not what the log builds; the leader's was requested
-	loggedMembers []consensus.ID        // what the last log line on membership showed
-
-	lease            leaderLease           // what MayAct reads
-	leading          bool                  // this member acts as the leader; set by updateLeadership
-	grantor          *lease.Grantor        // of proxies' leases in the present term; nil before the first
-	coordinator      *failover.Coordinator // of fail-over in the present term; nil before the first
-	quota            tenantQuota           // in the present term
-	ledTimeOffsetMs  int64                 // from the clock to leader time (statemachine.Change.LeaderTimeMs), while leading
-	pendingProposals map[uint64]pendingProposal
-	pendingUpdates   pendingUpdates
-	digests          stateDigests
-	addressChecks    map[failover.HostQuery]addressCheck
-	peerVersions     map[consensus.ID]uint32 // that other members speak, as last heard
-	lastCallSeq      map[string]int64        // CallSeq of the last heartbeat, by host
+	committed     []consensus.Committed // committed entries that are not applied yet
+	applying      bool                  // processReady is applying committed entries further up the call stack
+	diverged      bool                  // state differs from the one that the log produces; a snapshot was requested from the leader
+	loggedMembers []consensus.ID        // members in the last log line about a membership change
+
+	lease              leaderLease           // read by MayAct
+	leading            bool                  // whether this member acts as the leader; set by updateLeadership
+	grantor            *lease.Grantor        // grants proxy leases in the term led last; nil before the first
+	coordinator        *failover.Coordinator // failover coordinator of the term led last; nil before the first
+	quota              tenantQuota           // of the term led last
+	leaderTimeOffsetMs int64                 // leader time (statemachine.Change.LeaderTimeMs) minus the clock, while leading
+	pendingProposals   map[uint64]pendingProposal
+	pendingUpdates     pendingUpdates
+	digests            stateDigests
+	addressChecks      map[failover.HostQuery]addressCheck
+	peerVersions       map[consensus.ID]uint32 // protocol versions that other members last announced
+	lastCallSeq        map[string]int64        // highest CallSeq of heartbeats, by host
 
 	proxies         servedProxies
-	proxiesAccepted uint64 // number of ProxyConns since the start
+	proxiesAccepted uint64 // number of ProxyConns created since the process started
 	transfers       snapshotTransfers
 	forwarder       forwarder
 
-	leaveDeadlineMs int64 // until when a shutdown waits for this member's voting membership to be transferred
+	shutdownDeadlineMs int64 // time until which a shutdown waits for this member's voting membership to be transferred
 
 	Counters
 }
 
-// Environment is how a Server acts on the outside. Its functions must not wait for the network, a host or the disk, since the
-// event loop would stand still meanwhile. Run connects them to sockets and a disk, tests to a simulation.
+// Environment performs the I/O of a Server. Its functions must not wait for the network, a host or the disk, because that would
+// block the event loop. Run connects them to sockets and a disk, tests to a simulation.
 type Environment struct {
-	// Send sends a frame to the member at an IP address. It may be lost.
+	// Send sends a frame to the member at an IP address. The frame may be lost.
 	Send func(ip string, frame *rpc.Frame)
-	// QueryHost sends a command to a host; Server.QueryFinished gets the result. A command that changes the host may be written
-	// only while Server.MayAct is true for the query's LeaderTerm.
+	// QueryHost sends a command to a host and reports the result to Server.QueryFinished. A command that changes the host may be
+	// written only while Server.MayAct returns true for the query's LeaderTerm.
 	QueryHost func(query failover.HostQuery, host statemachine.Host)
-	// Promote asks the platform to promote a host; Server.PromotionFinished gets the outcome. The call may be written only while
-	// Server.MayAct is true for the promotion's LeaderTerm.
+	// Promote asks the platform to promote a host and reports the outcome to Server.PromotionFinished. The request may be written
+	// only while Server.MayAct returns true for the promotion's LeaderTerm.
 	Promote func(promotion failover.Promotion)
-	// Persist writes to the write-ahead log in the order of its calls; Server.Persisted is called once a write is synced. The
-	// consensus node bounds how many writes wait.
+	// Persist writes to the write-ahead log in the order of the calls and calls Server.Persisted once a write is synced. The
+	// consensus node limits the number of pending writes.
 	Persist func(writes []consensus.Write)
-	// DroppedFrames is the number of frames that Send could not send. It may be nil.
+	// DroppedFrames returns the number of frames that Send could not send. It may be nil.
 	DroppedFrames func() int64
-	// RefusedFrames is the number of frames that their receivers refused. It may be nil.
+	// RefusedFrames returns the number of frames that their receivers refused. It may be nil.
 	RefusedFrames func() int64
 }
 
-// New makes a member from what its data directory holds. SetEnvironment must follow before any other call. random returns
-// numbers in [0, 1). incarnation must differ at each start of the process; it tells forwarded calls of one from another's.
+// New creates a member from the contents of its data directory. SetEnvironment must be called before any other method. random
+// returns numbers in [0, 1). incarnation must differ at each start of the process; it distinguishes the forwarded calls of one
+// incarnation from those of another.
 func New(settings *settings.Settings, log hclog.Logger, clock eventloop.MonotonicClock, identity storage.Identity,
 	restored consensus.RestoredState, random func() float64, incarnation uint64,
 ) (*Server, error) {
@@ -101,16 +102,16 @@
 	}, nil
 }
 
-// SetEnvironment connects a new Server to the outside.
+// SetEnvironment sets the functions through which a new Server performs I/O.
 func (s *Server) SetEnvironment(environment Environment) { s.environment = environment }
 
-// Tick advances all timers. It must be called at least every 50 ms, and three times as often while it returns true: then a
-// fail-over is under way.
+// Tick advances all timers. It must be called at least every 50 ms, and three times as often while it returns true, which means
+// that a failover is in progress.
 func (s *Server) Tick() (busy bool) {
 	now := s.clock.Now()
-	s.carryOut(s.consensus.Tick(now))
+	s.processReady(s.consensus.Tick(now))
 	s.tickFailover()
-	s.tickLending(now)
+	s.tickLender(now)
 	s.expireForwarded(now)
 	s.tickDigests(now)
 	return s.leading && s.coordinator.Active(s.state)
@@ -118,10 +119,10 @@
 
 // Persisted reports that all writes up to a sequence number are synced to disk.
 func (s *Server) Persisted(sequence uint64) {
-	s.carryOut(s.consensus.Persisted(sequence, s.clock.Now()))
+	s.processReady(s.consensus.Persisted(sequence, s.clock.Now()))
 }
 
-// HandleFrame processes a frame of another member. from is the IP address that its connection comes from.
+// HandleFrame processes a frame from another member. from is the remote IP address of the connection.
 func (s *Server) HandleFrame(from string, frame *rpc.Frame) {
 	switch {
 	case frame.Consensus != nil && frame.Consensus.From.Address() != from:
@@ -131,7 +132,7 @@
 		if frame.Consensus.Type == consensus.MsgSnapshotRequest && s.leading {
 			s.refreshSnapshot()
 		}
-		s.carryOut(s.consensus.Step(*frame.Consensus, s.clock.Now()))
+		s.processReady(s.consensus.Step(*frame.Consensus, s.clock.Now()))
 	case frame.ForwardRequest != nil:
 		s.handleForwardRequest(from, frame.ForwardRequest)
 	case frame.ForwardResponse != nil:
@@ -145,13 +146,13 @@
 	}
 }
 
-// send sends a frame to the member at an address, in the version that this process speaks.
+// send sends a frame to the member at an IP address, with the protocol version that this process speaks.
 func (s *Server) send(ip string, frame *rpc.Frame) {
 	frame.Version = s.protocolVersion
 	s.environment.Send(ip, frame)
 }
 
-// leastVersion is the version that all members speak of which this one has heard, itself included.
+// leastVersion returns the lowest protocol version among this member and the members whose version is known.
 func (s *Server) leastVersion() uint32 {
 	least := s.protocolVersion
 	for _, id := range s.consensus.Members() {
@@ -162,7 +163,7 @@
 	return least
 }
 
-// holdsLease reports whether this member acts as the leader and no other member can be leader now.
+// holdsLease reports whether this member acts as the leader and holds the leader lease, so that no other member can lead now.
 func (s *Server) holdsLease() bool {
 	return s.leading && !s.diverged && s.consensus.HoldsLease(s.clock.Now())
 }
--- a/internal/control/state_digest_test.go
+++ b/internal/control/state_digest_test.go
@@ -10,7 +10,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// newClusterWithState returns members that hold some state, the leader and a follower.
+// newClusterWithState returns a cluster with hosts and a configuration in its state, its leader and a follower.
 func newClusterWithState(t *testing.T) (c *partitionCluster, leader, follower *partitionMember) {
 	c, leader, follower = newHealthyPartitionCluster(t)
 	for i := range 5 {
@@ -22,7 +22,7 @@
 	return c, leader, follower
 }
 
-// corruptions change a state as a fault of memory would.
+// corruptions change a state as memory corruption would.
 var corruptions = map[string]func(state *statemachine.State){
 	"a host's address": func(state *statemachine.State) {
 		host := state.Hosts["h2"]
@@ -41,8 +41,8 @@
 	"history": func(state *statemachine.State) { state.LeaderTimeMs += 1000 },
 }
 
-// A member whose state is wrong finds out by the digests of the others, whether it leads or follows; a leader steps down. It takes the
-// state anew, so that in the end all have the same again.
+// A leader or follower whose state is corrupt is detected by comparing digests and replaces its state, after which all members have
+// the same state again. A leader steps down first.
 func TestWrongStateIsFoundAndReplaced(t *testing.T) {
 	for name, corrupt := range corruptions {
 		for _, atLeader := range []bool{false, true} {
@@ -53,36 +53,36 @@
 	}
 }
 
-// requireRepaired changes the state of the leader or of a follower.
+// requireRepaired corrupts the state of the leader or a follower and asserts that it is detected and repaired.
 func requireRepaired(t *testing.T, corrupt func(*statemachine.State), atLeader bool) {
 	t.Helper()
 	c, leader, follower := newClusterWithState(t)
-	right := leader.server.state.Digest().Ranges
-	wrong := follower
+	want := leader.server.state.Digest().Ranges
+	corrupted := follower
 	if atLeader {
-		wrong = leader
+		corrupted = leader
 	}
-	corrupt(wrong.server.state)
-	require.NotEqual(t, right, wrong.server.state.Digest().Ranges)
+	corrupt(corrupted.server.state)
+	require.NotEqual(t, want, corrupted.server.state.Digest().Ranges)
 	c.RunFor(3 * digestIntervalMs)
-	require.EqualValues(t, 1, wrong.server.StateDivergences.Load())
-	require.Equal(t, !atLeader, leader.server.leading, "a leader with a wrong state steps down, another stays")
+	require.EqualValues(t, 1, corrupted.server.StateDivergences.Load())
+	require.Equal(t, !atLeader, leader.server.leading, "only a leader with a corrupt state steps down")
 	c.RunFor(2000)
 	leaders := 0
 	for _, m := range c.members {
 		require.False(t, m.server.diverged)
-		require.Equal(t, right, m.server.state.Digest().Ranges, "member %s", m.ip)
+		require.Equal(t, want, m.server.state.Digest().Ranges, "member %s", m.ip)
 		if m.server.holdsLease() {
 			leaders++
 		}
-		if m != wrong {
-			require.Zero(t, m.server.StateDivergences.Load(), "member %s was right", m.ip)
+		if m != corrupted {
+			require.Zero(t, m.server.StateDivergences.Load(), "member %s was not corrupted", m.ip)
 		}
 	}
 	require.Equal(t, 1, leaders)
 }
 
-// A leader whose configuration is wrong in memory answers no read and lets no change build on it, also before digests were compared.
+// A leader whose configuration in memory is corrupt must not serve it, even before digests are compared.
 func TestWrongConfigurationAnswersNobody(t *testing.T) {
 	c, leader, _ := newClusterWithState(t)
 	status := readConfig(leader)
@@ -104,7 +104,7 @@
 	return status
 }
 
-// Digests and rejections count only from whom they may come, in the term that is.
+// Digests are accepted only from their sender's address, and rejections only from the leader of the current term.
 func TestForeignDigestsAreDiscarded(t *testing.T) {
 	c, leader, follower := newClusterWithState(t)
 	var other *partitionMember
@@ -113,13 +113,13 @@
 			other = m
 		}
 	}
-	lie := statemachine.Digest{Index: follower.server.state.Index}
+	wrongDigest := statemachine.Digest{Index: follower.server.state.Index}
 	discarded := follower.server.Discarded[messageWrongSender].Load()
 	term := follower.server.consensus.Term()
 	for _, rejected := range []*rpc.StateRejected{
-		{To: follower.server.id, Term: term, Digest: lie},     // not from the leader
-		{To: follower.server.id, Term: term - 1, Digest: lie}, // of an earlier term
-		{To: other.server.id, Term: term, Digest: lie},        // for another
+		{To: follower.server.id, Term: term, Digest: wrongDigest},     // not from the leader
+		{To: follower.server.id, Term: term - 1, Digest: wrongDigest}, // of an earlier term
+		{To: other.server.id, Term: term, Digest: wrongDigest},        // for another member
 	} {
 		from := leader.ip
 		if rejected.Term == term && rejected.To == follower.server.id {
@@ -131,14 +131,14 @@
 	require.False(t, follower.server.diverged)
 
 	discarded = leader.server.Discarded[messageWrongSender].Load()
-	leader.server.HandleFrame(other.ip, &rpc.Frame{StateDigests: &rpc.StateDigests{From: follower.server.id, Digests: []statemachine.Digest{lie}}})
-	leader.server.HandleFrame(other.ip, &rpc.Frame{StateDigests: &rpc.StateDigests{From: other.server.id, Digests: make([]statemachine.Digest, sentDigests+1)}})
+	leader.server.HandleFrame(other.ip, &rpc.Frame{StateDigests: &rpc.StateDigests{From: follower.server.id, Digests: []statemachine.Digest{wrongDigest}}})
+	leader.server.HandleFrame(other.ip, &rpc.Frame{StateDigests: &rpc.StateDigests{From: other.server.id, Digests: make([]statemachine.Digest, maxDigestsPerFrame+1)}})
 	require.EqualValues(t, discarded+2, leader.server.Discarded[messageWrongSender].Load())
 	c.RunFor(3000)
-	require.True(t, leader.server.holdsLease(), "a digest that one member tells alone changes nothing at the others")
+	require.True(t, leader.server.holdsLease(), "a digest reported by a single member has no effect on the others")
 }
 
-// Members of the release before digests take part in everything else: an upgrade may go one member at a time, and back.
+// Members of a release without digests participate in everything else, so that members can be upgraded and downgraded one at a time.
 func TestMembersOfTwoVersionsRunSideBySide(t *testing.T) {
 	for older := range 3 {
 		c, leader, follower := newClusterWithState(t)
@@ -158,7 +158,7 @@
 	}
 }
 
-// A frame with nothing in it that this version knows is counted, and changes nothing.
+// A frame without a payload that this version knows is counted and ignored.
 func TestEmptyFrameIsDiscarded(t *testing.T) {
 	_, leader, _ := newHealthyPartitionCluster(t)
 	leader.server.HandleFrame("10.0.0.2", &rpc.Frame{Version: 9})
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -13,19 +13,19 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// Status is what a member reports of itself, whether it leads or not.
+// Status is the report of a member about itself, whether it leads or not.
 type Status struct {
 	Consensus        consensus.Status
-	ProtocolVersion  uint32 // that this process speaks
-	LeastVersion     uint32 // that all members speak, as far as they were heard
-	Version          int64  // generation of the configuration
+	ProtocolVersion  uint32 // protocol version that this process speaks
+	LeastVersion     uint32 // lowest protocol version among the members whose version is known
+	Version          int64  // version (Generation) of the configuration
 	Hosts            int
-	Proxies          int // that hold leases; 0 unless this member leads
+	Proxies          int // proxies that hold leases; 0 unless this member leads
 	Primaries        map[string]statemachine.Primary
-	Transitions      map[string]failover.Transition // changes of primary under way, by service; empty unless this member leads
-	UnaccountedHosts []statemachine.Host            // removed hosts whose log may have entries that no other host has
-	MissingHosts     []string                       // hosts that fail-over does not wait for
-	TenantsAtLimit   []string                       // names of tenants of which some proxy waits for more; empty unless this member leads
+	Transitions      map[string]failover.Transition // changes of primary in progress, by service; empty unless this member leads
+	UnaccountedHosts []statemachine.Host            // removed hosts whose log may contain entries that no other host has
+	MissingHosts     []string                       // IDs of hosts that failover does not wait for
+	TenantsAtLimit   []string                       // names of tenants for which a proxy waits for more tokens; empty unless this member leads
 	Counters         map[string]int64
 }
 
@@ -38,7 +38,7 @@
 }
 
 func (s *Server) handleStatus(_ string, _ apiCall, respond Responder) {
-	body, _ := json.Marshal(s.status()) // plain data: it can't fail
+	body, _ := json.Marshal(s.status()) // plain data: cannot fail
 	respond(http.StatusOK, append(body, '\n'))
 }
 
--- a/internal/control/tenant_quota.go
+++ b/internal/control/tenant_quota.go
@@ -9,30 +9,30 @@
 
 // tenantQuota lends the tokens of tenants to proxies while this member leads.
 type tenantQuota struct {
-	lender *quota.Lender  // of the present term; nil before the first
-	limits *config.Config // whose limits the lender has
+	lender *quota.Lender  // of the term led last; nil before the first
+	limits *config.Config // configuration from which the lender's limits were taken
 }
 
-// toleranceOf is by how much the settings let a tenant's operations exceed its limit.
+// toleranceOf returns the amount by which the settings allow a tenant's operations to exceed its limit.
 func toleranceOf(bounds settings.Bounds) quota.Tolerance {
 	return quota.Tolerance{WindowS: bounds.QuotaWindowS, Excess: bounds.QuotaExcess, Slack: bounds.QuotaSlack}
 }
 
-// beginLending starts the lender of a term that this member leads.
-func (s *Server) beginLending(term uint64, nowMs int64) {
+// startLender creates the token lender for a term that this member leads.
+func (s *Server) startLender(term uint64, nowMs int64) {
 	s.quota = tenantQuota{lender: quota.NewLender(term, toleranceOf(s.settings.Bounds))}
-	s.refreshLimits(nowMs)
+	s.updateLenderLimits(nowMs)
 }
 
-// tickLending brings the lender in line with the configuration before the first proxy asks: a tenant's tokens grow from then on.
-func (s *Server) tickLending(nowMs int64) {
+// tickLender updates the lender's limits before the first proxy requests tokens, because a tenant's tokens accumulate from then on.
+func (s *Server) tickLender(nowMs int64) {
 	if s.leading {
-		s.refreshLimits(nowMs)
+		s.updateLenderLimits(nowMs)
 	}
 }
 
-// refreshLimits brings the lender in line with the configuration in force.
-func (s *Server) refreshLimits(nowMs int64) {
+// updateLenderLimits sets the lender's limits to those of the current configuration.
+func (s *Server) updateLenderLimits(nowMs int64) {
 	configured := s.state.Config()
 	if configured == nil || configured == s.quota.limits {
 		return
@@ -47,7 +47,8 @@
 	s.quota.lender.SetLimits(limits, nowMs)
 }
 
-// handleQuotaRequest lends a proxy tokens. Without the leader's lease there is no answer: another member may lend.
+// handleQuotaRequest lends tokens to a proxy. If this member does not hold the leader lease, it does not respond, because another
+// member may be lending.
 func (s *Server) handleQuotaRequest(conn *ProxyConn, request *quota.Request) {
 	if !s.holdsLease() {
 		s.QuotaRequestsIgnored.Add(1)
@@ -55,10 +56,10 @@
 	}
 	s.QuotaRequests.Add(1)
 	now := s.clock.Now()
-	s.refreshLimits(now)
+	s.updateLenderLimits(now)
 	lender := s.quota.lender
 	borrower := quota.Borrower{Node: conn.node, Incarnation: conn.incarnation}
 	response := &quota.Response{Serial: request.Serial, Term: lender.Term()}
 	response.Answers = lender.Serve(borrower, request.Term, request.Asks, now)
-	conn.deliver(&rpc.Frame{Version: s.protocolVersion, NeedsVersion: rpc.VersionQuotas, QuotaResponse: response})
+	conn.sendOrClose(&rpc.Frame{Version: s.protocolVersion, NeedsVersion: rpc.VersionQuotas, QuotaResponse: response})
 }
--- a/internal/control/update_history_test.go
+++ b/internal/control/update_history_test.go
@@ -15,20 +15,20 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// The model: a sequence of versions, each built on the one before. It knows nothing of logs or members.
+// The model is a sequence of versions, each based on the previous one. It is independent of logs and members.
 
 type route struct {
 	name     string
 	deadline int
 }
 
-// update is a whole configuration or an amendment, as an operator means it.
+// update is a complete configuration or an amendment that an operator requests.
 type update struct {
 	baseVersion, generation int64
 	amendment               bool
-	routes                  []route // all, or those that an amendment adds
+	routes                  []route // all routes, or those that an amendment adds
 	remove                  string
-	malformed               bool // its body is not JSON
+	malformed               bool // whether the body is invalid JSON
 }
 
 func (u *update) body() []byte {
@@ -46,10 +46,10 @@
 	return fmt.Appendf(nil, `{"Generation":%d,"Routes":[%s],"Services":[{"Name":"db"}]}`, u.generation, list)
 }
 
-// key is the same for updates that differ only in their base.
+// key returns a key that is the same for updates that differ only in their base version.
 func (u *update) key() string { return string(u.body()) }
 
-// modelVersion is the result of an update of the previous version.
+// modelVersion is the version that results from an update of the previous version.
 type modelVersion struct {
 	previous    *modelVersion
 	generation  int64
@@ -59,45 +59,45 @@
 	digest      uint64
 }
 
-func (v *modelVersion) text() string {
+func (v *modelVersion) configBody() string {
 	complete := update{generation: v.generation, routes: v.routes}
 	return string(complete.body())
 }
 
 // applied reports whether an update is among those that led to this version.
-func (v *modelVersion) applied(o *update) bool {
-	for ; v.previous != nil && v.baseVersion >= o.baseVersion; v = v.previous {
-		if v.baseVersion == o.baseVersion {
-			return v.key == o.key()
+func (v *modelVersion) applied(u *update) bool {
+	for ; v.previous != nil && v.baseVersion >= u.baseVersion; v = v.previous {
+		if v.baseVersion == u.baseVersion {
+			return v.key == u.key()
 		}
 	}
 	return false
 }
 
-func (v *modelVersion) valid(o *update) bool {
-	return !o.malformed && o.generation > v.generation && (!o.amendment || v.previous != nil)
+func (v *modelVersion) valid(u *update) bool {
+	return !u.malformed && u.generation > v.generation && (!u.amendment || v.previous != nil)
 }
 
-func (v *modelVersion) next(o *update) *modelVersion {
-	n := &modelVersion{previous: v, generation: o.generation, routes: o.routes, baseVersion: o.baseVersion, key: o.key()}
-	if o.amendment {
-		n.routes = slices.DeleteFunc(slices.Clone(v.routes), func(r route) bool { return r.name == o.remove })
-		for _, r := range o.routes {
-			if i := slices.IndexFunc(n.routes, func(x route) bool { return x.name == r.name }); i >= 0 {
-				n.routes[i] = r
+func (v *modelVersion) next(u *update) *modelVersion {
+	result := &modelVersion{previous: v, generation: u.generation, routes: u.routes, baseVersion: u.baseVersion, key: u.key()}
+	if u.amendment {
+		result.routes = slices.DeleteFunc(slices.Clone(v.routes), func(r route) bool { return r.name == u.remove })
+		for _, r := range u.routes {
+			if i := slices.IndexFunc(result.routes, func(x route) bool { return x.name == r.name }); i >= 0 {
+				result.routes[i] = r
 			} else {
-				n.routes = append(n.routes, r)
+				result.routes = append(result.routes, r)
 			}
 		}
 	}
 	h := fnv.New64a()
-	fmt.Fprint(h, v.digest, n.baseVersion, n.key)
-	n.digest = h.Sum64()
-	return n
+	fmt.Fprint(h, v.digest, result.baseVersion, result.key)
+	result.digest = h.Sum64()
+	return result
 }
 
 type modelResponse struct {
-	status int // 0: the outcome is unknown
+	status int // 0 if the outcome is unknown
 	body   string
 }
 
@@ -107,51 +107,52 @@
 	Hash:  func(a any) uint64 { return a.(*modelVersion).digest },
 	Step: func(state, input, output any) (bool, any) {
 		v, a := state.(*modelVersion), output.(modelResponse)
-		o, isOrder := input.(*update)
-		if !isOrder {
-			return a.status == http.StatusNotFound && v.previous == nil || a.status == http.StatusOK && v.previous != nil && a.body == v.text(), v
+		u, isUpdate := input.(*update)
+		if !isUpdate {
+			return a.status == http.StatusNotFound && v.previous == nil ||
+				a.status == http.StatusOK && v.previous != nil && a.body == v.configBody(), v
 		}
-		taken, fits := v.applied(o), v.generation == o.baseVersion
+		alreadyApplied, baseMatches := v.applied(u), v.generation == u.baseVersion
 		switch a.status {
-		case http.StatusOK, 0: // one without a response is judged only if it was applied in the end
-			if !taken && fits && v.valid(o) {
-				return true, v.next(o)
+		case http.StatusOK, 0: // updates without a a are included only if they were eventually applied
+			if !alreadyApplied && baseMatches && v.valid(u) {
+				return true, v.next(u)
 			}
-			return taken, v
+			return alreadyApplied, v
 		case http.StatusPreconditionFailed:
-			return !taken && !fits, v
+			return !alreadyApplied && !baseMatches, v
 		case http.StatusBadRequest:
-			return !taken && !v.valid(o), v
+			return !alreadyApplied && !v.valid(u), v
 		}
 		return false, v
 	},
 	DescribeOperation: func(input, output any) string {
 		a := output.(modelResponse)
-		if o, isOrder := input.(*update); isOrder {
-			return fmt.Sprintf("on %d: %s -> %d %s", o.baseVersion, o.body(), a.status, a.body)
+		if u, isUpdate := input.(*update); isUpdate {
+			return fmt.Sprintf("on %d: %s -> %d %s", u.baseVersion, u.body(), a.status, a.body)
 		}
 		return fmt.Sprintf("read -> %d %s", a.status, a.body)
 	},
 }
 
-// operatorCall is a call of an operator, repeated until its outcome is known or it is given up.
+// operatorCall is a call of an operator. It is retried until its outcome is known, at most 6 times in total.
 type operatorCall struct {
 	history   *updateHistory
 	operator  int
-	update    *update // nil: a read
+	update    *update // nil for a read
 	startedAt int64
 	attempts  int
 	done      bool
 	respond   func(modelResponse)
 }
 
-// updateHistory is the history of operators' calls and their responses in a cluster.
+// updateHistory records the operators' calls to a cluster and the responses.
 type updateHistory struct {
 	*cluster
 	operations   []porcupine.Operation
 	updates      []*update
-	knownVersion []int64 // by operator: the newest it knows
-	conflicted   []bool  // by operator: the last update was rejected with status 412
+	knownVersion []int64 // newest version known to each operator
+	conflicted   []bool  // whether the last update of each operator was rejected with status 412
 	endsAt       int64
 	responses    map[int]int // by status
 }
@@ -169,28 +170,28 @@
 	return h
 }
 
-// operate makes one call after another as an operator.
-func (h *updateHistory) operate(i int) {
+// operate makes calls in sequence as an operator.
+func (h *updateHistory) operate(operator int) {
 	if h.Now > h.endsAt {
 		return
 	}
-	again := func(a modelResponse) {
-		h.conflicted[i] = a.status == http.StatusPreconditionFailed
-		h.After(h.Between(0, 300*unitsPerMs), func() { h.operate(i) })
+	continueOperating := func(response modelResponse) {
+		h.conflicted[operator] = response.status == http.StatusPreconditionFailed
+		h.After(h.Between(0, 300*unitsPerMs), func() { h.operate(operator) })
 	}
-	u := h.randomUpdate(i)
+	u := h.randomUpdate(operator)
 	if u == nil {
-		h.send(i, nil, again)
+		h.send(operator, nil, continueOperating)
 		return
 	}
 	h.updates = append(h.updates, u)
-	if h.OneIn(8) { // another operator makes it at the same time, at another member
-		h.send((i+1)%len(h.knownVersion), u, func(modelResponse) {})
+	if h.OneIn(8) { // another operator makes the same update concurrently
+		h.send((operator+1)%len(h.knownVersion), u, func(modelResponse) {})
 	}
-	h.send(i, u, again)
+	h.send(operator, u, continueOperating)
 }
 
-// randomUpdate returns the next update of an operator; nil for a read.
+// randomUpdate returns the next update of an operator, or nil for a read.
 func (h *updateHistory) randomUpdate(operator int) *update {
 	known := h.knownVersion[operator]
 	u := &update{baseVersion: known, generation: known + h.Between(1, 3)}
@@ -204,7 +205,7 @@
 		return nil
 	case n < 45 && len(h.updates) > 0:
 		return h.repeatedUpdate()
-	case n < 50 && len(h.updates) > 0: // the same body on another version
+	case n < 50 && len(h.updates) > 0: // the same body on another base version
 		same := *h.updates[h.Rand.IntN(len(h.updates))]
 		same.baseVersion = known
 		return &same
@@ -221,7 +222,7 @@
 	return u
 }
 
-// repeatedUpdate returns an update that was made before, mostly a recent one.
+// repeatedUpdate returns an earlier update, usually a recent one.
 func (h *updateHistory) repeatedUpdate() *update {
 	u := h.updates[max(len(h.updates)-1-h.Rand.IntN(8), 0)]
 	if h.OneIn(4) {
@@ -230,8 +231,8 @@
 	return u
 }
 
-func (h *updateHistory) send(operator int, o *update, done func(modelResponse)) {
-	c := &operatorCall{history: h, operator: operator, update: o, startedAt: h.Now, respond: done}
+func (h *updateHistory) send(operator int, u *update, done func(modelResponse)) {
+	c := &operatorCall{history: h, operator: operator, update: u, startedAt: h.Now, respond: done}
 	c.attempt()
 }
 
@@ -247,7 +248,7 @@
 	m := h.members[h.Rand.IntN(len(h.members))]
 	latency, incarnation := h.Between(unitsPerMs/2, 3*unitsPerMs), m.Incarnation()
 	if h.OneIn(20) {
-		latency = h.Between(3*unitsPerMs, 600*unitsPerMs) // it may be overtaken by others
+		latency = h.Between(3*unitsPerMs, 600*unitsPerMs) // later calls may arrive first
 	}
 	method, path, base, body := http.MethodGet, "/Config.Read", "", []byte(nil)
 	if c.update != nil {
@@ -269,47 +270,47 @@
 	h.After(h.Between(200*unitsPerMs, unitsPerSecond), c.attempt)
 }
 
-func (c *operatorCall) receive(a modelResponse) {
+func (c *operatorCall) receive(response modelResponse) {
 	switch {
 	case c.done:
-	case a.status >= 500 || a.status == http.StatusTooManyRequests:
+	case response.status >= 500 || response.status == http.StatusTooManyRequests:
 		c.history.After(c.history.Between(10*unitsPerMs, 200*unitsPerMs), c.attempt)
 	default:
-		c.finish(a)
+		c.finish(response)
 	}
 }
 
-func (c *operatorCall) finish(a modelResponse) {
+func (c *operatorCall) finish(response modelResponse) {
 	h := c.history
 	c.done = true
-	h.responses[a.status]++
-	op := porcupine.Operation{ClientId: c.operator, Call: c.startedAt, Return: h.Now, Output: a}
-	if a.status == 0 {
+	h.responses[response.status]++
+	op := porcupine.Operation{ClientId: c.operator, Call: c.startedAt, Return: h.Now, Output: response}
+	if response.status == 0 {
 		op.Return = math.MaxInt64
 	}
-	var now struct{ Generation int64 }
+	var current struct{ Generation int64 }
 	switch {
 	case c.update != nil:
 		op.Input = c.update
-		if a.status == http.StatusOK {
+		if response.status == http.StatusOK {
 			h.knownVersion[c.operator] = max(h.knownVersion[c.operator], c.update.generation)
 		}
-	case a.status == http.StatusOK && json.Unmarshal([]byte(a.body), &now) == nil:
-		h.knownVersion[c.operator] = max(h.knownVersion[c.operator], now.Generation)
+	case response.status == http.StatusOK && json.Unmarshal([]byte(response.body), &current) == nil:
+		h.knownVersion[c.operator] = max(h.knownVersion[c.operator], current.Generation)
 	}
-	if c.update != nil || a.status != 0 {
+	if c.update != nil || response.status != 0 {
 		h.operations = append(h.operations, op)
 	}
-	c.respond(a)
+	c.respond(response)
 }
 
-// runAndCheck runs the cluster until all faults have ended, and checks the history.
+// runAndCheck runs the cluster until all faults have ended and checks the history.
 func (h *updateHistory) runAndCheck() {
 	h.runGuarded(h.endsAt - h.Now + 8*unitsPerSecond)
 	served := 0
 	for i := range h.knownVersion {
-		h.send(i, nil, func(a modelResponse) {
-			if a.status != 0 {
+		h.send(i, nil, func(response modelResponse) {
+			if response.status != 0 {
 				served++
 			}
 		})
@@ -318,34 +319,34 @@
 	if served < len(h.knownVersion) {
 		h.Violate("%d of %d reads got a response after all faults", served, len(h.knownVersion))
 	}
-	l := h.leader()
-	if l == nil {
+	currentLeader := h.leader()
+	if currentLeader == nil {
 		h.Violate("no leader after all faults")
 		return
 	}
-	if led := l.server.state.LeaderTimeMs; led > (h.Now-h.StartTime)/unitsPerMs {
-		h.Violate("led time is %d ms after %d ms", led, (h.Now-h.StartTime)/unitsPerMs)
+	if leaderTimeMs := currentLeader.server.state.LeaderTimeMs; leaderTimeMs > (h.Now-h.StartTime)/unitsPerMs {
+		h.Violate("leader time is %d ms after %d ms", leaderTimeMs, (h.Now-h.StartTime)/unitsPerMs)
 	}
 	for _, m := range h.members {
-		if m.server.state.Index == l.server.state.Index && m.server.state.Checksum() != l.server.state.Checksum() {
-			h.Violate("the states of %s and %s differ", m.ip, l.ip)
+		if m.server.state.Index == currentLeader.server.state.Index && m.server.state.Checksum() != currentLeader.server.state.Checksum() {
+			h.Violate("the states of %s and %s differ", m.ip, currentLeader.ip)
 		}
 	}
-	// An update without a response that was never applied has no place in the order.
-	known := map[statemachine.RequestID]bool{}
-	for _, t := range l.server.state.AppliedUpdates {
-		known[t.RequestID] = true
+	// Updates without a response that were never applied are excluded from the check.
+	applied := map[statemachine.RequestID]bool{}
+	for _, appliedUpdate := range currentLeader.server.state.AppliedUpdates {
+		applied[appliedUpdate.RequestID] = true
 	}
-	judged := slices.DeleteFunc(slices.Clone(h.operations), func(op porcupine.Operation) bool {
-		o, isOrder := op.Input.(*update)
-		return isOrder && op.Output.(modelResponse).status == 0 &&
-			!known[(&statemachine.ConfigUpdate{BaseVersion: o.baseVersion, IsAmendment: o.amendment, Body: o.body()}).RequestID()]
+	checked := slices.DeleteFunc(slices.Clone(h.operations), func(op porcupine.Operation) bool {
+		u, isUpdate := op.Input.(*update)
+		return isUpdate && op.Output.(modelResponse).status == 0 &&
+			!applied[(&statemachine.ConfigUpdate{BaseVersion: u.baseVersion, IsAmendment: u.amendment, Body: u.body()}).RequestID()]
 	})
-	switch porcupine.CheckOperationsTimeout(linearizabilityModel, judged, 20*time.Second) {
+	switch porcupine.CheckOperationsTimeout(linearizabilityModel, checked, 20*time.Second) {
 	case porcupine.Illegal:
-		h.Violate("not linearizable:\n%s", describeOperations(judged))
+		h.Violate("not linearizable:\n%s", describeOperations(checked))
 	case porcupine.Unknown:
-		h.Violate("no verdict on %d calls in time", len(judged))
+		h.Violate("linearizability check of %d calls timed out", len(checked))
 	}
 }
 
--- a/internal/control/write_queue.go
+++ b/internal/control/write_queue.go
@@ -6,10 +6,10 @@
 	"ferrypitch/internal/consensus"
 )
 
-// writeQueue hands writes from the event loop to the goroutine that waits for the disk. It never blocks the event loop: the
-// consensus node bounds how many writes wait.
+// writeQueue passes writes from the event loop to persistLoop. It never blocks the event loop; the consensus node limits the number
+// of pending writes.
 type writeQueue struct {
-	ready chan struct{} // receives after put; one value may stand for several calls
+	ready chan struct{} // signaled by put; one value may represent several calls
 
 	mu      sync.Mutex
 	waiting []consensus.Write
@@ -28,7 +28,7 @@
 	}
 }
 
-// takeAll removes all writes; they may be none.
+// takeAll removes and returns all queued writes, if any.
 func (q *writeQueue) takeAll() []consensus.Write {
 	q.mu.Lock()
 	defer q.mu.Unlock()
