--- a/internal/control/backup_api.go
+++ b/internal/control/backup_api.go
@@ -24,7 +24,7 @@
 // handleSnapshot responds with the state at the current index. Only the leader serves it, under its lease, so that the snapshot
 // contains everything that was acknowledged before the call was received.
 func (s *Server) handleSnapshot(_ string, _ apiCall, respond Responder) {
-	if !s.checkOwnConfig() || s.state.Index == 0 {
+	if !s.verifyConfig() || s.state.Index == 0 {
 		reject(respond, errcode.NoLeader, nil)
 		return
 	}
--- a/internal/control/backup_api_test.go
+++ b/internal/control/backup_api_test.go
@@ -14,7 +14,7 @@
 
 // Every member responds with the leader's snapshot. A new control plane of three founders that is restored from it has the same
 // state, elects a leader in a higher term, and accepts changes.
-func TestSnapshotBeginsANewControlPlane(t *testing.T) {
+func TestSnapshotRestoresANewControlPlane(t *testing.T) {
 	c, leader, follower := newClusterWithState(t)
 	var body []byte
 	status := 0
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -47,7 +47,7 @@
 
 	// Machines differ in the speed of their disks, timers and clocks.
 	diskFactor int64 // duration of disk writes relative to the fastest disk
-	tick       int64 // time between ticks
+	tickPeriod int64 // time between ticks
 	clockRate  float64
 }
 
@@ -60,7 +60,7 @@
 	for i := range members {
 		m := &clusterMember{
 			cluster: c, ip: fmt.Sprintf("10.0.0.%d", i+1),
-			diskFactor: c.Between(1, 4), tick: c.Between(35*unitsPerMs, 50*unitsPerMs), clockRate: 0.97 + 0.06*c.Rand.Float64(),
+			diskFactor: c.Between(1, 4), tickPeriod: c.Between(35*unitsPerMs, 50*unitsPerMs), clockRate: 0.97 + 0.06*c.Rand.Float64(),
 		}
 		m.identity = storage.Identity{ID: consensus.ID(m.ip + "+0")}
 		if i < len(founders) {
@@ -115,7 +115,7 @@
 func (m *clusterMember) tickFrom(incarnation int) {
 	m.Run(incarnation, func() {
 		m.server.Tick()
-		m.cluster.After(m.tick, func() { m.tickFrom(incarnation) })
+		m.cluster.After(m.tickPeriod, func() { m.tickFrom(incarnation) })
 	})
 }
 
--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -67,7 +67,7 @@
 	}
 	conn.SetPeerVersion(rpc.SpokenVersion(hello.Version))
 	go sendFrames(conn, outgoing, closed, func() {
-		p.queue.Put(eventloop.PriorityControl, func() { p.server.ProxyDrained(proxy) })
+		p.queue.Put(eventloop.PriorityControl, func() { p.server.ProxyQueueDrained(proxy) })
 	})
 	for {
 		frame, err := p.receive(conn, connReadTimeout)
@@ -80,15 +80,16 @@
 }
 
 // sendFrames writes queued frames to a proxy in a goroutine of its own, so that a slow reader does not block the event loop. A
-// failed send closes the connection, which also stops the reader; the proxy then reconnects and catches up.
-func sendFrames(conn *rpc.Conn, outgoing *proxyQueue, closed <-chan struct{}, drained func()) {
+// failed send closes the connection, which also stops the reader; the proxy then reconnects and catches up. onDrained is called when
+// the queue of a proxy that refused an update is empty again.
+func sendFrames(conn *rpc.Conn, outgoing *proxyQueue, closed <-chan struct{}, onDrained func()) {
 	for frame := outgoing.take(closed); frame != nil; frame = outgoing.take(closed) {
 		if conn.Send(frame, proxySendTimeout) != nil {
 			_ = conn.Close()
 			return
 		}
 		if outgoing.caughtUp() {
-			drained()
+			onDrained()
 		}
 	}
 }
--- a/internal/control/forwarding_simulation_test.go
+++ b/internal/control/forwarding_simulation_test.go
@@ -222,7 +222,7 @@
 	case status != http.StatusOK || strings.Contains(body, "BeatTarget") != (call.kind == validHeartbeat):
 		c.Violate("WRONG CALLER: %s %s gets %d %s", call.kind, call.token, status, body)
 	case len(c.logged[call.token]) == 0:
-		c.Violate("UNEARNED: %s %s is confirmed and is in no log", call.kind, call.token)
+		c.Violate("NOT LOGGED: %s %s is confirmed and is in no log", call.kind, call.token)
 	}
 }
 
--- a/internal/control/host_api.go
+++ b/internal/control/host_api.go
@@ -114,6 +114,7 @@
 	}
 }
 
+// validate reports an error if the heartbeat or the ID of its host is invalid.
 func (b *HeartbeatRequest) validate(hostID string) error {
 	ip, _, err := net.SplitHostPort(b.Address)
 	switch {
--- a/internal/control/host_client_test.go
+++ b/internal/control/host_client_test.go
@@ -21,13 +21,13 @@
 // scriptedSocket simulates a connection to a host with a given limit on writes and given data to read.
 type scriptedSocket struct {
 	net.Conn
-	sentCommands  *[]string // commands sent on all connections
-	unexpected    bool      // whether readable was received before the command
-	writableBytes int       // bytes of the command that can be written; -1 means all
-	readable      string
-	responds      string // becomes readable once the command is written
-	readError     error  // returned once readable is consumed
-	closed        bool
+	sentCommands   *[]string // commands sent on all connections
+	unexpected     bool      // whether readable was received before the command
+	writableBytes  int       // bytes of the command that can be written; -1 means all
+	readable       string
+	queuedResponse string // appended to readable once the command is written
+	readError      error  // returned once readable is consumed
+	closed         bool
 }
 
 func (s *scriptedSocket) Write(b []byte) (int, error) {
@@ -37,7 +37,7 @@
 	if s.writableBytes >= 0 && s.writableBytes < len(b) {
 		return s.writableBytes, syscall.EPIPE
 	}
-	s.readable, s.responds = s.readable+s.responds, ""
+	s.readable, s.queuedResponse = s.readable+s.queuedResponse, ""
 	*s.sentCommands = append(*s.sentCommands, strings.TrimSpace(strings.TrimPrefix(string(b), "QUERY - ")))
 	return len(b), nil
 }
@@ -122,7 +122,7 @@
 				if kept.unexpected {
 					idleConn.unread = []byte(strings.Replace(statusResponse, "3.9", "3.2", 1)) // received after the previous response
 				}
-				fresh := &scriptedSocket{sentCommands: &sent, writableBytes: -1, readable: idleLine, responds: statusResponse}
+				fresh := &scriptedSocket{sentCommands: &sent, writableBytes: -1, readable: idleLine, queuedResponse: statusResponse}
 				dials := 0
 				client := &hostClient{dial: func(string, time.Duration) (net.Conn, error) { dials++; return fresh, nil }}
 				response, conn, err := client.exchange(idleConn, statemachine.Host{ID: "h1", Service: "db", Address: "h1:1"}, plainCommand(verb, verb.Text()), time.Now().Add(hostQueryTimeout))
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -34,7 +34,7 @@
 	for _, command := range []failover.Command{failover.Stat, failover.Pause, failover.Resume, failover.StepDown} {
 		var sent []string
 		answering := func() *scriptedSocket {
-			return &scriptedSocket{sentCommands: &sent, writableBytes: -1, readable: idleLine, responds: statusResponse}
+			return &scriptedSocket{sentCommands: &sent, writableBytes: -1, readable: idleLine, queuedResponse: statusResponse}
 		}
 		idle := answering()
 		idle.readable = ""
--- a/internal/control/leader_loss_test.go
+++ b/internal/control/leader_loss_test.go
@@ -13,12 +13,12 @@
 type leaderLoss string
 
 const (
-	killed       leaderLoss = "killed"
-	poweredOff   leaderLoss = "powered off"
-	suspended    leaderLoss = "suspended"
-	partitioned  leaderLoss = "partitioned"
-	cannotSend   leaderLoss = "cannot send"
-	cannotListen leaderLoss = "cannot receive"
+	killed        leaderLoss = "killed"
+	poweredOff    leaderLoss = "powered off"
+	suspended     leaderLoss = "suspended"
+	partitioned   leaderLoss = "partitioned"
+	cannotSend    leaderLoss = "cannot send"
+	cannotReceive leaderLoss = "cannot receive"
 )
 
 // leaderLossRun simulates one cluster whose leader is lost.
@@ -68,7 +68,7 @@
 		if other == r.lostLeader {
 			continue
 		}
-		if loss != cannotListen {
+		if loss != cannotReceive {
 			r.lostLeader.blocked[other.ip] = dropFrames
 		}
 		if loss != cannotSend {
@@ -130,7 +130,7 @@
 // An update made while the leader fails is confirmed by the majority within 1.2 s, or 2 s if the leader can still send.
 func TestUpdatesContinueAfterLeaderLoss(t *testing.T) {
 	t.Parallel()
-	for _, loss := range []leaderLoss{killed, poweredOff, suspended, partitioned, cannotSend, cannotListen} {
+	for _, loss := range []leaderLoss{killed, poweredOff, suspended, partitioned, cannotSend, cannotReceive} {
 		var confirmedAfterMs, newLeaderAfterMs []int64
 		for seed := range uint64(60) {
 			r := runLeaderLoss(seed, loss)
@@ -143,7 +143,7 @@
 		slices.Sort(confirmedAfterMs)
 		slices.Sort(newLeaderAfterMs)
 		bound := int64(1200)
-		if loss == cannotListen { // the leader must first detect that it has lost its lease
+		if loss == cannotReceive { // the leader must first detect that it has lost its lease
 			bound = 2000
 		}
 		count := len(confirmedAfterMs)
--- a/internal/control/operator_api.go
+++ b/internal/control/operator_api.go
@@ -54,7 +54,7 @@
 		reject(respond, errcode.NotFound, errors.New("no configuration yet"))
 		return
 	}
-	if !s.checkOwnConfig() {
+	if !s.verifyConfig() {
 		reject(respond, errcode.NoLeader, nil)
 		return
 	}
@@ -99,7 +99,7 @@
 		s.pendingUpdates.waiting[id] = append(waiting, result)
 		return
 	}
-	if !s.checkOwnConfig() {
+	if !s.verifyConfig() {
 		reject(respond, errcode.NoLeader, nil)
 		return
 	}
--- a/internal/control/operator_api_test.go
+++ b/internal/control/operator_api_test.go
@@ -161,7 +161,7 @@
 
 // Leader time advances with real time while there is a leader, and stops while there is none. All clocks run at the same rate here
 // because leader time follows the leader's clock.
-func TestLedTimeNeverExceedsElapsedTime(t *testing.T) {
+func TestLeaderTimeNeverExceedsElapsedTime(t *testing.T) {
 	c, _ := newHealthyCluster(t)
 	for _, m := range c.members {
 		m.clockRate = 1
--- a/internal/control/partition_cluster_test.go
+++ b/internal/control/partition_cluster_test.go
@@ -262,8 +262,9 @@
 	})
 }
 
-func (c *partitionCluster) run(span int64, wild bool) {
-	c.After(1500, func() { c.injectFault(wild) })
+// run injects faults for a time, ends them, and asserts that the members serve updates again and that no acknowledged update is lost.
+func (c *partitionCluster) run(span int64, unlimited bool) {
+	c.After(1500, func() { c.injectFault(unlimited) })
 	c.RunFor(span)
 	c.faultsDisabled = true
 	for _, m := range c.members {
--- a/internal/control/partition_halves_test.go
+++ b/internal/control/partition_halves_test.go
@@ -31,67 +31,67 @@
 }
 
 // injectFaults injects faults at random intervals until a time.
-func (w *splitCluster) injectFaults(until int64) {
-	if w.Now > until {
+func (s *splitCluster) injectFaults(until int64) {
+	if s.Now > until {
 		return
 	}
-	w.After(w.Between(200, 1800), func() { w.injectFaults(until) })
-	kind := w.Rand.IntN(splitFaultKinds)
-	w.counts[kind]++
-	m := w.members[w.Rand.IntN(len(w.members))]
+	s.After(s.Between(200, 1800), func() { s.injectFaults(until) })
+	kind := s.Rand.IntN(splitFaultKinds)
+	s.counts[kind]++
+	m := s.members[s.Rand.IntN(len(s.members))]
 	switch kind {
 	case 0, 1:
-		w.splitInHalf(w.Between(500, 6000))
+		s.splitInHalf(s.Between(500, 6000))
 	case 2:
-		w.crashFor(m, w.Between(100, 4000))
+		s.crashFor(m, s.Between(100, 4000))
 	case 3:
-		w.loseDisk(m)
+		s.loseDisk(m)
 	case 4:
-		w.LogFault("all members lose power")
-		for _, other := range w.members {
-			w.crashFor(other, w.Between(200, 1500))
+		s.LogFault("all members lose power")
+		for _, other := range s.members {
+			s.crashFor(other, s.Between(200, 1500))
 		}
 	case 5:
-		w.leaveMinorityBehind()
+		s.leaveMinorityBehind()
 	}
 }
 
 // splitInHalf separates two random halves of the members from each other.
-func (w *splitCluster) splitInHalf(span int64) {
-	if w.split {
+func (s *splitCluster) splitInHalf(span int64) {
+	if s.split {
 		return
 	}
-	members := slices.Clone(w.members)
-	w.Rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+	members := slices.Clone(s.members)
+	s.Rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	half := members[:len(members)/2]
-	w.splitBetween(half, members[len(members)/2:], span)
+	s.splitBetween(half, members[len(members)/2:], span)
 }
 
 // splitBetween separates two sets of members from each other.
-func (w *splitCluster) splitBetween(one, other []*partitionMember, span int64) {
-	w.split = true
-	mode := []blockMode{dropFrames, delayFrames}[w.Rand.IntN(2)]
-	w.LogFault("%d members are cut off from %d for %d, %s", len(one), len(other), span, mode)
+func (s *splitCluster) splitBetween(one, other []*partitionMember, span int64) {
+	s.split = true
+	mode := []blockMode{dropFrames, delayFrames}[s.Rand.IntN(2)]
+	s.LogFault("%d members are cut off from %d for %d, %s", len(one), len(other), span, mode)
 	for _, a := range one {
 		for _, b := range other {
 			a.blocked[b.ip], b.blocked[a.ip] = mode, mode
 		}
 	}
-	w.After(span, func() {
-		w.split = false
-		for _, m := range w.members {
+	s.After(span, func() {
+		s.split = false
+		for _, m := range s.members {
 			m.heal()
 		}
 	})
 }
 
-func (w *splitCluster) crashFor(m *partitionMember, span int64) {
+func (s *splitCluster) crashFor(m *partitionMember, span int64) {
 	if !m.Up() {
 		return
 	}
-	w.LogFault("%s loses power for %d", m.ip, span)
+	s.LogFault("%s loses power for %d", m.ip, span)
 	m.crash(true)
-	w.After(span, func() {
+	s.After(span, func() {
 		if !m.Up() {
 			m.start()
 		}
@@ -99,18 +99,18 @@
 }
 
 // loseDisk restarts a member without its data, under a new identity.
-func (w *splitCluster) loseDisk(m *partitionMember) {
-	if w.diskLossBudget == 0 || !m.Up() {
+func (s *splitCluster) loseDisk(m *partitionMember) {
+	if s.diskLossBudget == 0 || !m.Up() {
 		return
 	}
-	w.diskLossBudget--
-	w.LogFault("%s loses its disk", m.ip)
+	s.diskLossBudget--
+	s.LogFault("%s loses its disk", m.ip)
 	m.crash(true)
 	m.disk.Lose()
-	if !w.keepsIdentity {
+	if !s.keepsIdentity {
 		m.identity = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", m.ip, m.Incarnation()))}
 	}
-	w.After(w.Between(100, 1500), func() {
+	s.After(s.Between(100, 1500), func() {
 		if !m.Up() {
 			m.start()
 		}
@@ -119,38 +119,38 @@
 
 // leaveMinorityBehind partitions a minority, which misses updates. Shortly before the partition heals, one of the other members
 // loses its disk and the rest lose power.
-func (w *splitCluster) leaveMinorityBehind() {
-	if w.split {
+func (s *splitCluster) leaveMinorityBehind() {
+	if s.split {
 		return
 	}
-	minority := (len(w.members) - 1) / 2
-	span := w.Between(1500, 4000)
-	others := w.members[minority:]
-	w.splitBetween(w.members[:minority], others, span)
-	w.After(span-w.Between(10, 300), func() {
-		w.loseDisk(others[0])
+	minority := (len(s.members) - 1) / 2
+	span := s.Between(1500, 4000)
+	others := s.members[minority:]
+	s.splitBetween(s.members[:minority], others, span)
+	s.After(span-s.Between(10, 300), func() {
+		s.loseDisk(others[0])
 		for _, m := range others[1:] {
-			w.crashFor(m, w.Between(2000, 6000))
+			s.crashFor(m, s.Between(2000, 6000))
 		}
 	})
 }
 
 // finish ends all faults and asserts that 8 s later the members serve updates again and that no acknowledged update is lost.
-func (w *splitCluster) finish() {
-	w.faultsDisabled = true
-	for _, m := range w.members {
+func (s *splitCluster) finish() {
+	s.faultsDisabled = true
+	for _, m := range s.members {
 		clear(m.blocked)
 		if !m.Up() {
 			m.start()
 		}
 	}
-	w.RunFor(8000)
-	before := w.confirmed
-	w.RunFor(4000)
-	if w.confirmed < before+3 {
-		w.Violate("RECOVER: %d updates are confirmed in 4 s, 8 s after the last fault", w.confirmed-before)
+	s.RunFor(8000)
+	before := s.confirmed
+	s.RunFor(4000)
+	if s.confirmed < before+3 {
+		s.Violate("RECOVER: %d updates are confirmed in 4 s, 8 s after the last fault", s.confirmed-before)
 	}
-	w.checkNothingLost()
+	s.checkNothingLost()
 }
 
 func TestHalvesAndOverlappingLossesLoseNothing(t *testing.T) {
@@ -159,15 +159,15 @@
 	confirmed := 0
 	sizes := []int{3, 3, 5, 6}
 	for seed := range partitionSeedCount() {
-		w := newSplitCluster(uint64(seed), sizes[seed%len(sizes)])
-		w.After(1500, func() { w.injectFaults(w.StartTime + 12_000) })
-		w.RunFor(18_000)
-		w.finish()
-		if len(w.Violations) > 0 {
-			t.Fatalf("seed %d, %d members:\n%s", seed, len(w.members), w.report())
-		}
-		confirmed += w.confirmed
-		for kind, count := range w.counts {
+		s := newSplitCluster(uint64(seed), sizes[seed%len(sizes)])
+		s.After(1500, func() { s.injectFaults(s.StartTime + 12_000) })
+		s.RunFor(18_000)
+		s.finish()
+		if len(s.Violations) > 0 {
+			t.Fatalf("seed %d, %d members:\n%s", seed, len(s.members), s.report())
+		}
+		confirmed += s.confirmed
+		for kind, count := range s.counts {
 			counts[kind] += count
 		}
 	}
@@ -177,23 +177,23 @@
 
 // The simulation must detect a member that loses its disk, and with it its votes and log, but keeps voting under the same identity:
 // an acknowledged update is lost or a stale version is returned.
-func TestHalvesSimulationDetectsAVoteOfAnEmptyDisk(t *testing.T) {
+func TestSplitSimulationDetectsVotesAfterDiskLoss(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(400) {
-		w := newSplitCluster(seed, 3)
-		w.keepsIdentity = true
+		s := newSplitCluster(seed, 3)
+		s.keepsIdentity = true
 		func() {
 			defer func() {
 				if p := recover(); p != nil { // an assertion in the consensus log
-					w.Violate("LOST: %v", p)
+					s.Violate("LOST: %v", p)
 				}
 			}()
-			w.After(1500, func() { w.injectFaults(w.StartTime + 12_000) })
-			w.RunFor(18_000)
-			w.finish()
+			s.After(1500, func() { s.injectFaults(s.StartTime + 12_000) })
+			s.RunFor(18_000)
+			s.finish()
 		}()
-		if len(w.Violations) > 0 {
-			t.Logf("detected by seed %d: %s", seed, w.Violations[0])
+		if len(s.Violations) > 0 {
+			t.Logf("detected by seed %d: %s", seed, s.Violations[0])
 			return
 		}
 	}
@@ -202,41 +202,41 @@
 
 // Immediately after an update is acknowledged, as many disks are lost as the budget allows, and all other machines lose power at the
 // same time. The update must still be present after they restart.
-func TestClosingFaultLosesNothingAcknowledged(t *testing.T) {
+func TestDiskAndPowerLossAfterAcknowledgementLoseNothing(t *testing.T) {
 	t.Parallel()
-	struck := 0
+	faultsAfterAck := 0
 	sizes := []int{3, 5, 6}
 	for seed := range partitionSeedCount() {
-		w := newSplitCluster(uint64(seed), sizes[seed%len(sizes)])
-		w.RunFor(2500 + int64(seed%7)*130)
-		acknowledged := w.newestAcknowledged(w.Now)
-		for deadline := w.Now + 3000; w.newestAcknowledged(w.Now) == acknowledged && w.Now < deadline; {
-			w.RunFor(1)
-		}
-		w.RunFor(w.Between(0, 6)) // from the time of the acknowledgement to 6 ms later
-		if w.newestAcknowledged(w.Now) > acknowledged {
-			struck++
-		}
-		members := slices.Clone(w.members)
-		w.Rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-		lost := w.diskLossBudget
+		s := newSplitCluster(uint64(seed), sizes[seed%len(sizes)])
+		s.RunFor(2500 + int64(seed%7)*130)
+		acknowledged := s.newestAcknowledged(s.Now)
+		for deadline := s.Now + 3000; s.newestAcknowledged(s.Now) == acknowledged && s.Now < deadline; {
+			s.RunFor(1)
+		}
+		s.RunFor(s.Between(0, 6)) // from the time of the acknowledgement to 6 ms later
+		if s.newestAcknowledged(s.Now) > acknowledged {
+			faultsAfterAck++
+		}
+		members := slices.Clone(s.members)
+		s.Rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+		lost := s.diskLossBudget
 		for _, m := range members[:lost] {
-			w.loseDisk(m)
+			s.loseDisk(m)
 		}
 		for _, m := range members[lost:] {
-			w.crashFor(m, w.Between(300, 1500))
+			s.crashFor(m, s.Between(300, 1500))
 		}
-		for _, p := range w.proxies {
+		for _, p := range s.proxies {
 			if p.link != nil {
 				p.link.closed = true
 			}
-			w.After(w.Between(300, 1500), p.start)
+			s.After(s.Between(300, 1500), p.start)
 		}
-		w.RunFor(2000)
-		w.finish()
-		if len(w.Violations) > 0 {
-			t.Fatalf("seed %d, %d members:\n%s", seed, len(w.members), w.report())
+		s.RunFor(2000)
+		s.finish()
+		if len(s.Violations) > 0 {
+			t.Fatalf("seed %d, %d members:\n%s", seed, len(s.members), s.report())
 		}
 	}
-	require.Greater(t, struck, partitionSeedCount()*3/4)
+	require.Greater(t, faultsAfterAck, partitionSeedCount()*3/4)
 }
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -16,16 +16,16 @@
 	incarnation         uint64
 	serial              uint64 // number in the order of acceptance
 	remoteIP            string
-	sentIndex           uint64 // of the last log entry that was sent
+	sentIndex           uint64 // index of the last log entry sent
 	send                func(*rpc.Frame) bool
 	closeConn           func()
 	closed              bool
-	registrationPending bool           // the change that adds the proxy to the state is proposed
-	version             uint32         // of the protocol that the proxy speaks
-	snapshot            *proxySnapshot // that it is receiving; nil: none
-	snapshotQueued      bool           // it has asked for one, and its turn has not come
-	lagging             bool           // it reads more slowly than the log grows: updates wait until its next lease request
-	digestIndex         uint64         // of the newest digest that it was sent
+	registrationPending bool           // the change that adds the proxy to the state is proposed but not applied
+	version             uint32         // protocol version that the proxy speaks
+	snapshot            *proxySnapshot // snapshot transfer in progress, or nil
+	snapshotQueued      bool           // the proxy waits for a snapshot transfer to start
+	lagging             bool           // the proxy's queue refused an update: no further updates are sent until resumeUpdates
+	digestIndex         uint64         // index of the newest digest sent to the proxy
 }
 
 // servedProxies is the set of proxies that this member serves.
@@ -52,8 +52,8 @@
 		return
 	}
 	delete(p.conns, conn)
-	place := slices.Index(p.ordered, conn)
-	p.ordered = slices.Concat(p.ordered[:place], p.ordered[place+1:])
+	position := slices.Index(p.ordered, conn)
+	p.ordered = slices.Concat(p.ordered[:position], p.ordered[position+1:])
 }
 
 func (c *ProxyConn) close() {
@@ -111,8 +111,8 @@
 	c.trySendUpdate(s, update)
 }
 
-// ProxyDrained reports that the queue of a proxy that refused an update is empty again.
-func (s *Server) ProxyDrained(conn *ProxyConn) {
+// ProxyQueueDrained reports that the queue of a proxy that refused an update is empty again.
+func (s *Server) ProxyQueueDrained(conn *ProxyConn) {
 	if s.proxies.contains(conn) {
 		conn.resumeUpdates(s)
 	}
--- a/internal/control/proxy_queue.go
+++ b/internal/control/proxy_queue.go
@@ -62,14 +62,14 @@
 // take waits for the next frame and returns it, or nil if the connection is closed.
 func (q *proxyQueue) take(closed <-chan struct{}) *rpc.Frame {
 	if wait := time.Until(q.nextUpdateAt); wait > 0 {
-		pause := time.NewTimer(wait)
-		defer pause.Stop()
+		timer := time.NewTimer(wait)
+		defer timer.Stop()
 		select {
 		case <-closed:
 			return nil
 		case frame := <-q.urgent:
 			return frame
-		case <-pause.C:
+		case <-timer.C:
 		}
 	}
 	select {
--- a/internal/control/proxy_snapshot.go
+++ b/internal/control/proxy_snapshot.go
@@ -24,7 +24,7 @@
 
 // encodedSnapshot is a snapshot of the state that is shared by all proxies that need one at about the same time.
 type encodedSnapshot struct {
-	state  *statemachine.State // from which it was taken; a rebuilt state is a different one
+	state  *statemachine.State // state from which the snapshot was taken; a rebuilt state is a different object
 	index  uint64
 	digest [16]byte
 	data   []byte
@@ -33,7 +33,7 @@
 // proxySnapshot is the transfer of a snapshot to a proxy. No log updates are sent until the transfer is complete.
 type proxySnapshot struct {
 	*encodedSnapshot
-	sentBytes int // bytes
+	sentBytes int // bytes of data sent so far
 }
 
 // snapshotTransfers schedules the snapshot transfers to proxies. Requests beyond maxSnapshotTransfers wait in order of arrival.
--- a/internal/control/proxy_welcome_test.go
+++ b/internal/control/proxy_welcome_test.go
@@ -11,21 +11,21 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// welcomedProxy is a proxy that records the frames sent to it. While full is true, its queue refuses frames.
+// welcomedProxy is a proxy that records the frames sent to it. While queueFull is true, it accepts no frames.
 type welcomedProxy struct {
 	*ProxyConn
-	frames []*rpc.Frame
-	full   bool
+	frames    []*rpc.Frame
+	queueFull bool
 }
 
 func (s *soleLeader) welcome(node string, appliedIndex uint64) *welcomedProxy {
 	p := &welcomedProxy{}
 	hello := &rpc.ProxyHello{Node: node, Incarnation: 1, AppliedIndex: appliedIndex, Version: rpc.ProtocolVersion}
 	p.ProxyConn = s.AcceptProxy(hello, "10.1.0.1", func(frame *rpc.Frame) bool {
-		if !p.full {
+		if !p.queueFull {
 			p.frames = append(p.frames, frame)
 		}
-		return !p.full
+		return !p.queueFull
 	}, func() {})
 	return p
 }
@@ -87,13 +87,13 @@
 func TestSlowProxyKeepsItsLink(t *testing.T) {
 	s := newSoleLeader(t, statesize.Sizes[0])
 	p := s.welcome(statesize.ProxyName(0), s.state.Index)
-	p.full = true
+	p.queueFull = true
 	for n := range 3 {
 		s.propose(statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: statesize.ServiceName(n), Host: statesize.HostAt(9).ID, Term: 2}}, func(error) {})
 		s.sync()
 	}
 	require.False(t, p.closed)
-	p.full = false
+	p.queueFull = false
 	sent := len(p.frames)
 	s.HandleProxyFrame(p.ProxyConn, &rpc.Frame{LeaseRequest: &rpc.LeaseRequest{Serial: 1, AppliedIndex: s.state.Index - 3}})
 	require.Len(t, p.frames[sent].LogUpdate.Entries, 3)
--- a/internal/control/state_digest.go
+++ b/internal/control/state_digest.go
@@ -34,8 +34,8 @@
 type stateDigests struct {
 	own      []statemachine.Digest // oldest first
 	nextAtMs int64
-	votes    []digestVotes       // of a leader
-	majority statemachine.Digest // of a leader: the newest that a majority has; zero: none yet
+	votes    []digestVotes       // on the leader: reported digests by index, oldest first
+	majority statemachine.Digest // on the leader: newest digest on which a majority agrees; zero if none yet
 }
 
 // at returns this member's own digest at an index.
@@ -70,7 +70,7 @@
 	return d.votes[i]
 }
 
-// checkpointDigest takes a digest if the current index is one of those at which all members take one.
+// checkpointDigest takes a digest if the current index is a multiple of digestCheckpointInterval.
 func (s *Server) checkpointDigest() {
 	if s.state.Index%digestCheckpointInterval == 0 && !s.diverged {
 		s.digests.add(s.state.Digest())
@@ -183,9 +183,9 @@
 	return &majority
 }
 
-// checkOwnConfig verifies that the configuration in memory is the one that was applied. It is called before a change is based on the
+// verifyConfig verifies that the configuration in memory is the one that was applied. It is called before a change is based on the
 // configuration, because other members would reject such a change. If the configuration is corrupt, the state is discarded.
-func (s *Server) checkOwnConfig() (intact bool) {
+func (s *Server) verifyConfig() (intact bool) {
 	if s.state.ConfigIntact() {
 		return true
 	}
--- a/internal/control/state_digest_test.go
+++ b/internal/control/state_digest_test.go
@@ -83,7 +83,7 @@
 }
 
 // A leader whose configuration in memory is corrupt must not serve it, even before digests are compared.
-func TestWrongConfigurationAnswersNobody(t *testing.T) {
+func TestCorruptConfigurationIsNotServed(t *testing.T) {
 	c, leader, _ := newClusterWithState(t)
 	status := readConfig(leader)
 	require.Equal(t, 200, *status)
