--- a/internal/control/backup_api_test.go
+++ b/internal/control/backup_api_test.go
@@ -18,7 +18,7 @@
 	c, leader, follower := newClusterWithState(t)
 	var body []byte
 	status := 0
-	follower.server.HandleCall(http.MethodGet, backup.Path, "", nil, func(got int, answer []byte) { status, body = got, answer })
+	follower.server.HandleCall(http.MethodGet, backup.Path, "", nil, func(got int, response []byte) { status, body = got, response })
 	c.RunFor(100)
 	require.Equal(t, http.StatusOK, status)
 	snapshot, err := backup.Decode(body)
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -39,7 +39,7 @@
 	s := &soleLeader{Server: server}
 	server.SetEnvironment(Environment{
 		Send: func(string, *rpc.Frame) {}, QueryHost: func(failover.HostQuery, statemachine.Host) {}, Promote: func(failover.Promotion) {},
-		Persist: func(w []consensus.Write) { s.unsynced = append(s.unsynced, w...) },
+		Persist: func(writes []consensus.Write) { s.unsynced = append(s.unsynced, writes...) },
 	})
 	for !server.leading {
 		server.Tick()
--- a/internal/control/catch_up_test.go
+++ b/internal/control/catch_up_test.go
@@ -185,13 +185,13 @@
 			m = currentLeader
 		}
 		m.Run(m.Incarnation(), func() {
-			m.server.HandleCall(http.MethodPost, "/Config.Replace", fmt.Sprint(next-1), body, func(status int, answer []byte) {
+			m.server.HandleCall(http.MethodPost, "/Config.Replace", fmt.Sprint(next-1), body, func(status int, response []byte) {
 				switch {
 				case status == http.StatusOK && !done:
 					done, c.acknowledged, c.acknowledgedBody = true, next, body
 					c.After(c.updateIntervalMs, c.update)
 				case status < 500 && status != http.StatusOK:
-					c.Violate("version %d is rejected: %d %s", next, status, answer)
+					c.Violate("version %d is rejected: %d %s", next, status, response)
 				}
 			})
 		})
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -100,7 +100,7 @@
 	incarnation := m.Incarnation()
 	server.SetEnvironment(Environment{
 		Send:      m.send,
-		Persist:   func(x []consensus.Write) { m.persist(incarnation, x) },
+		Persist:   func(writes []consensus.Write) { m.persist(incarnation, writes) },
 		QueryHost: func(failover.HostQuery, statemachine.Host) {},
 		Promote:   func(failover.Promotion) {},
 	})
--- a/internal/control/forwarding_simulation_test.go
+++ b/internal/control/forwarding_simulation_test.go
@@ -73,7 +73,7 @@
 		panic(err)
 	}
 	m.server = server
-	server.SetEnvironment(Environment{Send: m.send, Persist: func(x []consensus.Write) { m.persist(m.Incarnation(), x) }})
+	server.SetEnvironment(Environment{Send: m.send, Persist: func(writes []consensus.Write) { m.persist(m.Incarnation(), writes) }})
 	m.tick(m.Incarnation())
 }
 
--- a/internal/control/forwarding_test.go
+++ b/internal/control/forwarding_test.go
@@ -36,7 +36,7 @@
 		if frame.Consensus == nil {
 			m.sent, m.to = append(m.sent, frame), append(m.to, ip)
 		}
-	}, Persist: func(x []consensus.Write) { m.unsynced = append(m.unsynced, x[len(x)-1].Seq) }})
+	}, Persist: func(writes []consensus.Write) { m.unsynced = append(m.unsynced, writes[len(writes)-1].Seq) }})
 	return m
 }
 
--- a/internal/control/host_api.go
+++ b/internal/control/host_api.go
@@ -115,18 +115,18 @@
 }
 
 // validate reports an error if the heartbeat or the ID of its host is invalid.
-func (b *HeartbeatRequest) validate(hostID string) error {
-	ip, _, err := net.SplitHostPort(b.Address)
+func (r *HeartbeatRequest) validate(hostID string) error {
+	ip, _, err := net.SplitHostPort(r.Address)
 	switch {
 	case !isHostName(hostID) || strings.Contains(hostID, "/"):
 		return fmt.Errorf("invalid host ID %.140q", hostID)
-	case !isHostName(b.Service):
-		return fmt.Errorf("invalid Service %.140q", b.Service)
+	case !isHostName(r.Service):
+		return fmt.Errorf("invalid Service %.140q", r.Service)
 	case err != nil || net.ParseIP(ip) == nil:
-		return fmt.Errorf("invalid Address %.140q: not an IP address and port", b.Address)
-	case b.State != hostServing && b.State != hostDraining:
-		return fmt.Errorf("invalid State %.40q", b.State)
-	case len(b.Zone) > maxHostNameBytes || len(b.Generation) > maxHostNameBytes:
+		return fmt.Errorf("invalid Address %.140q: not an IP address and port", r.Address)
+	case r.State != hostServing && r.State != hostDraining:
+		return fmt.Errorf("invalid State %.40q", r.State)
+	case len(r.Zone) > maxHostNameBytes || len(r.Generation) > maxHostNameBytes:
 		return errors.New("invalid Zone or Generation: too long")
 	}
 	return nil
@@ -138,15 +138,15 @@
 }
 
 // host returns the host record for the replicated state. A host that has started draining remains draining.
-func (b *HeartbeatRequest) host(id string, previous statemachine.Host) statemachine.Host {
+func (r *HeartbeatRequest) host(id string, previous statemachine.Host) statemachine.Host {
 	return statemachine.Host{
 		ID:         id,
-		Service:    b.Service,
-		Address:    b.Address,
-		Zone:       b.Zone,
-		Generation: b.Generation,
-		Capacity:   int64(b.Capacity),
-		Draining:   b.State == hostDraining || previous.Draining,
+		Service:    r.Service,
+		Address:    r.Address,
+		Zone:       r.Zone,
+		Generation: r.Generation,
+		Capacity:   int64(r.Capacity),
+		Draining:   r.State == hostDraining || previous.Draining,
 		AddedAt:    previous.AddedAt,
 	}
 }
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -33,14 +33,14 @@
 func TestCommandsAreNotSentOnceTheLeaseIsOver(t *testing.T) {
 	for _, command := range []failover.Command{failover.Stat, failover.Pause, failover.Resume, failover.StepDown} {
 		var sent []string
-		answering := func() *scriptedSocket {
+		newSocket := func() *scriptedSocket {
 			return &scriptedSocket{sentCommands: &sent, writableBytes: -1, readable: idleLine, queuedResponse: statusResponse}
 		}
-		idle := answering()
+		idle := newSocket()
 		idle.readable = ""
 		for _, kept := range []*hostConn{{socket: idle}, nil} {
 			client := &hostClient{
-				dial:       func(string, time.Duration) (net.Conn, error) { return answering(), nil },
+				dial:       func(string, time.Duration) (net.Conn, error) { return newSocket(), nil },
 				holdsLease: func(uint64) bool { return false },
 				idle:       map[string]*hostConn{},
 			}
--- a/internal/control/metrics_test.go
+++ b/internal/control/metrics_test.go
@@ -23,11 +23,11 @@
 		require.True(t, ok, "%s has no family", name)
 	}
 	samples := server.metricSamples()
-	answer := httptest.NewRecorder()
+	recorder := httptest.NewRecorder()
 	metrics.Handler(metricsNamespace, func() ([]metrics.Sample, bool) { return samples, true }).
-		ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", nil))
-	require.Contains(t, answer.Body.String(), "\nferrypitch_control_holds_lease 1\n")
-	problems, err := promlint.New(answer.Body).Lint()
+		ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	require.Contains(t, recorder.Body.String(), "\nferrypitch_control_holds_lease 1\n")
+	problems, err := promlint.New(recorder.Body).Lint()
 	require.NoError(t, err)
 	require.Empty(t, problems)
 	docs, err := os.ReadFile("../../docs/operators/metrics.md")
--- a/internal/control/operator_api_test.go
+++ b/internal/control/operator_api_test.go
@@ -85,19 +85,19 @@
 	c, server := newHealthyCluster(t)
 	one, other := configBody(5, route{"a", 1}), configBody(5, route{"a", 2})
 	first, _ := callRepeatedly(server, "/Config.Replace", "0", one, 100)
-	beside, text := callRepeatedly(server, "/Config.Replace", "0", other, 100)
+	concurrent, text := callRepeatedly(server, "/Config.Replace", "0", other, 100)
 	require.Empty(t, first, "a response before the update is committed")
 	c.runGuarded(unitsPerSecond)
 	require.Equal(t, map[int]int{200: 100}, first)
-	require.Equal(t, map[int]int{412: 100}, beside)
+	require.Equal(t, map[int]int{412: 100}, concurrent)
 	require.Contains(t, *text, "another version")
 	require.EqualValues(t, 2, server.Proposals.Load(), "one entry for each update")
 	require.Empty(t, server.pendingUpdates.waiting)
 	require.Zero(t, server.pendingUpdates.bytes)
 	again, _ := callRepeatedly(server, "/Config.Replace", "0", one, 100)
-	lost, _ := callRepeatedly(server, "/Config.Replace", "0", other, 1)
+	conflicts, _ := callRepeatedly(server, "/Config.Replace", "0", other, 1)
 	require.Equal(t, map[int]int{200: 100}, again)
-	require.Equal(t, map[int]int{412: 1}, lost)
+	require.Equal(t, map[int]int{412: 1}, conflicts)
 	for _, m := range c.members {
 		require.Equal(t, string(one), string(m.server.state.ConfigBody))
 	}
@@ -127,16 +127,16 @@
 	require.Equal(t, map[int]int{429: 2}, statuses[8])
 	c.runGuarded(10 * unitsPerSecond)
 	require.Equal(t, map[int]int{200: 2}, statuses[0])
-	for _, lost := range statuses[1:8] {
-		require.Equal(t, map[int]int{412: 2}, lost)
+	for _, conflicts := range statuses[1:8] {
+		require.Equal(t, map[int]int{412: 2}, conflicts)
 	}
 	require.EqualValues(t, 10, server.state.Generation)
 	require.Zero(t, server.pendingUpdates.bytes)
 
-	r := httptest.NewRequest(http.MethodPost, "/Config.Replace", bytes.NewReader(append(largest(20), ' ')))
-	a := httptest.NewRecorder()
-	(&apiHandler{server: server}).ServeHTTP(a, r)
-	require.Equal(t, http.StatusRequestEntityTooLarge, a.Code)
+	request := httptest.NewRequest(http.MethodPost, "/Config.Replace", bytes.NewReader(append(largest(20), ' ')))
+	recorder := httptest.NewRecorder()
+	(&apiHandler{server: server}).ServeHTTP(recorder, request)
+	require.Equal(t, http.StatusRequestEntityTooLarge, recorder.Code)
 }
 
 // When leadership is lost, the outcome of pending updates is reported as unknown, because they may still be committed.
--- a/internal/control/partition_operator_test.go
+++ b/internal/control/partition_operator_test.go
@@ -130,8 +130,8 @@
 	if position > 0 && c.applied[position].appliedAt <= calledAt {
 		c.Violate("REJECTED: an update that was applied")
 	}
-	builtOn := slices.IndexFunc(c.applied, func(version appliedVersion) bool { return fmt.Sprint(version.generation) == base })
-	if builtOn < 0 || builtOn == len(c.applied)-1 { // its base was the current version during the whole call
+	basePosition := slices.IndexFunc(c.applied, func(version appliedVersion) bool { return fmt.Sprint(version.generation) == base })
+	if basePosition < 0 || basePosition == len(c.applied)-1 { // its base was the current version during the whole call
 		c.Violate("REJECTED: 412 to an update of %s, which is the newest", base)
 	}
 }
--- a/internal/control/update_history_test.go
+++ b/internal/control/update_history_test.go
@@ -114,7 +114,7 @@
 		}
 		alreadyApplied, baseMatches := v.applied(u), v.generation == u.baseVersion
 		switch a.status {
-		case http.StatusOK, 0: // updates without a a are included only if they were eventually applied
+		case http.StatusOK, 0: // updates without a response are included only if they were eventually applied
 			if !alreadyApplied && baseMatches && v.valid(u) {
 				return true, v.next(u)
 			}
