--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -16,16 +16,16 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// MayAct returns true from the start of leadership until the lease ends, and no longer, even if the event loop is suspended.
-func TestMayActEndsWithTheLease(t *testing.T) {
+// HoldsLeaseInTerm returns true from the start of leadership until the lease ends, and no longer, even if the event loop is suspended.
+func TestHoldsLeaseInTermEndsWithTheLease(t *testing.T) {
 	c, leader, follower := newHealthyPartitionCluster(t)
 	term := leader.server.consensus.Term()
-	require.True(t, leader.server.MayAct(term))
-	require.False(t, leader.server.MayAct(term-1))
-	require.False(t, follower.server.MayAct(term))
+	require.True(t, leader.server.HoldsLeaseInTerm(term))
+	require.False(t, leader.server.HoldsLeaseInTerm(term-1))
+	require.False(t, follower.server.HoldsLeaseInTerm(term))
 	leader.Suspend()
 	c.RunFor(700)
-	require.False(t, leader.server.MayAct(term), "its event loop is suspended and its lease has expired")
+	require.False(t, leader.server.HoldsLeaseInTerm(term), "its event loop is suspended and its lease has expired")
 }
 
 // Commands that change a host are not sent, on an idle or a new connection, if the lease is lost between the decision and the write.
--- a/internal/control/run.go
+++ b/internal/control/run.go
@@ -84,8 +84,8 @@
 		wal:      wal,
 		writes:   newWriteQueue(),
 		mesh:     rpc.NewMesh(ctx, settings.Ip),
-		hosts:    newHostClient(ctx, settings.Ip, server.MayAct),
-		platform: &platformClient{localIP: settings.Ip, log: log, holdsLease: server.MayAct},
+		hosts:    newHostClient(ctx, settings.Ip, server.HoldsLeaseInTerm),
+		platform: &platformClient{localIP: settings.Ip, log: log, holdsLease: server.HoldsLeaseInTerm},
 	}
 	server.SetEnvironment(p.environment())
 	waitForConns, err := p.start()
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -13,7 +13,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// Server is one member of the control plane. All methods except MayAct must be called from a single goroutine; they do not block.
+// Server is one member of the control plane. All methods except HoldsLeaseInTerm must be called from a single goroutine; they do not block.
 // Other goroutines may read and change only the Counters.
 type Server struct {
 	settings    *settings.Settings
@@ -31,7 +31,7 @@
 	diverged      bool                  // state differs from the one that the log produces; a snapshot was requested from the leader
 	loggedMembers []consensus.ID        // members in the last log line about a membership change
 
-	lease              leaderLease           // read by MayAct
+	lease              leaderLease           // read by HoldsLeaseInTerm
 	leading            bool                  // whether this member acts as the leader; set by updateLeadership
 	grantor            *lease.Grantor        // grants proxy leases in the term led last; nil before the first
 	coordinator        *failover.Coordinator // failover coordinator of the term led last; nil before the first
@@ -60,10 +60,10 @@
 	// Send sends a frame to the member at an IP address. The frame may be lost.
 	Send func(ip string, frame *rpc.Frame)
 	// QueryHost sends a command to a host and reports the result to Server.QueryFinished. A command that changes the host may be
-	// written only while Server.MayAct returns true for the query's LeaderTerm.
+	// written only while Server.HoldsLeaseInTerm returns true for the query's LeaderTerm.
 	QueryHost func(query failover.HostQuery, host statemachine.Host)
 	// Promote asks the platform to promote a host and reports the outcome to Server.PromotionFinished. The request may be written
-	// only while Server.MayAct returns true for the promotion's LeaderTerm.
+	// only while Server.HoldsLeaseInTerm returns true for the promotion's LeaderTerm.
 	Promote func(promotion failover.Promotion)
 	// Persist writes to the write-ahead log in the order of the calls and calls Server.Persisted once a write is synced. The
 	// consensus node limits the number of pending writes.
--- a/internal/proxy/simulation_member_test.go
+++ b/internal/proxy/simulation_member_test.go
@@ -141,7 +141,7 @@
 	server := m.server
 	sim.After(late, func() {
 		m.Run(incarnation, func() {
-			if !c.ignoresLease && !server.MayAct(term) {
+			if !c.ignoresLease && !server.HoldsLeaseInTerm(term) {
 				withhold()
 				return
 			}
