--- a/internal/control/address_check.go
+++ b/internal/control/address_check.go
@@ -9,9 +9,9 @@
 	"ferrypitch/internal/errcode"
 )
 
-// Each address belongs to one host at a time: a new host at the address of a known host replaces it. The first heartbeat of a host
-// may be delayed, however, until its process has ended and another host uses the address. The known host is therefore queried
-// before it is removed: if it responds under its ID, the heartbeat is stale.
+// Each address belongs to one host at a time: a new host at the address of a known host replaces it. The first heartbeat of a
+// host may be delayed, however, until its process has ended and another host uses the address. The known host is therefore
+// queried before it is removed: if it responds under its ID, the heartbeat is stale.
 
 // addressCheck is the pending first heartbeat of a new host while the known host at the same address is queried.
 type addressCheck struct {
--- a/internal/control/api.go
+++ b/internal/control/api.go
@@ -99,8 +99,8 @@
 	respond(http.StatusOK, []byte("{}\n"))
 }
 
-// errorKind maps the error of a proposal to its kind. Any error other than a rejection by the state machine means that the outcome
-// is unknown, which errcode.NoLeader covers.
+// errorKind maps the error of a proposal to its kind. Any error other than a rejection by the state machine means that the
+// outcome is unknown, which errcode.NoLeader covers.
 func errorKind(err error) errcode.Kind {
 	switch {
 	case errors.Is(err, statemachine.ErrVersionConflict):
--- a/internal/control/apply.go
+++ b/internal/control/apply.go
@@ -21,8 +21,8 @@
 	maxStaleCallSeqs = 1024
 )
 
-// processReady persists the writes, sends the messages and applies the committed entries that the consensus node returned. It must
-// be called after every call to the node, in the same order, because the write-ahead log and the state depend on that order.
+// processReady persists the writes, sends the messages and applies the committed entries that the consensus node returned. It
+// must be called after every call to the node, in the same order, because the write-ahead log and the state depend on that order.
 func (s *Server) processReady(ready consensus.Ready) {
 	if len(ready.Writes) > 0 {
 		s.environment.Persist(ready.Writes)
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -18,8 +18,8 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// soleLeader is the only member of a cluster, with a state, connected proxies and live hosts. The frames that it sends are counted
-// but not encoded: internal/rpc measures the cost of encoding.
+// soleLeader is the only member of a cluster, with a state, connected proxies and live hosts. The frames that it sends are
+// counted but not encoded: internal/rpc measures the cost of encoding.
 type soleLeader struct {
 	*Server
 	frames   int
--- a/internal/control/catch_up_test.go
+++ b/internal/control/catch_up_test.go
@@ -375,8 +375,8 @@
 	return diverged
 }
 
-// A member whose state diverged from the log rebuilds it from its own snapshot and log, or, if its snapshot is wrong too, fetches the
-// state from the leader.
+// A member whose state diverged from the log rebuilds it from its own snapshot and log, or, if its snapshot is wrong too, fetches
+// the state from the leader.
 func TestDivergedStateIsRebuiltOrFetched(t *testing.T) {
 	for _, disk := range []bool{false, true} {
 		c := newByteCostCluster(7, 20, 20)
--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -80,8 +80,8 @@
 }
 
 // sendFrames writes queued frames to a proxy in a goroutine of its own, so that a slow reader does not block the event loop. A
-// failed send closes the connection, which also stops the reader; the proxy then reconnects and catches up. onDrained is called when
-// the queue of a proxy that refused an update is empty again.
+// failed send closes the connection, which also stops the reader; the proxy then reconnects and catches up. onDrained is called
+// when the queue of a proxy that refused an update is empty again.
 func sendFrames(conn *rpc.Conn, outgoing *proxyQueue, closed <-chan struct{}, onDrained func()) {
 	for frame := outgoing.take(closed); frame != nil; frame = outgoing.take(closed) {
 		if conn.Send(frame, proxySendTimeout) != nil {
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -6,8 +6,8 @@
 //	                            |
 //	                            +-> failover -> queries to hosts, promotions at the platform
 //
-// Server holds all state and is used by a single goroutine. It performs I/O only through its Environment and never blocks, so that
-// tests can run whole clusters in one goroutine on a simulated clock and network. Run connects a Server to sockets, its data
+// Server holds all state and is used by a single goroutine. It performs I/O only through its Environment and never blocks, so
+// that tests can run whole clusters in one goroutine on a simulated clock and network. Run connects a Server to sockets, its data
 // directory, timers and signals, and owns all other goroutines; they pass their results to the Server through a queue. The
 // decisions are made in the packages consensus, statemachine, failover and lease, which are pure.
 package control
--- a/internal/control/forwarding_simulation_test.go
+++ b/internal/control/forwarding_simulation_test.go
@@ -154,8 +154,8 @@
 
 func (m *forwardingMember) down() bool { return !m.Up() }
 
-// testCall is a call with exactly one correct response. Its token appears in the response if the call is invalid, and in the log if
-// it is valid.
+// testCall is a call with exactly one correct response. Its token appears in the response if the call is invalid, and in the log
+// if it is valid.
 type testCall struct {
 	apiCall
 	kind  callKind
--- a/internal/control/host_client.go
+++ b/internal/control/host_client.go
@@ -173,8 +173,8 @@
 	return response, conn, nil
 }
 
-// connectDetectingOverload calls connect and, if the connection is reset, calls it once more to tell two cases apart. A host at its
-// connection limit resets the second connection too, which is reported as OVERLOAD: the reset may arrive before the line that
+// connectDetectingOverload calls connect and, if the connection is reset, calls it once more to tell two cases apart. A host at
+// its connection limit resets the second connection too, which is reported as OVERLOAD: the reset may arrive before the line that
 // states the reason. If the process of the host has just ended, the second connection is refused.
 func (c *hostClient) connectDetectingOverload(host statemachine.Host, deadline time.Time) (*hostConn, error) {
 	conn, err := c.connect(host, deadline)
--- a/internal/control/http.go
+++ b/internal/control/http.go
@@ -84,7 +84,7 @@
 	})
 	if !queued {
 		h.server.CallsRejected.Add(1)
-		writeError(w, errcode.NoLeader, "the request queue of this member is full")
+		writeError(w, errcode.NoLeader, "the request queue of this member is full or closed")
 		return
 	}
 	timeout := time.NewTimer(target.timeout)
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -32,8 +32,8 @@
 	return published != nil && published.term == term && nowMs < published.endMs
 }
 
-// HoldsLeaseInTerm reports whether this member still holds the leader lease of a term, so that a command decided in that term may be sent
-// now. Unlike all other methods of Server it may be called from any goroutine.
+// HoldsLeaseInTerm reports whether this member still holds the leader lease of a term, so that a command decided in that term may
+// be sent now. Unlike all other methods of Server it may be called from any goroutine.
 func (s *Server) HoldsLeaseInTerm(term uint64) bool { return s.lease.holds(term, s.clock.Now()) }
 
 // publishLease updates the lease that HoldsLeaseInTerm reads.
--- a/internal/control/leader_lease_test.go
+++ b/internal/control/leader_lease_test.go
@@ -16,7 +16,8 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// HoldsLeaseInTerm returns true from the start of leadership until the lease ends, and no longer, even if the event loop is suspended.
+// HoldsLeaseInTerm returns true from the start of leadership until the lease ends, and no longer, even if the event loop is
+// suspended.
 func TestHoldsLeaseInTermEndsWithTheLease(t *testing.T) {
 	c, leader, follower := newHealthyPartitionCluster(t)
 	term := leader.server.consensus.Term()
@@ -28,8 +29,8 @@
 	require.False(t, leader.server.HoldsLeaseInTerm(term), "its event loop is suspended and its lease has expired")
 }
 
-// Commands that change a host are not sent, on an idle or a new connection, if the lease is lost between the decision and the write.
-// STAT may be sent by any member.
+// Commands that change a host are not sent, on an idle or a new connection, if the lease is lost between the decision and the
+// write. STAT may be sent by any member.
 func TestCommandsAreNotSentOnceTheLeaseIsOver(t *testing.T) {
 	for _, command := range []failover.Command{failover.Stat, failover.Pause, failover.Resume, failover.StepDown} {
 		var sent []string
@@ -59,8 +60,8 @@
 	}
 }
 
-// A promotion request is sent while the lease is held. Once the lease is lost, it is not sent and its outcome is "not executed", so
-// that it may be requested again.
+// A promotion request is sent while the lease is held. Once the lease is lost, it is not sent and its outcome is "not executed",
+// so that it may be requested again.
 func TestPromotionIsNotSentOnceTheLeaseIsOver(t *testing.T) {
 	calls := 0
 	platform := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/control/operator_api_test.go
+++ b/internal/control/operator_api_test.go
@@ -159,8 +159,8 @@
 	require.Equal(t, map[int]int{200: 1}, statuses)
 }
 
-// Leader time advances with real time while there is a leader, and stops while there is none. All clocks run at the same rate here
-// because leader time follows the leader's clock.
+// Leader time advances with real time while there is a leader, and stops while there is none. All clocks run at the same rate
+// here because leader time follows the leader's clock.
 func TestLeaderTimeNeverExceedsElapsedTime(t *testing.T) {
 	c, _ := newHealthyCluster(t)
 	for _, m := range c.members {
@@ -190,8 +190,8 @@
 	require.LessOrEqual(t, c.leader().server.state.LeaderTimeMs, (c.Now-c.StartTime)/unitsPerMs)
 }
 
-// An entry of another term at the index of a proposal must not complete it. Such an entry may be applied before the proposing member
-// learns that it has lost leadership.
+// An entry of another term at the index of a proposal must not complete it. Such an entry may be applied before the proposing
+// member learns that it has lost leadership.
 func TestEntryOfAnotherTermDoesNotCompleteProposal(t *testing.T) {
 	for seed := range uint64(150) {
 		c := newCluster(seed, 3)
--- a/internal/control/partition_cluster_test.go
+++ b/internal/control/partition_cluster_test.go
@@ -38,10 +38,10 @@
 	delayFrames blockMode = "frames delayed" // most frames arrive when the partition ends
 )
 
-// partitionCluster simulates members whose clocks drift apart, on a network with partitions in one or both directions that drop or
-// delay frames for many seconds; operators that update the configuration, retry calls without a response, and read; and proxies
-// that renew leases. The number of faults is not limited. At all times, at most one member may hold the leader lease, each
-// response must be correct, and no proxy may hold a lease longer than the leader assumes. One unit of time is 1 ms.
+// partitionCluster simulates members whose clocks drift apart, on a network with partitions in one or both directions that drop
+// or delay frames for many seconds; operators that update the configuration, retry calls without a response, and read; and
+// proxies that renew leases. The number of faults is not limited. At all times, at most one member may hold the leader lease,
+// each response must be correct, and no proxy may hold a lease longer than the leader assumes. One unit of time is 1 ms.
 type partitionCluster struct {
 	*scheduler.Scheduler
 	members           []*partitionMember
@@ -262,7 +262,8 @@
 	})
 }
 
-// run injects faults for a time, ends them, and asserts that the members serve updates again and that no acknowledged update is lost.
+// run injects faults for a time, ends them, and asserts that the members serve updates again and that no acknowledged update is
+// lost.
 func (c *partitionCluster) run(span int64, unlimited bool) {
 	c.After(1500, func() { c.injectFault(unlimited) })
 	c.RunFor(span)
@@ -297,8 +298,8 @@
 	return strings.Join(c.Violations, "\n") + "\nafter\n" + strings.Join(c.FaultLog, "\n")
 }
 
-// checkInvariants asserts after each step that all members have applied the same sequence of versions, at most one member holds the
-// leader lease, and each proxy with a lease has applied the index that the leader assumes all proxies have applied.
+// checkInvariants asserts after each step that all members have applied the same sequence of versions, at most one member holds
+// the leader lease, and each proxy with a lease has applied the index that the leader assumes all proxies have applied.
 func (c *partitionCluster) checkInvariants() {
 	var holder *partitionMember
 	for _, m := range c.members {
--- a/internal/control/partition_halves_test.go
+++ b/internal/control/partition_halves_test.go
@@ -12,9 +12,9 @@
 )
 
 // splitCluster simulates faults that the fault budget does not limit: the members are split into two halves that all callers and
-// proxies can reach, a minority misses updates while the others lose power, all members lose power, and failures overlap. Only the
-// number of lost disks is limited by the budget; a disk may be lost while the members are split. The service may be unavailable, but
-// no acknowledged update may be lost and no stale version may be returned.
+// proxies can reach, a minority misses updates while the others lose power, all members lose power, and failures overlap. Only
+// the number of lost disks is limited by the budget; a disk may be lost while the members are split. The service may be
+// unavailable, but no acknowledged update may be lost and no stale version may be returned.
 type splitCluster struct {
 	*partitionCluster
 	diskLossBudget int  // number of disks that may still be lost
@@ -175,8 +175,8 @@
 	require.Greater(t, confirmed, 8*partitionSeedCount())
 }
 
-// The simulation must detect a member that loses its disk, and with it its votes and log, but keeps voting under the same identity:
-// an acknowledged update is lost or a stale version is returned.
+// The simulation must detect a member that loses its disk, and with it its votes and log, but keeps voting under the same
+// identity: an acknowledged update is lost or a stale version is returned.
 func TestSplitSimulationDetectsVotesAfterDiskLoss(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(400) {
@@ -200,8 +200,8 @@
 	require.Fail(t, "400 seeds detected nothing")
 }
 
-// Immediately after an update is acknowledged, as many disks are lost as the budget allows, and all other machines lose power at the
-// same time. The update must still be present after they restart.
+// Immediately after an update is acknowledged, as many disks are lost as the budget allows, and all other machines lose power at
+// the same time. The update must still be present after they restart.
 func TestDiskAndPowerLossAfterAcknowledgementLoseNothing(t *testing.T) {
 	t.Parallel()
 	faultsAfterAck := 0
--- a/internal/control/partition_proxy_test.go
+++ b/internal/control/partition_proxy_test.go
@@ -74,7 +74,8 @@
 	link.watchSilence()
 }
 
-// latency returns the latency of one frame. Frames on a slow connection may arrive after the proxy has connected to another member.
+// latency returns the latency of one frame. Frames on a slow connection may arrive after the proxy has connected to another
+// member.
 func (l *partitionLink) latency() int64 {
 	c := l.proxy.cluster
 	latency := c.Between(1, 3)
@@ -156,8 +157,8 @@
 	return true
 }
 
-// checkLease asserts that a proxy with a lease has applied everything that was acknowledged 1.8 s ago, the earliest time at which it
-// can have requested the lease.
+// checkLease asserts that a proxy with a lease has applied everything that was acknowledged 1.8 s ago, the earliest time at which
+// it can have requested the lease.
 func (p *partitionProxy) checkLease() {
 	c := p.cluster
 	if !p.hasLease() {
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// sendUpdate sends a log update if it directly follows the last entry that was sent; otherwise it sends everything that is missing.
+// sendUpdate sends a log update if it directly follows the last entry that was sent; otherwise it sends everything that is
+// missing.
 func (c *ProxyConn) sendUpdate(s *Server, update *rpc.LogUpdate) {
 	if c.snapshot != nil || c.snapshotQueued || c.lagging {
 		return
@@ -83,8 +84,8 @@
 	c.trySendUpdate(s, update)
 }
 
-// trySendUpdate sends a log update. If the proxy's queue refuses it, the proxy is lagging: it gets everything that it misses when its
-// queue is empty or when it requests its next lease. It neither loses its connection nor delays other proxies.
+// trySendUpdate sends a log update. If the proxy's queue refuses it, the proxy is lagging: it gets everything that it misses when
+// its queue is empty or when it requests its next lease. It neither loses its connection nor delays other proxies.
 func (c *ProxyConn) trySendUpdate(s *Server, update *rpc.LogUpdate) {
 	c.lagging = !c.closed && !c.send(&rpc.Frame{LogUpdate: update})
 	if c.lagging {
@@ -126,9 +127,9 @@
 	}
 }
 
-// AcceptProxy welcomes a proxy and, if this member holds the leader lease, serves it until it is disconnected. send must not block;
-// it returns false if the queue to the proxy does not accept the frame. closeConn is called at most once; ProxyDisconnected must
-// follow.
+// AcceptProxy welcomes a proxy and, if this member holds the leader lease, serves it until it is disconnected. send must not
+// block; it returns false if the queue to the proxy does not accept the frame. closeConn is called at most once;
+// ProxyDisconnected must follow.
 func (s *Server) AcceptProxy(hello *rpc.ProxyHello, remoteIP string, send func(*rpc.Frame) bool, closeConn func()) *ProxyConn {
 	s.proxiesAccepted++
 	conn := &ProxyConn{
--- a/internal/control/proxy_queue_test.go
+++ b/internal/control/proxy_queue_test.go
@@ -9,8 +9,8 @@
 	"ferrypitch/internal/rpc"
 )
 
-// Lease responses must be sent before queued updates. If they wait behind much data, the proxy receives none for 0.7 s, considers the
-// leader silent, and disconnects.
+// Lease responses must be sent before queued updates. If they wait behind much data, the proxy receives none for 0.7 s, considers
+// the leader silent, and disconnects.
 func TestLeasesOvertakeUpdatesOfTheLog(t *testing.T) {
 	closed := make(chan struct{})
 	q := newProxyQueue(rpc.ProtocolVersion)
--- a/internal/control/proxy_snapshot.go
+++ b/internal/control/proxy_snapshot.go
@@ -17,8 +17,8 @@
 	// 18 MiB.
 	maxSnapshotTransfers = 192
 
-	// maxSnapshotLagRatio is the ratio of the bytes of entries after a snapshot to the size of the snapshot up to which the snapshot is
-	// reused for further proxies.
+	// maxSnapshotLagRatio is the ratio of the bytes of entries after a snapshot to the size of the snapshot up to which the
+	// snapshot is reused for further proxies.
 	maxSnapshotLagRatio = 1.0 / 4
 )
 
@@ -118,8 +118,8 @@
 	}
 }
 
-// handleChunkAck continues the transfer after the acknowledged data. Once the proxy has the whole snapshot, it gets the log entries
-// that follow.
+// handleChunkAck continues the transfer after the acknowledged data. Once the proxy has the whole snapshot, it gets the log
+// entries that follow.
 func (s *Server) handleChunkAck(conn *ProxyConn, ack *rpc.ChunkAck) {
 	snapshot := conn.snapshot
 	switch {
--- a/internal/control/run.go
+++ b/internal/control/run.go
@@ -135,9 +135,9 @@
 	return founders
 }
 
-// openDataDir opens the write-ahead log and returns this member's identity and the state restored from the log. A founder of a new
-// system uses its address as its ID. Any other process without data gets a random ID and starts as a learner, because votes and
-// acknowledgements that it gave as a member may have been lost with its disk.
+// openDataDir opens the write-ahead log and returns this member's identity and the state restored from the log. A founder of a
+// new system uses its address as its ID. Any other process without data gets a random ID and starts as a learner, because votes
+// and acknowledgements that it gave as a member may have been lost with its disk.
 func openDataDir(settings *settings.Settings) (*storage.WAL, storage.Identity, consensus.RestoredState, error) {
 	self, founders := consensus.ID(settings.Ip), Founders(settings)
 	return storage.Open(settings.DataDir, func() storage.Identity {
@@ -184,8 +184,8 @@
 	})
 }
 
-// runEventLoop is the goroutine that uses the Server: it runs the queued events and the Server's timer. The timer takes precedence
-// over events, because consensus heartbeats must be sent no matter how many events are queued.
+// runEventLoop is the goroutine that uses the Server: it runs the queued events and the Server's timer. The timer takes
+// precedence over events, because consensus heartbeats must be sent no matter how many events are queued.
 func (p *process) runEventLoop() {
 	defer p.queue.Close()
 	timer := time.NewTimer(tickInterval)
--- a/internal/control/seen_requests.go
+++ b/internal/control/seen_requests.go
@@ -41,7 +41,8 @@
 // i of seen is set if newest-i was seen.
 type serialWindow struct{ newest, seen uint64 }
 
-// accept marks a serial as seen and reports whether it was seen for the first time. A serial older than the window counts as seen.
+// accept marks a serial as seen and reports whether it was seen for the first time. A serial older than the window counts as
+// seen.
 func (w *serialWindow) accept(serial uint64) bool {
 	if serial > w.newest {
 		w.seen = w.seen<<(serial-w.newest) | 1 // a shift by windowBits or more gives 0
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -13,8 +13,8 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// Server is one member of the control plane. All methods except HoldsLeaseInTerm must be called from a single goroutine; they do not block.
-// Other goroutines may read and change only the Counters.
+// Server is one member of the control plane. All methods except HoldsLeaseInTerm must be called from a single goroutine; they do
+// not block. Other goroutines may read and change only the Counters.
 type Server struct {
 	settings    *settings.Settings
 	log         hclog.Logger
--- a/internal/control/state_digest.go
+++ b/internal/control/state_digest.go
@@ -9,10 +9,10 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// Members compare digests of their states to detect corruption of memory or of a stored snapshot, also on the leader, whose changes
-// are based on its own state. Each member sends the leader digests of its state at certain indices. The leader determines the digest
-// of the majority at each index and rejects the states that differ; if its own differs, it steps down. A member whose state was
-// rejected replaces it with a snapshot from the leader.
+// Members compare digests of their states to detect corruption of memory or of a stored snapshot, also on the leader, whose
+// changes are based on its own state. Each member sends the leader digests of its state at certain indices. The leader determines
+// the digest of the majority at each index and rejects the states that differ; if its own differs, it steps down. A member whose
+// state was rejected replaces it with a snapshot from the leader.
 
 const (
 	digestIntervalMs = 1000 // between the digests that are taken regardless of the index
@@ -172,8 +172,8 @@
 	s.replaceRejectedState(rejected.Digest)
 }
 
-// newDigestFor returns the newest majority digest if it was not sent to the proxy yet, and nil otherwise. This member's own digest
-// must not be sent: if its state is wrong, proxies must not adopt it.
+// newDigestFor returns the newest majority digest if it was not sent to the proxy yet, and nil otherwise. This member's own
+// digest must not be sent: if its state is wrong, proxies must not adopt it.
 func (s *Server) newDigestFor(conn *ProxyConn) *statemachine.Digest {
 	majority := s.digests.majority
 	if majority.Index == 0 || majority.Index == conn.digestIndex {
@@ -183,8 +183,8 @@
 	return &majority
 }
 
-// verifyConfig verifies that the configuration in memory is the one that was applied. It is called before a change is based on the
-// configuration, because other members would reject such a change. If the configuration is corrupt, the state is discarded.
+// verifyConfig verifies that the configuration in memory is the one that was applied. It is called before a change is based on
+// the configuration, because other members would reject such a change. If the configuration is corrupt, the state is discarded.
 func (s *Server) verifyConfig() (intact bool) {
 	if s.state.ConfigIntact() {
 		return true
@@ -195,8 +195,8 @@
 	return false
 }
 
-// replaceRejectedState discards this member's state, which differs from that of the majority at an index, and fetches the leader's.
-// A leader steps down first.
+// replaceRejectedState discards this member's state, which differs from that of the majority at an index, and fetches the
+// leader's. A leader steps down first.
 func (s *Server) replaceRejectedState(majority statemachine.Digest) {
 	own, known := s.digests.at(majority.Index)
 	if s.diverged || !known || own == majority {
--- a/internal/control/state_digest_test.go
+++ b/internal/control/state_digest_test.go
@@ -41,8 +41,8 @@
 	"history": func(state *statemachine.State) { state.LeaderTimeMs += 1000 },
 }
 
-// A leader or follower whose state is corrupt is detected by comparing digests and replaces its state, after which all members have
-// the same state again. A leader steps down first.
+// A leader or follower whose state is corrupt is detected by comparing digests and replaces its state, after which all members
+// have the same state again. A leader steps down first.
 func TestWrongStateIsFoundAndReplaced(t *testing.T) {
 	for name, corrupt := range corruptions {
 		for _, atLeader := range []bool{false, true} {
@@ -138,7 +138,8 @@
 	require.True(t, leader.server.holdsLease(), "a digest reported by a single member has no effect on the others")
 }
 
-// Members of a release without digests participate in everything else, so that members can be upgraded and downgraded one at a time.
+// Members of a release without digests participate in everything else, so that members can be upgraded and downgraded one at a
+// time.
 func TestMembersOfTwoVersionsRunSideBySide(t *testing.T) {
 	for older := range 3 {
 		c, leader, follower := newClusterWithState(t)
--- a/internal/control/tenant_quota.go
+++ b/internal/control/tenant_quota.go
@@ -24,7 +24,8 @@
 	s.updateLenderLimits(nowMs)
 }
 
-// tickLender updates the lender's limits before the first proxy requests tokens, because a tenant's tokens accumulate from then on.
+// tickLender updates the lender's limits before the first proxy requests tokens, because a tenant's tokens accumulate from then
+// on.
 func (s *Server) tickLender(nowMs int64) {
 	if s.leading {
 		s.updateLenderLimits(nowMs)
--- a/internal/control/tenant_quota_test.go
+++ b/internal/control/tenant_quota_test.go
@@ -11,8 +11,8 @@
 
 const tenantConfig = `{"Generation":2,"Routes":[],"Services":[],"Tenants":[{"Name":"t7","ApiKeys":["k7"],"RatePerS":100,"Burst":50},{"Name":"t8","ApiKeys":["k8"]}]}`
 
-// newTenantCluster returns a healthy cluster whose configuration has tenants, its leader, a proxy of the leader, and the last welcome or
-// quota response sent to the proxy.
+// newTenantCluster returns a healthy cluster whose configuration has tenants, its leader, a proxy of the leader, and the last
+// welcome or quota response sent to the proxy.
 func newTenantCluster(t *testing.T) (c *cluster, leader *Server, proxy *ProxyConn, last **rpc.Frame) {
 	t.Helper()
 	c, leader = newHealthyCluster(t)
--- a/internal/control/timeout_test.go
+++ b/internal/control/timeout_test.go
@@ -35,8 +35,8 @@
 	return c, leader, follower
 }
 
-// A member that no longer receives messages from the leader rejects forwarded calls before their callers time out, and forwards no
-// further calls to that leader.
+// A member that no longer receives messages from the leader rejects forwarded calls before their callers time out, and forwards
+// no further calls to that leader.
 func TestCallForwardedToSilentLeaderIsRejectedSoon(t *testing.T) {
 	c, leader, follower := newHealthyPartitionCluster(t)
 	leader.partition(20000)
