--- a/internal/proxy/simulation_member_test.go
+++ b/internal/proxy/simulation_member_test.go
@@ -141,7 +141,7 @@
 	server := m.server
 	sim.After(delay, func() {
 		m.Run(incarnation, func() {
-			if !c.ignoresLease && !server.MayAct(term) {
+			if !c.ignoresLease && !server.HoldsLeaseInTerm(term) {
 				withhold()
 				return
 			}
