--- a/internal/router/tier/follower/follower.go
+++ b/internal/router/tier/follower/follower.go
@@ -50,7 +50,7 @@
 	noPlanner       bool
 	lastChangeAt    policy.TenthMs // 0: no change has come yet
 	nextReportAt    policy.TenthMs
-	reported        bool // a Tick has returned the state at least once
+	hasTicked       bool // a Tick has returned the state at least once
 
 	// Counters of full views that were requested, by cause: a missing change, a
 	// digest that differs, a planner that restarted.
@@ -73,8 +73,8 @@
 }
 
 // LoadList applies the host list that a forwarder is given at start.
-func (f *Follower) LoadList(revision int64, whole bool, hosts []view.Host) {
-	f.view.ApplyList(view.Version{Revision: revision}, whole, hosts)
+func (f *Follower) LoadList(revision int64, complete bool, hosts []view.Host) {
+	f.view.ApplyList(view.Version{Revision: revision}, complete, hosts)
 }
 
 // RestoreView merges a view that an earlier process stored. Whatever a planner knows to
@@ -119,9 +119,9 @@
 	return float64(crc32.ChecksumIEEE(text)) / (1 << 32)
 }
 
-// dropLateness withdraws the lateness that one planner stated, which counts only
+// clearLateness withdraws the lateness that one planner stated, which counts only
 // while the planner is connected.
-func (f *Follower) dropLateness(planner *Planner) {
+func (f *Follower) clearLateness(planner *Planner) {
 	for name := range planner.lateness {
 		f.changedLateness[name] = true
 	}
@@ -193,9 +193,9 @@
 			actions.RemovedHosts = append(actions.RemovedHosts, name)
 		}
 	}
-	actions.Changed = !f.reported || len(actions.ChangedHosts)+len(actions.RemovedHosts) > 0 ||
+	actions.Changed = !f.hasTicked || len(actions.ChangedHosts)+len(actions.RemovedHosts) > 0 ||
 		actions.RouterCount != f.routerCount || actions.NoPlanner != f.noPlanner
-	f.routerCount, f.noPlanner, f.reported = actions.RouterCount, actions.NoPlanner, true
+	f.routerCount, f.noPlanner, f.hasTicked = actions.RouterCount, actions.NoPlanner, true
 }
 
 // takeChangedNames returns, sorted, the hosts that changed since the last call.
--- a/internal/router/tier/follower/planner.go
+++ b/internal/router/tier/follower/planner.go
@@ -38,7 +38,7 @@
 	p.connected, p.dialing = false, false
 	p.nextDialAt = f.now + policy.TenthMs((0.5+f.randomFraction()/2)*float64(p.backoff))
 	p.backoff = min(2*p.backoff, f.config.MaxBackoff)
-	f.dropLateness(p)
+	f.clearLateness(p)
 }
 
 // ApplyChange applies a change that a planner sent. It reports whether the caller
@@ -60,7 +60,7 @@
 	if change.Full {
 		f.view.Merge(&p.replica.View, view.MaxPosition(f.now))
 	} else {
-		f.view.Merge(p.replica.TouchedPart(change), view.MaxPosition(f.now))
+		f.view.Merge(p.replica.ChangedPart(change), view.MaxPosition(f.now))
 	}
 	p.applyLateness(change.Hosts)
 	return false
--- a/internal/router/tier/forward/forward.go
+++ b/internal/router/tier/forward/forward.go
@@ -92,8 +92,8 @@
 func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
 
 // LoadList applies the list that a forwarder starts with. It must be called before Run.
-func (f *Forwarder) LoadList(revision int64, whole bool, hosts []view.Host) {
-	f.core.LoadList(revision, whole, hosts)
+func (f *Forwarder) LoadList(revision int64, complete bool, hosts []view.Host) {
+	f.core.LoadList(revision, complete, hosts)
 }
 
 // enqueue passes an event to the owner, unless the context ends first.
--- a/internal/router/tier/line/handshake.go
+++ b/internal/router/tier/line/handshake.go
@@ -73,13 +73,13 @@
 // greeting is of another version.
 func (c *Conn) readGreeting(key *[32]byte) error {
 	for {
-		greeting, size, err := link.ParseGreeting(c.inbound, key)
+		greeting, size, err := link.ParseGreeting(c.receiveBuffer, key)
 		c.Peer = greeting
 		if err != nil {
 			return err
 		}
 		if size > 0 {
-			c.inbound = c.inbound[size:]
+			c.receiveBuffer = c.receiveBuffer[size:]
 			return nil
 		}
 		if err := c.readMore(link.MaxGreetingBytes); err != nil {
--- a/internal/router/tier/line/line.go
+++ b/internal/router/tier/line/line.go
@@ -34,10 +34,10 @@
 
 	socket        net.Conn
 	session       *link.Session
-	inbound       []byte // received and not read yet
+	receiveBuffer []byte // received and not read yet
 	maxFrameBytes int
 	writeTimeout  time.Duration
-	queue         chan link.Frame
+	sendQueue     chan link.Frame
 
 	closeOnce sync.Once
 	closed    chan struct{}
@@ -48,21 +48,21 @@
 func newConn(socket net.Conn, queueLength, maxFrameBytes int, writeTimeout time.Duration) *Conn {
 	return &Conn{
 		socket: socket, maxFrameBytes: maxFrameBytes, writeTimeout: writeTimeout,
-		queue: make(chan link.Frame, queueLength), closed: make(chan struct{}),
+		sendQueue: make(chan link.Frame, queueLength), closed: make(chan struct{}),
 	}
 }
 
 // readMore reads once from the socket. The buffer grows with what has come, never
 // by what a length field claims: wanted bounds it.
 func (c *Conn) readMore(wanted int) error {
-	if len(c.inbound) == cap(c.inbound) {
-		size := max(minBufferBytes, min(2*cap(c.inbound), wanted+readAheadBytes))
-		grown := make([]byte, len(c.inbound), size)
-		copy(grown, c.inbound)
-		c.inbound = grown
+	if len(c.receiveBuffer) == cap(c.receiveBuffer) {
+		size := max(minBufferBytes, min(2*cap(c.receiveBuffer), wanted+readAheadBytes))
+		grown := make([]byte, len(c.receiveBuffer), size)
+		copy(grown, c.receiveBuffer)
+		c.receiveBuffer = grown
 	}
-	n, err := c.socket.Read(c.inbound[len(c.inbound):cap(c.inbound)])
-	c.inbound = c.inbound[:len(c.inbound)+n]
+	n, err := c.socket.Read(c.receiveBuffer[len(c.receiveBuffer):cap(c.receiveBuffer)])
+	c.receiveBuffer = c.receiveBuffer[:len(c.receiveBuffer)+n]
 	if n > 0 {
 		return nil // an error comes again with the next read
 	}
@@ -80,7 +80,7 @@
 	var buffer []byte
 	for {
 		select {
-		case next := <-c.queue:
+		case next := <-c.sendQueue:
 			buffer = c.session.Seal(buffer[:0], next.Kind, next.Body)
 			c.socket.SetWriteDeadline(time.Now().Add(c.writeTimeout))
 			if _, err := c.socket.Write(buffer); err != nil {
@@ -100,7 +100,7 @@
 // queue ends the connection with ErrSlowReader.
 func (c *Conn) Send(kind link.FrameKind, body []byte) {
 	select {
-	case c.queue <- link.Frame{Kind: kind, Body: body}:
+	case c.sendQueue <- link.Frame{Kind: kind, Body: body}:
 	default:
 		c.CloseWithError(ErrSlowReader)
 	}
@@ -110,11 +110,11 @@
 // CloseWithError it returns the error given there.
 func (c *Conn) ReadFrame() (link.Frame, error) {
 	for {
-		size, err := link.FrameSize(c.inbound, c.maxFrameBytes)
+		size, err := link.FrameSize(c.receiveBuffer, c.maxFrameBytes)
 		if err != nil {
 			return link.Frame{}, err
 		}
-		if len(c.inbound) >= size {
+		if len(c.receiveBuffer) >= size {
 			return c.openFrame(size)
 		}
 		if err := c.readMore(size); err != nil {
@@ -125,13 +125,13 @@
 
 // openFrame takes a complete frame from what was received.
 func (c *Conn) openFrame(size int) (link.Frame, error) {
-	frame, err := c.session.Open(c.inbound[:size])
+	frame, err := c.session.Open(c.receiveBuffer[:size])
 	if err != nil {
 		return link.Frame{}, err
 	}
-	c.inbound = c.inbound[size:]
-	if len(c.inbound) == 0 && size > maxIdleBufferBytes {
-		c.inbound = nil
+	c.receiveBuffer = c.receiveBuffer[size:]
+	if len(c.receiveBuffer) == 0 && size > maxIdleBufferBytes {
+		c.receiveBuffer = nil
 	}
 	return frame, nil
 }
--- a/internal/router/tier/plan/lists.go
+++ b/internal/router/tier/plan/lists.go
@@ -36,9 +36,9 @@
 }
 
 // handleList runs on the owner's goroutine.
-func (p *Server) handleList(revision int64, whole bool, entries []view.Host) {
-	accepted := p.core.ApplyList(p.clock.Now(), revision, whole, entries)
-	p.trace.List(revision, whole, len(entries), accepted)
+func (p *Server) handleList(revision int64, complete bool, entries []view.Host) {
+	accepted := p.core.ApplyList(p.clock.Now(), revision, complete, entries)
+	p.trace.List(revision, complete, len(entries), accepted)
 	if !accepted {
 		p.StaleLists.Add(1)
 		p.log.Warn("a list that is older than the one held", zap.Int64("rev", revision))
@@ -46,7 +46,7 @@
 	}
 	p.listRevision.Store(revision)
 	p.AppliedLists.Add(1)
-	p.log.Info("list", zap.Int64("rev", revision), zap.Bool("whole", whole), zap.Int("entries", len(entries)))
+	p.log.Info("list", zap.Int64("rev", revision), zap.Bool("whole", complete), zap.Int("entries", len(entries)))
 	p.updateHostPool()
 }
 
--- a/internal/router/tier/plan/probe.go
+++ b/internal/router/tier/plan/probe.go
@@ -60,14 +60,14 @@
 func (p *Server) finishProbe(name string, sentAt policy.TenthMs, answer transport.Answer) {
 	now := p.clock.Now()
 	responded := answer.Outcome == policy.Answered
-	position, role := p.stateOf(answer, now)
+	position, role := p.parseHostStatus(answer, now)
 	p.trace.Probed(name, responded, position, role, now-sentAt)
 	p.core.ProbeFinished(now, name, responded, position, role, sentAt)
 }
 
-// stateOf returns the position and role that an answer names: in its parameters,
+// parseHostStatus returns the position and role that an answer names: in its parameters,
 // or in a load report. The position is noPosition if there is none.
-func (p *Server) stateOf(answer transport.Answer, now policy.TenthMs) (policy.TenthMs, policy.Role) {
+func (p *Server) parseHostStatus(answer transport.Answer, now policy.TenthMs) (policy.TenthMs, policy.Role) {
 	maxPositionMs := float64(now)/tenthsPerMillisecond + positionToleranceMs
 	position, role := setup.ParseHostStatus(answer.Position, answer.Role, maxPositionMs)
 	if position >= 0 || !p.start.Deployment.PositionsReported {
--- a/internal/router/tier/planner/forwarder.go
+++ b/internal/router/tier/planner/forwarder.go
@@ -15,8 +15,8 @@
 
 	// Bounds on what one report may say of a host: the responses, and the sum of
 	// their lateness, in thousandths of the response target each.
-	maxReportedResponses = 1 << 16
-	maxReportedLateness  = 10000
+	maxReportedResponses   = 1 << 16
+	maxLatenessPerResponse = 10000
 )
 
 // leaseKey identifies a forwarder's process. After a restart both processes count
@@ -90,7 +90,7 @@
 		responses := min(observation.Responses, maxReportedResponses)
 		observed.lastResponseAt, observed.backoff = p.now, 0
 		observed.responses += responses
-		observed.latenessSum += min(observation.LatenessSum, maxReportedLateness*responses)
+		observed.latenessSum += min(observation.LatenessSum, maxLatenessPerResponse*responses)
 	}
 	if observation.BootedAt <= 0 || observation.BootedAt != observed.bootedAt {
 		return
@@ -111,13 +111,13 @@
 func (f *Forwarder) renewLease() {
 	p := f.planner
 	f.lastFrameAt = p.now
-	if _, held := p.leases[f.key]; !held && p.hasLeaseOfName(f.key.name) {
+	if _, held := p.leases[f.key]; !held && p.hasLeaseForName(f.key.name) {
 		p.DuplicateLeases++
 	}
 	p.leases[f.key] = p.now + leaseIntervals*p.reportInterval() + second
 }
 
-func (p *Planner) hasLeaseOfName(name string) bool {
+func (p *Planner) hasLeaseForName(name string) bool {
 	for key := range p.leases {
 		if key.name == name {
 			return true
--- a/internal/router/tier/planner/planner.go
+++ b/internal/router/tier/planner/planner.go
@@ -27,9 +27,9 @@
 
 const (
 	// Hosts that have left are removed once they are more than
-	// minGoneHosts plus a fraction (one in goneFraction) of all.
-	minGoneHosts = 64
-	goneFraction = 4
+	// minTombstones plus a fraction (one in goneFraction) of all.
+	minTombstones    = 64
+	tombstoneDivisor = 4
 )
 
 // Config holds the intervals and limits of one planner. None has a default here.
@@ -54,11 +54,11 @@
 	randomDraws uint64
 	now         policy.TenthMs
 
-	nextChangeAt   policy.TenthMs
-	nextLatenessAt policy.TenthMs // when the responses counted become the lateness that is published
-	creditedAt     policy.TenthMs // when probeCredit was last increased
-	probeCredit    float64        // probes that may be sent now
-	probesInFlight int
+	nextChangeAt    policy.TenthMs
+	nextLatenessAt  policy.TenthMs // when the responses counted become the lateness that is published
+	creditUpdatedAt policy.TenthMs // when probeCredit was last increased
+	probeCredit     float64        // probes that may be sent now
+	probesInFlight  int
 
 	view       view.View
 	hosts      map[string]*host // those in service
@@ -77,10 +77,10 @@
 	set      int64
 	bootedAt policy.TenthMs
 
-	evidence    view.Evidence
-	evidenceAt  policy.TenthMs // when the last probe that named a position ended
-	unpublished bool           // evidence or lateness differs from the view
-	publishedAt policy.TenthMs
+	evidence         view.Evidence
+	positionProbedAt policy.TenthMs // when the last probe that named a position ended
+	unpublished      bool           // evidence or lateness differs from the view
+	publishedAt      policy.TenthMs
 
 	publishedRole  policy.Role
 	lastResponseAt policy.TenthMs // to a probe or to any forwarder
@@ -100,7 +100,7 @@
 func New(incarnation uint64, config Config, now policy.TenthMs) *Planner {
 	return &Planner{
 		config: config, incarnation: incarnation,
-		now: now, nextChangeAt: now, nextLatenessAt: now, creditedAt: now,
+		now: now, nextChangeAt: now, nextLatenessAt: now, creditUpdatedAt: now,
 		hosts: map[string]*host{}, forwarders: map[*Forwarder]bool{}, leases: map[leaseKey]policy.TenthMs{},
 	}
 }
@@ -122,13 +122,13 @@
 // ApplyList applies a list of discovery: a whole one, or what changed since another.
 // It returns false if the list is older than the newest one applied. It may change
 // the entries.
-func (p *Planner) ApplyList(now policy.TenthMs, revision int64, whole bool, entries []view.Host) bool {
+func (p *Planner) ApplyList(now policy.TenthMs, revision int64, complete bool, entries []view.Host) bool {
 	p.advance(now)
 	for i := range entries {
 		// The clock of discovery may be ahead; that must not keep a host cold for longer.
 		entries[i].BootedAt = max(0, min(entries[i].BootedAt, now))
 	}
-	if !p.view.ApplyList(view.Version{Generation: p.config.Generation, Revision: revision}, whole, entries) {
+	if !p.view.ApplyList(view.Version{Generation: p.config.Generation, Revision: revision}, complete, entries) {
 		return false
 	}
 	for name := range p.hosts {
@@ -143,7 +143,7 @@
 			delete(p.hosts, entry.Name)
 		}
 	}
-	if p.view.GoneCount() > minGoneHosts+p.view.Len()/goneFraction {
+	if p.view.TombstoneCount() > minTombstones+p.view.Len()/tombstoneDivisor {
 		p.view.Compact()
 	}
 	return true
--- a/internal/router/tier/planner/probe.go
+++ b/internal/router/tier/planner/probe.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// burstFraction is the part of a second's probes (one in burstFraction) that may be sent at once.
-	burstFraction = 4
-	// maxBackoffProbes bounds the backoff of a host that does not respond, in probe intervals.
-	maxBackoffProbes = 4
-	// stalePrimaryProbes is after how many probe intervals without a response a set is searched for another primary.
-	stalePrimaryProbes = 2
-	// probeJitter is the part of the search interval (one in probeJitter) by which probes are spread at random.
-	probeJitter = 4
+	// burstDivisor is the part of a second's probes (one in burstDivisor) that may be sent at once.
+	burstDivisor = 4
+	// maxBackoffIntervals bounds the backoff of a host that does not respond, in probe intervals.
+	maxBackoffIntervals = 4
+	// stalePrimaryIntervals is after how many probe intervals without a response a set is searched for another primary.
+	stalePrimaryIntervals = 2
+	// probeJitterDivisor is the part of the search interval (one in probeJitterDivisor) by which probes are spread at random.
+	probeJitterDivisor = 4
 )
 
 // The order in which hosts are probed if not all can be.
@@ -39,15 +39,15 @@
 	probed.probing = false
 	if !responded {
 		p.FailedProbes++
-		probed.backoff = min(max(p.config.PrimaryProbeInterval, 2*probed.backoff), maxBackoffProbes*p.config.ProbeInterval)
+		probed.backoff = min(max(p.config.PrimaryProbeInterval, 2*probed.backoff), maxBackoffIntervals*p.config.ProbeInterval)
 		return
 	}
 	probed.backoff, probed.lastResponseAt = 0, p.now
 	if position >= 0 && position <= view.MaxPosition(p.now) {
-		if probed.evidence.Observe(position, role, sentAt >= probed.evidenceAt) {
+		if probed.evidence.Observe(position, role, sentAt >= probed.positionProbedAt) {
 			probed.unpublished = true
 		}
-		probed.evidenceAt = p.now
+		probed.positionProbedAt = p.now
 	}
 }
 
@@ -65,7 +65,7 @@
 		p.probeCredit--
 		host.probing = true
 		// The random part keeps several planners from probing in step.
-		jitter := policy.TenthMs(p.randomFraction() * float64(p.config.PrimaryProbeInterval) / probeJitter)
+		jitter := policy.TenthMs(p.randomFraction() * float64(p.config.PrimaryProbeInterval) / probeJitterDivisor)
 		host.probedAt = max(1, p.now-jitter)
 		names = append(names, host.name)
 	}
@@ -75,9 +75,9 @@
 // allowedProbes returns how many probes the limits allow now.
 func (p *Planner) allowedProbes() int {
 	perSecond := float64(p.config.ProbesPerSecond)
-	earned := perSecond * float64(p.now-p.creditedAt) / float64(second)
-	p.probeCredit = min(perSecond/burstFraction, p.probeCredit+earned)
-	p.creditedAt = p.now
+	earned := perSecond * float64(p.now-p.creditUpdatedAt) / float64(second)
+	p.probeCredit = min(perSecond/burstDivisor, p.probeCredit+earned)
+	p.creditUpdatedAt = p.now
 	return min(p.config.MaxProbesInFlight-p.probesInFlight, int(p.probeCredit))
 }
 
@@ -147,7 +147,7 @@
 		}
 	}
 	for set, primary := range primaries {
-		withoutPrimary[set] = primary.backoff > 0 || p.now > primary.lastResponseAt+stalePrimaryProbes*p.config.ProbeInterval
+		withoutPrimary[set] = primary.backoff > 0 || p.now > primary.lastResponseAt+stalePrimaryIntervals*p.config.ProbeInterval
 	}
 	return withoutPrimary
 }
--- a/internal/router/tier/planner/publish.go
+++ b/internal/router/tier/planner/publish.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// reportedChanges is the least number of change intervals between two reports of a forwarder.
-	reportedChanges = 2
+	// minChangesPerReport is the least number of change intervals between two reports of a forwarder.
+	minChangesPerReport = 2
 
 	// positionBytes is about what the position of one host takes in a frame.
 	positionBytes = 96
@@ -20,17 +20,17 @@
 // reportInterval is how often forwarders report, so that all together keep to the
 // configured reports a second.
 func (p *Planner) reportInterval() policy.TenthMs {
-	return max(reportedChanges*p.changeInterval(), p.forwarderTime(p.config.ReportsPerSecond))
+	return max(minChangesPerReport*p.changeInterval(), p.intervalForRate(p.config.ReportsPerSecond))
 }
 
 // changeInterval is the time between two changes, so that all forwarders together
 // are sent no more than the configured frames a second.
 func (p *Planner) changeInterval() policy.TenthMs {
-	return max(p.config.ChangeInterval, p.forwarderTime(p.config.FramesPerSecond))
+	return max(p.config.ChangeInterval, p.intervalForRate(p.config.FramesPerSecond))
 }
 
-// forwarderTime is the time that one message of each forwarder takes at a rate of all.
-func (p *Planner) forwarderTime(perSecond int) policy.TenthMs {
+// intervalForRate is the time that one message of each forwarder takes at a rate of all.
+func (p *Planner) intervalForRate(perSecond int) policy.TenthMs {
 	return policy.TenthMs(len(p.forwarders)) * second / policy.TenthMs(perSecond)
 }
 
--- a/internal/router/tier/view/evidence.go
+++ b/internal/router/tier/view/evidence.go
@@ -2,24 +2,25 @@
 
 import "ferrypitch/policy"
 
-// Evidence is what a host said of itself, whoever relays it: its position, and
-// the role that it named last.
+// Evidence is the state that a host reported about itself: its log position and
+// its latest role. It has the same meaning whether it comes from the host or was
+// relayed.
 //
-// Positions are times of commits in the replicated log, in tenths of a
-// millisecond, so that they order what different hosts say.
+// A position is the commit time of an entry in the replicated log, in tenths of a
+// millisecond, so positions order the statements of different hosts.
 type Evidence struct {
 	Name         string         `cbor:"1,keyasint"`
-	Position     policy.TenthMs `cbor:"2,keyasint,omitempty"` // the host has applied the log up to here
+	Position     policy.TenthMs `cbor:"2,keyasint,omitempty"` // the host has applied the log at least up to this position
 	Role         policy.Role    `cbor:"3,keyasint,omitempty"`
-	RolePosition policy.TenthMs `cbor:"4,keyasint,omitempty"` // its position when it named the role
-	RoleChanges  uint32         `cbor:"5,keyasint,omitempty"` // how often the role changed at that position
+	RolePosition policy.TenthMs `cbor:"4,keyasint,omitempty"` // position of the host when it reported the role
+	RoleChanges  uint32         `cbor:"5,keyasint,omitempty"` // number of role changes at RolePosition
 }
 
-// Observe adds what the host just answered and reports whether anything changed. later says that
-// the question was sent after the answers known so far had come: only then does a
-// different role at the same position mean that the role has changed. Otherwise it
-// is an older answer that arrived late.
-func (e *Evidence) Observe(position policy.TenthMs, role policy.Role, later bool) bool {
+// Observe adds a response of the host and reports whether the evidence changed.
+// isNewer means that the request was sent after all earlier responses had arrived.
+// Only then is a different role at the same position a change of role; otherwise
+// the response may be an older one that arrived late.
+func (e *Evidence) Observe(position policy.TenthMs, role policy.Role, isNewer bool) bool {
 	before := *e
 	e.Position = max(e.Position, position)
 	switch {
@@ -28,16 +29,16 @@
 		e.Role, e.RolePosition, e.RoleChanges = role, position, 0
 	case e.Role == policy.UnknownRole:
 		e.Role = role
-	case role != e.Role && later:
+	case role != e.Role && isNewer:
 		e.Role, e.RoleChanges = role, e.RoleChanges+1
 	}
 	return *e != before
 }
 
-// Merge adds other evidence of the same host and reports whether anything changed.
-// The role named at the newest position wins, then the one after more changes. If
-// both are equal and the roles differ, which no host's own answers can cause, the
-// host counts as a replica: that error is the cheaper one.
+// Merge merges other evidence of the same host and reports whether the evidence
+// changed. The role with the newest position wins, then the one with more role
+// changes. If both are equal but the roles differ, which the responses of a host
+// cannot cause, the host counts as a replica, the error with the lower cost.
 func (e *Evidence) Merge(other Evidence) bool {
 	before := *e
 	e.Position = max(e.Position, other.Position)
@@ -47,6 +48,7 @@
 	return *e != before
 }
 
+// roleOlderThan reports whether the role of the other evidence takes precedence.
 func (e *Evidence) roleOlderThan(other Evidence) bool {
 	switch {
 	case e.RolePosition != other.RolePosition:
@@ -58,7 +60,7 @@
 	}
 }
 
-// clearEvidence forgets what the host said of itself.
+// clearEvidence resets the fields that come from the host's evidence.
 func (h *Host) clearEvidence() {
 	h.Position, h.Role, h.RolePosition, h.RoleChanges = 0, policy.UnknownRole, 0, 0
 }
--- a/internal/router/tier/view/host.go
+++ b/internal/router/tier/view/host.go
@@ -11,7 +11,7 @@
 	"ferrypitch/policy"
 )
 
-// Limits on a host that a peer states: texts in bytes, and its relative size.
+// Limits on the fields of a host received from a peer: lengths in bytes, and the relative capacity.
 const (
 	maxNameBytes    = 256
 	maxAddressBytes = 256
@@ -21,38 +21,39 @@
 )
 
 var (
-	errHostName = errors.New("a name of no or too many bytes")
-	errHostText = errors.New("a text of too many bytes")
-	errHostEnum = errors.New("a standing or a role that is not known")
-	errHostSize = errors.New("a size that can't be")
+	errHostName = errors.New("host name is empty or too long")
+	errHostText = errors.New("address, zone or model is too long")
+	errHostEnum = errors.New("unknown list state or role")
+	errHostSize = errors.New("relative capacity is out of range")
 )
 
-// Host is a host as discovery lists it, with the newest evidence of its state.
+// Host is a database host: its entry in discovery's list and the newest evidence of its state.
 type Host struct {
-	// What the newest list says.
+	// Entry of the host in the newest list.
 	Name          string           `cbor:"1,keyasint"`
 	Address       string           `cbor:"2,keyasint"` // host and port
 	Zone          string           `cbor:"3,keyasint,omitempty"`
 	Kind          string           `cbor:"4,keyasint,omitempty"`
-	Set           int64            `cbor:"5,keyasint"`           // the replica set that it belongs to
-	Size          float64          `cbor:"6,keyasint,omitempty"` // relative to other hosts
-	ListedPrimary bool             `cbor:"7,keyasint,omitempty"` // listed as the primary; lists are late
+	Set           int64            `cbor:"5,keyasint"`           // ID of the host's replica set
+	Size          float64          `cbor:"6,keyasint,omitempty"` // relative capacity
+	ListedPrimary bool             `cbor:"7,keyasint,omitempty"` // listed as the primary; lists may be outdated
 	Standing      policy.ListState `cbor:"8,keyasint,omitempty"`
-	Version       Version          `cbor:"9,keyasint"` // of that list
-	BootedAt      policy.TenthMs   `cbor:"10,keyasint,omitempty"`
+	Version       Version          `cbor:"9,keyasint"`            // version of that list
+	BootedAt      policy.TenthMs   `cbor:"10,keyasint,omitempty"` // start time of the host, by discovery
 
-	// Evidence, see the type.
+	// Newest evidence; see Evidence.
 	Position     policy.TenthMs `cbor:"11,keyasint,omitempty"`
 	Role         policy.Role    `cbor:"12,keyasint,omitempty"`
 	RolePosition policy.TenthMs `cbor:"13,keyasint,omitempty"`
 	RoleChanges  uint32         `cbor:"14,keyasint,omitempty"`
 
-	// Lateness is how much of the response target a response takes, in tenths of the
-	// target, plus one. 0 means that it is not known.
+	// Lateness is the mean response time in tenths of the response target, plus one.
+	// 0 means that it is not known.
 	Lateness uint8 `cbor:"15,keyasint,omitempty"`
 }
 
-// Validate returns why a host that a peer sent cannot be one, or nil.
+// Validate checks the fields of a host received from a peer and returns an error
+// if one is out of bounds.
 func (h *Host) Validate() error {
 	switch {
 	case h.Name == "" || len(h.Name) > maxNameBytes:
@@ -71,7 +72,7 @@
 	return Evidence{h.Name, h.Position, h.Role, h.RolePosition, h.RoleChanges}
 }
 
-// mergeEvidence merges evidence of the host and reports whether anything changed.
+// mergeEvidence merges evidence of the host and reports whether the host changed.
 func (h *Host) mergeEvidence(evidence Evidence) bool {
 	merged := h.evidence()
 	if !merged.Merge(evidence) {
@@ -81,10 +82,10 @@
 	return true
 }
 
-// merge merges another view's state of the same host and reports whether anything
-// changed. The newer list wins. Two lists of one version differ only if discovery
-// is at fault; then the standing that allows less wins, and after it the greater
-// value, so that the order of merges does not matter.
+// merge merges another view's state of the same host and reports whether the host
+// changed. The entry of the newer list wins. Two lists of one version differ only
+// if discovery is faulty; then the more restrictive list state wins, and if those
+// are equal the greater value, so that the result does not depend on the order.
 func (h *Host) merge(other Host) bool {
 	before := *h
 	if h.Version.Before(other.Version) || h.Version == other.Version && h.listedBefore(other) {
@@ -96,7 +97,7 @@
 	return *h != before
 }
 
-// listedBefore is a total order of what two lists of one version say of a host.
+// listedBefore is a total order of the entries for a host in lists of one version.
 func (h *Host) listedBefore(other Host) bool {
 	return cmp.Or(
 		cmp.Compare(h.Standing, other.Standing),
@@ -110,10 +111,11 @@
 	) < 0
 }
 
-// digest is a hash of every field. It is part of the protocol, by Change.Digest.
+// digest returns a hash of all fields. It is part of the protocol: Change.Digest
+// is computed from it.
 func (h *Host) digest() uint64 {
-	const usualBytes = 192 // enough for most hosts, so that the buffer seldom grows
-	buffer := make([]byte, 0, usualBytes)
+	const typicalBytes = 192 // enough for most hosts, so the buffer rarely grows
+	buffer := make([]byte, 0, typicalBytes)
 	for _, text := range []string{h.Name, h.Address, h.Zone, h.Kind} {
 		buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(text)))
 		buffer = append(buffer, text...)
--- a/internal/router/tier/view/replica.go
+++ b/internal/router/tier/view/replica.go
@@ -5,15 +5,16 @@
 	"fmt"
 )
 
-// Why a replica cannot apply a change. After each it is incomplete until a full
-// change comes, which the caller must request.
+// Errors of Replica.Apply. After any of them the replica is incomplete until it
+// applies a full change, which the caller must request.
 var (
-	ErrGap            = errors.New("a change before this one is missing")
-	ErrRestarted      = errors.New("the planner has started anew")
-	ErrDigestMismatch = errors.New("the view's digest differs")
+	ErrGap            = errors.New("a preceding change is missing")
+	ErrRestarted      = errors.New("the planner has restarted")
+	ErrDigestMismatch = errors.New("digest mismatch after the change")
 )
 
-// Replica follows the view of one planner by its changes. The zero value is incomplete.
+// Replica is a copy of one planner's view, kept up to date by its changes. The zero
+// value is incomplete.
 type Replica struct {
 	View
 	incarnation uint64
@@ -21,14 +22,14 @@
 	complete    bool
 }
 
-// Complete reports whether the replica equals the planner's view as of Sequence.
+// Complete reports whether the replica equals the planner's view at Sequence.
 func (r *Replica) Complete() bool { return r.complete }
 
-// Sequence returns the number of the last change applied.
+// Sequence returns the sequence number of the last applied change.
 func (r *Replica) Sequence() uint64 { return r.sequence }
 
-// Apply applies a change and reports whether it was new; a repeated or older one
-// is ignored. The error is one of ErrGap, ErrRestarted and ErrDigestMismatch.
+// Apply applies a change and reports whether it did; a repeated or older change is
+// ignored. The error wraps ErrGap, ErrRestarted or ErrDigestMismatch.
 func (r *Replica) Apply(change Change) (applied bool, err error) {
 	isNext, err := r.checkOrder(change)
 	if err != nil {
@@ -50,7 +51,8 @@
 	return true, nil
 }
 
-// checkOrder reports whether a change is the one to apply next, or an error if one before it is missing.
+// checkOrder reports whether a change is the next one to apply. It returns an error if a
+// preceding change is missing or the planner has restarted.
 func (r *Replica) checkOrder(change Change) (isNext bool, err error) {
 	sameIncarnation := change.Incarnation == r.incarnation
 	switch {
@@ -64,12 +66,12 @@
 	case change.Sequence <= r.sequence:
 		return false, nil
 	case change.Sequence != r.sequence+1:
-		return false, fmt.Errorf("%w: %d after %d", ErrGap, change.Sequence, r.sequence)
+		return false, fmt.Errorf("%w: sequence number %d after %d", ErrGap, change.Sequence, r.sequence)
 	}
 	return true, nil
 }
 
-// applyContent takes over what a change says, without regard to its order.
+// applyContent applies the content of a change without a check of its sequence number.
 func (r *Replica) applyContent(change Change) {
 	r.Floor, r.ListVersion, r.RouterCount = change.Floor, change.ListVersion, change.RouterCount
 	for _, host := range change.Hosts {
@@ -86,9 +88,10 @@
 	}
 }
 
-// TouchedPart returns, as a view to merge, the hosts of a change that was applied
-// last. Hosts that it removed are left out: merging removes nothing.
-func (r *Replica) TouchedPart(change Change) *View {
+// ChangedPart returns a view, to be merged, with the hosts of the change that was
+// applied last. Hosts that the change removed are left out, since a merge does not
+// remove hosts.
+func (r *Replica) ChangedPart(change Change) *View {
 	part := &View{Floor: r.Floor, ListVersion: r.ListVersion, hosts: make(map[string]*Host, len(change.Hosts))}
 	for i := range change.Hosts {
 		part.hosts[change.Hosts[i].Name] = &change.Hosts[i]
--- a/internal/router/tier/view/view.go
+++ b/internal/router/tier/view/view.go
@@ -1,20 +1,20 @@
-// Package view is the state of a fleet that planners know and send to forwarders:
-// hosts as discovery lists them, and what the hosts said of themselves.
+// Package view holds the state of the fleet that planners send to forwarders: the
+// hosts as discovery lists them, and the evidence of each host's position and role.
 //
-// A planner applies lists and evidence to its View. TakeChanges returns what
-// changed since the last call, numbered, and a Replica applies those changes at a
-// forwarder; a gap or a difference makes the forwarder request a full change.
-// Merging the replicas of all planners yields the one view that a forwarder
-// decides on.
+// A planner applies lists and evidence to its View. TakeChanges returns the
+// changes since the last call under a sequence number, and a Replica at the
+// forwarder applies them. After a gap or a digest mismatch the forwarder requests
+// a full change. A forwarder merges the replicas of all planners into the view on
+// which it decides.
 //
-// Merging is commutative, associative and idempotent, as for a state-based CRDT,
-// so that the order of arrival and repeated messages do not matter. Neither does
-// any clock: claims are ordered by the version of the list, or by the position in
-// the replicated log at which a host made its statement. Whoever relays a claim
-// last gains nothing.
+// The merge is commutative, associative and idempotent, as in a state-based CRDT,
+// so the order of arrival and duplicate messages do not affect the result. Neither
+// do clocks: list entries are ordered by the version of the list, and evidence by
+// the position in the replicated log that the host reported. A view that is
+// relayed late therefore takes no precedence.
 //
-// The package is pure. Times and positions are policy.Tenth, tenths of a
-// millisecond.
+// The package does no I/O and reads no clock. Times and positions are
+// policy.TenthMs, tenths of a millisecond.
 package view
 
 import (
@@ -28,44 +28,44 @@
 	"ferrypitch/policy"
 )
 
-// positionTolerance is how far a true position may be ahead of the clock: hosts
-// round the position of a commit up.
+// positionTolerance is how far a valid position may be ahead of the clock, since
+// hosts round the position of a commit up.
 const positionTolerance = policy.TenthMs(20)
 
-// MaxPosition returns the greatest position that any host can have reached at a time.
+// MaxPosition returns the highest position that a host can have reached at the given time.
 func MaxPosition(now policy.TenthMs) policy.TenthMs { return now + positionTolerance }
 
-// Version orders lists: by generation first, then by revision.
+// Version is the version of a list. Versions are ordered by generation, then by revision.
 type Version struct {
-	Generation uint64 `cbor:"1,keyasint,omitempty"` // raised by the operator when discovery is replaced and its revisions start anew
-	Revision   int64  `cbor:"2,keyasint,omitempty"` // discovery's own
+	Generation uint64 `cbor:"1,keyasint,omitempty"` // incremented by the operator when discovery is replaced and its revisions restart
+	Revision   int64  `cbor:"2,keyasint,omitempty"` // assigned by discovery
 }
 
-// Before reports whether a version is older than another.
+// Before reports whether the version is older than another.
 func (v Version) Before(other Version) bool {
 	return v.Generation < other.Generation || v.Generation == other.Generation && v.Revision < other.Revision
 }
 
-// View is the state of a fleet. The zero value is empty and ready to use. It is
-// not safe for concurrent use.
+// View is the state of the fleet. The zero value is an empty view that is ready to
+// use. A View is not safe for concurrent use.
 type View struct {
-	Floor       Version // a host that only lists older than this have named is removed
-	ListVersion Version // of the newest list
-	RouterCount int     // that share the hosts; 0: not known
+	Floor       Version // hosts whose latest list is older than this version are removed
+	ListVersion Version // version of the newest list
+	RouterCount int     // number of routers that share the hosts; 0 if not known
 
 	hosts         map[string]*Host
-	goneHosts     int
+	tombstones    int
 	hostDigestSum uint64
-	touched       map[string]bool // since the last TakeChanges or TakeChangedNames
+	changedNames  map[string]bool // hosts changed since the last TakeChanges or TakeChangedNames
 }
 
-// Len returns how many hosts are known, those that have left included.
+// Len returns the number of hosts, including tombstones.
 func (v *View) Len() int { return len(v.hosts) }
 
-// GoneCount returns how many of the hosts have left.
-func (v *View) GoneCount() int { return v.goneHosts }
+// TombstoneCount returns the number of tombstones: hosts whose list state is policy.Removed.
+func (v *View) TombstoneCount() int { return v.tombstones }
 
-// Host returns the state of a host.
+// Host returns the state of a host and whether the host is known.
 func (v *View) Host(name string) (Host, bool) {
 	host := v.hosts[name]
 	if host == nil {
@@ -86,8 +86,8 @@
 
 func compareNames(a, b Host) int { return strings.Compare(a.Name, b.Name) }
 
-// Digest returns a hash that is the same for views of the same content, however
-// they came by it.
+// Digest returns a hash of the view's content. It does not depend on the order in
+// which the content was applied.
 func (v *View) Digest() uint64 {
 	buffer := binary.LittleEndian.AppendUint64(nil, v.hostDigestSum)
 	for _, number := range []uint64{
@@ -98,10 +98,11 @@
 	return xxhash.Sum64(buffer)
 }
 
-// ApplyList applies a list of discovery: a whole one, or what changed since another. A
-// whole list removes the hosts that it lacks. It returns false, and changes
-// nothing, if the list is older than the newest one applied.
-func (v *View) ApplyList(version Version, whole bool, entries []Host) bool {
+// ApplyList applies a list from discovery. A complete list removes all hosts that
+// it does not contain; any other list holds only the entries that changed. It
+// returns false, and changes nothing, if the list is older than the newest applied
+// one.
+func (v *View) ApplyList(version Version, complete bool, entries []Host) bool {
 	if version.Before(v.ListVersion) {
 		return false
 	}
@@ -112,20 +113,21 @@
 		entry.Lateness = 0
 		v.updateHost(entry.Name, func(host *Host) bool { return host.merge(entry) })
 	}
-	if whole {
+	if complete {
 		v.confirmHosts(func(host *Host) bool { return host.Version == version })
 	}
 	return true
 }
 
-// Compact removes the hosts that have left, and records for the others that the
-// newest list still names them. It raises the floor, so that a planner that
-// returns with an older list cannot bring a removed host back.
+// Compact removes the tombstones and marks all other hosts as confirmed by the
+// newest list. It raises Floor, so that a planner that reconnects with an older
+// list cannot bring a removed host back.
 func (v *View) Compact() {
 	v.confirmHosts(func(host *Host) bool { return host.Standing != policy.Removed })
 }
 
-// confirmHosts raises the floor and the version of the hosts to keep to the newest list, and removes the others.
+// confirmHosts raises Floor and the versions of the hosts to keep to the version of the newest
+// list, and removes all other hosts.
 func (v *View) confirmHosts(keep func(*Host) bool) {
 	v.Floor = v.ListVersion
 	for name, host := range v.hosts {
@@ -138,7 +140,7 @@
 }
 
 // AddEvidence merges evidence of a host and reports whether it changed the view.
-// Evidence of an unknown host, or with a position past maxPosition, is ignored.
+// Evidence of an unknown host, or with a position above maxPosition, is ignored.
 func (v *View) AddEvidence(evidence Evidence, maxPosition policy.TenthMs) bool {
 	if v.hosts[evidence.Name] == nil || !plausible(evidence.Position, evidence.RolePosition, maxPosition) {
 		return false
@@ -146,12 +148,12 @@
 	return v.updateHost(evidence.Name, func(host *Host) bool { return host.mergeEvidence(evidence) })
 }
 
-// plausible reports whether a host can have named these positions.
+// plausible reports whether both positions are in the range that a host can report.
 func plausible(position, rolePosition, maxPosition policy.TenthMs) bool {
 	return position >= 0 && position <= maxPosition && rolePosition >= 0 && rolePosition <= maxPosition
 }
 
-// SetLateness sets the lateness of a host, if it is known. Unlike evidence it may fall again.
+// SetLateness sets the lateness of a host, if the host is known. Unlike evidence, lateness may decrease.
 func (v *View) SetLateness(name string, lateness uint8) {
 	if v.hosts[name] == nil {
 		return
@@ -163,10 +165,11 @@
 	})
 }
 
-// Merge merges another view. Any order and repetition of merges yields the same
-// list and, for hosts above the floors, the same evidence; evidence of a host below
-// a floor may be lost, which is safe, since less is then known. Claims past
-// maxPosition are ignored, and so is lateness, which is valid for a short time only.
+// Merge merges another view. Merges in any order, also repeated ones, yield the
+// same list entries and, for hosts at or above both floors, the same evidence.
+// Evidence of a host below a floor may be lost, which is safe: less is then known
+// of the host. Evidence above maxPosition is ignored, and so is lateness, which is
+// valid for a short time only.
 func (v *View) Merge(other *View, maxPosition policy.TenthMs) {
 	if v.ListVersion.Before(other.ListVersion) {
 		v.ListVersion = other.ListVersion
@@ -179,6 +182,7 @@
 	}
 }
 
+// raiseFloor sets Floor and removes the hosts whose versions are below it.
 func (v *View) raiseFloor(floor Version) {
 	v.Floor = floor
 	for name, host := range v.hosts {
@@ -201,9 +205,10 @@
 	return v.updateHost(host.Name, func(own *Host) bool { return own.merge(host) })
 }
 
-// Primary returns the host of a set that routers take as its primary: of those
-// that say they are, the one that said so at the newest position. furthest is the
-// host with the newest position. Either is empty if there is none.
+// Primary returns the primary of a replica set as routers determine it: of the
+// active hosts that report the role of primary, the one that did so at the newest
+// position. furthest is the active host with the newest position. Each is empty if
+// there is no such host.
 func (v *View) Primary(set int64) (primary, furthest string) {
 	var newestPrimary, newestHost *Host
 	for _, name := range slices.Sorted(maps.Keys(v.hosts)) {
@@ -221,15 +226,15 @@
 	return primary, furthest
 }
 
-// updateHost runs update on a host, which is created if it is unknown, and keeps
-// the digest, the counts and the names of changed hosts up to date. update reports
-// whether it changed the host; the result is whether the view changed.
+// updateHost calls update on a host, which is created if it is unknown, and updates
+// the digest, the number of tombstones and the set of changed names. update reports
+// whether it changed the host. updateHost reports whether the view changed.
 func (v *View) updateHost(name string, update func(host *Host) bool) bool {
 	var digestBefore uint64
-	var wasGone bool
+	var wasTombstone bool
 	host, known := v.hosts[name]
 	if known {
-		digestBefore, wasGone = host.digest(), host.Standing == policy.Removed
+		digestBefore, wasTombstone = host.digest(), host.Standing == policy.Removed
 	} else {
 		host = &Host{Name: name}
 	}
@@ -243,13 +248,13 @@
 		v.hosts[name] = host
 	}
 	v.hostDigestSum += host.digest() - digestBefore
-	switch isGone := host.Standing == policy.Removed; {
-	case isGone && !wasGone:
-		v.goneHosts++
-	case wasGone && !isGone:
-		v.goneHosts--
+	switch isTombstone := host.Standing == policy.Removed; {
+	case isTombstone && !wasTombstone:
+		v.tombstones++
+	case wasTombstone && !isTombstone:
+		v.tombstones--
 	}
-	v.markTouched(name)
+	v.markChanged(name)
 	return true
 }
 
@@ -257,15 +262,15 @@
 	host := v.hosts[name]
 	v.hostDigestSum -= host.digest()
 	if host.Standing == policy.Removed {
-		v.goneHosts--
+		v.tombstones--
 	}
 	delete(v.hosts, name)
-	v.markTouched(name)
+	v.markChanged(name)
 }
 
-func (v *View) markTouched(name string) {
-	if v.touched == nil {
-		v.touched = map[string]bool{}
+func (v *View) markChanged(name string) {
+	if v.changedNames == nil {
+		v.changedNames = map[string]bool{}
 	}
-	v.touched[name] = true
+	v.changedNames[name] = true
 }
--- a/internal/router/tier/view/view_test.go
+++ b/internal/router/tier/view/view_test.go
@@ -13,7 +13,7 @@
 
 var names = rapid.SampledFrom([]string{"a", "b", "c", "d"})
 
-// drawLists draws a view made of lists alone, of which each planner may have any.
+// drawLists draws a view that has applied random lists and holds no evidence.
 func drawLists(t *rapid.T, name string) *View {
 	view := &View{}
 	for range rapid.IntRange(0, 5).Draw(t, name) {
@@ -34,7 +34,7 @@
 	return view
 }
 
-// drawEvidence draws a view of one list, with any evidence of its hosts.
+// drawEvidence draws a view of one fixed list with random evidence of its hosts.
 func drawEvidence(t *rapid.T, name string) *View {
 	view := &View{}
 	view.ApplyList(Version{Revision: 1}, true, []Host{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}})
@@ -48,12 +48,12 @@
 	return view
 }
 
-func merged(vs ...*View) *View {
-	out := &View{}
-	for _, view := range vs {
-		out.Merge(view, maxPosition)
+func merged(views ...*View) *View {
+	result := &View{}
+	for _, view := range views {
+		result.Merge(view, maxPosition)
 	}
-	return out
+	return result
 }
 
 func TestMergeIsCommutativeAssociativeAndIdempotent(t *testing.T) {
@@ -63,39 +63,39 @@
 }
 
 func checkMerges(t *rapid.T, a, b, c *View) {
-	one := merged(a, b, c).Digest()
+	expected := merged(a, b, c).Digest()
 	for name, other := range map[string]*View{
 		"commuted": merged(c, a, b), "associated": merged(a, merged(b, c)),
 		"repeated": merged(a, b, a, c, c, b), "onto itself": merged(merged(a, b, c), merged(a, b, c)),
 	} {
-		if other.Digest() != one {
-			t.Fatalf("%s: %v, else %v", name, other.Hosts(), merged(a, b, c).Hosts())
+		if other.Digest() != expected {
+			t.Fatalf("%s: hosts are %v, expected %v", name, other.Hosts(), merged(a, b, c).Hosts())
 		}
 	}
 }
 
 func TestOlderListDoesNotEndADrain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		knows, old := &View{}, &View{}
-		knows.ApplyList(Version{Revision: 40}, true, []Host{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}})
-		knows.ApplyList(Version{Revision: 43}, false, []Host{{Name: "a", Address: "x", Standing: policy.Draining}})
+		current, old := &View{}, &View{}
+		current.ApplyList(Version{Revision: 40}, true, []Host{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}})
+		current.ApplyList(Version{Revision: 43}, false, []Host{{Name: "a", Address: "x", Standing: policy.Draining}})
 		rev := rapid.Int64Range(1, 43).Draw(t, "rev")
 		old.ApplyList(Version{Revision: rev}, rapid.Bool().Draw(t, "whole"), []Host{{Name: "a", Address: "x"}})
-		for _, view := range []*View{merged(knows, old), merged(old, knows)} {
+		for _, view := range []*View{merged(current, old), merged(old, current)} {
 			if host, known := view.Host("a"); known && host.Standing == policy.Active {
-				t.Fatalf("in service again by a list of version %d", rev)
+				t.Fatalf("a list of revision %d makes a draining host active again", rev)
 			}
 		}
 	})
 }
 
 func TestRemovedHostStaysRemovedWhenAnOldPlannerReturns(t *testing.T) {
-	knows, old := &View{}, &View{}
-	knows.ApplyList(Version{Revision: 10}, true, []Host{{Name: "a"}, {Name: "b"}})
-	old.Merge(knows, maxPosition)
-	knows.ApplyList(Version{Revision: 11}, false, []Host{{Name: "b", Standing: policy.Removed}})
-	knows.Compact() // its tombstone too
-	view := merged(knows, old)
+	current, old := &View{}, &View{}
+	current.ApplyList(Version{Revision: 10}, true, []Host{{Name: "a"}, {Name: "b"}})
+	old.Merge(current, maxPosition)
+	current.ApplyList(Version{Revision: 11}, false, []Host{{Name: "b", Standing: policy.Removed}})
+	current.Compact() // removes the tombstone of b
+	view := merged(current, old)
 	if _, known := view.Host("b"); known || view.Len() != 1 {
 		t.Errorf("%+v", view.Hosts())
 	}
@@ -105,17 +105,17 @@
 	view := &View{}
 	view.ApplyList(Version{Revision: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
 	view.AddEvidence(Evidence{"b", 500, policy.Primary, 500, 0}, maxPosition)
-	view.AddEvidence(Evidence{"a", 400, policy.Primary, 400, 0}, maxPosition) // the old one's word, relayed late
+	view.AddEvidence(Evidence{"a", 400, policy.Primary, 400, 0}, maxPosition) // the former primary's evidence, relayed late
 	if p, _ := view.Primary(0); p != "b" {
 		t.Errorf("the primary is %q", p)
 	}
 	if view.AddEvidence(Evidence{"a", maxPosition + 1, policy.Primary, maxPosition + 1, 0}, maxPosition) {
-		t.Error("a position of the future is believed")
+		t.Error("evidence with a position in the future is accepted")
 	}
-	view.AddEvidence(Evidence{"b", 500, policy.Replica, 500, 1}, maxPosition) // it stepped down where it stood
+	view.AddEvidence(Evidence{"b", 500, policy.Replica, 500, 1}, maxPosition) // b steps down at the same position
 	view.AddEvidence(Evidence{"b", 500, policy.Primary, 500, 0}, maxPosition)
-	if p, next := view.Primary(0); p != "a" || next != "b" {
-		t.Errorf("the primary is %q, next %q", p, next)
+	if p, furthest := view.Primary(0); p != "a" || furthest != "b" {
+		t.Errorf("the primary is %q, the furthest host %q", p, furthest)
 	}
 }
 
@@ -130,14 +130,14 @@
 	}
 }
 
-// sequenceOf returns a planner's full view, the changes that follow and the view after them.
+// sequenceOf returns a full change, the n changes after it and the view that results.
 func sequenceOf(n int) (first Change, all []Change, view *View) {
 	view = &View{}
 	view.ApplyList(Version{Revision: 1}, true, []Host{{Name: "a"}, {Name: "b"}})
 	view.TakeChanges(1, 0)
 	first = view.FullChange(1, 0)
 	for i := range n {
-		view.AddEvidence(Evidence{Name: string(rune('a' + i%2)), Position: int64(10 + i)}, maxPosition) // in turn, so that a gap shows
+		view.AddEvidence(Evidence{Name: string(rune('a' + i%2)), Position: int64(10 + i)}, maxPosition) // hosts alternate, so that a skipped change is visible
 		all = append(all, view.TakeChanges(1, uint64(i+1)))
 	}
 	return first, all, view
@@ -157,18 +157,18 @@
 			t.Fatal(err)
 		}
 		for range 12 {
-			ch := rapid.SampledFrom(all).Draw(t, "change")
+			change := rapid.SampledFrom(all).Draw(t, "change")
 			before := replica.Sequence()
-			if _, err := replica.Apply(ch); err != nil {
-				if !errors.Is(err, ErrGap) || ch.Sequence == before+1 {
-					t.Fatalf("%d after %d: %v", ch.Sequence, before, err)
+			if _, err := replica.Apply(change); err != nil {
+				if !errors.Is(err, ErrGap) || change.Sequence == before+1 {
+					t.Fatalf("change %d after change %d: %v", change.Sequence, before, err)
 				}
 				mustApply(t, &replica, first)
 			}
 			a, _ := replica.Host("a")
 			b, _ := replica.Host("b")
 			if at := int64(replica.Sequence()); at > 0 && max(a.Position, b.Position) != 9+at || at > 1 && min(a.Position, b.Position) != 8+at {
-				t.Fatalf("at %d the positions are %d and %d", at, a.Position, b.Position)
+				t.Fatalf("after change %d the positions are %d and %d", at, a.Position, b.Position)
 			}
 		}
 		mustApply(t, &replica, view.FullChange(1, 5))
