--- a/internal/router/tier/follower/follower.go
+++ b/internal/router/tier/follower/follower.go
@@ -1,14 +1,14 @@
-// Package follower decides for one forwarder which planners to dial and when,
-// and what of their views is accepted.
+// Package follower is the state machine of a forwarder's links to the planners. It
+// decides when to dial which planner, and merges the views of all planners.
 //
-// A caller reports each event (a connection, a change, a lost link) by the
-// methods of Planner, with the time of the event, and then calls Tick, which
-// returns the actions that are due. Every change is merged into one view. The
-// merge is commutative and idempotent, so that neither the loss of a planner nor
-// the order of arrival takes anything away.
+// The caller reports each event (a connection, a change, a lost link) by calling a
+// method of Planner with the time of the event, and then calls Tick, which returns
+// the actions that are due. Each change is merged into one view. The merge is
+// commutative and idempotent, so neither the loss of a planner nor the order of
+// arrival loses information.
 //
-// The package is pure: it has no sockets and no clock. All times are
-// policy.Tenth, tenths of a millisecond.
+// The package does no I/O and reads no clock. All times are policy.TenthMs, tenths
+// of a millisecond.
 package follower
 
 import (
@@ -24,20 +24,20 @@
 const (
 	second = policy.TenthMs(10000)
 
-	// missedIntervals is how many report intervals that a planner named may pass
-	// without a change before its link counts as silent.
+	// missedIntervals is the number of the planner's report intervals without a change
+	// after which its link has timed out, if PlannerTimeout is not longer.
 	missedIntervals = 3
 )
 
-// Config holds the intervals and limits of one forwarder. None has a default here.
+// Config holds the intervals and limits of a forwarder. No field has a default value.
 type Config struct {
-	InitialBackoff policy.TenthMs // the first delay before a planner is dialled again; it doubles with each failure
-	MaxBackoff     policy.TenthMs // the upper bound of that delay
-	ReportInterval policy.TenthMs // between two reports, unless a planner asks for a longer interval
-	PlannerTimeout policy.TenthMs // after which a link without changes is closed; a planner's own interval may lengthen it
+	InitialBackoff policy.TenthMs // first delay before a planner is dialed again; doubles with each failure
+	MaxBackoff     policy.TenthMs // upper bound of that delay
+	ReportInterval policy.TenthMs // interval between two reports, unless a planner requests a longer one
+	PlannerTimeout policy.TenthMs // time without a change after which a link is closed; long report intervals extend it
 }
 
-// Follower is the state of one forwarder. It is not safe for concurrent use.
+// Follower is the state of a forwarder. It is not safe for concurrent use.
 type Follower struct {
 	config          Config
 	seed            uint64
@@ -48,19 +48,19 @@
 	changedLateness map[string]bool // hosts whose lateness changed since the last Tick
 	routerCount     int
 	noPlanner       bool
-	lastChangeAt    policy.TenthMs // 0: no change has come yet
+	lastChangeAt    policy.TenthMs // 0 if no change has been received
 	nextReportAt    policy.TenthMs
-	hasTicked       bool // a Tick has returned the state at least once
+	hasTicked       bool // Tick has been called at least once
 
-	// Counters of full views that were requested, by cause: a missing change, a
-	// digest that differs, a planner that restarted.
+	// Counters of requested full views by cause: a missing change, a digest mismatch
+	// and a restart of the planner.
 	GapResyncs, DigestResyncs, RestartResyncs int64
-	// SilentLinks counts links that were closed because the planner sent nothing.
+	// SilentLinks counts links that were closed because no change arrived in time.
 	SilentLinks int64
 }
 
-// New starts a forwarder that dials all planners, given by address. routers is
-// the number of routers to assume until a planner states one.
+// New returns the state of a forwarder that connects to the planners at the given
+// addresses. routers is the number of routers to assume until a planner reports it.
 func New(seed uint64, config Config, planners []string, routers int, now policy.TenthMs) *Follower {
 	f := &Follower{
 		config: config, seed: seed, now: now, routerCount: routers, noPlanner: true,
@@ -72,14 +72,14 @@
 	return f
 }
 
-// LoadList applies the host list that a forwarder is given at start.
+// LoadList applies the host list that the forwarder has at start.
 func (f *Follower) LoadList(revision int64, complete bool, hosts []view.Host) {
 	f.view.ApplyList(view.Version{Revision: revision}, complete, hosts)
 }
 
-// RestoreView merges a view that an earlier process stored. Whatever a planner knows to
-// be newer replaces it, and positions that no host can have reached by now are
-// ignored. A view that does not match its digest is not used.
+// RestoreView merges a view that an earlier process stored. Newer state from
+// planners replaces it, and positions that no host can have reached by now are
+// ignored. A view that does not match its digest is ignored.
 func (f *Follower) RestoreView(change view.Change) {
 	var stored view.Replica
 	change.Full = true
@@ -94,13 +94,13 @@
 // Planners returns the planners in the order of the addresses given to New.
 func (f *Follower) Planners() []*Planner { return f.planners }
 
-// HasHosts reports whether any host is known.
+// HasHosts reports whether the merged view has any host.
 func (f *Follower) HasHosts() bool { return f.view.Len() > 0 }
 
-// NoPlanner reports whether no planner was current at the last Tick.
+// NoPlanner reports whether no planner had a current view at the last Tick.
 func (f *Follower) NoPlanner() bool { return f.noPlanner }
 
-// ViewAge returns the time since any planner last sent a change, or -1 if none has.
+// ViewAge returns the time since the last change from any planner, or -1 if there was none.
 func (f *Follower) ViewAge() policy.TenthMs {
 	if f.lastChangeAt == 0 {
 		return -1
@@ -108,10 +108,10 @@
 	return f.now - f.lastChangeAt
 }
 
-// advance moves the time forward; a time that is older than the last changes nothing.
+// advance moves the time forward. A time before the current one is ignored.
 func (f *Follower) advance(now policy.TenthMs) { f.now = max(f.now, now) }
 
-// randomFraction returns a number in [0, 1) that depends on the seed and the number of draws alone.
+// randomFraction returns a pseudorandom number in [0, 1), determined by the seed and the number of draws.
 func (f *Follower) randomFraction() float64 {
 	f.randomDraws++
 	text := strconv.AppendUint(nil, f.seed, 36)
@@ -119,7 +119,7 @@
 	return float64(crc32.ChecksumIEEE(text)) / (1 << 32)
 }
 
-// clearLateness withdraws the lateness that one planner stated, which counts only
+// clearLateness removes the lateness reported by a planner, which is valid only
 // while the planner is connected.
 func (f *Follower) clearLateness(planner *Planner) {
 	for name := range planner.lateness {
@@ -128,27 +128,27 @@
 	planner.lateness = nil
 }
 
-// Actions is what a Tick asks its caller to do.
+// Actions are the actions that the caller of Tick must execute, and the state to pass to the router.
 type Actions struct {
-	Dial         []*Planner     // to be dialled now
-	Disconnect   []*Planner     // silent on an open link; the caller closes it and reports the planner as lost
-	SendReport   bool           // a report of what was observed is due at all connected planners
-	ChangedHosts []view.Host    // changed since the last Tick, with their lateness
-	RemovedHosts []string       // names of hosts that were removed since the last Tick
-	Changed      bool           // the hosts, the routers or the lack of planners differ from the last Tick, or this is the first
-	RouterCount  int            // routers that share the hosts' capacity
-	NoPlanner    bool           // no planner is current
-	NextTick     policy.TenthMs // the latest time of the next Tick
+	Dial         []*Planner     // planners to dial now
+	Disconnect   []*Planner     // planners that have timed out; the caller closes the link and calls Disconnected
+	SendReport   bool           // a report to all connected planners is due
+	ChangedHosts []view.Host    // hosts added or changed since the last Tick, with their lateness
+	RemovedHosts []string       // names of hosts removed since the last Tick
+	Changed      bool           // hosts, RouterCount or NoPlanner differ from the last Tick, or this is the first Tick
+	RouterCount  int            // number of routers that share the hosts' capacity
+	NoPlanner    bool           // no planner has a current view
+	NextTick     policy.TenthMs // latest time of the next Tick
 }
 
-// Tick advances to a time and returns what is due.
+// Tick advances the time and returns the actions that are due.
 func (f *Follower) Tick(now policy.TenthMs) Actions {
 	f.advance(now)
 	actions := Actions{NoPlanner: true, NextTick: f.now + f.config.ReportInterval}
 	reportInterval := f.config.ReportInterval
 	for _, planner := range f.planners {
 		if planner.connected && f.now >= planner.lastChangeAt+planner.silenceTimeout() {
-			// The link is half-open, or the planner hangs.
+			// The link is half-open or the planner hangs.
 			f.SilentLinks++
 			actions.Disconnect = append(actions.Disconnect, planner)
 			continue
@@ -161,7 +161,7 @@
 		f.dialIfDue(planner, &actions)
 	}
 	if actions.RouterCount == 0 {
-		actions.RouterCount = f.routerCount // the last number stated holds until there is another
+		actions.RouterCount = f.routerCount // keep the last known number
 	}
 	if f.now >= f.nextReportAt {
 		f.nextReportAt = f.now + reportInterval
@@ -171,7 +171,7 @@
 	return actions
 }
 
-// dialIfDue asks for a connection to a planner that has none, once its backoff has passed.
+// dialIfDue requests a connection to a planner that has none once its backoff has passed.
 func (f *Follower) dialIfDue(planner *Planner, actions *Actions) {
 	switch {
 	case planner.connected || planner.dialing:
@@ -183,7 +183,7 @@
 	}
 }
 
-// collectChanges adds what differs from the last Tick. What planners state of the fleet as a whole is already set.
+// collectChanges adds the differences from the last Tick. It expects RouterCount and NoPlanner to be set.
 func (f *Follower) collectChanges(actions *Actions) {
 	for _, name := range f.takeChangedNames() {
 		if host, known := f.view.Host(name); known {
@@ -198,7 +198,7 @@
 	f.routerCount, f.noPlanner, f.hasTicked = actions.RouterCount, actions.NoPlanner, true
 }
 
-// takeChangedNames returns, sorted, the hosts that changed since the last call.
+// takeChangedNames returns the sorted names of the hosts that changed since the last call.
 func (f *Follower) takeChangedNames() []string {
 	names := f.view.TakeChangedNames()
 	for name := range f.changedLateness {
@@ -209,7 +209,7 @@
 	return slices.Compact(names)
 }
 
-// worstLateness returns the greatest lateness that any planner states for a host.
+// worstLateness returns the highest lateness that any planner reports for a host.
 func (f *Follower) worstLateness(name string) (lateness uint8) {
 	for _, planner := range f.planners {
 		lateness = max(lateness, planner.lateness[name])
@@ -217,7 +217,7 @@
 	return lateness
 }
 
-// countResync counts the cause of a change that could not be applied.
+// countResync counts a requested full view by its cause, the error of Replica.Apply.
 func (f *Follower) countResync(cause error) {
 	switch {
 	case errors.Is(cause, view.ErrDigestMismatch):
--- a/internal/router/tier/follower/planner.go
+++ b/internal/router/tier/follower/planner.go
@@ -5,7 +5,7 @@
 	"ferrypitch/policy"
 )
 
-// Planner is the state of the link to one planner.
+// Planner is the state of the link to a planner.
 type Planner struct {
 	Address string // host and port, as given to New
 
@@ -16,11 +16,11 @@
 	nextDialAt     policy.TenthMs
 	backoff        policy.TenthMs
 	lastChangeAt   policy.TenthMs
-	reportInterval policy.TenthMs   // that the planner asked for
-	lateness       map[string]uint8 // by host, as this planner states it
+	reportInterval policy.TenthMs   // interval requested by the planner
+	lateness       map[string]uint8 // lateness of each host as reported by this planner
 }
 
-// Connected begins a link. The planner sends a full view unasked.
+// Connected reports that the link is established. The planner sends a full view without a request.
 func (p *Planner) Connected(now policy.TenthMs) {
 	p.follower.advance(now)
 	p.connected, p.dialing = true, false
@@ -29,9 +29,9 @@
 	p.replica = view.Replica{}
 }
 
-// Disconnected ends a link, or a failed attempt to dial. The backoff doubles up to its
-// limit; a random part of it is left out, so that forwarders do not all return to
-// a planner at once.
+// Disconnected reports the end of the link or a failed attempt to dial. The backoff
+// doubles up to MaxBackoff. The delay is reduced by a random part, so that not all
+// forwarders reconnect to a planner at the same time.
 func (p *Planner) Disconnected(now policy.TenthMs) {
 	f := p.follower
 	f.advance(now)
@@ -41,8 +41,8 @@
 	f.clearLateness(p)
 }
 
-// ApplyChange applies a change that a planner sent. It reports whether the caller
-// must request a full view, since the change does not fit what is known.
+// ApplyChange applies a change received from the planner. It reports whether the
+// caller must request a full view because the change cannot be applied.
 func (p *Planner) ApplyChange(now policy.TenthMs, change view.Change) (needFullView bool) {
 	f := p.follower
 	f.advance(now)
@@ -66,7 +66,7 @@
 	return false
 }
 
-// applyLateness stores the lateness that the planner states for hosts.
+// applyLateness stores the lateness that the planner reports for hosts.
 func (p *Planner) applyLateness(hosts []view.Host) {
 	for _, host := range hosts {
 		if p.lateness[host.Name] == host.Lateness {
@@ -80,12 +80,12 @@
 	}
 }
 
-// silenceTimeout is how long the planner may send nothing.
+// silenceTimeout returns the time without a change after which the link has timed out.
 func (p *Planner) silenceTimeout() policy.TenthMs {
 	return max(p.follower.config.PlannerTimeout, missedIntervals*p.reportInterval)
 }
 
-// isCurrent reports whether the planner's view is complete and recent.
+// isCurrent reports whether the planner is connected and its view is complete and recent.
 func (p *Planner) isCurrent() bool {
 	return p.connected && p.replica.Complete() && p.follower.now < p.lastChangeAt+p.silenceTimeout()
 }
--- a/internal/router/tier/planner/forwarder.go
+++ b/internal/router/tier/planner/forwarder.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// A lease lasts leaseIntervals report intervals and a second, so that a report
-	// may be lost or late.
+	// A lease lasts leaseIntervals report intervals plus one second, so that it
+	// survives a report that is lost or late.
 	leaseIntervals = 3
-	// A link without frames is closed after silentIntervals report intervals and a second.
+	// A link is closed after silentIntervals report intervals plus one second without a frame.
 	silentIntervals = 4
 
-	// Bounds on what one report may say of a host: the responses, and the sum of
-	// their lateness, in thousandths of the response target each.
+	// Limits on one host's values in a report: the number of responses, and the mean
+	// lateness of a response in thousandths of the response target.
 	maxReportedResponses   = 1 << 16
 	maxLatenessPerResponse = 10000
 )
 
-// leaseKey identifies a forwarder's process. After a restart both processes count
-// until the old lease ends, and two processes of one name count as two, since each
-// takes its share of the hosts.
+// leaseKey identifies a forwarder's process. Processes with the same name hold
+// separate leases, since each uses a share of the hosts' capacity. After a restart
+// the old process counts until its lease expires.
 type leaseKey struct {
 	name        string
 	incarnation uint64
 }
 
-// Forwarder is the link to one connected forwarder.
+// Forwarder is the state of a connected forwarder.
 type Forwarder struct {
 	planner       *Planner
 	key           leaseKey
@@ -35,15 +35,15 @@
 	needsFullView bool
 }
 
-// LeaseCount returns how many forwarders hold a lease, and so share the hosts.
+// LeaseCount returns the number of forwarders that hold a lease and so share the hosts.
 func (p *Planner) LeaseCount() int { return len(p.leases) }
 
-// ForwarderCount returns how many forwarders are connected.
+// ForwarderCount returns the number of connected forwarders.
 func (p *Planner) ForwarderCount() int { return len(p.forwarders) }
 
-// AddForwarder adds a forwarder that has shown the key, or returns nil if there are too
-// many. It gets a lease only with its first frame: a greeting could be a replay,
-// but a frame could not.
+// AddForwarder adds an authenticated forwarder, or returns nil if MaxForwarders are
+// connected. The forwarder gets a lease only with its first frame: a greeting may
+// be a replay, a frame cannot be.
 func (p *Planner) AddForwarder(now policy.TenthMs, name string, incarnation uint64) *Forwarder {
 	p.advance(now)
 	if len(p.forwarders) >= p.config.MaxForwarders {
@@ -54,21 +54,21 @@
 	return forwarder
 }
 
-// Started says that the connection can carry frames. The next change sends it the full view.
+// Started reports that the connection is ready for frames. The forwarder is sent the full view with the next change.
 func (f *Forwarder) Started() { f.needsFullView = true }
 
-// Disconnected ends the connection. The lease runs on: the forwarder may still serve
-// clients and be disconnected from this planner alone.
+// Disconnected reports the end of the connection. The lease stays valid until it
+// expires, since the forwarder may still serve clients and have lost only this link.
 func (f *Forwarder) Disconnected() { delete(f.planner.forwarders, f) }
 
-// RequestFullView handles the forwarder's request for the full view.
+// RequestFullView handles a request of the forwarder for the full view.
 func (f *Forwarder) RequestFullView(now policy.TenthMs) {
 	f.planner.advance(now)
 	f.needsFullView = true
 	f.renewLease()
 }
 
-// HandleReport handles what the forwarder observed of hosts.
+// HandleReport handles a report of the forwarder.
 func (f *Forwarder) HandleReport(now policy.TenthMs, report link.Report) {
 	f.planner.advance(now)
 	f.renewLease()
@@ -79,8 +79,8 @@
 	}
 }
 
-// applyObservation adds what a forwarder observed of one host. Positions that no
-// host can have reached are ignored, and so is work of another start of the host.
+// applyObservation applies a forwarder's observation of one host. Evidence with
+// implausible positions is ignored, and so is cold work of another start of the host.
 func (f *Forwarder) applyObservation(observed *host, observation link.Observation) {
 	p := f.planner
 	if p.isPlausible(observation.Evidence) && observed.evidence.Merge(observation.Evidence) {
@@ -101,13 +101,13 @@
 	}
 }
 
-// isPlausible reports whether a host can have said this by now.
+// isPlausible reports whether both positions are in the range that a host can have reported by now.
 func (p *Planner) isPlausible(evidence view.Evidence) bool {
 	limit := view.MaxPosition(p.now)
 	return evidence.Position >= 0 && evidence.Position <= limit && evidence.RolePosition >= 0 && evidence.RolePosition <= limit
 }
 
-// renewLease notes a frame of the forwarder, which extends its lease.
+// renewLease extends the forwarder's lease after a frame was received.
 func (f *Forwarder) renewLease() {
 	p := f.planner
 	f.lastFrameAt = p.now
@@ -134,8 +134,8 @@
 	}
 }
 
-// removeSilentForwarders removes and returns the forwarders that have sent nothing
-// for so long that they hang, or their links are half-open.
+// removeSilentForwarders removes and returns the forwarders whose timeout without a
+// frame has passed: the forwarder hangs, or its link is half-open.
 func (p *Planner) removeSilentForwarders() []*Forwarder {
 	var removed []*Forwarder
 	for forwarder := range p.forwarders {
@@ -148,7 +148,7 @@
 	return removed
 }
 
-// takeFullViewRequests returns the forwarders that need the full view, once.
+// takeFullViewRequests returns the forwarders that need the full view and clears their requests.
 func (p *Planner) takeFullViewRequests() []*Forwarder {
 	var requests []*Forwarder
 	for forwarder := range p.forwarders {
--- a/internal/router/tier/planner/planner.go
+++ b/internal/router/tier/planner/planner.go
@@ -1,18 +1,19 @@
-// Package planner decides for one planner what is known of the fleet, which hosts
-// to probe, which forwarders share the hosts, and what is sent to them when.
+// Package planner is the state machine of a planner. It maintains the view of the
+// fleet and decides which hosts to probe, which forwarders hold leases, and when
+// changes are sent to forwarders.
 //
-// A caller reports each event (a list, the end of a probe, what a forwarder sent)
-// by a method, with the time of the event, and then calls Tick, which returns the
-// actions that are due. What comes in is merged into the evidence of each host.
-// At an interval the evidence is published into a view.View, whose changes go to
-// all forwarders; the intervals grow with the number of forwarders, so that the
-// load of all of them together stays within the configured rates.
+// The caller reports each event (a list, the result of a probe, a frame of a
+// forwarder) by calling a method with the time of the event, and then calls Tick,
+// which returns the actions that are due. Events update the evidence of each host.
+// The evidence is published periodically to a view.View, whose changes are sent to
+// all forwarders. The intervals grow with the number of forwarders, so that the
+// total load stays within the configured rates.
 //
-// Forwarders depend on no planner to be right: they keep their rules on any view,
-// and accept of a host only what the host can have said.
+// Forwarders do not rely on the correctness of a planner: they apply their rules
+// on any view, and ignore evidence that a host cannot have reported.
 //
-// The package is pure: it has no sockets and no clock. All times are
-// policy.Tenth, tenths of a millisecond.
+// The package does no I/O and reads no clock. All times are policy.TenthMs, tenths
+// of a millisecond.
 package planner
 
 import (
@@ -26,77 +27,78 @@
 const second = policy.TenthMs(10000)
 
 const (
-	// Hosts that have left are removed once they are more than
-	// minTombstones plus a fraction (one in goneFraction) of all.
+	// The view is compacted once it has more than minTombstones + n/tombstoneDivisor
+	// tombstones, where n is the number of all hosts.
 	minTombstones    = 64
 	tombstoneDivisor = 4
 )
 
-// Config holds the intervals and limits of one planner. None has a default here.
+// Config holds the intervals and limits of a planner. No field has a default value.
 type Config struct {
-	Generation             uint64         // the generation of discovery's versions
-	ChangeInterval         policy.TenthMs // the shortest interval between two changes
-	ProbeInterval          policy.TenthMs // after which a host that no forwarder has heard of is probed
-	PrimaryProbeInterval   policy.TenthMs // between probes of a host in a set whose primary is unknown or does not respond
-	MaxProbesInFlight      int            // the most probes in flight
-	ProbesPerSecond        int            // the most probes a second
-	MaxForwarders          int            // the most connected forwarders
-	ReportsPerSecond       int            // the most reports a second from all forwarders together
-	FramesPerSecond        int            // the most frames a second to all forwarders together
-	PositionBytesPerSecond int            // the most bytes of positions a second to all forwarders together
+	Generation             uint64         // generation of the list versions, see view.Version
+	ChangeInterval         policy.TenthMs // minimum interval between two changes
+	ProbeInterval          policy.TenthMs // time without a response after which a host is probed
+	PrimaryProbeInterval   policy.TenthMs // interval between probes of a host whose set has no responsive primary
+	MaxProbesInFlight      int            // maximum number of probes in flight; 0 disables probes
+	ProbesPerSecond        int            // maximum rate of probes
+	MaxForwarders          int            // maximum number of connected forwarders
+	ReportsPerSecond       int            // maximum rate of reports from all forwarders together
+	FramesPerSecond        int            // maximum rate of frames to all forwarders together
+	PositionBytesPerSecond int            // maximum rate of position bytes to all forwarders together
 }
 
-// Planner is the state of one planner. It is not safe for concurrent use.
+// Planner is the state of a planner. It is not safe for concurrent use.
 type Planner struct {
 	config      Config
-	incarnation uint64 // also the seed of its random numbers
-	sequence    uint64 // of the last change
+	incarnation uint64 // differs after each restart; also seeds the random numbers
+	sequence    uint64 // sequence number of the last change
 	randomDraws uint64
 	now         policy.TenthMs
 
 	nextChangeAt    policy.TenthMs
-	nextLatenessAt  policy.TenthMs // when the responses counted become the lateness that is published
-	creditUpdatedAt policy.TenthMs // when probeCredit was last increased
-	probeCredit     float64        // probes that may be sent now
+	nextLatenessAt  policy.TenthMs // when the lateness of the hosts is next computed
+	creditUpdatedAt policy.TenthMs // when probeCredit was last updated
+	probeCredit     float64        // tokens of the rate limit; a probe takes one
 	probesInFlight  int
 
 	view       view.View
-	hosts      map[string]*host // those in service
+	hosts      map[string]*host // active hosts
 	forwarders map[*Forwarder]bool
-	leases     map[leaseKey]policy.TenthMs // when each ends
+	leases     map[leaseKey]policy.TenthMs // expiry time of each lease
 
-	// Counters: leases of a name that already held one (a restart does too), links
-	// closed since nothing came, probes without a response, and work sent to hosts
-	// after their start, in thousandths of a command of the usual mix.
+	// Counters: leases granted to a name that already held one (also after a restart
+	// of the forwarder), links closed after a timeout, probes without a response, and
+	// work sent to hosts after their start, in thousandths of a command of average
+	// cost.
 	DuplicateLeases, TimedOutLinks, FailedProbes, ColdWork int64
 }
 
-// host is the state of a host beside the view.
+// host is the state of an active host that is not part of the view.
 type host struct {
 	name     string
 	set      int64
 	bootedAt policy.TenthMs
 
 	evidence         view.Evidence
-	positionProbedAt policy.TenthMs // when the last probe that named a position ended
-	unpublished      bool           // evidence or lateness differs from the view
+	positionProbedAt policy.TenthMs // end of the last probe whose response had a position
+	unpublished      bool           // evidence or lateness has changed since it was published
 	publishedAt      policy.TenthMs
 
 	publishedRole  policy.Role
-	lastResponseAt policy.TenthMs // to a probe or to any forwarder
-	probedAt       policy.TenthMs // 0: not since its start
+	lastResponseAt policy.TenthMs // last response to a probe or to any forwarder
+	probedAt       policy.TenthMs // start of the last probe; 0 if none since the host's start
 	probing        bool
-	backoff        policy.TenthMs // between probes while it does not respond; 0: it responds
+	backoff        policy.TenthMs // delay between probes of an unresponsive host; 0 if the host responds
 
-	responses, latenessSum                 uint32 // in the current interval of lateness
-	previousResponses, previousLatenessSum uint32 // in the one before
+	responses, latenessSum                 uint32 // in the current lateness interval
+	previousResponses, previousLatenessSum uint32 // in the previous lateness interval
 	lateness                               uint8
 
-	coldWork map[uint64]int64 // as each forwarder reported it, by incarnation
+	coldWork map[uint64]int64 // reported by each forwarder, by the forwarder's incarnation
 }
 
-// New starts a planner that knows nothing. incarnation differs from that of any
-// other planner, before and now.
+// New returns a planner without any hosts. incarnation must be unique among all
+// planner processes, including earlier ones.
 func New(incarnation uint64, config Config, now policy.TenthMs) *Planner {
 	return &Planner{
 		config: config, incarnation: incarnation,
@@ -108,10 +110,10 @@
 // View returns the published view. The caller must not change it.
 func (p *Planner) View() *view.View { return &p.view }
 
-// advance moves the time forward; a time that is older than the last changes nothing.
+// advance moves the time forward. A time before the current one is ignored.
 func (p *Planner) advance(now policy.TenthMs) { p.now = max(p.now, now) }
 
-// randomFraction returns a number in [0, 1) that depends on the incarnation and the number of draws alone.
+// randomFraction returns a pseudorandom number in [0, 1), determined by the incarnation and the number of draws.
 func (p *Planner) randomFraction() float64 {
 	p.randomDraws++
 	text := strconv.AppendUint(nil, p.incarnation, 36)
@@ -119,13 +121,13 @@
 	return float64(crc32.ChecksumIEEE(text)) / (1 << 32)
 }
 
-// ApplyList applies a list of discovery: a whole one, or what changed since another.
-// It returns false if the list is older than the newest one applied. It may change
-// the entries.
+// ApplyList applies a list from discovery, which is complete or holds only the
+// entries that changed. It returns false if the list is older than the newest
+// applied one. It may modify the entries.
 func (p *Planner) ApplyList(now policy.TenthMs, revision int64, complete bool, entries []view.Host) bool {
 	p.advance(now)
 	for i := range entries {
-		// The clock of discovery may be ahead; that must not keep a host cold for longer.
+		// Discovery's clock may be ahead, which must not prolong the time that a host counts as cold.
 		entries[i].BootedAt = max(0, min(entries[i].BootedAt, now))
 	}
 	if !p.view.ApplyList(view.Version{Generation: p.config.Generation, Revision: revision}, complete, entries) {
@@ -149,8 +151,8 @@
 	return true
 }
 
-// trackHost begins to track a host, or notes that it has started anew: what was
-// known before a start says nothing of what came after.
+// trackHost creates the state of a host. If the host has restarted, it resets the
+// state that applies to one start only.
 func (p *Planner) trackHost(listed view.Host) {
 	tracked := p.hosts[listed.Name]
 	if tracked == nil {
@@ -166,16 +168,16 @@
 	}
 }
 
-// Actions is what a Tick asks its caller to do.
+// Actions are the actions that the caller of Tick must execute.
 type Actions struct {
-	Probes     []string       // hosts to probe; the end of each must be reported
-	Change     *view.Change   // to be sent to all forwarders but those that are sent the full view; nil: none is due
-	FullView   []*Forwarder   // to be sent the full view as it is after the change
-	Disconnect []*Forwarder   // silent on an open link; the caller closes it
-	NextTick   policy.TenthMs // the latest time of the next Tick
+	Probes     []string       // names of hosts to probe; the caller reports each result with ProbeFinished
+	Change     *view.Change   // sent to all forwarders except those in FullView; nil if no change is due
+	FullView   []*Forwarder   // forwarders to send the full view after the change
+	Disconnect []*Forwarder   // forwarders that have timed out; the caller closes their links
+	NextTick   policy.TenthMs // latest time of the next Tick
 }
 
-// Tick advances to a time and returns what is due.
+// Tick advances the time and returns the actions that are due.
 func (p *Planner) Tick(now policy.TenthMs) Actions {
 	p.advance(now)
 	p.expireLeases()
@@ -188,7 +190,7 @@
 	return actions
 }
 
-// nextChange publishes what is known and returns what it changed.
+// nextChange publishes the evidence and returns the change of the view.
 func (p *Planner) nextChange() *view.Change {
 	p.nextChangeAt = p.now + p.changeInterval()
 	p.publish()
@@ -198,7 +200,7 @@
 	return &change
 }
 
-// FullView returns the full view, for the forwarders that Tick named.
+// FullView returns the full view, for the forwarders in Actions.FullView.
 func (p *Planner) FullView() view.Change {
 	change := p.view.FullChange(p.incarnation, p.sequence)
 	change.ReportInterval = p.reportInterval()
--- a/internal/router/tier/planner/planner_test.go
+++ b/internal/router/tier/planner/planner_test.go
@@ -19,7 +19,7 @@
 	FramesPerSecond: 20000, PositionBytesPerSecond: 20_000_000,
 }
 
-// newPlanner returns a planner with a set of three hosts, of which a says that it is the primary.
+// newPlanner returns a planner with a replica set of three hosts, of which a reports to be the primary.
 func newPlanner() (*Planner, policy.TenthMs) {
 	planner := New(7, config, start)
 	planner.ApplyList(start, 1, true, []view.Host{{Name: "a", Set: 1}, {Name: "b", Set: 1}, {Name: "c", Set: 1}})
@@ -33,9 +33,9 @@
 	return planner, start + 210*ms
 }
 
-// reportOf returns a report of one response of a host.
-func reportOf(name string, pos policy.TenthMs, role policy.Role) link.Report {
-	return link.Report{Observations: []link.Observation{{Evidence: view.Evidence{Name: name, Position: pos, Role: role, RolePosition: pos}, Responses: 1, LatenessSum: 200}}}
+// reportOf returns a report of one response from a host at a position.
+func reportOf(name string, position policy.TenthMs, role policy.Role) link.Report {
+	return link.Report{Observations: []link.Observation{{Evidence: view.Evidence{Name: name, Position: position, Role: role, RolePosition: position}, Responses: 1, LatenessSum: 200}}}
 }
 
 func TestHostsWithReportedResponsesAreNotProbed(t *testing.T) {
@@ -59,21 +59,21 @@
 
 func TestSetWithUnresponsivePrimaryIsProbedOften(t *testing.T) {
 	planner, now := newPlanner()
-	asked := map[string]int{}
+	probeCounts := map[string]int{}
 	for range 100 {
 		now += 10 * ms
 		for _, name := range planner.Tick(now).Probes {
-			asked[name]++
+			probeCounts[name]++
 			planner.ProbeFinished(now+ms, name, name != "a", now, policy.Replica, now)
 		}
 	}
-	if asked["b"] < 5 || asked["c"] < 5 || asked["a"] > asked["b"] {
-		t.Errorf("asked %v in a second", asked)
+	if probeCounts["b"] < 5 || probeCounts["c"] < 5 || probeCounts["a"] > probeCounts["b"] {
+		t.Errorf("probes in one second: %v", probeCounts)
 	}
 	planner.ProbeFinished(now+2*ms, "b", true, now+ms, policy.Primary, now+ms)
 	planner.probesInFlight++
-	if c := planner.Tick(now + 200*ms); c.Change == nil || len(c.Change.Hosts) == 0 {
-		t.Error("the new primary is not published at once")
+	if actions := planner.Tick(now + 200*ms); actions.Change == nil || len(actions.Change.Hosts) == 0 {
+		t.Error("the new primary is not published immediately")
 	}
 	if primary, _ := planner.View().Primary(1); primary != "b" {
 		t.Errorf("the primary is %q", primary)
@@ -82,25 +82,25 @@
 
 func TestForwardersCountByLeaseOfEachProcess(t *testing.T) {
 	planner, now := newPlanner()
-	one, two := planner.AddForwarder(now, "f", 1), planner.AddForwarder(now, "f", 2)
+	oldProcess, newProcess := planner.AddForwarder(now, "f", 1), planner.AddForwarder(now, "f", 2)
 	if planner.Tick(now); planner.LeaseCount() != 0 {
-		t.Error("a greeting alone counts, which could be a replay")
+		t.Error("a forwarder holds a lease after a greeting alone, which may be a replay")
 	}
-	one.RequestFullView(now)
-	two.RequestFullView(now)
+	oldProcess.RequestFullView(now)
+	newProcess.RequestFullView(now)
 	if planner.Tick(now); planner.LeaseCount() != 2 || planner.DuplicateLeases != 1 {
-		t.Errorf("%d count, %d of one name", planner.LeaseCount(), planner.DuplicateLeases)
+		t.Errorf("%d leases, %d duplicates", planner.LeaseCount(), planner.DuplicateLeases)
 	}
-	one.Disconnected() // its lease runs on
+	oldProcess.Disconnected() // the lease stays valid until it expires
 	if planner.Tick(now + second); planner.LeaseCount() != 2 {
-		t.Errorf("%d count", planner.LeaseCount())
+		t.Errorf("%d leases after the disconnection", planner.LeaseCount())
 	}
 	for now += 100 * ms; now < start+10*second; now += 100 * ms {
-		two.RequestFullView(now)
+		newProcess.RequestFullView(now)
 		planner.Tick(now)
 	}
 	if planner.LeaseCount() != 1 {
-		t.Errorf("%d count after the lease", planner.LeaseCount())
+		t.Errorf("%d leases after the expiry", planner.LeaseCount())
 	}
 }
 
@@ -109,20 +109,20 @@
 	forwarder := planner.AddForwarder(now, "f", 1)
 	forwarder.RequestFullView(now)
 	for end := now + 4*second; now < end; now += 100 * ms {
-		if cut := planner.Tick(now).Disconnect; len(cut) > 0 {
-			if cut[0] != forwarder || planner.ForwarderCount() != 0 {
-				t.Error("another was closed")
+		if disconnected := planner.Tick(now).Disconnect; len(disconnected) > 0 {
+			if disconnected[0] != forwarder || planner.ForwarderCount() != 0 {
+				t.Error("another forwarder is disconnected, or it is still counted")
 			}
 			return
 		}
 	}
-	t.Error("it is never closed")
+	t.Error("the forwarder is not disconnected")
 }
 
 func TestForwardersOverCapacityAreRejected(t *testing.T) {
 	planner := New(1, Config{MaxForwarders: 1, ReportsPerSecond: 1, FramesPerSecond: 1, PositionBytesPerSecond: 1}, start)
 	if planner.AddForwarder(start, "a", 1) == nil || planner.AddForwarder(start, "b", 2) != nil {
-		t.Error("the limit does not hold")
+		t.Error("MaxForwarders is not enforced")
 	}
 }
 
@@ -141,19 +141,19 @@
 	planner, now := newPlanner()
 	forwarder := planner.AddForwarder(now, "f", 1)
 	planner.ApplyList(now, 2, false, []view.Host{{Name: "b", Set: 1, BootedAt: now}})
-	cold := func(boot, work int64) {
-		forwarder.HandleReport(now, link.Report{Observations: []link.Observation{{Evidence: view.Evidence{Name: "b"}, BootedAt: boot, ColdWork: work}}})
+	report := func(bootedAt, coldWork int64) {
+		forwarder.HandleReport(now, link.Report{Observations: []link.Observation{{Evidence: view.Evidence{Name: "b"}, BootedAt: bootedAt, ColdWork: coldWork}}})
 	}
-	cold(now, 3000)
-	cold(now, 5000)
-	cold(now-ms, 90000) // of another start
+	report(now, 3000)
+	report(now, 5000)
+	report(now-ms, 90000) // another start of the host
 	if planner.ColdWork != 5000 {
 		t.Errorf("%d", planner.ColdWork)
 	}
 }
 
-// BenchmarkPlanner runs a second of a planner's work: every forwarder reports what it observed, and every host's
-// position moves. It measures the cost of that second, and the load that the planner puts on its links.
+// BenchmarkPlanner simulates one second of a planner per iteration, in which each forwarder reports at the requested
+// interval and positions advance. It measures the cost of that second and the planner's traffic.
 func BenchmarkPlanner(b *testing.B) {
 	for _, hosts := range []int{100, 10000} {
 		for _, forwarders := range []int{40, 400, 4000} {
@@ -171,12 +171,12 @@
 	}
 }
 
-// load is a planner with forwarders that report as often as it asks them to.
+// load is a planner with forwarders that report at the interval that the planner requests.
 type load struct {
 	planner    *Planner
 	hosts      []view.Host
 	forwarders []*Forwarder
-	reportAt   []policy.TenthMs // of each forwarder
+	reportAt   []policy.TenthMs // time of each forwarder's next report
 	now        policy.TenthMs
 
 	bytes, frames, reports int
@@ -208,7 +208,7 @@
 	}
 }
 
-// report has a forwarder report responses of ten hosts.
+// report sends a forwarder's report of responses from ten hosts.
 func (l *load) report(forwarder int) {
 	l.reports++
 	report := link.Report{}
--- a/internal/router/tier/planner/probe.go
+++ b/internal/router/tier/planner/probe.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// burstDivisor is the part of a second's probes (one in burstDivisor) that may be sent at once.
+	// burstDivisor limits a burst of probes to ProbesPerSecond/burstDivisor.
 	burstDivisor = 4
-	// maxBackoffIntervals bounds the backoff of a host that does not respond, in probe intervals.
+	// maxBackoffIntervals is the maximum backoff of an unresponsive host, in probe intervals.
 	maxBackoffIntervals = 4
-	// stalePrimaryIntervals is after how many probe intervals without a response a set is searched for another primary.
+	// stalePrimaryIntervals is the number of probe intervals without a response after which a primary counts as
+	// unresponsive and the set is probed for another one.
 	stalePrimaryIntervals = 2
-	// probeJitterDivisor is the part of the search interval (one in probeJitterDivisor) by which probes are spread at random.
+	// probeJitterDivisor limits the jitter of probes to PrimaryProbeInterval/probeJitterDivisor.
 	probeJitterDivisor = 4
 )
 
-// The order in which hosts are probed if not all can be.
+// Priority of probes when the limits do not allow all that are due; a higher value comes first.
 const (
 	urgencyUnresponsive = iota
 	urgencyResponsive
-	urgencyNoPrimary // its set has no primary that responds
+	urgencyNoPrimary // the set has no responsive primary
 )
 
-// ProbeFinished ends a probe that Tick asked for and that was sent at a time. position is
-// -1 if the response named none.
+// ProbeFinished reports the result of a probe that Tick requested and that was sent at
+// sentAt. position is -1 if the response contained none.
 func (p *Planner) ProbeFinished(now policy.TenthMs, name string, responded bool, position policy.TenthMs, role policy.Role, sentAt policy.TenthMs) {
 	p.advance(now)
 	p.probesInFlight--
@@ -51,9 +52,10 @@
 	}
 }
 
-// startProbes returns the hosts to probe now: often the replicas of a set whose
-// primary is unknown or does not respond, else those that no forwarder has had a
-// response from for some time.
+// startProbes returns the names of the hosts to probe now and marks them as being
+// probed. In a set without a responsive primary, hosts that do not report to be the
+// primary are probed every PrimaryProbeInterval. Other hosts are probed once they
+// have not responded to a forwarder or a probe for ProbeInterval.
 func (p *Planner) startProbes() []string {
 	allowed := p.allowedProbes()
 	if allowed <= 0 {
@@ -64,7 +66,7 @@
 		p.probesInFlight++
 		p.probeCredit--
 		host.probing = true
-		// The random part keeps several planners from probing in step.
+		// The jitter keeps planners from probing in lockstep.
 		jitter := policy.TenthMs(p.randomFraction() * float64(p.config.PrimaryProbeInterval) / probeJitterDivisor)
 		host.probedAt = max(1, p.now-jitter)
 		names = append(names, host.name)
@@ -72,7 +74,7 @@
 	return names
 }
 
-// allowedProbes returns how many probes the limits allow now.
+// allowedProbes returns the number of probes that the limits allow now.
 func (p *Planner) allowedProbes() int {
 	perSecond := float64(p.config.ProbesPerSecond)
 	earned := perSecond * float64(p.now-p.creditUpdatedAt) / float64(second)
@@ -81,8 +83,7 @@
 	return min(p.config.MaxProbesInFlight-p.probesInFlight, int(p.probeCredit))
 }
 
-// dueHosts returns the most urgent hosts that are due, at most limit of them, in
-// the order in which they are to be probed.
+// dueHosts returns at most limit hosts whose probes are due, the most urgent first.
 func (p *Planner) dueHosts(limit int) []*host {
 	withoutPrimary := p.setsWithoutPrimary()
 	order := func(a, b *host) int {
@@ -107,7 +108,8 @@
 	return due
 }
 
-// isDue reports whether a host's probe interval has passed.
+// isDue reports whether a host's probe interval or backoff has passed and no probe
+// of it is in flight.
 func (p *Planner) isDue(host *host, withoutPrimary map[int64]bool) bool {
 	if host.probing {
 		return false
@@ -125,6 +127,7 @@
 	return p.now >= max(host.lastResponseAt, host.probedAt)+interval
 }
 
+// probeUrgency returns the priority of the host's next probe.
 func (h *host) probeUrgency(withoutPrimary map[int64]bool) int {
 	switch {
 	case withoutPrimary[h.set]:
@@ -135,8 +138,9 @@
 	return urgencyUnresponsive
 }
 
-// setsWithoutPrimary returns, for every set, whether no host says that it is the
-// primary, or the one that said so last does not respond.
+// setsWithoutPrimary returns for each replica set whether it lacks a responsive
+// primary: no host reports to be the primary, or the latest one that did is
+// unresponsive.
 func (p *Planner) setsWithoutPrimary() map[int64]bool {
 	withoutPrimary := map[int64]bool{}
 	primaries := map[int64]*host{}
@@ -152,8 +156,8 @@
 	return withoutPrimary
 }
 
-// isNewerPrimary reports whether the host said at a newer position than another
-// that it is the primary. Equal positions are ordered by name.
+// isNewerPrimary reports whether the host reported its role at a newer position
+// than the other one. Equal positions are ordered by name.
 func (h *host) isNewerPrimary(other *host) bool {
 	switch {
 	case other == nil:
--- a/internal/router/tier/planner/publish.go
+++ b/internal/router/tier/planner/publish.go
@@ -6,43 +6,44 @@
 )
 
 const (
-	// minChangesPerReport is the least number of change intervals between two reports of a forwarder.
+	// minChangesPerReport is the minimum number of change intervals between two reports of a forwarder.
 	minChangesPerReport = 2
 
-	// positionBytes is about what the position of one host takes in a frame.
+	// positionBytes is the approximate encoded size of one host's position in a frame.
 	positionBytes = 96
 
-	// Lateness is published in tenths of the response target, up to maxLateness, plus one.
+	// Lateness is published in tenths of the response target, at most maxLateness, plus one.
 	maxLateness         = 12
 	thousandthsPerTenth = 100
 )
 
-// reportInterval is how often forwarders report, so that all together keep to the
-// configured reports a second.
+// reportInterval returns the interval at which each forwarder reports, so that all
+// forwarders together do not exceed ReportsPerSecond.
 func (p *Planner) reportInterval() policy.TenthMs {
 	return max(minChangesPerReport*p.changeInterval(), p.intervalForRate(p.config.ReportsPerSecond))
 }
 
-// changeInterval is the time between two changes, so that all forwarders together
-// are sent no more than the configured frames a second.
+// changeInterval returns the interval between two changes, so that the frames to
+// all forwarders together do not exceed FramesPerSecond.
 func (p *Planner) changeInterval() policy.TenthMs {
 	return max(p.config.ChangeInterval, p.intervalForRate(p.config.FramesPerSecond))
 }
 
-// intervalForRate is the time that one message of each forwarder takes at a rate of all.
+// intervalForRate returns the interval between a forwarder's messages at which all forwarders together reach a rate.
 func (p *Planner) intervalForRate(perSecond int) policy.TenthMs {
 	return policy.TenthMs(len(p.forwarders)) * second / policy.TenthMs(perSecond)
 }
 
-// positionInterval is the time between two positions of one host, so that all
-// positions to all forwarders keep to the configured bytes a second.
+// positionInterval returns the interval between two publications of a host's
+// position, so that all positions sent to all forwarders do not exceed
+// PositionBytesPerSecond.
 func (p *Planner) positionInterval() policy.TenthMs {
 	bytes := float64(len(p.hosts) * len(p.forwarders) * positionBytes)
 	return policy.TenthMs(bytes * float64(second) / float64(p.config.PositionBytesPerSecond))
 }
 
-// publish moves what is known into the view: a change of the primary at once, all
-// else at the position interval.
+// publish copies changed evidence and lateness to the view: changes of a primary
+// immediately, all others at the position interval.
 func (p *Planner) publish() {
 	latenessDue := p.now >= p.nextLatenessAt
 	if latenessDue {
@@ -67,7 +68,7 @@
 	host.publishedRole = host.evidence.Role
 }
 
-// primaryChanged reports whether the host has become a primary, or ceased to be one, since it was published.
+// primaryChanged reports whether the host has gained or lost the role of primary since it was last published.
 func (h *host) primaryChanged() bool {
 	if h.publishedRole == h.evidence.Role {
 		return false
@@ -75,8 +76,8 @@
 	return h.publishedRole == policy.Primary || h.evidence.Role == policy.Primary
 }
 
-// updateLateness ends an interval of lateness: the mean of this one and the one
-// before is to be published.
+// updateLateness ends a lateness interval. The lateness to publish is the mean over
+// this interval and the previous one.
 func (h *host) updateLateness() {
 	lateness := uint8(0)
 	if responses := h.responses + h.previousResponses; responses > 0 {
