--- a/internal/router/tier/doc.go
+++ b/internal/router/tier/doc.go
@@ -1,15 +1,16 @@
-// Package tier documents the two tiers of a large installation. Planners watch
-// discovery, probe hosts and collect what forwarders observe; forwarders serve
-// clients, and decide on the merged views of all planners.
+// Package tier documents the two tiers of a large deployment. Planners watch
+// discovery, probe hosts and collect the observations of forwarders. Forwarders
+// serve clients and decide on the merged views of all planners.
 //
-// Each tier is a pure core in a shell with sockets:
+// Each tier has a state machine without I/O and a package that runs it on sockets:
 //
-//   - planner is the core of a planner, and plan its shell.
-//   - follower is the core of a forwarder's side, and forward its shell.
-//   - view is the data that planners send: the state of the fleet, its changes
-//     and how views are merged.
-//   - link is the protocol between the tiers, on bytes alone; line carries it
-//     over a connection.
+//   - planner is the state machine of a planner; plan is its server.
+//   - follower is the state machine of a forwarder's links to the planners; forward
+//     is the client that runs it.
+//   - view is the data that planners send: the state of the fleet, its changes and
+//     the merge of views.
+//   - link is the protocol between the tiers, without I/O; line implements it on a
+//     network connection.
 //
 // Data flows in both directions:
 //
--- a/internal/router/tier/forward/forward.go
+++ b/internal/router/tier/forward/forward.go
@@ -1,10 +1,10 @@
-// Package forward runs a forwarder's side of the links to the planners.
+// Package forward implements a forwarder's client of the planners.
 //
-// One goroutine, Run, owns the follower and executes the actions that it
-// returns. Each link has a goroutine that dials and reads; what it receives
-// reaches the owner as functions on a channel. What changes in the view is passed
-// to the router, and what the router observed of hosts is reported to the
-// planners. One more goroutine stores the view for the next start.
+// The goroutine of Run owns the state machine of package follower and executes the
+// actions that it returns. Each link has a goroutine that dials and reads, and
+// sends events to the owner as functions on a channel. The owner passes changes of
+// the view to the router, and reports the router's observations of hosts to the
+// planners. Another goroutine stores the view on disk for the next start.
 package forward
 
 import (
@@ -26,26 +26,27 @@
 )
 
 const (
-	// eventQueueLength is how many events of links may wait for the owner.
+	// eventQueueLength is the capacity of the owner's event queue.
 	eventQueueLength = 64
-	// minTickDelay keeps the owner from spinning when the next tick is overdue.
+	// minTickDelay is the minimum delay between ticks, so that the owner does not spin when a tick is overdue.
 	minTickDelay = time.Millisecond
-	// tenthsPerMillisecond converts policy.Tenth, tenths of a millisecond.
+	// tenthsPerMillisecond converts policy.TenthMs, tenths of a millisecond, to milliseconds.
 	tenthsPerMillisecond = 10
 )
 
-var errPlannerSilent = errors.New("the planner says nothing")
+var errPlannerSilent = errors.New("timeout: no change from the planner")
 
-// Router is what the view is for. Both methods are called by the owner's goroutine.
+// Router receives the view and provides observations. Both methods are called by the owner's goroutine.
 type Router interface {
-	// UpdateHosts passes what changed in the view: hosts, names of removed hosts, the
-	// number of routers that share the hosts, and whether no planner is current.
-	UpdateHosts(hosts []view.Host, dropped []string, routers int, blind bool)
-	// TakeObservations returns what was observed of hosts since the last call.
+	// UpdateHosts applies changes of the view: changed hosts, the names of removed
+	// hosts, the number of routers that share the hosts, and whether no planner has a
+	// current view.
+	UpdateHosts(changed []view.Host, removed []string, routerCount int, noPlanner bool)
+	// TakeObservations returns the observations of hosts since the last call.
 	TakeObservations() []link.Observation
 }
 
-// Forwarder is one forwarder's client of the planners.
+// Forwarder is a forwarder's client of the planners.
 type Forwarder struct {
 	settings       *setup.ForwarderSection
 	name           string
@@ -56,18 +57,18 @@
 	core           *follower.Follower
 	events         chan func()
 	conns          map[*follower.Planner]*line.Conn
-	snapshots      chan []byte // encoded views for the goroutine that stores them
+	snapshots      chan []byte // encoded views for the goroutine of writeSnapshots
 	nextSnapshotAt policy.TenthMs
 
-	// Counters, which any goroutine may read. ViewAgeMs is in milliseconds, -1
-	// while no planner has sent a change.
+	// Counters. Any goroutine may read them. ViewAgeMs is -1 until a planner has sent
+	// a change.
 	SnapshotFailures, OpenLinks, Changes, FullViews, InvalidChanges, Reports, ViewAgeMs, RouterCount atomic.Int64
-	// NoPlanner says that no planner is current.
+	// NoPlanner is true while no planner has a current view.
 	NoPlanner atomic.Bool
 }
 
-// New makes a forwarder. incarnation differs from that of any other process;
-// routers is the number of routers to assume until a planner states one.
+// New returns a forwarder's client. incarnation must be unique among all forwarder
+// processes. routers is the number of routers to assume until a planner reports it.
 func New(settings *setup.ForwarderSection, name string, incarnation uint64, routers int, router Router, log *zap.Logger) *Forwarder {
 	forwardClock := clock.New(time.Now)
 	config := follower.Config{
@@ -89,14 +90,15 @@
 	return f
 }
 
+// tenths converts a duration to tenths of a millisecond.
 func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
 
-// LoadList applies the list that a forwarder starts with. It must be called before Run.
+// LoadList applies the host list that the forwarder has at start. It must be called before Run.
 func (f *Forwarder) LoadList(revision int64, complete bool, hosts []view.Host) {
 	f.core.LoadList(revision, complete, hosts)
 }
 
-// enqueue passes an event to the owner, unless the context ends first.
+// enqueue sends an event to the owner, unless the context is canceled first.
 func (f *Forwarder) enqueue(ctx context.Context, event func()) {
 	select {
 	case f.events <- event:
@@ -104,8 +106,8 @@
 	}
 }
 
-// Run follows the planners until the context ends, and returns once all its
-// goroutines have ended. The error is always nil.
+// Run maintains the links to the planners until the context is canceled, and
+// returns once all its goroutines have ended. The error is always nil.
 func (f *Forwarder) Run(ctx context.Context) error {
 	links, ctx := errgroup.WithContext(ctx)
 	links.Go(func() error { f.writeSnapshots(ctx); return nil })
@@ -113,7 +115,7 @@
 	return links.Wait()
 }
 
-// runOwner is the loop of the goroutine that owns the follower.
+// runOwner is the event loop of the goroutine that owns the state machine.
 func (f *Forwarder) runOwner(ctx context.Context, links *errgroup.Group) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -133,7 +135,7 @@
 	}
 }
 
-// tick executes what is due and returns the time of the next tick.
+// tick executes the actions that are due and returns the time of the next tick.
 func (f *Forwarder) tick(ctx context.Context, links *errgroup.Group) policy.TenthMs {
 	actions := f.core.Tick(f.clock.Now())
 	for _, planner := range actions.Disconnect {
@@ -162,7 +164,7 @@
 	return actions.NextTick
 }
 
-// sendReport sends all connected planners what the router observed.
+// sendReport sends the router's observations to all connected planners.
 func (f *Forwarder) sendReport() {
 	body := link.EncodeBody(link.Report{Interval: tenths(f.settings.ReportInterval), Observations: f.router.TakeObservations()})
 	for _, conn := range f.conns {
@@ -171,7 +173,7 @@
 	f.Reports.Add(1)
 }
 
-// LogFields returns the counters for a log line.
+// LogFields returns the counters as fields of a log entry. Any goroutine may call it.
 func (f *Forwarder) LogFields() []zap.Field {
 	return []zap.Field{
 		zap.Int64("planners", f.OpenLinks.Load()),
--- a/internal/router/tier/forward/link.go
+++ b/internal/router/tier/forward/link.go
@@ -13,7 +13,7 @@
 	"ferrypitch/internal/router/tier/view"
 )
 
-// followPlanner runs one link, from dialling to its end, and reports the end to the owner.
+// followPlanner dials a planner, serves the link until it ends and reports the end to the owner.
 func (f *Forwarder) followPlanner(ctx context.Context, planner *follower.Planner) {
 	err := f.runLink(ctx, planner)
 	f.enqueue(ctx, func() {
@@ -24,11 +24,11 @@
 		planner.Disconnected(f.clock.Now())
 	})
 	if ctx.Err() == nil {
-		f.log.Warn("a planner is not followed", zap.String("planner", planner.Address), zap.Error(err))
+		f.log.Warn("link to planner failed", zap.String("planner", planner.Address), zap.Error(err))
 	}
 }
 
-// runLink connects to a planner and reads its frames until the link ends, and returns why it did.
+// runLink connects to a planner and reads its frames until the link fails. It returns the error.
 func (f *Forwarder) runLink(ctx context.Context, planner *follower.Planner) error {
 	socket, err := (&net.Dialer{Timeout: f.settings.DialTimeout}).DialContext(ctx, "tcp", planner.Address)
 	if err != nil {
@@ -56,7 +56,7 @@
 			return err
 		}
 		if frame.Kind != link.KindChange {
-			continue // a later version may add kinds that this one does not know
+			continue // unknown kind, which a later version may have added
 		}
 		if err := f.receiveChange(ctx, planner, conn, frame.Body); err != nil {
 			return err
@@ -64,7 +64,7 @@
 	}
 }
 
-// receiveChange decodes a change and passes it to the owner.
+// receiveChange decodes a change and sends it to the owner.
 func (f *Forwarder) receiveChange(ctx context.Context, planner *follower.Planner, conn *line.Conn, body []byte) error {
 	change, err := link.DecodeChange(body)
 	if err != nil {
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// applyChange runs on the owner's goroutine. A change of a link that has ended meanwhile is ignored.
+// applyChange applies a change and requests the full view if necessary. It must be called by the owner's
+// goroutine. A change from a link that has ended is ignored.
 func (f *Forwarder) applyChange(planner *follower.Planner, conn *line.Conn, change view.Change) {
 	if f.conns[planner] != conn {
 		return
--- a/internal/router/tier/forward/snapshot.go
+++ b/internal/router/tier/forward/snapshot.go
@@ -10,9 +10,9 @@
 	"ferrypitch/policy"
 )
 
-// RestoreView loads the view that an earlier process stored. It must be called before
-// Run. A file that is missing or damaged is not used; the planners then send what
-// it would have held.
+// RestoreView loads the view that an earlier process stored. It must be called
+// before Run. A missing or damaged file is ignored; the forwarder then starts
+// without a view and receives it from the planners.
 func (f *Forwarder) RestoreView() {
 	if f.settings.ViewFile == "" {
 		return
@@ -22,21 +22,21 @@
 		return
 	}
 	if err != nil {
-		f.log.Warn("the stored view is not used", zap.Error(err))
+		f.log.Warn("ignored the stored view", zap.Error(err))
 		return
 	}
 	change, err := link.DecodeChange(body)
 	if err != nil {
-		f.log.Warn("the stored view is not used", zap.Error(err))
+		f.log.Warn("ignored the stored view", zap.Error(err))
 		return
 	}
 	f.core.RestoreView(change)
-	f.log.Info("started from the stored view", zap.Int("hosts", len(change.Hosts)))
+	f.log.Info("restored the stored view", zap.Int("hosts", len(change.Hosts)))
 }
 
-// writeSnapshots stores views until the context ends. Only the newest one waits.
-// A disk that fails slows down the next start and nothing else, so only the first
-// failure in a row is logged.
+// writeSnapshots stores views until the context is canceled. Only the first of
+// consecutive failures is logged, since a failure affects nothing but the duration
+// of the next start.
 func (f *Forwarder) writeSnapshots(ctx context.Context) {
 	failing := false
 	for {
@@ -48,7 +48,7 @@
 			if err != nil {
 				f.SnapshotFailures.Add(1)
 				if !failing {
-					f.log.Warn("the view cannot be stored", zap.Error(err))
+					f.log.Warn("storing the view failed", zap.Error(err))
 				}
 			}
 			failing = err != nil
@@ -56,8 +56,8 @@
 	}
 }
 
-// offerSnapshot passes the view to writeSnapshots, unless a snapshot is not due
-// yet or the one before still waits.
+// offerSnapshot sends the view to writeSnapshots, unless a snapshot is not due yet
+// or the previous one is still queued.
 func (f *Forwarder) offerSnapshot(now policy.TenthMs) {
 	if f.settings.ViewFile == "" || now < f.nextSnapshotAt || !f.core.HasHosts() || len(f.snapshots) > 0 {
 		return
--- a/internal/router/tier/line/handshake.go
+++ b/internal/router/tier/line/handshake.go
@@ -9,14 +9,14 @@
 	"ferrypitch/internal/router/tier/link"
 )
 
-// errTooManyForwarders is why a planner rejects a forwarder beyond its limit.
-var errTooManyForwarders = errors.New("as many forwarders as are taken are there")
+// errTooManyForwarders is returned by PlannerHandshake for a forwarder beyond the planner's limit.
+var errTooManyForwarders = errors.New("forwarder limit reached")
 
-// ForwarderHandshake sends the greeting of a forwarder and reads the planner's,
-// within the deadline that the caller has set on the socket. name and incarnation
-// identify the caller's process. queueLength is the number of frames that may
-// wait to be written, maxFrameBytes the longest frame that is accepted and
-// writeTimeout the limit of one write. A refusal of the planner is an error.
+// ForwarderHandshake sends a forwarder's greeting and reads the planner's greeting.
+// The caller must have set a deadline on the socket. name and incarnation identify
+// the caller's process. queueLength is the capacity of the send queue in frames,
+// maxFrameBytes the maximum size of a received frame and writeTimeout the timeout
+// of one write. A refusal by the planner is returned as an error.
 func ForwarderHandshake(socket net.Conn, key *[32]byte, name string, incarnation uint64,
 	queueLength, maxFrameBytes int, writeTimeout time.Duration,
 ) (*Conn, error) {
@@ -35,11 +35,11 @@
 	return conn, nil
 }
 
-// PlannerHandshake reads the greeting of a forwarder and answers it, within the
-// deadline that the caller has set on the socket. accept reports whether there is
-// capacity for the forwarder. A forwarder that is over capacity, or of another
-// version, is sent the reason, and the error is returned here too. The other
-// parameters are those of ForwarderHandshake.
+// PlannerHandshake reads a forwarder's greeting and sends the planner's greeting.
+// The caller must have set a deadline on the socket. accept reports whether the
+// planner has capacity for the forwarder. A forwarder beyond the capacity or with
+// another protocol version is sent a refusal, and PlannerHandshake returns an
+// error. The other parameters are those of ForwarderHandshake.
 func PlannerHandshake(socket net.Conn, key *[32]byte, name string, incarnation uint64,
 	queueLength, maxFrameBytes int, writeTimeout time.Duration, accept func(link.Greeting) bool,
 ) (*Conn, error) {
@@ -63,14 +63,15 @@
 	return conn, err
 }
 
+// newGreeting returns a greeting with a random nonce.
 func newGreeting(name string, incarnation uint64) link.Greeting {
 	greeting := link.Greeting{Version: link.ProtocolVersion, Incarnation: incarnation, Name: name}
 	rand.Read(greeting.Nonce[:])
 	return greeting
 }
 
-// readGreeting reads the peer's greeting into Peer, which is set in part if the
-// greeting is of another version.
+// readGreeting reads the peer's greeting into Peer. After an error Peer may be set
+// in part, see link.ParseGreeting.
 func (c *Conn) readGreeting(key *[32]byte) error {
 	for {
 		greeting, size, err := link.ParseGreeting(c.receiveBuffer, key)
--- a/internal/router/tier/line/line.go
+++ b/internal/router/tier/line/line.go
@@ -1,9 +1,10 @@
-// Package line carries the frames of package link over a connection.
+// Package line sends and receives the frames of package link over a network
+// connection.
 //
-// A handshake exchanges greetings and yields a Conn. One goroutine of the caller
-// reads frames; one that StartWriter begins writes them from a bounded queue. A
-// peer that reads so slowly that the queue is full is disconnected, so that it
-// costs the others nothing.
+// ForwarderHandshake and PlannerHandshake exchange greetings and return a Conn. The
+// caller reads frames in one goroutine. StartWriter starts another goroutine, which
+// writes frames from a bounded queue. A peer that reads too slowly is disconnected
+// once the queue is full, so that it cannot delay other peers.
 package line
 
 import (
@@ -16,32 +17,33 @@
 	"ferrypitch/internal/router/tier/link"
 )
 
-// ErrSlowReader is why a link ends whose peer reads more slowly than frames are sent.
-var ErrSlowReader = errors.New("the other side reads too slowly")
+// ErrSlowReader is the error of a connection that was closed because its send queue was full.
+var ErrSlowReader = errors.New("peer reads too slowly: send queue is full")
 
 const (
-	// minBufferBytes is the first size of the receive buffer.
+	// minBufferBytes is the initial size of the receive buffer.
 	minBufferBytes = 512
-	// readAheadBytes is how far the receive buffer may exceed the frame that is awaited.
+	// readAheadBytes is the space of the receive buffer beyond the frame that is being read.
 	readAheadBytes = 4 << 10
-	// maxIdleBufferBytes is the size above which an empty buffer is released.
+	// maxIdleBufferBytes is the size above which an empty buffer is released instead of reused.
 	maxIdleBufferBytes = 1 << 20
 )
 
-// Conn is a connection whose greetings have been exchanged.
+// Conn is a connection after the handshake. ReadFrame must be called by one goroutine
+// at a time; Send and CloseWithError are safe for concurrent use.
 type Conn struct {
-	Peer link.Greeting // what the other side sent
+	Peer link.Greeting // greeting of the peer
 
 	socket        net.Conn
 	session       *link.Session
-	receiveBuffer []byte // received and not read yet
+	receiveBuffer []byte // received bytes that have not been consumed
 	maxFrameBytes int
 	writeTimeout  time.Duration
 	sendQueue     chan link.Frame
 
 	closeOnce sync.Once
 	closed    chan struct{}
-	closeErr  error // set before closed is closed
+	closeErr  error // written before closed is closed
 	writer    sync.WaitGroup
 }
 
@@ -52,8 +54,9 @@
 	}
 }
 
-// readMore reads once from the socket. The buffer grows with what has come, never
-// by what a length field claims: wanted bounds it.
+// readMore reads once from the socket. A full buffer at most doubles, up to
+// wanted+readAheadBytes, so that a length field alone does not cause a large
+// allocation.
 func (c *Conn) readMore(wanted int) error {
 	if len(c.receiveBuffer) == cap(c.receiveBuffer) {
 		size := max(minBufferBytes, min(2*cap(c.receiveBuffer), wanted+readAheadBytes))
@@ -64,18 +67,19 @@
 	n, err := c.socket.Read(c.receiveBuffer[len(c.receiveBuffer):cap(c.receiveBuffer)])
 	c.receiveBuffer = c.receiveBuffer[:len(c.receiveBuffer)+n]
 	if n > 0 {
-		return nil // an error comes again with the next read
+		return nil // the next read returns the error again
 	}
 	return err
 }
 
-// StartWriter lifts the deadline of the handshake and starts the goroutine that
-// writes what Send queues. It ends with CloseWithError.
+// StartWriter clears the deadline of the handshake and starts the goroutine that
+// writes queued frames until CloseWithError is called.
 func (c *Conn) StartWriter() {
 	c.socket.SetDeadline(time.Time{})
 	c.writer.Go(c.writeQueue)
 }
 
+// writeQueue writes queued frames until the connection is closed or a write fails.
 func (c *Conn) writeQueue() {
 	var buffer []byte
 	for {
@@ -84,7 +88,7 @@
 			buffer = c.session.Seal(buffer[:0], next.Kind, next.Body)
 			c.socket.SetWriteDeadline(time.Now().Add(c.writeTimeout))
 			if _, err := c.socket.Write(buffer); err != nil {
-				c.CloseWithError(fmt.Errorf("writing: %w", err))
+				c.CloseWithError(fmt.Errorf("writing frame: %w", err))
 				return
 			}
 			if cap(buffer) > maxIdleBufferBytes {
@@ -96,8 +100,8 @@
 	}
 }
 
-// Send queues a frame; the caller must not change the body afterwards. A full
-// queue ends the connection with ErrSlowReader.
+// Send queues a frame. The caller must not modify the body afterwards. If the queue
+// is full, Send closes the connection with ErrSlowReader.
 func (c *Conn) Send(kind link.FrameKind, body []byte) {
 	select {
 	case c.sendQueue <- link.Frame{Kind: kind, Body: body}:
@@ -106,8 +110,8 @@
 	}
 }
 
-// ReadFrame reads the next frame, whose body is valid until the next call. After
-// CloseWithError it returns the error given there.
+// ReadFrame reads the next frame. The body is valid until the next call. After
+// CloseWithError it returns the error that was passed there.
 func (c *Conn) ReadFrame() (link.Frame, error) {
 	for {
 		size, err := link.FrameSize(c.receiveBuffer, c.maxFrameBytes)
@@ -123,7 +127,7 @@
 	}
 }
 
-// openFrame takes a complete frame from what was received.
+// openFrame decodes the frame of size bytes at the start of the receive buffer and removes it.
 func (c *Conn) openFrame(size int) (link.Frame, error) {
 	frame, err := c.session.Open(c.receiveBuffer[:size])
 	if err != nil {
@@ -136,7 +140,7 @@
 	return frame, nil
 }
 
-// readError prefers the reason that the connection was closed for to what the socket reports.
+// readError returns the error passed to CloseWithError if the connection is closed, and err otherwise.
 func (c *Conn) readError(err error) error {
 	select {
 	case <-c.closed:
@@ -146,8 +150,8 @@
 	}
 }
 
-// CloseWithError closes the connection; err is what ReadFrame returns from then
-// on. Only the first call has an effect.
+// CloseWithError closes the connection. From then on ReadFrame returns err. Only the
+// first call has an effect.
 func (c *Conn) CloseWithError(err error) {
 	c.closeOnce.Do(func() {
 		c.closeErr = err
@@ -156,5 +160,5 @@
 	})
 }
 
-// Wait waits for the writer's goroutine. It must be called after CloseWithError.
+// Wait waits for the goroutine of StartWriter to end. It must be called after CloseWithError.
 func (c *Conn) Wait() { c.writer.Wait() }
--- a/internal/router/tier/line/line_test.go
+++ b/internal/router/tier/line/line_test.go
@@ -17,7 +17,7 @@
 	writeTimeout = time.Second
 )
 
-// connect exchanges greetings over a pipe.
+// connect performs the handshake of a forwarder and a planner over a pipe. accept is the planner's decision.
 func connect(t *testing.T, accept bool) (forwarder, planner *Conn, forwarderErr, plannerErr error) {
 	t.Helper()
 	forwarderSocket, plannerSocket := net.Pipe()
@@ -57,7 +57,7 @@
 	planner.CloseWithError(nil)
 	planner.Wait()
 	if _, err := forwarder.ReadFrame(); err == nil {
-		t.Error("a closed connection is read")
+		t.Error("ReadFrame returns no error after the connection was closed")
 	}
 }
 
@@ -76,7 +76,7 @@
 	if err != nil || plannerErr != nil {
 		t.Fatal(err, plannerErr)
 	}
-	for range queueLength + 1 { // nothing writes the queue
+	for range queueLength + 1 { // the writer is not started, so the queue fills up
 		planner.Send(link.KindChange, nil)
 	}
 	if _, err := planner.ReadFrame(); !errors.Is(err, ErrSlowReader) {
--- a/internal/router/tier/link/greeting.go
+++ b/internal/router/tier/link/greeting.go
@@ -8,9 +8,10 @@
 	"fmt"
 )
 
+// greetingMagic is the prefix of every greeting.
 const greetingMagic = "fpln"
 
-// Offsets of a greeting's fields. The name follows its length, and the MAC the name.
+// Offsets of the fields of a greeting. The name follows its length, and the MAC follows the name.
 const (
 	versionOffset      = len(greetingMagic)
 	refusalOffset      = versionOffset + 1
@@ -20,26 +21,26 @@
 	greetingFixedBytes = nameLengthOffset + 1
 )
 
-// Refusal is why a planner rejects a forwarder.
+// Refusal is the reason why a planner rejects a forwarder.
 type Refusal byte
 
 // Values of Refusal. RefusalNone accepts the forwarder.
 const (
 	RefusalNone     Refusal = 0
-	RefusalVersion  Refusal = 1 // the planner speaks another version
-	RefusalCapacity Refusal = 2 // the planner has as many forwarders as it accepts
+	RefusalVersion  Refusal = 1 // the planner uses another version of the protocol
+	RefusalCapacity Refusal = 2 // the planner has reached its limit of forwarders
 )
 
-// Greeting is the first message in each direction.
+// Greeting is the first message in each direction. It identifies and authenticates the sender.
 type Greeting struct {
 	Version     byte
-	Refusal     Refusal // set by planners alone
-	Incarnation uint64  // of the process; each start has another
+	Refusal     Refusal // set only by planners
+	Incarnation uint64  // identifies the process; differs after each restart
 	Nonce       [nonceBytes]byte
-	Name        string // of the process; at most 64 bytes, AppendGreeting cuts what is over
+	Name        string // name of the process; AppendGreeting truncates it to 64 bytes
 }
 
-// AppendGreeting appends a greeting with its MAC under the shared key.
+// AppendGreeting appends the encoded greeting and its MAC under the shared key.
 func AppendGreeting(buffer []byte, greeting Greeting, key *[32]byte) []byte {
 	start := len(buffer)
 	buffer = append(buffer, greetingMagic...)
@@ -52,9 +53,9 @@
 	return append(buffer, mac(key, buffer[start:])...)
 }
 
-// ParseGreeting parses the greeting at the beginning of what was received. size is
-// its length, or 0 while it is incomplete. Of a greeting of another version, which
-// is an error, only Version and Refusal are set.
+// ParseGreeting parses the greeting at the start of received. size is its length in
+// bytes, or 0 if it is incomplete. A greeting of another protocol version is an
+// error; only its Version and Refusal are set.
 func ParseGreeting(received []byte, key *[32]byte) (greeting Greeting, size int, err error) {
 	prefix := min(len(received), len(greetingMagic))
 	if !bytes.Equal(received[:prefix], []byte(greetingMagic)[:prefix]) {
@@ -65,7 +66,7 @@
 	}
 	greeting.Version, greeting.Refusal = received[versionOffset], Refusal(received[refusalOffset])
 	if greeting.Version != ProtocolVersion {
-		return greeting, greetingFixedBytes, fmt.Errorf("the other side speaks version %d of the link, this one version %d",
+		return greeting, greetingFixedBytes, fmt.Errorf("peer uses protocol version %d, this process uses version %d",
 			greeting.Version, ProtocolVersion)
 	}
 	greeting.Incarnation = binary.BigEndian.Uint64(received[incarnationOffset:])
@@ -86,15 +87,15 @@
 	return greeting, size, nil
 }
 
-// RefusalError returns why the greeting rejects the forwarder, or nil if it does not.
+// RefusalError returns an error if the greeting rejects the forwarder.
 func (g Greeting) RefusalError() error {
 	switch g.Refusal {
 	case RefusalNone:
 		return nil
 	case RefusalVersion:
-		return fmt.Errorf("refused: version %d of the link is not spoken there", ProtocolVersion)
+		return fmt.Errorf("rejected by the planner: protocol version %d is not supported", ProtocolVersion)
 	case RefusalCapacity:
-		return errors.New("refused: as many forwarders as it takes are there")
+		return errors.New("rejected by the planner: forwarder limit reached")
 	}
-	return fmt.Errorf("refused for a reason not known here: %d", g.Refusal)
+	return fmt.Errorf("rejected by the planner: unknown reason %d", g.Refusal)
 }
--- a/internal/router/tier/link/link.go
+++ b/internal/router/tier/link/link.go
@@ -1,20 +1,21 @@
-// Package link is the protocol between planners and forwarders, on bytes alone.
+// Package link implements the protocol between planners and forwarders. It encodes
+// and decodes bytes and does no I/O.
 //
-// A forwarder opens a connection with a Greeting, and the planner answers with
-// its own. The form of greetings is fixed, so that any version can read them.
+// A forwarder opens a connection with a Greeting, and the planner responds with
+// its own. The format of greetings is fixed, so that every version can parse them.
 // Both sides derive the keys of a Session from the shared key and both nonces
-// (BLAKE3 in keyed-hash and key-derivation mode, as its paper of 2020 describes
-// them). Frames of CBOR follow in both directions: the planner sends changes of
-// its view, the forwarder reports of what it observed and requests for a full
-// view. Each frame has a MAC over its number and direction, so that none can be
-// forged, altered, omitted or replayed.
+// (BLAKE3 in keyed-hash and key-derivation mode, as specified in its paper of
+// 2020). Then CBOR frames follow in both directions: the planner sends changes of
+// its view; the forwarder sends reports of its observations and requests for the
+// full view. Each frame has a MAC, keyed by direction, that covers the frame's
+// number, so that a forged, altered, omitted or replayed frame is detected.
 //
 // Package line carries the bytes over a connection.
 package link
 
 import "errors"
 
-// ProtocolVersion is the version of the protocol that this package speaks.
+// ProtocolVersion is the protocol version that this package implements.
 const ProtocolVersion = 1
 
 const (
@@ -22,21 +23,21 @@
 	nonceBytes   = 16
 	maxNameBytes = 64
 
-	// MaxGreetingBytes is the longest greeting.
+	// MaxGreetingBytes is the maximum size of a greeting.
 	MaxGreetingBytes = greetingFixedBytes + maxNameBytes + macBytes
-	// MaxFrameBytes is the longest frame in bytes that a forwarder accepts: a full
-	// view of some 50,000 hosts.
+	// MaxFrameBytes is the maximum size of a frame that a forwarder accepts, which
+	// suffices for a full view of about 50,000 hosts.
 	MaxFrameBytes = 16 << 20
-	// MaxReportBytes is the longest frame in bytes that a planner accepts.
+	// MaxReportBytes is the maximum size of a frame that a planner accepts.
 	MaxReportBytes = 1 << 20
 )
 
-// Errors of greetings and frames. All end the connection; none can be retried on it.
+// Errors of greetings and frames. After any of them the connection must be closed.
 var (
-	ErrMalformed      = errors.New("not the link's form")
-	ErrAuthentication = errors.New("the MAC is wrong: another key, or a changed message")
-	ErrTooLong        = errors.New("longer than is taken")
+	ErrMalformed      = errors.New("malformed greeting or frame")
+	ErrAuthentication = errors.New("message authentication failed: wrong key or altered message")
+	ErrTooLong        = errors.New("message exceeds the maximum size")
 )
 
-// ErrKeySize is the error of a key file that does not hold one shared key.
-var ErrKeySize = errors.New("a key has 32 bytes, written as 64 hexadecimal digits")
+// ErrKeySize is the error for a key file that does not contain one shared key.
+var ErrKeySize = errors.New("key must be 32 bytes, written as 64 hexadecimal digits")
--- a/internal/router/tier/link/link_test.go
+++ b/internal/router/tier/link/link_test.go
@@ -14,20 +14,20 @@
 
 var key, otherKey = [32]byte{1}, [32]byte{2}
 
-// sessions returns both sides of one connection.
+// sessions returns the sessions of both sides of a connection.
 func sessions() (forwarder, planner *Session) {
 	forwarderNonce, plannerNonce := [16]byte{3}, [16]byte{4}
 	return NewSession(&key, forwarderNonce, plannerNonce, true), NewSession(&key, forwarderNonce, plannerNonce, false)
 }
 
-// open opens a frame that is all that was received.
+// open opens a frame that must be all that was received.
 func open(session *Session, received []byte, maxBytes int) (Frame, error) {
 	size, err := FrameSize(received, maxBytes)
 	if err != nil {
 		return Frame{}, err
 	}
 	if size != len(received) {
-		return Frame{}, fmt.Errorf("a frame of %d bytes, %d received", size, len(received))
+		return Frame{}, fmt.Errorf("frame size is %d bytes, %d bytes received", size, len(received))
 	}
 	return session.Open(received)
 }
@@ -46,7 +46,7 @@
 			t.Fatalf("%d bytes received: size %d, %v", received, size, err)
 		}
 		if _, err := forwarder.Open(wire[:received]); err == nil {
-			t.Fatalf("a frame of %d of %d bytes is accepted", received, len(wire))
+			t.Fatalf("a truncated frame of %d of %d bytes is accepted", received, len(wire))
 		}
 	}
 	frame, err := open(forwarder, wire, MaxFrameBytes)
@@ -69,15 +69,15 @@
 	first, second := planner.Seal(nil, KindChange, []byte("one")), planner.Seal(nil, KindChange, []byte("two"))
 	altered := bytes.Clone(first)
 	altered[6] ^= 1
-	sender, _ := sessions()
-	reflected := sender.Seal(nil, KindChange, []byte("one"))
+	forwarderSession, _ := sessions()
+	reflected := forwarderSession.Seal(nil, KindChange, []byte("one"))
 	for name, frames := range map[string][][]byte{
-		"an altered byte":    {altered},
-		"the second first":   {second},
-		"the first twice":    {first, first},
-		"the own direction":  {reflected},
-		"a forged MAC":       {append(bytes.Clone(first[:len(first)-macBytes]), make([]byte, macBytes)...)},
-		"a different number": {first, second, second},
+		"altered byte":          {altered},
+		"first frame missing":   {second},
+		"first frame repeated":  {first, first},
+		"reflected frame":       {reflected},
+		"forged MAC":            {append(bytes.Clone(first[:len(first)-macBytes]), make([]byte, macBytes)...)},
+		"second frame repeated": {first, second, second},
 	} {
 		forwarder, _ := sessions()
 		var err error
@@ -97,15 +97,15 @@
 		t.Errorf("%+v %d %v", parsed, size, err)
 	}
 	if _, _, err := ParseGreeting(wire, &otherKey); !errors.Is(err, ErrAuthentication) {
-		t.Errorf("another key: %v", err)
+		t.Errorf("greeting with another key: %v", err)
 	}
 	greeting.Version = 9
 	_, size, err := ParseGreeting(AppendGreeting(nil, greeting, &key), &key)
 	if size == 0 || err == nil || !strings.Contains(err.Error(), "version 9") {
-		t.Errorf("another version: %v", err)
+		t.Errorf("greeting of another version: %v", err)
 	}
 	if err := (Greeting{Refusal: RefusalVersion}).RefusalError(); err == nil {
-		t.Error("a refusal is no error")
+		t.Error("RefusalError returns nil for a refusal")
 	}
 }
 
@@ -135,8 +135,8 @@
 			}
 		}
 		if report, err := DecodeReport(body); err == nil {
-			again, err := DecodeReport(EncodeBody(report))
-			if err != nil || len(again.Observations) != len(report.Observations) {
+			decoded, err := DecodeReport(EncodeBody(report))
+			if err != nil || len(decoded.Observations) != len(report.Observations) {
 				t.Fatalf("%+v does not round-trip: %v", report, err)
 			}
 		}
--- a/internal/router/tier/link/session.go
+++ b/internal/router/tier/link/session.go
@@ -7,47 +7,47 @@
 	"github.com/zeebo/blake3"
 )
 
-// A frame is the length of what follows (4 bytes, big-endian), the kind (1 byte),
-// the body and the MAC.
+// A frame consists of the length of the rest of the frame (4 bytes, big-endian),
+// the kind (1 byte), the body and the MAC.
 const (
 	lengthBytes      = 4
 	kindBytes        = 1
 	frameHeaderBytes = lengthBytes + kindBytes
-	minFrameLength   = kindBytes + macBytes // the least that a length field may say
+	minFrameLength   = kindBytes + macBytes // minimum value of the length field
 )
 
-// Contexts of key derivation, one a direction. They are part of the protocol.
+// Key derivation contexts, one for each direction. They are part of the protocol.
 const (
 	forwarderToPlanner = "ferrypitch link 1 forwarder to planner"
 	plannerToForwarder = "ferrypitch link 1 planner to forwarder"
 )
 
-// FrameKind says what a frame's body is.
+// FrameKind is the type of a frame's body.
 type FrameKind byte
 
 // Kinds of frames. A receiver ignores kinds that it does not know.
 const (
-	KindChange      FrameKind = 1 // a view.Change, sent by planners
-	KindReport      FrameKind = 2 // a Report, sent by forwarders
-	KindViewRequest FrameKind = 3 // no body: the forwarder asks for a full view
+	KindChange      FrameKind = 1 // view.Change, sent by planners
+	KindReport      FrameKind = 2 // Report, sent by forwarders
+	KindViewRequest FrameKind = 3 // request of a forwarder for the full view; no body
 )
 
-// Frame is a frame that was received.
+// Frame is a decoded frame, without its number and MAC.
 type Frame struct {
 	Kind FrameKind
 	Body []byte
 }
 
-// Session authenticates the frames of one connection: it seals what its side
-// sends and opens what the peer sends. The two directions are independent, so that
-// one goroutine may seal while another opens.
+// Session authenticates the frames of a connection. Seal encodes outgoing frames and
+// Open decodes incoming ones. The directions are independent, so that one goroutine
+// may call Seal while another calls Open.
 type Session struct {
 	sendKey, receiveKey        [32]byte
 	sentFrames, receivedFrames uint64
 }
 
-// NewSession derives the keys of a connection from the shared key and the nonces
-// of both greetings. isForwarder says which side the caller is.
+// NewSession derives the keys of a connection from the shared key and the nonces of
+// both greetings. isForwarder is true on the forwarder's side.
 func NewSession(key *[32]byte, forwarderNonce, plannerNonce [nonceBytes]byte, isForwarder bool) *Session {
 	var session Session
 	material := append([]byte{}, key[:]...)
@@ -61,7 +61,7 @@
 	return &session
 }
 
-// Seal appends the next frame to send.
+// Seal appends the next outgoing frame, with its MAC, to the buffer.
 func (s *Session) Seal(buffer []byte, kind FrameKind, body []byte) []byte {
 	start := len(buffer)
 	buffer = binary.BigEndian.AppendUint32(buffer, uint32(kindBytes+len(body)+macBytes))
@@ -72,10 +72,9 @@
 	return append(buffer, tag...)
 }
 
-// FrameSize returns the size in bytes of the frame at the beginning of what was
-// received, or of its header while that is incomplete. It does not trust the
-// length: a frame over maxBytes is ErrTooLong, one too short to be a frame
-// ErrMalformed.
+// FrameSize returns the size in bytes of the frame at the start of received, or the
+// size of the header if the header is incomplete. It validates the length field: a
+// frame of more than maxBytes is ErrTooLong, one below the minimum is ErrMalformed.
 func FrameSize(received []byte, maxBytes int) (int, error) {
 	if len(received) < frameHeaderBytes {
 		return frameHeaderBytes, nil
@@ -90,8 +89,8 @@
 	return lengthBytes + int(length), nil
 }
 
-// Open checks and parses one frame, whose size FrameSize gave. Frames must be
-// opened in the order in which the peer sealed them; any other is
+// Open verifies and decodes one frame of the size that FrameSize returned. Frames
+// must be opened in the order in which the peer sealed them; a frame out of order is
 // ErrAuthentication. The body shares the memory of the argument.
 func (s *Session) Open(frame []byte) (Frame, error) {
 	if len(frame) < lengthBytes+minFrameLength {
@@ -105,15 +104,16 @@
 	return Frame{Kind: FrameKind(frame[lengthBytes]), Body: signed[frameHeaderBytes:]}, nil
 }
 
-// frameMAC is the MAC of a frame and its number in its direction.
+// frameMAC returns the MAC of a frame and its number, counted for each direction.
 func frameMAC(key *[32]byte, number uint64, frame []byte) []byte {
 	return mac(key, binary.BigEndian.AppendUint64(nil, number), frame)
 }
 
+// mac returns the BLAKE3 keyed hash of the concatenated parts, truncated to macBytes.
 func mac(key *[32]byte, parts ...[]byte) []byte {
 	hasher, err := blake3.NewKeyed(key[:])
 	if err != nil {
-		panic(err) // only for a key of another size than its type has
+		panic(err) // impossible: the only error is a wrong key size
 	}
 	for _, part := range parts {
 		hasher.Write(part)
--- a/internal/router/tier/link/wire_test.go
+++ b/internal/router/tier/link/wire_test.go
@@ -8,8 +8,8 @@
 	"ferrypitch/policy"
 )
 
-// What version 1 of the protocol sent before this package was last reorganised.
-// Planners and forwarders of both sides of an upgrade exchange these bytes.
+// Encoded messages of protocol version 1. They must not change, since planners and
+// forwarders of different releases exchange them during an upgrade.
 const (
 	wireGreeting = "66706c6e0102010203040506070809000000000000000000000000000000026631c84ac4d0c2a32a3a8a6fb4c5d42bf93d"
 	wireChange   = "0000007601a80107020204a2010102182905a201010218290602071907d00882af0161610263783a3103617a04616b052206" +
@@ -55,9 +55,10 @@
 	checkWire(t, "a request for the full view", forwarder.Seal(nil, KindViewRequest, nil), wireViewRequest)
 }
 
+// checkWire compares an encoded message with its expected bytes in hexadecimal.
 func checkWire(t *testing.T, message string, sent []byte, expected string) {
 	t.Helper()
 	if encoded := hex.EncodeToString(sent); encoded != expected {
-		t.Errorf("%s is sent as %s, not as %s", message, encoded, expected)
+		t.Errorf("%s is encoded as %s, expected %s", message, encoded, expected)
 	}
 }
--- a/internal/router/tier/plan/links.go
+++ b/internal/router/tier/plan/links.go
@@ -15,8 +15,9 @@
 	"ferrypitch/internal/router/tier/view"
 )
 
-// acceptLinks accepts connections until the context ends. Those that have not
-// shown the key yet are bounded in number and in time.
+// acceptLinks accepts connections until the context is canceled. At most
+// MaxHandshakes unauthenticated connections are open at a time, each no longer than
+// HandshakeTimeout; further ones are closed.
 func (p *Server) acceptLinks(ctx context.Context, listener net.Listener) error {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	var links sync.WaitGroup
@@ -32,7 +33,7 @@
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return err
-		case err != nil: // for instance, out of file descriptors
+		case err != nil: // for example, the process is out of file descriptors
 			p.pauseAccepting(ctx)
 			continue
 		}
@@ -47,7 +48,7 @@
 	}
 }
 
-// pauseAccepting keeps acceptLinks from spinning on an error that lasts.
+// pauseAccepting delays the next accept, so that acceptLinks does not spin on a persistent error.
 func (p *Server) pauseAccepting(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -55,8 +56,8 @@
 	}
 }
 
-// serveLink runs one link until it ends. It releases its place in handshakes once
-// the greetings are exchanged.
+// serveLink serves one link until it ends. It releases its slot in handshakes after
+// the handshake.
 func (p *Server) serveLink(ctx context.Context, socket net.Conn, handshakes <-chan struct{}) {
 	defer socket.Close()
 	defer context.AfterFunc(ctx, func() { socket.Close() })()
@@ -64,7 +65,7 @@
 	<-handshakes
 	if err != nil {
 		p.RejectedLinks.Add(1)
-		p.log.Warn("a forwarder is refused", zap.String("from", socket.RemoteAddr().String()), zap.Error(err))
+		p.log.Warn("rejected a forwarder", zap.String("from", socket.RemoteAddr().String()), zap.Error(err))
 		if forwarder != nil {
 			p.enqueue(ctx, forwarder.Disconnected)
 		}
@@ -85,12 +86,12 @@
 		p.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, false, err.Error())
 	})
 	if ctx.Err() == nil {
-		p.log.Info("a forwarder left", zap.String("name", conn.Peer.Name), zap.Error(err))
+		p.log.Info("a forwarder disconnected", zap.String("name", conn.Peer.Name), zap.Error(err))
 	}
 }
 
-// handshake exchanges greetings. With an error the forwarder may still be set: it
-// was admitted, and the connection failed after that.
+// handshake exchanges greetings. The forwarder is also set if the connection fails
+// after the forwarder was admitted.
 func (p *Server) handshake(ctx context.Context, socket net.Conn) (*line.Conn, *planner.Forwarder, error) {
 	var forwarder *planner.Forwarder
 	accept := func(greeting link.Greeting) bool {
@@ -103,7 +104,8 @@
 	return conn, forwarder, err
 }
 
-// admit asks the core for a place for the forwarder, and returns nil if there is none.
+// admit adds the forwarder to the state machine. It returns nil if the forwarder limit is
+// reached or the context is canceled.
 func (p *Server) admit(ctx context.Context, greeting link.Greeting) *planner.Forwarder {
 	admitted := make(chan *planner.Forwarder, 1)
 	p.enqueue(ctx, func() {
@@ -117,8 +119,8 @@
 	}
 }
 
-// readFrames passes a forwarder's frames to the owner until the link ends, and
-// returns why it did. Frames of unknown kinds are ignored.
+// readFrames sends the content of a forwarder's frames to the owner until the link
+// fails, and returns the error. Frames of unknown kinds are ignored.
 func (p *Server) readFrames(ctx context.Context, forwarder *planner.Forwarder, conn *line.Conn) error {
 	for {
 		frame, err := conn.ReadFrame()
@@ -144,8 +146,8 @@
 	}
 }
 
-// broadcast sends a change to all connected forwarders, and instead of it the full
-// view to those that need it. Each is encoded once.
+// broadcast sends the full view to the forwarders that need it and the change to all
+// others. Each of the two is encoded only once.
 func (p *Server) broadcast(change *view.Change, fullViewTo []*planner.Forwarder) {
 	p.trace.Change(change, len(fullViewTo), len(p.conns))
 	hasFullView := map[*planner.Forwarder]bool{}
--- a/internal/router/tier/plan/lists.go
+++ b/internal/router/tier/plan/lists.go
@@ -11,8 +11,8 @@
 	"ferrypitch/policy"
 )
 
-// applyList parses one line of discovery's watch, passes it to the owner and
-// returns once the owner has applied it.
+// applyList parses one line of discovery's watch, sends the list to the owner and
+// waits until the owner has handled it.
 func (p *Server) applyList(ctx context.Context, text []byte) error {
 	object, err := setup.Decode("", text)
 	if err != nil {
@@ -35,13 +35,13 @@
 	}
 }
 
-// handleList runs on the owner's goroutine.
+// handleList applies a list. It must be called by the owner's goroutine.
 func (p *Server) handleList(revision int64, complete bool, entries []view.Host) {
 	accepted := p.core.ApplyList(p.clock.Now(), revision, complete, entries)
 	p.trace.List(revision, complete, len(entries), accepted)
 	if !accepted {
 		p.StaleLists.Add(1)
-		p.log.Warn("a list that is older than the one held", zap.Int64("rev", revision))
+		p.log.Warn("ignored a list that is older than the one held", zap.Int64("rev", revision))
 		return
 	}
 	p.listRevision.Store(revision)
@@ -50,25 +50,25 @@
 	p.updateHostPool()
 }
 
-// updateHostPool gives each host in service an entry in the pool of connections,
-// and removes the entries of all others.
+// updateHostPool adds the active hosts to the connection pool, updates their
+// addresses and removes all other hosts.
 func (p *Server) updateHostPool() {
-	inService := map[string]bool{}
+	active := map[string]bool{}
 	for _, host := range p.core.View().Hosts() {
 		if host.Standing != policy.Active {
 			continue
 		}
-		inService[host.Name] = true
+		active[host.Name] = true
 		if p.hosts[host.Name] == nil {
 			p.hosts[host.Name] = p.pool.Add(host.Address)
 		}
 		p.hosts[host.Name].SetAddress(host.Address)
 	}
 	for name, host := range p.hosts {
-		if !inService[name] {
+		if !active[name] {
 			host.Remove()
 			delete(p.hosts, name)
 		}
 	}
-	p.hostCount.Store(int64(len(inService)))
+	p.hostCount.Store(int64(len(active)))
 }
--- a/internal/router/tier/plan/plan.go
+++ b/internal/router/tier/plan/plan.go
@@ -1,9 +1,9 @@
-// Package plan runs a planner: it accepts the links of forwarders, watches
-// discovery and probes hosts.
+// Package plan implements the server of a planner: it accepts the links of
+// forwarders, watches discovery and probes hosts.
 //
-// One goroutine owns the planner's core and executes the actions that it returns.
-// The watch, the probes and each link have goroutines of their own, which pass
-// what comes in to the owner as functions on a channel.
+// One goroutine, runOwner, owns the state machine of package planner and executes
+// the actions that it returns. The watch, the probes and the links run in other
+// goroutines, which send events to the owner as functions on a channel.
 package plan
 
 import (
@@ -26,17 +26,17 @@
 )
 
 const (
-	// eventQueueLength is how many events may wait for the owner.
+	// eventQueueLength is the capacity of the owner's event queue.
 	eventQueueLength = 1024
-	// minTickDelay keeps the owner from spinning when the next tick is overdue.
+	// minTickDelay is the minimum delay between ticks, so that the owner does not spin when a tick is overdue.
 	minTickDelay = time.Millisecond
-	// workPerCommand is the unit of cold work: thousandths of a command of the usual mix.
+	// workPerCommand converts cold work, in thousandths of a command of average cost, to commands.
 	workPerCommand = 1000
 )
 
-var errForwarderSilent = errors.New("the forwarder says nothing")
+var errForwarderSilent = errors.New("timeout: no frame from the forwarder")
 
-// Server is the process of one planner.
+// Server is the server of a planner.
 type Server struct {
 	start       *setup.Start
 	settings    *setup.PlannerSection
@@ -45,9 +45,9 @@
 	clock       *clock.Clock
 	buffers     *transport.BufferBudget
 	events      chan func()
-	trace       *record.Planner // nil while nothing is captured
+	trace       *record.Planner // nil if no trace is recorded
 
-	// Owned by the goroutine of runOwner.
+	// Accessed only by the goroutine of runOwner.
 	core  *planner.Planner
 	hosts map[string]*transport.Host
 	conns map[*planner.Forwarder]*line.Conn
@@ -55,17 +55,17 @@
 	pool         *transport.HostPool // set by Run
 	listRevision atomic.Int64
 
-	// Counters, which any goroutine may read.
+	// Counters. Any goroutine may read them.
 	AcceptedLinks, RejectedLinks, BrokenLinks atomic.Int64
 	Probes, AppliedLists, StaleLists          atomic.Int64
-	FullViews, Changes, SentBytes, Reports    atomic.Int64 // frames sent, the bytes of their bodies, frames received
+	FullViews, Changes, SentBytes, Reports    atomic.Int64 // frames sent by kind, bytes of their bodies, and reports received
 
-	// Copies of the core's counters for LogFields.
+	// Copies of the owner's counters for LogFields.
 	openLinks, leaseCount, duplicateLeases, timedOutLinks, failedProbes, coldWork, hostCount atomic.Int64
 }
 
-// New makes a planner. incarnation differs from that of any other process; trace
-// may be nil.
+// New returns a planner's server. incarnation must be unique among all planner
+// processes. trace may be nil.
 func New(start *setup.Start, settings *setup.PlannerSection, incarnation uint64, trace *record.Planner, log *zap.Logger) *Server {
 	planClock := clock.New(time.Now)
 	config := planner.Config{
@@ -94,16 +94,17 @@
 	}
 }
 
+// tenths converts a duration to tenths of a millisecond.
 func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
 
-// Run serves forwarders on the listener until the context ends, and returns once
-// all its goroutines have ended.
+// Run serves forwarders on the listener until the context is canceled or a task
+// fails, and returns once all its goroutines have ended.
 func (p *Server) Run(ctx context.Context, listener net.Listener) error {
 	tasks, ctx := errgroup.WithContext(ctx)
 	p.pool = transport.NewHostPool(ctx, &p.start.Limits, p.buffers)
 	applyList := func(text []byte, _ bool) error { return p.applyList(ctx, text) }
-	watchEnded := func(err error) { p.log.Warn("the watch of the list ended", zap.Error(err)) }
-	watch := transport.NewWatch(&p.start.Limits, p.buffers, p.start.Discovery, p.listRevision.Load, applyList, watchEnded)
+	onWatchError := func(err error) { p.log.Warn("the watch of the list ended", zap.Error(err)) }
+	watch := transport.NewWatch(&p.start.Limits, p.buffers, p.start.Discovery, p.listRevision.Load, applyList, onWatchError)
 	tasks.Go(func() error { return watch.Run(ctx) })
 	tasks.Go(func() error { return p.acceptLinks(ctx, listener) })
 	tasks.Go(func() error { p.runOwner(ctx); return nil })
@@ -112,7 +113,7 @@
 	return err
 }
 
-// enqueue passes an event to the owner, unless the context ends first.
+// enqueue sends an event to the owner, unless the context is canceled first.
 func (p *Server) enqueue(ctx context.Context, event func()) {
 	select {
 	case p.events <- event:
@@ -120,7 +121,7 @@
 	}
 }
 
-// runOwner is the loop of the goroutine that owns the core.
+// runOwner is the event loop of the goroutine that owns the state machine.
 func (p *Server) runOwner(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -132,7 +133,7 @@
 		case event := <-p.events:
 			p.traceTime()
 			event()
-			for range len(p.events) { // all that wait already cost one tick
+			for range len(p.events) { // one tick for all queued events
 				(<-p.events)()
 			}
 		case <-timer.C:
@@ -143,14 +144,14 @@
 	}
 }
 
-// traceTime records the time of the events that follow.
+// traceTime sets the time of the trace events that follow.
 func (p *Server) traceTime() {
 	if p.trace != nil {
 		p.trace.SetTime(p.clock.Now(), time.Now().UnixNano()/int64(clock.Tenth))
 	}
 }
 
-// tick executes what is due and returns the time of the next tick.
+// tick executes the actions that are due and returns the time of the next tick.
 func (p *Server) tick(ctx context.Context) policy.TenthMs {
 	actions := p.core.Tick(p.clock.Now())
 	for _, name := range actions.Probes {
@@ -169,6 +170,7 @@
 	return actions.NextTick
 }
 
+// copyCounters updates the counters that LogFields reads.
 func (p *Server) copyCounters() {
 	p.openLinks.Store(int64(len(p.conns)))
 	p.leaseCount.Store(int64(p.core.LeaseCount()))
@@ -178,7 +180,7 @@
 	p.coldWork.Store(p.core.ColdWork)
 }
 
-// LogFields returns the counters for a log line.
+// LogFields returns the counters as fields of a log entry. Any goroutine may call it.
 func (p *Server) LogFields() []zap.Field {
 	return []zap.Field{
 		zap.Int64("forwarders_open", p.openLinks.Load()),
--- a/internal/router/tier/plan/plan_test.go
+++ b/internal/router/tier/plan/plan_test.go
@@ -22,20 +22,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// waitLimit is how long a test waits before it fails.
+// waitLimit is the time after which a waiting test fails.
 const waitLimit = 20 * time.Second
 
 var key, otherKey = [32]byte{1}, [32]byte{2}
 
-// startPlanner runs a planner on a discovery of so many hosts, none of which responds.
+// startPlanner runs a planner with a fake discovery service that lists the given number of hosts, none of which
+// responds. change may modify the settings.
 func startPlanner(t *testing.T, hosts int, change func(*setup.PlannerSection)) (address string, p *Server, log *observer.ObservedLogs) {
 	t.Helper()
-	d, err := discovery.New()
+	fakeDiscovery, err := discovery.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range hosts {
-		d.Update(discovery.Entry{UID: "h" + strings.Repeat("x", 60) + string(rune('a'+i%26)) + string(rune('a'+i/26)), Endpoint: "127.0.0.1:1", Set: 1, State: "up"})
+		fakeDiscovery.Update(discovery.Entry{UID: "h" + strings.Repeat("x", 60) + string(rune('a'+i%26)) + string(rune('a'+i/26)), Endpoint: "127.0.0.1:1", Set: 1, State: "up"})
 	}
 	section := &setup.PlannerSection{
 		Key: key, MaxForwarders: 4, MaxProbesInFlight: 4, ProbesPerSecond: 10, ReportsPerSecond: 100, FramesPerSecond: 1000, PositionBytesPerSecond: 1 << 20,
@@ -45,29 +46,30 @@
 	if change != nil {
 		change(section)
 	}
-	start := &setup.Start{Name: "p", Discovery: d.Address(), Limits: setup.Limits{
+	start := &setup.Start{Name: "p", Discovery: fakeDiscovery.Address(), Limits: setup.Limits{
 		MaxHostConns: 8, InitialBuffer: 1 << 10, BufferBudget: 1 << 22, MaxHostMessage: 1 << 16,
 		MaxListLine: 1 << 20, ConnectTimeout: time.Second, HostIdleTimeout: waitLimit, DiscoveryTimeout: waitLimit, RetryDelay: 10 * time.Millisecond,
 	}}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	core, log := observer.New(zap.InfoLevel)
 	p = New(start, section, 7, nil, zap.New(core))
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- p.Run(ctx, l) }()
+	go func() { ended <- p.Run(ctx, listener) }()
 	t.Cleanup(func() {
-		end()
+		cancel()
 		if err := <-ended; err != nil {
-			t.Errorf("the planner ended: %v", err)
+			t.Errorf("the planner returned an error: %v", err)
 		}
-		d.Stop()
+		fakeDiscovery.Stop()
 	})
-	return l.Addr().String(), p, log
+	return listener.Addr().String(), p, log
 }
 
+// dial connects to the planner without a handshake.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -81,22 +83,22 @@
 	return conn
 }
 
-// connect is a forwarder's side of the handshake.
+// connect performs the forwarder's side of the handshake.
 func connect(conn net.Conn, sharedKey *[32]byte) (*line.Conn, error) {
 	return line.ForwarderHandshake(conn, sharedKey, "f", 3, 4, link.MaxFrameBytes, time.Second)
 }
 
-// waitForLog waits for a log line with a message, whose error contains a text.
+// waitForLog waits for a log entry with the given message whose error contains text.
 func waitForLog(t *testing.T, log *observer.ObservedLogs, message, text string) {
 	t.Helper()
 	for deadline := time.Now().Add(waitLimit); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		for _, e := range log.FilterMessage(message).All() {
-			if err, _ := e.ContextMap()["error"].(string); strings.Contains(err, text) {
+		for _, entry := range log.FilterMessage(message).All() {
+			if err, _ := entry.ContextMap()["error"].(string); strings.Contains(err, text) {
 				return
 			}
 		}
 	}
-	t.Errorf("%q with %q is not logged", message, text)
+	t.Errorf("no log entry %q whose error contains %q", message, text)
 }
 
 func TestForwarderReceivesFullViewThenChanges(t *testing.T) {
@@ -124,52 +126,52 @@
 func TestAnotherKeyOrVersionIsRejectedWithReason(t *testing.T) {
 	address, p, log := startPlanner(t, 1, nil)
 	if _, err := connect(dial(t, address), &otherKey); err == nil {
-		t.Error("another key is accepted")
+		t.Error("a forwarder with another key is accepted")
 	}
-	waitForLog(t, log, "a forwarder is refused", "another key")
+	waitForLog(t, log, "rejected a forwarder", "wrong key")
 	conn := dial(t, address)
 	conn.Write(link.AppendGreeting(nil, link.Greeting{Version: 9, Name: "f"}, &key))
-	answer, _ := io.ReadAll(conn)
-	if g, _, err := link.ParseGreeting(answer, &key); err != nil || g.Refusal != link.RefusalVersion {
-		t.Errorf("%+v %v", g, err)
+	response, _ := io.ReadAll(conn)
+	if greeting, _, err := link.ParseGreeting(response, &key); err != nil || greeting.Refusal != link.RefusalVersion {
+		t.Errorf("%+v %v", greeting, err)
 	}
-	waitForLog(t, log, "a forwarder is refused", "version 9")
+	waitForLog(t, log, "rejected a forwarder", "version 9")
 	if p.RejectedLinks.Load() != 2 {
-		t.Errorf("%d refused", p.RejectedLinks.Load())
+		t.Errorf("%d links rejected", p.RejectedLinks.Load())
 	}
 }
 
 func TestForwardersOverCapacityAreRejectedWithReason(t *testing.T) {
-	address, _, _ := startPlanner(t, 1, func(s *setup.PlannerSection) { s.MaxForwarders = 1 })
+	address, _, _ := startPlanner(t, 1, func(section *setup.PlannerSection) { section.MaxForwarders = 1 })
 	if _, err := connect(dial(t, address), &key); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := connect(dial(t, address), &key); err == nil || !strings.Contains(err.Error(), "as many forwarders") {
+	if _, err := connect(dial(t, address), &key); err == nil || !strings.Contains(err.Error(), "forwarder limit reached") {
 		t.Errorf("%v", err)
 	}
 }
 
 func TestSlowReaderIsDisconnectedWithoutEffectOnOthers(t *testing.T) {
 	address, _, log := startPlanner(t, 600, nil)
-	narrow := dial(t, address)
-	// Otherwise the kernel decides how long it takes until the buffer is full.
-	if err := narrow.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
+	slowSocket := dial(t, address)
+	// A small buffer fills up quickly; the kernel's default size would determine the duration of the test.
+	if err := slowSocket.(*net.TCPConn).SetReadBuffer(4 << 10); err != nil {
 		t.Fatal(err)
 	}
-	slow, err := connect(narrow, &key)
+	slow, err := connect(slowSocket, &key)
 	if err != nil {
 		t.Fatal(err)
 	}
 	slow.StartWriter()
-	quick, err := connect(dial(t, address), &key)
+	fast, err := connect(dial(t, address), &key)
 	if err != nil {
 		t.Fatal(err)
 	}
-	quick.StartWriter()
+	fast.StartWriter()
 	defer slow.CloseWithError(nil)
-	defer quick.CloseWithError(nil)
+	defer fast.CloseWithError(nil)
 	go func() {
-		for { // requests the full view again and again, and reads nothing
+		for { // keeps requesting the full view and reads nothing
 			slow.Send(link.KindViewRequest, nil)
 			select {
 			case <-time.After(5 * time.Millisecond):
@@ -178,12 +180,13 @@
 			}
 		}
 	}()
-	// A forwarder that sends nothing for a second is disconnected, and it may take as long until the slow one is.
+	// A forwarder that sends nothing for a second is disconnected. The disconnection of the slow reader may take as
+	// long, so the other one must send frames meanwhile.
 	go func() {
 		for {
 			select {
 			case <-time.After(300 * time.Millisecond):
-				quick.Send(link.KindViewRequest, nil)
+				fast.Send(link.KindViewRequest, nil)
 			case <-t.Context().Done():
 				return
 			}
@@ -191,12 +194,12 @@
 	}()
 	slowDisconnected := make(chan struct{})
 	go func() {
-		waitForLog(t, log, "a forwarder left", "reads too slowly")
+		waitForLog(t, log, "a forwarder disconnected", "reads too slowly")
 		close(slowDisconnected)
 	}()
-	for read := 0; ; read++ {
-		if _, err := quick.ReadFrame(); err != nil {
-			t.Fatalf("after %d frames: %v", read, err)
+	for frames := 0; ; frames++ {
+		if _, err := fast.ReadFrame(); err != nil {
+			t.Fatalf("after %d frames: %v", frames, err)
 		}
 		select {
 		case <-slowDisconnected:
@@ -208,16 +211,16 @@
 
 func TestIncompleteGreetingTimesOut(t *testing.T) {
 	address, _, _ := startPlanner(t, 1, nil)
-	unfinished := []net.Conn{dial(t, address), dial(t, address)}
-	for _, c := range unfinished {
-		c.Write([]byte("fpl"))
+	incomplete := []net.Conn{dial(t, address), dial(t, address)}
+	for _, conn := range incomplete {
+		conn.Write([]byte("fpl"))
 	}
-	for _, c := range unfinished {
-		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && err == nil {
+	for _, conn := range incomplete {
+		if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && err == nil {
 			t.Errorf("%v", err)
 		}
 	}
 	if _, err := connect(dial(t, address), &key); err != nil {
-		t.Errorf("afterwards: %v", err)
+		t.Errorf("handshake after the timeout: %v", err)
 	}
 }
--- a/internal/router/tier/plan/probe.go
+++ b/internal/router/tier/plan/probe.go
@@ -11,7 +11,7 @@
 	"ferrypitch/policy"
 )
 
-// The statements of probes. Hosts that report their load name their position and role in the result.
+// Statements of probes. A host that reports its load includes its position and role in the result.
 const (
 	probeStatement      = "SELECT 1"
 	loadReportStatement = "SHOW server_load"
@@ -19,15 +19,15 @@
 
 const (
 	tenthsPerMillisecond = 10
-	// positionToleranceMs is how far a position may be ahead of the clock: hosts round it up.
+	// positionToleranceMs is how far a valid position may be ahead of the clock, since hosts round it up.
 	positionToleranceMs = 2
 )
 
-// noPosition is the position of a response that names none.
+// noPosition is the position if a response contains none.
 const noPosition = policy.TenthMs(-1)
 
-// probe sends a probe to a host. The core learns of its end exactly once, at the
-// latest after the connect timeout.
+// probe sends a probe to a host. The result is reported to the state machine exactly
+// once, at the latest after the connect timeout.
 func (p *Server) probe(ctx context.Context, name string) {
 	host := p.hosts[name]
 	if host == nil {
@@ -56,7 +56,7 @@
 	})
 }
 
-// finishProbe runs on the owner's goroutine.
+// finishProbe reports the result of a probe. It must be called by the owner's goroutine.
 func (p *Server) finishProbe(name string, sentAt policy.TenthMs, answer transport.Answer) {
 	now := p.clock.Now()
 	responded := answer.Outcome == policy.Answered
@@ -65,17 +65,17 @@
 	p.core.ProbeFinished(now, name, responded, position, role, sentAt)
 }
 
-// parseHostStatus returns the position and role that an answer names: in its parameters,
-// or in a load report. The position is noPosition if there is none.
+// parseHostStatus returns the position and role in a response, from its parameters or
+// from a load report. The position is noPosition if the response contains none.
 func (p *Server) parseHostStatus(answer transport.Answer, now policy.TenthMs) (policy.TenthMs, policy.Role) {
 	maxPositionMs := float64(now)/tenthsPerMillisecond + positionToleranceMs
 	position, role := setup.ParseHostStatus(answer.Position, answer.Role, maxPositionMs)
 	if position >= 0 || !p.start.Deployment.PositionsReported {
 		return position, role
 	}
-	terms := p.start.Formats
-	reportedPosition, reportedRole, ok := terms.ParseLoadReport(func(i int) (float64, bool) {
-		return protocol.LoadReportField(answer.Value, terms.Fields[i])
+	formats := p.start.Formats
+	reportedPosition, reportedRole, ok := formats.ParseLoadReport(func(i int) (float64, bool) {
+		return protocol.LoadReportField(answer.Value, formats.Fields[i])
 	})
 	if !ok {
 		return position, role
