--- a/cmd/ferrypitch/plan.go
+++ b/cmd/ferrypitch/plan.go
@@ -14,7 +14,7 @@
 
 	"ferrypitch/internal/router/service"
 	"ferrypitch/internal/router/setup"
-	"ferrypitch/internal/router/tier/plan"
+	"ferrypitch/internal/router/tier/plannerserver"
 	"ferrypitch/internal/router/trace/file"
 	"ferrypitch/internal/router/trace/record"
 )
@@ -63,7 +63,7 @@
 		recorder = record.NewPlanner(writer, section.Block)
 	}
 	finishTrace := service.StartTrace(writer)
-	planner := plan.New(operator.Start, operator.Plan, service.NewIncarnation(), recorder, log)
+	planner := plannerserver.New(operator.Start, operator.Plan, service.NewIncarnation(), recorder, log)
 	counters := func() []zap.Field {
 		fields := planner.LogFields()
 		if writer != nil {
--- a/internal/router/tier/doc.go
+++ b/internal/router/tier/doc.go
@@ -4,16 +4,17 @@
 //
 // Each tier has a state machine without I/O and a package that runs it on sockets:
 //
-//   - planner is the state machine of a planner; plan is its server.
-//   - follower is the state machine of a forwarder's links to the planners; forward
-//     is the client that runs it.
+//   - planner is the state machine of a planner; plannerserver is the server that
+//     runs it.
+//   - follower is the state machine of a forwarder's links to the planners;
+//     plannerclient is the client that runs it.
 //   - view is the data that planners send: the state of the fleet, its changes and
 //     the merge of views.
-//   - link is the protocol between the tiers, without I/O; line implements it on a
-//     network connection.
+//   - link is the protocol between the tiers, without I/O; linkconn implements it on
+//     a network connection.
 //
 // Data flows in both directions:
 //
-//	discovery -> plan (planner) -> line (link) -> forward (follower) -> routing
-//	responses of hosts -> routing -> forward -> line (link) -> plan (planner)
+//	discovery -> plannerserver (planner) -> linkconn (link) -> plannerclient (follower) -> routing
+//	responses of hosts -> routing -> plannerclient -> linkconn (link) -> plannerserver (planner)
 package tier
--- a/internal/router/tier/link/link.go
+++ b/internal/router/tier/link/link.go
@@ -10,7 +10,7 @@
 // full view. Each frame has a MAC, keyed by direction, that covers the frame's
 // number, so that a forged, altered, omitted or replayed frame is detected.
 //
-// Package line carries the bytes over a connection.
+// Package linkconn sends and receives the bytes on a network connection.
 package link
 
 import "errors"
--- a/internal/router/tier/line/line.go
+++ b/internal/router/tier/linkconn/conn.go
@@ -1,11 +1,11 @@
-// Package line sends and receives the frames of package link over a network
+// Package linkconn sends and receives the frames of package link over a network
 // connection.
 //
 // ForwarderHandshake and PlannerHandshake exchange greetings and return a Conn. The
 // caller reads frames in one goroutine. StartWriter starts another goroutine, which
 // writes frames from a bounded queue. A peer that reads too slowly is disconnected
 // once the queue is full, so that it cannot delay other peers.
-package line
+package linkconn
 
 import (
 	"errors"
--- a/internal/router/tier/line/line_test.go
+++ b/internal/router/tier/linkconn/conn_test.go
@@ -1,4 +1,4 @@
-package line
+package linkconn
 
 import (
 	"bytes"
--- a/internal/router/tier/forward/forward.go
+++ b/internal/router/tier/plannerclient/client.go
@@ -1,11 +1,11 @@
-// Package forward implements a forwarder's client of the planners.
+// Package plannerclient implements a forwarder's client of the planners.
 //
 // The goroutine of Run owns the state machine of package follower and executes the
 // actions that it returns. Each link has a goroutine that dials and reads, and
 // sends events to the owner as functions on a channel. The owner passes changes of
 // the view to the router, and reports the router's observations of hosts to the
 // planners. Another goroutine stores the view on disk for the next start.
-package forward
+package plannerclient
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	"ferrypitch/internal/router/clock"
 	"ferrypitch/internal/router/setup"
 	"ferrypitch/internal/router/tier/follower"
-	"ferrypitch/internal/router/tier/line"
 	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/linkconn"
 	"ferrypitch/internal/router/tier/view"
 	"ferrypitch/policy"
 )
@@ -56,7 +56,7 @@
 	clock          *clock.Clock
 	core           *follower.Follower
 	events         chan func()
-	conns          map[*follower.Planner]*line.Conn
+	conns          map[*follower.Planner]*linkconn.Conn
 	snapshots      chan []byte // encoded views for the goroutine of writeSnapshots
 	nextSnapshotAt policy.TenthMs
 
@@ -82,7 +82,7 @@
 		clock:     forwardClock,
 		core:      follower.New(incarnation, config, settings.Planners, routers, forwardClock.Now()),
 		events:    make(chan func(), eventQueueLength),
-		conns:     map[*follower.Planner]*line.Conn{},
+		conns:     map[*follower.Planner]*linkconn.Conn{},
 		snapshots: make(chan []byte, 1),
 	}
 	f.ViewAgeMs.Store(-1)
--- a/internal/router/tier/forward/link.go
+++ b/internal/router/tier/plannerclient/link.go
@@ -1,4 +1,4 @@
-package forward
+package plannerclient
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 
 	"ferrypitch/internal/router/tier/follower"
-	"ferrypitch/internal/router/tier/line"
 	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/linkconn"
 	"ferrypitch/internal/router/tier/view"
 )
 
@@ -37,7 +37,7 @@
 	defer socket.Close()
 	defer context.AfterFunc(ctx, func() { socket.Close() })()
 	socket.SetDeadline(time.Now().Add(f.settings.DialTimeout))
-	conn, err := line.ForwarderHandshake(socket, &f.settings.Key, f.name, f.incarnation,
+	conn, err := linkconn.ForwarderHandshake(socket, &f.settings.Key, f.name, f.incarnation,
 		f.settings.MaxQueuedFrames, f.settings.MaxFrameBytes, f.settings.WriteTimeout)
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 }
 
 // receiveChange decodes a change and sends it to the owner.
-func (f *Forwarder) receiveChange(ctx context.Context, planner *follower.Planner, conn *line.Conn, body []byte) error {
+func (f *Forwarder) receiveChange(ctx context.Context, planner *follower.Planner, conn *linkconn.Conn, body []byte) error {
 	change, err := link.DecodeChange(body)
 	if err != nil {
 		f.InvalidChanges.Add(1)
@@ -81,7 +81,7 @@
 
 // applyChange applies a change and requests the full view if necessary. It must be called by the owner's
 // goroutine. A change from a link that has ended is ignored.
-func (f *Forwarder) applyChange(planner *follower.Planner, conn *line.Conn, change view.Change) {
+func (f *Forwarder) applyChange(planner *follower.Planner, conn *linkconn.Conn, change view.Change) {
 	if f.conns[planner] != conn {
 		return
 	}
--- a/internal/router/tier/forward/snapshot.go
+++ b/internal/router/tier/plannerclient/snapshot.go
@@ -1,4 +1,4 @@
-package forward
+package plannerclient
 
 import (
 	"context"
--- a/internal/router/tier/plan/links.go
+++ b/internal/router/tier/plannerserver/links.go
@@ -1,4 +1,4 @@
-package plan
+package plannerserver
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"go.uber.org/zap"
 
-	"ferrypitch/internal/router/tier/line"
 	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/linkconn"
 	"ferrypitch/internal/router/tier/planner"
 	"ferrypitch/internal/router/tier/view"
 )
@@ -92,14 +92,14 @@
 
 // handshake exchanges greetings. The forwarder is also set if the connection fails
 // after the forwarder was admitted.
-func (p *Server) handshake(ctx context.Context, socket net.Conn) (*line.Conn, *planner.Forwarder, error) {
+func (p *Server) handshake(ctx context.Context, socket net.Conn) (*linkconn.Conn, *planner.Forwarder, error) {
 	var forwarder *planner.Forwarder
 	accept := func(greeting link.Greeting) bool {
 		forwarder = p.admit(ctx, greeting)
 		return forwarder != nil
 	}
 	socket.SetDeadline(time.Now().Add(p.settings.HandshakeTimeout))
-	conn, err := line.PlannerHandshake(socket, &p.settings.Key, p.start.Name, p.incarnation,
+	conn, err := linkconn.PlannerHandshake(socket, &p.settings.Key, p.start.Name, p.incarnation,
 		p.settings.MaxQueuedFrames, p.settings.MaxFrameBytes, p.settings.WriteTimeout, accept)
 	return conn, forwarder, err
 }
@@ -121,7 +121,7 @@
 
 // readFrames sends the content of a forwarder's frames to the owner until the link
 // fails, and returns the error. Frames of unknown kinds are ignored.
-func (p *Server) readFrames(ctx context.Context, forwarder *planner.Forwarder, conn *line.Conn) error {
+func (p *Server) readFrames(ctx context.Context, forwarder *planner.Forwarder, conn *linkconn.Conn) error {
 	for {
 		frame, err := conn.ReadFrame()
 		if err != nil {
--- a/internal/router/tier/plan/probe.go
+++ b/internal/router/tier/plannerserver/probe.go
@@ -1,4 +1,4 @@
-package plan
+package plannerserver
 
 import (
 	"context"
--- a/internal/router/tier/plan/plan.go
+++ b/internal/router/tier/plannerserver/server.go
@@ -1,10 +1,10 @@
-// Package plan implements the server of a planner: it accepts the links of
+// Package plannerserver implements the server of a planner: it accepts the links of
 // forwarders, watches discovery and probes hosts.
 //
 // One goroutine, runOwner, owns the state machine of package planner and executes
 // the actions that it returns. The watch, the probes and the links run in other
 // goroutines, which send events to the owner as functions on a channel.
-package plan
+package plannerserver
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 	"ferrypitch/internal/router/clock"
 	"ferrypitch/internal/router/setup"
-	"ferrypitch/internal/router/tier/line"
+	"ferrypitch/internal/router/tier/linkconn"
 	"ferrypitch/internal/router/tier/planner"
 	"ferrypitch/internal/router/trace/record"
 	"ferrypitch/internal/router/transport"
@@ -50,7 +50,7 @@
 	// Accessed only by the goroutine of runOwner.
 	core  *planner.Planner
 	hosts map[string]*transport.Host
-	conns map[*planner.Forwarder]*line.Conn
+	conns map[*planner.Forwarder]*linkconn.Conn
 
 	pool         *transport.HostPool // set by Run
 	listRevision atomic.Int64
@@ -90,7 +90,7 @@
 		events:  make(chan func(), eventQueueLength),
 		core:    planner.New(incarnation, config, planClock.Now()),
 		hosts:   map[string]*transport.Host{},
-		conns:   map[*planner.Forwarder]*line.Conn{},
+		conns:   map[*planner.Forwarder]*linkconn.Conn{},
 	}
 }
 
--- a/internal/router/tier/plan/plan_test.go
+++ b/internal/router/tier/plannerserver/server_test.go
@@ -1,4 +1,4 @@
-package plan
+package plannerserver
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 
 	"ferrypitch/internal/fake/discovery"
 	"ferrypitch/internal/router/setup"
-	"ferrypitch/internal/router/tier/line"
 	"ferrypitch/internal/router/tier/link"
+	"ferrypitch/internal/router/tier/linkconn"
 	"ferrypitch/internal/router/tier/view"
 )
 
@@ -84,8 +84,8 @@
 }
 
 // connect performs the forwarder's side of the handshake.
-func connect(conn net.Conn, sharedKey *[32]byte) (*line.Conn, error) {
-	return line.ForwarderHandshake(conn, sharedKey, "f", 3, 4, link.MaxFrameBytes, time.Second)
+func connect(conn net.Conn, sharedKey *[32]byte) (*linkconn.Conn, error) {
+	return linkconn.ForwarderHandshake(conn, sharedKey, "f", 3, 4, link.MaxFrameBytes, time.Second)
 }
 
 // waitForLog waits for a log entry with the given message whose error contains text.
--- a/internal/simulation/tierfleet/run.go
+++ b/internal/simulation/tierfleet/run.go
@@ -10,7 +10,7 @@
 
 	"ferrypitch/internal/router/service"
 	"ferrypitch/internal/router/setup"
-	"ferrypitch/internal/router/tier/plan"
+	"ferrypitch/internal/router/tier/plannerserver"
 )
 
 // noEnvironment is an environment without variables: files alone say how programs run.
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	p := plan.New(operator.Start, operator.Plan, service.NewIncarnation(), nil, log.Named(operator.Start.Name))
+	p := plannerserver.New(operator.Start, operator.Plan, service.NewIncarnation(), nil, log.Named(operator.Start.Name))
 	tasks.Go(func() error { return p.Run(ctx, listener) })
 	return nil
 }
