--- a/internal/router/tier/follower/follower.go
+++ b/internal/router/tier/follower/follower.go
@@ -60,10 +60,11 @@
 }
 
 // New returns the state of a forwarder that connects to the planners at the given
-// addresses. routers is the number of routers to assume until a planner reports it.
-func New(seed uint64, config Config, planners []string, routers int, now policy.TenthMs) *Follower {
+// addresses. initialRouterCount is the number of routers to assume until a planner
+// reports it.
+func New(seed uint64, config Config, planners []string, initialRouterCount int, now policy.TenthMs) *Follower {
 	f := &Follower{
-		config: config, seed: seed, now: now, routerCount: routers, noPlanner: true,
+		config: config, seed: seed, now: now, routerCount: initialRouterCount, noPlanner: true,
 		changedLateness: map[string]bool{},
 	}
 	for _, address := range planners {
--- a/internal/router/tier/plannerclient/client.go
+++ b/internal/router/tier/plannerclient/client.go
@@ -68,8 +68,11 @@
 }
 
 // New returns a forwarder's client. incarnation must be unique among all forwarder
-// processes. routers is the number of routers to assume until a planner reports it.
-func New(settings *setup.ForwarderSection, name string, incarnation uint64, routers int, router Router, log *zap.Logger) *Forwarder {
+// processes. initialRouterCount is the number of routers to assume until a planner
+// reports it.
+func New(settings *setup.ForwarderSection, name string, incarnation uint64, initialRouterCount int,
+	router Router, log *zap.Logger,
+) *Forwarder {
 	forwardClock := clock.New(time.Now)
 	config := follower.Config{
 		InitialBackoff: tenths(settings.RetryDelay),
@@ -80,7 +83,7 @@
 	f := &Forwarder{
 		settings: settings, name: name, incarnation: incarnation, router: router, log: log,
 		clock:     forwardClock,
-		core:      follower.New(incarnation, config, settings.Planners, routers, forwardClock.Now()),
+		core:      follower.New(incarnation, config, settings.Planners, initialRouterCount, forwardClock.Now()),
 		events:    make(chan func(), eventQueueLength),
 		conns:     map[*follower.Planner]*linkconn.Conn{},
 		snapshots: make(chan []byte, 1),
--- a/internal/router/tier/plannerserver/lists.go
+++ b/internal/router/tier/plannerserver/lists.go
@@ -18,14 +18,14 @@
 	if err != nil {
 		return err
 	}
-	revision, whole, entries, err := catalog.Read(object)
+	revision, complete, entries, err := catalog.Read(object)
 	if err != nil {
 		return err
 	}
 	applied := make(chan struct{})
 	p.enqueue(ctx, func() {
 		defer close(applied)
-		p.handleList(revision, whole, entries)
+		p.handleList(revision, complete, entries)
 	})
 	select {
 	case <-applied:
--- a/internal/router/tier/view/change.go
+++ b/internal/router/tier/view/change.go
@@ -12,7 +12,7 @@
 	Floor          Version  `cbor:"4,keyasint"`
 	ListVersion    Version  `cbor:"5,keyasint"`
 	RouterCount    int      `cbor:"6,keyasint,omitempty"`
-	ReportInterval int64    `cbor:"7,keyasint,omitempty"` // requested interval between two reports of a forwarder, in tenths of a millisecond
+	ReportInterval int64    `cbor:"7,keyasint,omitempty"` // between reports of a forwarder, in tenths of a millisecond
 	Hosts          []Host   `cbor:"8,keyasint,omitempty"` // added or changed hosts
 	Removed        []string `cbor:"9,keyasint,omitempty"` // names of removed hosts
 	Digest         uint64   `cbor:"10,keyasint"`          // digest of the view after the change
--- a/internal/router/tier/view/host.go
+++ b/internal/router/tier/view/host.go
@@ -16,7 +16,7 @@
 	maxNameBytes    = 256
 	maxAddressBytes = 256
 	maxZoneBytes    = 64
-	maxKindBytes    = 64
+	maxModelBytes   = 64
 	maxSize         = 1e9
 )
 
@@ -58,7 +58,7 @@
 	switch {
 	case h.Name == "" || len(h.Name) > maxNameBytes:
 		return errHostName
-	case len(h.Address) > maxAddressBytes || len(h.Zone) > maxZoneBytes || len(h.Kind) > maxKindBytes:
+	case len(h.Address) > maxAddressBytes || len(h.Zone) > maxZoneBytes || len(h.Kind) > maxModelBytes:
 		return errHostText
 	case h.Standing > policy.Removed || h.Role > policy.Replica:
 		return errHostEnum
--- a/internal/router/tier/view/view.go
+++ b/internal/router/tier/view/view.go
@@ -10,8 +10,8 @@
 // The merge is commutative, associative and idempotent, as in a state-based CRDT,
 // so the order of arrival and duplicate messages do not affect the result. Neither
 // do clocks: list entries are ordered by the version of the list, and evidence by
-// the position in the replicated log that the host reported. A view that is
-// relayed late therefore takes no precedence.
+// the position in the replicated log that the host reported. Information does not
+// take precedence by being relayed later.
 //
 // The package does no I/O and reads no clock. Times and positions are
 // policy.TenthMs, tenths of a millisecond.
--- a/internal/router/tier/view/view_test.go
+++ b/internal/router/tier/view/view_test.go
@@ -79,11 +79,11 @@
 		current, old := &View{}, &View{}
 		current.ApplyList(Version{Revision: 40}, true, []Host{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}})
 		current.ApplyList(Version{Revision: 43}, false, []Host{{Name: "a", Address: "x", Standing: policy.Draining}})
-		rev := rapid.Int64Range(1, 43).Draw(t, "rev")
-		old.ApplyList(Version{Revision: rev}, rapid.Bool().Draw(t, "whole"), []Host{{Name: "a", Address: "x"}})
+		revision := rapid.Int64Range(1, 43).Draw(t, "rev")
+		old.ApplyList(Version{Revision: revision}, rapid.Bool().Draw(t, "whole"), []Host{{Name: "a", Address: "x"}})
 		for _, view := range []*View{merged(current, old), merged(old, current)} {
 			if host, known := view.Host("a"); known && host.Standing == policy.Active {
-				t.Fatalf("a list of revision %d makes a draining host active again", rev)
+				t.Fatalf("a list of revision %d makes a draining host active again", revision)
 			}
 		}
 	})
@@ -167,8 +167,9 @@
 			}
 			a, _ := replica.Host("a")
 			b, _ := replica.Host("b")
-			if at := int64(replica.Sequence()); at > 0 && max(a.Position, b.Position) != 9+at || at > 1 && min(a.Position, b.Position) != 8+at {
-				t.Fatalf("after change %d the positions are %d and %d", at, a.Position, b.Position)
+			if sequence := int64(replica.Sequence()); sequence > 0 && max(a.Position, b.Position) != 9+sequence ||
+				sequence > 1 && min(a.Position, b.Position) != 8+sequence {
+				t.Fatalf("after change %d the positions are %d and %d", sequence, a.Position, b.Position)
 			}
 		}
 		mustApply(t, &replica, view.FullChange(1, 5))
@@ -185,16 +186,16 @@
 	truncated := all[0]
 	truncated.Hosts = nil
 	if _, err := replica.Apply(truncated); !errors.Is(err, ErrDigestMismatch) || replica.Complete() {
-		t.Errorf("a change without its hosts: %v", err)
+		t.Errorf("truncated change: %v", err)
 	}
 	if _, err := replica.Apply(all[1]); !errors.Is(err, ErrGap) {
-		t.Errorf("the next one: %v", err)
+		t.Errorf("change after the truncated one: %v", err)
 	}
 	mustApply(t, &replica, view.FullChange(1, 2))
 	if _, err := replica.Apply(Change{Incarnation: 2, Sequence: 3}); !errors.Is(err, ErrRestarted) || replica.Complete() {
-		t.Errorf("another incarnation's change: %v", err)
+		t.Errorf("change of another incarnation: %v", err)
 	}
-	if fresh, err := replica.Apply(view.FullChange(2, 0)); !fresh || err != nil || !replica.Complete() {
-		t.Errorf("its full view: %v", err)
+	if applied, err := replica.Apply(view.FullChange(2, 0)); !applied || err != nil || !replica.Complete() {
+		t.Errorf("full view of another incarnation: %v", err)
 	}
 }
