--- a/internal/compatibility/generate_test.go
+++ b/internal/compatibility/generate_test.go
@@ -266,8 +266,8 @@
 	var kept view.View
 	kept.RouterCount = 7
 	kept.ApplyList(view.Version{Generation: 2, Revision: 41}, true, []view.Host{
-		{Name: "db-a", Address: "10.1.0.1:5432", Zone: "zone-1", Kind: "large", Set: 4, Size: 2.5, ListedPrimary: true, BootedAt: 900_000},
-		{Name: "db-b", Address: "10.1.0.2:5432", Zone: "zone-2", Kind: "small", Set: 4, Size: 1, Standing: policy.Draining, BootedAt: 800_000},
+		{Name: "db-a", Address: "10.1.0.1:5432", Zone: "zone-1", Model: "large", Set: 4, Size: 2.5, ListedPrimary: true, BootedAt: 900_000},
+		{Name: "db-b", Address: "10.1.0.2:5432", Zone: "zone-2", Model: "small", Set: 4, Size: 1, ListedState: policy.Draining, BootedAt: 800_000},
 		{Name: "db-c", Address: "10.1.0.3:5432", Zone: "zone-3", Set: 5},
 	})
 	kept.AddEvidence(view.Evidence{Name: "db-a", Position: 1_200_000, Role: policy.Primary, RolePosition: 1_100_000, RoleChanges: 1}, 2_000_000)
--- a/internal/compatibility/view_test.go
+++ b/internal/compatibility/view_test.go
@@ -22,8 +22,8 @@
 // viewHostObject renders every field of a host in a view.
 func viewHostObject(host view.Host) object {
 	return object{
-		"name": host.Name, "address": host.Address, "zone": host.Zone, "kind": host.Kind, "set": host.Set, "size": host.Size,
-		"leader": host.ListedPrimary, "standing": host.Standing, "version": versionObject(host.Version), "boot": host.BootedAt, "position": host.Position,
+		"name": host.Name, "address": host.Address, "zone": host.Zone, "kind": host.Model, "set": host.Set, "size": host.Size,
+		"leader": host.ListedPrimary, "standing": host.ListedState, "version": versionObject(host.Version), "boot": host.BootedAt, "position": host.Position,
 		"role": host.Role, "role_at": host.RolePosition, "turn": host.RoleChanges, "late": host.Lateness,
 	}
 }
@@ -62,5 +62,5 @@
 	},
 		viewHostObject(host), "lateness ages, and is not taken over")
 	host, _ = core.View().Host("db-b")
-	require.Equal(t, policy.Draining, host.Standing)
+	require.Equal(t, policy.Draining, host.ListedState)
 }
--- a/internal/router/catalog/catalog.go
+++ b/internal/router/catalog/catalog.go
@@ -34,17 +34,17 @@
 		Set:           entry.Integer("pod_group"),
 		ListedPrimary: entry.OptionalText("role") == roleLeader,
 		Zone:          entry.OptionalText("az"),
-		Kind:          entry.OptionalText("model"),
+		Model:         entry.OptionalText("model"),
 		Size:          entry.OptionalNumber("capacity_hint"),
 		BootedAt:      setup.RoundUp(entry.OptionalNumber("boot_ms")),
 	}
 	switch entry.Text("state") {
 	case stateUp:
-		host.Standing = policy.Active
+		host.ListedState = policy.Active
 	case stateRemoved:
-		host.Standing = policy.Removed
+		host.ListedState = policy.Removed
 	default: // a state that is not known gets nothing new
-		host.Standing = policy.Draining
+		host.ListedState = policy.Draining
 	}
 	return host
 }
--- a/internal/router/catalog/catalog_test.go
+++ b/internal/router/catalog/catalog_test.go
@@ -25,8 +25,8 @@
 		t.Errorf("%+v", h)
 	}
 	for i, want := range []policy.ListState{policy.Active, policy.Removed, policy.Draining, policy.Draining} {
-		if hosts[i].Standing != want {
-			t.Errorf("%s: %d, not %d", hosts[i].Name, hosts[i].Standing, want)
+		if hosts[i].ListedState != want {
+			t.Errorf("%s: %d, not %d", hosts[i].Name, hosts[i].ListedState, want)
 		}
 	}
 }
--- a/internal/router/routing/hosts.go
+++ b/internal/router/routing/hosts.go
@@ -85,7 +85,7 @@
 	r.advanceClock()
 	for _, entry := range entries {
 		h := r.hosts[entry.Name]
-		if h == nil && entry.Standing == policy.Removed {
+		if h == nil && entry.ListedState == policy.Removed {
 			continue
 		}
 		if h == nil {
@@ -116,9 +116,9 @@
 
 // announceHost passes a host's state to the module, as the list has it.
 func (r *Router) announceHost(h *host) {
-	r.preview.hostListed(h.Standing)
-	r.trace.Listed(h.node, h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
-	h.node.UpdateListing(h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
+	r.preview.hostListed(h.ListedState)
+	r.trace.Listed(h.node, h.ListedState, h.ListedPrimary, h.Zone, h.Model, h.Size, h.BootedAt)
+	h.node.UpdateListing(h.ListedState, h.ListedPrimary, h.Zone, h.Model, h.Size, h.BootedAt)
 }
 
 // finishList marks the end of a list, or of its changes, for the module.
@@ -135,7 +135,7 @@
 		for _, name := range dropped {
 			if h := r.hosts[name]; h != nil {
 				gone := h.Host
-				gone.Standing = policy.Removed
+				gone.ListedState = policy.Removed
 				hosts = append(hosts, gone)
 			}
 		}
--- a/internal/router/service/service.go
+++ b/internal/router/service/service.go
@@ -30,10 +30,10 @@
 	hosts   *transport.HostPool
 	router  *routing.Router
 	clients *transport.Clients
-	watch   *transport.Watch         // nil for a forwarder
-	forward *plannerclient.Forwarder // nil for a router alone
-	trace   *file.Writer             // nil while nothing is captured
-	peers   *transport.Peers         // nil where routers exchange no messages
+	watch   *transport.Watch      // nil for a forwarder
+	forward *plannerclient.Client // nil for a router alone
+	trace   *file.Writer          // nil while nothing is captured
+	peers   *transport.Peers      // nil where routers exchange no messages
 
 	reloads, rejectedReloads int // of the configuration; only handleSignals' goroutine uses them
 }
@@ -117,7 +117,7 @@
 }
 
 // newForwarder returns a router's links to its planners. The list that the router was given is the first view.
-func newForwarder(start *setup.Start, section *setup.ForwarderSection, router *routing.Router, log *zap.Logger) (*plannerclient.Forwarder, error) {
+func newForwarder(start *setup.Start, section *setup.ForwarderSection, router *routing.Router, log *zap.Logger) (*plannerclient.Client, error) {
 	f := plannerclient.New(section, start.Name, NewIncarnation(), start.Deployment.RouterCount, router, log)
 	if start.InitialView.Has("targets") {
 		version, complete, hosts, err := catalog.Read(start.InitialView)
--- a/internal/router/tier/follower/follower_test.go
+++ b/internal/router/tier/follower/follower_test.go
@@ -55,7 +55,7 @@
 func TestRestartedPlannerWithoutStateRemovesNothing(t *testing.T) {
 	follower := New(1, config, []string{"p"}, 1, start)
 	planner, fake := follower.Planners()[0], &fakePlanner{incarnation: 1}
-	fake.applyList(5, true, view.Host{Name: "a", Address: "x"}, view.Host{Name: "b", Address: "y", Standing: policy.Draining})
+	fake.applyList(5, true, view.Host{Name: "a", Address: "x"}, view.Host{Name: "b", Address: "y", ListedState: policy.Draining})
 	fake.AddEvidence(view.Evidence{Name: "a", Position: start - ms, Role: policy.Primary, RolePosition: start - ms}, start)
 	fake.RouterCount = 4
 	planner.Connected(start)
@@ -69,12 +69,12 @@
 	planner.ApplyChange(start+3*ms, empty.fullView())
 	follower.Tick(start + 3*ms)
 	a, _ := follower.View().Host("a")
-	if b, _ := follower.View().Host("b"); a.Role != policy.Primary || b.Standing != policy.Draining {
+	if b, _ := follower.View().Host("b"); a.Role != policy.Primary || b.ListedState != policy.Draining {
 		t.Errorf("%+v %+v", a, b)
 	}
 	empty.applyList(4, true, view.Host{Name: "a", Address: "x"}, view.Host{Name: "b", Address: "y"})
 	planner.ApplyChange(start+4*ms, empty.nextChange())
-	if b, _ := follower.View().Host("b"); b.Standing != policy.Draining {
+	if b, _ := follower.View().Host("b"); b.ListedState != policy.Draining {
 		t.Error("an older list makes a draining host active again")
 	}
 }
@@ -150,13 +150,13 @@
 
 func TestStoredViewIsReplacedByNewerLists(t *testing.T) {
 	fake := &fakePlanner{incarnation: 9}
-	fake.applyList(5, true, view.Host{Name: "a", Address: "x"}, view.Host{Name: "b", Address: "y", Standing: policy.Draining}, view.Host{Name: "gone"})
+	fake.applyList(5, true, view.Host{Name: "a", Address: "x"}, view.Host{Name: "b", Address: "y", ListedState: policy.Draining}, view.Host{Name: "gone"})
 	fake.AddEvidence(view.Evidence{Name: "a", Position: start + 60*second, Role: policy.Primary, RolePosition: start + 60*second}, start+90*second)
 	follower := New(1, config, []string{"p"}, 1, start)
 	follower.RestoreView(fake.fullView())
 	a, _ := follower.View().Host("a")
 	b, _ := follower.View().Host("b")
-	if !follower.HasHosts() || a.Address != "x" || a.Role == policy.Primary || b.Standing != policy.Draining || !follower.NoPlanner() {
+	if !follower.HasHosts() || a.Address != "x" || a.Role == policy.Primary || b.ListedState != policy.Draining || !follower.NoPlanner() {
 		t.Errorf("%+v %+v", a, b)
 	}
 	later := &fakePlanner{incarnation: 2}
@@ -165,7 +165,7 @@
 	follower.Planners()[0].ApplyChange(start, later.fullView())
 	a, _ = follower.View().Host("a")
 	b, _ = follower.View().Host("b")
-	if _, known := follower.View().Host("gone"); known || a.Address != "z" || b.Standing != policy.Active {
+	if _, known := follower.View().Host("gone"); known || a.Address != "z" || b.ListedState != policy.Active {
 		t.Errorf("%v %+v %+v", known, a, b)
 	}
 	truncated := fake.fullView()
--- a/internal/router/tier/link/link_test.go
+++ b/internal/router/tier/link/link_test.go
@@ -36,7 +36,7 @@
 	forwarder, planner := sessions()
 	change := view.Change{
 		Incarnation: 7, Sequence: 2, Hosts: []view.Host{{
-			Name: "a", Address: "x", Set: -3, Size: 1.5, Standing: policy.Draining,
+			Name: "a", Address: "x", Set: -3, Size: 1.5, ListedState: policy.Draining,
 			Version: view.Version{Generation: 1, Revision: 41}, Position: 99, Role: policy.Replica, RolePosition: 98, RoleChanges: 1, Lateness: 3,
 		}}, Removed: []string{"b"}, Digest: 5,
 	}
--- a/internal/router/tier/link/wire_test.go
+++ b/internal/router/tier/link/wire_test.go
@@ -32,8 +32,8 @@
 	var fleet view.View
 	fleet.ApplyList(view.Version{Generation: 1, Revision: 41}, true, []view.Host{
 		{
-			Name: "a", Address: "x:1", Zone: "z", Kind: "k", Set: -3, Size: 1.5, ListedPrimary: true,
-			Standing: policy.Draining, BootedAt: 7,
+			Name: "a", Address: "x:1", Zone: "z", Model: "k", Set: -3, Size: 1.5, ListedPrimary: true,
+			ListedState: policy.Draining, BootedAt: 7,
 		},
 		{Name: "b", Address: "y:2"},
 	})
--- a/internal/router/tier/planner/forwarder.go
+++ b/internal/router/tier/planner/forwarder.go
@@ -54,8 +54,8 @@
 	return forwarder
 }
 
-// Started reports that the connection is ready for frames. The forwarder is sent the full view with the next change.
-func (f *Forwarder) Started() { f.needsFullView = true }
+// LinkReady reports that the connection is ready for frames. The forwarder is sent the full view with the next change.
+func (f *Forwarder) LinkReady() { f.needsFullView = true }
 
 // Disconnected reports the end of the connection. The lease stays valid until it
 // expires, since the forwarder may still serve clients and have lost only this link.
--- a/internal/router/tier/planner/planner.go
+++ b/internal/router/tier/planner/planner.go
@@ -139,7 +139,7 @@
 		}
 	}
 	for _, entry := range entries {
-		if listed, known := p.view.Host(entry.Name); known && listed.Standing == policy.Active {
+		if listed, known := p.view.Host(entry.Name); known && listed.ListedState == policy.Active {
 			p.trackHost(listed)
 		} else {
 			delete(p.hosts, entry.Name)
--- a/internal/router/tier/plannerclient/client.go
+++ b/internal/router/tier/plannerclient/client.go
@@ -46,8 +46,8 @@
 	TakeObservations() []link.Observation
 }
 
-// Forwarder is a forwarder's client of the planners.
-type Forwarder struct {
+// Client is a forwarder's client of the planners.
+type Client struct {
 	settings       *setup.ForwarderSection
 	name           string
 	incarnation    uint64
@@ -72,7 +72,7 @@
 // reports it.
 func New(settings *setup.ForwarderSection, name string, incarnation uint64, initialRouterCount int,
 	router Router, log *zap.Logger,
-) *Forwarder {
+) *Client {
 	forwardClock := clock.New(time.Now)
 	config := follower.Config{
 		InitialBackoff: tenths(settings.RetryDelay),
@@ -80,7 +80,7 @@
 		ReportInterval: tenths(settings.ReportInterval),
 		PlannerTimeout: tenths(settings.PlannerTimeout),
 	}
-	f := &Forwarder{
+	f := &Client{
 		settings: settings, name: name, incarnation: incarnation, router: router, log: log,
 		clock:     forwardClock,
 		core:      follower.New(incarnation, config, settings.Planners, initialRouterCount, forwardClock.Now()),
@@ -97,12 +97,12 @@
 func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
 
 // LoadList applies the host list that the forwarder has at start. It must be called before Run.
-func (f *Forwarder) LoadList(revision int64, complete bool, hosts []view.Host) {
+func (f *Client) LoadList(revision int64, complete bool, hosts []view.Host) {
 	f.core.LoadList(revision, complete, hosts)
 }
 
 // enqueue sends an event to the owner, unless the context is canceled first.
-func (f *Forwarder) enqueue(ctx context.Context, event func()) {
+func (f *Client) enqueue(ctx context.Context, event func()) {
 	select {
 	case f.events <- event:
 	case <-ctx.Done():
@@ -111,7 +111,7 @@
 
 // Run maintains the links to the planners until the context is canceled, and
 // returns once all its goroutines have ended. The error is always nil.
-func (f *Forwarder) Run(ctx context.Context) error {
+func (f *Client) Run(ctx context.Context) error {
 	links, ctx := errgroup.WithContext(ctx)
 	links.Go(func() error { f.writeSnapshots(ctx); return nil })
 	f.runOwner(ctx, links)
@@ -119,7 +119,7 @@
 }
 
 // runOwner is the event loop of the goroutine that owns the state machine.
-func (f *Forwarder) runOwner(ctx context.Context, links *errgroup.Group) {
+func (f *Client) runOwner(ctx context.Context, links *errgroup.Group) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -139,7 +139,7 @@
 }
 
 // tick executes the actions that are due and returns the time of the next tick.
-func (f *Forwarder) tick(ctx context.Context, links *errgroup.Group) policy.TenthMs {
+func (f *Client) tick(ctx context.Context, links *errgroup.Group) policy.TenthMs {
 	actions := f.core.Tick(f.clock.Now())
 	for _, planner := range actions.Disconnect {
 		if conn := f.conns[planner]; conn != nil {
@@ -168,7 +168,7 @@
 }
 
 // sendReport sends the router's observations to all connected planners.
-func (f *Forwarder) sendReport() {
+func (f *Client) sendReport() {
 	body := link.EncodeBody(link.Report{Interval: tenths(f.settings.ReportInterval), Observations: f.router.TakeObservations()})
 	for _, conn := range f.conns {
 		conn.Send(link.KindReport, body)
@@ -177,7 +177,7 @@
 }
 
 // LogFields returns the counters as fields of a log entry. Any goroutine may call it.
-func (f *Forwarder) LogFields() []zap.Field {
+func (f *Client) LogFields() []zap.Field {
 	return []zap.Field{
 		zap.Int64("planners", f.OpenLinks.Load()),
 		zap.Bool("blind", f.NoPlanner.Load()),
--- a/internal/router/tier/plannerclient/link.go
+++ b/internal/router/tier/plannerclient/link.go
@@ -14,7 +14,7 @@
 )
 
 // followPlanner dials a planner, serves the link until it ends and reports the end to the owner.
-func (f *Forwarder) followPlanner(ctx context.Context, planner *follower.Planner) {
+func (f *Client) followPlanner(ctx context.Context, planner *follower.Planner) {
 	err := f.runLink(ctx, planner)
 	f.enqueue(ctx, func() {
 		if f.conns[planner] != nil {
@@ -29,7 +29,7 @@
 }
 
 // runLink connects to a planner and reads its frames until the link fails. It returns the error.
-func (f *Forwarder) runLink(ctx context.Context, planner *follower.Planner) error {
+func (f *Client) runLink(ctx context.Context, planner *follower.Planner) error {
 	socket, err := (&net.Dialer{Timeout: f.settings.DialTimeout}).DialContext(ctx, "tcp", planner.Address)
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 }
 
 // receiveChange decodes a change and sends it to the owner.
-func (f *Forwarder) receiveChange(ctx context.Context, planner *follower.Planner, conn *linkconn.Conn, body []byte) error {
+func (f *Client) receiveChange(ctx context.Context, planner *follower.Planner, conn *linkconn.Conn, body []byte) error {
 	change, err := link.DecodeChange(body)
 	if err != nil {
 		f.InvalidChanges.Add(1)
@@ -81,7 +81,7 @@
 
 // applyChange applies a change and requests the full view if necessary. It must be called by the owner's
 // goroutine. A change from a link that has ended is ignored.
-func (f *Forwarder) applyChange(planner *follower.Planner, conn *linkconn.Conn, change view.Change) {
+func (f *Client) applyChange(planner *follower.Planner, conn *linkconn.Conn, change view.Change) {
 	if f.conns[planner] != conn {
 		return
 	}
--- a/internal/router/tier/plannerclient/snapshot.go
+++ b/internal/router/tier/plannerclient/snapshot.go
@@ -13,7 +13,7 @@
 // RestoreView loads the view that an earlier process stored. It must be called
 // before Run. A missing or damaged file is ignored; the forwarder then starts
 // without a view and receives it from the planners.
-func (f *Forwarder) RestoreView() {
+func (f *Client) RestoreView() {
 	if f.settings.ViewFile == "" {
 		return
 	}
@@ -37,7 +37,7 @@
 // writeSnapshots stores views until the context is canceled. Only the first of
 // consecutive failures is logged, since a failure affects nothing but the duration
 // of the next start.
-func (f *Forwarder) writeSnapshots(ctx context.Context) {
+func (f *Client) writeSnapshots(ctx context.Context) {
 	failing := false
 	for {
 		select {
@@ -58,7 +58,7 @@
 
 // offerSnapshot sends the view to writeSnapshots, unless a snapshot is not due yet
 // or the previous one is still queued.
-func (f *Forwarder) offerSnapshot(now policy.TenthMs) {
+func (f *Client) offerSnapshot(now policy.TenthMs) {
 	if f.settings.ViewFile == "" || now < f.nextSnapshotAt || !f.core.HasHosts() || len(f.snapshots) > 0 {
 		return
 	}
--- a/internal/router/tier/plannerserver/links.go
+++ b/internal/router/tier/plannerserver/links.go
@@ -74,7 +74,7 @@
 	conn.StartWriter()
 	p.enqueue(ctx, func() {
 		p.conns[forwarder] = conn
-		forwarder.Started()
+		forwarder.LinkReady()
 		p.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, true, "")
 	})
 	err = p.readFrames(ctx, forwarder, conn)
--- a/internal/router/tier/plannerserver/lists.go
+++ b/internal/router/tier/plannerserver/lists.go
@@ -55,7 +55,7 @@
 func (p *Server) updateHostPool() {
 	active := map[string]bool{}
 	for _, host := range p.core.View().Hosts() {
-		if host.Standing != policy.Active {
+		if host.ListedState != policy.Active {
 			continue
 		}
 		active[host.Name] = true
--- a/internal/router/tier/view/host.go
+++ b/internal/router/tier/view/host.go
@@ -33,11 +33,11 @@
 	Name          string           `cbor:"1,keyasint"`
 	Address       string           `cbor:"2,keyasint"` // host and port
 	Zone          string           `cbor:"3,keyasint,omitempty"`
-	Kind          string           `cbor:"4,keyasint,omitempty"`
+	Model         string           `cbor:"4,keyasint,omitempty"`
 	Set           int64            `cbor:"5,keyasint"`           // ID of the host's replica set
 	Size          float64          `cbor:"6,keyasint,omitempty"` // relative capacity
 	ListedPrimary bool             `cbor:"7,keyasint,omitempty"` // listed as the primary; lists may be outdated
-	Standing      policy.ListState `cbor:"8,keyasint,omitempty"`
+	ListedState   policy.ListState `cbor:"8,keyasint,omitempty"`
 	Version       Version          `cbor:"9,keyasint"`            // version of that list
 	BootedAt      policy.TenthMs   `cbor:"10,keyasint,omitempty"` // start time of the host, by discovery
 
@@ -58,9 +58,9 @@
 	switch {
 	case h.Name == "" || len(h.Name) > maxNameBytes:
 		return errHostName
-	case len(h.Address) > maxAddressBytes || len(h.Zone) > maxZoneBytes || len(h.Kind) > maxModelBytes:
+	case len(h.Address) > maxAddressBytes || len(h.Zone) > maxZoneBytes || len(h.Model) > maxModelBytes:
 		return errHostText
-	case h.Standing > policy.Removed || h.Role > policy.Replica:
+	case h.ListedState > policy.Removed || h.Role > policy.Replica:
 		return errHostEnum
 	case math.IsNaN(h.Size) || h.Size < 0 || h.Size > maxSize:
 		return errHostSize
@@ -89,8 +89,8 @@
 func (h *Host) merge(other Host) bool {
 	before := *h
 	if h.Version.Before(other.Version) || h.Version == other.Version && h.listedBefore(other) {
-		h.Address, h.Zone, h.Kind, h.Set, h.Size = other.Address, other.Zone, other.Kind, other.Set, other.Size
-		h.ListedPrimary, h.Standing, h.Version, h.BootedAt = other.ListedPrimary, other.Standing, other.Version, other.BootedAt
+		h.Address, h.Zone, h.Model, h.Set, h.Size = other.Address, other.Zone, other.Model, other.Set, other.Size
+		h.ListedPrimary, h.ListedState, h.Version, h.BootedAt = other.ListedPrimary, other.ListedState, other.Version, other.BootedAt
 	}
 	h.mergeEvidence(other.evidence())
 	h.Lateness = max(h.Lateness, other.Lateness)
@@ -100,10 +100,10 @@
 // listedBefore is a total order of the entries for a host in lists of one version.
 func (h *Host) listedBefore(other Host) bool {
 	return cmp.Or(
-		cmp.Compare(h.Standing, other.Standing),
+		cmp.Compare(h.ListedState, other.ListedState),
 		cmp.Compare(h.Address, other.Address),
 		cmp.Compare(h.Zone, other.Zone),
-		cmp.Compare(h.Kind, other.Kind),
+		cmp.Compare(h.Model, other.Model),
 		cmp.Compare(h.Set, other.Set),
 		cmp.Compare(h.Size, other.Size),
 		cmp.Compare(bit(h.ListedPrimary), bit(other.ListedPrimary)),
@@ -116,12 +116,12 @@
 func (h *Host) digest() uint64 {
 	const typicalBytes = 192 // enough for most hosts, so the buffer rarely grows
 	buffer := make([]byte, 0, typicalBytes)
-	for _, text := range []string{h.Name, h.Address, h.Zone, h.Kind} {
+	for _, text := range []string{h.Name, h.Address, h.Zone, h.Model} {
 		buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(text)))
 		buffer = append(buffer, text...)
 	}
 	for _, number := range []uint64{
-		uint64(h.Set), math.Float64bits(h.Size), bit(h.ListedPrimary), uint64(h.Standing),
+		uint64(h.Set), math.Float64bits(h.Size), bit(h.ListedPrimary), uint64(h.ListedState),
 		h.Version.Generation, uint64(h.Version.Revision), uint64(h.BootedAt),
 		uint64(h.Position), uint64(h.Role), uint64(h.RolePosition), uint64(h.RoleChanges), uint64(h.Lateness),
 	} {
--- a/internal/router/tier/view/view.go
+++ b/internal/router/tier/view/view.go
@@ -123,7 +123,7 @@
 // newest list. It raises Floor, so that a planner that reconnects with an older
 // list cannot bring a removed host back.
 func (v *View) Compact() {
-	v.confirmHosts(func(host *Host) bool { return host.Standing != policy.Removed })
+	v.confirmHosts(func(host *Host) bool { return host.ListedState != policy.Removed })
 }
 
 // confirmHosts raises Floor and the versions of the hosts to keep to the version of the newest
@@ -213,7 +213,7 @@
 	var newestPrimary, newestHost *Host
 	for _, name := range slices.Sorted(maps.Keys(v.hosts)) {
 		host := v.hosts[name]
-		if host.Set != set || host.Standing != policy.Active {
+		if host.Set != set || host.ListedState != policy.Active {
 			continue
 		}
 		if host.Role == policy.Primary && (newestPrimary == nil || host.RolePosition > newestPrimary.RolePosition) {
@@ -234,7 +234,7 @@
 	var wasTombstone bool
 	host, known := v.hosts[name]
 	if known {
-		digestBefore, wasTombstone = host.digest(), host.Standing == policy.Removed
+		digestBefore, wasTombstone = host.digest(), host.ListedState == policy.Removed
 	} else {
 		host = &Host{Name: name}
 	}
@@ -248,7 +248,7 @@
 		v.hosts[name] = host
 	}
 	v.hostDigestSum += host.digest() - digestBefore
-	switch isTombstone := host.Standing == policy.Removed; {
+	switch isTombstone := host.ListedState == policy.Removed; {
 	case isTombstone && !wasTombstone:
 		v.tombstones++
 	case wasTombstone && !isTombstone:
@@ -261,7 +261,7 @@
 func (v *View) removeHost(name string) {
 	host := v.hosts[name]
 	v.hostDigestSum -= host.digest()
-	if host.Standing == policy.Removed {
+	if host.ListedState == policy.Removed {
 		v.tombstones--
 	}
 	delete(v.hosts, name)
--- a/internal/router/tier/view/view_test.go
+++ b/internal/router/tier/view/view_test.go
@@ -22,7 +22,7 @@
 			entries = append(entries, Host{
 				Name:    names.Draw(t, "host"),
 				Address: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "address"), Set: int64(rapid.IntRange(0, 1).Draw(t, "set")),
-				Standing: policy.ListState(rapid.IntRange(0, 2).Draw(t, "standing")), BootedAt: int64(rapid.IntRange(0, 9).Draw(t, "boot")),
+				ListedState: policy.ListState(rapid.IntRange(0, 2).Draw(t, "standing")), BootedAt: int64(rapid.IntRange(0, 9).Draw(t, "boot")),
 			})
 		}
 		view.ApplyList(Version{uint64(rapid.IntRange(0, 1).Draw(t, "gen")), int64(rapid.IntRange(0, 9).Draw(t, "rev"))},
@@ -78,11 +78,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		current, old := &View{}, &View{}
 		current.ApplyList(Version{Revision: 40}, true, []Host{{Name: "a", Address: "x"}, {Name: "b", Address: "y"}})
-		current.ApplyList(Version{Revision: 43}, false, []Host{{Name: "a", Address: "x", Standing: policy.Draining}})
+		current.ApplyList(Version{Revision: 43}, false, []Host{{Name: "a", Address: "x", ListedState: policy.Draining}})
 		revision := rapid.Int64Range(1, 43).Draw(t, "rev")
 		old.ApplyList(Version{Revision: revision}, rapid.Bool().Draw(t, "whole"), []Host{{Name: "a", Address: "x"}})
 		for _, view := range []*View{merged(current, old), merged(old, current)} {
-			if host, known := view.Host("a"); known && host.Standing == policy.Active {
+			if host, known := view.Host("a"); known && host.ListedState == policy.Active {
 				t.Fatalf("a list of revision %d makes a draining host active again", revision)
 			}
 		}
@@ -93,7 +93,7 @@
 	current, old := &View{}, &View{}
 	current.ApplyList(Version{Revision: 10}, true, []Host{{Name: "a"}, {Name: "b"}})
 	old.Merge(current, maxPosition)
-	current.ApplyList(Version{Revision: 11}, false, []Host{{Name: "b", Standing: policy.Removed}})
+	current.ApplyList(Version{Revision: 11}, false, []Host{{Name: "b", ListedState: policy.Removed}})
 	current.Compact() // removes the tombstone of b
 	view := merged(current, old)
 	if _, known := view.Host("b"); known || view.Len() != 1 {
--- a/internal/simulation/tiernet/apply.go
+++ b/internal/simulation/tiernet/apply.go
@@ -13,7 +13,7 @@
 	hosts := due.ChangedHosts
 	for _, name := range due.RemovedHosts {
 		if f.nodes[name] != nil {
-			hosts = append(hosts, view.Host{Name: name, Standing: policy.Removed, Size: 1})
+			hosts = append(hosts, view.Host{Name: name, ListedState: policy.Removed, Size: 1})
 		}
 	}
 	for _, h := range hosts {
@@ -37,17 +37,17 @@
 func (f *forwarderProcess) applyListed(h view.Host) {
 	node := f.nodes[h.Name]
 	if node == nil {
-		if h.Standing == policy.Removed {
+		if h.ListedState == policy.Removed {
 			return
 		}
 		node = f.module.AddHost(h.Name, h.Set)
 		f.nodes[h.Name], f.nodeNames[node] = node, h.Name
 		f.trace.Host(node, h.Set)
 	}
-	f.trace.Listed(node, h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
-	node.UpdateListing(h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
+	f.trace.Listed(node, h.ListedState, h.ListedPrimary, h.Zone, h.Model, h.Size, h.BootedAt)
+	node.UpdateListing(h.ListedState, h.ListedPrimary, h.Zone, h.Model, h.Size, h.BootedAt)
 	f.knownStarts[h.Name] = max(f.knownStarts[h.Name], h.BootedAt)
-	if h.Standing == policy.Active {
+	if h.ListedState == policy.Active {
 		delete(f.drainedAt, h.Name)
 	} else if f.drainedAt[h.Name] == 0 {
 		f.drainedAt[h.Name] = f.w.Now
--- a/internal/simulation/tiernet/forwarder.go
+++ b/internal/simulation/tiernet/forwarder.go
@@ -229,7 +229,7 @@
 			return
 		}
 		process.links[f] = link
-		link.Started()
+		link.LinkReady()
 		remote.Connected(w.Now)
 	})
 }
--- a/internal/simulation/tiernet/world.go
+++ b/internal/simulation/tiernet/world.go
@@ -166,7 +166,7 @@
 func (w *World) setStanding(h *host, standing policy.ListState) {
 	for i := range w.hostList {
 		if w.hostList[i].Name == h.name {
-			w.hostList[i].Standing, w.hostList[i].BootedAt = standing, h.startedAt
+			w.hostList[i].ListedState, w.hostList[i].BootedAt = standing, h.startedAt
 		}
 	}
 	w.publishList()
