--- a/internal/router/tier/plannerclient/client.go
+++ b/internal/router/tier/plannerclient/client.go
@@ -80,7 +80,7 @@
 		ReportInterval: tenths(settings.ReportInterval),
 		PlannerTimeout: tenths(settings.PlannerTimeout),
 	}
-	f := &Client{
+	c := &Client{
 		settings: settings, name: name, incarnation: incarnation, router: router, log: log,
 		clock:     forwardClock,
 		core:      follower.New(incarnation, config, settings.Planners, initialRouterCount, forwardClock.Now()),
@@ -88,105 +88,105 @@
 		conns:     map[*follower.Planner]*linkconn.Conn{},
 		snapshots: make(chan []byte, 1),
 	}
-	f.ViewAgeMs.Store(-1)
-	f.NoPlanner.Store(true)
-	return f
+	c.ViewAgeMs.Store(-1)
+	c.NoPlanner.Store(true)
+	return c
 }
 
 // tenths converts a duration to tenths of a millisecond.
 func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
 
 // LoadList applies the host list that the forwarder has at start. It must be called before Run.
-func (f *Client) LoadList(revision int64, complete bool, hosts []view.Host) {
-	f.core.LoadList(revision, complete, hosts)
+func (c *Client) LoadList(revision int64, complete bool, hosts []view.Host) {
+	c.core.LoadList(revision, complete, hosts)
 }
 
 // enqueue sends an event to the owner, unless the context is canceled first.
-func (f *Client) enqueue(ctx context.Context, event func()) {
+func (c *Client) enqueue(ctx context.Context, event func()) {
 	select {
-	case f.events <- event:
+	case c.events <- event:
 	case <-ctx.Done():
 	}
 }
 
 // Run maintains the links to the planners until the context is canceled, and
 // returns once all its goroutines have ended. The error is always nil.
-func (f *Client) Run(ctx context.Context) error {
+func (c *Client) Run(ctx context.Context) error {
 	links, ctx := errgroup.WithContext(ctx)
-	links.Go(func() error { f.writeSnapshots(ctx); return nil })
-	f.runOwner(ctx, links)
+	links.Go(func() error { c.writeSnapshots(ctx); return nil })
+	c.runOwner(ctx, links)
 	return links.Wait()
 }
 
 // runOwner is the event loop of the goroutine that owns the state machine.
-func (f *Client) runOwner(ctx context.Context, links *errgroup.Group) {
+func (c *Client) runOwner(ctx context.Context, links *errgroup.Group) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			for _, conn := range f.conns {
+			for _, conn := range c.conns {
 				conn.CloseWithError(ctx.Err())
 			}
 			return
-		case event := <-f.events:
+		case event := <-c.events:
 			event()
 		case <-timer.C:
 		}
-		next := f.tick(ctx, links)
-		timer.Reset(max(minTickDelay, clock.Span(next-f.clock.Now())))
+		next := c.tick(ctx, links)
+		timer.Reset(max(minTickDelay, clock.Span(next-c.clock.Now())))
 	}
 }
 
 // tick executes the actions that are due and returns the time of the next tick.
-func (f *Client) tick(ctx context.Context, links *errgroup.Group) policy.TenthMs {
-	actions := f.core.Tick(f.clock.Now())
+func (c *Client) tick(ctx context.Context, links *errgroup.Group) policy.TenthMs {
+	actions := c.core.Tick(c.clock.Now())
 	for _, planner := range actions.Disconnect {
-		if conn := f.conns[planner]; conn != nil {
+		if conn := c.conns[planner]; conn != nil {
 			conn.CloseWithError(errPlannerSilent)
 		}
 	}
 	for _, planner := range actions.Dial {
-		links.Go(func() error { f.followPlanner(ctx, planner); return nil })
+		links.Go(func() error { c.followPlanner(ctx, planner); return nil })
 	}
 	if actions.Changed {
-		f.router.UpdateHosts(actions.ChangedHosts, actions.RemovedHosts, actions.RouterCount, actions.NoPlanner)
-		if f.NoPlanner.Load() != actions.NoPlanner {
-			f.log.Info("planners", zap.Bool("no_planner", actions.NoPlanner), zap.Int("routers", actions.RouterCount))
+		c.router.UpdateHosts(actions.ChangedHosts, actions.RemovedHosts, actions.RouterCount, actions.NoPlanner)
+		if c.NoPlanner.Load() != actions.NoPlanner {
+			c.log.Info("planners", zap.Bool("no_planner", actions.NoPlanner), zap.Int("routers", actions.RouterCount))
 		}
-		f.offerSnapshot(f.clock.Now())
+		c.offerSnapshot(c.clock.Now())
 	}
 	if actions.SendReport {
-		f.sendReport()
+		c.sendReport()
 	}
-	f.NoPlanner.Store(actions.NoPlanner)
-	f.RouterCount.Store(int64(actions.RouterCount))
-	if age := f.core.ViewAge(); age >= 0 {
-		f.ViewAgeMs.Store(age / tenthsPerMillisecond)
+	c.NoPlanner.Store(actions.NoPlanner)
+	c.RouterCount.Store(int64(actions.RouterCount))
+	if age := c.core.ViewAge(); age >= 0 {
+		c.ViewAgeMs.Store(age / tenthsPerMillisecond)
 	}
 	return actions.NextTick
 }
 
 // sendReport sends the router's observations to all connected planners.
-func (f *Client) sendReport() {
-	body := link.EncodeBody(link.Report{Interval: tenths(f.settings.ReportInterval), Observations: f.router.TakeObservations()})
-	for _, conn := range f.conns {
+func (c *Client) sendReport() {
+	body := link.EncodeBody(link.Report{Interval: tenths(c.settings.ReportInterval), Observations: c.router.TakeObservations()})
+	for _, conn := range c.conns {
 		conn.Send(link.KindReport, body)
 	}
-	f.Reports.Add(1)
+	c.Reports.Add(1)
 }
 
 // LogFields returns the counters as fields of a log entry. Any goroutine may call it.
-func (f *Client) LogFields() []zap.Field {
+func (c *Client) LogFields() []zap.Field {
 	return []zap.Field{
-		zap.Int64("planners", f.OpenLinks.Load()),
-		zap.Bool("blind", f.NoPlanner.Load()),
-		zap.Int64("view_age_ms", f.ViewAgeMs.Load()),
-		zap.Int64("routers", f.RouterCount.Load()),
-		zap.Int64("changes", f.Changes.Load()),
-		zap.Int64("whole_views", f.FullViews.Load()),
-		zap.Int64("faulty_changes", f.InvalidChanges.Load()),
-		zap.Int64("reports", f.Reports.Load()),
-		zap.Int64("views_not_kept", f.SnapshotFailures.Load()),
+		zap.Int64("planners", c.OpenLinks.Load()),
+		zap.Bool("blind", c.NoPlanner.Load()),
+		zap.Int64("view_age_ms", c.ViewAgeMs.Load()),
+		zap.Int64("routers", c.RouterCount.Load()),
+		zap.Int64("changes", c.Changes.Load()),
+		zap.Int64("whole_views", c.FullViews.Load()),
+		zap.Int64("faulty_changes", c.InvalidChanges.Load()),
+		zap.Int64("reports", c.Reports.Load()),
+		zap.Int64("views_not_kept", c.SnapshotFailures.Load()),
 	}
 }
--- a/internal/router/tier/plannerserver/links.go
+++ b/internal/router/tier/plannerserver/links.go
@@ -18,11 +18,11 @@
 // acceptLinks accepts connections until the context is canceled. At most
 // MaxHandshakes unauthenticated connections are open at a time, each no longer than
 // HandshakeTimeout; further ones are closed.
-func (p *Server) acceptLinks(ctx context.Context, listener net.Listener) error {
+func (s *Server) acceptLinks(ctx context.Context, listener net.Listener) error {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	var links sync.WaitGroup
 	defer links.Wait()
-	handshakes := make(chan struct{}, p.settings.MaxHandshakes)
+	handshakes := make(chan struct{}, s.settings.MaxHandshakes)
 	for {
 		socket, err := listener.Accept()
 		switch {
@@ -34,82 +34,82 @@
 		case errors.Is(err, net.ErrClosed):
 			return err
 		case err != nil: // for example, the process is out of file descriptors
-			p.pauseAccepting(ctx)
+			s.pauseAccepting(ctx)
 			continue
 		}
-		p.AcceptedLinks.Add(1)
+		s.AcceptedLinks.Add(1)
 		select {
 		case handshakes <- struct{}{}:
-			links.Go(func() { p.serveLink(ctx, socket, handshakes) })
+			links.Go(func() { s.serveLink(ctx, socket, handshakes) })
 		default:
-			p.RejectedLinks.Add(1)
+			s.RejectedLinks.Add(1)
 			socket.Close()
 		}
 	}
 }
 
 // pauseAccepting delays the next accept, so that acceptLinks does not spin on a persistent error.
-func (p *Server) pauseAccepting(ctx context.Context) {
+func (s *Server) pauseAccepting(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(p.start.Limits.RetryDelay):
+	case <-time.After(s.start.Limits.RetryDelay):
 	}
 }
 
 // serveLink serves one link until it ends. It releases its slot in handshakes after
 // the handshake.
-func (p *Server) serveLink(ctx context.Context, socket net.Conn, handshakes <-chan struct{}) {
+func (s *Server) serveLink(ctx context.Context, socket net.Conn, handshakes <-chan struct{}) {
 	defer socket.Close()
 	defer context.AfterFunc(ctx, func() { socket.Close() })()
-	conn, forwarder, err := p.handshake(ctx, socket)
+	conn, forwarder, err := s.handshake(ctx, socket)
 	<-handshakes
 	if err != nil {
-		p.RejectedLinks.Add(1)
-		p.log.Warn("rejected a forwarder", zap.String("from", socket.RemoteAddr().String()), zap.Error(err))
+		s.RejectedLinks.Add(1)
+		s.log.Warn("rejected a forwarder", zap.String("from", socket.RemoteAddr().String()), zap.Error(err))
 		if forwarder != nil {
-			p.enqueue(ctx, forwarder.Disconnected)
+			s.enqueue(ctx, forwarder.Disconnected)
 		}
 		return
 	}
 	conn.StartWriter()
-	p.enqueue(ctx, func() {
-		p.conns[forwarder] = conn
+	s.enqueue(ctx, func() {
+		s.conns[forwarder] = conn
 		forwarder.LinkReady()
-		p.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, true, "")
+		s.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, true, "")
 	})
-	err = p.readFrames(ctx, forwarder, conn)
+	err = s.readFrames(ctx, forwarder, conn)
 	conn.CloseWithError(err)
 	conn.Wait()
-	p.enqueue(ctx, func() {
-		delete(p.conns, forwarder)
+	s.enqueue(ctx, func() {
+		delete(s.conns, forwarder)
 		forwarder.Disconnected()
-		p.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, false, err.Error())
+		s.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, false, err.Error())
 	})
 	if ctx.Err() == nil {
-		p.log.Info("a forwarder disconnected", zap.String("name", conn.Peer.Name), zap.Error(err))
+		s.log.Info("a forwarder disconnected", zap.String("name", conn.Peer.Name), zap.Error(err))
 	}
 }
 
 // handshake exchanges greetings. The forwarder is also set if the connection fails
 // after the forwarder was admitted.
-func (p *Server) handshake(ctx context.Context, socket net.Conn) (*linkconn.Conn, *planner.Forwarder, error) {
+func (s *Server) handshake(ctx context.Context, socket net.Conn) (*linkconn.Conn, *planner.Forwarder, error) {
 	var forwarder *planner.Forwarder
 	accept := func(greeting link.Greeting) bool {
-		forwarder = p.admit(ctx, greeting)
+		forwarder = s.admit(ctx, greeting)
 		return forwarder != nil
 	}
-	socket.SetDeadline(time.Now().Add(p.settings.HandshakeTimeout))
-	conn, err := linkconn.PlannerHandshake(socket, &p.settings.Key, p.start.Name, p.incarnation,
-		p.settings.MaxQueuedFrames, p.settings.MaxFrameBytes, p.settings.WriteTimeout, accept)
+	socket.SetDeadline(time.Now().Add(s.settings.HandshakeTimeout))
+	conn, err := linkconn.PlannerHandshake(socket, &s.settings.Key, s.start.Name, s.incarnation,
+		s.settings.MaxQueuedFrames, s.settings.MaxFrameBytes, s.settings.WriteTimeout, accept)
 	return conn, forwarder, err
 }
 
 // admit adds the forwarder to the state machine. It returns nil if the forwarder limit is
 // reached or the context is canceled.
-func (p *Server) admit(ctx context.Context, greeting link.Greeting) *planner.Forwarder {
+func (s *Server) admit(ctx context.Context, greeting link.Greeting) *planner.Forwarder {
 	admitted := make(chan *planner.Forwarder, 1)
-	p.enqueue(ctx, func() {
-		admitted <- p.core.AddForwarder(p.clock.Now(), greeting.Name, greeting.Incarnation)
+	s.enqueue(ctx, func() {
+		admitted <- s.core.AddForwarder(s.clock.Now(), greeting.Name, greeting.Incarnation)
 	})
 	select {
 	case forwarder := <-admitted:
@@ -121,53 +121,53 @@
 
 // readFrames sends the content of a forwarder's frames to the owner until the link
 // fails, and returns the error. Frames of unknown kinds are ignored.
-func (p *Server) readFrames(ctx context.Context, forwarder *planner.Forwarder, conn *linkconn.Conn) error {
+func (s *Server) readFrames(ctx context.Context, forwarder *planner.Forwarder, conn *linkconn.Conn) error {
 	for {
 		frame, err := conn.ReadFrame()
 		if err != nil {
-			p.BrokenLinks.Add(1)
+			s.BrokenLinks.Add(1)
 			return err
 		}
 		switch frame.Kind {
 		case link.KindReport:
 			report, err := link.DecodeReport(frame.Body)
 			if err != nil {
-				p.BrokenLinks.Add(1)
+				s.BrokenLinks.Add(1)
 				return err
 			}
-			p.Reports.Add(1)
-			p.enqueue(ctx, func() {
-				p.trace.Report(conn.Peer.Name, report)
-				forwarder.HandleReport(p.clock.Now(), report)
+			s.Reports.Add(1)
+			s.enqueue(ctx, func() {
+				s.trace.Report(conn.Peer.Name, report)
+				forwarder.HandleReport(s.clock.Now(), report)
 			})
 		case link.KindViewRequest:
-			p.enqueue(ctx, func() { forwarder.RequestFullView(p.clock.Now()) })
+			s.enqueue(ctx, func() { forwarder.RequestFullView(s.clock.Now()) })
 		}
 	}
 }
 
 // broadcast sends the full view to the forwarders that need it and the change to all
 // others. Each of the two is encoded only once.
-func (p *Server) broadcast(change *view.Change, fullViewTo []*planner.Forwarder) {
-	p.trace.Change(change, len(fullViewTo), len(p.conns))
+func (s *Server) broadcast(change *view.Change, fullViewTo []*planner.Forwarder) {
+	s.trace.Change(change, len(fullViewTo), len(s.conns))
 	hasFullView := map[*planner.Forwarder]bool{}
 	if len(fullViewTo) > 0 {
-		body := link.EncodeBody(p.core.FullView())
+		body := link.EncodeBody(s.core.FullView())
 		for _, forwarder := range fullViewTo {
 			hasFullView[forwarder] = true
-			if conn := p.conns[forwarder]; conn != nil {
+			if conn := s.conns[forwarder]; conn != nil {
 				conn.Send(link.KindChange, body)
-				p.FullViews.Add(1)
-				p.SentBytes.Add(int64(len(body)))
+				s.FullViews.Add(1)
+				s.SentBytes.Add(int64(len(body)))
 			}
 		}
 	}
 	body := link.EncodeBody(change)
-	for forwarder, conn := range p.conns {
+	for forwarder, conn := range s.conns {
 		if !hasFullView[forwarder] {
 			conn.Send(link.KindChange, body)
-			p.Changes.Add(1)
-			p.SentBytes.Add(int64(len(body)))
+			s.Changes.Add(1)
+			s.SentBytes.Add(int64(len(body)))
 		}
 	}
 }
--- a/internal/router/tier/plannerserver/probe.go
+++ b/internal/router/tier/plannerserver/probe.go
@@ -28,24 +28,24 @@
 
 // probe sends a probe to a host. The result is reported to the state machine exactly
 // once, at the latest after the connect timeout.
-func (p *Server) probe(ctx context.Context, name string) {
-	host := p.hosts[name]
+func (s *Server) probe(ctx context.Context, name string) {
+	host := s.hosts[name]
 	if host == nil {
-		p.core.ProbeFinished(p.clock.Now(), name, false, noPosition, policy.UnknownRole, 0)
+		s.core.ProbeFinished(s.clock.Now(), name, false, noPosition, policy.UnknownRole, 0)
 		return
 	}
 	statement := probeStatement
-	if p.start.Deployment.PositionsReported {
+	if s.start.Deployment.PositionsReported {
 		statement = loadReportStatement
 	}
-	p.Probes.Add(1)
-	p.trace.Probe(name)
-	sentAt := p.clock.Now()
-	deadline := time.Now().Add(p.start.Limits.ConnectTimeout)
+	s.Probes.Add(1)
+	s.trace.Probe(name)
+	sentAt := s.clock.Now()
+	deadline := time.Now().Add(s.start.Limits.ConnectTimeout)
 	var once sync.Once
 	finish := func(answer transport.Answer) {
 		once.Do(func() {
-			p.enqueue(ctx, func() { p.finishProbe(name, sentAt, answer) })
+			s.enqueue(ctx, func() { s.finishProbe(name, sentAt, answer) })
 		})
 	}
 	call := host.Send([]byte(statement), deadline, deadline, false, finish)
@@ -57,23 +57,23 @@
 }
 
 // finishProbe reports the result of a probe. It must be called by the owner's goroutine.
-func (p *Server) finishProbe(name string, sentAt policy.TenthMs, answer transport.Answer) {
-	now := p.clock.Now()
+func (s *Server) finishProbe(name string, sentAt policy.TenthMs, answer transport.Answer) {
+	now := s.clock.Now()
 	responded := answer.Outcome == policy.Answered
-	position, role := p.parseHostStatus(answer, now)
-	p.trace.Probed(name, responded, position, role, now-sentAt)
-	p.core.ProbeFinished(now, name, responded, position, role, sentAt)
+	position, role := s.parseHostStatus(answer, now)
+	s.trace.Probed(name, responded, position, role, now-sentAt)
+	s.core.ProbeFinished(now, name, responded, position, role, sentAt)
 }
 
 // parseHostStatus returns the position and role in a response, from its parameters or
 // from a load report. The position is noPosition if the response contains none.
-func (p *Server) parseHostStatus(answer transport.Answer, now policy.TenthMs) (policy.TenthMs, policy.Role) {
+func (s *Server) parseHostStatus(answer transport.Answer, now policy.TenthMs) (policy.TenthMs, policy.Role) {
 	maxPositionMs := float64(now)/tenthsPerMillisecond + positionToleranceMs
 	position, role := setup.ParseHostStatus(answer.Position, answer.Role, maxPositionMs)
-	if position >= 0 || !p.start.Deployment.PositionsReported {
+	if position >= 0 || !s.start.Deployment.PositionsReported {
 		return position, role
 	}
-	formats := p.start.Formats
+	formats := s.start.Formats
 	reportedPosition, reportedRole, ok := formats.ParseLoadReport(func(i int) (float64, bool) {
 		return protocol.LoadReportField(answer.Value, formats.Fields[i])
 	})
--- a/internal/router/tier/plannerserver/server.go
+++ b/internal/router/tier/plannerserver/server.go
@@ -99,106 +99,106 @@
 
 // Run serves forwarders on the listener until the context is canceled or a task
 // fails, and returns once all its goroutines have ended.
-func (p *Server) Run(ctx context.Context, listener net.Listener) error {
+func (s *Server) Run(ctx context.Context, listener net.Listener) error {
 	tasks, ctx := errgroup.WithContext(ctx)
-	p.pool = transport.NewHostPool(ctx, &p.start.Limits, p.buffers)
-	applyList := func(text []byte, _ bool) error { return p.applyList(ctx, text) }
-	onWatchError := func(err error) { p.log.Warn("the watch of the list ended", zap.Error(err)) }
-	watch := transport.NewWatch(&p.start.Limits, p.buffers, p.start.Discovery, p.listRevision.Load, applyList, onWatchError)
+	s.pool = transport.NewHostPool(ctx, &s.start.Limits, s.buffers)
+	applyList := func(text []byte, _ bool) error { return s.applyList(ctx, text) }
+	onWatchError := func(err error) { s.log.Warn("the watch of the list ended", zap.Error(err)) }
+	watch := transport.NewWatch(&s.start.Limits, s.buffers, s.start.Discovery, s.listRevision.Load, applyList, onWatchError)
 	tasks.Go(func() error { return watch.Run(ctx) })
-	tasks.Go(func() error { return p.acceptLinks(ctx, listener) })
-	tasks.Go(func() error { p.runOwner(ctx); return nil })
+	tasks.Go(func() error { return s.acceptLinks(ctx, listener) })
+	tasks.Go(func() error { s.runOwner(ctx); return nil })
 	err := tasks.Wait()
-	p.pool.Wait()
+	s.pool.Wait()
 	return err
 }
 
 // enqueue sends an event to the owner, unless the context is canceled first.
-func (p *Server) enqueue(ctx context.Context, event func()) {
+func (s *Server) enqueue(ctx context.Context, event func()) {
 	select {
-	case p.events <- event:
+	case s.events <- event:
 	case <-ctx.Done():
 	}
 }
 
 // runOwner is the event loop of the goroutine that owns the state machine.
-func (p *Server) runOwner(ctx context.Context) {
+func (s *Server) runOwner(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			p.trace.Flush()
+			s.trace.Flush()
 			return
-		case event := <-p.events:
-			p.traceTime()
+		case event := <-s.events:
+			s.traceTime()
 			event()
-			for range len(p.events) { // one tick for all queued events
-				(<-p.events)()
+			for range len(s.events) { // one tick for all queued events
+				(<-s.events)()
 			}
 		case <-timer.C:
 		}
-		p.traceTime()
-		next := p.tick(ctx)
-		timer.Reset(max(minTickDelay, clock.Span(next-p.clock.Now())))
+		s.traceTime()
+		next := s.tick(ctx)
+		timer.Reset(max(minTickDelay, clock.Span(next-s.clock.Now())))
 	}
 }
 
 // traceTime sets the time of the trace events that follow.
-func (p *Server) traceTime() {
-	if p.trace != nil {
-		p.trace.SetTime(p.clock.Now(), time.Now().UnixNano()/int64(clock.Tenth))
+func (s *Server) traceTime() {
+	if s.trace != nil {
+		s.trace.SetTime(s.clock.Now(), time.Now().UnixNano()/int64(clock.Tenth))
 	}
 }
 
 // tick executes the actions that are due and returns the time of the next tick.
-func (p *Server) tick(ctx context.Context) policy.TenthMs {
-	actions := p.core.Tick(p.clock.Now())
+func (s *Server) tick(ctx context.Context) policy.TenthMs {
+	actions := s.core.Tick(s.clock.Now())
 	for _, name := range actions.Probes {
-		p.probe(ctx, name)
+		s.probe(ctx, name)
 	}
 	for _, forwarder := range actions.Disconnect {
-		if conn := p.conns[forwarder]; conn != nil {
-			delete(p.conns, forwarder)
+		if conn := s.conns[forwarder]; conn != nil {
+			delete(s.conns, forwarder)
 			conn.CloseWithError(errForwarderSilent)
 		}
 	}
 	if actions.Change != nil {
-		p.broadcast(actions.Change, actions.FullView)
+		s.broadcast(actions.Change, actions.FullView)
 	}
-	p.copyCounters()
+	s.copyCounters()
 	return actions.NextTick
 }
 
 // copyCounters updates the counters that LogFields reads.
-func (p *Server) copyCounters() {
-	p.openLinks.Store(int64(len(p.conns)))
-	p.leaseCount.Store(int64(p.core.LeaseCount()))
-	p.duplicateLeases.Store(p.core.DuplicateLeases)
-	p.timedOutLinks.Store(p.core.TimedOutLinks)
-	p.failedProbes.Store(p.core.FailedProbes)
-	p.coldWork.Store(p.core.ColdWork)
+func (s *Server) copyCounters() {
+	s.openLinks.Store(int64(len(s.conns)))
+	s.leaseCount.Store(int64(s.core.LeaseCount()))
+	s.duplicateLeases.Store(s.core.DuplicateLeases)
+	s.timedOutLinks.Store(s.core.TimedOutLinks)
+	s.failedProbes.Store(s.core.FailedProbes)
+	s.coldWork.Store(s.core.ColdWork)
 }
 
 // LogFields returns the counters as fields of a log entry. Any goroutine may call it.
-func (p *Server) LogFields() []zap.Field {
+func (s *Server) LogFields() []zap.Field {
 	return []zap.Field{
-		zap.Int64("forwarders_open", p.openLinks.Load()),
-		zap.Int64("forwarders_counted", p.leaseCount.Load()),
-		zap.Int64("names_twice", p.duplicateLeases.Load()),
-		zap.Int64("links_overdue", p.timedOutLinks.Load()),
-		zap.Int64("links_accepted", p.AcceptedLinks.Load()),
-		zap.Int64("links_refused", p.RejectedLinks.Load()),
-		zap.Int64("links_broken", p.BrokenLinks.Load()),
-		zap.Int64("hosts", p.hostCount.Load()),
-		zap.Int64("lists", p.AppliedLists.Load()),
-		zap.Int64("stale_lists", p.StaleLists.Load()),
-		zap.Int64("probes", p.Probes.Load()),
-		zap.Int64("probes_unanswered", p.failedProbes.Load()),
-		zap.Int64("changes", p.Changes.Load()),
-		zap.Int64("whole_views", p.FullViews.Load()),
-		zap.Int64("bytes", p.SentBytes.Load()),
-		zap.Int64("reports", p.Reports.Load()),
-		zap.Float64("cold_work", float64(p.coldWork.Load())/workPerCommand),
+		zap.Int64("forwarders_open", s.openLinks.Load()),
+		zap.Int64("forwarders_counted", s.leaseCount.Load()),
+		zap.Int64("names_twice", s.duplicateLeases.Load()),
+		zap.Int64("links_overdue", s.timedOutLinks.Load()),
+		zap.Int64("links_accepted", s.AcceptedLinks.Load()),
+		zap.Int64("links_refused", s.RejectedLinks.Load()),
+		zap.Int64("links_broken", s.BrokenLinks.Load()),
+		zap.Int64("hosts", s.hostCount.Load()),
+		zap.Int64("lists", s.AppliedLists.Load()),
+		zap.Int64("stale_lists", s.StaleLists.Load()),
+		zap.Int64("probes", s.Probes.Load()),
+		zap.Int64("probes_unanswered", s.failedProbes.Load()),
+		zap.Int64("changes", s.Changes.Load()),
+		zap.Int64("whole_views", s.FullViews.Load()),
+		zap.Int64("bytes", s.SentBytes.Load()),
+		zap.Int64("reports", s.Reports.Load()),
+		zap.Float64("cold_work", float64(s.coldWork.Load())/workPerCommand),
 	}
 }
--- a/internal/router/tier/plannerserver/server_test.go
+++ b/internal/router/tier/plannerserver/server_test.go
@@ -29,7 +29,7 @@
 
 // startPlanner runs a planner with a fake discovery service that lists the given number of hosts, none of which
 // responds. change may modify the settings.
-func startPlanner(t *testing.T, hosts int, change func(*setup.PlannerSection)) (address string, p *Server, log *observer.ObservedLogs) {
+func startPlanner(t *testing.T, hosts int, change func(*setup.PlannerSection)) (address string, server *Server, log *observer.ObservedLogs) {
 	t.Helper()
 	fakeDiscovery, err := discovery.New()
 	if err != nil {
@@ -55,10 +55,10 @@
 		t.Fatal(err)
 	}
 	core, log := observer.New(zap.InfoLevel)
-	p = New(start, section, 7, nil, zap.New(core))
+	server = New(start, section, 7, nil, zap.New(core))
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
-	go func() { ended <- p.Run(ctx, listener) }()
+	go func() { ended <- server.Run(ctx, listener) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
@@ -66,7 +66,7 @@
 		}
 		fakeDiscovery.Stop()
 	})
-	return listener.Addr().String(), p, log
+	return listener.Addr().String(), server, log
 }
 
 // dial connects to the planner without a handshake.
@@ -124,7 +124,7 @@
 }
 
 func TestAnotherKeyOrVersionIsRejectedWithReason(t *testing.T) {
-	address, p, log := startPlanner(t, 1, nil)
+	address, server, log := startPlanner(t, 1, nil)
 	if _, err := connect(dial(t, address), &otherKey); err == nil {
 		t.Error("a forwarder with another key is accepted")
 	}
@@ -136,8 +136,8 @@
 		t.Errorf("%+v %v", greeting, err)
 	}
 	waitForLog(t, log, "rejected a forwarder", "version 9")
-	if p.RejectedLinks.Load() != 2 {
-		t.Errorf("%d links rejected", p.RejectedLinks.Load())
+	if server.RejectedLinks.Load() != 2 {
+		t.Errorf("%d links rejected", server.RejectedLinks.Load())
 	}
 }
 
