--- a/internal/control/platform_client.go
+++ b/internal/control/platform_client.go
@@ -64,7 +64,7 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		c.log.Info("promotion request failed without a response", "host", promotion.Host, "error", err)
+		c.log.Info("promotion got no response", "host", promotion.Host, "error", err)
 		progress := retry.NotSent
 		if written.Load() {
 			progress = retry.Sent
@@ -75,7 +75,7 @@
 		return failover.PromotionUnknown
 	}
 	response.Body.Close()
-	c.log.Info("promotion response received", "host", promotion.Host, "status", response.StatusCode)
+	c.log.Info("promotion got a response", "host", promotion.Host, "status", response.StatusCode)
 	return promotionOutcome(response.StatusCode)
 }
 
--- a/internal/metrics/serve.go
+++ b/internal/metrics/serve.go
@@ -52,7 +52,7 @@
 		}
 		if !logged {
 			logged = true
-			log.Error("metrics: failed to listen, will retry", "address", address, "error", err)
+			log.Error("metrics: the port can't be opened, and is tried again", "address", address, "error", err)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/proxy/log_update.go
+++ b/internal/proxy/log_update.go
@@ -58,5 +58,5 @@
 	default:
 		s.counters.stateDivergences.Add(1)
 	}
-	s.log.Error("log update does not fit the replicated state; requesting a snapshot", "index", s.replica.state.Index, "error", err)
+	s.log.Error("update of the log does not fit the state; requesting a snapshot", "index", s.replica.state.Index, "error", err)
 }
--- a/internal/router/tier/link/link.go
+++ b/internal/router/tier/link/link.go
@@ -35,7 +35,7 @@
 // Errors of greetings and frames. After any of them the connection must be closed.
 var (
 	ErrMalformed      = errors.New("malformed greeting or frame")
-	ErrAuthentication = errors.New("message authentication failed: wrong key or altered message")
+	ErrAuthentication = errors.New("the MAC is wrong: another key, or a changed message")
 	ErrTooLong        = errors.New("message exceeds the maximum size")
 )
 
--- a/internal/router/tier/plannerclient/link.go
+++ b/internal/router/tier/plannerclient/link.go
@@ -24,7 +24,7 @@
 		planner.Disconnected(c.clock.Now())
 	})
 	if ctx.Err() == nil {
-		c.log.Warn("link to planner failed", zap.String("planner", planner.Address), zap.Error(err))
+		c.log.Warn("a planner is not followed", zap.String("planner", planner.Address), zap.Error(err))
 	}
 }
 
--- a/internal/router/tier/plannerserver/links.go
+++ b/internal/router/tier/plannerserver/links.go
@@ -86,7 +86,7 @@
 		s.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, false, err.Error())
 	})
 	if ctx.Err() == nil {
-		s.log.Info("a forwarder disconnected", zap.String("name", conn.Peer.Name), zap.Error(err))
+		s.log.Info("a forwarder left", zap.String("name", conn.Peer.Name), zap.Error(err))
 	}
 }
 
