--- a/internal/router/catalog/catalog.go
+++ b/internal/router/catalog/catalog.go
@@ -1,4 +1,4 @@
-// Package catalog reads the endpoint lists of the discovery service, for whoever watches it.
+// Package catalog decodes the host lists of the discovery service, for routers and planners.
 package catalog
 
 import (
@@ -7,15 +7,15 @@
 	"ferrypitch/policy"
 )
 
-// States and roles of an entry.
+// Values of state and role in a list entry.
 const (
 	stateUp      = "up"
 	stateRemoved = "removed"
 	roleLeader   = "leader"
 )
 
-// Read reads a list, which is complete or has the changes since the last. Versions grow. An invalid list is a setup.Fault
-// that names the field, and nothing of it is used.
+// Read decodes a host list. If complete is false, it contains only the changes since the previous list. Versions increase. If the
+// list is invalid, the error is a setup.Fault that names the field and no hosts are returned.
 func Read(list setup.Object) (version int64, complete bool, hosts []view.Host, err error) {
 	defer setup.Catch(&err)
 	version, complete = list.Integer("rev"), list.Flag("all")
@@ -43,7 +43,7 @@
 		host.Standing = policy.Active
 	case stateRemoved:
 		host.Standing = policy.Removed
-	default: // a state that is not known gets nothing new
+	default: // a host with an unknown state gets no new commands
 		host.Standing = policy.Draining
 	}
 	return host
--- a/internal/router/clock/clock.go
+++ b/internal/router/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock is the time source of the decision module.
+// Package clock provides the time source of the routing policy.
 package clock
 
 import (
@@ -7,42 +7,44 @@
 	"ferrypitch/policy"
 )
 
-// Tenth is the module's unit of time, a tenth of a millisecond.
+// Tenth is the unit of policy.TenthMs, a tenth of a millisecond.
 const Tenth = 100 * time.Microsecond
 
-// slewShare is the share of the elapsed time by which the clock lags to meet a system clock that is behind: a tenth.
-const slewShare = 10
+// slewDivisor sets the slew rate: while the system clock is behind, this clock is slowed down by the elapsed time divided by
+// slewDivisor, a tenth.
+const slewDivisor = 10
 
-// Clock returns Unix time in the module's unit, so that positions, which are Unix times, need no conversion but of their
-// unit. It runs by the monotonic clock and follows the system clock: at once where that is ahead, since a moment too early
-// would make old data look new; slowly where it is behind, so that time never goes back. It is not safe for concurrent use.
+// Clock returns Unix time as policy.TenthMs, so that positions, which are Unix times, need only a conversion of units. It advances
+// with the monotonic clock and follows the system clock. If the system clock is ahead, Clock steps forward at once, since a time
+// that is too early would make old data look new. If it is behind, Clock slows down, so that time never goes back. It is not safe
+// for concurrent use.
 type Clock struct {
-	read   func() time.Time
-	last   time.Time // reading
-	unixNs int64     // the clock's time at the last reading
+	read        func() time.Time
+	lastReading time.Time // previous reading of the system clock
+	unixNs      int64     // time of this Clock at lastReading
 }
 
-// New returns a clock that reads the system's clock by read, as time.Now.
+// New returns a clock that reads the system clock with read, usually time.Now.
 func New(read func() time.Time) *Clock {
-	c := &Clock{read: read, last: read()}
-	c.unixNs = c.last.UnixNano()
+	c := &Clock{read: read, lastReading: read()}
+	c.unixNs = c.lastReading.UnixNano()
 	return c
 }
 
-// Now returns the time, which never goes back.
+// Now returns the current time, which never goes back.
 func (c *Clock) Now() policy.TenthMs {
 	reading := c.read()
-	elapsed := int64(reading.Sub(c.last)) // monotonic
-	c.last = reading
+	elapsed := int64(reading.Sub(c.lastReading)) // monotonic
+	c.lastReading = reading
 	c.unixNs += elapsed
 	switch ahead := reading.UnixNano() - c.unixNs; {
 	case ahead > 0:
 		c.unixNs += ahead
 	case ahead < 0:
-		c.unixNs -= min(-ahead, elapsed/slewShare)
+		c.unixNs -= min(-ahead, elapsed/slewDivisor)
 	}
 	return c.unixNs / int64(Tenth)
 }
 
-// Span converts a span of the module's time.
+// Span converts a policy duration to a time.Duration.
 func Span(span policy.TenthMs) time.Duration { return time.Duration(span) * Tenth }
--- a/internal/router/clock/clock_test.go
+++ b/internal/router/clock/clock_test.go
@@ -14,7 +14,7 @@
 	if got := c.Now() - first; got != 10000 {
 		t.Errorf("a second is %d", got)
 	}
-	// A clock that was set back: only the system's reading changes.
+	// The system clock was set back: simulate it by moving this clock ahead.
 	c.unixNs += int64(time.Hour)
 	before := c.Now()
 	at = at.Add(time.Second)
--- a/internal/router/protocol/append.go
+++ b/internal/router/protocol/append.go
@@ -2,10 +2,11 @@
 
 import "encoding/binary"
 
-// transactionIdle is ReadyForQuery's status outside a transaction. Commands here are their own transactions.
+// transactionIdle is the transaction status of ReadyForQuery outside a transaction block. Each command is a transaction of its
+// own.
 const transactionIdle = 'I'
 
-// greetingParameters are those that drivers expect after the startup.
+// greetingParameters are the parameters that drivers expect after the startup message.
 var greetingParameters = [...]struct{ name, value string }{
 	{"server_version", "15.0"},
 	{"server_encoding", "UTF8"},
@@ -14,7 +15,7 @@
 	{"integer_datetimes", "on"},
 }
 
-// appendMessage appends a message whose body appendBody appends.
+// appendMessage appends a message. appendBody appends its body.
 func appendMessage(b []byte, kind byte, appendBody func([]byte) []byte) []byte {
 	b = append(b, kind)
 	start := len(b)
@@ -23,10 +24,10 @@
 	return b
 }
 
-// appendText appends a string with the zero byte that ends it.
+// appendText appends a zero-terminated string.
 func appendText(b []byte, text string) []byte { return append(append(b, text...), 0) }
 
-// AppendStartup appends the message that begins a session with a host.
+// AppendStartup appends the startup message of a session with a host.
 func AppendStartup(b []byte, user, database string) []byte {
 	start := len(b)
 	b = append(b, make([]byte, lengthBytes)...)
@@ -38,13 +39,13 @@
 	return b
 }
 
-// AppendQuery appends the message of a simple query.
+// AppendQuery appends the Query message of a simple query.
 func AppendQuery(b []byte, statement []byte) []byte {
 	return appendMessage(b, Query, func(b []byte) []byte { return append(append(b, statement...), 0) })
 }
 
-// AppendGreeting appends what a client is sent before its first command: AuthenticationOk, parameters, a cancel key of
-// zeros, since cancel requests are not served, and ReadyForQuery.
+// AppendGreeting appends the answer to a startup message: AuthenticationOk, parameters, a cancel key of zeros, since cancel
+// requests are not supported, and ReadyForQuery.
 func AppendGreeting(b []byte) []byte {
 	b = appendMessage(b, Authentication, func(b []byte) []byte { return append(b, 0, 0, 0, 0) })
 	for _, parameter := range greetingParameters {
@@ -56,7 +57,7 @@
 	return AppendReady(b)
 }
 
-// AppendReady appends ReadyForQuery, which ends each answer.
+// AppendReady appends ReadyForQuery, the last message of each answer.
 func AppendReady(b []byte) []byte {
 	return appendMessage(b, ReadyForQuery, func(b []byte) []byte { return append(b, transactionIdle) })
 }
@@ -70,8 +71,8 @@
 func AppendError(b []byte, severity, code, text, detail string) []byte {
 	return appendMessage(b, ErrorResponse, func(b []byte) []byte {
 		b = appendText(append(b, 'S'), severity)
-		b = appendText(append(b, 'V'), severity) // the same, never localized
-		b = appendText(append(b, fieldCode), code)
+		b = appendText(append(b, 'V'), severity) // the non-localized severity field
+		b = appendText(append(b, errorFieldCode), code)
 		b = appendText(append(b, 'M'), text)
 		if detail != "" {
 			b = appendText(append(b, 'D'), detail)
--- a/internal/router/protocol/body.go
+++ b/internal/router/protocol/body.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	fieldCode = 'C' // the field of an ErrorResponse that holds the SQLSTATE code
-	codeChars = 5   // of an SQLSTATE code
+	errorFieldCode = 'C' // type of the ErrorResponse field that holds the SQLSTATE code
+	sqlStateLength = 5   // characters of an SQLSTATE code
 
-	columnCountBytes       = 2
-	columnLengthBytes      = 4
-	columnDescriptionBytes = 18 // of RowDescription, after the column's name
+	columnCountBytes       = 2  // length of the column count in RowDescription and DataRow
+	columnLengthBytes      = 4  // length of a column's length in DataRow
+	columnDescriptionBytes = 18 // length of a column's description in RowDescription, after its name
 )
 
-// ErrorCode returns the SQLSTATE code of an ErrorResponse's body, or "" where it has none or is malformed.
+// ErrorCode returns the SQLSTATE code in an ErrorResponse's body, or "" if it has none or is malformed.
 func ErrorCode(body []byte) string {
 	code := ""
 	for len(body) > 1 && body[0] != 0 {
@@ -25,25 +25,25 @@
 		if !complete {
 			return ""
 		}
-		if body[0] == fieldCode {
+		if body[0] == errorFieldCode {
 			code = string(value)
 		}
 		body = rest
 	}
-	if len(body) != 1 || body[0] != 0 || len(code) != codeChars {
+	if len(body) != 1 || body[0] != 0 || len(code) != sqlStateLength {
 		return ""
 	}
 	return code
 }
 
-// Parameter returns the name and the value of a ParameterStatus body.
+// Parameter returns the name and value in the body of a ParameterStatus. ok is false if the body is malformed.
 func Parameter(body []byte) (name, value string, ok bool) {
 	nameText, rest, nameEnds := bytes.Cut(body, []byte{0})
 	valueText, rest, valueEnds := bytes.Cut(rest, []byte{0})
 	return string(nameText), string(valueText), nameEnds && valueEnds && len(rest) == 0
 }
 
-// SingleValue returns the column of a DataRow's body, if it has exactly one that is not null.
+// SingleValue returns the column value in a DataRow's body. ok is false unless it has exactly one column, which is not null.
 func SingleValue(body []byte) ([]byte, bool) {
 	const start = columnCountBytes + columnLengthBytes
 	if len(body) < start || binary.BigEndian.Uint16(body) != 1 {
@@ -65,7 +65,7 @@
 	return complete && len(rest) == columnDescriptionBytes
 }
 
-// IsCommandTag reports whether a CommandComplete's body is a tag, as in INSERT 0 1.
+// IsCommandTag reports whether a CommandComplete's body is a valid command tag, such as INSERT 0 1.
 func IsCommandTag(body []byte) bool {
 	tag, rest, complete := bytes.Cut(body, []byte{0})
 	for _, b := range tag {
@@ -76,7 +76,7 @@
 	return complete && len(rest) == 0 && len(tag) > 0
 }
 
-// QueryText returns the text of a Query's body; ok is false if it does not end at its only zero byte.
+// QueryText returns the statement in a Query's body. ok is false if the body does not end at its only zero byte.
 func QueryText(body []byte) (statement []byte, ok bool) {
 	if len(body) == 0 || bytes.IndexByte(body, 0) != len(body)-1 {
 		return nil, false
@@ -84,7 +84,7 @@
 	return body[:len(body)-1], true
 }
 
-// LoadReportField returns the value of a name in a load report, as in inflight=7,util=0.61.
+// LoadReportField returns the value of a field in a load report such as inflight=7,util=0.61.
 func LoadReportField(report, name string) (float64, bool) {
 	for item := range strings.SplitSeq(report, ",") {
 		if itemName, text, ok := strings.Cut(item, "="); ok && itemName == name {
--- a/internal/router/protocol/command.go
+++ b/internal/router/protocol/command.go
@@ -7,53 +7,53 @@
 )
 
 var (
-	// ErrComment reports that a statement's leading comment lacks a field or has one that cannot be read.
-	ErrComment = errors.New("no comment with id, c, d and cluster before the statement")
-	// ErrForm reports that a statement is neither the read nor the write that is served.
-	ErrForm = errors.New("a statement of another form than is served")
+	// ErrInvalidComment reports that a statement's leading comment is missing, lacks a field, or has an invalid field.
+	ErrInvalidComment = errors.New("no comment with id, c, d and cluster before the statement")
+	// ErrUnsupportedStatement reports that a statement is neither the supported read nor the supported write.
+	ErrUnsupportedStatement = errors.New("a statement of another form than is served")
 )
 
 const (
-	maxNameBytes = 1 << 10 // of an id or a key
-	maxNumber    = 1e15    // in a comment; beyond, a float64 has no fractions that count
+	maxNameBytes = 1 << 10 // maximum length of an id or a key
+	maxNumber    = 1e15    // maximum number in a comment; above it, a float64 is too coarse for fractions of a millisecond
 )
 
-// Command is what a statement and its leading comment say.
+// Command is a parsed statement with its leading comment.
 type Command struct {
-	ID          string  // unique among the commands that are open
-	Group       string  // the command group's name
-	Key         string  // of the record that is read or written
+	ID          string  // unique among the open commands
+	Group       string  // name of the command group
+	Key         string  // key of the record that is read or written
 	ReplicaSet  int64   // the replica set that owns the key
-	TimeoutMs   float64 // how long the client waits, over 0
+	TimeoutMs   float64 // how long the client waits; positive
 	WrittenAtMs float64 // Unix time of the commit that a read must see; 0 for none
-	IsRetry     bool    // the client has sent the command before
-	IsWrite     bool    // the statement is the write, not the read
+	IsRetry     bool    // the client has sent this command before
+	IsWrite     bool    // the statement is a write, not a read
 }
 
-// ParseCommand parses a statement. It fails with ErrComment or ErrForm.
+// ParseCommand parses a statement. It fails with ErrInvalidComment or ErrUnsupportedStatement.
 func ParseCommand(statement []byte) (Command, error) {
 	inside, rest, ok := cutComment(statement)
 	if !ok {
-		return Command{}, ErrComment
+		return Command{}, ErrInvalidComment
 	}
 	command, err := parseComment(inside)
 	if err != nil {
 		return Command{}, err
 	}
 	if command.Key, command.IsWrite, ok = parseStatement(rest); !ok {
-		return Command{}, ErrForm
+		return Command{}, ErrUnsupportedStatement
 	}
 	return command, nil
 }
 
 // parseComment parses the name=value items of a comment. Unknown names are ignored.
-func parseComment(inside []byte) (command Command, err error) {
-	for len(inside) > 0 {
+func parseComment(comment []byte) (command Command, err error) {
+	for len(comment) > 0 {
 		var item []byte
-		item, inside, _ = bytes.Cut(inside, []byte{','})
+		item, comment, _ = bytes.Cut(comment, []byte{','})
 		name, value, ok := bytes.Cut(bytes.TrimSpace(item), []byte{'='})
 		if !ok {
-			return Command{}, ErrComment
+			return Command{}, ErrInvalidComment
 		}
 		switch string(name) {
 		case "id":
@@ -70,25 +70,25 @@
 			command.IsRetry = string(value) == "1"
 		}
 		if err != nil {
-			return Command{}, ErrComment
+			return Command{}, ErrInvalidComment
 		}
 	}
 	if command.ID == "" || len(command.ID) > maxNameBytes || command.Group == "" || command.TimeoutMs <= 0 {
-		return Command{}, ErrComment
+		return Command{}, ErrInvalidComment
 	}
 	return command, nil
 }
 
-// The two statements that are served, around their literals.
+// Fixed parts of the two supported statements.
 const (
 	readPrefix   = "SELECT v FROM records WHERE k = "
 	writePrefix  = "INSERT INTO records (k, v) VALUES ("
 	valuePrefix  = `, '\x`
 	writeSuffix  = "') RETURNING v"
-	trailingText = "; " // characters that may follow a statement
+	trailingText = "; " // characters that may follow a statement, in any number
 )
 
-// parseStatement reads which of the two statements a text is, and the key in it.
+// parseStatement parses one of the two supported statements and returns its key.
 func parseStatement(statement []byte) (key string, isWrite, ok bool) {
 	statement = bytes.TrimRight(bytes.TrimSpace(statement), trailingText)
 	if literal, isRead := bytes.CutPrefix(statement, []byte(readPrefix)); isRead {
@@ -105,7 +105,7 @@
 	return key, true, ok && hasPrefix && hasSuffix && isHex(value)
 }
 
-// isHex reports whether a text is bytes in hexadecimal digits.
+// isHex reports whether a text is an even number of hexadecimal digits.
 func isHex(text []byte) bool {
 	for _, c := range text {
 		if (c < '0' || c > '9') && (c < 'a' || c > 'f') && (c < 'A' || c > 'F') {
@@ -115,7 +115,7 @@
 	return len(text)%2 == 0
 }
 
-// AppendWithTimeout appends a statement with the time-out in its comment replaced by timeoutMs. All else stays as it came.
+// AppendWithTimeout appends a statement with the timeout in its comment replaced by timeoutMs. The rest is copied unchanged.
 func AppendWithTimeout(b, statement []byte, timeoutMs int64) []byte {
 	inside, rest, ok := cutComment(statement)
 	if !ok {
@@ -139,11 +139,11 @@
 	return append(append(b, "*/"...), rest...)
 }
 
-// IsEmptyStatement reports whether a statement has nothing to run.
+// IsEmptyStatement reports whether a statement consists of white space and semicolons only.
 func IsEmptyStatement(statement []byte) bool { return len(bytes.Trim(statement, " \t\r\n;")) == 0 }
 
-// cutComment cuts the leading comment off a statement.
-func cutComment(statement []byte) (inside, rest []byte, ok bool) {
+// cutComment splits a statement into the text of its leading comment and the rest. ok is false if it has no comment.
+func cutComment(statement []byte) (comment, rest []byte, ok bool) {
 	text := bytes.TrimLeft(statement, " \t\r\n")
 	if !bytes.HasPrefix(text, []byte("/*")) {
 		return nil, nil, false
@@ -151,21 +151,22 @@
 	return bytes.Cut(text[len("/*"):], []byte("*/"))
 }
 
-// parseNumber reads digits, which may have a fraction, but no sign or exponent.
+// parseNumber parses a decimal number, which may have a fraction but no sign or exponent.
 func parseNumber(text []byte) (float64, error) {
 	for _, c := range text {
 		if (c < '0' || c > '9') && c != '.' {
-			return 0, ErrComment
+			return 0, ErrInvalidComment
 		}
 	}
 	value, err := strconv.ParseFloat(string(text), 64)
 	if err == nil && value > maxNumber {
-		err = ErrComment
+		err = ErrInvalidComment
 	}
 	return value, err
 }
 
-// cutLiteral reads the string literal that a text begins with, in which a quote is doubled. It may not be empty.
+// cutLiteral parses the string literal at the start of a text, in which quotes are doubled. ok is false if the literal is empty,
+// too long or malformed.
 func cutLiteral(text []byte) (value string, rest []byte, ok bool) {
 	text, ok = bytes.CutPrefix(text, []byte{'\''})
 	for ok {
--- a/internal/router/protocol/doc.go
+++ b/internal/router/protocol/doc.go
@@ -1,8 +1,8 @@
-// Package protocol encodes and decodes what goes over the older router's sockets: the frontend/backend protocol of
-// PostgreSQL, version 3.0, from both ends (https://www.postgresql.org/docs/current/protocol.html), the comment that clients
-// put before a command, and discovery's HTTP.
+// Package protocol encodes and decodes the protocols of the older router's sockets: both sides of the PostgreSQL
+// frontend/backend protocol, version 3.0 (https://www.postgresql.org/docs/current/protocol.html), the leading comment of
+// clients' commands, and the HTTP of discovery.
 //
-// It works on bytes alone. Functions that begin with Next cut the first complete item off a buffer and return its length n,
-// which is 0 while more bytes are needed. What they return refers to the buffer. Functions that begin with Append append to
-// a buffer and return it.
+// The package does no I/O. Functions named Next... decode the first complete item of a buffer and return its encoded length n,
+// which is 0 if more bytes are needed. The slices that they return refer to the buffer. Functions named Append... append to a
+// buffer and return it.
 package protocol
--- a/internal/router/protocol/message.go
+++ b/internal/router/protocol/message.go
@@ -36,7 +36,7 @@
 	BackendKeyData     = 'K'
 )
 
-// Codes of startup messages: the protocol's version, or a request that stands in its place.
+// Codes of startup messages: the protocol version, or a special request in its place.
 const (
 	Version       = 3 << 16 // the major version is in the upper 16 bits
 	CancelRequest = 1234<<16 | 5678
@@ -44,15 +44,15 @@
 	GSSEncRequest = 1234<<16 | 5680
 )
 
-// EncryptionDeclined is the byte that answers a request for encryption by none.
+// EncryptionDeclined is the one-byte answer that declines SSLRequest and GSSEncRequest.
 const EncryptionDeclined = 'N'
 
-// MaxStartupBytes is the longest startup message that PostgreSQL accepts, in bytes.
+// MaxStartupBytes is the maximum length of a startup message in PostgreSQL.
 const MaxStartupBytes = 10000
 
 // SQLSTATE codes that the router sends or acts on.
 const (
-	TooManyConnections  = "53300" // too_many_connections; also of a command that is throttled
+	TooManyConnections  = "53300" // too_many_connections; also for throttled commands
 	CannotConnectNow    = "57P03" // cannot_connect_now
 	ReadOnlyTransaction = "25006" // read_only_sql_transaction: the host is not the primary
 	ReplicaBehind       = "72000" // snapshot_too_old: the replica has not replayed the position yet
@@ -63,44 +63,44 @@
 )
 
 var (
-	// ErrInvalidLength reports that a message has a length that the protocol does not allow.
+	// ErrInvalidLength reports a message length that the protocol does not allow.
 	ErrInvalidLength = errors.New("a message of impossible length")
-	// ErrTooLong reports that a message, or a chunk or line of HTTP, exceeds the caller's limit.
+	// ErrTooLong reports that a message, an HTTP chunk or a line exceeds the caller's limit.
 	ErrTooLong = errors.New("a message of more than is taken")
 )
 
 const (
-	lengthBytes      = 4 // of the length of a message, which counts itself but not the kind
+	lengthBytes      = 4 // a message's length field, which counts itself but not the kind byte
 	headerBytes      = 1 + lengthBytes
-	codeBytes        = 4 // of a startup message
+	startupCodeBytes = 4 // the code of a startup message
 	maxMessageLength = 1<<31 - 1
 )
 
-// NextMessage cuts the first message off b. It fails with ErrLength, or with ErrTooLong if the message's length exceeds maxSize.
+// NextMessage decodes the first message in b. It fails with ErrInvalidLength, or with ErrTooLong if the length exceeds maxSize.
 func NextMessage(b []byte, maxSize int) (kind byte, body []byte, n int, err error) {
 	if len(b) < headerBytes {
 		return 0, nil, 0, nil
 	}
 	body, n, err = cutFrame(b[1:], maxSize)
 	if n > 0 {
-		n++ // the kind
+		n++ // the kind byte
 	}
 	return b[0], body, n, err
 }
 
-// NextStartup cuts a startup message, which has no kind, off b. It returns its code, and fails as Next does.
+// NextStartup decodes a startup message, which has no kind byte, and returns its code. It fails like NextMessage.
 func NextStartup(b []byte, maxSize int) (code uint32, n int, err error) {
 	body, n, err := cutFrame(b, maxSize)
 	if n == 0 || err != nil {
 		return 0, 0, err
 	}
-	if len(body) < codeBytes {
+	if len(body) < startupCodeBytes {
 		return 0, 0, ErrInvalidLength
 	}
 	return binary.BigEndian.Uint32(body), n, nil
 }
 
-// cutFrame cuts a length and the body that it covers off b.
+// cutFrame decodes a length field and returns the body that follows it.
 func cutFrame(b []byte, maxSize int) (body []byte, n int, err error) {
 	if len(b) < lengthBytes {
 		return nil, 0, nil
--- a/internal/router/protocol/protocol_test.go
+++ b/internal/router/protocol/protocol_test.go
@@ -73,7 +73,7 @@
 		"/* id=1,c=a,d=1,oops */", "/* id=1,c=a,d=1,after=1e99 */", "/* id=1,c=a,d= */", "/* id=1,c=a,d=soon */",
 		"/* id=1,c=a,d=0x10 */", "/* id=1,c=a,d=0 */", "/* id=" + strings.Repeat("1", 2000) + ",c=a,d=1 */",
 	} {
-		if _, err := ParseCommand([]byte(bad + " SELECT v FROM records WHERE k = 'a'")); !errors.Is(err, ErrComment) {
+		if _, err := ParseCommand([]byte(bad + " SELECT v FROM records WHERE k = 'a'")); !errors.Is(err, ErrInvalidComment) {
 			t.Errorf("%q has a usable comment", bad)
 		}
 	}
@@ -93,7 +93,7 @@
 		`INSERT INTO records (k, v) VALUES ('a', '\x9f0g') RETURNING v`,
 		`INSERT INTO records (k, v) VALUES ('a', '\x9f03')`, `INSERT INTO records (k, v) VALUES ('a'`,
 	} {
-		if _, err := ParseCommand([]byte(comment + bad)); !errors.Is(err, ErrForm) {
+		if _, err := ParseCommand([]byte(comment + bad)); !errors.Is(err, ErrUnsupportedStatement) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
--- a/internal/router/routing/commands.go
+++ b/internal/router/routing/commands.go
@@ -13,21 +13,22 @@
 )
 
 const (
-	maxTimeoutMs      = 1e9 // beyond, a time-out does not fit a time.Duration
-	maxGroupNameShown = 64  // bytes of an unknown name that its rejection repeats
-	positionMarginMs  = 2   // by which a true position may be past the clock
+	maxTimeoutMs         = 1e9 // limit for client timeouts; a longer one would overflow time.Duration
+	maxRejectedNameBytes = 64  // bytes of an unknown group name that are repeated in the error message
+	positionMarginMs     = 2   // a valid position may be ahead of the router's clock by this much
 )
 
-// command is one that the module has taken.
+// command is a command that was submitted to the policy and is not finished.
 type command struct {
 	handle    *policy.Command
-	slot      *transport.Slot // nil once it is answered, or its client gone
+	slot      *transport.Slot // nil after the command is answered or the client has disconnected
 	statement []byte
-	deadline  time.Time // when its last answer is due
-	inFlight  *request
+	deadline  time.Time // latest time for the final answer to the client
+	inFlight  *request  // current dispatch; nil for none
 }
 
-// HandleCommand implements transport.CommandHandler.
+// HandleCommand implements transport.CommandHandler. It parses a statement and queues it for the policy; invalid commands are
+// rejected at once.
 func (r *Router) HandleCommand(slot *transport.Slot, statement []byte, receivedAt time.Time) {
 	parsed, err := protocol.ParseCommand(statement)
 	group := r.start.Formats.Groups[parsed.Group]
@@ -36,21 +37,22 @@
 		r.reject(slot, err.Error())
 		return
 	case group == nil:
-		r.reject(slot, "no command group of the name "+strconv.Quote(parsed.Group[:min(len(parsed.Group), maxGroupNameShown)]))
+		r.reject(slot, "no command group of the name "+strconv.Quote(parsed.Group[:min(len(parsed.Group), maxRejectedNameBytes)]))
 		return
 	case parsed.IsWrite != (group.ConsistencyLevel == policy.Write):
 		r.reject(slot, "a statement that its command group does not have")
 		return
 	}
-	// The group's time-out is the longest, whatever the client names.
+	// The command group's timeout caps the client's.
 	timeout := min(time.Duration(min(parsed.TimeoutMs, maxTimeoutMs)*float64(time.Millisecond)), clock.Span(group.Timeout))
 	deadline := receivedAt.Add(timeout - r.start.Limits.AnswerMargin)
-	if !r.queue.Put(eventloop.PriorityCommands, func() { r.takeCommand(slot, statement, group, parsed, deadline) }) {
+	if !r.queue.Put(eventloop.PriorityCommands, func() { r.submitCommand(slot, statement, group, parsed, deadline) }) {
 		slot.Fail(protocol.SystemError, errStopped.Error())
 	}
 }
 
-// HandleEmptyQuery implements transport.CommandHandler. Clients send empty queries to learn whether the router is ready.
+// HandleEmptyQuery implements transport.CommandHandler. Clients use empty queries as a readiness check, so they are answered
+// only after the first host list.
 func (r *Router) HandleEmptyQuery(slot *transport.Slot) {
 	r.queue.Put(eventloop.PriorityCommands, func() {
 		if r.hasList {
@@ -61,39 +63,39 @@
 	})
 }
 
-// ClientDisconnected implements transport.CommandHandler.
+// ClientDisconnected implements transport.CommandHandler. It cancels the command of the slot.
 func (r *Router) ClientDisconnected(slot *transport.Slot) {
 	r.queue.Put(eventloop.PriorityOutcomes, func() {
 		if c := r.slots[slot]; c != nil {
 			r.Disconnected.Add(1)
-			r.forgetSlot(c)
+			r.clearSlot(c)
 			r.trace.Left(c.handle)
 			c.handle.Abandon()
-			r.forgetIfOver(c.handle)
+			r.removeIfFinished(c.handle)
 		}
 	})
 }
 
-// reject answers what is not a command, which costs less than serving one.
+// reject answers an invalid command from the caller's goroutine, without using the queue of commands.
 func (r *Router) reject(slot *transport.Slot, reason string) {
 	r.Rejected.Add(1)
 	slot.Reject(protocol.SyntaxError, reason)
 }
 
-// takeCommand brings a command to the module.
-func (r *Router) takeCommand(slot *transport.Slot, statement []byte, group *policy.CommandGroup, parsed protocol.Command, deadline time.Time) {
+// submitCommand passes a command to the policy.
+func (r *Router) submitCommand(slot *transport.Slot, statement []byte, group *policy.CommandGroup, parsed protocol.Command, deadline time.Time) {
 	switch {
-	case r.hasList && !r.replicaSets[parsed.ReplicaSet]: // the module would keep every number that clients make up
+	case r.hasList && !r.replicaSets[parsed.ReplicaSet]: // the policy would keep state for every replica set number that clients invent
 		r.reject(slot, "no host of replica set "+strconv.FormatInt(parsed.ReplicaSet, 10)+" has been listed")
 		return
-	case r.commands[parsed.ID] != nil: // ids are unique; the first command may have had its effect
+	case r.commands[parsed.ID] != nil: // ids are unique; the first command with this id may already have been executed
 		r.reject(slot, "the id of a command that is open")
 		return
 	}
 	slot.CommandAccepted()
 	now := r.advanceClock()
 	sinceWrite := policy.TenthMs(0)
-	if parsed.WrittenAtMs > 0 { // a commit's time is rounded up, so that the read is not too early
+	if parsed.WrittenAtMs > 0 { // the commit time is rounded up so that the read is not too early
 		sinceWrite = max(1, now-setup.RoundUp(parsed.WrittenAtMs))
 	}
 	c := &command{slot: slot, statement: statement, deadline: deadline}
@@ -105,52 +107,53 @@
 	c.handle = r.policy.Submit(parsed.ID, group, parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
 	r.trace.Taken(c.handle)
 	previewed.compare(c.handle)
-	r.forgetIfOver(c.handle)
+	r.removeIfFinished(c.handle)
 }
 
-// commandEnded brings the outcome of a command's dispatch to the module.
-func (r *Router) commandEnded(c *command, answer transport.Answer) {
+// finishDispatch answers the client if the host answered, and passes the dispatch's outcome to the policy.
+func (r *Router) finishDispatch(c *command, answer transport.Answer) {
 	c.inFlight = nil
 	r.Outcomes[answer.Outcome].Add(1)
 	if answer.Outcome == policy.Answered && c.slot != nil {
 		r.Answered.Add(1)
 		c.slot.Answer(answer.Frames)
-		r.forgetSlot(c)
+		r.clearSlot(c)
 	}
 	r.applyLoadReport(c.handle.Host, answer.LoadReport)
 	position, role := setup.ParseHostStatus(answer.Position, answer.Role, r.maxPositionMs())
 	elapsed := policy.TenthMs(answer.Elapsed / clock.Tenth)
 	if h := r.nodes[c.handle.Host]; h != nil && r.start.Deployment.UsesPlanners {
 		now := r.clock.Now()
-		h.noteAnswer(c.handle, answer.Outcome, position, role, now-elapsed, now, elapsed)
+		h.recordAnswer(c.handle, answer.Outcome, position, role, now-elapsed, now, elapsed)
 	}
 	r.trace.Ended(c.handle, answer.Outcome, position, role, elapsed, c.slot == nil)
 	c.handle.EndDispatch(answer.Outcome, position, role, elapsed, c.slot == nil)
-	r.forgetIfOver(c.handle)
+	r.removeIfFinished(c.handle)
 }
 
-// applyLoadReport passes the position and role of a load report to the module.
+// applyLoadReport passes the position and role in a load report to the policy.
 func (r *Router) applyLoadReport(node *policy.Host, report string) {
-	terms := r.start.Formats
-	position, role, ok := terms.ParseLoadReport(func(i int) (float64, bool) { return protocol.LoadReportField(report, terms.Fields[i]) })
+	formats := r.start.Formats
+	position, role, ok := formats.ParseLoadReport(func(i int) (float64, bool) { return protocol.LoadReportField(report, formats.Fields[i]) })
 	if node != nil && ok && position >= 0 && float64(position) <= 10*r.maxPositionMs() {
 		r.trace.Reported(node, position, role)
 		node.ReportLoad(position, role)
 	}
 }
 
-// maxPositionMs is the greatest position that can be true, in milliseconds of Unix time: that of a commit now, rounded up.
-// Guards against stale reads by positions of the future.
+// maxPositionMs returns the highest valid position, in milliseconds of Unix time: that of a commit made now, rounded up.
+// Accepting positions in the future would cause stale reads.
 func (r *Router) maxPositionMs() float64 { return float64(r.clock.Now())/10 + positionMarginMs }
 
-// forgetSlot notes that a command needs no answer any more.
-func (r *Router) forgetSlot(c *command) {
+// clearSlot detaches a command from its slot after the answer was sent or the client has disconnected.
+func (r *Router) clearSlot(c *command) {
 	delete(r.slots, c.slot)
 	c.slot = nil
 }
 
-// forgetIfOver forgets a command for which nothing more will come, whichever call into the module ended it.
-func (r *Router) forgetIfOver(handle *policy.Command) {
+// removeIfFinished removes a command that the policy has finished. It is called after each call to the policy that may
+// finish a command.
+func (r *Router) removeIfFinished(handle *policy.Command) {
 	if handle.IsFinished() {
 		r.trace.Settled(handle)
 		delete(r.commands, handle.Name)
--- a/internal/router/routing/counters.go
+++ b/internal/router/routing/counters.go
@@ -8,32 +8,32 @@
 	"ferrypitch/policy"
 )
 
-// Counters count since the start of the process. Taken is the sum of Answered, Throttled, Failed, Disconnected and the
-// commands that are still open.
+// Counters holds the counters of a Router since the start of the process. Taken is the sum of Answered, Throttled, Failed,
+// Disconnected and the open commands.
 type Counters struct {
-	Taken        atomic.Int64 // commands that the module has taken
+	Taken        atomic.Int64 // commands submitted to the policy
 	Answered     atomic.Int64 // commands answered with a row
-	Throttled    atomic.Int64 // commands answered with an error that says to retry later
-	Failed       atomic.Int64 // commands answered with an error
-	Disconnected atomic.Int64 // commands whose client has gone
-	Rejected     atomic.Int64 // commands that cannot be parsed, or are not served here
+	Throttled    atomic.Int64 // commands answered with a retryable error
+	Failed       atomic.Int64 // commands answered with an error that leaves their effect unknown
+	Disconnected atomic.Int64 // commands whose client disconnected before the answer
+	Rejected     atomic.Int64 // commands that are malformed or not supported
 
-	Dispatched atomic.Int64 // commands sent to hosts
-	Probes     atomic.Int64 // health checks sent to hosts
-	Outcomes   [policy.Misrouted + 1]atomic.Int64
+	Dispatched atomic.Int64                       // commands sent to hosts
+	Probes     atomic.Int64                       // health checks sent to hosts
+	Outcomes   [policy.Misrouted + 1]atomic.Int64 // dispatches by outcome
 
-	Lists              atomic.Int64 // lists and changes taken in
-	StaleLists         atomic.Int64 // older than the current one, and ignored
-	ListRequests       atomic.Int64
-	ListRequestsFailed atomic.Int64 // requests that brought no list or broke off
-	HostsAdded         atomic.Int64
-	HostsForgotten     atomic.Int64
+	Lists              atomic.Int64 // host lists and list updates applied
+	StaleLists         atomic.Int64 // lists ignored because they are older than the current one
+	ListRequests       atomic.Int64 // requests for the host list
+	ListRequestsFailed atomic.Int64 // requests that returned no list or were interrupted
+	HostsAdded         atomic.Int64 // hosts registered with the policy
+	HostsRemoved       atomic.Int64 // hosts released by the policy
 
-	Panics atomic.Int64 // of the module
-	Stalls atomic.Int64 // times that the process stood still
+	Panics atomic.Int64 // panics of the policy
+	Stalls atomic.Int64 // times that the process was stalled; see detectStall
 }
 
-// LogFields returns the counters for a line of the log. The open commands include those that wait in the queue.
+// LogFields returns the counters as log fields. The open commands ("out") include those that the policy queues.
 func (r *Router) LogFields() []zap.Field {
 	c := &r.Counters
 	open := c.Taken.Load() - c.Answered.Load() - c.Throttled.Load() - c.Failed.Load() - c.Disconnected.Load()
@@ -52,7 +52,7 @@
 		zap.Int64("list_asks", c.ListRequests.Load()),
 		zap.Int64("list_asks_failed", c.ListRequestsFailed.Load()),
 		zap.Int64("hosts_held", c.HostsAdded.Load()),
-		zap.Int64("hosts_forgotten", c.HostsForgotten.Load()),
+		zap.Int64("hosts_forgotten", c.HostsRemoved.Load()),
 		zap.Int64("panics", c.Panics.Load()),
 		zap.Int64("stalls", c.Stalls.Load()),
 		zap.Int("queued", r.queue.Len()),
--- a/internal/router/routing/doc.go
+++ b/internal/router/routing/doc.go
@@ -1,9 +1,10 @@
-// Package routing connects the decision module to the sockets. One goroutine owns the module and all state beside it; every
-// other goroutine reaches it by a queue only.
+// Package routing connects the routing policy (package policy) to the sockets. One goroutine runs the policy and owns it and
+// the state of this package; every other goroutine passes it functions through a queue.
 //
 //	transport.Clients -> HandleCommand -> queue -> policy.Router -> Dispatch -> transport.Host
 //	transport.Host -> answer -> queue -> policy.Command -> RejectRetryable, Fail or the answer -> transport.Slot
 //	transport.Watch or a forwarder's view -> queue -> policy.Host
 //
-// It keeps the names of hosts and commands, and carries out what the module asks for. It decides nothing.
+// The package maps host names and command ids to the policy's objects and performs the calls of policy.Caller. All routing
+// decisions are the policy's.
 package routing
--- a/internal/router/routing/hosts.go
+++ b/internal/router/routing/hosts.go
@@ -12,25 +12,26 @@
 	"ferrypitch/policy"
 )
 
-// Units of a forwarder's report.
+// Units and limits of a forwarder's reports to planners.
 const (
-	reportedPerWork  = 1000 // work is reported in thousandths
-	maxReportedSpent = 10   // times its latency target that one command counts for at most
+	reportUnitsPerWork        = 1000 // work and lateness are reported in thousandths
+	maxReportedTargetFraction = 10   // caps the latency of one command, as a multiple of its latency target
 )
 
-// host is a database host as the list has it, and what its answers have shown since the last report.
+// host is a database host: its entry in the host list, its connections, and the observations from its answers for the next
+// report to planners.
 type host struct {
-	view.Host
-	node        *policy.Host
+	view.Host                // entry in the host list
+	node        *policy.Host // the policy's handle of the host
 	connections *transport.Host
-	evidence    view.Evidence
-	report      link.Observation
-	lastAnswer  policy.TenthMs
+	evidence    view.Evidence    // positions and roles from answers
+	report      link.Observation // sums since the last report
+	lastAnswer  policy.TenthMs   // time of the last answer with a position
 }
 
-// HandleListLine takes a list of discovery's, or changes of it, and returns when the module knows it. addressIsNew is
-// true if the line is the first of a new address, whose versions are not comparable to those before. An invalid line changes
-// nothing.
+// HandleListLine applies a complete host list or a list update from discovery, and returns after the policy has it.
+// addressIsNew is true for the first line from a new discovery address, whose versions are not comparable to earlier ones. An
+// invalid line changes nothing.
 func (r *Router) HandleListLine(line []byte, addressIsNew bool) error {
 	result := make(chan error, 1)
 	if !r.queue.Put(eventloop.PriorityControl, func() {
@@ -50,8 +51,8 @@
 	}
 }
 
-// ListRequestFailed notes that a list which was requested did not come, or that its changes have ended. The current list
-// stays in use.
+// ListRequestFailed tells the policy that a requested list did not arrive, or that its stream of updates has ended. The
+// current list stays in use.
 func (r *Router) ListRequestFailed() {
 	r.queue.Put(eventloop.PriorityControl, func() {
 		r.ListRequestsFailed.Add(1)
@@ -61,7 +62,7 @@
 	})
 }
 
-// applyList takes in a list, complete or the changes since the last. An invalid one changes nothing.
+// applyList applies a complete list or an update to the current one. An invalid list changes nothing.
 func (r *Router) applyList(list setup.Object, addressIsNew bool) error {
 	version, complete, entries, err := catalog.Read(list)
 	if err != nil {
@@ -80,7 +81,7 @@
 	return nil
 }
 
-// applyHosts passes hosts to the module, and answers the empty queries that waited for a first list.
+// applyHosts passes list entries to the policy and answers the empty queries that waited for the first list.
 func (r *Router) applyHosts(entries []view.Host, complete bool) {
 	r.advanceClock()
 	for _, entry := range entries {
@@ -91,15 +92,15 @@
 		if h == nil {
 			r.HostsAdded.Add(1)
 			h = &host{connections: r.pool.Add(entry.Address), Host: entry}
-			r.introduce(h)
+			r.registerHost(h)
 			r.replicaSets[h.Set] = true
 		}
 		entry.Set = h.Set // a host does not move between replica sets
 		h.Host = entry
 		h.connections.SetAddress(entry.Address)
-		r.announceHost(h)
+		r.updateListing(h)
 	}
-	r.finishList(complete)
+	r.endList(complete)
 	r.hasList = true
 	for _, slot := range r.awaitingList {
 		slot.AnswerEmptyQuery()
@@ -107,29 +108,30 @@
 	r.awaitingList = nil
 }
 
-// introduce registers a host with the module.
-func (r *Router) introduce(h *host) {
+// registerHost adds a host to the policy and to the router's indexes.
+func (r *Router) registerHost(h *host) {
 	h.node = r.policy.AddHost(h.Name, h.Set)
 	r.hosts[h.Name], r.nodes[h.node] = h, h
 	r.trace.Host(h.node, h.Set)
 }
 
-// announceHost passes a host's state to the module, as the list has it.
-func (r *Router) announceHost(h *host) {
+// updateListing passes the host's list entry to the policy.
+func (r *Router) updateListing(h *host) {
 	r.preview.hostListed(h.Standing)
 	r.trace.Listed(h.node, h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
 	h.node.UpdateListing(h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
 }
 
-// finishList marks the end of a list, or of its changes, for the module.
-func (r *Router) finishList(complete bool) {
+// endList tells the policy that all entries of a list or a list update have been passed.
+func (r *Router) endList(complete bool) {
 	r.preview.listFinished()
 	r.trace.ListDone(complete)
 	r.policy.EndList(complete)
 }
 
-// UpdateHosts takes in what is new in a forwarder's view, from any goroutine: hosts as they are now, the names of those that it
-// dropped, the number of routers, and whether no planner is connected (blind). Lists come from the view alone then.
+// UpdateHosts applies a change of a forwarder's view: the current state of the changed hosts, the names of the hosts that were
+// dropped, the number of routers, and whether no planner is connected (blind). A forwarder gets its hosts only from its view.
+// It may be called from any goroutine.
 func (r *Router) UpdateHosts(hosts []view.Host, dropped []string, routers int, blind bool) {
 	r.queue.Put(eventloop.PriorityControl, func() {
 		for _, name := range dropped {
@@ -157,7 +159,8 @@
 	})
 }
 
-// TakeObservations returns what answers have shown of hosts since the last report, from any goroutine; nil once Run has ended.
+// TakeObservations returns the observations about hosts since the previous call and resets them; nil after Run has ended. It
+// may be called from any goroutine.
 func (r *Router) TakeObservations() []link.Observation {
 	result := make(chan []link.Observation, 1)
 	if !r.queue.Put(eventloop.PriorityControl, func() { result <- r.takeReports() }) {
@@ -171,7 +174,7 @@
 	}
 }
 
-// takeReports returns the reports of hosts that have something to report, and resets their sums.
+// takeReports returns the observations of the hosts that have any, and resets their sums.
 func (r *Router) takeReports() (reports []link.Observation) {
 	for _, h := range r.hosts {
 		h.report.Evidence = h.evidence
@@ -183,25 +186,25 @@
 	return reports
 }
 
-// noteAnswer notes what an answer to a command shows, for a report.
-func (h *host) noteAnswer(c *policy.Command, outcome policy.Outcome, position policy.TenthMs, role policy.Role, sentAt, now, elapsed policy.TenthMs) {
+// recordAnswer adds the position, role and latency of a command's answer to the host's observations.
+func (h *host) recordAnswer(c *policy.Command, outcome policy.Outcome, position policy.TenthMs, role policy.Role, sentAt, now, elapsed policy.TenthMs) {
 	if position >= 0 && outcome != policy.Reset {
 		h.evidence.Observe(position, role, sentAt >= h.lastAnswer)
 		h.lastAnswer = now
 	}
 	if outcome == policy.Answered {
 		h.report.Responses++
-		h.report.LatenessSum += uint32(min(maxReportedSpent, c.TargetFraction(elapsed)) * reportedPerWork)
+		h.report.LatenessSum += uint32(min(maxReportedTargetFraction, c.TargetFraction(elapsed)) * reportUnitsPerWork)
 	}
 }
 
-// noteDispatch notes work that is sent to a host which is warming up.
-func (h *host) noteDispatch(c *policy.Command) {
+// recordDispatch adds a command's work to the host's observations if the host is warming up after a boot.
+func (h *host) recordDispatch(c *policy.Command) {
 	boot := h.node.ColdSince()
 	if boot != h.report.BootedAt {
 		h.report.BootedAt, h.report.ColdWork = boot, 0
 	}
 	if boot != 0 {
-		h.report.ColdWork += int64(c.Work() * reportedPerWork)
+		h.report.ColdWork += int64(c.Work() * reportUnitsPerWork)
 	}
 }
--- a/internal/router/routing/policy_caller.go
+++ b/internal/router/routing/policy_caller.go
@@ -11,13 +11,13 @@
 
 var _ policy.Caller = (*Router)(nil)
 
-// What a host is sent as a health check.
+// Statements of health checks.
 const (
 	probeStatement      = "SELECT 1"
-	loadReportStatement = "SHOW server_load" // where load reports have positions
+	loadReportStatement = "SHOW server_load" // used where load reports contain positions
 )
 
-// Dispatch implements policy.Caller: it sends a command to a host.
+// Dispatch implements policy.Caller: it sends a command to a host. A timeout of 0 means the deadline of the command.
 func (r *Router) Dispatch(handle *policy.Command, node *policy.Host, timeout policy.TenthMs) {
 	c, now := r.commands[handle.Name], time.Now()
 	deadline, sendBy := c.deadline, now.Add(r.start.Limits.ConnectTimeout)
@@ -32,31 +32,31 @@
 	r.Dispatched.Add(1)
 	r.trace.Dispatch(handle, node, timeout)
 	if r.start.Deployment.UsesPlanners {
-		r.nodes[node].noteDispatch(handle)
+		r.nodes[node].recordDispatch(handle)
 	}
-	c.inFlight = r.send(r.nodes[node], c.statement, deadline, sendBy, true, func(answer transport.Answer) { r.commandEnded(c, answer) })
+	c.inFlight = r.send(r.nodes[node], c.statement, deadline, sendBy, true, func(answer transport.Answer) { r.finishDispatch(c, answer) })
 }
 
-// RejectRetryable implements policy.Caller: it answers that the client may retry later.
+// RejectRetryable implements policy.Caller: it answers with an error after which the client may retry.
 func (r *Router) RejectRetryable(handle *policy.Command, retryAfter policy.TenthMs) {
 	r.trace.Throttle(handle, retryAfter)
 	r.preview.throttled(retryAfter)
 	if c := r.commands[handle.Name]; c.slot != nil {
 		r.Throttled.Add(1)
 		c.slot.Throttle(retryAfter / 10) // in milliseconds
-		r.forgetSlot(c)
-		r.forgetIfOver(handle)
+		r.clearSlot(c)
+		r.removeIfFinished(handle)
 	}
 }
 
-// Fail implements policy.Caller: it answers that the command failed.
+// Fail implements policy.Caller: it answers with an error that leaves the command's effect unknown.
 func (r *Router) Fail(handle *policy.Command) {
 	r.trace.Fail(handle)
 	if c := r.commands[handle.Name]; c.slot != nil {
 		r.Failed.Add(1)
 		c.slot.Fail(protocol.SystemError, "no answer from a host")
-		r.forgetSlot(c)
-		r.forgetIfOver(handle)
+		r.clearSlot(c)
+		r.removeIfFinished(handle)
 	}
 }
 
@@ -85,16 +85,16 @@
 	r.nodes[node].connections.CloseIdle()
 }
 
-// ReleaseHost implements policy.Caller: the host has left the list, and the module will not name it again.
+// ReleaseHost implements policy.Caller: it removes a host that has left the list and that the policy no longer uses.
 func (r *Router) ReleaseHost(node *policy.Host) {
-	r.HostsForgotten.Add(1)
+	r.HostsRemoved.Add(1)
 	r.trace.Forget(node)
 	r.nodes[node].connections.Remove()
 	delete(r.nodes, node)
 	delete(r.hosts, node.Name)
 }
 
-// RequestHostList implements policy.Caller: it requests the list.
+// RequestHostList implements policy.Caller: it requests the host list from discovery.
 func (r *Router) RequestHostList() {
 	r.ListRequests.Add(1)
 	r.trace.Watch()
@@ -107,7 +107,7 @@
 	r.broadcast(body)
 }
 
-// ScheduleWakeUp implements policy.Caller: it schedules a call of the module.
+// ScheduleWakeUp implements policy.Caller: it schedules a call of the policy's WakeUp.
 func (r *Router) ScheduleWakeUp(after policy.TenthMs) {
 	r.trace.Wake(after)
 	r.scheduleWakeUp(after)
--- a/internal/router/routing/preview.go
+++ b/internal/router/routing/preview.go
@@ -9,36 +9,36 @@
 	"ferrypitch/policy"
 )
 
-// preview compares what the module does with what it would do under settings that are not in force yet, and counts the
-// differences by kind. It decides nothing and sends nothing. A nil preview does nothing.
+// preview compares the policy's decisions with those it would make under the next settings, which are not in force yet, and
+// counts the differences by kind. It has no effect on routing and sends nothing. The methods of a nil preview do nothing.
 type preview struct {
-	shape           *policy.ShadowSettings                        // of the other settings
-	groups          map[*policy.CommandGroup]*policy.CommandGroup // the group in force -> the group of the other settings
-	drainBindsAlone bool                                          // only one of the settings drains hosts by their state alone
-	listOnRequest   bool                                          // only the other settings request the list
+	shadowSettings       *policy.ShadowSettings                        // the next settings
+	groups               map[*policy.CommandGroup]*policy.CommandGroup // current group -> group in the next settings
+	keepUnlistedDiffers  bool                                          // KeepUnlistedHosts differs between the settings
+	onlyNextRequestsList bool                                          // only the next settings request the host list
 
-	Compared         atomic.Int64 // commands
-	OtherHost        atomic.Int64 // would have been sent to another host
-	WouldProbe       atomic.Int64 // would have waited while a host was asked for its position
-	WouldQueue       atomic.Int64 // would have waited for capacity
-	WouldSend        atomic.Int64
-	WouldThrottle    atomic.Int64
-	RetryAfter       atomic.Int64 // throttled with a time to retry by just one of the settings
-	RemovedHosts     atomic.Int64 // announced as removed, where that differs between the settings
-	UnrequestedLists atomic.Int64 // lists that came without being requested
+	Compared         atomic.Int64 // commands compared
+	OtherHost        atomic.Int64 // commands that would have gone to another host
+	WouldProbe       atomic.Int64 // commands that would have waited for a probe of a host's position
+	WouldQueue       atomic.Int64 // commands that would have waited for capacity
+	WouldSend        atomic.Int64 // commands that would have been dispatched at once
+	WouldThrottle    atomic.Int64 // commands that would have been throttled
+	RetryAfter       atomic.Int64 // throttled commands that get a retry delay under only one of the settings
+	RemovedHosts     atomic.Int64 // removed hosts in lists, counted if keepUnlistedDiffers
+	UnrequestedLists atomic.Int64 // lists received without a request, counted if onlyNextRequestsList
 }
 
-// newPreview returns the preview of the settings that start names beside those in force, or nil if it names none.
+// newPreview returns a preview of start.NextSettings, or nil if there are none.
 func newPreview(start *setup.Start, now policy.TenthMs) *preview {
 	next := start.NextSettings
 	if next == nil {
 		return nil
 	}
 	p := &preview{
-		shape:           policy.NewShadowSettings(next.Deployment, now),
-		groups:          map[*policy.CommandGroup]*policy.CommandGroup{},
-		drainBindsAlone: next.Deployment.KeepUnlistedHosts != start.Deployment.KeepUnlistedHosts,
-		listOnRequest:   next.Deployment.ListTimeout > 0 && start.Deployment.ListTimeout == 0,
+		shadowSettings:       policy.NewShadowSettings(next.Deployment, now),
+		groups:               map[*policy.CommandGroup]*policy.CommandGroup{},
+		keepUnlistedDiffers:  next.Deployment.KeepUnlistedHosts != start.Deployment.KeepUnlistedHosts,
+		onlyNextRequestsList: next.Deployment.ListTimeout > 0 && start.Deployment.ListTimeout == 0,
 	}
 	for name, group := range start.Formats.Groups {
 		p.groups[group] = next.Formats.Groups[name]
@@ -46,68 +46,69 @@
 	return p
 }
 
-// previewedCourse is what would become of one command. The zero value stands for no preview.
-type previewedCourse struct {
-	preview *preview
-	course  policy.Disposition
-	node    *policy.Host
+// previewedDisposition is the disposition of one command under the next settings. The zero value means that there is no
+// preview.
+type previewedDisposition struct {
+	preview     *preview
+	disposition policy.Disposition
+	node        *policy.Host
 }
 
-// command previews a command; it must be called before the module takes it, with the same arguments.
+// command previews a command. It must be called before the command is submitted to the policy, with the same arguments.
 func (p *preview) command(router *policy.Router, group *policy.CommandGroup, replicaSet int64, key string,
 	timeout, sinceWrite policy.TenthMs, isRetry bool,
-) previewedCourse {
+) previewedDisposition {
 	if p == nil {
-		return previewedCourse{}
+		return previewedDisposition{}
 	}
-	course, node := router.Preview(p.shape, p.groups[group], group, replicaSet, key, timeout, sinceWrite, isRetry)
-	return previewedCourse{preview: p, course: course, node: node}
+	disposition, node := router.Preview(p.shadowSettings, p.groups[group], group, replicaSet, key, timeout, sinceWrite, isRetry)
+	return previewedDisposition{preview: p, disposition: disposition, node: node}
 }
 
-// compare counts how a preview differs from what became of the command.
-func (v previewedCourse) compare(handle *policy.Command) {
+// compare counts the difference between the previewed and the actual disposition of a command.
+func (v previewedDisposition) compare(handle *policy.Command) {
 	p := v.preview
 	if p == nil {
 		return
 	}
 	p.Compared.Add(1)
-	switch course, node := handle.Disposition(); {
-	case course == v.course && node == v.node:
-	case course == v.course:
+	switch disposition, node := handle.Disposition(); {
+	case disposition == v.disposition && node == v.node:
+	case disposition == v.disposition:
 		p.OtherHost.Add(1)
-	case v.course == policy.AwaitingProbe:
+	case v.disposition == policy.AwaitingProbe:
 		p.WouldProbe.Add(1)
-	case v.course == policy.Queued:
+	case v.disposition == policy.Queued:
 		p.WouldQueue.Add(1)
-	case v.course == policy.Dispatched:
+	case v.disposition == policy.Dispatched:
 		p.WouldSend.Add(1)
 	default:
 		p.WouldThrottle.Add(1)
 	}
 }
 
-// throttled is called with the time to retry that a throttled command is given; 0 for none.
+// throttled is called for each throttled command with its retry delay; 0 for none.
 func (p *preview) throttled(retryAfter policy.TenthMs) {
-	if p != nil && (retryAfter > 0) != (p.shape.MaxRetryAfter() > 0) {
+	if p != nil && (retryAfter > 0) != (p.shadowSettings.MaxRetryAfter() > 0) {
 		p.RetryAfter.Add(1)
 	}
 }
 
-// hostListed is called for each host that is passed to the module.
+// hostListed is called for each list entry that is passed to the policy.
 func (p *preview) hostListed(standing policy.ListState) {
-	if p != nil && p.drainBindsAlone && standing == policy.Removed {
+	if p != nil && p.keepUnlistedDiffers && standing == policy.Removed {
 		p.RemovedHosts.Add(1)
 	}
 }
 
-// listFinished is called after each list and each change.
+// listFinished is called after each host list and each list update.
 func (p *preview) listFinished() {
-	if p != nil && p.listOnRequest {
+	if p != nil && p.onlyNextRequestsList {
 		p.UnrequestedLists.Add(1)
 	}
 }
 
-// fields returns the counters for a line of the log.
+// fields returns the counters as log fields.
 func (p *preview) fields() []zap.Field {
 	if p == nil {
 		return nil
--- a/internal/router/routing/request.go
+++ b/internal/router/routing/request.go
@@ -11,12 +11,12 @@
 type request struct {
 	call      *transport.Call
 	startedAt time.Time
-	onAnswer  func(transport.Answer) // called once, by Run's goroutine
+	onAnswer  func(transport.Answer) // called once, in the goroutine of Run
 	ended     bool
 	timeout   *eventloop.Timer[*request]
 }
 
-// send sends a statement to a host; see transport.Host.Send.
+// send sends a statement to a host and tracks its deadline; see transport.Host.Send for the parameters.
 func (r *Router) send(h *host, statement []byte, deadline, sendBy time.Time, rewriteTimeout bool,
 	onAnswer func(transport.Answer),
 ) *request {
@@ -28,7 +28,7 @@
 	return req
 }
 
-// finishRequest takes in how a request ended, unless it was abandoned.
+// finishRequest passes the answer of a request to onAnswer, unless the request has ended already.
 func (r *Router) finishRequest(req *request, answer transport.Answer) {
 	if req.ended {
 		return
@@ -40,10 +40,10 @@
 	req.onAnswer(answer)
 }
 
-// timeOut ends a request that has reached its deadline.
+// timeOut abandons a request that has reached its deadline.
 func (r *Router) timeOut(req *request) {
 	r.timeouts.Remove(req.timeout)
-	if outcome, ok := req.call.Abandon(); ok { // otherwise its answer is in the queue
+	if outcome, ok := req.call.Abandon(); ok { // otherwise its answer is already in the queue
 		r.finishRequest(req, transport.Answer{Outcome: outcome, ReceivedAt: time.Now()})
 	}
 }
--- a/internal/router/routing/router.go
+++ b/internal/router/routing/router.go
@@ -19,39 +19,40 @@
 	"ferrypitch/policy"
 )
 
-// stallPulses is the number of pulses without a step that count as a stall.
-const stallPulses = 2
+// stallIntervals is the number of step intervals without a step that count as a stall.
+const stallIntervals = 2
 
-// noVersion stands for no list in Router.version; versions are not negative.
+// noVersion is the value of Router.version before the first list; versions are not negative.
 const noVersion = -1
 
-// Router owns the decision module. Its methods may be called from any goroutine while Run runs, except those that
-// implement policy.Caller (policy_caller.go): the module calls them from Run's goroutine.
+// Router runs the routing policy and connects it to clients, hosts, discovery and the other routers. Its methods may be called
+// from any goroutine while Run runs, except those that implement policy.Caller (policy_caller.go): the policy calls them from
+// the goroutine of Run.
 type Router struct {
 	start       *setup.Start
 	log         *zap.Logger
 	queue       *eventloop.Queue
 	clock       *clock.Clock
 	pool        *transport.HostPool
-	broadcast   func(body string) // to the other routers
-	requestList func()            // nil where the list comes without being requested
-	trace       *record.Recorder  // nil while nothing is captured
-	preview     *preview          // nil where no settings are previewed
+	broadcast   func(body string) // sends a message to the other routers
+	requestList func()            // nil if the host list arrives without a request
+	trace       *record.Recorder  // nil if no trace is captured
+	preview     *preview          // nil if no settings are previewed
 
-	// Of Run's goroutine alone.
+	// Used only by the goroutine of Run.
 	policy       *policy.Router
-	hosts        map[string]*host // by name
-	nodes        map[*policy.Host]*host
-	replicaSets  map[int64]bool // that the list has named
-	groups       map[*policy.CommandGroup]int
-	commands     map[string]*command // by the clients' ids
-	slots        map[*transport.Slot]*command
-	timeouts     eventloop.Timers[*request]
-	wakeAt       time.Time // when the module wants to be woken; zero for never
+	hosts        map[string]*host             // by name
+	nodes        map[*policy.Host]*host       // by the policy's handle
+	replicaSets  map[int64]bool               // replica sets that have appeared in the host list
+	groups       map[*policy.CommandGroup]int // index in the deployment, for traces
+	commands     map[string]*command          // open commands by the id that the client chose
+	slots        map[*transport.Slot]*command // commands that are not answered
+	timeouts     eventloop.Timers[*request]   // deadlines of the requests in flight
+	wakeAt       time.Time                    // time of the policy's next WakeUp; zero for none
 	lastStep     time.Time
 	startedAt    time.Time
 	hasList      bool
-	awaitingList []*transport.Slot // empty queries from before the first list
+	awaitingList []*transport.Slot // empty queries that wait for the first list
 
 	version atomic.Int64 // of the current list
 
@@ -60,8 +61,8 @@
 
 var errStopped = errors.New("the router has stopped")
 
-// New returns a router that knows the list of the last run, if start has one. broadcast sends to the other routers.
-// recorder may be nil. It fails if that list cannot be read.
+// New returns a router that begins with the host list of the previous run, if start has one. broadcast sends a message to the
+// other routers. recorder may be nil. New fails if that list is invalid.
 func New(start *setup.Start, pool *transport.HostPool, broadcast func(string), recorder *record.Recorder, log *zap.Logger) (*Router, error) {
 	r := &Router{
 		start: start, log: log, queue: eventloop.NewQueue(start.Limits.CommandQueueSize), clock: clock.New(time.Now), pool: pool,
@@ -84,13 +85,13 @@
 	return r, r.applyList(start.InitialList, false)
 }
 
-// SetListRequester sets what requests the list. It must be called before Run.
+// SetListRequester sets the function that requests the host list from discovery. It must be called before Run.
 func (r *Router) SetListRequester(requestList func()) { r.requestList = requestList }
 
-// Version returns the version of the current list, or 0 before the first.
+// Version returns the version of the current host list, or 0 before the first.
 func (r *Router) Version() int64 { return max(0, r.version.Load()) }
 
-// Run owns the module until ctx ends, and then returns nil.
+// Run runs the event loop until ctx ends, and then returns nil. All calls to the policy come from its goroutine.
 func (r *Router) Run(ctx context.Context) error {
 	defer r.queue.Close()
 	timer := time.NewTimer(0)
@@ -105,16 +106,16 @@
 		case <-timer.C:
 		}
 		r.detectStall()
-		for r.recovering(r.step) {
+		for r.runRecovering(r.step) {
 		}
 		timer.Reset(max(0, time.Until(r.nextWakeUp())))
 	}
 }
 
-// detectStall lets the sockets be read first after the process stood still, so that lists and answers that came
-// meanwhile are taken in before anything is sent or times out.
+// detectStall waits for StallRecoveryDelay after the process was stalled, so that the goroutines of the sockets read the lists
+// and answers that arrived meanwhile before anything is sent or times out.
 func (r *Router) detectStall() {
-	if time.Since(r.lastStep) > stallPulses*r.start.Limits.StepInterval {
+	if time.Since(r.lastStep) > stallIntervals*r.start.Limits.StepInterval {
 		r.Stalls.Add(1)
 		r.trace.Stall(policy.TenthMs(time.Since(r.lastStep) / clock.Tenth))
 		time.Sleep(r.start.Limits.StallRecoveryDelay)
@@ -122,7 +123,8 @@
 	r.lastStep = time.Now()
 }
 
-// nextWakeUp returns when something is due, and at the latest a pulse from now, by which stalls are noticed.
+// nextWakeUp returns the time of the next timeout or wake-up, but at most one step interval after the last step, which stall
+// detection needs.
 func (r *Router) nextWakeUp() time.Time {
 	next := r.lastStep.Add(r.start.Limits.StepInterval)
 	if !r.wakeAt.IsZero() && r.wakeAt.Before(next) {
@@ -134,7 +136,7 @@
 	return next
 }
 
-// step does one thing that is due, by priority: lists, outcomes, time-outs, the module's wake-up, commands. It returns
+// step handles one due event, in order of priority: host lists, outcomes, timeouts, the policy's wake-up, commands. It returns
 // false if nothing was due.
 func (r *Router) step() bool {
 	r.lastStep = time.Now()
@@ -158,7 +160,7 @@
 	return r.runQueued(eventloop.PriorityCommands)
 }
 
-// runQueued runs the first of the queue's functions of a priority; false if there is none.
+// runQueued runs the first queued function of a priority. It returns false if there is none.
 func (r *Router) runQueued(priority eventloop.Priority) bool {
 	run := r.queue.Take(priority)
 	if run == nil {
@@ -168,24 +170,24 @@
 	return true
 }
 
-// wakePolicy wakes the module, as it has asked for.
+// wakePolicy performs the wake-up that the policy has scheduled.
 func (r *Router) wakePolicy() {
 	r.wakeAt = time.Time{}
 	r.advanceClock()
 	r.trace.Woke()
-	if r.policy.WakeUp(); r.wakeAt.IsZero() { // by the module's clock, which may lag, it was too early
+	if r.policy.WakeUp(); r.wakeAt.IsZero() { // too early by the policy's clock, which may lag behind the monotonic clock
 		r.scheduleWakeUp(r.start.Deployment.Tick)
 	}
 }
 
-// scheduleWakeUp wakes the module after a time, unless that happens sooner.
+// scheduleWakeUp schedules a wake-up of the policy, unless an earlier one is scheduled.
 func (r *Router) scheduleWakeUp(after policy.TenthMs) {
 	if at := time.Now().Add(clock.Span(after)); r.wakeAt.IsZero() || at.Before(r.wakeAt) {
 		r.wakeAt = at
 	}
 }
 
-// advanceClock sets the module's time for the calls that follow.
+// advanceClock sets the policy's time to now, for the calls that follow.
 func (r *Router) advanceClock() policy.TenthMs {
 	now := r.clock.Now()
 	r.policy.SetTime(now)
@@ -196,9 +198,9 @@
 	return now
 }
 
-// recovering runs a step and recovers from a panic of the module: all commands fail, since any may have run, and a new
-// module starts with the list, as after a restart.
-func (r *Router) recovering(step func() bool) (more bool) {
+// runRecovering runs a step and recovers from a panic of the policy: all open commands fail, since any may have been executed,
+// and a new policy starts with the current host list, as after a restart of the process.
+func (r *Router) runRecovering(step func() bool) (more bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			r.Panics.Add(1)
@@ -211,7 +213,7 @@
 	return step()
 }
 
-// restartPolicy fails all commands and starts a new module with the hosts of the list.
+// restartPolicy fails all commands and creates a new policy with the current hosts.
 func (r *Router) restartPolicy() {
 	r.failPending()
 	r.wakeAt = time.Time{}
@@ -220,14 +222,13 @@
 	r.trace.Anew()
 	r.policy = policy.New(r, r.start.Deployment, now)
 	for _, h := range r.hosts {
-		r.introduce(h)
-		r.announceHost(h)
+		r.registerHost(h)
+		r.updateListing(h)
 	}
-	r.finishList(false)
+	r.endList(false)
 }
 
-// FailPending fails all commands that are not answered yet, and returns once that is done. It is for the end of the
-// program.
+// FailPending fails all unanswered commands and returns when that is done. It is called during shutdown.
 func (r *Router) FailPending() {
 	done := make(chan struct{})
 	if r.queue.Put(eventloop.PriorityOutcomes, func() { r.failPending(); close(done) }) {
@@ -256,7 +257,7 @@
 	clear(r.nodes)
 }
 
-// HandlePeerMessage takes a message that another router has broadcast.
+// HandlePeerMessage passes a message that another router has broadcast to the policy.
 func (r *Router) HandlePeerMessage(body string) {
 	r.queue.Put(eventloop.PriorityCommands, func() {
 		r.advanceClock()
@@ -265,8 +266,8 @@
 	})
 }
 
-// Reloaded records, where a trace is captured, that the configuration was read again and whether it was valid.
-func (r *Router) Reloaded(ok bool) {
+// RecordReload records in the trace, if one is captured, that the configuration was reloaded and whether it was valid.
+func (r *Router) RecordReload(ok bool) {
 	if r.trace != nil {
 		r.queue.Put(eventloop.PriorityControl, func() {
 			r.advanceClock()
--- a/internal/router/routing/routing_test.go
+++ b/internal/router/routing/routing_test.go
@@ -17,11 +17,11 @@
 	"ferrypitch/policy"
 )
 
-// testClient is a client's connection.
+// testClient is a client connection to the router.
 type testClient struct {
 	t    *testing.T
 	conn net.Conn
-	in   []byte // read and not consumed yet
+	in   []byte // bytes read but not parsed yet
 }
 
 // dial connects a client and starts its session.
@@ -41,7 +41,7 @@
 	c.conn.Write(protocol.AppendQuery(nil, []byte(statement)))
 }
 
-// answer reads the messages of one answer, and returns their kinds and the code of its error.
+// answer reads the messages of one answer and returns their kinds and the SQLSTATE of its error, if there is one.
 func (c *testClient) answer() (kinds, code string) {
 	for b := make([]byte, 1<<10); ; {
 		kind, body, n, _ := protocol.NextMessage(c.in, 1<<10)
@@ -62,8 +62,8 @@
 	}
 }
 
-// startWithDrainingHost returns what a router starts with that has one group, of writes, and a host that drains, so that
-// commands are held.
+// startWithDrainingHost returns the configuration of a router with one command group, of writes, and one draining host, so that
+// commands are queued.
 func startWithDrainingHost(t *testing.T) *setup.Start {
 	order := &policy.CommandGroup{IdempotencyClass: policy.NotIdempotent, ConsistencyLevel: policy.Write, ResponseTarget: 5000, Timeout: 900000, Benefit: 1}
 	known, err := setup.Decode("", []byte(`{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"127.0.0.1:1",
@@ -83,7 +83,7 @@
 	}
 }
 
-// serve runs a router with its clients, and returns its address and what ends both.
+// serve runs a router and its client server. It returns the address for clients and a function that stops both.
 func serve(t *testing.T, start *setup.Start) (r *Router, address string, stop func()) {
 	ctx, end := context.WithCancel(context.Background())
 	t.Cleanup(end)
@@ -122,7 +122,7 @@
 		t.Errorf("%d are kept of a command that timed out while held", n)
 	}
 	client.query("/* id=1,c=order,d=900000,cluster=1 */ INSERT INTO records (k, v) VALUES ('k', '\\x') RETURNING v")
-	for r.Taken.Load() < 2 { // no host takes it, so it is held
+	for r.Taken.Load() < 2 { // no host accepts commands, so the command is queued
 		time.Sleep(time.Millisecond)
 	}
 	r.queue.Put(eventloop.PriorityCommands, func() { panic("a fault of the module") })
@@ -163,8 +163,8 @@
 		r.advanceClock()
 		r.policy.WakeUp()
 	}
-	if len(r.hosts) != 3 || len(r.nodes) != 3 || r.HostsAdded.Load()-r.HostsForgotten.Load() != 3 {
-		t.Errorf("%d hosts, %d nodes; %d added, %d forgotten", len(r.hosts), len(r.nodes), r.HostsAdded.Load(), r.HostsForgotten.Load())
+	if len(r.hosts) != 3 || len(r.nodes) != 3 || r.HostsAdded.Load()-r.HostsRemoved.Load() != 3 {
+		t.Errorf("%d hosts, %d nodes; %d added, %d forgotten", len(r.hosts), len(r.nodes), r.HostsAdded.Load(), r.HostsRemoved.Load())
 	}
 }
 
--- a/internal/router/service/counters.go
+++ b/internal/router/service/counters.go
@@ -2,7 +2,7 @@
 
 import "go.uber.org/zap"
 
-// counters returns the counters of all parts, for a line of the log.
+// counters returns the counters of all components as log fields.
 func (p *program) counters() []zap.Field {
 	fields := append(p.router.LogFields(),
 		zap.Int64("clients_accepted", p.clients.Accepted.Load()),
--- a/internal/router/service/service.go
+++ b/internal/router/service/service.go
@@ -1,5 +1,5 @@
-// Package service runs one router: alone, where it follows discovery itself, or as a forwarder, where it lives by the views
-// of planners. It builds the router's parts, owns their goroutines, and handles the process's signals.
+// Package service runs one router: either standalone, with its own watch of discovery, or as a forwarder, which gets the host list
+// and the hosts' health from planners. It creates the router's components, owns their goroutines, and handles signals.
 package service
 
 import (
@@ -21,7 +21,7 @@
 	"ferrypitch/internal/router/transport"
 )
 
-// program is what a running router is made of.
+// program holds the components of a running router.
 type program struct {
 	start   *setup.Start
 	limits  *setup.Limits
@@ -31,15 +31,15 @@
 	router  *routing.Router
 	clients *transport.Clients
 	watch   *transport.Watch   // nil for a forwarder
-	forward *forward.Forwarder // nil for a router alone
-	trace   *file.Writer       // nil while nothing is captured
-	peers   *transport.Peers   // nil where routers exchange no messages
+	forward *forward.Forwarder // nil for a standalone router
+	trace   *file.Writer       // nil if no trace is captured
+	peers   *transport.Peers   // nil if routers exchange no messages
 
-	reloads, rejectedReloads int // of the configuration; only handleSignals' goroutine uses them
+	reloads, rejectedReloads int // of the configuration; used only by the goroutine of handleSignals
 }
 
-// Run serves until a signal ends it, or a part of it fails. With a forwarder's section it lives by the views of planners;
-// with a trace's section it captures a trace. An error names the configuration key at fault, if it is one of those.
+// Run runs a router until a signal stops it or a component fails. With a forwarder's section it runs as a forwarder; with a trace
+// section it captures a trace. An error caused by the configuration names the key.
 func Run(operator *setup.Operator, signals, reload <-chan os.Signal, log *zap.Logger) error {
 	start := operator.Start
 	listener, err := net.Listen("tcp", start.Listen)
@@ -74,7 +74,7 @@
 	return err
 }
 
-// newProgram builds all parts but the forwarder's, which needs a running router. Connections to hosts live until ctx ends.
+// newProgram creates all components but the forwarder, which needs a running router. Connections to hosts live until ctx ends.
 func newProgram(ctx context.Context, operator *setup.Operator, log *zap.Logger) (*program, error) {
 	start := operator.Start
 	limits := &start.Limits
@@ -105,7 +105,8 @@
 	return p, nil
 }
 
-// newWatch returns the watch of discovery's list, and has the router request it where the deployment says so.
+// newWatch returns the watch of discovery's host list. If the deployment has a list timeout, the watch starts only when the router
+// requests the list.
 func (p *program) newWatch() *transport.Watch {
 	onError := func(err error) { p.log.Warn("the watch of the list ended", zap.Error(err)) }
 	watch := transport.NewWatch(p.limits, p.budget, p.start.Discovery, p.router.Version, p.router.HandleListLine, onError)
@@ -116,7 +117,7 @@
 	return watch
 }
 
-// newForwarder returns a router's links to its planners. The list that the router was given is the first view.
+// newForwarder returns the forwarder that links a router to its planners. The initial list becomes its first view.
 func newForwarder(start *setup.Start, section *setup.ForwarderSection, router *routing.Router, log *zap.Logger) (*forward.Forwarder, error) {
 	f := forward.New(section, start.Name, NewIncarnation(), start.Deployment.RouterCount, router, log)
 	if start.InitialView.Has("targets") {
@@ -130,7 +131,7 @@
 	return f, nil
 }
 
-// startTasks starts all goroutines but the router's, which end with ctx.
+// startTasks starts the goroutines of all components but the router. They end with ctx.
 func (p *program) startTasks(ctx context.Context, tasks *errgroup.Group, listener net.Listener) {
 	if p.forward != nil {
 		tasks.Go(func() error { return p.forward.Run(ctx) })
--- a/internal/router/service/signals.go
+++ b/internal/router/service/signals.go
@@ -9,12 +9,12 @@
 	"go.uber.org/zap"
 )
 
-// lastAnswersPoll is how often the last answers are checked for having been written.
-const lastAnswersPoll = time.Millisecond
+// finalAnswersPollInterval is the interval of the checks whether the final answers have been written.
+const finalAnswersPollInterval = time.Millisecond
 
-// handleSignals handles signals until ctx ends or a graceful shutdown is complete. On a signal to stop, connections are
-// accepted and kept for as long as new ones may come, and then closed as they have nothing pending. What is still pending
-// at the end of the time fails.
+// handleSignals handles signals until ctx ends or a graceful shutdown is complete. After a stop signal, connections are accepted
+// for AcceptPeriod. After DrainDelay, connections are closed as soon as they have nothing pending. Commands that are pending after
+// ShutdownTimeout fail.
 func (p *program) handleSignals(ctx context.Context, signals, reload <-chan os.Signal) {
 	var stopAccepting, drain, stop <-chan time.Time // nil until a signal to stop
 	for {
@@ -40,24 +40,24 @@
 			}
 		case <-stop:
 			p.router.FailPending()
-			p.awaitLastAnswers()
+			p.awaitFinalAnswers()
 			return
 		}
 	}
 }
 
-// awaitLastAnswers gives the last answers a moment to be written.
-func (p *program) awaitLastAnswers() {
+// awaitFinalAnswers waits until the final answers are written, but at most RetryDelay.
+func (p *program) awaitFinalAnswers() {
 	deadline := time.Now().Add(p.limits.RetryDelay)
 	for p.clients.Drain() > 0 && time.Now().Before(deadline) {
-		time.Sleep(lastAnswersPoll)
+		time.Sleep(finalAnswersPollInterval)
 	}
 }
 
-// reload reads the configuration again. An invalid one changes nothing.
+// reload reloads the configuration. An invalid configuration changes nothing.
 func (p *program) reload() {
 	next, fromNextStart, err := p.start.Reload(os.Getenv)
-	p.router.Reloaded(err == nil)
+	p.router.RecordReload(err == nil)
 	if err != nil {
 		p.rejectedReloads++
 		p.log.Warn("the configuration stays as it was", zap.Error(err))
--- a/internal/router/service/trace.go
+++ b/internal/router/service/trace.go
@@ -18,7 +18,7 @@
 	"ferrypitch/internal/router/trace/record"
 )
 
-// NewTraceWriter returns what writes trace files by the operator's section. Nothing is written before its Run.
+// NewTraceWriter returns a writer of trace files with the configuration of section. It writes nothing before its Run.
 func NewTraceWriter(start *setup.Start, section *setup.TraceSection, log *zap.Logger) (*file.Writer, error) {
 	deployment, err := record.EncodeDeployment(start.Deployment)
 	if err != nil {
@@ -38,15 +38,15 @@
 		Router: start.Name, Incarnation: NewIncarnation(), StartedAt: time.Now().UnixNano() / int64(clock.Tenth), Build: buildRevision(),
 		SampledPerMille: section.Part, Schema: record.Schema, Extra: map[string][]byte{"deployment": deployment, "groups": groups},
 	}
-	terms := file.Config{
+	config := file.Config{
 		Dir: section.Dir, Name: start.Name, MaxFileBytes: section.Size, MaxFileAge: section.Age, MaxTotalBytes: section.Budget,
 		SyncInterval: section.Flush, BlockCount: section.Blocks,
 	}
-	return file.New(terms, file.Disk{}, header, time.Now, log), nil
+	return file.New(config, file.Disk{}, header, time.Now, log), nil
 }
 
-// StartTrace starts to write a trace; a nil writer writes none. finish writes what is buffered and returns once that is done.
-// It is to be called last, since a trace outlives what it records.
+// StartTrace starts writing a trace; a nil writer writes none. finish writes the buffered events and ends the writer. It must be
+// called after all recorded components have ended.
 func StartTrace(writer *file.Writer) (finish func() error) {
 	if writer == nil {
 		return func() error { return nil }
@@ -60,7 +60,7 @@
 	}
 }
 
-// buildRevision returns the revision that the program was built from, as far as it knows.
+// buildRevision returns the version control revision of the program, or else its module version; empty if neither is known.
 func buildRevision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -74,7 +74,7 @@
 	return info.Main.Version
 }
 
-// NewIncarnation returns a random number that distinguishes this run of a process from all others. It is odd, and so never 0.
+// NewIncarnation returns a random number that identifies this run of a process. It is odd, and so never 0.
 func NewIncarnation() uint64 {
 	n, err := rand.Int(rand.Reader, new(big.Int).SetUint64(math.MaxUint64))
 	if err != nil {
--- a/internal/router/setup/deployment.go
+++ b/internal/router/setup/deployment.go
@@ -6,57 +6,57 @@
 	"ferrypitch/policy"
 )
 
-// maxReportSeconds limits the positions in load reports: more seconds do not fit a policy.TenthMs.
+// maxReportSeconds is the maximum position in a load report; higher ones could overflow policy.TenthMs.
 const maxReportSeconds = 1e12
 
-// Names of the fields of a load report that the router uses.
+// Names of the load report fields that the router uses.
 const (
 	reportFieldPosition = "x0"
 	reportFieldRole     = "x1"
 )
 
-// What a deployment does with a read that a host cannot answer at its position (family_info.guards).
+// Values of family_info.guards: what a host does with a read whose position it has not reached.
 const (
 	guardsNone   = "none"
 	guardsBounce = "bounce" // the host rejects it
 	guardsAwait  = "await"  // the host waits for the position first
 )
 
-// How the list comes (discovery).
+// Values of discovery: how the router receives the host list.
 const (
 	discoveryPushed    = "pushed"
 	discoveryOnRequest = "on_request"
 )
 
-// effects are the values of a class's effect; others are idempotent.
-var effects = map[string]policy.Idempotency{
+// idempotencyByEffect maps the values of a class's effect; all others mean idempotent.
+var idempotencyByEffect = map[string]policy.Idempotency{
 	"deduplicated": policy.Keyed,
 	"at_most_once": policy.NotIdempotent,
 }
 
-// needs are the values of family_info.class_read; others may read anything.
-var needs = map[string]policy.Consistency{
+// consistencyByRead maps the values of family_info.class_read; all others mean that reads may return any version.
+var consistencyByRead = map[string]policy.Consistency{
 	"lag_bound": policy.BoundedStaleness,
 	"causal":    policy.ReadYourWrites,
 	"strong":    policy.Strong,
 	"mutate":    policy.Write,
 }
 
-// Formats describes how commands, answers and load reports of a deployment are read.
+// Formats describes how the commands, answers and load reports of a deployment are parsed.
 type Formats struct {
-	Groups              map[string]*policy.CommandGroup // by the name in a command's comment
-	Fields              []string                        // of a load report, in order
-	PositionField       int                             // index in Fields of the host's position; -1 for none
-	RoleField           int                             // index in Fields of the host's role; -1 for none
-	AnswersHavePosition bool                            // every answer carries a position
+	Groups              map[string]*policy.CommandGroup // by their name in the commands' comments
+	Fields              []string                        // names of the load report fields, in order
+	PositionField       int                             // index of the host's position in Fields; -1 for none
+	RoleField           int                             // index of the host's role in Fields; -1 for none
+	AnswersHavePosition bool                            // every answer contains a position
 }
 
-// ReadDeployment reads a deployment's settings. It raises a Fault.
-func ReadDeployment(env Object, seed uint32) (deployment policy.Deployment, terms Formats) {
-	bounds, limits := env.Object("bounds"), env.Object("rules")
+// ReadDeployment reads the settings of a deployment. It panics with a Fault if they are invalid.
+func ReadDeployment(env Object, seed uint32) (deployment policy.Deployment, formats Formats) {
+	bounds, rules := env.Object("bounds"), env.Object("rules")
 	prices, telemetry := env.Object("prices"), env.Object("telemetry")
 	info := env.Object("family_info")
-	terms = readTerms(telemetry, info)
+	formats = readFormats(telemetry, info)
 	reportsBy := telemetry.OptionalText("how")
 	guards := readGuards(info)
 	deployment = policy.Deployment{
@@ -69,31 +69,31 @@
 		HostsCheckPosition: guards == guardsBounce || guards == guardsAwait,
 		PositionWait:       RoundDown(info.OptionalNumber("wait")),
 		LocalSessionTokens: info.OptionalText("session_marks") == "kept",
-		PositionsReported:  (reportsBy == "answers" || reportsBy == "probe") && terms.PositionField >= 0,
+		PositionsReported:  (reportsBy == "answers" || reportsBy == "probe") && formats.PositionField >= 0,
 		ProbesEnabled:      bounds.Flag("probes"),
 		PeerUpdatesEnabled: bounds.Flag("peers"),
 		PeerUpdateCost:     prices.OptionalNumber("peer"),
 		ProbeCost:          prices.OptionalNumber("probe"),
-		ColdOverloadFactor: limits.OptionalNumber("overload_factor"),
-		ColdOverloadWindow: RoundDown(limits.OptionalNumber("fall")),
-		ColdCapacity:       limits.OptionalNumber("cold_from"),
-		ColdDuration:       RoundUp(limits.OptionalNumber("cold")),
-		KeepUnlistedHosts:  limits.Flag("drain_binds_alone"),
+		ColdOverloadFactor: rules.OptionalNumber("overload_factor"),
+		ColdOverloadWindow: RoundDown(rules.OptionalNumber("fall")),
+		ColdCapacity:       rules.OptionalNumber("cold_from"),
+		ColdDuration:       RoundUp(rules.OptionalNumber("cold")),
+		KeepUnlistedHosts:  rules.Flag("drain_binds_alone"),
 		StreamsPerConn:     int(max(1, bounds.optionalNotNegative("streams_per_conn"))),
 		IdleConnTimeout:    RoundDown(bounds.optionalNotNegative("conn_idle")),
 		ConnectTimeout:     RoundDown(bounds.optionalNotNegative("connect_timeout")),
 	}
-	deployment.ListTimeout = readAskWithin(env, limits)
+	deployment.ListTimeout = readListTimeout(env, rules)
 	if bounds.Flag("retry_after") {
 		deployment.MaxRetryAfter = RoundDown(bounds.OptionalNumber("max_retry_after"))
 	}
-	deployment.Groups = readGroups(env, info, terms.Groups)
-	return deployment, terms
+	deployment.Groups = readGroups(env, info, formats.Groups)
+	return deployment, formats
 }
 
-// readTerms reads all of the terms but the groups, which it leaves empty.
-func readTerms(telemetry, info Object) Formats {
-	terms := Formats{
+// readFormats reads the formats except for the command groups, which it leaves empty.
+func readFormats(telemetry, info Object) Formats {
+	formats := Formats{
 		Groups:        map[string]*policy.CommandGroup{},
 		PositionField: -1, RoleField: -1,
 		AnswersHavePosition: info.Flag("stamps"),
@@ -102,15 +102,16 @@
 		name, _ := field.(string)
 		switch name {
 		case reportFieldPosition:
-			terms.PositionField = i
+			formats.PositionField = i
 		case reportFieldRole:
-			terms.RoleField = i
+			formats.RoleField = i
 		}
-		terms.Fields = append(terms.Fields, name)
+		formats.Fields = append(formats.Fields, name)
 	}
-	return terms
+	return formats
 }
 
+// readGuards reads and checks family_info.guards and family_info.wait.
 func readGuards(info Object) string {
 	guards := info.oneOf("guards", guardsNone, guardsBounce, guardsAwait)
 	if info.optionalNotNegative("wait") > 0 && guards != guardsAwait {
@@ -119,19 +120,19 @@
 	return guards
 }
 
-// readAskWithin reads the longest time in which a requested list is waited for; 0 where lists come without a request.
-func readAskWithin(env, limits Object) policy.TenthMs {
-	within := RoundDown(limits.optionalNotNegative("ask_within"))
+// readListTimeout reads the timeout of a requested host list; 0 if lists arrive without a request.
+func readListTimeout(env, rules Object) policy.TenthMs {
+	timeout := RoundDown(rules.optionalNotNegative("ask_within"))
 	if env.oneOf("discovery", discoveryPushed, discoveryOnRequest) != discoveryOnRequest {
 		return 0
 	}
-	if within == 0 {
-		limits.fail("ask_within", "not over 0, where the list comes only on request")
+	if timeout == 0 {
+		rules.fail("ask_within", "not over 0, where the list comes only on request")
 	}
-	return within
+	return timeout
 }
 
-// readGroups reads the command groups, which it also enters into byName.
+// readGroups reads the command groups and adds them to byName.
 func readGroups(env, info Object, byName map[string]*policy.CommandGroup) (groups []*policy.CommandGroup) {
 	reads, bounds := info.OptionalList("class_read"), info.OptionalList("class_bound")
 	for i, class := range env.Objects("classes") {
@@ -143,10 +144,10 @@
 			Benefit:             class.Number("worth"),
 			LateBenefitFraction: class.OptionalNumber("late_share"),
 		}
-		group.IdempotencyClass = effects[class.Text("effect")]
+		group.IdempotencyClass = idempotencyByEffect[class.Text("effect")]
 		if i < len(reads) {
 			word, _ := reads[i].(string)
-			group.ConsistencyLevel = needs[word]
+			group.ConsistencyLevel = consistencyByRead[word]
 		}
 		if i < len(bounds) {
 			ms, ok := AsNumber(bounds[i])
@@ -161,7 +162,7 @@
 	return groups
 }
 
-// ParseLoadReport reads the position and role in a load report; ok is false if it has no position. field returns the
+// ParseLoadReport returns the position and role in a load report. ok is false if it has no valid position. field returns the
 // value of a field by its index in Fields.
 func (t Formats) ParseLoadReport(field func(i int) (float64, bool)) (position policy.TenthMs, role policy.Role, ok bool) {
 	if t.PositionField < 0 {
@@ -182,8 +183,8 @@
 	return RoundDown(1000 * seconds), role, true
 }
 
-// ParseHostStatus reads the position and role that a host sends beside an answer. The position is -1 where there is none; one beyond
-// maxMs milliseconds cannot be true and counts as none.
+// ParseHostStatus parses the position and role that a host sends with an answer. The position is -1 if it is missing, invalid or
+// greater than maxMs milliseconds, which no valid position is.
 func ParseHostStatus(positionText, roleText string, maxMs float64) (position policy.TenthMs, role policy.Role) {
 	position = -1
 	if ms, err := strconv.ParseFloat(positionText, 64); err == nil && ms > 0 && ms <= maxMs {
--- a/internal/router/setup/limits.go
+++ b/internal/router/setup/limits.go
@@ -2,52 +2,52 @@
 
 import "time"
 
-// Limits holds all sizes, counts and time-outs of the sockets, and of the process. Sizes are in bytes.
+// Limits holds all limits and timeouts of the process and its sockets. Sizes are in bytes.
 type Limits struct {
-	Cores  int
-	Memory int64 // soft limit for the garbage collector
+	Cores  int   // value for GOMAXPROCS
+	Memory int64 // soft memory limit of the Go runtime
 
 	MaxClientConns    int // file descriptors for clients
 	MaxHostConns      int // file descriptors for connections to hosts
-	SpareClientConns  int // descriptors for clients past MaxClientConns, whose commands are throttled
-	CommandQueueSize  int // commands that wait for the decision module
-	MaxPipelined      int // commands of one client connection that are not answered yet
-	MaxRejectedInARow int // rejected commands in a row, before a client's connection ends
-
-	MaxClientMessage int
-	MaxHostMessage   int // the longest message of a host
-	MaxListLine      int // the longest line of discovery
-	MaxDatagram      int
+	SpareClientConns  int // file descriptors for clients beyond MaxClientConns, whose commands may be throttled
+	CommandQueueSize  int // commands queued for the policy
+	MaxPipelined      int // unanswered commands per client connection
+	MaxRejectedInARow int // rejected commands in a row before a client connection is closed
+
+	MaxClientMessage int   // the longest message of a client
+	MaxHostMessage   int   // the longest message of a host
+	MaxListLine      int   // the longest line of discovery's response
+	MaxDatagram      int   // the longest datagram between routers
 	InitialBuffer    int   // initial size of a connection's buffer
-	BufferBudget     int64 // by which all buffers together may grow past their initial sizes
+	BufferBudget     int64 // total growth of all buffers beyond their initial sizes
 
 	// Connections to hosts.
-	ConnectTimeout  time.Duration // for a connection to come up
-	HostIdleTimeout time.Duration // after which an idle connection is not used any more
-	ReuseDelay      time.Duration // after an answer, for data that does not belong to it to be noticed
+	ConnectTimeout  time.Duration // to establish a connection, including the startup
+	HostIdleTimeout time.Duration // after which an idle connection is not reused
+	ReuseDelay      time.Duration // after an answer before the connection is reused, to detect extra data
 
 	// Clients.
-	AnswerMargin       time.Duration // before a client's own time-out at which the last answer is sent
-	FirstListTimeout   time.Duration // for a first list to come, before an empty query fails
-	CommandReadTimeout time.Duration // for a first command, or for the rest of a partial one
-	NewConnGrace       time.Duration // after which a connection without a complete command may be evicted
-	EvictionIdleTime   time.Duration // after which an idle connection may be evicted, once half of MaxClientConns are open
-	LingerTimeout      time.Duration // for a client to read why its connection ends
-	ClientWriteTimeout time.Duration // for a client to read its answers
+	AnswerMargin       time.Duration // by which the last answer is sent before the client's own timeout
+	FirstListTimeout   time.Duration // for the first host list, after which empty queries fail
+	CommandReadTimeout time.Duration // for the first message or the rest of a partial one
+	NewConnGrace       time.Duration // after which a connection without a complete message may be evicted
+	EvictionIdleTime   time.Duration // after which an idle connection may be evicted if more than half of MaxClientConns are open
+	LingerTimeout      time.Duration // for a client to read the error message that ends its connection
+	ClientWriteTimeout time.Duration // to write answers to a client
 
 	// Discovery and peers.
-	DiscoveryTimeout   time.Duration // of discovery, before its connection counts as lost
-	RetryDelay         time.Duration // before a retry, and the first step of a backoff
-	DatagramBatchDelay time.Duration // in which datagrams are gathered
-
-	// The goroutine that owns the decision module.
-	StepInterval       time.Duration // at most between two of its steps
-	StallRecoveryDelay time.Duration // after a stall, for the sockets to be read
-
-	// After SIGTERM.
-	AcceptPeriod    time.Duration // in which connections are still accepted
-	DrainDelay      time.Duration // after which connections with nothing pending are closed
-	ShutdownTimeout time.Duration // after which the program exits
+	DiscoveryTimeout   time.Duration // without data from discovery, after which its connection counts as lost
+	RetryDelay         time.Duration // before a retry; also the initial backoff
+	DatagramBatchDelay time.Duration // between two batches of received datagrams
+
+	// Event loop of the policy.
+	StepInterval       time.Duration // maximum time between two steps
+	StallRecoveryDelay time.Duration // wait after a stall, in which the sockets are read
+
+	// Shutdown, counted from SIGTERM.
+	AcceptPeriod    time.Duration // in which connections are still accepted after SIGTERM
+	DrainDelay      time.Duration // after which connections without pending commands are closed
+	ShutdownTimeout time.Duration // after which the process exits
 }
 
 const (
@@ -55,23 +55,24 @@
 	minMemoryMB = 32
 	minSockets  = 64
 
-	ownSockets         = 16 // the listener's, discovery's, the peers', the log's and the runtime's
+	internalSockets    = 16 // the listener, discovery, the peers, the log and the Go runtime
 	minSpareSockets    = 8
 	maxReservedSockets = 64
 
-	idleMargin = 2 * time.Second // before a host closes an idle connection, at most
+	idleMargin = 2 * time.Second // maximum by which HostIdleTimeout is below the host's own idle timeout
 
-	maxCommandWait = 3 * time.Second // in a shutdown
+	maxCommandWait = 3 * time.Second // maximum wait for pending commands at shutdown
 )
 
-// computeLimits divides the resources that the platform grants. SIGKILL comes 0.2 s after ShutdownTimeout at the soonest.
+// computeLimits derives the limits from the resources that the platform grants. The platform sends SIGKILL no sooner than 0.2 s
+// after ShutdownTimeout.
 func computeLimits(top Object) Limits {
 	granted, settings := top.Object("limits"), top.Object("settings")
 	bounds := settings.Object("bounds")
 	cores := granted.atLeast("cores", minCores)
 	memory := int64(granted.atLeast("memory_mb", minMemoryMB)) << 20
 	sockets := int(granted.atLeast("sockets", minSockets))
-	reserved := max(ownSockets+minSpareSockets, min(maxReservedSockets, sockets/4))
+	reserved := max(internalSockets+minSpareSockets, min(maxReservedSockets, sockets/4))
 	hostConns := (sockets - reserved) * 2 / 5
 	hostIdle := bounds.durationAtLeast("conn_idle", time.Millisecond)
 	l := Limits{
@@ -80,7 +81,7 @@
 
 		MaxClientConns:    sockets - reserved - hostConns,
 		MaxHostConns:      hostConns,
-		SpareClientConns:  min(reserved/2, reserved-ownSockets),
+		SpareClientConns:  min(reserved/2, reserved-internalSockets),
 		CommandQueueSize:  1024,
 		MaxPipelined:      32,
 		MaxRejectedInARow: 16,
@@ -119,11 +120,11 @@
 		longestTarget = max(longestTarget, time.Duration(class.Number("promise"))*time.Millisecond)
 		l.ShutdownTimeout = max(l.ShutdownTimeout, min(timeout, maxCommandWait)+l.AcceptPeriod)
 	}
-	l.DrainDelay = max(l.AcceptPeriod, l.ShutdownTimeout-longestTarget) // clients may have nowhere else to go for now
+	l.DrainDelay = max(l.AcceptPeriod, l.ShutdownTimeout-longestTarget) // until then, clients may have no other router to connect to
 	return l
 }
 
-// durationAtLeast returns a number of milliseconds that is not less than a minimum.
+// durationAtLeast returns the value of a field in milliseconds, which must not be less than a minimum.
 func (o Object) durationAtLeast(field string, minimum time.Duration) time.Duration {
 	ms := o.atLeast(field, float64(minimum)/float64(time.Millisecond))
 	return time.Duration(ms * float64(time.Millisecond))
--- a/internal/router/setup/object.go
+++ b/internal/router/setup/object.go
@@ -13,35 +13,35 @@
 	"ferrypitch/policy"
 )
 
-// Object is a JSON object that is read field by field. Its methods raise a Fault, by panic, for a field that is missing or
-// of the wrong kind, so that a reader of dozens of fields needs one Catch. Methods named Maybe take the zero value for a
-// field that is missing.
+// Object is a JSON object that is read field by field. Its methods panic with a Fault if a field is missing or of the wrong type,
+// so that a function that reads dozens of fields handles errors once, with a deferred Catch. Methods named Optional... return the
+// zero value for a missing field.
 type Object struct {
-	path   string // of the object within the file, for faults; empty for the file itself
+	path   string // path of the object within the file, for errors; empty for the top level
 	fields map[string]any
 }
 
-// Fault is the error of an invalid configuration or list. It names the field and what is wrong with it.
+// Fault is the error for an invalid field of the configuration or of a host list. Its text begins with the path of the field.
 type Fault string
 
 // Error implements error.
 func (f Fault) Error() string { return string(f) }
 
-// Decode decodes a JSON object; name stands for it in faults.
+// Decode decodes a JSON object. name is its path in errors.
 func Decode(name string, text []byte) (Object, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	o := Object{path: name}
 	if err := decoder.Decode(&o.fields); err != nil {
-		return o, fmt.Errorf("not an object of JSON: %w", err)
+		return o, fmt.Errorf("not a JSON object: %w", err)
 	}
 	if o.fields == nil {
-		return o, errors.New("not an object of JSON: null")
+		return o, errors.New("not a JSON object: null")
 	}
 	return o, nil
 }
 
-// Catch recovers from a Fault and sets it as the error. It is to be deferred by whoever reads objects.
+// Catch recovers from a panic with a Fault and stores it in err. Functions that read objects defer it. Other panics continue.
 func Catch(err *error) {
 	switch cause := recover().(type) {
 	case nil:
@@ -52,12 +52,12 @@
 	}
 }
 
-// fail raises a Fault about a field.
+// fail panics with a Fault for a field.
 func (o Object) fail(field, text string) {
-	panic(Fault(o.within(field) + ": " + text))
+	panic(Fault(o.fieldPath(field) + ": " + text))
 }
 
-// failKind raises a Fault about a field that is missing or not of a kind.
+// failKind panics with a Fault for a field that is missing or not of the kind required.
 func (o Object) failKind(field, kind string) {
 	if !o.Has(field) {
 		o.fail(field, "missing")
@@ -65,8 +65,8 @@
 	o.fail(field, "not "+kind)
 }
 
-// within returns the path of a field.
-func (o Object) within(field string) string {
+// fieldPath returns the path of a field.
+func (o Object) fieldPath(field string) string {
 	if o.path == "" {
 		return field
 	}
@@ -76,7 +76,7 @@
 // Has reports whether a field is present and not null.
 func (o Object) Has(field string) bool { return o.fields[field] != nil }
 
-// Number returns a number.
+// Number returns the value of a numeric field.
 func (o Object) Number(field string) float64 {
 	number, ok := AsNumber(o.fields[field])
 	if !ok {
@@ -85,7 +85,7 @@
 	return number
 }
 
-// OptionalNumber returns a number, or 0 for a field that is missing.
+// OptionalNumber returns the value of a numeric field, or 0 if it is missing.
 func (o Object) OptionalNumber(field string) float64 {
 	if !o.Has(field) {
 		return 0
@@ -93,14 +93,15 @@
 	return o.Number(field)
 }
 
-// AsNumber converts an item of a list to a number.
+// AsNumber converts an item of an array to a number.
 func AsNumber(item any) (float64, bool) {
 	text, ok := item.(json.Number)
 	number, err := text.Float64()
 	return number, ok && err == nil
 }
 
-// Integer returns an integer that fits 64 bits, signed or unsigned; the upper half of the unsigned ones becomes negative.
+// Integer returns the value of an integer field of 64 bits, signed or unsigned. Unsigned values above the range of int64 become
+// negative.
 func (o Object) Integer(field string) int64 {
 	text, ok := o.fields[field].(json.Number)
 	if ok {
@@ -115,7 +116,7 @@
 	return 0
 }
 
-// Text returns a string.
+// Text returns the value of a string field.
 func (o Object) Text(field string) string {
 	text, ok := o.fields[field].(string)
 	if !ok {
@@ -124,13 +125,13 @@
 	return text
 }
 
-// OptionalText returns a string, or "" for a field that is missing or of another kind.
+// OptionalText returns the value of a string field, or "" if it is missing or of another type.
 func (o Object) OptionalText(field string) string {
 	text, _ := o.fields[field].(string)
 	return text
 }
 
-// atLeast returns a number that is not less than a minimum.
+// atLeast returns the value of a numeric field, which must not be less than a minimum.
 func (o Object) atLeast(field string, minimum float64) float64 {
 	value := o.Number(field)
 	if value < minimum {
@@ -139,7 +140,7 @@
 	return value
 }
 
-// optionalNotNegative returns a number that is not negative, or 0 for a field that is missing.
+// optionalNotNegative returns the value of a numeric field, which must not be negative, or 0 if it is missing.
 func (o Object) optionalNotNegative(field string) float64 {
 	if !o.Has(field) {
 		return 0
@@ -147,7 +148,7 @@
 	return o.atLeast(field, 0)
 }
 
-// oneOf returns one of some words, or the first for a field that is missing.
+// oneOf returns the value of a string field, which must be one of words, or the first of them if it is missing.
 func (o Object) oneOf(field string, words ...string) string {
 	if !o.Has(field) {
 		return words[0]
@@ -159,7 +160,7 @@
 	return word
 }
 
-// Flag returns a bool, or false for a field that is missing.
+// Flag returns the value of a bool field, or false if it is missing.
 func (o Object) Flag(field string) bool {
 	flag, ok := o.fields[field].(bool)
 	if !ok && o.Has(field) {
@@ -168,7 +169,7 @@
 	return flag
 }
 
-// List returns an array.
+// List returns the value of an array field.
 func (o Object) List(field string) []any {
 	list, ok := o.fields[field].([]any)
 	if !ok {
@@ -177,7 +178,7 @@
 	return list
 }
 
-// OptionalList returns an array, or nil for a field that is missing.
+// OptionalList returns the value of an array field, or nil if it is missing.
 func (o Object) OptionalList(field string) []any {
 	if !o.Has(field) {
 		return nil
@@ -185,7 +186,7 @@
 	return o.List(field)
 }
 
-// Objects returns an array of objects.
+// Objects returns the value of a field that is an array of objects.
 func (o Object) Objects(field string) []Object {
 	list := o.List(field)
 	objects := make([]Object, len(list))
@@ -195,25 +196,25 @@
 		if !ok {
 			o.fail(name, "not an object")
 		}
-		objects[i] = Object{path: o.within(name), fields: fields}
+		objects[i] = Object{path: o.fieldPath(name), fields: fields}
 	}
 	return objects
 }
 
-// Object returns an object.
+// Object returns the value of a field that is an object.
 func (o Object) Object(field string) Object {
 	fields, ok := o.fields[field].(map[string]any)
 	if !ok {
 		o.failKind(field, "an object")
 	}
-	return Object{path: o.within(field), fields: fields}
+	return Object{path: o.fieldPath(field), fields: fields}
 }
 
-// roundingTenths absorbs the error of a float64 in the conversion to tenths of a millisecond.
+// roundingTenths absorbs floating-point errors in the conversion to tenths of a millisecond.
 const roundingTenths = 1e-3
 
-// RoundUp converts milliseconds to the policy's unit, rounding up.
+// RoundUp converts milliseconds to policy.TenthMs, rounding up.
 func RoundUp(ms float64) policy.TenthMs { return policy.TenthMs(math.Ceil(ms*10 - roundingTenths)) }
 
-// RoundDown converts milliseconds to the policy's unit, rounding down.
+// RoundDown converts milliseconds to policy.TenthMs, rounding down.
 func RoundDown(ms float64) policy.TenthMs { return policy.TenthMs(math.Floor(ms*10 + roundingTenths)) }
--- a/internal/router/setup/operator.go
+++ b/internal/router/setup/operator.go
@@ -9,8 +9,8 @@
 	"ferrypitch/policy"
 )
 
-// Operator is an operator's file: what a router starts with, and the sections of the sub-commands, which are nil where the
-// file has none.
+// Operator is the content of an operator's file: the configuration of a router and the sections of the sub-commands, which are
+// nil if the file has none.
 type Operator struct {
 	Start   *Start
 	Forward *ForwarderSection
@@ -18,7 +18,7 @@
 	Trace   *TraceSection
 }
 
-// LoadOperator reads and checks an operator's file. Its errors name the file and the key.
+// LoadOperator reads and validates an operator's file. Its errors name the file and the key.
 func LoadOperator(path string, getenv func(string) string) (*Operator, error) {
 	operator, err := loadOperator(path, getenv)
 	if err != nil {
@@ -37,7 +37,7 @@
 func loadOperator(path string, getenv func(string) string) (operator *Operator, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Unwrap(err) // without the path, which the caller names
+		return nil, errors.Unwrap(err) // without the path, which the caller adds
 	}
 	if err := checkSchema(text); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	return operator, err
 }
 
-// Subcommands returns the names of the sub-commands that the file is complete for.
+// Subcommands returns the names of the sub-commands for which the file has all keys.
 func (o *Operator) Subcommands() (names []string) {
 	if o.CheckStandalone("") == nil {
 		names = append(names, "serve")
@@ -82,7 +82,8 @@
 	return names
 }
 
-// CheckStandalone returns an error that names the file, by path, and the key that a router without planners lacks.
+// CheckStandalone returns an error if the file lacks a key that a router without planners needs. The error names path and the
+// key.
 func (o *Operator) CheckStandalone(path string) error {
 	switch {
 	case o.Start.Listen == "":
@@ -93,8 +94,8 @@
 	return nil
 }
 
-// AsForwarder has a router live by views alone: it checks no host's health, exchanges no messages with other routers, and
-// the list that it was given becomes the first view.
+// AsForwarder changes the configuration to that of a forwarder, which gets all information about hosts from planners: it sends no
+// health checks, exchanges no messages with other routers, and uses the initial list as its first view.
 func (s *Start) AsForwarder() {
 	deployments := []*policy.Deployment{&s.Deployment}
 	if s.NextSettings != nil {
--- a/internal/router/setup/schema.go
+++ b/internal/router/setup/schema.go
@@ -13,7 +13,7 @@
 	"github.com/santhosh-tekuri/jsonschema/v6/kind"
 )
 
-// Schema is the JSON schema of the operator's file.
+// Schema is the JSON schema of an operator's configuration file.
 //
 //go:embed operator.schema.json
 var Schema []byte
@@ -30,7 +30,7 @@
 	return compiler.Compile("operator.schema.json")
 })
 
-// checkSchema checks a file against the schema. Its error names the key of the first fault, or the line of a syntax error.
+// checkSchema validates a file against the schema. Its error names the first invalid key, or the line of a syntax error.
 func checkSchema(text []byte) error {
 	schema, err := compiledSchema()
 	if err != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// schemaError returns an error of one line that begins with the key at fault.
+// schemaError returns a one-line error that begins with the invalid key.
 func schemaError(invalid *jsonschema.ValidationError) error {
 	key := instanceKey(invalid.InstanceLocation)
 	child := func(name string) string {
@@ -83,7 +83,7 @@
 	return fmt.Errorf("%s: %s", key, text)
 }
 
-// instanceKey writes a location as a key, such as plan.forwarders or peers[2]; empty for the file itself.
+// instanceKey formats a location as a key, such as plan.forwarders or peers[2]; empty for the top level.
 func instanceKey(location []string) (key string) {
 	for _, part := range location {
 		switch _, err := strconv.Atoi(part); {
--- a/internal/router/setup/sections.go
+++ b/internal/router/setup/sections.go
@@ -12,77 +12,78 @@
 	"ferrypitch/internal/router/tier/link"
 )
 
-// keyBytes is the size of the key that planners and forwarders share.
+// keyBytes is the size of a shared key.
 const keyBytes = 32
 
-// ForwarderSection is the section of a forwarder, which serves clients by the views of planners.
+// ForwarderSection is the configuration of a forwarder, a router that gets the host list and the hosts' health from planners.
 type ForwarderSection struct {
-	Planners         []string // addresses
+	Planners         []string // addresses of the planners
 	Key              [keyBytes]byte
-	ViewFile         string        // file that keeps the view for the next start; empty for none
-	ViewFileInterval time.Duration // between two writes of that file, at least
+	ViewFile         string        // file that stores the view for the next start; empty for none
+	ViewFileInterval time.Duration // minimum time between two writes of ViewFile
 
-	RetryDelay     time.Duration // first step of the backoff of a link
-	MaxRetryDelay  time.Duration // last step of the backoff of a link
-	ReportInterval time.Duration // between two reports
+	RetryDelay     time.Duration // initial reconnect backoff of a link
+	MaxRetryDelay  time.Duration // maximum reconnect backoff of a link
+	ReportInterval time.Duration // between two reports to a planner
 	PlannerTimeout time.Duration // after which a silent planner counts as lost
 
-	DialTimeout     time.Duration // for a link to come up, its handshake included
-	MaxQueuedFrames int           // frames that may wait to be sent
-	WriteTimeout    time.Duration // for a frame to be sent
-	MaxFrameBytes   int           // the longest frame that is accepted, in bytes
+	DialTimeout     time.Duration // to establish a link, including the handshake
+	MaxQueuedFrames int           // frames queued for sending
+	WriteTimeout    time.Duration // to send a frame
+	MaxFrameBytes   int           // longest frame accepted, in bytes
 }
 
-// PlannerSection is the section of a planner, which watches discovery and checks the hosts' health for forwarders.
+// PlannerSection is the configuration of a planner, which watches discovery and checks the health of hosts for forwarders.
 type PlannerSection struct {
-	Listen     string // address for forwarders
+	Listen     string // address for connections from forwarders
 	Key        [keyBytes]byte
-	Generation uint64
-
-	MaxForwarders          int           // at most
-	MaxProbesInFlight      int           // health checks in flight, at most
-	ProbesPerSecond        int           // health checks a second, at most
-	ReportsPerSecond       int           // reports of forwarders a second, at most
-	FramesPerSecond        int           // frames a second to all forwarders, at most
-	PositionBytesPerSecond int           // bytes of positions a second to all forwarders, at most
-	ChangeInterval         time.Duration // between two changes that forwarders are sent, at least
-	ProbeInterval          time.Duration // after which a host that nobody has heard of is checked
-	PrimaryProbeInterval   time.Duration // between two checks where a set's primary is unknown or silent
-
-	HandshakeTimeout time.Duration // for a forwarder's handshake
-	MaxHandshakes    int           // connections whose handshake is not complete, at most
-	MaxQueuedFrames  int           // frames that may wait for a slow reader
-	WriteTimeout     time.Duration // for a part of a frame to be sent
-	MaxFrameBytes    int           // the longest frame that is accepted, in bytes
+	Generation uint64 // raised by the operator when discovery is replaced and its versions restart
+
+	MaxForwarders          int           // maximum number of connected forwarders
+	MaxProbesInFlight      int           // maximum number of health checks in flight
+	ProbesPerSecond        int           // maximum rate of health checks
+	ReportsPerSecond       int           // maximum rate of reports from forwarders
+	FramesPerSecond        int           // maximum rate of frames to all forwarders together
+	PositionBytesPerSecond int           // maximum rate of position data to all forwarders together
+	ChangeInterval         time.Duration // minimum time between two updates to forwarders
+	ProbeInterval          time.Duration // after which a host without recent reports is checked
+	PrimaryProbeInterval   time.Duration // between two checks in a replica set whose primary is unknown or silent
+
+	HandshakeTimeout time.Duration // to complete the handshake with a forwarder
+	MaxHandshakes    int           // maximum number of connections in the handshake
+	MaxQueuedFrames  int           // frames queued for a slow forwarder
+	WriteTimeout     time.Duration // to send a part of a frame
+	MaxFrameBytes    int           // longest frame accepted, in bytes
 }
 
-// TraceSection is the section of trace capture.
+// TraceSection is the configuration of trace capture.
 type TraceSection struct {
-	Dir    string
-	Part   uint32         // of sessions that are captured, in thousandths
-	Key    [keyBytes]byte // of the hash that selects sessions, where not all are captured
-	Detail bool           // the candidates of each dispatch are captured too
-
-	Size   int64         // of a file, in bytes, about
-	Budget int64         // of all files, in bytes
-	Age    time.Duration // after which a new file begins
-	Flush  time.Duration // between two writes of what is buffered
-	Block  int           // bytes that are gathered before they are written, about
-	Blocks int           // blocks in memory
+	Dir    string         // directory of the trace files
+	Part   uint32         // sampled sessions per thousand
+	Key    [keyBytes]byte // key of the hash that samples sessions; unused if all are captured
+	Detail bool           // whether the candidates of each dispatch are captured
+
+	Size   int64         // approximate maximum size of a file, in bytes
+	Budget int64         // maximum size of all files together, in bytes
+	Age    time.Duration // maximum age of a file, after which a new one begins
+	Flush  time.Duration // between two writes of buffered data
+	Block  int           // approximate size of a block, in bytes
+	Blocks int           // number of blocks in memory
 }
 
-// wholePart is Trace.Part where all sessions are captured.
-const wholePart = 1000
+// fullSamplePerMille is the value of TraceSection.Part with which all sessions are captured.
+const fullSamplePerMille = 1000
 
-// FullTrace captures everything into a folder that may be in memory, as a router without an operator's file does.
+// FullTrace returns a configuration that captures all sessions. Its file sizes suit a directory that is in memory. Routers without
+// an operator's file use it.
 func FullTrace(dir string) *TraceSection {
 	return &TraceSection{
-		Dir: dir, Part: wholePart, Size: 4 << 20, Budget: 12 << 20, Age: time.Hour, Flush: time.Second,
+		Dir: dir, Part: fullSamplePerMille, Size: 4 << 20, Budget: 12 << 20, Age: time.Hour, Flush: time.Second,
 		Block: 128 << 10, Blocks: 3,
 	}
 }
 
-// readForward reads a forwarder's section. Relative paths are relative to dir, as in all sections.
+// readForward reads a forwarder's section. Relative paths are resolved against dir, as in all sections.
 func readForward(o Object, dir string) (*ForwarderSection, error) {
 	f := &ForwarderSection{
 		ViewFileInterval: time.Second,
@@ -97,8 +98,8 @@
 	}
 	if o.Has("keep") {
 		f.ViewFile = absolutePath(o.Text("keep"), dir)
-		if !isFolder(filepath.Dir(f.ViewFile)) {
-			return nil, fmt.Errorf("%s.keep: %s: its folder is not there", o.path, f.ViewFile)
+		if !isDirectory(filepath.Dir(f.ViewFile)) {
+			return nil, fmt.Errorf("%s.keep: %s: the directory of the file does not exist", o.path, f.ViewFile)
 		}
 	}
 	for i, item := range o.List("planners") {
@@ -143,7 +144,7 @@
 func readTrace(o Object, dir string) (*TraceSection, error) {
 	t := &TraceSection{
 		Dir:    o.Text("dir"),
-		Part:   wholePart,
+		Part:   fullSamplePerMille,
 		Detail: !o.Has("detail") || o.Flag("detail"),
 		Size:   int64(o.optionalInt("file_mb", 64)) << 20,
 		Budget: int64(o.optionalInt("budget_mb", 1024)) << 20,
@@ -153,24 +154,24 @@
 		Blocks: 4,
 	}
 	t.Dir = absolutePath(t.Dir, dir)
-	if !isFolder(t.Dir) {
-		return nil, fmt.Errorf("%s.dir: %s: not a folder that is there", o.path, t.Dir)
+	if !isDirectory(t.Dir) {
+		return nil, fmt.Errorf("%s.dir: %s: not an existing directory", o.path, t.Dir)
 	}
 	if t.Budget < 2*t.Size {
-		return nil, fmt.Errorf("%s.budget_mb: less than two files", o.path)
+		return nil, fmt.Errorf("%s.budget_mb: less than twice the size of a file", o.path)
 	}
 	if !o.Has("part") {
 		return t, nil
 	}
-	t.Part = uint32(o.Number("part") * wholePart)
+	t.Part = uint32(o.Number("part") * fullSamplePerMille)
 	var err error
-	if t.Part < wholePart {
+	if t.Part < fullSamplePerMille {
 		t.Key, err = readSectionKey(o, dir)
 	}
 	return t, err
 }
 
-// ReadKey reads a shared key from a file, which nobody but its owner may be able to read.
+// ReadKey reads a shared key from a file, which must not be readable by group or others.
 func ReadKey(path string) (key [keyBytes]byte, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -193,7 +194,7 @@
 	return key, nil
 }
 
-// readSectionKey reads the key whose file a section names.
+// readSectionKey reads the key from the file named by key_file.
 func readSectionKey(o Object, dir string) (key [keyBytes]byte, err error) {
 	if key, err = ReadKey(absolutePath(o.Text("key_file"), dir)); err != nil {
 		err = fmt.Errorf("%s.key_file: %w", o.path, err)
@@ -201,7 +202,7 @@
 	return key, err
 }
 
-// absolutePath returns a path relative to dir, unless it is absolute.
+// absolutePath resolves a relative path against dir.
 func absolutePath(path, dir string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -209,23 +210,23 @@
 	return filepath.Join(dir, path)
 }
 
-func isFolder(path string) bool {
+func isDirectory(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.IsDir()
 }
 
-// optionalMilliseconds returns a number of milliseconds, or a default for a field that is missing.
-func (o Object) optionalMilliseconds(field string, byDefault time.Duration) time.Duration {
+// optionalMilliseconds returns the value of a field in milliseconds, or a default if it is missing.
+func (o Object) optionalMilliseconds(field string, defaultValue time.Duration) time.Duration {
 	if !o.Has(field) {
-		return byDefault
+		return defaultValue
 	}
 	return time.Duration(o.Integer(field)) * time.Millisecond
 }
 
-// optionalInt returns an integer, or a default for a field that is missing.
-func (o Object) optionalInt(field string, byDefault int) int {
+// optionalInt returns the value of an integer field, or a default if it is missing.
+func (o Object) optionalInt(field string, defaultValue int) int {
 	if !o.Has(field) {
-		return byDefault
+		return defaultValue
 	}
 	return int(o.Integer(field))
 }
--- a/internal/router/setup/setup.go
+++ b/internal/router/setup/setup.go
@@ -1,5 +1,5 @@
-// Package setup is the one place where the configuration is read, checked and given defaults: the environment and the file
-// that it names become a Start, or an operator's file becomes an Operator. Errors are one line that names the key at fault.
+// Package setup reads and validates the configuration of the older router and applies defaults. Load reads the environment and
+// the file that it names; LoadOperator reads an operator's file. Errors are one line that names the invalid key.
 package setup
 
 import (
@@ -14,33 +14,33 @@
 	"ferrypitch/policy"
 )
 
-// Start is what one router starts with.
+// Start is the configuration of one router.
 type Start struct {
 	Name         string
-	Listen       string // address for clients
-	Discovery    string // address of the discovery service
-	PeerListen   string // address for datagrams of the other routers
-	PeersAll     string // address that reaches all of them
-	Peers        []string
-	InitialList  Object // the last list, for the decision module; Has("targets") is false without one
-	InitialView  Object // the same for a forwarder's view
+	Listen       string   // address for clients
+	Discovery    string   // address of the discovery service
+	PeerListen   string   // address for datagrams of the other routers
+	PeersAll     string   // broadcast address of the other routers
+	Peers        []string // addresses of the other routers
+	InitialList  Object   // host list of the previous run, for the policy; Has("targets") is false if there is none
+	InitialView  Object   // the same for the view of a forwarder
 	Deployment   policy.Deployment
 	Formats      Formats
 	NextSettings *NextSettings // settings that are previewed; nil for none
 	Limits       Limits
 
-	load          func(getenv func(string) string) (*Start, error) // reads and checks the same file again
-	fileDiscovery string                                           // the file's discovery address, before the environment's
-	fileFields    map[string]any
+	load          func(getenv func(string) string) (*Start, error) // reloads the same configuration
+	fileDiscovery string                                           // discovery address in the file, ignoring the environment
+	fileFields    map[string]any                                   // top-level fields of the file
 }
 
-// NextSettings is what a deployment would be by settings that are not in force yet.
+// NextSettings is the deployment under settings that are not in force yet and only previewed.
 type NextSettings struct {
 	Deployment policy.Deployment
 	Formats    Formats
 }
 
-// Load reads the environment and the file that it names.
+// Load reads the configuration from the environment and the file that GW_CONFIG names.
 func Load(getenv func(string) string) (start *Start, err error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
@@ -60,11 +60,11 @@
 	return start, err
 }
 
-// readStart reads and checks what a router starts with. Only standalone requires the addresses for clients and of
-// discovery.
+// readStart reads and validates the configuration of a router. The addresses for clients and of discovery are required only if
+// standalone is true.
 func readStart(top Object, getenv func(string) string, standalone bool) (s *Start, err error) {
 	defer Catch(&err)
-	fromEnvOr := func(variable, key string) string {
+	envOrFile := func(variable, key string) string {
 		if value := getenv(variable); value != "" {
 			return value
 		}
@@ -74,9 +74,9 @@
 		return top.Text(key)
 	}
 	s = &Start{
-		Name:       fromEnvOr("GW_NAME", "name"),
-		Listen:     fromEnvOr("GW_LISTEN", "listen"),
-		Discovery:  fromEnvOr("GW_DISCOVERY", "discovery"),
+		Name:       envOrFile("GW_NAME", "name"),
+		Listen:     envOrFile("GW_LISTEN", "listen"),
+		Discovery:  envOrFile("GW_DISCOVERY", "discovery"),
 		PeerListen: top.OptionalText("peer_listen"),
 		PeersAll:   top.OptionalText("peers_all"),
 	}
@@ -103,17 +103,17 @@
 	return s, nil
 }
 
-// readSettings reads the settings in force, and those that are previewed.
+// readSettings reads the settings in force and those that are previewed.
 func (s *Start) readSettings(top Object) {
 	seed, err := strconv.ParseUint(top.Text("seed"), 16, 64)
 	if err != nil {
-		top.fail("seed", "not a number in hexadecimal digits")
+		top.fail("seed", "not a hexadecimal number")
 	}
 	read := func(key string) (policy.Deployment, Formats) {
-		deployment, terms := ReadDeployment(top.Object(key), uint32(seed)^uint32(seed>>32))
-		deployment.PositionEpoch = 0 // positions on sockets are Unix times
+		deployment, formats := ReadDeployment(top.Object(key), uint32(seed)^uint32(seed>>32))
+		deployment.PositionEpoch = 0 // positions in the protocol are Unix times
 		deployment.PeerUpdatesEnabled = deployment.PeerUpdatesEnabled && s.PeerListen != "" && s.PeersAll != ""
-		return deployment, terms
+		return deployment, formats
 	}
 	s.Deployment, s.Formats = read("settings")
 	if !top.Has("next_settings") {
@@ -123,12 +123,12 @@
 	s.NextSettings.Deployment, s.NextSettings.Formats = read("next_settings")
 	for name := range s.Formats.Groups {
 		if s.NextSettings.Formats.Groups[name] == nil {
-			panic(Fault("next_settings.classes: none of the name " + strconv.Quote(name)))
+			panic(Fault("next_settings.classes: no class named " + strconv.Quote(name)))
 		}
 	}
 }
 
-// readPeers reads the addresses of the other routers, and checks them where routers exchange messages.
+// readPeers reads the addresses of the other routers, and validates them if routers exchange messages.
 func (s *Start) readPeers(top Object) {
 	for _, item := range top.OptionalList("peers") {
 		peer, _ := item.(string)
@@ -144,9 +144,9 @@
 	}
 }
 
-// Reload reads and checks the same file again, while the program runs. Only discovery's address changes then: one that the
-// file has changed takes precedence over the environment, which cannot have changed. fromNextStart names the keys whose new
-// values count from the next start only.
+// Reload reads and validates the same configuration again while the process runs. Only the address of discovery is applied: a
+// changed address in the file takes precedence over the environment, which cannot change. fromNextStart names the changed keys
+// that take effect only at the next start.
 func (s *Start) Reload(getenv func(string) string) (next *Start, fromNextStart []string, err error) {
 	if next, err = s.load(getenv); err != nil {
 		return nil, nil, err
@@ -165,18 +165,18 @@
 		}
 	}
 	slices.Sort(fromNextStart)
-	next.fileFields = s.fileFields // those in force
+	next.fileFields = s.fileFields // the values in force
 	return next, fromNextStart, nil
 }
 
-// checkAddress is requireAddress with an error in place of a Fault that is raised.
+// checkAddress is requireAddress, but returns the Fault as an error.
 func checkAddress(text, key string) (err error) {
 	defer Catch(&err)
 	requireAddress(text, key)
 	return nil
 }
 
-// requireAddress raises a Fault unless a text is an IP address and a port.
+// requireAddress panics with a Fault unless a text is an IP address and a port.
 func requireAddress(text, key string) {
 	if text == "" {
 		panic(Fault(key + ": missing"))
--- a/internal/router/setup/setup_test.go
+++ b/internal/router/setup/setup_test.go
@@ -37,21 +37,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dep, terms := ReadDeployment(env, 7)
-	if g := terms.Groups["own"]; g == nil || g.ConsistencyLevel != policy.ReadYourWrites || g.Timeout != 9000 || !dep.PositionsReported {
-		t.Errorf("%+v", dep)
+	deployment, formats := ReadDeployment(env, 7)
+	if g := formats.Groups["own"]; g == nil || g.ConsistencyLevel != policy.ReadYourWrites || g.Timeout != 9000 || !deployment.PositionsReported {
+		t.Errorf("%+v", deployment)
 	}
 	row := []float64{3, 1, 1767225600.1234}
-	pos, role, ok := terms.ParseLoadReport(func(i int) (float64, bool) { return row[i], i < len(row) })
+	pos, role, ok := formats.ParseLoadReport(func(i int) (float64, bool) { return row[i], i < len(row) })
 	if pos != 17672256001234 || role != policy.Primary || !ok {
 		t.Error(pos, role, ok)
 	}
-	for name, said := range map[string]func(int) (float64, bool){
+	for name, field := range map[string]func(int) (float64, bool){
 		"nothing":             func(int) (float64, bool) { return 0, false },
 		"less than nothing":   func(int) (float64, bool) { return -3, true },
 		"beyond the integers": func(int) (float64, bool) { return 1e300, true },
 	} {
-		if _, _, ok := terms.ParseLoadReport(said); ok {
+		if _, _, ok := formats.ParseLoadReport(field); ok {
 			t.Errorf("a report that says %s is read", name)
 		}
 	}
--- a/internal/router/transport/buffer.go
+++ b/internal/router/transport/buffer.go
@@ -8,21 +8,21 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// BufferBudget limits the bytes that all buffers together may take past their initial sizes. It is safe for concurrent use.
+// BufferBudget limits the bytes that all buffers together may use beyond their initial sizes. It is safe for concurrent use.
 type BufferBudget struct {
 	capacity int64
 	used     atomic.Int64
 }
 
-// NewBufferBudget returns a budget of limits.Buffers bytes, to be shared by all connections.
+// NewBufferBudget returns a budget of limits.BufferBudget bytes, to be shared by all connections.
 func NewBufferBudget(limits *setup.Limits) *BufferBudget {
 	return &BufferBudget{capacity: limits.BufferBudget}
 }
 
-// Used returns the number of bytes that are reserved now.
+// Used returns the number of reserved bytes.
 func (b *BufferBudget) Used() int64 { return b.used.Load() }
 
-// reserve takes n bytes, or nothing and returns false if that would exceed the budget.
+// reserve reserves n bytes. It reserves nothing and returns false if that would exceed the budget.
 func (b *BufferBudget) reserve(n int) bool {
 	if b.used.Add(int64(n)) <= b.capacity {
 		return true
@@ -33,16 +33,16 @@
 
 func (b *BufferBudget) release(n int) { b.used.Add(int64(-n)) }
 
-// errBudgetExhausted reports that a buffer may not grow, by its own limit or by the budget. Clients are sent its text.
+// errBudgetExhausted reports that a buffer cannot grow because of its own limit or the budget. Its text is sent to clients.
 var errBudgetExhausted = errors.New("no room left for buffers")
 
-// buffer holds bytes that were read and not consumed yet. It grows as needed, is compacted in place, and returns to its
-// initial size when it is empty.
+// buffer holds bytes that were read but not consumed. It grows as needed, is compacted in place, and shrinks to its initial size
+// when it is empty.
 type buffer struct {
 	budget               *BufferBudget
 	initialSize, maxSize int
 	data                 []byte
-	consumed             int // offset in data of the first byte that was not consumed
+	consumed             int // number of consumed bytes at the start of data
 }
 
 func newBuffer(budget *BufferBudget, initialSize, maxSize int) *buffer {
@@ -63,7 +63,7 @@
 	}
 }
 
-// readFrom reads once, after making space. It fails with errBudgetExhausted or the source's error.
+// readFrom reads once from source, after making space. It returns errBudgetExhausted or the source's error.
 func (b *buffer) readFrom(source io.Reader) error {
 	if len(b.data) == cap(b.data) && b.consumed > 0 {
 		n := copy(b.data, b.data[b.consumed:])
@@ -77,7 +77,7 @@
 	n, err := source.Read(b.data[len(b.data):cap(b.data)])
 	b.data = b.data[:len(b.data)+n]
 	if n > 0 {
-		return nil // an error, if there is one, comes again
+		return nil // an error, if any, is returned by the next read
 	}
 	return err
 }
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// release returns what was reserved. The buffer must not be used again.
+// release returns the buffer's reservation to the budget. The buffer must not be used afterwards.
 func (b *buffer) release() {
 	b.budget.release(cap(b.data) - b.initialSize)
 	b.data, b.consumed = nil, 0
--- a/internal/router/transport/client_conn.go
+++ b/internal/router/transport/client_conn.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// clientConn is one client's connection. One goroutine reads commands, another writes their answers in order. What changes
-// is guarded by mu unless its comment says otherwise.
+// clientConn is a connection from a client. One goroutine reads commands and another writes their answers in order. Mutable
+// fields are guarded by mu unless noted otherwise.
 type clientConn struct {
 	server *Clients
 	conn   net.Conn
 
-	skippingToSync bool // the reader's alone: messages before the next Sync are ignored
-	overLimit      bool // accepted past the limit, so its commands are throttled; guarded by server.mu
-
-	mu              sync.Mutex
-	changed         *sync.Cond
-	pending         []*Slot  // of commands whose answers are not complete, or wait for those before them
-	outgoing        [][]byte // answers that wait for the writer
-	writing         bool
-	partialMessage  bool // a part of a message was read, and the rest is awaited
-	closed          bool
-	receivedMessage bool          // a complete message was read
-	proven          bool          // one of its commands was accepted
-	leaving         bool          // it closes as soon as nothing is pending
-	ending          bool          // no more commands are read; what is pending is written first
-	endCause        *atomic.Int64 // counter of why it ends; nil if its client left
-	rejectedInARow  int           // commands
-	lastAnswer      time.Time
-	partialSince    time.Time // when the first byte of a partial message was read, or the connection accepted
-	readDeadline    time.Time // zero for none; while leaving, the socket's own differs
+	skippingToSync bool // messages before the next Sync are ignored; used only by the reader
+	overLimit      bool // accepted beyond MaxClientConns, so commands may be throttled; guarded by server.mu
+
+	mu                 sync.Mutex
+	changed            *sync.Cond
+	pending            []*Slot  // slots whose answers are incomplete or wait for earlier answers
+	outgoing           [][]byte // answers queued for the writer
+	writing            bool     // the writer is writing answers
+	partialMessage     bool     // part of a message was read and the rest is expected
+	closed             bool
+	receivedMessage    bool          // at least one complete message was read
+	hasAcceptedCommand bool          // at least one command was accepted
+	closeWhenIdle      bool          // the connection closes when nothing is pending
+	sessionEnding      bool          // no more commands are read; pending answers are written before the close
+	endCause           *atomic.Int64 // counter of the cause of the end; nil if the client disconnected
+	rejectedInARow     int           // rejected commands since the last accepted one
+	lastAnswer         time.Time     // when the last answer was written
+	partialSince       time.Time     // when the first byte of a partial message was read or the connection was accepted
+	readDeadline       time.Time     // zero for none; with closeWhenIdle, the socket's deadline may differ
 }
 
 func newClientConn(server *Clients, conn net.Conn) *clientConn {
@@ -42,23 +42,24 @@
 	return c
 }
 
-// idleState is what eviction compares connections by.
+// idleState describes how idle a connection is, for the choice of a connection to evict.
 type idleState struct {
-	evictable bool // nothing would be lost with the connection
-	proven    bool // it has sent an accepted command, and is not within another
-	since     time.Time
+	evictable          bool      // nothing is pending and the connection may be closed
+	hasAcceptedCommand bool      // a command was accepted and no partial message is pending
+	since              time.Time // since when it is idle
 }
 
-// evictedBefore reports whether an evictable connection is evicted rather than another one.
+// evictedBefore reports whether an evictable connection is evicted in preference to another one: those without an accepted
+// command first, then the one that has been idle for longest.
 func (i idleState) evictedBefore(other idleState) bool {
-	if i.proven != other.proven {
-		return !i.proven
+	if i.hasAcceptedCommand != other.hasAcceptedCommand {
+		return !i.hasAcceptedCommand
 	}
 	return i.since.Before(other.since)
 }
 
-// idleState returns how idle the connection is. A client may write its first command right behind its startup message, so
-// a new connection is not evictable for a while.
+// idleState returns the idle state of the connection. A client may send its first command right after its startup message, so a
+// new connection is not evictable for NewConnGrace.
 func (c *clientConn) idleState() idleState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,31 +69,31 @@
 	}
 	betweenMessages := c.receivedMessage && !c.partialMessage
 	return idleState{
-		evictable: !c.closed && !c.leaving && !c.ending && !c.hasPending() &&
+		evictable: !c.closed && !c.closeWhenIdle && !c.sessionEnding && !c.hasPending() &&
 			(betweenMessages || time.Since(since) > c.server.limits.NewConnGrace),
-		proven: c.proven && !c.partialMessage,
-		since:  since,
+		hasAcceptedCommand: c.hasAcceptedCommand && !c.partialMessage,
+		since:              since,
 	}
 }
 
 func (c *clientConn) hasPending() bool { return c.writing || len(c.pending)+len(c.outgoing) > 0 }
 
-// isClosable reports whether the connection may close: nothing is pending, and no command is being read.
+// isClosable reports whether the connection may close: nothing is pending, and no partial message is younger than NewConnGrace.
 func (c *clientConn) isClosable() bool {
 	betweenMessages := !c.partialMessage && c.receivedMessage
 	return !c.closed && !c.hasPending() && (betweenMessages || time.Since(c.partialSince) > c.server.limits.NewConnGrace)
 }
 
-// requestClose has a connection close if nothing is pending; a partial message that was just read counts as pending,
-// except for eviction. The reader closes it, unless it has just read a command, which is answered first: what was read is
-// not lost, and what was not read is sent again by the client.
+// requestClose requests the close of a connection if nothing is pending. A partial message counts as pending, except for
+// eviction. The reader closes the connection, unless it has just read a command, which is answered first. So no command that was
+// read is lost, and the client can retry a command that was not read.
 func (c *clientConn) requestClose(evicting bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.isClosable() || c.partialMessage && !evicting {
 		return false
 	}
-	c.leaving = true
+	c.closeWhenIdle = true
 	if evicting {
 		c.endCause = &c.server.Evicted
 	}
@@ -100,14 +101,14 @@
 	return true
 }
 
-func (c *clientConn) isLeaving() bool {
+func (c *clientConn) isClosingWhenIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leaving
+	return c.closeWhenIdle
 }
 
-// setReadDeadline limits the time for a first command, or for the rest of a partial one. Guards against connections that
-// stay silent, or stop within a message, forever.
+// setReadDeadline limits the time for the first message or for the rest of a partial one. Without it, connections that send
+// nothing, or stop within a message, would stay open forever.
 func (c *clientConn) setReadDeadline(partial bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,50 +120,50 @@
 	if partial || !c.receivedMessage {
 		deadline = c.partialSince.Add(c.server.limits.CommandReadTimeout)
 	}
-	if !c.leaving && !deadline.Equal(c.readDeadline) {
+	if !c.closeWhenIdle && !deadline.Equal(c.readDeadline) {
 		c.conn.SetReadDeadline(deadline)
 	}
 	c.readDeadline = deadline
 }
 
-// timeoutAction is what follows a read that timed out.
+// timeoutAction is the reader's action after a read timeout.
 type timeoutAction int
 
 const (
 	keepReading timeoutAction = iota
 	closeQuietly
-	closeTimedOut // with an error: its command did not come in time
+	closeTimedOut // close with an error, since no complete command was received in time
 )
 
-// onReadTimeout is the reader's side of requestClose and setReadDeadline.
+// onReadTimeout returns what the reader does after a read timeout, which either requestClose or setReadDeadline has caused.
 func (c *clientConn) onReadTimeout() timeoutAction {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline) && !c.hasPending() {
 		return closeTimedOut
 	}
-	if c.leaving && c.isClosable() && !hasUnreadInput(c.conn) {
+	if c.closeWhenIdle && c.isClosable() && !hasUnreadInput(c.conn) {
 		if c.partialMessage {
 			return closeTimedOut
 		}
 		return closeQuietly
 	}
 	c.conn.SetReadDeadline(c.readDeadline)
-	if c.hasPending() && !c.readDeadline.IsZero() { // what is pending comes first
+	if c.hasPending() && !c.readDeadline.IsZero() { // pending answers are written first
 		c.readDeadline = time.Now().Add(c.server.limits.CommandReadTimeout)
 		c.conn.SetReadDeadline(c.readDeadline)
 	}
 	return keepReading
 }
 
-// closeLocked closes the socket; mu is held.
+// closeLocked closes the socket. mu must be held.
 func (c *clientConn) closeLocked() {
 	c.closed = true
 	c.changed.Broadcast()
 	c.conn.Close()
 }
 
-// reserveAnswer reserves budget for an answer that is longer than an initial buffer; releaseAnswer returns it.
+// reserveAnswer reserves budget for an answer that is longer than InitialBuffer; releaseAnswer returns it.
 func (c *clientConn) reserveAnswer(answer []byte) bool {
 	return len(answer) <= c.server.limits.InitialBuffer || c.server.budget.reserve(len(answer))
 }
@@ -173,7 +174,7 @@
 	}
 }
 
-// addSlot appends a slot, once fewer than limits.Ahead answers are pending.
+// addSlot appends a slot for the next command. It blocks while limits.MaxPipelined answers are pending.
 func (c *clientConn) addSlot() *Slot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,7 +186,7 @@
 	return slot
 }
 
-// send has bytes written that are no answer to a command.
+// send queues a message that is not the answer to a command.
 func (c *clientConn) send(message []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,7 +194,7 @@
 	c.changed.Broadcast()
 }
 
-// writeAnswers is the goroutine that writes answers, so that a client that reads slowly delays nobody else.
+// writeAnswers is the goroutine that writes answers, so that a slow client delays only itself.
 func (c *clientConn) writeAnswers() {
 	for {
 		batch, ok := c.nextBatch()
@@ -217,7 +218,7 @@
 	}
 }
 
-// nextBatch waits for answers to write; it returns false once the connection is closed.
+// nextBatch waits for queued answers and returns them. ok is false if the connection is closed.
 func (c *clientConn) nextBatch() (batch net.Buffers, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/router/transport/client_reader.go
+++ b/internal/router/transport/client_reader.go
@@ -14,12 +14,12 @@
 
 const (
 	discardBufferBytes = 16 << 10
-	discardPause       = time.Millisecond // after a full buffer, which slows a client that floods
+	discardPause       = time.Millisecond // after each full buffer; slows down a client that keeps sending
 )
 
 var discardBuffers = sync.Pool{New: func() any { return new([discardBufferBytes]byte) }}
 
-// readCommands is the goroutine that reads commands. It owns the end of the connection.
+// readCommands is the goroutine that reads commands. It also closes the connection.
 func (c *clientConn) readCommands() {
 	limits := c.server.limits
 	in := newBuffer(c.server.budget, limits.InitialBuffer, limits.MaxClientMessage)
@@ -40,19 +40,19 @@
 	c.server.remove(c, endCause)
 }
 
-// awaitLastAnswers waits for what is pending to be written if the router ends the connection. It reports whether the
-// client was notified of the cause.
+// awaitLastAnswers waits until pending answers are written if the router ends the connection with an error message. It reports
+// whether that message was sent.
 func (c *clientConn) awaitLastAnswers() (notified bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.partialMessage = false
-	for c.ending && !c.closed && c.hasPending() {
+	for c.sessionEnding && !c.closed && c.hasPending() {
 		c.changed.Wait()
 	}
-	return c.ending && !c.closed
+	return c.sessionEnding && !c.closed
 }
 
-// abandon closes the connection and returns the slots that were not written, and the counter of why it ended.
+// abandon closes the connection. It returns the slots whose answers were not written and the counter of the cause.
 func (c *clientConn) abandon() (unanswered []*Slot, endCause *atomic.Int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,12 +69,12 @@
 	return unanswered, cmp.Or(c.endCause, &c.server.Disconnected)
 }
 
-// lingerClose lets a client that is still sending read the error message: closing a socket with unread input would
-// reset it. What comes is read slowly and discarded.
+// lingerClose keeps the connection open until the client has read the error message: closing a socket with unread input would
+// reset the connection. Further input is read slowly and discarded.
 func (c *clientConn) lingerClose() {
 	c.server.markNotified(c)
 	if writeCloser, ok := c.conn.(interface{ CloseWrite() error }); ok {
-		_ = writeCloser.CloseWrite() // a socket that failed ends the reads below
+		_ = writeCloser.CloseWrite() // if it fails, the reads below fail too
 	}
 	c.conn.SetReadDeadline(time.Now().Add(c.server.limits.LingerTimeout))
 	discard := discardBuffers.Get().(*[discardBufferBytes]byte)
@@ -90,7 +90,8 @@
 	}
 }
 
-// startSession reads the startup message. Encryption is declined, and cancel requests are not served.
+// startSession reads the startup message and answers it. Encryption is declined, and cancel requests are not supported. It returns
+// false if the connection must be closed.
 func (c *clientConn) startSession(in *buffer) bool {
 	for {
 		code, n, err := protocol.NextStartup(in.unread(), min(in.maxSize, protocol.MaxStartupBytes))
@@ -120,7 +121,7 @@
 	}
 }
 
-// readMore reads once, within the time that the client has; false ends the connection.
+// readMore reads once, subject to the read deadline. It returns false if the connection must be closed.
 func (c *clientConn) readMore(in *buffer, partial bool) bool {
 	for c.setReadDeadline(partial); ; {
 		err := in.readFrom(c.conn)
@@ -142,8 +143,8 @@
 	}
 }
 
-// readMessage reads one message and handles it; false ends the connection. A command's time starts when its last byte
-// was read.
+// readMessage reads and handles one message. It returns false if the connection must be closed. A command's timeout starts when
+// its last byte is read.
 func (c *clientConn) readMessage(in *buffer) bool {
 	receivedAt := time.Now()
 	for {
@@ -164,8 +165,8 @@
 	}
 }
 
-// tooManyRejections ends a connection that sends nothing but commands that are rejected. Guards against clients that
-// retry a rejected command at once, at full speed.
+// tooManyRejections ends a connection after too many rejected commands in a row, and reports whether it did. This stops clients
+// that retry a rejected command in a busy loop.
 func (c *clientConn) tooManyRejections() bool {
 	c.mu.Lock()
 	exceeded := c.rejectedInARow > c.server.limits.MaxRejectedInARow
@@ -177,8 +178,8 @@
 	return exceeded
 }
 
-// handleMessage handles one message; false ends the connection. After a message of the extended protocol it skips all up
-// to the next Sync, as the protocol demands after an error.
+// handleMessage handles one message. It returns false if the connection must be closed. After a message of the extended query
+// protocol, which is answered with an error, it skips all messages up to the next Sync, as the protocol requires.
 func (c *clientConn) handleMessage(kind byte, body []byte, receivedAt time.Time) bool {
 	if c.skippingToSync && kind != protocol.Sync && kind != protocol.Terminate {
 		return true
@@ -192,7 +193,7 @@
 	case protocol.Query:
 		c.handleQuery(body, receivedAt)
 	case protocol.CopyData, protocol.CopyDone, protocol.CopyFail, protocol.Flush:
-		// No copy was begun, and there is nothing to flush.
+		// No copy operation is in progress, and there is nothing to flush.
 	case protocol.Parse, protocol.Bind, protocol.Describe, protocol.Execute, protocol.Close:
 		c.server.Unsupported.Add(1)
 		c.skippingToSync = true
@@ -207,7 +208,7 @@
 	return true
 }
 
-// handleQuery hands a simple query on, or answers it where it is not a command or there is no capacity for it.
+// handleQuery passes a simple query to the handler, or answers it itself if it is malformed or there is no capacity.
 func (c *clientConn) handleQuery(body []byte, receivedAt time.Time) {
 	statement, ok := protocol.QueryText(body)
 	slot := c.addSlot()
@@ -217,11 +218,11 @@
 		slot.Reject(protocol.ProtocolViolation, "a query that does not end where its message does")
 	case protocol.IsEmptyStatement(statement):
 		c.server.handler.HandleEmptyQuery(slot)
-	case c.server.exceedsLimit(c): // otherwise it would wait unread until its time-out
+	case c.server.exceedsLimit(c): // otherwise it would wait until its timeout
 		c.server.Shed.Add(1)
 		slot.Throttle(0)
 	case len(statement) > c.server.limits.InitialBuffer && !c.reserveCommand(slot, len(statement)):
-		slot.Throttle(0) // nothing of it was sent, so a retry is safe
+		slot.Throttle(0) // it was not sent to a host, so a retry is safe
 	default:
 		c.server.handler.HandleCommand(slot, slices.Clone(statement), receivedAt)
 	}
@@ -238,11 +239,11 @@
 	return true
 }
 
-// endSession ends the connection with an error message to the client, after the answers before it, and counts the cause.
+// endSession ends the connection with an error message, which is written after the pending answers. counter is the cause.
 func (c *clientConn) endSession(counter *atomic.Int64, code, text string) {
 	slot := c.addSlot()
 	c.mu.Lock()
-	c.ending, c.endCause = true, counter
+	c.sessionEnding, c.endCause = true, counter
 	c.mu.Unlock()
 	slot.complete(protocol.AppendError(nil, severityFatal, code, text, ""))
 }
--- a/internal/router/transport/clients.go
+++ b/internal/router/transport/clients.go
@@ -13,28 +13,28 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// CommandHandler receives what clients send. Its methods are called from the connections' goroutines and may block to
-// apply backpressure to that client.
+// CommandHandler handles the commands of clients. Its methods are called from the goroutines of the connections and may block,
+// which applies backpressure to that client.
 type CommandHandler interface {
-	// HandleCommand takes a statement whose last byte was read at receivedAt. It owns the statement.
+	// HandleCommand handles a statement whose last byte was read at receivedAt. It owns the statement.
 	HandleCommand(slot *Slot, statement []byte, receivedAt time.Time)
-	// HandleEmptyQuery takes a query without a statement.
+	// HandleEmptyQuery handles a query without a statement.
 	HandleEmptyQuery(slot *Slot)
-	// ClientDisconnected is called when the client has gone before its command was answered.
+	// ClientDisconnected is called if the client disconnects before its command is answered.
 	ClientDisconnected(slot *Slot)
 }
 
-// closingStage is the progress of a connection that is to end.
+// closingStage is the progress of closing a connection.
 type closingStage int
 
 const (
-	closeRequested closingStage = iota // its reader is about to end it
-	closeNotified                      // its client was sent the error message, and what it still sends is discarded
+	closeRequested closingStage = iota // the reader is about to close it
+	closeNotified                      // the error message was sent, and further input is discarded
 )
 
 // Clients accepts and serves the connections of all clients.
 //
-// Accepted equals the sum of the connections that are open and the counters by cause of those that ended.
+// Accepted is the sum of the open connections and the counters of ended connections by cause.
 type Clients struct {
 	limits  *setup.Limits
 	budget  *BufferBudget
@@ -46,22 +46,22 @@
 	open      map[*clientConn]struct{}
 	closing   map[*clientConn]closingStage
 	listener  net.Listener
-	stopped   bool // no more are accepted
-	draining  bool
+	stopped   bool // no more connections are accepted
+	draining  bool // connections close when they have nothing pending
 
 	Accepted     atomic.Int64 // connections accepted
-	Evicted      atomic.Int64 // ended while idle, to make way for others
-	TimedOut     atomic.Int64 // ended since a command or its first part did not come in time
-	Malformed    atomic.Int64 // ended by input that cannot be parsed
-	RejectedOnly atomic.Int64 // ended after too many rejected commands in a row
-	OutOfBuffers atomic.Int64 // ended since there was no buffer for what they send
-	Disconnected atomic.Int64 // left by their clients, by a write error, or ended with the program
+	Evicted      atomic.Int64 // closed while idle, in favor of other connections
+	TimedOut     atomic.Int64 // closed because no complete command was received in time
+	Malformed    atomic.Int64 // closed because of malformed input
+	RejectedOnly atomic.Int64 // closed after too many rejected commands in a row
+	OutOfBuffers atomic.Int64 // closed because the buffer budget was exhausted
+	Disconnected atomic.Int64 // closed by the client, after a write error, or at shutdown
 
-	Shed        atomic.Int64 // commands throttled since all host connections are taken
-	Unsupported atomic.Int64 // messages of the extended protocol and the like, which are rejected
+	Shed        atomic.Int64 // commands throttled because too many clients have pending commands; see exceedsLimit
+	Unsupported atomic.Int64 // rejected messages, such as those of the extended query protocol
 }
 
-// NewClients returns a server that hands commands to handler. It accepts nothing before Serve.
+// NewClients returns a server that passes commands to handler. It accepts no connections before Serve.
 func NewClients(limits *setup.Limits, budget *BufferBudget, handler CommandHandler) *Clients {
 	s := &Clients{
 		limits: limits, budget: budget, handler: handler,
@@ -71,8 +71,8 @@
 	return s
 }
 
-// Serve accepts connections until ctx ends, and returns once all of them have ended. It returns an error if the listener
-// was closed by anything but StopAccepting.
+// Serve accepts connections until ctx ends, and returns when all of them have ended. It returns an error if the listener was
+// closed other than by StopAccepting.
 func (s *Clients) Serve(ctx context.Context, listener net.Listener) error {
 	defer s.tasks.Wait()
 	s.mu.Lock()
@@ -97,7 +97,7 @@
 			}
 			<-ctx.Done()
 			return nil
-		case err != nil: // no file descriptor is left, for instance: it must not spin
+		case err != nil: // for example, no file descriptor is available; avoid a busy loop
 			select {
 			case <-ctx.Done():
 			case <-time.After(s.limits.RetryDelay):
@@ -109,14 +109,14 @@
 	}
 }
 
-// start serves a connection, and returns once there is a descriptor for the next one.
+// start starts the goroutines of a connection, and returns when a file descriptor is available for the next one.
 func (s *Clients) start(ctx context.Context, conn net.Conn) {
 	c := newClientConn(s, conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[c] = struct{}{}
-	// Clients may be limited to a number of connections of their own, so those that they leave idle are evicted
-	// before all descriptors are taken.
+	// Clients may have connection limits of their own and not be able to open more, so their idle connections are evicted
+	// before all file descriptors are in use.
 	if 2*len(s.open) > s.limits.MaxClientConns {
 		s.evict(c, true, s.limits.EvictionIdleTime)
 	}
@@ -131,21 +131,22 @@
 			continue
 		}
 		s.evict(c, false, 0)
-		wakeUp := time.AfterFunc(s.limits.RetryDelay, s.connEnded.Broadcast) // some may have become idle
+		wakeUp := time.AfterFunc(s.limits.RetryDelay, s.connEnded.Broadcast) // retry, since connections may have become idle
 		s.connEnded.Wait()
 		wakeUp.Stop()
 	}
 }
 
-// evict requests the close of one client connection with nothing pending: first one that has sent no accepted command,
-// or only a part of one, for at least minIdle, then the one that was idle for longest. With provenOnly, only connections
-// that have sent an accepted command count. Guards against connections that ask for nothing keeping out those that do.
-func (s *Clients) evict(except *clientConn, provenOnly bool, minIdle time.Duration) {
+// evict requests the close of one connection that has been idle for at least minIdle and has nothing pending. It prefers
+// connections without an accepted command or with only a partial one, and then the one that has been idle for longest. With
+// acceptedOnly, it evicts only connections with an accepted command. Without eviction, idle connections could keep out clients
+// that send commands.
+func (s *Clients) evict(except *clientConn, acceptedOnly bool, minIdle time.Duration) {
 	var oldest *clientConn
 	var best idleState
 	for c := range s.open {
 		idle := c.idleState()
-		if c == except || !idle.evictable || provenOnly && !idle.proven || time.Since(idle.since) < minIdle {
+		if c == except || !idle.evictable || acceptedOnly && !idle.hasAcceptedCommand || time.Since(idle.since) < minIdle {
 			continue
 		}
 		if oldest == nil || idle.evictedBefore(best) {
@@ -158,7 +159,7 @@
 	}
 }
 
-// closeOneNotified closes a connection whose client was sent the error message.
+// closeOneNotified closes one connection whose client has been sent the error message. It returns false if there is none.
 func (s *Clients) closeOneNotified() bool {
 	for c, stage := range s.closing {
 		if stage == closeNotified {
@@ -170,14 +171,14 @@
 	return false
 }
 
-// OpenConns returns the number of connections that hold a descriptor.
+// OpenConns returns the number of connections that hold a file descriptor.
 func (s *Clients) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open) + len(s.closing)
 }
 
-// StopAccepting closes the listener. Connections that are open stay so.
+// StopAccepting closes the listener. Open connections are not affected.
 func (s *Clients) StopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -192,8 +193,8 @@
 	return s.stopped
 }
 
-// Drain closes each connection that has nothing pending, and from now on each other one as soon as that holds for it.
-// It returns how many are left.
+// Drain closes all connections that have nothing pending, and from now on each other connection when it has nothing pending. It
+// returns the number of remaining connections.
 func (s *Clients) Drain() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,7 +223,8 @@
 	s.connEnded.Broadcast()
 }
 
-// exceedsLimit reports whether a client was accepted past the limit and as many others have commands pending.
+// exceedsLimit reports whether a client was accepted beyond MaxClientConns while more than MaxClientConns connections have
+// commands pending.
 func (s *Clients) exceedsLimit(c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,16 +243,16 @@
 	return c.overLimit
 }
 
-// answerWritten is called when a client has been sent an answer, and so may have nothing pending.
+// answerWritten is called after answers were written to a client, which may then have nothing pending.
 func (s *Clients) answerWritten(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.draining || c.isLeaving() {
+	if s.draining || c.isClosingWhenIdle() {
 		c.requestClose(false)
 	}
 }
 
-// markNotified notes that a client was sent the error message that ends its connection.
+// markNotified records that the error message that ends a connection has been sent.
 func (s *Clients) markNotified(c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,7 +261,7 @@
 	s.connEnded.Broadcast()
 }
 
-// remove forgets a connection that has ended, and counts it under its cause.
+// remove removes a connection that has ended, and increments the counter of its cause.
 func (s *Clients) remove(c *clientConn, endCause *atomic.Int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/router/transport/clients_test.go
+++ b/internal/router/transport/clients_test.go
@@ -25,7 +25,7 @@
 	s.Reject(protocol.SyntaxError, "not served")
 }
 
-// startClients serves clients by the limits, and returns what dials it.
+// startClients starts a client server with the limits, and returns it with a function that connects to it.
 func startClients(t *testing.T, limits *setup.Limits) (*Clients, func() net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,14 +57,14 @@
 	}
 }
 
-// awaitNoConns waits for all connections to be gone, and counted.
+// awaitNoConns waits until all connections have ended and are counted.
 func (s *Clients) awaitNoConns() {
 	for s.OpenConns() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// lastErrorCode is the code of the last error that comes before the connection ends; "" where there is none.
+// lastErrorCode returns the SQLSTATE of the last error received before the connection ends, or "" for none.
 func lastErrorCode(c net.Conn) (code string) {
 	in, b := []byte(nil), make([]byte, 1<<12)
 	for {
@@ -105,7 +105,7 @@
 	} {
 		c := dial()
 		go func() {
-			_, _ = io.Copy(c, strings.NewReader(test[0])) // until the other side closes
+			_, _ = io.Copy(c, strings.NewReader(test[0])) // until the server closes the connection
 		}()
 		if code := lastErrorCode(c); code != test[1] {
 			t.Errorf("%s: %q", name, code)
@@ -124,20 +124,20 @@
 		NewConnGrace: testTimeout, CommandReadTimeout: 50 * time.Millisecond,
 	})
 	hello := string(protocol.AppendStartup(nil, "svc", "main"))
-	idle := dial() // between commands there is no limit
+	idle := dial() // there is no time limit between commands
 	idle.Write([]byte(hello + string(protocol.AppendQuery(nil, nil))))
-	for name, said := range map[string]string{
+	for name, input := range map[string]string{
 		"nothing": "", "half a startup": hello[:5], "no command": hello,
 		"half a command": hello + "Q\x00\x00\x00r/* id=1", "half a second": hello + string(protocol.AppendQuery(nil, nil)) + "Q",
 	} {
 		c := dial()
-		c.Write([]byte(said))
+		c.Write([]byte(input))
 		if code := lastErrorCode(c); code != protocol.CannotConnectNow {
 			t.Errorf("%s: %q", name, code)
 		}
 		c.Close()
 	}
-	for range 10 { // more than it may, and heard to the last
+	for range 10 { // more than MaxRejectedInARow
 		idle.Write(protocol.AppendQuery(nil, []byte("x")))
 	}
 	code := lastErrorCode(idle)
@@ -154,7 +154,7 @@
 		CommandReadTimeout: testTimeout, EvictionIdleTime: testTimeout,
 	})
 	var silent []net.Conn
-	for range 200 { // all are held open by their clients
+	for range 200 { // the clients keep them open
 		silent = append(silent, dial())
 	}
 	for range 200 {
@@ -177,7 +177,7 @@
 	s.handler = notNowHandler{}
 	hello := append(protocol.AppendStartup(nil, "svc", "main"), protocol.AppendQuery(nil, []byte("x"))...)
 	var first net.Conn
-	for range 4 { // they leave their connections idle, and may have no more of them
+	for range 4 { // clients that keep their connections idle and open no more
 		c := dial()
 		c.Write(hello)
 		for in, b := []byte(nil), make([]byte, 1<<10); strings.Count(string(in), "Z\x00\x00\x00\x05I") < 2; {
@@ -190,7 +190,7 @@
 			first = c
 		}
 	}
-	for pending := true; pending; { // its writer may not have noted yet that an answer is out
+	for pending := true; pending; { // the writer may not have recorded yet that the answer was written
 		pending = false
 		s.mu.Lock()
 		for c := range s.open {
@@ -202,14 +202,14 @@
 		runtime.Gosched()
 	}
 	for range 9 {
-		dial() // says nothing, and is too new to be evicted
+		dial() // sends nothing and is too new to be evicted
 	}
 	if code := lastErrorCode(first); code != "" || s.Evicted.Load() == 0 {
 		t.Errorf("%q, %d evicted", code, s.Evicted.Load())
 	}
 }
 
-// notNowHandler accepts all commands, and answers that they are not served now.
+// notNowHandler accepts all commands and fails them with CannotConnectNow.
 type notNowHandler struct{ rejectingHandler }
 
 func (notNowHandler) HandleCommand(s *Slot, _ []byte, _ time.Time) {
--- a/internal/router/transport/host_call.go
+++ b/internal/router/transport/host_call.go
@@ -7,20 +7,20 @@
 	"ferrypitch/policy"
 )
 
-// Answer is how a call ended, and what the host sent for it.
+// Answer is the outcome of a call and what the host sent in response.
 type Answer struct {
 	Outcome    policy.Outcome
-	Frames     []byte        // of a command: row description, row and completion, as they came
-	Value      string        // the row's only value, if it is short
-	Position   string        // the host's replay position; empty where it sent none
-	Role       string        // the host's role; empty where it sent none
-	LoadReport string        // empty where the host sent none
+	Frames     []byte        // messages of a command's answer, as received: row description, row and completion
+	Value      string        // the row's only value; empty if longer than maxValueBytes
+	Position   string        // the host's replay position; empty for none
+	Role       string        // the host's role; empty for none
+	LoadReport string        // the host's load report; empty for none
 	Code       string        // SQLSTATE of an error; empty for none
-	ReceivedAt time.Time     // when its last byte was read, or the call ended otherwise
-	Elapsed    time.Duration // since the call; the caller of Send sets it
+	ReceivedAt time.Time     // when the last byte was read or the call ended without an answer
+	Elapsed    time.Duration // since the start of the call; set by the caller of Send
 }
 
-// classify sets the outcome that an answer's error code stands for, and the time.
+// classify sets the outcome according to the answer's error code, and the time of receipt.
 func classify(answer Answer) Answer {
 	switch answer.Code {
 	case "":
@@ -38,20 +38,20 @@
 // Call is one statement in flight.
 type Call struct {
 	statement      []byte
-	deadline       time.Time // when the router stops waiting
-	sendBy         time.Time // when its last byte must be written: later, the decision to send it may no longer hold
-	rewriteTimeout bool      // the statement's comment is to name the time that is left
+	deadline       time.Time // when the router stops waiting for an answer
+	sendBy         time.Time // latest time to send the statement; later, the routing decision may be outdated
+	rewriteTimeout bool      // the timeout in the statement's comment is replaced by the remaining time
 	onAnswer       func(Answer)
 
-	conn *hostConn // nil where there was no descriptor
+	conn *hostConn // nil if no file descriptor was available
 
 	// Guarded by conn.mu.
-	sent  bool // some bytes, perhaps all, are on their way
+	sent  bool // some or all bytes may have reached the host
 	ended bool
 }
 
-// Abandon ends a call and closes its connection. It reports how the call ended, or ok false where its answer has come
-// and onAnswer was or will be called.
+// Abandon ends a call, closes its connection and returns the outcome. ok is false if the call has already ended, in which case
+// onAnswer was or will be called.
 func (call *Call) Abandon() (outcome policy.Outcome, ok bool) {
 	c := call.conn
 	if c == nil {
--- a/internal/router/transport/host_conn.go
+++ b/internal/router/transport/host_conn.go
@@ -11,31 +11,31 @@
 	"ferrypitch/policy"
 )
 
-// User and database of the startup message that hosts are sent.
+// User and database in the startup message to hosts.
 const (
 	hostUser     = "svc"
 	hostDatabase = "main"
 )
 
-// hostConn is a connection to a host, with one call in flight at a time. The goroutine of run owns it; it reads, and starts
-// and awaits the one that writes.
+// hostConn is a connection to a host with at most one call in flight. The goroutine of run owns it: it reads answers, and starts
+// the goroutine that writes calls and waits for its end.
 type hostConn struct {
 	host   *Host
 	ctx    context.Context
 	cancel context.CancelFunc
-	calls  chan *Call // to the writer; holds one
+	calls  chan *Call // to the writer; capacity 1
 
 	// Set by the reader before the connection becomes idle.
 	lastAnswer time.Time
-	answered   bool // it has brought an answer
+	answered   bool // at least one call was answered
 
 	mu     sync.Mutex
 	conn   net.Conn
 	closed bool
-	call   *Call // in flight
+	call   *Call // call in flight; nil for none
 }
 
-// newHostConn returns a connection that is not up yet, with its first call.
+// newHostConn returns a connection with its first call; run establishes it.
 func newHostConn(host *Host, first *Call) *hostConn {
 	c := &hostConn{host: host, call: first, calls: make(chan *Call, 1)}
 	first.conn = c
@@ -43,7 +43,8 @@
 	return c
 }
 
-// assign hands an idle connection its next call, unless it has brought data that belongs to none.
+// assign gives an idle connection its next call. It returns false if the connection is closed or has received data that belongs
+// to no call.
 func (c *hostConn) assign(call *Call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,7 +57,8 @@
 	return true
 }
 
-// close closes the socket without the lock: closing waits for the reader, which takes the lock.
+// close closes the connection. It does not hold the lock while it closes the socket, since that waits for the reader, which
+// takes the lock.
 func (c *hostConn) close() {
 	c.mu.Lock()
 	closed, conn := c.closed, c.conn
@@ -70,8 +72,8 @@
 	}
 }
 
-// run connects, carries calls until the connection ends, and then ends the call that is left. The first call may be
-// abandoned before run begins.
+// run connects, serves calls until the connection ends, and then ends the remaining call. The first call may be abandoned before
+// run begins.
 func (c *hostConn) run(address string, first *Call) {
 	pool := c.host.pool
 	defer c.leavePool()
@@ -93,11 +95,11 @@
 		return
 	}
 	conn.SetDeadline(time.Time{})
-	c.carryCalls(first, in)
-	c.endLastCall()
+	c.serveCalls(first, in)
+	c.endRemainingCall()
 }
 
-// setConn notes the socket, and closes it if the connection was closed while it came up.
+// setConn stores the socket, or closes it if the connection was closed during the dial.
 func (c *hostConn) setConn(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +109,7 @@
 	}
 }
 
-// leavePool closes the connection and returns its descriptor to the pool.
+// leavePool closes the connection and returns its file descriptor to the pool.
 func (c *hostConn) leavePool() {
 	c.close()
 	pool := c.host.pool
@@ -119,8 +121,8 @@
 	}
 }
 
-// carryCalls carries calls until the connection ends.
-func (c *hostConn) carryCalls(first *Call, in *buffer) {
+// serveCalls sends calls and reads their answers until the connection ends.
+func (c *hostConn) serveCalls(first *Call, in *buffer) {
 	writerDone := make(chan struct{})
 	c.host.pool.tasks.Go(func() {
 		defer close(writerDone)
@@ -132,9 +134,9 @@
 	<-writerDone
 }
 
-// endLastCall ends a call that is left when nobody reads or writes any more. Guards against a call that is assigned to
-// the connection, or being sent, while that ends.
-func (c *hostConn) endLastCall() {
+// endRemainingCall ends a call that is still in flight after the reader and the writer have ended, which happens if the
+// connection ends while a call is assigned or sent.
+func (c *hostConn) endRemainingCall() {
 	c.mu.Lock()
 	call := c.call
 	c.mu.Unlock()
@@ -142,14 +144,15 @@
 	case call == nil:
 	case call.sent:
 		c.endCall(call, Answer{Outcome: policy.Reset})
-	case c.answered: // the host was up before, so this is no sign of its health
+	case c.answered: // the host has answered before, so this does not show that it is down
 		c.endCall(call, Answer{Outcome: policy.Expired})
 	default:
 		c.endCall(call, Answer{Outcome: policy.Unreachable})
 	}
 }
 
-// startSession sends the startup message and awaits ReadyForQuery. Whatever fails, no command has been sent yet.
+// startSession sends the startup message and waits for ReadyForQuery. If it fails, it returns the outcome of the first call,
+// which has not been sent.
 func startSession(conn net.Conn, in *buffer) (policy.Outcome, bool) {
 	if _, err := conn.Write(protocol.AppendStartup(nil, hostUser, hostDatabase)); err != nil {
 		return policy.Unreachable, false
@@ -181,9 +184,9 @@
 	}
 }
 
-// writeCalls is the goroutine that sends the calls that the connection is assigned.
+// writeCalls is the goroutine that sends the calls assigned to the connection.
 func (c *hostConn) writeCalls() {
-	defer c.close() // without a writer the connection is of no use
+	defer c.close() // the connection is unusable without a writer
 	var message []byte
 	for {
 		var call *Call
@@ -192,8 +195,8 @@
 		case <-c.ctx.Done():
 			return
 		}
-		// A decision is not carried out much later: the host may have begun to drain, or its data may be too old by
-		// now. Guards against slow connections, and against this process having been suspended.
+		// Calls that are late are not sent: since the routing decision, the host may have begun to drain or its data
+		// may have become too old. Connecting may have been slow, or this process may have been suspended.
 		now := time.Now()
 		leftMs := call.deadline.Sub(now).Milliseconds()
 		if leftMs < 1 || now.After(call.sendBy) {
@@ -206,7 +209,7 @@
 		}
 		if n, _ := c.conn.Write(message); n < len(message) {
 			c.mu.Lock()
-			call.sent = false // the host never had all of it, so it did not run
+			call.sent = false // the host did not receive the complete statement, so it did not execute it
 			c.mu.Unlock()
 			return
 		}
@@ -216,9 +219,9 @@
 	}
 }
 
-// beginSend marks a call as sent, right before it is, unless it has ended. Data that has come by now belongs to no call
-// and would be taken for this one's answer: it ends the connection. Guards against answers with more behind them,
-// whichever goroutine runs first.
+// beginSend marks a call as sent, immediately before it is written. It returns false if the call has ended or the connection must
+// be closed. Unread data belongs to no call and would be mistaken for this call's answer. The check here catches extra data
+// after an answer even if the reader has not run yet.
 func (c *hostConn) beginSend(call *Call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,7 +232,7 @@
 	return true
 }
 
-// appendMessage appends the query message of a call, whose time-out ends in leftMs.
+// appendMessage appends the query message of a call. leftMs is the time that remains until its deadline.
 func (call *Call) appendMessage(message []byte, leftMs int64) []byte {
 	if call.rewriteTimeout {
 		return protocol.AppendQuery(message, protocol.AppendWithTimeout(nil, call.statement, leftMs))
@@ -237,15 +240,15 @@
 	return protocol.AppendQuery(message, call.statement)
 }
 
-// completeCall hands over an answer and makes the connection idle, unless more came than belongs to the answer. It
-// returns false if the connection is to end.
+// completeCall ends the call in flight with its answer and makes the connection idle. extraData is true if data follows the
+// answer; the connection is not reused then. It returns false if the connection must be closed.
 func (c *hostConn) completeCall(answer Answer, extraData bool) bool {
 	pool, host := c.host.pool, c.host
 	c.mu.Lock()
 	call := c.call
 	if call == nil || call.ended || !call.sent || c.closed {
 		c.mu.Unlock()
-		return false // it answers no call
+		return false // the answer belongs to no call
 	}
 	call.ended, c.call = true, nil
 	c.lastAnswer, c.answered = answer.ReceivedAt, true
@@ -261,7 +264,7 @@
 	return reusable
 }
 
-// endCall ends a call, unless it has ended, whose connection is not used again.
+// endCall ends a call without reusing its connection. It does nothing if the call has ended.
 func (c *hostConn) endCall(call *Call, answer Answer) {
 	c.mu.Lock()
 	if call.ended {
--- a/internal/router/transport/host_reader.go
+++ b/internal/router/transport/host_reader.go
@@ -9,18 +9,18 @@
 	"ferrypitch/policy"
 )
 
-// maxValueBytes limits the value that Answer.Value holds; load reports are far shorter.
+// maxValueBytes is the maximum length of Answer.Value; load reports are far shorter.
 const maxValueBytes = 1024
 
-// Names of the parameters that hosts report beside an answer.
+// Names of the ParameterStatus parameters that hosts send with an answer.
 const (
 	parameterPosition   = "replay_position"
 	parameterRole       = "node_role"
 	parameterLoadReport = "server_load"
 )
 
-// readAnswers reads answers until the connection ends, and notices at once when an idle connection closes or brings data
-// that belongs to no call.
+// readAnswers reads answers until the connection ends. It returns at once if an idle connection is closed by the host or receives
+// data that belongs to no call.
 func (c *hostConn) readAnswers(in *buffer) {
 	var parser answerParser
 	reader := callReader{conn: c}
@@ -35,11 +35,11 @@
 		switch {
 		case call == nil && len(in.unread()) > 0:
 			c.host.pool.UnsolicitedData.Add(1)
-			return // it would be taken for the next call's answer
+			return // it would be mistaken for the next call's answer
 		case err != nil && call == nil:
 			return
 		case err != nil:
-			c.endBrokenOff(call, &parser, malformed)
+			c.endPartialAnswer(call, &parser, malformed)
 			return
 		case n == 0:
 			continue
@@ -58,9 +58,9 @@
 	}
 }
 
-// endBrokenOff ends a call when the connection fails before the answer is complete. A row's completion, or an error,
-// still determines the outcome.
-func (c *hostConn) endBrokenOff(call *Call, parser *answerParser, malformed bool) {
+// endPartialAnswer ends a call whose connection failed before the answer was complete. If CommandComplete or an error was
+// received, that still determines the outcome.
+func (c *hostConn) endPartialAnswer(call *Call, parser *answerParser, malformed bool) {
 	partial := parser.answer
 	switch {
 	case parser.last == protocol.CommandComplete:
@@ -72,20 +72,20 @@
 	}
 }
 
-// rejectAnswer ends a call whose answer violates the protocol. Its command may have run.
+// rejectAnswer ends a call whose answer violates the protocol. Its command may have been executed.
 func (c *hostConn) rejectAnswer(call *Call) {
 	c.host.pool.InvalidAnswers.Add(1)
 	c.endCall(call, Answer{Outcome: policy.Reset})
 }
 
-// answerParser takes in the messages of one answer: one row's description, the row and its completion, or an error; then
-// ReadyForQuery. Anything else violates the protocol, and then nothing of the answer is used.
+// answerParser parses the messages of one answer: RowDescription, DataRow and CommandComplete for a single row, or an
+// ErrorResponse; then ReadyForQuery. Any other sequence violates the protocol and the whole answer is discarded.
 type answerParser struct {
 	answer Answer
-	last   byte // the kind of the last message that is a part of the answer itself; 0 for none
+	last   byte // kind of the last message, parameters and notices aside; 0 for none
 }
 
-// accept takes in one message, whose encoding is frame. It returns false if the message does not belong here.
+// accept processes one message; frame is its encoding. It returns false if the message violates the protocol.
 func (p *answerParser) accept(kind byte, body, frame []byte) bool {
 	switch kind {
 	case protocol.RowDescription:
@@ -115,7 +115,7 @@
 	return false
 }
 
-// acceptPart appends a message that the client is sent, if it is valid here.
+// acceptPart appends a message that is forwarded to the client, if it is valid at this point.
 func (p *answerParser) acceptPart(kind byte, frame []byte, valid bool) bool {
 	if valid {
 		p.answer.Frames = append(p.answer.Frames, frame...)
@@ -135,15 +135,15 @@
 	}
 }
 
-// callReader reads a host connection and records which call, if any, had been sent when the bytes came. It reads under the
-// connection's lock, so that bytes from before a call was sent are known from those after.
+// callReader reads from a host connection and records which call, if any, had been sent before the read. It reads under the
+// connection's lock, so that bytes received before a call was sent are distinguished from its answer.
 type callReader struct {
 	conn *hostConn
 	raw  syscall.RawConn
-	call *Call // that the last read belongs to; nil for none
+	call *Call // call that the last read belongs to; nil for none
 }
 
-// Read reads once, when the socket is readable.
+// Read waits until the socket is readable and reads once.
 func (r *callReader) Read(b []byte) (n int, err error) {
 	waitErr := r.raw.Read(func(fd uintptr) bool {
 		c := r.conn
--- a/internal/router/transport/hosts.go
+++ b/internal/router/transport/hosts.go
@@ -15,19 +15,19 @@
 type HostPool struct {
 	limits *setup.Limits
 	budget *BufferBudget
-	ctx    context.Context // ends all connections
+	ctx    context.Context // its end closes all connections
 	tasks  sync.WaitGroup
 
 	mu    sync.Mutex
-	open  int
+	open  int // connections that hold a file descriptor
 	hosts map[*Host]struct{}
 
-	Opened          atomic.Int64 // connections opened, whether or not they came up
-	Reused          atomic.Int64 // calls sent on an idle connection
-	NoDescriptor    atomic.Int64 // calls not sent since all connections are in use
-	StartupFailed   atomic.Int64 // connections whose startup was rejected or broke off
+	Opened          atomic.Int64 // connections opened, including failed attempts
+	Reused          atomic.Int64 // calls assigned to an idle connection
+	NoDescriptor    atomic.Int64 // calls not sent because all connections were in use
+	StartupFailed   atomic.Int64 // connections whose startup was rejected or interrupted
 	InvalidAnswers  atomic.Int64 // answers that violate the protocol
-	UnsolicitedData atomic.Int64 // connections that brought data which belongs to no call
+	UnsolicitedData atomic.Int64 // connections closed because of data that belongs to no call
 }
 
 // NewHostPool returns an empty pool whose connections live until ctx ends.
@@ -35,17 +35,17 @@
 	return &HostPool{limits: limits, budget: budget, ctx: ctx, hosts: map[*Host]struct{}{}}
 }
 
-// Wait returns once all connections have ended, which they do after the pool's context.
+// Wait returns when all connections have ended. They end after the pool's context.
 func (p *HostPool) Wait() { p.tasks.Wait() }
 
-// OpenConns returns the number of connections that hold a descriptor.
+// OpenConns returns the number of connections that hold a file descriptor.
 func (p *HostPool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// Add adds a host by its address, which is host:port.
+// Add adds a host with an address of the form host:port.
 func (p *HostPool) Add(address string) *Host {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,8 +54,8 @@
 	return host
 }
 
-// reserveLocked reserves a descriptor for a new connection. It may have to take that of an idle connection, which the
-// caller closes. p.mu is held.
+// reserveLocked reserves a file descriptor for a new connection. If all are in use, it evicts an idle connection, which the
+// caller must close; ok is false if there is none. p.mu must be held.
 func (p *HostPool) reserveLocked() (evicted *hostConn, ok bool) {
 	if p.open >= p.limits.MaxHostConns {
 		if evicted = p.takeOldestIdleLocked(); evicted == nil {
@@ -66,8 +66,8 @@
 	return evicted, true
 }
 
-// takeOldestIdleLocked removes and returns the connection that was idle for longest, or nil. Guards against hosts that
-// are not used any more keeping the descriptors that others need. p.mu is held.
+// takeOldestIdleLocked removes and returns the connection that has been idle for longest, or nil. Without it, hosts that are no
+// longer used would keep file descriptors that other hosts need. p.mu must be held.
 func (p *HostPool) takeOldestIdleLocked() *hostConn {
 	var owner *Host
 	for host := range p.hosts {
@@ -89,11 +89,11 @@
 
 	// Guarded by pool.mu.
 	address string
-	idle    []*hostConn // the most recently used last
-	removed bool        // no connection is kept idle
+	idle    []*hostConn // least recently used first
+	removed bool        // connections are closed after their call
 }
 
-// SetAddress changes the host's address. Connections to the old one are not used again.
+// SetAddress changes the host's address and closes the idle connections to the old one.
 func (h *Host) SetAddress(address string) {
 	h.pool.mu.Lock()
 	unchanged := h.address == address
@@ -104,7 +104,7 @@
 	}
 }
 
-// Remove removes the host from its pool. Calls in flight end as they would have.
+// Remove removes the host from its pool and closes its idle connections. Calls in flight are not affected.
 func (h *Host) Remove() {
 	h.pool.mu.Lock()
 	h.removed = true
@@ -124,10 +124,10 @@
 	}
 }
 
-// Send starts a call on an idle connection or a new one, and returns at once. onAnswer is called once, from another
-// goroutine, unless Abandon reports how the call ended. The router waits for an answer until deadline. Nothing is sent
-// after sendBy, and nothing is retried here. With rewriteTimeout, the time-out in the statement's comment becomes the
-// time that is left when it is sent.
+// Send starts a call on an idle or a new connection and returns at once. onAnswer is called once, from another goroutine, unless
+// Abandon returns the outcome first. Without an answer by deadline, the caller abandons the call. The statement is not sent
+// after sendBy and never retried. With rewriteTimeout, the timeout in the statement's comment is replaced by the time that
+// remains when it is sent.
 func (h *Host) Send(statement []byte, deadline, sendBy time.Time, rewriteTimeout bool, onAnswer func(Answer)) *Call {
 	pool := h.pool
 	call := &Call{
@@ -157,14 +157,14 @@
 	return call
 }
 
-// assignIdleLocked assigns a call to the idle connection that was used last, and closes those that are not usable any
-// more. pool.mu is held, but released while a connection is tried.
+// assignIdleLocked assigns a call to the most recently used idle connection, and closes the connections that it finds unusable.
+// It reports whether the call was assigned. pool.mu must be held; it is released while a connection is tried.
 func (h *Host) assignIdleLocked(call *Call, now time.Time) bool {
 	limits := h.pool.limits
 	for i := len(h.idle) - 1; i >= 0; i = min(i, len(h.idle)) - 1 {
 		c := h.idle[i]
 		if now.Sub(c.lastAnswer) < limits.ReuseDelay {
-			continue // data that does not belong to its last answer may still be on its way
+			continue // data that does not belong to the last answer may still arrive
 		}
 		h.idle = slices.Delete(h.idle, i, i+1)
 		h.pool.mu.Unlock()
--- a/internal/router/transport/hosts_test.go
+++ b/internal/router/transport/hosts_test.go
@@ -13,10 +13,10 @@
 	"ferrypitch/policy"
 )
 
-// testTimeout ends a test that hangs; none passes by it.
+// testTimeout ends a test that hangs; no test passes by running into it.
 const testTimeout = 20 * time.Second
 
-// startHost listens as a host that hands each connection to serve, and returns a pool of at most maxConns connections with it.
+// startHost starts a host that passes each connection to serve, and returns it with its pool of at most maxConns connections.
 func startHost(t *testing.T, maxConns int, serve func(conn net.Conn)) (*HostPool, *Host) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,11 +24,11 @@
 	}
 	limits := &setup.Limits{MaxHostConns: maxConns, InitialBuffer: 1 << 10, BufferBudget: 1 << 20, MaxHostMessage: 1 << 16, ConnectTimeout: testTimeout, HostIdleTimeout: testTimeout}
 	ctx, end := context.WithCancel(context.Background())
-	h := NewHostPool(ctx, limits, NewBufferBudget(limits))
+	pool := NewHostPool(ctx, limits, NewBufferBudget(limits))
 	t.Cleanup(func() {
 		end()
 		l.Close()
-		h.Wait()
+		pool.Wait()
 	})
 	go func() {
 		for {
@@ -42,17 +42,17 @@
 			}()
 		}
 	}()
-	return h, h.Add(l.Addr().String())
+	return pool, pool.Add(l.Addr().String())
 }
 
-// readSome reads once, and reports whether anything came.
+// readSome reads once and reports whether it succeeded.
 func readSome(conn net.Conn) bool {
 	b := make([]byte, 1<<16)
 	_, err := conn.Read(b)
 	return err == nil
 }
 
-// rowAnswer is the answer of one row with a value of one byte.
+// rowAnswer returns an answer of one row with a value of one byte.
 func rowAnswer(value byte) []byte {
 	b := append([]byte{protocol.RowDescription, 0, 0, 0, 25, 0, 1, 0}, make([]byte, 18)...)
 	b = append(b, protocol.DataRow, 0, 0, 0, 11, 0, 1, 0, 0, 0, 1, value)
@@ -65,13 +65,13 @@
 	conn.Write(protocol.AppendGreeting(nil))
 }
 
-// send sends a call, and returns it with the channel of its answer.
+// send starts a call and returns it with the channel that receives its answer.
 func (h *Host) send(sendBy time.Time) (*Call, chan Answer) {
 	got := make(chan Answer, 2)
 	return h.Send([]byte("x"), time.Now().Add(testTimeout), sendBy, false, func(a Answer) { got <- a }), got
 }
 
-// outcome sends a call and returns how it ended.
+// outcome sends a call and returns its outcome.
 func (h *Host) outcome() policy.Outcome {
 	_, got := h.send(time.Now().Add(testTimeout))
 	return (<-got).Outcome
@@ -133,43 +133,43 @@
 		}, policy.Answered},
 		"nothing in the answer": {func(c net.Conn) { acceptStartup(c); readSome(c); c.Write(protocol.AppendReady(nil)); readSome(c) }, policy.Reset},
 	} {
-		_, n := startHost(t, 9, test.serve)
-		if got := n.outcome(); got != test.want {
+		_, host := startHost(t, 9, test.serve)
+		if got := host.outcome(); got != test.want {
 			t.Errorf("%s: %d, not %d", name, got, test.want)
 		}
 	}
-	_, n := startHost(t, 9, nil)
-	n.SetAddress("127.0.0.1:1")
-	if got := n.outcome(); got != policy.Unreachable {
+	_, host := startHost(t, 9, nil)
+	host.SetAddress("127.0.0.1:1")
+	if got := host.outcome(); got != policy.Unreachable {
 		t.Errorf("refused: %d", got)
 	}
 }
 
 func TestAbandonTellsWhetherTheCallWasSentAndClosesTheConnection(t *testing.T) {
-	came, gone, closed := make(chan bool), make(chan error), make(chan bool)
-	_, n := startHost(t, 9, func(c net.Conn) {
+	received, readError, closed := make(chan bool), make(chan error), make(chan bool)
+	_, host := startHost(t, 9, func(c net.Conn) {
 		readSome(c)
-		came <- true
+		received <- true
 		_, err := c.Read(make([]byte, 1))
-		gone <- err
+		readError <- err
 	})
-	call, _ := n.send(time.Now().Add(testTimeout))
-	<-came
+	call, _ := host.send(time.Now().Add(testTimeout))
+	<-received
 	if o, ok := call.Abandon(); o != policy.Unreachable || !ok {
 		t.Errorf("during startup: %d %t", o, ok)
 	}
-	if err := <-gone; err == nil {
+	if err := <-readError; err == nil {
 		t.Error("something was sent on an abandoned connection")
 	}
-	_, n = startHost(t, 9, func(c net.Conn) {
+	_, host = startHost(t, 9, func(c net.Conn) {
 		acceptStartup(c)
 		readSome(c)
-		came <- true
-		_, _ = io.Copy(io.Discard, c) // until it is closed or reset
+		received <- true
+		_, _ = io.Copy(io.Discard, c) // until the connection is closed or reset
 		closed <- true
 	})
-	call, got := n.send(time.Now().Add(testTimeout))
-	<-came
+	call, got := host.send(time.Now().Add(testTimeout))
+	<-received
 	if o, ok := call.Abandon(); o != policy.TimedOut || !ok {
 		t.Errorf("once sent: %d %t", o, ok)
 	}
@@ -180,39 +180,39 @@
 }
 
 func TestCallAbandonedBeforeItsConnectionStartsEndsOnce(t *testing.T) {
-	h, n := startHost(t, 100, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // it never comes up
+	pool, host := startHost(t, 100, func(c net.Conn) { _, _ = io.Copy(io.Discard, c) }) // the startup is never answered
 	for range 100 {
-		call, got := n.send(time.Now().Add(testTimeout))
+		call, got := host.send(time.Now().Add(testTimeout))
 		if o, ok := call.Abandon(); o != policy.Unreachable || !ok || len(got) != 0 {
 			t.Errorf("outcome %d %t", o, ok)
 		}
 	}
-	for h.OpenConns() > 0 {
+	for pool.OpenConns() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 func TestNothingIsSentAfterSendBy(t *testing.T) {
 	sent := make(chan bool, 1)
-	_, n := startHost(t, 9, func(c net.Conn) {
+	_, host := startHost(t, 9, func(c net.Conn) {
 		acceptStartup(c)
 		sent <- readSome(c)
 	})
-	_, got := n.send(time.Now())
+	_, got := host.send(time.Now())
 	if a := <-got; a.Outcome != policy.Expired || <-sent {
 		t.Errorf("outcome %d", a.Outcome)
 	}
 }
 
 func TestUnsolicitedAnswerReachesNoOtherCommand(t *testing.T) {
-	_, n := startHost(t, 9, func(c net.Conn) {
+	_, host := startHost(t, 9, func(c net.Conn) {
 		acceptStartup(c)
 		for readSome(c) {
 			c.Write(append(rowAnswer('a'), rowAnswer('b')...))
 		}
 	})
 	for range 5 {
-		_, got := n.send(time.Now().Add(testTimeout))
+		_, got := host.send(time.Now().Add(testTimeout))
 		if a := <-got; a.Outcome == policy.Answered && a.Value != "a" {
 			t.Fatalf("%q", a.Value)
 		}
@@ -220,61 +220,61 @@
 }
 
 func TestDataFromBeforeACommandWasSentIsNotItsAnswer(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // the reader seldom runs first
-	let, done := make(chan bool), make(chan bool)
-	h, n := startHost(t, 99, func(c net.Conn) {
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // so that the reader rarely runs before the writer
+	writeNext, done := make(chan bool), make(chan bool)
+	pool, host := startHost(t, 99, func(c net.Conn) {
 		acceptStartup(c)
 		readSome(c)
 		c.Write(rowAnswer('a'))
-		<-let
+		<-writeNext
 		c.Write(rowAnswer('b'))
 		done <- true
 		readSome(c)
 	})
 	for range 50 {
-		if got := n.outcome(); got != policy.Answered {
+		if got := host.outcome(); got != policy.Answered {
 			t.Fatalf("outcome %d", got)
 		}
-		let <- true
+		writeNext <- true
 		<-done
-		_, got := n.send(time.Now().Add(testTimeout))
+		_, got := host.send(time.Now().Add(testTimeout))
 		if a := <-got; a.Outcome == policy.Answered && a.Value != "a" {
 			t.Fatalf("%q", a.Value)
 		}
-		let <- true
+		writeNext <- true
 		<-done
 	}
-	if h.UnsolicitedData.Load()+h.Opened.Load() < 100 {
-		t.Errorf("%d unsolicited on %d connections", h.UnsolicitedData.Load(), h.Opened.Load())
+	if pool.UnsolicitedData.Load()+pool.Opened.Load() < 100 {
+		t.Errorf("%d unsolicited on %d connections", pool.UnsolicitedData.Load(), pool.Opened.Load())
 	}
 }
 
 func TestRemovedHostKeepsNoConnection(t *testing.T) {
 	wait := make(chan bool)
-	h, n := startHost(t, 99, func(c net.Conn) {
+	pool, host := startHost(t, 99, func(c net.Conn) {
 		acceptStartup(c)
 		for readSome(c) {
 			<-wait
 			c.Write(rowAnswer('a'))
 		}
 	})
-	_, got := n.send(time.Now().Add(testTimeout))
-	n.Remove()
+	_, got := host.send(time.Now().Add(testTimeout))
+	host.Remove()
 	wait <- true
 	if a := <-got; a.Outcome != policy.Answered {
 		t.Errorf("the call in flight ended as %d", a.Outcome)
 	}
-	for h.OpenConns() > 0 { // its connection is not kept
+	for pool.OpenConns() > 0 { // the connection must be closed
 		time.Sleep(time.Millisecond)
 	}
-	if len(h.hosts) != 0 || len(n.idle) != 0 {
-		t.Errorf("%d hosts are left, %d connections", len(h.hosts), len(n.idle))
+	if len(pool.hosts) != 0 || len(host.idle) != 0 {
+		t.Errorf("%d hosts are left, %d connections", len(pool.hosts), len(host.idle))
 	}
 }
 
 func TestMostRecentConnectionIsReusedAndAClosedOneNever(t *testing.T) {
 	ends := make(chan bool)
-	h, n := startHost(t, 9, func(c net.Conn) {
+	pool, host := startHost(t, 9, func(c net.Conn) {
 		acceptStartup(c)
 		readSome(c)
 		c.Write(rowAnswer('a'))
@@ -282,15 +282,15 @@
 		c.Write(rowAnswer('b'))
 		<-ends
 	})
-	if first, second := n.outcome(), n.outcome(); first+second != 0 || h.Opened.Load() != 1 || h.Reused.Load() != 1 {
-		t.Errorf("%d %d on %d connections", first, second, h.Opened.Load())
+	if first, second := host.outcome(), host.outcome(); first+second != 0 || pool.Opened.Load() != 1 || pool.Reused.Load() != 1 {
+		t.Errorf("%d %d on %d connections", first, second, pool.Opened.Load())
 	}
 	ends <- true
-	for h.OpenConns() > 0 { // seen without being used
+	for pool.OpenConns() > 0 { // the close is noticed without a call
 		time.Sleep(time.Millisecond)
 	}
-	if got := n.outcome(); got != policy.Answered || h.Opened.Load() != 2 {
-		t.Errorf("%d on connection %d", got, h.Opened.Load())
+	if got := host.outcome(); got != policy.Answered || pool.Opened.Load() != 2 {
+		t.Errorf("%d on connection %d", got, pool.Opened.Load())
 	}
 }
 
@@ -304,16 +304,16 @@
 		readSome(c)
 		<-wait
 	}
-	h, n := startHost(t, 1, serve)
-	if n.outcome() != policy.Answered {
+	pool, host := startHost(t, 1, serve)
+	if host.outcome() != policy.Answered {
 		t.Fatal("not answered")
 	}
-	other := h.Add(n.address)
+	other := pool.Add(host.address)
 	if got := other.outcome(); got != policy.Answered {
 		t.Errorf("the idle one was not evicted: %d", got)
 	}
-	other.send(time.Now().Add(testTimeout)) // stays out
-	if got := n.outcome(); got != policy.Expired || h.NoDescriptor.Load() != 1 {
+	other.send(time.Now().Add(testTimeout)) // keeps the only descriptor in use
+	if got := host.outcome(); got != policy.Expired || pool.NoDescriptor.Load() != 1 {
 		t.Errorf("no descriptor is left: %d", got)
 	}
 }
