--- a/internal/router/transport/peers.go
+++ b/internal/router/transport/peers.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	peerSendQueue = 64   // datagrams that wait to be sent; further ones are dropped
-	maxBatch      = 1024 // datagrams that are read together
+	peerSendQueueSize = 64   // datagrams queued for sending; more are dropped
+	maxBatchDatagrams = 1024 // datagrams read in one batch
 )
 
-// Peers exchanges datagrams with the other routers. They may be lost.
+// Peers exchanges datagrams with the other routers. Delivery is not guaranteed.
 type Peers struct {
 	limits           *setup.Limits
 	conn             *net.UDPConn
 	broadcastAddress netip.AddrPort
-	allowed          map[netip.AddrPort]bool
+	allowed          map[netip.AddrPort]bool // senders whose datagrams are accepted
 	outgoing         chan string
 
-	Sent     atomic.Int64
-	Received atomic.Int64
-	Batches  atomic.Int64 // reads of one or more datagrams together
-	Dropped  atomic.Int64 // from others than peers, too long, or more than can be sent
+	Sent     atomic.Int64 // datagrams sent
+	Received atomic.Int64 // datagrams accepted
+	Batches  atomic.Int64 // batches of one or more datagrams read
+	Dropped  atomic.Int64 // datagrams from unknown senders, empty or too long, or not sent because of an error or a full queue
 }
 
-// NewPeers opens the socket. Datagrams of this router itself, or of none of its peers, are dropped.
+// NewPeers opens the socket. Datagrams from this router itself or from addresses that are not peers are dropped.
 func NewPeers(start *setup.Start) (*Peers, error) {
 	listen, err := netip.ParseAddrPort(start.PeerListen)
 	if err != nil {
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	p := &Peers{
-		limits: &start.Limits, conn: conn, allowed: map[netip.AddrPort]bool{}, outgoing: make(chan string, peerSendQueue),
+		limits: &start.Limits, conn: conn, allowed: map[netip.AddrPort]bool{}, outgoing: make(chan string, peerSendQueueSize),
 	}
 	if p.broadcastAddress, err = netip.ParseAddrPort(start.PeersAll); err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	return p, nil
 }
 
-// Broadcast sends to all peers, unless the body is too long or too many wait to be sent already. It does not block.
+// Broadcast queues a datagram to all peers, or drops it if it is too long or the queue is full. It does not block.
 func (p *Peers) Broadcast(body string) {
 	if len(body) <= p.limits.MaxDatagram {
 		select {
@@ -67,16 +67,16 @@
 	p.Dropped.Add(1)
 }
 
-// Receive calls handle with each datagram of a peer until ctx ends, and closes the socket. With hundreds of routers a
-// datagram comes every few milliseconds: they are read in batches, since waking up for each costs several times what
-// reading it does.
+// Receive calls handle with each datagram from a peer until ctx ends, and then closes the socket. With hundreds of routers a
+// datagram arrives every few milliseconds. They are read in batches, since a wake-up per datagram costs several times as much
+// as reading it.
 func (p *Peers) Receive(ctx context.Context, handle func(body string)) error {
 	defer context.AfterFunc(ctx, func() { p.conn.Close() })()
 	raw, err := p.conn.SyscallConn()
 	if err != nil {
 		return err
 	}
-	datagram := make([]byte, p.limits.MaxDatagram+1) // one byte more shows that a datagram is too long
+	datagram := make([]byte, p.limits.MaxDatagram+1) // the extra byte reveals datagrams that are too long
 	for {
 		err := raw.Read(func(fd uintptr) bool { return p.readBatch(int(fd), datagram, handle) })
 		if ctx.Err() != nil {
@@ -84,7 +84,7 @@
 		}
 		p.Batches.Add(1)
 		pause := p.limits.DatagramBatchDelay
-		if err != nil { // it must not spin
+		if err != nil { // avoid a busy loop
 			pause = p.limits.RetryDelay
 		}
 		select {
@@ -95,10 +95,10 @@
 	}
 }
 
-// readBatch reads the datagrams that have come, and reports whether there were any. It is bounded, so that a flood does
-// not keep the caller from noticing the end of its context.
+// readBatch reads the datagrams that have arrived, and reports whether there were any. It reads at most maxBatchDatagrams, so
+// that a flood of datagrams does not keep the caller from noticing the end of its context.
 func (p *Peers) readBatch(fd int, datagram []byte, handle func(body string)) (received bool) {
-	for range maxBatch {
+	for range maxBatchDatagrams {
 		n, sender, err := syscall.Recvfrom(fd, datagram, syscall.MSG_DONTWAIT)
 		switch {
 		case errors.Is(err, syscall.EINTR):
@@ -120,7 +120,7 @@
 	return received
 }
 
-// senderAddress converts a socket address; the result is invalid for families other than IP.
+// senderAddress converts a socket address. The result is invalid for address families other than IP.
 func senderAddress(sender syscall.Sockaddr) netip.AddrPort {
 	switch address := sender.(type) {
 	case *syscall.SockaddrInet4:
@@ -131,7 +131,7 @@
 	return netip.AddrPort{}
 }
 
-// Send sends what Broadcast took, until ctx ends.
+// Send sends the datagrams that Broadcast has queued, until ctx ends.
 func (p *Peers) Send(ctx context.Context) error {
 	for {
 		select {
--- a/internal/router/transport/slot.go
+++ b/internal/router/transport/slot.go
@@ -9,23 +9,26 @@
 
 // Severities of an ErrorResponse.
 const (
-	severityError = "ERROR" // the command failed, the connection stays
-	severityFatal = "FATAL" // the connection ends
+	severityError = "ERROR" // the command failed; the connection stays open
+	severityFatal = "FATAL" // the connection is closed
 )
 
-// Slot takes the answer to one command. Answers of one connection are written in the order of their commands, whenever
-// they come. Only the first answer to a slot counts. Its methods may be called from any goroutine.
+// Slot receives the answer to one command. The answers of one connection are written in the order of their commands, in
+// whichever order the slots are completed. Only the first answer to a slot is used. Its methods may be called from any goroutine.
 type Slot struct {
-	client   *clientConn
-	reserved int // bytes of the buffer budget that the command holds; guarded by client.mu, as all below
-	answer   []byte
-	done     bool
+	client *clientConn
+
+	// Guarded by client.mu.
+	reserved int    // bytes of the buffer budget that the command holds
+	answer   []byte // nil until done, and again once it is queued for writing
+	done     bool   // the answer is complete
 }
 
 // Answer answers with the frames that a host sent for the command.
 func (s *Slot) Answer(frames []byte) { s.complete(protocol.AppendReady(frames)) }
 
-// Reject answers a command that is not served here, with an SQLSTATE code. Too many of them in a row end the connection.
+// Reject answers a malformed or unsupported command with an SQLSTATE code. Too many rejected commands in a row end the
+// connection.
 func (s *Slot) Reject(code, text string) {
 	s.client.mu.Lock()
 	s.client.rejectedInARow++
@@ -33,14 +36,15 @@
 	s.Fail(code, text)
 }
 
-// CommandAccepted notes that the client sends commands that are served here.
+// CommandAccepted records that the client has sent a valid command, which protects its connection from early eviction and
+// resets the count of rejected commands.
 func (s *Slot) CommandAccepted() {
 	s.client.mu.Lock()
 	defer s.client.mu.Unlock()
-	s.client.proven, s.client.rejectedInARow = true, 0
+	s.client.hasAcceptedCommand, s.client.rejectedInARow = true, 0
 }
 
-// Throttle tells the client that it may safely retry the command, after so many milliseconds; 0 for no time.
+// Throttle answers with a retryable error: the command had no effect. retryAfterMs is the suggested retry delay; 0 for none.
 func (s *Slot) Throttle(retryAfterMs int64) {
 	detail := ""
 	if retryAfterMs > 0 {
@@ -49,7 +53,7 @@
 	s.complete(protocol.AppendReady(protocol.AppendError(nil, severityError, protocol.TooManyConnections, "throttled, try again", detail)))
 }
 
-// Fail answers with an SQLSTATE code. The command may or may not have had its effect.
+// Fail answers with an SQLSTATE code. It is unknown whether the command was executed.
 func (s *Slot) Fail(code, text string) {
 	s.complete(protocol.AppendReady(protocol.AppendError(nil, severityError, code, text, "")))
 }
@@ -59,7 +63,7 @@
 	s.complete(protocol.AppendReady(protocol.AppendEmptyQueryResponse(nil)))
 }
 
-// complete has an answer written as soon as those before it are.
+// complete stores the answer and queues all answers for writing that no earlier command is holding back.
 func (s *Slot) complete(answer []byte) {
 	c := s.client
 	c.mu.Lock()
@@ -69,7 +73,7 @@
 	}
 	s.release()
 	if !c.reserveAnswer(answer) {
-		c.closeLocked() // clients read too slowly for the buffer budget
+		c.closeLocked() // clients read too slowly: their unwritten answers exhaust the buffer budget
 		return
 	}
 	s.answer, s.done = answer, true
@@ -83,7 +87,7 @@
 	c.changed.Broadcast()
 }
 
-// release returns what the command holds of the buffer budget; client.mu is held.
+// release returns the command's reservation to the buffer budget. client.mu must be held.
 func (s *Slot) release() {
 	s.client.server.budget.release(s.reserved)
 	s.reserved = 0
--- a/internal/router/transport/unread.go
+++ b/internal/router/transport/unread.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// hasUnreadInput reports whether a connection has input that was not read yet, its end included. It peeks at the socket
-// directly and so never waits for a goroutine that is blocked in Read.
+// hasUnreadInput reports whether a connection has unread input, including an end of stream. It peeks at the socket directly, so
+// it never waits for a goroutine that is blocked in Read.
 func hasUnreadInput(conn net.Conn) (unread bool) {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/router/transport/watch.go
+++ b/internal/router/transport/watch.go
@@ -15,47 +15,47 @@
 )
 
 const (
-	statusOK     = 200 // of HTTP
-	dialShare    = 4   // connecting to discovery may take limits.Quiet divided by this
-	backoffShare = 8   // the backoff grows to limits.Quiet divided by this
+	statusOK           = 200 // HTTP status
+	dialTimeoutDivisor = 4   // the dial timeout is limits.DiscoveryTimeout divided by this
+	maxBackoffDivisor  = 8   // the maximum backoff is limits.DiscoveryTimeout divided by this
 )
 
-// Watch follows discovery's endpoint list by a long-lived HTTP request, which it repeats with backoff when it ends.
+// Watch receives discovery's host list and its updates by a long-lived HTTP request, which it repeats with backoff when it ends.
 type Watch struct {
-	limits      *setup.Limits
-	budget      *BufferBudget
-	heldVersion func() int64
-	handleLine  func(text []byte, addressIsNew bool) error
-	onError     func(error)
+	limits         *setup.Limits
+	budget         *BufferBudget
+	currentVersion func() int64
+	handleLine     func(text []byte, addressIsNew bool) error
+	onError        func(error)
 
-	requests chan struct{} // nil: each watch that ends is followed by the next
-	onEnd    func()        // with requests only
+	requests chan struct{} // nil if a new watch starts whenever one ends
+	onEnd    func()        // set together with requests; called when a watch ends
 
 	mu           sync.Mutex
 	address      string
-	addressIsNew bool               // nothing has come from this address yet, whose versions may be unrelated
-	cancel       context.CancelFunc // ends the watch that is open
+	addressIsNew bool               // no list was received from this address yet; its versions may be unrelated to earlier ones
+	cancel       context.CancelFunc // cancels the current watch
 
-	Started atomic.Int64 // watches
-	Lines   atomic.Int64 // lists and changes received
+	Started atomic.Int64 // watches started
+	Lines   atomic.Int64 // lists and list updates received
 }
 
-// NewWatch returns a watch of the discovery service at address. It asks for what came after heldVersion each time it
-// starts anew. handleLine takes a complete list or its changes, and owns the text; addressIsNew is true if an address
-// sends its first, whose version is not comparable to those before. onError takes the reason why a watch ended.
-func NewWatch(limits *setup.Limits, budget *BufferBudget, address string, heldVersion func() int64,
+// NewWatch returns a watch of the discovery service at address. Each time it starts, it requests the changes since
+// currentVersion. handleLine receives a complete list or an update, and owns the text; addressIsNew is true for the first line
+// from a new address, whose version is not comparable to earlier ones. onError receives the reason why a watch ended.
+func NewWatch(limits *setup.Limits, budget *BufferBudget, address string, currentVersion func() int64,
 	handleLine func(text []byte, addressIsNew bool) error, onError func(error),
 ) *Watch {
 	return &Watch{
-		limits: limits, budget: budget, address: address, heldVersion: heldVersion, handleLine: handleLine, onError: onError,
+		limits: limits, budget: budget, address: address, currentVersion: currentVersion, handleLine: handleLine, onError: onError,
 	}
 }
 
-// OnRequest has a watch start only when Request is called, and onEnd called whenever a watch failed or ended. It must be
-// called before Run.
+// OnRequest configures the watch to start only when Request is called, and to call onEnd whenever it has failed or ended. It must
+// be called before Run.
 func (w *Watch) OnRequest(onEnd func()) { w.requests, w.onEnd = make(chan struct{}, 1), onEnd }
 
-// Request starts a watch, unless one is open.
+// Request starts a watch, unless one is open or requested.
 func (w *Watch) Request() {
 	select {
 	case w.requests <- struct{}{}:
@@ -63,7 +63,8 @@
 	}
 }
 
-// SetAddress follows another address from now on. The current list stays until that one sends its own.
+// SetAddress sets the address of discovery and ends the current watch if the address has changed. The current list stays in use
+// until the new address has sent one.
 func (w *Watch) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -78,7 +79,7 @@
 // Run watches until ctx ends, and then returns nil.
 func (w *Watch) Run(ctx context.Context) error {
 	addressChanged := false
-	for backoff := w.limits.RetryDelay; ctx.Err() == nil; backoff = min(2*backoff, w.limits.DiscoveryTimeout/backoffShare) {
+	for backoff := w.limits.RetryDelay; ctx.Err() == nil; backoff = min(2*backoff, w.limits.DiscoveryTimeout/maxBackoffDivisor) {
 		if w.requests != nil && !addressChanged {
 			select {
 			case <-w.requests:
@@ -87,7 +88,7 @@
 			}
 		}
 		watchCtx, cancel := context.WithCancel(ctx)
-		received, err := w.follow(watchCtx, cancel)
+		received, err := w.watchOnce(watchCtx, cancel)
 		addressChanged = watchCtx.Err() != nil
 		if received || addressChanged {
 			backoff = w.limits.RetryDelay
@@ -100,11 +101,11 @@
 	return nil
 }
 
-// handleEnd reports why a watch ended, and waits for the backoff unless watches are started by requests. A change of the
-// address ends the wait, as it ends a watch.
+// handleEnd reports why a watch ended, and waits for the backoff unless watches start on request. A change of the address ends
+// the wait.
 func (w *Watch) handleEnd(watchCtx context.Context, err error, backoff time.Duration) {
 	if w.requests != nil {
-		select { // a request from while the watch was open is done with it
+		select { // drop a request that was made while the watch was open
 		case <-w.requests:
 		default:
 		}
@@ -119,7 +120,7 @@
 	}
 }
 
-// deliver hands a line on, unless the address that it came from is not followed any more.
+// deliver passes a line to handleLine, unless the watch has been canceled by a change of the address.
 func (w *Watch) deliver(watchCtx context.Context, text []byte) error {
 	w.mu.Lock()
 	addressIsNew, err := w.addressIsNew, watchCtx.Err()
@@ -139,24 +140,24 @@
 	return nil
 }
 
-// follow is one watch, up to its end, which cancel brings about. received is true if a line has come.
-func (w *Watch) follow(watchCtx context.Context, cancel context.CancelFunc) (received bool, err error) {
+// watchOnce runs one watch until it ends or is canceled. received is true if a line was received.
+func (w *Watch) watchOnce(watchCtx context.Context, cancel context.CancelFunc) (received bool, err error) {
 	w.Started.Add(1)
 	w.mu.Lock()
 	w.cancel = cancel
 	address, addressIsNew := w.address, w.addressIsNew
 	w.mu.Unlock()
-	conn, err := (&net.Dialer{Timeout: w.limits.DiscoveryTimeout / dialShare}).DialContext(watchCtx, "tcp", address)
+	conn, err := (&net.Dialer{Timeout: w.limits.DiscoveryTimeout / dialTimeoutDivisor}).DialContext(watchCtx, "tcp", address)
 	if err != nil {
 		return false, err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(watchCtx, func() { conn.Close() })()
-	// Discovery sends something even when nothing changes. One that is silent may be partitioned from here, which an
-	// open connection does not show.
+	// Discovery sends blank lines even if nothing changes, so silence may mean a network partition, which an open
+	// connection does not reveal.
 	conn.SetDeadline(time.Now().Add(w.limits.DiscoveryTimeout))
-	version := w.heldVersion()
-	if addressIsNew { // its versions may be unrelated to the current one
+	version := w.currentVersion()
+	if addressIsNew { // its versions may be unrelated to the current version
 		version = 0
 	}
 	if _, err := conn.Write(protocol.AppendWatchRequest(nil, address, version)); err != nil {
@@ -170,7 +171,7 @@
 	return w.readLines(watchCtx, conn, in)
 }
 
-// awaitWatchResponse reads the head of discovery's response.
+// awaitWatchResponse reads the status line and header of discovery's response.
 func awaitWatchResponse(conn net.Conn, in *buffer) error {
 	for {
 		status, chunked, n, err := protocol.NextResponseHead(in.unread())
@@ -190,9 +191,9 @@
 	}
 }
 
-// readLines reads the body of discovery's response, line by line, until the watch ends.
+// readLines reads the body of discovery's response and delivers it line by line, until the watch ends.
 func (w *Watch) readLines(watchCtx context.Context, conn net.Conn, in *buffer) (received bool, err error) {
-	var partial []byte // of a line
+	var partial []byte // incomplete line
 	for {
 		chunk, n, err := protocol.NextChunk(in.unread(), w.limits.MaxListLine)
 		switch {
@@ -211,7 +212,7 @@
 		in.consume(n)
 		var complete int
 		if partial, complete, err = w.deliverLines(watchCtx, partial); err != nil {
-			return false, err // the list that was not taken in is requested again, with backoff
+			return false, err // the list that was not applied is requested again, with backoff
 		}
 		received = received || complete > 0
 		if len(partial) > w.limits.MaxListLine {
@@ -220,8 +221,8 @@
 	}
 }
 
-// deliverLines hands on the complete lines that text begins with. It returns the rest and their number, blank lines
-// included, which discovery sends to show that it is there.
+// deliverLines delivers the complete lines at the start of text. It returns the rest of text and the number of complete lines,
+// including the blank lines that discovery sends as heartbeats.
 func (w *Watch) deliverLines(watchCtx context.Context, text []byte) (rest []byte, complete int, err error) {
 	for {
 		line, after, found := bytes.Cut(text, []byte{'\n'})
--- a/internal/router/transport/watch_test.go
+++ b/internal/router/transport/watch_test.go
@@ -8,7 +8,7 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// startWatch runs a watch of an address where nobody listens.
+// startWatch runs a watch of an address on which nothing listens. The times of its failures are sent to failures.
 func startWatch(t *testing.T, backoff time.Duration) (w *Watch, failures chan time.Time) {
 	limits := &setup.Limits{InitialBuffer: 1 << 10, BufferBudget: 1 << 20, MaxListLine: 1 << 10, DiscoveryTimeout: 1000 * backoff, RetryDelay: backoff}
 	failures = make(chan time.Time, 99)
@@ -33,7 +33,7 @@
 	for range 2 {
 		<-failures
 	}
-	if took := (<-failures).Sub(first); took < 7*backoff { // one, two and four times the first wait
+	if took := (<-failures).Sub(first); took < 7*backoff { // 1, 2 and 4 times the initial backoff
 		t.Errorf("asked four times within %v", took)
 	}
 }
