--- a/cmd/ferrypitch/command.go
+++ b/cmd/ferrypitch/command.go
@@ -101,6 +101,6 @@
 	if operator.Start.Listen == "" {
 		return nil, fmt.Errorf("%s: listen: missing", path)
 	}
-	operator.Start.AsForwarder()
+	operator.Start.ConfigureAsForwarder()
 	return operator, nil
 }
--- a/cmd/ferrypitch/fake_host_test.go
+++ b/cmd/ferrypitch/fake_host_test.go
@@ -58,7 +58,7 @@
 		}
 		if !greeted {
 			if _, cut, _ := protocol.NextStartup(in[:n], 1<<10); cut > 0 {
-				conn.Write(protocol.AppendGreeting(nil))
+				conn.Write(protocol.AppendStartupResponse(nil))
 				n, greeted = copy(in, in[cut:n]), true
 			}
 		}
@@ -143,7 +143,7 @@
 func readyMessages(role string, position int64) []byte {
 	b := message(protocol.ParameterStatus, "node_role\x00"+role+"\x00")
 	b = append(b, message(protocol.ParameterStatus, fmt.Sprintf("replay_position\x00%d\x00", position))...)
-	return protocol.AppendReady(b)
+	return protocol.AppendReadyForQuery(b)
 }
 
 func (conn *hostConn) sendRow(value, role string) {
--- a/cmd/ferrypitch/main.go
+++ b/cmd/ferrypitch/main.go
@@ -70,8 +70,8 @@
 	if err != nil {
 		return nil, err
 	}
-	runtime.GOMAXPROCS(start.Limits.Cores)
-	debug.SetMemoryLimit(start.Limits.Memory)
+	runtime.GOMAXPROCS(start.Limits.MaxProcs)
+	debug.SetMemoryLimit(start.Limits.SoftMemoryLimit)
 	return log.Named(start.Name), nil
 }
 
--- a/cmd/ferrypitch/plan.go
+++ b/cmd/ferrypitch/plan.go
@@ -60,7 +60,7 @@
 		if writer, err = service.NewTraceWriter(operator.Start, section, log); err != nil {
 			return fmt.Errorf("trace: %w", err)
 		}
-		recorder = record.NewPlanner(writer, section.Block)
+		recorder = record.NewPlanner(writer, section.BlockBytes)
 	}
 	finishTrace := service.StartTrace(writer)
 	planner := plan.New(operator.Start, operator.Plan, service.NewIncarnation(), recorder, log)
--- a/cmd/ferrypitch/serving_test.go
+++ b/cmd/ferrypitch/serving_test.go
@@ -163,9 +163,11 @@
 
 func TestMutatingCommandThatMayHaveRunIsNotRetried(t *testing.T) {
 	for name, end := range map[string]func(*hostConn){
-		"the connection breaks":        func(conn *hostConn) { conn.Close() },
-		"half a row comes":             func(conn *hostConn) { conn.Write(rowMessages("x")[:20]); conn.Close() },
-		"two rows come":                func(conn *hostConn) { conn.Write(protocol.AppendReady(append(rowMessages("x"), rowMessages("y")...))) },
+		"the connection breaks": func(conn *hostConn) { conn.Close() },
+		"half a row comes":      func(conn *hostConn) { conn.Write(rowMessages("x")[:20]); conn.Close() },
+		"two rows come": func(conn *hostConn) {
+			conn.Write(protocol.AppendReadyForQuery(append(rowMessages("x"), rowMessages("y")...)))
+		},
 		"an error comes":               func(conn *hostConn) { conn.sendError("XX000", "leader") },
 		"a code comes that is unknown": func(conn *hostConn) { conn.sendError("99999", "leader") },
 	} {
@@ -328,7 +330,7 @@
 			case inserts && !h.primary:
 				conn.sendError("25006", "follower")
 			case h.primary: // neither position nor role
-				conn.Write(protocol.AppendReady(rowMessages("from " + h.name)))
+				conn.Write(protocol.AppendReadyForQuery(rowMessages("from " + h.name)))
 			default:
 				conn.sendRow("from "+h.name, "follower")
 			}
--- a/cmd/ferrypitch/trace.go
+++ b/cmd/ferrypitch/trace.go
@@ -89,7 +89,7 @@
 
 // formatTime formats a time in tenths of a millisecond since 1970.
 func formatTime(tenths int64) string {
-	return time.Unix(0, tenths*int64(clock.Tenth)).UTC().Format("2006-01-02T15:04:05.0000Z")
+	return time.Unix(0, tenths*int64(clock.Resolution)).UTC().Format("2006-01-02T15:04:05.0000Z")
 }
 
 // writeAtomically has a file written that either is complete or does not appear; "-" is standard output.
--- a/cmd/ferrypitch/trace_filter.go
+++ b/cmd/ferrypitch/trace_filter.go
@@ -92,5 +92,5 @@
 	if err != nil {
 		return 0, fmt.Errorf("%q: neither a moment as 2026-12-01T20:15:00Z nor tenths of a millisecond", text)
 	}
-	return at.UnixNano() / int64(clock.Tenth), nil
+	return at.UnixNano() / int64(clock.Resolution), nil
 }
--- a/internal/fake/postgres/conn.go
+++ b/internal/fake/postgres/conn.go
@@ -55,7 +55,7 @@
 	if _, err := readBody(input, protocol.MaxStartupBytes); err != nil {
 		return
 	}
-	if _, err := conn.Write(protocol.AppendGreeting(nil)); err != nil {
+	if _, err := conn.Write(protocol.AppendStartupResponse(nil)); err != nil {
 		return
 	}
 	for {
--- a/internal/fake/postgres/message.go
+++ b/internal/fake/postgres/message.go
@@ -71,7 +71,7 @@
 func (h *Host) appendReady(response []byte, position time.Time) []byte {
 	response = appendParameter(response, roleParameter, h.roleName())
 	response = appendParameter(response, positionParameter, formatPosition(position))
-	return protocol.AppendReady(response)
+	return protocol.AppendReadyForQuery(response)
 }
 
 func appendParameter(b []byte, name, value string) []byte {
--- a/internal/router/catalog/catalog.go
+++ b/internal/router/catalog/catalog.go
@@ -15,10 +15,10 @@
 )
 
 // Read decodes a host list. If complete is false, it contains only the changes since the previous list. Versions increase. If the
-// list is invalid, the error is a setup.Fault that names the field and no hosts are returned.
+// list is invalid, the error is a setup.FieldError that names the field and no hosts are returned.
 func Read(list setup.Object) (version int64, complete bool, hosts []view.Host, err error) {
-	defer setup.Catch(&err)
-	version, complete = list.Integer("rev"), list.Flag("all")
+	defer setup.CatchFieldError(&err)
+	version, complete = list.Integer("rev"), list.Bool("all")
 	entries := list.Objects("targets")
 	hosts = make([]view.Host, len(entries))
 	for i, entry := range entries {
--- a/internal/router/catalog/catalog_test.go
+++ b/internal/router/catalog/catalog_test.go
@@ -36,8 +36,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var fault setup.Fault
-	if _, _, _, err := Read(list); !errors.As(err, &fault) || fault != "targets[0].endpoint: not a text" {
+	var fieldError setup.FieldError
+	if _, _, _, err := Read(list); !errors.As(err, &fieldError) || fieldError != "targets[0].endpoint: not a text" {
 		t.Error(err)
 	}
 }
--- a/internal/router/clock/clock.go
+++ b/internal/router/clock/clock.go
@@ -7,8 +7,8 @@
 	"ferrypitch/policy"
 )
 
-// Tenth is the unit of policy.TenthMs, a tenth of a millisecond.
-const Tenth = 100 * time.Microsecond
+// Resolution is the unit of policy.TenthMs, a tenth of a millisecond.
+const Resolution = 100 * time.Microsecond
 
 // slewDivisor sets the slew rate: while the system clock is behind, this clock is slowed down by the elapsed time divided by
 // slewDivisor, a tenth.
@@ -43,8 +43,8 @@
 	case ahead < 0:
 		c.unixNs -= min(-ahead, elapsed/slewDivisor)
 	}
-	return c.unixNs / int64(Tenth)
+	return c.unixNs / int64(Resolution)
 }
 
-// Span converts a policy duration to a time.Duration.
-func Span(span policy.TenthMs) time.Duration { return time.Duration(span) * Tenth }
+// ToDuration converts a policy duration to a time.Duration.
+func ToDuration(span policy.TenthMs) time.Duration { return time.Duration(span) * Resolution }
--- a/internal/router/clock/clock_test.go
+++ b/internal/router/clock/clock_test.go
@@ -22,7 +22,7 @@
 		t.Errorf("a second behind the system's clock is %d", got)
 	}
 	c.unixNs -= int64(2 * time.Hour)
-	if got := c.Now(); got < at.UnixNano()/int64(Tenth) {
+	if got := c.Now(); got < at.UnixNano()/int64(Resolution) {
 		t.Errorf("a clock set forward is followed to %d", got)
 	}
 }
--- a/internal/router/protocol/append.go
+++ b/internal/router/protocol/append.go
@@ -44,9 +44,9 @@
 	return appendMessage(b, Query, func(b []byte) []byte { return append(append(b, statement...), 0) })
 }
 
-// AppendGreeting appends the answer to a startup message: AuthenticationOk, parameters, a cancel key of zeros, since cancel
+// AppendStartupResponse appends the answer to a startup message: AuthenticationOk, parameters, a cancel key of zeros, since cancel
 // requests are not supported, and ReadyForQuery.
-func AppendGreeting(b []byte) []byte {
+func AppendStartupResponse(b []byte) []byte {
 	b = appendMessage(b, Authentication, func(b []byte) []byte { return append(b, 0, 0, 0, 0) })
 	for _, parameter := range greetingParameters {
 		b = appendMessage(b, ParameterStatus, func(b []byte) []byte {
@@ -54,11 +54,11 @@
 		})
 	}
 	b = appendMessage(b, BackendKeyData, func(b []byte) []byte { return append(b, 0, 0, 0, 0, 0, 0, 0, 0) })
-	return AppendReady(b)
+	return AppendReadyForQuery(b)
 }
 
-// AppendReady appends ReadyForQuery, the last message of each answer.
-func AppendReady(b []byte) []byte {
+// AppendReadyForQuery appends ReadyForQuery, the last message of each answer.
+func AppendReadyForQuery(b []byte) []byte {
 	return appendMessage(b, ReadyForQuery, func(b []byte) []byte { return append(b, transactionIdle) })
 }
 
--- a/internal/router/protocol/protocol_test.go
+++ b/internal/router/protocol/protocol_test.go
@@ -191,7 +191,7 @@
 
 func FuzzNext(f *testing.F) {
 	f.Add(AppendQuery(nil, []byte(read)))
-	f.Add(AppendGreeting(nil))
+	f.Add(AppendStartupResponse(nil))
 	f.Add([]byte{Query, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for _, part := range [][]byte{b, b[:len(b)/2]} {
--- a/internal/router/routing/commands.go
+++ b/internal/router/routing/commands.go
@@ -44,7 +44,7 @@
 		return
 	}
 	// The command group's timeout caps the client's.
-	timeout := min(time.Duration(min(parsed.TimeoutMs, maxTimeoutMs)*float64(time.Millisecond)), clock.Span(group.Timeout))
+	timeout := min(time.Duration(min(parsed.TimeoutMs, maxTimeoutMs)*float64(time.Millisecond)), clock.ToDuration(group.Timeout))
 	deadline := receivedAt.Add(timeout - r.start.Limits.AnswerMargin)
 	if !r.queue.Put(eventloop.PriorityCommands, func() { r.submitCommand(slot, statement, group, parsed, deadline) }) {
 		slot.Fail(protocol.SystemError, errStopped.Error())
@@ -101,7 +101,7 @@
 	c := &command{slot: slot, statement: statement, deadline: deadline}
 	r.commands[parsed.ID], r.slots[slot] = c, c
 	r.Taken.Add(1)
-	timeout := now + policy.TenthMs(time.Until(deadline)/clock.Tenth)
+	timeout := now + policy.TenthMs(time.Until(deadline)/clock.Resolution)
 	previewed := r.preview.command(r.policy, group, parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
 	r.trace.Take(parsed.ID, r.groups[group], parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
 	c.handle = r.policy.Submit(parsed.ID, group, parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
@@ -121,7 +121,7 @@
 	}
 	r.applyLoadReport(c.handle.Host, answer.LoadReport)
 	position, role := setup.ParseHostStatus(answer.Position, answer.Role, r.maxPositionMs())
-	elapsed := policy.TenthMs(answer.Elapsed / clock.Tenth)
+	elapsed := policy.TenthMs(answer.Elapsed / clock.Resolution)
 	if h := r.nodes[c.handle.Host]; h != nil && r.start.Deployment.UsesPlanners {
 		now := r.clock.Now()
 		h.recordAnswer(c.handle, answer.Outcome, position, role, now-elapsed, now, elapsed)
@@ -134,7 +134,7 @@
 // applyLoadReport passes the position and role in a load report to the policy.
 func (r *Router) applyLoadReport(node *policy.Host, report string) {
 	formats := r.start.Formats
-	position, role, ok := formats.ParseLoadReport(func(i int) (float64, bool) { return protocol.LoadReportField(report, formats.Fields[i]) })
+	position, role, ok := formats.ParseLoadReport(func(i int) (float64, bool) { return protocol.LoadReportField(report, formats.LoadReportFields[i]) })
 	if node != nil && ok && position >= 0 && float64(position) <= 10*r.maxPositionMs() {
 		r.trace.Reported(node, position, role)
 		node.ReportLoad(position, role)
--- a/internal/router/routing/policy_caller.go
+++ b/internal/router/routing/policy_caller.go
@@ -21,11 +21,11 @@
 func (r *Router) Dispatch(handle *policy.Command, node *policy.Host, timeout policy.TenthMs) {
 	c, now := r.commands[handle.Name], time.Now()
 	deadline, sendBy := c.deadline, now.Add(r.start.Limits.ConnectTimeout)
-	if at := now.Add(clock.Span(timeout)); timeout > 0 && at.Before(deadline) {
+	if at := now.Add(clock.ToDuration(timeout)); timeout > 0 && at.Before(deadline) {
 		deadline = at
 	}
 	if handle.SendBy > 0 {
-		if at := now.Add(clock.Span(handle.SendBy - r.clock.Now())); at.Before(sendBy) {
+		if at := now.Add(clock.ToDuration(handle.SendBy - r.clock.Now())); at.Before(sendBy) {
 			sendBy = at
 		}
 	}
--- a/internal/router/routing/router.go
+++ b/internal/router/routing/router.go
@@ -117,7 +117,7 @@
 func (r *Router) detectStall() {
 	if time.Since(r.lastStep) > stallIntervals*r.start.Limits.StepInterval {
 		r.Stalls.Add(1)
-		r.trace.Stall(policy.TenthMs(time.Since(r.lastStep) / clock.Tenth))
+		r.trace.Stall(policy.TenthMs(time.Since(r.lastStep) / clock.Resolution))
 		time.Sleep(r.start.Limits.StallRecoveryDelay)
 	}
 	r.lastStep = time.Now()
@@ -182,7 +182,7 @@
 
 // scheduleWakeUp schedules a wake-up of the policy, unless an earlier one is scheduled.
 func (r *Router) scheduleWakeUp(after policy.TenthMs) {
-	if at := time.Now().Add(clock.Span(after)); r.wakeAt.IsZero() || at.Before(r.wakeAt) {
+	if at := time.Now().Add(clock.ToDuration(after)); r.wakeAt.IsZero() || at.Before(r.wakeAt) {
 		r.wakeAt = at
 	}
 }
@@ -193,7 +193,7 @@
 	r.policy.SetTime(now)
 	if r.trace != nil {
 		r.trace.SetTime(now)
-		r.trace.SystemClock(time.Now().UnixNano() / int64(clock.Tenth))
+		r.trace.SystemClock(time.Now().UnixNano() / int64(clock.Resolution))
 	}
 	return now
 }
--- a/internal/router/service/service.go
+++ b/internal/router/service/service.go
@@ -93,7 +93,7 @@
 		if p.trace, err = NewTraceWriter(start, section, log); err != nil {
 			return nil, fmt.Errorf("trace: %w", err)
 		}
-		recorder = record.New(p.trace, section.Block, section.Part, section.Key, section.Detail)
+		recorder = record.New(p.trace, section.BlockBytes, section.SamplePerMille, section.Key, section.CaptureCandidates)
 	}
 	if p.router, err = routing.New(start, p.hosts, broadcast, recorder, log); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
--- a/internal/router/service/trace.go
+++ b/internal/router/service/trace.go
@@ -35,12 +35,12 @@
 		return nil, err
 	}
 	header := format.Header{
-		Router: start.Name, Incarnation: NewIncarnation(), StartedAt: time.Now().UnixNano() / int64(clock.Tenth), Build: buildRevision(),
-		SampledPerMille: section.Part, Schema: record.Schema, Extra: map[string][]byte{"deployment": deployment, "groups": groups},
+		Router: start.Name, Incarnation: NewIncarnation(), StartedAt: time.Now().UnixNano() / int64(clock.Resolution), Build: buildRevision(),
+		SampledPerMille: section.SamplePerMille, Schema: record.Schema, Extra: map[string][]byte{"deployment": deployment, "groups": groups},
 	}
 	config := file.Config{
-		Dir: section.Dir, Name: start.Name, MaxFileBytes: section.Size, MaxFileAge: section.Age, MaxTotalBytes: section.Budget,
-		SyncInterval: section.Flush, BlockCount: section.Blocks,
+		Dir: section.Dir, Name: start.Name, MaxFileBytes: section.FileBytes, MaxFileAge: section.FileAge, MaxTotalBytes: section.TotalBytes,
+		SyncInterval: section.FlushInterval, BlockCount: section.Blocks,
 	}
 	return file.New(config, file.Disk{}, header, time.Now, log), nil
 }
--- a/internal/router/setup/deployment.go
+++ b/internal/router/setup/deployment.go
@@ -45,13 +45,13 @@
 // Formats describes how the commands, answers and load reports of a deployment are parsed.
 type Formats struct {
 	Groups              map[string]*policy.CommandGroup // by their name in the commands' comments
-	Fields              []string                        // names of the load report fields, in order
+	LoadReportFields    []string                        // names of the load report fields, in order
 	PositionField       int                             // index of the host's position in Fields; -1 for none
 	RoleField           int                             // index of the host's role in Fields; -1 for none
 	AnswersHavePosition bool                            // every answer contains a position
 }
 
-// ReadDeployment reads the settings of a deployment. It panics with a Fault if they are invalid.
+// ReadDeployment reads the settings of a deployment. It panics with a FieldError if they are invalid.
 func ReadDeployment(env Object, seed uint32) (deployment policy.Deployment, formats Formats) {
 	bounds, rules := env.Object("bounds"), env.Object("rules")
 	prices, telemetry := env.Object("prices"), env.Object("telemetry")
@@ -70,21 +70,21 @@
 		PositionWait:       RoundDown(info.OptionalNumber("wait")),
 		LocalSessionTokens: info.OptionalText("session_marks") == "kept",
 		PositionsReported:  (reportsBy == "answers" || reportsBy == "probe") && formats.PositionField >= 0,
-		ProbesEnabled:      bounds.Flag("probes"),
-		PeerUpdatesEnabled: bounds.Flag("peers"),
+		ProbesEnabled:      bounds.Bool("probes"),
+		PeerUpdatesEnabled: bounds.Bool("peers"),
 		PeerUpdateCost:     prices.OptionalNumber("peer"),
 		ProbeCost:          prices.OptionalNumber("probe"),
 		ColdOverloadFactor: rules.OptionalNumber("overload_factor"),
 		ColdOverloadWindow: RoundDown(rules.OptionalNumber("fall")),
 		ColdCapacity:       rules.OptionalNumber("cold_from"),
 		ColdDuration:       RoundUp(rules.OptionalNumber("cold")),
-		KeepUnlistedHosts:  rules.Flag("drain_binds_alone"),
+		KeepUnlistedHosts:  rules.Bool("drain_binds_alone"),
 		StreamsPerConn:     int(max(1, bounds.optionalNotNegative("streams_per_conn"))),
 		IdleConnTimeout:    RoundDown(bounds.optionalNotNegative("conn_idle")),
 		ConnectTimeout:     RoundDown(bounds.optionalNotNegative("connect_timeout")),
 	}
 	deployment.ListTimeout = readListTimeout(env, rules)
-	if bounds.Flag("retry_after") {
+	if bounds.Bool("retry_after") {
 		deployment.MaxRetryAfter = RoundDown(bounds.OptionalNumber("max_retry_after"))
 	}
 	deployment.Groups = readGroups(env, info, formats.Groups)
@@ -96,7 +96,7 @@
 	formats := Formats{
 		Groups:        map[string]*policy.CommandGroup{},
 		PositionField: -1, RoleField: -1,
-		AnswersHavePosition: info.Flag("stamps"),
+		AnswersHavePosition: info.Bool("stamps"),
 	}
 	for i, field := range telemetry.OptionalList("fields") {
 		name, _ := field.(string)
@@ -106,7 +106,7 @@
 		case reportFieldRole:
 			formats.RoleField = i
 		}
-		formats.Fields = append(formats.Fields, name)
+		formats.LoadReportFields = append(formats.LoadReportFields, name)
 	}
 	return formats
 }
--- a/internal/router/setup/limits.go
+++ b/internal/router/setup/limits.go
@@ -4,8 +4,8 @@
 
 // Limits holds all limits and timeouts of the process and its sockets. Sizes are in bytes.
 type Limits struct {
-	Cores  int   // value for GOMAXPROCS
-	Memory int64 // soft memory limit of the Go runtime
+	MaxProcs        int   // value for GOMAXPROCS
+	SoftMemoryLimit int64 // soft memory limit of the Go runtime
 
 	MaxClientConns    int // file descriptors for clients
 	MaxHostConns      int // file descriptors for connections to hosts
@@ -76,8 +76,8 @@
 	hostConns := (sockets - reserved) * 2 / 5
 	hostIdle := bounds.durationAtLeast("conn_idle", time.Millisecond)
 	l := Limits{
-		Cores:  int(max(1, cores+0.5)),
-		Memory: memory * 3 / 4,
+		MaxProcs:        int(max(1, cores+0.5)),
+		SoftMemoryLimit: memory * 3 / 4,
 
 		MaxClientConns:    sockets - reserved - hostConns,
 		MaxHostConns:      hostConns,
--- a/internal/router/setup/object.go
+++ b/internal/router/setup/object.go
@@ -13,19 +13,19 @@
 	"ferrypitch/policy"
 )
 
-// Object is a JSON object that is read field by field. Its methods panic with a Fault if a field is missing or of the wrong type,
-// so that a function that reads dozens of fields handles errors once, with a deferred Catch. Methods named Optional... return the
-// zero value for a missing field.
+// Object is a JSON object that is read field by field. Its methods panic with a FieldError if a field is missing or of the wrong
+// type, so that a function that reads dozens of fields handles errors once, with a deferred CatchFieldError. Methods named
+// Optional... return the zero value for a missing field.
 type Object struct {
 	path   string // path of the object within the file, for errors; empty for the top level
 	fields map[string]any
 }
 
-// Fault is the error for an invalid field of the configuration or of a host list. Its text begins with the path of the field.
-type Fault string
+// FieldError is the error for an invalid field of the configuration or of a host list. Its text begins with the path of the field.
+type FieldError string
 
 // Error implements error.
-func (f Fault) Error() string { return string(f) }
+func (f FieldError) Error() string { return string(f) }
 
 // Decode decodes a JSON object. name is its path in errors.
 func Decode(name string, text []byte) (Object, error) {
@@ -41,23 +41,24 @@
 	return o, nil
 }
 
-// Catch recovers from a panic with a Fault and stores it in err. Functions that read objects defer it. Other panics continue.
-func Catch(err *error) {
+// CatchFieldError recovers from a panic with a FieldError and stores it in err. Functions that read objects defer it. Other
+// panics continue.
+func CatchFieldError(err *error) {
 	switch cause := recover().(type) {
 	case nil:
-	case Fault:
+	case FieldError:
 		*err = cause
 	default:
 		panic(cause)
 	}
 }
 
-// fail panics with a Fault for a field.
+// fail panics with a FieldError for a field.
 func (o Object) fail(field, text string) {
-	panic(Fault(o.fieldPath(field) + ": " + text))
+	panic(FieldError(o.fieldPath(field) + ": " + text))
 }
 
-// failKind panics with a Fault for a field that is missing or not of the kind required.
+// failKind panics with a FieldError for a field that is missing or not of the kind required.
 func (o Object) failKind(field, kind string) {
 	if !o.Has(field) {
 		o.fail(field, "missing")
@@ -160,8 +161,8 @@
 	return word
 }
 
-// Flag returns the value of a bool field, or false if it is missing.
-func (o Object) Flag(field string) bool {
+// Bool returns the value of a bool field, or false if it is missing.
+func (o Object) Bool(field string) bool {
 	flag, ok := o.fields[field].(bool)
 	if !ok && o.Has(field) {
 		o.failKind(field, "a bool")
--- a/internal/router/setup/operator.go
+++ b/internal/router/setup/operator.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer Catch(&err)
+	defer CatchFieldError(&err)
 	operator = &Operator{}
 	dir := filepath.Dir(path)
 	if top.Has("forward") {
@@ -94,9 +94,9 @@
 	return nil
 }
 
-// AsForwarder changes the configuration to that of a forwarder, which gets all information about hosts from planners: it sends no
-// health checks, exchanges no messages with other routers, and uses the initial list as its first view.
-func (s *Start) AsForwarder() {
+// ConfigureAsForwarder changes the configuration to that of a forwarder, which gets all information about hosts from planners: it
+// sends no health checks, exchanges no messages with other routers, and uses the initial list as its first view.
+func (s *Start) ConfigureAsForwarder() {
 	deployments := []*policy.Deployment{&s.Deployment}
 	if s.NextSettings != nil {
 		deployments = append(deployments, &s.NextSettings.Deployment)
--- a/internal/router/setup/sections.go
+++ b/internal/router/setup/sections.go
@@ -58,28 +58,28 @@
 
 // TraceSection is the configuration of trace capture.
 type TraceSection struct {
-	Dir    string         // directory of the trace files
-	Part   uint32         // sampled sessions per thousand
-	Key    [keyBytes]byte // key of the hash that samples sessions; unused if all are captured
-	Detail bool           // whether the candidates of each dispatch are captured
-
-	Size   int64         // approximate maximum size of a file, in bytes
-	Budget int64         // maximum size of all files together, in bytes
-	Age    time.Duration // maximum age of a file, after which a new one begins
-	Flush  time.Duration // between two writes of buffered data
-	Block  int           // approximate size of a block, in bytes
-	Blocks int           // number of blocks in memory
+	Dir               string         // directory of the trace files
+	SamplePerMille    uint32         // sampled sessions per thousand
+	Key               [keyBytes]byte // key of the hash that samples sessions; unused if all are captured
+	CaptureCandidates bool           // whether the candidates of each dispatch are captured
+
+	FileBytes     int64         // approximate maximum size of a file, in bytes
+	TotalBytes    int64         // maximum size of all files together, in bytes
+	FileAge       time.Duration // maximum age of a file, after which a new one begins
+	FlushInterval time.Duration // between two writes of buffered data
+	BlockBytes    int           // approximate size of a block, in bytes
+	Blocks        int           // number of blocks in memory
 }
 
-// fullSamplePerMille is the value of TraceSection.Part with which all sessions are captured.
+// fullSamplePerMille is the value of TraceSection.SamplePerMille with which all sessions are captured.
 const fullSamplePerMille = 1000
 
 // FullTrace returns a configuration that captures all sessions. Its file sizes suit a directory that is in memory. Routers without
 // an operator's file use it.
 func FullTrace(dir string) *TraceSection {
 	return &TraceSection{
-		Dir: dir, Part: fullSamplePerMille, Size: 4 << 20, Budget: 12 << 20, Age: time.Hour, Flush: time.Second,
-		Block: 128 << 10, Blocks: 3,
+		Dir: dir, SamplePerMille: fullSamplePerMille, FileBytes: 4 << 20, TotalBytes: 12 << 20, FileAge: time.Hour, FlushInterval: time.Second,
+		BlockBytes: 128 << 10, Blocks: 3,
 	}
 }
 
@@ -143,29 +143,29 @@
 // readTrace reads the section of trace capture.
 func readTrace(o Object, dir string) (*TraceSection, error) {
 	t := &TraceSection{
-		Dir:    o.Text("dir"),
-		Part:   fullSamplePerMille,
-		Detail: !o.Has("detail") || o.Flag("detail"),
-		Size:   int64(o.optionalInt("file_mb", 64)) << 20,
-		Budget: int64(o.optionalInt("budget_mb", 1024)) << 20,
-		Age:    o.optionalMilliseconds("file_ms", time.Hour),
-		Flush:  time.Second,
-		Block:  256 << 10,
-		Blocks: 4,
+		Dir:               o.Text("dir"),
+		SamplePerMille:    fullSamplePerMille,
+		CaptureCandidates: !o.Has("detail") || o.Bool("detail"),
+		FileBytes:         int64(o.optionalInt("file_mb", 64)) << 20,
+		TotalBytes:        int64(o.optionalInt("budget_mb", 1024)) << 20,
+		FileAge:           o.optionalMilliseconds("file_ms", time.Hour),
+		FlushInterval:     time.Second,
+		BlockBytes:        256 << 10,
+		Blocks:            4,
 	}
 	t.Dir = absolutePath(t.Dir, dir)
 	if !isDirectory(t.Dir) {
 		return nil, fmt.Errorf("%s.dir: %s: not an existing directory", o.path, t.Dir)
 	}
-	if t.Budget < 2*t.Size {
+	if t.TotalBytes < 2*t.FileBytes {
 		return nil, fmt.Errorf("%s.budget_mb: less than twice the size of a file", o.path)
 	}
 	if !o.Has("part") {
 		return t, nil
 	}
-	t.Part = uint32(o.Number("part") * fullSamplePerMille)
+	t.SamplePerMille = uint32(o.Number("part") * fullSamplePerMille)
 	var err error
-	if t.Part < fullSamplePerMille {
+	if t.SamplePerMille < fullSamplePerMille {
 		t.Key, err = readSectionKey(o, dir)
 	}
 	return t, err
--- a/internal/router/setup/setup.go
+++ b/internal/router/setup/setup.go
@@ -16,18 +16,18 @@
 
 // Start is the configuration of one router.
 type Start struct {
-	Name         string
-	Listen       string   // address for clients
-	Discovery    string   // address of the discovery service
-	PeerListen   string   // address for datagrams of the other routers
-	PeersAll     string   // broadcast address of the other routers
-	Peers        []string // addresses of the other routers
-	InitialList  Object   // host list of the previous run, for the policy; Has("targets") is false if there is none
-	InitialView  Object   // the same for the view of a forwarder
-	Deployment   policy.Deployment
-	Formats      Formats
-	NextSettings *NextSettings // settings that are previewed; nil for none
-	Limits       Limits
+	Name           string
+	Listen         string   // address for clients
+	Discovery      string   // address of the discovery service
+	PeerListen     string   // address for datagrams of the other routers
+	PeersBroadcast string   // broadcast address of the other routers
+	Peers          []string // addresses of the other routers
+	InitialList    Object   // host list of the previous run, for the policy; Has("targets") is false if there is none
+	InitialView    Object   // the same for the view of a forwarder
+	Deployment     policy.Deployment
+	Formats        Formats
+	NextSettings   *NextSettings // settings that are previewed; nil for none
+	Limits         Limits
 
 	load          func(getenv func(string) string) (*Start, error) // reloads the same configuration
 	fileDiscovery string                                           // discovery address in the file, ignoring the environment
@@ -63,7 +63,7 @@
 // readStart reads and validates the configuration of a router. The addresses for clients and of discovery are required only if
 // standalone is true.
 func readStart(top Object, getenv func(string) string, standalone bool) (s *Start, err error) {
-	defer Catch(&err)
+	defer CatchFieldError(&err)
 	envOrFile := func(variable, key string) string {
 		if value := getenv(variable); value != "" {
 			return value
@@ -74,16 +74,16 @@
 		return top.Text(key)
 	}
 	s = &Start{
-		Name:       envOrFile("GW_NAME", "name"),
-		Listen:     envOrFile("GW_LISTEN", "listen"),
-		Discovery:  envOrFile("GW_DISCOVERY", "discovery"),
-		PeerListen: top.OptionalText("peer_listen"),
-		PeersAll:   top.OptionalText("peers_all"),
+		Name:           envOrFile("GW_NAME", "name"),
+		Listen:         envOrFile("GW_LISTEN", "listen"),
+		Discovery:      envOrFile("GW_DISCOVERY", "discovery"),
+		PeerListen:     top.OptionalText("peer_listen"),
+		PeersBroadcast: top.OptionalText("peers_all"),
 	}
 	s.readSettings(top)
 	s.readPeers(top)
 	if s.Name == "" {
-		panic(Fault("GW_NAME: missing, and no name in the file"))
+		panic(FieldError("GW_NAME: missing, and no name in the file"))
 	}
 	if standalone || s.Listen != "" {
 		requireAddress(s.Listen, "GW_LISTEN (listen)")
@@ -112,7 +112,7 @@
 	read := func(key string) (policy.Deployment, Formats) {
 		deployment, formats := ReadDeployment(top.Object(key), uint32(seed)^uint32(seed>>32))
 		deployment.PositionEpoch = 0 // positions in the protocol are Unix times
-		deployment.PeerUpdatesEnabled = deployment.PeerUpdatesEnabled && s.PeerListen != "" && s.PeersAll != ""
+		deployment.PeerUpdatesEnabled = deployment.PeerUpdatesEnabled && s.PeerListen != "" && s.PeersBroadcast != ""
 		return deployment, formats
 	}
 	s.Deployment, s.Formats = read("settings")
@@ -123,7 +123,7 @@
 	s.NextSettings.Deployment, s.NextSettings.Formats = read("next_settings")
 	for name := range s.Formats.Groups {
 		if s.NextSettings.Formats.Groups[name] == nil {
-			panic(Fault("next_settings.classes: no class named " + strconv.Quote(name)))
+			panic(FieldError("next_settings.classes: no class named " + strconv.Quote(name)))
 		}
 	}
 }
@@ -138,7 +138,7 @@
 		return
 	}
 	requireAddress(s.PeerListen, "peer_listen")
-	requireAddress(s.PeersAll, "peers_all")
+	requireAddress(s.PeersBroadcast, "peers_all")
 	for i, peer := range s.Peers {
 		requireAddress(peer, "peers["+strconv.Itoa(i)+"]")
 	}
@@ -169,19 +169,19 @@
 	return next, fromNextStart, nil
 }
 
-// checkAddress is requireAddress, but returns the Fault as an error.
+// checkAddress is requireAddress, but returns the FieldError as an error.
 func checkAddress(text, key string) (err error) {
-	defer Catch(&err)
+	defer CatchFieldError(&err)
 	requireAddress(text, key)
 	return nil
 }
 
-// requireAddress panics with a Fault unless a text is an IP address and a port.
+// requireAddress panics with a FieldError unless a text is an IP address and a port.
 func requireAddress(text, key string) {
 	if text == "" {
-		panic(Fault(key + ": missing"))
+		panic(FieldError(key + ": missing"))
 	}
 	if _, err := netip.ParseAddrPort(text); err != nil {
-		panic(Fault(key + ": not an address and port: " + strconv.Quote(text)))
+		panic(FieldError(key + ": not an address and port: " + strconv.Quote(text)))
 	}
 }
--- a/internal/router/setup/setup_test.go
+++ b/internal/router/setup/setup_test.go
@@ -22,12 +22,12 @@
 		if l.MaxClientConns < 16 || l.MaxHostConns < 16 || l.SpareClientConns < 8 || l.MaxClientConns+l.MaxHostConns+l.SpareClientConns > given-16 {
 			t.Errorf("%s: %d for clients, %d for hosts", sockets, l.MaxClientConns, l.MaxHostConns)
 		}
-		if l.Cores != 1 || l.Memory >= 192<<20 || l.HostIdleTimeout >= 30*time.Second || l.ShutdownTimeout != 1400*time.Millisecond ||
+		if l.MaxProcs != 1 || l.SoftMemoryLimit >= 192<<20 || l.HostIdleTimeout >= 30*time.Second || l.ShutdownTimeout != 1400*time.Millisecond ||
 			l.DrainDelay != 1200*time.Millisecond {
 			t.Errorf("%+v", l)
 		}
-		if most := l.BufferBudget + int64(l.MaxHostConns*l.MaxHostMessage) + int64((l.MaxHostConns+l.MaxClientConns)*l.InitialBuffer); sockets == "1024" && most > l.Memory {
-			t.Errorf("buffers may take %d of %d", most, l.Memory)
+		if most := l.BufferBudget + int64(l.MaxHostConns*l.MaxHostMessage) + int64((l.MaxHostConns+l.MaxClientConns)*l.InitialBuffer); sockets == "1024" && most > l.SoftMemoryLimit {
+			t.Errorf("buffers may take %d of %d", most, l.SoftMemoryLimit)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 
 func TestInvalidFieldIsATypedError(t *testing.T) {
 	read := func() (err error) {
-		defer Catch(&err)
+		defer CatchFieldError(&err)
 		top, err := Decode("", []byte(`{"settings":{"classes":[{"give_up":"soon"}]}}`))
 		if err != nil {
 			return err
@@ -67,8 +67,8 @@
 		top.Object("settings").Objects("classes")[0].Number("give_up")
 		return nil
 	}
-	var fault Fault
-	if err := read(); !errors.As(err, &fault) || fault != "settings.classes[0].give_up: not a number" {
+	var fieldError FieldError
+	if err := read(); !errors.As(err, &fieldError) || fieldError != "settings.classes[0].give_up: not a number" {
 		t.Errorf("%T %v", err, err)
 	}
 }
--- a/internal/router/tier/forward/forward.go
+++ b/internal/router/tier/forward/forward.go
@@ -89,7 +89,9 @@
 	return f
 }
 
-func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
+func tenths(duration time.Duration) policy.TenthMs {
+	return policy.TenthMs(duration / clock.Resolution)
+}
 
 // LoadList applies the list that a forwarder starts with. It must be called before Run.
 func (f *Forwarder) LoadList(revision int64, whole bool, hosts []view.Host) {
@@ -129,7 +131,7 @@
 		case <-timer.C:
 		}
 		next := f.tick(ctx, links)
-		timer.Reset(max(minTickDelay, clock.Span(next-f.clock.Now())))
+		timer.Reset(max(minTickDelay, clock.ToDuration(next-f.clock.Now())))
 	}
 }
 
--- a/internal/router/tier/plan/plan.go
+++ b/internal/router/tier/plan/plan.go
@@ -94,7 +94,9 @@
 	}
 }
 
-func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
+func tenths(duration time.Duration) policy.TenthMs {
+	return policy.TenthMs(duration / clock.Resolution)
+}
 
 // Run serves forwarders on the listener until the context ends, and returns once
 // all its goroutines have ended.
@@ -139,14 +141,14 @@
 		}
 		p.traceTime()
 		next := p.tick(ctx)
-		timer.Reset(max(minTickDelay, clock.Span(next-p.clock.Now())))
+		timer.Reset(max(minTickDelay, clock.ToDuration(next-p.clock.Now())))
 	}
 }
 
 // traceTime records the time of the events that follow.
 func (p *Server) traceTime() {
 	if p.trace != nil {
-		p.trace.SetTime(p.clock.Now(), time.Now().UnixNano()/int64(clock.Tenth))
+		p.trace.SetTime(p.clock.Now(), time.Now().UnixNano()/int64(clock.Resolution))
 	}
 }
 
--- a/internal/router/tier/plan/probe.go
+++ b/internal/router/tier/plan/probe.go
@@ -75,7 +75,7 @@
 	}
 	terms := p.start.Formats
 	reportedPosition, reportedRole, ok := terms.ParseLoadReport(func(i int) (float64, bool) {
-		return protocol.LoadReportField(answer.Value, terms.Fields[i])
+		return protocol.LoadReportField(answer.Value, terms.LoadReportFields[i])
 	})
 	if !ok {
 		return position, role
--- a/internal/router/transport/client_reader.go
+++ b/internal/router/transport/client_reader.go
@@ -110,7 +110,7 @@
 		case code == protocol.SSLRequest || code == protocol.GSSEncRequest:
 			c.send([]byte{protocol.EncryptionDeclined})
 		case code>>16 == protocol.Version>>16:
-			c.send(protocol.AppendGreeting(nil))
+			c.send(protocol.AppendStartupResponse(nil))
 			return true
 		case code == protocol.CancelRequest:
 			return false
@@ -189,7 +189,7 @@
 		return false
 	case protocol.Sync:
 		c.skippingToSync = false
-		c.addSlot().complete(protocol.AppendReady(nil))
+		c.addSlot().complete(protocol.AppendReadyForQuery(nil))
 	case protocol.Query:
 		c.handleQuery(body, receivedAt)
 	case protocol.CopyData, protocol.CopyDone, protocol.CopyFail, protocol.Flush:
--- a/internal/router/transport/hosts_test.go
+++ b/internal/router/transport/hosts_test.go
@@ -56,13 +56,13 @@
 func rowAnswer(value byte) []byte {
 	b := append([]byte{protocol.RowDescription, 0, 0, 0, 25, 0, 1, 0}, make([]byte, 18)...)
 	b = append(b, protocol.DataRow, 0, 0, 0, 11, 0, 1, 0, 0, 0, 1, value)
-	return protocol.AppendReady(append(b, protocol.CommandComplete, 0, 0, 0, 6, 'S', 0))
+	return protocol.AppendReadyForQuery(append(b, protocol.CommandComplete, 0, 0, 0, 6, 'S', 0))
 }
 
 // acceptStartup reads a startup message and answers it.
 func acceptStartup(conn net.Conn) {
 	readSome(conn)
-	conn.Write(protocol.AppendGreeting(nil))
+	conn.Write(protocol.AppendStartupResponse(nil))
 }
 
 // send starts a call and returns it with the channel that receives its answer.
@@ -131,7 +131,12 @@
 			c.Write(append(rowAnswer('a')[:45], "noise"...))
 			readSome(c)
 		}, policy.Answered},
-		"nothing in the answer": {func(c net.Conn) { acceptStartup(c); readSome(c); c.Write(protocol.AppendReady(nil)); readSome(c) }, policy.Reset},
+		"nothing in the answer": {func(c net.Conn) {
+			acceptStartup(c)
+			readSome(c)
+			c.Write(protocol.AppendReadyForQuery(nil))
+			readSome(c)
+		}, policy.Reset},
 	} {
 		_, host := startHost(t, 9, test.serve)
 		if got := host.outcome(); got != test.want {
--- a/internal/router/transport/peers.go
+++ b/internal/router/transport/peers.go
@@ -44,7 +44,7 @@
 	p := &Peers{
 		limits: &start.Limits, conn: conn, allowed: map[netip.AddrPort]bool{}, outgoing: make(chan string, peerSendQueueSize),
 	}
-	if p.broadcastAddress, err = netip.ParseAddrPort(start.PeersAll); err != nil {
+	if p.broadcastAddress, err = netip.ParseAddrPort(start.PeersBroadcast); err != nil {
 		return nil, err
 	}
 	for _, text := range start.Peers {
--- a/internal/router/transport/peers_test.go
+++ b/internal/router/transport/peers_test.go
@@ -22,7 +22,7 @@
 	listen := free.LocalAddr().String()
 	free.Close()
 	p, err := NewPeers(&setup.Start{
-		PeerListen: listen, PeersAll: peer.LocalAddr().String(),
+		PeerListen: listen, PeersBroadcast: peer.LocalAddr().String(),
 		Peers: []string{listen, peer.LocalAddr().String()}, Limits: setup.Limits{MaxDatagram: 256, RetryDelay: time.Millisecond},
 	})
 	if err != nil {
--- a/internal/router/transport/slot.go
+++ b/internal/router/transport/slot.go
@@ -25,7 +25,7 @@
 }
 
 // Answer answers with the frames that a host sent for the command.
-func (s *Slot) Answer(frames []byte) { s.complete(protocol.AppendReady(frames)) }
+func (s *Slot) Answer(frames []byte) { s.complete(protocol.AppendReadyForQuery(frames)) }
 
 // Reject answers a malformed or unsupported command with an SQLSTATE code. Too many rejected commands in a row end the
 // connection.
@@ -50,17 +50,17 @@
 	if retryAfterMs > 0 {
 		detail = strconv.FormatInt(retryAfterMs, 10)
 	}
-	s.complete(protocol.AppendReady(protocol.AppendError(nil, severityError, protocol.TooManyConnections, "throttled, try again", detail)))
+	s.complete(protocol.AppendReadyForQuery(protocol.AppendError(nil, severityError, protocol.TooManyConnections, "throttled, try again", detail)))
 }
 
 // Fail answers with an SQLSTATE code. It is unknown whether the command was executed.
 func (s *Slot) Fail(code, text string) {
-	s.complete(protocol.AppendReady(protocol.AppendError(nil, severityError, code, text, "")))
+	s.complete(protocol.AppendReadyForQuery(protocol.AppendError(nil, severityError, code, text, "")))
 }
 
 // AnswerEmptyQuery answers a query without a statement.
 func (s *Slot) AnswerEmptyQuery() {
-	s.complete(protocol.AppendReady(protocol.AppendEmptyQueryResponse(nil)))
+	s.complete(protocol.AppendReadyForQuery(protocol.AppendEmptyQueryResponse(nil)))
 }
 
 // complete stores the answer and queues all answers for writing that no earlier command is holding back.
--- a/internal/simadapter/adapter.go
+++ b/internal/simadapter/adapter.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return err
 	}
-	defer setup.Catch(&err)
+	defer setup.CatchFieldError(&err)
 	a.now = batch.Number("now")
 	fmt.Fprintf(a.out, `{"round":%d,"cmds":[`, batch.Integer("round"))
 	a.firstAction = true
@@ -107,14 +107,14 @@
 	}
 }
 
-// reportPanic is deferred. It recovers a panic of the policy and reports it to the simulator. It re-panics setup.Fault, an input
-// error, for setup.Catch.
+// reportPanic is deferred. It recovers a panic of the policy and reports it to the simulator. It re-panics setup.FieldError, an input
+// error, for setup.CatchFieldError.
 func (a *adapter) reportPanic(proxyID int64) {
 	reason := recover()
 	if reason == nil {
 		return
 	}
-	if _, ok := reason.(setup.Fault); ok {
+	if _, ok := reason.(setup.FieldError); ok {
 		panic(reason)
 	}
 	stack := bytes.ReplaceAll(debug.Stack(), []byte("\n"), []byte(" "))
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -59,11 +59,11 @@
 func (i *instance) handleIngress(event setup.Object) {
 	group := i.formats.Groups[event.Text("tier_class")]
 	if group == nil {
-		panic(setup.Fault("tier_class: not among the classes of spawn"))
+		panic(setup.FieldError("tier_class: not among the classes of spawn"))
 	}
 	name := event.Text("req")
 	i.commands[name] = i.policy.Submit(name, group, event.Integer("group_no"), event.OptionalText("user"),
-		setup.RoundDown(event.Number("give_up_at")), setup.RoundDown(event.OptionalNumber("since_write_ms")), event.Flag("is_retry"))
+		setup.RoundDown(event.Number("give_up_at")), setup.RoundDown(event.OptionalNumber("since_write_ms")), event.Bool("is_retry"))
 }
 
 // The layout of an attempt's stamp: the host's role in the low bits, its log position in milliseconds in the bits above.
@@ -92,7 +92,7 @@
 		position = unknownPosition
 	}
 	role := policy.Role(min(stamp&stampRoleMask, maxStampRole))
-	command.EndDispatch(outcomeOf(event), position, role, setup.RoundDown(event.Number("cost_time")), event.Flag("ended"))
+	command.EndDispatch(outcomeOf(event), position, role, setup.RoundDown(event.Number("cost_time")), event.Bool("ended"))
 }
 
 // handleDropped abandons a command whose client has disconnected.
@@ -128,7 +128,7 @@
 func outcomeOf(event setup.Object) policy.Outcome {
 	number := event.Integer("how")
 	if number < 1 || number > int64(policy.Misrouted)+1 {
-		panic(setup.Fault(fmt.Sprintf("how: no outcome %d", number)))
+		panic(setup.FieldError(fmt.Sprintf("how: no outcome %d", number)))
 	}
 	return policy.Outcome(number - 1)
 }
--- a/internal/simulation/tierfleet/run.go
+++ b/internal/simulation/tierfleet/run.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return "", err
 	}
-	operator.Start.AsForwarder()
+	operator.Start.ConfigureAsForwarder()
 	signals := make(chan os.Signal, 1)
 	stop := context.AfterFunc(ctx, func() { signals <- os.Interrupt })
 	tasks.Go(func() error {
--- a/internal/simulation/tierfleet/trace_test.go
+++ b/internal/simulation/tierfleet/trace_test.go
@@ -33,7 +33,7 @@
 	operator, err := setup.LoadOperator(path, noEnvironment)
 	require.NoError(t, err)
 	if operator.Forward != nil {
-		operator.Start.AsForwarder()
+		operator.Start.ConfigureAsForwarder()
 	}
 	signals := make(chan os.Signal, 1)
 	var tasks errgroup.Group
