--- a/internal/router/protocol/append.go
+++ b/internal/router/protocol/append.go
@@ -6,8 +6,8 @@
 // own.
 const transactionIdle = 'I'
 
-// greetingParameters are the parameters that drivers expect after the startup message.
-var greetingParameters = [...]struct{ name, value string }{
+// startupParameters are the parameters that drivers expect after the startup message.
+var startupParameters = [...]struct{ name, value string }{
 	{"server_version", "15.0"},
 	{"server_encoding", "UTF8"},
 	{"client_encoding", "UTF8"},
@@ -24,16 +24,16 @@
 	return b
 }
 
-// appendText appends a zero-terminated string.
-func appendText(b []byte, text string) []byte { return append(append(b, text...), 0) }
+// appendCString appends a zero-terminated string.
+func appendCString(b []byte, text string) []byte { return append(append(b, text...), 0) }
 
 // AppendStartup appends the startup message of a session with a host.
 func AppendStartup(b []byte, user, database string) []byte {
 	start := len(b)
 	b = append(b, make([]byte, lengthBytes)...)
 	b = binary.BigEndian.AppendUint32(b, Version)
-	b = appendText(appendText(b, "user"), user)
-	b = appendText(appendText(b, "database"), database)
+	b = appendCString(appendCString(b, "user"), user)
+	b = appendCString(appendCString(b, "database"), database)
 	b = append(b, 0)
 	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start))
 	return b
@@ -48,9 +48,9 @@
 // requests are not supported, and ReadyForQuery.
 func AppendStartupResponse(b []byte) []byte {
 	b = appendMessage(b, Authentication, func(b []byte) []byte { return append(b, 0, 0, 0, 0) })
-	for _, parameter := range greetingParameters {
+	for _, parameter := range startupParameters {
 		b = appendMessage(b, ParameterStatus, func(b []byte) []byte {
-			return appendText(appendText(b, parameter.name), parameter.value)
+			return appendCString(appendCString(b, parameter.name), parameter.value)
 		})
 	}
 	b = appendMessage(b, BackendKeyData, func(b []byte) []byte { return append(b, 0, 0, 0, 0, 0, 0, 0, 0) })
@@ -70,12 +70,12 @@
 // AppendError appends an ErrorResponse with an SQLSTATE code. detail may be empty.
 func AppendError(b []byte, severity, code, text, detail string) []byte {
 	return appendMessage(b, ErrorResponse, func(b []byte) []byte {
-		b = appendText(append(b, 'S'), severity)
-		b = appendText(append(b, 'V'), severity) // the non-localized severity field
-		b = appendText(append(b, errorFieldCode), code)
-		b = appendText(append(b, 'M'), text)
+		b = appendCString(append(b, 'S'), severity)
+		b = appendCString(append(b, 'V'), severity) // the non-localized severity field
+		b = appendCString(append(b, errorFieldCode), code)
+		b = appendCString(append(b, 'M'), text)
 		if detail != "" {
-			b = appendText(append(b, 'D'), detail)
+			b = appendCString(append(b, 'D'), detail)
 		}
 		return append(b, 0)
 	})
--- a/internal/router/protocol/command.go
+++ b/internal/router/protocol/command.go
@@ -32,11 +32,11 @@
 
 // ParseCommand parses a statement. It fails with ErrInvalidComment or ErrUnsupportedStatement.
 func ParseCommand(statement []byte) (Command, error) {
-	inside, rest, ok := cutComment(statement)
+	comment, rest, ok := cutComment(statement)
 	if !ok {
 		return Command{}, ErrInvalidComment
 	}
-	command, err := parseComment(inside)
+	command, err := parseComment(comment)
 	if err != nil {
 		return Command{}, err
 	}
@@ -117,14 +117,14 @@
 
 // AppendWithTimeout appends a statement with the timeout in its comment replaced by timeoutMs. The rest is copied unchanged.
 func AppendWithTimeout(b, statement []byte, timeoutMs int64) []byte {
-	inside, rest, ok := cutComment(statement)
+	comment, rest, ok := cutComment(statement)
 	if !ok {
 		return append(b, statement...)
 	}
-	start := len(statement) - len(rest) - len("*/") - len(inside)
+	start := len(statement) - len(rest) - len("*/") - len(comment)
 	b = append(b, statement[:start]...)
-	for len(inside) > 0 {
-		item, after, hasMore := bytes.Cut(inside, []byte{','})
+	for len(comment) > 0 {
+		item, after, hasMore := bytes.Cut(comment, []byte{','})
 		if trimmed := bytes.TrimLeft(item, " "); bytes.HasPrefix(trimmed, []byte("d=")) {
 			b = append(b, item[:len(item)-len(trimmed)+len("d=")]...)
 			b = strconv.AppendInt(b, timeoutMs, 10)
@@ -132,7 +132,7 @@
 		} else {
 			b = append(b, item...)
 		}
-		if inside = after; hasMore {
+		if comment = after; hasMore {
 			b = append(b, ',')
 		}
 	}
--- a/internal/router/routing/hosts.go
+++ b/internal/router/routing/hosts.go
@@ -136,9 +136,9 @@
 	r.queue.Put(eventloop.PriorityControl, func() {
 		for _, name := range dropped {
 			if h := r.hosts[name]; h != nil {
-				gone := h.Host
-				gone.Standing = policy.Removed
-				hosts = append(hosts, gone)
+				removed := h.Host
+				removed.Standing = policy.Removed
+				hosts = append(hosts, removed)
 			}
 		}
 		if len(hosts) > 0 {
--- a/internal/router/routing/preview.go
+++ b/internal/router/routing/preview.go
@@ -66,21 +66,21 @@
 }
 
 // compare counts the difference between the previewed and the actual disposition of a command.
-func (v previewedDisposition) compare(handle *policy.Command) {
-	p := v.preview
+func (d previewedDisposition) compare(handle *policy.Command) {
+	p := d.preview
 	if p == nil {
 		return
 	}
 	p.Compared.Add(1)
 	switch disposition, node := handle.Disposition(); {
-	case disposition == v.disposition && node == v.node:
-	case disposition == v.disposition:
+	case disposition == d.disposition && node == d.node:
+	case disposition == d.disposition:
 		p.OtherHost.Add(1)
-	case v.disposition == policy.AwaitingProbe:
+	case d.disposition == policy.AwaitingProbe:
 		p.WouldProbe.Add(1)
-	case v.disposition == policy.Queued:
+	case d.disposition == policy.Queued:
 		p.WouldQueue.Add(1)
-	case v.disposition == policy.Dispatched:
+	case d.disposition == policy.Dispatched:
 		p.WouldSend.Add(1)
 	default:
 		p.WouldThrottle.Add(1)
--- a/internal/router/routing/routing_test.go
+++ b/internal/router/routing/routing_test.go
@@ -114,12 +114,12 @@
 	client := dial(t, address)
 	client.query("/* id=0,c=order,d=80,cluster=1 */ INSERT INTO records (k, v) VALUES ('k', '\\x') RETURNING v")
 	if _, code := client.answer(); code != protocol.TooManyConnections {
-		t.Errorf("timed out while held: %q", code)
+		t.Errorf("the code after a timeout in the queue is %q", code)
 	}
-	left := make(chan int)
-	r.queue.Put(eventloop.PriorityOutcomes, func() { left <- len(r.commands) + len(r.slots) })
-	if n := <-left; n != 0 {
-		t.Errorf("%d are kept of a command that timed out while held", n)
+	remaining := make(chan int)
+	r.queue.Put(eventloop.PriorityOutcomes, func() { remaining <- len(r.commands) + len(r.slots) })
+	if n := <-remaining; n != 0 {
+		t.Errorf("%d entries are left of a command that timed out in the queue", n)
 	}
 	client.query("/* id=1,c=order,d=900000,cluster=1 */ INSERT INTO records (k, v) VALUES ('k', '\\x') RETURNING v")
 	for r.Taken.Load() < 2 { // no host accepts commands, so the command is queued
@@ -127,7 +127,7 @@
 	}
 	r.queue.Put(eventloop.PriorityCommands, func() { panic("a fault of the module") })
 	if _, code := client.answer(); code != protocol.SystemError {
-		t.Errorf("the held command ends with %q", code)
+		t.Errorf("the queued command fails with %q", code)
 	}
 	client.query("")
 	if kinds, _ := client.answer(); kinds != "IZ" {
@@ -176,7 +176,7 @@
 		t.Errorf("%d stalls after an hour", r.Stalls.Load())
 	}
 	if r.detectStall(); r.Stalls.Load() != 1 {
-		t.Error("going on at once counts as a stall")
+		t.Error("a step without a delay counts as a stall")
 	}
 	if next := r.nextWakeUp(); next.After(time.Now().Add(time.Minute)) {
 		t.Errorf("the next wake-up is at %v", next)
@@ -204,15 +204,15 @@
 	go func() { waited <- q.Put(eventloop.PriorityCommands, func() {}) }()
 	select {
 	case <-waited:
-		t.Error("a full queue takes a command")
+		t.Error("a full queue accepts a command")
 	default:
 	}
 	q.Take(eventloop.PriorityCommands)
 	if !<-waited || q.Len() != 2 {
-		t.Error("the command that waited is lost")
+		t.Error("the command that waited for space is lost")
 	}
 	q.Close()
 	if q.Put(eventloop.PriorityOutcomes, func() {}) {
-		t.Error("a closed queue takes")
+		t.Error("a closed queue accepts a function")
 	}
 }
--- a/internal/router/service/counters.go
+++ b/internal/router/service/counters.go
@@ -3,7 +3,7 @@
 import "go.uber.org/zap"
 
 // counters returns the counters of all components as log fields.
-func (p *program) counters() []zap.Field {
+func (p *service) counters() []zap.Field {
 	fields := append(p.router.LogFields(),
 		zap.Int64("clients_accepted", p.clients.Accepted.Load()),
 		zap.Int("clients_open", p.clients.OpenConns()),
--- a/internal/router/service/service.go
+++ b/internal/router/service/service.go
@@ -21,8 +21,8 @@
 	"ferrypitch/internal/router/transport"
 )
 
-// program holds the components of a running router.
-type program struct {
+// service holds the components of a running router.
+type service struct {
 	start   *setup.Start
 	limits  *setup.Limits
 	log     *zap.Logger
@@ -50,7 +50,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	defer end()
 	tasks, ctx := errgroup.WithContext(ctx)
-	p, err := newProgram(ctx, operator, log)
+	p, err := newService(ctx, operator, log)
 	if err != nil {
 		return err
 	}
@@ -74,11 +74,11 @@
 	return err
 }
 
-// newProgram creates all components but the forwarder, which needs a running router. Connections to hosts live until ctx ends.
-func newProgram(ctx context.Context, operator *setup.Operator, log *zap.Logger) (*program, error) {
+// newService creates all components but the forwarder, which needs a running router. Connections to hosts live until ctx ends.
+func newService(ctx context.Context, operator *setup.Operator, log *zap.Logger) (*service, error) {
 	start := operator.Start
 	limits := &start.Limits
-	p := &program{start: start, limits: limits, log: log, budget: transport.NewBufferBudget(limits)}
+	p := &service{start: start, limits: limits, log: log, budget: transport.NewBufferBudget(limits)}
 	broadcast := func(string) {}
 	var err error
 	if start.Deployment.PeerUpdatesEnabled {
@@ -107,7 +107,7 @@
 
 // newWatch returns the watch of discovery's host list. If the deployment has a list timeout, the watch starts only when the router
 // requests the list.
-func (p *program) newWatch() *transport.Watch {
+func (p *service) newWatch() *transport.Watch {
 	onError := func(err error) { p.log.Warn("the watch of the list ended", zap.Error(err)) }
 	watch := transport.NewWatch(p.limits, p.budget, p.start.Discovery, p.router.Version, p.router.HandleListLine, onError)
 	if p.start.Deployment.ListTimeout > 0 {
@@ -132,7 +132,7 @@
 }
 
 // startTasks starts the goroutines of all components but the router. They end with ctx.
-func (p *program) startTasks(ctx context.Context, tasks *errgroup.Group, listener net.Listener) {
+func (p *service) startTasks(ctx context.Context, tasks *errgroup.Group, listener net.Listener) {
 	if p.forward != nil {
 		tasks.Go(func() error { return p.forward.Run(ctx) })
 	} else {
--- a/internal/router/service/signals.go
+++ b/internal/router/service/signals.go
@@ -15,7 +15,7 @@
 // handleSignals handles signals until ctx ends or a graceful shutdown is complete. After a stop signal, connections are accepted
 // for AcceptPeriod. After DrainDelay, connections are closed as soon as they have nothing pending. Commands that are pending after
 // ShutdownTimeout fail.
-func (p *program) handleSignals(ctx context.Context, signals, reload <-chan os.Signal) {
+func (p *service) handleSignals(ctx context.Context, signals, reload <-chan os.Signal) {
 	var stopAccepting, drain, stop <-chan time.Time // nil until a signal to stop
 	for {
 		select {
@@ -47,7 +47,7 @@
 }
 
 // awaitFinalAnswers waits until the final answers are written, but at most RetryDelay.
-func (p *program) awaitFinalAnswers() {
+func (p *service) awaitFinalAnswers() {
 	deadline := time.Now().Add(p.limits.RetryDelay)
 	for p.clients.Drain() > 0 && time.Now().Before(deadline) {
 		time.Sleep(finalAnswersPollInterval)
@@ -55,7 +55,7 @@
 }
 
 // reload reloads the configuration. An invalid configuration changes nothing.
-func (p *program) reload() {
+func (p *service) reload() {
 	next, fromNextStart, err := p.start.Reload(os.Getenv)
 	p.router.RecordReload(err == nil)
 	if err != nil {
--- a/internal/router/setup/deployment.go
+++ b/internal/router/setup/deployment.go
@@ -46,8 +46,8 @@
 type Formats struct {
 	Groups              map[string]*policy.CommandGroup // by their name in the commands' comments
 	LoadReportFields    []string                        // names of the load report fields, in order
-	PositionField       int                             // index of the host's position in Fields; -1 for none
-	RoleField           int                             // index of the host's role in Fields; -1 for none
+	PositionField       int                             // index of the host's position in LoadReportFields; -1 for none
+	RoleField           int                             // index of the host's role in LoadReportFields; -1 for none
 	AnswersHavePosition bool                            // every answer contains a position
 }
 
@@ -163,7 +163,7 @@
 }
 
 // ParseLoadReport returns the position and role in a load report. ok is false if it has no valid position. field returns the
-// value of a field by its index in Fields.
+// value of a field by its index in LoadReportFields.
 func (t Formats) ParseLoadReport(field func(i int) (float64, bool)) (position policy.TenthMs, role policy.Role, ok bool) {
 	if t.PositionField < 0 {
 		return 0, policy.UnknownRole, false
--- a/internal/router/setup/object.go
+++ b/internal/router/setup/object.go
@@ -58,12 +58,12 @@
 	panic(FieldError(o.fieldPath(field) + ": " + text))
 }
 
-// failKind panics with a FieldError for a field that is missing or not of the kind required.
-func (o Object) failKind(field, kind string) {
+// failType panics with a FieldError for a field that is missing or not of the kind required.
+func (o Object) failType(field, expected string) {
 	if !o.Has(field) {
 		o.fail(field, "missing")
 	}
-	o.fail(field, "not "+kind)
+	o.fail(field, "not "+expected)
 }
 
 // fieldPath returns the path of a field.
@@ -81,7 +81,7 @@
 func (o Object) Number(field string) float64 {
 	number, ok := AsNumber(o.fields[field])
 	if !ok {
-		o.failKind(field, "a number")
+		o.failType(field, "a number")
 	}
 	return number
 }
@@ -113,7 +113,7 @@
 			return int64(uint64(f))
 		}
 	}
-	o.failKind(field, "a whole number")
+	o.failType(field, "a whole number")
 	return 0
 }
 
@@ -121,7 +121,7 @@
 func (o Object) Text(field string) string {
 	text, ok := o.fields[field].(string)
 	if !ok {
-		o.failKind(field, "a text")
+		o.failType(field, "a text")
 	}
 	return text
 }
@@ -165,7 +165,7 @@
 func (o Object) Bool(field string) bool {
 	flag, ok := o.fields[field].(bool)
 	if !ok && o.Has(field) {
-		o.failKind(field, "a bool")
+		o.failType(field, "a bool")
 	}
 	return flag
 }
@@ -174,7 +174,7 @@
 func (o Object) List(field string) []any {
 	list, ok := o.fields[field].([]any)
 	if !ok {
-		o.failKind(field, "an array")
+		o.failType(field, "an array")
 	}
 	return list
 }
@@ -206,7 +206,7 @@
 func (o Object) Object(field string) Object {
 	fields, ok := o.fields[field].(map[string]any)
 	if !ok {
-		o.failKind(field, "an object")
+		o.failType(field, "an object")
 	}
 	return Object{path: o.fieldPath(field), fields: fields}
 }
--- a/internal/router/setup/operator.go
+++ b/internal/router/setup/operator.go
@@ -50,17 +50,17 @@
 	operator = &Operator{}
 	dir := filepath.Dir(path)
 	if top.Has("forward") {
-		if operator.Forward, err = readForward(top.Object("forward"), dir); err != nil {
+		if operator.Forward, err = readForwarderSection(top.Object("forward"), dir); err != nil {
 			return nil, err
 		}
 	}
 	if top.Has("plan") {
-		if operator.Plan, err = readPlan(top.Object("plan"), dir); err != nil {
+		if operator.Plan, err = readPlannerSection(top.Object("plan"), dir); err != nil {
 			return nil, err
 		}
 	}
 	if top.Has("trace") {
-		if operator.Trace, err = readTrace(top.Object("trace"), dir); err != nil {
+		if operator.Trace, err = readTraceSection(top.Object("trace"), dir); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/router/setup/sections.go
+++ b/internal/router/setup/sections.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// readForward reads a forwarder's section. Relative paths are resolved against dir, as in all sections.
-func readForward(o Object, dir string) (*ForwarderSection, error) {
+// readForwarderSection reads a forwarder's section. Relative paths are resolved against dir, as in all sections.
+func readForwarderSection(o Object, dir string) (*ForwarderSection, error) {
 	f := &ForwarderSection{
 		ViewFileInterval: time.Second,
 		RetryDelay:       50 * time.Millisecond,
@@ -112,8 +112,8 @@
 	return f, err
 }
 
-// readPlan reads a planner's section.
-func readPlan(o Object, dir string) (*PlannerSection, error) {
+// readPlannerSection reads a planner's section.
+func readPlannerSection(o Object, dir string) (*PlannerSection, error) {
 	p := &PlannerSection{
 		Listen:                 o.Text("listen"),
 		MaxForwarders:          o.optionalInt("forwarders", 5000),
@@ -140,8 +140,8 @@
 	return p, err
 }
 
-// readTrace reads the section of trace capture.
-func readTrace(o Object, dir string) (*TraceSection, error) {
+// readTraceSection reads the section of trace capture.
+func readTraceSection(o Object, dir string) (*TraceSection, error) {
 	t := &TraceSection{
 		Dir:               o.Text("dir"),
 		SamplePerMille:    fullSamplePerMille,
--- a/internal/router/setup/setup_test.go
+++ b/internal/router/setup/setup_test.go
@@ -27,7 +27,7 @@
 			t.Errorf("%+v", l)
 		}
 		if most := l.BufferBudget + int64(l.MaxHostConns*l.MaxHostMessage) + int64((l.MaxHostConns+l.MaxClientConns)*l.InitialBuffer); sockets == "1024" && most > l.SoftMemoryLimit {
-			t.Errorf("buffers may take %d of %d", most, l.SoftMemoryLimit)
+			t.Errorf("buffers may use %d bytes of %d", most, l.SoftMemoryLimit)
 		}
 	}
 }
@@ -47,12 +47,12 @@
 		t.Error(pos, role, ok)
 	}
 	for name, field := range map[string]func(int) (float64, bool){
-		"nothing":             func(int) (float64, bool) { return 0, false },
-		"less than nothing":   func(int) (float64, bool) { return -3, true },
-		"beyond the integers": func(int) (float64, bool) { return 1e300, true },
+		"no value":                func(int) (float64, bool) { return 0, false },
+		"a negative position":     func(int) (float64, bool) { return -3, true },
+		"a position out of range": func(int) (float64, bool) { return 1e300, true },
 	} {
 		if _, _, ok := formats.ParseLoadReport(field); ok {
-			t.Errorf("a report that says %s is read", name)
+			t.Errorf("a report with %s is accepted", name)
 		}
 	}
 }
--- a/internal/router/transport/client_conn.go
+++ b/internal/router/transport/client_conn.go
@@ -46,7 +46,7 @@
 type idleState struct {
 	evictable          bool      // nothing is pending and the connection may be closed
 	hasAcceptedCommand bool      // a command was accepted and no partial message is pending
-	since              time.Time // since when it is idle
+	idleSince          time.Time // since when it is idle
 }
 
 // evictedBefore reports whether an evictable connection is evicted in preference to another one: those without an accepted
@@ -55,7 +55,7 @@
 	if i.hasAcceptedCommand != other.hasAcceptedCommand {
 		return !i.hasAcceptedCommand
 	}
-	return i.since.Before(other.since)
+	return i.idleSince.Before(other.idleSince)
 }
 
 // idleState returns the idle state of the connection. A client may send its first command right after its startup message, so a
@@ -63,16 +63,16 @@
 func (c *clientConn) idleState() idleState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	since := c.lastAnswer
+	idleSince := c.lastAnswer
 	if c.partialMessage || !c.receivedMessage {
-		since = c.partialSince
+		idleSince = c.partialSince
 	}
 	betweenMessages := c.receivedMessage && !c.partialMessage
 	return idleState{
 		evictable: !c.closed && !c.closeWhenIdle && !c.sessionEnding && !c.hasPending() &&
-			(betweenMessages || time.Since(since) > c.server.limits.NewConnGrace),
+			(betweenMessages || time.Since(idleSince) > c.server.limits.NewConnGrace),
 		hasAcceptedCommand: c.hasAcceptedCommand && !c.partialMessage,
-		since:              since,
+		idleSince:          idleSince,
 	}
 }
 
--- a/internal/router/transport/clients.go
+++ b/internal/router/transport/clients.go
@@ -146,7 +146,7 @@
 	var best idleState
 	for c := range s.open {
 		idle := c.idleState()
-		if c == except || !idle.evictable || acceptedOnly && !idle.hasAcceptedCommand || time.Since(idle.since) < minIdle {
+		if c == except || !idle.evictable || acceptedOnly && !idle.hasAcceptedCommand || time.Since(idle.idleSince) < minIdle {
 			continue
 		}
 		if oldest == nil || idle.evictedBefore(best) {
--- a/internal/router/transport/clients_test.go
+++ b/internal/router/transport/clients_test.go
@@ -93,15 +93,15 @@
 	hello := string(protocol.AppendStartup(nil, "svc", "main"))
 	query := string(protocol.AppendQuery(nil, []byte("nothing of use")))
 	for name, test := range map[string][2]string{
-		"noise":                    {"frob and more of it", protocol.ProtocolViolation},
-		"a startup too long":       {"\x00\x04\x93\xe8\x00\x03\x00\x00" + strings.Repeat("k", 300000), protocol.ProtocolViolation},
-		"a version of its own":     {"\x00\x00\x00\x08\x00\x09\x00\x00", protocol.FeatureNotSupported},
-		"a negative length":        {hello + "Q\xff\xff\xff\xfc/* id", protocol.ProtocolViolation},
-		"a length of nothing":      {hello + "Q\x00\x00\x00\x00/* id", protocol.ProtocolViolation},
-		"a length beyond all":      {hello + "XXQ\x00\x00\x00r/* id", protocol.ProtocolViolation},
-		"a message not known":      {hello + "?\x00\x00\x00\x09frob\x00", protocol.ProtocolViolation},
-		"the same again and again": {hello + strings.Repeat(query, 600), protocol.ProtocolViolation},
-		"60 MB":                    {hello + "Q\x03\x93\x87\x04" + strings.Repeat("v", 60<<20), protocol.ProtocolViolation},
+		"garbage":                 {"frob and more of it", protocol.ProtocolViolation},
+		"a startup too long":      {"\x00\x04\x93\xe8\x00\x03\x00\x00" + strings.Repeat("k", 300000), protocol.ProtocolViolation},
+		"an unknown version":      {"\x00\x00\x00\x08\x00\x09\x00\x00", protocol.FeatureNotSupported},
+		"a negative length":       {hello + "Q\xff\xff\xff\xfc/* id", protocol.ProtocolViolation},
+		"a zero length":           {hello + "Q\x00\x00\x00\x00/* id", protocol.ProtocolViolation},
+		"an excessive length":     {hello + "XXQ\x00\x00\x00r/* id", protocol.ProtocolViolation},
+		"an unknown message kind": {hello + "?\x00\x00\x00\x09frob\x00", protocol.ProtocolViolation},
+		"repeated rejections":     {hello + strings.Repeat(query, 600), protocol.ProtocolViolation},
+		"60 MB":                   {hello + "Q\x03\x93\x87\x04" + strings.Repeat("v", 60<<20), protocol.ProtocolViolation},
 	} {
 		c := dial()
 		go func() {
@@ -161,11 +161,11 @@
 		c := dial()
 		c.Write(append(protocol.AppendStartup(nil, "svc", "main"), protocol.AppendQuery(nil, nil)...))
 		if !readSome(c) {
-			t.Fatal("it is not served")
+			t.Fatal("the client is not served")
 		}
 	}
 	if code := lastErrorCode(silent[0]); code != "" || s.Evicted.Load() < 200 || s.OpenConns() > 8 {
-		t.Errorf("%q, %d evicted, %d are open", code, s.Evicted.Load(), s.OpenConns())
+		t.Errorf("%q, %d evicted, %d open", code, s.Evicted.Load(), s.OpenConns())
 	}
 }
 
--- a/internal/router/transport/hosts_test.go
+++ b/internal/router/transport/hosts_test.go
@@ -119,19 +119,19 @@
 			c.Write([]byte("E\x00\x00\x00\x05\x00"))
 			readSome(c)
 		}, policy.Reset},
-		"noise after an error": {func(c net.Conn) {
+		"garbage after an error": {func(c net.Conn) {
 			acceptStartup(c)
 			readSome(c)
 			c.Write(append(protocol.AppendError(nil, "", "53300", "", ""), "noise"...))
 			readSome(c)
 		}, policy.Reset},
-		"noise after a complete row": {func(c net.Conn) {
+		"garbage after a complete row": {func(c net.Conn) {
 			acceptStartup(c)
 			readSome(c)
 			c.Write(append(rowAnswer('a')[:45], "noise"...))
 			readSome(c)
 		}, policy.Answered},
-		"nothing in the answer": {func(c net.Conn) {
+		"an empty answer": {func(c net.Conn) {
 			acceptStartup(c)
 			readSome(c)
 			c.Write(protocol.AppendReadyForQuery(nil))
@@ -164,7 +164,7 @@
 		t.Errorf("during startup: %d %t", o, ok)
 	}
 	if err := <-readError; err == nil {
-		t.Error("something was sent on an abandoned connection")
+		t.Error("data was sent on an abandoned connection")
 	}
 	_, host = startHost(t, 9, func(c net.Conn) {
 		acceptStartup(c)
@@ -176,11 +176,11 @@
 	call, got := host.send(time.Now().Add(testTimeout))
 	<-received
 	if o, ok := call.Abandon(); o != policy.TimedOut || !ok {
-		t.Errorf("once sent: %d %t", o, ok)
+		t.Errorf("after sending: %d %t", o, ok)
 	}
 	<-closed
 	if _, ok := call.Abandon(); ok || len(got) != 0 {
-		t.Error("it ended twice")
+		t.Error("the call ended twice")
 	}
 }
 
@@ -315,10 +315,10 @@
 	}
 	other := pool.Add(host.address)
 	if got := other.outcome(); got != policy.Answered {
-		t.Errorf("the idle one was not evicted: %d", got)
+		t.Errorf("the idle connection was not evicted: %d", got)
 	}
 	other.send(time.Now().Add(testTimeout)) // keeps the only descriptor in use
 	if got := host.outcome(); got != policy.Expired || pool.NoDescriptor.Load() != 1 {
-		t.Errorf("no descriptor is left: %d", got)
+		t.Errorf("without a descriptor: %d", got)
 	}
 }
--- a/internal/router/transport/peers_test.go
+++ b/internal/router/transport/peers_test.go
@@ -29,22 +29,22 @@
 		t.Fatal(err)
 	}
 	ctx, end := context.WithCancel(context.Background())
-	heard, done := make(chan string, 9), make(chan error, 2)
+	received, done := make(chan string, 9), make(chan error, 2)
 	to := p.conn.LocalAddr()
 	foreign.WriteTo([]byte("foreign"), to)
 	peer.WriteTo(make([]byte, 300), to)
 	for range 5 {
 		peer.WriteTo([]byte("word"), to)
 	}
-	go func() { done <- p.Receive(ctx, func(body string) { heard <- body }) }()
+	go func() { done <- p.Receive(ctx, func(body string) { received <- body }) }()
 	go func() { done <- p.Send(ctx) }()
 	for range 5 {
-		if body := <-heard; body != "word" || p.Dropped.Load() != 2 {
+		if body := <-received; body != "word" || p.Dropped.Load() != 2 {
 			t.Errorf("%q, %d dropped", body, p.Dropped.Load())
 		}
 	}
 	if p.Batches.Load() > 1 {
-		t.Error("what had come together was read in more than one batch")
+		t.Error("datagrams that were received together were read in more than one batch")
 	}
 	p.Broadcast(string(make([]byte, 257)))
 	p.Broadcast("sent")
--- a/internal/router/transport/slot.go
+++ b/internal/router/transport/slot.go
@@ -44,7 +44,8 @@
 	s.client.hasAcceptedCommand, s.client.rejectedInARow = true, 0
 }
 
-// Throttle answers with a retryable error: the command had no effect. retryAfterMs is the suggested retry delay; 0 for none.
+// Throttle answers with an error after which the client may safely retry the command. retryAfterMs is the suggested retry delay;
+// 0 for none.
 func (s *Slot) Throttle(retryAfterMs int64) {
 	detail := ""
 	if retryAfterMs > 0 {
--- a/internal/router/transport/watch_test.go
+++ b/internal/router/transport/watch_test.go
@@ -34,7 +34,7 @@
 		<-failures
 	}
 	if took := (<-failures).Sub(first); took < 7*backoff { // 1, 2 and 4 times the initial backoff
-		t.Errorf("asked four times within %v", took)
+		t.Errorf("four attempts within %v", took)
 	}
 }
 
