--- a/internal/router/clock/clock_test.go
+++ b/internal/router/clock/clock_test.go
@@ -14,7 +14,7 @@
 	if got := c.Now() - first; got != 10000 {
 		t.Errorf("a second is %d", got)
 	}
-	// A clock that was set back: only the system's reading changes.
+	// The system clock was set back: simulate it by moving this clock ahead.
 	c.unixNs += int64(time.Hour)
 	before := c.Now()
 	at = at.Add(time.Second)
@@ -22,7 +22,7 @@
 		t.Errorf("a second behind the system's clock is %d", got)
 	}
 	c.unixNs -= int64(2 * time.Hour)
-	if got := c.Now(); got < at.UnixNano()/int64(Tenth) {
+	if got := c.Now(); got < at.UnixNano()/int64(Resolution) {
 		t.Errorf("a clock set forward is followed to %d", got)
 	}
 }
--- a/internal/router/service/counters.go
+++ b/internal/router/service/counters.go
@@ -2,8 +2,8 @@
 
 import "go.uber.org/zap"
 
-// counters returns the counters of all parts, for a line of the log.
-func (p *program) counters() []zap.Field {
+// counters returns the counters of all components as log fields.
+func (p *service) counters() []zap.Field {
 	fields := append(p.router.LogFields(),
 		zap.Int64("clients_accepted", p.clients.Accepted.Load()),
 		zap.Int("clients_open", p.clients.OpenConns()),
--- a/internal/router/setup/setup_test.go
+++ b/internal/router/setup/setup_test.go
@@ -22,12 +22,12 @@
 		if l.MaxClientConns < 16 || l.MaxHostConns < 16 || l.SpareClientConns < 8 || l.MaxClientConns+l.MaxHostConns+l.SpareClientConns > given-16 {
 			t.Errorf("%s: %d for clients, %d for hosts", sockets, l.MaxClientConns, l.MaxHostConns)
 		}
-		if l.Cores != 1 || l.Memory >= 192<<20 || l.HostIdleTimeout >= 30*time.Second || l.ShutdownTimeout != 1400*time.Millisecond ||
+		if l.MaxProcs != 1 || l.SoftMemoryLimit >= 192<<20 || l.HostIdleTimeout >= 30*time.Second || l.ShutdownTimeout != 1400*time.Millisecond ||
 			l.DrainDelay != 1200*time.Millisecond {
 			t.Errorf("%+v", l)
 		}
-		if most := l.BufferBudget + int64(l.MaxHostConns*l.MaxHostMessage) + int64((l.MaxHostConns+l.MaxClientConns)*l.InitialBuffer); sockets == "1024" && most > l.Memory {
-			t.Errorf("buffers may take %d of %d", most, l.Memory)
+		if most := l.BufferBudget + int64(l.MaxHostConns*l.MaxHostMessage) + int64((l.MaxHostConns+l.MaxClientConns)*l.InitialBuffer); sockets == "1024" && most > l.SoftMemoryLimit {
+			t.Errorf("buffers may use %d bytes of %d", most, l.SoftMemoryLimit)
 		}
 	}
 }
@@ -37,29 +37,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dep, terms := ReadDeployment(env, 7)
-	if g := terms.Groups["own"]; g == nil || g.ConsistencyLevel != policy.ReadYourWrites || g.Timeout != 9000 || !dep.PositionsReported {
-		t.Errorf("%+v", dep)
+	deployment, formats := ReadDeployment(env, 7)
+	if g := formats.Groups["own"]; g == nil || g.ConsistencyLevel != policy.ReadYourWrites || g.Timeout != 9000 || !deployment.PositionsReported {
+		t.Errorf("%+v", deployment)
 	}
 	row := []float64{3, 1, 1767225600.1234}
-	pos, role, ok := terms.ParseLoadReport(func(i int) (float64, bool) { return row[i], i < len(row) })
+	pos, role, ok := formats.ParseLoadReport(func(i int) (float64, bool) { return row[i], i < len(row) })
 	if pos != 17672256001234 || role != policy.Primary || !ok {
 		t.Error(pos, role, ok)
 	}
-	for name, said := range map[string]func(int) (float64, bool){
-		"nothing":             func(int) (float64, bool) { return 0, false },
-		"less than nothing":   func(int) (float64, bool) { return -3, true },
-		"beyond the integers": func(int) (float64, bool) { return 1e300, true },
+	for name, field := range map[string]func(int) (float64, bool){
+		"no value":                func(int) (float64, bool) { return 0, false },
+		"a negative position":     func(int) (float64, bool) { return -3, true },
+		"a position out of range": func(int) (float64, bool) { return 1e300, true },
 	} {
-		if _, _, ok := terms.ParseLoadReport(said); ok {
-			t.Errorf("a report that says %s is read", name)
+		if _, _, ok := formats.ParseLoadReport(field); ok {
+			t.Errorf("a report with %s is accepted", name)
 		}
 	}
 }
 
 func TestInvalidFieldIsATypedError(t *testing.T) {
 	read := func() (err error) {
-		defer Catch(&err)
+		defer CatchFieldError(&err)
 		top, err := Decode("", []byte(`{"settings":{"classes":[{"give_up":"soon"}]}}`))
 		if err != nil {
 			return err
@@ -67,8 +67,8 @@
 		top.Object("settings").Objects("classes")[0].Number("give_up")
 		return nil
 	}
-	var fault Fault
-	if err := read(); !errors.As(err, &fault) || fault != "settings.classes[0].give_up: not a number" {
+	var fieldError FieldError
+	if err := read(); !errors.As(err, &fieldError) || fieldError != "settings.classes[0].give_up: not a number" {
 		t.Errorf("%T %v", err, err)
 	}
 }
--- a/internal/router/tier/plannerclient/client.go
+++ b/internal/router/tier/plannerclient/client.go
@@ -94,7 +94,9 @@
 }
 
 // tenths converts a duration to tenths of a millisecond.
-func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
+func tenths(duration time.Duration) policy.TenthMs {
+	return policy.TenthMs(duration / clock.Resolution)
+}
 
 // LoadList applies the host list that the forwarder has at start. It must be called before Run.
 func (c *Client) LoadList(revision int64, complete bool, hosts []view.Host) {
@@ -134,7 +136,7 @@
 		case <-timer.C:
 		}
 		next := c.tick(ctx, links)
-		timer.Reset(max(minTickDelay, clock.Span(next-c.clock.Now())))
+		timer.Reset(max(minTickDelay, clock.ToDuration(next-c.clock.Now())))
 	}
 }
 
--- a/internal/router/tier/plannerserver/probe.go
+++ b/internal/router/tier/plannerserver/probe.go
@@ -75,7 +75,7 @@
 	}
 	formats := s.start.Formats
 	reportedPosition, reportedRole, ok := formats.ParseLoadReport(func(i int) (float64, bool) {
-		return protocol.LoadReportField(answer.Value, formats.Fields[i])
+		return protocol.LoadReportField(answer.Value, formats.LoadReportFields[i])
 	})
 	if !ok {
 		return position, role
--- a/internal/router/tier/plannerserver/server.go
+++ b/internal/router/tier/plannerserver/server.go
@@ -95,7 +95,9 @@
 }
 
 // tenths converts a duration to tenths of a millisecond.
-func tenths(duration time.Duration) policy.TenthMs { return policy.TenthMs(duration / clock.Tenth) }
+func tenths(duration time.Duration) policy.TenthMs {
+	return policy.TenthMs(duration / clock.Resolution)
+}
 
 // Run serves forwarders on the listener until the context is canceled or a task
 // fails, and returns once all its goroutines have ended.
@@ -140,14 +142,14 @@
 		}
 		s.traceTime()
 		next := s.tick(ctx)
-		timer.Reset(max(minTickDelay, clock.Span(next-s.clock.Now())))
+		timer.Reset(max(minTickDelay, clock.ToDuration(next-s.clock.Now())))
 	}
 }
 
 // traceTime sets the time of the trace events that follow.
 func (s *Server) traceTime() {
 	if s.trace != nil {
-		s.trace.SetTime(s.clock.Now(), time.Now().UnixNano()/int64(clock.Tenth))
+		s.trace.SetTime(s.clock.Now(), time.Now().UnixNano()/int64(clock.Resolution))
 	}
 }
 
