--- a/internal/statemachine/apply.go
+++ b/internal/statemachine/apply.go
@@ -1,9 +1,10 @@
 package statemachine
 
-// Apply makes the change at an index of the log. Changes at or before Index are ignored.
+// Apply applies the log entry at the given index. Entries at or below Index are ignored.
 //
-// An error says why the change changed nothing but Index and the leader time; it is meant for whoever proposed the change.
-// After ErrDiverged not even these have changed, and the state must be restored from a snapshot.
+// An error means that the change was rejected: only Index and the leader time advanced. The error is meant for the proposer
+// of the change. After ErrDiverged not even Index and the leader time have advanced, and the state must be restored from a
+// snapshot.
 func (s *State) Apply(index uint64, change Change) error {
 	if index <= s.Index {
 		return nil
@@ -50,8 +51,8 @@
 	return nil
 }
 
-// applyAddHost adds a host or updates what it announced. The id of a removed host is not used again, so an announcement of
-// one has come late.
+// applyAddHost adds a host, or updates a known host with a new announcement. IDs of removed hosts are never reused, so an
+// announcement with the ID of a removed host is a delayed one and is rejected.
 func (s *State) applyAddHost(host Host) error {
 	known, found := s.Hosts[host.ID]
 	switch {
@@ -61,22 +62,24 @@
 		return &HostError{Host: host.ID, Removed: true}
 	default:
 		host.AddedAt = s.Index
-		s.removeHostsAt(host.Address)
+		s.removeHostsAtAddress(host.Address)
 	}
-	s.accountForAddress(host.Service, host.Address)
+	s.clearUnaccountedAtAddress(host.Service, host.Address)
 	s.putHost(host)
 	return nil
 }
 
-// removeHostsAt removes the hosts at an address that a new host has: their process has ended, whether it could say so or not.
-func (s *State) removeHostsAt(address string) {
-	for _, id := range s.lookups().hostsByAddress[address] {
+// removeHostsAtAddress removes the hosts registered at the address of a new host: their process must have ended, even if it did
+// not announce that it was leaving.
+func (s *State) removeHostsAtAddress(address string) {
+	for _, id := range s.ensureLookup().hostsByAddress[address] {
 		s.removeHost(id)
 	}
 }
 
-// accountForAddress notes that a host has the log of those that were at its address.
-func (s *State) accountForAddress(service, address string) {
+// clearUnaccountedAtAddress clears the unaccounted hosts of a service at an address: a new host there has the log of its
+// predecessor.
+func (s *State) clearUnaccountedAtAddress(service, address string) {
 	for _, id := range s.UnaccountedHostIDs(service) {
 		if s.UnaccountedHosts[id].Address == address {
 			s.deleteUnaccountedHost(id)
@@ -94,8 +97,8 @@
 	return nil
 }
 
-// applyHostLeaving keeps a host that has left, as one that drains: until its process ends it receives writes like any replica,
-// so a failover has to ask it for its position.
+// applyHostLeaving marks a leaving host as draining and keeps it listed: until its process ends it receives writes like any
+// other replica, so a failover has to query its position.
 func (s *State) applyHostLeaving(id string) error {
 	if err := s.applyDrainHost(id); err != nil {
 		return err
@@ -106,14 +109,14 @@
 	return nil
 }
 
-// IsLeaving says whether a host has left without draining first, and is still listed because its process may run.
+// IsLeaving reports whether a host has left without draining first and is still listed because its process may be running.
 func (s *State) IsLeaving(id string) bool {
 	_, found := s.Hosts[id]
 	return found && s.wasRemoved(id)
 }
 
-// removeHost removes a host if it is there. One that is not the primary stays unaccounted for: it may be the only replica
-// that received a write. What a primary acknowledged, some replica has received.
+// removeHost removes a host, if it is known. A replica becomes unaccounted for, because it may be the only host that received
+// an acknowledged write. The primary does not: a replica has received every write that the primary acknowledged.
 func (s *State) removeHost(id string) {
 	host, found := s.Hosts[id]
 	if !found {
@@ -143,7 +146,7 @@
 	s.putPrimary(change.Service, primary)
 }
 
-// setOwner gives a fail-over an owner, and each new owner a higher fencing token.
+// setOwner sets the member that runs the failover. Each new owner gets a higher fencing token: the index of the change.
 func (p *Primary) setOwner(owner string, index uint64) {
 	if p.Owner != owner || p.FencingToken == 0 {
 		p.Owner, p.FencingToken = owner, index
@@ -160,7 +163,7 @@
 	s.putPrimary(change.Service, primary)
 }
 
-// applyReplicationResumed is ignored during a fail-over, for which replicas are paused again.
+// applyReplicationResumed has no effect during a failover, which has paused the replicas again.
 func (s *State) applyReplicationResumed(service string) {
 	primary, found := s.Primaries[service]
 	if !found || primary.Revoked || primary.Nominee != "" {
--- a/internal/statemachine/capacity_test.go
+++ b/internal/statemachine/capacity_test.go
@@ -10,7 +10,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// The figures of docs/CAPACITY.md: what the replicated state costs, by the size of the deployment.
+// These benchmarks measure the cost of the replicated state by deployment size, for docs/CAPACITY.md.
 
 func forEachSize(b *testing.B, run func(b *testing.B, size statesize.Size)) {
 	for _, size := range statesize.Sizes {
@@ -27,7 +27,7 @@
 	})
 }
 
-// What a proxy or a member does with a snapshot, and how much memory the restored state has.
+// BenchmarkRestore measures the time to restore a snapshot, as proxies and members do, and the heap size of the restored state.
 func BenchmarkRestore(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
 		snapshot := size.State().Snapshot()
@@ -47,8 +47,7 @@
 	})
 }
 
-// A complete configuration in which one route differs: what it costs to check and encode the update, and below, what it costs
-// each member and each proxy to apply it.
+// BenchmarkEncodeConfigUpdate measures the leader's cost to check and encode a complete configuration in which one route changed.
 func BenchmarkEncodeConfigUpdate(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
 		state := size.State()
@@ -59,6 +58,7 @@
 	})
 }
 
+// BenchmarkApplyConfigUpdate measures the cost for each member and each proxy to apply such an update.
 func BenchmarkApplyConfigUpdate(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
 		state := size.State()
@@ -84,7 +84,7 @@
 	})
 }
 
-// A host is added to a state that has all others.
+// BenchmarkAddHost measures adding a host to a state that already has all other hosts.
 func BenchmarkAddHost(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
 		state := size.State()
@@ -113,7 +113,7 @@
 	})
 }
 
-// This is asked for at each renewal of a lease.
+// BenchmarkLatestRevocation measures LatestRevocation, which is called for each lease renewal.
 func BenchmarkLatestRevocation(b *testing.B) {
 	forEachSize(b, func(b *testing.B, size statesize.Size) {
 		state := size.State()
--- a/internal/statemachine/change.go
+++ b/internal/statemachine/change.go
@@ -8,66 +8,67 @@
 	"ferrypitch/internal/statemachine/diskformat"
 )
 
-// Change is one entry of the log. Exactly one field is set beside LeaderTimeMs; if none is, it only advances the time.
+// Change is the content of one log entry. At most one field besides LeaderTimeMs is set; if none is, the entry only advances
+// the leader time.
 type Change struct {
-	LeaderTimeMs int64 // leader time when it was proposed, see RetentionMs
+	LeaderTimeMs int64 // leader time of the proposal, see RetentionMs
 
 	UpdateConfig       *ConfigUpdate
-	AddHost            *Host  // also updates a host that is there
-	DrainHost          string // id of a host that gets no more work
-	HostLeaving        string // id of a host that announced its end without draining first; it serves on for a while
-	RemoveHost         string // id of a host that has left
+	AddHost            *Host  // adds a host, or updates a known one
+	DrainHost          string // ID of a host that gets no new work
+	HostLeaving        string // ID of a host that announced its end without draining first; it continues to serve for a while
+	RemoveHost         string // ID of a host that has ended
 	RevokePrimary      *RevokePrimary
 	NominatePrimary    *NominatePrimary
 	AppointPrimary     *AppointPrimary
 	UpdateProxy        *ProxyMembership
-	MarkMissing        string // id of a host that a fail-over need not ask, until it announces itself again
-	ReplicationResumed string // a service whose replicas all receive again
+	MarkMissing        string // ID of a host that a failover does not have to query until the host announces itself again
+	ReplicationResumed string // name of a service whose replicas all receive writes again after a failover
 }
 
-// ConfigUpdate is an operator's configuration, complete or as an amendment. As it was sent it has a Body; Delta makes of it
-// what the log carries.
+// ConfigUpdate is an operator's update of the configuration: a complete configuration or an amendment. A request has only a
+// Body; State.Delta converts it to the form stored in the log, which includes a ConfigDelta.
 type ConfigUpdate struct {
-	BaseVersion int64 // the version that it builds on
+	BaseVersion int64 // version of the configuration that the update is based on
 	IsAmendment bool
 	Body        []byte
 	ConfigDelta
 }
 
-// ProxyMembership adds a proxy before it is granted its first lease, or removes one that holds none any more.
+// ProxyMembership adds a proxy before its first lease is granted, or removes one that no longer holds a lease.
 type ProxyMembership struct {
 	Name    string
 	Removed bool
 }
 
-// RevokePrimary revokes the primary of a service: no proxy sends it any more what only a primary can do.
+// RevokePrimary revokes the primary of a service: proxies stop sending it commands that require the primary.
 type RevokePrimary struct{ Service, Owner string }
 
-// NominatePrimary notes which host the platform will be asked to promote, before it is asked. Where the primary is not
-// revoked, it goes on.
+// NominatePrimary records the host that the platform will be asked to promote, before the request is sent. A primary that is
+// not revoked keeps serving.
 type NominatePrimary struct{ Service, Host, Owner string }
 
-// AppointPrimary gives a service a primary.
+// AppointPrimary sets the primary of a service.
 type AppointPrimary struct {
 	Service, Host string
 	Term          uint64
-	PromotionMs   int64 // milliseconds from the call to the platform; 0: not seen
+	PromotionMs   int64 // duration of the promotion in milliseconds, from the call to the platform; 0 if not observed
 }
 
-// EncodeChange returns a change as the log carries it. An update of the configuration has a form of its own, see
-// ConfigUpdate.encode; everything else is gob.
+// EncodeChange encodes a change for the log. Configuration updates have an encoding of their own, see ConfigUpdate.encode; all
+// other changes are encoded with gob.
 func EncodeChange(change Change) []byte {
 	if change.UpdateConfig != nil {
 		return change.UpdateConfig.encode(change.LeaderTimeMs)
 	}
 	var body bytes.Buffer
 	if err := gob.NewEncoder(&body).Encode(changeToStored(change)); err != nil {
-		panic(err) // gob refuses types, and this one is fixed
+		panic(err) // gob fails only on unsupported types, and this type is fixed
 	}
 	return body.Bytes()
 }
 
-// DecodeChange reads what EncodeChange wrote, also in older releases. Errors are ErrBadChange.
+// DecodeChange decodes the output of EncodeChange, including that of older releases. All errors wrap ErrBadChange.
 func DecodeChange(body []byte) (Change, error) {
 	if len(body) > 0 && body[0] == configUpdateMarker {
 		update, leaderTimeMs, err := decodeConfigUpdate(body)
--- a/internal/statemachine/config_update.go
+++ b/internal/statemachine/config_update.go
@@ -8,30 +8,30 @@
 	"ferrypitch/internal/config"
 )
 
-// ConfigDelta is what the log carries of an update of the configuration beside BaseVersion and IsAmendment: the result,
-// complete in Body or as a difference to the configuration that it builds on. Whoever applies it never works out an
-// amendment, so all replicas have the same bytes.
+// ConfigDelta holds the fields that a configuration update has only in the log. The log carries the resulting configuration,
+// either complete in ConfigUpdate.Body or as a Diff against the base configuration. Replicas never evaluate an amendment, so
+// all of them have the same bytes.
 type ConfigDelta struct {
-	RequestDigest [digestBytes]byte // of the update as it was sent, by which one that is sent again is known
-	BaseDigest    [digestBytes]byte // of the configuration that it builds on
-	ResultDigest  [digestBytes]byte // of the result
-	Diff          []byte            // see config.Diff; empty: the result is in Body
+	RequestDigest [digestBytes]byte // of the original request; identifies a retried request
+	BaseDigest    [digestBytes]byte // of the base configuration
+	ResultDigest  [digestBytes]byte // of the resulting configuration
+	Diff          []byte            // output of config.Diff; if empty, Body has the complete result
 }
 
-// Errors with which a delta or a snapshot is refused.
+// Errors for rejected deltas and snapshots.
 var (
-	errDigest          = errors.New("digest mismatch")
+	errDigestMismatch  = errors.New("digest mismatch")
 	errNothingToAmend  = errors.New("nothing to amend")
-	errVarint          = errors.New("truncated number")
+	errTruncatedNumber = errors.New("truncated or invalid number")
 	errTruncatedDigest = errors.New("truncated digest")
-	errTruncatedDiff   = errors.New("truncated difference")
-	errUnknownForm     = errors.New("unknown form")
+	errTruncatedDiff   = errors.New("truncated diff")
+	errUnknownFormat   = errors.New("unknown format")
 )
 
 func (c *ConfigUpdate) hasDelta() bool { return c.ResultDigest != [digestBytes]byte{} }
 
-// Delta returns the form in which the log carries an update that CheckConfig accepted, with the configuration that it
-// returned.
+// Delta converts an update that CheckConfig accepted to the form stored in the log. result is the configuration that
+// CheckConfig returned.
 func (s *State) Delta(update *ConfigUpdate, result *config.Config) *ConfigUpdate {
 	delta := &ConfigUpdate{BaseVersion: update.BaseVersion, IsAmendment: update.IsAmendment, Body: result.Body, ConfigDelta: ConfigDelta{
 		RequestDigest: update.RequestID().Digest,
@@ -47,16 +47,16 @@
 	return delta
 }
 
-// CheckConfig tries an update of the configuration without applying it. It returns the resulting configuration; nil where
-// the same update was applied before; or a *VersionConflictError or an *InvalidConfigError.
+// CheckConfig validates a configuration update without applying it. It returns the resulting configuration, or nil if the same
+// update was already applied. Errors are *VersionConflictError or *InvalidConfigError.
 func (s *State) CheckConfig(update *ConfigUpdate) (*config.Config, error) {
 	if s.wasApplied(update.RequestID()) {
 		return nil, nil
 	}
 	if update.BaseVersion != s.Generation {
-		return nil, &VersionConflictError{InForce: s.Generation, Base: update.BaseVersion}
+		return nil, &VersionConflictError{Current: s.Generation, Base: update.BaseVersion}
 	}
-	result, err := s.resultOf(update)
+	result, err := s.resolveUpdate(update)
 	if err == nil && result.Generation <= s.Generation {
 		err = fmt.Errorf("%s: %d: not above %d", fieldGeneration, result.Generation, s.Generation)
 	}
@@ -66,7 +66,7 @@
 	return result, nil
 }
 
-func (s *State) resultOf(update *ConfigUpdate) (*config.Config, error) {
+func (s *State) resolveUpdate(update *ConfigUpdate) (*config.Config, error) {
 	switch {
 	case update.hasDelta():
 		return s.applyDelta(update)
@@ -78,15 +78,16 @@
 	return config.ReadNext(s.config, update.Body)
 }
 
-// fieldGeneration is the field of a configuration that has its version, as errors name it.
+// fieldGeneration is the name that errors give to the version field of a configuration.
 const fieldGeneration = "Generation"
 
-// hasDiverged reports whether an update builds on the version in force, but on other bytes.
+// hasDiverged reports whether an update is based on the current version but on a configuration with different content.
 func (s *State) hasDiverged(update *ConfigUpdate) bool {
 	return update.hasDelta() && update.BaseVersion == s.Generation && update.BaseDigest != s.configDigest
 }
 
-// applyDelta makes the result of an update in the log's form. What fails here fails in every replica.
+// applyDelta computes the result of an update from the log. It is deterministic: an update that fails here fails on every
+// replica.
 func (s *State) applyDelta(update *ConfigUpdate) (*config.Config, error) {
 	body := update.Body
 	if len(update.Diff) > 0 {
@@ -96,12 +97,12 @@
 		}
 	}
 	if digestOf(body) != update.ResultDigest {
-		return nil, errDigest
+		return nil, errDigestMismatch
 	}
 	return config.ReadNext(s.config, body)
 }
 
-// digestOfResult is the digest of what the update made; applyDelta has checked the one that the update brings.
+// digestOfResult returns the digest of an update's result. applyDelta has already verified the digest that a delta carries.
 func (c *ConfigUpdate) digestOfResult(result *config.Config) [digestBytes]byte {
 	if c.hasDelta() {
 		return c.ResultDigest
@@ -109,18 +110,17 @@
 	return digestOf(result.Body)
 }
 
-// The log's form of an update: the marker, the version of the form, the flag of an amendment, the leader time and the base
-// version as varints, the digests of request, base and result, the length of the difference as an uvarint, the difference,
-// and the body up to the end.
+// Encoding of a configuration update in the log: marker, format version, amendment flag; leader time and base version as
+// varints; digests of request, base and result; length of the diff as a uvarint; diff; body up to the end.
 const (
-	configUpdateMarker  = 0 // no gob stream begins so
-	configUpdateVersion = 1
-	configUpdateHeader  = 3  // bytes of marker, version and flag
-	configUpdateExtra   = 80 // bytes that everything but difference and body usually needs; only sizes the allocation
+	configUpdateMarker       = 0 // no gob stream begins with this byte
+	configUpdateVersion      = 1
+	configUpdateHeaderBytes  = 3  // bytes of marker, version and flag
+	configUpdateTypicalBytes = 80 // usual size without diff and body; only a hint for the allocation
 )
 
 func (c *ConfigUpdate) encode(leaderTimeMs int64) []byte {
-	content := make([]byte, 0, configUpdateExtra+len(c.Body)+len(c.Diff))
+	content := make([]byte, 0, configUpdateTypicalBytes+len(c.Body)+len(c.Diff))
 	content = append(content, configUpdateMarker, configUpdateVersion, 0)
 	if c.IsAmendment {
 		content[2] = 1
@@ -135,17 +135,17 @@
 	return append(content, c.Body...)
 }
 
-// decodeConfigUpdate reads what encode writes, and refuses everything else with ErrBadChange.
+// decodeConfigUpdate decodes the output of encode, and rejects everything else with ErrBadChange.
 func decodeConfigUpdate(content []byte) (update *ConfigUpdate, leaderTimeMs int64, err error) {
-	if len(content) < configUpdateHeader || content[1] != configUpdateVersion || content[2] > 1 {
-		return nil, 0, badConfigUpdate(content, errUnknownForm)
+	if len(content) < configUpdateHeaderBytes || content[1] != configUpdateVersion || content[2] > 1 {
+		return nil, 0, badConfigUpdate(content, errUnknownFormat)
 	}
 	update = &ConfigUpdate{IsAmendment: content[2] == 1}
-	rest := content[configUpdateHeader:]
+	rest := content[configUpdateHeaderBytes:]
 	for _, number := range []*int64{&leaderTimeMs, &update.BaseVersion} {
 		value, size := binary.Varint(rest)
 		if size <= 0 || isOverlong(rest[:size]) {
-			return nil, 0, badConfigUpdate(content, errVarint)
+			return nil, 0, badConfigUpdate(content, errTruncatedNumber)
 		}
 		*number, rest = value, rest[size:]
 	}
@@ -169,11 +169,11 @@
 	return update, leaderTimeMs, nil
 }
 
-// isOverlong reports whether a varint has more bytes than its value needs, which no encoder writes.
+// isOverlong reports whether a varint is longer than necessary. No encoder writes such varints.
 func isOverlong(varint []byte) bool {
 	return len(varint) > 1 && varint[len(varint)-1] == 0
 }
 
 func badConfigUpdate(content []byte, cause error) error {
-	return fmt.Errorf("%w: update of the configuration, %d bytes: %w", ErrBadChange, len(content), cause)
+	return fmt.Errorf("%w: configuration update of %d bytes: %w", ErrBadChange, len(content), cause)
 }
--- a/internal/statemachine/config_update_test.go
+++ b/internal/statemachine/config_update_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// configWithRoutes is a configuration of which one route has a deadline of its own.
+// configWithRoutes returns a configuration in which the deadline of one route differs from that of all others.
 func configWithRoutes(generation int64, routes, changedRoute, deadlineMs int) []byte {
 	var body bytes.Buffer
 	fmt.Fprintf(&body, `{"Generation":%d,"Routes":[`, generation)
@@ -25,7 +25,7 @@
 	return body.Bytes()
 }
 
-// applyUpdate applies an update in the form that the log carries, and returns that entry.
+// applyUpdate applies an update by way of its encoded log entry, and returns that entry.
 func applyUpdate(t testing.TB, state *State, update ConfigUpdate) []byte {
 	result, err := state.CheckConfig(&update)
 	require.NoError(t, err)
@@ -36,8 +36,8 @@
 	return entry
 }
 
-// Every replica has the bytes that the operator sent, in whatever form they travelled, and recognises an update that is sent
-// again.
+// Every replica ends up with the exact bytes that the operator sent, although the log carries deltas, and recognises retried
+// updates.
 func TestUpdatesTravelAsDeltasAndKeepTheirBytes(t *testing.T) {
 	state, replica := &State{}, &State{}
 	updates, deltaBytes := []ConfigUpdate{{Body: configWithRoutes(1, 900, 0, 800)}}, 0
@@ -66,15 +66,15 @@
 		}
 		require.Equal(t, state.Checksum(), replica.Checksum())
 	}
-	require.Less(t, deltaBytes/200, 400, "a change of one route in 900")
+	require.Less(t, deltaBytes/200, 400, "average entry size for a change of one route in 900")
 	for _, update := range updates[len(updates)-20:] {
 		result, err := replica.CheckConfig(&update)
 		require.NoError(t, err)
-		require.Nil(t, result, "it was applied")
+		require.Nil(t, result, "a retry of an applied update")
 	}
 }
 
-// A delta that does not fit changes nothing, and a state that is not the one that a delta builds on does not even take its
+// An invalid delta does not change the configuration. A state that differs from the delta's base does not even advance its
 // index.
 func TestDeltaIsAppliedCompletelyOrNotAtAll(t *testing.T) {
 	state := &State{}
@@ -86,10 +86,10 @@
 	require.NotEmpty(t, good.Diff)
 	before := state.Snapshot()
 	for name, damage := range map[string]func(*ConfigUpdate){
-		"another digest of the result": func(c *ConfigUpdate) { c.ResultDigest[3]++ },
-		"a cut difference":             func(c *ConfigUpdate) { c.Diff = c.Diff[:len(c.Diff)-1] },
-		"other bytes":                  func(c *ConfigUpdate) { c.Diff = append(bytes.Clone(c.Diff[:len(c.Diff)-1]), c.Diff[len(c.Diff)-1]-1) },
-		"no difference, no body":       func(c *ConfigUpdate) { c.Diff = nil },
+		"wrong digest of the result": func(c *ConfigUpdate) { c.ResultDigest[3]++ },
+		"truncated diff":             func(c *ConfigUpdate) { c.Diff = c.Diff[:len(c.Diff)-1] },
+		"modified diff":              func(c *ConfigUpdate) { c.Diff = append(bytes.Clone(c.Diff[:len(c.Diff)-1]), c.Diff[len(c.Diff)-1]-1) },
+		"neither diff nor body":      func(c *ConfigUpdate) { c.Diff = nil },
 	} {
 		c := *good
 		damage(&c)
@@ -99,10 +99,10 @@
 		replica.Index = 1
 		require.Equal(t, before, replica.Snapshot(), name)
 	}
-	late := *good
-	late.BaseVersion = 7
+	otherBase := *good
+	otherBase.BaseVersion = 7
 	replica, _ := Restore(before)
-	require.ErrorIs(t, replica.Apply(2, Change{UpdateConfig: &late}), ErrVersionConflict)
+	require.ErrorIs(t, replica.Apply(2, Change{UpdateConfig: &otherBase}), ErrVersionConflict)
 	diverged := &State{}
 	applyUpdate(t, diverged, ConfigUpdate{Body: configWithRoutes(1, 20, 1, 801)})
 	require.ErrorIs(t, diverged.Apply(2, Change{UpdateConfig: good}), ErrDiverged)
@@ -140,12 +140,12 @@
 			return
 		}
 		if c.UpdateConfig != nil && !bytes.Equal(EncodeChange(c), b) && b[0] == configUpdateMarker {
-			t.Fatalf("%x is written as %x", b, EncodeChange(c))
+			t.Fatalf("%x is encoded as %x", b, EncodeChange(c))
 		}
 		state, _ := Restore(base)
 		before := state.ConfigBody
 		if state.Apply(state.Index+1, c) != nil && !bytes.Equal(before, state.ConfigBody) {
-			t.Fatal("applied partly")
+			t.Fatal("a rejected update changed the configuration")
 		}
 	})
 }
@@ -158,7 +158,7 @@
 	}
 }
 
-// benchmarkChanges restores a snapshot and applies changes of one route each, as a restarted process does.
+// benchmarkChanges restores a snapshot and applies updates that change one route each, as a restarted process does.
 func benchmarkChanges(b *testing.B, routes, changes int) {
 	state := &State{}
 	applyUpdate(b, state, ConfigUpdate{Body: configWithRoutes(1, routes, 0, 800)})
--- a/internal/statemachine/digest.go
+++ b/internal/statemachine/digest.go
@@ -10,31 +10,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Range is a part of the state that has a digest of its own, so that a difference can be named.
+// Range is a part of the state that has a digest of its own, so that a divergence can be narrowed down to it.
 type Range uint8
 
-// The ranges.
+// The ranges of the state. Their numbers are indices into Digest.Ranges.
 const (
 	RangeConfig    Range = iota // the configuration and its version
-	RangeHosts                  // the hosts, those unaccounted for too
+	RangeHosts                  // the hosts, including unaccounted ones
 	RangePrimaries              // the primaries
 	RangeProxies                // the proxies
-	RangeHistory                // what is remembered of the past
+	RangeHistory                // leader time, applied updates and removed hosts
 	RangeCount                  // number of ranges
 )
 
 var rangeNames = [RangeCount]string{"configuration", "hosts", "primaries", "proxies", "history"}
 
-// String names the range in log lines.
+// String returns the name of the range, as used in log lines.
 func (r Range) String() string { return rangeNames[r] }
 
-// Digest is what a state is like at an index. All replicas have the same at the same index; its names are part of the wire format.
+// Digest summarizes the state at an index. All replicas have the same digest at the same index. The names of the type and its
+// fields are part of the wire format.
 type Digest struct {
 	Index  uint64
 	Ranges [RangeCount]uint64
 }
 
-// Difference names the ranges in which two digests differ; empty: they are equal.
+// Difference returns the names of the ranges in which two digests differ; it is empty if they are equal.
 func (d Digest) Difference(other Digest) string {
 	var names []string
 	for r := range RangeCount {
@@ -45,7 +46,8 @@
 	return strings.Join(names, ", ")
 }
 
-// Digest reads the whole state, as it is in memory now. It takes some 0.1 ms for a configuration of 1,000 routes.
+// Digest computes the digest of the state as it is in memory. It reads the whole state, which takes about 0.1 ms for a
+// configuration of 1,000 routes.
 func (s *State) Digest() Digest {
 	return Digest{Index: s.Index, Ranges: [RangeCount]uint64{
 		RangeConfig:    s.digestConfig(),
@@ -56,12 +58,13 @@
 	}}
 }
 
-// ConfigIntact says whether the configuration's body is in memory as it was applied.
+// ConfigIntact reports whether the configuration's body in memory still matches the digest taken when it was applied.
 func (s *State) ConfigIntact() bool {
 	return len(s.ConfigBody) == 0 || digestOf(s.ConfigBody) == s.configDigest
 }
 
-// rangeHash hashes values one after another, each in a form that no other value can run into.
+// rangeHash hashes a sequence of values. Strings are prefixed with their length, so that different sequences never hash the
+// same bytes.
 type rangeHash struct {
 	hash    *xxhash.Digest
 	scratch [binary.MaxVarintLen64]byte
--- a/internal/statemachine/diskformat/diskformat.go
+++ b/internal/statemachine/diskformat/diskformat.go
@@ -1,10 +1,9 @@
-// Package diskformat holds the form in which changes and snapshots of the control plane's state are stored in the log and on
-// disk.
+// Package diskformat defines the stored form of changes and snapshots of the control plane's state, in the log and on disk.
 //
-// encoding/gob writes the names of types and fields into the bytes and drops, without an error, what it reads under a name
-// that the type does not have. So no name here ever changes, whatever the values are called elsewhere: a field that is no
-// longer needed stays, and a new one gets a name that was never used. A type that lists have is in package
-// rack, since gob writes the name of its package too. The order of fields is part of the form as well: equal states give equal
+// encoding/gob writes the names of types and fields into its output, and the decoder silently ignores fields that the type does
+// not have. So names in this package never change, whatever the values are called elsewhere: an obsolete field stays, and a new
+// field gets a name that was never used before. Types that are elements of lists are in package rack, because gob also writes
+// the package name of an element type. The order of fields is part of the form as well, because equal states must have equal
 // bytes.
 package diskformat
 
@@ -25,7 +24,7 @@
 	Resumed   string
 }
 
-// Configure is the form of an update of the configuration in logs that are older than its packed form.
+// Configure is the stored form of a configuration update in logs of releases before updates had an encoding of their own.
 type Configure struct {
 	Base   int64
 	Amend  bool
@@ -33,7 +32,7 @@
 	Packed Packed
 }
 
-// Packed is the digests and the difference of a Configure.
+// Packed holds the digests of the request, the base and the result of a Configure, and the diff.
 type Packed struct {
 	Sent  [16]byte
 	Was   [16]byte
@@ -69,23 +68,23 @@
 // Departure is the stored form of a host that was removed.
 type Departure = rack.Departure
 
-// State is the stored form of the whole state. Its type keeps the name that stands in snapshots on disk.
+// State is the stored form of the whole state. The name of its type, flatState, is written in snapshots on disk.
 type State = flatState
 
-// flatState holds maps as lists. Maps are lists in the order of their keys.
+// flatState holds the state's maps as lists sorted by key.
 type flatState struct {
 	Index  uint64
 	Config []byte
 	Gen    int64
 	Led    int64
-	Orders []byte // the updates that were applied, packed by their owner
+	Orders []byte // applied configuration updates, encoded by package statemachine
 	Hosts  []Host
-	Names  []string // of the services in Leads
+	Names  []string // service names; the keys of Leads
 	Leads  []Lead
 	Left   []Departure
 	Owed   []Host
 	Took   int64
 
 	Routers []string
-	Since   []uint64 // the change that brought each of Routers
+	Since   []uint64 // index of the change that added each proxy in Routers
 }
--- a/internal/statemachine/diskformat/rack/rack.go
+++ b/internal/statemachine/diskformat/rack/rack.go
@@ -1,6 +1,6 @@
-// Package rack holds the stored forms that the state has lists of. encoding/gob writes the type of a list with the name of the
-// package that its elements come from, as in []rack.Host. So this package keeps the name that the package of the state machine
-// had when the form was first written.
+// Package rack defines the stored forms that are elements of lists in the stored state. encoding/gob writes the type name of a
+// list with the package name of its elements, for example []rack.Host. So this package keeps the name that package statemachine
+// had when the stored form was introduced.
 package rack
 
 // Host is the stored form of a host.
--- a/internal/statemachine/errors.go
+++ b/internal/statemachine/errors.go
@@ -5,57 +5,58 @@
 	"fmt"
 )
 
-// Reasons why a change changed nothing, for errors.Is. The errors that Apply and CheckConfig return say more, see the types
-// below. The same change gives the same error on a later attempt, unless other changes come in between. The texts go to
-// operators in the answers of the control plane, and so don't change.
+// Errors for rejected changes, for use with errors.Is. Apply and CheckConfig return the more detailed types below. Retrying a
+// change returns the same error, unless other changes were applied in between. The control plane's responses carry these texts
+// to operators, so they must not change.
 var (
 	ErrVersionConflict = errors.New("another version is in place")
 	ErrInvalid         = errors.New("not valid")
 	ErrNotFound        = errors.New("not known")
-	// ErrDiverged is about the state, not about the change: the state takes in nothing more, and has to be restored from a
-	// snapshot.
+	// ErrDiverged is a fault of the state, not of the change: the state rejects the change without advancing its index, and has
+	// to be restored from a snapshot.
 	ErrDiverged = errors.New("state has diverged")
 )
 
-// Reasons why stored bytes can't be read, for errors.Is. Reading them again gives the same error.
+// Errors for stored bytes that cannot be decoded, for use with errors.Is. Decoding the same bytes again returns the same error.
 var (
 	ErrBadSnapshot = errors.New("invalid snapshot")
 	ErrBadChange   = errors.New("invalid change")
 )
 
-// VersionConflictError says that an update of the configuration builds on another version than the one in force. It is an
-// ErrVersionConflict. Whoever sent the update has to build it anew on the version in force.
+// VersionConflictError is returned for a configuration update whose base version is not the current version. The sender has to
+// rebase the update on the current version. It wraps ErrVersionConflict.
 type VersionConflictError struct {
-	InForce, Base int64 // versions
+	Current, Base int64 // versions of the current configuration and of the update's base
 }
 
-// Error names both versions.
+// Error implements error. The text names both versions.
 func (e *VersionConflictError) Error() string {
-	return fmt.Sprintf("%v: %d is, the change builds on %d", ErrVersionConflict, e.InForce, e.Base)
+	return fmt.Sprintf("%v: %d is, the change builds on %d", ErrVersionConflict, e.Current, e.Base)
 }
 
 // Unwrap returns ErrVersionConflict.
 func (*VersionConflictError) Unwrap() error { return ErrVersionConflict }
 
-// InvalidConfigError says that an update of the configuration can't be made, whatever the version. It is an ErrInvalid.
+// InvalidConfigError is returned for a configuration update that is invalid, whatever the current version is. It wraps
+// ErrInvalid.
 type InvalidConfigError struct {
-	Base  int64 // the version that the update builds on
-	Cause error // names the field
+	Base  int64 // version that the update is based on
+	Cause error // names the invalid field, if it is known
 }
 
-// Error names the cause.
+// Error implements error. The text includes the cause.
 func (e *InvalidConfigError) Error() string { return fmt.Sprintf("%v: %v", ErrInvalid, e.Cause) }
 
 // Unwrap returns ErrInvalid and the cause.
 func (e *InvalidConfigError) Unwrap() []error { return []error{ErrInvalid, e.Cause} }
 
-// HostError says that a change is about a host that is not there. It is an ErrNotFound.
+// HostError is returned for a change to a host that is not known. It wraps ErrNotFound.
 type HostError struct {
-	Host    string // its id
-	Removed bool   // it was there, and its id is not used again
+	Host    string // ID of the host
+	Removed bool   // the host was removed, and its ID is not reused
 }
 
-// Error names the host.
+// Error implements error. The text names the host.
 func (e *HostError) Error() string {
 	if e.Removed {
 		return fmt.Sprintf("%v: %s has left", ErrNotFound, e.Host)
@@ -66,13 +67,14 @@
 // Unwrap returns ErrNotFound.
 func (*HostError) Unwrap() error { return ErrNotFound }
 
-// DivergedError says that an update builds on the version in force, but on other bytes. It is an ErrDiverged.
+// DivergedError is returned for a configuration update that is based on the current version, but on different content. It wraps
+// ErrDiverged.
 type DivergedError struct {
-	Index   uint64 // of the change that was not applied
-	Version int64  // that both have
+	Index   uint64 // index of the change that was not applied
+	Version int64  // version of both configurations
 }
 
-// Error names the change.
+// Error implements error. The text names the index of the change and the version.
 func (e *DivergedError) Error() string {
 	return fmt.Sprintf("%v: change %d builds on another configuration of version %d", ErrDiverged, e.Index, e.Version)
 }
--- a/internal/statemachine/lookup.go
+++ b/internal/statemachine/lookup.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// lookup finds parts of a state without going through all of it. It is derived from the state's maps: built at its first use, and
-// kept by each change from then on. Slices that it returned stay as they are.
+// lookup is a set of secondary indexes over the maps of a state. It is built on first use, and each later change keeps it up to
+// date. Its slices are never modified in position, so callers may keep them.
 type lookup struct {
-	hostsByService map[string][]string // ids, sorted
-	hostsByAddress map[string][]string // ids, sorted
-	revokedAt      map[string]uint64   // by service whose primary is revoked: the index of that change
-	changedAt      map[string]uint64   // by service: the index of the newest change of its hosts or its primary since the build
-	serviceNames   []string            // those with hosts or a primary, sorted; nil: not collected
+	hostsByService map[string][]string // sorted host IDs
+	hostsByAddress map[string][]string // sorted host IDs
+	revokedAt      map[string]uint64   // index of the revocation, by service with a revoked primary
+	changedAt      map[string]uint64   // index of the newest change to a service's hosts or primary since the lookup was built, by service
+	serviceNames   []string            // sorted names of the services with hosts or a primary; nil if not computed
 }
 
-// lookups returns the state's lookup.
-func (s *State) lookups() *lookup {
+// ensureLookup returns the lookup of the state, and builds it if necessary.
+func (s *State) ensureLookup() *lookup {
 	if s.lookup != nil {
 		return s.lookup
 	}
@@ -58,40 +58,41 @@
 	}
 }
 
-// insertID adds an id to a sorted list, in a new array.
+// insertID adds an ID to a sorted list. The list is copied, not modified.
 func insertID(lists map[string][]string, key, id string) {
-	place, found := slices.BinarySearch(lists[key], id)
+	position, found := slices.BinarySearch(lists[key], id)
 	if !found {
-		lists[key] = slices.Insert(slices.Clone(lists[key]), place, id)
+		lists[key] = slices.Insert(slices.Clone(lists[key]), position, id)
 	}
 }
 
-// removeID removes an id from a sorted list, in a new array.
+// removeID removes an ID from a sorted list. The list is copied, not modified.
 func removeID(lists map[string][]string, key, id string) {
-	place, found := slices.BinarySearch(lists[key], id)
+	position, found := slices.BinarySearch(lists[key], id)
 	switch {
 	case !found:
 	case len(lists[key]) == 1:
 		delete(lists, key)
 	default:
-		lists[key] = slices.Delete(slices.Clone(lists[key]), place, place+1)
+		lists[key] = slices.Delete(slices.Clone(lists[key]), position, position+1)
 	}
 }
 
-// HostIDs returns the ids of a service's hosts, sorted. The slice must not be modified.
-func (s *State) HostIDs(service string) []string { return s.lookups().hostsByService[service] }
+// HostIDs returns the sorted IDs of a service's hosts. The slice must not be modified.
+func (s *State) HostIDs(service string) []string { return s.ensureLookup().hostsByService[service] }
 
-// HostAt returns the id of the host at an address, the first of several; empty: there is none.
+// HostAt returns the ID of the host at an address, or an empty string if there is none. Of several hosts it returns the one with
+// the lowest ID.
 func (s *State) HostAt(address string) string {
-	if ids := s.lookups().hostsByAddress[address]; len(ids) > 0 {
+	if ids := s.ensureLookup().hostsByAddress[address]; len(ids) > 0 {
 		return ids[0]
 	}
 	return ""
 }
 
-// ServiceNames returns the services that have hosts or a primary, sorted. The slice must not be modified.
+// ServiceNames returns the sorted names of the services that have hosts or a primary. The slice must not be modified.
 func (s *State) ServiceNames() []string {
-	l := s.lookups()
+	l := s.ensureLookup()
 	if l.serviceNames != nil {
 		return l.serviceNames
 	}
@@ -106,54 +107,54 @@
 	return l.serviceNames
 }
 
-// ServiceChangedAt returns the index of the newest change of a service's hosts, unaccounted ones too, or of its primary; 0: none
-// since the state was restored.
-func (s *State) ServiceChangedAt(service string) uint64 { return s.lookups().changedAt[service] }
+// ServiceChangedAt returns the index of the newest change to a service's primary or hosts, including unaccounted ones. It is 0 if
+// there was no such change since the state was restored.
+func (s *State) ServiceChangedAt(service string) uint64 { return s.ensureLookup().changedAt[service] }
 
-// LatestRevocation returns the index of the newest change that revoked a primary of those that are still revoked; 0: none is.
+// LatestRevocation returns the index of the newest revocation that is still in force, or 0 if no primary is revoked.
 func (s *State) LatestRevocation() (index uint64) {
-	for _, revokedAt := range s.lookups().revokedAt {
+	for _, revokedAt := range s.ensureLookup().revokedAt {
 		index = max(index, revokedAt)
 	}
 	return index
 }
 
 func (s *State) putHost(host Host) {
-	l := s.lookups()
+	l := s.ensureLookup()
 	if previous, found := s.Hosts[host.ID]; found && (previous.Service != host.Service || previous.Address != host.Address) {
 		l.removeHost(previous)
 		l.changedAt[previous.Service] = s.Index
 	}
-	put(&s.Hosts, host.ID, host)
+	putInMap(&s.Hosts, host.ID, host)
 	l.addHost(host)
 	l.changedAt[host.Service] = s.Index
 }
 
 func (s *State) deleteHost(host Host) {
-	l := s.lookups()
+	l := s.ensureLookup()
 	delete(s.Hosts, host.ID)
 	l.removeHost(host)
 	l.changedAt[host.Service] = s.Index
 }
 
 func (s *State) putUnaccountedHost(host Host) {
-	put(&s.UnaccountedHosts, host.ID, host)
-	s.lookups().changedAt[host.Service] = s.Index
+	putInMap(&s.UnaccountedHosts, host.ID, host)
+	s.ensureLookup().changedAt[host.Service] = s.Index
 }
 
 func (s *State) deleteUnaccountedHost(id string) {
 	if host, found := s.UnaccountedHosts[id]; found {
 		delete(s.UnaccountedHosts, id)
-		s.lookups().changedAt[host.Service] = s.Index
+		s.ensureLookup().changedAt[host.Service] = s.Index
 	}
 }
 
 func (s *State) putPrimary(service string, primary Primary) {
-	l := s.lookups()
+	l := s.ensureLookup()
 	if _, found := s.Primaries[service]; !found {
 		l.serviceNames = nil
 	}
-	put(&s.Primaries, service, primary)
+	putInMap(&s.Primaries, service, primary)
 	l.setPrimary(service, primary)
 	l.changedAt[service] = s.Index
 }
--- a/internal/statemachine/lookup_test.go
+++ b/internal/statemachine/lookup_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// After any change, the lookup that is kept equals one that is built from the maps.
+// After each change, the incrementally updated lookup equals one that is built from scratch.
 func TestLookupFollowsEachChange(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -33,20 +33,20 @@
 				change.HostLeaving = pick("h", 400)
 			}
 			before := state.Checksum()
-			changedAt := maps.Clone(state.lookups().changedAt)
-			_ = state.Apply(index+1, change) // a refused change is part of the log
+			changedAt := maps.Clone(state.ensureLookup().changedAt)
+			_ = state.Apply(index+1, change) // a rejected change still advances the index
 			fresh := *state
 			fresh.lookup = nil
-			require.Equal(t, fresh.lookups().hostsByService, state.lookups().hostsByService)
-			require.Equal(t, fresh.lookups().hostsByAddress, state.lookups().hostsByAddress)
+			require.Equal(t, fresh.ensureLookup().hostsByService, state.ensureLookup().hostsByService)
+			require.Equal(t, fresh.ensureLookup().hostsByAddress, state.ensureLookup().hostsByAddress)
 			require.Equal(t, fresh.ServiceNames(), state.ServiceNames())
 			require.Equal(t, fresh.LatestRevocation(), state.LatestRevocation())
 			for _, id := range slices.Sorted(maps.Keys(state.Hosts)) {
 				require.Contains(t, state.HostIDs(state.Hosts[id].Service), id)
 			}
-			if maps.Equal(changedAt, state.lookups().changedAt) {
+			if maps.Equal(changedAt, state.ensureLookup().changedAt) {
 				state.Index, fresh.Index = index, index
-				require.Equal(t, before, state.Checksum(), "seed %d, index %d: a change of no service changed the state", seed, index+1)
+				require.Equal(t, before, state.Checksum(), "seed %d, index %d: the state changed, but no service is marked as changed", seed, index+1)
 				state.Index = index + 1
 			}
 		}
--- a/internal/statemachine/retention.go
+++ b/internal/statemachine/retention.go
@@ -11,28 +11,30 @@
 	"github.com/zeebo/blake3"
 )
 
-// What is remembered of the past, so that a request that is sent again, or an announcement that comes late, is recognised:
-// the updates of the configuration that were applied, and the hosts that were removed.
+// The state keeps a history of applied configuration updates and removed hosts, to recognise retried requests and delayed
+// announcements.
 //
-// Both are forgotten by leader time: each leader stamps what it proposes with the last stamp of the log, plus the time on its
-// monotonic clock since it began to lead. It stands still while there is no leader, and what passed after a leader's last
-// proposal is lost. So it never runs ahead of the time that has passed, and it is the same for all who apply the log.
+// Records expire by leader time: each leader stamps its proposals with the last timestamp in the log when it was elected, plus
+// the time elapsed since then on its monotonic clock. Leader time stands still while there is no leader, and the time between a
+// leader's last proposal and its loss of leadership is not counted. So leader time never runs faster than real time, and it is
+// the same on all replicas.
 const (
-	RetentionMs = 15 * 60 * 1000 // milliseconds of leader time for which everything is remembered
-	MinRetained = 1 << 10        // of the newest, remembered whatever their age
-	MaxRetained = 1 << 15        // one every 27 ms for all of RetentionMs; of more, the oldest are forgotten before their time
+	RetentionMs = 15 * 60 * 1000 // leader time, in milliseconds, for which all records are retained
+	MinRetained = 1 << 10        // newest records that are retained whatever their age
+	MaxRetained = 1 << 15        // one every 27 ms throughout RetentionMs; beyond it, the oldest records are dropped early
 )
 
-// RequestID identifies an update of the configuration that may be sent more than once.
+// RequestID identifies a configuration update across retries.
 type RequestID struct {
-	BaseVersion int64             // the version that it builds on
-	Digest      [digestBytes]byte // of the body as it was sent
+	BaseVersion int64             // version that the update is based on
+	Digest      [digestBytes]byte // of the body of the request
 }
 
-// amendmentPrefix tells the digest of an amendment from that of a configuration with the same bytes. No valid body begins so.
+// amendmentPrefix is hashed before the body of an amendment, so that its digest differs from that of a complete configuration
+// with the same bytes. No valid body begins with this byte.
 const amendmentPrefix = 1
 
-// RequestID returns the update's identity, which does not depend on the form in which the log carries it.
+// RequestID returns the identity of the update. It is the same for the request and for the form stored in the log.
 func (c *ConfigUpdate) RequestID() RequestID {
 	if c.hasDelta() {
 		return RequestID{c.BaseVersion, c.RequestDigest}
@@ -47,36 +49,37 @@
 	return id
 }
 
-// AppliedUpdate notes an update of the configuration that was applied. Versions only rise, so at most one builds on each.
+// AppliedUpdate is a record of an applied configuration update. Versions only increase, so at most one update is based on each
+// version.
 type AppliedUpdate struct {
 	RequestID
-	LeaderTimeMs int64 // leader time
+	LeaderTimeMs int64 // leader time at which the update was applied
 }
 
-// RemovedHost notes a host that has left or was removed. Its id is not used again, so an announcement by it is one that comes
-// late, unless the host is still listed: see State.IsLeaving.
+// RemovedHost is a record of a host that has left or was removed. Host IDs are not reused, so an announcement with this ID is a
+// delayed one, unless the host is still listed, see State.IsLeaving.
 type RemovedHost struct {
 	ID           string
-	LeaderTimeMs int64 // leader time
+	LeaderTimeMs int64 // leader time at which the host left or was removed
 }
 
 func (s *State) wasApplied(id RequestID) bool {
-	place, found := slices.BinarySearchFunc(s.AppliedUpdates, id.BaseVersion, func(update AppliedUpdate, base int64) int {
+	position, found := slices.BinarySearchFunc(s.AppliedUpdates, id.BaseVersion, func(update AppliedUpdate, base int64) int {
 		return cmp.Compare(update.BaseVersion, base)
 	})
-	return found && s.AppliedUpdates[place].RequestID == id
+	return found && s.AppliedUpdates[position].RequestID == id
 }
 
 func (s *State) wasRemoved(id string) bool {
 	return slices.ContainsFunc(s.RemovedHosts, func(removed RemovedHost) bool { return removed.ID == id })
 }
 
-// retain returns what is still remembered at a leader time, of notes of which the newest is last: all of the last
-// RetentionMs, at least MinRetained, at most MaxRetained.
-func retain[T any](notes []T, timeOf func(T) int64, nowMs int64) []T {
-	recent := sort.Search(len(notes), func(place int) bool { return timeOf(notes[place]) >= nowMs-RetentionMs })
-	first := max(min(recent, len(notes)-MinRetained), len(notes)-MaxRetained, 0)
-	return notes[first:]
+// retain drops expired records from a list sorted from oldest to newest. It keeps all records of the last RetentionMs, but at
+// least MinRetained and at most MaxRetained of them.
+func retain[T any](records []T, timeOf func(T) int64, nowMs int64) []T {
+	recent := sort.Search(len(records), func(position int) bool { return timeOf(records[position]) >= nowMs-RetentionMs })
+	first := max(min(recent, len(records)-MinRetained), len(records)-MaxRetained, 0)
+	return records[first:]
 }
 
 func (s *State) recordUpdate(id RequestID) {
@@ -89,8 +92,8 @@
 	s.RemovedHosts = retain(removed, func(host RemovedHost) int64 { return host.LeaderTimeMs }, s.LeaderTimeMs)
 }
 
-// encodeAppliedUpdates writes each update as its difference to the one before: base version and leader time as uvarints, and
-// the digest; some 20 bytes.
+// encodeAppliedUpdates encodes each update relative to the previous one: the increments of base version and leader time as
+// uvarints, and the digest. An update takes about 20 bytes.
 func encodeAppliedUpdates(updates []AppliedUpdate) (content []byte) {
 	var previous AppliedUpdate
 	for _, update := range updates {
@@ -109,7 +112,7 @@
 	errTooManyUpdates   = fmt.Errorf("more than %d", MaxRetained)
 )
 
-// decodeAppliedUpdates reads what encodeAppliedUpdates wrote.
+// decodeAppliedUpdates decodes the output of encodeAppliedUpdates.
 func decodeAppliedUpdates(content []byte) (updates []AppliedUpdate, err error) {
 	var previous AppliedUpdate
 	for len(content) > 0 {
@@ -117,7 +120,7 @@
 		switch {
 		case size == 0:
 			return nil, errTruncatedUpdates
-		case !isNext(update, previous, len(updates) == 0):
+		case !canFollow(update, previous, len(updates) == 0):
 			return nil, errUpdateOrder
 		case len(updates) == MaxRetained:
 			return nil, errTooManyUpdates
@@ -128,7 +131,7 @@
 	return updates, nil
 }
 
-// decodeAppliedUpdate reads one update behind another. size is 0 where there is none that is complete.
+// decodeAppliedUpdate decodes the update that follows previous. It returns a size of 0 if the content is truncated or invalid.
 func decodeAppliedUpdate(content []byte, previous AppliedUpdate) (update AppliedUpdate, size int) {
 	versions, versionBytes := binary.Uvarint(content)
 	if versionBytes <= 0 {
@@ -145,8 +148,9 @@
 	return update, numberBytes + digestBytes
 }
 
-// isNext reports whether an update may follow another; a sum that overflowed may not. The first may build on version 0.
-func isNext(update, previous AppliedUpdate, isFirst bool) bool {
+// canFollow reports whether an update may follow another: base versions increase, and leader time does not decrease. This also
+// rejects increments that overflow. The first update may be based on version 0.
+func canFollow(update, previous AppliedUpdate, isFirst bool) bool {
 	return update.LeaderTimeMs >= previous.LeaderTimeMs &&
 		(update.BaseVersion > previous.BaseVersion || isFirst && update.BaseVersion == previous.BaseVersion)
 }
--- a/internal/statemachine/retention_test.go
+++ b/internal/statemachine/retention_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// applyBurst applies updates, each intervalMs after the one before, with snapshots in between.
+// applyBurst applies count updates at intervals of intervalMs, and restores the state from a snapshot every 500 updates.
 func applyBurst(t testing.TB, state *State, count int, intervalMs int64) (*State, []ConfigUpdate) {
 	var updates []ConfigUpdate
 	for i := range count {
@@ -32,33 +32,33 @@
 		other := all[i]
 		other.Body = append([]byte(" "), other.Body...)
 		_, err = state.CheckConfig(&other)
-		require.ErrorIs(t, err, ErrVersionConflict, "not as it was sent")
+		require.ErrorIs(t, err, ErrVersionConflict, "a different body is not a retry")
 		other = all[i]
 		other.IsAmendment = true
 		_, err = state.CheckConfig(&other)
-		require.ErrorIs(t, err, ErrVersionConflict, "another call")
+		require.ErrorIs(t, err, ErrVersionConflict, "an amendment with the same body is not a retry")
 	}
 	encodedBytes := len(encodeAppliedUpdates(state.AppliedUpdates))
-	t.Logf("%d updates are remembered in %d bytes, of a snapshot of %d", len(state.AppliedUpdates), encodedBytes, len(state.Snapshot()))
+	t.Logf("%d retained updates take %d bytes of a snapshot of %d bytes", len(state.AppliedUpdates), encodedBytes, len(state.Snapshot()))
 	require.Less(t, encodedBytes, 2000*22)
 }
 
-// Updates are remembered for RetentionMs of leader time, but never fewer than MinRetained nor more than MaxRetained.
+// Updates are retained for RetentionMs of leader time. The newest MinRetained updates are retained whatever their age.
 func TestUpdatesAreForgottenByLeaderTime(t *testing.T) {
 	state, all := applyBurst(t, &State{}, MinRetained+10, 0)
 	state, late := applyBurst(t, state, 1, RetentionMs-2)
 	_, err := state.CheckConfig(&all[9])
-	require.NoError(t, err, "within the time")
+	require.NoError(t, err, "within RetentionMs")
 	state, _ = applyBurst(t, state, 3, 3)
 	_, err = state.CheckConfig(&all[9])
-	require.ErrorIs(t, err, ErrVersionConflict, "older, and not among the newest")
+	require.ErrorIs(t, err, ErrVersionConflict, "expired, and not among the newest MinRetained")
 	_, err = state.CheckConfig(&all[MinRetained+9])
-	require.NoError(t, err, "older, but among the newest")
+	require.NoError(t, err, "expired, but among the newest MinRetained")
 	_, err = state.CheckConfig(&late[0])
 	require.NoError(t, err)
-	led := state.LeaderTimeMs
+	leaderTimeMs := state.LeaderTimeMs
 	require.NoError(t, state.Apply(state.Index+1, Change{LeaderTimeMs: 5, UpdateProxy: &ProxyMembership{Name: "r"}}))
-	require.Equal(t, led, state.LeaderTimeMs, "leader time never goes back")
+	require.Equal(t, leaderTimeMs, state.LeaderTimeMs, "leader time never decreases")
 }
 
 func TestRetentionIsBounded(t *testing.T) {
@@ -70,55 +70,55 @@
 	}
 	require.Len(t, state.AppliedUpdates, MaxRetained)
 	require.Len(t, state.RemovedHosts, MaxRetained)
-	require.LessOrEqual(t, len(encodeAppliedUpdates(state.AppliedUpdates)), 32*MaxRetained, "the bound in bytes that the documentation states")
+	require.LessOrEqual(t, len(encodeAppliedUpdates(state.AppliedUpdates)), 32*MaxRetained, "size limit stated in the documentation")
 	require.True(t, state.wasApplied(RequestID{BaseVersion: MaxRetained + 99}))
 	require.False(t, state.wasApplied(RequestID{BaseVersion: 99}))
 }
 
-// An announcement that comes after its host was removed does not add it again, however many were removed since.
+// A delayed announcement of a removed host does not add the host again, however many hosts were removed since.
 func TestRemovedHostIsNotAddedAgain(t *testing.T) {
 	state := &State{}
-	do := func(led int64, c Change) error {
-		c.LeaderTimeMs = state.LeaderTimeMs + led
-		return state.Apply(state.Index+1, c)
+	applyAfter := func(elapsedMs int64, change Change) error {
+		change.LeaderTimeMs = state.LeaderTimeMs + elapsedMs
+		return state.Apply(state.Index+1, change)
 	}
-	enter := func(id, address string) Change {
+	addHost := func(id, address string) Change {
 		return Change{AddHost: &Host{ID: id, Service: "db", Address: address}}
 	}
-	require.NoError(t, do(1, enter("first", "1.1.1.1:1")))
-	require.NoError(t, do(1, Change{RemoveHost: "first"}))
+	require.NoError(t, applyAfter(1, addHost("first", "1.1.1.1:1")))
+	require.NoError(t, applyAfter(1, Change{RemoveHost: "first"}))
 	for i := range 3 * MinRetained {
 		id := fmt.Sprint("i-", i)
-		require.NoError(t, do(10, enter(id, "1.1.1.1:2")))
-		require.NoError(t, do(10, Change{RemoveHost: id}))
+		require.NoError(t, applyAfter(10, addHost(id, "1.1.1.1:2")))
+		require.NoError(t, applyAfter(10, Change{RemoveHost: id}))
 		if i%1000 == 7 {
 			var err error
 			state, err = Restore(state.Snapshot())
 			require.NoError(t, err)
 		}
 	}
-	require.NoError(t, do(1, enter("new", "1.1.1.1:1")))
-	require.ErrorIs(t, do(1, enter("first", "1.1.1.1:1")), ErrNotFound)
-	require.Contains(t, state.Hosts, "new", "the host that is at its address now stays")
+	require.NoError(t, applyAfter(1, addHost("new", "1.1.1.1:1")))
+	require.ErrorIs(t, applyAfter(1, addHost("first", "1.1.1.1:1")), ErrNotFound)
+	require.Contains(t, state.Hosts, "new", "the host that now has the address stays")
 	require.NotContains(t, state.Hosts, "first")
 }
 
 func TestInvalidAppliedUpdatesAreRejected(t *testing.T) {
 	good := []AppliedUpdate{{RequestID{BaseVersion: 3, Digest: [16]byte{1}}, 5}, {RequestID{BaseVersion: 900, Digest: [16]byte{2}}, 5}}
-	b := encodeAppliedUpdates(good)
-	back, err := decodeAppliedUpdates(b)
+	encoded := encodeAppliedUpdates(good)
+	decoded, err := decodeAppliedUpdates(encoded)
 	require.NoError(t, err)
-	require.Equal(t, good, back)
-	for cut := 1; cut < len(b); cut++ {
-		if all, err := decodeAppliedUpdates(b[:cut]); err == nil {
-			require.Equal(t, good[:1], all, "cut at %d", cut)
+	require.Equal(t, good, decoded)
+	for size := 1; size < len(encoded); size++ {
+		if prefix, err := decodeAppliedUpdates(encoded[:size]); err == nil {
+			require.Equal(t, good[:1], prefix, "truncated to %d bytes", size)
 		}
 	}
 	for name, bad := range map[string][]AppliedUpdate{
-		"the same base twice": {good[0], good[0]},
-		"bases that fall":     {good[1], good[0]},
-		"time that falls":     {good[0], {RequestID{BaseVersion: 7}, 4}},
-		"too many":            make([]AppliedUpdate, MaxRetained+1),
+		"duplicate base version":  {good[0], good[0]},
+		"decreasing base version": {good[1], good[0]},
+		"decreasing leader time":  {good[0], {RequestID{BaseVersion: 7}, 4}},
+		"too many updates":        make([]AppliedUpdate, MaxRetained+1),
 	} {
 		for i := range bad {
 			if len(bad) > 2 {
@@ -142,9 +142,9 @@
 		if err != nil {
 			return
 		}
-		again, err := decodeAppliedUpdates(encodeAppliedUpdates(all))
+		decoded, err := decodeAppliedUpdates(encodeAppliedUpdates(all))
 		require.NoError(t, err)
-		require.Equal(t, all, again)
+		require.Equal(t, all, decoded)
 		state := &State{AppliedUpdates: all}
 		for _, t := range all {
 			state.wasApplied(t.RequestID)
--- a/internal/statemachine/snapshot.go
+++ b/internal/statemachine/snapshot.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	// snapshotMagic begins a snapshot that carries a digest. Older snapshots have neither; no gob stream begins so.
+	// snapshotMagic begins a snapshot that carries a digest. Older snapshots have neither the magic nor a digest; no gob stream
+	// begins with these bytes.
 	snapshotMagic = "\x00rack1"
 	digestBytes   = 16
 )
 
-// digestOf is the first half of a BLAKE3 digest.
+// digestOf returns the first half of the BLAKE3 digest of a body.
 func digestOf(body []byte) (digest [digestBytes]byte) {
 	full := blake3.Sum256(body)
 	copy(digest[:], full[:])
 	return digest
 }
 
-// Snapshot returns the state as bytes: the magic, a digest, and the stored form in gob. Maps are stored sorted, so equal
-// states give equal bytes.
+// Snapshot encodes the state: the magic, a digest, and the stored form in gob. Maps are stored as sorted lists, so equal states
+// have equal snapshots.
 func (s *State) Snapshot() []byte {
 	const headerBytes = len(snapshotMagic) + digestBytes
 	var content bytes.Buffer
 	content.Write(make([]byte, headerBytes))
 	if err := gob.NewEncoder(&content).Encode(stateToStored(s)); err != nil {
-		panic(err) // gob refuses types, and this one is fixed
+		panic(err) // gob fails only on unsupported types, and this type is fixed
 	}
 	digest := digestOf(content.Bytes()[headerBytes:])
 	copy(content.Bytes(), snapshotMagic)
@@ -40,7 +41,8 @@
 	return content.Bytes()
 }
 
-// Restore reads what Snapshot wrote, also in older releases; no bytes are the zero State. Errors are ErrBadSnapshot.
+// Restore decodes the output of Snapshot, including that of older releases. An empty snapshot is the zero State. All errors wrap
+// ErrBadSnapshot.
 func Restore(snapshot []byte) (*State, error) {
 	if len(snapshot) == 0 {
 		return &State{}, nil
@@ -72,17 +74,18 @@
 	return state, nil
 }
 
-// verifySnapshot checks the digest of a snapshot that has one, and returns what is behind it.
+// verifySnapshot verifies the digest of a snapshot, if it has one, and returns the content that follows.
 func verifySnapshot(snapshot []byte) ([]byte, error) {
 	rest, hasDigest := bytes.CutPrefix(snapshot, []byte(snapshotMagic))
 	if !hasDigest {
 		return snapshot, nil
 	}
 	if len(rest) < digestBytes || digestOf(rest[digestBytes:]) != [digestBytes]byte(rest[:digestBytes]) {
-		return nil, errDigest
+		return nil, errDigestMismatch
 	}
 	return rest[digestBytes:], nil
 }
 
-// Checksum is the same for equal states. It encodes the whole state, and is meant for tests.
+// Checksum returns a checksum of the state, which is the same for equal states. It encodes the whole state, and is meant for
+// tests.
 func (s *State) Checksum() uint32 { return crc32.ChecksumIEEE(s.Snapshot()) }
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -1,15 +1,16 @@
-// Package statemachine is the state that the control plane replicates: the configuration, the database hosts, the primary of
-// each service, and the proxies that may hold leases. Every member and every proxy applies the same changes in the order of
-// the log, so all of them have the same state at the same index.
+// Package statemachine implements the replicated state of the control plane: the configuration, the database hosts, the primary
+// of each service, and the proxies that may hold leases. Every member and every proxy applies the same changes in log order, so
+// all of them have the same state at the same index.
 //
 //	Change -> EncodeChange -> log -> DecodeChange -> State.Apply
 //	State  -> Snapshot     -> log, proxies       -> Restore
 //
-// A change that can't be made is still part of the log; Apply returns why it changed nothing, which is the same everywhere.
-// The package is pure: no socket, file, clock or randomness. What is stored of it has its form in package diskformat.
+// A rejected change stays in the log; Apply returns the same error for it on every replica. The package is pure: it uses no
+// sockets, files, clocks or random numbers. Package diskformat defines the stored form of changes and snapshots.
 //
-// The files: change.go has the changes, apply.go one method for each, config_update.go the configuration's differences,
-// retention.go what is remembered of the past, snapshot.go and stored.go the stored forms, errors.go the reasons.
+// Files: change.go defines the changes, and apply.go has a method for each; config_update.go handles configuration updates and
+// their deltas; retention.go keeps the history of updates and removed hosts; digest.go and lookup.go have digests and secondary
+// indexes of the state; snapshot.go and stored.go convert from and to the stored form; errors.go defines the errors.
 package statemachine
 
 import (
@@ -19,60 +20,61 @@
 	"ferrypitch/internal/config"
 )
 
-// Host is a database host as it announced itself.
+// Host is a database host, as described by its announcements.
 type Host struct {
 	ID, Service, Address, Zone string
 	Generation                 string
 	Capacity                   int64
 	Draining                   bool
-	Missing                    bool   // its process is gone, and others have all that it had received
+	Missing                    bool   // the process has ended, and other hosts have everything that it received
 	AddedAt                    uint64 // index of the change that added it
 }
 
-// Primary says which host takes the writes of a service. While Revoked is set, no proxy may send a host what only a primary
-// can do.
+// Primary describes the primary of a service and the failover in progress, if any. While Revoked is set, no proxy may send any
+// host commands that require the primary.
 type Primary struct {
 	Host           string
-	Term           uint64 // the database's timeline
+	Term           uint64 // timeline of the database
 	Revoked        bool
-	FencingToken   uint64 // rises with each owner
-	Owner          string // the member that carries out the fail-over
+	FencingToken   uint64 // increases with each owner
+	Owner          string // control-plane member that runs the failover
 	ChangedAt      uint64 // index of the change that revoked or appointed the primary
-	Nominee        string // the host that the platform was last asked to promote in this fail-over; it may have been
-	ReplicasPaused bool   // replicas were paused for a fail-over, and not all are known to receive again
+	Nominee        string // host that the platform was last asked to promote in this failover; it may have been promoted
+	ReplicasPaused bool   // replicas were paused for a failover, and not all of them are known to receive writes again
 }
 
-// State is the result of all changes up to Index. The zero value is the state before the first change. Its fields are read by
-// all; only Apply changes them.
+// State is the result of all changes up to Index. The zero value is the state before the first change. Callers may read its
+// fields, but only Apply may modify them.
 type State struct {
 	Index          uint64
-	ConfigBody     []byte             // as config.Read returns it; empty: there is no configuration yet
+	ConfigBody     []byte             // body of the configuration; empty if there is none yet
 	Generation     int64              // version of the configuration
-	LeaderTimeMs   int64              // leader time of the newest change, see RetentionMs
-	AppliedUpdates []AppliedUpdate    // the newest last
-	Hosts          map[string]Host    // by id
+	LeaderTimeMs   int64              // highest leader time of all changes, see RetentionMs
+	AppliedUpdates []AppliedUpdate    // sorted from oldest to newest
+	Hosts          map[string]Host    // by ID
 	Primaries      map[string]Primary // by service
-	RemovedHosts   []RemovedHost      // the newest last
-	// UnaccountedHosts are hosts that were removed and may be the only ones that received an acknowledged write. Until a new
-	// host at the same address has that log, or other hosts are known to have all of it, no other primary is appointed.
+	RemovedHosts   []RemovedHost      // sorted from oldest to newest
+	// UnaccountedHosts are removed hosts, by ID, that may be the only ones that received an acknowledged write. No other primary
+	// is appointed until a new host at the same address has that log, or other hosts are known to have all of it.
 	UnaccountedHosts map[string]Host
-	// LastPromotionMs is how many milliseconds the platform's last promotion took, from the call; 0: none was seen.
+	// LastPromotionMs is the duration of the last promotion by the platform in milliseconds, measured from the call; 0 if none
+	// was observed.
 	LastPromotionMs int64
-	// Proxies are those that may hold leases, each with the index of the change that added it.
+	// Proxies maps the name of each proxy that may hold a lease to the index of the change that added it.
 	Proxies map[string]uint64
 
 	config       *config.Config
 	configDigest [16]byte // of ConfigBody
-	lookup       *lookup  // nil: not built yet
+	lookup       *lookup  // nil if not built yet
 }
 
-// Config returns the configuration in force; nil before the first.
+// Config returns the current configuration, or nil if there is none yet.
 func (s *State) Config() *config.Config { return s.config }
 
-// ProxyNames returns the proxies that may hold leases, sorted.
+// ProxyNames returns the sorted names of the proxies that may hold leases.
 func (s *State) ProxyNames() []string { return slices.Sorted(maps.Keys(s.Proxies)) }
 
-// UnaccountedHostIDs returns the ids of a service's unaccounted hosts, sorted.
+// UnaccountedHostIDs returns the sorted IDs of a service's unaccounted hosts.
 func (s *State) UnaccountedHostIDs(service string) []string {
 	return idsOfService(s.UnaccountedHosts, service)
 }
@@ -87,10 +89,10 @@
 	return ids
 }
 
-func (s *State) putProxy(name string, addedAt uint64) { put(&s.Proxies, name, addedAt) }
+func (s *State) putProxy(name string, addedAt uint64) { putInMap(&s.Proxies, name, addedAt) }
 
-// put sets a value in a map, and makes the map where the zero State has none.
-func put[V any](all *map[string]V, key string, value V) {
+// putInMap sets a value in a map. It allocates the map if it is nil, as in the zero State.
+func putInMap[V any](all *map[string]V, key string, value V) {
 	if *all == nil {
 		*all = map[string]V{}
 	}
--- a/internal/statemachine/state_test.go
+++ b/internal/statemachine/state_test.go
@@ -17,11 +17,11 @@
 	state := &State{}
 	first := ConfigUpdate{BaseVersion: 0, Body: configBody(3, "a")}
 	require.NoError(t, state.Apply(1, Change{UpdateConfig: &first}))
-	replica, other := ConfigUpdate{BaseVersion: 3, Body: configBody(5, "b")}, ConfigUpdate{BaseVersion: 3, Body: configBody(6, "c")}
-	require.NoError(t, state.Apply(2, Change{UpdateConfig: &replica}))
-	require.ErrorIs(t, state.Apply(3, Change{UpdateConfig: &other}), ErrVersionConflict)
+	second, concurrent := ConfigUpdate{BaseVersion: 3, Body: configBody(5, "b")}, ConfigUpdate{BaseVersion: 3, Body: configBody(6, "c")}
+	require.NoError(t, state.Apply(2, Change{UpdateConfig: &second}))
+	require.ErrorIs(t, state.Apply(3, Change{UpdateConfig: &concurrent}), ErrVersionConflict)
 	require.EqualValues(t, 5, state.Generation)
-	result, err := state.CheckConfig(&first) // sent again after its answer was lost, and after other updates
+	result, err := state.CheckConfig(&first) // a retry after the response was lost and another update was applied
 	require.NoError(t, err)
 	require.Nil(t, result)
 	_, err = state.CheckConfig(&ConfigUpdate{BaseVersion: 5, Body: configBody(5, "d")})
@@ -38,7 +38,7 @@
 	require.NoError(t, state.Apply(2, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
 	require.NoError(t, state.Apply(3, Change{RevokePrimary: &RevokePrimary{"db", "a"}}))
 	require.EqualValues(t, 2, state.Primaries["db"].FencingToken)
-	require.EqualValues(t, 2, state.Primaries["db"].ChangedAt, "a primary that is revoked already is not revoked again")
+	require.EqualValues(t, 2, state.Primaries["db"].ChangedAt, "a second revocation does not change ChangedAt")
 	require.NoError(t, state.Apply(4, Change{RevokePrimary: &RevokePrimary{"db", "b"}}))
 	require.EqualValues(t, 4, state.Primaries["db"].FencingToken)
 	require.NoError(t, state.Apply(5, Change{NominatePrimary: &NominatePrimary{"db", "h1", "b"}}))
@@ -47,39 +47,40 @@
 	require.NoError(t, state.Apply(7, Change{ReplicationResumed: "db"}))
 	require.False(t, state.Primaries["db"].ReplicasPaused)
 	require.NoError(t, state.Apply(8, Change{NominatePrimary: &NominatePrimary{"db", "h2", "b"}}))
-	require.NoError(t, state.Apply(9, Change{ReplicationResumed: "db"}), "one that comes late changes nothing")
+	require.NoError(t, state.Apply(9, Change{ReplicationResumed: "db"}), "a delayed ReplicationResumed has no effect during a failover")
 	require.True(t, state.Primaries["db"].ReplicasPaused)
 	require.True(t, errors.Is(state.Apply(10, Change{DrainHost: "nobody"}), ErrNotFound))
 }
 
-// A replica that was removed may be the only one that received a write, until its log is known to be elsewhere.
+// A removed replica may be the only host that received a write. It stays unaccounted for until a new host at its address or other
+// hosts are known to have its log.
 func TestRemovedReplicaIsUnaccountedUntilItsLogIsElsewhere(t *testing.T) {
 	state := &State{}
-	enter := func(i uint64, id, address string) {
+	addHost := func(i uint64, id, address string) {
 		require.NoError(t, state.Apply(i, Change{AddHost: &Host{ID: id, Service: "db", Address: address}}))
 	}
 	for i, id := range []string{"h0", "h1", "h2", "h3"} {
-		enter(uint64(i)+1, id, "1.1.1.1:"+id[1:])
+		addHost(uint64(i)+1, id, "1.1.1.1:"+id[1:])
 	}
 	require.NoError(t, state.Apply(5, Change{AppointPrimary: &AppointPrimary{Service: "db", Host: "h0", Term: 1}}))
 	for i, id := range []string{"h1", "h2", "h0"} {
 		require.NoError(t, state.Apply(6+uint64(i), Change{RemoveHost: id}))
 	}
-	require.Equal(t, []string{"h1", "h2"}, state.UnaccountedHostIDs("db"), "a primary acknowledges what another has received")
-	enter(9, "h4", "1.1.1.1:1")
-	require.Equal(t, []string{"h2"}, state.UnaccountedHostIDs("db"), "a new host takes the log that is at its address")
-	again, err := Restore(state.Snapshot())
+	require.Equal(t, []string{"h1", "h2"}, state.UnaccountedHostIDs("db"), "a replica has every write that a primary acknowledged, so a removed primary is accounted for")
+	addHost(9, "h4", "1.1.1.1:1")
+	require.Equal(t, []string{"h2"}, state.UnaccountedHostIDs("db"), "a new host has the log of its predecessor at the same address")
+	restored, err := Restore(state.Snapshot())
 	require.NoError(t, err)
-	require.Equal(t, state.UnaccountedHostIDs("db"), again.UnaccountedHostIDs("db"))
+	require.Equal(t, state.UnaccountedHostIDs("db"), restored.UnaccountedHostIDs("db"))
 	require.NoError(t, state.Apply(10, Change{MarkMissing: "h2"}))
 	require.Empty(t, state.UnaccountedHostIDs("db"), "other hosts have all of its log")
-	enter(11, "h5", "1.1.1.1:3")
-	require.NotContains(t, state.Hosts, "h3", "a host whose address is used again has ended, whether it could say so or not")
-	require.Error(t, state.Apply(12, Change{AddHost: &Host{ID: "h3", Service: "db", Address: "1.1.1.1:3"}}), "an announcement that came late")
+	addHost(11, "h5", "1.1.1.1:3")
+	require.NotContains(t, state.Hosts, "h3", "a host whose address is reused has ended, even if it did not announce it")
+	require.Error(t, state.Apply(12, Change{AddHost: &Host{ID: "h3", Service: "db", Address: "1.1.1.1:3"}}), "a delayed announcement of a removed host")
 	require.Contains(t, state.Hosts, "h5")
 }
 
-// A host that leaves without draining first stays listed, as draining, and its heartbeats count, until it is removed.
+// A host that leaves without draining first stays listed as draining until it is removed, and its announcements are accepted.
 func TestHostThatLeavesFirstStaysListedUntilRemoved(t *testing.T) {
 	state := &State{}
 	apply := func(change Change) error {
@@ -94,23 +95,23 @@
 	require.False(t, state.IsLeaving("h1"))
 
 	require.NoError(t, apply(Change{HostLeaving: "h1"}))
-	require.NoError(t, apply(Change{HostLeaving: "h1"}), "a repetition")
+	require.NoError(t, apply(Change{HostLeaving: "h1"}), "a retry")
 	require.True(t, state.Hosts["h1"].Draining)
 	require.NoError(t, apply(Change{MarkMissing: "h1"}))
-	require.NoError(t, apply(Change{AddHost: &host}), "it runs, and announces itself")
+	require.NoError(t, apply(Change{AddHost: &host}), "the host is running and announces itself")
 	require.True(t, state.Hosts["h1"].Draining, "a drain is final")
 	require.False(t, state.Hosts["h1"].Missing)
 
-	again, err := Restore(state.Snapshot())
+	restored, err := Restore(state.Snapshot())
 	require.NoError(t, err)
-	require.True(t, again.IsLeaving("h1"))
-	require.False(t, again.IsLeaving("nobody"))
+	require.True(t, restored.IsLeaving("h1"))
+	require.False(t, restored.IsLeaving("nobody"))
 	require.NoError(t, apply(Change{RemoveHost: "h1"}))
 	require.False(t, state.IsLeaving("h1"))
-	require.ErrorIs(t, apply(Change{AddHost: &host}), ErrNotFound, "an announcement that came late")
+	require.ErrorIs(t, apply(Change{AddHost: &host}), ErrNotFound, "a delayed announcement of a removed host")
 }
 
-// Replicas that apply the same changes have the same state, wherever one of them was restored from a snapshot.
+// Replicas that apply the same changes have the same state, even if one of them is restored from snapshots in between.
 func TestReplicasAgreeAcrossSnapshots(t *testing.T) {
 	for seed := range 200 {
 		random := rand.New(rand.NewPCG(uint64(seed), 1))
@@ -138,7 +139,7 @@
 			require.NoError(t, err)
 			wantErr, gotErr := a.Apply(uint64(i), c), b.Apply(uint64(i), decoded)
 			require.Equal(t, wantErr == nil, gotErr == nil)
-			require.NoError(t, b.Apply(uint64(i), Change{RemoveHost: "h0"}), "a change that was applied already is ignored")
+			require.NoError(t, b.Apply(uint64(i), Change{RemoveHost: "h0"}), "an entry at an applied index is ignored")
 			if random.IntN(5) == 0 {
 				b, err = Restore(b.Snapshot())
 				require.NoError(t, err)
@@ -155,13 +156,13 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if change, err := DecodeChange(b); err == nil {
 			if err := (&State{}).Apply(1, change); err != nil && !isKnownReason(err) {
-				t.Fatalf("a change is refused without a reason of this package: %v", err)
+				t.Fatalf("Apply returned an error that does not wrap one of this package's errors: %v", err)
 			}
 		} else if !errors.Is(err, ErrBadChange) {
-			t.Fatalf("not an ErrBadChange: %v", err)
+			t.Fatalf("DecodeChange: error does not wrap ErrBadChange: %v", err)
 		}
 		if _, err := Restore(b); err != nil && !errors.Is(err, ErrBadSnapshot) {
-			t.Fatalf("not an ErrBadSnapshot: %v", err)
+			t.Fatalf("Restore: error does not wrap ErrBadSnapshot: %v", err)
 		}
 	})
 }
@@ -170,7 +171,7 @@
 	return errors.Is(err, ErrVersionConflict) || errors.Is(err, ErrInvalid) || errors.Is(err, ErrNotFound) || errors.Is(err, ErrDiverged)
 }
 
-// An error is of one kind, and says about what it is.
+// Each error wraps exactly one of the package's sentinel errors, and its text names the subject.
 func TestErrorsNameTheirSubject(t *testing.T) {
 	state := &State{}
 	applyUpdate(t, state, ConfigUpdate{Body: configBody(3, "a")})
@@ -182,7 +183,7 @@
 	require.ErrorAs(t, err, &conflict)
 	require.ErrorIs(t, err, ErrVersionConflict)
 	require.NotErrorIs(t, err, ErrInvalid)
-	require.Equal(t, VersionConflictError{InForce: 3, Base: 2}, *conflict)
+	require.Equal(t, VersionConflictError{Current: 3, Base: 2}, *conflict)
 	require.EqualError(t, err, "another version is in place: 3 is, the change builds on 2")
 
 	var invalid *InvalidConfigError
--- a/internal/statemachine/stored.go
+++ b/internal/statemachine/stored.go
@@ -9,10 +9,10 @@
 	"ferrypitch/internal/statemachine/diskformat"
 )
 
-// errPairs says that a list of keys and the list of their values differ in length.
-var errPairs = errors.New("keys without values")
+// errListLengths is returned if a list of keys and the list of their values differ in length.
+var errListLengths = errors.New("lists of keys and values differ in length")
 
-// stateToStored gives the stored form of the state; its maps become lists in the order of their keys.
+// stateToStored converts the state to its stored form. Maps become lists sorted by key.
 func stateToStored(s *State) diskformat.State {
 	stored := diskformat.State{
 		Index: s.Index, Config: s.ConfigBody, Gen: s.Generation, Led: s.LeaderTimeMs,
@@ -38,11 +38,11 @@
 	return stored
 }
 
-// stateFromStored is the state without the configuration that its body stands for.
+// stateFromStored converts a stored state back. It does not parse the configuration; the caller does.
 func stateFromStored(stored diskformat.State) (*State, error) {
 	if len(stored.Names) != len(stored.Leads) || len(stored.Routers) != len(stored.Since) {
 		return nil, fmt.Errorf("%d services, %d primaries, %d proxies, %d indices: %w",
-			len(stored.Names), len(stored.Leads), len(stored.Routers), len(stored.Since), errPairs)
+			len(stored.Names), len(stored.Leads), len(stored.Routers), len(stored.Since), errListLengths)
 	}
 	updates, err := decodeAppliedUpdates(stored.Orders)
 	if err != nil {
@@ -61,11 +61,11 @@
 	for _, host := range stored.Owed {
 		s.putUnaccountedHost(hostFromStored(host))
 	}
-	for place, service := range stored.Names {
-		s.putPrimary(service, primaryFromStored(stored.Leads[place]))
+	for position, service := range stored.Names {
+		s.putPrimary(service, primaryFromStored(stored.Leads[position]))
 	}
-	for place, name := range stored.Routers {
-		s.putProxy(name, stored.Since[place])
+	for position, name := range stored.Routers {
+		s.putProxy(name, stored.Since[position])
 	}
 	return s, nil
 }
@@ -106,7 +106,7 @@
 	return RemovedHost{ID: stored.ID, LeaderTimeMs: stored.At}
 }
 
-// configUpdateFromStored reads the form of logs that are older than the one that encode writes.
+// configUpdateFromStored converts a configuration update from the form that logs had before ConfigUpdate.encode existed.
 func configUpdateFromStored(stored diskformat.Configure) ConfigUpdate {
 	return ConfigUpdate{BaseVersion: stored.Base, IsAmendment: stored.Amend, Body: stored.Body, ConfigDelta: ConfigDelta{
 		RequestDigest: stored.Packed.Sent,
@@ -116,10 +116,10 @@
 	}}
 }
 
-// A host that leaves without draining first is stored in both fields, Drain and Leave. A log of older releases never has both,
-// and an older release would take it for the drain that it also is.
+// HostLeaving is stored in both Drain and Leave. Logs of older releases never have both set, and an older release treats such a
+// change as a drain, which it also is.
 
-// changeToStored gives the stored form of a change that is not an update of the configuration; see ConfigUpdate.encode.
+// changeToStored converts a change to its stored form. Configuration updates are encoded by ConfigUpdate.encode instead.
 func changeToStored(change Change) diskformat.Change {
 	stored := diskformat.Change{
 		Led: change.LeaderTimeMs, Drain: change.DrainHost, Leave: change.RemoveHost,
