--- a/internal/rpc/bench_test.go
+++ b/internal/rpc/bench_test.go
@@ -15,7 +15,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// loopbackConn is a connection that reads what is written to it.
+// loopbackConn is a connection that returns on Read what was written to it.
 type loopbackConn struct {
 	net.Conn
 	bytes.Buffer
@@ -26,8 +26,8 @@
 func (c *loopbackConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *loopbackConn) SetWriteDeadline(time.Time) error { return nil }
 
-// Each type of frame: the time to encode and decode it, its bytes on a connection that has carried one before ("bytes") and on a
-// new connection, with gob's type information ("bytes-first").
+// BenchmarkFrame measures the time to encode and decode each type of frame, its size on a connection that has carried one before
+// ("bytes"), and its size on a new connection, where gob also sends type information ("bytes-first").
 func BenchmarkFrame(b *testing.B) {
 	body := func(c statemachine.Change) [][]byte { return [][]byte{statemachine.EncodeChange(c)} }
 	members := []string{"10.1.0.11", "10.2.0.8", "10.3.0.9"}
@@ -36,7 +36,7 @@
 	heartbeat := []byte(`{"Service":"lecture-core-3","Address":"10.11.0.4:5432","Zone":"waco-hall","Generation":"g1","Capacity":7,` +
 		`"State":"serving","ColdLeftMs":0,"DbRole":"replica","CallSeq":123456}`)
 	callID := CallID{From: "10.2.0.8", Incarnation: 1 << 60, Term: 3, Serial: 12345}
-	var quotaAsks []quota.Ask // of four tenants
+	var quotaAsks []quota.Ask // for four tenants
 	var quotaAnswers []quota.Answer
 	for _, tenant := range []string{"rale44", "bovo910", "leno691", "huzi103"} {
 		quotaAsks = append(quotaAsks, quota.Ask{Tenant: tenant, Used: 2, Returned: 1, Want: 3})
@@ -95,8 +95,8 @@
 	}
 }
 
-// The heap that a connection holds without its goroutines: one that has carried lease requests and responses, and one that has
-// carried a log update of a given size besides.
+// BenchmarkConn measures the heap that a connection holds, without its goroutines, after it has carried a lease request, a lease
+// response and a log update of the given size.
 func BenchmarkConn(b *testing.B) {
 	const connections = 50
 	for _, updateBytes := range []int{0, 64 << 10, 1 << 20} {
@@ -118,7 +118,8 @@
 	}
 }
 
-// newUsedConn returns a connection that has received a lease request and response and has sent a log update of a size.
+// newUsedConn returns a connection that has sent and received a lease request and response, and has sent a log update of
+// updateBytes.
 func newUsedConn(b *testing.B, updateBytes int) *Conn {
 	loopback := &loopbackConn{}
 	conn := NewConn(loopback)
@@ -127,9 +128,9 @@
 		{LeaseResponse: &LeaseResponse{Serial: 1}}, {LeaseRequest: &LeaseRequest{Serial: 1}}, {LogUpdate: &LogUpdate{Snapshot: make([]byte, updateBytes)}},
 	} {
 		if conn.Send(frame, time.Second) != nil {
-			b.Fatal("not sent")
+			b.Fatal("Send failed")
 		}
-		if frame.LogUpdate != nil { // the other side reads it
+		if frame.LogUpdate != nil { // the peer would read it
 			loopback.Buffer = bytes.Buffer{}
 		} else if _, err := conn.Receive(time.Second); err != nil {
 			b.Fatal(err)
--- a/internal/rpc/conn.go
+++ b/internal/rpc/conn.go
@@ -14,35 +14,36 @@
 )
 
 const (
-	headerBytes     = 4    // big-endian length of the frame that follows
-	readBufferBytes = 4096 // one buffer for each connection: there are thousands
-	refusalTimeout  = time.Second
-	keptBufferBytes = 64 << 10 // a write buffer that grew beyond this is released after the frame
+	headerBytes        = 4    // length of the frame that follows, in big-endian order
+	readBufferBytes    = 4096 // small, because there are thousands of connections with one buffer each
+	refusalTimeout     = time.Second
+	maxKeptBufferBytes = 64 << 10 // larger write buffers are released after the frame is sent
 )
 
-// ErrFrameLength is returned for a frame that is empty or longer than MaxFrameBytes. The connection is unusable after it.
+// ErrFrameLength is returned for a frame that is empty or longer than MaxFrameBytes. The connection is unusable afterwards.
 var ErrFrameLength = errors.New("rpc: frame is empty or too long")
 
-// BytesSent is the number of bytes that all connections of this process have written.
+// BytesSent counts the bytes written by all connections of this process.
 var BytesSent atomic.Int64
 
-// BytesReceived is the number of bytes that all connections of this process have read.
+// BytesReceived counts the bytes read by all connections of this process.
 var BytesReceived atomic.Int64
 
-// Conn is one connection. Send may be called from several goroutines, Receive from one at a time.
+// Conn is a connection that carries frames. Send is safe for concurrent use; Receive may only be called by one goroutine at a
+// time.
 type Conn struct {
 	conn net.Conn
 
-	mu          sync.Mutex // guards the write side
-	writeBuffer bytes.Buffer
-	encoder     *gob.Encoder
-	payloads    bool // the other side reads payloads
+	mu                sync.Mutex // guards the write side
+	writeBuffer       bytes.Buffer
+	encoder           *gob.Encoder
+	peerReadsPayloads bool // the peer's version supports payloads
 
 	frames  frameReader
 	decoder *gob.Decoder
 }
 
-// NewConn makes a connection of a socket, which it then owns.
+// NewConn returns a Conn that uses and owns the socket.
 func NewConn(socket net.Conn) *Conn {
 	c := &Conn{conn: socket}
 	c.frames.source = socket
@@ -51,14 +52,14 @@
 	return c
 }
 
-// Send writes one frame before the timeout ends. After an error other than ErrFrameLength the caller must close the
-// connection: the frame may have been written in part.
+// Send writes one frame within the timeout, and its payload with a timeout for each block. After an error other than
+// ErrFrameLength the caller must close the connection, because the frame may have been written partially.
 func (c *Conn) Send(frame *Frame, timeout time.Duration) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var payload [][]byte
-	if c.payloads {
-		frame, payload = detach(frame)
+	if c.peerReadsPayloads {
+		frame, payload = detachPayload(frame)
 	}
 	c.writeBuffer.Reset()
 	c.writeBuffer.Write(make([]byte, headerBytes))
@@ -74,7 +75,7 @@
 	c.conn.SetWriteDeadline(time.Now().Add(timeout))
 	written, err := c.conn.Write(message)
 	BytesSent.Add(int64(written))
-	if c.writeBuffer.Cap() > keptBufferBytes {
+	if c.writeBuffer.Cap() > maxKeptBufferBytes {
 		c.writeBuffer = bytes.Buffer{}
 	}
 	if err == nil {
@@ -86,7 +87,8 @@
 	return nil
 }
 
-// Receive reads one frame before the timeout ends. The connection is unusable after an error other than UnsupportedFrameError.
+// Receive reads one frame within the timeout, and its payload with a timeout for each block. The connection is unusable after an
+// error other than UnsupportedFrameError.
 func (c *Conn) Receive(timeout time.Duration) (*Frame, error) {
 	c.conn.SetReadDeadline(time.Now().Add(timeout))
 	frame := &Frame{}
@@ -103,29 +105,30 @@
 	if err != nil {
 		return nil, fmt.Errorf("rpc: receiving a payload: %w", err)
 	}
-	attach(frame, payload)
+	attachPayload(frame, payload)
 	return frame, nil
 }
 
-// Close closes the socket. A Send or Receive under way returns an error. Close fails only if the socket was closed before, which
-// is usual where a cancelled context and the owner both close it; callers may ignore it.
+// Close closes the socket. Pending calls of Send and Receive return an error. Close only fails if the socket is already closed,
+// which is common if both a cancelled context and the owner close it. Callers may ignore the error.
 func (c *Conn) Close() error { return c.conn.Close() }
 
-// RemoteIP is the address of the other side without its port.
+// RemoteIP returns the IP address of the peer, without the port.
 func (c *Conn) RemoteIP() string {
 	host, _, _ := net.SplitHostPort(c.conn.RemoteAddr().String())
 	return host
 }
 
-// frameReader removes the headers of frames from a stream for gob. It checks each length before gob allocates memory for it.
+// frameReader strips the frame headers from a stream, for gob to read. It checks the length of each frame before gob allocates
+// memory for it.
 type frameReader struct {
-	source     io.Reader
-	frameLeft  int // bytes of the present frame that were not returned yet
-	buffer     [readBufferBytes]byte
-	start, end int // of what is buffered
+	source         io.Reader
+	frameRemaining int // bytes of the current frame that were not returned yet
+	buffer         [readBufferBytes]byte
+	start, end     int // range of the buffered bytes in buffer
 }
 
-// ReadByte implements io.ByteReader; without it gob would wrap the reader in a buffer of its own.
+// ReadByte implements io.ByteReader. Without it, gob would wrap the reader in a buffer of its own.
 func (r *frameReader) ReadByte() (byte, error) {
 	var b [1]byte
 	_, err := io.ReadFull(r, b[:])
@@ -134,7 +137,7 @@
 
 // Read implements io.Reader.
 func (r *frameReader) Read(b []byte) (int, error) {
-	if r.frameLeft == 0 {
+	if r.frameRemaining == 0 {
 		if err := r.readHeader(); err != nil {
 			return 0, err
 		}
@@ -142,9 +145,9 @@
 	if err := r.fill(); err != nil {
 		return 0, err
 	}
-	n := copy(b[:min(len(b), r.frameLeft)], r.buffer[r.start:r.end])
+	n := copy(b[:min(len(b), r.frameRemaining)], r.buffer[r.start:r.end])
 	r.start += n
-	r.frameLeft -= n
+	r.frameRemaining -= n
 	return n, nil
 }
 
@@ -161,11 +164,11 @@
 	if size == 0 || size > MaxFrameBytes {
 		return ErrFrameLength
 	}
-	r.frameLeft = int(size)
+	r.frameRemaining = int(size)
 	return nil
 }
 
-// fill reads from the source if nothing is buffered.
+// fill reads from the source if the buffer is empty.
 func (r *frameReader) fill() error {
 	if r.start < r.end {
 		return nil
--- a/internal/rpc/conn_test.go
+++ b/internal/rpc/conn_test.go
@@ -12,7 +12,7 @@
 	"ferrypitch/internal/consensus"
 )
 
-// recordedConn is a connection that reads given bytes and records what is written.
+// recordedConn is a connection that reads from input and records what is written to it.
 type recordedConn struct {
 	net.Conn
 	input   io.Reader
@@ -43,7 +43,7 @@
 	}
 }
 
-// A frame is received with all its fields or not at all, wherever its connection breaks.
+// A frame is received completely or not at all, wherever the connection breaks.
 func TestTruncatedFrameIsNeverReceived(t *testing.T) {
 	encoded := encodeFrames(t, testFrames()[:1]...)
 	for n := range encoded {
--- a/internal/rpc/dial.go
+++ b/internal/rpc/dial.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// userTimeout closes a connection whose bytes the other side has not acknowledged for so long.
+	// userTimeout is the time after which a connection with unacknowledged bytes is closed, see UserTimeout.
 	userTimeout = 3 * time.Second
-	// hedgeInterval is the time between two attempts of DialHedged to connect.
+	// hedgeInterval is the time between two connection attempts of DialHedged.
 	hedgeInterval = 90 * time.Millisecond
-	// keepAliveOff disables TCP keep-alive: all our connections carry traffic of their own and have read timeouts.
+	// keepAliveOff disables TCP keep-alive, which is not needed: all connections carry regular traffic and have read timeouts.
 	keepAliveOff = -1
 )
 
@@ -25,13 +25,13 @@
 func UserTimeout(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			// It fails only on a closed descriptor, on which the next read or write fails too.
+			// This fails only if the descriptor is closed, and then the next read or write fails too.
 			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 		})
 	}
 }
 
-// Dial opens a TCP connection from the address localIP of this machine, or from any if localIP is no IP address.
+// Dial opens a TCP connection from the local address localIP, or from any local address if localIP is not an IP address.
 func Dial(ctx context.Context, localIP, address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: keepAliveOff, Control: UserTimeout(userTimeout)}
 	if ip := net.ParseIP(localIP); ip != nil {
@@ -40,9 +40,9 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// DialHedged is Dial to another process of the system that may just be restarting. A machine without power drops the SYN, and
-// the kernel sends the next one only a second later, when the machine may long be back. So further attempts begin beside the
-// first, one each hedgeInterval, and the first that succeeds counts. A refused connection ends all attempts at once.
+// DialHedged connects like Dial, to a process that may be restarting. A SYN to a machine that is powered off is lost, and the
+// kernel retransmits it only after a second, although the machine may be back much earlier. So DialHedged starts another attempt
+// every hedgeInterval, in parallel, and returns the first connection that succeeds. A refused connection ends all attempts.
 func DialHedged(ctx context.Context, localIP, address string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -66,7 +66,7 @@
 			}
 			if attempts.pending > 0 {
 				cancel()
-				go attempts.closeRest() // ends soon: the context of all attempts is cancelled
+				go attempts.closeRemaining() // returns soon, because the context of all attempts is cancelled
 			}
 			return result.conn, result.err
 		}
@@ -78,13 +78,13 @@
 	err  error
 }
 
-// dialAttempts are the attempts of one DialHedged.
+// dialAttempts tracks the connection attempts of one DialHedged call.
 type dialAttempts struct {
-	results chan dialResult // has space for all attempts, so that none of them blocks
+	results chan dialResult // has capacity for all attempts, so that none of them blocks
 	pending int
 }
 
-// start begins an attempt in a goroutine, which ends with the context of the dial function at the latest.
+// start starts an attempt in a goroutine. The goroutine ends when the context of the dial function is done, at the latest.
 func (a *dialAttempts) start(dial func() (net.Conn, error)) {
 	a.pending++
 	go func() {
@@ -93,8 +93,8 @@
 	}()
 }
 
-// closeRest closes the connections of attempts that succeed after the first.
-func (a *dialAttempts) closeRest() {
+// closeRemaining waits for the pending attempts, and closes the connections of those that still succeed.
+func (a *dialAttempts) closeRemaining() {
 	for range a.pending {
 		if result := <-a.results; result.conn != nil {
 			result.conn.Close()
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -6,17 +6,17 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// MaxFrameBytes is the length of the longest frame that is sent or accepted, without its header.
+// MaxFrameBytes is the maximum length of a frame without its header. Longer frames are neither sent nor accepted.
 const MaxFrameBytes = 24 << 20
 
-// Frame is one message between two processes. Beside the versions exactly one of its fields is set. Its names are part of the wire
-// format: gob matches fields by name.
+// Frame is one message between two processes. Exactly one of the pointer fields is set. The field names are part of the wire
+// format, because gob matches fields by name.
 type Frame struct {
-	Version      uint32 // of the protocol that the sender speaks; 0: a release before versions, which is VersionUnnumbered
-	NeedsVersion uint32 // the least version in which the frame means something; a receiver of an older one refuses it
+	Version      uint32 // protocol version that the sender speaks; releases of VersionUnnumbered send 0
+	NeedsVersion uint32 // minimum protocol version for the frame; receivers with an older version refuse it
 
-	PayloadKind  PayloadKind // what the payload is a part of
-	PayloadSizes []uint32    // lengths of the byte strings that follow the frame, outside of gob's stream
+	PayloadKind  PayloadKind // the field that the payload belongs to
+	PayloadSizes []uint32    // lengths of the byte strings that follow the frame, outside the gob stream
 
 	Consensus       *consensus.Message // member to member
 	ForwardRequest  *ForwardRequest    // member to leader
@@ -33,10 +33,10 @@
 	ChunkAck        *ChunkAck          // proxy to leader
 	QuotaRequest    *quota.Request     // proxy to leader
 	QuotaResponse   *quota.Response    // leader to proxy
-	Refusal         *Refusal           // in answer to a frame that needs a newer version
+	Refusal         *Refusal           // receiver to sender of a frame that needs a newer version
 }
 
-// PayloadKind says which byte strings of a frame follow it as its payload.
+// PayloadKind tells which field of a frame is sent after it as a payload.
 type PayloadKind uint8
 
 const (
@@ -46,24 +46,24 @@
 	payloadChunk
 )
 
-// CallID identifies one forwarded call. It is unique over all members and all their restarts.
+// CallID identifies a forwarded call. It is unique across all members and their restarts.
 type CallID struct {
-	From        consensus.ID // the forwarding member, which gets the response
-	Incarnation uint64       // of the forwarding process; drawn at random at its start
-	Term        uint64       // in which the forwarding member knows the addressee as the leader
+	From        consensus.ID // the forwarding member, which receives the response
+	Incarnation uint64       // random number that the forwarding process draws at its start
+	Term        uint64       // term in which the forwarding member regards the addressee as the leader
 	Serial      uint64       // increases by one with each call of an incarnation, from 1
 }
 
-// ForwardRequest forwards an HTTP call of a host or an operator to the leader.
+// ForwardRequest forwards an HTTP call by a host or an operator to the leader.
 type ForwardRequest struct {
 	CallID
 	To           consensus.ID
 	Method, Path string
-	BaseVersion  string // the header X-Base-Version
+	BaseVersion  string // value of the header X-Base-Version
 	Body         []byte
 }
 
-// ForwardResponse is the answer to the call with the same CallID.
+// ForwardResponse is the response to the ForwardRequest with the same CallID.
 type ForwardResponse struct {
 	CallID
 	By     consensus.ID
@@ -71,25 +71,25 @@
 	Body   []byte
 }
 
-// ProxyHello opens the connection of a proxy to a member.
+// ProxyHello is the first frame that a proxy sends to a member.
 type ProxyHello struct {
 	Node         string
 	Incarnation  uint64
 	Zone         string
-	AppliedIndex uint64 // the last log entry that the proxy has applied
-	Version      uint32 // of the protocol that the proxy speaks
+	AppliedIndex uint64 // index of the last log entry that the proxy has applied
+	Version      uint32 // protocol version that the proxy speaks
 }
 
-// ProxyWelcome answers a ProxyHello. Only the leader serves proxies.
+// ProxyWelcome is the response to a ProxyHello. Only the leader serves proxies.
 type ProxyWelcome struct {
 	Node     string
 	IsLeader bool
-	Leader   string   // the address of the leader if this member is not the leader; empty if unknown
+	Leader   string   // address of the leader if it is another member; empty if unknown
 	Members  []string // addresses of all members
-	Proxies  []string // addresses of some connected proxies, as first contacts
+	Proxies  []string // addresses of some connected proxies, as gossip seeds
 }
 
-// LogUpdate carries committed log entries up to LastIndex, or a snapshot of the state at LastIndex.
+// LogUpdate carries the committed log entries up to LastIndex, or a snapshot of the state at LastIndex.
 type LogUpdate struct {
 	Snapshot  []byte
 	Entries   [][]byte
@@ -97,34 +97,34 @@
 	Members   []string // addresses of all members
 }
 
-// LeaseRequest asks for the proxy's lease to be renewed and reports what the proxy observes.
+// LeaseRequest asks the leader to renew the lease of a proxy, and reports the proxy's observations.
 type LeaseRequest struct {
-	Serial           uint64 // repeated in the response
-	AppliedIndex     uint64 // the last log entry that the proxy has applied
+	Serial           uint64 // copied to the response
+	AppliedIndex     uint64 // index of the last log entry that the proxy has applied
 	PrimaryPositions []PrimaryPosition
 	Sessions         int // open client sessions
 }
 
-// PrimaryPosition is the log position of a service's primary.
+// PrimaryPosition is the log position of a service's primary, as reported by a proxy.
 type PrimaryPosition struct {
 	Service      string
-	Term, Number uint64 // timeline and position on it
-	AgeMs        int64  // milliseconds since the query that returned it was sent
+	Term, Number uint64 // timeline, and position on that timeline
+	AgeMs        int64  // milliseconds since the query that returned the position was sent
 }
 
-// LeaseResponse answers a LeaseRequest.
+// LeaseResponse is the response to a LeaseRequest.
 type LeaseResponse struct {
-	Serial      uint64 // of the request
+	Serial      uint64 // serial of the request
 	Granted     bool
-	Postponed   bool   // not granted yet; the proxy stays and asks again
-	CommitIndex uint64 // the last entry that the leader had applied when it granted the lease
-	ProxyCount  int    // proxies that hold a lease
-	Members     []string
-	Digest      *statemachine.Digest // that a majority of the members has at some index of late; nil: there is no new one
+	Postponed   bool                 // not granted yet; the proxy keeps the connection and retries
+	CommitIndex uint64               // index of the last entry that the leader had applied when it granted the lease
+	ProxyCount  int                  // number of proxies that hold a lease
+	Members     []string             // addresses of all members
+	Digest      *statemachine.Digest // digest of a majority of the members at a recent index; nil if there is no new one
 }
 
-// SuspectReport reports that a proxy cannot reach a primary.
+// SuspectReport reports that a proxy cannot reach a service's primary.
 type SuspectReport struct {
 	Service, Host string
-	Refused       bool // the connection was refused, as opposed to timed out
+	Refused       bool // the connection was refused; otherwise it timed out
 }
--- a/internal/rpc/listen.go
+++ b/internal/rpc/listen.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// acceptRetryInterval is the pause after a failed accept, as when the process has no file descriptors left.
+// acceptRetryInterval is the backoff after a failed accept, for example when the process is out of file descriptors.
 const acceptRetryInterval = 50 * time.Millisecond
 
-// Listen accepts connections at an address and calls handle for each of them in a goroutine of its own. A connection is closed
-// when its handler returns. When ctx ends, the listener and all connections are closed; wait returns once all handlers have
+// Listen accepts connections at an address and calls handle for each of them in a separate goroutine. A connection is closed when
+// its handler returns. When ctx is done, the listener and all connections are closed. wait blocks until all handlers have
 // returned.
 func Listen(ctx context.Context, address string, handle func(conn *Conn)) (wait func(), err error) {
 	config := net.ListenConfig{KeepAlive: keepAliveOff, Control: UserTimeout(userTimeout)}
@@ -19,26 +19,26 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &acceptor{listener: listener, handle: handle, open: map[net.Conn]struct{}{}}
+	a := &acceptor{listener: listener, handle: handle, conns: map[net.Conn]struct{}{}}
 	stop := context.AfterFunc(ctx, a.closeAll)
 	a.tasks.Go(func() {
 		defer stop()
-		a.acceptAll(ctx)
+		a.acceptLoop(ctx)
 	})
 	return a.tasks.Wait, nil
 }
 
-// acceptor is the state of one Listen.
+// acceptor is the listener started by one call of Listen, with its connections.
 type acceptor struct {
 	listener net.Listener
 	handle   func(conn *Conn)
-	tasks    sync.WaitGroup // the accept loop and a handler for each connection
+	tasks    sync.WaitGroup // the accept loop and the handlers
 
-	mu   sync.Mutex
-	open map[net.Conn]struct{}
+	mu    sync.Mutex
+	conns map[net.Conn]struct{}
 }
 
-func (a *acceptor) acceptAll(ctx context.Context) {
+func (a *acceptor) acceptLoop(ctx context.Context) {
 	for {
 		socket, err := a.listener.Accept()
 		if ctx.Err() != nil {
@@ -55,7 +55,7 @@
 			continue
 		}
 		a.mu.Lock()
-		a.open[socket] = struct{}{}
+		a.conns[socket] = struct{}{}
 		a.mu.Unlock()
 		a.tasks.Go(func() { a.serve(socket) })
 	}
@@ -65,7 +65,7 @@
 	defer func() {
 		socket.Close()
 		a.mu.Lock()
-		delete(a.open, socket)
+		delete(a.conns, socket)
 		a.mu.Unlock()
 	}()
 	a.handle(NewConn(socket))
@@ -75,7 +75,7 @@
 	a.listener.Close()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for socket := range a.open {
+	for socket := range a.conns {
 		socket.Close()
 	}
 }
--- a/internal/rpc/mesh.go
+++ b/internal/rpc/mesh.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	meshQueueFrames    = 256                    // frames that wait for one address
-	meshConnectTimeout = 500 * time.Millisecond // for one connection
-	meshRetryInterval  = 100 * time.Millisecond // after a failure, frames are dropped for so long without an attempt to connect
-	meshSendTimeout    = 2 * time.Second        // for one frame
-	meshReadTimeout    = time.Hour              // nothing is received on these connections but their end
+	meshQueueFrames    = 256                    // capacity of the queue for one address
+	meshConnectTimeout = 500 * time.Millisecond // timeout for connecting to an address
+	meshRetryInterval  = 100 * time.Millisecond // backoff after a failed connect; frames are dropped meanwhile
+	meshSendTimeout    = 2 * time.Second        // timeout for writing one frame
+	meshReadTimeout    = time.Hour              // long, because peers send nothing but refusals on these connections
 )
 
-// Mesh sends frames to members by their addresses. Frames to one address keep their order. A frame that cannot be sent is
-// dropped: the protocols above send it again.
+// Mesh sends frames to members by address. Frames to the same address keep their order. A frame that cannot be sent is dropped;
+// the protocols above retry.
 type Mesh struct {
 	ctx     context.Context
 	localIP string
-	tasks   sync.WaitGroup // a sender for each address and a reader for each connection
+	tasks   sync.WaitGroup // one sender for each address and one reader for each connection
 
 	mu      sync.Mutex
 	senders map[string]*meshSender // by address
 
-	Dropped atomic.Int64 // frames that were not sent
-	Refused atomic.Int64 // frames that their receivers refused, since they need a newer version
+	Dropped atomic.Int64 // number of frames that were not sent
+	Refused atomic.Int64 // number of frames that receivers refused because they need a newer version
 }
 
-// NewMesh returns a mesh that sends from the address localIP until ctx ends.
+// NewMesh returns a mesh that connects from the address localIP and runs until ctx is done.
 func NewMesh(ctx context.Context, localIP string) *Mesh {
 	return &Mesh{ctx: ctx, localIP: localIP, senders: map[string]*meshSender{}}
 }
 
-// Wait returns once all goroutines of the mesh have ended after its context.
+// Wait blocks until all goroutines of the mesh have ended, which they do once its context is done.
 func (m *Mesh) Wait() { m.tasks.Wait() }
 
 // Send queues a frame for an address and returns at once. It drops the frame if the queue is full.
@@ -58,19 +58,19 @@
 	return s
 }
 
-// meshSender sends the frames for one address in a goroutine of its own. Only that goroutine uses conn and failedAt.
+// meshSender sends the frames for one address, in a goroutine of its own. Only that goroutine accesses conn and connectFailedAt.
 type meshSender struct {
-	mesh     *Mesh
-	address  string
-	queue    chan *Frame
-	conn     *meshConn // nil: not connected
-	failedAt time.Time // when connecting last failed
+	mesh            *Mesh
+	address         string
+	queue           chan *Frame
+	conn            *meshConn // nil if not connected
+	connectFailedAt time.Time // time of the last failed connect
 }
 
-// meshConn is a connection that knows when the other side has ended it.
+// meshConn is a connection that records when the peer has closed it.
 type meshConn struct {
 	*Conn
-	ended atomic.Bool
+	peerClosed atomic.Bool
 }
 
 func (s *meshSender) run() {
@@ -87,10 +87,10 @@
 	}
 }
 
-// send sends a frame over the connection that there is, or over a new one if that has ended: the process at the other side may have
-// been restarted since. A frame that was written to an ended connection was read by nobody.
+// send sends a frame over the existing connection, or over a new one if the existing one is closed or fails: the peer process may
+// have been restarted. Nobody has read a frame that was written to a closed connection, so sending it again is safe.
 func (s *meshSender) send(frame *Frame) {
-	if s.conn != nil && (s.conn.ended.Load() || !s.trySend(frame)) {
+	if s.conn != nil && (s.conn.peerClosed.Load() || !s.trySend(frame)) {
 		_ = s.conn.Close()
 		s.conn = nil
 	} else if s.conn != nil {
@@ -110,26 +110,26 @@
 func (s *meshSender) trySend(frame *Frame) bool { return s.conn.Send(frame, meshSendTimeout) == nil }
 
 func (s *meshSender) connect() bool {
-	if time.Since(s.failedAt) < meshRetryInterval {
+	if time.Since(s.connectFailedAt) < meshRetryInterval {
 		return false
 	}
 	socket, err := DialHedged(s.mesh.ctx, s.mesh.localIP, s.address, meshConnectTimeout)
 	if err != nil {
-		s.failedAt = time.Now()
+		s.connectFailedAt = time.Now()
 		return false
 	}
 	conn := &meshConn{Conn: NewConn(socket)}
 	s.conn = conn
-	s.mesh.tasks.Go(func() { s.mesh.closeAtEOF(conn) })
+	s.mesh.tasks.Go(func() { s.mesh.closeOnEOF(conn) })
 	return true
 }
 
-// closeAtEOF closes a connection when the other side does. Nothing else is received on it but refusals.
-func (m *Mesh) closeAtEOF(conn *meshConn) {
+// closeOnEOF closes a connection once the peer has closed it. The only frames received on it are refusals.
+func (m *Mesh) closeOnEOF(conn *meshConn) {
 	for {
 		frame, err := conn.Receive(meshReadTimeout)
 		if err != nil {
-			conn.ended.Store(true)
+			conn.peerClosed.Store(true)
 			_ = conn.Close()
 			return
 		}
--- a/internal/rpc/mesh_test.go
+++ b/internal/rpc/mesh_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// meshPeer accepts connections at one address, as one process after another.
+// meshPeer accepts connections at one address. Stopping and starting it simulates a restart of the peer process.
 type meshPeer struct {
 	t        *testing.T
 	address  string
@@ -33,8 +33,8 @@
 	p.stop, p.wait = cancel, wait
 }
 
-// The first frame to a process that was restarted arrives: a vote that was lost with the connection to its last life would leave a group
-// without a leader until the old one's promises have run out.
+// The first frame after a restart of the peer is delivered. If a vote were lost with the connection to the previous process, the
+// group would have no leader until the leases of the old leader have expired.
 func TestFirstFrameToARestartedProcessArrives(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -49,7 +49,7 @@
 		conn := sender.conn
 		peer.stop()
 		peer.wait()
-		require.Eventually(t, conn.ended.Load, time.Minute, time.Millisecond, "it has not noticed the end")
+		require.Eventually(t, conn.peerClosed.Load, time.Minute, time.Millisecond, "the sender has not noticed that the connection was closed")
 		peer.start()
 	}
 	require.Zero(t, mesh.Dropped.Load())
--- a/internal/rpc/payload.go
+++ b/internal/rpc/payload.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// minPayloadBytes is the least that leaves a frame for its payload: shorter updates of the log stay in the frame.
+	// minPayloadBytes is the minimum size of a payload. Smaller contents stay in the frame.
 	minPayloadBytes = 2 << 10
 
-	// maxPayloadParts is the largest number of parts that is accepted.
+	// maxPayloadParts is the maximum number of byte strings in a payload.
 	maxPayloadParts = 1 << 16
 
-	// payloadStepBytes is written, or allocated for what is read, at a time.
-	payloadStepBytes = 32 << 10
+	// payloadBlockBytes is the number of bytes that are written at a time, and by which the read buffer grows.
+	payloadBlockBytes = 32 << 10
 )
 
-// ErrPayload is returned for a payload that is too long or has too many parts. The connection is unusable after it.
+// ErrPayload is returned for a payload that is too long or has too many parts. The connection is unusable afterwards.
 var ErrPayload = errors.New("rpc: payload is too long")
 
-// SetPeerVersion says which version of the protocol the other side speaks: whether it reads payloads. Before, none is sent.
+// SetPeerVersion sets the protocol version of the peer. Payloads are only sent once it is known that the peer reads them.
 func (c *Conn) SetPeerVersion(version uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.payloads = version >= VersionPayloads
+	c.peerReadsPayloads = version >= VersionPayloads
 }
 
-// detach returns a copy of a frame without its long byte strings, and these as its payload. They are sent as they are, so that
-// connections which carry the same update share them, and none keeps a buffer of their length. A frame with little in it is
-// returned as it is.
-func detach(frame *Frame) (slim *Frame, payload [][]byte) {
+// detachPayload returns a copy of a frame without its long byte strings, and the byte strings as payload. The payload is sent
+// without copying it, so that all connections share the bytes of an update and none keeps a buffer of its length. A frame with
+// little content is returned unchanged, without a payload.
+func detachPayload(frame *Frame) (trimmed *Frame, payload [][]byte) {
 	copied := *frame
 	switch {
 	case frame.LogUpdate != nil:
@@ -68,8 +68,8 @@
 	return total
 }
 
-// attach puts the payload that was received with a frame back into it. What it does not know it ignores.
-func attach(frame *Frame, payload [][]byte) {
+// attachPayload puts a received payload back into its frame. It ignores payloads of unknown kinds.
+func attachPayload(frame *Frame, payload [][]byte) {
 	switch {
 	case frame.PayloadKind == payloadEntries && frame.LogUpdate != nil:
 		frame.LogUpdate.Entries = payload
@@ -81,13 +81,13 @@
 	frame.PayloadKind, frame.PayloadSizes, frame.NeedsVersion = payloadNone, nil, 0
 }
 
-// sendPayload writes a payload. The timeout counts anew for each step, since a long payload takes a slow link long.
+// sendPayload writes a payload in blocks. The timeout applies to each block, because a long payload takes long on a slow link.
 func (c *Conn) sendPayload(payload [][]byte, timeout time.Duration) error {
 	for len(payload) > 0 {
-		var step net.Buffers
-		step, payload = nextStep(payload)
+		var block net.Buffers
+		block, payload = nextBlock(payload)
 		c.conn.SetWriteDeadline(time.Now().Add(timeout))
-		written, err := step.WriteTo(c.conn)
+		written, err := block.WriteTo(c.conn)
 		BytesSent.Add(written)
 		if err != nil {
 			return err
@@ -96,21 +96,22 @@
 	return nil
 }
 
-// nextStep cuts payloadStepBytes from the beginning of a payload, which it leaves as it is.
-func nextStep(payload [][]byte) (step, rest [][]byte) {
-	left := payloadStepBytes
+// nextBlock splits off the first payloadBlockBytes of a payload, without modifying the payload.
+func nextBlock(payload [][]byte) (block, rest [][]byte) {
+	remaining := payloadBlockBytes
 	for i, part := range payload {
-		if len(part) > left {
-			rest = append([][]byte{part[left:]}, payload[i+1:]...)
-			return append(step, part[:left]), rest
+		if len(part) > remaining {
+			rest = append([][]byte{part[remaining:]}, payload[i+1:]...)
+			return append(block, part[:remaining]), rest
 		}
-		step = append(step, part)
-		left -= len(part)
+		block = append(block, part)
+		remaining -= len(part)
 	}
-	return step, nil
+	return block, nil
 }
 
-// receivePayload reads the payload of a frame. The timeout counts anew with each step: a side that sends is not silent.
+// receivePayload reads the payload of a frame. The timeout applies to each block: a peer that is still sending is not
+// unresponsive.
 func (c *Conn) receivePayload(sizes []uint32, timeout time.Duration) ([][]byte, error) {
 	total := 0
 	for _, size := range sizes {
@@ -130,27 +131,27 @@
 	return payload, nil
 }
 
-// receivePart reads a part of a payload. Memory grows with what came, not with what was announced.
+// receivePart reads one byte string of a payload. The buffer grows with the received bytes, not with the announced size.
 func (c *Conn) receivePart(size int, timeout time.Duration) ([]byte, error) {
 	if size == 0 {
 		return nil, nil // as gob decodes an empty byte string
 	}
 	var part bytes.Buffer
-	part.Grow(min(size, payloadStepBytes))
+	part.Grow(min(size, payloadBlockBytes))
 	for part.Len() < size {
 		c.conn.SetReadDeadline(time.Now().Add(timeout))
-		if _, err := io.CopyN(&part, &rawReader{&c.frames}, int64(min(size-part.Len(), payloadStepBytes))); err != nil {
+		if _, err := io.CopyN(&part, &payloadReader{&c.frames}, int64(min(size-part.Len(), payloadBlockBytes))); err != nil {
 			return nil, err
 		}
 	}
 	return part.Bytes(), nil
 }
 
-// rawReader reads what follows a frame outside of it.
-type rawReader struct{ frames *frameReader }
+// payloadReader reads the raw bytes after a frame, by way of the buffer of the frameReader.
+type payloadReader struct{ frames *frameReader }
 
 // Read implements io.Reader.
-func (r *rawReader) Read(b []byte) (int, error) {
+func (r *payloadReader) Read(b []byte) (int, error) {
 	if err := r.frames.fill(); err != nil {
 		return 0, err
 	}
--- a/internal/rpc/payload_test.go
+++ b/internal/rpc/payload_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// longFrames are frames of which a part travels as a payload.
+// longFrames returns frames with and without content that is sent as a payload.
 func longFrames() []*Frame {
 	long := bytes.Repeat([]byte("0123456789"), 10_000)
 	return []*Frame{
@@ -32,7 +32,7 @@
 	return out.written.Bytes()
 }
 
-// Long updates arrive whole at processes of any version, and not at all where their connection breaks.
+// Long updates are received completely by peers of any version, and not at all if the connection breaks.
 func TestPayloadArrivesWithItsFrame(t *testing.T) {
 	for version := VersionUnnumbered; version <= ProtocolVersion; version++ {
 		c := NewConn(&recordedConn{input: bytes.NewReader(encodeFor(t, version, longFrames()...))})
@@ -49,7 +49,7 @@
 	}
 }
 
-// A payload that is announced as longer than a frame may be is refused before memory is allocated for it.
+// A payload whose announced size exceeds the limits is rejected before memory is allocated for it.
 func TestPayloadIsBounded(t *testing.T) {
 	tooMany := make([]uint32, maxPayloadParts+1)
 	for _, sizes := range [][]uint32{{MaxFrameBytes + 1}, {math.MaxUint32, math.MaxUint32}, tooMany} {
@@ -59,7 +59,8 @@
 	}
 }
 
-// 295 links that had each carried one configuration kept 295 buffers of its length, and the leader ran out of memory.
+// A connection must not retain a buffer as long as the largest update that it has carried. Otherwise, after one configuration
+// update to 295 connections, the leader held 295 buffers of its length and ran out of memory.
 func TestLinksKeepNoBufferOfTheLongestUpdate(t *testing.T) {
 	const connections, updateBytes, keptBytes = 50, 1 << 20, 64 << 10
 	update := &Frame{LogUpdate: &LogUpdate{Entries: [][]byte{make([]byte, updateBytes)}, LastIndex: 1}}
--- a/internal/rpc/state.go
+++ b/internal/rpc/state.go
@@ -5,30 +5,30 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// StateDigests are digests of a member's replicated state at some indices of late.
+// StateDigests carries digests of a member's replicated state at some recent indices.
 type StateDigests struct {
 	From    consensus.ID
 	Digests []statemachine.Digest
 }
 
-// StateRejected tells a member that its state differs from that of a majority at an index. Term is the leader's.
+// StateRejected tells a member that its state differs from the state of a majority at the index of Digest.
 type StateRejected struct {
 	To     consensus.ID
-	Term   uint64
-	Digest statemachine.Digest // of the majority
+	Term   uint64              // term of the leader
+	Digest statemachine.Digest // digest of the majority
 }
 
-// MaxSnapshotBytes is the size of the largest snapshot that a proxy takes.
+// MaxSnapshotBytes is the size of the largest snapshot that a proxy accepts.
 const MaxSnapshotBytes = 24 << 20
 
-// SnapshotChunk is a part of a snapshot of the state for a proxy. The chunks of a snapshot come in the order of their offsets.
+// SnapshotChunk is a part of a state snapshot that is transferred to a proxy. Chunks are sent in the order of their offsets.
 type SnapshotChunk struct {
-	Index        uint64   // of the snapshot
+	Index        uint64   // index of the snapshot
 	Digest       [16]byte // BLAKE3 of the whole snapshot, truncated
-	Size, Offset uint64   // bytes of the whole snapshot, and where this chunk begins
+	Size, Offset uint64   // size of the whole snapshot and offset of this chunk, in bytes
 	Data         []byte
-	Members      []string // addresses of all members
+	Members      []string // addresses of all control-plane members
 }
 
-// ChunkAck says how much of a snapshot a proxy has received.
+// ChunkAck acknowledges the first Received bytes of the snapshot at Index.
 type ChunkAck struct{ Index, Received uint64 }
--- a/internal/rpc/version.go
+++ b/internal/rpc/version.go
@@ -2,47 +2,48 @@
 
 import "fmt"
 
-// Versions of the protocol between the processes of the system. Two neighbouring versions run side by side during an upgrade: a
-// process uses what a version has added only towards processes that speak it, and what changes the replicated state only once all
-// members do.
+// Versions of the protocol between the processes of the system. Two successive versions run side by side during a rolling
+// upgrade: a process uses the additions of a version only with peers that speak it, and those that affect the replicated state
+// only once all members speak it.
 const (
-	VersionUnnumbered    uint32 = 1             // of releases whose frames carry no version
-	VersionDigestsChunks uint32 = 2             // state digests, snapshots for proxies in chunks, refusals
-	VersionQuotas        uint32 = 3             // tokens of tenants
-	VersionPayloads             = VersionQuotas // payloads beside the frame; leases that are postponed are answered
+	VersionUnnumbered    uint32 = 1             // releases whose frames carry no version
+	VersionDigestsChunks uint32 = 2             // adds state digests, chunked snapshot transfer to proxies, refusals
+	VersionQuotas        uint32 = 3             // adds tenant quotas
+	VersionPayloads             = VersionQuotas // adds payloads after the frame, and responses to lease requests that are postponed
 	ProtocolVersion             = VersionPayloads
 )
 
-// SpokenVersion is the version that a process speaks, by a frame or hello of it.
+// SpokenVersion returns the protocol version that a peer speaks, given the version in its frame or ProxyHello. It maps 0, which
+// older releases send, to VersionUnnumbered.
 func SpokenVersion(version uint32) uint32 { return max(version, VersionUnnumbered) }
 
-// Refusal answers a frame that the receiver does not understand, since it needs a newer version.
+// Refusal is the response to a frame that requires a newer protocol version than the receiver speaks.
 type Refusal struct {
-	Version uint32 // that the receiver speaks
-	Reason  string // for a person
+	Version uint32 // version that the receiver of the frame speaks
+	Reason  string // human-readable
 }
 
-// UnsupportedFrameError says that a frame needs a newer version of the protocol. The connection is usable after it.
+// UnsupportedFrameError is returned for a frame that requires a newer protocol version. The connection remains usable.
 type UnsupportedFrameError struct {
-	Needs  uint32 // version
-	Sender uint32 // version that the sender speaks
-	Spoken uint32 // version that this process speaks
+	RequiredVersion uint32 // version that the frame requires
+	SenderVersion   uint32 // version that the sender speaks
+	OwnVersion      uint32 // version that this process speaks
 }
 
-// Error names the versions.
+// Error implements error. The text names all three versions.
 func (e *UnsupportedFrameError) Error() string {
-	return fmt.Sprintf("rpc: a frame needs version %d of the protocol, this process speaks %d, its sender %d", e.Needs, e.Spoken, e.Sender)
+	return fmt.Sprintf("rpc: a frame needs version %d of the protocol, this process speaks %d, its sender %d", e.RequiredVersion, e.OwnVersion, e.SenderVersion)
 }
 
-// checkVersion returns an UnsupportedFrameError for a frame that this process may not read.
+// checkVersion returns an UnsupportedFrameError for a frame that requires a newer version than this process speaks.
 func checkVersion(frame *Frame) error {
 	if frame.NeedsVersion > ProtocolVersion {
-		return &UnsupportedFrameError{Needs: frame.NeedsVersion, Sender: SpokenVersion(frame.Version), Spoken: ProtocolVersion}
+		return &UnsupportedFrameError{RequiredVersion: frame.NeedsVersion, SenderVersion: SpokenVersion(frame.Version), OwnVersion: ProtocolVersion}
 	}
 	return nil
 }
 
-// Refuse tells the sender of a frame why it was refused.
+// Refuse sends a Refusal in response to an unsupported frame.
 func (c *Conn) Refuse(unsupported *UnsupportedFrameError) error {
 	refusal := &Refusal{Version: ProtocolVersion, Reason: unsupported.Error()}
 	return c.Send(&Frame{Version: ProtocolVersion, Refusal: refusal}, refusalTimeout)
--- a/internal/rpc/version_test.go
+++ b/internal/rpc/version_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// connectedPair returns two ends of a connection.
+// connectedPair returns the two ends of a connection.
 func connectedPair(t *testing.T) (one, other *Conn) {
 	t.Helper()
 	a, b := net.Pipe()
@@ -17,7 +17,7 @@
 	return NewConn(a), NewConn(b)
 }
 
-// A frame that needs a newer version is refused with the reason, and what comes after it is read.
+// A frame that needs a newer protocol version is refused with a reason, and the connection still delivers later frames.
 func TestFrameOfANewerVersionIsRefused(t *testing.T) {
 	sender, receiver := connectedPair(t)
 	sent := make(chan error, 1)
@@ -31,7 +31,7 @@
 	_, err := receiver.Receive(time.Minute)
 	var unsupported *UnsupportedFrameError
 	require.ErrorAs(t, err, &unsupported)
-	require.Equal(t, UnsupportedFrameError{Needs: ProtocolVersion + 1, Sender: ProtocolVersion + 1, Spoken: ProtocolVersion}, *unsupported)
+	require.Equal(t, UnsupportedFrameError{RequiredVersion: ProtocolVersion + 1, SenderVersion: ProtocolVersion + 1, OwnVersion: ProtocolVersion}, *unsupported)
 	frame, err := receiver.Receive(time.Minute)
 	require.NoError(t, err)
 	require.EqualValues(t, 7, frame.ChunkAck.Index)
@@ -45,7 +45,7 @@
 	require.Contains(t, answer.Refusal.Reason, fmt.Sprintf("needs version %d", ProtocolVersion+1))
 }
 
-// Frames of the release before versions are read, and count as of its version.
+// Frames of older releases without a version field are accepted, and are treated as VersionUnnumbered.
 func TestUnnumberedFramesAreRead(t *testing.T) {
 	sender, receiver := connectedPair(t)
 	sent := make(chan error, 1)
