--- a/internal/config/amend.go
+++ b/internal/config/amend.go
@@ -9,28 +9,29 @@
 	"slices"
 )
 
-// amendment is the body of an amendment: items to add or replace, and names of items to remove, by list.
+// amendment is the decoded body of an amendment. Upsert has the items to add or replace, and Remove the names of the items to
+// remove, both by list.
 type amendment struct {
 	Generation *int64
 	Upsert     map[string][]json.RawMessage
 	Remove     map[string][]string
 }
 
-// lists returns the lists that the amendment changes, in an order that does not depend on map iteration, since every member must
-// make the same body.
+// lists returns the sorted names of the lists that the amendment changes. Every member must produce the same body, so the order
+// must not depend on map iteration.
 func (a *amendment) lists() []string {
 	names := slices.AppendSeq(slices.Collect(maps.Keys(a.Upsert)), maps.Keys(a.Remove))
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// Amend amends the configuration of a body, like Config.Amend.
+// Amend applies an amendment to the configuration with the given body, like Config.Amend.
 func Amend(current []byte, change []byte) (*Config, error) {
 	return (&Config{Body: current}).Amend(change)
 }
 
-// Amend returns the configuration with an amendment applied: items of the names in Upsert are replaced in place or added at the
-// end, those in Remove are removed. All other bytes of the items remain as the operator sent them.
+// Amend returns the configuration with an amendment applied: an item in Upsert replaces the item with the same name, or is added at
+// the end of its list; items named in Remove are removed. All other items keep the bytes that the operator sent.
 func (c *Config) Amend(change []byte) (*Config, error) {
 	var amended amendment
 	if err := json.Unmarshal(change, &amended); err != nil {
@@ -52,12 +53,12 @@
 	return ReadNext(c, body.encode())
 }
 
-// errNotAnObject is the error for a body that is the JSON null.
-var errNotAnObject = errors.New("the body: null is no configuration")
+// errNotAnObject is returned for a body that is the JSON value null.
+var errNotAnObject = errors.New("the body: null is not a configuration")
 
-// object is a JSON object whose values are kept as they were received.
+// object is a JSON object that keeps the bytes of its values and the order of its keys.
 type object struct {
-	keys   []string // in order
+	keys   []string // in their original order
 	values map[string]json.RawMessage
 }
 
@@ -102,12 +103,12 @@
 	return append(body, '}')
 }
 
-// amendList changes a list of the object; one that is not there is added.
+// amendList amends a list of the object, and adds the list if it does not exist.
 func (o *object) amendList(list string, upsert []json.RawMessage, remove []string) error {
 	var items []json.RawMessage
 	if value, ok := o.values[list]; ok {
 		if err := json.Unmarshal(value, &items); err != nil {
-			return &FieldError{Key: list, Reason: "no list of items"}
+			return &FieldError{Key: list, Reason: "not a list"}
 		}
 	} else {
 		o.keys = append(o.keys, list)
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// amendItems returns the items without those to remove, and with those to upsert.
+// amendItems returns the items of a list with removals and then upserts applied.
 func amendItems(list string, items, upsert []json.RawMessage, remove []string) ([]json.RawMessage, error) {
 	indexes := map[string]int{}
 	for i, item := range items {
@@ -161,12 +162,12 @@
 func itemName(item json.RawMessage) (string, error) {
 	var named struct{ Name string }
 	if err := json.Unmarshal(item, &named); err != nil || named.Name == "" {
-		return "", errors.New("an item without a Name")
+		return "", errors.New("item has no Name")
 	}
 	return named.Name, nil
 }
 
-// encode encodes a string or a number, which can't fail.
+// encode encodes a string or a number as JSON, which cannot fail.
 func encode(value any) []byte {
 	encoded, _ := json.Marshal(value)
 	return encoded
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// minCopyBytes is the shortest part that is worth copying from the old body.
+// minCopyBytes is the minimum length of a copied part. Shorter matches are encoded as literals.
 const minCopyBytes = 12
 
-// Diff returns how the body of updated is made from the body of old: the length of the body, and then in turn a literal part (its
-// length and bytes) and a copied part (its offset in the old body and its length), until the body is complete. All numbers are
-// unsigned varints. Items that the old body has are copied, also if their order changed.
+// Diff encodes the body of updated as a diff against the body of old. The diff has the length of the updated body, followed by
+// alternating literal parts (length and bytes) and copied parts (offset in the old body and length) until the body is complete.
+// All numbers are unsigned varints. Items of the old body are copied even if their order changed.
 func Diff(old, updated *Config) []byte {
 	encoder := diffEncoder{old: old.Body, updated: updated.Body}
-	encoder.appendNumber(len(updated.Body))
+	encoder.appendUvarint(len(updated.Body))
 	for _, a := range anchors(old, updated) {
 		encoder.copyAround(a)
 	}
@@ -24,10 +24,11 @@
 	return encoder.diff
 }
 
-// anchor is a pair of offsets at which the two bodies are probably alike.
+// anchor is a pair of offsets at which the two bodies probably match.
 type anchor struct{ updatedOffset, oldOffset int }
 
-// anchors returns the beginnings of both bodies, those of each item and the old one that it equals or replaces, and the ends.
+// anchors returns the anchors of a diff, sorted by offset: the beginnings of both bodies, each updated item with the old item that
+// it equals or replaces, and the ends of both bodies.
 func anchors(old, updated *Config) []anchor {
 	found := []anchor{{0, 0}}
 	finders := old.finders()
@@ -36,10 +37,10 @@
 		for _, item := range items {
 			index := finder.matchPrefix(updated.Body[item.from:])
 			if index == newItem {
-				index = finder.find(item.of(updated.Body))
+				index = finder.find(item.slice(updated.Body))
 			}
 			if index == newItem {
-				index = finder.next - 1 // the one that it may replace
+				index = finder.expectedIndex - 1 // the item that it may replace
 			}
 			if index < len(oldItems) {
 				found = append(found, anchor{item.from, oldItems[index].from})
@@ -50,23 +51,24 @@
 	return append(found, anchor{len(updated.Body), len(old.Body)})
 }
 
+// diffEncoder builds a diff.
 type diffEncoder struct {
 	old, updated []byte
 	diff         []byte
-	encoded      int // bytes of updated that the diff makes so far
+	encoded      int // bytes of updated that diff covers so far
 }
 
-func (e *diffEncoder) appendNumber(number int) {
+func (e *diffEncoder) appendUvarint(number int) {
 	e.diff = binary.AppendUvarint(e.diff, uint64(number))
 }
 
 func (e *diffEncoder) appendLiteral(to int) {
-	e.appendNumber(to - e.encoded)
+	e.appendUvarint(to - e.encoded)
 	e.diff = append(e.diff, e.updated[e.encoded:to]...)
 	e.encoded = to
 }
 
-// copyAround copies the longest part around an anchor that both bodies have, if it is long enough.
+// copyAround encodes the longest match around an anchor as a copied part, unless the match is shorter than minCopyBytes.
 func (e *diffEncoder) copyAround(a anchor) {
 	if a.updatedOffset < e.encoded {
 		return
@@ -83,7 +85,7 @@
 		return
 	}
 	e.appendLiteral(from)
-	e.appendNumber(oldFrom)
-	e.appendNumber(to - from)
+	e.appendUvarint(oldFrom)
+	e.appendUvarint(to - from)
 	e.encoded = to
 }
--- a/internal/config/diff_test.go
+++ b/internal/config/diff_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// manyRoutes returns a configuration as the operator writes them. extra returns more fields for the route of an index.
+// manyRoutes returns a configuration formatted as operators send it. extra returns additional fields for the route at an index.
 func manyRoutes(generation, count int, extra func(index int) string) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"Generation":%d,"Routes":[`, generation)
@@ -29,8 +29,8 @@
 
 func noExtra(int) string { return "" }
 
-// changeRandomly returns a changed version of manyRoutes(1, count, noExtra).
-func changeRandomly(random *rand.Rand, count int) []byte {
+// randomlyChangedBody returns a randomly changed version of manyRoutes(1, count, noExtra).
+func randomlyChangedBody(random *rand.Rand, count int) []byte {
 	changed := manyRoutes(2, count, func(int) string {
 		if random.IntN(count) == 0 {
 			return fmt.Sprintf(`,"New":[%d,"]}\"\\"]`, random.IntN(1000))
@@ -44,7 +44,7 @@
 		return shuffleRoutes(random, changed)
 	case 2:
 		return bytes.ReplaceAll(changed, []byte("800"), []byte("9")) // every route
-	case 3: // a route stands twice, or a new one replaces another
+	case 3: // duplicates a route, or replaces the first route by a new one
 		name := fmt.Sprint(random.IntN(count))
 		replacement := `"Name":"r` + name + `","Host":"db` + name + `"`
 		return bytes.Replace(changed, []byte(`"Name":"r0","Host":"db0"`), []byte(replacement), 1)
@@ -64,7 +64,8 @@
 	return append(shuffled, body[to:]...)
 }
 
-// Whatever a configuration becomes, its diff makes the same bytes in less space, and it is read as if there were no previous one.
+// For any change of a configuration, Patch restores the exact body from the diff, the diff is not longer than the body, and ReadNext
+// returns the same result as reading without a previous configuration.
 func TestDiffMakesTheSameBodyAndConfig(t *testing.T) {
 	rejected := 0
 	for seed := range 300 {
@@ -72,9 +73,9 @@
 		count := 1 + random.IntN(60)
 		old, err := Read(manyRoutes(1, count, noExtra))
 		require.NoError(t, err)
-		body := changeRandomly(random, count)
+		body := randomlyChangedBody(random, count)
 		next, err := ReadNext(old, body)
-		alone, want := readWhole(bytes.Clone(body))
+		alone, want := readFull(bytes.Clone(body))
 		require.Equal(t, want, err, "seed %d: %s", seed, body)
 		if err != nil {
 			rejected++
@@ -92,10 +93,10 @@
 	old, _ := Read(manyRoutes(1, 900, noExtra))
 	next, err := ReadNext(old, manyRoutes(2, 900, extraAt(77)))
 	require.NoError(t, err)
-	require.Less(t, len(Diff(old, next)), 64, "one route of 900 changed")
+	require.Less(t, len(Diff(old, next)), 64, "size of the diff if one route of 900 changed")
 }
 
-// extraAt gives the route of one index another field.
+// extraAt returns a function for manyRoutes that adds a field to the route at one index.
 func extraAt(changed int) func(index int) string {
 	return func(index int) string {
 		if index == changed {
@@ -108,57 +109,58 @@
 func TestPatchRejectsADiffThatDoesNotFit(t *testing.T) {
 	old := []byte("0123456789")
 	for name, diff := range map[string][]byte{
-		"empty":                       {},
-		"a length beyond reason":      binary.AppendUvarint(nil, MaxBodyBytes+1),
-		"a length that overflows":     bytes.Repeat([]byte{0xff}, 12),
-		"literals that are not there": {5, 5, 'a'},
-		"a copy behind the end":       {5, 0, 8, 5},
-		"a copy from behind the end":  {5, 0, 11, 1},
-		"a copy of nothing":           {5, 0, 0, 0},
-		"more than its length":        {5, 0, 0, 6},
-		"less than its length":        {5, 0, 0, 4},
-		"something behind it":         {5, 0, 0, 5, 0},
+		"empty":                  {},
+		"excessive length":       binary.AppendUvarint(nil, MaxBodyBytes+1),
+		"overflowing length":     bytes.Repeat([]byte{0xff}, 12),
+		"truncated literal":      {5, 5, 'a'},
+		"copy past the end":      {5, 0, 8, 5},
+		"copy from past the end": {5, 0, 11, 1},
+		"empty copy":             {5, 0, 0, 0},
+		"longer than announced":  {5, 0, 0, 6},
+		"shorter than announced": {5, 0, 0, 4},
+		"trailing data":          {5, 0, 0, 5, 0},
 	} {
 		_, err := Patch(old, diff)
-		require.ErrorIs(t, err, errDiff, name)
+		require.ErrorIs(t, err, errDiffMismatch, name)
 	}
 	big := make([]byte, MaxBodyBytes/8)
 	diff := binary.AppendUvarint(nil, MaxBodyBytes+MaxBodyBytes/8)
-	for range 9 { // few bytes that stand for many
+	for range 9 { // a short diff that expands to a long body
 		diff = binary.AppendUvarint(append(diff, 0, 0), MaxBodyBytes/8)
 	}
 	_, err := Patch(big, diff)
-	require.ErrorIs(t, err, errDiff)
+	require.ErrorIs(t, err, errDiffMismatch)
 	_, err = Read(append(bytes.Repeat([]byte(" "), MaxBodyBytes), manyRoutes(1, 1, noExtra)...))
 	require.ErrorContains(t, err, "at most")
 }
 
-// What is read after a previous configuration has the same result as alone.
+// FuzzReadNext checks that ReadNext returns the same result as reading without a previous configuration, and that Patch restores
+// the body from the diff.
 func FuzzReadNext(f *testing.F) {
-	f.Add([]byte(good), []byte(strings.Replace(good, `"Priority":2`, `"Priority":3`, 1)))
-	f.Add([]byte(good), []byte(strings.Replace(good, `"Routes"`, `"routes"`, 1)))
-	f.Add([]byte(good), []byte(`{"Generation":1,"Routes":[{"Name":"r1",}],"Services":[]}`))
-	f.Add([]byte(good), []byte(`{"Generation":1,"Routes":[1 2],"Services":[],"Routes":[]}`))
-	f.Add([]byte(good), []byte(`{"Generation":1,"Routes":[{"a":"}]"}],"Services":[{}],"Limits":null}`))
+	f.Add([]byte(validBody), []byte(strings.Replace(validBody, `"Priority":2`, `"Priority":3`, 1)))
+	f.Add([]byte(validBody), []byte(strings.Replace(validBody, `"Routes"`, `"routes"`, 1)))
+	f.Add([]byte(validBody), []byte(`{"Generation":1,"Routes":[{"Name":"r1",}],"Services":[]}`))
+	f.Add([]byte(validBody), []byte(`{"Generation":1,"Routes":[1 2],"Services":[],"Routes":[]}`))
+	f.Add([]byte(validBody), []byte(`{"Generation":1,"Routes":[{"a":"}]"}],"Services":[{}],"Limits":null}`))
 	f.Fuzz(func(t *testing.T, body, after []byte) {
 		old, err := Read(body)
 		if err != nil {
 			return
 		}
 		next, err := ReadNext(old, after)
-		alone, want := readWhole(after)
+		alone, want := readFull(after)
 		if (err == nil) != (want == nil) {
-			t.Fatalf("after another: %v, alone: %v", err, want)
+			t.Fatalf("with a previous configuration: %v, without: %v", err, want)
 		}
 		if err != nil {
 			return
 		}
 		alone.layout = next.layout
 		if !reflect.DeepEqual(next, alone) {
-			t.Fatalf("%+v, alone %+v", next, alone)
+			t.Fatalf("with a previous configuration: %+v, without: %+v", next, alone)
 		}
 		if made, err := Patch(body, Diff(old, next)); err != nil || !bytes.Equal(made, after) {
-			t.Fatalf("%q made by a diff, %v", made, err)
+			t.Fatalf("Patch returned %q, %v", made, err)
 		}
 	})
 }
@@ -168,12 +170,12 @@
 	f.Add([]byte("x"), binary.AppendUvarint(nil, MaxBodyBytes))
 	f.Fuzz(func(t *testing.T, old, diff []byte) {
 		if body, err := Patch(old, diff); err == nil && len(body) > MaxBodyBytes {
-			t.Fatalf("%d bytes", len(body))
+			t.Fatalf("Patch returned %d bytes", len(body))
 		}
 	})
 }
 
-// benchmarkRoutes are the numbers of routes that the benchmarks take.
+// benchmarkRoutes has the numbers of routes in the benchmarks.
 var benchmarkRoutes = []int{10, 100, 900, 2000}
 
 func BenchmarkReadNext(b *testing.B) {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,13 +1,14 @@
-// Package config reads and checks the operator's configuration: a whole one, or an amendment that replaces and removes items by
-// name. The body is kept byte for byte as the operator sent it, with fields that are unknown here, beside the checked form.
+// Package config decodes and validates the operator's configuration: either a complete one, or an amendment that replaces and
+// removes items by name. Next to the decoded form it keeps the body byte for byte as the operator sent it, including unknown
+// fields.
 //
-//	body             -> Read             -> Config    a whole configuration
-//	previous, body   -> ReadNext         -> Config    the same, reading only items that the previous one does not have
+//	body             -> Read             -> Config    a complete configuration
+//	previous, body   -> ReadNext         -> Config    the same, but decodes only new and changed items
 //	previous, change -> Config.Amend     -> Config    an amendment
-//	previous, next   -> Diff, then Patch -> body      what the control plane's log has instead of a whole body
+//	previous, next   -> Diff, then Patch -> body      what the control plane's log stores instead of a complete body
 //
-// Large configurations change in few items at a time. So the body is first split into the items of its two lists and the rest
-// (split.go); items that stand unchanged in the previous body are neither decoded nor checked again (incremental.go).
+// Updates of large configurations usually change only a few items. So the body is first split into the items of its two lists and
+// the rest (split.go), and items that are unchanged from the previous body are not decoded and validated again (incremental.go).
 //
-// The package is pure: it opens no files and no connections, and reads no clock.
+// The package is pure: it uses no files, connections or clocks.
 package config
--- a/internal/config/incremental.go
+++ b/internal/config/incremental.go
@@ -5,22 +5,25 @@
 	"encoding/json"
 )
 
-// newItem is the index of an item that the previous configuration does not have.
+// newItem is used in place of an index for an item that the previous configuration does not have.
 const newItem = -1
 
-// maxCompared is how many new routes are compared one by one with all others; for more, maps are built.
-const maxCompared = 8
+// maxComparedRoutes is the maximum number of new routes that are compared one by one with all others. For more new routes, maps
+// are built.
+const maxComparedRoutes = 8
 
-// ReadNext reads a whole configuration that replaces a previous one (nil: there is none). Items that the previous one has
-// unchanged are not decoded and checked again; result and error are the same as Read's.
+// ReadNext decodes and validates a complete configuration that replaces a previous one, which may be nil. Items that are
+// unchanged from the previous configuration are not decoded and validated again. The result and the error are the same as those
+// of Read.
 func ReadNext(previous *Config, body []byte) (*Config, error) {
 	if next := readIncrementally(previous, body); next != nil {
 		return next, nil
 	}
-	return readWhole(body) // which finds the error, if there is one
+	return readFull(body) // reports the error, if there is one
 }
 
-// readIncrementally returns nil if there may be an error, or if the body can't be split.
+// readIncrementally reads a configuration and reuses the items of the previous one. It returns nil if the body may be invalid or
+// cannot be split.
 func readIncrementally(previous *Config, body []byte) *Config {
 	if previous == nil {
 		previous = &Config{}
@@ -41,28 +44,28 @@
 	if validateFields(next) != nil || validateFields(&next.Limits) != nil || next.validateTenants() != nil {
 		return nil
 	}
-	if next.validateReferences(next.possibleDuplicates(parts, finders)) != nil {
+	if next.validateReferences(next.conflictsWithNewRoutes(parts, finders)) != nil {
 		return nil
 	}
 	return next
 }
 
-// possibleDuplicates compares routes only with the new ones where that is enough: if each of the others is another one of the
-// previous configuration's, which had no duplicates.
-func (c *Config) possibleDuplicates(parts splitBody, finders [listCount]*itemFinder) func(index int) duplicate {
+// conflictsWithNewRoutes compares routes only with the new ones if that is sufficient, and otherwise with all earlier ones. It is
+// sufficient if all other routes are distinct routes of the previous configuration, because that had no duplicates.
+func (c *Config) conflictsWithNewRoutes(parts splitBody, finders [listCount]*itemFinder) func(index int) routeConflict {
 	var added []int
 	for index, origin := range parts.origins[routesList] {
 		if origin == newItem {
 			added = append(added, index)
 		}
 	}
-	if finders[routesList].foundOutOfOrder() || len(added) > maxCompared {
-		return c.duplicatesOfEarlier()
+	if finders[routesList].hasContentIndex() || len(added) > maxComparedRoutes {
+		return c.conflictsWithEarlier()
 	}
-	return c.duplicatesOf(added)
+	return c.conflictsWith(added)
 }
 
-// decodeItems decodes and checks the new items of a list, and takes the others from the previous list.
+// decodeItems decodes and validates the new items of a list, and takes the others from the previous list.
 func decodeItems[T any](previous []T, body []byte, parts splitBody, list listIndex) (items []T, ok bool) {
 	items = make([]T, len(parts.layout[list]))
 	for i, origin := range parts.origins[list] {
@@ -70,7 +73,7 @@
 			items[i] = previous[origin]
 			continue
 		}
-		if json.Unmarshal(parts.layout[list][i].of(body), &items[i]) != nil || validateFields(&items[i]) != nil {
+		if json.Unmarshal(parts.layout[list][i].slice(body), &items[i]) != nil || validateFields(&items[i]) != nil {
 			return nil, false
 		}
 	}
@@ -78,18 +81,18 @@
 }
 
 const (
-	searchWindow = 4 // items after the expected one that are compared first
-	maxMisses    = 8 // before all items are indexed by content
+	searchWindow = 4 // number of items from the expected one on that are compared first
+	maxMisses    = 8 // number of misses after which all items are indexed by content
 )
 
-// itemFinder finds items of a previous body's list by their bytes. Items are mostly where they were, in the same order, so a few
-// at the expected index and after are compared first; only after several misses all are indexed.
+// itemFinder finds items in a list of the previous body by their bytes. Most items keep their order, so it first compares the
+// items from the expected index on. Only after several misses does it index all items.
 type itemFinder struct {
-	body      []byte
-	items     []span
-	next      int // expected index
-	misses    int
-	byContent map[string]int // nil until maxMisses is exceeded
+	body          []byte
+	items         []span
+	expectedIndex int // index of the item that is expected next
+	misses        int
+	byContent     map[string]int // index of each item by its bytes; nil until maxMisses is exceeded
 }
 
 func (c *Config) finders() (finders [listCount]*itemFinder) {
@@ -99,31 +102,31 @@
 	return finders
 }
 
-func (f *itemFinder) item(index int) []byte { return f.items[index].of(f.body) }
+func (f *itemFinder) item(index int) []byte { return f.items[index].slice(f.body) }
 
-// matchPrefix returns the index of an item near the expected one that text begins with, or newItem.
+// matchPrefix looks for an item that text begins with, near the expected index. It returns the index of the item, or newItem.
 func (f *itemFinder) matchPrefix(text []byte) int {
-	for index := f.next; index < min(len(f.items), f.next+searchWindow); index++ {
+	for index := f.expectedIndex; index < min(len(f.items), f.expectedIndex+searchWindow); index++ {
 		item := f.item(index)
 		if len(item) < len(text) && endsScalar(text[len(item)]) && bytes.Equal(text[:len(item)], item) {
-			f.next = index + 1
+			f.expectedIndex = index + 1
 			return index
 		}
 	}
 	return newItem
 }
 
-// find returns the index of an item after matchPrefix has missed it, or newItem.
+// find looks for an item that matchPrefix did not find. It returns the index of the item, or newItem.
 func (f *itemFinder) find(item []byte) int {
 	f.misses++
 	if f.misses > maxMisses {
 		f.indexItems()
 		if index, ok := f.byContent[string(item)]; ok {
-			f.next = index + 1
+			f.expectedIndex = index + 1
 			return index
 		}
 	}
-	f.next++ // it may be a changed version of the expected item
+	f.expectedIndex++ // it may be a changed version of the expected item
 	return newItem
 }
 
@@ -137,5 +140,6 @@
 	}
 }
 
-// foundOutOfOrder reports whether items may have been found more than once, which matchPrefix alone can't do.
-func (f *itemFinder) foundOutOfOrder() bool { return f.byContent != nil }
+// hasContentIndex reports whether the items were indexed by content. Only then may an item have been found more than once, because
+// matchPrefix only moves forward.
+func (f *itemFinder) hasContentIndex() bool { return f.byContent != nil }
--- a/internal/config/null_test.go
+++ b/internal/config/null_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An amendment of a body that is the JSON null, or no object, is refused and does not panic.
+// Amending a body that is JSON null, or not an object, returns an error and does not panic.
 func TestAmendmentOfNoObjectIsRefused(t *testing.T) {
 	change := []byte(`{"Generation":2}`)
 	for _, current := range []string{"null", " null ", "[]", "7", ""} {
--- a/internal/config/patch.go
+++ b/internal/config/patch.go
@@ -5,40 +5,40 @@
 	"errors"
 )
 
-// errDiff reports a diff that is malformed or was made for another old body.
-var errDiff = errors.New("diff does not fit the old body")
+// errDiffMismatch is returned for a diff that is malformed or was made for another old body.
+var errDiffMismatch = errors.New("diff does not match the old body")
 
-// Patch makes a body from an old one and a diff. The diff is checked before any memory is allocated for the body.
+// Patch applies a diff to an old body and returns the new body. It validates the diff before it allocates memory for the new body.
 func Patch(old, diff []byte) ([]byte, error) {
-	size, rest, ok := cutNumber(diff, MaxBodyBytes)
+	size, rest, ok := readUvarint(diff, MaxBodyBytes)
 	if !ok {
-		return nil, errDiff
+		return nil, errDiffMismatch
 	}
-	parts := patchReader{old: old, diff: rest, missing: size}
-	if !parts.each(func([]byte) {}) {
-		return nil, errDiff
+	parts := patchReader{old: old, diff: rest, remaining: size}
+	if !parts.forEachPart(func([]byte) {}) {
+		return nil, errDiffMismatch
 	}
 	body := make([]byte, 0, size)
-	parts.each(func(part []byte) { body = append(body, part...) })
+	parts.forEachPart(func(part []byte) { body = append(body, part...) })
 	return body, nil
 }
 
 // patchReader reads the parts of a diff.
 type patchReader struct {
 	old, diff []byte
-	missing   int // bytes of the body that are still to come
+	remaining int // bytes of the new body that are not read yet
 }
 
-// each calls visit with each part in order, and returns whether the diff makes exactly the body. The receiver is a copy, so each
-// may be called again.
-func (r patchReader) each(visit func(part []byte)) bool {
-	for r.missing > 0 {
+// forEachPart calls visit with each part in order, and returns whether the diff is valid and yields exactly the announced length.
+// The receiver is a copy, so forEachPart can be called repeatedly.
+func (r patchReader) forEachPart(visit func(part []byte)) bool {
+	for r.remaining > 0 {
 		literal, ok := r.readLiteral()
 		if !ok {
 			return false
 		}
 		visit(literal)
-		if r.missing == 0 {
+		if r.remaining == 0 {
 			break
 		}
 		copied, ok := r.readCopied()
@@ -51,31 +51,32 @@
 }
 
 func (r *patchReader) readLiteral() (literal []byte, ok bool) {
-	length, rest, ok := cutNumber(r.diff, min(r.missing, len(r.diff)))
+	length, rest, ok := readUvarint(r.diff, min(r.remaining, len(r.diff)))
 	if !ok || length > len(rest) {
 		return nil, false
 	}
 	r.diff = rest[length:]
-	r.missing -= length
+	r.remaining -= length
 	return rest[:length], true
 }
 
 func (r *patchReader) readCopied() (copied []byte, ok bool) {
-	from, rest, ok := cutNumber(r.diff, len(r.old))
+	from, rest, ok := readUvarint(r.diff, len(r.old))
 	if !ok {
 		return nil, false
 	}
-	length, rest, ok := cutNumber(rest, min(r.missing, len(r.old)-from))
+	length, rest, ok := readUvarint(rest, min(r.remaining, len(r.old)-from))
 	if !ok || length == 0 {
 		return nil, false
 	}
 	r.diff = rest
-	r.missing -= length
+	r.remaining -= length
 	return r.old[from : from+length], true
 }
 
-// cutNumber reads a varint; ok is false if there is none or it is above limit.
-func cutNumber(diff []byte, limit int) (number int, rest []byte, ok bool) {
+// readUvarint reads an unsigned varint from the beginning of diff, and returns the rest. ok is false if there is none, or if it is
+// greater than limit.
+func readUvarint(diff []byte, limit int) (number int, rest []byte, ok bool) {
 	value, size := binary.Uvarint(diff)
 	if size <= 0 || value > uint64(limit) {
 		return 0, nil, false
--- a/internal/config/scanner.go
+++ b/internal/config/scanner.go
@@ -1,7 +1,7 @@
 package config
 
-// scanner finds where JSON values end, without checking what is inside. Its methods move offset behind what they name. Those that
-// return false leave it undefined.
+// scanner finds the ends of JSON values without validating their content. Its methods advance offset past what they accept or skip.
+// If a method returns false, offset is undefined.
 type scanner struct {
 	body   []byte
 	offset int
@@ -9,7 +9,7 @@
 
 func (s *scanner) atEnd() bool { return s.offset >= len(s.body) }
 
-// accept moves behind a character if it is the next one, and returns whether it is.
+// accept skips the given character if it is the next one, and returns whether it was.
 func (s *scanner) accept(character byte) bool {
 	if s.atEnd() || s.body[s.offset] != character {
 		return false
@@ -24,7 +24,7 @@
 	}
 }
 
-// skipString moves behind a string.
+// skipString skips a string.
 func (s *scanner) skipString() bool {
 	if !s.accept('"') {
 		return false
@@ -41,14 +41,14 @@
 	return false
 }
 
-// skipValue moves behind a value of any type.
+// skipValue skips a value of any type.
 func (s *scanner) skipValue() bool {
 	from := s.offset
 	depth := 0
 	for !s.atEnd() {
 		character := s.body[s.offset]
 		if depth == 0 && (character == '}' || endsScalar(character)) {
-			return s.offset > from // a number or literal; without any character there is no value
+			return s.offset > from // end of a number or literal, which has at least one character
 		}
 		if character == '"' {
 			if !s.skipString() {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// endsScalar reports whether a number or literal, or an item of a list, may end before a character.
+// endsScalar reports whether a character may follow a number, a literal or an item of a list.
 func endsScalar(character byte) bool {
 	return character == ',' || character == ']' || isSpace(character)
 }
--- a/internal/config/split.go
+++ b/internal/config/split.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// listIndex is one of the lists whose items are found in a body.
+// listIndex identifies a list of a configuration whose items are split.
 type listIndex int
 
 const (
@@ -11,27 +11,27 @@
 	listCount
 )
 
-// listKeys are the lists' keys as they stand in a body.
+// listKeys has the keys of the lists, as they are written in a body.
 var listKeys = [listCount]string{routesList: `"Routes"`, servicesList: `"Services"`}
 
-// span is a part of a body.
+// span is a range of bytes in a body.
 type span struct{ from, to int }
 
-func (s span) of(body []byte) []byte { return body[s.from:s.to] }
+func (s span) slice(body []byte) []byte { return body[s.from:s.to] }
 
-// layout is where the items of each list are in a body.
+// layout has the positions of the items of each list in a body.
 type layout [listCount][]span
 
-// splitBody is a body that was split into the items of its lists and the rest.
+// splitBody is a body split into the items of its lists and the rest.
 type splitBody struct {
 	layout   layout
-	origins  [listCount][]int // for each item its index in the previous list, or newItem
-	skeleton []byte           // the body without the items
+	origins  [listCount][]int // index of each item in the previous list, or newItem
+	skeleton []byte           // the body without the items of its lists
 }
 
-// split splits a body, and finds its items in previous lists. It looks only at where strings, lists and objects begin and end:
-// whether the text between is valid JSON is found out when the skeleton and the new items are decoded. ok is false for every
-// body that encoding/json may read in another way, such as one with a list given twice or with a key in another case.
+// split splits a body and looks up its items in the previous lists. It only considers where strings, lists and objects begin and
+// end; invalid JSON in between is detected when the skeleton and the new items are decoded. ok is false for any body that
+// encoding/json might interpret differently, for example one with a duplicate list or a key in another case.
 func split(body []byte, finders [listCount]*itemFinder) (parts splitBody, ok bool) {
 	s := splitter{scanner: scanner{body: body}, finders: finders}
 	if !s.splitObject() {
@@ -40,13 +40,13 @@
 	return s.parts, true
 }
 
-// splitter is a split in progress. Its methods return false for a body that can't be split.
+// splitter has the state of a split. Its methods return false if the body cannot be split.
 type splitter struct {
 	scanner
 	finders      [listCount]*itemFinder
 	parts        splitBody
 	seen         [listCount]bool
-	skeletonFrom int // what comes before is in the skeleton, or is an item
+	skeletonFrom int // end of the part that is already in the skeleton or in an item
 }
 
 func (s *splitter) splitObject() bool {
@@ -71,7 +71,7 @@
 	return s.atEnd() && s.seen[routesList] && s.seen[servicesList]
 }
 
-// splitMember reads a key and its value.
+// splitMember reads a key of the object and its value.
 func (s *splitter) splitMember() bool {
 	s.skipSpace()
 	keyFrom := s.offset
@@ -108,7 +108,7 @@
 	return true
 }
 
-// splitItems reads the items of a list to its closing bracket.
+// splitItems reads the items of a list up to and including the closing bracket.
 func (s *splitter) splitItems(list listIndex) bool {
 	s.skipSpace()
 	if s.accept(']') {
@@ -145,5 +145,5 @@
 		return span{}, newItem, false
 	}
 	item = span{from, s.offset}
-	return item, finder.find(item.of(s.body)), true
+	return item, finder.find(item.slice(s.body)), true
 }
--- a/internal/config/tenant.go
+++ b/internal/config/tenant.go
@@ -5,68 +5,72 @@
 	"strings"
 )
 
-// maxKeyBytes is the longest key of a tenant.
+// maxKeyBytes is the maximum length of an API key.
 const maxKeyBytes = 4096
 
-// Tenant is a customer whose clients name themselves by one of its keys. Hosts are told its name, never a key.
+// Tenant is a customer whose clients authenticate with one of its API keys. Hosts receive the tenant's name, but never a key.
 type Tenant struct {
 	Name     string   `validate:"required,printascii,max=256"`
-	ApiKeys  []string //nolint:revive,staticcheck // the name on the users' wire
-	RatePerS *float64 `validate:"omitempty,min=0"` // operations per second over all proxies; nil: no limit
-	Burst    float64  `validate:"min=0"`           // operations beyond RatePerS at once
+	ApiKeys  []string //nolint:revive,staticcheck // the key in the operator's JSON
+	RatePerS *float64 `validate:"omitempty,min=0"` // operations per second over all proxies; nil if not limited
+	Burst    float64  `validate:"min=0"`           // operations beyond RatePerS that may be made at once
 }
 
-// Limited reports whether the tenant's operations are counted.
+// Limited reports whether the tenant has a rate limit.
 func (t *Tenant) Limited() bool { return t.RatePerS != nil }
 
-// HasTenants reports whether clients have to name themselves. A configuration whose list of tenants is empty admits nobody, except on
-// public routes.
+// HasTenants reports whether clients have to authenticate. A configuration with an empty list of tenants admits no clients, except
+// on public routes.
 func (c *Config) HasTenants() bool { return c.Tenants != nil }
 
-// keyPlace is where a key stands in a configuration. Errors name it in place of the key.
-type keyPlace struct{ tenant, index int }
+// keyPosition is the position of an API key in a configuration. Errors contain the position and never the key.
+type keyPosition struct{ tenant, index int }
 
-func (p keyPlace) String() string { return fmt.Sprintf("Tenants[%d].ApiKeys[%d]", p.tenant, p.index) }
+func (p keyPosition) String() string {
+	return fmt.Sprintf("Tenants[%d].ApiKeys[%d]", p.tenant, p.index)
+}
 
-// validateTenants checks each tenant, and that no two share a name or a key. A key that one tenant has twice does no harm.
+// validateTenants validates each tenant, and checks that no two tenants share a name or a key. The same key may occur twice in one
+// tenant.
 func (c *Config) validateTenants() error {
 	names := make(map[string]bool, len(c.Tenants))
-	places := make(map[string]keyPlace, len(c.Tenants))
+	positions := make(map[string]keyPosition, len(c.Tenants))
 	for i := range c.Tenants {
 		tenant := &c.Tenants[i]
 		if err := validateFields(tenant); err != nil {
 			return prefixKey(fmt.Sprintf("Tenants[%d]", i), err)
 		}
 		if strings.ContainsRune(tenant.Name, ' ') {
-			return &FieldError{fmt.Sprintf("Tenants[%d].Name", i), "a blank; hosts are told the name in one word"}
+			return &FieldError{fmt.Sprintf("Tenants[%d].Name", i), "contains a blank; hosts receive the name as one word"}
 		}
 		if names[tenant.Name] {
-			return &FieldError{fmt.Sprintf("Tenants[%d].Name", i), fmt.Sprintf("%q: named twice", tenant.Name)}
+			return &FieldError{fmt.Sprintf("Tenants[%d].Name", i), fmt.Sprintf("%q: duplicate name", tenant.Name)}
 		}
 		names[tenant.Name] = true
 		for j, key := range tenant.ApiKeys {
-			place := keyPlace{tenant: i, index: j}
-			if fault := keyFault(key); fault != "" {
-				return &FieldError{place.String(), fault}
+			position := keyPosition{tenant: i, index: j}
+			if fault := invalidKeyReason(key); fault != "" {
+				return &FieldError{position.String(), fault}
 			}
-			if other, taken := places[key]; taken && other.tenant != i {
-				return &FieldError{place.String(), "the same key as " + other.String()}
+			if other, taken := positions[key]; taken && other.tenant != i {
+				return &FieldError{position.String(), "the same key as " + other.String()}
 			}
-			places[key] = place
+			positions[key] = position
 		}
 	}
 	return nil
 }
 
-// keyFault says why a text can't be a key; empty: it can. A key is one word of CONNECT.
-func keyFault(key string) string {
+// invalidKeyReason returns why a text is not a valid key, or an empty string if it is valid. Clients send the key as one word of
+// the CONNECT command.
+func invalidKeyReason(key string) string {
 	switch {
 	case key == "":
 		return "empty"
 	case len(key) > maxKeyBytes:
 		return fmt.Sprintf("%d bytes, %d at most", len(key), maxKeyBytes)
 	case strings.ContainsAny(key, " \t\r\n"):
-		return "a blank; clients send the key as one word"
+		return "contains a blank; clients send the key as one word"
 	}
 	return ""
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -8,18 +8,18 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// FieldError is the error for a field that is missing or invalid. The same body always has the same error.
+// FieldError is returned for a field that is missing or invalid. Validating the same body again returns the same error.
 type FieldError struct {
-	Key    string // path in the configuration, as Routes[2].Kind
+	Key    string // path of the field in the configuration, for example Routes[2].Kind
 	Reason string
 }
 
-// Error returns the key and the reason.
+// Error implements error. The text is the key followed by the reason.
 func (e *FieldError) Error() string { return e.Key + ": " + e.Reason }
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// validateFields checks a struct by its tags.
+// validateFields validates a struct according to its tags.
 func validateFields(item any) error {
 	err := validate.Struct(item)
 	var faults validator.ValidationErrors
@@ -27,10 +27,10 @@
 		return err
 	}
 	_, key, _ := strings.Cut(faults[0].Namespace(), ".")
-	return &FieldError{key, fmt.Sprintf("%v: %s %s is wanted", faults[0].Value(), faults[0].Tag(), faults[0].Param())}
+	return &FieldError{key, fmt.Sprintf("%v: violates the constraint %s %s", faults[0].Value(), faults[0].Tag(), faults[0].Param())}
 }
 
-// prefixKey adds the path of the item to a FieldError about one of its fields.
+// prefixKey prepends the path of an item to the key of a FieldError about one of the item's fields.
 func prefixKey(path string, err error) error {
 	var fault *FieldError
 	if errors.As(err, &fault) {
@@ -39,7 +39,7 @@
 	return err
 }
 
-// validate checks each item, and then what the items say of each other.
+// validate validates each item, and then the references between items.
 func (c *Config) validate() error {
 	if err := validateFields(c); err != nil {
 		return err
@@ -60,55 +60,56 @@
 	if err := c.validateTenants(); err != nil {
 		return err
 	}
-	return c.validateReferences(c.duplicatesOfEarlier())
+	return c.validateReferences(c.conflictsWithEarlier())
 }
 
-// duplicate says what a route has in common with another one.
-type duplicate struct{ address, name bool }
+// routeConflict tells which unique properties a route shares with another route.
+type routeConflict struct{ address, name bool }
 
-// validateReferences checks that names are unique and that each route has a service and an address of its own. duplicateOf tells
-// whether the route of an index shares its address or name with one of those that it is to be compared with.
-func (c *Config) validateReferences(duplicateOf func(index int) duplicate) error {
+// validateReferences checks that names are unique, that the service of each route exists, and that no two routes have the same
+// address. conflictOf returns the conflict of the route at an index with the routes that it has to be compared with.
+func (c *Config) validateReferences(conflictOf func(index int) routeConflict) error {
 	services := make(map[string]bool, len(c.Services))
 	for i := range c.Services {
 		name := c.Services[i].Name
 		if services[name] {
-			return &FieldError{fmt.Sprintf("Services[%d].Name", i), fmt.Sprintf("%q: named twice", name)}
+			return &FieldError{fmt.Sprintf("Services[%d].Name", i), fmt.Sprintf("%q: duplicate name", name)}
 		}
 		services[name] = true
 	}
 	for i := range c.Routes {
 		route := &c.Routes[i]
-		found := duplicateOf(i)
+		found := conflictOf(i)
 		switch {
 		case !services[route.Service]:
 			return &FieldError{fmt.Sprintf("Routes[%d].Service", i), fmt.Sprintf("%q: no such service", route.Service)}
 		case found.address:
-			return &FieldError{fmt.Sprintf("Routes[%d].Host", i), fmt.Sprintf("%q with %q: another route is there", route.Host, route.PathPrefix)}
+			return &FieldError{fmt.Sprintf("Routes[%d].Host", i), fmt.Sprintf("%q with %q: another route has this address", route.Host, route.PathPrefix)}
 		case found.name:
-			return &FieldError{fmt.Sprintf("Routes[%d].Name", i), fmt.Sprintf("%q: named twice", route.Name)}
+			return &FieldError{fmt.Sprintf("Routes[%d].Name", i), fmt.Sprintf("%q: duplicate name", route.Name)}
 		}
 	}
 	return nil
 }
 
-// duplicatesOfEarlier compares each route with those of smaller indices. The function is to be called with each index in turn.
-func (c *Config) duplicatesOfEarlier() func(index int) duplicate {
+// conflictsWithEarlier returns a function that compares a route with all routes before it. The function must be called once for
+// each index, in increasing order.
+func (c *Config) conflictsWithEarlier() func(index int) routeConflict {
 	type address struct{ host, pathPrefix string }
 	addresses := make(map[address]bool, len(c.Routes))
 	names := make(map[string]bool, len(c.Routes))
-	return func(index int) duplicate {
+	return func(index int) routeConflict {
 		route := &c.Routes[index]
 		at := address{route.Host, route.PathPrefix}
-		found := duplicate{address: addresses[at], name: names[route.Name]}
+		found := routeConflict{address: addresses[at], name: names[route.Name]}
 		addresses[at], names[route.Name] = true, true
 		return found
 	}
 }
 
-// duplicatesOf compares each route with a few others, given by their indices.
-func (c *Config) duplicatesOf(others []int) func(index int) duplicate {
-	return func(index int) (found duplicate) {
+// conflictsWith returns a function that compares a route with those at the indices in others.
+func (c *Config) conflictsWith(others []int) func(index int) routeConflict {
+	return func(index int) (found routeConflict) {
 		route := &c.Routes[index]
 		for _, otherIndex := range others {
 			if otherIndex == index {
--- a/internal/rpc/mesh.go
+++ b/internal/rpc/mesh.go
@@ -88,7 +88,7 @@
 }
 
 // send sends a frame over the existing connection, or over a new one if the existing one is closed or fails: the peer process may
-// have been restarted. Nobody has read a frame that was written to a closed connection, so sending it again is safe.
+// have been restarted. A frame that was written to a closed connection has not been read by anyone.
 func (s *meshSender) send(frame *Frame) {
 	if s.conn != nil && (s.conn.peerClosed.Load() || !s.trySend(frame)) {
 		_ = s.conn.Close()
