--- a/internal/gossip/fuzz_test.go
+++ b/internal/gossip/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// No received message breaks the membership or makes it grow beyond its limits.
+// FuzzHandleMessage checks that no received message causes a panic or makes the membership exceed its size limits.
 func FuzzHandleMessage(f *testing.F) {
 	add := func(message Message) {
 		var encoded bytes.Buffer
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -10,7 +10,7 @@
 	"ferrypitch/internal/simulation/scheduler"
 )
 
-// cluster is proxies on a simulated network that loses datagrams.
+// cluster is a set of proxies on a simulated network that loses datagrams.
 type cluster struct {
 	*scheduler.Scheduler
 	nodes       map[string]*node
@@ -109,19 +109,19 @@
 		c.RunFor(15000)
 		before := int64(0)
 		for _, n := range c.nodes {
-			before += n.membership.Removed
+			before += n.membership.DeclaredDead
 		}
-		c.partitioned = func(from, to string) bool { // one pair, both ways
+		c.partitioned = func(from, to string) bool { // one pair of proxies, in both directions
 			return from == "r02" && to == "r06" || from == "r06" && to == "r02"
 		}
 		c.RunFor(20000)
 		for _, n := range c.nodes {
-			removed += n.membership.Removed
+			removed += n.membership.DeclaredDead
 		}
 		removed -= before
 		c.requireAlive(t, c.names)
 	}
-	require.Zero(t, removed, "proxies that others reach were removed")
+	require.Zero(t, removed, "proxies that others can reach were declared dead")
 }
 
 func TestMessagesPerProxyDoNotGrowWithTheirNumber(t *testing.T) {
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -5,83 +5,84 @@
 	"slices"
 )
 
-// Limits of what is kept or read, whatever is received.
+// Limits that bound the memory use and the work caused by received messages.
 const (
-	maxMembers      = 1024 // other proxies, and as many outstanding probes
-	maxUpdates      = 64   // read from one message
+	maxMembers      = 1024 // of other proxies, and of outstanding probes
+	maxUpdates      = 64   // updates that are applied from one message
 	maxNameBytes    = 128
 	maxAddressBytes = 64
 )
 
-// Config has the protocol's periods and counts. DefaultConfig returns usable values.
+// Config has the parameters of the protocol. DefaultConfig returns suitable values.
 type Config struct {
-	ProbePeriodMs      int64 // protocol period: one proxy is probed in each, and a probe fails after it
-	AckTimeoutMs       int64 // time for the direct ack, before indirect probes are sent
-	SuspicionTimeoutMs int64 // time for a suspected proxy to refute before it is declared dead
-	RemovedRetentionMs int64 // how long a dead proxy is remembered
+	ProbePeriodMs      int64 // protocol period: one proxy is probed per period, and a probe without an ack fails after it
+	AckTimeoutMs       int64 // timeout for the direct ack, after which indirect probes are sent
+	SuspicionTimeoutMs int64 // time that a suspected proxy has to refute the suspicion before it is declared dead
+	DeadRetentionMs    int64 // time for which a dead proxy is retained
 	IndirectProbes     int   // size of the failure detection subgroup (k of SWIM 3.1)
-	MaxUpdates         int   // updates piggybacked on one message
+	MaxUpdates         int   // maximum number of updates piggybacked on one message
 }
 
-// DefaultConfig returns a configuration for tens to hundreds of proxies.
+// DefaultConfig returns a configuration suitable for tens to hundreds of proxies.
 func DefaultConfig() Config {
 	return Config{
 		ProbePeriodMs:      1000,
 		AckTimeoutMs:       250,
 		SuspicionTimeoutMs: 5000,
-		RemovedRetentionMs: 60000,
+		DeadRetentionMs:    60000,
 		IndirectProbes:     3,
 		MaxUpdates:         6,
 	}
 }
 
-// member is another proxy.
+// member is the state of another proxy.
 type member struct {
 	Update
-	since         int64 // when it entered its state
-	transmissions int   // how often the update was piggybacked
+	stateSince    int64 // time at which it entered its current state
+	transmissions int   // number of messages that the update was piggybacked on
 }
 
-// Membership is what one proxy knows of the others. It belongs to one goroutine. Use New; the zero value is not usable.
+// Membership is one proxy's view of the other proxies. It is not safe for concurrent use. Use New to create one; the zero value is
+// not usable.
 type Membership struct {
 	Config
 
 	// Counters.
 
-	Removed       int64 // proxies declared dead, here or by others
+	DeclaredDead  int64 // proxies declared dead, by this proxy or by others
 	Refuted       int64 // suspicions of this proxy that it refuted
 	Probes        int64 // pings sent
-	DiscardedAcks int64 // acks to no outstanding probe, or from a proxy that was not asked
+	DiscardedAcks int64 // acks that match no outstanding probe, or from a proxy that was not asked for one
 
-	self        Update
-	random      func(n int) int
-	now         int64 // latest time given by the caller
+	self        Update // state of this proxy
+	randomBelow func(n int) int
+	now         int64 // latest time passed by the caller
 	members     map[string]*member
-	probes      map[uint64]*probe // outstanding, by serial
+	probes      map[uint64]*probe // outstanding probes, by serial
 	lastSerial  uint64
 	nextProbeAt int64
-	targets     []string // names still to probe in this round
+	probeQueue  []string // names of the proxies still to probe in this round
 
 	controlMembers []string
 	controlVersion uint64
 }
 
-// New returns the membership of a proxy that knows no other. incarnation must be greater in each run of its process; random(n)
-// returns a random number below n; now is the time in milliseconds, on any clock that does not go back.
-func New(name, address string, incarnation uint64, config Config, random func(n int) int, now int64) *Membership {
+// New returns the membership of a proxy that does not know any other proxies. incarnation must increase with each restart of the
+// process. randomBelow(n) must return a random number in [0, n). now is the time in milliseconds, on a monotonic clock.
+func New(name, address string, incarnation uint64, config Config, randomBelow func(n int) int, now int64) *Membership {
 	return &Membership{
 		Config:      config,
 		self:        Update{Name: name, Address: address, Incarnation: incarnation},
-		random:      random,
+		randomBelow: randomBelow,
 		now:         now,
 		members:     map[string]*member{},
 		probes:      map[uint64]*probe{},
-		lastSerial:  incarnation, // so that acks to an earlier run's pings are discarded
-		nextProbeAt: now + int64(random(int(config.ProbePeriodMs))),
+		lastSerial:  incarnation, // so that acks of pings from before a restart are discarded
+		nextProbeAt: now + int64(randomBelow(int(config.ProbePeriodMs))),
 	}
 }
 
-// AddSeeds pings those of the addresses that no known proxy has, to learn who is there.
+// AddSeeds pings the addresses that do not belong to a known proxy, to discover the proxies there.
 func (m *Membership) AddSeeds(addresses []string, now int64) (out []Outgoing) {
 	m.advance(now)
 	for _, address := range addresses {
@@ -101,7 +102,7 @@
 	return false
 }
 
-// AliveNames returns the names of the proxies that are not dead, this one included, in order.
+// AliveNames returns the sorted names of the proxies that are not dead, including this one.
 func (m *Membership) AliveNames() []string {
 	names := []string{m.self.Name}
 	for name, other := range m.members {
@@ -113,7 +114,7 @@
 	return names
 }
 
-// AliveCount returns how many proxies are not dead, this one included.
+// AliveCount returns the number of proxies that are not dead, including this one.
 func (m *Membership) AliveCount() int {
 	count := 1
 	for _, other := range m.members {
@@ -124,7 +125,7 @@
 	return count
 }
 
-// Lookup returns what is known of another proxy.
+// Lookup returns the latest update of another proxy. It returns false if the proxy is not known.
 func (m *Membership) Lookup(name string) (Update, bool) {
 	other := m.members[name]
 	if other == nil {
@@ -133,7 +134,7 @@
 	return other.Update, true
 }
 
-// HandleMessage applies a received message, and returns the messages to send because of it.
+// HandleMessage handles a received message, and returns the messages to send in response.
 func (m *Membership) HandleMessage(message Message, now int64) []Outgoing {
 	m.advance(now)
 	for _, update := range message.Updates[:min(len(message.Updates), maxUpdates)] {
@@ -151,18 +152,18 @@
 	return nil
 }
 
-// Tick does what is due at a time, and returns the messages to send.
+// Tick runs the actions that are due at a time, and returns the messages to send.
 func (m *Membership) Tick(now int64) []Outgoing {
 	m.advance(now)
 	out := m.tickProbes()
-	m.tickStates()
+	m.expireStates()
 	return append(out, m.startProbe()...)
 }
 
-// minTickMs is the shortest time between two ticks that NextTick asks for.
+// minTickMs is the minimum interval between two ticks requested by NextTick.
 const minTickMs = 20
 
-// NextTick returns the time at which Tick is due.
+// NextTick returns the time at which Tick has to be called next.
 func (m *Membership) NextTick() int64 {
 	next := m.nextProbeAt
 	for _, p := range m.probes {
@@ -186,5 +187,5 @@
 	}
 }
 
-// sortedNames returns the names of all members in order, so that random choices depend on the random numbers alone.
+// sortedNames returns the sorted names of all members. The order makes random choices depend only on the random numbers.
 func (m *Membership) sortedNames() []string { return slices.Sorted(maps.Keys(m.members)) }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -1,19 +1,19 @@
 package gossip
 
-// State is the state of a proxy as others know it.
+// State is the state of a proxy, as seen by another proxy.
 type State uint8
 
-// The states. Of two updates with the same incarnation, the one with the later state here overrides (SWIM 4.2).
+// The states of a proxy. Of two updates with the same incarnation, the one with the higher state takes precedence (SWIM 4.2).
 const (
 	Alive State = iota
 	Suspect
 	Dead // "confirmed" in the paper
 )
 
-// Update is what is known of one proxy.
+// Update announces the state of one proxy.
 type Update struct {
 	Name, Address string
-	Incarnation   uint64 // raised by the proxy itself alone, to refute a suspicion
+	Incarnation   uint64 // incremented only by the proxy itself, to refute a suspicion
 	State         State
 }
 
@@ -27,18 +27,18 @@
 	PingRequest // ping-req: asks for an indirect ping of Target
 )
 
-// Message is sent as a datagram, and may be lost. All types piggyback updates (SWIM 4.1).
+// Message is sent as a datagram, and may be lost. Messages of all types carry piggybacked updates (SWIM 4.1).
 type Message struct {
 	Type           MessageType
 	From           string // address of the sender
-	Serial         uint64 // of a Ping, chosen by its sender; an Ack and a PingRequest repeat that of their ping
-	Target         string // of a PingRequest: address of the proxy to ping
+	Serial         uint64 // identifies a Ping of its sender; copied to the Ack and to PingRequests for the same probe
+	Target         string // address of the proxy to ping; only in a PingRequest
 	Updates        []Update
-	ControlMembers []string // addresses of the members of the control plane
-	ControlVersion uint64   // index in the control plane's log of ControlMembers
+	ControlMembers []string // addresses of the control-plane members
+	ControlVersion uint64   // index in the control plane's log that ControlMembers is from
 }
 
-// Outgoing is a message to send to an address.
+// Outgoing is a message to send, with the address to send it to.
 type Outgoing struct {
 	To      string
 	Message Message
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -5,21 +5,23 @@
 	"slices"
 )
 
-// deadProbeOneIn is the chance that a dead proxy is probed when its turn comes; it may have returned.
+// deadProbeOneIn is the inverse probability that a dead proxy is probed when its turn comes. Dead proxies are still probed because
+// they may have been restarted.
 const deadProbeOneIn = 4
 
-// probe is a ping without an ack so far. It is sent for this proxy's own failure detector, to a seed, or for another proxy.
+// probe is a ping that has not been acknowledged yet. It is sent by this proxy's own failure detector, to a seed, or on behalf of
+// another proxy.
 type probe struct {
 	sentAt       int64
-	name         string   // of the proxy that is probed; empty for a seed and for another proxy's probe
-	ackFrom      []string // addresses that may ack: the target's, and those that were sent a PingRequest for it
-	indirectSent bool     // the PingRequests were sent
+	name         string   // name of the probed proxy; empty if sent to a seed or on behalf of another proxy
+	ackFrom      []string // addresses from which an ack is accepted: the target and the receivers of PingRequests
+	indirectSent bool     // PingRequests were sent
 
-	requester       string // address of the proxy that sent a PingRequest, if any
-	requesterSerial uint64 // of that PingRequest
+	requester       string // address of the proxy on whose behalf the ping was sent; empty if none
+	requesterSerial uint64 // serial of the PingRequest of the requester
 }
 
-// ping sends a ping for a probe. Beyond maxMembers outstanding probes, its ack is not waited for.
+// ping returns a ping for a probe. If maxMembers probes are outstanding, the probe is not tracked and its ack will be discarded.
 func (m *Membership) ping(address string, p *probe) Outgoing {
 	m.lastSerial++
 	m.Probes++
@@ -30,7 +32,7 @@
 	return Outgoing{address, m.newMessage(Ping, m.lastSerial)}
 }
 
-// handlePingRequest pings a target for another proxy.
+// handlePingRequest pings a target on behalf of another proxy.
 func (m *Membership) handlePingRequest(message Message) []Outgoing {
 	if message.Target == "" || message.Target == m.self.Address {
 		return nil
@@ -52,7 +54,7 @@
 	return []Outgoing{{p.requester, m.newMessage(Ack, p.requesterSerial)}}
 }
 
-// tickProbes sends the indirect pings that are due (SWIM 3.1), and suspects the targets of probes that failed.
+// tickProbes sends the PingRequests that are due (SWIM 3.1), and marks the targets of failed probes as suspected.
 func (m *Membership) tickProbes() (out []Outgoing) {
 	for _, serial := range slices.Sorted(maps.Keys(m.probes)) {
 		p := m.probes[serial]
@@ -65,13 +67,13 @@
 				m.setState(target, Suspect)
 			}
 		case ownProbe && !p.indirectSent && m.now >= p.sentAt+m.AckTimeoutMs:
-			out = append(out, m.sendIndirect(serial, p, target)...)
+			out = append(out, m.sendPingRequests(serial, p, target)...)
 		}
 	}
 	return out
 }
 
-func (m *Membership) sendIndirect(serial uint64, p *probe, target *member) (out []Outgoing) {
+func (m *Membership) sendPingRequests(serial uint64, p *probe, target *member) (out []Outgoing) {
 	p.indirectSent = true
 	for _, helper := range m.chooseAlive(m.IndirectProbes, p.name) {
 		request := m.newMessage(PingRequest, serial)
@@ -82,7 +84,7 @@
 	return out
 }
 
-// startProbe pings the next target if a protocol period has passed.
+// startProbe pings the next target if the next protocol period has begun.
 func (m *Membership) startProbe() []Outgoing {
 	if m.now < m.nextProbeAt {
 		return nil
@@ -95,31 +97,31 @@
 	return []Outgoing{m.ping(target.Address, &probe{name: target.Name, sentAt: m.now})}
 }
 
-// nextTarget returns the proxy to probe next: all in a random order, then all in another (SWIM 4.3). It returns nil if there is
-// none.
+// nextTarget returns the proxy to probe next, or nil if there is none. Each round probes all proxies, in a new random order (SWIM
+// 4.3).
 func (m *Membership) nextTarget() *member {
-	for range 2 { // the rest of this round, and a new one
-		for len(m.targets) > 0 {
-			target := m.members[m.targets[0]]
-			m.targets = m.targets[1:]
-			if target != nil && (target.State != Dead || m.random(deadProbeOneIn) == 0) {
+	for range 2 { // the rest of this round, then a new round
+		for len(m.probeQueue) > 0 {
+			target := m.members[m.probeQueue[0]]
+			m.probeQueue = m.probeQueue[1:]
+			if target != nil && (target.State != Dead || m.randomBelow(deadProbeOneIn) == 0) {
 				return target
 			}
 		}
-		m.targets = m.sortedNames()
-		for i := len(m.targets) - 1; i > 0; i-- {
-			j := m.random(i + 1)
-			m.targets[i], m.targets[j] = m.targets[j], m.targets[i]
+		m.probeQueue = m.sortedNames()
+		for i := len(m.probeQueue) - 1; i > 0; i-- {
+			j := m.randomBelow(i + 1)
+			m.probeQueue[i], m.probeQueue[j] = m.probeQueue[j], m.probeQueue[i]
 		}
 	}
 	return nil
 }
 
-// chooseAlive returns up to count random proxies that are alive, except one.
+// chooseAlive returns up to count random alive proxies, other than the one named except.
 func (m *Membership) chooseAlive(count int, except string) (chosen []*member) {
 	names := m.sortedNames()
 	for len(chosen) < count && len(names) > 0 {
-		i := m.random(len(names))
+		i := m.randomBelow(len(names))
 		candidate := m.members[names[i]]
 		names = slices.Delete(names, i, i+1)
 		if candidate.State == Alive && candidate.Name != except {
--- a/internal/gossip/probe_test.go
+++ b/internal/gossip/probe_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// learn lets a membership learn of r1 and r2 from r1.
-func learn(m *Membership) {
+// learnMembers announces r1 and r2 to a membership, in a message from r1.
+func learnMembers(m *Membership) {
 	updates := []Update{{"r1", "r1", 1, Alive}, {"r2", "r2", 1, Alive}}
 	m.HandleMessage(Message{Type: Ping, From: "r1", Updates: updates}, 1)
 }
@@ -17,13 +17,13 @@
 	return New("r0", "r0", incarnation, DefaultConfig(), zero, 0)
 }
 
-// A restarted proxy uses serials of its own: an ack to an earlier run's ping, one from a proxy that was not asked, and a second
-// one say nothing of the proxy that is probed.
+// Only an ack of the current ping, from the proxy that was pinged, counts as a sign of life. Acks of pings from before a restart, acks
+// from a proxy that was not asked, and duplicate acks are discarded.
 func TestAckCountsOnlyFromTheProbedProxyInThisRun(t *testing.T) {
 	probeR2 := func(incarnation uint64) (*Membership, Outgoing) {
 		m := newMembership(incarnation)
 		require.Len(t, m.AddSeeds([]string{"r1"}, 0), 1)
-		learn(m)
+		learnMembers(m)
 		for now := int64(2); ; now++ {
 			for _, sent := range m.Tick(now) {
 				if sent.Message.Type == Ping && sent.To == "r2" {
@@ -50,20 +50,20 @@
 			require.Equal(t, !c.counts, m.DiscardedAcks == 1)
 			m.Tick(m.now + m.ProbePeriodMs)
 			probed, _ := m.Lookup("r2")
-			require.Equal(t, c.counts, probed.State == Alive, "it is suspected unless its own ack arrived")
+			require.Equal(t, c.counts, probed.State == Alive, "the probed proxy is suspected unless its own ack has arrived")
 			if c.counts {
 				m.HandleMessage(ack, m.now)
-				require.EqualValues(t, 1, m.DiscardedAcks, "a second ack")
+				require.EqualValues(t, 1, m.DiscardedAcks, "a duplicate ack")
 			}
 		})
 	}
 }
 
-// A proxy that was sent a PingRequest may ack for the one that is probed, and no other may.
+// An indirect ack is accepted only from a proxy that was sent a PingRequest.
 func TestIndirectAckCountsOnlyFromAProxyThatWasAsked(t *testing.T) {
 	for _, from := range []string{"r2", "r9"} {
 		m := newMembership(5)
-		learn(m)
+		learnMembers(m)
 		var ping Outgoing
 		asked := false
 		for now := int64(2); !asked; now++ {
--- a/internal/gossip/update.go
+++ b/internal/gossip/update.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// applyUpdate applies an update received from another proxy, if it overrides what is known (SWIM 4.2).
+// applyUpdate applies an update received from another proxy, if it overrides the known one (SWIM 4.2).
 func (m *Membership) applyUpdate(update Update) {
 	if !update.valid() {
 		return
@@ -19,7 +19,7 @@
 	known := m.members[update.Name]
 	if known == nil {
 		if update.State != Dead && len(m.members) < maxMembers {
-			m.members[update.Name] = &member{Update: update, since: m.now}
+			m.members[update.Name] = &member{Update: update, stateSince: m.now}
 		}
 		return
 	}
@@ -27,9 +27,9 @@
 		return
 	}
 	if update.State == Dead && known.State != Dead {
-		m.Removed++
+		m.DeclaredDead++
 	}
-	*known = member{Update: update, since: m.now}
+	*known = member{Update: update, stateSince: m.now}
 }
 
 func (u Update) valid() bool {
@@ -38,12 +38,13 @@
 		u.State <= Dead
 }
 
-// overrides reports whether u is newer than another update of the same proxy.
+// overrides reports whether u takes precedence over a known update of the same proxy.
 func (u Update) overrides(known Update) bool {
 	return u.Incarnation > known.Incarnation || u.Incarnation == known.Incarnation && u.State > known.State
 }
 
-// refute answers a suspicion of this proxy with a higher incarnation, which overrides it everywhere (SWIM 4.2).
+// refute handles an update that claims that this proxy is suspected or dead: it increases the incarnation, which overrides the claim
+// everywhere (SWIM 4.2).
 func (m *Membership) refute(update Update) {
 	if update.State != Alive && update.Incarnation >= m.self.Incarnation {
 		m.Refuted++
@@ -51,37 +52,38 @@
 	}
 }
 
-// setState changes a proxy's state by this proxy's own judgement; the update is disseminated from the start.
+// setState changes the state of a proxy by decision of this proxy. The count of transmissions restarts, so the update is
+// disseminated.
 func (m *Membership) setState(changed *member, state State) {
 	update := changed.Update
 	update.State = state
-	*changed = member{Update: update, since: m.now}
+	*changed = member{Update: update, stateSince: m.now}
 }
 
-// tickStates declares proxies dead that were suspected for too long, and forgets those dead for long.
-func (m *Membership) tickStates() {
+// expireStates declares proxies dead after SuspicionTimeoutMs, and removes dead proxies after DeadRetentionMs.
+func (m *Membership) expireStates() {
 	for name, other := range m.members {
 		switch {
-		case other.State == Suspect && m.now >= other.since+m.SuspicionTimeoutMs:
-			m.Removed++
+		case other.State == Suspect && m.now >= other.stateSince+m.SuspicionTimeoutMs:
+			m.DeclaredDead++
 			m.setState(other, Dead)
-		case other.State == Dead && m.now >= other.since+m.RemovedRetentionMs:
+		case other.State == Dead && m.now >= other.stateSince+m.DeadRetentionMs:
 			delete(m.members, name)
 		}
 	}
 }
 
-// minTransmissions is how often an update is piggybacked before the logarithm of the group's size is added.
+// minTransmissions is the constant term of maxTransmissions.
 const minTransmissions = 3
 
-// maxTransmissions returns how often an update is piggybacked: some log n times, by which almost all proxies have received it
-// (SWIM 4.1).
+// maxTransmissions returns the number of times that an update is piggybacked. It grows with log n, after which almost all of n
+// proxies have received the update (SWIM 4.1).
 func (m *Membership) maxTransmissions() int {
 	return minTransmissions + max(0, bits.Len(uint(len(m.members)))-1)
 }
 
-// piggyback returns the updates for one message: this proxy's own, then those that were sent least. Space that is left is filled
-// with random members, so that a new proxy learns of all.
+// piggyback returns the updates for one message: first that of this proxy, then those with the fewest transmissions. Remaining space
+// is filled with updates of random members, so that a new proxy learns of all others.
 func (m *Membership) piggyback() []Update {
 	updates := []Update{m.self}
 	members := slices.SortedFunc(maps.Values(m.members), func(a, b *member) int {
@@ -101,7 +103,7 @@
 		if len(updates) >= m.MaxUpdates {
 			break
 		}
-		other := members[m.random(len(members))]
+		other := members[m.randomBelow(len(members))]
 		if !slices.Contains(updates, other.Update) {
 			updates = append(updates, other.Update)
 		}
