--- a/internal/config/diff_test.go
+++ b/internal/config/diff_test.go
@@ -64,8 +64,8 @@
 	return append(shuffled, body[to:]...)
 }
 
-// For any change of a configuration, Patch restores the exact body from the diff, the diff is not longer than the body, and ReadNext
-// returns the same result as reading without a previous configuration.
+// For any change of a configuration, Patch restores the exact body from the diff, the diff is at most 8 bytes longer than the body, and
+// ReadNext returns the same result as reading without a previous configuration.
 func TestDiffMakesTheSameBodyAndConfig(t *testing.T) {
 	rejected := 0
 	for seed := range 300 {
--- a/internal/statemachine/change.go
+++ b/internal/statemachine/change.go
@@ -17,7 +17,7 @@
 	AddHost            *Host  // adds a host, or updates a known one
 	DrainHost          string // ID of a host that gets no new work
 	HostLeaving        string // ID of a host that announced its end without draining first; it continues to serve for a while
-	RemoveHost         string // ID of a host that has ended
+	RemoveHost         string // ID of a host that has left
 	RevokePrimary      *RevokePrimary
 	NominatePrimary    *NominatePrimary
 	AppointPrimary     *AppointPrimary
--- a/internal/statemachine/lookup.go
+++ b/internal/statemachine/lookup.go
@@ -6,7 +6,7 @@
 )
 
 // lookup is a set of secondary indexes over the maps of a state. It is built on first use, and each later change keeps it up to
-// date. Its slices are never modified in position, so callers may keep them.
+// date. Its slices are never modified in place, so callers may keep them.
 type lookup struct {
 	hostsByService map[string][]string // sorted host IDs
 	hostsByAddress map[string][]string // sorted host IDs
--- a/internal/statemachine/retention.go
+++ b/internal/statemachine/retention.go
@@ -20,7 +20,7 @@
 // the same on all replicas.
 const (
 	RetentionMs = 15 * 60 * 1000 // leader time, in milliseconds, for which all records are retained
-	MinRetained = 1 << 10        // newest records that are retained whatever their age
+	MinRetained = 1 << 10        // number of newest records that are retained whatever their age
 	MaxRetained = 1 << 15        // one every 27 ms throughout RetentionMs; beyond it, the oldest records are dropped early
 )
 
