--- a/internal/compatibility/generate_test.go
+++ b/internal/compatibility/generate_test.go
@@ -103,7 +103,7 @@
 		h.err = err
 		return
 	}
-	h.addChanges(view, statemachine.Change{UpdateConfig: h.state.Delta(&order, plan)})
+	h.addChanges(view, statemachine.Change{UpdateConfig: h.state.MakeDelta(&order, plan)})
 }
 
 // addHost is a host that enters.
@@ -119,7 +119,7 @@
 	h.addUpdate(1, statemachine.ConfigUpdate{Body: configurationBody(3, 800)})
 	h.addChanges(1, addHost("ledger-1", "ledger", "10.1.0.1:5432"), addHost("ledger-2", "ledger", "10.1.0.2:5432"), addHost("ledger-3", "ledger", "10.1.0.3:5432"),
 		addHost("ledger-4", "ledger", "10.1.0.4:5432"), addHost("audit-5", "audit", "10.1.0.5:5432"),
-		statemachine.Change{AddHost: &statemachine.Host{ID: "audit-6", Service: "audit", Address: "10.1.0.6:5432", Zone: "zone-6", Generation: "pg16-audit-6", Capacity: 10, Draining: true, Missing: true, AddedAt: 77}},
+		statemachine.Change{AddHost: &statemachine.Host{ID: "audit-6", Service: "audit", Address: "10.1.0.6:5432", Zone: "zone-6", Generation: "pg16-audit-6", Capacity: 10, Draining: true, Missing: true, AddedIndex: 77}},
 		statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: "ledger", Host: "ledger-1", Term: 4, PromotionMs: 850}},
 		statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: "audit", Host: "audit-5", Term: 2}},
 		statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{BaseVersion: 3, Body: configurationBody(4, 700)}},
--- a/internal/compatibility/render_test.go
+++ b/internal/compatibility/render_test.go
@@ -54,7 +54,7 @@
 func hostObject(host statemachine.Host) object {
 	return object{
 		"id": host.ID, "service": host.Service, "address": host.Address, "zone": host.Zone, "generation": host.Generation,
-		"capacity": host.Capacity, "draining": host.Draining, "missing": host.Missing, "since": host.AddedAt,
+		"capacity": host.Capacity, "draining": host.Draining, "missing": host.Missing, "since": host.AddedIndex,
 	}
 }
 
@@ -79,7 +79,7 @@
 	for service, lead := range state.Primaries {
 		leads[service] = object{
 			"host": lead.Host, "term": lead.Term, "moving": lead.Revoked, "fence": lead.FencingToken, "holder": lead.Owner,
-			"at": lead.ChangedAt, "to": lead.Nominee, "paused": lead.ReplicasPaused,
+			"at": lead.ChangedIndex, "to": lead.Nominee, "paused": lead.ReplicasPaused,
 		}
 	}
 	if plan := state.Config(); plan != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,9 +12,9 @@
 
 // Route kinds. They determine how fresh reads are.
 const (
-	KindLeader  = "leader"            // reads go to the primary
-	KindBounded = "bounded_staleness" // reads may miss writes of the last StalenessMs
-	KindOwned   = "owned"             // a session's reads include its own writes
+	KindLeader           = "leader"            // reads go to the primary
+	KindBoundedStaleness = "bounded_staleness" // reads may miss writes of the last StalenessMs
+	KindReadYourWrites   = "owned"             // a session's reads include its own writes
 )
 
 // Config is a validated configuration.
@@ -40,7 +40,7 @@
 	Priority    float64 // 0 is the highest priority
 	Service     string  `validate:"required"`
 	MaxTries    float64 `validate:"min=0"`
-	StalenessMs float64 `validate:"min=0"` // maximum staleness of reads; only for KindBounded
+	StalenessMs float64 `validate:"min=0"` // maximum staleness of reads; only for KindBoundedStaleness
 	Public      bool    // clients do not need a tenant's API key
 }
 
--- a/internal/config/tenant.go
+++ b/internal/config/tenant.go
@@ -16,8 +16,8 @@
 	Burst    float64  `validate:"min=0"`           // operations beyond RatePerS that may be made at once
 }
 
-// Limited reports whether the tenant has a rate limit.
-func (t *Tenant) Limited() bool { return t.RatePerS != nil }
+// HasRateLimit reports whether the tenant has a rate limit.
+func (t *Tenant) HasRateLimit() bool { return t.RatePerS != nil }
 
 // HasTenants reports whether clients have to authenticate. A configuration with an empty list of tenants admits no clients, except
 // on public routes.
--- a/internal/config/tenant_test.go
+++ b/internal/config/tenant_test.go
@@ -21,9 +21,9 @@
 		{"Name":"b","ApiKeys":[]}]`)))
 	require.NoError(t, err, "a key twice in one tenant, and a tenant without keys")
 	require.True(t, config.HasTenants())
-	require.True(t, config.Tenants[0].Limited())
+	require.True(t, config.Tenants[0].HasRateLimit())
 	require.Equal(t, 231.0, *config.Tenants[0].RatePerS)
-	require.False(t, config.Tenants[1].Limited())
+	require.False(t, config.Tenants[1].HasRateLimit())
 
 	noTenants, err := Read([]byte(validBody))
 	require.NoError(t, err)
--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -64,7 +64,7 @@
 	case <-p.queue.Closed:
 		return
 	}
-	conn.SetPeerVersion(rpc.SpokenVersion(hello.Version))
+	conn.SetPeerVersion(rpc.PeerVersion(hello.Version))
 	go sendFrames(conn, outgoing, closed, func() {
 		p.queue.Put(eventloop.PriorityControl, func() { p.server.ProxyDrained(proxy) })
 	})
--- a/internal/control/failover/failover.go
+++ b/internal/control/failover/failover.go
@@ -51,7 +51,7 @@
 		return stop
 	}
 	e.query(e.primary.Host, StepDown, status.Timeline, queryIntervalMs)
-	if !e.proxiesHaveApplied(e.primary.ChangedAt) || !e.stepDownAttempted() {
+	if !e.proxiesHaveApplied(e.primary.ChangedIndex) || !e.stepDownAttempted() {
 		return stop
 	}
 	if e.oldPrimaryIsAhead(status) {
@@ -121,7 +121,7 @@
 
 // awaitProxies waits until no proxy uses the revoked primary any more.
 func (e *evaluation) awaitProxies() stepResult {
-	if !e.proxiesHaveApplied(e.primary.ChangedAt) {
+	if !e.proxiesHaveApplied(e.primary.ChangedIndex) {
 		return stop
 	}
 	if e.service.proxiesCaughtUpAt == 0 {
--- a/internal/control/failover/late_commands_test.go
+++ b/internal/control/failover/late_commands_test.go
@@ -67,7 +67,7 @@
 	primary := l.primary()
 	for _, id := range []string{"h0", "h1", "h2"} {
 		host := l.hosts[id]
-		if !host.IsPrimary || id != primary.Host || primary.Revoked && l.proxiesCaughtUp(primary.ChangedAt) {
+		if !host.IsPrimary || id != primary.Host || primary.Revoked && l.proxiesCaughtUp(primary.ChangedIndex) {
 			continue
 		}
 		l.write(id, host)
--- a/internal/control/failover/replicas.go
+++ b/internal/control/failover/replicas.go
@@ -95,8 +95,8 @@
 		return proceed
 	}
 	service := e.service
-	if service.resumeChangeIndex != e.primary.ChangedAt {
-		service.resumeChangeIndex, service.resumeStartedAt = e.primary.ChangedAt, e.nowMs
+	if service.resumeChangeIndex != e.primary.ChangedIndex {
+		service.resumeChangeIndex, service.resumeStartedAt = e.primary.ChangedIndex, e.nowMs
 	}
 	overdue := e.nowMs > service.resumeStartedAt+replicaWaitMs
 	intervalMs := int64(queryIntervalMs)
@@ -125,7 +125,7 @@
 // mayBePaused reports whether a host is a replica that the last failover or switchover may have paused and that is not known
 // to have resumed.
 func (e *evaluation) mayBePaused(host string) bool {
-	if host == e.primary.Host || e.state.Hosts[host].AddedAt > e.primary.ChangedAt {
+	if host == e.primary.Host || e.state.Hosts[host].AddedIndex > e.primary.ChangedIndex {
 		return false
 	}
 	last, ok := e.service.lastResults[host]
--- a/internal/control/failover/schedule.go
+++ b/internal/control/failover/schedule.go
@@ -92,13 +92,13 @@
 
 func (c *Coordinator) isDue(state *statemachine.State, name string, nowMs int64) bool {
 	service := c.services[name]
-	return service == nil || nowMs >= service.nextEvaluationAt || state.ServiceChangedAt(name) != service.evaluatedIndex || c.schedule.woken[name]
+	return service == nil || nowMs >= service.nextEvaluationAt || state.ServiceChangedIndex(name) != service.evaluatedIndex || c.schedule.woken[name]
 }
 
 // reschedule records when the evaluated service is due again.
 func (e *evaluation) reschedule() {
 	active := e.coordinator.schedule.active
-	e.service.evaluatedIndex = e.state.ServiceChangedAt(e.service.name)
+	e.service.evaluatedIndex = e.state.ServiceChangedIndex(e.service.name)
 	if !e.isIdle() {
 		e.service.nextEvaluationAt = 0
 		active[e.service.name] = true
--- a/internal/control/failover/service.go
+++ b/internal/control/failover/service.go
@@ -5,7 +5,7 @@
 	name       string
 	proposedAt int64 // when the pending proposal was made; 0: none pending
 
-	evaluatedIndex   uint64 // State.ServiceChangedAt at the last evaluation
+	evaluatedIndex   uint64 // State.ServiceChangedIndex at the last evaluation
 	nextEvaluationAt int64  // when the service is due without an event; 0: at each tick
 
 	// Failure detection.
--- a/internal/control/forwarding_simulation_test.go
+++ b/internal/control/forwarding_simulation_test.go
@@ -198,7 +198,7 @@
 	case 1:
 		call.kind, call.baseVersion = validUpdate, fmt.Sprint(generation)
 		call.body = fmt.Appendf(nil, `{"Generation":%d,"Routes":[],"Services":[]}`, c.lastToken)
-		digest := (&statemachine.State{}).Delta(&statemachine.ConfigUpdate{Body: call.body}, &config.Config{}).RequestDigest
+		digest := (&statemachine.State{}).MakeDelta(&statemachine.ConfigUpdate{Body: call.body}, &config.Config{}).RequestDigest
 		call.token = string(digest[:]) // how the log identifies it
 	case 2:
 		call.kind, call.path = validHeartbeat, hostHeartbeat.path+call.token
--- a/internal/control/host_api.go
+++ b/internal/control/host_api.go
@@ -87,7 +87,7 @@
 	}
 	accept := func() { s.acceptHeartbeat(hostID, &heartbeat, respond) }
 	if !known {
-		if occupant := s.state.HostAt(heartbeat.Address); occupant != "" {
+		if occupant := s.state.HostIDAt(heartbeat.Address); occupant != "" {
 			s.checkAddress(occupant, addressCheck{accept: accept, respond: respond})
 			return
 		}
@@ -146,7 +146,7 @@
 		Generation: b.Generation,
 		Capacity:   int64(b.Capacity),
 		Draining:   b.State == hostDraining || previous.Draining,
-		AddedAt:    previous.AddedAt,
+		AddedIndex: previous.AddedIndex,
 	}
 }
 
--- a/internal/control/operator_api.go
+++ b/internal/control/operator_api.go
@@ -113,7 +113,7 @@
 		return
 	}
 	s.pendingUpdates.add(id, len(call.body), result)
-	s.propose(statemachine.Change{UpdateConfig: s.state.Delta(update, config)}, func(err error) {
+	s.propose(statemachine.Change{UpdateConfig: s.state.MakeDelta(update, config)}, func(err error) {
 		if err == nil {
 			s.log.Info("configuration changed", "version", config.Generation, "routes", len(config.Routes))
 		}
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -102,7 +102,7 @@
 	switch {
 	case ok && c.sentIndex > 0 && c.sentIndex <= s.state.Index:
 		update.Entries = entries
-	case c.version >= rpc.VersionDigestsChunks:
+	case c.version >= rpc.VersionDigestsAndChunks:
 		s.requestSnapshot(c)
 		return
 	default:
@@ -136,7 +136,7 @@
 		serial:      s.proxiesAccepted,
 		remoteIP:    remoteIP,
 		sentIndex:   hello.AppliedIndex,
-		version:     rpc.SpokenVersion(hello.Version),
+		version:     rpc.PeerVersion(hello.Version),
 		send:        send,
 		closeConn:   closeConn,
 	}
--- a/internal/control/proxy_queue.go
+++ b/internal/control/proxy_queue.go
@@ -27,7 +27,7 @@
 }
 
 func newProxyQueue(version uint32) *proxyQueue {
-	q := &proxyQueue{updates: make(chan *rpc.Frame, proxyQueueFrames), paced: rpc.SpokenVersion(version) >= rpc.VersionPayloads}
+	q := &proxyQueue{updates: make(chan *rpc.Frame, proxyQueueFrames), paced: rpc.PeerVersion(version) >= rpc.VersionPayloads}
 	q.urgent = q.updates
 	if q.paced {
 		q.urgent = make(chan *rpc.Frame, proxyQueueFrames)
--- a/internal/control/proxy_queue_test.go
+++ b/internal/control/proxy_queue_test.go
@@ -19,7 +19,7 @@
 	require.Same(t, lease, q.take(closed))
 	require.Same(t, chunk, q.take(closed))
 
-	old := newProxyQueue(rpc.VersionDigestsChunks)
+	old := newProxyQueue(rpc.VersionDigestsAndChunks)
 	require.True(t, old.put(chunk))
 	require.True(t, old.put(lease))
 	require.Same(t, chunk, old.take(closed))
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -127,7 +127,7 @@
 	case frame.Consensus != nil && frame.Consensus.From.Address() != from:
 		s.discard(messageWrongSender)
 	case frame.Consensus != nil:
-		s.peerVersions[frame.Consensus.From] = rpc.SpokenVersion(frame.Version)
+		s.peerVersions[frame.Consensus.From] = rpc.PeerVersion(frame.Version)
 		if frame.Consensus.Type == consensus.MsgSnapshotRequest && s.leading {
 			s.refreshSnapshot()
 		}
--- a/internal/control/state_digest.go
+++ b/internal/control/state_digest.go
@@ -88,7 +88,7 @@
 	switch {
 	case s.leading:
 		s.countDigests(s.id, newest)
-	case leader != "" && leader != s.id && s.peerVersions[leader] >= rpc.VersionDigestsChunks:
+	case leader != "" && leader != s.id && s.peerVersions[leader] >= rpc.VersionDigestsAndChunks:
 		s.send(leader.Address(), &rpc.Frame{StateDigests: &rpc.StateDigests{From: s.id, Digests: slices.Clone(newest)}})
 	}
 }
@@ -184,7 +184,7 @@
 // checkOwnConfig finds out whether the configuration is in memory as it was applied, before a change builds on it: replicas would
 // refuse the change. It gives up a state that is not.
 func (s *Server) checkOwnConfig() (intact bool) {
-	if s.state.ConfigIntact() {
+	if s.state.ConfigBodyIntact() {
 		return true
 	}
 	s.StateDivergences.Add(1)
@@ -201,7 +201,7 @@
 	}
 	s.StateDivergences.Add(1)
 	s.log.Error("state differs from that of a majority, fetching it anew",
-		"index", agreed.Index, "ranges", own.Difference(agreed), "is_leader", s.leading)
+		"index", agreed.Index, "ranges", own.DifferingRanges(agreed), "is_leader", s.leading)
 	s.digests = stateDigests{}
 	s.fetchState()
 }
--- a/internal/control/tenant_quota.go
+++ b/internal/control/tenant_quota.go
@@ -39,7 +39,7 @@
 	}
 	limits := map[string]quota.Limit{}
 	for i := range configured.Tenants {
-		if tenant := &configured.Tenants[i]; tenant.Limited() {
+		if tenant := &configured.Tenants[i]; tenant.HasRateLimit() {
 			limits[tenant.Name] = quota.Limit{RatePerS: *tenant.RatePerS, Burst: tenant.Burst}
 		}
 	}
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -44,7 +44,7 @@
 func (s *Server) replaceLimits(tenants []config.Tenant) {
 	var limited []string
 	for i := range tenants {
-		if tenants[i].Limited() {
+		if tenants[i].HasRateLimit() {
 			limited = append(limited, tenants[i].Name)
 		}
 	}
--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -209,7 +209,7 @@
 	if len(welcome.Members) > 0 {
 		l.members = welcome.Members
 	}
-	return welcome, rpc.SpokenVersion(frame.Version), nil
+	return welcome, rpc.PeerVersion(frame.Version), nil
 }
 
 // followLeader receives log updates and leases until the connection ends. A second goroutine requests the leases; it has ended
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -201,7 +201,7 @@
 // primary's position only if that epoch has not ended.
 func (p *hostPool) recordPosition(position wire.Position, sentAt policy.TenthMs, epoch primaryEpoch) hostPosition {
 	svc := p.service
-	if epoch != noEpoch && epoch == primaryEpoch(svc.primary.ChangedAt) && svc.primary.Host == p.ID {
+	if epoch != noEpoch && epoch == primaryEpoch(svc.primary.ChangedIndex) && svc.primary.Host == p.ID {
 		svc.positions.Add(sentAt, position)
 		return hostPosition{asOf: sentAt, role: policy.Primary}
 	}
--- a/internal/proxy/log_update_test.go
+++ b/internal/proxy/log_update_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	checked, err := state.CheckConfig(update)
 	require.NoError(t, err)
-	entry = statemachine.EncodeChange(statemachine.Change{UpdateConfig: state.Delta(update, checked)})
+	entry = statemachine.EncodeChange(statemachine.Change{UpdateConfig: state.MakeDelta(update, checked)})
 	change, err := statemachine.DecodeChange(entry)
 	require.NoError(t, err)
 	require.NoError(t, state.Apply(state.Index+1, change))
--- a/internal/proxy/reconcile.go
+++ b/internal/proxy/reconcile.go
@@ -113,7 +113,7 @@
 
 // primaryChanged says that a change concerns this proxy: another primary, a revocation, or during one another nominee.
 func primaryChanged(was, want statemachine.Primary) bool {
-	if was.Host != want.Host || was.ChangedAt != want.ChangedAt || was.Revoked != want.Revoked {
+	if was.Host != want.Host || was.ChangedIndex != want.ChangedIndex || was.Revoked != want.Revoked {
 		return true
 	}
 	return want.Revoked && was.Nominee != want.Nominee
--- a/internal/proxy/service.go
+++ b/internal/proxy/service.go
@@ -47,7 +47,7 @@
 
 // inEpoch says that an epoch has not ended.
 func (svc *service) inEpoch(epoch primaryEpoch) bool {
-	return primaryEpoch(svc.primary.ChangedAt) == epoch && !svc.primary.Revoked
+	return primaryEpoch(svc.primary.ChangedIndex) == epoch && !svc.primary.Revoked
 }
 
 // epochOf returns the epoch in which a host may be treated as the primary at this moment; noEpoch: it may not.
@@ -55,7 +55,7 @@
 	if !pool.service.isPrimary(pool.ID) || !s.leaseValid() {
 		return noEpoch
 	}
-	return primaryEpoch(pool.service.primary.ChangedAt)
+	return primaryEpoch(pool.service.primary.ChangedIndex)
 }
 
 // mayActOn says that the primary of an epoch may be treated as such at this moment.
@@ -81,7 +81,7 @@
 		Route:          configured,
 		service:        s.serviceNamed(configured.Service),
 		deadline:       time.Duration(configured.DeadlineMs * float64(time.Millisecond)),
-		readsOwnWrites: configured.Kind == config.KindOwned,
+		readsOwnWrites: configured.Kind == config.KindReadYourWrites,
 	}
 	if configured.Kind != config.KindLeader {
 		r.stalenessBound = millisecondsToTenths(configured.StalenessMs)
--- a/internal/proxy/simulation_cluster_test.go
+++ b/internal/proxy/simulation_cluster_test.go
@@ -102,7 +102,7 @@
 	case seed%4 == 3:
 		return rpc.VersionUnnumbered
 	case seed%8 == 2:
-		return rpc.VersionDigestsChunks
+		return rpc.VersionDigestsAndChunks
 	}
 	return rpc.ProtocolVersion
 }
--- a/internal/proxy/simulation_member_conn_test.go
+++ b/internal/proxy/simulation_member_conn_test.go
@@ -120,7 +120,7 @@
 		c.followRedirect(frame.ProxyWelcome.Leader)
 	case frame.ProxyWelcome != nil:
 		c.welcomed = true
-		server.lenderFound(min(sim.cluster.proxyVersion, rpc.SpokenVersion(frame.Version)))
+		server.lenderFound(min(sim.cluster.proxyVersion, rpc.PeerVersion(frame.Version)))
 		sim.After(1, c.renewPeriodically)
 	case frame.LogUpdate != nil:
 		if server.applyLogUpdate(frame.LogUpdate) != nil {
--- a/internal/proxy/snapshot_chunks_test.go
+++ b/internal/proxy/snapshot_chunks_test.go
@@ -117,7 +117,7 @@
 		sim := newClusterSimulation(seed, 2, 6)
 		sim.RunFor(3 * second)
 		proxy := sim.proxies[0]
-		if sim.cluster.proxyVersion < rpc.VersionDigestsChunks {
+		if sim.cluster.proxyVersion < rpc.VersionDigestsAndChunks {
 			continue
 		}
 		require.True(t, proxy.server.leaseValid())
--- a/internal/proxy/state_replica.go
+++ b/internal/proxy/state_replica.go
@@ -120,7 +120,7 @@
 		return nil
 	}
 	r.diverged = true
-	return fmt.Errorf("%w at index %d: %s", errStateDiffers, own.Index, own.Difference(*agreed))
+	return fmt.Errorf("%w at index %d: %s", errStateDiffers, own.Index, own.DifferingRanges(*agreed))
 }
 
 // incomingSnapshot is a snapshot of which some chunks have arrived. Memory grows with what came, not with what was announced.
--- a/internal/rpc/version.go
+++ b/internal/rpc/version.go
@@ -6,16 +6,16 @@
 // upgrade: a process uses the additions of a version only with peers that speak it, and those that affect the replicated state
 // only once all members speak it.
 const (
-	VersionUnnumbered    uint32 = 1             // releases whose frames carry no version
-	VersionDigestsChunks uint32 = 2             // adds state digests, chunked snapshot transfer to proxies, refusals
-	VersionQuotas        uint32 = 3             // adds tenant quotas
-	VersionPayloads             = VersionQuotas // adds payloads after the frame, and responses to lease requests that are postponed
-	ProtocolVersion             = VersionPayloads
+	VersionUnnumbered       uint32 = 1             // releases whose frames carry no version
+	VersionDigestsAndChunks uint32 = 2             // adds state digests, chunked snapshot transfer to proxies, refusals
+	VersionQuotas           uint32 = 3             // adds tenant quotas
+	VersionPayloads                = VersionQuotas // adds payloads after the frame, and responses to lease requests that are postponed
+	ProtocolVersion                = VersionPayloads
 )
 
-// SpokenVersion returns the protocol version that a peer speaks, given the version in its frame or ProxyHello. It maps 0, which
+// PeerVersion returns the protocol version that a peer speaks, given the version in its frame or ProxyHello. It maps 0, which
 // older releases send, to VersionUnnumbered.
-func SpokenVersion(version uint32) uint32 { return max(version, VersionUnnumbered) }
+func PeerVersion(version uint32) uint32 { return max(version, VersionUnnumbered) }
 
 // Refusal is the response to a frame that requires a newer protocol version than the receiver speaks.
 type Refusal struct {
@@ -38,7 +38,7 @@
 // checkVersion returns an UnsupportedFrameError for a frame that requires a newer version than this process speaks.
 func checkVersion(frame *Frame) error {
 	if frame.NeedsVersion > ProtocolVersion {
-		return &UnsupportedFrameError{RequiredVersion: frame.NeedsVersion, SenderVersion: SpokenVersion(frame.Version), OwnVersion: ProtocolVersion}
+		return &UnsupportedFrameError{RequiredVersion: frame.NeedsVersion, SenderVersion: PeerVersion(frame.Version), OwnVersion: ProtocolVersion}
 	}
 	return nil
 }
--- a/internal/rpc/version_test.go
+++ b/internal/rpc/version_test.go
@@ -54,5 +54,5 @@
 	require.NoError(t, err)
 	require.NoError(t, <-sent)
 	require.EqualValues(t, 3, frame.LeaseRequest.Serial)
-	require.Equal(t, VersionUnnumbered, SpokenVersion(frame.Version))
+	require.Equal(t, VersionUnnumbered, PeerVersion(frame.Version))
 }
--- a/internal/simulation/statesize/statesize.go
+++ b/internal/simulation/statesize/statesize.go
@@ -43,7 +43,7 @@
 		Zone:       "waco-hall",
 		Generation: "g1",
 		Capacity:   7,
-		AddedAt:    uint64(n + 1),
+		AddedIndex: uint64(n + 1),
 	}
 }
 
@@ -90,7 +90,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return statemachine.Change{UpdateConfig: state.Delta(update, config)}
+	return statemachine.Change{UpdateConfig: state.MakeDelta(update, config)}
 }
 
 // State returns a state of the size, in which the first host of each database is its primary. Hosts and proxies are put
@@ -107,7 +107,7 @@
 		state.Hosts[host.ID] = host
 		state.Index++
 		if n%hostsPerDatabase == 0 {
-			state.Primaries[host.Service] = statemachine.Primary{Host: host.ID, Term: 1, ChangedAt: state.Index}
+			state.Primaries[host.Service] = statemachine.Primary{Host: host.ID, Term: 1, ChangedIndex: state.Index}
 		}
 	}
 	for n := range s.Proxies {
--- a/internal/statemachine/apply.go
+++ b/internal/statemachine/apply.go
@@ -57,11 +57,11 @@
 	known, found := s.Hosts[host.ID]
 	switch {
 	case found:
-		host.AddedAt, host.Draining = known.AddedAt, known.Draining || host.Draining
+		host.AddedIndex, host.Draining = known.AddedIndex, known.Draining || host.Draining
 	case s.wasRemoved(host.ID):
 		return &HostError{Host: host.ID, Removed: true}
 	default:
-		host.AddedAt = s.Index
+		host.AddedIndex = s.Index
 		s.removeHostsAtAddress(host.Address)
 	}
 	s.clearUnaccountedAtAddress(host.Service, host.Address)
@@ -132,7 +132,7 @@
 func (s *State) applyRevokePrimary(change RevokePrimary) {
 	primary := s.Primaries[change.Service]
 	if !primary.Revoked {
-		primary.Revoked, primary.ChangedAt = true, s.Index
+		primary.Revoked, primary.ChangedIndex = true, s.Index
 	}
 	primary.setOwner(change.Owner, s.Index)
 	primary.ReplicasPaused = true
@@ -159,7 +159,7 @@
 	}
 	primary := s.Primaries[change.Service]
 	primary.Host, primary.Term = change.Host, max(primary.Term, change.Term)
-	primary.Revoked, primary.Nominee, primary.ChangedAt = false, "", s.Index
+	primary.Revoked, primary.Nominee, primary.ChangedIndex = false, "", s.Index
 	s.putPrimary(change.Service, primary)
 }
 
--- a/internal/statemachine/change.go
+++ b/internal/statemachine/change.go
@@ -27,7 +27,7 @@
 }
 
 // ConfigUpdate is an operator's update of the configuration: a complete configuration or an amendment. A request has only a
-// Body; State.Delta converts it to the form stored in the log, which includes a ConfigDelta.
+// Body; State.MakeDelta converts it to the form stored in the log, which includes a ConfigDelta.
 type ConfigUpdate struct {
 	BaseVersion int64 // version of the configuration that the update is based on
 	IsAmendment bool
--- a/internal/statemachine/config_update.go
+++ b/internal/statemachine/config_update.go
@@ -30,9 +30,9 @@
 
 func (c *ConfigUpdate) hasDelta() bool { return c.ResultDigest != [digestBytes]byte{} }
 
-// Delta converts an update that CheckConfig accepted to the form stored in the log. result is the configuration that
+// MakeDelta converts an update that CheckConfig accepted to the form stored in the log. result is the configuration that
 // CheckConfig returned.
-func (s *State) Delta(update *ConfigUpdate, result *config.Config) *ConfigUpdate {
+func (s *State) MakeDelta(update *ConfigUpdate, result *config.Config) *ConfigUpdate {
 	delta := &ConfigUpdate{BaseVersion: update.BaseVersion, IsAmendment: update.IsAmendment, Body: result.Body, ConfigDelta: ConfigDelta{
 		RequestDigest: update.RequestID().Digest,
 		BaseDigest:    s.configDigest,
--- a/internal/statemachine/config_update_test.go
+++ b/internal/statemachine/config_update_test.go
@@ -29,7 +29,7 @@
 func applyUpdate(t testing.TB, state *State, update ConfigUpdate) []byte {
 	result, err := state.CheckConfig(&update)
 	require.NoError(t, err)
-	entry := EncodeChange(Change{UpdateConfig: state.Delta(&update, result)})
+	entry := EncodeChange(Change{UpdateConfig: state.MakeDelta(&update, result)})
 	decoded, err := DecodeChange(entry)
 	require.NoError(t, err)
 	require.NoError(t, state.Apply(state.Index+1, decoded))
@@ -82,7 +82,7 @@
 	update := ConfigUpdate{BaseVersion: 1, Body: configWithRoutes(2, 20, 3, 9)}
 	result, err := state.CheckConfig(&update)
 	require.NoError(t, err)
-	good := state.Delta(&update, result)
+	good := state.MakeDelta(&update, result)
 	require.NotEmpty(t, good.Diff)
 	before := state.Snapshot()
 	for name, damage := range map[string]func(*ConfigUpdate){
--- a/internal/statemachine/digest.go
+++ b/internal/statemachine/digest.go
@@ -35,8 +35,8 @@
 	Ranges [RangeCount]uint64
 }
 
-// Difference returns the names of the ranges in which two digests differ; it is empty if they are equal.
-func (d Digest) Difference(other Digest) string {
+// DifferingRanges returns the names of the ranges in which two digests differ; it is empty if they are equal.
+func (d Digest) DifferingRanges(other Digest) string {
 	var names []string
 	for r := range RangeCount {
 		if d.Ranges[r] != other.Ranges[r] {
@@ -58,8 +58,8 @@
 	}}
 }
 
-// ConfigIntact reports whether the configuration's body in memory still matches the digest taken when it was applied.
-func (s *State) ConfigIntact() bool {
+// ConfigBodyIntact reports whether the configuration's body in memory still matches the digest taken when it was applied.
+func (s *State) ConfigBodyIntact() bool {
 	return len(s.ConfigBody) == 0 || digestOf(s.ConfigBody) == s.configDigest
 }
 
@@ -123,7 +123,7 @@
 	h.number(uint64(host.Capacity))
 	h.flag(host.Draining)
 	h.flag(host.Missing)
-	h.number(host.AddedAt)
+	h.number(host.AddedIndex)
 }
 
 func (s *State) digestPrimaries() uint64 {
@@ -134,7 +134,7 @@
 		for _, text := range []string{service, primary.Host, primary.Owner, primary.Nominee} {
 			h.text(text)
 		}
-		for _, number := range []uint64{primary.Term, primary.FencingToken, primary.ChangedAt} {
+		for _, number := range []uint64{primary.Term, primary.FencingToken, primary.ChangedIndex} {
 			h.number(number)
 		}
 		h.flag(primary.Revoked)
--- a/internal/statemachine/lookup.go
+++ b/internal/statemachine/lookup.go
@@ -8,11 +8,11 @@
 // lookup is a set of secondary indexes over the maps of a state. It is built on first use, and each later change keeps it up to
 // date. Its slices are never modified in place, so callers may keep them.
 type lookup struct {
-	hostsByService map[string][]string // sorted host IDs
-	hostsByAddress map[string][]string // sorted host IDs
-	revokedAt      map[string]uint64   // index of the revocation, by service with a revoked primary
-	changedAt      map[string]uint64   // index of the newest change to a service's hosts or primary since the lookup was built, by service
-	serviceNames   []string            // sorted names of the services with hosts or a primary; nil if not computed
+	hostsByService  map[string][]string // sorted host IDs
+	hostsByAddress  map[string][]string // sorted host IDs
+	revocationIndex map[string]uint64   // index of the revocation, by service with a revoked primary
+	changedIndex    map[string]uint64   // index of the newest change to a service's hosts or primary since the lookup was built, by service
+	serviceNames    []string            // sorted names of the services with hosts or a primary; nil if not computed
 }
 
 // ensureLookup returns the lookup of the state, and builds it if necessary.
@@ -21,10 +21,10 @@
 		return s.lookup
 	}
 	s.lookup = &lookup{
-		hostsByService: map[string][]string{},
-		hostsByAddress: map[string][]string{},
-		revokedAt:      map[string]uint64{},
-		changedAt:      map[string]uint64{},
+		hostsByService:  map[string][]string{},
+		hostsByAddress:  map[string][]string{},
+		revocationIndex: map[string]uint64{},
+		changedIndex:    map[string]uint64{},
 	}
 	for _, host := range s.Hosts {
 		s.lookup.addHost(host)
@@ -52,9 +52,9 @@
 }
 
 func (l *lookup) setPrimary(service string, primary Primary) {
-	delete(l.revokedAt, service)
+	delete(l.revocationIndex, service)
 	if primary.Revoked {
-		l.revokedAt[service] = primary.ChangedAt
+		l.revocationIndex[service] = primary.ChangedIndex
 	}
 }
 
@@ -81,9 +81,9 @@
 // HostIDs returns the sorted IDs of a service's hosts. The slice must not be modified.
 func (s *State) HostIDs(service string) []string { return s.ensureLookup().hostsByService[service] }
 
-// HostAt returns the ID of the host at an address, or an empty string if there is none. Of several hosts it returns the one with
+// HostIDAt returns the ID of the host at an address, or an empty string if there is none. Of several hosts it returns the one with
 // the lowest ID.
-func (s *State) HostAt(address string) string {
+func (s *State) HostIDAt(address string) string {
 	if ids := s.ensureLookup().hostsByAddress[address]; len(ids) > 0 {
 		return ids[0]
 	}
@@ -107,14 +107,16 @@
 	return l.serviceNames
 }
 
-// ServiceChangedAt returns the index of the newest change to a service's primary or hosts, including unaccounted ones. It is 0 if
+// ServiceChangedIndex returns the index of the newest change to a service's primary or hosts, including unaccounted ones. It is 0 if
 // there was no such change since the state was restored.
-func (s *State) ServiceChangedAt(service string) uint64 { return s.ensureLookup().changedAt[service] }
+func (s *State) ServiceChangedIndex(service string) uint64 {
+	return s.ensureLookup().changedIndex[service]
+}
 
 // LatestRevocation returns the index of the newest revocation that is still in force, or 0 if no primary is revoked.
 func (s *State) LatestRevocation() (index uint64) {
-	for _, revokedAt := range s.ensureLookup().revokedAt {
-		index = max(index, revokedAt)
+	for _, revocationIndex := range s.ensureLookup().revocationIndex {
+		index = max(index, revocationIndex)
 	}
 	return index
 }
@@ -123,29 +125,29 @@
 	l := s.ensureLookup()
 	if previous, found := s.Hosts[host.ID]; found && (previous.Service != host.Service || previous.Address != host.Address) {
 		l.removeHost(previous)
-		l.changedAt[previous.Service] = s.Index
+		l.changedIndex[previous.Service] = s.Index
 	}
 	putInMap(&s.Hosts, host.ID, host)
 	l.addHost(host)
-	l.changedAt[host.Service] = s.Index
+	l.changedIndex[host.Service] = s.Index
 }
 
 func (s *State) deleteHost(host Host) {
 	l := s.ensureLookup()
 	delete(s.Hosts, host.ID)
 	l.removeHost(host)
-	l.changedAt[host.Service] = s.Index
+	l.changedIndex[host.Service] = s.Index
 }
 
 func (s *State) putUnaccountedHost(host Host) {
 	putInMap(&s.UnaccountedHosts, host.ID, host)
-	s.ensureLookup().changedAt[host.Service] = s.Index
+	s.ensureLookup().changedIndex[host.Service] = s.Index
 }
 
 func (s *State) deleteUnaccountedHost(id string) {
 	if host, found := s.UnaccountedHosts[id]; found {
 		delete(s.UnaccountedHosts, id)
-		s.ensureLookup().changedAt[host.Service] = s.Index
+		s.ensureLookup().changedIndex[host.Service] = s.Index
 	}
 }
 
@@ -156,5 +158,5 @@
 	}
 	putInMap(&s.Primaries, service, primary)
 	l.setPrimary(service, primary)
-	l.changedAt[service] = s.Index
+	l.changedIndex[service] = s.Index
 }
--- a/internal/statemachine/lookup_test.go
+++ b/internal/statemachine/lookup_test.go
@@ -33,7 +33,7 @@
 				change.HostLeaving = pick("h", 400)
 			}
 			before := state.Checksum()
-			changedAt := maps.Clone(state.ensureLookup().changedAt)
+			changedIndex := maps.Clone(state.ensureLookup().changedIndex)
 			_ = state.Apply(index+1, change) // a rejected change still advances the index
 			fresh := *state
 			fresh.lookup = nil
@@ -44,7 +44,7 @@
 			for _, id := range slices.Sorted(maps.Keys(state.Hosts)) {
 				require.Contains(t, state.HostIDs(state.Hosts[id].Service), id)
 			}
-			if maps.Equal(changedAt, state.ensureLookup().changedAt) {
+			if maps.Equal(changedIndex, state.ensureLookup().changedIndex) {
 				state.Index, fresh.Index = index, index
 				require.Equal(t, before, state.Checksum(), "seed %d, index %d: the state changed, but no service is marked as changed", seed, index+1)
 				state.Index = index + 1
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -27,7 +27,7 @@
 	Capacity                   int64
 	Draining                   bool
 	Missing                    bool   // the process has ended, and other hosts have everything that it received
-	AddedAt                    uint64 // index of the change that added it
+	AddedIndex                 uint64 // index of the change that added it
 }
 
 // Primary describes the primary of a service and the failover in progress, if any. While Revoked is set, no proxy may send any
@@ -38,7 +38,7 @@
 	Revoked        bool
 	FencingToken   uint64 // increases with each owner
 	Owner          string // control-plane member that runs the failover
-	ChangedAt      uint64 // index of the change that revoked or appointed the primary
+	ChangedIndex   uint64 // index of the change that revoked or appointed the primary
 	Nominee        string // host that the platform was last asked to promote in this failover; it may have been promoted
 	ReplicasPaused bool   // replicas were paused for a failover, and not all of them are known to receive writes again
 }
@@ -89,7 +89,7 @@
 	return ids
 }
 
-func (s *State) putProxy(name string, addedAt uint64) { putInMap(&s.Proxies, name, addedAt) }
+func (s *State) putProxy(name string, addedIndex uint64) { putInMap(&s.Proxies, name, addedIndex) }
 
 // putInMap sets a value in a map. It allocates the map if it is nil, as in the zero State.
 func putInMap[V any](all *map[string]V, key string, value V) {
--- a/internal/statemachine/stored.go
+++ b/internal/statemachine/stored.go
@@ -73,28 +73,28 @@
 func hostToStored(h Host) diskformat.Host {
 	return diskformat.Host{
 		ID: h.ID, Service: h.Service, Address: h.Address, Zone: h.Zone, Generation: h.Generation,
-		Capacity: h.Capacity, Draining: h.Draining, Missing: h.Missing, Since: h.AddedAt,
+		Capacity: h.Capacity, Draining: h.Draining, Missing: h.Missing, Since: h.AddedIndex,
 	}
 }
 
 func hostFromStored(stored diskformat.Host) Host {
 	return Host{
 		ID: stored.ID, Service: stored.Service, Address: stored.Address, Zone: stored.Zone, Generation: stored.Generation,
-		Capacity: stored.Capacity, Draining: stored.Draining, Missing: stored.Missing, AddedAt: stored.Since,
+		Capacity: stored.Capacity, Draining: stored.Draining, Missing: stored.Missing, AddedIndex: stored.Since,
 	}
 }
 
 func primaryToStored(p Primary) diskformat.Lead {
 	return diskformat.Lead{
 		Host: p.Host, Term: p.Term, Moving: p.Revoked, Fence: p.FencingToken, Holder: p.Owner,
-		At: p.ChangedAt, To: p.Nominee, Paused: p.ReplicasPaused,
+		At: p.ChangedIndex, To: p.Nominee, Paused: p.ReplicasPaused,
 	}
 }
 
 func primaryFromStored(stored diskformat.Lead) Primary {
 	return Primary{
 		Host: stored.Host, Term: stored.Term, Revoked: stored.Moving, FencingToken: stored.Fence, Owner: stored.Holder,
-		ChangedAt: stored.At, Nominee: stored.To, ReplicasPaused: stored.Paused,
+		ChangedIndex: stored.At, Nominee: stored.To, ReplicasPaused: stored.Paused,
 	}
 }
 
