--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -1,6 +1,7 @@
 // Package gossip implements the membership protocol of the proxies: it tracks which other proxies are alive, and the addresses of
-// the control-plane members. It follows SWIM (A. Das, I. Gupta, A. Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-// Protocol", DSN 2002), in which the load per process does not grow with the size of the group. Comments cite sections of the paper.
+// the control-plane members. It follows SWIM (A. Das, I. Gupta, A. Motivala: "SWIM: Scalable Weakly-consistent Infection-style
+// Process Group Membership Protocol", DSN 2002), in which the load per process does not grow with the size of the group. Comments
+// cite sections of the paper.
 //
 //	received Message -> Membership.HandleMessage -> messages to send
 //	time             -> Membership.Tick          -> messages to send
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -125,15 +125,15 @@
 }
 
 func TestMessagesPerProxyDoNotGrowWithTheirNumber(t *testing.T) {
-	rate := func(n int) float64 {
-		c := newCluster(1, n)
+	rate := func(size int) float64 {
+		c := newCluster(1, size)
 		c.RunFor(20000)
 		before := c.sent
 		c.RunFor(20000)
-		return float64(c.sent-before) / float64(n) / 20
+		return float64(c.sent-before) / float64(size) / 20
 	}
-	few, many := rate(9), rate(120)
-	require.Less(t, many, 1.5*few, "%.2f messages a second with 9 proxies, %.2f with 120", few, many)
+	rateOf9, rateOf120 := rate(9), rate(120)
+	require.Less(t, rateOf120, 1.5*rateOf9, "%.2f messages a second with 9 proxies, %.2f with 120", rateOf9, rateOf120)
 }
 
 func TestLatestControlMembersPrevail(t *testing.T) {
--- a/internal/gossip/update.go
+++ b/internal/gossip/update.go
@@ -43,8 +43,8 @@
 	return u.Incarnation > known.Incarnation || u.Incarnation == known.Incarnation && u.State > known.State
 }
 
-// refute handles an update that claims that this proxy is suspected or dead: it increases the incarnation, which overrides the claim
-// everywhere (SWIM 4.2).
+// refute handles an update that claims that this proxy is suspected or dead: it increases the incarnation, which overrides the
+// claim everywhere (SWIM 4.2).
 func (m *Membership) refute(update Update) {
 	if update.State != Alive && update.Incarnation >= m.self.Incarnation {
 		m.Refuted++
@@ -82,8 +82,8 @@
 	return minTransmissions + max(0, bits.Len(uint(len(m.members)))-1)
 }
 
-// piggyback returns the updates for one message: first that of this proxy, then those with the fewest transmissions. Remaining space
-// is filled with updates of random members, so that a new proxy learns of all others.
+// piggyback returns the updates for one message: first that of this proxy, then those with the fewest transmissions. Remaining
+// space is filled with updates of random members, so that a new proxy learns of all others.
 func (m *Membership) piggyback() []Update {
 	updates := []Update{m.self}
 	members := slices.SortedFunc(maps.Values(m.members), func(a, b *member) int {
--- a/internal/rpc/conn_test.go
+++ b/internal/rpc/conn_test.go
@@ -24,11 +24,11 @@
 func (c *recordedConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *recordedConn) SetWriteDeadline(time.Time) error { return nil }
 
-func encodeFrames(t testing.TB, all ...*Frame) []byte {
+func encodeFrames(t testing.TB, frames ...*Frame) []byte {
 	var out recordedConn
-	c := NewConn(&out)
-	for _, f := range all {
-		require.NoError(t, c.Send(f, time.Second))
+	conn := NewConn(&out)
+	for _, f := range frames {
+		require.NoError(t, conn.Send(f, time.Second))
 	}
 	return out.written.Bytes()
 }
@@ -50,9 +50,9 @@
 		_, err := NewConn(&recordedConn{input: bytes.NewReader(encoded[:n])}).Receive(time.Second)
 		require.Error(t, err, "broken after %d bytes of %d", n, len(encoded))
 	}
-	c := NewConn(&recordedConn{input: bytes.NewReader(encodeFrames(t, testFrames()...))})
+	conn := NewConn(&recordedConn{input: bytes.NewReader(encodeFrames(t, testFrames()...))})
 	for _, want := range testFrames() {
-		got, err := c.Receive(time.Second)
+		got, err := conn.Receive(time.Second)
 		require.NoError(t, err)
 		require.Equal(t, want, got)
 	}
@@ -64,8 +64,8 @@
 	f.Add([]byte{0, 0, 0, 0})
 	f.Add([]byte{255, 255, 255, 255, 1})
 	f.Add([]byte{0, 0, 0, 2, 255, 255})
-	f.Fuzz(func(_ *testing.T, b []byte) {
-		c := NewConn(&recordedConn{input: bytes.NewReader(b)})
+	f.Fuzz(func(_ *testing.T, content []byte) {
+		c := NewConn(&recordedConn{input: bytes.NewReader(content)})
 		for range 100 {
 			if _, err := c.Receive(time.Second); err != nil {
 				return
--- a/internal/rpc/payload_test.go
+++ b/internal/rpc/payload_test.go
@@ -22,12 +22,12 @@
 	}
 }
 
-func encodeFor(t testing.TB, peerVersion uint32, all ...*Frame) []byte {
+func encodeFor(t testing.TB, peerVersion uint32, frames ...*Frame) []byte {
 	var out recordedConn
-	c := NewConn(&out)
-	c.SetPeerVersion(peerVersion)
-	for _, f := range all {
-		require.NoError(t, c.Send(f, time.Second))
+	conn := NewConn(&out)
+	conn.SetPeerVersion(peerVersion)
+	for _, f := range frames {
+		require.NoError(t, conn.Send(f, time.Second))
 	}
 	return out.written.Bytes()
 }
@@ -35,9 +35,9 @@
 // Long updates are received completely by peers of any version, and not at all if the connection breaks.
 func TestPayloadArrivesWithItsFrame(t *testing.T) {
 	for version := VersionUnnumbered; version <= ProtocolVersion; version++ {
-		c := NewConn(&recordedConn{input: bytes.NewReader(encodeFor(t, version, longFrames()...))})
+		conn := NewConn(&recordedConn{input: bytes.NewReader(encodeFor(t, version, longFrames()...))})
 		for _, want := range longFrames() {
-			got, err := c.Receive(time.Second)
+			got, err := conn.Receive(time.Second)
 			require.NoError(t, err, "version %d", version)
 			require.Equal(t, want, got, "version %d", version)
 		}
--- a/internal/statemachine/config_update_test.go
+++ b/internal/statemachine/config_update_test.go
@@ -86,16 +86,18 @@
 	require.NotEmpty(t, good.Diff)
 	before := state.Snapshot()
 	for name, damage := range map[string]func(*ConfigUpdate){
-		"wrong digest of the result": func(c *ConfigUpdate) { c.ResultDigest[3]++ },
-		"truncated diff":             func(c *ConfigUpdate) { c.Diff = c.Diff[:len(c.Diff)-1] },
-		"modified diff":              func(c *ConfigUpdate) { c.Diff = append(bytes.Clone(c.Diff[:len(c.Diff)-1]), c.Diff[len(c.Diff)-1]-1) },
-		"neither diff nor body":      func(c *ConfigUpdate) { c.Diff = nil },
+		"wrong digest of the result": func(damaged *ConfigUpdate) { damaged.ResultDigest[3]++ },
+		"truncated diff":             func(damaged *ConfigUpdate) { damaged.Diff = damaged.Diff[:len(damaged.Diff)-1] },
+		"modified diff": func(damaged *ConfigUpdate) {
+			damaged.Diff = append(bytes.Clone(damaged.Diff[:len(damaged.Diff)-1]), damaged.Diff[len(damaged.Diff)-1]-1)
+		},
+		"neither diff nor body": func(damaged *ConfigUpdate) { damaged.Diff = nil },
 	} {
-		c := *good
-		damage(&c)
+		damaged := *good
+		damage(&damaged)
 		replica, err := Restore(before)
 		require.NoError(t, err)
-		require.ErrorIs(t, replica.Apply(2, Change{UpdateConfig: &c}), ErrInvalid, name)
+		require.ErrorIs(t, replica.Apply(2, Change{UpdateConfig: &damaged}), ErrInvalid, name)
 		replica.Index = 1
 		require.Equal(t, before, replica.Snapshot(), name)
 	}
@@ -117,13 +119,13 @@
 	good := state.Snapshot()
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 500 {
-		bad := bytes.Clone(good)
-		if k := random.IntN(len(bad)); random.IntN(2) == 0 {
-			bad = bad[:max(k, 1)]
+		damaged := bytes.Clone(good)
+		if position := random.IntN(len(damaged)); random.IntN(2) == 0 {
+			damaged = damaged[:max(position, 1)]
 		} else {
-			bad[k] ^= byte(1 + random.IntN(255))
+			damaged[position] ^= byte(1 + random.IntN(255))
 		}
-		_, err := Restore(bad)
+		_, err := Restore(damaged)
 		require.Error(t, err)
 	}
 }
@@ -134,17 +136,17 @@
 	f.Add(applyUpdate(f, state, ConfigUpdate{BaseVersion: 1, Body: configWithRoutes(2, 20, 1, 9)}))
 	f.Add([]byte{0, 1, 0, 2})
 	base := state.Snapshot()
-	f.Fuzz(func(t *testing.T, b []byte) {
-		c, err := DecodeChange(b)
+	f.Fuzz(func(t *testing.T, content []byte) {
+		change, err := DecodeChange(content)
 		if err != nil {
 			return
 		}
-		if c.UpdateConfig != nil && !bytes.Equal(EncodeChange(c), b) && b[0] == configUpdateMarker {
-			t.Fatalf("%x is encoded as %x", b, EncodeChange(c))
+		if change.UpdateConfig != nil && !bytes.Equal(EncodeChange(change), content) && content[0] == configUpdateMarker {
+			t.Fatalf("%x is encoded as %x", content, EncodeChange(change))
 		}
 		state, _ := Restore(base)
 		before := state.ConfigBody
-		if state.Apply(state.Index+1, c) != nil && !bytes.Equal(before, state.ConfigBody) {
+		if state.Apply(state.Index+1, change) != nil && !bytes.Equal(before, state.ConfigBody) {
 			t.Fatal("a rejected update changed the configuration")
 		}
 	})
--- a/internal/statemachine/lookup.go
+++ b/internal/statemachine/lookup.go
@@ -11,7 +11,7 @@
 	hostsByService  map[string][]string // sorted host IDs
 	hostsByAddress  map[string][]string // sorted host IDs
 	revocationIndex map[string]uint64   // index of the revocation, by service with a revoked primary
-	changedIndex    map[string]uint64   // index of the newest change to a service's hosts or primary since the lookup was built, by service
+	changedIndex    map[string]uint64   // index of the newest change to hosts or primary since the lookup was built, by service
 	serviceNames    []string            // sorted names of the services with hosts or a primary; nil if not computed
 }
 
@@ -107,8 +107,8 @@
 	return l.serviceNames
 }
 
-// ServiceChangedIndex returns the index of the newest change to a service's primary or hosts, including unaccounted ones. It is 0 if
-// there was no such change since the state was restored.
+// ServiceChangedIndex returns the index of the newest change to a service's primary or hosts, including unaccounted ones. It is 0
+// if there was no such change since the state was restored.
 func (s *State) ServiceChangedIndex(service string) uint64 {
 	return s.ensureLookup().changedIndex[service]
 }
--- a/internal/statemachine/retention_test.go
+++ b/internal/statemachine/retention_test.go
@@ -114,20 +114,20 @@
 			require.Equal(t, good[:1], prefix, "truncated to %d bytes", size)
 		}
 	}
-	for name, bad := range map[string][]AppliedUpdate{
+	for name, invalid := range map[string][]AppliedUpdate{
 		"duplicate base version":  {good[0], good[0]},
 		"decreasing base version": {good[1], good[0]},
 		"decreasing leader time":  {good[0], {RequestID{BaseVersion: 7}, 4}},
 		"too many updates":        make([]AppliedUpdate, MaxRetained+1),
 	} {
-		for i := range bad {
-			if len(bad) > 2 {
-				bad[i].BaseVersion = int64(i)
+		for i := range invalid {
+			if len(invalid) > 2 {
+				invalid[i].BaseVersion = int64(i)
 			}
 		}
-		_, err := decodeAppliedUpdates(encodeAppliedUpdates(bad))
+		_, err := decodeAppliedUpdates(encodeAppliedUpdates(invalid))
 		require.Error(t, err, name)
-		snapshot := &State{AppliedUpdates: bad}
+		snapshot := &State{AppliedUpdates: invalid}
 		_, err = Restore(snapshot.Snapshot())
 		require.Error(t, err, name)
 	}
@@ -137,16 +137,16 @@
 	f.Add([]byte{})
 	f.Add(encodeAppliedUpdates([]AppliedUpdate{{RequestID{BaseVersion: 0, Digest: [16]byte{7}}, 0}, {RequestID{BaseVersion: 1 << 62}, 1 << 40}}))
 	f.Add([]byte{255, 255, 255, 255, 255, 255, 255, 255, 255, 1, 0})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		all, err := decodeAppliedUpdates(b)
+	f.Fuzz(func(t *testing.T, content []byte) {
+		updates, err := decodeAppliedUpdates(content)
 		if err != nil {
 			return
 		}
-		decoded, err := decodeAppliedUpdates(encodeAppliedUpdates(all))
+		decoded, err := decodeAppliedUpdates(encodeAppliedUpdates(updates))
 		require.NoError(t, err)
-		require.Equal(t, all, decoded)
-		state := &State{AppliedUpdates: all}
-		for _, t := range all {
+		require.Equal(t, updates, decoded)
+		state := &State{AppliedUpdates: updates}
+		for _, t := range updates {
 			state.wasApplied(t.RequestID)
 		}
 	})
--- a/internal/statemachine/state_test.go
+++ b/internal/statemachine/state_test.go
@@ -115,37 +115,37 @@
 func TestReplicasAgreeAcrossSnapshots(t *testing.T) {
 	for seed := range 200 {
 		random := rand.New(rand.NewPCG(uint64(seed), 1))
-		a, b := &State{}, &State{}
+		continuous, restored := &State{}, &State{}
 		for i := 1; i < 60; i++ {
-			var c Change
+			var change Change
 			id := fmt.Sprintf("h%d", random.IntN(5))
 			switch random.IntN(8) {
 			case 0:
-				c.UpdateConfig = &ConfigUpdate{BaseVersion: a.Generation, Body: configBody(int(a.Generation)+1+random.IntN(3), id)}
+				change.UpdateConfig = &ConfigUpdate{BaseVersion: continuous.Generation, Body: configBody(int(continuous.Generation)+1+random.IntN(3), id)}
 			case 1, 2:
-				c.AddHost = &Host{ID: id, Service: "s", Address: "1.1.1.1:" + id[1:], Draining: random.IntN(3) == 0}
+				change.AddHost = &Host{ID: id, Service: "s", Address: "1.1.1.1:" + id[1:], Draining: random.IntN(3) == 0}
 			case 3:
-				c.RemoveHost = id
+				change.RemoveHost = id
 			case 4:
-				c.RevokePrimary = &RevokePrimary{"s", id}
+				change.RevokePrimary = &RevokePrimary{"s", id}
 			case 5:
-				c.AppointPrimary = &AppointPrimary{Service: "s", Host: id, Term: uint64(i)}
+				change.AppointPrimary = &AppointPrimary{Service: "s", Host: id, Term: uint64(i)}
 			case 6:
-				c.UpdateProxy = &ProxyMembership{Name: id, Removed: random.IntN(3) == 0}
+				change.UpdateProxy = &ProxyMembership{Name: id, Removed: random.IntN(3) == 0}
 			case 7:
-				c.NominatePrimary = &NominatePrimary{"s", id, "m"}
+				change.NominatePrimary = &NominatePrimary{"s", id, "m"}
 			}
-			decoded, err := DecodeChange(EncodeChange(c))
+			decoded, err := DecodeChange(EncodeChange(change))
 			require.NoError(t, err)
-			wantErr, gotErr := a.Apply(uint64(i), c), b.Apply(uint64(i), decoded)
+			wantErr, gotErr := continuous.Apply(uint64(i), change), restored.Apply(uint64(i), decoded)
 			require.Equal(t, wantErr == nil, gotErr == nil)
-			require.NoError(t, b.Apply(uint64(i), Change{RemoveHost: "h0"}), "an entry at an applied index is ignored")
+			require.NoError(t, restored.Apply(uint64(i), Change{RemoveHost: "h0"}), "an entry at an applied index is ignored")
 			if random.IntN(5) == 0 {
-				b, err = Restore(b.Snapshot())
+				restored, err = Restore(restored.Snapshot())
 				require.NoError(t, err)
 			}
-			require.Equal(t, a.Checksum(), b.Checksum(), "seed %d, change %d", seed, i)
-			require.Equal(t, a.Config(), b.Config())
+			require.Equal(t, continuous.Checksum(), restored.Checksum(), "seed %d, change %d", seed, i)
+			require.Equal(t, continuous.Config(), restored.Config())
 		}
 	}
 }
@@ -153,15 +153,15 @@
 func FuzzDecodeChangeAndRestore(f *testing.F) {
 	f.Add(EncodeChange(Change{RemoveHost: "x"}))
 	f.Add((&State{Generation: 3}).Snapshot())
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if change, err := DecodeChange(b); err == nil {
+	f.Fuzz(func(t *testing.T, content []byte) {
+		if change, err := DecodeChange(content); err == nil {
 			if err := (&State{}).Apply(1, change); err != nil && !isKnownReason(err) {
 				t.Fatalf("Apply returned an error that does not wrap one of this package's errors: %v", err)
 			}
 		} else if !errors.Is(err, ErrBadChange) {
 			t.Fatalf("DecodeChange: error does not wrap ErrBadChange: %v", err)
 		}
-		if _, err := Restore(b); err != nil && !errors.Is(err, ErrBadSnapshot) {
+		if _, err := Restore(content); err != nil && !errors.Is(err, ErrBadSnapshot) {
 			t.Fatalf("Restore: error does not wrap ErrBadSnapshot: %v", err)
 		}
 	})
