--- a/internal/control/host_api.go
+++ b/internal/control/host_api.go
@@ -87,7 +87,7 @@
 	}
 	accept := func() { s.acceptHeartbeat(hostID, &heartbeat, respond) }
 	if !known {
-		if knownHost := s.state.HostAt(heartbeat.Address); knownHost != "" {
+		if knownHost := s.state.HostIDAt(heartbeat.Address); knownHost != "" {
 			s.checkAddress(knownHost, addressCheck{accept: accept, respond: respond})
 			return
 		}
@@ -147,7 +147,7 @@
 		Generation: r.Generation,
 		Capacity:   int64(r.Capacity),
 		Draining:   r.State == hostDraining || previous.Draining,
-		AddedAt:    previous.AddedAt,
+		AddedIndex: previous.AddedIndex,
 	}
 }
 
--- a/internal/control/proxy_queue.go
+++ b/internal/control/proxy_queue.go
@@ -28,7 +28,7 @@
 }
 
 func newProxyQueue(version uint32) *proxyQueue {
-	q := &proxyQueue{updates: make(chan *rpc.Frame, proxyQueueFrames), prioritized: rpc.SpokenVersion(version) >= rpc.VersionPayloads}
+	q := &proxyQueue{updates: make(chan *rpc.Frame, proxyQueueFrames), prioritized: rpc.PeerVersion(version) >= rpc.VersionPayloads}
 	q.urgent = q.updates
 	if q.prioritized {
 		q.urgent = make(chan *rpc.Frame, proxyQueueFrames)
--- a/internal/control/state_digest.go
+++ b/internal/control/state_digest.go
@@ -89,7 +89,7 @@
 	switch {
 	case s.leading:
 		s.recordDigests(s.id, newest)
-	case leader != "" && leader != s.id && s.peerVersions[leader] >= rpc.VersionDigestsChunks:
+	case leader != "" && leader != s.id && s.peerVersions[leader] >= rpc.VersionDigestsAndChunks:
 		s.send(leader.Address(), &rpc.Frame{StateDigests: &rpc.StateDigests{From: s.id, Digests: slices.Clone(newest)}})
 	}
 }
@@ -186,7 +186,7 @@
 // verifyConfig verifies that the configuration in memory is the one that was applied. It is called before a change is based on
 // the configuration, because other members would reject such a change. If the configuration is corrupt, the state is discarded.
 func (s *Server) verifyConfig() (intact bool) {
-	if s.state.ConfigIntact() {
+	if s.state.ConfigBodyIntact() {
 		return true
 	}
 	s.StateDivergences.Add(1)
@@ -204,7 +204,7 @@
 	}
 	s.StateDivergences.Add(1)
 	s.log.Error("state differs from that of a majority, fetching it anew",
-		"index", majority.Index, "ranges", own.Difference(majority), "is_leader", s.leading)
+		"index", majority.Index, "ranges", own.DifferingRanges(majority), "is_leader", s.leading)
 	s.digests = stateDigests{}
 	s.fetchState()
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -10,7 +10,7 @@
 	"ferrypitch/internal/simulation/scheduler"
 )
 
-// cluster is proxies on a simulated network that loses datagrams.
+// cluster is a set of proxies on a simulated network that loses datagrams.
 type cluster struct {
 	*scheduler.Scheduler
 	nodes       map[string]*node
@@ -109,31 +109,31 @@
 		c.RunFor(15000)
 		before := int64(0)
 		for _, n := range c.nodes {
-			before += n.membership.Removed
+			before += n.membership.DeclaredDead
 		}
-		c.partitioned = func(from, to string) bool { // one pair, both ways
+		c.partitioned = func(from, to string) bool { // one pair of proxies, in both directions
 			return from == "r02" && to == "r06" || from == "r06" && to == "r02"
 		}
 		c.RunFor(20000)
 		for _, n := range c.nodes {
-			removed += n.membership.Removed
+			removed += n.membership.DeclaredDead
 		}
 		removed -= before
 		c.requireAlive(t, c.names)
 	}
-	require.Zero(t, removed, "proxies that others reach were removed")
+	require.Zero(t, removed, "proxies that others can reach were declared dead")
 }
 
 func TestMessagesPerProxyDoNotGrowWithTheirNumber(t *testing.T) {
-	rate := func(n int) float64 {
-		c := newCluster(1, n)
+	rate := func(size int) float64 {
+		c := newCluster(1, size)
 		c.RunFor(20000)
 		before := c.sent
 		c.RunFor(20000)
-		return float64(c.sent-before) / float64(n) / 20
+		return float64(c.sent-before) / float64(size) / 20
 	}
-	few, many := rate(9), rate(120)
-	require.Less(t, many, 1.5*few, "%.2f messages a second with 9 proxies, %.2f with 120", few, many)
+	rateOf9, rateOf120 := rate(9), rate(120)
+	require.Less(t, rateOf120, 1.5*rateOf9, "%.2f messages a second with 9 proxies, %.2f with 120", rateOf9, rateOf120)
 }
 
 func TestLatestControlMembersPrevail(t *testing.T) {
--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -209,7 +209,7 @@
 	if len(welcome.Members) > 0 {
 		l.members = welcome.Members
 	}
-	return welcome, rpc.SpokenVersion(frame.Version), nil
+	return welcome, rpc.PeerVersion(frame.Version), nil
 }
 
 // followLeader receives log updates and lease responses until the connection fails. A second goroutine requests the leases; it
--- a/internal/proxy/reconcile.go
+++ b/internal/proxy/reconcile.go
@@ -115,7 +115,7 @@
 // primaryChanged reports whether a change concerns this proxy: another primary, a revocation, or another nominee during a
 // revocation.
 func primaryChanged(previous, current statemachine.Primary) bool {
-	if previous.Host != current.Host || previous.ChangedAt != current.ChangedAt || previous.Revoked != current.Revoked {
+	if previous.Host != current.Host || previous.ChangedIndex != current.ChangedIndex || previous.Revoked != current.Revoked {
 		return true
 	}
 	return current.Revoked && previous.Nominee != current.Nominee
--- a/internal/proxy/state_replica.go
+++ b/internal/proxy/state_replica.go
@@ -121,7 +121,7 @@
 		return nil
 	}
 	r.diverged = true
-	return fmt.Errorf("%w at index %d: %s", errStateDiffers, own.Index, own.Difference(*agreed))
+	return fmt.Errorf("%w at index %d: %s", errStateDiffers, own.Index, own.DifferingRanges(*agreed))
 }
 
 // incomingSnapshot is a snapshot received in part. Its memory grows with the data received, not with the announced size.
--- a/internal/statemachine/lookup.go
+++ b/internal/statemachine/lookup.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// lookup finds parts of a state without going through all of it. It is derived from the state's maps: built at its first use, and
-// kept by each change from then on. Slices that it returned stay as they are.
+// lookup is a set of secondary indexes over the maps of a state. It is built on first use, and each later change keeps it up to
+// date. Its slices are never modified in place, so callers may keep them.
 type lookup struct {
-	hostsByService map[string][]string // ids, sorted
-	hostsByAddress map[string][]string // ids, sorted
-	revokedAt      map[string]uint64   // by service whose primary is revoked: the index of that change
-	changedAt      map[string]uint64   // by service: the index of the newest change of its hosts or its primary since the build
-	serviceNames   []string            // those with hosts or a primary, sorted; nil: not collected
+	hostsByService  map[string][]string // sorted host IDs
+	hostsByAddress  map[string][]string // sorted host IDs
+	revocationIndex map[string]uint64   // index of the revocation, by service with a revoked primary
+	changedIndex    map[string]uint64   // index of the newest change to hosts or primary since the lookup was built, by service
+	serviceNames    []string            // sorted names of the services with hosts or a primary; nil if not computed
 }
 
-// lookups returns the state's lookup.
-func (s *State) lookups() *lookup {
+// ensureLookup returns the lookup of the state, and builds it if necessary.
+func (s *State) ensureLookup() *lookup {
 	if s.lookup != nil {
 		return s.lookup
 	}
 	s.lookup = &lookup{
-		hostsByService: map[string][]string{},
-		hostsByAddress: map[string][]string{},
-		revokedAt:      map[string]uint64{},
-		changedAt:      map[string]uint64{},
+		hostsByService:  map[string][]string{},
+		hostsByAddress:  map[string][]string{},
+		revocationIndex: map[string]uint64{},
+		changedIndex:    map[string]uint64{},
 	}
 	for _, host := range s.Hosts {
 		s.lookup.addHost(host)
@@ -52,46 +52,47 @@
 }
 
 func (l *lookup) setPrimary(service string, primary Primary) {
-	delete(l.revokedAt, service)
+	delete(l.revocationIndex, service)
 	if primary.Revoked {
-		l.revokedAt[service] = primary.ChangedAt
+		l.revocationIndex[service] = primary.ChangedIndex
 	}
 }
 
-// insertID adds an id to a sorted list, in a new array.
+// insertID adds an ID to a sorted list. The list is copied, not modified.
 func insertID(lists map[string][]string, key, id string) {
-	place, found := slices.BinarySearch(lists[key], id)
+	position, found := slices.BinarySearch(lists[key], id)
 	if !found {
-		lists[key] = slices.Insert(slices.Clone(lists[key]), place, id)
+		lists[key] = slices.Insert(slices.Clone(lists[key]), position, id)
 	}
 }
 
-// removeID removes an id from a sorted list, in a new array.
+// removeID removes an ID from a sorted list. The list is copied, not modified.
 func removeID(lists map[string][]string, key, id string) {
-	place, found := slices.BinarySearch(lists[key], id)
+	position, found := slices.BinarySearch(lists[key], id)
 	switch {
 	case !found:
 	case len(lists[key]) == 1:
 		delete(lists, key)
 	default:
-		lists[key] = slices.Delete(slices.Clone(lists[key]), place, place+1)
+		lists[key] = slices.Delete(slices.Clone(lists[key]), position, position+1)
 	}
 }
 
-// HostIDs returns the ids of a service's hosts, sorted. The slice must not be modified.
-func (s *State) HostIDs(service string) []string { return s.lookups().hostsByService[service] }
+// HostIDs returns the sorted IDs of a service's hosts. The slice must not be modified.
+func (s *State) HostIDs(service string) []string { return s.ensureLookup().hostsByService[service] }
 
-// HostAt returns the id of the host at an address, the first of several; empty: there is none.
-func (s *State) HostAt(address string) string {
-	if ids := s.lookups().hostsByAddress[address]; len(ids) > 0 {
+// HostIDAt returns the ID of the host at an address, or an empty string if there is none. Of several hosts it returns the one with
+// the lowest ID.
+func (s *State) HostIDAt(address string) string {
+	if ids := s.ensureLookup().hostsByAddress[address]; len(ids) > 0 {
 		return ids[0]
 	}
 	return ""
 }
 
-// ServiceNames returns the services that have hosts or a primary, sorted. The slice must not be modified.
+// ServiceNames returns the sorted names of the services that have hosts or a primary. The slice must not be modified.
 func (s *State) ServiceNames() []string {
-	l := s.lookups()
+	l := s.ensureLookup()
 	if l.serviceNames != nil {
 		return l.serviceNames
 	}
@@ -106,54 +107,56 @@
 	return l.serviceNames
 }
 
-// ServiceChangedAt returns the index of the newest change of a service's hosts, unaccounted ones too, or of its primary; 0: none
-// since the state was restored.
-func (s *State) ServiceChangedAt(service string) uint64 { return s.lookups().changedAt[service] }
+// ServiceChangedIndex returns the index of the newest change to a service's primary or hosts, including unaccounted ones. It is 0
+// if there was no such change since the state was restored.
+func (s *State) ServiceChangedIndex(service string) uint64 {
+	return s.ensureLookup().changedIndex[service]
+}
 
-// LatestRevocation returns the index of the newest change that revoked a primary of those that are still revoked; 0: none is.
+// LatestRevocation returns the index of the newest revocation that is still in force, or 0 if no primary is revoked.
 func (s *State) LatestRevocation() (index uint64) {
-	for _, revokedAt := range s.lookups().revokedAt {
-		index = max(index, revokedAt)
+	for _, revocationIndex := range s.ensureLookup().revocationIndex {
+		index = max(index, revocationIndex)
 	}
 	return index
 }
 
 func (s *State) putHost(host Host) {
-	l := s.lookups()
+	l := s.ensureLookup()
 	if previous, found := s.Hosts[host.ID]; found && (previous.Service != host.Service || previous.Address != host.Address) {
 		l.removeHost(previous)
-		l.changedAt[previous.Service] = s.Index
+		l.changedIndex[previous.Service] = s.Index
 	}
-	put(&s.Hosts, host.ID, host)
+	putInMap(&s.Hosts, host.ID, host)
 	l.addHost(host)
-	l.changedAt[host.Service] = s.Index
+	l.changedIndex[host.Service] = s.Index
 }
 
 func (s *State) deleteHost(host Host) {
-	l := s.lookups()
+	l := s.ensureLookup()
 	delete(s.Hosts, host.ID)
 	l.removeHost(host)
-	l.changedAt[host.Service] = s.Index
+	l.changedIndex[host.Service] = s.Index
 }
 
 func (s *State) putUnaccountedHost(host Host) {
-	put(&s.UnaccountedHosts, host.ID, host)
-	s.lookups().changedAt[host.Service] = s.Index
+	putInMap(&s.UnaccountedHosts, host.ID, host)
+	s.ensureLookup().changedIndex[host.Service] = s.Index
 }
 
 func (s *State) deleteUnaccountedHost(id string) {
 	if host, found := s.UnaccountedHosts[id]; found {
 		delete(s.UnaccountedHosts, id)
-		s.lookups().changedAt[host.Service] = s.Index
+		s.ensureLookup().changedIndex[host.Service] = s.Index
 	}
 }
 
 func (s *State) putPrimary(service string, primary Primary) {
-	l := s.lookups()
+	l := s.ensureLookup()
 	if _, found := s.Primaries[service]; !found {
 		l.serviceNames = nil
 	}
-	put(&s.Primaries, service, primary)
+	putInMap(&s.Primaries, service, primary)
 	l.setPrimary(service, primary)
-	l.changedAt[service] = s.Index
+	l.changedIndex[service] = s.Index
 }
