--- a/internal/router/trace/export/export.go
+++ b/internal/router/trace/export/export.go
@@ -1,8 +1,8 @@
-// Package export writes the events of a trace as Parquet: events of one kind go
-// into one file, with a column for their time and one for each of the kind's.
+// Package export writes the events of a trace as Parquet files, one for each kind of
+// event, with a column for the time and one for each column of the kind.
 //
-// It is a package of its own because the Parquet library is as large as the rest
-// of a router, whose program does not contain it.
+// It is a separate package so that the router's program does not link the Parquet
+// library, which is as large as the rest of the router.
 package export
 
 import (
@@ -14,26 +14,26 @@
 	"ferrypitch/internal/router/trace/format"
 )
 
-// timeColumn is the name of the column of events' times, in tenths of a millisecond.
+// timeColumn is the name of the column with the time of the event, in tenths of a millisecond.
 const timeColumn = "at"
 
-// maxGroupRows is how many rows are gathered in memory before they are written.
+// maxGroupRows is the number of rows that are buffered in memory and written as a row group.
 const maxGroupRows = 64 << 10
 
-// File writes the events of one kind.
+// File writes the events of one kind to a Parquet file.
 type File struct {
-	Rows int64 // written so far
+	Rows int64 // number of events added
 
 	writer *parquet.GenericWriter[any]
 	kind   format.Kind
 	row    parquet.Row
-	// timeIndex and columnIndexes say where in a row the time and each column of the
-	// kind is: Parquet sorts columns by name.
+	// timeIndex and columnIndexes are the positions in a row of the time and of each column
+	// of the kind. They differ from the order in the schema, since Parquet sorts columns by name.
 	timeIndex     int
 	columnIndexes []int
 }
 
-// New begins a file. The caller must Close it, and then out.
+// New returns a File that writes to out. The caller must call Close and then close out.
 func New(out io.Writer, kind format.Kind) (*File, error) {
 	group := parquet.Group{timeColumn: parquet.Int(64)}
 	for _, column := range kind.Columns {
@@ -60,7 +60,7 @@
 	return f, nil
 }
 
-// Add adds an event of the kind.
+// Add adds an event, which must be of the file's kind.
 func (f *File) Add(event format.Event) error {
 	f.set(f.timeIndex, parquet.Int64Value(event.At))
 	ints, texts := event.Ints, event.Texts
@@ -78,8 +78,8 @@
 	return err
 }
 
-// set sets a value of the row. No column is repeated or optional.
+// set sets a value of the row. Its levels are 0, since no column is repeated or optional.
 func (f *File) set(index int, value parquet.Value) { f.row[index] = value.Level(0, 0, index) }
 
-// Close writes what is gathered and the end of the file.
+// Close writes the buffered rows and the footer of the file.
 func (f *File) Close() error { return f.writer.Close() }
--- a/internal/router/trace/file/file.go
+++ b/internal/router/trace/file/file.go
@@ -1,10 +1,10 @@
 // Package file writes trace files.
 //
 // A recorder takes empty blocks with Get and returns full ones with Put; neither
-// waits. One goroutine, Run, takes the full blocks from a bounded queue and writes
-// them. It begins another file by size and age, and removes old files to keep
-// within a total size. When the disk fails it stops for good: capture ends, the
-// router's service does not.
+// blocks. One goroutine, Run, takes the full blocks from a bounded queue and writes
+// them. It rotates files by size and age, and removes the oldest ones to stay within a
+// total size. After a write error it stops permanently: the trace ends, but the
+// router continues to serve.
 package file
 
 import (
@@ -21,9 +21,9 @@
 // Extension is the extension of trace files.
 const Extension = ".fptrace"
 
-// Storage is what files are written on. Tests have one that fails.
+// Storage creates and removes files. Tests replace it to inject errors.
 type Storage interface {
-	// Create creates a file that must not exist yet.
+	// Create creates a file. It fails if the file exists.
 	Create(path string) (File, error)
 	Remove(path string) error
 }
@@ -35,10 +35,10 @@
 	Close() error
 }
 
-// Disk is the Storage of the operating system.
+// Disk is the Storage in the file system.
 type Disk struct{}
 
-// Create implements Storage. Only the process's user may read the file.
+// Create implements Storage. Only the process's user can read the file.
 func (Disk) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 }
@@ -46,15 +46,15 @@
 // Remove implements Storage.
 func (Disk) Remove(path string) error { return os.Remove(path) }
 
-// Config is the configuration of a Writer. None of its fields has a default.
+// Config is the configuration of a Writer. All fields are required.
 type Config struct {
 	Dir           string
-	Name          string        // of the router, for file names
-	MaxFileBytes  int64         // in bytes, after which another file begins
-	MaxFileAge    time.Duration // after which another file begins
-	MaxTotalBytes int64         // of all files that this process wrote, in bytes
-	SyncInterval  time.Duration // between two syncs of the open file
-	BlockCount    int           // the number of blocks that there are; it bounds the memory of capture
+	Name          string        // name of the router, for file names
+	MaxFileBytes  int64         // size in bytes at which files are rotated
+	MaxFileAge    time.Duration // age at which files are rotated
+	MaxTotalBytes int64         // limit on the total size of the files of this process, in bytes
+	SyncInterval  time.Duration // interval at which the open file is synced
+	BlockCount    int           // number of blocks, which bounds the memory of recording
 }
 
 // Writer writes blocks to files. It implements record.Sink.
@@ -67,20 +67,20 @@
 	empty   chan *format.Block
 	full    chan *format.Block
 
-	// Owned by Run.
-	current     *currentFile // nil before the first block and between files
+	// Used only by Run.
+	current     *currentFile // nil if no file is open
 	closedFiles []closedFile
-	path        string // of the newest file, for the log
+	path        string // path of the newest file, for the log
 	fileNumber  int
 	buffer      []byte
 
-	// Counters, which any goroutine may read.
+	// Counters, which any goroutine may read: bytes and events written, and files created.
 	WrittenBytes, WrittenEvents, OpenedFiles atomic.Int64
-	// Stopped says that the disk failed: nothing more is written.
+	// Stopped is set after a write error; nothing more is written.
 	Stopped atomic.Bool
 }
 
-// New makes a writer whose files all have the header. Nothing is written before Run.
+// New returns a writer whose files have the given header. Nothing is written before Run.
 func New(config Config, storage Storage, header format.Header, now func() time.Time, log *zap.Logger) *Writer {
 	w := &Writer{
 		config: config, storage: storage, header: header, log: log, now: now,
@@ -105,8 +105,8 @@
 	}
 }
 
-// Put queues a full block. It returns false, and does not take the block, if the
-// queue is full or the writer has stopped.
+// Put queues a full block. If the queue is full or the writer has stopped, it returns
+// false and the caller keeps the block.
 func (w *Writer) Put(block *format.Block) bool {
 	if w.Stopped.Load() {
 		return false
@@ -119,8 +119,8 @@
 	}
 }
 
-// Run writes until the context ends, then what is still queued, and closes the
-// file. The error is always nil: a failure stops the writer and is logged.
+// Run writes blocks until the context is canceled, then writes the queued blocks and
+// closes the file. It always returns nil; an error stops the writer and is logged.
 func (w *Writer) Run(ctx context.Context) error {
 	syncTimer := time.NewTicker(w.config.SyncInterval)
 	defer syncTimer.Stop()
@@ -138,7 +138,7 @@
 	}
 }
 
-// writeQueued writes the blocks that are queued and does not wait for more.
+// writeQueued writes the queued blocks and does not wait for more.
 func (w *Writer) writeQueued() {
 	for {
 		select {
@@ -150,7 +150,7 @@
 	}
 }
 
-// writeAndRelease writes a block, unless the writer has stopped, and makes it available again.
+// writeAndRelease writes a block, unless the writer has stopped, and makes the block available to Get again.
 func (w *Writer) writeAndRelease(block *format.Block) {
 	defer func() {
 		block.Reset()
@@ -173,14 +173,14 @@
 	}
 }
 
-// stop ends capture, never service. What was written up to here can be read.
+// stop ends recording after an error. The router continues to serve, and the files written so far remain readable.
 func (w *Writer) stop(err error) {
 	if w.Stopped.Swap(true) {
 		return
 	}
-	w.log.Error("capture has ended; service goes on", zap.String("file", w.path), zap.Error(err))
+	w.log.Error("trace recording stopped after a write error; the router continues to serve", zap.String("file", w.path), zap.Error(err))
 	if w.current != nil {
-		_ = w.current.file.Close() // the error that ended capture is the one to report
+		_ = w.current.file.Close() // err, which is the cause, has been logged
 		w.current = nil
 	}
 }
@@ -194,7 +194,7 @@
 	}
 }
 
-// LogFields returns the counters for a log line.
+// LogFields returns the counters as fields of a log line.
 func (w *Writer) LogFields() []zap.Field {
 	return []zap.Field{
 		zap.Int64("trace_events", w.WrittenEvents.Load()),
--- a/internal/router/trace/file/file_test.go
+++ b/internal/router/trace/file/file_test.go
@@ -18,10 +18,10 @@
 
 var schema = format.Schema{{Name: "x", Columns: []format.Column{{Name: "n", Type: format.Int, Privacy: format.Plain}}}}
 
-// fullDisk fails once its space is used up.
+// fullDisk is a Storage whose writes fail once its space is used up.
 type fullDisk struct {
 	Disk
-	space int // bytes that are left; -1: no limit
+	space int // remaining bytes; -1 means no limit
 }
 
 type fileOnFullDisk struct {
@@ -48,12 +48,13 @@
 	return f.File.Write(b)
 }
 
-// writeBlocks writes blocks of a hundred events, waits for empty blocks as no recorder would, and ends the writer.
-func writeBlocks(t *testing.T, writer *Writer, blocks int) (put int) {
+// writeBlocks runs the writer, passes it blocks of 100 events each and stops it. Unlike a recorder, it waits for empty
+// blocks. It returns the number of blocks that the writer accepted.
+func writeBlocks(t *testing.T, writer *Writer, blocks int) (accepted int) {
 	t.Helper()
-	ctx, end := context.WithCancel(context.Background())
-	ended := make(chan error)
-	go func() { ended <- writer.Run(ctx) }()
+	ctx, cancel := context.WithCancel(context.Background())
+	finished := make(chan error)
+	go func() { finished <- writer.Run(ctx) }()
 	for k := range blocks {
 		block := writer.Get()
 		for ; block == nil && !writer.Stopped.Load(); block = writer.Get() {
@@ -66,63 +67,63 @@
 			block.Add(int64(1000*k+i), 0, []int64{int64(i * i)}, nil)
 		}
 		if writer.Put(block) {
-			put++
+			accepted++
 		}
 	}
-	end()
-	if err := <-ended; err != nil {
+	cancel()
+	if err := <-finished; err != nil {
 		t.Error(err)
 	}
-	return put
+	return accepted
 }
 
 func testConfig(dir string) Config {
 	return Config{Dir: dir, Name: "f1/../x", MaxFileBytes: 2000, MaxFileAge: time.Hour, MaxTotalBytes: 1 << 20, SyncInterval: time.Hour, BlockCount: 3}
 }
 
-// count reads all files of a folder and counts those that are truncated or corrupt.
-func count(t *testing.T, dir string) (events, files, broken int) {
+// countEvents reads all trace files in a directory and counts events, files, and files that are truncated or corrupt.
+func countEvents(t *testing.T, dir string) (events, files, unreadable int) {
 	t.Helper()
-	all, _ := filepath.Glob(filepath.Join(dir, "*"+Extension))
-	for _, path := range all {
+	paths, _ := filepath.Glob(filepath.Join(dir, "*"+Extension))
+	for _, path := range paths {
 		file, err := os.Open(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		files++
-		r, err := format.NewReader(file)
+		reader, err := format.NewReader(file)
 		for err == nil {
-			var some []format.Event
-			_, some, err = r.Next()
-			events += len(some)
+			var blockEvents []format.Event
+			_, blockEvents, err = reader.Next()
+			events += len(blockEvents)
 		}
 		if !errors.Is(err, io.EOF) {
-			broken++
+			unreadable++
 		}
 		if err := file.Close(); err != nil {
 			t.Error(err)
 		}
 	}
-	return events, files, broken
+	return events, files, unreadable
 }
 
 func TestFilesRotateWithinBudgetAndHaveAnIndex(t *testing.T) {
 	dir := t.TempDir()
 	config := testConfig(dir)
 	writer := New(config, Disk{}, format.Header{Schema: schema, Incarnation: 5}, time.Now, zap.NewNop())
-	put := writeBlocks(t, writer, 60)
-	events, files, broken := count(t, dir)
-	if events != 100*put || files < 3 || broken != 0 {
-		t.Errorf("%d events of %d blocks in %d files, %d of them broken", events, put, files, broken)
+	accepted := writeBlocks(t, writer, 60)
+	events, files, unreadable := countEvents(t, dir)
+	if events != 100*accepted || files < 3 || unreadable != 0 {
+		t.Errorf("%d events of %d blocks in %d files, %d of them unreadable", events, accepted, files, unreadable)
 	}
-	all, _ := filepath.Glob(filepath.Join(dir, "f1____x-*"+Extension))
-	if len(all) != files {
-		t.Errorf("%v", all)
+	paths, _ := filepath.Glob(filepath.Join(dir, "f1____x-*"+Extension))
+	if len(paths) != files {
+		t.Errorf("unexpected file names: %v", paths)
 	}
-	for _, path := range all {
+	for _, path := range paths {
 		file, _ := os.Open(path)
 		info, _ := file.Stat()
-		if spans, err := format.ReadIndex(file, info.Size()); err != nil || len(spans) == 0 {
+		if index, err := format.ReadIndex(file, info.Size()); err != nil || len(index) == 0 {
 			t.Errorf("%s: %v", path, err)
 		}
 		if err := file.Close(); err != nil {
@@ -132,13 +133,13 @@
 	config.MaxTotalBytes, config.Dir = 7000, t.TempDir()
 	writeBlocks(t, New(config, Disk{}, format.Header{Schema: schema, Incarnation: 6}, time.Now, zap.NewNop()), 60)
 	total := int64(0)
-	all, _ = filepath.Glob(filepath.Join(config.Dir, "*"))
-	for _, path := range all {
+	paths, _ = filepath.Glob(filepath.Join(config.Dir, "*"))
+	for _, path := range paths {
 		info, _ := os.Stat(path)
 		total += info.Size()
 	}
-	if total > config.MaxTotalBytes+1000 || len(all) < 2 {
-		t.Errorf("%d bytes in %d files, of a budget of %d", total, len(all), config.MaxTotalBytes)
+	if total > config.MaxTotalBytes+1000 || len(paths) < 2 {
+		t.Errorf("%d bytes in %d files; the limit is %d", total, len(paths), config.MaxTotalBytes)
 	}
 }
 
@@ -148,14 +149,15 @@
 		writer := New(testConfig(dir), &fullDisk{space: space}, format.Header{Schema: schema, Incarnation: 5}, time.Now, zap.NewNop())
 		writeBlocks(t, writer, 60)
 		if !writer.Stopped.Load() {
-			t.Fatalf("with %d bytes: capture goes on", space)
+			t.Fatalf("with %d bytes of space: the writer has not stopped", space)
 		}
 		if writer.Get() != nil || writer.Put(format.NewBlock(schema)) {
-			t.Fatalf("with %d bytes: blocks are still accepted", space)
+			t.Fatalf("with %d bytes of space: the stopped writer still supplies or accepts blocks", space)
 		}
-		events, files, broken := count(t, dir)
-		if int64(events) < writer.WrittenEvents.Load() || broken > 1 || files == 0 {
-			t.Fatalf("with %d bytes: %d events read of %d written, %d of %d files broken", space, events, writer.WrittenEvents.Load(), broken, files)
+		events, files, unreadable := countEvents(t, dir)
+		if int64(events) < writer.WrittenEvents.Load() || unreadable > 1 || files == 0 {
+			t.Fatalf("with %d bytes of space: %d events read of %d written, %d of %d files unreadable",
+				space, events, writer.WrittenEvents.Load(), unreadable, files)
 		}
 	}
 }
@@ -164,7 +166,7 @@
 	writer := New(testConfig("/nowhere/at/all"), Disk{}, format.Header{Schema: schema}, time.Now, zap.NewNop())
 	writeBlocks(t, writer, 5)
 	if !writer.Stopped.Load() || !strings.Contains(fmt.Sprint(writer.LogFields()), "trace_ended") {
-		t.Error("it goes on")
+		t.Error("the writer has not stopped, or its log fields do not say so")
 	}
 }
 
--- a/internal/router/trace/file/rotate.go
+++ b/internal/router/trace/file/rotate.go
@@ -12,10 +12,10 @@
 	"ferrypitch/internal/router/trace/format"
 )
 
-// maxIdleBufferBytes is the size above which the buffer of a block is not kept.
+// maxIdleBufferBytes is the largest buffer that is kept for reuse between blocks.
 const maxIdleBufferBytes = 1 << 20
 
-// currentFile is the file that is being written.
+// currentFile is the open file.
 type currentFile struct {
 	file     File
 	size     int64 // in bytes
@@ -23,13 +23,13 @@
 	index    []format.BlockInfo
 }
 
-// closedFile is a complete file of this process.
+// closedFile is a file that this process has closed.
 type closedFile struct {
 	path string
 	size int64 // in bytes
 }
 
-// writeBlock writes a block, to a new file if one is due.
+// writeBlock writes a block, after rotating or opening the file if necessary.
 func (w *Writer) writeBlock(block *format.Block) error {
 	if w.current != nil && mustRotate(w.current.size, w.now().Sub(w.current.openedAt), w.config) {
 		if err := w.closeFile(); err != nil {
@@ -64,13 +64,13 @@
 	return err
 }
 
-// mustRotate reports whether a file of a size in bytes and an age is to be followed by another.
+// mustRotate reports whether a file of the given size in bytes and age must be closed before the next block.
 func mustRotate(size int64, age time.Duration, config Config) bool {
 	return size >= config.MaxFileBytes || age >= config.MaxFileAge
 }
 
-// countToRemove returns how many of the oldest files must be removed so that
-// another of at most maxFileBytes keeps all within maxTotalBytes.
+// countToRemove returns how many of the oldest files must be removed so that the total
+// size stays within maxTotalBytes when another file grows to maxFileBytes.
 func countToRemove(files []closedFile, maxFileBytes, maxTotalBytes int64) int {
 	total := maxFileBytes
 	for _, file := range files {
@@ -84,7 +84,7 @@
 	return count
 }
 
-// openFile makes room for a file, creates it and writes its header.
+// openFile removes old files, creates the next one and writes its header.
 func (w *Writer) openFile() error {
 	if err := w.removeOldFiles(); err != nil {
 		return err
@@ -105,7 +105,7 @@
 	return w.writeBytes(header)
 }
 
-// removeOldFiles removes the oldest files of this process. One that is already gone is no error.
+// removeOldFiles removes the oldest files of this process to make room for another. Files that no longer exist are ignored.
 func (w *Writer) removeOldFiles() error {
 	count := countToRemove(w.closedFiles, w.config.MaxFileBytes, w.config.MaxTotalBytes)
 	for _, old := range w.closedFiles[:count] {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// sanitize replaces what a file name should not contain.
+// sanitize replaces all characters of a name except letters, digits and underscores, so that it is safe in a file name.
 func sanitize(name string) string {
 	return strings.Map(func(r rune) rune {
 		if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || r == '_' {
@@ -127,7 +127,7 @@
 	}, name)
 }
 
-// closeFile writes the index and closes the file, also if the writing fails. It returns the first error.
+// closeFile writes the index, syncs the file and closes it. It closes the file even after an error, and returns the first error.
 func (w *Writer) closeFile() error {
 	trailer, err := format.AppendIndex(nil, w.current.index, w.current.size)
 	if err == nil {
--- a/internal/router/trace/format/block.go
+++ b/internal/router/trace/format/block.go
@@ -2,45 +2,45 @@
 
 import "fmt"
 
-// BlockInfo describes a block, in the block itself and in the index. Its keys never change.
+// BlockInfo describes a block. It is stored in the block itself and in the index. Its CBOR keys never change.
 type BlockInfo struct {
-	First  int64          `cbor:"1,keyasint"`           // the earliest time of an event, in tenths of a millisecond
-	Last   int64          `cbor:"2,keyasint"`           // the latest one
-	Count  uint32         `cbor:"3,keyasint"`           // of events
-	Lost   uint64         `cbor:"4,keyasint,omitempty"` // events that were not recorded before the first of the block
-	Offset int64          `cbor:"5,keyasint,omitempty"` // of the frame in the file, in bytes
-	Length uint32         `cbor:"6,keyasint,omitempty"` // of the frame, in bytes
-	Kinds  map[int]uint32 `cbor:"7,keyasint,omitempty"` // events by kind
+	First        int64          `cbor:"1,keyasint"`           // time of the earliest event, in tenths of a millisecond
+	Last         int64          `cbor:"2,keyasint"`           // time of the latest event, in tenths of a millisecond
+	Count        uint32         `cbor:"3,keyasint"`           // number of events
+	Lost         uint64         `cbor:"4,keyasint,omitempty"` // number of events lost in recording before the first event of the block
+	Offset       int64          `cbor:"5,keyasint,omitempty"` // file offset of the block's frame, in bytes; only in the index
+	Length       uint32         `cbor:"6,keyasint,omitempty"` // length of the block's frame, in bytes; only in the index
+	EventsByKind map[int]uint32 `cbor:"7,keyasint,omitempty"` // number of events by index of their kind
 }
 
-// column is the values of one column of a block. A text is its number in the
-// block's table of texts.
+// column holds the values of one column of a block. A text is stored as its index in
+// the block's dictionary of texts.
 type column []int64
 
-// blockPayload is the payload of a block's frame.
+// blockPayload is the encoded payload of a block's frame.
 type blockPayload struct {
 	Info         BlockInfo `cbor:"1,keyasint"`
-	ContentBytes uint32    `cbor:"2,keyasint"`
-	Content      []byte    `cbor:"3,keyasint"` // a blockContent, compressed
+	ContentBytes uint32    `cbor:"2,keyasint"` // length of Content after decompression
+	Content      []byte    `cbor:"3,keyasint"` // an encoded blockContent, compressed
 }
 
-// blockContent is the events of a block. Times and columns hold the difference of
-// each value to the one before, which compresses well.
+// blockContent holds the events of a block. Times and columns are delta-encoded,
+// which compresses well.
 type blockContent struct {
-	Kinds   []int64    `cbor:"1,keyasint"` // of each event
-	Times   []int64    `cbor:"2,keyasint"` // of each event
-	Texts   []string   `cbor:"3,keyasint"`
-	Columns [][]column `cbor:"4,keyasint"` // by kind, in the order of its columns
+	Kinds   []int64    `cbor:"1,keyasint"` // the kind of each event, as an index in the schema
+	Times   []int64    `cbor:"2,keyasint"` // the time of each event
+	Texts   []string   `cbor:"3,keyasint"` // dictionary of the values of text columns
+	Columns [][]column `cbor:"4,keyasint"` // by kind and column, in the order of the schema
 }
 
-// About what events take in memory, in bytes.
+// Estimated memory of an event, a value and a text without its bytes, in bytes.
 const (
 	eventBytes      = 16
 	valueBytes      = 8
 	textHeaderBytes = 32
 )
 
-// Block gathers events. It is not safe for concurrent use.
+// Block collects events in columns. It is not safe for concurrent use.
 type Block struct {
 	schema      Schema
 	info        BlockInfo
@@ -48,13 +48,13 @@
 	times       []int64
 	columns     [][]column
 	texts       []string
-	textNumbers map[string]int64
-	size        int
+	textIndexes map[string]int64 // by text, the index in texts
+	size        int              // estimated memory of the events, in bytes
 }
 
-// NewBlock returns an empty block for events of a schema.
+// NewBlock returns an empty block for the events of a schema.
 func NewBlock(schema Schema) *Block {
-	b := &Block{schema: schema, textNumbers: map[string]int64{}, columns: make([][]column, len(schema))}
+	b := &Block{schema: schema, textIndexes: map[string]int64{}, columns: make([][]column, len(schema))}
 	for i, kind := range schema {
 		b.columns[i] = make([]column, len(kind.Columns))
 	}
@@ -68,31 +68,31 @@
 			columns[i] = columns[i][:0]
 		}
 	}
-	clear(b.textNumbers)
+	clear(b.textIndexes)
 	clear(b.texts)
 	b.kinds, b.times, b.texts = b.kinds[:0], b.times[:0], b.texts[:0]
 	b.info, b.size = BlockInfo{}, 0
 }
 
-// Len returns how many events the block holds.
+// Len returns the number of events in the block.
 func (b *Block) Len() int { return len(b.kinds) }
 
-// Size returns about how many bytes the events take in memory.
+// Size returns the estimated memory of the events in bytes.
 func (b *Block) Size() int { return b.size }
 
-// AddLost notes that n events were not recorded before the block.
+// AddLost adds n to the number of events lost before the block.
 func (b *Block) AddLost(n uint64) { b.info.Lost += n }
 
-// Full reports whether the next event needs another block, by the limit of the
-// format and a size in bytes.
+// Full reports whether the block has reached a size in bytes or the format's limit of events,
+// so that the next event must go into another block.
 func (b *Block) Full(size int) bool { return len(b.kinds) >= MaxBlockEvents || b.size >= size }
 
-// Add adds an event. Its values are in the order of the kind's columns of each
-// type. It panics if there are more or fewer than columns.
+// Add adds an event. ints and texts are the values of the kind's columns of each type, in
+// the order of the schema. It panics if their number differs from that of the columns.
 func (b *Block) Add(at int64, kind int, ints []int64, texts []string) {
-	described := b.schema[kind]
-	if len(ints) != described.Count(Int) || len(texts) != described.Count(Text) {
-		panic("an event of " + described.Name + " with other values than its columns")
+	eventKind := b.schema[kind]
+	if len(ints) != eventKind.Count(Int) || len(texts) != eventKind.Count(Text) {
+		panic("event of kind " + eventKind.Name + ": the number of values differs from the number of columns")
 	}
 	if len(b.kinds) == 0 {
 		b.info.First, b.info.Last = at, at
@@ -100,43 +100,43 @@
 	b.info.First, b.info.Last = min(b.info.First, at), max(b.info.Last, at)
 	b.kinds = append(b.kinds, int64(kind))
 	b.times = append(b.times, at)
-	for i, column := range described.Columns {
+	for i, column := range eventKind.Columns {
 		var value int64
 		if column.Type == Int {
 			value, ints = ints[0], ints[1:]
 		} else {
-			value, texts = b.textNumber(texts[0]), texts[1:]
+			value, texts = b.textIndex(texts[0]), texts[1:]
 		}
 		b.columns[kind][i] = append(b.columns[kind][i], value)
 	}
-	b.size += eventBytes + valueBytes*len(described.Columns)
+	b.size += eventBytes + valueBytes*len(eventKind.Columns)
 }
 
-// textNumber returns the number of a text in the block's table.
-func (b *Block) textNumber(text string) int64 {
-	number, known := b.textNumbers[text]
+// textIndex returns the index of a text in the block's dictionary, and adds it if it is missing.
+func (b *Block) textIndex(text string) int64 {
+	index, known := b.textIndexes[text]
 	if !known {
-		number = int64(len(b.texts))
+		index = int64(len(b.texts))
 		b.texts = append(b.texts, text)
-		b.textNumbers[text] = number
+		b.textIndexes[text] = index
 		b.size += textHeaderBytes + len(text)
 	}
-	return number
+	return index
 }
 
-// Append appends the block as a frame, which will be at an offset of the file, and
-// returns what the index says of it.
+// Append appends the block to buffer as a frame and returns its entry for the index.
+// offset is the file offset at which the frame will be written.
 func (b *Block) Append(buffer []byte, offset int64) ([]byte, BlockInfo, error) {
-	b.info.Count, b.info.Kinds = uint32(len(b.kinds)), map[int]uint32{}
+	b.info.Count, b.info.EventsByKind = uint32(len(b.kinds)), map[int]uint32{}
 	for _, kind := range b.kinds {
-		b.info.Kinds[int(kind)]++
+		b.info.EventsByKind[int(kind)]++
 	}
 	content, err := encoder.Marshal(b.content())
 	if err != nil {
 		return buffer, BlockInfo{}, err
 	}
-	if len(content) > MaxUnpackedBytes {
-		return buffer, BlockInfo{}, fmt.Errorf("a block of %d bytes, over %d", len(content), MaxUnpackedBytes)
+	if len(content) > MaxContentBytes {
+		return buffer, BlockInfo{}, fmt.Errorf("block content is %d bytes long; the limit is %d", len(content), MaxContentBytes)
 	}
 	payload, err := encoder.Marshal(blockPayload{
 		Info: b.info, ContentBytes: uint32(len(content)), Content: compressor.EncodeAll(content, nil),
@@ -145,14 +145,14 @@
 		return buffer, BlockInfo{}, err
 	}
 	if len(payload) > MaxBlockBytes {
-		return buffer, BlockInfo{}, fmt.Errorf("a packed block of %d bytes, over %d", len(payload), MaxBlockBytes)
+		return buffer, BlockInfo{}, fmt.Errorf("compressed block is %d bytes long; the limit is %d", len(payload), MaxBlockBytes)
 	}
 	info := b.info
 	info.Offset, info.Length = offset, uint32(frameHeaderBytes+len(payload))
-	return appendFrame(buffer, blockMark, payload), info, nil
+	return appendFrame(buffer, blockMagic, payload), info, nil
 }
 
-// content returns the events in the form that is stored. Kinds without events have no columns.
+// content returns the events as they are stored. Kinds without events have no columns.
 func (b *Block) content() blockContent {
 	content := blockContent{
 		Kinds: b.kinds, Times: deltas(b.times), Texts: b.texts, Columns: make([][]column, len(b.columns)),
@@ -168,7 +168,7 @@
 	return content
 }
 
-// deltas returns the difference of each value to the one before. undoDeltas is its inverse.
+// deltas returns the difference of each value from its predecessor. undoDeltas is its inverse.
 func deltas(values []int64) []int64 {
 	differences, previous := make([]int64, len(values)), int64(0)
 	for i, value := range values {
@@ -177,7 +177,7 @@
 	return differences
 }
 
-// undoDeltas replaces differences by values.
+// undoDeltas decodes delta-encoded values in place.
 func undoDeltas(values []int64) {
 	previous := int64(0)
 	for i := range values {
--- a/internal/router/trace/format/format_test.go
+++ b/internal/router/trace/format/format_test.go
@@ -18,8 +18,8 @@
 	{Name: "stalled"},
 }
 
-// write returns a file of events, so many in a block.
-func write(t interface{ Fatal(...any) }, events []Event, eventsPerBlock int) (file []byte, spans []BlockInfo) {
+// encodeFile returns a file with the given events, with eventsPerBlock in each block, and its index.
+func encodeFile(t interface{ Fatal(...any) }, events []Event, eventsPerBlock int) (file []byte, index []BlockInfo) {
 	file, err := AppendHeader(nil, Header{Router: "f1", Incarnation: 3, Schema: schema})
 	if err != nil {
 		t.Fatal(err)
@@ -29,11 +29,11 @@
 		if b.Len() == 0 {
 			return
 		}
-		var span BlockInfo
-		if file, span, err = b.Append(file, int64(len(file))); err != nil {
+		var info BlockInfo
+		if file, info, err = b.Append(file, int64(len(file))); err != nil {
 			t.Fatal(err)
 		}
-		spans = append(spans, span)
+		index = append(index, info)
 		b.Reset()
 	}
 	for _, event := range events {
@@ -42,40 +42,40 @@
 		}
 	}
 	flush()
-	if file, err = AppendIndex(file, spans, int64(len(file))); err != nil {
+	if file, err = AppendIndex(file, index, int64(len(file))); err != nil {
 		t.Fatal(err)
 	}
-	return file, spans
+	return file, index
 }
 
-// read returns all events up to the end or truncation, and the offsets of corrupt blocks.
-func read(file []byte) (events []Event, faults []int64, err error) {
+// decodeFile returns all events up to the end or truncation, and the offsets of corrupt blocks.
+func decodeFile(file []byte) (events []Event, corruptOffsets []int64, err error) {
 	reader, err := NewReader(bytes.NewReader(file))
 	if err != nil {
 		return nil, nil, err
 	}
 	for {
-		_, some, err := reader.Next()
+		_, blockEvents, err := reader.Next()
 		var corrupt *CorruptBlockError
 		switch {
 		case errors.As(err, &corrupt):
-			faults = append(faults, corrupt.Offset)
+			corruptOffsets = append(corruptOffsets, corrupt.Offset)
 		case errors.Is(err, io.EOF):
-			return events, faults, nil
+			return events, corruptOffsets, nil
 		case err != nil:
-			return events, faults, err
+			return events, corruptOffsets, err
 		}
-		events = append(events, some...)
+		events = append(events, blockEvents...)
 	}
 }
 
-// someEvents returns three events for each of n.
-func someEvents(n int) (all []Event) {
+// makeEvents returns 3n events: n of each kind.
+func makeEvents(n int) (events []Event) {
 	for i := range n {
-		all = append(all, Event{At: int64(1000 + i), Kind: 0, Ints: []int64{int64(i % 3)}, Texts: []string{fmt.Sprint("c", i), "own"}},
+		events = append(events, Event{At: int64(1000 + i), Kind: 0, Ints: []int64{int64(i % 3)}, Texts: []string{fmt.Sprint("c", i), "own"}},
 			Event{At: int64(1001 + i), Kind: 1, Ints: []int64{int64(i), 40}, Texts: []string{"set1-a"}}, Event{At: int64(1002 + i), Kind: 2})
 	}
-	return all
+	return events
 }
 
 func TestEventsRoundTrip(t *testing.T) {
@@ -91,75 +91,75 @@
 			}
 			events = append(events, event)
 		}
-		file, spans := write(t, events, rapid.IntRange(1, 20).Draw(t, "each"))
-		got, faults, err := read(file)
-		if err != nil || len(faults) > 0 || !reflect.DeepEqual(got, events) {
-			t.Fatalf("%v %v\n%v\n%v", err, faults, got, events)
+		file, written := encodeFile(t, events, rapid.IntRange(1, 20).Draw(t, "each"))
+		got, corruptOffsets, err := decodeFile(file)
+		if err != nil || len(corruptOffsets) > 0 || !reflect.DeepEqual(got, events) {
+			t.Fatalf("%v %v\n%v\n%v", err, corruptOffsets, got, events)
 		}
 		index, err := ReadIndex(bytes.NewReader(file), int64(len(file)))
-		if err != nil || len(index) != len(spans) {
-			t.Fatalf("%v, %d spans of %d", err, len(index), len(spans))
+		if err != nil || len(index) != len(written) {
+			t.Fatalf("%v, %d index entries of %d", err, len(index), len(written))
 		}
-		from := 0
+		first := 0
 		for _, info := range index {
-			some, err := ReadBlock(bytes.NewReader(file), schema, info)
-			if err != nil || !reflect.DeepEqual(some, events[from:from+int(info.Count)]) {
-				t.Fatal(err, some)
+			blockEvents, err := ReadBlock(bytes.NewReader(file), schema, info)
+			if err != nil || !reflect.DeepEqual(blockEvents, events[first:first+int(info.Count)]) {
+				t.Fatal(err, blockEvents)
 			}
-			from += int(info.Count)
+			first += int(info.Count)
 		}
 	})
 }
 
 func TestTruncatedFileIsReadUpToItsEnd(t *testing.T) {
-	events := someEvents(12)
-	file, spans := write(t, events, 9)
+	events := makeEvents(12)
+	file, index := encodeFile(t, events, 9)
 	for size := range file {
 		complete := 0
-		for _, info := range spans {
+		for _, info := range index {
 			if info.Offset+int64(info.Length) <= int64(size) {
 				complete += int(info.Count)
 			}
 		}
-		got, faults, err := read(file[:size])
-		if int64(size) < spans[0].Offset {
+		got, corruptOffsets, err := decodeFile(file[:size])
+		if int64(size) < index[0].Offset {
 			if err == nil {
-				t.Fatalf("%d bytes, within the header: no error", size)
+				t.Fatalf("file cut to %d bytes, within the header: no error", size)
 			}
 			continue
 		}
-		if len(got) != complete || len(faults) > 0 || complete > 0 && !reflect.DeepEqual(got, events[:complete]) {
-			t.Fatalf("%d bytes: %d events of %d, faults %v, %v", size, len(got), complete, faults, err)
+		if len(got) != complete || len(corruptOffsets) > 0 || complete > 0 && !reflect.DeepEqual(got, events[:complete]) {
+			t.Fatalf("file cut to %d bytes: %d events of %d, corrupt blocks at %v, %v", size, len(got), complete, corruptOffsets, err)
 		}
 		if _, err := ReadIndex(bytes.NewReader(file[:size]), int64(size)); err == nil {
-			t.Fatalf("%d bytes: an index is found", size)
+			t.Fatalf("file cut to %d bytes: an index is found", size)
 		}
 	}
 }
 
 func TestCorruptByteLosesOneBlock(t *testing.T) {
-	events := someEvents(12)
-	file, spans := write(t, events, 9)
-	for i, info := range spans {
+	events := makeEvents(12)
+	file, index := encodeFile(t, events, 9)
+	for i, info := range index {
 		for at := info.Offset; at < info.Offset+int64(info.Length); at++ {
 			bad := bytes.Clone(file)
 			bad[at] ^= 0x10
-			got, faults, err := read(bad)
-			if len(faults) == 0 || faults[0] != info.Offset {
+			got, corruptOffsets, err := decodeFile(bad)
+			if len(corruptOffsets) == 0 || corruptOffsets[0] != info.Offset {
 				if errors.Is(err, ErrTruncated) && at < info.Offset+frameHeaderBytes {
-					continue // a wrong length includes the blocks that follow
+					continue // a wrong length includes the following blocks
 				}
-				t.Fatalf("block %d, byte %d: faults %v, %v", i, at-info.Offset, faults, err)
+				t.Fatalf("block %d, byte %d: corrupt blocks at %v, %v", i, at-info.Offset, corruptOffsets, err)
 			}
 			if at >= info.Offset+8 && len(got) != len(events)-int(info.Count) {
-				t.Fatalf("block %d, byte %d: %d events left", i, at-info.Offset, len(got))
+				t.Fatalf("block %d, byte %d: %d events read", i, at-info.Offset, len(got))
 			}
 		}
 	}
 }
 
 func TestNewerVersionAndForeignFileAreRejected(t *testing.T) {
-	file, _ := write(t, someEvents(1), 9)
+	file, _ := encodeFile(t, makeEvents(1), 9)
 	newer := bytes.Clone(file)
 	newer[len(fileMagic)] = 2
 	if _, err := NewReader(bytes.NewReader(newer)); !errors.Is(err, ErrNewerVersion) || !strings.Contains(err.Error(), "version 2") {
@@ -190,20 +190,20 @@
 
 func TestColumnWithoutPrivacyIsNotWritten(t *testing.T) {
 	if _, err := AppendHeader(nil, Header{Schema: Schema{{Name: "x", Columns: []Column{{Name: "y", Type: Text}}}}}); err == nil {
-		t.Error("a column without privacy is accepted")
+		t.Error("a column without a privacy class is accepted")
 	}
 	if _, err := AppendHeader(nil, Header{Schema: Schema{{Name: "x", Columns: []Column{{"y", Int, Identity}}}}}); err == nil {
-		t.Error("an identity that could not be replaced is accepted")
+		t.Error("an integer column that cannot be anonymized is accepted")
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	file, _ := write(f, someEvents(3), 4)
+	file, _ := encodeFile(f, makeEvents(3), 4)
 	f.Add(file)
 	f.Add(file[:len(file)-30])
 	f.Add([]byte(fileMagic))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		events, _, _ := read(b)
+		events, _, _ := decodeFile(b)
 		index, err := ReadIndex(bytes.NewReader(b), int64(len(b)))
 		for _, block := range index {
 			if err != nil || block.Offset < 0 || block.Offset+int64(block.Length) > int64(len(b)) {
@@ -219,21 +219,21 @@
 }
 
 func BenchmarkWrite(b *testing.B) {
-	events := someEvents(10000)
+	events := makeEvents(10000)
 	b.ReportAllocs()
 	for range b.N {
-		file, _ := write(b, events, 8192)
+		file, _ := encodeFile(b, events, 8192)
 		b.ReportMetric(float64(len(file))/float64(len(events)), "bytes/event")
 	}
 	b.ReportMetric(float64(len(events)*b.N)/b.Elapsed().Seconds(), "events/s")
 }
 
 func BenchmarkRead(b *testing.B) {
-	file, _ := write(b, someEvents(10000), 8192)
+	file, _ := encodeFile(b, makeEvents(10000), 8192)
 	b.ResetTimer()
 	n := 0
 	for range b.N {
-		events, _, _ := read(file)
+		events, _, _ := decodeFile(file)
 		n += len(events)
 	}
 	b.ReportMetric(float64(n)/b.Elapsed().Seconds(), "events/s")
--- a/internal/router/trace/format/frame.go
+++ b/internal/router/trace/format/frame.go
@@ -11,27 +11,27 @@
 )
 
 // Numbers are little-endian. A file begins with a prefix (fileMagic, the version,
-// the length of the header and its checksum) and ends with a trailer (the offset of
-// the index's frame and endMagic). Between them are frames: a mark, the length of
-// the payload, its checksum and the payload.
+// the length of the header and its checksum) and the header, and ends with a trailer
+// (the offset of the index's frame and endMagic). Between them are frames, each of
+// which consists of a magic, the length of the payload, its checksum and the payload.
 const (
-	fileMagic = "FPTRACE\n"
-	endMagic  = "FPTEND\r\n"
-	blockMark = "FPBK"
-	indexMark = "FPIX"
+	fileMagic  = "FPTRACE\n"
+	endMagic   = "FPTEND\r\n"
+	blockMagic = "FPBK"
+	indexMagic = "FPIX"
 
-	markBytes     = 4
-	lengthBytes   = 4
-	checksumBytes = 8
-	versionBytes  = 4
-	offsetBytes   = 8
+	frameMagicBytes = 4
+	lengthBytes     = 4
+	checksumBytes   = 8
+	versionBytes    = 4
+	offsetBytes     = 8
 
 	prefixBytes      = len(fileMagic) + versionBytes + lengthBytes + checksumBytes
-	frameHeaderBytes = markBytes + lengthBytes + checksumBytes
+	frameHeaderBytes = frameMagicBytes + lengthBytes + checksumBytes
 	trailerBytes     = offsetBytes + len(endMagic)
 )
 
-// AppendHeader appends the beginning of a file.
+// AppendHeader appends the prefix and the header of a file to buffer.
 func AppendHeader(buffer []byte, header Header) ([]byte, error) {
 	if err := header.Schema.Validate(); err != nil {
 		return buffer, err
@@ -41,7 +41,7 @@
 		return buffer, err
 	}
 	if len(body) > MaxHeaderBytes {
-		return buffer, fmt.Errorf("a header of %d bytes, over %d", len(body), MaxHeaderBytes)
+		return buffer, fmt.Errorf("header is %d bytes long; the limit is %d", len(body), MaxHeaderBytes)
 	}
 	buffer = append(buffer, fileMagic...)
 	buffer = binary.LittleEndian.AppendUint32(buffer, Version)
@@ -50,36 +50,38 @@
 	return append(buffer, body...), nil
 }
 
-// AppendIndex appends the end of a file, which will be at an offset.
+// AppendIndex appends the index and the trailer of a file to buffer. offset is the file offset
+// at which the index will be written.
 func AppendIndex(buffer []byte, index []BlockInfo, offset int64) ([]byte, error) {
 	payload, err := encoder.Marshal(index)
 	if err != nil {
 		return buffer, err
 	}
 	if len(payload) > MaxIndexBytes {
-		return buffer, fmt.Errorf("an index of %d bytes, over %d", len(payload), MaxIndexBytes)
+		return buffer, fmt.Errorf("index is %d bytes long; the limit is %d", len(payload), MaxIndexBytes)
 	}
-	buffer = appendFrame(buffer, indexMark, payload)
+	buffer = appendFrame(buffer, indexMagic, payload)
 	buffer = binary.LittleEndian.AppendUint64(buffer, uint64(offset))
 	return append(buffer, endMagic...), nil
 }
 
-func appendFrame(buffer []byte, mark string, payload []byte) []byte {
-	buffer = append(buffer, mark...)
+func appendFrame(buffer []byte, magic string, payload []byte) []byte {
+	buffer = append(buffer, magic...)
 	buffer = binary.LittleEndian.AppendUint32(buffer, uint32(len(payload)))
 	buffer = binary.LittleEndian.AppendUint64(buffer, xxhash.Sum64(payload))
 	return append(buffer, payload...)
 }
 
-// frame is a frame that was read.
+// frame is a decoded frame.
 type frame struct {
-	mark    string
+	magic   string
 	payload []byte
 }
 
-// readFrame reads a frame. The error is io.EOF if there is none, ErrTruncated if
-// it is incomplete and ErrCorrupt if it is wrong; in that case the payload is set
-// if its length is right, and the reader is at the next frame.
+// readFrame reads a frame whose payload has at most maxBytes. The error is io.EOF at the
+// end of the input, and wraps ErrTruncated if the frame is incomplete and ErrCorrupt if it
+// is invalid. A payload beside ErrCorrupt means that the length was valid and only the
+// checksum did not match, so that input is at the next frame.
 func readFrame(input io.Reader, maxBytes int) (frame, error) {
 	var header [frameHeaderBytes]byte
 	n, err := io.ReadFull(input, header[:])
@@ -87,28 +89,28 @@
 		return frame{}, io.EOF
 	}
 	if err != nil {
-		return frame{}, fmt.Errorf("%w: %d of %d bytes of a frame's head", ErrTruncated, n, frameHeaderBytes)
+		return frame{}, fmt.Errorf("%w: read %d of %d bytes of a frame header", ErrTruncated, n, frameHeaderBytes)
 	}
-	mark := string(header[:markBytes])
-	size := binary.LittleEndian.Uint32(header[markBytes:])
-	checksum := binary.LittleEndian.Uint64(header[markBytes+lengthBytes:])
-	switch mark {
-	case blockMark:
-	case indexMark:
+	magic := string(header[:frameMagicBytes])
+	size := binary.LittleEndian.Uint32(header[frameMagicBytes:])
+	checksum := binary.LittleEndian.Uint64(header[frameMagicBytes+lengthBytes:])
+	switch magic {
+	case blockMagic:
+	case indexMagic:
 		maxBytes = MaxIndexBytes
 	default:
-		return frame{}, fmt.Errorf("%w: neither a block nor an index", ErrCorrupt)
+		return frame{}, fmt.Errorf("%w: frame is neither a block nor an index", ErrCorrupt)
 	}
 	if int64(size) > int64(maxBytes) {
-		return frame{}, fmt.Errorf("%w: a length of %d, over %d", ErrCorrupt, size, maxBytes)
+		return frame{}, fmt.Errorf("%w: frame payload is %d bytes long; the limit is %d", ErrCorrupt, size, maxBytes)
 	}
-	var payload bytes.Buffer // grows with what is read, not with what the length claims
+	var payload bytes.Buffer // grows as data is read, since the length is not trusted
 	read, err := io.CopyN(&payload, input, int64(size))
 	if err != nil {
-		return frame{}, fmt.Errorf("%w: %d of %d bytes of a frame", ErrTruncated, read, size)
+		return frame{}, fmt.Errorf("%w: read %d of %d bytes of a frame payload", ErrTruncated, read, size)
 	}
 	if xxhash.Sum64(payload.Bytes()) != checksum {
 		err = ErrCorrupt
 	}
-	return frame{mark, payload.Bytes()}, err
+	return frame{magic, payload.Bytes()}, err
 }
--- a/internal/router/trace/record/actions.go
+++ b/internal/router/trace/record/actions.go
@@ -2,13 +2,11 @@
 
 import "ferrypitch/policy"
 
-// The methods in this file record the calls of the methods of policy.Caller: Throttle
-// records RejectRetryable, Close CloseIdleConns, Forget ReleaseHost, Watch RequestHostList,
-// Tell Broadcast and Wake ScheduleWakeUp.
+// The methods in this file record the calls of policy.Caller's methods, whose names they have.
 
-// Dispatch records that a command is sent to a host, and with candidates the hosts
-// that it could have been sent to.
-func (r *Recorder) Dispatch(command *policy.Command, node *policy.Host, timeout policy.TenthMs) {
+// Dispatch records that a command is dispatched to a host, preceded, if candidates are
+// recorded, by the hosts that the module could have chosen.
+func (r *Recorder) Dispatch(command *policy.Command, host *policy.Host, timeout policy.TenthMs) {
 	if r == nil {
 		return
 	}
@@ -16,22 +14,22 @@
 	if number == 0 {
 		return
 	}
-	if r.withCandidates {
-		command.VisitMembers(func(member *policy.Host, seen policy.MemberState) {
-			r.addNumbers(Candidate, number, r.hosts[member], int64(seen.ListState), int64(seen.Role), seen.Position,
-				int64(seen.InFlight), int64(seen.LatencyRatio*thousandths), int64(seen.Share*thousandths), seen.Flags)
+	if r.recordCandidates {
+		command.VisitMembers(func(member *policy.Host, state policy.MemberState) {
+			r.addNumbers(Candidate, number, r.hosts[member], int64(state.ListState), int64(state.Role), state.Position,
+				int64(state.InFlight), int64(state.LatencyRatio*thousandths), int64(state.Share*thousandths), state.Flags)
 		})
 	}
-	r.addNumbers(Dispatch, number, r.hosts[node], timeout, command.SendBy, command.NeededPosition(), int64(command.Work()*thousandths))
+	r.addNumbers(Dispatch, number, r.hosts[host], timeout, command.SendBy, command.NeededPosition(), int64(command.Work()*thousandths))
 }
 
-// Throttle records that a command is rejected, and when its client may retry.
-func (r *Recorder) Throttle(command *policy.Command, comeback policy.TenthMs) {
+// Throttle records that a command is rejected and after which delay its client may retry.
+func (r *Recorder) Throttle(command *policy.Command, retryAfter policy.TenthMs) {
 	if r == nil {
 		return
 	}
 	if number := r.commandNumber(command); number != 0 {
-		r.addNumbers(Throttle, number, comeback)
+		r.addNumbers(RejectRetryable, number, retryAfter)
 	}
 }
 
@@ -45,45 +43,45 @@
 	}
 }
 
-// Probe records that a host is to be probed.
-func (r *Recorder) Probe(node *policy.Host) {
+// Probe records that the module requested a probe of a host.
+func (r *Recorder) Probe(host *policy.Host) {
 	if r != nil {
-		r.addNumbers(Probe, r.hosts[node])
+		r.addNumbers(Probe, r.hosts[host])
 	}
 }
 
-// Close records that the idle connections of a host are to be closed.
-func (r *Recorder) Close(node *policy.Host) {
+// Close records that the module closed the idle connections to a host.
+func (r *Recorder) Close(host *policy.Host) {
 	if r != nil {
-		r.addNumbers(Close, r.hosts[node])
+		r.addNumbers(CloseIdleConns, r.hosts[host])
 	}
 }
 
-// Forget records that the module has forgotten a host.
-func (r *Recorder) Forget(node *policy.Host) {
+// Forget records that the module released a host, and removes the host's handle.
+func (r *Recorder) Forget(host *policy.Host) {
 	if r != nil {
-		r.addNumbers(Forget, r.hosts[node])
-		delete(r.hosts, node)
+		r.addNumbers(ReleaseHost, r.hosts[host])
+		delete(r.hosts, host)
 	}
 }
 
 // Tell records a message to the other routers.
 func (r *Recorder) Tell(body string) {
 	if r != nil {
-		r.addEvent(Tell, nil, []string{body})
+		r.addEvent(Broadcast, nil, []string{body})
 	}
 }
 
-// Wake records that the module is to be called after a time.
+// Wake records that the module scheduled a wake-up.
 func (r *Recorder) Wake(after policy.TenthMs) {
 	if r != nil {
-		r.addNumbers(Wake, after)
+		r.addNumbers(ScheduleWakeUp, after)
 	}
 }
 
-// Watch records that the module asked for a list.
+// Watch records that the module requested the host list.
 func (r *Recorder) Watch() {
 	if r != nil {
-		r.addNumbers(Watch)
+		r.addNumbers(RequestHostList)
 	}
 }
--- a/internal/router/trace/record/calls.go
+++ b/internal/router/trace/record/calls.go
@@ -6,46 +6,47 @@
 	"ferrypitch/policy"
 )
 
-// The methods in this file record calls into the decision module, and are named for
-// the methods of policy that they stand for. Each is called before the call itself,
-// except for Host, which needs the handle that the module returns.
+// The methods in this file record calls into the decision module. Each is called before the
+// call that it records, except for Host, which requires the handle that the module returns.
 
-// Host records that a host was introduced.
-func (r *Recorder) Host(node *policy.Host, set int64) {
+// Host records that a host was added.
+func (r *Recorder) Host(host *policy.Host, set int64) {
 	if r == nil {
 		return
 	}
 	r.lastHost++
-	r.hosts[node] = r.lastHost
-	r.addEvent(Host, []int64{r.lastHost, set}, []string{node.Name})
+	r.hosts[host] = r.lastHost
+	r.addEvent(AddHost, []int64{r.lastHost, set}, []string{host.Name})
 }
 
-// Listed records what discovery lists of a host.
-func (r *Recorder) Listed(node *policy.Host, standing policy.ListState, leader bool, zone, model string, size float64, boot policy.TenthMs) {
+// Listed records a host's entry in the host list.
+func (r *Recorder) Listed(
+	host *policy.Host, state policy.ListState, isPrimary bool, zone, model string, size float64, bootedAt policy.TenthMs,
+) {
 	if r != nil {
 		sizeBits := int64(math.Float64bits(size))
-		r.addEvent(Listed, []int64{r.hosts[node], int64(standing), flag(leader), sizeBits, boot}, []string{zone, model})
+		r.addEvent(UpdateListing, []int64{r.hosts[host], int64(state), flag(isPrimary), sizeBits, bootedAt}, []string{zone, model})
 	}
 }
 
-// ListDone records the end of a list.
-func (r *Recorder) ListDone(whole bool) {
+// ListDone records the end of a host list, and whether the list was complete.
+func (r *Recorder) ListDone(complete bool) {
 	if r != nil {
-		r.addNumbers(ListDone, flag(whole))
+		r.addNumbers(EndList, flag(complete))
 	}
 }
 
-// Unlisted records that the list was refused, or that its watch ended.
+// Unlisted records that a request for the host list was refused, or that the subscription to it ended.
 func (r *Recorder) Unlisted() {
 	if r != nil {
-		r.addNumbers(Unlisted)
+		r.addNumbers(ListUnavailable)
 	}
 }
 
-// Take records a new command, before the module's Take; Taken must be called with
-// the handle that it returns. What the module asks for in between belongs to the
-// new command, whose handle the recorder does not know yet.
-func (r *Recorder) Take(id string, group int, set int64, session string, timeout, since policy.TenthMs, again bool) {
+// Take records a new command, before the call of the module's Submit; Taken must be called
+// with the handle that Submit returns. Until then, actions of the module for an unknown
+// handle are recorded as actions for the new command.
+func (r *Recorder) Take(id string, group int, set int64, session string, timeout, sinceWrite policy.TenthMs, isRetry bool) {
 	if r == nil {
 		return
 	}
@@ -55,10 +56,10 @@
 	}
 	r.lastCommand++
 	r.pendingCommand = r.lastCommand
-	r.addEvent(Take, []int64{r.pendingCommand, int64(group), set, timeout, since, flag(again)}, []string{id, session})
+	r.addEvent(Submit, []int64{r.pendingCommand, int64(group), set, timeout, sinceWrite, flag(isRetry)}, []string{id, session})
 }
 
-// Taken assigns the handle of the command of the last Take. It records no event.
+// Taken assigns a handle to the command of the last Take. It records no event.
 func (r *Recorder) Taken(command *policy.Command) {
 	if r == nil {
 		return
@@ -69,81 +70,82 @@
 	r.pendingCommand = 0
 }
 
-// Ended records the outcome of a dispatch. over says that the
-// command has had its final answer.
-func (r *Recorder) Ended(command *policy.Command, outcome policy.Outcome, position policy.TenthMs, role policy.Role, took policy.TenthMs, over bool) {
+// Ended records the outcome of a dispatch. finished means that the command needs no further answer.
+func (r *Recorder) Ended(
+	command *policy.Command, outcome policy.Outcome, position policy.TenthMs, role policy.Role, latency policy.TenthMs, finished bool,
+) {
 	if r == nil {
 		return
 	}
 	if number := r.commandNumber(command); number != 0 {
-		r.addNumbers(Ended, number, int64(outcome), position, int64(role), took, flag(over))
+		r.addNumbers(EndDispatch, number, int64(outcome), position, int64(role), latency, flag(finished))
 	}
 }
 
-// Settled forgets a command for which nothing more comes. It records no event.
+// Settled removes the handle of a command that has no further events. It records no event.
 func (r *Recorder) Settled(command *policy.Command) {
 	if r != nil {
 		delete(r.commands, command)
 	}
 }
 
-// Left records that the client of a command has disconnected.
+// Left records that the client of a command disconnected.
 func (r *Recorder) Left(command *policy.Command) {
 	if r == nil {
 		return
 	}
 	if number := r.commandNumber(command); number != 0 {
-		r.addNumbers(Left, number)
+		r.addNumbers(Abandon, number)
 	}
 }
 
-// Reported records the position and role that a host reported.
-func (r *Recorder) Reported(node *policy.Host, position policy.TenthMs, role policy.Role) {
+// Reported records the position and role in a host's load report.
+func (r *Recorder) Reported(host *policy.Host, position policy.TenthMs, role policy.Role) {
 	if r != nil {
-		r.addNumbers(Reported, r.hosts[node], position, int64(role))
+		r.addNumbers(ReportLoad, r.hosts[host], position, int64(role))
 	}
 }
 
-// Probed records the end of a probe.
-func (r *Recorder) Probed(node *policy.Host, ok bool) {
+// Probed records the result of a probe.
+func (r *Recorder) Probed(host *policy.Host, ok bool) {
 	if r != nil {
-		r.addNumbers(Probed, r.hosts[node], flag(ok))
+		r.addNumbers(EndProbe, r.hosts[host], flag(ok))
 	}
 }
 
-// Heard records a message of another router.
+// Heard records a message from another router.
 func (r *Recorder) Heard(body string) {
 	if r != nil {
-		r.addEvent(Heard, nil, []string{body})
+		r.addEvent(ReceivePeerUpdate, nil, []string{body})
 	}
 }
 
-// Woke records that a time that the module asked for by Wake has come.
+// Woke records a wake-up that the module had scheduled.
 func (r *Recorder) Woke() {
 	if r != nil {
-		r.addNumbers(Woke)
+		r.addNumbers(WakeUp)
 	}
 }
 
-// Told records what planners state of a host.
-func (r *Recorder) Told(node *policy.Host, position policy.TenthMs, role policy.Role, rolePosition, lateness policy.TenthMs) {
+// Told records a planner's update about a host. roleAt is the position at which the role was stated.
+func (r *Recorder) Told(host *policy.Host, position policy.TenthMs, role policy.Role, roleAt, latency policy.TenthMs) {
 	if r != nil {
-		r.addNumbers(Told, r.hosts[node], position, int64(role), rolePosition, lateness)
+		r.addNumbers(ApplyPlannerUpdate, r.hosts[host], position, int64(role), roleAt, latency)
 	}
 }
 
-// Count records how many routers share the hosts, and whether no planner is current.
-func (r *Recorder) Count(routers int, blind bool) {
+// Count records the number of routers that share the hosts, and whether no planner is current.
+func (r *Recorder) Count(routers int, noPlanner bool) {
 	if r != nil {
-		r.addNumbers(Count, int64(routers), flag(blind))
+		r.addNumbers(SetRouterCount, int64(routers), flag(noPlanner))
 	}
 }
 
-// Anew records that another module has replaced one that panicked. The hosts are
-// introduced again after it.
+// Anew records that a new module replaced one that panicked. The hosts are added again
+// afterwards.
 func (r *Recorder) Anew() {
 	if r != nil {
 		clear(r.commands)
-		r.addNumbers(Anew)
+		r.addNumbers(ReplaceModule)
 	}
 }
--- a/internal/router/trace/record/plan.go
+++ b/internal/router/trace/record/plan.go
@@ -6,18 +6,18 @@
 	"ferrypitch/policy"
 )
 
-// Planner records one planner: the lists, probes and reports that come in, and the
-// changes that go out. It is not safe for concurrent use; the planner's owner calls
+// Planner records the events of one planner: lists, probes and reports that it receives,
+// and changes that it sends. It is not safe for concurrent use; the planner's owner calls
 // it. A nil Planner records nothing.
 type Planner struct{ recorder *Recorder }
 
-// NewPlanner returns a recorder of blocks of about blockBytes.
+// NewPlanner returns a recorder that fills blocks up to about blockBytes.
 func NewPlanner(sink Sink, blockBytes int) *Planner {
 	return &Planner{New(sink, blockBytes, allSessions, [32]byte{}, false)}
 }
 
 // SetTime sets the time of the events that follow. system is the reading of the
-// system's clock at that time, in tenths of a millisecond of Unix time.
+// system clock at that time, in tenths of a millisecond of Unix time.
 func (p *Planner) SetTime(now policy.TenthMs, system int64) {
 	if p != nil {
 		p.recorder.SetTime(now)
@@ -25,36 +25,36 @@
 	}
 }
 
-// Flush passes the events gathered so far to the sink.
+// Flush passes the buffered events to the sink. If the sink does not accept them, they are lost.
 func (p *Planner) Flush() {
 	if p != nil {
 		p.recorder.Flush()
 	}
 }
 
-// List records a list of discovery, and whether it was applied.
-func (p *Planner) List(revision int64, whole bool, entries int, applied bool) {
+// List records a host list received from discovery, and whether it was applied.
+func (p *Planner) List(revision int64, complete bool, entries int, applied bool) {
 	if p != nil {
-		p.recorder.addNumbers(PlanList, revision, flag(whole), int64(entries), flag(applied))
+		p.recorder.addNumbers(PlanList, revision, flag(complete), int64(entries), flag(applied))
 	}
 }
 
-// Probe records that a host is probed.
+// Probe records the start of a probe of a host.
 func (p *Planner) Probe(name string) {
 	if p != nil {
 		p.recorder.addEvent(PlanProbe, nil, []string{name})
 	}
 }
 
-// Probed records the end of a probe. position is -1 if the response named none.
-func (p *Planner) Probed(name string, ok bool, position policy.TenthMs, role policy.Role, took policy.TenthMs) {
+// Probed records the result of a probe. position is -1 if the response stated none.
+func (p *Planner) Probed(name string, ok bool, position policy.TenthMs, role policy.Role, latency policy.TenthMs) {
 	if p != nil {
-		p.recorder.addEvent(PlanProbed, []int64{flag(ok), position, int64(role), took}, []string{name})
+		p.recorder.addEvent(PlanEndProbe, []int64{flag(ok), position, int64(role), latency}, []string{name})
 	}
 }
 
-// Change records a change that is sent to links, to fullViews of them as the full
-// view. A change that says nothing new is not recorded.
+// Change records a change that is sent to a number of links, of which fullViews receive
+// the full view instead. An empty change that no link receives as a full view is not recorded.
 func (p *Planner) Change(change *view.Change, fullViews, links int) {
 	if p == nil || len(change.Hosts)+len(change.Removed)+fullViews == 0 {
 		return
@@ -63,7 +63,7 @@
 		int64(change.RouterCount), change.ReportInterval, int64(fullViews), int64(links))
 }
 
-// Report records a report of a forwarder, as the sums over its hosts.
+// Report records a report from a forwarder, as sums over its hosts.
 func (p *Planner) Report(forwarder string, report link.Report) {
 	if p == nil {
 		return
@@ -76,7 +76,7 @@
 	p.recorder.addEvent(PlanReport, []int64{int64(len(report.Observations)), responses, coldWork}, []string{forwarder})
 }
 
-// Forwarder records that a link is open, or that it has ended and why.
+// Forwarder records that a forwarder's link was opened, or that it ended and why.
 func (p *Planner) Forwarder(name string, incarnation uint64, open bool, reason string) {
 	if p != nil {
 		p.recorder.addEvent(PlanForwarder, []int64{flag(open), int64(incarnation)}, []string{name, reason})
--- a/internal/router/trace/record/record.go
+++ b/internal/router/trace/record/record.go
@@ -1,15 +1,15 @@
-// Package record turns the calls into the decision module, and what the module
-// asks for, into the events of a trace, in the module's own order. With the
-// deployment in the header that is enough to drive the module again; package
-// replay does.
+// Package record records the calls into the decision module (policy.Router) and the
+// module's calls of policy.Caller as the events of a trace, in the order in which they
+// happen. With the deployment in the trace's header, the events suffice for package
+// replay to run the module again.
 //
-// Events go from the owner of the module into columns of a block in memory, and
-// full blocks into a Sink, which is the queue of a file writer:
+// The owner of the module adds events to a block in memory. Full blocks go to a Sink,
+// which is the queue of a file writer:
 //
 //	routing -> Recorder (format.Block) -> Sink (file.Writer) -> files
 //
-// Recording never waits. If the Sink has no empty block, events are lost, and the
-// next block says how many were.
+// Recording never blocks. If the Sink has no empty block, events are lost, and the next
+// block states their number.
 package record
 
 import (
@@ -20,67 +20,68 @@
 )
 
 const (
-	// allSessions is a sample of every session, in thousandths.
+	// allSessions is the sampling rate at which every session is recorded, in thousandths.
 	allSessions = 1000
-	// clockInterval is the least time between two readings of the system's clock, in tenths of a millisecond.
+	// clockInterval is the minimum interval between two recorded readings of the system clock, in tenths of a millisecond.
 	clockInterval = 10000
-	// thousandths is the unit of work, lateness and shares in events.
+	// thousandths is the scale of work, latency ratios and shares in events.
 	thousandths = 1000
 )
 
-// notSampled is the pending command of a session that is not recorded.
+// notSampled is the value of Recorder.pendingCommand for a command whose session is not recorded.
 const notSampled = -1
 
-// Sink accepts full blocks and supplies empty ones. Neither method waits.
+// Sink accepts full blocks and supplies empty ones. Neither method blocks.
 type Sink interface {
-	// Put takes a block and returns true, or leaves it to the caller.
+	// Put takes a block and returns true, or returns false and the caller keeps the block.
 	Put(block *format.Block) bool
 	// Get returns an empty block, or nil if there is none.
 	Get() *format.Block
 }
 
-// Recorder records one router. It is not safe for concurrent use; the owner of the
-// decision module calls it. A nil Recorder records nothing.
+// Recorder records the events of one router. It is not safe for concurrent use; the owner of
+// the decision module calls it. A nil Recorder records nothing.
 type Recorder struct {
 	sink           Sink
-	block          *format.Block // nil while the sink has none
-	blockBytes     int
-	unreportedLost uint64 // events lost that no block says yet
-
-	sampledPerMille uint32
-	key             [32]byte // of the choice of sessions
-	withCandidates  bool
-
-	now            int64
-	nextClockAt    int64
-	hosts          map[*policy.Host]int64
-	commands       map[*policy.Command]int64
-	lastHost       int64 // number
-	lastCommand    int64 // number
-	pendingCommand int64 // that Take was called for and whose handle is not known yet; 0: none
+	block          *format.Block // nil until the sink supplies one
+	blockBytes     int           // size at which a block is passed to the sink
+	unreportedLost uint64        // lost events that no block states yet
+
+	sampledPerMille  uint32
+	samplingKey      [32]byte // keys the hash by which sessions are sampled
+	recordCandidates bool
+
+	now            int64                     // time of the events that follow
+	nextClockAt    int64                     // earliest time of the next Clock event
+	hosts          map[*policy.Host]int64    // number in the trace
+	commands       map[*policy.Command]int64 // number in the trace
+	lastHost       int64                     // number of the newest host
+	lastCommand    int64                     // number of the newest command
+	pendingCommand int64                     // number of the command in Submit, whose handle is not known yet; 0: none
 
 	RecordedEvents, LostEvents uint64
 }
 
-// New returns a recorder of blocks of about blockBytes. sampledPerMille is how many
-// sessions in a thousand are recorded, chosen by a hash with a key; a replay needs
-// all 1000. withCandidates records the hosts that each dispatch could choose too.
-func New(sink Sink, blockBytes int, sampledPerMille uint32, key [32]byte, withCandidates bool) *Recorder {
+// New returns a recorder that fills blocks up to about blockBytes. sampledPerMille is the
+// number of sessions in 1000 that are recorded, selected by a hash keyed with samplingKey; a
+// replay requires all 1000. With recordCandidates, each dispatch is preceded by an event for
+// every host that it could have chosen.
+func New(sink Sink, blockBytes int, sampledPerMille uint32, samplingKey [32]byte, recordCandidates bool) *Recorder {
 	return &Recorder{
-		sink: sink, blockBytes: blockBytes, sampledPerMille: sampledPerMille, key: key, withCandidates: withCandidates,
+		sink: sink, blockBytes: blockBytes, sampledPerMille: sampledPerMille, samplingKey: samplingKey, recordCandidates: recordCandidates,
 		hosts: map[*policy.Host]int64{}, commands: map[*policy.Command]int64{},
 	}
 }
 
-// SetTime sets the time of the events that follow, as the module was told it.
+// SetTime sets the time of the events that follow. It must be the time that the module was given.
 func (r *Recorder) SetTime(now policy.TenthMs) {
 	if r != nil {
 		r.now = now
 	}
 }
 
-// SystemClock records a reading of the system's clock, in tenths of a millisecond of
-// Unix time, if the last one recorded is a second old.
+// SystemClock records a reading of the system clock, in tenths of a millisecond of Unix
+// time, if the last recorded one is at least a second old.
 func (r *Recorder) SystemClock(reading int64) {
 	if r != nil && r.now >= r.nextClockAt {
 		r.nextClockAt = r.now + clockInterval
@@ -88,7 +89,7 @@
 	}
 }
 
-// Flush passes the events gathered so far to the sink.
+// Flush passes the buffered events to the sink. If the sink does not accept them, they are lost.
 func (r *Recorder) Flush() {
 	if r == nil || r.block == nil || r.block.Len() == 0 {
 		return
@@ -104,7 +105,7 @@
 	r.unreportedLost = 0
 }
 
-// addNumbers adds an event without texts.
+// addNumbers adds an event of a kind without text columns.
 func (r *Recorder) addNumbers(kind int, numbers ...int64) { r.addEvent(kind, numbers, nil) }
 
 func (r *Recorder) addEvent(kind int, numbers []int64, texts []string) {
@@ -120,7 +121,7 @@
 	}
 }
 
-// takeBlock takes an empty block from the sink, if there is one, and notes in it the events lost before.
+// takeBlock takes an empty block from the sink, if there is one, and states in it the number of events lost before.
 func (r *Recorder) takeBlock() bool {
 	r.block = r.sink.Get()
 	if r.block == nil {
@@ -131,14 +132,14 @@
 	return true
 }
 
-// isSampled reports whether a session is recorded. The first bytes of its keyed hash decide.
+// isSampled reports whether a session is recorded, as determined by the first bytes of its keyed hash.
 func (r *Recorder) isSampled(session string) bool {
 	if r.sampledPerMille >= allSessions {
 		return true
 	}
-	hasher, err := blake3.NewKeyed(r.key[:])
+	hasher, err := blake3.NewKeyed(r.samplingKey[:])
 	if err != nil {
-		panic(err) // only for a key of another size than its type has
+		panic(err) // cannot happen: the key has the required length
 	}
 	hasher.WriteString(session)
 	sum := hasher.Sum(nil)
@@ -146,7 +147,7 @@
 	return number%allSessions < r.sampledPerMille
 }
 
-// commandNumber returns the number of a command; 0 if it is not recorded.
+// commandNumber returns the number of a command in the trace, or 0 if the command is not recorded.
 func (r *Recorder) commandNumber(command *policy.Command) int64 {
 	if number, known := r.commands[command]; known {
 		return number
--- a/internal/router/trace/record/record_test.go
+++ b/internal/router/trace/record/record_test.go
@@ -7,7 +7,7 @@
 	"ferrypitch/internal/router/trace/format"
 )
 
-// memorySink gives and accepts blocks while it is open.
+// memorySink is a Sink that supplies and accepts blocks unless it is closed.
 type memorySink struct {
 	closed bool
 	file   []byte
@@ -39,13 +39,13 @@
 	recorder := New(sink, 1<<20, allSessions, [32]byte{}, false)
 	recorder.Woke()
 	sink.closed = true
-	recorder.Flush() // the block is not accepted: one event is lost
+	recorder.Flush() // the sink does not accept the block: one event is lost
 	recorder.Woke()
 	sink.closed = false
 	recorder.Flush()
 	sink.closed = true
 	recorder.Woke()
-	recorder.Woke() // there is no block: two events are lost
+	recorder.Woke() // the sink supplies no block: two events are lost
 	sink.closed = false
 	recorder.Woke()
 	recorder.Flush()
@@ -59,31 +59,31 @@
 
 func TestSampleIsChosenBySessionAndKey(t *testing.T) {
 	const sessions, perMille = 5000, 200
-	chosen := map[byte]map[string]bool{}
+	sampled := map[byte]map[string]bool{}
 	for _, key := range []byte{1, 2} {
 		recorder := New(&memorySink{}, 1<<20, perMille, [32]byte{key}, false)
-		chosen[key] = map[string]bool{}
+		sampled[key] = map[string]bool{}
 		for i := range sessions {
 			session := fmt.Sprint("session-", i)
 			if recorder.isSampled(session) {
-				chosen[key][session] = true
+				sampled[key][session] = true
 			}
-			if recorder.isSampled(session) != chosen[key][session] {
-				t.Fatalf("%s is in the sample once and not again", session)
+			if recorder.isSampled(session) != sampled[key][session] {
+				t.Fatalf("%s is sampled once and not the second time", session)
 			}
 		}
-		if n := len(chosen[key]); n < 900 || n > 1100 {
-			t.Errorf("%d of %d sessions in a sample of %d per mille", n, sessions, perMille)
+		if n := len(sampled[key]); n < 900 || n > 1100 {
+			t.Errorf("%d of %d sessions sampled at %d per mille", n, sessions, perMille)
 		}
 	}
 	both := 0
-	for session := range chosen[1] {
-		if chosen[2][session] {
+	for session := range sampled[1] {
+		if sampled[2][session] {
 			both++
 		}
 	}
 	if both > 300 {
-		t.Errorf("%d sessions are in the samples of both keys", both)
+		t.Errorf("%d sessions are sampled with both keys", both)
 	}
 }
 
--- a/internal/router/trace/record/router.go
+++ b/internal/router/trace/record/router.go
@@ -2,34 +2,34 @@
 
 import "ferrypitch/policy"
 
-// The methods in this file record what happens in a router beside its decision
-// module. A replay does not use them.
+// The methods in this file record events in a router outside its decision module. A replay
+// does not use them.
 
-// List records a list that came from discovery.
-func (r *Recorder) List(revision int64, whole bool, entries int) {
+// List records a host list received from discovery.
+func (r *Recorder) List(revision int64, complete bool, entries int) {
 	if r != nil {
-		r.addNumbers(List, revision, flag(whole), int64(entries))
+		r.addNumbers(List, revision, flag(complete), int64(entries))
 	}
 }
 
-// Stall records for how long the owner of the module did not run.
+// Stall records that the owner of the module did not run for a duration.
 func (r *Recorder) Stall(duration policy.TenthMs) {
 	if r != nil {
 		r.addNumbers(Stall, duration)
 	}
 }
 
-// Reload records whether a new configuration could be read.
+// Reload records a reload of the configuration and whether it succeeded.
 func (r *Recorder) Reload(ok bool) {
 	if r != nil {
 		r.addNumbers(Reload, flag(ok))
 	}
 }
 
-// View records a change of the view that planners send: the numbers of changed and
-// removed hosts, of routers, and whether no planner is current.
-func (r *Recorder) View(hosts, dropped, routers int, blind bool) {
+// View records a change of the view that planners send: the numbers of changed hosts,
+// removed hosts and routers, and whether no planner is current.
+func (r *Recorder) View(hosts, removed, routers int, noPlanner bool) {
 	if r != nil {
-		r.addNumbers(View, int64(hosts), int64(dropped), int64(routers), flag(blind))
+		r.addNumbers(View, int64(hosts), int64(removed), int64(routers), flag(noPlanner))
 	}
 }
--- a/internal/router/trace/record/schema.go
+++ b/internal/router/trace/record/schema.go
@@ -2,109 +2,110 @@
 
 import "ferrypitch/internal/router/trace/format"
 
-// Kinds of events, by their index in Schema. The indices are stored in files: new
-// kinds go to the end.
+// Kinds of events, as indices in Schema. The indices are stored in files, so new kinds
+// must be added at the end. Constants for calls have the names of the methods that they
+// stand for; the names of the kinds in Schema differ, since those are stored names.
 const (
-	// Calls into the decision module, named for the methods of policy.
-	Host = iota
-	Listed
-	ListDone
-	Take
-	Ended
-	Left
-	Reported
-	Probed
-	Heard
-	Woke
-	Told
-	Count
-	Anew // another module replaced one that panicked
+	// Calls into the decision module: methods of policy.Router, Host and Command.
+	AddHost = iota
+	UpdateListing
+	EndList
+	Submit
+	EndDispatch
+	Abandon
+	ReportLoad
+	EndProbe
+	ReceivePeerUpdate
+	WakeUp
+	ApplyPlannerUpdate
+	SetRouterCount
+	ReplaceModule // not a method: a new module replaced one that panicked
 
-	// What the module asked for: calls of policy.Caller, under their stored names.
+	// Calls by the module: methods of policy.Caller.
 	Dispatch
-	Throttle
+	RejectRetryable
 	Fail
 	Probe
-	Close
-	Forget
-	Tell
-	Wake
+	CloseIdleConns
+	ReleaseHost
+	Broadcast
+	ScheduleWakeUp
 
-	// What happened in the router beside the module.
-	Candidate // one host that the next Dispatch could choose
+	// Other events in a router, which a replay does not use, except that it compares Candidate.
+	Candidate // a host that the next Dispatch could choose
 	List
 	Stall
 	Reload
 	Clock
 	View
 
-	// What happened in a planner.
+	// Events in a planner.
 	PlanList
 	PlanProbe
-	PlanProbed
+	PlanEndProbe
 	PlanChange
 	PlanReport
 	PlanForwarder
 
-	// Added later.
-	Unlisted // a call into the module
-	Watch    // the module asked for it
+	// Calls into and by the module that later versions of the schema added.
+	ListUnavailable // a call into the module
+	RequestHostList // a call by the module
 )
 
-// Schema is the schema of all files that are written here. Commands and hosts are
-// numbered. Times and durations are in tenths of a millisecond, sizes are the bits
-// of a float64, work, lateness and shares are in thousandths. Its names are stored
-// in files and printed by tools: they never change.
+// Schema is the schema of recorded traces. Commands and hosts are identified by numbers.
+// Times and durations are in tenths of a millisecond; sizes are stored as the bits of a
+// float64; work, latency ratios and shares are in thousandths. The names of kinds and
+// columns are stored in files and printed by tools, so they never change.
 var Schema = format.Schema{
-	Host:      eventKind("host", numbers("host", "set"), text("name", format.Topology)),
-	Listed:    eventKind("listed", numbers("host", "standing", "leader", "size", "boot"), text("zone", format.Topology), text("model", format.Plain)),
-	ListDone:  eventKind("list_done", numbers("whole")),
-	Take:      eventKind("take", numbers("command", "group", "set", "timeout", "since", "again"), text("id", format.Identity), text("session", format.Identity)),
-	Ended:     eventKind("ended", numbers("command", "outcome", "position", "role", "took", "over")),
-	Left:      eventKind("left", numbers("command")),
-	Reported:  eventKind("reported", numbers("host", "position", "role")),
-	Probed:    eventKind("probed", numbers("host", "ok")),
-	Heard:     eventKind("heard", text("body", format.FreeText)),
-	Woke:      eventKind("woke"),
-	Told:      eventKind("told", numbers("host", "position", "role", "role_at", "late")),
-	Count:     eventKind("count", numbers("routers", "blind")),
-	Anew:      eventKind("anew"),
-	Dispatch:  eventKind("dispatch", numbers("command", "host", "timeout", "send_by", "for", "work")),
-	Throttle:  eventKind("throttle", numbers("command", "comeback")),
-	Fail:      eventKind("fail", numbers("command")),
-	Probe:     eventKind("probe", numbers("host")),
-	Close:     eventKind("close", numbers("host")),
-	Forget:    eventKind("forget", numbers("host")),
-	Tell:      eventKind("tell", text("body", format.FreeText)),
-	Wake:      eventKind("wake", numbers("after")),
-	Candidate: eventKind("candidate", numbers("command", "host", "standing", "role", "position", "out", "late", "share", "state")),
-	List:      eventKind("list", numbers("revision", "whole", "entries")),
-	Stall:     eventKind("stall", numbers("span")),
-	Reload:    eventKind("reload", numbers("ok")),
-	Clock:     eventKind("clock", numbers("system")),
-	View:      eventKind("view", numbers("hosts", "dropped", "routers", "blind")),
+	AddHost:            eventKind("host", intColumns("host", "set"), textColumn("name", format.Topology)),
+	UpdateListing:      eventKind("listed", intColumns("host", "standing", "leader", "size", "boot"), textColumn("zone", format.Topology), textColumn("model", format.Plain)),
+	EndList:            eventKind("list_done", intColumns("whole")),
+	Submit:             eventKind("take", intColumns("command", "group", "set", "timeout", "since", "again"), textColumn("id", format.Identity), textColumn("session", format.Identity)),
+	EndDispatch:        eventKind("ended", intColumns("command", "outcome", "position", "role", "took", "over")),
+	Abandon:            eventKind("left", intColumns("command")),
+	ReportLoad:         eventKind("reported", intColumns("host", "position", "role")),
+	EndProbe:           eventKind("probed", intColumns("host", "ok")),
+	ReceivePeerUpdate:  eventKind("heard", textColumn("body", format.FreeText)),
+	WakeUp:             eventKind("woke"),
+	ApplyPlannerUpdate: eventKind("told", intColumns("host", "position", "role", "role_at", "late")),
+	SetRouterCount:     eventKind("count", intColumns("routers", "blind")),
+	ReplaceModule:      eventKind("anew"),
+	Dispatch:           eventKind("dispatch", intColumns("command", "host", "timeout", "send_by", "for", "work")),
+	RejectRetryable:    eventKind("throttle", intColumns("command", "comeback")),
+	Fail:               eventKind("fail", intColumns("command")),
+	Probe:              eventKind("probe", intColumns("host")),
+	CloseIdleConns:     eventKind("close", intColumns("host")),
+	ReleaseHost:        eventKind("forget", intColumns("host")),
+	Broadcast:          eventKind("tell", textColumn("body", format.FreeText)),
+	ScheduleWakeUp:     eventKind("wake", intColumns("after")),
+	Candidate:          eventKind("candidate", intColumns("command", "host", "standing", "role", "position", "out", "late", "share", "state")),
+	List:               eventKind("list", intColumns("revision", "whole", "entries")),
+	Stall:              eventKind("stall", intColumns("span")),
+	Reload:             eventKind("reload", intColumns("ok")),
+	Clock:              eventKind("clock", intColumns("system")),
+	View:               eventKind("view", intColumns("hosts", "dropped", "routers", "blind")),
 
-	PlanList:      eventKind("plan_list", numbers("revision", "whole", "entries", "held")),
-	PlanProbe:     eventKind("plan_probe", text("name", format.Topology)),
-	PlanProbed:    eventKind("plan_probed", numbers("ok", "position", "role", "took"), text("name", format.Topology)),
-	PlanChange:    eventKind("plan_change", numbers("seq", "hosts", "dropped", "routers", "every", "whole", "links")),
-	PlanReport:    eventKind("plan_report", numbers("entries", "answers", "cold"), text("forwarder", format.Topology)),
-	PlanForwarder: eventKind("plan_forwarder", numbers("open", "life"), text("forwarder", format.Topology), text("why", format.FreeText)),
+	PlanList:      eventKind("plan_list", intColumns("revision", "whole", "entries", "held")),
+	PlanProbe:     eventKind("plan_probe", textColumn("name", format.Topology)),
+	PlanEndProbe:  eventKind("plan_probed", intColumns("ok", "position", "role", "took"), textColumn("name", format.Topology)),
+	PlanChange:    eventKind("plan_change", intColumns("seq", "hosts", "dropped", "routers", "every", "whole", "links")),
+	PlanReport:    eventKind("plan_report", intColumns("entries", "answers", "cold"), textColumn("forwarder", format.Topology)),
+	PlanForwarder: eventKind("plan_forwarder", intColumns("open", "life"), textColumn("forwarder", format.Topology), textColumn("why", format.FreeText)),
 
-	Unlisted: eventKind("unlisted"),
-	Watch:    eventKind("watch"),
+	ListUnavailable: eventKind("unlisted"),
+	RequestHostList: eventKind("watch"),
 }
 
 func eventKind(name string, columns ...[]format.Column) format.Kind {
 	kind := format.Kind{Name: name}
-	for _, some := range columns {
-		kind.Columns = append(kind.Columns, some...)
+	for _, group := range columns {
+		kind.Columns = append(kind.Columns, group...)
 	}
 	return kind
 }
 
-// numbers returns columns of numbers, which tell nothing of people.
-func numbers(names ...string) []format.Column {
+// intColumns returns integer columns, which contain no personal data.
+func intColumns(names ...string) []format.Column {
 	var columns []format.Column
 	for _, name := range names {
 		columns = append(columns, format.Column{Name: name, Type: format.Int, Privacy: format.Plain})
@@ -112,6 +113,6 @@
 	return columns
 }
 
-func text(name string, privacy format.Privacy) []format.Column {
+func textColumn(name string, privacy format.Privacy) []format.Column {
 	return []format.Column{{Name: name, Type: format.Text, Privacy: privacy}}
 }
--- a/internal/router/trace/replay/replay.go
+++ b/internal/router/trace/replay/replay.go
@@ -1,12 +1,12 @@
-// Package replay drives the decision module with the events of a trace, in virtual
-// time, and compares what the module asks for with what was recorded.
+// Package replay runs the decision module with the events of a trace, in virtual time,
+// and compares the module's actions, its calls of policy.Caller, with the recorded ones.
 //
-// Events that are calls into the module are made again; what the module then asks
-// for, and what the trace says that it asked for, are gathered as lines of text
-// until the next call, and compared there. A trace of the same build gives no
-// difference; with another module the differences are where its decisions change.
+// Events of calls into the module are made as calls again. The actions that the module
+// takes in response and those in the trace are collected as lines of text and compared
+// before the next call. Replaying a trace with the build that recorded it gives no
+// differences; with another module, differences show where its decisions change.
 //
-// The package has no clock and reads no files.
+// The package uses no clock and reads no files.
 package replay
 
 import (
@@ -20,35 +20,34 @@
 	"ferrypitch/policy"
 )
 
-// ErrPart is the error of a trace that cannot be replayed: of a sample of the
-// sessions, with lost events, or not from the router's start.
-var ErrPart = errors.New("not the whole of a router's life from its start")
+// ErrIncomplete is the error for a trace that is too incomplete to replay: only a sample of the
+// sessions was recorded, events were lost, or it does not begin at the router's start.
+var ErrIncomplete = errors.New("not the whole of a router's life from its start")
 
-// allSessions is the sample of a trace of every session, in thousandths.
+// allSessions is the sampling rate of a trace of every session, in thousandths.
 const allSessions = 1000
 
-// Difference is something that the module asked for and that was not recorded, or
-// the other way round.
+// Difference is a difference between a recorded action of the module and the action in its
+// place in the replay.
 type Difference struct {
-	Event    int64  // index of the event in the trace
-	At       int64  // time of the call, in tenths of a millisecond
-	Call     string // into the module
-	Recorded string // what the module asked for when it was recorded; empty: nothing more
-	Replayed string // what it asks for in the replay; empty: nothing more
+	Event    int64  // index in the trace of the event at which the difference was found
+	At       int64  // time of the call into the module, in tenths of a millisecond
+	Call     string // name of the kind of the call into the module
+	Recorded string // recorded action; empty if there is none
+	Replayed string // action in the replay; empty if there is none
 }
 
 // String implements fmt.Stringer.
 func (d Difference) String() string {
-	return fmt.Sprintf("event %d at %d, after %s: recorded %q, now %q", d.Event, d.At, d.Call, d.Recorded, d.Replayed)
+	return fmt.Sprintf("event %d at %d, after %s: recorded %q, replayed %q", d.Event, d.At, d.Call, d.Recorded, d.Replayed)
 }
 
-// Replay is a replay of the files of one process of a router. It implements
-// policy.Caller.
+// Replay replays the trace of one incarnation of a router. It implements policy.Caller.
 type Replay struct {
-	Calls       int64        // made into the module
-	Compared    int64        // things asked for that were compared
-	Different   int64        // of them, those that differ
-	Differences []Difference // the first of them
+	Calls       int64        // number of calls made into the module
+	Compared    int64        // number of actions compared
+	Different   int64        // number of compared actions that differ
+	Differences []Difference // the first maxDifferences of them
 
 	maxDifferences int
 	deployment     policy.Deployment
@@ -58,23 +57,23 @@
 	hostNumbers    map[*policy.Host]int64
 	commands       map[int64]*policy.Command // by number in the trace
 	commandNumbers map[*policy.Command]int64
-	pendingCommand int64 // that Take was called for and whose handle is not known yet
-
-	started        bool
-	withCandidates bool // the trace has them
-	eventNumber    int64
-	lastCall       string
-	lastCallAt     int64
-	replayed       []string // what the module asked for since the last call
-	recorded       []string // what the trace says that it asked for
+	pendingCommand int64 // number of the command in Submit, whose handle is not known yet; 0: none
+
+	started       bool
+	hasCandidates bool     // the trace contains candidates
+	eventNumber   int64    // index of the next event
+	lastCall      string   // name of the kind of the last call; "start" before the first
+	lastCallAt    int64    // time of the last call
+	replayed      []string // actions of the module since the last call
+	recorded      []string // actions in the trace since the last call
 }
 
-// New begins a replay of files with a header. Of the differences the first
-// maxDifferences are kept. The error wraps ErrPart or format.ErrNotTrace, or says
-// what is wrong with the deployment in the header.
+// New returns a replay of a trace with the given header. Only the first maxDifferences
+// differences are kept. The error wraps ErrIncomplete or format.ErrNotTrace, or describes
+// why the deployment in the header is invalid.
 func New(header format.Header, maxDifferences int) (*Replay, error) {
 	if header.SampledPerMille != allSessions {
-		return nil, fmt.Errorf("%w: %.1f %% of sessions were recorded", ErrPart, float64(header.SampledPerMille)/10)
+		return nil, fmt.Errorf("%w: only %.1f%% of the sessions were recorded", ErrIncomplete, float64(header.SampledPerMille)/10)
 	}
 	if err := checkSchema(header.Schema); err != nil {
 		return nil, err
@@ -90,22 +89,22 @@
 	}, nil
 }
 
-// checkSchema checks the kinds up to View. Those after it are not of the module, or
-// were added later and may be missing.
+// checkSchema checks that the kinds up to View match record.Schema. Later kinds do not concern
+// the module, or may be missing because they were added later.
 func checkSchema(schema format.Schema) error {
 	for i, kind := range record.Schema[:record.View+1] {
 		if i >= len(schema) || schema[i].Name != kind.Name || len(schema[i].Columns) != len(kind.Columns) {
-			return fmt.Errorf("%w: kind %q is otherwise than here", format.ErrNotTrace, kind.Name)
+			return fmt.Errorf("%w: kind %q does not match this program's schema", format.ErrNotTrace, kind.Name)
 		}
 	}
 	return nil
 }
 
-// CheckLost takes the number of events that were lost in capture before the next event.
-// If there are any, the replay cannot go on, and the error wraps ErrPart.
+// CheckLost takes the number of events that were lost in recording before the next event.
+// If it is not 0, the replay cannot continue and the error wraps ErrIncomplete.
 func (r *Replay) CheckLost(events uint64) error {
 	if events > 0 {
-		return fmt.Errorf("%w: %d events were lost in capture before event %d", ErrPart, events, r.eventNumber)
+		return fmt.Errorf("%w: %d events were lost in recording before event %d", ErrIncomplete, events, r.eventNumber)
 	}
 	return nil
 }
@@ -118,20 +117,20 @@
 		r.startModule(event.At)
 	}
 	switch classify(event.Kind) {
-	case besideModule:
+	case ignored:
 		return nil
-	case askedFor:
-		r.withCandidates = r.withCandidates || event.Kind == record.Candidate
+	case moduleAction:
+		r.hasCandidates = r.hasCandidates || event.Kind == record.Candidate
 		r.recorded = append(r.recorded, describe(event))
 		return nil
-	case introduction:
-		r.introduceHost(event)
+	case hostAddition:
+		r.addHost(event)
 		return nil
 	}
 	r.compare()
 	r.Calls++
 	r.lastCall, r.lastCallAt = record.Schema[event.Kind].Name, event.At
-	if event.Kind == record.Anew {
+	if event.Kind == record.ReplaceModule {
 		r.replaceModule(event.At)
 		return nil
 	}
@@ -139,17 +138,17 @@
 	return r.call(event)
 }
 
-// Finish compares what the last call asked for. complete says that the trace does
-// not break off, so that all of that is in it.
+// Finish compares the actions after the last call. complete says that the trace is not
+// truncated, so that it contains all of them.
 func (r *Replay) Finish(complete bool) {
 	if r.started && complete {
 		r.compare()
 	}
 }
 
-// compare compares what the last call asked for with what was recorded.
+// compare compares the actions since the last call with the recorded ones.
 func (r *Replay) compare() {
-	if !r.withCandidates { // not recorded, or nothing was dispatched yet
+	if !r.hasCandidates { // the trace contains none so far
 		r.replayed = slices.DeleteFunc(r.replayed, isCandidate)
 	}
 	for i := range max(len(r.replayed), len(r.recorded)) {
@@ -168,7 +167,7 @@
 
 func isCandidate(line string) bool { return strings.HasPrefix(line, "candidate ") }
 
-// lineAt returns a line, or an empty string past the end.
+// lineAt returns the line at an index, or an empty string past the end.
 func lineAt(lines []string, index int) string {
 	if index < len(lines) {
 		return lines[index]
--- a/internal/router/trace/tool/anonymize.go
+++ b/internal/router/trace/tool/anonymize.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// pseudonymBytes is the length of a pseudonym, which is written in hexadecimal digits.
+	// pseudonymBytes is the length of a pseudonym before hexadecimal encoding.
 	pseudonymBytes = 10
-	// keyIDBytes is how much of the hash of the key a header has.
+	// keyIDBytes is the length of the prefix of the key's hash that is stored in headers.
 	keyIDBytes = 4
-	// keyIDContext keeps the hash in headers apart from other uses of the key.
+	// keyIDContext is hashed with the key, to separate the hash in headers from other uses of the key.
 	keyIDContext = "ferrypitch trace key "
-	// maxCachedPseudonyms bounds the pseudonyms of hosts and routers that are kept.
+	// maxCachedPseudonyms bounds the cache of pseudonyms of hosts, routers and addresses.
 	maxCachedPseudonyms = 1 << 16
 )
 
-// Anonymizer replaces the texts of a trace, by the Privacy of their columns. A text
-// has the same pseudonym under the same key, whichever file or router it is of.
+// Anonymizer replaces the texts of a trace according to the Privacy of their columns. With
+// the same key, a text has the same pseudonym in the files of all routers.
 type Anonymizer struct {
 	key         [32]byte
 	textPrivacy [][]format.Privacy // by kind, in the order of Event.Texts
-	pseudonyms  map[string]string  // of hosts, routers and addresses
+	pseudonyms  map[string]string  // cache, only for Topology
 }
 
 // NewAnonymizer returns an Anonymizer with a key.
@@ -33,26 +33,26 @@
 	return &Anonymizer{key: key, pseudonyms: map[string]string{}}
 }
 
-// Header returns the header of the anonymised trace. It must be called before the
-// first Event of each trace. What this program does not know of is removed.
+// Header returns the header of the anonymized trace. It must be called before the first
+// Event of each trace. Unknown values of Header.Extra are removed.
 func (a *Anonymizer) Header(header format.Header) (format.Header, error) {
 	a.textPrivacy = nil
 	for _, kind := range header.Schema {
 		a.textPrivacy = append(a.textPrivacy, textPrivacy(kind))
 	}
 	header.Router = a.pseudonym(format.Topology, header.Router)
-	more := map[string][]byte{}
-	if groups, ok := header.Extra[groupsKey]; ok { // names of command groups are of the deployment, not of people
-		more[groupsKey] = groups
+	extra := map[string][]byte{}
+	if groups, ok := header.Extra[groupsKey]; ok { // names of command groups are no personal data
+		extra[groupsKey] = groups
 	}
 	if encoded, ok := header.Extra[deploymentKey]; ok {
 		anonymous, err := a.deployment(encoded)
 		if err != nil {
 			return header, err
 		}
-		more[deploymentKey] = anonymous
+		extra[deploymentKey] = anonymous
 	}
-	header.Extra = more
+	header.Extra = extra
 	sum := blake3.Sum256(append([]byte(keyIDContext), a.key[:]...))
 	header.KeyID = sum[:keyIDBytes]
 	return header, nil
@@ -68,7 +68,7 @@
 	return privacy
 }
 
-// deployment replaces the zone in an encoded deployment.
+// deployment returns an encoded deployment with a pseudonym for its zone.
 func (a *Anonymizer) deployment(encoded []byte) ([]byte, error) {
 	deployment, err := record.DecodeDeployment(encoded)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return record.EncodeDeployment(deployment)
 }
 
-// Event returns the anonymised event.
+// Event returns an event with its texts anonymized.
 func (a *Anonymizer) Event(event format.Event) format.Event {
 	if len(event.Texts) == 0 {
 		return event
@@ -91,8 +91,8 @@
 	return event
 }
 
-// pseudonym returns what replaces a text: the start of its keyed hash, the text
-// itself if it is plain, and nothing if it is free text.
+// pseudonym returns the replacement of a text: a prefix of its keyed hash, or the text itself
+// for Plain, or an empty string for FreeText and unknown classes.
 func (a *Anonymizer) pseudonym(privacy format.Privacy, text string) string {
 	switch {
 	case privacy == format.Plain || text == "":
@@ -105,7 +105,7 @@
 	}
 	hasher, err := blake3.NewKeyed(a.key[:])
 	if err != nil {
-		panic(err) // only for a key of another size than its type has
+		panic(err) // cannot happen: the key has the required length
 	}
 	hasher.Write([]byte{byte(privacy)})
 	hasher.WriteString(text)
--- a/internal/router/trace/tool/filter.go
+++ b/internal/router/trace/tool/filter.go
@@ -2,16 +2,16 @@
 
 import "ferrypitch/internal/router/trace/format"
 
-// Filter selects commands by what their take event says, and with them all their
-// events. An empty set selects everything. The schema must be set before the first
-// event.
+// Filter selects commands by the columns of their take event, and all events of the selected
+// commands. An empty set does not restrict the selection. The schema must be set before the
+// first event.
 type Filter struct {
 	Sessions map[string]bool
 	Sets     map[int64]bool
-	Groups   map[int64]bool // by number
+	Groups   map[int64]bool // by number of the command group
 
 	schema   format.Schema
-	commands map[int64]bool // those selected
+	commands map[int64]bool // selected commands, by number
 }
 
 // SetSchema sets the schema of the events.
@@ -20,13 +20,13 @@
 // MatchesAll reports whether the filter selects every event.
 func (f *Filter) MatchesAll() bool { return len(f.Sessions)+len(f.Sets)+len(f.Groups) == 0 }
 
-// Matches reports whether an event is selected. Events that are not of a command always
-// are, since readers need them.
+// Matches reports whether an event is selected. Events that do not belong to a command always
+// are, since readers require them.
 func (f *Filter) Matches(event format.Event) bool {
 	if f.MatchesAll() {
 		return true
 	}
-	e := named(f.schema, event)
+	e := newNamedEvent(f.schema, event)
 	command, ok := e.command()
 	if !ok {
 		return true
@@ -37,7 +37,7 @@
 	return f.commands[command]
 }
 
-// selects reports whether the command of a take event is selected.
+// selects reports whether a take event's command is selected.
 func (f *Filter) selects(take namedEvent) bool {
 	return isSelected(f.Sessions, take.text("session")) &&
 		isSelected(f.Sets, take.number("set")) &&
--- a/internal/router/trace/tool/large_test.go
+++ b/internal/router/trace/tool/large_test.go
@@ -16,7 +16,7 @@
 	"ferrypitch/internal/router/trace/record"
 )
 
-var largeFileEvents = flag.Int("events", 300_000, "events of the file that is larger than what may be held")
+var largeFileEvents = flag.Int("events", 300_000, "number of events in the file of the memory test")
 
 func TestSummaryOfLargeFileNeedsConstantMemory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "large")
@@ -33,14 +33,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	for k := range int64(*largeFileEvents / 3) {
 		at := base + 20*k
 		id := fmt.Sprintf("%016x", uint64(k)*0x9e3779b97f4a7c15)
 		for _, event := range []format.Event{
-			{At: at, Kind: record.Take, Ints: []int64{k + 1, k % 2, k % 9, at + 10000, 0, 0}, Texts: []string{id, id[:4]}},
+			{At: at, Kind: record.Submit, Ints: []int64{k + 1, k % 2, k % 9, at + 10000, 0, 0}, Texts: []string{id, id[:4]}},
 			{At: at, Kind: record.Dispatch, Ints: []int64{k + 1, k % 27, 0, 0, at - 5000, 1000}},
-			{At: at + 45 + k%13, Kind: record.Ended, Ints: []int64{k + 1, 0, at - k%30, 2, 45 + k%13, 0}},
+			{At: at + 45 + k%13, Kind: record.EndDispatch, Ints: []int64{k + 1, 0, at - k%30, 2, 45 + k%13, 0}},
 		} {
 			if err := output.Add(event); err != nil {
 				t.Fatal(err)
@@ -50,38 +50,38 @@
 	if err := output.Close(); err != nil {
 		t.Fatal(err)
 	}
-	wrote := time.Since(began)
+	writeTime := time.Since(startedAt)
 	source, err := Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	closeAtEnd(t, source)
-	sum, most, n := NewSummary(source.Header), uint64(0), 0
-	began = time.Now()
+	sum, maxHeap, n := NewSummary(source.Header), uint64(0), 0
+	startedAt = time.Now()
 	if err := source.Each(allTime, nil, func(event format.Event) error {
 		sum.Add(event)
 		if n++; n%100_000 == 0 {
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
-			most = max(most, m.HeapInuse)
+			maxHeap = max(maxHeap, m.HeapInuse)
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
-	read := time.Since(began)
-	if most > 96<<20 || n != *largeFileEvents/3*3 || len(sum.Groups()) != 18 {
-		t.Errorf("%d MB in use, %d events, %d lines", most>>20, n, len(sum.Groups()))
+	readTime := time.Since(startedAt)
+	if maxHeap > 96<<20 || n != *largeFileEvents/3*3 || len(sum.Groups()) != 18 {
+		t.Errorf("%d MB of heap in use, %d events, %d summaries", maxHeap>>20, n, len(sum.Groups()))
 	}
-	t.Logf("%d events: written at %.2f M/s, read and summed up at %.2f M/s, %.2f bytes an event, at most %d MB in use", n,
-		float64(n)/wrote.Seconds()/1e6, float64(n)/read.Seconds()/1e6, float64(source.size)/float64(n), most>>20)
+	t.Logf("%d events: written at %.2f M/s, read and summarized at %.2f M/s, %.2f bytes per event, at most %d MB of heap in use", n,
+		float64(n)/writeTime.Seconds()/1e6, float64(n)/readTime.Seconds()/1e6, float64(source.size)/float64(n), maxHeap>>20)
 }
 
 func TestFileIsSmallerThanCompressedJSON(t *testing.T) {
 	path := writeTrace(t, t.TempDir(), "a", 1, 2000, 0, 0)
 	source, events := readAll(t, path)
-	var packed bytes.Buffer
-	compressor := gzip.NewWriter(&packed)
+	var compressed bytes.Buffer
+	compressor := gzip.NewWriter(&compressed)
 	encoder := json.NewEncoder(compressor)
 	for _, event := range events {
 		if err := encoder.Encode(EventObject(source.Header.Schema, event)); err != nil {
@@ -91,8 +91,8 @@
 	if err := compressor.Close(); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%.2f bytes an event, gzip'd lines of JSON %.2f", float64(source.size)/float64(len(events)), float64(packed.Len())/float64(len(events)))
-	if source.size >= int64(packed.Len()) {
-		t.Errorf("%d bytes, gzip'd lines of JSON %d", source.size, packed.Len())
+	t.Logf("%.2f bytes per event, gzipped JSON lines %.2f", float64(source.size)/float64(len(events)), float64(compressed.Len())/float64(len(events)))
+	if source.size >= int64(compressed.Len()) {
+		t.Errorf("%d bytes, gzipped JSON lines %d", source.size, compressed.Len())
 	}
 }
--- a/internal/router/trace/tool/merge.go
+++ b/internal/router/trace/tool/merge.go
@@ -9,11 +9,11 @@
 	"ferrypitch/internal/router/trace/format"
 )
 
-// routerName is the name of the column that a merge adds, and of the kind that names the routers.
+// routerName is the name of the column that a merge adds to all kinds, and of the kind that maps router numbers to names.
 const routerName = "router"
 
-// MergedSchema returns the schema of a merge: every kind with the number of the router as
-// another column, and a kind for the routers' names at the end.
+// MergedSchema returns the schema of a merged trace: each kind has the number of the router
+// as an additional column, and a kind for the names of the routers is added at the end.
 func MergedSchema(schema format.Schema) format.Schema {
 	number := format.Column{Name: routerName, Type: format.Int, Privacy: format.Plain}
 	name := format.Column{Name: "name", Type: format.Text, Privacy: format.Topology}
@@ -25,10 +25,10 @@
 	return append(merged, format.Kind{Name: routerName, Columns: []format.Column{number, name}})
 }
 
-// Merge passes the events of several routers to handle, in the order of the first
-// router's clock and with the router's number as the last of Event.Ints. The order
-// of each router's own events is kept; at equal times the router with the smaller
-// number comes first. It returns the first error of a feed or of handle.
+// Merge passes the events of several routers to handle, ordered by time on the first router's
+// clock and with the router's number as the last of Event.Ints. The order of the events of
+// each router is preserved; at equal times the router with the smaller number comes first.
+// Merge returns the first error of a feed or of handle.
 func Merge(feeds []Feed, skews []ClockSkew, handle func(event format.Event) error) error {
 	var inputs mergeQueue
 	for i, feed := range feeds {
@@ -44,7 +44,7 @@
 	heap.Init(&inputs)
 	for len(inputs) > 0 {
 		input := inputs[0]
-		if err := handle(input.take()); err != nil {
+		if err := handle(input.pop()); err != nil {
 			return err
 		}
 		more, err := input.advance()
@@ -60,16 +60,16 @@
 	return nil
 }
 
-// mergeInput is one router's events.
+// mergeInput supplies the events of one router.
 type mergeInput struct {
 	feed   Feed
 	skew   ClockSkew
 	router int64
-	events []format.Event // read and not taken yet
-	at     int64          // time of the next event by the first router's clock
+	events []format.Event // read from the feed and not yet merged
+	at     int64          // time of the next event on the first router's clock
 }
 
-// advance makes the next event available, and returns false at the end.
+// advance makes the next event available. It returns false if there is none.
 func (m *mergeInput) advance() (bool, error) {
 	for len(m.events) == 0 {
 		events, err := m.feed()
@@ -78,13 +78,13 @@
 		}
 		m.events = events
 	}
-	// A router's events are in the order in which they happened, so time does not go back.
+	// The events of a router are in order, so a correction must not make time go backwards.
 	m.at = max(m.at, m.skew.Correct(m.events[0].At))
 	return true, nil
 }
 
-// take returns the next event as it is in the merge.
-func (m *mergeInput) take() format.Event {
+// pop removes the next event and returns it as an event of the merged trace.
+func (m *mergeInput) pop() format.Event {
 	event := m.events[0]
 	m.events = m.events[1:]
 	event.At = m.at
@@ -92,7 +92,7 @@
 	return event
 }
 
-// mergeQueue implements heap.Interface: the input with the earliest event is first.
+// mergeQueue is a priority queue of inputs by the time of their next event. It implements heap.Interface.
 type mergeQueue []*mergeInput
 
 // Len implements heap.Interface.
--- a/internal/router/trace/tool/output.go
+++ b/internal/router/trace/tool/output.go
@@ -6,21 +6,21 @@
 	"ferrypitch/internal/router/trace/format"
 )
 
-// outputBlockBytes is about the size of the blocks that are written.
+// outputBlockBytes is the approximate size in memory at which a block is written.
 const outputBlockBytes = 256 << 10
 
-// Output writes a trace, from its header to its index.
+// Output writes a trace file.
 type Output struct {
-	Events int64 // added so far
+	Events int64 // number of events added
 
 	out    io.Writer
 	block  *format.Block
-	offset int64 // in bytes
+	offset int64 // file offset of the next write, in bytes
 	index  []format.BlockInfo
 	buffer []byte
 }
 
-// NewOutput writes a header. The caller must call Close at the end; it does not close out.
+// NewOutput writes a header to out. The caller must call Close at the end, which does not close out.
 func NewOutput(out io.Writer, header format.Header) (*Output, error) {
 	o := &Output{out: out, block: format.NewBlock(header.Schema)}
 	encoded, err := format.AppendHeader(nil, header)
@@ -36,7 +36,7 @@
 	return err
 }
 
-// Add adds an event of the header's schema.
+// Add adds an event, whose kind is an index in the header's schema.
 func (o *Output) Add(event format.Event) error {
 	o.block.Add(event.At, event.Kind, event.Ints, event.Texts)
 	o.Events++
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// flush writes the events gathered so far as a block.
+// flush writes the buffered events as a block.
 func (o *Output) flush() error {
 	if o.block.Len() == 0 {
 		return nil
@@ -61,7 +61,7 @@
 	return o.write(encoded)
 }
 
-// Close writes what is gathered and the index.
+// Close writes the buffered events and the index.
 func (o *Output) Close() error {
 	if err := o.flush(); err != nil {
 		return err
--- a/internal/router/trace/tool/skew.go
+++ b/internal/router/trace/tool/skew.go
@@ -11,55 +11,55 @@
 )
 
 const (
-	// windowTenths is the length of the windows in which the least delay is taken.
-	windowTenths = 10 * tenthsPerSecond
-	// minWindowsForDrift is how many windows a line needs; below it only the offset is estimated.
+	// skewWindow is the length of the windows for which minimum delays are computed, in tenths of a millisecond.
+	skewWindow = 10 * tenthsPerSecond
+	// minWindowsForDrift is the number of windows required to estimate the drift; with fewer, only the offset is estimated.
 	minWindowsForDrift = 3
 )
 
-// ErrNoOverlap is the error of two routers that have nothing in common to compare their clocks by.
-var ErrNoOverlap = errors.New("saw no host in the same ten seconds as the first one")
+// ErrNoOverlap is the error for two routers that have no window in common by which to compare their clocks.
+var ErrNoOverlap = errors.New("no primary responded to both this router and the first one within the same 10 s window")
 
-// ClockSkew is how a router's clock stands to the clock of the first router.
+// ClockSkew is the estimated skew of a router's clock relative to the first router's clock.
 type ClockSkew struct {
 	Router  string
-	Offset  float64 // at From: how far the clock is ahead, in tenths of a millisecond
-	Drift   float64 // by how much of the time that passes the offset grows
-	From    int64   // time by the router's clock
-	Bound   float64 // the greatest distance of a window from the line, in tenths of a millisecond
-	Windows int     // windows that both routers had
+	Offset  float64 // how far the clock is ahead at From, in tenths of a millisecond
+	Drift   float64 // change of the offset per unit of time
+	From    int64   // time on the router's clock to which Offset refers
+	Bound   float64 // maximum deviation of a window from the fitted line, in tenths of a millisecond
+	Windows int     // number of windows that both routers have in common
 }
 
-// Correct returns a time of the router's clock by the clock of the first router.
+// Correct converts a time on the router's clock to the first router's clock.
 func (s ClockSkew) Correct(at int64) int64 {
 	offset := s.Offset + s.Drift*float64(at-s.From)
 	return at - int64(math.Round(offset))
 }
 
-// DelaySamples are the delays of a router's responses from primaries: how long after the
-// position that a primary named the router had the response. The least delay of
-// each host and window is the difference of the clocks and the time of the way
-// back, which routers at one site share.
+// DelaySamples collects the delays of a router's responses from primaries: the time from the
+// position that a primary stated to the receipt of its response. The minimum delay of a host
+// in a window is the difference of the clocks plus the network delay of the response, which is
+// the same for routers at one site.
 type DelaySamples struct {
-	From, To int64 // times of the first and last event
+	From, To int64 // times of the earliest and the latest event
 
-	schema    format.Schema
-	hostNames map[int64]string // by number
-	sentTo    map[int64]int64  // command to host, by number
-	least     map[hostWindow]int64
+	schema       format.Schema
+	hostNames    map[int64]string     // by number
+	dispatchedTo map[int64]int64      // by number of the command, the number of the host
+	minDelay     map[hostWindow]int64 // in tenths of a millisecond
 }
 
-// hostWindow is a window of positions of a host. Positions are the host's, so that
-// all routers have the same windows.
+// hostWindow is a window of positions of a host. Positions are assigned by the host, so all
+// routers have the same windows.
 type hostWindow struct {
 	host   string
 	window int64
 }
 
-// NewDelaySamples returns empty samples for events of a schema.
+// NewDelaySamples returns empty samples for the events of a schema.
 func NewDelaySamples(schema format.Schema) *DelaySamples {
 	return &DelaySamples{
-		schema: schema, hostNames: map[int64]string{}, sentTo: map[int64]int64{}, least: map[hostWindow]int64{},
+		schema: schema, hostNames: map[int64]string{}, dispatchedTo: map[int64]int64{}, minDelay: map[hostWindow]int64{},
 	}
 }
 
@@ -69,12 +69,12 @@
 		d.From = event.At
 	}
 	d.To = max(d.To, event.At)
-	e := named(d.schema, event)
+	e := newNamedEvent(d.schema, event)
 	switch e.kind.Name {
 	case "host":
 		d.hostNames[e.number("host")] = e.text("name")
 	case "dispatch":
-		d.sentTo[e.number("command")] = e.number("host")
+		d.dispatchedTo[e.number("command")] = e.number("host")
 	case "ended":
 		d.addResponse(e)
 	}
@@ -82,21 +82,21 @@
 
 func (d *DelaySamples) addResponse(ended namedEvent) {
 	command := ended.number("command")
-	host, position := d.hostNames[d.sentTo[command]], ended.number("position")
-	delete(d.sentTo, command)
+	host, position := d.hostNames[d.dispatchedTo[command]], ended.number("position")
+	delete(d.dispatchedTo, command)
 	if position <= 0 || host == "" || policy.Role(ended.number("role")) != policy.Primary {
 		return
 	}
-	key := hostWindow{host, position / windowTenths}
+	key := hostWindow{host, position / skewWindow}
 	delay := ended.At - position
-	if least, known := d.least[key]; !known || delay < least {
-		d.least[key] = delay
+	if minDelay, known := d.minDelay[key]; !known || delay < minDelay {
+		d.minDelay[key] = delay
 	}
 }
 
-// EstimateSkew estimates the skew of a router's clock from the delays of the first
-// router and its own: the line through the median difference of each window. The
-// error wraps ErrNoOverlap if they have no window in common.
+// EstimateSkew estimates the skew of a router's clock from the delays of the first router and
+// of this router, by fitting a line through the median difference of each window. The error
+// wraps ErrNoOverlap if they have no window in common.
 func EstimateSkew(router string, first, other *DelaySamples) (ClockSkew, error) {
 	skew := ClockSkew{Router: router, From: other.From}
 	differences := windowDifferences(first, other)
@@ -107,15 +107,15 @@
 	var times, offsets []float64
 	for window, values := range differences {
 		slices.Sort(values)
-		times = append(times, float64(window*windowTenths+windowTenths/2))
+		times = append(times, float64(window*skewWindow+skewWindow/2))
 		offsets = append(offsets, values[len(values)/2])
 	}
 	meanTime, meanOffset := mean(times), mean(offsets)
 	if skew.Windows >= minWindowsForDrift {
 		skew.Drift = slope(times, offsets, meanTime, meanOffset)
 	}
-	// Windows are of positions, which are about times of the first router's clock;
-	// From is of the other's.
+	// Windows consist of positions, which are approximately times on the first router's clock;
+	// From is on the other router's clock.
 	skew.Offset = meanOffset + skew.Drift*(float64(skew.From)-meanOffset-meanTime)
 	for i := range times {
 		expected := meanOffset + skew.Drift*(times[i]-meanTime)
@@ -124,11 +124,11 @@
 	return skew, nil
 }
 
-// windowDifferences returns, by window, the differences of the least delays to hosts that both routers have.
+// windowDifferences returns, by window, the differences of the minimum delays of the hosts that both routers have.
 func windowDifferences(first, other *DelaySamples) map[int64][]float64 {
 	differences := map[int64][]float64{}
-	for key, delay := range other.least {
-		if firstDelay, both := first.least[key]; both {
+	for key, delay := range other.minDelay {
+		if firstDelay, both := first.minDelay[key]; both {
 			differences[key.window] = append(differences[key.window], float64(delay-firstDelay))
 		}
 	}
@@ -143,7 +143,7 @@
 	return sum
 }
 
-// slope returns the slope of the least-squares line.
+// slope returns the slope of the least-squares regression line.
 func slope(xs, ys []float64, meanX, meanY float64) float64 {
 	var sumXX, sumXY float64
 	for i := range xs {
--- a/internal/router/trace/tool/source.go
+++ b/internal/router/trace/tool/source.go
@@ -9,7 +9,7 @@
 	"ferrypitch/internal/router/trace/format"
 )
 
-// Window is a span of time, both ends included. A Last of 0 means no end.
+// Window is a time range that includes both ends. A Last of 0 means that it has no end.
 type Window struct{ First, Last int64 }
 
 func (w Window) contains(at int64) bool { return at >= w.First && (w.Last == 0 || at <= w.Last) }
@@ -18,16 +18,16 @@
 	return block.Last >= w.First && (w.Last == 0 || block.First <= w.Last)
 }
 
-// Source is a trace that is read, from a file or a pipe.
+// Source reads a trace from a file or a pipe.
 type Source struct {
 	Header format.Header
-	Index  []format.BlockInfo // the index; nil if there is none, and the trace is read from its beginning
+	Index  []format.BlockInfo // nil if the trace has no index and is read sequentially
 
-	// What Each found.
+	// Results of Each.
 	CorruptBlocks []format.CorruptBlockError // blocks that could not be read
-	Truncated     error                      // why the trace ends early, after what was read; nil: it does not
-	LostEvents    uint64                     // events lost in capture
-	ReadBlocks    int                        // blocks read
+	Truncated     error                      // error at which reading ended early; nil if the trace is not truncated
+	LostEvents    uint64                     // number of events lost in recording
+	ReadBlocks    int                        // number of blocks read
 
 	path   string
 	reader *format.Reader
@@ -35,7 +35,7 @@
 	size   int64    // in bytes; 0 for standard input
 }
 
-// Open opens a file, or standard input as "-".
+// Open opens a file; "-" is standard input.
 func Open(path string) (*Source, error) {
 	if path == "-" {
 		reader, err := format.NewReader(os.Stdin)
@@ -50,7 +50,7 @@
 	}
 	source, err := newFileSource(path, file)
 	if err != nil {
-		_ = file.Close() // it was only read
+		_ = file.Close() // opened for reading only
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	return source, nil
@@ -84,11 +84,10 @@
 	return s.file.Close()
 }
 
-// Each passes the events within a window to handle, in the file's order, and
-// returns the first error of handle. With an index, only blocks that overlap the
-// window are read. Corrupt blocks are skipped, and a truncated file is read up to
-// its end; the Source notes both, and neither is an error. progress, which may be
-// nil, is called after each block.
+// Each passes the events within a window to handle in the order of the file, and returns the
+// first error of handle. With an index, only blocks that overlap the window are read. Corrupt
+// blocks are skipped, and a truncated file is read up to its end; neither is an error, and
+// the Source's fields report both. progress, which may be nil, is called after each block.
 func (s *Source) Each(window Window, progress func(done, total int64), handle func(event format.Event) error) error {
 	if progress == nil {
 		progress = func(int64, int64) {}
@@ -132,7 +131,7 @@
 	}
 }
 
-// handleBlock handles the events of a block, or notes that it is corrupt.
+// handleBlock passes the events of a block to handle, or adds the block to CorruptBlocks.
 func (s *Source) handleBlock(events []format.Event, readErr error, window Window, handle func(format.Event) error) error {
 	var corrupt *format.CorruptBlockError
 	if errors.As(readErr, &corrupt) {
@@ -154,11 +153,11 @@
 	return nil
 }
 
-// Feed returns the events of a trace a block at a time, and nil at its end.
+// Feed returns the events of the next block of a trace, and nil at the end.
 type Feed func() ([]format.Event, error)
 
-// Feed returns the events of a file that has an index. The file is opened for each
-// block, so that any number of files can be merged with few file descriptors.
+// Feed returns a Feed of the file, which must have an index. The file is opened for each
+// block, so that many files can be merged with few file descriptors.
 func (s *Source) Feed() (Feed, error) {
 	if s.Index == nil {
 		return nil, fmt.Errorf("%s has no index; repair it first", s.path)
@@ -177,14 +176,14 @@
 	}, nil
 }
 
-// reopenBlock reads a block and keeps nothing open.
+// reopenBlock opens the file, reads a block and closes the file.
 func (s *Source) reopenBlock(block format.BlockInfo) ([]format.Event, error) {
 	file, err := os.Open(s.path)
 	if err != nil {
 		return nil, err
 	}
 	events, err := format.ReadBlock(file, s.Header.Schema, block)
-	_ = file.Close() // it was only read
+	_ = file.Close() // opened for reading only
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.path, err)
 	}
--- a/internal/router/trace/tool/summary.go
+++ b/internal/router/trace/tool/summary.go
@@ -11,8 +11,8 @@
 	"ferrypitch/policy"
 )
 
-// Range of the histogram of latencies, in tenths of a millisecond, and its
-// precision in decimal digits.
+// Range of the latency histogram, in tenths of a millisecond, its precision in significant
+// decimal digits, and the percentiles that summaries contain.
 const (
 	minLatency     = 1
 	maxLatency     = 60 * tenthsPerSecond
@@ -21,39 +21,39 @@
 	p99Quantile    = 99
 )
 
-// GroupSummary is the summary of one command group in one replica set. Its fields are the
-// JSON of `trace summary --json`. Times are in milliseconds.
+// GroupSummary is the summary of one command group in one replica set. The names of the fields
+// are the keys in the JSON of `trace summary --json`. Times are in milliseconds.
 type GroupSummary struct {
 	Group      string
 	Set        int64
-	Taken      int64 // commands
-	Answered   int64
-	Throttled  int64
-	Failed     int64
-	Open       int64             // without a final answer in the trace
-	Dispatches float64           // a command
-	Replicas   float64           // part of the responses that replicas gave
-	Median     float64           // from take to response
-	P99        float64           // from take to response
-	Comeback   float64           // mean delay that rejected clients were told to wait
-	Waited     float64           // mean from take to the first dispatch
-	Outcomes   map[string]int64  // of dispatches
-	Over       map[int64]float64 // part of the commands taken that was answered, by second
+	Taken      int64             // commands submitted
+	Answered   int64             // commands with a response from a host
+	Throttled  int64             // commands rejected as retryable
+	Failed     int64             // commands that failed
+	Open       int64             // commands without a final answer in the trace
+	Dispatches float64           // per command
+	Replicas   float64           // fraction of the responses that replicas sent
+	Median     float64           // median latency from submission to response
+	P99        float64           // 99th percentile of that latency
+	Comeback   float64           // mean delay after which rejected clients may retry
+	Waited     float64           // mean time from submission to the first dispatch
+	Outcomes   map[string]int64  // number of dispatches by outcome
+	Over       map[int64]float64 // fraction of the submitted commands that were answered, by second of the submission
 }
 
-// groupKey identifies a command group, by number, in a replica set.
+// groupKey identifies a command group by its number and a replica set.
 type groupKey struct{ group, set int64 }
 
-// groupState is what is known of one group in one set so far. The embedded summary has what is only counted.
+// groupState accumulates the summary of one command group in one replica set. The embedded summary holds the plain counters.
 type groupState struct {
 	GroupSummary
 	dispatches       int64
-	replicas         int64 // responses of replicas
-	firstDispatches  int64
-	totalWaited      int64 // from take to the first dispatch, in tenths of a millisecond
-	totalComeback    int64 // in tenths of a millisecond
-	takenBySecond    map[int64]int64
-	answeredBySecond map[int64]int64 // by the second of the take
+	replicas         int64           // responses from replicas
+	firstDispatches  int64           // commands with at least one dispatch
+	totalWaited      int64           // total time from submission to the first dispatch, in tenths of a millisecond
+	totalComeback    int64           // total retry delay, in tenths of a millisecond
+	takenBySecond    map[int64]int64 // by second of the submission
+	answeredBySecond map[int64]int64 // by second of the submission
 	latency          *hdrhistogram.Histogram
 }
 
@@ -64,9 +64,9 @@
 	dispatched bool
 }
 
-// Summary sums up events as they come.
+// Summary summarizes the events that are added to it.
 type Summary struct {
-	Events int64 // added so far
+	Events int64 // number of events added
 
 	schema       format.Schema
 	groupNames   []string
@@ -74,7 +74,7 @@
 	openCommands map[int64]*openCommand // by number
 }
 
-// NewSummary returns an empty summary of a trace with a header.
+// NewSummary returns an empty summary for a trace with the given header.
 func NewSummary(header format.Header) *Summary {
 	return &Summary{
 		schema: header.Schema, groupNames: GroupNames(header),
@@ -82,10 +82,10 @@
 	}
 }
 
-// Add adds an event. Events of commands whose take was not added are ignored.
+// Add adds an event. Events of commands whose take event was not added are ignored.
 func (s *Summary) Add(event format.Event) {
 	s.Events++
-	e := named(s.schema, event)
+	e := newNamedEvent(s.schema, event)
 	number, ok := e.command()
 	if !ok {
 		return
@@ -104,7 +104,7 @@
 	}
 }
 
-// state returns the state of a group, which is created if it is the first of its key.
+// state returns the state for a key, and creates it if necessary.
 func (s *Summary) state(key groupKey) *groupState {
 	if known := s.states[key]; known != nil {
 		return known
@@ -122,7 +122,7 @@
 	return state
 }
 
-// add adds an event of the command and reports whether it is the command's last.
+// add adds an event of the command and reports whether it is the final one.
 func (c *openCommand) add(e namedEvent) (final bool) {
 	group := c.group
 	switch e.kind.Name {
@@ -157,47 +157,47 @@
 	group := c.group
 	group.Answered++
 	group.answeredBySecond[c.takenAt/tenthsPerSecond]++
-	_ = group.latency.RecordValue(max(0, e.At-c.takenAt)) // fails past maxLatency, which is then left out
+	_ = group.latency.RecordValue(max(0, e.At-c.takenAt)) // fails for a latency over maxLatency, which is then left out
 	if policy.Role(e.number("role")) == policy.Replica {
 		group.replicas++
 	}
 }
 
-// Groups returns the summaries, sorted by group and set. More events may be added after it.
+// Groups returns the summaries of the events added so far, sorted by group and set.
 func (s *Summary) Groups() []GroupSummary {
 	open := map[*groupState]int64{}
 	for _, command := range s.openCommands {
 		open[command.group]++
 	}
-	var lines []GroupSummary
+	var summaries []GroupSummary
 	for _, state := range s.states {
-		line := state.line()
-		line.Open = open[state]
-		lines = append(lines, line)
+		summary := state.summary()
+		summary.Open = open[state]
+		summaries = append(summaries, summary)
 	}
-	slices.SortFunc(lines, func(a, b GroupSummary) int {
+	slices.SortFunc(summaries, func(a, b GroupSummary) int {
 		return cmp.Or(cmp.Compare(a.Group, b.Group), cmp.Compare(a.Set, b.Set))
 	})
-	return lines
+	return summaries
 }
 
-// line returns the summary, without the open commands.
-func (g *groupState) line() GroupSummary {
-	line := g.GroupSummary
-	line.Dispatches = ratio(g.dispatches, g.Taken)
-	line.Replicas = ratio(g.replicas, g.Answered)
-	line.Comeback = ratio(g.totalComeback, tenthsPerMillisecond*g.Throttled)
-	line.Waited = ratio(g.totalWaited, tenthsPerMillisecond*g.firstDispatches)
-	line.Median = float64(g.latency.ValueAtQuantile(medianQuantile)) / tenthsPerMillisecond
-	line.P99 = float64(g.latency.ValueAtQuantile(p99Quantile)) / tenthsPerMillisecond
-	line.Over = map[int64]float64{}
+// summary returns the summary without the number of open commands.
+func (g *groupState) summary() GroupSummary {
+	summary := g.GroupSummary
+	summary.Dispatches = ratio(g.dispatches, g.Taken)
+	summary.Replicas = ratio(g.replicas, g.Answered)
+	summary.Comeback = ratio(g.totalComeback, tenthsPerMillisecond*g.Throttled)
+	summary.Waited = ratio(g.totalWaited, tenthsPerMillisecond*g.firstDispatches)
+	summary.Median = float64(g.latency.ValueAtQuantile(medianQuantile)) / tenthsPerMillisecond
+	summary.P99 = float64(g.latency.ValueAtQuantile(p99Quantile)) / tenthsPerMillisecond
+	summary.Over = map[int64]float64{}
 	for second, taken := range g.takenBySecond {
-		line.Over[second] = ratio(g.answeredBySecond[second], taken)
+		summary.Over[second] = ratio(g.answeredBySecond[second], taken)
 	}
-	return line
+	return summary
 }
 
-// ratio returns the part that count is of total, or 0 if there is nothing.
+// ratio returns count divided by total, or 0 if total is 0.
 func ratio(count, total int64) float64 {
 	if total == 0 {
 		return 0
--- a/internal/router/trace/tool/tool.go
+++ b/internal/router/trace/tool/tool.go
@@ -1,13 +1,12 @@
-// Package tool is what is done with trace files: reading a span of time, selecting
-// commands, anonymising, merging the files of several routers and summing up.
+// Package tool implements operations on trace files: reading a time range, selecting
+// commands, anonymization, merging the files of several routers, and summaries.
 //
-// A Source passes the events of a file to a function one after the other, and an
-// Output writes a file from events. What is between the two (Filter, Anonymizer,
-// Summary, Merge) handles one event at a time, so that files may be larger than
-// memory.
+// A Source passes the events of a file to a function one by one, and an Output writes
+// events to a file. The operations between them (Filter, Anonymizer, Summary, Merge)
+// process one event at a time, so files may be larger than memory.
 //
-// Times are tenths of a millisecond of Unix time, by the clock of the router that
-// wrote the file.
+// Times are in tenths of a millisecond of Unix time, on the clock of the router that
+// recorded the file.
 package tool
 
 import (
@@ -23,7 +22,7 @@
 	tenthsPerSecond      = 10000
 )
 
-// Names of what a header holds beside the schema.
+// Keys of format.Header.Extra.
 const (
 	deploymentKey = "deployment"
 	groupsKey     = "groups"
@@ -35,11 +34,11 @@
 	kind format.Kind
 }
 
-func named(schema format.Schema, event format.Event) namedEvent {
+func newNamedEvent(schema format.Schema, event format.Event) namedEvent {
 	return namedEvent{event, schema[event.Kind]}
 }
 
-// command returns the number of the command that the event is of, if it is of one.
+// command returns the number of the command that the event belongs to, if any.
 func (e namedEvent) command() (number int64, ok bool) {
 	index := e.kind.Find("command", format.Int)
 	if index < 0 {
@@ -48,7 +47,7 @@
 	return e.Ints[index], true
 }
 
-// number returns a number, or 0 if the kind has no such column.
+// number returns the value of an integer column, or 0 if the kind has no such column.
 func (e namedEvent) number(column string) int64 {
 	if index := e.kind.Find(column, format.Int); index >= 0 {
 		return e.Ints[index]
@@ -56,7 +55,7 @@
 	return 0
 }
 
-// text returns a text, or an empty one if the kind has no such column.
+// text returns the value of a text column, or an empty string if the kind has no such column.
 func (e namedEvent) text(column string) string {
 	if index := e.kind.Find(column, format.Text); index >= 0 {
 		return e.Texts[index]
@@ -64,7 +63,7 @@
 	return ""
 }
 
-// GroupNames returns the names of command groups in a header, by number, or nil if it has none.
+// GroupNames returns the names of the command groups in a header, indexed by number, or nil if there are none.
 func GroupNames(header format.Header) []string {
 	var names []string
 	if cbor.Unmarshal(header.Extra[groupsKey], &names) != nil {
@@ -73,7 +72,7 @@
 	return names
 }
 
-// JSONNumber returns a number of an event as JSON prints it: a size is a float64, stored by its bits.
+// JSONNumber returns the value of an integer column for JSON. Sizes are converted to float64, whose bits are stored.
 func JSONNumber(column string, value int64) any {
 	if column == "size" {
 		return math.Float64frombits(uint64(value))
@@ -81,7 +80,7 @@
 	return value
 }
 
-// EventObject returns an event as a JSON object, by the names of its columns.
+// EventObject returns an event as a JSON object whose keys are the names of the columns, "at" and "kind".
 func EventObject(schema format.Schema, event format.Event) map[string]any {
 	kind := schema[event.Kind]
 	object := map[string]any{"at": event.At, "kind": kind.Name}
--- a/internal/router/trace/tool/tool_test.go
+++ b/internal/router/trace/tool/tool_test.go
@@ -18,13 +18,14 @@
 	"ferrypitch/policy"
 )
 
-// base is the time of the first event, in tenths of a millisecond.
+// base is the time of the first event, in tenths of a millisecond of Unix time.
 const base = int64(17672256000000)
 
-// allTime is a window of every event.
+// allTime is a window that contains every event.
 var allTime = Window{First: -1 << 62}
 
-// writeTrace writes a router's file: commands of sessions at a host. The router's clock is ahead by offset and drifts.
+// writeTrace writes the file of a router: 5 commands per second, which one host answers. The router's clock is ahead
+// by offset and drifts.
 func writeTrace(t *testing.T, dir, router string, seed uint64, seconds int, offset int64, drift float64) string {
 	t.Helper()
 	deployment, err := record.EncodeDeployment(policy.Deployment{Zone: "zone of " + router, Groups: []*policy.CommandGroup{{ResponseTarget: 2500}, {ResponseTarget: 2500}}})
@@ -45,20 +46,20 @@
 		t.Fatal(err)
 	}
 	random := rand.New(rand.NewPCG(seed, 3))
-	put := func(at int64, kind int, ints []int64, texts ...string) {
+	add := func(at int64, kind int, ints []int64, texts ...string) {
 		at += offset + int64(drift*float64(at-base))
 		if err := output.Add(format.Event{At: at, Kind: kind, Ints: ints, Texts: texts}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(base, record.Host, []int64{1, 1}, "host-of-the-set")
-	put(base, record.Heard, nil, "free words of viewer-007")
+	add(base, record.AddHost, []int64{1, 1}, "host-of-the-set")
+	add(base, record.ReceivePeerUpdate, nil, "free words of viewer-007")
 	for k := range int64(seconds * 5) {
 		at := base + k*2000 + random.Int64N(1500)
-		put(at, record.Take, []int64{k + 1, k % 2, 1, at + 10000, 0, 0}, fmt.Sprintf("id-%d", k), fmt.Sprintf("viewer-%03d", k%20))
-		put(at+2, record.Dispatch, []int64{k + 1, 1, 0, 0, 0, 1000})
-		took := 40 + random.Int64N(60)
-		put(at+2+took, record.Ended, []int64{k + 1, int64(policy.Answered), at + took - 20, int64(policy.Primary), took, 0})
+		add(at, record.Submit, []int64{k + 1, k % 2, 1, at + 10000, 0, 0}, fmt.Sprintf("id-%d", k), fmt.Sprintf("viewer-%03d", k%20))
+		add(at+2, record.Dispatch, []int64{k + 1, 1, 0, 0, 0, 1000})
+		latency := 40 + random.Int64N(60)
+		add(at+2+latency, record.EndDispatch, []int64{k + 1, int64(policy.Answered), at + latency - 20, int64(policy.Primary), latency, 0})
 	}
 	if err := errors.Join(output.Close(), file.Close()); err != nil {
 		t.Fatal(err)
@@ -90,7 +91,7 @@
 	})
 }
 
-// encode returns a file of events.
+// encode returns a file with the given events.
 func encode(t *testing.T, header format.Header, events []format.Event) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -132,7 +133,7 @@
 	file := filepath.Join(dir, "out")
 	writeFile(t, file, encoded)
 	_, got := readAll(t, file)
-	searched := bytes.Clone(encoded) // the file, and the texts in its blocks, uncompressed
+	searched := bytes.Clone(encoded) // the file, and the uncompressed texts of its blocks
 	for _, event := range got {
 		searched = append(searched, strings.Join(event.Texts, "\x00")...)
 	}
@@ -172,7 +173,7 @@
 			t.Fatal(err)
 		}
 		for _, event := range events {
-			if event.Kind == record.Take && event.Texts[1] == "viewer-003" {
+			if event.Kind == record.Submit && event.Texts[1] == "viewer-003" {
 				return anonymizer.Event(event).Texts[1]
 			}
 		}
@@ -184,7 +185,7 @@
 	}
 }
 
-// openForMerge returns a file's header, delays and feed, and keeps nothing open.
+// openForMerge returns the header, delay samples and feed of a file, and closes the file.
 func openForMerge(t *testing.T, path string) (format.Header, *DelaySamples, Feed) {
 	t.Helper()
 	source, err := Open(path)
@@ -205,13 +206,14 @@
 	return source.Header, delays, feed
 }
 
-// mergeInOrder merges, checks that times do not go back and returns the number of events.
+// mergeInOrder merges feeds, checks that events are in order of time, and returns their number. check is called with
+// each event and its index.
 func mergeInOrder(t *testing.T, feeds []Feed, skews []ClockSkew, check func(event format.Event, number int)) int {
 	t.Helper()
 	last, n := int64(0), 0
 	if err := Merge(feeds, skews, func(event format.Event) error {
 		if event.At < last {
-			t.Fatalf("%d after %d", event.At, last)
+			t.Fatalf("event at %d after one at %d", event.At, last)
 		}
 		last = event.At
 		check(event, n)
@@ -233,9 +235,9 @@
 		t.Fatal(err)
 	}
 	for _, at := range []int64{base, base + 1000000, base + 2000000} {
-		theirs := at + offset + int64(drift*float64(at-base))
-		if off := skew.Correct(theirs) - at; off > 40 || off < -40 {
-			t.Errorf("%.1f s on: off by %.1f ms, bound %.1f", float64(at-base)/10000, float64(off)/10, skew.Bound/10)
+		reading := at + offset + int64(drift*float64(at-base))
+		if off := skew.Correct(reading) - at; off > 40 || off < -40 {
+			t.Errorf("after %.1f s: off by %.1f ms, with a bound of %.1f ms", float64(at-base)/10000, float64(off)/10, skew.Bound/10)
 		}
 	}
 	if skew.Windows < 10 || skew.Bound > 100 {
@@ -243,7 +245,7 @@
 	}
 	lastCommand := [2]int64{} // by router
 	n := mergeInOrder(t, []Feed{firstFeed, otherFeed}, []ClockSkew{{}, skew}, func(event format.Event, _ int) {
-		if event.Kind != record.Take {
+		if event.Kind != record.Submit {
 			return
 		}
 		router := event.Ints[len(event.Ints)-1]
@@ -280,7 +282,7 @@
 			t.Fatal(event)
 		}
 		if filter.Matches(event) {
-			if n++; event.Kind == record.Take && event.Ints[1] != 1 {
+			if n++; event.Kind == record.Submit && event.Ints[1] != 1 {
 				t.Fatal(event)
 			}
 		}
@@ -293,7 +295,7 @@
 	}
 }
 
-// summarize returns the summary of a trace of 250 commands in each of two groups.
+// summarize returns the summary and the events of a trace with 250 commands in each of two groups.
 func summarize(t *testing.T) (*Summary, []format.Event) {
 	t.Helper()
 	source, events := readAll(t, writeTrace(t, t.TempDir(), "a", 1, 100, 0, 0))
@@ -306,29 +308,29 @@
 
 func TestSummaryCountsEveryCommandOnce(t *testing.T) {
 	sum, events := summarize(t)
-	// A repeated event, and one of a command that was not taken, count for nothing.
+	// A repeated final event and an event of an unknown command are ignored.
 	sum.Add(events[len(events)-1])
 	sum.Add(format.Event{Kind: record.Fail, Ints: []int64{99999}})
-	sum.Add(format.Event{At: base, Kind: record.Take, Ints: []int64{88888, 0, 1, 0, 0, 0}, Texts: []string{"x", "y"}})
-	lines := sum.Groups()
-	if len(lines) != 2 || lines[1].Taken != 250 {
-		t.Fatalf("%+v", lines)
+	sum.Add(format.Event{At: base, Kind: record.Submit, Ints: []int64{88888, 0, 1, 0, 0, 0}, Texts: []string{"x", "y"}})
+	summaries := sum.Groups()
+	if len(summaries) != 2 || summaries[1].Taken != 250 {
+		t.Fatalf("%+v", summaries)
 	}
-	if line := lines[0]; line.Group != "list" || line.Taken != 251 || line.Answered != 250 || line.Open != 1 {
-		t.Fatalf("%+v", lines)
+	if summary := summaries[0]; summary.Group != "list" || summary.Taken != 251 || summary.Answered != 250 || summary.Open != 1 {
+		t.Fatalf("%+v", summaries)
 	}
-	if line := lines[1]; line.Dispatches != 1 || line.Replicas != 0 || line.Median < 4 || line.P99 > 11 {
-		t.Errorf("%+v", line)
+	if summary := summaries[1]; summary.Dispatches != 1 || summary.Replicas != 0 || summary.Median < 4 || summary.P99 > 11 {
+		t.Errorf("%+v", summary)
 	}
-	if line := lines[1]; line.Waited < 0.1 || line.Waited > 0.3 {
-		t.Errorf("%+v", line)
+	if summary := summaries[1]; summary.Waited < 0.1 || summary.Waited > 0.3 {
+		t.Errorf("%+v", summary)
 	}
 }
 
 func TestDiffHasGroupsOfEitherSide(t *testing.T) {
 	sum, _ := summarize(t)
-	lines := sum.Groups()
-	if diff := Diff(lines, lines[:1]); len(diff) != 2 || diff[1].Taken != [2]int64{250, 0} {
+	summaries := sum.Groups()
+	if diff := Diff(summaries, summaries[:1]); len(diff) != 2 || diff[1].Taken != [2]int64{250, 0} {
 		t.Errorf("%+v", diff)
 	}
 }
@@ -336,11 +338,11 @@
 func TestTruncatedFileIsReadAndRepaired(t *testing.T) {
 	dir := t.TempDir()
 	path := writeTrace(t, dir, "a", 1, 4000, 0, 0)
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	writeFile(t, path, whole[:len(whole)*2/3])
+	writeFile(t, path, complete[:len(complete)*2/3])
 	source, events := readAll(t, path)
 	if source.Index != nil || source.Truncated == nil || len(events) < 10000 {
 		t.Errorf("%v, %d events", source.Truncated, len(events))
@@ -352,12 +354,12 @@
 	}
 }
 
-// openDescriptors returns how many file descriptors the process has.
+// openDescriptors returns the number of open file descriptors of the process.
 func openDescriptors(t *testing.T) int {
 	t.Helper()
 	descriptors, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
-		t.Skip("no list of descriptors here")
+		t.Skip("the system does not list file descriptors")
 	}
 	return len(descriptors)
 }
@@ -382,13 +384,13 @@
 		}
 		feeds, skews = append(feeds, feed), append(skews, skew)
 	}
-	most := 0
+	maxOpen := 0
 	n := mergeInOrder(t, feeds, skews, func(_ format.Event, number int) {
 		if number%500 == 0 {
-			most = max(most, openDescriptors(t))
+			maxOpen = max(maxOpen, openDescriptors(t))
 		}
 	})
-	if n != 40*(2+3*150) || most > before+2 {
-		t.Errorf("%d events, %d descriptors, %d before", n, most, before)
+	if n != 40*(2+3*150) || maxOpen > before+2 {
+		t.Errorf("%d events, at most %d descriptors, %d before", n, maxOpen, before)
 	}
 }
