--- a/cmd/ferrypitch/trace_merge.go
+++ b/cmd/ferrypitch/trace_merge.go
@@ -69,7 +69,7 @@
 			return nil, fmt.Errorf("%s: %w", input.path, err)
 		}
 		fmt.Fprintf(os.Stderr, "%s: router %s is %.1f ms ahead and drifts by %.1f ppm, within %.1f ms, by %d windows\n",
-			input.path, skew.Router, skew.Offset/10, skew.Drift*1e6, skew.Bound/10, skew.Windows)
+			input.path, skew.Router, skew.Offset/10, skew.Drift*1e6, skew.MaxDeviation/10, skew.Windows)
 		skews = append(skews, skew)
 	}
 	return skews, nil
--- a/cmd/ferrypitch/trace_replay.go
+++ b/cmd/ferrypitch/trace_replay.go
@@ -25,8 +25,8 @@
 			for _, difference := range result.Differences {
 				fmt.Fprintln(c.OutOrStdout(), difference)
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d calls, %d asked for, %d apart\n", result.Calls, result.Compared, result.Different)
-			if result.Different > 0 {
+			fmt.Fprintf(c.OutOrStdout(), "%d calls, %d asked for, %d apart\n", result.Calls, result.ComparedActions, result.DifferenceCount)
+			if result.DifferenceCount > 0 {
 				return exitStatus(exitFailed)
 			}
 			return nil
--- a/internal/router/routing/commands.go
+++ b/internal/router/routing/commands.go
@@ -67,7 +67,7 @@
 		if c := r.slots[slot]; c != nil {
 			r.Disconnected.Add(1)
 			r.forgetSlot(c)
-			r.trace.Left(c.handle)
+			r.trace.Abandon(c.handle)
 			c.handle.Abandon()
 			r.forgetIfOver(c.handle)
 		}
@@ -101,9 +101,9 @@
 	r.Taken.Add(1)
 	timeout := now + policy.TenthMs(time.Until(deadline)/clock.Tenth)
 	previewed := r.preview.command(r.policy, group, parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
-	r.trace.Take(parsed.ID, r.groups[group], parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
+	r.trace.Submit(parsed.ID, r.groups[group], parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
 	c.handle = r.policy.Submit(parsed.ID, group, parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
-	r.trace.Taken(c.handle)
+	r.trace.AssignHandle(c.handle)
 	previewed.compare(c.handle)
 	r.forgetIfOver(c.handle)
 }
@@ -124,7 +124,7 @@
 		now := r.clock.Now()
 		h.noteAnswer(c.handle, answer.Outcome, position, role, now-elapsed, now, elapsed)
 	}
-	r.trace.Ended(c.handle, answer.Outcome, position, role, elapsed, c.slot == nil)
+	r.trace.EndDispatch(c.handle, answer.Outcome, position, role, elapsed, c.slot == nil)
 	c.handle.EndDispatch(answer.Outcome, position, role, elapsed, c.slot == nil)
 	r.forgetIfOver(c.handle)
 }
@@ -134,7 +134,7 @@
 	terms := r.start.Formats
 	position, role, ok := terms.ParseLoadReport(func(i int) (float64, bool) { return protocol.LoadReportField(report, terms.Fields[i]) })
 	if node != nil && ok && position >= 0 && float64(position) <= 10*r.maxPositionMs() {
-		r.trace.Reported(node, position, role)
+		r.trace.ReportLoad(node, position, role)
 		node.ReportLoad(position, role)
 	}
 }
@@ -152,7 +152,7 @@
 // forgetIfOver forgets a command for which nothing more will come, whichever call into the module ended it.
 func (r *Router) forgetIfOver(handle *policy.Command) {
 	if handle.IsFinished() {
-		r.trace.Settled(handle)
+		r.trace.ReleaseCommand(handle)
 		delete(r.commands, handle.Name)
 	}
 }
--- a/internal/router/routing/hosts.go
+++ b/internal/router/routing/hosts.go
@@ -56,7 +56,7 @@
 	r.queue.Put(eventloop.PriorityControl, func() {
 		r.ListRequestsFailed.Add(1)
 		r.advanceClock()
-		r.trace.Unlisted()
+		r.trace.ListUnavailable()
 		r.policy.ListUnavailable()
 	})
 }
@@ -111,20 +111,20 @@
 func (r *Router) introduce(h *host) {
 	h.node = r.policy.AddHost(h.Name, h.Set)
 	r.hosts[h.Name], r.nodes[h.node] = h, h
-	r.trace.Host(h.node, h.Set)
+	r.trace.AddHost(h.node, h.Set)
 }
 
 // announceHost passes a host's state to the module, as the list has it.
 func (r *Router) announceHost(h *host) {
 	r.preview.hostListed(h.Standing)
-	r.trace.Listed(h.node, h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
+	r.trace.UpdateListing(h.node, h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
 	h.node.UpdateListing(h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
 }
 
 // finishList marks the end of a list, or of its changes, for the module.
 func (r *Router) finishList(complete bool) {
 	r.preview.listFinished()
-	r.trace.ListDone(complete)
+	r.trace.EndList(complete)
 	r.policy.EndList(complete)
 }
 
@@ -145,12 +145,12 @@
 		}
 		r.advanceClock()
 		r.trace.View(len(hosts), len(dropped), routers, blind)
-		r.trace.Count(routers, blind)
+		r.trace.SetRouterCount(routers, blind)
 		r.policy.SetRouterCount(routers, blind)
 		for _, entry := range hosts {
 			if h := r.hosts[entry.Name]; h != nil {
 				lateness := policy.PlannerLatency(entry.Lateness)
-				r.trace.Told(h.node, entry.Position, entry.Role, entry.RolePosition, lateness)
+				r.trace.ApplyPlannerUpdate(h.node, entry.Position, entry.Role, entry.RolePosition, lateness)
 				h.node.ApplyPlannerUpdate(entry.Position, entry.Role, entry.RolePosition, lateness)
 			}
 		}
--- a/internal/router/routing/policy_caller.go
+++ b/internal/router/routing/policy_caller.go
@@ -39,7 +39,7 @@
 
 // RejectRetryable implements policy.Caller: it answers that the client may retry later.
 func (r *Router) RejectRetryable(handle *policy.Command, retryAfter policy.TenthMs) {
-	r.trace.Throttle(handle, retryAfter)
+	r.trace.RejectRetryable(handle, retryAfter)
 	r.preview.throttled(retryAfter)
 	if c := r.commands[handle.Name]; c.slot != nil {
 		r.Throttled.Add(1)
@@ -74,21 +74,21 @@
 		if answered {
 			r.applyLoadReport(node, answer.Value)
 		}
-		r.trace.Probed(node, answered)
+		r.trace.EndProbe(node, answered)
 		node.EndProbe(answered)
 	})
 }
 
 // CloseIdleConns implements policy.Caller: it closes the idle connections to a host.
 func (r *Router) CloseIdleConns(node *policy.Host) {
-	r.trace.Close(node)
+	r.trace.CloseIdleConns(node)
 	r.nodes[node].connections.CloseIdle()
 }
 
 // ReleaseHost implements policy.Caller: the host has left the list, and the module will not name it again.
 func (r *Router) ReleaseHost(node *policy.Host) {
 	r.HostsForgotten.Add(1)
-	r.trace.Forget(node)
+	r.trace.ReleaseHost(node)
 	r.nodes[node].connections.Remove()
 	delete(r.nodes, node)
 	delete(r.hosts, node.Name)
@@ -97,18 +97,18 @@
 // RequestHostList implements policy.Caller: it requests the list.
 func (r *Router) RequestHostList() {
 	r.ListRequests.Add(1)
-	r.trace.Watch()
+	r.trace.RequestHostList()
 	r.requestList()
 }
 
 // Broadcast implements policy.Caller: it sends a message to every other router.
 func (r *Router) Broadcast(body string) {
-	r.trace.Tell(body)
+	r.trace.Broadcast(body)
 	r.broadcast(body)
 }
 
 // ScheduleWakeUp implements policy.Caller: it schedules a call of the module.
 func (r *Router) ScheduleWakeUp(after policy.TenthMs) {
-	r.trace.Wake(after)
+	r.trace.ScheduleWakeUp(after)
 	r.scheduleWakeUp(after)
 }
--- a/internal/router/routing/router.go
+++ b/internal/router/routing/router.go
@@ -172,7 +172,7 @@
 func (r *Router) wakePolicy() {
 	r.wakeAt = time.Time{}
 	r.advanceClock()
-	r.trace.Woke()
+	r.trace.WakeUp()
 	if r.policy.WakeUp(); r.wakeAt.IsZero() { // by the module's clock, which may lag, it was too early
 		r.scheduleWakeUp(r.start.Deployment.Tick)
 	}
@@ -217,7 +217,7 @@
 	r.wakeAt = time.Time{}
 	now := r.clock.Now()
 	r.trace.SetTime(now)
-	r.trace.Anew()
+	r.trace.ReplaceModule()
 	r.policy = policy.New(r, r.start.Deployment, now)
 	for _, h := range r.hosts {
 		r.introduce(h)
@@ -260,7 +260,7 @@
 func (r *Router) HandlePeerMessage(body string) {
 	r.queue.Put(eventloop.PriorityCommands, func() {
 		r.advanceClock()
-		r.trace.Heard(body)
+		r.trace.ReceivePeerUpdate(body)
 		r.policy.ReceivePeerUpdate(body)
 	})
 }
--- a/internal/router/tier/plan/links.go
+++ b/internal/router/tier/plan/links.go
@@ -74,7 +74,7 @@
 	p.enqueue(ctx, func() {
 		p.conns[forwarder] = conn
 		forwarder.Started()
-		p.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, true, "")
+		p.trace.LinkState(conn.Peer.Name, conn.Peer.Incarnation, true, "")
 	})
 	err = p.readFrames(ctx, forwarder, conn)
 	conn.CloseWithError(err)
@@ -82,7 +82,7 @@
 	p.enqueue(ctx, func() {
 		delete(p.conns, forwarder)
 		forwarder.Disconnected()
-		p.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, false, err.Error())
+		p.trace.LinkState(conn.Peer.Name, conn.Peer.Incarnation, false, err.Error())
 	})
 	if ctx.Err() == nil {
 		p.log.Info("a forwarder left", zap.String("name", conn.Peer.Name), zap.Error(err))
--- a/internal/router/tier/plan/probe.go
+++ b/internal/router/tier/plan/probe.go
@@ -61,7 +61,7 @@
 	now := p.clock.Now()
 	responded := answer.Outcome == policy.Answered
 	position, role := p.stateOf(answer, now)
-	p.trace.Probed(name, responded, position, role, now-sentAt)
+	p.trace.EndProbe(name, responded, position, role, now-sentAt)
 	p.core.ProbeFinished(now, name, responded, position, role, sentAt)
 }
 
--- a/internal/router/trace/record/actions.go
+++ b/internal/router/trace/record/actions.go
@@ -23,8 +23,8 @@
 	r.addNumbers(Dispatch, number, r.hosts[host], timeout, command.SendBy, command.NeededPosition(), int64(command.Work()*thousandths))
 }
 
-// Throttle records that a command is rejected and after which delay its client may retry.
-func (r *Recorder) Throttle(command *policy.Command, retryAfter policy.TenthMs) {
+// RejectRetryable records that a command is rejected and after which delay its client may retry.
+func (r *Recorder) RejectRetryable(command *policy.Command, retryAfter policy.TenthMs) {
 	if r == nil {
 		return
 	}
@@ -50,37 +50,37 @@
 	}
 }
 
-// Close records that the module closed the idle connections to a host.
-func (r *Recorder) Close(host *policy.Host) {
+// CloseIdleConns records that the module closed the idle connections to a host.
+func (r *Recorder) CloseIdleConns(host *policy.Host) {
 	if r != nil {
 		r.addNumbers(CloseIdleConns, r.hosts[host])
 	}
 }
 
-// Forget records that the module released a host, and removes the host's handle.
-func (r *Recorder) Forget(host *policy.Host) {
+// ReleaseHost records that the module released a host, and removes the host's handle.
+func (r *Recorder) ReleaseHost(host *policy.Host) {
 	if r != nil {
 		r.addNumbers(ReleaseHost, r.hosts[host])
 		delete(r.hosts, host)
 	}
 }
 
-// Tell records a message to the other routers.
-func (r *Recorder) Tell(body string) {
+// Broadcast records a message to the other routers.
+func (r *Recorder) Broadcast(body string) {
 	if r != nil {
 		r.addEvent(Broadcast, nil, []string{body})
 	}
 }
 
-// Wake records that the module scheduled a wake-up.
-func (r *Recorder) Wake(after policy.TenthMs) {
+// ScheduleWakeUp records that the module scheduled a wake-up.
+func (r *Recorder) ScheduleWakeUp(after policy.TenthMs) {
 	if r != nil {
 		r.addNumbers(ScheduleWakeUp, after)
 	}
 }
 
-// Watch records that the module requested the host list.
-func (r *Recorder) Watch() {
+// RequestHostList records that the module requested the host list.
+func (r *Recorder) RequestHostList() {
 	if r != nil {
 		r.addNumbers(RequestHostList)
 	}
--- a/internal/router/trace/record/calls.go
+++ b/internal/router/trace/record/calls.go
@@ -6,11 +6,12 @@
 	"ferrypitch/policy"
 )
 
-// The methods in this file record calls into the decision module. Each is called before the
-// call that it records, except for Host, which requires the handle that the module returns.
+// The methods in this file record calls into the decision module, mostly under the names of
+// the methods called. Each is called before the call that it records, except for AddHost,
+// which requires the handle that the module returns.
 
-// Host records that a host was added.
-func (r *Recorder) Host(host *policy.Host, set int64) {
+// AddHost records that a host was added.
+func (r *Recorder) AddHost(host *policy.Host, set int64) {
 	if r == nil {
 		return
 	}
@@ -19,8 +20,8 @@
 	r.addEvent(AddHost, []int64{r.lastHost, set}, []string{host.Name})
 }
 
-// Listed records a host's entry in the host list.
-func (r *Recorder) Listed(
+// UpdateListing records a host's entry in the host list.
+func (r *Recorder) UpdateListing(
 	host *policy.Host, state policy.ListState, isPrimary bool, zone, model string, size float64, bootedAt policy.TenthMs,
 ) {
 	if r != nil {
@@ -29,24 +30,24 @@
 	}
 }
 
-// ListDone records the end of a host list, and whether the list was complete.
-func (r *Recorder) ListDone(complete bool) {
+// EndList records the end of a host list, and whether the list was complete.
+func (r *Recorder) EndList(complete bool) {
 	if r != nil {
 		r.addNumbers(EndList, flag(complete))
 	}
 }
 
-// Unlisted records that a request for the host list was refused, or that the subscription to it ended.
-func (r *Recorder) Unlisted() {
+// ListUnavailable records that a request for the host list was refused, or that the subscription to it ended.
+func (r *Recorder) ListUnavailable() {
 	if r != nil {
 		r.addNumbers(ListUnavailable)
 	}
 }
 
-// Take records a new command, before the call of the module's Submit; Taken must be called
-// with the handle that Submit returns. Until then, actions of the module for an unknown
+// Submit records a new command, before the call of the module's Submit; AssignHandle must be
+// called with the handle that Submit returns. Until then, actions of the module for an unknown
 // handle are recorded as actions for the new command.
-func (r *Recorder) Take(id string, group int, set int64, session string, timeout, sinceWrite policy.TenthMs, isRetry bool) {
+func (r *Recorder) Submit(id string, group int, set int64, session string, timeout, sinceWrite policy.TenthMs, isRetry bool) {
 	if r == nil {
 		return
 	}
@@ -59,8 +60,8 @@
 	r.addEvent(Submit, []int64{r.pendingCommand, int64(group), set, timeout, sinceWrite, flag(isRetry)}, []string{id, session})
 }
 
-// Taken assigns a handle to the command of the last Take. It records no event.
-func (r *Recorder) Taken(command *policy.Command) {
+// AssignHandle assigns a handle to the command of the last Submit. It records no event.
+func (r *Recorder) AssignHandle(command *policy.Command) {
 	if r == nil {
 		return
 	}
@@ -70,8 +71,8 @@
 	r.pendingCommand = 0
 }
 
-// Ended records the outcome of a dispatch. finished means that the command needs no further answer.
-func (r *Recorder) Ended(
+// EndDispatch records the outcome of a dispatch. finished means that the command needs no further answer.
+func (r *Recorder) EndDispatch(
 	command *policy.Command, outcome policy.Outcome, position policy.TenthMs, role policy.Role, latency policy.TenthMs, finished bool,
 ) {
 	if r == nil {
@@ -82,15 +83,15 @@
 	}
 }
 
-// Settled removes the handle of a command that has no further events. It records no event.
-func (r *Recorder) Settled(command *policy.Command) {
+// ReleaseCommand removes the handle of a command that has no further events. It records no event.
+func (r *Recorder) ReleaseCommand(command *policy.Command) {
 	if r != nil {
 		delete(r.commands, command)
 	}
 }
 
-// Left records that the client of a command disconnected.
-func (r *Recorder) Left(command *policy.Command) {
+// Abandon records that the client of a command disconnected.
+func (r *Recorder) Abandon(command *policy.Command) {
 	if r == nil {
 		return
 	}
@@ -99,51 +100,51 @@
 	}
 }
 
-// Reported records the position and role in a host's load report.
-func (r *Recorder) Reported(host *policy.Host, position policy.TenthMs, role policy.Role) {
+// ReportLoad records the position and role in a host's load report.
+func (r *Recorder) ReportLoad(host *policy.Host, position policy.TenthMs, role policy.Role) {
 	if r != nil {
 		r.addNumbers(ReportLoad, r.hosts[host], position, int64(role))
 	}
 }
 
-// Probed records the result of a probe.
-func (r *Recorder) Probed(host *policy.Host, ok bool) {
+// EndProbe records the result of a probe.
+func (r *Recorder) EndProbe(host *policy.Host, ok bool) {
 	if r != nil {
 		r.addNumbers(EndProbe, r.hosts[host], flag(ok))
 	}
 }
 
-// Heard records a message from another router.
-func (r *Recorder) Heard(body string) {
+// ReceivePeerUpdate records a message from another router.
+func (r *Recorder) ReceivePeerUpdate(body string) {
 	if r != nil {
 		r.addEvent(ReceivePeerUpdate, nil, []string{body})
 	}
 }
 
-// Woke records a wake-up that the module had scheduled.
-func (r *Recorder) Woke() {
+// WakeUp records a wake-up that the module had scheduled.
+func (r *Recorder) WakeUp() {
 	if r != nil {
 		r.addNumbers(WakeUp)
 	}
 }
 
-// Told records a planner's update about a host. roleAt is the position at which the role was stated.
-func (r *Recorder) Told(host *policy.Host, position policy.TenthMs, role policy.Role, roleAt, latency policy.TenthMs) {
+// ApplyPlannerUpdate records a planner's update about a host. roleAt is the position at which the role was stated.
+func (r *Recorder) ApplyPlannerUpdate(host *policy.Host, position policy.TenthMs, role policy.Role, roleAt, latency policy.TenthMs) {
 	if r != nil {
 		r.addNumbers(ApplyPlannerUpdate, r.hosts[host], position, int64(role), roleAt, latency)
 	}
 }
 
-// Count records the number of routers that share the hosts, and whether no planner is current.
-func (r *Recorder) Count(routers int, noPlanner bool) {
+// SetRouterCount records the number of routers that share the hosts, and whether no planner is current.
+func (r *Recorder) SetRouterCount(routers int, noPlanner bool) {
 	if r != nil {
 		r.addNumbers(SetRouterCount, int64(routers), flag(noPlanner))
 	}
 }
 
-// Anew records that a new module replaced one that panicked. The hosts are added again
+// ReplaceModule records that a new module replaced one that panicked. The hosts are added again
 // afterwards.
-func (r *Recorder) Anew() {
+func (r *Recorder) ReplaceModule() {
 	if r != nil {
 		clear(r.commands)
 		r.addNumbers(ReplaceModule)
--- a/internal/router/trace/record/plan.go
+++ b/internal/router/trace/record/plan.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Probed records the result of a probe. position is -1 if the response stated none.
-func (p *Planner) Probed(name string, ok bool, position policy.TenthMs, role policy.Role, latency policy.TenthMs) {
+// EndProbe records the result of a probe. position is -1 if the response stated none.
+func (p *Planner) EndProbe(name string, ok bool, position policy.TenthMs, role policy.Role, latency policy.TenthMs) {
 	if p != nil {
 		p.recorder.addEvent(PlanEndProbe, []int64{flag(ok), position, int64(role), latency}, []string{name})
 	}
@@ -76,9 +76,9 @@
 	p.recorder.addEvent(PlanReport, []int64{int64(len(report.Observations)), responses, coldWork}, []string{forwarder})
 }
 
-// Forwarder records that a forwarder's link was opened, or that it ended and why.
-func (p *Planner) Forwarder(name string, incarnation uint64, open bool, reason string) {
+// LinkState records that a forwarder's link was opened, or that it ended and why.
+func (p *Planner) LinkState(name string, incarnation uint64, open bool, reason string) {
 	if p != nil {
-		p.recorder.addEvent(PlanForwarder, []int64{flag(open), int64(incarnation)}, []string{name, reason})
+		p.recorder.addEvent(PlanLinkState, []int64{flag(open), int64(incarnation)}, []string{name, reason})
 	}
 }
--- a/internal/router/trace/record/record_test.go
+++ b/internal/router/trace/record/record_test.go
@@ -37,17 +37,17 @@
 func TestLostEventsAreCountedInTheNextBlock(t *testing.T) {
 	sink := &memorySink{}
 	recorder := New(sink, 1<<20, allSessions, [32]byte{}, false)
-	recorder.Woke()
+	recorder.WakeUp()
 	sink.closed = true
 	recorder.Flush() // the sink does not accept the block: one event is lost
-	recorder.Woke()
+	recorder.WakeUp()
 	sink.closed = false
 	recorder.Flush()
 	sink.closed = true
-	recorder.Woke()
-	recorder.Woke() // the sink supplies no block: two events are lost
+	recorder.WakeUp()
+	recorder.WakeUp() // the sink supplies no block: two events are lost
 	sink.closed = false
-	recorder.Woke()
+	recorder.WakeUp()
 	recorder.Flush()
 	if len(sink.blocks) != 2 || sink.blocks[0].Lost != 1 || sink.blocks[1].Lost != 2 {
 		t.Errorf("%+v", sink.blocks)
@@ -91,8 +91,8 @@
 	var recorder *Recorder
 	recorder.SetTime(1)
 	recorder.SystemClock(1)
-	recorder.Woke()
-	recorder.Take("id", 0, 1, "session", 0, 0, false)
+	recorder.WakeUp()
+	recorder.Submit("id", 0, 1, "session", 0, 0, false)
 	recorder.Flush()
 	var planner *Planner
 	planner.SetTime(1, 1)
--- a/internal/router/trace/record/schema.go
+++ b/internal/router/trace/record/schema.go
@@ -19,7 +19,7 @@
 	WakeUp
 	ApplyPlannerUpdate
 	SetRouterCount
-	ReplaceModule // not a method: a new module replaced one that panicked
+	ReplaceModule // not a method of policy: a new module replaced one that panicked
 
 	// Calls by the module: methods of policy.Caller.
 	Dispatch
@@ -45,7 +45,7 @@
 	PlanEndProbe
 	PlanChange
 	PlanReport
-	PlanForwarder
+	PlanLinkState
 
 	// Calls into and by the module that later versions of the schema added.
 	ListUnavailable // a call into the module
@@ -90,7 +90,7 @@
 	PlanEndProbe:  eventKind("plan_probed", intColumns("ok", "position", "role", "took"), textColumn("name", format.Topology)),
 	PlanChange:    eventKind("plan_change", intColumns("seq", "hosts", "dropped", "routers", "every", "whole", "links")),
 	PlanReport:    eventKind("plan_report", intColumns("entries", "answers", "cold"), textColumn("forwarder", format.Topology)),
-	PlanForwarder: eventKind("plan_forwarder", intColumns("open", "life"), textColumn("forwarder", format.Topology), textColumn("why", format.FreeText)),
+	PlanLinkState: eventKind("plan_forwarder", intColumns("open", "life"), textColumn("forwarder", format.Topology), textColumn("why", format.FreeText)),
 
 	ListUnavailable: eventKind("unlisted"),
 	RequestHostList: eventKind("watch"),
--- a/internal/router/trace/replay/kinds.go
+++ b/internal/router/trace/replay/kinds.go
@@ -19,7 +19,7 @@
 	}
 	switch kind {
 	case record.List, record.Stall, record.Reload, record.Clock, record.View,
-		record.PlanList, record.PlanProbe, record.PlanEndProbe, record.PlanChange, record.PlanReport, record.PlanForwarder:
+		record.PlanList, record.PlanProbe, record.PlanEndProbe, record.PlanChange, record.PlanReport, record.PlanLinkState:
 		return ignored
 	case record.Candidate, record.Dispatch, record.RejectRetryable, record.Fail, record.Probe, record.CloseIdleConns, record.ReleaseHost,
 		record.Broadcast, record.ScheduleWakeUp, record.RequestHostList:
--- a/internal/router/trace/replay/replay.go
+++ b/internal/router/trace/replay/replay.go
@@ -44,10 +44,10 @@
 
 // Replay replays the trace of one incarnation of a router. It implements policy.Caller.
 type Replay struct {
-	Calls       int64        // number of calls made into the module
-	Compared    int64        // number of actions compared
-	Different   int64        // number of compared actions that differ
-	Differences []Difference // the first maxDifferences of them
+	Calls           int64        // number of calls made into the module
+	ComparedActions int64        // number of actions compared
+	DifferenceCount int64        // number of compared actions that differ
+	Differences     []Difference // the first maxDifferences of them
 
 	maxDifferences int
 	deployment     policy.Deployment
@@ -153,11 +153,11 @@
 	}
 	for i := range max(len(r.replayed), len(r.recorded)) {
 		replayed, recorded := lineAt(r.replayed, i), lineAt(r.recorded, i)
-		r.Compared++
+		r.ComparedActions++
 		if replayed == recorded {
 			continue
 		}
-		r.Different++
+		r.DifferenceCount++
 		if len(r.Differences) < r.maxDifferences {
 			r.Differences = append(r.Differences, Difference{r.eventNumber, r.lastCallAt, r.lastCall, recorded, replayed})
 		}
--- a/internal/router/trace/tool/skew.go
+++ b/internal/router/trace/tool/skew.go
@@ -22,12 +22,12 @@
 
 // ClockSkew is the estimated skew of a router's clock relative to the first router's clock.
 type ClockSkew struct {
-	Router  string
-	Offset  float64 // how far the clock is ahead at From, in tenths of a millisecond
-	Drift   float64 // change of the offset per unit of time
-	From    int64   // time on the router's clock to which Offset refers
-	Bound   float64 // maximum deviation of a window from the fitted line, in tenths of a millisecond
-	Windows int     // number of windows that both routers have in common
+	Router       string
+	Offset       float64 // how far the clock is ahead at From, in tenths of a millisecond
+	Drift        float64 // change of the offset per unit of time
+	From         int64   // time on the router's clock to which Offset refers
+	MaxDeviation float64 // maximum deviation of a window from the fitted line, in tenths of a millisecond
+	Windows      int     // number of windows that both routers have in common
 }
 
 // Correct converts a time on the router's clock to the first router's clock.
@@ -119,7 +119,7 @@
 	skew.Offset = meanOffset + skew.Drift*(float64(skew.From)-meanOffset-meanTime)
 	for i := range times {
 		expected := meanOffset + skew.Drift*(times[i]-meanTime)
-		skew.Bound = max(skew.Bound, math.Abs(offsets[i]-expected))
+		skew.MaxDeviation = max(skew.MaxDeviation, math.Abs(offsets[i]-expected))
 	}
 	return skew, nil
 }
--- a/internal/router/trace/tool/tool_test.go
+++ b/internal/router/trace/tool/tool_test.go
@@ -237,10 +237,10 @@
 	for _, at := range []int64{base, base + 1000000, base + 2000000} {
 		reading := at + offset + int64(drift*float64(at-base))
 		if off := skew.Correct(reading) - at; off > 40 || off < -40 {
-			t.Errorf("after %.1f s: off by %.1f ms, with a bound of %.1f ms", float64(at-base)/10000, float64(off)/10, skew.Bound/10)
+			t.Errorf("after %.1f s: off by %.1f ms, with a bound of %.1f ms", float64(at-base)/10000, float64(off)/10, skew.MaxDeviation/10)
 		}
 	}
-	if skew.Windows < 10 || skew.Bound > 100 {
+	if skew.Windows < 10 || skew.MaxDeviation > 100 {
 		t.Errorf("%+v", skew)
 	}
 	lastCommand := [2]int64{} // by router
--- a/internal/simulation/tierfleet/trace_test.go
+++ b/internal/simulation/tierfleet/trace_test.go
@@ -112,11 +112,11 @@
 		require.NoError(t, planners.Wait())
 		f.Stop()
 		replayed := replayTrace(t, f.Trace.Dir)
-		if replayed.Different != 0 || replayed.Compared < int64(tally.Sent) {
+		if replayed.DifferenceCount != 0 || replayed.ComparedActions < int64(tally.Sent) {
 			t.Errorf("forwards %v: %d calls, %d asked for, %d apart: %v",
-				forwards, replayed.Calls, replayed.Compared, replayed.Different, replayed.Differences)
+				forwards, replayed.Calls, replayed.ComparedActions, replayed.DifferenceCount, replayed.Differences)
 		}
 		t.Logf("forwards %v: %d commands, %d calls into the module, %d asked for, %d apart",
-			forwards, tally.Sent, replayed.Calls, replayed.Compared, replayed.Different)
+			forwards, tally.Sent, replayed.Calls, replayed.ComparedActions, replayed.DifferenceCount)
 	}
 }
--- a/internal/simulation/tiernet/apply.go
+++ b/internal/simulation/tiernet/apply.go
@@ -19,14 +19,14 @@
 	for _, h := range hosts {
 		f.applyListed(h)
 	}
-	f.trace.ListDone(false)
+	f.trace.EndList(false)
 	f.module.EndList(false)
-	f.trace.Count(due.RouterCount, due.NoPlanner)
+	f.trace.SetRouterCount(due.RouterCount, due.NoPlanner)
 	f.module.SetRouterCount(due.RouterCount, due.NoPlanner)
 	for _, h := range hosts {
 		if node := f.nodes[h.Name]; node != nil {
 			lateness := policy.PlannerLatency(h.Lateness)
-			f.trace.Told(node, h.Position, h.Role, h.RolePosition, lateness)
+			f.trace.ApplyPlannerUpdate(node, h.Position, h.Role, h.RolePosition, lateness)
 			node.ApplyPlannerUpdate(h.Position, h.Role, h.RolePosition, lateness)
 			f.noteNaming(h)
 		}
@@ -42,9 +42,9 @@
 		}
 		node = f.module.AddHost(h.Name, h.Set)
 		f.nodes[h.Name], f.nodeNames[node] = node, h.Name
-		f.trace.Host(node, h.Set)
+		f.trace.AddHost(node, h.Set)
 	}
-	f.trace.Listed(node, h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
+	f.trace.UpdateListing(node, h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
 	node.UpdateListing(h.Standing, h.ListedPrimary, h.Zone, h.Kind, h.Size, h.BootedAt)
 	f.knownStarts[h.Name] = max(f.knownStarts[h.Name], h.BootedAt)
 	if h.Standing == policy.Active {
--- a/internal/simulation/tiernet/command.go
+++ b/internal/simulation/tiernet/command.go
@@ -53,9 +53,9 @@
 		}
 	})
 	f.commands[id] = c
-	f.trace.Take(id, slices.Index(f.groups, group), set.id, session, c.deadline, sinceWrite, false)
+	f.trace.Submit(id, slices.Index(f.groups, group), set.id, session, c.deadline, sinceWrite, false)
 	c.handle = f.module.Submit(id, group, set.id, session, c.deadline, sinceWrite, false)
-	f.trace.Taken(c.handle)
+	f.trace.AssignHandle(c.handle)
 	f.forgetFinished(c.handle)
 }
 
@@ -76,7 +76,7 @@
 // forgetFinished drops a command that has its answer and no dispatch in flight.
 func (f *forwarderProcess) forgetFinished(handle *policy.Command) {
 	if c := f.commands[handle.Name]; c != nil && c.answered && handle.IsFinished() {
-		f.trace.Settled(handle)
+		f.trace.ReleaseCommand(handle)
 		delete(f.commands, handle.Name)
 	}
 }
--- a/internal/simulation/tiernet/dispatch.go
+++ b/internal/simulation/tiernet/dispatch.go
@@ -176,7 +176,7 @@
 		observation.Responses++
 		observation.LatenessSum += uint32(min(maxLateness, c.handle.TargetFraction(took)) * thousandths)
 	}
-	f.trace.Ended(c.handle, outcome, position, role, took, c.answered)
+	f.trace.EndDispatch(c.handle, outcome, position, role, took, c.answered)
 	c.handle.EndDispatch(outcome, position, role, took, c.answered)
 	f.forgetFinished(c.handle)
 }
--- a/internal/simulation/tiernet/module.go
+++ b/internal/simulation/tiernet/module.go
@@ -6,7 +6,7 @@
 
 // RejectRetryable answers a command with a rejection.
 func (f *forwarderProcess) RejectRetryable(handle *policy.Command, retryAfter policy.TenthMs) {
-	f.trace.Throttle(handle, retryAfter)
+	f.trace.RejectRetryable(handle, retryAfter)
 	f.countFinalAnswer(handle, &f.w.Throttled)
 	f.forgetFinished(handle)
 }
@@ -26,22 +26,22 @@
 // ScheduleWakeUp calls the module again after a span.
 func (f *forwarderProcess) ScheduleWakeUp(after policy.TenthMs) {
 	incarnation := f.incarnation
-	f.trace.Wake(after)
+	f.trace.ScheduleWakeUp(after)
 	f.w.After(max(millisecond, after), func() {
 		if f.isRunning(incarnation) {
 			f.updateClock()
-			f.trace.Woke()
+			f.trace.WakeUp()
 			f.module.WakeUp()
 		}
 	})
 }
 
 // CloseIdleConns closes the idle connections to a host, of which there are none here.
-func (f *forwarderProcess) CloseIdleConns(node *policy.Host) { f.trace.Close(node) }
+func (f *forwarderProcess) CloseIdleConns(node *policy.Host) { f.trace.CloseIdleConns(node) }
 
 // ReleaseHost drops a host that is gone.
 func (f *forwarderProcess) ReleaseHost(node *policy.Host) {
-	f.trace.Forget(node)
+	f.trace.ReleaseHost(node)
 	delete(f.nodes, f.nodeNames[node])
 	delete(f.nodeNames, node)
 }
--- a/internal/simulation/tiernet/replay_test.go
+++ b/internal/simulation/tiernet/replay_test.go
@@ -102,8 +102,8 @@
 			require.NoError(t, err)
 			require.NoError(t, replayEvents(reader, replayed), "seed %d, %v", seed, key)
 			replayed.Finish(file.complete)
-			require.Zero(t, replayed.Different, "seed %d, %v: of %d asked for: %v", seed, key, replayed.Compared, replayed.Differences)
-			calls, asked = calls+replayed.Calls, asked+replayed.Compared
+			require.Zero(t, replayed.DifferenceCount, "seed %d, %v: of %d asked for: %v", seed, key, replayed.ComparedActions, replayed.Differences)
+			calls, asked = calls+replayed.Calls, asked+replayed.ComparedActions
 		}
 	}
 	t.Logf("%d calls, %d asked for, none apart", calls, asked)
@@ -128,8 +128,8 @@
 			t.Logf("the replay ends with %v", err) // as it may, once it has parted
 		}
 		replayed.Finish(true)
-		if replayed.Different == 0 || len(replayed.Differences) == 0 || replayed.Differences[0].Recorded == replayed.Differences[0].Replayed {
-			t.Errorf("%d apart of %d: %v", replayed.Different, replayed.Compared, replayed.Differences)
+		if replayed.DifferenceCount == 0 || len(replayed.Differences) == 0 || replayed.Differences[0].Recorded == replayed.Differences[0].Replayed {
+			t.Errorf("%d apart of %d: %v", replayed.DifferenceCount, replayed.ComparedActions, replayed.Differences)
 		}
 	}
 }
