--- a/internal/router/routing/commands.go
+++ b/internal/router/routing/commands.go
@@ -69,7 +69,7 @@
 		if c := r.slots[slot]; c != nil {
 			r.Disconnected.Add(1)
 			r.clearSlot(c)
-			r.trace.Left(c.handle)
+			r.trace.Abandon(c.handle)
 			c.handle.Abandon()
 			r.removeIfFinished(c.handle)
 		}
@@ -103,9 +103,9 @@
 	r.Taken.Add(1)
 	timeout := now + policy.TenthMs(time.Until(deadline)/clock.Resolution)
 	previewed := r.preview.command(r.policy, group, parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
-	r.trace.Take(parsed.ID, r.groups[group], parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
+	r.trace.Submit(parsed.ID, r.groups[group], parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
 	c.handle = r.policy.Submit(parsed.ID, group, parsed.ReplicaSet, parsed.Key, timeout, sinceWrite, parsed.IsRetry)
-	r.trace.Taken(c.handle)
+	r.trace.AssignHandle(c.handle)
 	previewed.compare(c.handle)
 	r.removeIfFinished(c.handle)
 }
@@ -126,7 +126,7 @@
 		now := r.clock.Now()
 		h.recordAnswer(c.handle, answer.Outcome, position, role, now-elapsed, now, elapsed)
 	}
-	r.trace.Ended(c.handle, answer.Outcome, position, role, elapsed, c.slot == nil)
+	r.trace.EndDispatch(c.handle, answer.Outcome, position, role, elapsed, c.slot == nil)
 	c.handle.EndDispatch(answer.Outcome, position, role, elapsed, c.slot == nil)
 	r.removeIfFinished(c.handle)
 }
@@ -136,7 +136,7 @@
 	formats := r.start.Formats
 	position, role, ok := formats.ParseLoadReport(func(i int) (float64, bool) { return protocol.LoadReportField(report, formats.LoadReportFields[i]) })
 	if node != nil && ok && position >= 0 && float64(position) <= 10*r.maxPositionMs() {
-		r.trace.Reported(node, position, role)
+		r.trace.ReportLoad(node, position, role)
 		node.ReportLoad(position, role)
 	}
 }
@@ -155,7 +155,7 @@
 // finish a command.
 func (r *Router) removeIfFinished(handle *policy.Command) {
 	if handle.IsFinished() {
-		r.trace.Settled(handle)
+		r.trace.ReleaseCommand(handle)
 		delete(r.commands, handle.Name)
 	}
 }
--- a/internal/router/routing/hosts.go
+++ b/internal/router/routing/hosts.go
@@ -57,7 +57,7 @@
 	r.queue.Put(eventloop.PriorityControl, func() {
 		r.ListRequestsFailed.Add(1)
 		r.advanceClock()
-		r.trace.Unlisted()
+		r.trace.ListUnavailable()
 		r.policy.ListUnavailable()
 	})
 }
@@ -112,20 +112,20 @@
 func (r *Router) registerHost(h *host) {
 	h.node = r.policy.AddHost(h.Name, h.Set)
 	r.hosts[h.Name], r.nodes[h.node] = h, h
-	r.trace.Host(h.node, h.Set)
+	r.trace.AddHost(h.node, h.Set)
 }
 
 // updateListing passes the host's list entry to the policy.
 func (r *Router) updateListing(h *host) {
 	r.preview.hostListed(h.ListedState)
-	r.trace.Listed(h.node, h.ListedState, h.ListedPrimary, h.Zone, h.Model, h.Size, h.BootedAt)
+	r.trace.UpdateListing(h.node, h.ListedState, h.ListedPrimary, h.Zone, h.Model, h.Size, h.BootedAt)
 	h.node.UpdateListing(h.ListedState, h.ListedPrimary, h.Zone, h.Model, h.Size, h.BootedAt)
 }
 
 // endList tells the policy that all entries of a list or a list update have been passed.
 func (r *Router) endList(complete bool) {
 	r.preview.listFinished()
-	r.trace.ListDone(complete)
+	r.trace.EndList(complete)
 	r.policy.EndList(complete)
 }
 
@@ -147,12 +147,12 @@
 		}
 		r.advanceClock()
 		r.trace.View(len(hosts), len(dropped), routers, blind)
-		r.trace.Count(routers, blind)
+		r.trace.SetRouterCount(routers, blind)
 		r.policy.SetRouterCount(routers, blind)
 		for _, entry := range hosts {
 			if h := r.hosts[entry.Name]; h != nil {
 				lateness := policy.PlannerLatency(entry.Lateness)
-				r.trace.Told(h.node, entry.Position, entry.Role, entry.RolePosition, lateness)
+				r.trace.ApplyPlannerUpdate(h.node, entry.Position, entry.Role, entry.RolePosition, lateness)
 				h.node.ApplyPlannerUpdate(entry.Position, entry.Role, entry.RolePosition, lateness)
 			}
 		}
--- a/internal/router/routing/router.go
+++ b/internal/router/routing/router.go
@@ -174,7 +174,7 @@
 func (r *Router) wakePolicy() {
 	r.wakeAt = time.Time{}
 	r.advanceClock()
-	r.trace.Woke()
+	r.trace.WakeUp()
 	if r.policy.WakeUp(); r.wakeAt.IsZero() { // too early by the policy's clock, which may lag behind the monotonic clock
 		r.scheduleWakeUp(r.start.Deployment.Tick)
 	}
@@ -219,7 +219,7 @@
 	r.wakeAt = time.Time{}
 	now := r.clock.Now()
 	r.trace.SetTime(now)
-	r.trace.Anew()
+	r.trace.ReplaceModule()
 	r.policy = policy.New(r, r.start.Deployment, now)
 	for _, h := range r.hosts {
 		r.registerHost(h)
@@ -261,7 +261,7 @@
 func (r *Router) HandlePeerMessage(body string) {
 	r.queue.Put(eventloop.PriorityCommands, func() {
 		r.advanceClock()
-		r.trace.Heard(body)
+		r.trace.ReceivePeerUpdate(body)
 		r.policy.ReceivePeerUpdate(body)
 	})
 }
--- a/internal/router/tier/plannerserver/links.go
+++ b/internal/router/tier/plannerserver/links.go
@@ -75,7 +75,7 @@
 	s.enqueue(ctx, func() {
 		s.conns[forwarder] = conn
 		forwarder.LinkReady()
-		s.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, true, "")
+		s.trace.LinkState(conn.Peer.Name, conn.Peer.Incarnation, true, "")
 	})
 	err = s.readFrames(ctx, forwarder, conn)
 	conn.CloseWithError(err)
@@ -83,7 +83,7 @@
 	s.enqueue(ctx, func() {
 		delete(s.conns, forwarder)
 		forwarder.Disconnected()
-		s.trace.Forwarder(conn.Peer.Name, conn.Peer.Incarnation, false, err.Error())
+		s.trace.LinkState(conn.Peer.Name, conn.Peer.Incarnation, false, err.Error())
 	})
 	if ctx.Err() == nil {
 		s.log.Info("a forwarder left", zap.String("name", conn.Peer.Name), zap.Error(err))
--- a/internal/router/tier/plannerserver/probe.go
+++ b/internal/router/tier/plannerserver/probe.go
@@ -61,7 +61,7 @@
 	now := s.clock.Now()
 	responded := answer.Outcome == policy.Answered
 	position, role := s.parseHostStatus(answer, now)
-	s.trace.Probed(name, responded, position, role, now-sentAt)
+	s.trace.EndProbe(name, responded, position, role, now-sentAt)
 	s.core.ProbeFinished(now, name, responded, position, role, sentAt)
 }
 
--- a/internal/router/trace/record/record_test.go
+++ b/internal/router/trace/record/record_test.go
@@ -7,7 +7,7 @@
 	"ferrypitch/internal/router/trace/format"
 )
 
-// memorySink gives and accepts blocks while it is open.
+// memorySink is a Sink that supplies and accepts blocks unless it is closed.
 type memorySink struct {
 	closed bool
 	file   []byte
@@ -37,17 +37,17 @@
 func TestLostEventsAreCountedInTheNextBlock(t *testing.T) {
 	sink := &memorySink{}
 	recorder := New(sink, 1<<20, allSessions, [32]byte{}, false)
-	recorder.Woke()
+	recorder.WakeUp()
 	sink.closed = true
-	recorder.Flush() // the block is not accepted: one event is lost
-	recorder.Woke()
+	recorder.Flush() // the sink does not accept the block: one event is lost
+	recorder.WakeUp()
 	sink.closed = false
 	recorder.Flush()
 	sink.closed = true
-	recorder.Woke()
-	recorder.Woke() // there is no block: two events are lost
+	recorder.WakeUp()
+	recorder.WakeUp() // the sink supplies no block: two events are lost
 	sink.closed = false
-	recorder.Woke()
+	recorder.WakeUp()
 	recorder.Flush()
 	if len(sink.blocks) != 2 || sink.blocks[0].Lost != 1 || sink.blocks[1].Lost != 2 {
 		t.Errorf("%+v", sink.blocks)
@@ -59,31 +59,31 @@
 
 func TestSampleIsChosenBySessionAndKey(t *testing.T) {
 	const sessions, perMille = 5000, 200
-	chosen := map[byte]map[string]bool{}
+	sampled := map[byte]map[string]bool{}
 	for _, key := range []byte{1, 2} {
 		recorder := New(&memorySink{}, 1<<20, perMille, [32]byte{key}, false)
-		chosen[key] = map[string]bool{}
+		sampled[key] = map[string]bool{}
 		for i := range sessions {
 			session := fmt.Sprint("session-", i)
 			if recorder.isSampled(session) {
-				chosen[key][session] = true
+				sampled[key][session] = true
 			}
-			if recorder.isSampled(session) != chosen[key][session] {
-				t.Fatalf("%s is in the sample once and not again", session)
+			if recorder.isSampled(session) != sampled[key][session] {
+				t.Fatalf("%s is sampled once and not the second time", session)
 			}
 		}
-		if n := len(chosen[key]); n < 900 || n > 1100 {
-			t.Errorf("%d of %d sessions in a sample of %d per mille", n, sessions, perMille)
+		if n := len(sampled[key]); n < 900 || n > 1100 {
+			t.Errorf("%d of %d sessions sampled at %d per mille", n, sessions, perMille)
 		}
 	}
 	both := 0
-	for session := range chosen[1] {
-		if chosen[2][session] {
+	for session := range sampled[1] {
+		if sampled[2][session] {
 			both++
 		}
 	}
 	if both > 300 {
-		t.Errorf("%d sessions are in the samples of both keys", both)
+		t.Errorf("%d sessions are sampled with both keys", both)
 	}
 }
 
@@ -91,8 +91,8 @@
 	var recorder *Recorder
 	recorder.SetTime(1)
 	recorder.SystemClock(1)
-	recorder.Woke()
-	recorder.Take("id", 0, 1, "session", 0, 0, false)
+	recorder.WakeUp()
+	recorder.Submit("id", 0, 1, "session", 0, 0, false)
 	recorder.Flush()
 	var planner *Planner
 	planner.SetTime(1, 1)
