--- a/internal/router/trace/file/file.go
+++ b/internal/router/trace/file/file.go
@@ -178,7 +178,7 @@
 	if w.Stopped.Swap(true) {
 		return
 	}
-	w.log.Error("trace recording stopped after a write error; the router continues to serve", zap.String("file", w.path), zap.Error(err))
+	w.log.Error("capture has ended; service goes on", zap.String("file", w.path), zap.Error(err))
 	if w.current != nil {
 		_ = w.current.file.Close() // err, which is the cause, has been logged
 		w.current = nil
