--- a/cmd/ferrypitch-control/disk.go
+++ b/cmd/ferrypitch-control/disk.go
@@ -18,18 +18,18 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// diskCommand shows what the data directory of a stopped member holds.
+// diskCommand prints the contents of a stopped member's data directory.
 type diskCommand struct{ json bool }
 
 // Name implements subcommands.Command.
 func (*diskCommand) Name() string { return "disk" }
 
 // Synopsis implements subcommands.Command.
-func (*diskCommand) Synopsis() string { return "show what a stopped member holds on its disk" }
+func (*diskCommand) Synopsis() string { return "show the contents of a stopped member's data directory" }
 
 // Usage implements subcommands.Command.
 func (*diskCommand) Usage() string {
-	return program + " disk [-json] FOLDER\n  shows identity, term, log and state in a member's DataDir\n"
+	return program + " disk [-json] FOLDER\n  shows the identity, term, log and state in a member's DataDir\n"
 }
 
 // SetFlags implements subcommands.Command.
@@ -37,25 +37,26 @@
 	flags.BoolVar(&c.json, "json", false, "print as JSON")
 }
 
-// diskContents is what a data directory holds. All entries of the log count, committed or not.
+// diskContents describes a data directory. It covers all entries of the log, committed or not. The field names are the keys of
+// its JSON form.
 type diskContents struct {
 	Identity          storage.Identity
 	Term              uint64
 	SnapshotIndex     uint64
-	LogEntries        int // behind the snapshot
+	LogEntries        int // after the snapshot
 	LastIndex         uint64
 	Version           int64 // of the configuration
 	Hosts             []statemachine.Host
 	Primaries         map[string]statemachine.Primary // by service
 	Proxies           []string
 	UnreadableEntries int
-	RejectedChanges   int // entries that do not change the state, as an outdated configuration
+	RejectedChanges   int // entries that the state machine rejects, for instance an outdated configuration
 }
 
 // Execute implements subcommands.Command.
 func (c *diskCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 1 {
-		return cli.Fail(program, trace.BadParameter("disk: one folder is wanted"))
+		return cli.Fail(program, trace.BadParameter("disk: expected one folder argument"))
 	}
 	contents, err := readDisk(flags.Arg(0))
 	if err != nil {
@@ -77,7 +78,7 @@
 	}
 }
 
-// readDisk reads a data directory, and writes nothing to it.
+// readDisk reads a data directory without writing to it.
 func readDisk(folder string) (*diskContents, error) {
 	identity, restored, err := storage.ReadFolder(folder)
 	if err != nil {
@@ -88,12 +89,12 @@
 	}
 	contents := &diskContents{Identity: identity}
 	if err := contents.restore(restored); err != nil {
-		return nil, trace.BadParameter("%s: its snapshot: %v", folder, err)
+		return nil, trace.BadParameter("%s: invalid snapshot: %v", folder, err)
 	}
 	return contents, nil
 }
 
-// restore applies the snapshot and all entries of a log.
+// restore rebuilds the state from the snapshot and all entries of the log, and fills the remaining fields from it.
 func (d *diskContents) restore(restored consensus.RestoredState) error {
 	state, err := statemachine.Restore(restored.Snapshot.Data)
 	if err != nil {
--- a/cmd/ferrypitch-control/main.go
+++ b/cmd/ferrypitch-control/main.go
@@ -1,5 +1,5 @@
 // Command ferrypitch-control runs a member of ferrypitch's control plane, which replicates the configuration, the hosts and the
-// primary of each service, and carries out fail-over. Its other sub-commands check a configuration, inspect a data directory, ask a
+// primary of each service, and performs failovers. Its other sub-commands check a configuration, inspect a data directory, ask a
 // running member for its status, and take and restore snapshots. See docs/design/system.md.
 package main
 
--- a/cmd/ferrypitch-control/plan.go
+++ b/cmd/ferrypitch-control/plan.go
@@ -14,10 +14,10 @@
 	"ferrypitch/internal/config"
 )
 
-// planCommand checks an operator's configuration as the control plane would.
+// planCommand validates an operator's configuration with the checks of the control plane.
 type planCommand struct {
 	json    bool
-	current string // file of the configuration that is amended; empty: the checked file is a whole one
+	current string // file of the configuration to amend; empty: the file is a complete configuration
 }
 
 // Name implements subcommands.Command.
@@ -30,7 +30,7 @@
 
 // Usage implements subcommands.Command.
 func (*planCommand) Usage() string {
-	return program + " plan [-json] [-current FILE] FILE\n  checks a whole configuration, or with -current an amendment of that one\n"
+	return program + " plan [-json] [-current FILE] FILE\n  checks a complete configuration, or with -current an amendment of that configuration\n"
 }
 
 // SetFlags implements subcommands.Command.
@@ -42,7 +42,7 @@
 // Execute implements subcommands.Command.
 func (c *planCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 1 {
-		return cli.Fail(program, trace.BadParameter("plan: one file is wanted"))
+		return cli.Fail(program, trace.BadParameter("plan: expected one file argument"))
 	}
 	path := flags.Arg(0)
 	checked, err := c.check(path)
--- a/cmd/ferrypitch-control/restore.go
+++ b/cmd/ferrypitch-control/restore.go
@@ -17,11 +17,11 @@
 	"ferrypitch/internal/settings"
 )
 
-// restoreCommand makes the data directory of one founder of a new control plane.
+// restoreCommand creates the data directory of one founding member of a new control plane from a snapshot file.
 type restoreCommand struct {
 	json        bool
-	otherSystem bool
-	discard     uint64
+	otherSystem bool   // accept a snapshot that shares no member with the seeds
+	discard     uint64 // last index of existing data that may be discarded; 0: none newer than the snapshot
 }
 
 // Name implements subcommands.Command.
@@ -29,30 +29,30 @@
 
 // Synopsis implements subcommands.Command.
 func (*restoreCommand) Synopsis() string {
-	return "make this machine a founder of a new control plane with the state in a file"
+	return "make this machine a founding member of a new control plane with the state in a file"
 }
 
 // Usage implements subcommands.Command.
 func (*restoreCommand) Usage() string {
 	return program + ` restore [-json] [-other-system] [-discard INDEX] FILE
-  makes the DataDir of the settings file of $` + settings.EnvVar + ` that of a founder of a new control plane, which begins
-  with the state in FILE. To be run on each of the machines that the settings name as SeedPeers, with the same FILE, while
-  none of them runs; then start them. What a member left in DataDir is kept beside, and is given up only if the
-  snapshot has all of it, or if -discard names its last index.
+  writes the DataDir of the settings file named by $` + settings.EnvVar + ` for a founding member of a new control plane that
+  starts with the state in FILE. Run it with the same FILE on each machine that the settings list in SeedPeers, while
+  no member is running; then start the members. Existing files in DataDir are renamed, not deleted. Data newer than
+  the snapshot is replaced only if -discard gives its last index.
 `
 }
 
 // SetFlags implements subcommands.Command.
 func (c *restoreCommand) SetFlags(flags *flag.FlagSet) {
 	flags.BoolVar(&c.json, "json", false, "print as JSON")
-	flags.BoolVar(&c.otherSystem, "other-system", false, "take a snapshot none of whose members is among the seeds")
-	flags.Uint64Var(&c.discard, "discard", 0, "give up what DataDir holds up to this `index`, its last")
+	flags.BoolVar(&c.otherSystem, "other-system", false, "accept a snapshot none of whose members is among the seeds")
+	flags.Uint64Var(&c.discard, "discard", 0, "discard the data in DataDir, whose last index is `index`")
 }
 
 // Execute implements subcommands.Command.
 func (c *restoreCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 1 {
-		return cli.Fail(program, trace.BadParameter("restore: one file is wanted"))
+		return cli.Fail(program, trace.BadParameter("restore: expected one file argument"))
 	}
 	loaded, err := settings.Read()
 	if err != nil {
@@ -67,7 +67,7 @@
 
 func (c *restoreCommand) restore(loaded *settings.Settings, path string) (*backup.Restored, error) {
 	if loaded.DataDir == "" {
-		return nil, trace.BadParameter("DataDir: missing; there is no disk to restore to")
+		return nil, trace.BadParameter("DataDir: missing; there is no directory to restore to")
 	}
 	progress("reading %s", path)
 	snapshot, err := backup.Read(path)
@@ -87,6 +87,6 @@
 	fmt.Fprintf(w, "%s: member %s of %v, index %d, term %d, configuration %d, %d hosts, %d proxies\n",
 		folder, restored.Member, restored.Founders, restored.Index, restored.Term, restored.Version, restored.Hosts, restored.Proxies)
 	if restored.Discarded > 0 {
-		fmt.Fprintf(w, "given up: what was there up to index %d; it is kept beside\n", restored.Discarded)
+		fmt.Fprintf(w, "discarded the existing data up to index %d; its files are kept under new names\n", restored.Discarded)
 	}
 }
--- a/cmd/ferrypitch-control/snapshot.go
+++ b/cmd/ferrypitch-control/snapshot.go
@@ -17,10 +17,10 @@
 	"ferrypitch/internal/rpc"
 )
 
-// snapshotTimeout is for the whole answer of a member.
+// snapshotTimeout limits the whole request to a member, including its response body.
 const snapshotTimeout = 30 * time.Second
 
-// snapshotCommand takes the state of a running control plane into a file.
+// snapshotCommand saves the state of a running control plane to a file.
 type snapshotCommand struct{ json bool }
 
 // Name implements subcommands.Command.
@@ -28,13 +28,13 @@
 
 // Synopsis implements subcommands.Command.
 func (*snapshotCommand) Synopsis() string {
-	return "take the state of a running control plane into a file"
+	return "save the state of a running control plane to a file"
 }
 
 // Usage implements subcommands.Command.
 func (*snapshotCommand) Usage() string {
 	return program + ` snapshot [-json] ADDRESS FILE
-  asks the member at ADDRESS (host:port of its Control address) for the state at one index, and writes it to FILE,
+  requests the state at one index from the member at ADDRESS (host:port of its Control address), and writes it to FILE,
   which must not exist
 `
 }
@@ -44,7 +44,7 @@
 	flags.BoolVar(&c.json, "json", false, "print as JSON")
 }
 
-// takenSnapshot is what was written.
+// takenSnapshot describes the snapshot file that was written. The field names are the keys of its JSON form.
 type takenSnapshot struct {
 	File    string
 	Index   uint64
@@ -55,7 +55,7 @@
 // Execute implements subcommands.Command.
 func (c *snapshotCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 2 {
-		return cli.Fail(program, trace.BadParameter("snapshot: an address and a file are wanted"))
+		return cli.Fail(program, trace.BadParameter("snapshot: expected an address and a file argument"))
 	}
 	taken, err := takeSnapshot(ctx, flags.Arg(0), flags.Arg(1))
 	if err != nil {
@@ -67,7 +67,7 @@
 }
 
 func takeSnapshot(ctx context.Context, address, path string) (*takenSnapshot, error) {
-	progress("asking %s for its state", address)
+	progress("requesting the state from %s", address)
 	snapshot, err := fetchSnapshot(ctx, address)
 	if err != nil {
 		return nil, err
@@ -76,13 +76,13 @@
 	if err := backup.Write(path, snapshot); err != nil {
 		return nil, err
 	}
-	if _, err := backup.Read(path); err != nil { // what was written can be read back
+	if _, err := backup.Read(path); err != nil { // verifies that the file can be read back
 		return nil, err
 	}
 	return &takenSnapshot{File: path, Index: snapshot.Index, Version: snapshot.Version, Bytes: len(snapshot.State)}, nil
 }
 
-// fetchSnapshot asks a member, which passes the call to the leader.
+// fetchSnapshot requests a snapshot from a member, which forwards the request to the leader.
 func fetchSnapshot(ctx context.Context, address string) (*backup.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
@@ -98,14 +98,14 @@
 	body, err := io.ReadAll(io.LimitReader(response.Body, 2*rpc.MaxSnapshotBytes))
 	switch {
 	case response.StatusCode != http.StatusOK:
-		return nil, trace.ConnectionProblem(nil, "%s answers %s: %s", address, response.Status, body)
+		return nil, trace.ConnectionProblem(nil, "%s returned status %s: %s", address, response.Status, body)
 	case err != nil:
 		return nil, trace.ConnectionProblem(err, "%s: %v", address, err)
 	}
 	return backup.Decode(body)
 }
 
-// progress shows a person what goes on; a pipe gets nothing.
+// progress prints a progress message to standard error if that is a terminal.
 func progress(format string, args ...any) {
 	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
 		fmt.Fprintf(os.Stderr, format+"\n", args...)
--- a/cmd/ferrypitch-control/status.go
+++ b/cmd/ferrypitch-control/status.go
@@ -13,10 +13,10 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// statusCommand asks a running member, at the address of its API.
+// statusCommand queries a running member at the address of its API.
 var statusCommand = &cli.Status[control.Status]{
 	Program:     program,
-	Description: "show a running member's log, primaries, changes of primary under way, and counters",
+	Description: "show a running member's log, primaries, failovers and switchovers in progress, and counters",
 	Path:        "/Member.Status",
 	PrintText:   printStatus,
 }
@@ -30,24 +30,24 @@
 	for _, service := range slices.Sorted(maps.Keys(status.Primaries)) {
 		primary := status.Primaries[service]
 		fmt.Fprintf(w, "%s: primary %s, term %d, fencing token %d\n", service, primary.Host, primary.Term, primary.FencingToken)
-		transition, underWay := status.Transitions[service]
-		printTransition(w, primary, transition, underWay)
+		transition, inProgress := status.Transitions[service]
+		printTransition(w, primary, transition, inProgress)
 	}
 	for _, host := range status.UnaccountedHosts {
-		fmt.Fprintf(w, "unaccounted: the log of removed host %s at %s, service %s\n", host.ID, host.Address, host.Service)
+		fmt.Fprintf(w, "unaccounted: log of removed host %s at %s, service %s\n", host.ID, host.Address, host.Service)
 	}
 	for _, id := range status.MissingHosts {
-		fmt.Fprintf(w, "missing: %s, whose log other hosts have\n", id)
+		fmt.Fprintf(w, "missing: %s; other hosts have its log\n", id)
 	}
 	cli.Counters(w, status.Counters)
 }
 
-// printTransition prints a change of primary that is under way. Only the leader knows its details.
-func printTransition(w io.Writer, primary statemachine.Primary, transition failover.Transition, underWay bool) {
+// printTransition prints a failover or switchover in progress. Only the leader knows its details.
+func printTransition(w io.Writer, primary statemachine.Primary, transition failover.Transition, inProgress bool) {
 	switch {
-	case underWay && transition.Planned:
-		fmt.Fprintf(w, "  switch-over to %s, for %d ms\n", transition.Nominee, transition.ElapsedMs)
-	case underWay:
+	case inProgress && transition.Planned:
+		fmt.Fprintf(w, "  switchover to %s, for %d ms\n", transition.Nominee, transition.ElapsedMs)
+	case inProgress:
 		fmt.Fprintf(w, "  revoked %d ms ago, nominee %q, promotion requested of %q, waiting for %s\n",
 			transition.ElapsedMs, transition.Nominee, transition.PromotionRequested, strings.Join(transition.WaitingFor, " "))
 	case primary.Revoked:
--- a/cmd/ferrypitch-proxy/main.go
+++ b/cmd/ferrypitch-proxy/main.go
@@ -1,4 +1,4 @@
-// Command ferrypitch-proxy is a process of the data plane: it accepts client sessions and forwards their statements to the
+// Command ferrypitch-proxy runs a proxy of the data plane: it accepts client sessions and forwards their statements to the
 // database hosts that may serve them. See docs/design/system.md.
 package main
 
--- a/cmd/ferrypitch-proxy/status.go
+++ b/cmd/ferrypitch-proxy/status.go
@@ -10,7 +10,7 @@
 	"ferrypitch/internal/proxy"
 )
 
-// statusCommand asks a running proxy at the address of its readiness server.
+// statusCommand queries a running proxy at the address of its readiness server.
 var statusCommand = &cli.Status[proxy.Status]{
 	Program:     "ferrypitch-proxy",
 	Description: "show a running proxy's lease, sessions, hosts, other proxies and counters",
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -27,18 +27,18 @@
 
 // Usage implements subcommands.Command.
 func (c *Check) Usage() string {
-	return c.Program + " check [-json] FILE\n  checks a settings file, starts nothing\n"
+	return c.Program + " check [-json] FILE\n  checks a settings file without starting a process\n"
 }
 
 // SetFlags implements subcommands.Command.
 func (c *Check) SetFlags(flags *flag.FlagSet) {
-	flags.BoolVar(&c.asJSON, "json", false, "print what was read as JSON")
+	flags.BoolVar(&c.asJSON, "json", false, "print the settings as JSON")
 }
 
 // Execute implements subcommands.Command.
 func (c *Check) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 1 {
-		return Fail(c.Program, trace.BadParameter("check: one file is wanted"))
+		return Fail(c.Program, trace.BadParameter("check: expected one file argument"))
 	}
 	path := flags.Arg(0)
 	loaded, err := settings.ReadFile(path)
@@ -46,6 +46,6 @@
 		return Fail(c.Program, err)
 	}
 	return Print(os.Stdout, c.asJSON, loaded, func(w io.Writer) {
-		fmt.Fprintf(w, "%s: good: node %s at %s, zone %s, %d seeds\n", path, loaded.Node, loaded.Ip, loaded.Zone, len(loaded.SeedPeers))
+		fmt.Fprintf(w, "%s: valid: node %s at %s, zone %s, %d seeds\n", path, loaded.Node, loaded.Ip, loaded.Zone, len(loaded.SeedPeers))
 	})
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli has what the command lines of ferrypitch-proxy and ferrypitch-control have in common: the sub-commands run, check and
-// status, how results are printed, and the exit statuses (0 success, 1 failure, 2 wrong use or invalid settings).
+// Package cli implements the parts of the command line that ferrypitch-proxy and ferrypitch-control share: the sub-commands run,
+// check and status, the printing of results, and the exit statuses (0 success, 1 failure, 2 usage error or invalid settings).
 package cli
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Register registers the sub-commands of a program, and those that print help.
+// Register registers the given sub-commands and the built-in commands that print help.
 func Register(commands ...subcommands.Command) {
 	subcommands.Register(subcommands.HelpCommand(), "")
 	subcommands.Register(subcommands.FlagsCommand(), "")
@@ -23,8 +23,8 @@
 	}
 }
 
-// Fail prints an error on one line of standard error, and returns the exit status for it: wrong use for trace's BadParameter,
-// NotFound and LimitExceeded, failure for any other.
+// Fail prints err on one line of standard error and returns its exit status: a usage error for the trace errors BadParameter,
+// NotFound and LimitExceeded, a failure for any other error.
 func Fail(program string, err error) subcommands.ExitStatus {
 	fmt.Fprintf(os.Stderr, "%s: %s\n", program, trace.UserMessage(err))
 	if trace.IsBadParameter(err) || trace.IsNotFound(err) || trace.IsLimitExceeded(err) {
@@ -33,7 +33,7 @@
 	return subcommands.ExitFailure
 }
 
-// Print prints a result, either as JSON or as printText does.
+// Print writes result to w, as indented JSON if asJSON is set and with printText otherwise.
 func Print(w io.Writer, asJSON bool, result any, printText func(io.Writer)) subcommands.ExitStatus {
 	if !asJSON {
 		printText(w)
@@ -47,7 +47,7 @@
 	return subcommands.ExitSuccess
 }
 
-// Counters prints counters in the order of their names.
+// Counters prints counters sorted by name, one per line.
 func Counters(w io.Writer, counters map[string]int64) {
 	for _, name := range slices.Sorted(maps.Keys(counters)) {
 		fmt.Fprintf(w, "%s %d\n", name, counters[name])
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -48,16 +48,16 @@
 	out.Reset()
 	require.Equal(t, subcommands.ExitSuccess, Print(&out, true, []int{1}, text))
 	require.Equal(t, "[\n  1\n]\n", out.String())
-	require.Equal(t, subcommands.ExitFailure, Print(&out, true, func() {}, text), "what can't be JSON")
+	require.Equal(t, subcommands.ExitFailure, Print(&out, true, func() {}, text), "a value that JSON cannot encode")
 }
 
-func TestCheckEndsByTheFile(t *testing.T) {
+func TestCheckStatusDependsOnTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.toml")
 	check := func(arguments ...string) subcommands.ExitStatus {
 		return execute(t, &Check{Program: "test"}, arguments...)
 	}
 	require.Equal(t, subcommands.ExitUsageError, check())
-	require.Equal(t, subcommands.ExitUsageError, check(path), "there is no file")
+	require.Equal(t, subcommands.ExitUsageError, check(path), "the file does not exist")
 	require.NoError(t, os.WriteFile(path, []byte("Node = 3\n"), 0o600))
 	require.Equal(t, subcommands.ExitUsageError, check(path))
 	valid := "Node = \"edge-1\"\nIp = \"10.1.0.8\"\nZone = \"a\"\nPortRange = [7440,7455]\n"
@@ -67,7 +67,7 @@
 }
 
 func TestStatusAsksARunningProcess(t *testing.T) {
-	type shown struct{ Sessions int }
+	type testStatus struct{ Sessions int }
 	body, code := `{"Sessions":7}`, http.StatusOK
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/Status" {
@@ -81,7 +81,7 @@
 	address := strings.TrimPrefix(server.URL, "http://")
 	sessions := 0
 	status := func(arguments ...string) subcommands.ExitStatus {
-		return execute(t, &Status[shown]{Program: "test", Path: "/Status", PrintText: func(_ io.Writer, s shown) { sessions = s.Sessions }}, arguments...)
+		return execute(t, &Status[testStatus]{Program: "test", Path: "/Status", PrintText: func(_ io.Writer, s testStatus) { sessions = s.Sessions }}, arguments...)
 	}
 	require.Equal(t, subcommands.ExitSuccess, status(address))
 	require.Equal(t, 7, sessions)
@@ -94,8 +94,8 @@
 	require.Equal(t, subcommands.ExitFailure, status(address))
 }
 
-// A signal that comes while a process still reads its settings is handled once it serves, and does not end it.
-func TestSignalDuringTheStartIsHandled(t *testing.T) {
+// A signal that arrives while the process still reads its settings must not end it; the server handles it after it has started.
+func TestSignalDuringStartIsHandled(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.toml")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
 	t.Setenv(settings.EnvVar, path)
@@ -106,7 +106,7 @@
 	}}
 	done := make(chan subcommands.ExitStatus, 1)
 	go func() { done <- execute(t, run) }()
-	file, err := os.OpenFile(path, os.O_WRONLY, 0) // once the settings are being read
+	file, err := os.OpenFile(path, os.O_WRONLY, 0) // returns when Execute has opened the pipe to read the settings
 	require.NoError(t, err)
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	time.Sleep(50 * time.Millisecond)
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -18,12 +18,12 @@
 	maxStatusBytes = 8 << 20
 )
 
-// Status is the sub-command that prints the status of a running process, which serves it over HTTP as the JSON of T.
+// Status is the sub-command that prints the status of a running process. The process serves it over HTTP as the JSON form of T.
 type Status[T any] struct {
 	Program     string
 	Description string // synopsis
 	Path        string // of the HTTP endpoint
-	PrintText   func(w io.Writer, shown T)
+	PrintText   func(w io.Writer, status T)
 	asJSON      bool
 }
 
@@ -35,7 +35,7 @@
 
 // Usage implements subcommands.Command.
 func (s *Status[T]) Usage() string {
-	return s.Program + " status [-json] ADDRESS\n  asks the one that answers at ADDRESS (host:port): " + s.Description + "\n"
+	return s.Program + " status [-json] ADDRESS\n  asks the process at ADDRESS (host:port): " + s.Description + "\n"
 }
 
 // SetFlags implements subcommands.Command.
@@ -46,7 +46,7 @@
 // Execute implements subcommands.Command.
 func (s *Status[T]) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 1 {
-		return Fail(s.Program, trace.BadParameter("status: one address is wanted"))
+		return Fail(s.Program, trace.BadParameter("status: expected one address argument"))
 	}
 	status, err := s.get(ctx, flags.Arg(0))
 	if err != nil {
@@ -68,10 +68,10 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return status, trace.Errorf("%s answers %s to %s", address, response.Status, s.Path)
+		return status, trace.Errorf("%s returned status %s for %s", address, response.Status, s.Path)
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&status); err != nil {
-		return status, trace.Wrap(err, "the answer")
+		return status, trace.Wrap(err, "decoding the response")
 	}
 	return status, nil
 }
