--- a/cmd/ferrypitch-control/disk.go
+++ b/cmd/ferrypitch-control/disk.go
@@ -25,7 +25,7 @@
 func (*diskCommand) Name() string { return "disk" }
 
 // Synopsis implements subcommands.Command.
-func (*diskCommand) Synopsis() string { return "show the contents of a stopped member's data directory" }
+func (*diskCommand) Synopsis() string { return "show the contents of a stopped member's disk" }
 
 // Usage implements subcommands.Command.
 func (*diskCommand) Usage() string {
--- a/cmd/ferrypitch/check.go
+++ b/cmd/ferrypitch/check.go
@@ -12,7 +12,7 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// checkResult is what check prints as JSON.
+// checkResult is the JSON output of check.
 type checkResult struct {
 	File        string   `json:"file"`
 	Subcommands []string `json:"serves"`
@@ -22,7 +22,7 @@
 	var asJSON bool
 	check := &cobra.Command{
 		Use:   "check FILE",
-		Short: "Check an operator's file, and name the key that is wrong",
+		Short: "Check an operator's file and name the faulty key",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			operator, err := setup.LoadOperator(args[0], os.Getenv)
@@ -33,7 +33,7 @@
 			if asJSON {
 				return json.NewEncoder(c.OutOrStdout()).Encode(checkResult{File: args[0], Subcommands: subcommands})
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s: good for %v\n", args[0], subcommands)
+			fmt.Fprintf(c.OutOrStdout(), "%s: valid for %v\n", args[0], subcommands)
 			return nil
 		},
 	}
@@ -59,7 +59,7 @@
 	}
 }
 
-// writeKey writes a random key to a new file that only its owner may read. It does not overwrite a file.
+// writeKey writes a random key to a new file that only its owner can read. It fails if the file exists.
 func writeKey(path string) error {
 	var key [32]byte
 	rand.Read(key[:])
--- a/cmd/ferrypitch/command.go
+++ b/cmd/ferrypitch/command.go
@@ -10,24 +10,24 @@
 	"ferrypitch/internal/router/setup"
 )
 
-// environment is the part of the help on the program without a sub-command.
-const environment = `Without a sub-command it serves as the platform starts it, and reads:
+// environmentHelp is the part of the help text that describes the program without a sub-command.
+const environmentHelp = `Without a sub-command it serves clients and reads its settings from these environment variables:
 
-  GW_CONFIG      the configuration file; must be there
-  GW_NAME        goes before name of the file
-  GW_LISTEN      goes before listen
-  GW_DISCOVERY   goes before discovery
-  GW_TRACE       a folder for trace files, of 12 MB at most; nothing is captured without it
+  GW_CONFIG      the configuration file; required
+  GW_NAME        overrides name in the file
+  GW_LISTEN      overrides listen in the file
+  GW_DISCOVERY   overrides discovery in the file
+  GW_TRACE       a folder for trace files of at most 12 MB; if unset, no trace is captured
 
-Status 0: done; 1: failed; 2: wrong use or configuration.`
+Exit status 0: success; 1: failure; 2: usage or configuration error.`
 
-// exitStatus is an error that ends the program with a status. Whatever is to be said about it has been printed.
+// exitStatus is an error that carries the exit status of the program. Its cause has already been printed.
 type exitStatus int
 
 // Error implements error.
 func (s exitStatus) Error() string { return fmt.Sprintf("status %d", int(s)) }
 
-// exitError converts an exit status to an error; exitOK is nil.
+// exitError converts an exit status to an error; it returns nil for exitOK.
 func exitError(status int) error {
 	if status == exitOK {
 		return nil
@@ -40,7 +40,7 @@
 	root := &cobra.Command{
 		Use:           "ferrypitch",
 		Short:         "A query router for sharded, replicated databases",
-		Long:          "A query router for sharded, replicated databases.\n\n" + environment,
+		Long:          "A query router for sharded, replicated databases.\n\n" + environmentHelp,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args:          cobra.NoArgs,
@@ -63,7 +63,7 @@
 func serveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "serve FILE",
-		Short: "Serve clients alone: watch discovery, probe, decide",
+		Short: "Serve clients without planners: watch discovery, probe hosts and route commands",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return exitError(runRouter(func() (*setup.Operator, error) {
@@ -81,7 +81,7 @@
 func forwardCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "forward FILE",
-		Short: "Serve clients on the views of planners",
+		Short: "Serve clients with the views that planners publish",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return exitError(runRouter(func() (*setup.Operator, error) { return loadForwarder(args[0]) }))
@@ -89,7 +89,7 @@
 	}
 }
 
-// loadForwarder loads what a forwarder starts with.
+// loadForwarder loads the configuration of a forwarder from an operator's file.
 func loadForwarder(path string) (*setup.Operator, error) {
 	operator, err := setup.LoadOperator(path, os.Getenv)
 	if err != nil {
--- a/cmd/ferrypitch/main.go
+++ b/cmd/ferrypitch/main.go
@@ -1,5 +1,5 @@
-// Ferrypitch routes the commands of a sharded, replicated database. Without arguments it serves as the platform starts it;
-// sub-commands serve by an operator's file, check that file, and work on trace files.
+// Ferrypitch routes the commands of a sharded, replicated database. Without arguments it is configured by environment variables;
+// its sub-commands serve with an operator's file, check that file, and process trace files.
 package main
 
 import (
@@ -19,12 +19,12 @@
 // Exit statuses.
 const (
 	exitOK     = iota
-	exitFailed // while running, or by a file that is worked on
-	exitUsage  // wrong arguments or configuration
+	exitFailed // failure while running, or of a file that is processed
+	exitUsage  // invalid arguments or configuration
 )
 
-// signalQueue is the number of signals that wait to be handled; further ones are dropped.
-const signalQueue = 4
+// signalQueueSize is the number of signals that can wait to be handled; further ones are dropped.
+const signalQueueSize = 4
 
 func main() {
 	if len(os.Args) > 1 {
@@ -33,7 +33,7 @@
 	os.Exit(runRouter(loadFromEnvironment))
 }
 
-// loadFromEnvironment loads what the platform starts a router with.
+// loadFromEnvironment loads the configuration of a router from the environment variables.
 func loadFromEnvironment() (*setup.Operator, error) {
 	start, err := setup.Load(os.Getenv)
 	operator := &setup.Operator{Start: start}
@@ -43,11 +43,11 @@
 	return operator, err
 }
 
-// runRouter runs a router until it ends, and returns the exit status.
+// runRouter runs a router until it stops, and returns the exit status.
 func runRouter(load func() (*setup.Operator, error)) int {
-	signals, reload := make(chan os.Signal, signalQueue), make(chan os.Signal, 1)
+	signals, reload := make(chan os.Signal, signalQueueSize), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
-	// SIGHUP has a channel of its own: it never ends the program, and never displaces another signal.
+	// SIGHUP has its own channel, so that it never ends the program and never fills the queue of the other signals.
 	signal.Notify(reload, syscall.SIGHUP)
 	operator, err := load()
 	if err != nil {
@@ -64,7 +64,7 @@
 	return exitOK
 }
 
-// startProcess applies the limits of the process, and returns its logger.
+// startProcess applies the CPU and memory limits of the process, and returns its logger.
 func startProcess(start *setup.Start) (*zap.Logger, error) {
 	log, err := zap.NewProduction()
 	if err != nil {
@@ -75,7 +75,7 @@
 	return log.Named(start.Name), nil
 }
 
-// reportUsage prints, in one line, what is wrong with the arguments or the configuration.
+// reportUsage prints an error in the arguments or the configuration on one line, and returns exitUsage.
 func reportUsage(err error) int {
 	fmt.Fprintln(os.Stderr, "ferrypitch:", err)
 	return exitUsage
--- a/cmd/ferrypitch/plan.go
+++ b/cmd/ferrypitch/plan.go
@@ -22,7 +22,7 @@
 func planCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "plan FILE",
-		Short: "Make views and hand them to forwarders",
+		Short: "Compute views and publish them to forwarders",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			operator, err := setup.LoadOperator(args[0], os.Getenv)
@@ -40,9 +40,9 @@
 	}
 }
 
-// runPlanner runs a planner until a signal ends it, or it fails.
+// runPlanner runs a planner until a signal stops it or it fails.
 func runPlanner(operator *setup.Operator) error {
-	signals := make(chan os.Signal, signalQueue)
+	signals := make(chan os.Signal, signalQueueSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGUSR1)
 	signal.Ignore(syscall.SIGHUP)
 	log, err := startProcess(operator.Start)
@@ -71,12 +71,12 @@
 		}
 		return fields
 	}
-	ctx, end := context.WithCancel(context.Background())
-	defer end()
-	ended := make(chan error, 1)
-	go func() { ended <- planner.Run(ctx, listener) }()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	runErr := make(chan error, 1)
+	go func() { runErr <- planner.Run(ctx, listener) }()
 	log.Info("started", zap.Stringer("listen", listener.Addr()))
-	err = awaitPlanner(ended, signals, end, counters, log)
+	err = awaitPlanner(runErr, signals, cancel, counters, log)
 	err = errors.Join(err, finishTrace())
 	log.Info("counts", counters()...)
 	if err != nil && ctx.Err() == nil {
@@ -86,8 +86,9 @@
 	return nil
 }
 
-// awaitPlanner handles signals until the planner has ended, which end brings about, and returns its error.
-func awaitPlanner(ended <-chan error, signals <-chan os.Signal, end func(), counters func() []zap.Field, log *zap.Logger) error {
+// awaitPlanner handles signals until the planner has stopped, and returns the planner's error. SIGUSR1 logs the counters; any other
+// signal calls cancel, which stops the planner.
+func awaitPlanner(runErr <-chan error, signals <-chan os.Signal, cancel func(), counters func() []zap.Field, log *zap.Logger) error {
 	for {
 		select {
 		case received := <-signals:
@@ -96,8 +97,8 @@
 				continue
 			}
 			log.Info("stopping", zap.String("signal", received.String()))
-			end()
-		case err := <-ended:
+			cancel()
+		case err := <-runErr:
 			return err
 		}
 	}
--- a/cmd/ferrypitch/trace_merge.go
+++ b/cmd/ferrypitch/trace_merge.go
@@ -15,7 +15,7 @@
 	var out string
 	c := &cobra.Command{
 		Use:   "merge FILE... --out OUT",
-		Short: "Put several routers' files in the order of the first one's clock",
+		Short: "Merge the files of several routers into one, ordered by the first router's clock",
 		Args:  cobra.MinimumNArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			inputs := make([]*mergeInput, len(args))
@@ -32,17 +32,17 @@
 			return writeAtomically(out, func(to io.Writer) error { return writeMerged(to, inputs, skews) })
 		},
 	}
-	c.Flags().StringVar(&out, "out", "", "the file to write; - is standard output")
+	c.Flags().StringVar(&out, "out", "", "the output file; - is standard output")
 	requireFlag(c, "out")
 	return c
 }
 
-// mergeInput is one of the files that are merged.
+// mergeInput is one input file of a merge.
 type mergeInput struct {
 	path   string
 	header format.Header
-	delays *tool.DelaySamples // by which clocks are compared
-	feed   tool.Feed          // its events, to be read again
+	delays *tool.DelaySamples // message delays, for the estimate of the clock skew
+	feed   tool.Feed          // reads the events of the file again
 }
 
 func readMergeInput(path string) (*mergeInput, error) {
@@ -59,7 +59,7 @@
 	return input, err
 }
 
-// estimateSkews estimates how each clock differs from that of the first file, and prints it.
+// estimateSkews estimates the skew of each router's clock against the clock of the first file, and prints the estimates.
 func estimateSkews(inputs []*mergeInput) ([]tool.ClockSkew, error) {
 	first := inputs[0]
 	skews := []tool.ClockSkew{{Router: first.header.Router}}
@@ -68,14 +68,14 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", input.path, err)
 		}
-		fmt.Fprintf(os.Stderr, "%s: router %s is %.1f ms ahead and drifts by %.1f ppm, within %.1f ms, by %d windows\n",
+		fmt.Fprintf(os.Stderr, "%s: router %s is %.1f ms ahead and drifts by %.1f ppm, error bound %.1f ms, from %d windows\n",
 			input.path, skew.Router, skew.Offset/10, skew.Drift*1e6, skew.Bound/10, skew.Windows)
 		skews = append(skews, skew)
 	}
 	return skews, nil
 }
 
-// writeMerged writes the events of all files in order, after one event for each router that names it.
+// writeMerged writes one event with the name of each router, followed by the events of all files in order of time.
 func writeMerged(to io.Writer, inputs []*mergeInput, skews []tool.ClockSkew) error {
 	header := inputs[0].header
 	header.SampledPerMille, header.Schema = 0, tool.MergedSchema(header.Schema)
@@ -83,9 +83,9 @@
 	if err != nil {
 		return err
 	}
-	routerNamed := len(header.Schema) - 1 // the kind that Merged adds
+	routerNameKind := len(header.Schema) - 1 // the event kind that MergedSchema appends
 	for i, skew := range skews {
-		event := format.Event{At: header.StartedAt, Kind: routerNamed, Ints: []int64{int64(i)}, Texts: []string{skew.Router}}
+		event := format.Event{At: header.StartedAt, Kind: routerNameKind, Ints: []int64{int64(i)}, Texts: []string{skew.Router}}
 		if err := output.Add(event); err != nil {
 			return err
 		}
--- a/cmd/ferrypitch/trace_read.go
+++ b/cmd/ferrypitch/trace_read.go
@@ -14,23 +14,23 @@
 	"ferrypitch/internal/router/trace/tool"
 )
 
-// traceInfo is what info prints of a file. The names are those of its JSON form.
+// traceInfo is the output of trace info for one file. Its JSON keys are stable.
 type traceInfo struct {
 	File, Router, Build string
-	Life                string // the process's incarnation, in hexadecimal digits
-	First, Last         string // times
+	Incarnation         string `json:"Life"` // of the process, in hexadecimal
+	First, Last         string // times of the earliest and the latest event
 	Events, Lost        int64
 	Blocks              int
 	Indexed             bool
-	Sampled             float64 // part of the sessions
-	Kinds               map[string]int64
+	Sampled             float64          // fraction of the sessions that were captured
+	Kinds               map[string]int64 // number of events by kind
 }
 
 func traceInfoCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "info FILE...",
-		Short: "What files hold",
+		Short: "Describe trace files: router, time span, event counts and losses",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var failures error
@@ -56,7 +56,8 @@
 	return c
 }
 
-// readInfo reads a file. A file that cannot be opened has no info; one that cannot be read to its end has info and an error.
+// readInfo reads a trace file and describes it. For a file that cannot be opened it returns an error and no info; for one that cannot
+// be read to its end it returns both.
 func readInfo(path string) (*traceInfo, format.Schema, error) {
 	var source *tool.Source
 	info := &traceInfo{File: path, Kinds: map[string]int64{}}
@@ -73,7 +74,7 @@
 		return nil, nil, err
 	}
 	header := source.Header
-	info.Router, info.Build, info.Life = header.Router, header.Build, strconv.FormatUint(header.Incarnation, 16)
+	info.Router, info.Build, info.Incarnation = header.Router, header.Build, strconv.FormatUint(header.Incarnation, 16)
 	info.First, info.Last = formatTime(first), formatTime(last)
 	info.Lost, info.Blocks, info.Indexed = int64(source.LostEvents), source.ReadBlocks, source.Index != nil
 	info.Sampled = float64(header.SampledPerMille) / 1000
@@ -81,9 +82,9 @@
 }
 
 func (i *traceInfo) print(out io.Writer, schema format.Schema) {
-	fmt.Fprintf(out, "%s: router %s, life %s, build %s\n"+
-		"  %s to %s, %d events in %d blocks, %d lost in capture, indexed %v, part of sessions %.3f\n",
-		i.File, i.Router, i.Life, i.Build, i.First, i.Last, i.Events, i.Blocks, i.Lost, i.Indexed, i.Sampled)
+	fmt.Fprintf(out, "%s: router %s, incarnation %s, build %s\n"+
+		"  %s to %s, %d events in %d blocks, %d lost in capture, indexed %v, fraction of sessions %.3f\n",
+		i.File, i.Router, i.Incarnation, i.Build, i.First, i.Last, i.Events, i.Blocks, i.Lost, i.Indexed, i.Sampled)
 	for _, kind := range schema {
 		if n := i.Kinds[kind.Name]; n > 0 {
 			fmt.Fprintf(out, "  %-10s %d\n", kind.Name, n)
@@ -96,7 +97,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "cat FILE",
-		Short: "Print events; - is standard input",
+		Short: "Print the events of a file; - is standard input",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var schema format.Schema
@@ -112,17 +113,17 @@
 		},
 	}
 	flags.register(c)
-	c.Flags().BoolVar(&asJSON, "json", false, "an object of JSON a line")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON object per line")
 	return c
 }
 
-// formatEvent formats an event as a line: its time, its kind and its columns.
+// formatEvent formats an event as one line with its time, its kind and its columns.
 func formatEvent(schema format.Schema, event format.Event) string {
 	kind := schema[event.Kind]
-	words := []string{formatTime(event.At), kind.Name}
+	fields := []string{formatTime(event.At), kind.Name}
 	values := tool.EventObject(schema, event)
 	for _, column := range kind.Columns {
-		words = append(words, fmt.Sprintf("%s=%v", column.Name, values[column.Name]))
+		fields = append(fields, fmt.Sprintf("%s=%v", column.Name, values[column.Name]))
 	}
-	return strings.Join(words, " ")
+	return strings.Join(fields, " ")
 }
--- a/cmd/ferrypitch/trace_rewrite.go
+++ b/cmd/ferrypitch/trace_rewrite.go
@@ -11,8 +11,8 @@
 	"ferrypitch/internal/router/trace/tool"
 )
 
-// rewrite writes a file anew: its header as changeHeader returns it, and of the events in a window those that changeEvent
-// keeps, as it returns them. What could not be read is printed, and is no failure: the rest is written.
+// rewrite copies a trace file: it writes the header that changeHeader returns, and the events of a window that changeEvent keeps, in
+// the form that it returns. Unreadable parts are printed and skipped; they are not a failure.
 func rewrite(in, out string, window tool.Window, changeHeader func(format.Header) (format.Header, error),
 	changeEvent func(format.Event) (changed format.Event, keep bool),
 ) error {
@@ -38,7 +38,7 @@
 	})
 }
 
-// keepHeader and keepEvent change nothing.
+// keepHeader and keepEvent copy headers and events unchanged.
 func keepHeader(header format.Header) (format.Header, error) { return header, nil }
 func keepEvent(event format.Event) (format.Event, bool)      { return event, true }
 
@@ -46,7 +46,7 @@
 	var flags filterFlags
 	c := &cobra.Command{
 		Use:   "cut FILE OUT",
-		Short: "Write a window, sessions, sets or groups of a file",
+		Short: "Write the events of a time window, of sessions, sets or groups to a new file",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			window, err := flags.window()
@@ -55,7 +55,7 @@
 			}
 			var filter *tool.Filter
 			return rewrite(args[0], args[1], window, func(header format.Header) (format.Header, error) {
-				header.SampledPerMille = 0 // without all events it cannot be replayed
+				header.SampledPerMille = 0 // marks the trace as incomplete, so that it is not replayed
 				var err error
 				filter, err = flags.filter(header)
 				return header, err
@@ -69,7 +69,7 @@
 func traceRepairCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "repair FILE OUT",
-		Short: "Write what can be read of a file, with its index",
+		Short: "Write the readable part of a file, with an index, to a new file",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return rewrite(args[0], args[1], allEvents, keepHeader, keepEvent)
@@ -81,7 +81,7 @@
 	var keyPath string
 	c := &cobra.Command{
 		Use:   "anonymise FILE OUT",
-		Short: "Replace who and where by pseudonyms under a key, and drop free text",
+		Short: "Replace names and addresses with keyed pseudonyms, and drop free text",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
 			key, err := setup.ReadKey(keyPath)
@@ -93,7 +93,7 @@
 				func(event format.Event) (format.Event, bool) { return anonymous.Event(event), true })
 		},
 	}
-	c.Flags().StringVar(&keyPath, "key", "", "a key file, as ferrypitch key writes it")
+	c.Flags().StringVar(&keyPath, "key", "", "a key file written by ferrypitch key")
 	requireFlag(c, "key")
 	return c
 }
--- a/cmd/ferrypitch/trace_summary.go
+++ b/cmd/ferrypitch/trace_summary.go
@@ -17,7 +17,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "summary FILE",
-		Short: "Service by command group and set",
+		Short: "Summarise outcomes and latencies by command group and replica set",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			lines, err := summarise(args[0], &flags)
@@ -48,7 +48,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "diff FILE FILE",
-		Short: "Two files' summaries side by side",
+		Short: "Compare the summaries of two files",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			before, err := summarise(args[0], &flags)
@@ -78,7 +78,7 @@
 	return c
 }
 
-// summarise sums up the events of a file that the flags select.
+// summarise summarises the events of a file that the flags select, by command group and replica set.
 func summarise(path string, flags *filterFlags) ([]tool.GroupSummary, error) {
 	var summary *tool.Summary
 	err := flags.readFiltered(path, func(header format.Header) { summary = tool.NewSummary(header) }, func(event format.Event) error {
@@ -91,7 +91,7 @@
 	return summary.Groups(), nil
 }
 
-// newTable returns a writer of a table with columns aligned to the right.
+// newTable returns a writer for a table with right-aligned columns.
 func newTable(out io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 }
