--- a/cmd/ferrylab/demo.go
+++ b/cmd/ferrylab/demo.go
@@ -20,21 +20,21 @@
 	"ferrypitch/internal/simulation/workload"
 )
 
-// Size of the demo.
+// Size and limits of the demo.
 const (
-	demoSets        = 2
-	demoHostsPerSet = 3
-	demoForwarders  = 2
-	demoReady       = 15 * time.Second // for each forwarder
+	demoSets         = 2
+	demoHostsPerSet  = 3
+	demoForwarders   = 2
+	demoReadyTimeout = 15 * time.Second // for each forwarder
 )
 
-// demoOptions is the flags of ferrylab demo.
+// demoOptions holds the flags of ferrylab demo.
 type demoOptions struct {
-	span   time.Duration // how long commands are sent
-	rate   float64       // commands a second
-	stay   bool          // whether to serve on until interrupted
-	asJSON bool
-	log    bool // to standard error
+	duration    time.Duration // how long commands are sent
+	rate        float64       // commands per second
+	keepServing bool          // keep serving after the result until interrupted
+	asJSON      bool
+	log         bool // to standard error
 }
 
 func demoCommand() *cobra.Command {
@@ -42,18 +42,18 @@
 	command := &cobra.Command{
 		Use:   "demo",
 		Args:  cobra.NoArgs,
-		Short: "A small fleet, a planner, two forwarders and a load on them",
-		Long: "Two replica sets of three simulated hosts, of which one lags and one dies and returns, discovery, a planner\n" +
-			"and two forwarders, all on free loopback ports in this process. Commands are sent, and a table shows what\n" +
-			"was answered from where. It ends by itself, with status 1 if a rule was broken.",
+		Short: "Run a small fleet with a planner and two forwarders under load",
+		Long: "Runs two replica sets of three simulated hosts, of which one lags and one crashes and restarts, discovery, a\n" +
+			"planner and two forwarders, all on free loopback ports in this process. It sends commands and prints how many\n" +
+			"each host answered. It exits with status 1 if a guarantee was violated.",
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runDemo(command.Context(), command.OutOrStdout(), options)
 		},
 	}
 	flags := command.Flags()
-	flags.DurationVar(&options.span, "for", 20*time.Second, "how long to send commands")
-	flags.Float64Var(&options.rate, "rate", 200, "commands a second")
-	flags.BoolVar(&options.stay, "serve", false, "then stay up, until interrupted")
+	flags.DurationVar(&options.duration, "for", 20*time.Second, "how long to send commands")
+	flags.Float64Var(&options.rate, "rate", 200, "commands per second")
+	flags.BoolVar(&options.keepServing, "serve", false, "keep serving afterwards until interrupted")
 	flags.BoolVar(&options.asJSON, "json", false, "print the result as JSON")
 	flags.BoolVar(&options.log, "log", false, "log to standard error")
 	return command
@@ -80,14 +80,14 @@
 	return err
 }
 
-// demo sends commands, prints what came of them, and serves on if asked to.
+// demo sends commands, prints the result, and with keepServing serves until ctx ends.
 func (d *deployment) demo(ctx context.Context, out io.Writer, options demoOptions) error {
-	say := func(format string, args ...any) {
+	printf := func(format string, args ...any) {
 		if !options.asJSON {
 			fmt.Fprintf(out, format+"\n", args...)
 		}
 	}
-	say("forwarders at %s, a planner at %s; %v of commands", strings.Join(d.forwarders, " and "), d.Planners()[0], options.span)
+	printf("forwarders at %s, planner at %s; sending commands for %v", strings.Join(d.forwarders, " and "), d.Planners()[0], options.duration)
 	result, faultErr := d.load(ctx, options)
 	printResult := result.print
 	if options.asJSON {
@@ -96,12 +96,12 @@
 	if err := printResult(out); err != nil {
 		return err
 	}
-	if options.stay && ctx.Err() == nil {
+	if options.keepServing && ctx.Err() == nil {
 		host, port, err := net.SplitHostPort(d.forwarders[0])
 		if err != nil {
 			return err
 		}
-		say("serving until interrupted:\n  psql 'host=%s port=%s user=svc dbname=main sslmode=disable' -c \"%s\"", host, port,
+		printf("serving until interrupted:\n  psql 'host=%s port=%s user=svc dbname=main sslmode=disable' -c \"%s\"", host, port,
 			"/* id=1,c=list,d=800,cluster=1 */ SELECT v FROM records WHERE k = 'x'")
 		<-ctx.Done()
 	}
@@ -114,16 +114,16 @@
 	return nil
 }
 
-// load sends commands while a replica dies and returns. Its error is that of the replica's restart.
+// load sends commands while a replica crashes and restarts. It returns the error of the restart.
 func (d *deployment) load(ctx context.Context, options demoOptions) (*demoResult, error) {
 	var faults errgroup.Group
-	faults.Go(func() error { return d.crashReplica(ctx, options.span) })
+	faults.Go(func() error { return d.crashReplica(ctx, options.duration) })
 	tally := workload.Run(ctx, workload.Config{
 		Routers:       d.forwarders,
 		ReplicaSets:   []int64{1, 2},
 		Clients:       12,
 		Rate:          options.rate,
-		Duration:      options.span,
+		Duration:      options.duration,
 		WriteFraction: 0.1,
 		Sessions:      4,
 		Timeout:       time.Second,
@@ -133,7 +133,7 @@
 	return newDemoResult(tally, d.Hosts.Stats()), err
 }
 
-// deployment is the fleet, planner and forwarders of a demo.
+// deployment consists of the fleet, the planner and the forwarders of a demo.
 type deployment struct {
 	*tierfleet.Fleet
 	forwarders []string // addresses
@@ -141,7 +141,7 @@
 	cancel     context.CancelFunc
 }
 
-// startDeployment starts a deployment, which runs on when ctx ends, until stop.
+// startDeployment starts a deployment. It runs until stop is called, even if ctx ends before.
 func startDeployment(ctx context.Context, dir string, log *zap.Logger) (*deployment, error) {
 	fleet, err := tierfleet.New(dir, demoSets, demoHostsPerSet, demoForwarders, 1)
 	if err != nil {
@@ -150,7 +150,7 @@
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	d := &deployment{Fleet: fleet, cancel: cancel}
 	if err := d.startPrograms(ctx, log); err != nil {
-		_ = d.stop() // the first error is the cause
+		_ = d.stop() // the earlier error is the cause
 		return nil, err
 	}
 	return d, nil
@@ -177,7 +177,7 @@
 }
 
 func waitReady(ctx context.Context, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, demoReady)
+	ctx, cancel := context.WithTimeout(ctx, demoReadyTimeout)
 	defer cancel()
 	return tierfleet.Ready(ctx, address)
 }
@@ -189,14 +189,14 @@
 	return err
 }
 
-// crashReplica has a replica die after a third of a span, and return cold after two.
-func (d *deployment) crashReplica(ctx context.Context, span time.Duration) error {
+// crashReplica kills a replica after one third of the duration, and restarts it cold after two thirds.
+func (d *deployment) crashReplica(ctx context.Context, duration time.Duration) error {
 	replica := d.Hosts.Hosts()[1]
-	if !sleep(ctx, span/3) {
+	if !sleep(ctx, duration/3) {
 		return nil
 	}
 	replica.Kill()
-	if !sleep(ctx, span/3) {
+	if !sleep(ctx, duration/3) {
 		return nil
 	}
 	err := replica.Restart()
@@ -204,23 +204,23 @@
 	return err
 }
 
-// sleep waits for a time; false: the context has ended before.
-func sleep(ctx context.Context, span time.Duration) bool {
+// sleep waits for a duration and reports whether it elapsed before ctx ended.
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(span):
+	case <-time.After(duration):
 		return true
 	}
 }
 
-// demoResult is what a demo prints.
+// demoResult is the result of a demo. The field names are the keys of its JSON form.
 type demoResult struct {
 	Sent, Answered, Throttled, Failed int
 	Violations                        int
-	Notes                             []string       // of violations
-	Answers                           map[string]int // by host and group, as in "set1-a list"
-	MedianMs, P99Ms                   float64        // latencies, from when a command was due
+	Notes                             []string       // descriptions of the violations
+	Answers                           map[string]int // number of answers by host and command group, with keys such as "set1-a list"
+	MedianMs, P99Ms                   float64        // latencies, measured from the time at which a command was scheduled
 }
 
 func newDemoResult(tally *workload.Tally, stats postgres.Stats) *demoResult {
@@ -241,7 +241,7 @@
 	return r
 }
 
-// print prints the answers by host and group, and the sums.
+// print prints a table of the answers by host and command group, and the totals.
 func (r *demoResult) print(out io.Writer) error {
 	hosts := map[string]bool{}
 	for key := range r.Answers {
@@ -261,7 +261,7 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d sent: %d answered, %d throttled, %d failed; median %.1f ms, 99 %% %.1f ms; %d broken rules\n",
+	fmt.Fprintf(out, "%d sent: %d answered, %d throttled, %d failed; median %.1f ms, 99th percentile %.1f ms; %d violations\n",
 		r.Sent, r.Answered, r.Throttled, r.Failed, r.MedianMs, r.P99Ms, r.Violations)
 	for _, note := range r.Notes {
 		fmt.Fprintln(out, "broken:", note)
--- a/cmd/ferrylab/export.go
+++ b/cmd/ferrylab/export.go
@@ -15,27 +15,27 @@
 	"ferrypitch/internal/router/trace/tool"
 )
 
-// beforeAllEvents is a time before that of every event of a trace.
+// beforeAllEvents is a time earlier than that of any event in a trace.
 const beforeAllEvents = -1 << 62
 
 func exportCommand() *cobra.Command {
 	var kinds []string
 	command := &cobra.Command{
 		Use:   "export FILE DIR",
-		Short: "Write a trace file as Parquet, a file for each kind of event",
+		Short: "Export a trace file to Parquet, with one file for each kind of event",
 		Args:  cobra.ExactArgs(2),
-		Long: "Writes a trace file as Parquet, a file for each kind of event, into an existing folder. Cut and anonymise\n" +
-			"first, with ferrypitch trace.",
+		Long: "Exports a trace file to Parquet files in an existing folder, one for each kind of event. To export a part of it or\n" +
+			"to hide names, run ferrypitch trace cut or anonymise first.",
 		RunE: func(command *cobra.Command, args []string) error {
 			return exportTrace(command.OutOrStdout(), args[0], args[1], kinds)
 		},
 	}
-	command.Flags().StringSliceVar(&kinds, "kind", nil, "only these kinds")
+	command.Flags().StringSliceVar(&kinds, "kind", nil, "export only these kinds of events")
 	return command
 }
 
-// exportTrace writes the events of some kinds, or of all if there are none, to files in a folder. What can be read of a
-// damaged trace is exported, and the damage is the error.
+// exportTrace writes the events of the given kinds, or of all kinds if none are given, to files in a folder. It exports the readable
+// part of a damaged trace, and returns the damage as an error.
 func exportTrace(out io.Writer, path, dir string, kinds []string) (err error) {
 	source, err := tool.Open(path)
 	if err != nil {
@@ -62,12 +62,12 @@
 	return errors.Join(err, source.Truncated)
 }
 
-// exporter writes events to a Parquet file for each kind that it meets.
+// exporter writes events to one Parquet file per kind of event.
 type exporter struct {
 	dir    string
 	schema format.Schema
-	kinds  []string             // that are exported; empty: all
-	tables map[int]*export.File // by kind
+	kinds  []string             // the exported kinds; empty: all
+	tables map[int]*export.File // by index of the kind in the schema
 	files  []*os.File
 }
 
@@ -85,7 +85,7 @@
 	return e.tables[event.Kind].Add(event)
 }
 
-// create creates the file of a kind, which must not exist.
+// create creates the file of a kind. It fails if the file exists.
 func (e *exporter) create(kind int) error {
 	path := filepath.Join(e.dir, e.schema[kind].Name+".parquet")
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
@@ -97,7 +97,7 @@
 	return err
 }
 
-// finish completes the files, and prints how many rows each has.
+// finish completes the files and prints the number of rows in each.
 func (e *exporter) finish(out io.Writer) error {
 	for kind, description := range e.schema {
 		table := e.tables[kind]
--- a/cmd/ferrylab/main.go
+++ b/cmd/ferrylab/main.go
@@ -1,5 +1,5 @@
-// Ferrylab runs whole deployments on loopback against simulated database hosts, under load and faults, and reports what
-// clients and hosts saw. It ends with status 1 if a rule was broken, and with 2 if the run itself failed.
+// Ferrylab runs complete deployments on loopback against simulated database hosts, under load and with injected faults, and reports
+// what clients and hosts observed. It exits with status 1 if a guarantee was violated, and with 2 if the run itself failed.
 package main
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 )
 
-// errViolations ends the program with status 1, after the report has listed the violations.
-var errViolations = errors.New("a rule was broken")
+// errViolations ends the program with status 1. The report has listed the violations by then.
+var errViolations = errors.New("a guarantee was violated")
 
 const (
 	statusViolations = 1
@@ -27,7 +27,7 @@
 	os.Exit(run())
 }
 
-// run runs the command of the arguments, and returns the status of the process.
+// run runs the sub-command given by the arguments, and returns the exit status of the process.
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -50,7 +50,7 @@
 	return statusFailed
 }
 
-// printJSON prints a result, indented.
+// printJSON prints a result as indented JSON.
 func printJSON(out io.Writer, result any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/cmd/ferrylab/soak.go
+++ b/cmd/ferrylab/soak.go
@@ -12,16 +12,16 @@
 	"ferrypitch/internal/simulation/cluster"
 )
 
-// soakOptions is what the sub-command soak is given.
+// soakOptions holds the flags of ferrylab soak.
 type soakOptions struct {
 	cluster.SoakOptions
-	seeds  int
-	large  bool
-	asJSON bool
-	keepIn string
+	seeds   int // number of consecutive seeds to run
+	large   bool
+	asJSON  bool
+	logsDir string // parent folder of the folders of failed seeds; empty: the temporary folder
 }
 
-// Sizes of a large run, which stays under a few hundred processes.
+// Sizes of a large run, which keep it below a few hundred processes.
 const (
 	largeMembers = 5
 	largeProxies = 150
@@ -33,11 +33,11 @@
 	command := &cobra.Command{
 		Use:   "soak",
 		Args:  cobra.NoArgs,
-		Short: "The whole system under series of signals, restarts, faults and changes that overlap, from seeds",
-		Long: "Members of the control plane and proxies as processes, simulated hosts, platform and operators in this one, all on\n" +
-			"loopback. A seed draws which processes are stopped, killed, frozen and reloaded, what happens to hosts, and which\n" +
-			"configurations are sent, while clients use their connections until the process is gone. Ends with status 1 if a rule\n" +
-			"was broken; the folder with the logs of that seed is kept.",
+		Short: "Run the whole system under overlapping signals, restarts, faults and configuration changes, drawn from seeds",
+		Long: "Runs members of the control plane and proxies as processes, and simulated hosts, platform and operators in this\n" +
+			"process, all on loopback. The seed determines which processes are stopped, killed, frozen and reloaded, which faults\n" +
+			"hosts have, and which configurations are sent. Clients use their connections until the proxy is gone. Exits with\n" +
+			"status 1 if a guarantee was violated; the folder with the logs of that seed is kept.",
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runSoak(command.Context(), command.OutOrStdout(), options)
 		},
@@ -45,18 +45,18 @@
 	flags := command.Flags()
 	flags.Uint64Var(&options.Seed, "seed", 1, "the first seed")
 	flags.IntVar(&options.seeds, "seeds", 1, "how many seeds to play, one after another")
-	flags.DurationVar(&options.Duration, "duration", 20*time.Second, "how long faults go on in each")
+	flags.DurationVar(&options.Duration, "duration", 20*time.Second, "how long faults are injected for each seed")
 	flags.IntVar(&options.Members, "members", 3, "members of the control plane")
 	flags.IntVar(&options.Proxies, "proxies", 4, "proxies")
-	flags.IntVar(&options.Clients, "clients", 12, "clients for each proxy")
+	flags.IntVar(&options.Clients, "clients", 12, "clients per proxy")
 	flags.BoolVar(&options.large, "large", false,
-		fmt.Sprintf("%d members, %d proxies, %d clients for each", largeMembers, largeProxies, largeClients))
-	flags.StringVar(&options.keepIn, "keep-in", "", "`folder` for the folders of failed seeds; empty: the one for temporary files")
+		fmt.Sprintf("run %d members and %d proxies with %d clients each", largeMembers, largeProxies, largeClients))
+	flags.StringVar(&options.logsDir, "keep-in", "", "`folder` for the folders of failed seeds; empty: the folder for temporary files")
 	flags.BoolVar(&options.asJSON, "json", false, "print each result as JSON")
 	return command
 }
 
-// runSoak plays all seeds. A rule that is broken does not keep the later ones from being played.
+// runSoak runs all seeds. A violation with one seed does not stop the run of the later seeds.
 func runSoak(ctx context.Context, out io.Writer, options soakOptions) error {
 	if options.large {
 		options.Members, options.Proxies, options.Clients = largeMembers, largeProxies, largeClients
@@ -89,9 +89,9 @@
 	return nil
 }
 
-// soakSeed plays one seed in a folder of its own, which is kept if a rule was broken.
+// soakSeed runs one seed in its own folder, and keeps the folder if there are violations.
 func soakSeed(ctx context.Context, out io.Writer, options soakOptions) (violated bool, err error) {
-	dir, err := os.MkdirTemp(options.keepIn, fmt.Sprintf("ferrylab-soak-%d-", options.Seed))
+	dir, err := os.MkdirTemp(options.logsDir, fmt.Sprintf("ferrylab-soak-%d-", options.Seed))
 	if err != nil {
 		return false, err
 	}
@@ -108,7 +108,7 @@
 		os.RemoveAll(dir)
 		return false, err
 	}
-	fmt.Fprintf(os.Stderr, "logs are in %s; to play it again:\n  ferrylab soak --seed %d --duration %v --members %d --proxies %d --clients %d\n",
+	fmt.Fprintf(os.Stderr, "logs are in %s; to run it again:\n  ferrylab soak --seed %d --duration %v --members %d --proxies %d --clients %d\n",
 		dir, options.Seed, options.Duration, options.Members, options.Proxies, options.Clients)
 	return true, err
 }
@@ -122,7 +122,7 @@
 		failed += row.Failed
 	}
 	fmt.Fprintf(out, "seed %d: %d events, %d answered, %d nothing kept, %d in doubt, %d failed (%d unanswered), %d writes, %d configurations, "+
-		"%d promotions, all served after %d ms, memory %d MB (proxy %d, member %d), stalled %d ms: %d rules broken\n",
+		"%d promotions, all served after %d ms, memory %d MB (proxy %d, member %d), stalled %d ms: %d violations\n",
 		r.Seed, r.Events, answered, nothingKept, inDoubt, failed, r.Unanswered, r.AcknowledgedWrites, r.ConfigVersions,
 		r.Promotions, r.RecoveredMs, r.PeakRSSKB>>10, r.PeakProxyKB>>10, r.PeakMemberKB>>10, r.StalledMs, len(r.Violations))
 	for _, violation := range r.Violations {
--- a/cmd/ferrylab/soak_test.go
+++ b/cmd/ferrylab/soak_test.go
@@ -10,12 +10,12 @@
 	"ferrypitch/internal/simulation/cluster"
 )
 
-// soakSeeds is what CI plays; by hand many more are.
+// soakSeeds is the number of seeds that CI runs. Manual runs use many more.
 const soakSeeds = 2
 
 func TestTheWholeSystemKeepsItsRulesInAShortSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("many processes for a minute")
+		t.Skip("runs many processes for a minute")
 	}
 	t.Parallel()
 	var out bytes.Buffer
@@ -24,5 +24,5 @@
 		seeds:       soakSeeds,
 	}
 	require.NoError(t, runSoak(t.Context(), &out, options), "%s", &out)
-	require.Equal(t, soakSeeds, bytes.Count(out.Bytes(), []byte(" 0 rules broken\n")), "%s", &out)
+	require.Equal(t, soakSeeds, bytes.Count(out.Bytes(), []byte(" 0 violations\n")), "%s", &out)
 }
--- a/cmd/ferrylab/system.go
+++ b/cmd/ferrylab/system.go
@@ -21,21 +21,21 @@
 	command := &cobra.Command{
 		Use:   "system",
 		Args:  cobra.NoArgs,
-		Short: "The whole system: three members of the control plane, two proxies, simulated hosts, and sessions",
-		Long: "Three members of the control plane and two proxies as processes, simulated hosts, platform and operator in this\n" +
-			"one, all on loopback. Sessions of all three kinds of routes go on through a change of the configuration and the\n" +
-			"crash of a primary; what clients were answered is checked against what the hosts kept. Ends with status 1 if a\n" +
-			"rule was broken.",
+		Short: "Run the whole system: three members of the control plane, two proxies, simulated hosts, and sessions",
+		Long: "Runs three members of the control plane and two proxies as processes, and simulated hosts, platform and operator in\n" +
+			"this process, all on loopback. Sessions on all three kinds of routes continue through a configuration change and\n" +
+			"the crash of a primary; the answers that clients received are checked against the data that the hosts stored.\n" +
+			"Exits with status 1 if a guarantee was violated.",
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runSystem(command.Context(), command.OutOrStdout(), options, asJSON)
 		},
 	}
 	flags := command.Flags()
-	flags.DurationVar(&options.For, "for", 20*time.Second, "how long to send")
-	flags.IntVar(&options.Sessions, "sessions", 12, "sessions at each proxy")
-	flags.Uint64Var(&options.Seed, "seed", uint64(os.Getpid()), "of random choices, and of the loopback addresses tried first")
+	flags.DurationVar(&options.For, "for", 20*time.Second, "how long to send statements")
+	flags.IntVar(&options.Sessions, "sessions", 12, "sessions per proxy")
+	flags.Uint64Var(&options.Seed, "seed", uint64(os.Getpid()), "seed of the random choices, and of the loopback addresses tried first")
 	flags.StringVar(&options.UpgradeFrom, "upgrade-from", "",
-		"`folder` with ferrypitch-proxy and ferrypitch-control of another release: begin with it, upgrade process by process, and go back")
+		"`folder` with ferrypitch-proxy and ferrypitch-control of another release: start with it, upgrade process by process, and downgrade")
 	flags.BoolVar(&asJSON, "json", false, "print the result as JSON")
 	return command
 }
@@ -85,7 +85,7 @@
 	for _, host := range slices.Sorted(maps.Keys(r.ReadsByHost)) {
 		fmt.Fprintf(out, "  %s %d", host, r.ReadsByHost[host])
 	}
-	fmt.Fprintf(out, "\n%d writes acknowledged, %d configurations accepted and read back, %d promotions, %d ms from the crash to the next write\n",
+	fmt.Fprintf(out, "\n%d writes acknowledged, %d configurations accepted and read back, %d promotions, %d ms from the crash to the next acknowledged write\n",
 		r.AcknowledgedWrites, r.ConfigVersions, r.Promotions, r.WriteGap.Milliseconds())
 	for _, step := range r.Upgrades {
 		release := "the older release"
@@ -98,9 +98,9 @@
 	for _, violation := range r.Violations {
 		fmt.Fprintln(out, violation)
 	}
-	fmt.Fprintf(out, "%d rules broken\n", len(r.Violations))
+	fmt.Fprintf(out, "%d violations\n", len(r.Violations))
 	return nil
 }
 
-// newTable aligns columns that are separated by tabs.
+// newTable returns a writer that aligns tab-separated columns.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
--- a/cmd/ferrylab/system_test.go
+++ b/cmd/ferrylab/system_test.go
@@ -20,14 +20,15 @@
 	require.NoError(t, json.Unmarshal(out.Bytes(), &r))
 	require.Empty(t, r.Violations)
 	require.Equal(t, 2, r.ConfigVersions)
-	require.Equal(t, 1, r.Promotions, "the primary that crashed was not replaced")
-	require.Positive(t, r.WriteGap, "no write was answered after the crash")
+	require.Equal(t, 1, r.Promotions, "the crashed primary was not replaced")
+	require.Positive(t, r.WriteGap, "no write was acknowledged after the crash")
 	require.Greater(t, r.AcknowledgedWrites, 100)
 	require.Len(t, r.Outcomes, 8)
 }
 
-// Every process is stopped and started again under load, first with the programs of this release and then back, without a rule broken.
-// The other release is a second build of this one: what an older one does is tried by hand, see docs/operators/control-state.md.
+// Every process is restarted under load, first to upgrade it to the programs of this release and then to downgrade it again. No
+// guarantee may be violated. The other release is a second build of this one; upgrades from an older release are tested by hand, see
+// docs/operators/control-state.md.
 func TestTheWholeSystemServesThroughARollingUpgrade(t *testing.T) {
 	t.Parallel()
 	older := t.TempDir()
--- a/cmd/ferrylab/tiers.go
+++ b/cmd/ferrylab/tiers.go
@@ -16,13 +16,13 @@
 	"ferrypitch/internal/simulation/tierprocess"
 )
 
-// tiersOptions is the flags of ferrylab tiers.
+// tiersOptions holds the flags of ferrylab tiers.
 type tiersOptions struct {
-	run     tierprocess.Config
-	capture string // what traces have: empty for none, full, or a fraction of sessions
-	keep    string // the folder for files; empty: a temporary one
-	compare bool   // whether to run the same with routers without planners, too
-	asJSON  bool
+	run               tierprocess.Config
+	traceCapture      string // full, or the fraction of sessions to trace; empty: no trace
+	outputDir         string // existing folder for files, logs and traces; empty: a temporary one
+	compareStandalone bool   // repeat the run with routers without planners
+	asJSON            bool
 }
 
 func tiersCommand() *cobra.Command {
@@ -30,34 +30,34 @@
 	command := &cobra.Command{
 		Use:   "tiers",
 		Args:  cobra.NoArgs,
-		Short: "Forwarders and planners as processes, under load and faults",
-		Long: "Starts simulated hosts and discovery here, planners and forwarders as processes (or, with --planners 0, routers\n" +
-			"without planners), loads them, kills them in turn, and reports what the hosts have recorded.",
+		Short: "Run forwarders and planners as processes, under load and with faults",
+		Long: "Simulates hosts and discovery in this process, and starts planners and forwarders (or, with --planners 0, routers\n" +
+			"without planners) as processes. Sends commands, optionally injects faults, and reports what the hosts recorded.",
 		RunE: func(command *cobra.Command, _ []string) error {
 			return runTiers(command.Context(), command.OutOrStdout(), options)
 		},
 	}
 	run, flags := &options.run, command.Flags()
-	flags.IntVar(&run.Forwarders, "forwarders", 40, "processes that serve clients")
-	flags.IntVar(&run.Planners, "planners", 3, "processes that plan; 0: routers without planners")
+	flags.IntVar(&run.Forwarders, "forwarders", 40, "number of processes that serve clients")
+	flags.IntVar(&run.Planners, "planners", 3, "number of planner processes; 0: routers without planners")
 	flags.IntVar(&run.Sets, "sets", 3, "replica sets")
-	flags.IntVar(&run.HostsPerSet, "members", 3, "hosts of each")
-	flags.IntVar(&run.Clients, "clients", 4, "connections at each forwarder")
-	flags.Float64Var(&run.Rate, "rate", 400, "commands a second")
-	flags.DurationVar(&run.For, "for", time.Minute, "how long")
-	flags.IntVar(&run.PrimaryChanges, "changes", 2, "primaries that die")
+	flags.IntVar(&run.HostsPerSet, "members", 3, "hosts per replica set")
+	flags.IntVar(&run.Clients, "clients", 4, "client connections per forwarder")
+	flags.Float64Var(&run.Rate, "rate", 400, "commands per second")
+	flags.DurationVar(&run.For, "for", time.Minute, "how long to send commands")
+	flags.IntVar(&run.PrimaryChanges, "changes", 2, "number of primaries that crash")
 	flags.BoolVar(&run.Faults, "kill", false, "kill planners, forwarders and hosts in turn")
-	flags.DurationVar(&run.PlannerOutage, "blind", 0, "all planners down for so long")
-	flags.Uint64Var(&run.Seed, "seed", 1, "of load and faults")
-	flags.StringVar(&options.capture, "trace", "", "capture in full, or a fraction of sessions, as 0.05")
-	flags.StringVar(&options.keep, "keep", "", "an existing folder, in which files, logs and traces are left")
-	flags.BoolVar(&options.compare, "versus", false, "then the same with routers without planners")
+	flags.DurationVar(&run.PlannerOutage, "blind", 0, "duration of an outage of all planners")
+	flags.Uint64Var(&run.Seed, "seed", 1, "seed of load and faults")
+	flags.StringVar(&options.traceCapture, "trace", "", "capture traces: full, or the fraction of sessions, for example 0.05")
+	flags.StringVar(&options.outputDir, "keep", "", "existing folder in which files, logs and traces are kept")
+	flags.BoolVar(&options.compareStandalone, "versus", false, "repeat the run with routers without planners")
 	flags.BoolVar(&options.asJSON, "json", false, "print as JSON")
 	return command
 }
 
 func runTiers(ctx context.Context, out io.Writer, options tiersOptions) error {
-	dir := options.keep
+	dir := options.outputDir
 	if dir == "" {
 		temporary, err := os.MkdirTemp("", "ferrylab")
 		if err != nil {
@@ -87,18 +87,18 @@
 	return nil
 }
 
-// prepareRuns builds the program, and gives each run a folder of its own.
+// prepareRuns builds the program and creates a separate folder for each run.
 func prepareRuns(dir string, options tiersOptions) ([]tierprocess.Config, error) {
 	run := options.run
 	var err error
 	if run.Binary, err = program.Build(dir, "ferrypitch"); err != nil {
 		return nil, err
 	}
-	if run.Trace, err = traceSettings(dir, options.capture); err != nil {
+	if run.Trace, err = traceSettings(dir, options.traceCapture); err != nil {
 		return nil, err
 	}
 	runs := []tierprocess.Config{run}
-	if options.compare {
+	if options.compareStandalone {
 		withoutPlanners := run
 		withoutPlanners.Planners = 0
 		runs = append(runs, withoutPlanners)
@@ -112,7 +112,7 @@
 	return runs, nil
 }
 
-// traceSettings makes the folder of the traces, and says what they have; nil: there are none.
+// traceSettings creates the folder for traces and returns the settings of the capture, or nil if capture is empty.
 func traceSettings(dir, capture string) (*tierfleet.TraceSettings, error) {
 	if capture == "" {
 		return nil, nil
@@ -132,14 +132,14 @@
 	if asJSON {
 		return printJSON(out, r)
 	}
-	fmt.Fprintf(out, "%d forwarders, %d planners: %d sent, %d answered, %d throttled, %d failed, %d lost, %d broken rules\n",
+	fmt.Fprintf(out, "%d forwarders, %d planners: %d sent, %d answered, %d throttled, %d failed, %d lost, %d violations\n",
 		r.Forwarders, r.Planners, r.Sent, r.Answered, r.Throttled, r.Failed, r.Lost, r.Violations)
-	fmt.Fprintf(out, "  median %.1f ms, 99 %% %.1f ms; %.1f health checks/s, %d discovery lines; takeovers (median, 99 %%) ms",
+	fmt.Fprintf(out, "  median %.1f ms, 99th percentile %.1f ms; %.1f health checks/s, %d discovery lines; takeovers (median, 99th percentile) ms",
 		r.MedianMs, r.P99Ms, r.HealthChecksPerSecond, r.DiscoveryLines)
 	for _, takeover := range r.Takeovers {
 		fmt.Fprintf(out, " (%.0f, %.0f)", takeover.MedianMs, takeover.P99Ms)
 	}
-	fmt.Fprintf(out, "\n  one forwarder %.2f s of processor, %d kB; one planner %.2f s, %d kB; load late by %.0f ms at worst\n",
+	fmt.Fprintf(out, "\n  one forwarder: CPU time %.2f s, memory %d kB; one planner: %.2f s, %d kB; load generator at most %.0f ms late\n",
 		r.Forwarder.CPUSeconds, r.Forwarder.RSSKB, r.Planner.CPUSeconds, r.Planner.RSSKB, r.BehindMs)
 	for _, note := range r.Hosts.Notes {
 		fmt.Fprintln(out, "  broken:", note)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -51,7 +51,7 @@
 	require.Equal(t, subcommands.ExitFailure, Print(&out, true, func() {}, text), "a value that JSON cannot encode")
 }
 
-func TestCheckStatusDependsOnTheFile(t *testing.T) {
+func TestCheckEndsByTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.toml")
 	check := func(arguments ...string) subcommands.ExitStatus {
 		return execute(t, &Check{Program: "test"}, arguments...)
@@ -95,7 +95,7 @@
 }
 
 // A signal that arrives while the process still reads its settings must not end it; the server handles it after it has started.
-func TestSignalDuringStartIsHandled(t *testing.T) {
+func TestSignalDuringTheStartIsHandled(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.toml")
 	require.NoError(t, syscall.Mkfifo(path, 0o600))
 	t.Setenv(settings.EnvVar, path)
