--- a/cmd/ferrypitch/client_test.go
+++ b/cmd/ferrypitch/client_test.go
@@ -10,10 +10,11 @@
 	"ferrypitch/internal/router/protocol"
 )
 
+// testClient is a client connection to the program under test.
 type testClient struct {
 	t    *testing.T
 	conn net.Conn
-	in   []byte
+	in   []byte // received bytes that have not been parsed yet
 }
 
 func (s *testSystem) connect() *testClient {
@@ -42,7 +43,7 @@
 	return c.answer()
 }
 
-// answer reads up to ReadyForQuery, or to the end of the connection.
+// answer reads messages up to ReadyForQuery or the end of the connection, and returns the error code or the value among them.
 func (c *testClient) answer() (code, value string, err error) {
 	b := make([]byte, 1<<17)
 	for {
@@ -71,18 +72,18 @@
 	}
 }
 
-func writeCommand(group, wait string) string {
-	return "/* id=1,c=" + group + ",d=" + wait + `,cluster=2 */ INSERT INTO records (k, v) VALUES ('k1', '\x9f03') RETURNING v`
+func writeCommand(group, deadline string) string {
+	return "/* id=1,c=" + group + ",d=" + deadline + `,cluster=2 */ INSERT INTO records (k, v) VALUES ('k1', '\x9f03') RETURNING v`
 }
 
-// withID returns a command with another id.
+// withID returns command q with the given id instead of 1.
 func withID(id int, q string) string {
 	return strings.Replace(q, "id=1,", fmt.Sprintf("id=%d,", id), 1)
 }
 
-func readCommand(group, wait, after string) string {
+func readCommand(group, deadline, after string) string {
 	if after != "" {
 		after = ",after=" + after
 	}
-	return "/* id=1,c=" + group + ",d=" + wait + ",cluster=2" + after + " */ SELECT v FROM records WHERE k = 'k1'"
+	return "/* id=1,c=" + group + ",d=" + deadline + ",cluster=2" + after + " */ SELECT v FROM records WHERE k = 'k1'"
 }
--- a/cmd/ferrypitch/command_test.go
+++ b/cmd/ferrypitch/command_test.go
@@ -85,7 +85,7 @@
 		t.Errorf("%d: %s", status, out)
 	}
 	if _, status := runBinary("key", key); status == 0 {
-		t.Error("a key is written over")
+		t.Error("an existing key file is overwritten")
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 	var refused *pgconn.PgError
 	if err := client.QueryRow(ctx, "SELECT 2").Scan(&value); !errors.As(err, &refused) || refused.Code != "42601" {
-		t.Errorf("what is no command: %v", err)
+		t.Errorf("a statement without the comment of a command: %v", err)
 	}
 	if f.Hosts.Stats().Violations() > 0 {
 		t.Errorf("%+v", f.Hosts.Stats())
@@ -171,8 +171,8 @@
 	if err := tierfleet.Ready(ctx, listen); err != nil {
 		t.Fatal(err)
 	}
-	for kept := filepath.Join(filepath.Dir(path), "view"); ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
-		if _, err := os.Stat(kept); err == nil {
+	for viewFile := filepath.Join(filepath.Dir(path), "view"); ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
+		if _, err := os.Stat(viewFile); err == nil {
 			break
 		}
 	}
@@ -181,7 +181,7 @@
 	}
 	startBinary(t, "forward", path)
 	if err := tierfleet.Ready(ctx, listen); err != nil {
-		t.Errorf("with no planner: %v", err)
+		t.Errorf("without planners: %v", err)
 	}
 }
 
@@ -208,7 +208,7 @@
 		err := tierfleet.Ready(ctx, listen)
 		stop()
 		if (err == nil) != known {
-			t.Errorf("with a list %v: %v", known, err)
+			t.Errorf("with a host list %v: %v", known, err)
 		}
 	}
 }
--- a/cmd/ferrypitch/configuration_test.go
+++ b/cmd/ferrypitch/configuration_test.go
@@ -8,8 +8,8 @@
 )
 
 func TestStartupErrorIsOneLineThatNamesTheKey(t *testing.T) {
-	taken := listen(t)
-	for name, wrong := range map[string]func(map[string]any, []string) ([]string, string){
+	occupied := listen(t)
+	for name, corrupt := range map[string]func(map[string]any, []string) ([]string, string){
 		"GW_CONFIG": func(map[string]any, []string) ([]string, string) { return nil, "" },
 		"JSON":      func(_ map[string]any, env []string) ([]string, string) { return env, "{" },
 		"seed":      func(c map[string]any, env []string) ([]string, string) { c["seed"] = "x"; return env, "" },
@@ -33,7 +33,7 @@
 			return env, ""
 		},
 		"address already in use": func(_ map[string]any, env []string) ([]string, string) {
-			return append(env, "GW_LISTEN="+taken.Addr().String()), ""
+			return append(env, "GW_LISTEN="+occupied.Addr().String()), ""
 		},
 		"known.rev: missing": func(c map[string]any, env []string) ([]string, string) {
 			delete(object(c, "known"), "rev")
@@ -43,7 +43,7 @@
 		var c map[string]any
 		unmarshal(t, []byte(configuration("127.0.0.1:1", "")), &c)
 		path := filepath.Join(t.TempDir(), "c.json")
-		env, text := wrong(c, []string{"GW_CONFIG=" + path})
+		env, text := corrupt(c, []string{"GW_CONFIG=" + path})
 		if text == "" {
 			b, _ := json.Marshal(c)
 			text = string(b)
@@ -68,7 +68,7 @@
 		c["next_settings"] = next
 	}, func(s *testSystem) {
 		for _, h := range s.hosts[1:] {
-			h.setLag(10_000_000_000) // past the bound: today each read asks one, then goes to the primary
+			h.setLag(10_000_000_000) // beyond the staleness bound: with the current settings each read tries a replica, then the primary
 		}
 	})
 	c := s.connect()
@@ -83,12 +83,12 @@
 			got["list_asks"] == 0 && got["answered"] == got["taken"]
 	})
 	if s.hosts[2].queryCount() > 0 {
-		t.Error("a host that only the watched settings would use was sent to")
+		t.Error("a command went to a host that only the previewed settings would use")
 	}
 }
 
 func TestInvalidNewerSettingIsNamed(t *testing.T) {
-	for _, wrong := range []struct{ path, key, value, says string }{
+	for _, invalid := range []struct{ path, key, value, message string }{
 		{"settings", "discovery", `"sometimes"`, "settings.discovery: none of"},
 		{"settings", "discovery", `7`, "settings.discovery: not a text"},
 		{"settings", "discovery", `"on_request"`, "settings.rules.ask_within: not over 0"},
@@ -103,17 +103,17 @@
 	} {
 		var c map[string]any
 		unmarshal(t, []byte(configuration("127.0.0.1:1", "")), &c)
-		at := c
-		if wrong.path != "" {
-			at = object(c, strings.Split(wrong.path, ".")...)
+		section := c
+		if invalid.path != "" {
+			section = object(c, strings.Split(invalid.path, ".")...)
 		}
-		at[wrong.key] = json.RawMessage(wrong.value)
+		section[invalid.key] = json.RawMessage(invalid.value)
 		text, _ := json.Marshal(c)
 		path := filepath.Join(t.TempDir(), "c.json")
 		writeFile(t, path, string(text))
 		out, code := runRejected([]string{"GW_CONFIG=" + path})
-		if code != 2 || strings.Count(out, "\n") != 1 || !strings.Contains(out, wrong.says) {
-			t.Errorf("%s.%s = %s: status %d, %s", wrong.path, wrong.key, wrong.value, code, out)
+		if code != 2 || strings.Count(out, "\n") != 1 || !strings.Contains(out, invalid.message) {
+			t.Errorf("%s.%s = %s: status %d, %s", invalid.path, invalid.key, invalid.value, code, out)
 		}
 	}
 }
--- a/cmd/ferrypitch/discovery_test.go
+++ b/cmd/ferrypitch/discovery_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestDrainingAndRemovedHostsGetNothingNew(t *testing.T) {
-	for _, state := range []string{"draining", "removed", "a state not known", "missing from a whole list"} {
+	for _, state := range []string{"draining", "removed", "an unknown state", "missing from a full list"} {
 		s := startSystem(t, 3, nil)
-		if state == "missing from a whole list" {
+		if state == "missing from a full list" {
 			s.listLines <- fmt.Sprintf(`{"rev":2,"all":true,"targets":[%s,%s]}`, s.listEntry(0, "up"), s.listEntry(2, "up"))
 			s.awaitLog(`"rev":2,`)
 		} else {
@@ -52,9 +52,9 @@
 	s.listLines <- `{"rev":6,"all":false,"targets":[{"uid":"b"}]}`
 	s.awaitLog("targets[0].endpoint: missing")
 	if since := s.secondWatchVersion(); since != "5" {
-		t.Errorf("asked for what came after %s", since)
+		t.Errorf("the second watch starts after version %s", since)
 	}
-	<-s.watchEnded // the watch that brought the invalid list takes no more lines
+	<-s.watchEnded // the watch that received the invalid list reads no more lines
 	s.sendList(6, s.listEntry(2, "draining"))
 	before := s.hosts[1].queryCount() + s.hosts[2].queryCount()
 	c := s.connect()
@@ -64,10 +64,11 @@
 		}
 	}
 	if s.hosts[1].queryCount()+s.hosts[2].queryCount() != before {
-		t.Error("a host that drains was sent to")
+		t.Error("a draining host received a command")
 	}
 }
 
+// listOnRequest returns a change of the configuration that requests host lists on demand, within ms milliseconds.
 func listOnRequest(ms int) func(map[string]any) {
 	return func(c map[string]any) {
 		object(c, "settings")["discovery"] = "on_request"
@@ -78,10 +79,10 @@
 func TestListOnRequestIsRequestedAgainAfterAFault(t *testing.T) {
 	s := startSystem(t, 2, listOnRequest(400))
 	s.sendList(2, s.listEntry(1, "draining"))
-	s.listLines <- `{"rev":3,"all":false,"targets":[{"uid":"b"}]}` // a fault ends the watch
+	s.listLines <- `{"rev":3,"all":false,"targets":[{"uid":"b"}]}` // an invalid entry ends the watch
 	s.awaitLog("the watch of the list ended")
 	if since := s.secondWatchVersion(); since != "2" {
-		t.Errorf("asked for what came after %s", since)
+		t.Errorf("the second watch starts after version %s", since)
 	}
 	s.sendList(3, s.listEntry(1, "up"))
 	s.awaitCounters(func(got map[string]float64) bool { return got["list_asks"] == 2 && got["list_asks_failed"] == 1 })
@@ -105,16 +106,16 @@
 		_, _, _ = s.connect().query(writeCommand("order", "500"))
 	}
 	if s.hosts[0].queryCount() != before {
-		t.Error("a host that drains was sent to")
+		t.Error("a draining host received a command")
 	}
 }
 
 func TestListRequestWithoutAnAnswerIsRetried(t *testing.T) {
-	s := startSystem(t, 1, listOnRequest(20000)) // asked for within 5 s
+	s := startSystem(t, 1, listOnRequest(20000)) // the list is requested within 5 s
 	s.discoverySilent = true
 	if code, value, _ := s.connect().query(writeCommand("order", "3000")); code != "" || value != "from a" {
-		t.Errorf("with no list since the start: %s %q", code, value)
+		t.Errorf("without any list since the start: %s %q", code, value)
 	}
-	s.secondWatchVersion() // the second call, once the first had no answer for as long as discovery may be quiet
+	s.secondWatchVersion() // the second request, after the first had no answer for the silence timeout of discovery
 	s.awaitCounters(func(got map[string]float64) bool { return got["list_asks"] >= 2 && got["list_asks_failed"] >= 1 })
 }
--- a/cmd/ferrypitch/fake_discovery_test.go
+++ b/cmd/ferrypitch/fake_discovery_test.go
@@ -11,20 +11,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listEntry is the entry of a host in a list.
+// listEntry returns the entry of a host in a host list.
 func (s *testSystem) listEntry(i int, state string) string {
 	h := s.hosts[i]
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"z","model":"m","pod_group":2,"state":%q,"capacity_hint":1,`+
 		`"boot_ms":0,"role":%q}`, h.name, h.address(), state, h.role())
 }
 
-// sendList sends changes of the list, and returns when the program knows them.
+// sendList sends an update of the host list and waits until the program has logged it.
 func (s *testSystem) sendList(rev int, entries ...string) {
 	s.listLines <- fmt.Sprintf(`{"rev":%d,"all":false,"targets":[%s]}`, rev, strings.Join(entries, ","))
 	s.awaitLog(fmt.Sprintf(`"rev":%d,`, rev))
 }
 
-// serveDiscovery serves watches, which share the lines; each second without one it sends an empty line.
+// serveDiscovery serves watch requests. Each line goes to one of the open watches; an empty line every second is the heartbeat.
 func (s *testSystem) serveDiscovery(l net.Listener, lines <-chan string) {
 	for {
 		conn, err := l.Accept()
@@ -35,7 +35,7 @@
 			defer conn.Close()
 			line, err := bufio.NewReader(conn).ReadString('\n')
 			if err != nil {
-				return // the program has ended, or given up, before it asked for anything
+				return // the program closed the connection before it sent a request
 			}
 			_, since, _ := strings.Cut(line, "since=")
 			s.watchVersions <- strings.Fields(since + " ")[0]
@@ -66,13 +66,13 @@
 	}
 }
 
-// secondWatchVersion is the version that the second watch asked for.
+// secondWatchVersion waits for the second watch and returns the version after which it requests changes.
 func (s *testSystem) secondWatchVersion() string {
 	<-s.watchVersions
 	return <-s.watchVersions
 }
 
-// A connection that ends before its request is no watch, and the next one is served.
+// A connection that is closed before it sends a request does not count as a watch, and the next connection is served.
 func TestDiscoveryFixtureOutlivesAnEmptyConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/cmd/ferrypitch/fake_host_test.go
+++ b/cmd/ferrypitch/fake_host_test.go
@@ -11,20 +11,20 @@
 	"ferrypitch/internal/router/protocol"
 )
 
-// fakeHost is a database host that answers every statement with its name, unless onQuery answers.
+// fakeHost simulates a database host. It answers every statement with its name, unless onQuery is set.
 type fakeHost struct {
 	name     string
 	listener net.Listener
 	primary  bool
 
 	mu      sync.Mutex
-	queries []string
-	onQuery func(conn *hostConn, q string)
-	lag     time.Duration
+	queries []string                       // received statements, without probes
+	onQuery func(conn *hostConn, q string) // answers statements other than probes
+	lag     time.Duration                  // how far the reported position is behind the current time
 	conns   []net.Conn
 }
 
-// hostConn is one connection to a host.
+// hostConn is a connection to a fake host.
 type hostConn struct {
 	net.Conn
 	host *fakeHost
@@ -51,18 +51,18 @@
 	defer conn.Close()
 	in := make([]byte, 1<<18)
 	n := 0
-	for greeted := false; ; {
+	for started := false; ; {
 		k, err := conn.Read(in[n:])
 		if n += k; err != nil {
 			return
 		}
-		if !greeted {
+		if !started {
 			if _, cut, _ := protocol.NextStartup(in[:n], 1<<10); cut > 0 {
 				conn.Write(protocol.AppendGreeting(nil))
-				n, greeted = copy(in, in[cut:n]), true
+				n, started = copy(in, in[cut:n]), true
 			}
 		}
-		for greeted {
+		for started {
 			_, body, cut, _ := protocol.NextMessage(in[:n], 1<<18)
 			if cut == 0 {
 				break
--- a/cmd/ferrypitch/lifecycle_test.go
+++ b/cmd/ferrypitch/lifecycle_test.go
@@ -16,27 +16,27 @@
 func TestGracefulShutdownAnswersCommandsInFlight(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 1, nil)
-	asked, let := make(chan struct{}), make(chan struct{})
+	queried, release := make(chan struct{}), make(chan struct{})
 	s.hosts[0].setOnQuery(func(conn *hostConn, q string) {
 		if strings.Contains(q, "id=1,") {
-			close(asked)
-			<-let
+			close(queried)
+			<-release
 		}
-		conn.sendRow("late but whole", "leader")
+		conn.sendRow("late but complete", "leader")
 	})
 	c, idle := s.connect(), s.connect()
 	c.send(writeCommand("order", "3000"))
-	<-asked
+	<-queried
 	s.signal(syscall.SIGTERM)
 	s.awaitLog("stopping")
 	if code, _, err := idle.query(withID(2, writeCommand("order", "3000"))); code != "" || err != nil {
 		t.Errorf("after SIGTERM: %s %v", code, err)
 	}
-	close(let)
-	if code, value, err := c.answer(); code != "" || value != "late but whole" || err != nil {
+	close(release)
+	if code, value, err := c.answer(); code != "" || value != "late but complete" || err != nil {
 		t.Errorf("%s %q %v", code, value, err)
 	}
-	for { // no connection is accepted, while those that are open are still served
+	for { // until no new connection is accepted; open ones are still served
 		conn, err := net.Dial("tcp", s.listen)
 		if err != nil {
 			break
@@ -45,7 +45,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if code, _, err := idle.query(withID(3, writeCommand("order", "3000"))); code != "" || err != nil {
-		t.Errorf("after the last was accepted: %s %v", code, err)
+		t.Errorf("after the listener closed: %s %v", code, err)
 	}
 	if _, err := idle.conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("an idle connection: %v", err)
@@ -58,14 +58,14 @@
 func TestPendingCommandsFailAtTheShutdownTimeout(t *testing.T) {
 	t.Parallel()
 	s := startSystem(t, 1, nil)
-	asked := make(chan bool, 9)
+	queried := make(chan bool, 9)
 	s.hosts[0].setOnQuery(func(conn *hostConn, _ string) {
-		asked <- true
+		queried <- true
 		discard(conn)
 	})
 	c := s.connect()
 	c.send(writeCommand("order", "60000"))
-	<-asked
+	<-queried
 	s.signal(syscall.SIGTERM)
 	if code, _, err := c.answer(); code != protocol.SystemError || err != nil {
 		t.Errorf("code %q, %v", code, err)
@@ -90,15 +90,15 @@
 	s := startSystem(t, 2, nil)
 	old := s.discovery
 	s.sendList(41, s.listEntry(1, "draining"))
-	asked, let := make(chan bool), make(chan bool)
+	queried, release := make(chan bool), make(chan bool)
 	s.hosts[0].setOnQuery(func(conn *hostConn, _ string) {
-		asked <- true
-		<-let
+		queried <- true
+		<-release
 		conn.sendRow("x", "leader")
 	})
 	c := s.connect()
 	c.send(writeCommand("order", "3000"))
-	<-asked
+	<-queried
 	s.movedListLines = make(chan string)
 	next := listen(t)
 	go s.serveDiscovery(next, s.movedListLines)
@@ -109,34 +109,34 @@
 	s.awaitLog(`"rev":3,`)
 	s.movedListLines <- fmt.Sprintf(`{"rev":4,"all":false,"targets":[%s]}`, s.listEntry(1, "draining"))
 	s.awaitLog(`"rev":4,`)
-	close(let)
+	close(release)
 	if code, value, err := c.answer(); code != "" || value != "x" || err != nil {
-		t.Errorf("in flight meanwhile: %s %q %v", code, value, err)
+		t.Errorf("the command in flight: %s %q %v", code, value, err)
 	}
-	<-s.watchEnded // the old address's watch
+	<-s.watchEnded // the watch at the old address
 	s.movedListLines <- fmt.Sprintf(`{"rev":2,"all":false,"targets":[%s]}`, s.listEntry(1, "up"))
 	s.awaitLog("older than the one held")
 }
 
 func TestInvalidFileAtSIGHUPChangesNothing(t *testing.T) {
 	s := startSystem(t, 1, nil)
-	whole := s.config
-	for _, wrong := range [][2]string{
+	valid := s.config
+	for _, invalid := range [][2]string{ // file and the key that the log names
 		{"{", "GW_CONFIG"},
-		{whole[:len(whole)/2], "GW_CONFIG"},
-		{strings.Replace(whole, `"send_cap":8,"probes":true`, `"send_cap":8,"probes":"yes"`, 1), "settings.bounds.probes"},
-		{strings.Replace(whole, s.discovery, "nowhere", 1), "discovery: not an address"},
+		{valid[:len(valid)/2], "GW_CONFIG"},
+		{strings.Replace(valid, `"send_cap":8,"probes":true`, `"send_cap":8,"probes":"yes"`, 1), "settings.bounds.probes"},
+		{strings.Replace(valid, s.discovery, "nowhere", 1), "discovery: not an address"},
 	} {
-		writeFile(t, s.path, wrong[0])
+		writeFile(t, s.path, invalid[0])
 		s.signal(syscall.SIGHUP)
-		if line := s.awaitLog("the configuration stays as it was"); !strings.Contains(line, wrong[1]) {
-			t.Errorf("%s is not named: %s", wrong[1], line)
+		if line := s.awaitLog("the configuration stays as it was"); !strings.Contains(line, invalid[1]) {
+			t.Errorf("%s is not named: %s", invalid[1], line)
 		}
 	}
 	s.replaceInConfig(`"memory_mb":192`, `"memory_mb":64`)
 	s.signal(syscall.SIGHUP)
 	if line := s.awaitLog("configuration read again"); !strings.Contains(line, `"limits"`) {
-		t.Errorf("what needs a restart is not named: %s", line)
+		t.Errorf("the section that needs a restart is not named: %s", line)
 	}
 	s.sendList(2, s.listEntry(0, "up"))
 	if code, _, _ := s.connect().query(writeCommand("order", "3000")); code != "" {
@@ -146,15 +146,15 @@
 
 func TestSIGHUPNeverEndsTheProgramAndNeverHidesSIGTERM(t *testing.T) {
 	s := startSystem(t, 1, nil)
-	asked, let := make(chan bool), make(chan bool)
+	queried, release := make(chan bool), make(chan bool)
 	s.hosts[0].setOnQuery(func(conn *hostConn, _ string) {
-		asked <- true
-		<-let
+		queried <- true
+		<-release
 		conn.sendRow("x", "leader")
 	})
 	c := s.connect()
 	c.send(writeCommand("order", "3000"))
-	<-asked
+	<-queried
 	for range 50 {
 		s.signal(syscall.SIGHUP)
 	}
@@ -162,7 +162,7 @@
 	s.awaitLog("stopping")
 	s.signal(syscall.SIGHUP)
 	s.awaitLog("configuration read again")
-	close(let)
+	close(release)
 	if code, value, err := c.answer(); code != "" || value != "x" || err != nil {
 		t.Errorf("%s %q %v", code, value, err)
 	}
--- a/cmd/ferrypitch/overload_test.go
+++ b/cmd/ferrypitch/overload_test.go
@@ -8,7 +8,7 @@
 	"ferrypitch/internal/router/protocol"
 )
 
-// connectWith connects a client that sends its first command right behind its startup message. It has read nothing yet.
+// connectWith connects a client that sends its first command directly after its startup message, without reading the greeting.
 func (s *testSystem) connectWith(command string) *testClient {
 	conn, err := net.Dial("tcp", s.listen)
 	if err != nil {
@@ -20,16 +20,17 @@
 	return &testClient{t: s.t, conn: conn}
 }
 
-// endedCommands counts the commands that are answered, failed or rejected, or whose client has gone.
+// endedCommands returns the number of commands that were answered, failed or rejected, or whose client disconnected.
 func endedCommands(counters map[string]float64) float64 {
 	return counters["answered"] + counters["failed"] + counters["refused"] + counters["left"]
 }
 
+// shedCommands returns the number of commands that were shed or throttled.
 func shedCommands(counters map[string]float64) float64 {
 	return counters["commands_shed"] + counters["throttled"]
 }
 
-// awaitTaken waits until some more commands than before are taken, of which none may end or be shed.
+// awaitTaken waits until more commands have been taken since before. It fails if a command ends or is shed meanwhile.
 func (s *testSystem) awaitTaken(before map[string]float64, more float64) {
 	for got, since := before, time.Now(); got["taken"] < before["taken"]+more; {
 		var line string
@@ -40,11 +41,11 @@
 	}
 }
 
-// startWithFewDescriptors starts the program with descriptors for 24 clients.
+// startWithFewDescriptors starts the program with enough file descriptors for 24 clients only.
 func startWithFewDescriptors(t *testing.T) *testSystem {
 	return startSystem(t, 1, func(c map[string]any) {
 		object(c, "limits")["sockets"] = 64
-		object(c, "settings")["classes"].([]any)[2].(map[string]any)["give_up"] = 20000 // commands in flight stay so until the end
+		object(c, "settings")["classes"].([]any)[2].(map[string]any)["give_up"] = 20000 // keeps commands in flight until the end of the test
 	})
 }
 
@@ -54,14 +55,14 @@
 	for range 24 {
 		silent = append(silent, s.connect())
 	}
-	for range 100 { // held open; those without a command are evicted first, then the idle ones
+	for range 100 { // kept open; clients that never sent a command are evicted first, then idle ones
 		if code, _, err := s.connect().query(readCommand("list", "800", "")); code != "" || err != nil {
 			t.Fatalf("code %q, %v", code, err)
 		}
 	}
 	for _, c := range silent {
 		if _, _, err := c.answer(); err == nil {
-			t.Fatal("a connection without a command stayed")
+			t.Fatal("a connection without a command was not evicted")
 		}
 	}
 	var fresh []*testClient
@@ -77,21 +78,21 @@
 	s.expectShedWithAllBusy()
 }
 
-// expectShedWithAllBusy occupies all connections, and expects a further command to be throttled.
+// expectShedWithAllBusy occupies all connections with commands in flight, and expects one more command to be throttled.
 func (s *testSystem) expectShedWithAllBusy() {
-	asked, let := make(chan bool, 99), make(chan bool)
+	queried, release := make(chan bool, 99), make(chan bool)
 	s.hosts[0].setOnQuery(func(conn *hostConn, _ string) {
-		asked <- true
-		<-let
+		queried <- true
+		<-release
 		conn.sendRow("x", "leader")
 	})
 	before, _ := s.counters()
-	for i := range 24 { // the module has no more than four in flight at once
-		c := s.connectWith(withID(i, writeCommand("order", "20000"))) // without a command it would be evicted
+	for i := range 24 { // the policy keeps at most four in flight at once
+		c := s.connectWith(withID(i, writeCommand("order", "20000"))) // a client without a command would be evicted
 		defer func() { _, _, _ = c.answer() }()
 	}
-	defer close(let)
-	<-asked
+	defer close(release)
+	<-queried
 	s.awaitTaken(before, 24)
 	if code, _, err := s.connect().query(withID(99, readCommand("list", "800", ""))); code != protocol.TooManyConnections || err != nil {
 		s.t.Errorf("with all connections busy: %q, %v", code, err)
--- a/cmd/ferrypitch/serving_test.go
+++ b/cmd/ferrypitch/serving_test.go
@@ -28,8 +28,8 @@
 			want = readCommand("list", "", "")
 		}
 		before, rest, _ := strings.Cut(got, ",d=")
-		wait, after, _ := strings.Cut(rest, ",")
-		if ms, err := strconv.Atoi(wait); err != nil || ms < 1 || ms > 3000 || before+",d=,"+after != want {
+		deadline, after, _ := strings.Cut(rest, ",")
+		if ms, err := strconv.Atoi(deadline); err != nil || ms < 1 || ms > 3000 || before+",d=,"+after != want {
 			t.Errorf("forwarded as %s", got)
 		}
 	}
@@ -75,8 +75,8 @@
 
 func TestPositionOfTheFutureIsIgnored(t *testing.T) {
 	s := startSystem(t, 2, nil)
-	s.hosts[1].setLag(-10 * time.Minute) // in each report and each answer
-	// Before a host is probed for the first time, a read may go to it as a trial, whatever its position.
+	s.hosts[1].setLag(-10 * time.Minute) // in every probe result and answer
+	// Until a host has been probed for the first time, a read may be sent to it as a trial whatever its position is.
 	probes := 0.0
 	for probes < 2 {
 		got, _ := s.counters()
@@ -93,19 +93,19 @@
 
 func TestIDOfAnOpenCommandIsRejected(t *testing.T) {
 	s := startSystem(t, 1, nil)
-	asked, let := make(chan bool, 9), make(chan bool)
+	queried, release := make(chan bool, 9), make(chan bool)
 	s.hosts[0].setOnQuery(func(conn *hostConn, _ string) {
-		asked <- true
-		<-let
+		queried <- true
+		<-release
 		conn.sendRow("first", "leader")
 	})
 	c, other := s.connect(), s.connect()
 	c.send(writeCommand("order", "3000"))
-	<-asked
+	<-queried
 	if code, _, _ := other.query(writeCommand("order", "3000")); code != protocol.SyntaxError {
 		t.Errorf("the second ends with %q", code)
 	}
-	close(let)
+	close(release)
 	if code, value, _ := c.answer(); code != "" || value != "first" || len(s.statements()) != 1 {
 		t.Errorf("the first: %s %q, %d statements", code, value, len(s.statements()))
 	}
@@ -129,7 +129,7 @@
 
 func TestInvalidAnswerIsRetriedElsewhereAndIgnored(t *testing.T) {
 	s := startSystem(t, 2, nil)
-	invalid := func(conn *hostConn, _ string) { // it says that it is the primary, and knows all
+	invalid := func(conn *hostConn, _ string) { // claims to be the primary and up to date
 		conn.Write(append(rowMessages("invalid")[:27], readyMessages("leader", time.Now().UnixMilli())...))
 	}
 	s.hosts[1].setOnQuery(invalid)
@@ -140,7 +140,7 @@
 		}
 	}
 	if s.hosts[1].queryCount() == 0 {
-		t.Error("the host with invalid answers was never sent to")
+		t.Error("no command was sent to the host with invalid answers")
 	}
 	if code, value, _ := c.query(writeCommand("order", "3000")); code != "" || value != "from a" {
 		t.Errorf("a write: %s %q", code, value)
@@ -148,7 +148,7 @@
 	s.hosts[0].setOnQuery(invalid)
 	before := len(s.statements())
 	if code, _, _ := c.query(writeCommand("order", "3000")); code != protocol.SystemError || len(s.statements()) != before+1 {
-		t.Errorf("a invalid write: %s, sent %d times", code, len(s.statements())-before)
+		t.Errorf("a write with an invalid answer: %s, sent %d times", code, len(s.statements())-before)
 	}
 }
 
@@ -162,16 +162,16 @@
 }
 
 func TestMutatingCommandThatMayHaveRunIsNotRetried(t *testing.T) {
-	for name, end := range map[string]func(*hostConn){
-		"the connection breaks":        func(conn *hostConn) { conn.Close() },
-		"half a row comes":             func(conn *hostConn) { conn.Write(rowMessages("x")[:20]); conn.Close() },
-		"two rows come":                func(conn *hostConn) { conn.Write(protocol.AppendReady(append(rowMessages("x"), rowMessages("y")...))) },
-		"an error comes":               func(conn *hostConn) { conn.sendError("XX000", "leader") },
-		"a code comes that is unknown": func(conn *hostConn) { conn.sendError("99999", "leader") },
+	for name, reply := range map[string]func(*hostConn){
+		"the connection breaks":     func(conn *hostConn) { conn.Close() },
+		"the row is incomplete":     func(conn *hostConn) { conn.Write(rowMessages("x")[:20]); conn.Close() },
+		"there are two rows":        func(conn *hostConn) { conn.Write(protocol.AppendReady(append(rowMessages("x"), rowMessages("y")...))) },
+		"there is an error":         func(conn *hostConn) { conn.sendError("XX000", "leader") },
+		"the error code is unknown": func(conn *hostConn) { conn.sendError("99999", "leader") },
 	} {
 		s := startSystem(t, 3, nil)
 		for _, h := range s.hosts {
-			h.setOnQuery(func(conn *hostConn, _ string) { end(conn) })
+			h.setOnQuery(func(conn *hostConn, _ string) { reply(conn) })
 		}
 		code, _, _ := s.connect().query(writeCommand("order", "3000"))
 		if code == "" || code == protocol.TooManyConnections || code == protocol.CannotConnectNow || len(s.statements()) != 1 {
@@ -195,20 +195,20 @@
 
 func TestSilentHostTimesOut(t *testing.T) {
 	s := startSystem(t, 1, nil)
-	gone := make(chan struct{}, 9)
+	disconnected := make(chan struct{}, 9)
 	s.hosts[0].setOnQuery(func(conn *hostConn, _ string) {
 		discard(conn) // until the router closes the connection
-		gone <- struct{}{}
+		disconnected <- struct{}{}
 	})
 	at := time.Now()
 	code, _, _ := s.connect().query(writeCommand("order", "400"))
 	if took := time.Since(at); code != protocol.SystemError || took > testTimeout/2 {
 		t.Errorf("code %q after %v", code, took)
 	}
-	<-gone
+	<-disconnected
 }
 
-// expectEncryptionDeclined asks for encryption, as a client may before its startup message.
+// expectEncryptionDeclined sends an SSLRequest, as a client may before its startup message, and expects that encryption is declined.
 func expectEncryptionDeclined(t *testing.T, conn net.Conn) {
 	t.Helper()
 	conn.Write([]byte{0, 0, 0, 8, 4, 210, 22, 47}) // SSLRequest
@@ -253,13 +253,13 @@
 	if code, value, err := c.answer(); code+value != "" || err != nil {
 		t.Errorf("empty query: %s %q %v", code, value, err)
 	}
-	for _, what := range []string{"comment", "command group", "replica set"} {
+	for _, missing := range []string{"comment", "command group", "replica set"} {
 		if code, _, _ := c.answer(); code != protocol.SyntaxError {
-			t.Errorf("no known %s: %s", what, code)
+			t.Errorf("unknown or missing %s: %s", missing, code)
 		}
 	}
 	if code, _, _ := c.answer(); code != protocol.FeatureNotSupported {
-		t.Errorf("another message: %s", code)
+		t.Errorf("an unsupported message: %s", code)
 	}
 	if n := len(s.statements()); n != 5 {
 		t.Errorf("%d statements at hosts", n)
@@ -269,47 +269,47 @@
 func TestSlowReaderAndPartialMessageDelayNobody(t *testing.T) {
 	s := startSystem(t, 1, nil)
 	s.hosts[0].setOnQuery(func(conn *hostConn, _ string) { conn.sendRow(strings.Repeat("v", 60000), "leader") })
-	slow, half, c := s.connect(), s.connect(), s.connect()
+	slow, partial, c := s.connect(), s.connect(), s.connect()
 	for i := range 100 {
 		go slow.conn.Write(protocol.AppendQuery(nil, []byte(withID(10+i, readCommand("list", "800", "")))))
 	}
-	half.conn.Write([]byte{protocol.Query, 0, 1, 0, 0, 'x'})
+	partial.conn.Write([]byte{protocol.Query, 0, 1, 0, 0, 'x'})
 	for range 5 {
 		if code, value, err := c.query(readCommand("list", "800", "")); code != "" || len(value) != 60000 || err != nil {
 			t.Errorf("%s, %d bytes, %v", code, len(value), err)
 		}
 	}
-	half.conn.Write([]byte{0xff})
+	partial.conn.Write([]byte{0xff})
 	bad := s.connect()
 	bad.conn.Write([]byte{protocol.Query, 0xff, 0xff, 0xff, 0xff})
 	if code, _, _ := bad.answer(); code != protocol.ProtocolViolation {
-		t.Errorf("an impossible length: %s", code)
+		t.Errorf("an invalid length: %s", code)
 	}
 }
 
 func TestCountersAgree(t *testing.T) {
 	s := startSystem(t, 2, nil)
-	asked := make(chan struct{}, 9)
+	queried := make(chan struct{}, 9)
 	s.hosts[0].setOnQuery(func(conn *hostConn, q string) {
 		if strings.Contains(q, "id=1,") {
 			conn.sendRow("x", "leader")
 			return
 		}
-		asked <- struct{}{}
+		queried <- struct{}{}
 		discard(conn)
 	})
-	c, leaves := s.connect(), s.connect()
+	c, leaving := s.connect(), s.connect()
 	for range 3 {
 		_, _, _ = c.query(writeCommand("order", "3000"))
 	}
 	_, _, _ = c.query("SELECT without a comment")
-	lost := withID(2, writeCommand("order", "200"))
-	_, _, _ = c.query(lost)
-	<-asked
-	leaves.send(withID(3, writeCommand("order", "3000")))
-	<-asked
-	leaves.conn.Close()
-	for got := map[string]float64{}; got["left"] != 1; { // a client that left is seen at some time
+	timesOut := withID(2, writeCommand("order", "200"))
+	_, _, _ = c.query(timesOut)
+	<-queried
+	leaving.send(withID(3, writeCommand("order", "3000")))
+	<-queried
+	leaving.conn.Close()
+	for got := map[string]float64{}; got["left"] != 1; { // the disconnection is detected with a delay
 		var line string
 		if got, line = s.counters(); got["taken"] != 5 || got["answered"] != 3 || got["failed"] != 1 || got["refused"] != 1 ||
 			got["out"]+got["left"] != 1 || got["hosts_held"] != 2 || got["clients_accepted"] != got["clients_open"]+
@@ -327,21 +327,21 @@
 			switch inserts := strings.Contains(q, "INSERT"); {
 			case inserts && !h.primary:
 				conn.sendError("25006", "follower")
-			case h.primary: // neither position nor role
+			case h.primary: // without position and role
 				conn.Write(protocol.AppendReady(rowMessages("from " + h.name)))
 			default:
 				conn.sendRow("from "+h.name, "follower")
 			}
 		})
 	}
-	lie := func(i int, role string) string {
+	entryWithRole := func(i int, role string) string {
 		entry := s.listEntry(i, "up")
 		return strings.Replace(strings.Replace(entry, `"leader"`, `"?"`, 1), `"role":"`+s.hosts[i].role()+`"`, `"role":"`+role+`"`, 1)
 	}
 	c := s.connect()
 	for rev, entries := range [][]string{
-		{lie(0, "follower"), lie(1, "follower"), lie(2, "leader")}, // not what answers and reports say
-		{lie(0, "follower"), lie(1, "follower"), lie(2, "follower")},
+		{entryWithRole(0, "follower"), entryWithRole(1, "follower"), entryWithRole(2, "leader")}, // contradicts answers and probes
+		{entryWithRole(0, "follower"), entryWithRole(1, "follower"), entryWithRole(2, "follower")},
 	} {
 		s.sendList(rev+2, entries...)
 		for range 5 {
--- a/cmd/ferrypitch/system_test.go
+++ b/cmd/ferrypitch/system_test.go
@@ -18,10 +18,10 @@
 	"ferrypitch/internal/simulation/tierfleet"
 )
 
-// testTimeout limits the wait for what must happen. No test passes by waiting.
+// testTimeout limits the wait for an expected event. No test passes because it expires.
 const testTimeout = 20 * time.Second
 
-var binary string
+var binary string // path of the program under test
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "ferrypitch")
@@ -47,21 +47,21 @@
 	listen         string
 	cmd            *exec.Cmd
 	logLines       chan string
-	listLines      chan string // sent by discovery
-	movedListLines chan string // sent by discovery at another address
+	listLines      chan string // host lists for discovery to send
+	movedListLines chan string // host lists for discovery at another address to send
 
 	discovery       string
-	watchVersions   chan string // that watches asked for
-	watchEnded      chan bool   // a watch that its client closed
-	discoverySilent bool        // it accepts watches, and sends nothing
+	watchVersions   chan string // versions after which the watches request changes
+	watchEnded      chan bool   // receives a value when a client closes its watch
+	discoverySilent bool        // discovery accepts watches but sends nothing
 }
 
-// startSystem starts hosts a (the primary), b, c..., discovery and the program.
+// startSystem starts the hosts a (the primary), b, c..., the discovery service and the program, whose configuration change can edit.
 func startSystem(t *testing.T, hosts int, change func(map[string]any)) *testSystem {
 	return startPreparedSystem(t, hosts, change, func(*testSystem) {})
 }
 
-// startPreparedSystem is startSystem with hosts that prepare changes before the program can probe them.
+// startPreparedSystem is like startSystem, but calls prepare before the program starts and can probe the hosts.
 func startPreparedSystem(t *testing.T, hosts int, change func(map[string]any), prepare func(*testSystem)) *testSystem {
 	s := &testSystem{t: t, listLines: make(chan string), watchVersions: make(chan string, 99), watchEnded: make(chan bool, 99)}
 	for i := range hosts {
@@ -99,7 +99,7 @@
 	return l
 }
 
-// configuration is a file with three command groups: list, own and order, of which order writes.
+// configuration returns a configuration file with three command groups: list and own, which read, and order, which writes.
 func configuration(discovery, targets string) string {
 	return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 	"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"rev":1,"all":true,"targets":[%s]},
@@ -115,7 +115,7 @@
 		discovery, targets)
 }
 
-// object returns the object at a path of a decoded file.
+// object returns the object at a path of a decoded configuration.
 func object(c map[string]any, path ...string) map[string]any {
 	for _, p := range path {
 		c = c[p].(map[string]any)
@@ -158,7 +158,7 @@
 	}
 }
 
-// awaitLog waits for a line of the log.
+// awaitLog waits for a log line that contains part, and returns it.
 func (s *testSystem) awaitLog(part string) string {
 	for {
 		select {
@@ -175,17 +175,17 @@
 	}
 }
 
-// counters returns the program's counters, and the line of the log that has them.
+// counters requests the program's counters and returns them and the log line that contains them.
 func (s *testSystem) counters() (got map[string]float64, line string) {
 	s.signal(syscall.SIGUSR1)
 	_, line, _ = strings.Cut(s.awaitLog(`"msg":"counts"`), "{")
-	_ = json.Unmarshal([]byte("{"+line), &got) // fields that are not numbers are left out
+	_ = json.Unmarshal([]byte("{"+line), &got) // fields that are not numbers are skipped
 	return got, line
 }
 
-// awaitCounters sends commands until the counters are as wanted.
-func (s *testSystem) awaitCounters(wanted func(map[string]float64) bool) {
-	for got, line := s.counters(); !wanted(got); got, line = s.counters() {
+// awaitCounters sends commands until the counters meet a condition.
+func (s *testSystem) awaitCounters(condition func(map[string]float64) bool) {
+	for got, line := s.counters(); !condition(got); got, line = s.counters() {
 		if got["taken"] > 5000 {
 			s.t.Fatal(line)
 		}
@@ -193,16 +193,16 @@
 	}
 }
 
-// replaceInConfig replaces a part of the program's file.
-func (s *testSystem) replaceInConfig(old, now string) {
-	s.config = strings.Replace(s.config, old, now, 1)
+// replaceInConfig replaces a part of the program's configuration file atomically.
+func (s *testSystem) replaceInConfig(old, replacement string) {
+	s.config = strings.Replace(s.config, old, replacement, 1)
 	writeFile(s.t, s.path+".new", s.config)
 	if err := os.Rename(s.path+".new", s.path); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// runRejected runs the program where it cannot start, and returns its output and its status.
+// runRejected runs the program with an environment in which it must fail to start, and returns its output and exit status.
 func runRejected(env []string) (string, int) {
 	cmd := exec.Command(binary)
 	cmd.Env = env
@@ -210,16 +210,16 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// runBinary runs a sub-command to its end, and returns its output and its status.
+// runBinary runs a sub-command until it exits, and returns its output and exit status.
 func runBinary(args ...string) (out string, status int) {
 	var b bytes.Buffer
 	cmd := exec.Command(binary, args...)
 	cmd.Stdout, cmd.Stderr = &b, &b
-	_ = cmd.Run() // its status tells
+	_ = cmd.Run() // reported by the exit status
 	return b.String(), cmd.ProcessState.ExitCode()
 }
 
-// startBinary starts a sub-command, and stops it when the test ends.
+// startBinary starts a sub-command and stops it at the end of the test.
 func startBinary(t *testing.T, args ...string) {
 	t.Helper()
 	cmd := exec.Command(binary, args...)
@@ -235,11 +235,12 @@
 	})
 }
 
+// logWriter writes to the log of a test.
 type logWriter struct{ t *testing.T }
 
 func (l *logWriter) Write(b []byte) (int, error) { l.t.Logf("%s", b); return len(b), nil }
 
-// writeExample writes the repository's example with free addresses and a key, changed as a test wants.
+// writeExample writes the repository's example configuration with free addresses, a key and the given change, and returns its path.
 func writeExample(t *testing.T, change func(all map[string]any)) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/example.json")
@@ -250,15 +251,15 @@
 	if err := json.Unmarshal(text, &all); err != nil {
 		t.Fatal(err)
 	}
-	for _, at := range []func(string){
-		func(a string) { all["listen"] = a }, func(a string) { all["plan"].(map[string]any)["listen"] = a },
-		func(a string) { all["discovery"] = a },
+	for _, setAddress := range []func(string){
+		func(address string) { all["listen"] = address }, func(address string) { all["plan"].(map[string]any)["listen"] = address },
+		func(address string) { all["discovery"] = address },
 	} {
-		a, err := tierfleet.Free()
+		address, err := tierfleet.Free()
 		if err != nil {
 			t.Fatal(err)
 		}
-		at(a)
+		setAddress(address)
 	}
 	if change != nil {
 		change(all)
@@ -271,6 +272,7 @@
 	return path
 }
 
+// statements returns the statements that all hosts received, in order of hosts.
 func (s *testSystem) statements() (all []string) {
 	for _, h := range s.hosts {
 		h.mu.Lock()
@@ -280,7 +282,7 @@
 	return all
 }
 
-// signal sends the program a signal.
+// signal sends a signal to the program.
 func (s *testSystem) signal(signal os.Signal) {
 	s.t.Helper()
 	signalProcess(s.t, s.cmd, signal)
@@ -293,10 +295,10 @@
 	}
 }
 
-// killProcess kills a process, unless it has ended, and waits for its end.
+// killProcess kills a process if it is still running, and waits until it has exited.
 func killProcess(cmd *exec.Cmd) {
 	_ = cmd.Process.Kill()
-	_ = cmd.Wait() // it was killed
+	_ = cmd.Wait() // the error is that of the kill
 }
 
 func writeFile(t *testing.T, path, text string) {
@@ -313,5 +315,5 @@
 	}
 }
 
-// discard reads a connection until it ends.
+// discard reads from a connection until the peer closes it.
 func discard(conn net.Conn) { _, _ = io.Copy(io.Discard, conn) }
--- a/cmd/ferrypitch/trace_test.go
+++ b/cmd/ferrypitch/trace_test.go
@@ -15,8 +15,8 @@
 	"ferrypitch/internal/simulation/workload"
 )
 
-// onlyTrace is the one trace file of a folder.
-func onlyTrace(t *testing.T, dir string) string {
+// singleTraceFile returns the path of the only trace file in a folder, and fails if there is not exactly one.
+func singleTraceFile(t *testing.T, dir string) string {
 	t.Helper()
 	files, _ := filepath.Glob(filepath.Join(dir, "*.fptrace"))
 	if len(files) != 1 {
@@ -25,7 +25,7 @@
 	return files[0]
 }
 
-// captureTrace is the file of a router that served a load for a moment.
+// captureTrace runs a router under load for a second and returns the path of its trace file.
 func captureTrace(t *testing.T) string {
 	t.Helper()
 	f, err := tierfleet.New(t.TempDir(), 1, 3, 1, 0)
@@ -53,7 +53,7 @@
 		Timeout: time.Second, Seed: 5,
 	}, nil)
 	signalProcess(t, cmd, syscall.SIGHUP)
-	client, err := net.Dial("tcp", listen) // keeps it there for a moment
+	client, err := net.Dial("tcp", listen) // an open connection, so that shutdown does not end at once
 	if err == nil {
 		defer client.Close()
 	}
@@ -61,7 +61,7 @@
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	return onlyTrace(t, dir)
+	return singleTraceFile(t, dir)
 }
 
 func TestTraceIsReadCutAnonymisedRepairedAndReplayed(t *testing.T) {
@@ -90,7 +90,7 @@
 	expectRepaired(t, file, dir)
 }
 
-// expectTraceOutput runs a trace sub-command, and expects its status, and words in its output, which it returns.
+// expectTraceOutput runs a trace sub-command, checks its exit status and that its output contains all words, and returns the output.
 func expectTraceOutput(t *testing.T, wantStatus int, words []string, args ...string) string {
 	t.Helper()
 	out, status := runBinary(append([]string{"trace"}, args...)...)
@@ -161,14 +161,14 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for till := time.Now().Add(testTimeout); f.Hosts.Stats().HealthChecks < 4 && time.Now().Before(till); {
+	for deadline := time.Now().Add(testTimeout); f.Hosts.Stats().HealthChecks < 4 && time.Now().Before(deadline); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	signalProcess(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	file := onlyTrace(t, dir)
+	file := singleTraceFile(t, dir)
 	out, status := runBinary("trace", "info", file)
 	for _, kind := range []string{"plan_list", "plan_probe ", "plan_probed", "plan_change"} {
 		if !strings.Contains(out, kind) || status != 0 {
