--- a/internal/compatibility/disk_test.go
+++ b/internal/compatibility/disk_test.go
@@ -15,7 +15,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// The disks of members are read completely: identity, vote, snapshot, every entry, and the state that they build.
+// Each member disk is read completely: identity, vote, snapshot, every entry, and the state that results from them.
 func TestMemberDisksAreReadCompletely(t *testing.T) {
 	for _, name := range disks {
 		t.Run(name, func(t *testing.T) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// What the fixtures are there for is spelled out here as well, beside the complete renderings in testdata.
+// Checks the values that each fixture was written for explicitly, in addition to the complete renderings in testdata.
 func TestMemberDisksHoldWhatWasWritten(t *testing.T) {
 	contents := map[string]diskContents{}
 	for _, name := range disks {
@@ -36,7 +36,7 @@
 		require.Equal(t, object{"id": "10.0.0.1:7000+a1", "founders": []string{"10.0.0.1:7000+a1", "10.0.0.2:7000+b1", "10.0.0.3:7000+c1"}},
 			identityObject(read.identity), name)
 		require.Equal(t, object{"view": uint64(3), "vote": "10.0.0.2:7000+b1", "settled": uint64(2)}, hardStateObject(read.restored.HardState), name)
-		require.NotContains(t, read.refused, true, name)
+		require.NotContains(t, read.rejected, true, name)
 	}
 	for name, size := range map[string]int{"entries": 34, "snapshot": 6, "membership": 5, "torn": 30, "oldest": 6} {
 		require.Len(t, contents[name].restored.Entries, size, name)
@@ -44,7 +44,7 @@
 	for name, index := range map[string]uint64{"entries": 0, "snapshot": 28, "membership": 28, "torn": 0, "oldest": 28} {
 		require.Equal(t, index, contents[name].restored.Snapshot.Index, name)
 	}
-	require.Equal(t, stateObject(contents["entries"].state), stateObject(contents["snapshot"].state), "the same log, with a snapshot in it or not")
+	require.Equal(t, stateObject(contents["entries"].state), stateObject(contents["snapshot"].state), "the same log with and without a snapshot")
 
 	for _, name := range []string{"snapshot", "oldest"} {
 		state := stateObject(contents[name].snapshotState)
@@ -68,22 +68,22 @@
 	require.Equal(t, []object{{"id": "ledger-3", "at": int64(2125)}}, state["gone"])
 	require.Equal(t, object{"base": int64(6), "sum": "07d705b0a07b1718d1209e447ca3a469", "at": int64(1625)}, state["taken"].([]object)[4])
 	oldest := stateObject(contents["oldest"].snapshotState)
-	require.Empty(t, oldest["taken"], "that form of the orders is not read any more")
-	require.Empty(t, oldest["gone"], "nor that of the hosts that left")
+	require.Empty(t, oldest["taken"], "the old form of the applied updates is no longer read")
+	require.Empty(t, oldest["gone"], "the old form of the removed hosts is no longer read")
 
-	moving := contents["membership"].restored
-	require.Equal(t, []string{"10.0.0.1:7000+a1", "10.0.0.2:7000+b1", "10.0.0.3:7000+c1"}, memberNames(moving.Snapshot.Members))
-	require.Equal(t, []string{"10.0.0.1:7000+a1", "10.0.0.2:7000+b1", "10.0.0.3:7000+c1", "10.0.0.4:7000+d1"}, memberNames(moving.Entries[3].Members))
-	require.Greater(t, moving.Snapshot.Index+4, moving.HardState.CommittedConfigIndex, "the change of members is not settled")
+	membershipChange := contents["membership"].restored
+	require.Equal(t, []string{"10.0.0.1:7000+a1", "10.0.0.2:7000+b1", "10.0.0.3:7000+c1"}, memberNames(membershipChange.Snapshot.Members))
+	require.Equal(t, []string{"10.0.0.1:7000+a1", "10.0.0.2:7000+b1", "10.0.0.3:7000+c1", "10.0.0.4:7000+d1"}, memberNames(membershipChange.Entries[3].Members))
+	require.Greater(t, membershipChange.Snapshot.Index+4, membershipChange.HardState.CommittedConfigIndex, "the membership change must not be committed yet")
 }
 
-// disks are the fixtures of member disks.
+// disks lists the fixtures of member disks.
 var disks = []string{"entries", "snapshot", "membership", "torn", "oldest"}
 
-// coverage notes which exported fields of which types were seen, and which of them with a value.
-type coverage struct{ known, filled map[string]bool }
+// coverage records the exported fields that were visited, as Type.Field, and those among them that had a nonzero value.
+type coverage struct{ visited, nonzero map[string]bool }
 
-// visit visits a value and all that it holds.
+// visit records the fields of a value and, recursively, of all values that it contains.
 func (seen coverage) visit(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Pointer:
@@ -105,18 +105,18 @@
 				continue
 			}
 			name := value.Type().String() + "." + field.Name
-			seen.known[name] = true
+			seen.visited[name] = true
 			if !value.Field(place).IsZero() {
-				seen.filled[name] = true
+				seen.nonzero[name] = true
 			}
 			seen.visit(value.Field(place))
 		}
 	}
 }
 
-// Each exported field of the stored types has a value somewhere in a fixture, so none can lose its stored name unseen, also
-// if the renderings here forget it. It needs no change when a field is renamed. A new field wants a fixture of the revision
-// that brings it.
+// Each exported field of the stored types must have a nonzero value in some fixture. Otherwise a field could lose its stored name
+// unnoticed if the renderings omit it. Renaming a field needs no change here; a new field needs a fixture written by the revision
+// that adds it.
 func TestEachStoredFieldHasAValueInAFixture(t *testing.T) {
 	seen := coverage{map[string]bool{}, map[string]bool{}}
 	for _, name := range []string{"entries", "snapshot", "membership"} {
@@ -131,13 +131,13 @@
 	}
 	seen.visit(reflect.ValueOf(readHostLeaving(t)))
 	missing := []string{}
-	for _, name := range slices.Sorted(maps.Keys(seen.known)) {
-		if !seen.filled[name] {
+	for _, name := range slices.Sorted(maps.Keys(seen.visited)) {
+		if !seen.nonzero[name] {
 			missing = append(missing, name)
 		}
 	}
 	require.Empty(t, missing)
-	require.Len(t, seen.known, knownFields)
+	require.Len(t, seen.visited, storedFieldCount)
 
 	header := openTrace(t).Header
 	deployment, err := record.DecodeDeployment(header.Extra["deployment"])
@@ -145,14 +145,14 @@
 	require.NotEmpty(t, deployment.Groups)
 	seen = coverage{map[string]bool{}, map[string]bool{}}
 	seen.visit(reflect.ValueOf(deployment))
-	require.Equal(t, slices.Sorted(maps.Keys(seen.known)), slices.Sorted(maps.Keys(seen.filled)))
+	require.Equal(t, slices.Sorted(maps.Keys(seen.visited)), slices.Sorted(maps.Keys(seen.nonzero)))
 }
 
-// hostLeavingFile is the fixture of a change that older releases did not have.
+// hostLeavingFile is the fixture of a change that older releases do not write.
 const hostLeavingFile = "host-leaving.change"
 
-// readHostLeaving reads a change that no older release wrote: a host that leaves without draining first. Older releases read it
-// as the drain that it also is, since its stored form has both Drain and Leave.
+// readHostLeaving reads the change for a host that leaves without draining first, which older releases do not write. Its stored form
+// sets both Drain and Leave, so that older releases read it as a drain.
 func readHostLeaving(t *testing.T) statemachine.Change {
 	body, err := os.ReadFile(filepath.Join("testdata", hostLeavingFile))
 	require.NoError(t, err)
@@ -165,10 +165,10 @@
 	require.Equal(t, statemachine.Change{LeaderTimeMs: 4125, HostLeaving: "ledger-4"}, readHostLeaving(t))
 }
 
-// knownFields is how many exported fields the stored types of the control plane have, so that none is left out.
-const knownFields = 80
+// storedFieldCount is the number of exported fields of the control plane's stored types. It detects types that are not visited.
+const storedFieldCount = 80
 
-// A disk of an earlier revision is opened, takes another write, and holds the old and the new when it is opened again.
+// A disk of an earlier revision accepts another write, and returns both the old and the new data when it is opened again.
 func TestMemberDiskTakesAnotherWrite(t *testing.T) {
 	for _, name := range disks {
 		t.Run(name, func(t *testing.T) {
@@ -200,7 +200,7 @@
 			require.NoError(t, err)
 			require.Empty(t, again.restored.Entries)
 			require.Equal(t, snapshot, again.restored.Snapshot)
-			require.Equal(t, stateObject(contents.state), stateObject(again.state), "a snapshot written now holds the same state")
+			require.Equal(t, stateObject(contents.state), stateObject(again.state), "a snapshot written by this revision restores the same state")
 		})
 	}
 }
--- a/internal/compatibility/doc.go
+++ b/internal/compatibility/doc.go
@@ -1,5 +1,5 @@
-// Package compatibility has fixtures of everything that a process stores on disk, written by earlier revisions, and the tests
-// that read them completely, write them again and let a member start on them. Stored gob and CBOR name fields by their Go
-// names: a renamed field is lost without an error, and only what an earlier revision wrote can show it. See
-// testdata/README.md.
+// Package compatibility tests that data stored on disk by earlier revisions can still be used. Its fixtures in testdata cover
+// everything that a process stores. The tests read them completely, encode them again and start a member on them. Gob and CBOR
+// store fields under their Go names: a renamed field is lost without an error, and only a file written by an earlier revision
+// shows the loss. See testdata/README.md.
 package compatibility
--- a/internal/compatibility/generate_test.go
+++ b/internal/compatibility/generate_test.go
@@ -30,12 +30,12 @@
 // traceEvent is one event of a trace.
 type traceEvent = format.Event
 
-var writeFixtures = flag.Bool("write-fixtures", false, "write the fixtures into testdata, up to the first that is there already, and run no test")
+var writeFixtures = flag.Bool("write-fixtures", false, "write the fixtures, stop at the first that already exists, and run no tests")
 
-var fixturesFolder = flag.String("fixtures-folder", "testdata", "where -write-fixtures writes")
+var fixturesFolder = flag.String("fixtures-folder", "testdata", "the folder to which -write-fixtures writes")
 
-// TestMain writes fixtures where it is told to. None that is there is ever written over: what a later revision writes is
-// a fixture of that revision, and takes a name of its own.
+// TestMain writes the fixtures instead of running the tests if -write-fixtures is set. It never overwrites a fixture: data written by
+// a later revision is a fixture of that revision and needs its own name.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if !*writeFixtures {
@@ -54,64 +54,65 @@
 	memberD = consensus.ID("10.0.0.4:7000+d1")
 )
 
-// configurationBody is an operator's configuration with a route that has a deadline of its own.
+// configurationBody returns an operator's configuration with the given deadline for the route ledger-write.
 func configurationBody(generation, deadline int) []byte {
 	return fmt.Appendf(nil, `{"Generation":%d,"Routes":[{"Name":"ledger-write","Host":"ledger","PathPrefix":"/","Kind":"leader","DeadlineMs":%d,"TargetMs":150,"Priority":1,"Service":"ledger","MaxTries":2},`+
 		`{"Name":"audit-read","Host":"audit","PathPrefix":"/","Kind":"bounded_staleness","DeadlineMs":900,"TargetMs":150,"Priority":1,"Service":"audit","MaxTries":2,"StalenessMs":250}],`+
 		`"Services":[{"Name":"ledger","HealthPath":"/health","MaxConns":57,"SyncReplicas":1},{"Name":"audit","MaxConns":12}],"Limits":{"MaxBodyBytes":1048576,"IdleTimeoutMs":60000,"TxnIdleMs":5000},"Unknown":"kept"}`, generation, deadline)
 }
 
-// amendmentBody is an amendment that sets the deadline of a route.
+// amendmentBody returns an amendment that sets the deadline of the route audit-read.
 func amendmentBody(generation, deadline int) []byte {
 	return fmt.Appendf(nil, `{"Generation":%d,"Upsert":{"Routes":[{"Name":"audit-read","Host":"audit","PathPrefix":"/","Kind":"bounded_staleness","DeadlineMs":%d,"Service":"audit","StalenessMs":300}]}}`, generation, deadline)
 }
 
-// history builds a log as a leader does.
+// history builds a log in the way a leader does: it encodes changes and applies them to its state.
 type history struct {
 	state        statemachine.State
 	entries      []consensus.Entry
 	leaderTimeMs int64
-	err          error
+	err          error // the first error; checked at the end
 }
 
-// addEntry adds an entry that is not of the state machine.
-func (h *history) addEntry(view uint64, members ...consensus.ID) {
-	h.entries = append(h.entries, consensus.Entry{Term: view, Members: members})
+// addEntry adds an entry without a state machine change: an empty entry or a membership.
+func (h *history) addEntry(term uint64, members ...consensus.ID) {
+	h.entries = append(h.entries, consensus.Entry{Term: term, Members: members})
 }
 
-// addChanges adds changes.
-func (h *history) addChanges(view uint64, changes ...statemachine.Change) {
+// addChanges adds an entry for each change, with leader times that are 125 ms apart, and applies it.
+func (h *history) addChanges(term uint64, changes ...statemachine.Change) {
 	for _, change := range changes {
 		h.leaderTimeMs += 125
 		change.LeaderTimeMs = h.leaderTimeMs
 		body := statemachine.EncodeChange(change)
-		again, err := statemachine.DecodeChange(body)
+		decoded, err := statemachine.DecodeChange(body)
 		if err == nil {
-			err = h.state.Apply(uint64(len(h.entries))+1, again)
+			err = h.state.Apply(uint64(len(h.entries))+1, decoded)
 		}
 		if err != nil && h.err == nil {
 			h.err = fmt.Errorf("entry %d: %w", len(h.entries)+1, err)
 		}
-		h.entries = append(h.entries, consensus.Entry{Term: view, Data: body})
+		h.entries = append(h.entries, consensus.Entry{Term: term, Data: body})
 	}
 }
 
-// addUpdate adds an operator's order as a leader packs it.
-func (h *history) addUpdate(view uint64, order statemachine.ConfigUpdate) {
-	plan, err := h.state.CheckConfig(&order)
+// addUpdate adds an operator's configuration update as a leader stores it: as the difference to the current configuration.
+func (h *history) addUpdate(term uint64, update statemachine.ConfigUpdate) {
+	checked, err := h.state.CheckConfig(&update)
 	if err != nil {
 		h.err = err
 		return
 	}
-	h.addChanges(view, statemachine.Change{UpdateConfig: h.state.Delta(&order, plan)})
+	h.addChanges(term, statemachine.Change{UpdateConfig: h.state.Delta(&update, checked)})
 }
 
-// addHost is a host that enters.
+// addHost returns a change that adds a host.
 func addHost(id, service, address string) statemachine.Change {
 	return statemachine.Change{AddHost: &statemachine.Host{ID: id, Service: service, Address: address, Zone: "zone-" + id[len(id)-1:], Generation: "pg16-" + id, Capacity: 4000}}
 }
 
-// historyBeforeSnapshot is the part of the log before the snapshot: every kind of change, and a state without a field that is zero.
+// historyBeforeSnapshot returns the part of the log before the snapshot. It contains every kind of change and leads to a state in which
+// no field is zero.
 func historyBeforeSnapshot() *history {
 	h := &history{}
 	h.addEntry(1)
@@ -135,7 +136,7 @@
 	return h
 }
 
-// addHistoryAfterSnapshot adds the part of the log behind the snapshot.
+// addHistoryAfterSnapshot adds the part of the log after the snapshot.
 func addHistoryAfterSnapshot(h *history) {
 	h.addEntry(3)
 	h.addChanges(3, statemachine.Change{AppointPrimary: &statemachine.AppointPrimary{Service: "ledger", Host: "ledger-4", Term: 5, PromotionMs: 1230}}, statemachine.Change{ReplicationResumed: "ledger"},
@@ -143,7 +144,8 @@
 	h.addUpdate(3, statemachine.ConfigUpdate{BaseVersion: 8, IsAmendment: true, Body: amendmentBody(9, 990)})
 }
 
-// writeDisk writes a member's disk, each write synced by itself, and gives the size of the file after each.
+// writeDisk creates the fixture of a member's disk from a series of writes, each of which is synced separately. The fixture torn
+// contains only half of the last write.
 func writeDisk(name string, writes ...consensus.Write) error {
 	folder, err := os.MkdirTemp("", "fixture")
 	if err != nil {
@@ -157,13 +159,13 @@
 		return err
 	}
 	path := filepath.Join(folder, "consensus.db")
-	var before int64
+	var sizeBeforeLast int64
 	for _, write := range writes {
 		info, err := os.Stat(path)
 		if err != nil {
 			return err
 		}
-		before = info.Size()
+		sizeBeforeLast = info.Size()
 		if err := disk.Save([]consensus.Write{write}); err != nil {
 			return err
 		}
@@ -175,13 +177,13 @@
 	if err != nil {
 		return err
 	}
-	if name == "torn" { // half of the last write
-		body = body[:(before+int64(len(body)))/2]
+	if name == "torn" {
+		body = body[:(sizeBeforeLast+int64(len(body)))/2]
 	}
 	return createFixture(name+".ratchet.db", body)
 }
 
-// createFixture writes a file of testdata that is not there yet.
+// createFixture writes a new file to the fixtures folder. It fails if the file exists.
 func createFixture(name string, body []byte) error {
 	out, err := os.OpenFile(filepath.Join(*fixturesFolder, name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
@@ -191,36 +193,36 @@
 	return errors.Join(err, out.Close())
 }
 
-// writeExpectation writes the rendering of a fixture, to be read over by a person before it is committed.
+// writeExpectation writes the rendering of a fixture and prints its line for digests. A person reviews the rendering before committing it.
 func writeExpectation(name string, body []byte) error {
 	sum := sha256.Sum256(body)
 	fmt.Printf("\t%q: %q,\n", name, hex.EncodeToString(sum[:]))
 	return createFixture(name, body)
 }
 
-// generate writes the fixtures.
+// generate writes all fixtures and their expected renderings.
 func generate() error {
 	h := historyBeforeSnapshot()
-	at, state := uint64(len(h.entries)), h.state.Snapshot()
+	snapshotIndex, snapshotData := uint64(len(h.entries)), h.state.Snapshot()
 	before := append([]consensus.Entry{}, h.entries...)
 	addHistoryAfterSnapshot(h)
 	if h.err != nil {
 		return h.err
 	}
-	behind := h.entries[at:]
-	meta := func(view uint64, settled uint64) *consensus.HardState {
-		return &consensus.HardState{Term: view, Vote: memberB, CommittedConfigIndex: settled}
+	after := h.entries[snapshotIndex:]
+	hardState := func(term uint64, committedConfig uint64) *consensus.HardState {
+		return &consensus.HardState{Term: term, Vote: memberB, CommittedConfigIndex: committedConfig}
 	}
-	snapshot := &consensus.Snapshot{Index: at, Term: 2, Members: []consensus.ID{memberA, memberB, memberC}, Data: state}
-	moving := append(append([]consensus.Entry{}, behind[:3]...), consensus.Entry{Term: 3, Members: []consensus.ID{memberA, memberB, memberC, memberD}},
+	snapshot := &consensus.Snapshot{Index: snapshotIndex, Term: 2, Members: []consensus.ID{memberA, memberB, memberC}, Data: snapshotData}
+	membershipChange := append(append([]consensus.Entry{}, after[:3]...), consensus.Entry{Term: 3, Members: []consensus.ID{memberA, memberB, memberC, memberD}},
 		consensus.Entry{Term: 3, Data: statemachine.EncodeChange(statemachine.Change{LeaderTimeMs: h.leaderTimeMs, UpdateProxy: &statemachine.ProxyMembership{Name: "router-4"}})})
 	for _, err := range []error{
-		writeDisk("entries", consensus.Write{HardState: meta(1, 0), FirstIndex: 1, Entries: before[:4]}, consensus.Write{HardState: meta(2, 2), FirstIndex: 5, Entries: before[4:]},
-			consensus.Write{HardState: meta(3, 2), FirstIndex: at + 1, Entries: behind}),
-		writeDisk("snapshot", consensus.Write{HardState: meta(2, 2), FirstIndex: 1, Entries: before}, consensus.Write{Snapshot: snapshot, CompactThrough: at},
-			consensus.Write{HardState: meta(3, 2), FirstIndex: at + 1, Entries: behind}),
-		writeDisk("membership", consensus.Write{HardState: meta(3, 2), Snapshot: snapshot, CompactThrough: at}, consensus.Write{FirstIndex: at + 1, Entries: moving}),
-		writeDisk("torn", consensus.Write{HardState: meta(3, 2), FirstIndex: 1, Entries: before}, consensus.Write{FirstIndex: at + 1, Entries: behind[:2]}, consensus.Write{FirstIndex: at + 3, Entries: behind[2:3]}),
+		writeDisk("entries", consensus.Write{HardState: hardState(1, 0), FirstIndex: 1, Entries: before[:4]}, consensus.Write{HardState: hardState(2, 2), FirstIndex: 5, Entries: before[4:]},
+			consensus.Write{HardState: hardState(3, 2), FirstIndex: snapshotIndex + 1, Entries: after}),
+		writeDisk("snapshot", consensus.Write{HardState: hardState(2, 2), FirstIndex: 1, Entries: before}, consensus.Write{Snapshot: snapshot, CompactThrough: snapshotIndex},
+			consensus.Write{HardState: hardState(3, 2), FirstIndex: snapshotIndex + 1, Entries: after}),
+		writeDisk("membership", consensus.Write{HardState: hardState(3, 2), Snapshot: snapshot, CompactThrough: snapshotIndex}, consensus.Write{FirstIndex: snapshotIndex + 1, Entries: membershipChange}),
+		writeDisk("torn", consensus.Write{HardState: hardState(3, 2), FirstIndex: 1, Entries: before}, consensus.Write{FirstIndex: snapshotIndex + 1, Entries: after[:2]}, consensus.Write{FirstIndex: snapshotIndex + 3, Entries: after[2:3]}),
 		writeForwarderView(), writeTrace(), writeHostLeaving(),
 	} {
 		if err != nil {
@@ -251,7 +253,7 @@
 	return nil
 }
 
-// writeHostLeaving writes a change that releases up to 8f5d6eb did not have.
+// writeHostLeaving writes the fixture of a change that revisions up to 8f5d6eb do not know.
 func writeHostLeaving() error {
 	path := filepath.Join(*fixturesFolder, hostLeavingFile)
 	if _, err := os.Stat(path); err == nil {
@@ -261,60 +263,61 @@
 	return os.WriteFile(path, statemachine.EncodeChange(change), 0o644)
 }
 
-// writeForwarderView writes a forwarder's kept view.
+// writeForwarderView writes the fixture of a view that a forwarder has stored, and its expected rendering.
 func writeForwarderView() error {
-	var kept view.View
-	kept.RouterCount = 7
-	kept.ApplyList(view.Version{Generation: 2, Revision: 41}, true, []view.Host{
+	var stored view.View
+	stored.RouterCount = 7
+	stored.ApplyList(view.Version{Generation: 2, Revision: 41}, true, []view.Host{
 		{Name: "db-a", Address: "10.1.0.1:5432", Zone: "zone-1", Model: "large", Set: 4, Size: 2.5, ListedPrimary: true, BootedAt: 900_000},
 		{Name: "db-b", Address: "10.1.0.2:5432", Zone: "zone-2", Model: "small", Set: 4, Size: 1, ListedState: policy.Draining, BootedAt: 800_000},
 		{Name: "db-c", Address: "10.1.0.3:5432", Zone: "zone-3", Set: 5},
 	})
-	kept.AddEvidence(view.Evidence{Name: "db-a", Position: 1_200_000, Role: policy.Primary, RolePosition: 1_100_000, RoleChanges: 1}, 2_000_000)
-	kept.AddEvidence(view.Evidence{Name: "db-b", Position: 1_150_000, Role: policy.Replica, RolePosition: 1_000_000, RoleChanges: 2}, 2_000_000)
-	kept.SetLateness("db-a", 4)
+	stored.AddEvidence(view.Evidence{Name: "db-a", Position: 1_200_000, Role: policy.Primary, RolePosition: 1_100_000, RoleChanges: 1}, 2_000_000)
+	stored.AddEvidence(view.Evidence{Name: "db-b", Position: 1_150_000, Role: policy.Replica, RolePosition: 1_000_000, RoleChanges: 2}, 2_000_000)
+	stored.SetLateness("db-a", 4)
 	path := filepath.Join(*fixturesFolder, "forward.keep")
 	if _, err := os.Stat(path); err == nil {
 		return os.ErrExist
 	}
-	change := kept.FullChange(0x1234567890abcdef, 0)
+	change := stored.FullChange(0x1234567890abcdef, 0)
 	if err := snapshotfile.Write(snapshotfile.Disk{}, path, link.EncodeBody(change)); err != nil {
 		return err
 	}
 	return writeExpectation("forward.json", indented(viewObject(change)))
 }
 
-// fillFields gives each exported field of a struct another value that is not zero.
-func fillFields(value reflect.Value, next *int64) {
-	for place := range value.NumField() {
-		if !value.Type().Field(place).IsExported() {
+// fillFields sets each exported field of a struct to a nonzero value that it derives from counter and the field's position. It
+// increments counter for each field.
+func fillFields(value reflect.Value, counter *int64) {
+	for i := range value.NumField() {
+		if !value.Type().Field(i).IsExported() {
 			continue
 		}
-		*next++
-		switch field := value.Field(place); field.Kind() {
+		*counter++
+		switch field := value.Field(i); field.Kind() {
 		case reflect.Bool:
 			field.SetBool(true)
 		case reflect.Int, reflect.Int64:
-			field.SetInt(*next)
+			field.SetInt(*counter)
 		case reflect.Uint8:
-			field.SetUint(uint64(place + 1))
+			field.SetUint(uint64(i + 1))
 		case reflect.Uint32:
-			field.SetUint(uint64(*next))
+			field.SetUint(uint64(*counter))
 		case reflect.Float64:
-			field.SetFloat(float64(*next) / 8)
+			field.SetFloat(float64(*counter) / 8)
 		case reflect.String:
-			field.SetString(fmt.Sprint("text-", *next))
+			field.SetString(fmt.Sprint("text-", *counter))
 		}
 	}
 }
 
-// traceHeader is a header whose deployment has a value in each field. number counts the values.
-func traceHeader(number *int64) (format.Header, error) {
+// traceHeader returns a header whose deployment has a nonzero value in each field, taken from counter.
+func traceHeader(counter *int64) (format.Header, error) {
 	deployment := policy.Deployment{}
-	fillFields(reflect.ValueOf(&deployment).Elem(), number)
+	fillFields(reflect.ValueOf(&deployment).Elem(), counter)
 	for range 2 {
 		group := &policy.CommandGroup{}
-		fillFields(reflect.ValueOf(group).Elem(), number)
+		fillFields(reflect.ValueOf(group).Elem(), counter)
 		deployment.Groups = append(deployment.Groups, group)
 	}
 	body, err := record.EncodeDeployment(deployment)
@@ -328,42 +331,42 @@
 	}, err
 }
 
-// addEvents adds an event of each kind to a block.
-func addEvents(block *format.Block, number *int64) {
-	for kind, described := range record.Schema {
+// addEvents adds one event of each kind to a block, with distinct values taken from counter.
+func addEvents(block *format.Block, counter *int64) {
+	for kind, schema := range record.Schema {
 		ints, texts := []int64{}, []string{}
-		for range described.Count(format.Int) {
-			*number++
-			ints = append(ints, *number)
+		for range schema.Count(format.Int) {
+			*counter++
+			ints = append(ints, *counter)
 		}
-		for range described.Count(format.Text) {
-			*number++
-			texts = append(texts, fmt.Sprint("text-", *number))
+		for range schema.Count(format.Text) {
+			*counter++
+			texts = append(texts, fmt.Sprint("text-", *counter))
 		}
-		block.Add(5_000_000+*number*10, kind, ints, texts)
+		block.Add(5_000_000+*counter*10, kind, ints, texts)
 	}
 }
 
-// recordTrace records two blocks with an event of each kind in each, and returns the file.
+// recordTrace records a trace of two blocks, each with one event of each kind, and returns the content of its file.
 func recordTrace(folder string) ([]byte, error) {
-	number := int64(0)
-	header, err := traceHeader(&number)
+	counter := int64(0)
+	header, err := traceHeader(&counter)
 	if err != nil {
 		return nil, err
 	}
 	writer := file.New(file.Config{Dir: folder, Name: header.Router, MaxFileBytes: 1 << 20, MaxFileAge: time.Hour, MaxTotalBytes: 1 << 22, SyncInterval: time.Hour, BlockCount: 2},
 		file.Disk{}, header, time.Now, zap.NewNop())
-	for turn := range 2 {
+	for i := range 2 {
 		block := writer.Get()
-		addEvents(block, &number)
-		if turn == 1 {
+		addEvents(block, &counter)
+		if i == 1 {
 			block.AddLost(5)
 		}
 		writer.Put(block)
 	}
-	ended, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	if err := writer.Run(ended); err != nil {
+	if err := writer.Run(canceled); err != nil {
 		return nil, err
 	}
 	paths, err := filepath.Glob(filepath.Join(folder, "*"+file.Extension))
@@ -373,7 +376,7 @@
 	return os.ReadFile(paths[0])
 }
 
-// writeTrace writes a trace and its rendering.
+// writeTrace writes the fixture of a trace file and its expected rendering.
 func writeTrace() error {
 	folder, err := os.MkdirTemp("", "fixture")
 	if err != nil {
--- a/internal/compatibility/reencode_test.go
+++ b/internal/compatibility/reencode_test.go
@@ -16,8 +16,8 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// commandsOf cuts a member's disk into buntdb's commands, sorted, since buntdb writes those of a commit in any order. What is
-// not a complete command is the last.
+// commandsOf splits a member's disk into buntdb commands. It sorts them, since buntdb writes the commands of a commit in any order.
+// An incomplete command at the end of the file is one of the elements.
 func commandsOf(t *testing.T, content []byte) (commands []string) {
 	t.Helper()
 	for len(content) > 0 {
@@ -29,7 +29,7 @@
 	return commands
 }
 
-// commandBytes returns how many bytes the first command has; all, where none is complete.
+// commandBytes returns the size of the first command in bytes, or the size of the whole content if the command is incomplete.
 func commandBytes(content []byte) int {
 	line, _, _ := bytes.Cut(content, []byte("\r\n"))
 	parts, err := strconv.Atoi(strings.TrimPrefix(string(line), "*"))
@@ -48,11 +48,11 @@
 	return min(size, len(content))
 }
 
-// Today's code writes the same bytes as the revision that wrote the fixtures: every record of every disk, the view, and the
-// trace. It does so in a process of its own, since gob numbers types in the order in which a process meets them.
+// The current code writes the same bytes as the revision that wrote the fixtures: every record of every disk, the view, and the
+// trace. It runs in a separate process, since gob numbers types in the order in which a process first uses them.
 func TestFixturesAreWrittenAgainByteForByte(t *testing.T) {
 	folder := t.TempDir()
-	const oldest = "oldest.ratchet.db" // no revision of today's form wrote it; the generator only renders it
+	const oldest = "oldest.ratchet.db" // written in a format that the current code no longer writes; the generator only renders it
 	content, err := os.ReadFile(filepath.Join("testdata", oldest))
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(filepath.Join(folder, oldest), content, 0o600))
@@ -84,30 +84,30 @@
 	require.Equal(t, 2*len(disks)+5, compared)
 }
 
-// What was read is encoded again to the same bytes, for each change whose form is the newest, and for the view.
+// A change that was read in the newest format, and the view, are encoded again to the same bytes.
 func TestReadValuesAreEncodedToTheSameBytes(t *testing.T) {
 	changes := 0
 	for _, name := range disks {
 		contents, err := readDisk(copyDisk(t, name))
 		require.NoError(t, err)
-		for place, entry := range contents.restored.Entries {
-			if update := contents.changes[place].UpdateConfig; update == nil || entry.Data[0] != 0 {
-				continue // gob, whose bytes depend on the process; or an update in the form of logs that are older
+		for i, entry := range contents.restored.Entries {
+			if update := contents.changes[i].UpdateConfig; update == nil || entry.Data[0] != 0 {
+				continue // skips gob, whose bytes depend on the process, and updates in the format of older logs
 			}
-			require.Equal(t, entry.Data, statemachine.EncodeChange(contents.changes[place]), "%s, entry %d", name, place)
+			require.Equal(t, entry.Data, statemachine.EncodeChange(contents.changes[i]), "%s, entry %d", name, i)
 			changes++
 		}
 	}
 	require.Equal(t, 12, changes)
 
-	kept := filepath.Join("testdata", "forward.keep")
-	want, err := os.ReadFile(kept)
+	viewFile := filepath.Join("testdata", "forward.keep")
+	want, err := os.ReadFile(viewFile)
 	require.NoError(t, err)
-	body, err := snapshotfile.Read(snapshotfile.Disk{}, kept)
+	body, err := snapshotfile.Read(snapshotfile.Disk{}, viewFile)
 	require.NoError(t, err)
-	written := filepath.Join(t.TempDir(), "written")
-	require.NoError(t, snapshotfile.Write(snapshotfile.Disk{}, written, body))
-	got, err := os.ReadFile(written)
+	rewritten := filepath.Join(t.TempDir(), "written")
+	require.NoError(t, snapshotfile.Write(snapshotfile.Disk{}, rewritten, body))
+	got, err := os.ReadFile(rewritten)
 	require.NoError(t, err)
 	require.Equal(t, want, got)
 }
--- a/internal/compatibility/render_test.go
+++ b/internal/compatibility/render_test.go
@@ -17,10 +17,11 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// object is a JSON object whose keys are literals here, so that they don't follow the names of fields.
+// object is a JSON object. Its keys are literals in this package, so that renaming a Go field does not change them.
 type object = map[string]any
 
-// digests are SHA-256 sums of the expected renderings, so that a changed expectation is seen as well as a changed reading.
+// digests holds the SHA-256 digests of the expected renderings, so that an edit of an expected file is detected as well as a change
+// in what is read.
 var digests = map[string]string{
 	"entries.json":    "fcbce68d90f9f20aefc337eae7152b9d32876f29752ada7d85ca00ffbcf6e8da",
 	"forward.json":    "da39702de1051fb7c8cc2b68d0539054ec7b84cbfecafe09bc5ba3e83d2eaae8",
@@ -36,7 +37,7 @@
 	return object{"id": string(identity.ID), "founders": memberNames(identity.Founders)}
 }
 
-// memberNames are member ids as plain strings.
+// memberNames converts member IDs to strings.
 func memberNames(members []consensus.ID) []string {
 	names := []string{}
 	for _, member := range members {
@@ -45,9 +46,9 @@
 	return names
 }
 
-// hardStateObject renders what a member stores of its term, its vote and its committed change of members.
-func hardStateObject(meta consensus.HardState) object {
-	return object{"view": meta.Term, "vote": string(meta.Vote), "settled": meta.CommittedConfigIndex}
+// hardStateObject renders a member's hard state: its term, its vote and the index of its committed membership.
+func hardStateObject(hardState consensus.HardState) object {
+	return object{"view": hardState.Term, "vote": string(hardState.Vote), "settled": hardState.CommittedConfigIndex}
 }
 
 // hostObject renders a database host.
@@ -58,7 +59,7 @@
 	}
 }
 
-// hostObjects renders hosts by their ids.
+// hostObjects renders hosts, keyed by host ID.
 func hostObjects(hosts map[string]statemachine.Host) object {
 	all := object{}
 	for id, host := range hosts {
@@ -69,27 +70,27 @@
 
 // stateObject renders every field of the replicated state.
 func stateObject(state *statemachine.State) object {
-	taken, gone, leads, services := []object{}, []object{}, object{}, []string{}
-	for _, order := range state.AppliedUpdates {
-		taken = append(taken, object{"base": order.BaseVersion, "sum": hex.EncodeToString(order.Digest[:]), "at": order.LeaderTimeMs})
+	updates, removed, primaries, services := []object{}, []object{}, object{}, []string{}
+	for _, update := range state.AppliedUpdates {
+		updates = append(updates, object{"base": update.BaseVersion, "sum": hex.EncodeToString(update.Digest[:]), "at": update.LeaderTimeMs})
 	}
-	for _, departure := range state.RemovedHosts {
-		gone = append(gone, object{"id": departure.ID, "at": departure.LeaderTimeMs})
+	for _, host := range state.RemovedHosts {
+		removed = append(removed, object{"id": host.ID, "at": host.LeaderTimeMs})
 	}
-	for service, lead := range state.Primaries {
-		leads[service] = object{
-			"host": lead.Host, "term": lead.Term, "moving": lead.Revoked, "fence": lead.FencingToken, "holder": lead.Owner,
-			"at": lead.ChangedAt, "to": lead.Nominee, "paused": lead.ReplicasPaused,
+	for service, primary := range state.Primaries {
+		primaries[service] = object{
+			"host": primary.Host, "term": primary.Term, "moving": primary.Revoked, "fence": primary.FencingToken, "holder": primary.Owner,
+			"at": primary.ChangedAt, "to": primary.Nominee, "paused": primary.ReplicasPaused,
 		}
 	}
-	if plan := state.Config(); plan != nil {
-		for _, service := range plan.Services {
+	if config := state.Config(); config != nil {
+		for _, service := range config.Services {
 			services = append(services, service.Name)
 		}
 	}
 	return object{
-		"index": state.Index, "configuration": string(state.ConfigBody), "generation": state.Generation, "led": state.LeaderTimeMs, "taken": taken,
-		"hosts": hostObjects(state.Hosts), "leads": leads, "gone": gone, "owed": hostObjects(state.UnaccountedHosts), "took": state.LastPromotionMs,
+		"index": state.Index, "configuration": string(state.ConfigBody), "generation": state.Generation, "led": state.LeaderTimeMs, "taken": updates,
+		"hosts": hostObjects(state.Hosts), "leads": primaries, "gone": removed, "owed": hostObjects(state.UnaccountedHosts), "took": state.LastPromotionMs,
 		"routers": state.Proxies, "plan_services": services,
 	}
 }
@@ -122,21 +123,21 @@
 	return all
 }
 
-// diskContents is what a member's disk held, with the states that it gives.
+// diskContents holds the data read from a member's disk and the states that result from it.
 type diskContents struct {
 	identity      storage.Identity
 	restored      consensus.RestoredState
-	snapshotState *statemachine.State // of the snapshot alone
-	state         *statemachine.State // with the entries applied
-	changes       []statemachine.Change
-	refused       []bool
+	snapshotState *statemachine.State   // of the snapshot alone
+	state         *statemachine.State   // with the entries applied
+	changes       []statemachine.Change // decoded, one for each entry
+	rejected      []bool                // whether the state machine rejected the change, one for each entry
 }
 
-// openDisk opens a member's disk, which must not be put aside as broken.
+// openDisk opens a member's disk. It fails if the storage renames the disk as broken and starts with an empty one.
 func openDisk(folder string) (*storage.WAL, storage.Identity, consensus.RestoredState, error) {
 	disk, identity, restored, err := storage.Open(folder, func() storage.Identity { return storage.Identity{ID: "not read"} })
 	if err == nil && identity.ID == "not read" {
-		err = fmt.Errorf("%s: the disk was put aside as broken", folder)
+		err = fmt.Errorf("%s: the disk was renamed as broken", folder)
 	}
 	return disk, identity, restored, err
 }
@@ -157,30 +158,30 @@
 	if contents.state, err = statemachine.Restore(restored.Snapshot.Data); err != nil {
 		return contents, err
 	}
-	for place, entry := range restored.Entries {
-		change, refused := statemachine.Change{}, false
+	for i, entry := range restored.Entries {
+		change, rejected := statemachine.Change{}, false
 		if len(entry.Data) > 0 {
 			if change, err = statemachine.DecodeChange(entry.Data); err != nil {
-				return contents, fmt.Errorf("entry %d: %w", place, err)
+				return contents, fmt.Errorf("entry %d: %w", i, err)
 			}
-			refused = contents.state.Apply(restored.Snapshot.Index+uint64(place)+1, change) != nil
+			rejected = contents.state.Apply(restored.Snapshot.Index+uint64(i)+1, change) != nil
 		}
-		contents.changes, contents.refused = append(contents.changes, change), append(contents.refused, refused)
+		contents.changes, contents.rejected = append(contents.changes, change), append(contents.rejected, rejected)
 	}
 	return contents, nil
 }
 
-// render is everything of a disk with literal keys.
+// render renders all data of a disk with literal keys.
 func (contents diskContents) render() object {
 	snapshot, entries := contents.restored.Snapshot, []object{}
-	for place, entry := range contents.restored.Entries {
+	for i, entry := range contents.restored.Entries {
 		sum := sha256.Sum256(entry.Data)
 		rendered := object{
-			"index": snapshot.Index + uint64(place) + 1, "view": entry.Term, "members": memberNames(entry.Members),
+			"index": snapshot.Index + uint64(i) + 1, "view": entry.Term, "members": memberNames(entry.Members),
 			"body_bytes": len(entry.Data), "body_sha256": hex.EncodeToString(sum[:]),
 		}
 		if len(entry.Data) > 0 {
-			rendered["change"], rendered["refused"] = changeObject(contents.changes[place]), contents.refused[place]
+			rendered["change"], rendered["refused"] = changeObject(contents.changes[i]), contents.rejected[i]
 		}
 		entries = append(entries, rendered)
 	}
@@ -191,19 +192,19 @@
 	}
 }
 
-// indented is a rendering as the expectations in testdata have it.
+// indented encodes a rendering as indented JSON, the form of the expected files in testdata.
 func indented(value any) []byte {
 	var out bytes.Buffer
 	encoder := json.NewEncoder(&out)
 	encoder.SetEscapeHTML(false)
 	encoder.SetIndent("", " ")
 	if err := encoder.Encode(value); err != nil {
-		panic(err) // objects, texts and numbers alone
+		panic(err) // impossible: only objects, strings and numbers are encoded
 	}
 	return out.Bytes()
 }
 
-// copyDisk copies a disk fixture into a folder of the test, since opening may rewrite it.
+// copyDisk copies a disk fixture into a temporary folder, since opening a disk may rewrite it.
 func copyDisk(t *testing.T, name string) string {
 	t.Helper()
 	body, err := os.ReadFile(filepath.Join("testdata", name+".ratchet.db"))
@@ -213,7 +214,7 @@
 	return folder
 }
 
-// requireExpected compares a rendering with the one in testdata, and that one with its digest.
+// requireExpected compares a rendering with the expected file in testdata, and its digest with the expected digest.
 func requireExpected(t *testing.T, file string, rendered []byte) {
 	t.Helper()
 	expected, err := os.ReadFile(filepath.Join("testdata", file))
--- a/internal/compatibility/serve_test.go
+++ b/internal/compatibility/serve_test.go
@@ -11,7 +11,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// member is a member of the control plane with its disk; its node's log is as far as its state goes.
+// member is a control-plane member with its disk. Its state includes all entries that its node has committed.
 type member struct {
 	id    consensus.ID
 	wal   *storage.WAL
@@ -19,7 +19,7 @@
 	state *statemachine.State
 }
 
-// cluster is members whose messages arrive at once.
+// cluster is a set of members that exchange messages without delay.
 type cluster struct {
 	t        *testing.T
 	nowMs    int64
@@ -27,7 +27,7 @@
 	messages []consensus.Message
 }
 
-// start starts a member from its disk.
+// start starts a member from the disk in folder and adds it to the cluster.
 func (c *cluster) start(folder string, identity storage.Identity) *member {
 	c.t.Helper()
 	wal, stored, restored, err := storage.Open(folder, func() storage.Identity { return identity })
@@ -43,12 +43,12 @@
 	return started
 }
 
-// handle does what a node asks for.
+// handle processes the output of a node: it queues messages, applies committed entries and saves writes.
 func (c *cluster) handle(m *member, ready consensus.Ready) {
 	c.t.Helper()
 	c.messages = append(c.messages, ready.Messages...)
 	for _, committed := range ready.Committed {
-		require.Nil(c.t, committed.Snapshot, "every member has the log")
+		require.Nil(c.t, committed.Snapshot, "no member needs a snapshot")
 		if len(committed.Data) == 0 {
 			continue
 		}
@@ -62,26 +62,26 @@
 	}
 }
 
-// runUntil lets time pass until a condition holds.
-func (c *cluster) runUntil(what string, condition func() bool) {
+// runUntil advances the time and delivers messages until a condition holds, for 20 s at most.
+func (c *cluster) runUntil(description string, condition func() bool) {
 	c.t.Helper()
 	const tickMs, timeoutMs = 10, 20_000
 	for deadline := c.nowMs + timeoutMs; !condition(); c.nowMs += tickMs {
-		require.Less(c.t, c.nowMs, deadline, what)
+		require.Less(c.t, c.nowMs, deadline, description)
 		for _, id := range []consensus.ID{memberA, memberB, memberC} {
 			c.handle(c.members[id], c.members[id].node.Tick(c.nowMs))
 		}
 		for len(c.messages) > 0 {
 			message := c.messages[0]
 			c.messages = c.messages[1:]
-			if receiver, there := c.members[message.To]; there {
+			if receiver, ok := c.members[message.To]; ok {
 				c.handle(receiver, receiver.node.Step(message, c.nowMs))
 			}
 		}
 	}
 }
 
-// copyToNewDisk makes a disk of another member with the same log.
+// copyToNewDisk creates a disk for another member with the same log, and returns its folder.
 func copyToNewDisk(t *testing.T, identity storage.Identity, restored consensus.RestoredState) (folder string) {
 	t.Helper()
 	folder = t.TempDir()
@@ -96,7 +96,7 @@
 	return folder
 }
 
-// leader waits for a member that leads and holds the lease.
+// leader waits until a member holds the leader lease, and returns that member.
 func (c *cluster) leader() (leader *member) {
 	c.t.Helper()
 	c.runUntil("a leader holds the lease", func() bool {
@@ -110,7 +110,7 @@
 	return leader
 }
 
-// propose has the leader add a proxy, and waits until all have applied it. It returns the change's index.
+// propose makes the leader propose a change that adds a proxy, waits until all members have applied it, and returns its index.
 func (c *cluster) propose(proxy string) (index uint64) {
 	c.t.Helper()
 	leader := c.leader()
@@ -118,7 +118,7 @@
 	index, ready := leader.node.Propose(statemachine.EncodeChange(change), c.nowMs)
 	require.NotZero(c.t, index)
 	c.handle(leader, ready)
-	c.runUntil("the change is applied by all", func() bool {
+	c.runUntil("all members have applied the change", func() bool {
 		for _, m := range c.members {
 			if m.state.Proxies[proxy] != index {
 				return false
@@ -129,8 +129,8 @@
 	return index
 }
 
-// A member on the disk of an earlier revision, which has the old file name, starts, takes part in an election, and stores and
-// applies what is committed. The file has the new name then, and the next start finds everything.
+// A member starts on the disk of an earlier revision, which has the old file name, takes part in an election, and stores and applies
+// committed entries. The file has the new name afterwards, and opening the disk again returns all data.
 func TestMemberOnAnEarlierDiskStartsAndServes(t *testing.T) {
 	for _, name := range disks {
 		t.Run(name, func(t *testing.T) {
--- a/internal/compatibility/trace_test.go
+++ b/internal/compatibility/trace_test.go
@@ -32,7 +32,7 @@
 	return source
 }
 
-// deploymentObject renders every field of the deployment in a trace's header, which is stored by the names of its fields.
+// deploymentObject renders every field of the deployment in a trace's header. The header stores it under the names of its fields.
 func deploymentObject(deployment policy.Deployment) object {
 	groups := []object{}
 	for _, group := range deployment.Groups {
@@ -52,7 +52,7 @@
 	}
 }
 
-// renderTrace renders a trace completely: a line for its header, one for each event, and one for its counts.
+// renderTrace renders a trace completely: one line for its header, one per kind of event, one per event, and one for the counts.
 func renderTrace(source *tool.Source) ([]byte, error) {
 	header := source.Header
 	deployment, err := record.DecodeDeployment(header.Extra["deployment"])
@@ -63,7 +63,7 @@
 	line := func(value any) {
 		body, err := json.Marshal(value)
 		if err != nil {
-			panic(err) // objects, texts and numbers alone
+			panic(err) // impossible: only objects, strings and numbers are encoded
 		}
 		out.Write(append(body, '\n'))
 	}
@@ -90,7 +90,7 @@
 	return out.Bytes(), nil
 }
 
-// A trace file is read completely, by its index and from its beginning; its deployment still makes a replay.
+// A trace file is read completely, both with its index and, without one, by scanning from the start. A replay accepts its deployment.
 func TestTraceFileIsReadCompletely(t *testing.T) {
 	source := openTrace(t)
 	rendered, err := renderTrace(source)
@@ -101,18 +101,18 @@
 	require.Equal(t, 2, source.ReadBlocks)
 	require.EqualValues(t, 5, source.LostEvents)
 	lines := strings.Split(strings.TrimSuffix(string(rendered), "\n"), "\n")
-	require.Len(t, lines, 1+35+2*35+1, "a header, the kinds, two events of each, the counts")
+	require.Len(t, lines, 1+35+2*35+1, "a header, the kinds, two events of each kind, the counts")
 	require.Equal(t, `{"blocks":2,"events":70,"faults":0,"lost":5}`, lines[len(lines)-1])
 	_, err = replay.New(source.Header, 10)
 	require.NoError(t, err)
-	for place, kind := range source.Header.Schema { // tools look columns up by name, a replay by place
-		require.Equal(t, kind.Name, record.Schema[place].Name)
-		require.Equal(t, kind.Columns, record.Schema[place].Columns[:len(kind.Columns)], kind.Name)
+	for i, kind := range source.Header.Schema { // tools look up columns by name, a replay by position
+		require.Equal(t, kind.Name, record.Schema[i].Name)
+		require.Equal(t, kind.Columns, record.Schema[i].Columns[:len(kind.Columns)], kind.Name)
 	}
 
 	body, err := os.ReadFile(filepath.Join("testdata", "router.fptrace"))
 	require.NoError(t, err)
-	cut := filepath.Join(t.TempDir(), "cut.fptrace") // without its index: what a crash leaves
+	cut := filepath.Join(t.TempDir(), "cut.fptrace") // without its index, as after a crash
 	require.NoError(t, os.WriteFile(cut, body[:len(body)-8], 0o600))
 	source, err = tool.Open(cut)
 	require.NoError(t, err)
--- a/internal/compatibility/view_test.go
+++ b/internal/compatibility/view_test.go
@@ -14,7 +14,7 @@
 	"ferrypitch/policy"
 )
 
-// versionObject renders the version of a host list.
+// versionObject renders the version of a host list as a JSON object.
 func versionObject(version view.Version) object {
 	return object{"generation": version.Generation, "revision": version.Revision}
 }
@@ -41,7 +41,7 @@
 	}
 }
 
-// The view that a forwarder stored is read completely, and a forwarder starts with it.
+// A view stored by a forwarder is read completely, and a forwarder can start with it.
 func TestForwarderViewIsReadCompletely(t *testing.T) {
 	body, err := snapshotfile.Read(snapshotfile.Disk{}, filepath.Join("testdata", "forward.keep"))
 	require.NoError(t, err)
@@ -53,14 +53,14 @@
 	core.RestoreView(change)
 	require.True(t, core.HasHosts())
 	require.Equal(t, 3, core.View().Len())
-	host, there := core.View().Host("db-a")
-	require.True(t, there)
+	host, ok := core.View().Host("db-a")
+	require.True(t, ok)
 	require.Equal(t, object{
 		"name": "db-a", "address": "10.1.0.1:5432", "zone": "zone-1", "kind": "large", "set": int64(4), "size": 2.5,
 		"leader": true, "standing": policy.Active, "version": object{"generation": uint64(2), "revision": int64(41)}, "boot": int64(900_000),
 		"position": int64(1_200_000), "role": policy.Primary, "role_at": int64(1_100_000), "turn": uint32(1), "late": uint8(0),
 	},
-		viewHostObject(host), "lateness ages, and is not taken over")
+		viewHostObject(host), "lateness becomes outdated and is not restored")
 	host, _ = core.View().Host("db-b")
 	require.Equal(t, policy.Draining, host.ListedState)
 }
