--- a/cmd/ferrylab/soak.go
+++ b/cmd/ferrylab/soak.go
@@ -44,7 +44,7 @@
 	}
 	flags := command.Flags()
 	flags.Uint64Var(&options.Seed, "seed", 1, "the first seed")
-	flags.IntVar(&options.seeds, "seeds", 1, "how many seeds to play, one after another")
+	flags.IntVar(&options.seeds, "seeds", 1, "number of consecutive seeds to run")
 	flags.DurationVar(&options.Duration, "duration", 20*time.Second, "how long faults are injected for each seed")
 	flags.IntVar(&options.Members, "members", 3, "members of the control plane")
 	flags.IntVar(&options.Proxies, "proxies", 4, "proxies")
--- a/cmd/ferrypitch/system_test.go
+++ b/cmd/ferrypitch/system_test.go
@@ -298,7 +298,7 @@
 // killProcess kills a process if it is still running, and waits until it has exited.
 func killProcess(cmd *exec.Cmd) {
 	_ = cmd.Process.Kill()
-	_ = cmd.Wait() // the error is that of the kill
+	_ = cmd.Wait() // its error reports the kill
 }
 
 func writeFile(t *testing.T, path, text string) {
--- a/internal/compatibility/generate_test.go
+++ b/internal/compatibility/generate_test.go
@@ -203,7 +203,7 @@
 // generate writes all fixtures and their expected renderings.
 func generate() error {
 	h := historyBeforeSnapshot()
-	snapshotIndex, snapshotData := uint64(len(h.entries)), h.state.Snapshot()
+	snapshotIndex, state := uint64(len(h.entries)), h.state.Snapshot()
 	before := append([]consensus.Entry{}, h.entries...)
 	addHistoryAfterSnapshot(h)
 	if h.err != nil {
@@ -213,7 +213,7 @@
 	hardState := func(term uint64, committedConfig uint64) *consensus.HardState {
 		return &consensus.HardState{Term: term, Vote: memberB, CommittedConfigIndex: committedConfig}
 	}
-	snapshot := &consensus.Snapshot{Index: snapshotIndex, Term: 2, Members: []consensus.ID{memberA, memberB, memberC}, Data: snapshotData}
+	snapshot := &consensus.Snapshot{Index: snapshotIndex, Term: 2, Members: []consensus.ID{memberA, memberB, memberC}, Data: state}
 	membershipChange := append(append([]consensus.Entry{}, after[:3]...), consensus.Entry{Term: 3, Members: []consensus.ID{memberA, memberB, memberC, memberD}},
 		consensus.Entry{Term: 3, Data: statemachine.EncodeChange(statemachine.Change{LeaderTimeMs: h.leaderTimeMs, UpdateProxy: &statemachine.ProxyMembership{Name: "router-4"}})})
 	for _, err := range []error{
