--- a/cmd/ferrypitch/trace_test.go
+++ b/cmd/ferrypitch/trace_test.go
@@ -15,8 +15,8 @@
 	"ferrypitch/internal/simulation/workload"
 )
 
-// onlyTrace is the one trace file of a folder.
-func onlyTrace(t *testing.T, dir string) string {
+// singleTraceFile returns the path of the only trace file in a folder, and fails if there is not exactly one.
+func singleTraceFile(t *testing.T, dir string) string {
 	t.Helper()
 	files, _ := filepath.Glob(filepath.Join(dir, "*.fptrace"))
 	if len(files) != 1 {
@@ -25,7 +25,7 @@
 	return files[0]
 }
 
-// captureTrace is the file of a router that served a load for a moment.
+// captureTrace runs a router under load for a second and returns the path of its trace file.
 func captureTrace(t *testing.T) string {
 	t.Helper()
 	f, err := tierfleet.New(t.TempDir(), 1, 3, 1, 0)
@@ -53,7 +53,7 @@
 		Timeout: time.Second, Seed: 5,
 	}, nil)
 	signalProcess(t, cmd, syscall.SIGHUP)
-	client, err := net.Dial("tcp", listen) // keeps it there for a moment
+	client, err := net.Dial("tcp", listen) // an open connection, so that shutdown does not end at once
 	if err == nil {
 		defer client.Close()
 	}
@@ -61,7 +61,7 @@
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	return onlyTrace(t, dir)
+	return singleTraceFile(t, dir)
 }
 
 func TestTraceIsReadCutAnonymisedRepairedAndReplayed(t *testing.T) {
@@ -72,12 +72,12 @@
 		words  []string
 	}{
 		{[]string{"info", file}, 0, []string{"router f1", "0 lost", "take", "dispatch", "reload"}},
-		{[]string{"replay", file}, 0, []string{" 0 apart"}},
+		{[]string{"replay", file}, 0, []string{" 0 different"}},
 		{[]string{"summary", file}, 0, []string{"order", "list"}},
 		{[]string{"summary", "--json", "--group", "order", file}, 0, []string{`"Group": "order"`, `"Throttled": 0`}},
 		{[]string{"cat", "--group", "order", file}, 0, []string{" take command=", "session=s"}},
 		{[]string{"cat", "--group", "nothing", file}, 2, []string{"--group nothing: the file has list"}},
-		{[]string{"cat", "--from", "yesterday", file}, 2, []string{"neither a moment"}},
+		{[]string{"cat", "--from", "yesterday", file}, 2, []string{"neither a time such as 2026-12-01T20:15:00Z"}},
 		{[]string{"cut", "--session", "s0-0", file, filepath.Join(dir, "cut")}, 0, nil},
 		{[]string{"replay", filepath.Join(dir, "cut")}, 2, []string{"not the whole of a router's life"}},
 		{[]string{"diff", file, filepath.Join(dir, "cut")}, 0, []string{"→"}},
@@ -90,7 +90,7 @@
 	expectRepaired(t, file, dir)
 }
 
-// expectTraceOutput runs a trace sub-command, and expects its status, and words in its output, which it returns.
+// expectTraceOutput runs a trace sub-command, checks its exit status and that its output contains all words, and returns the output.
 func expectTraceOutput(t *testing.T, wantStatus int, words []string, args ...string) string {
 	t.Helper()
 	out, status := runBinary(append([]string{"trace"}, args...)...)
@@ -141,7 +141,7 @@
 	broken, repaired := filepath.Join(dir, "broken"), filepath.Join(dir, "repaired")
 	writeFile(t, broken, string(complete[:len(complete)-7]))
 	expectTraceOutput(t, 0, nil, "repair", broken, repaired)
-	expectTraceOutput(t, 0, []string{" 0 apart"}, "replay", repaired)
+	expectTraceOutput(t, 0, []string{" 0 different"}, "replay", repaired)
 	complete[8] = 9 // the version
 	writeFile(t, broken, string(complete))
 	expectTraceOutput(t, 1, []string{"trace version 9; this program reads up to version 1"}, "info", broken)
@@ -161,14 +161,14 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for till := time.Now().Add(testTimeout); f.Hosts.Stats().HealthChecks < 4 && time.Now().Before(till); {
+	for deadline := time.Now().Add(testTimeout); f.Hosts.Stats().HealthChecks < 4 && time.Now().Before(deadline); {
 		time.Sleep(10 * time.Millisecond)
 	}
 	signalProcess(t, cmd, syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
-	file := onlyTrace(t, dir)
+	file := singleTraceFile(t, dir)
 	out, status := runBinary("trace", "info", file)
 	for _, kind := range []string{"plan_list", "plan_probe ", "plan_probed", "plan_change"} {
 		if !strings.Contains(out, kind) || status != 0 {
