--- a/internal/fake/database/conn.go
+++ b/internal/fake/database/conn.go
@@ -8,38 +8,38 @@
 	"ferrypitch/internal/wire"
 )
 
-// States of a connection, as an IDLE line gives them.
+// States of a connection in an IDLE line.
 const (
 	stateIdle          = 'I'
 	stateInTransaction = 'T'
-	stateFailed        = 'E' // in a transaction that can only be ended
+	stateFailed        = 'E' // in a failed transaction, which can only be ended
 )
 
-// Conn is a connection to a host. OnResponse and OnClosed must be set before the first statement.
+// Conn is a client's connection to a host. OnResponse and OnClosed must be set before the first statement.
 type Conn struct {
 	Host *Host
-	// Identity is who the connection is for, as CONNECT said.
+	// Identity is the client's identity from CONNECT.
 	Identity string
 	// State is 'I' outside transactions, 'T' in one, and 'E' in one that has failed.
 	State byte
-	// ReadOnly says that the transaction only reads.
+	// ReadOnly says that the current or last transaction is read-only.
 	ReadOnly bool
-	// BeginID is the id of the statement that began the transaction.
+	// BeginID is the id of the statement that began the current or last transaction.
 	BeginID string
-	// Values is the session's values, as SET by the client.
+	// Values holds the session variables set by SET.
 	Values map[string]string
-	// Prepared is the session's prepared statements, by name.
+	// Prepared holds the texts of the session's prepared statements by name.
 	Prepared map[string]string
-	// OnResponse is called with the lines of an answer, the IDLE line included; they leave the host after a span.
+	// OnResponse is called with each answer, including its IDLE line. The host sends the answer after a delay.
 	OnResponse func(after int64, a wire.Response)
 	// OnClosed is called when the host ends the connection.
 	OnClosed func()
 
 	pendingWrites []string // of the transaction
-	serial        int      // counts the connections of the host in the order in which they were opened
+	serial        int      // number of the connection in the order in which the host's connections were opened
 }
 
-// Connect opens a connection for whom identity names.
+// Connect opens a connection for the client named by identity.
 func (h *Host) Connect(identity string) *Conn {
 	h.connsOpened++
 	conn := &Conn{Host: h, Identity: identity, serial: h.connsOpened, State: stateIdle, Values: map[string]string{}, Prepared: map[string]string{}}
@@ -47,13 +47,13 @@
 	return conn
 }
 
-// Close ends a connection; a transaction in progress is rolled back.
+// Close closes a connection, and rolls back a transaction in progress.
 func (c *Conn) Close() {
 	delete(c.Host.Conns, c)
 	c.endTransaction()
 }
 
-// HasValues reports whether a connection has just these values.
+// HasValues reports whether the session variables are equal to values.
 func (c *Conn) HasValues(values map[string]string) bool { return maps.Equal(c.Values, values) }
 
 func (c *Conn) endTransaction() {
@@ -63,10 +63,11 @@
 // Lines of answers.
 const (
 	doneWithoutStamp = "DONE -"
-	stampPrefix      = "DONE x." // before the id of the statement
+	stampPrefix      = "DONE x." // followed by the id of the statement
 )
 
-// respond sends an answer of some lines.
+// respond sends an answer with the given lines and an IDLE line. If LostAnswerOneIn selects the answer, the connection is closed
+// instead.
 func (c *Conn) respond(after int64, lines ...string) {
 	var response wire.Response
 	lines = append(lines, fmt.Sprintf("IDLE %c %s", c.State, c.Host.PositionAt(c.Host.VisibleEntries())))
@@ -83,12 +84,12 @@
 	c.OnResponse(after, response)
 }
 
-// reject answers a statement with an error, and leaves the transaction as it is.
+// reject answers a statement with an error, without an effect on the transaction.
 func (c *Conn) reject(code wire.Code) {
 	c.respond(0, "ERROR "+string(code)+" "+c.Host.ID)
 }
 
-// fail answers a statement with an error, by which the transaction that it is in has failed.
+// fail answers a statement with an error, and marks a transaction in progress as failed.
 func (c *Conn) fail(code wire.Code) {
 	if c.State == stateInTransaction {
 		c.State, c.pendingWrites = stateFailed, nil
@@ -96,18 +97,18 @@
 	c.reject(code)
 }
 
-// commit appends writes to the primary's log, and answers once a replica has received them.
+// commit appends writes to the primary's log, and answers after a replica has received them.
 func (c *Conn) commit(stamp string, writes []string) {
 	c.Host.commit(writes, func() { c.respond(0, stamp) })
 }
 
-// respondStatus answers a coordinator's statement with the row of a host's status.
+// respondStatus answers a coordinator's statement with a row that contains the host's status.
 func (c *Conn) respondStatus(status wire.HostStatus) {
 	row := fmt.Sprintf("ROW %s %d %s %d 0 0 %d", roleName(status.IsPrimary), status.Timeline, status.ReceivedPosition, status.PausedTimeline, status.Connections)
 	c.respond(0, row, doneWithoutStamp)
 }
 
-// roleName is a role as the wire and heartbeats spell it.
+// roleName returns the name of a role in the line protocol and in heartbeats.
 func roleName(primary bool) string {
 	if primary {
 		return "leader"
--- a/internal/fake/database/database.go
+++ b/internal/fake/database/database.go
@@ -1,11 +1,9 @@
-// Package database simulates the hosts of one database service: a log of commits that replicas receive over a network and
-// apply later, transactions, the statements of a session (FENCE included) and of a coordinator (STAT, PAUSE, RESUME,
-// STEPDOWN), and promotion.
+// Package database simulates the hosts of one database service: log replication with delayed replay on replicas, transactions,
+// the statements of sessions (including FENCE) and of a coordinator (STAT, PAUSE, RESUME, STEPDOWN), and promotion.
 //
-// A Group owns its hosts. Statements come in by Conn.Query, their answers leave by Conn.OnResponse, and everything that takes
-// time goes through a Scheduler. The hosts themselves have no sockets and no clock: simulations bring a seeded scheduler, and
-// Server runs the same hosts on sockets with a RealTimeScheduler. Nothing in this package locks but RealTimeScheduler;
-// calls into a group are made by one goroutine at a time.
+// A Group owns its hosts. Conn.Query receives statements, Conn.OnResponse delivers their answers, and a Scheduler runs
+// everything that takes time. The hosts have no sockets and no clock: simulations use a seeded scheduler, and Server runs the
+// same hosts over sockets with a RealTimeScheduler. Only RealTimeScheduler has a lock; a Group is not safe for concurrent use.
 package database
 
 import (
@@ -14,23 +12,23 @@
 	"ferrypitch/internal/wire"
 )
 
-// Units of a Scheduler's spans: tenths of a millisecond.
+// Units of a Scheduler's time spans, which are tenths of a millisecond.
 const (
 	Millisecond = 10
 	Second      = 1000 * Millisecond
 )
 
-// Scheduler runs the events of a group one at a time, and draws its random choices.
+// Scheduler runs the events of a group one at a time, and generates its random numbers.
 type Scheduler interface {
-	// After runs do once a span has passed.
+	// After runs do after a delay.
 	After(after int64, do func())
-	// Between draws a number from a to b, both included.
+	// Between returns a random number from a to b, both included.
 	Between(a, b int64) int64
-	// OneIn is true with a probability of 1/n.
+	// OneIn returns true with probability 1/n.
 	OneIn(n int) bool
 }
 
-// Group is the hosts of one service. The zero value of each optional field switches what it describes off.
+// Group is the group of hosts of one service. The zero value of an optional field disables the feature.
 type Group struct {
 	Scheduler
 	Hosts []*Host
@@ -40,19 +38,19 @@
 	OnRead func(h *Host, c *Conn, id string)
 	// OnHeartbeat is called when a host sends a heartbeat: at regular intervals, and at once when its role changes. Optional.
 	OnHeartbeat func(h *Host)
-	// LostAnswerOneIn has one answer in so many lost along with its connection. Optional.
+	// LostAnswerOneIn is the mean number of answers of which one is lost, along with its connection. Optional.
 	LostAnswerOneIn int
-	// RejectedWriteOneIn has one write in so many, of those outside transactions, rejected with RETRY. Optional.
+	// RejectedWriteOneIn is the mean number of writes outside transactions of which one is rejected with RETRY. Optional.
 	RejectedWriteOneIn int
 }
 
-// Range of the delay between a commit reaching a replica and reads there seeing it, drawn once for each host.
+// Range of the delay between a replica's receipt of a commit and its visibility to reads there. It is constant for each host.
 const (
 	minReplayDelay = 2 * Millisecond
 	maxReplayDelay = 30 * Millisecond
 )
 
-// Add adds a host that runs; the first one is the primary.
+// Add adds a running host. The first host is the primary.
 func (g *Group) Add(id string) *Host {
 	host := &Host{
 		group:       g,
@@ -69,7 +67,7 @@
 	return host
 }
 
-// Host returns the host with an id; nil if there is none.
+// Host returns the host with an id, or nil if there is none.
 func (g *Group) Host(id string) *Host {
 	for _, host := range g.Hosts {
 		if host.ID == id {
@@ -79,7 +77,7 @@
 	return nil
 }
 
-// Primary returns the running primary of the greatest timeline; nil if no primary runs.
+// Primary returns the running primary on the greatest timeline, or nil if no primary runs.
 func (g *Group) Primary() *Host {
 	var primary *Host
 	for _, host := range g.Hosts {
@@ -90,10 +88,10 @@
 	return primary
 }
 
-// FindWrite returns the last position of a write's data in the first log that has it.
+// FindWrite returns the position of the last entry with a write's data, in the first host's log that contains it.
 func (g *Group) FindWrite(data string) (wire.Position, bool) {
 	for _, host := range g.Hosts {
-		// Backwards, since callers look for what was written a moment ago.
+		// Backwards, since callers look for recent writes.
 		for i, entry := range slices.Backward(host.Log) {
 			if slices.Contains(entry.Data, data) {
 				return host.PositionAt(i + 1), true
--- a/internal/fake/database/host.go
+++ b/internal/fake/database/host.go
@@ -2,46 +2,48 @@
 
 import "ferrypitch/internal/wire"
 
-// Host is a database host.
+// Host is a simulated database host.
 type Host struct {
 	group *Group
 	ID    string
-	// Up says that the host runs.
+	// Up says that the host is running.
 	Up bool
-	// Unreachable cuts a host's network: it sends nothing, and a connection attempt is not even refused.
+	// Unreachable partitions the host from the network: it sends nothing, and connection attempts time out instead of being
+	// refused.
 	Unreachable bool
-	// Draining says in its heartbeats that the host is about to end.
+	// Draining makes the host's heartbeats announce that it is about to leave.
 	Draining bool
-	// ReplicationStopped stops a replica from receiving the primary's log.
+	// ReplicationStopped stops a replica from fetching the primary's log.
 	ReplicationStopped bool
-	// IsPrimary says that the host takes itself for the primary. Until a former primary has heard of its successor, both do.
+	// IsPrimary says that the host considers itself the primary. After a promotion, the former primary does so too until it
+	// learns of its successor.
 	IsPrimary bool
 	// Timeline is the timeline that the host is on.
 	Timeline uint64
 	// PausedTimeline is the timeline of the PAUSE that stopped replication here; 0 if it is not paused.
 	PausedTimeline uint64
-	// Log is the commits that the host has received.
+	// Log holds the commits that the host has received.
 	Log []Entry
-	// Applied counts the entries that reads on a replica see.
+	// Applied is the number of entries that reads on a replica see.
 	Applied int
-	// ReplayDelay is the delay, in the scheduler's units, between receiving entries and applying them.
+	// ReplayDelay is the delay, in the scheduler's units, between receiving and applying entries.
 	ReplayDelay int64
-	// Conns is the open connections.
+	// Conns holds the open connections.
 	Conns map[*Conn]bool
-	// Crashes counts the crashes so far.
+	// Crashes is the number of crashes so far.
 	Crashes int
 
 	connsOpened int
 	pendingAcks []pendingAck
 }
 
-// Entry is a commit.
+// Entry is a commit in the log.
 type Entry struct {
 	Timeline uint64
 	Data     []string
 }
 
-// PositionAt returns the position after the first entries of the log.
+// PositionAt returns the position after a number of entries from the start of the log.
 func (h *Host) PositionAt(entries int) wire.Position {
 	if entries == 0 {
 		return wire.Position{Timeline: 1}
@@ -49,7 +51,7 @@
 	return wire.Position{Timeline: h.Log[entries-1].Timeline, Number: uint64(entries)}
 }
 
-// VisibleEntries returns how many entries a read sees.
+// VisibleEntries returns the number of log entries that a read sees.
 func (h *Host) VisibleEntries() int {
 	if h.IsPrimary {
 		return len(h.Log)
@@ -63,7 +65,7 @@
 	return entries <= h.VisibleEntries() && (entries == 0 || h.Log[entries-1].Timeline == position.Timeline)
 }
 
-// WriteCounts returns how often the data of each write is in the log.
+// WriteCounts returns the number of occurrences of each write's data in the log.
 func (h *Host) WriteCounts() map[string]int {
 	times := map[string]int{}
 	for _, entry := range h.Log {
@@ -80,7 +82,7 @@
 	maxHeartbeatInterval = 1300 * Millisecond
 )
 
-// heartbeat sends a heartbeat now and at each interval from here on.
+// heartbeat sends a heartbeat now, and schedules the next one after a random interval.
 func (h *Host) heartbeat() {
 	h.group.After(h.group.Between(minHeartbeatInterval, maxHeartbeatInterval), h.heartbeat)
 	h.sendHeartbeat()
--- a/internal/fake/database/membership.go
+++ b/internal/fake/database/membership.go
@@ -6,10 +6,10 @@
 	"net"
 )
 
-// leaveNotice is the time from a host's last call until its process ends.
-const leaveNotice = 100 * Millisecond
+// leaveDelay is the time from a host's Leave call until its process ends.
+const leaveDelay = 100 * Millisecond
 
-// Join starts another host, with an empty log unless it is the first, at an address. The caller holds the scheduler's lock.
+// Join starts another host with an empty log at an address. The caller holds the scheduler's lock.
 func (s *Server) Join(address string) error {
 	id := fmt.Sprintf("h%d", len(s.Hosts))
 	listener, err := net.Listen("tcp", address)
@@ -23,8 +23,9 @@
 	return nil
 }
 
-// Replace has a host end in order: it says that it drains, serves on for a span, says that it leaves, and ends. After another span
-// a new host with its log runs at its address. One that drains already is left alone. The caller holds the scheduler's lock.
+// Replace shuts a host down gracefully and replaces it: the host announces that it drains, serves for drainTime, announces that
+// it leaves, and ends. After downTime, a new host with the same log starts at its address. If the host drains already, Replace
+// does nothing. The caller holds the scheduler's lock.
 func (s *Server) Replace(host *Host, drainTime, downTime int64) {
 	if host.Draining {
 		return
@@ -36,11 +37,11 @@
 		path := "/Instances.Leave/" + host.ID
 		s.tasks.Go(func() { s.callControlPlane(path, nil) })
 	})
-	s.After(drainTime+leaveNotice, func() {
+	s.After(drainTime+leaveDelay, func() {
 		host.Crash(false, downTime)
-		s.replaced++
+		s.replacedHosts++
 		left := host.ID
-		host.ID = fmt.Sprintf("%s.%d", left, s.replaced)
+		host.ID = fmt.Sprintf("%s.%d", left, s.replacedHosts)
 		host.Draining = false
 		s.addresses[host.ID] = s.addresses[left]
 		s.Logf("%s replaces %s", host.ID, left)
--- a/internal/fake/database/platform.go
+++ b/internal/fake/database/platform.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// promotionDelay is the time from the platform taking a promotion to the host being the primary.
+// promotionDelay is the time from the platform's acceptance of a promotion request to the promotion.
 const promotionDelay = 150 * Millisecond
 
 // promotionRequest is the body of POST /promotion.
 type promotionRequest struct {
 	Service string
-	ID      string `json:"Id"` // of the host
+	ID      string `json:"Id"` // id of the host to promote
 }
 
-// handlePromotion is the platform's endpoint: a promotion is accepted at once, and carried out later.
+// handlePromotion is the platform's HTTP endpoint. It accepts a promotion request at once and carries it out later.
 func (s *Server) handlePromotion(w http.ResponseWriter, r *http.Request) {
 	var request promotionRequest
 	if r.URL.Path != "/promotion" || json.NewDecoder(r.Body).Decode(&request) != nil {
@@ -37,10 +37,10 @@
 	})
 }
 
-// heartbeatTimeout limits the call of a heartbeat to one member of the control plane.
+// heartbeatTimeout limits each call to a member of the control plane.
 const heartbeatTimeout = time.Second
 
-// heartbeatRequest is the body of a heartbeat call, by the names that the control plane reads.
+// heartbeatRequest is the body of a heartbeat call in the JSON format of the control plane.
 type heartbeatRequest struct {
 	Service    string
 	Address    string
@@ -67,13 +67,13 @@
 		CallSeq:    s.callSeq,
 	})
 	if err != nil {
-		panic(err) // strings and finite numbers always have a form in JSON
+		panic(err) // strings and finite numbers can always be encoded as JSON
 	}
 	path := "/Instances.Heartbeat/" + host.ID
 	s.tasks.Go(func() { s.callControlPlane(path, body) })
 }
 
-// stateName is a host's state as heartbeats spell it.
+// stateName returns the name of a host's state in heartbeats.
 func stateName(host *Host) string {
 	if host.Draining {
 		return "draining"
@@ -81,7 +81,8 @@
 	return "serving"
 }
 
-// callControlPlane tries the members in turn until one accepts a call. If none does, the next heartbeat makes up for it.
+// callControlPlane sends a call to the members in turn until one accepts it. A lost heartbeat is not retried, since the next one
+// replaces it.
 func (s *Server) callControlPlane(path string, body []byte) {
 	client := http.Client{Timeout: heartbeatTimeout}
 	for _, member := range s.config.ControlPlane {
@@ -91,7 +92,7 @@
 	}
 }
 
-// postAccepted reports whether a POST was answered with a status of success.
+// postAccepted sends a POST request and reports whether the response had a success status.
 func postAccepted(ctx context.Context, client *http.Client, url string, body []byte) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
--- a/internal/fake/database/replication.go
+++ b/internal/fake/database/replication.go
@@ -1,7 +1,6 @@
 package database
 
-// Ranges of the times of replication: how often a replica fetches from the primary, and how long the acknowledgement of
-// what it received is on its way.
+// Ranges of the interval at which a replica fetches from the primary, and of the network delay of its acknowledgement.
 const (
 	minFetchInterval = 2 * Millisecond
 	maxFetchInterval = 8 * Millisecond
@@ -9,14 +8,14 @@
 	maxAckDelay      = 3 * Millisecond
 )
 
-// pendingAck is a commit whose client waits until a replica has received it.
+// pendingAck is a commit that is acknowledged to the client once a replica has received it.
 type pendingAck struct {
-	entries  int    // the length of the log that a replica must have
+	entries  int    // the log length that a replica must have
 	timeline uint64 // the timeline that the primary must still be on
 	done     func()
 }
 
-// replicate has a replica fetch the primary's log now and at each interval from here on.
+// replicate has a replica fetch the primary's log now, and schedules the next fetch after a random interval.
 func (h *Host) replicate() {
 	h.group.After(h.group.Between(minFetchInterval, maxFetchInterval), h.replicate)
 	if !h.Up || h.IsPrimary || h.ReplicationStopped || h.PausedTimeline > 0 || h.Unreachable {
@@ -27,7 +26,8 @@
 	}
 }
 
-// replicationSource is the reachable primary of the greatest timeline, unless that is older than the host's own.
+// replicationSource returns the reachable primary on the greatest timeline, or nil if there is none on the host's own timeline
+// or a greater one.
 func (h *Host) replicationSource() *Host {
 	var source *Host
 	for _, other := range h.group.Hosts {
@@ -38,8 +38,8 @@
 	return source
 }
 
-// fetchFrom replaces the part of the log that differs from the primary's. The entries are applied after the host's
-// replay delay, and the primary learns of them after the network's.
+// fetchFrom replaces the part of the log that differs from the primary's log. The entries are applied after ReplayDelay, and
+// acknowledged to the primary after a network delay.
 func (h *Host) fetchFrom(primary *Host) {
 	h.Timeline = primary.Timeline
 	common := min(len(h.Log), len(primary.Log))
@@ -57,7 +57,7 @@
 	h.group.After(h.group.Between(minAckDelay, maxAckDelay), func() { primary.acknowledge(received, timeline) })
 }
 
-// acknowledge answers the commits that a replica has received, unless the host has stopped or changed its timeline since.
+// acknowledge completes the commits that a replica has received, unless the host has crashed or changed its timeline since.
 func (h *Host) acknowledge(received int, timeline uint64) {
 	if !h.Up || h.Timeline != timeline {
 		return
--- a/internal/fake/database/role.go
+++ b/internal/fake/database/role.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// maxStepDownDelay is how long a former primary goes on at most after its successor was promoted.
+// maxStepDownDelay is the longest time for which a former primary continues after the promotion of its successor.
 const maxStepDownDelay = Second
 
-// Promote makes a host the primary of a new timeline, with the log that it has received. It reports false if the host does
-// not run. Promoting the current primary changes nothing.
+// Promote makes a host the primary on a new timeline, with the log that it has received. It returns false if the host is not
+// running. Promoting the current primary has no effect.
 func (h *Host) Promote() bool {
 	if !h.Up {
 		return false
@@ -18,7 +18,7 @@
 	for _, other := range h.group.Hosts {
 		latest = max(latest, other.Timeline)
 	}
-	// A primary on an older timeline has a successor that it has not heard of, so it is promoted like a replica.
+	// A primary on an older timeline has a successor that it does not know of, so it is promoted like a replica.
 	if h.IsPrimary && h.Timeline == latest {
 		return true
 	}
@@ -26,15 +26,16 @@
 	h.group.Logf("%s is promoted to timeline %d with %d entries", h.ID, h.Timeline, len(h.Log))
 	for _, other := range h.group.Hosts {
 		if other != h {
-			other.succeededBy(h)
+			other.followNewPrimary(h)
 		}
 	}
 	h.sendHeartbeat()
 	return true
 }
 
-// succeededBy notifies a host of a new primary: a reachable replica follows it at once, a former primary steps down later.
-func (h *Host) succeededBy(primary *Host) {
+// followNewPrimary notifies a host of a new primary. A reachable replica switches to the new timeline at once. A former primary
+// steps down after a random delay.
+func (h *Host) followNewPrimary(primary *Host) {
 	if h.Up && !h.Unreachable && !h.ReplicationStopped && !h.IsPrimary {
 		h.PausedTimeline, h.Timeline = 0, max(h.Timeline, primary.Timeline)
 	}
@@ -47,7 +48,7 @@
 	}
 }
 
-// StepDown makes a primary a replica. Commits that no replica has received stay unanswered.
+// StepDown makes a primary a replica. Commits that no replica has received are never answered.
 func (h *Host) StepDown() {
 	if h.IsPrimary {
 		h.becomeReplica()
@@ -56,13 +57,13 @@
 	}
 }
 
-// becomeReplica keeps what reads on the former primary saw visible.
+// becomeReplica makes the host a replica. All entries of its log stay visible to reads.
 func (h *Host) becomeReplica() {
 	h.IsPrimary, h.Applied = false, len(h.Log)
 }
 
-// Crash stops a host and starts it again after a span. An unreachable one is a machine that is down: clients do not see their
-// connections end, and connection attempts meet silence.
+// Crash stops a host and restarts it after downTime. With unreachable, the whole machine is down: clients are not notified that
+// their connections have ended, and connection attempts get no answer.
 func (h *Host) Crash(unreachable bool, downTime int64) {
 	if !h.Up {
 		return
@@ -70,7 +71,7 @@
 	h.group.Logf("%s crashes, unreachable %v, primary %v", h.ID, unreachable, h.IsPrimary)
 	h.Up, h.Unreachable, h.pendingAcks = false, unreachable, nil
 	h.Crashes++
-	// In the order in which they were opened, so that a seed plays the same each time.
+	// In the order in which they were opened, so that runs with the same seed are identical.
 	bySerial := func(a, b *Conn) int { return a.serial - b.serial }
 	for _, conn := range slices.SortedFunc(maps.Keys(h.Conns), bySerial) {
 		conn.Close()
@@ -81,7 +82,7 @@
 	h.group.After(downTime, h.restart)
 }
 
-// restart has a host run again, as a replica if another was promoted meanwhile, whether that one still runs or not.
+// restart starts a host again. It becomes a replica if another host was promoted meanwhile, even if that host is down.
 func (h *Host) restart() {
 	h.Up, h.Unreachable, h.PausedTimeline = true, false, 0
 	for _, other := range h.group.Hosts {
@@ -89,6 +90,6 @@
 			h.becomeReplica()
 		}
 	}
-	h.group.Logf("%s is back, primary %v", h.ID, h.IsPrimary)
+	h.group.Logf("%s restarts, primary %v", h.ID, h.IsPrimary)
 	h.sendHeartbeat()
 }
--- a/internal/fake/database/scheduler.go
+++ b/internal/fake/database/scheduler.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// TimeUnit is the unit of a Scheduler's spans in real time.
+// TimeUnit is the real duration of one unit of a Scheduler's time spans.
 const TimeUnit = time.Second / Second
 
-// schedulerStream is the stream of the random generator: with a seed, it decides all draws.
+// schedulerStream is the stream of the random generator. The seed and the stream determine all random numbers.
 const schedulerStream = 1
 
-// RealTimeScheduler is a Scheduler in real time. Its lock protects the group that it serves: events run under it, and
-// other goroutines hold it while they call into the group.
+// RealTimeScheduler is a Scheduler that runs in real time. Its lock protects the group that uses it: events run while it is
+// held, and other goroutines must hold it when they call into the group.
 type RealTimeScheduler struct {
 	sync.Mutex
 	random  *rand.Rand
 	stopped bool
 }
 
-// NewRealTimeScheduler returns a scheduler whose random choices follow from a seed.
+// NewRealTimeScheduler returns a scheduler whose random generator is seeded with seed.
 func NewRealTimeScheduler(seed uint64) *RealTimeScheduler {
 	return &RealTimeScheduler{random: rand.New(rand.NewPCG(seed, schedulerStream))}
 }
 
-// After runs do under the lock once a span has passed, unless the scheduler is stopped by then.
+// After runs do under the lock after a delay, unless the scheduler is stopped by then.
 func (s *RealTimeScheduler) After(after int64, do func()) {
 	time.AfterFunc(time.Duration(after)*TimeUnit, func() {
 		s.Lock()
@@ -36,10 +36,10 @@
 	})
 }
 
-// Between draws a number from a to b, both included. The caller holds the lock.
+// Between returns a random number from a to b, both included. The caller holds the lock.
 func (s *RealTimeScheduler) Between(a, b int64) int64 { return a + s.random.Int64N(b-a+1) }
 
-// OneIn is true with a probability of 1/n. The caller holds the lock.
+// OneIn returns true with probability 1/n. The caller holds the lock.
 func (s *RealTimeScheduler) OneIn(n int) bool { return s.random.IntN(n) == 0 }
 
 // Stop drops all events that have not run yet.
--- a/internal/fake/database/server.go
+++ b/internal/fake/database/server.go
@@ -8,36 +8,36 @@
 	"sync"
 )
 
-// Server serves the hosts of one service on sockets, sends their heartbeats to the control plane, and plays the platform
-// that promotes them.
+// Server serves the hosts of one service over sockets, sends their heartbeats to the control plane, and simulates the platform
+// that promotes hosts.
 type Server struct {
 	*Group
 	// Promotions counts the promotions that the platform has carried out. The scheduler's lock protects it.
 	Promotions int
 
-	scheduler *RealTimeScheduler
-	config    ServerConfig
-	platform  http.Server
-	ctx       context.Context // of the sockets and of calls to the control plane
-	tasks     sync.WaitGroup
-	addresses map[string]string // of hosts by id
-	callSeq   int64             // of the last heartbeat
-	replaced  int               // hosts that another one has followed at their address
+	scheduler     *RealTimeScheduler
+	config        ServerConfig
+	platform      http.Server
+	ctx           context.Context // ends sockets and calls to the control plane
+	tasks         sync.WaitGroup
+	addresses     map[string]string // of hosts by id
+	callSeq       int64             // sequence number of the last heartbeat
+	replacedHosts int               // number of hosts replaced so far
 }
 
-// ServerConfig says what a Server serves and where. All addresses are HOST:PORT.
+// ServerConfig configures a Server. All addresses are HOST:PORT.
 type ServerConfig struct {
 	// Service is the name of the service.
 	Service string
-	// Hosts is the addresses to listen at, one for each host. The hosts are named h0, h1 and so on in this order.
+	// Hosts holds the listen addresses of the hosts, which are named h0, h1 and so on in this order.
 	Hosts []string
-	// Platform is the address of the platform, which takes POST /promotion.
+	// Platform is the listen address of the platform, which accepts POST /promotion.
 	Platform string
-	// ControlPlane is the addresses of the control plane's members, in the order in which heartbeats try them.
+	// ControlPlane holds the addresses of the control-plane members in the order in which heartbeats try them.
 	ControlPlane []string
 }
 
-// Serve starts the hosts and the platform; they run until ctx ends. Its errors are those of listening.
+// Serve starts the hosts and the platform, which run until ctx ends. It returns an error if listening fails.
 func Serve(ctx context.Context, scheduler *RealTimeScheduler, config ServerConfig) (*Server, error) {
 	s := &Server{scheduler: scheduler, config: config, ctx: ctx, addresses: map[string]string{}}
 	scheduler.Lock()
@@ -60,7 +60,7 @@
 	return s, nil
 }
 
-// Wait waits for the server's goroutines, once the context has ended.
+// Wait waits until the server's goroutines have returned. The context must have ended.
 func (s *Server) Wait() { s.tasks.Wait() }
 
 func (s *Server) accept(listener net.Listener, host *Host) {
--- a/internal/fake/database/socket.go
+++ b/internal/fake/database/socket.go
@@ -13,12 +13,12 @@
 	writeTimeout    = time.Second
 )
 
-// socketSession is a client's connection to a host over a socket: CONNECT first, then statements.
+// socketSession is a client's connection to a host over a socket. The first line is CONNECT, the following ones are statements.
 type socketSession struct {
 	server *Server
 	host   *Host
 	socket net.Conn
-	input  []byte // received and not handled yet
+	input  []byte // received, but not handled yet
 	conn   *Conn  // nil before CONNECT
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// readLine returns the next line, or false when the connection ends or sends what is no line.
+// readLine returns the next line. It returns false if the connection ends or the input is malformed.
 func (s *socketSession) readLine() (line string, ok bool) {
 	for {
 		line, consumed, err := wire.CutLine(s.input, 0)
@@ -62,7 +62,7 @@
 	}
 }
 
-// handle runs one line under the scheduler's lock; false ends the connection.
+// handle runs one line while holding the scheduler's lock. It returns false if the connection must be closed.
 func (s *socketSession) handle(line string) bool {
 	s.server.scheduler.Lock()
 	defer s.server.scheduler.Unlock()
@@ -80,12 +80,12 @@
 	return true
 }
 
-// connect handles the first line, CONNECT SERVICE WHO [HOST]; a client that means another service or host is rejected.
+// connect handles the first line, CONNECT SERVICE WHO [HOST]. It rejects a client that asks for another service or host.
 func (s *socketSession) connect(line string) bool {
 	fields := strings.SplitN(line, " ", 4)
 	if fields[0] != "CONNECT" || len(fields) < 3 || fields[1] != s.server.config.Service ||
 		len(fields) == 4 && fields[3] != s.host.ID {
-		_, _ = s.socket.Write(wire.AppendError(nil, wire.CodeWrongNode, s.host.ID)) // closed next
+		_, _ = s.socket.Write(wire.AppendError(nil, wire.CodeWrongNode, s.host.ID)) // the connection is closed next
 		return false
 	}
 	s.conn = s.host.Connect(fields[2])
@@ -95,7 +95,7 @@
 	return true
 }
 
-// respond writes an answer after a span.
+// respond writes an answer after a delay.
 func (s *socketSession) respond(after int64, response wire.Response) {
 	output := wire.AppendIdle(response.Lines, response.State, response.Position)
 	s.server.After(after, func() {
--- a/internal/fake/database/statement.go
+++ b/internal/fake/database/statement.go
@@ -25,7 +25,7 @@
 	verbStepDown = "STEPDOWN"
 )
 
-// Ranges of the time that statements take.
+// Ranges of the run time of statements.
 const (
 	minReadTime  = Millisecond
 	maxReadTime  = 8 * Millisecond
@@ -33,18 +33,18 @@
 	maxWriteTime = 5 * Millisecond
 )
 
-// statement is what a client sent, without its fence, and with the text of its prepared statement in place of its name.
+// statement is a parsed statement. FENCE and EXECUTE are resolved: the verb is that of the fenced or prepared statement.
 type statement struct {
 	id        string
 	verb      string
 	arguments string
-	fence     *wire.Position // the position that it must see; nil: none
+	fence     *wire.Position // the position that the statement must see; nil if there is none
 }
 
-// stamp is the line that ends the answer to a statement that reads or writes data.
+// stamp returns the line that ends the answer to a statement that reads or writes data.
 func (s *statement) stamp() string { return stampPrefix + s.id }
 
-// Query runs a statement; its answer comes by OnResponse.
+// Query runs a statement. OnResponse receives the answer.
 func (c *Conn) Query(id, text string) {
 	s := &statement{id: id}
 	s.verb, s.arguments = cutWord(text)
@@ -92,7 +92,7 @@
 		c.store(s)
 	case verbStat, verbPause, verbResume, verbStepDown:
 		var timeline uint64
-		// Without a number, as after STAT, it stays 0, which is greater than no host's.
+		// Without a number, as after STAT, the timeline stays 0, which is not greater than that of any host.
 		_, _ = fmt.Sscan(s.arguments, &timeline)
 		c.respondStatus(c.Host.Control(s.verb, timeline))
 	default:
@@ -100,7 +100,7 @@
 	}
 }
 
-// changeSession sets and clears the values and prepared statements of the session.
+// changeSession sets and clears session variables and prepared statements.
 func (c *Conn) changeSession(s *statement) {
 	name, value := cutWord(s.arguments)
 	switch s.verb {
@@ -116,13 +116,13 @@
 	c.respond(0, doneWithoutStamp)
 }
 
-// behind reports whether the host lacks the position that a statement must see.
-func (c *Conn) behind(s *statement) bool { return s.fence != nil && !c.Host.Visible(*s.fence) }
+// isBehind reports whether the host lacks the position that a statement must see.
+func (c *Conn) isBehind(s *statement) bool { return s.fence != nil && !c.Host.Visible(*s.fence) }
 
 func (c *Conn) begin(s *statement) {
 	readOnly := s.arguments == verbFetch
 	switch {
-	case c.behind(s):
+	case c.isBehind(s):
 		c.reject(wire.CodeLagging)
 	case s.arguments == "" && !c.Host.IsPrimary:
 		c.reject(wire.CodeReadOnly)
@@ -150,7 +150,7 @@
 func (c *Conn) fetch(s *statement) {
 	group := c.Host.group
 	switch {
-	case c.behind(s):
+	case c.isBehind(s):
 		c.fail(wire.CodeLagging)
 	case c.State == stateInTransaction && !c.ReadOnly && !c.Host.IsPrimary:
 		c.fail(wire.CodeReadOnly)
--- a/internal/fake/discovery/discovery.go
+++ b/internal/fake/discovery/discovery.go
@@ -1,6 +1,6 @@
-// Package discovery simulates the service by which routers learn of database hosts: it holds the list of hosts, and serves
-// the list and its changes over HTTP on loopback. A client gets the list once, or follows it: GET ?since=REV&follow=1
-// answers with one line of JSON for each revision after REV, and with an empty line as a heartbeat.
+// Package discovery simulates the service discovery that provides routers with the list of database hosts. It serves the list
+// and its changes over HTTP on loopback. A client either gets the list once or follows it: the response to
+// GET ?since=REV&follow=1 is a stream with lines of JSON for the changes after REV, and empty lines as heartbeats.
 package discovery
 
 import (
@@ -12,45 +12,45 @@
 	"time"
 )
 
-// heartbeatInterval is the longest time between two lines to a client that follows.
+// heartbeatInterval is the longest time between two lines sent to a client that follows the list.
 const heartbeatInterval = 2 * time.Second
 
-// stateRemoved is the state of a host that leaves the list.
+// stateRemoved is the state of a host that is removed from the list.
 const stateRemoved = "removed"
 
-// Entry is a host of the list.
+// Entry is the entry of a host in the list.
 type Entry struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"`  // HOST:PORT
 	Set      int64  `json:"pod_group"` // the replica set
 	State    string `json:"state"`     // up, draining or removed
-	// Size is the capacity in relation to other hosts.
+	// Size is the capacity relative to other hosts.
 	Size float64 `json:"capacity_hint"`
-	// Boot is the Unix time of the last start in milliseconds; 0: unknown.
+	// Boot is the Unix time of the last start in milliseconds, or 0 if it is unknown.
 	Boot int64 `json:"boot_ms"`
 }
 
-// List is the list at a revision, or what changed up to there.
+// List is the full list of hosts at a revision, or the changes up to that revision.
 type List struct {
 	Rev int64 `json:"rev"`
-	// All says that the targets are the full list and not changes.
+	// All says that Targets is the full list instead of changes.
 	All     bool    `json:"all"`
 	Targets []Entry `json:"targets"`
 }
 
-// change is an entry that a revision set.
+// change is an entry that was set in a revision.
 type change struct {
 	revision int64
 	entry    Entry
 }
 
-// Discovery is the service. Its methods may be called by any goroutine.
+// Discovery is the service. It is safe for concurrent use.
 type Discovery struct {
 	server  *http.Server
 	address string
 	stopped chan struct{} // closed by Stop
 
-	mu           sync.Mutex // protects what follows
+	mu           sync.Mutex // protects the fields below
 	revision     int64
 	entries      map[string]Entry // by UID
 	changes      []change
@@ -58,7 +58,7 @@
 	linesWritten int
 }
 
-// New starts the service, with an empty list, on a free loopback port.
+// New starts the service with an empty list on a free loopback port.
 func New() (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,16 +77,17 @@
 	return d, nil
 }
 
-// Address is where the service listens.
+// Address returns the listen address of the service.
 func (d *Discovery) Address() string { return d.address }
 
-// Stop ends the service and the connections of its clients. It is called once.
+// Stop stops the service and closes its connections. It must be called only once.
 func (d *Discovery) Stop() {
 	close(d.stopped)
 	d.server.Close()
 }
 
-// Update changes entries in one new revision, and returns the time of it. An entry in state removed leaves the list.
+// Update sets entries in one new revision, and returns the time of the update. An entry in state removed is deleted from the
+// list.
 func (d *Discovery) Update(entries ...Entry) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -111,14 +112,14 @@
 	return d.list()
 }
 
-// LinesWritten returns how many lines clients were sent, heartbeats included.
+// LinesWritten returns the number of lines sent to clients, including heartbeats.
 func (d *Discovery) LinesWritten() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.linesWritten
 }
 
-// list is the full list; d is locked.
+// list returns the full list. The caller holds the lock.
 func (d *Discovery) list() List {
 	list := List{Rev: d.revision, All: true, Targets: []Entry{}}
 	for _, entry := range d.entries {
@@ -127,7 +128,7 @@
 	return list
 }
 
-// changesSince is the changes after a revision; d is locked.
+// changesSince returns the changes after a revision. The caller holds the lock.
 func (d *Discovery) changesSince(revision int64) List {
 	list := List{Rev: d.revision, Targets: []Entry{}}
 	for _, change := range d.changes {
@@ -138,8 +139,9 @@
 	return list
 }
 
-// nextLine returns what a client is sent that has the list as of a revision (0: not at all): the full list, the changes, or
-// an empty line. It also returns the revision that the client has then, and a channel that the next one closes.
+// nextLine returns the next line for a client that has the list as of revision since: the changes after it, or an empty line if
+// there are none. If since is 0, the client has no list and gets the full one. nextLine also returns the revision that the client
+// has after this line, and a channel that is closed at the next revision.
 func (d *Discovery) nextLine(since int64) (line []byte, revision int64, changed <-chan struct{}, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -159,7 +161,7 @@
 // ServeHTTP answers a request for the list.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	since, _ := strconv.ParseInt(query.Get("since"), 10, 64) // 0, and so the full list, if it is missing or no number
+	since, _ := strconv.ParseInt(query.Get("since"), 10, 64) // 0, which selects the full list, if missing or malformed
 	controller := http.NewResponseController(w)
 	for {
 		line, revision, changed, err := d.nextLine(since)
--- a/internal/fake/postgres/command.go
+++ b/internal/fake/postgres/command.go
@@ -7,7 +7,7 @@
 	"ferrypitch/internal/router/protocol"
 )
 
-// boundTolerance is added to a staleness bound, for the time that a command is on its way.
+// boundTolerance is added to a staleness bound to allow for the network delay of a command.
 const boundTolerance = 50 * time.Millisecond
 
 // Statements that the router sends as health checks.
@@ -16,14 +16,14 @@
 	loadQuery        = "SHOW server_load"
 )
 
-// arrival is a command at a host.
+// arrival is a command with the time of its arrival at a host.
 type arrival struct {
 	protocol.Command
 	at time.Time
 }
 
-// answer runs one statement and returns the messages of its answer; false ends the connection without one. The fleet is not
-// locked.
+// answer runs one statement and returns the encoded answer. If it returns false, the connection is closed without an answer. The
+// caller must not hold the fleet's lock.
 func (h *Host) answer(statement string) (response []byte, ok bool) {
 	fleet := h.fleet
 	fleet.mu.Lock()
@@ -57,11 +57,11 @@
 	fleet := h.fleet
 	if !h.drainedAt.IsZero() && cmd.at.After(h.drainedAt.Add(fleet.config.DrainGrace)) {
 		fleet.stats.AfterDrain++
-		fleet.note("%s: %s %v after the notice of its drain", h.Name, cmd.ID, cmd.at.Sub(h.drainedAt))
+		fleet.recordViolation("%s: %s arrived %v after the notice of the drain", h.Name, cmd.ID, cmd.at.Sub(h.drainedAt))
 	}
 }
 
-// write commits a command's write at the primary.
+// write commits a write if the host is the primary, and rejects it otherwise.
 func (h *Host) write(cmd *arrival) []byte {
 	fleet, set, now := h.fleet, h.replicaSet(), time.Now()
 	if !h.isPrimary() {
@@ -72,7 +72,7 @@
 	fleet.executions[cmd.ID]++
 	if runs := fleet.executions[cmd.ID]; runs > 1 && fleet.config.AtMostOnce[cmd.Group] {
 		fleet.stats.DuplicateWrites++
-		fleet.note("%s: %s ran %d times", h.Name, cmd.ID, runs)
+		fleet.recordViolation("%s: %s ran %d times", h.Name, cmd.ID, runs)
 	}
 	commit := now
 	if !commit.After(set.lastCommit) {
@@ -83,7 +83,7 @@
 	return h.row(h.Name+" "+cmd.ID+" "+formatPosition(commit), commit)
 }
 
-// read runs a command's read, and checks that the host has what it must see.
+// read runs a read, and checks that the host has the position that the read must see.
 func (h *Host) read(cmd *arrival) []byte {
 	fleet := h.fleet
 	applied := h.appliedUntil(time.Now())
@@ -93,7 +93,7 @@
 	}
 	if !h.isPrimary() && applied.Before(required) {
 		fleet.stats.StaleReads++
-		fleet.note("%s: %s read %v behind", h.Name, cmd.ID, required.Sub(applied))
+		fleet.recordViolation("%s: %s read a state that is %v too old", h.Name, cmd.ID, required.Sub(applied))
 	}
 	fleet.stats.AnswersByHost[h.Name]++
 	return h.row(h.Name+" "+cmd.ID, applied)
--- a/internal/fake/postgres/conn.go
+++ b/internal/fake/postgres/conn.go
@@ -12,11 +12,11 @@
 const (
 	// maxQueryBytes limits the body of a query.
 	maxQueryBytes = 1 << 20
-	// lengthBytes is the size of a message's length, which counts itself.
+	// lengthBytes is the size of a message's length field. The length includes the field itself.
 	lengthBytes = 4
 )
 
-// serve accepts connections on a listener, in the background until it is closed; the fleet is locked.
+// serve accepts connections in the background until the listener is closed. The caller holds the fleet's lock.
 func (h *Host) serve(listener net.Listener) {
 	h.listener, h.up = listener, true
 	h.fleet.tasks.Go(func() {
@@ -30,7 +30,7 @@
 	})
 }
 
-// accept serves a connection in the background, unless the host was killed since.
+// accept serves a connection in the background, unless the host was killed after the listener accepted it.
 func (h *Host) accept(listener net.Listener, conn net.Conn) {
 	fleet := h.fleet
 	fleet.mu.Lock()
@@ -49,7 +49,7 @@
 	})
 }
 
-// serveConn answers a startup message and then queries, until the client ends the connection or sends something else.
+// serveConn answers the startup message and then queries, until the client closes the connection or sends any other message.
 func (h *Host) serveConn(conn net.Conn) {
 	input := bufio.NewReader(conn)
 	if _, err := readBody(input, protocol.MaxStartupBytes); err != nil {
@@ -81,7 +81,8 @@
 	}
 }
 
-// readBody reads a message's length and the body after it. A longer message is protocol.ErrLength.
+// readBody reads a message's length and its body. It returns protocol.ErrInvalidLength if the length is greater than maxLength
+// or smaller than the length field.
 func readBody(input io.Reader, maxLength uint32) ([]byte, error) {
 	var header [lengthBytes]byte
 	if _, err := io.ReadFull(input, header[:]); err != nil {
--- a/internal/fake/postgres/fleet.go
+++ b/internal/fake/postgres/fleet.go
@@ -1,10 +1,11 @@
-// Package postgres simulates a fleet of database hosts on loopback for tests and ferrylab. The hosts speak version 3 of
-// PostgreSQL's protocol as far as the router of internal/router uses it: simple queries, by its public specification.
+// Package postgres simulates a fleet of database hosts on loopback for tests and ferrylab. The hosts implement the part of
+// version 3 of the PostgreSQL protocol that the router of internal/router uses, simple queries, according to the public
+// specification.
 //
-// A Fleet owns the hosts, grouped in replica sets with one log each. A command comes in on a socket, waits for a free slot
-// of its host, and takes a configured time; the answer names the host and the log position. Calls on a Host crash it,
-// restart it with little capacity, drain it or promote it. Meanwhile the fleet counts in Stats what ran where and every
-// violation of a rule that the router has to keep, independently of what clients saw.
+// A Fleet owns the hosts, which are grouped in replica sets with one log each. A command arrives on a socket, waits for a free
+// slot at its host, and runs for a configured time. The answer contains the host's name and the log position. Methods of Host
+// crash a host, restart it with reduced capacity, drain it or promote it. Stats counts what each host ran and every violation of
+// the rules for the router, independently of what clients observe.
 package postgres
 
 import (
@@ -17,46 +18,46 @@
 	"time"
 )
 
-// Config describes the hosts of a fleet, which are all alike, and the rules that their clients have to keep.
+// Config configures the hosts of a fleet, which all have the same parameters, and the rules that their clients must follow.
 type Config struct {
-	// WorkTime is the time that a command takes in its slot.
+	// WorkTime is the time for which a command occupies its slot.
 	WorkTime time.Duration
-	// Slots is how many commands a warm host runs at once.
+	// Slots is the number of commands that a warm host runs concurrently.
 	Slots int
-	// QueueLimit is how many commands may wait for a slot. A host rejects those beyond it.
+	// QueueLimit is the number of commands that may wait for a slot. A host rejects further commands.
 	QueueLimit int
-	// ColdStartFraction is the part of its slots that a host has right after a start, from 0 to 1.
+	// ColdStartFraction is the fraction of its slots that a host has right after a start, from 0 to 1.
 	ColdStartFraction float64
-	// WarmUpTime is the time after a start until a host has all slots; they grow linearly.
+	// WarmUpTime is the time after a start until a host has all its slots. Their number grows linearly.
 	WarmUpTime time.Duration
-	// OverloadFactor times what a cold host can do, sent to it within OverloadWindow, is an overload.
+	// OverloadFactor is the ratio of commands sent to a cold host within OverloadWindow to its capacity in this time above which
+	// the host is overloaded.
 	OverloadFactor float64
 	OverloadWindow time.Duration
-	// DrainGrace is the time after the notice of a drain in which new commands are no violation yet.
+	// DrainGrace is the time after the notice of a drain during which new commands are no violation.
 	DrainGrace time.Duration
-	// StalenessBounds is how old reads may be, for the command groups that have such a bound.
+	// StalenessBounds holds the staleness bounds of the command groups that have one.
 	StalenessBounds map[string]time.Duration
-	// AtMostOnce is the command groups whose commands must not run twice.
+	// AtMostOnce holds the command groups whose commands must not run twice.
 	AtMostOnce map[string]bool
 }
 
-// Fleet is a set of hosts and the statistics of what they did. Its methods and those of its hosts may be called by any
-// goroutine.
+// Fleet is a set of hosts with statistics. Its methods and those of its hosts are safe for concurrent use.
 type Fleet struct {
 	config Config
-	tasks  sync.WaitGroup // accepting and serving connections
+	tasks  sync.WaitGroup // goroutines that accept and serve connections
 
-	mu          sync.Mutex // protects what follows, and the state of all hosts
+	mu          sync.Mutex // protects the fields below and the state of all hosts
 	replicaSets map[int64]*replicaSet
 	hosts       map[string]*Host
-	executions  map[string]int // of writes, by command id
+	executions  map[string]int // number of runs of each write, by command id
 	stats       Stats
 }
 
-// replicaSet is hosts that share a log, whose positions are the times of its commits.
+// replicaSet is a group of hosts with a common log. A position in the log is the time of a commit.
 type replicaSet struct {
-	primary    *Host     // nil after a crash, until a promotion
-	logEnd     time.Time // where the log stands while there is no primary
+	primary    *Host     // nil between a crash and a promotion
+	logEnd     time.Time // end of the log while there is no primary
 	lastCommit time.Time
 }
 
@@ -71,7 +72,7 @@
 	}
 }
 
-// Add starts a host on a free loopback port. The first host of a set is its primary; a replica's log is behind by
+// Add starts a host on a free loopback port. The first host of a set is its primary. A replica's log lags behind by
 // replicationLag.
 func (f *Fleet) Add(name string, set int64, replicationLag time.Duration) (*Host, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,14 +98,14 @@
 	return host, nil
 }
 
-// Primary returns the primary of a set; nil while it has none.
+// Primary returns the primary of a set, or nil if it has none.
 func (f *Fleet) Primary(set int64) *Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.replicaSets[set].primary
 }
 
-// Hosts returns all hosts in the order of their names.
+// Hosts returns all hosts, sorted by name.
 func (f *Fleet) Hosts() []*Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fake/postgres/host.go
+++ b/internal/fake/postgres/host.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Host is one simulated host. Unexported methods expect the fleet to be locked, unless they say otherwise.
+// Host is a simulated host. Callers of unexported methods must hold the fleet's lock unless the method's comment says otherwise.
 type Host struct {
 	Name string
-	Set  int64 // the replica set that it belongs to
+	Set  int64 // id of the host's replica set
 
 	fleet          *Fleet
 	address        string
 	replicationLag time.Duration
 
-	// The fleet's lock protects what follows.
+	// The fleet's lock protects the fields below.
 	listener     net.Listener
 	conns        map[net.Conn]bool
 	up           bool
-	startedAt    time.Time // zero: long ago, so that the host is warm
-	drainedAt    time.Time // when clients were notified of a drain; zero: it does not drain
-	running      int       // commands in a slot
-	waiting      int       // commands that wait for one
+	startedAt    time.Time // time of the last restart; zero if there was none, so that the host is warm
+	drainedAt    time.Time // when clients were notified of a drain; zero if the host does not drain
+	running      int       // number of commands in a slot
+	waiting      int       // number of commands that wait for a slot
 	slotFreed    *sync.Cond
-	coldArrivals []time.Time // arrivals of commands within the overload window, while cold
+	coldArrivals []time.Time // command arrivals within the overload window while the host is cold
 }
 
-// Address is where the host listens, also after a restart.
+// Address returns the listen address of the host. It stays the same after a restart.
 func (h *Host) Address() string { return h.address }
 
-// StartedAtMs returns the Unix time of the last start in milliseconds; 0 if the host was never restarted.
+// StartedAtMs returns the Unix time of the last restart in milliseconds, or 0 if the host was never restarted.
 func (h *Host) StartedAtMs() int64 {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
@@ -40,7 +40,7 @@
 	return h.startedAt.UnixMilli()
 }
 
-// Kill ends a host like a crash of its process: its connections are reset, and new ones refused.
+// Kill simulates a crash of the host's process: its connections are reset, and new ones are refused.
 func (h *Host) Kill() {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
@@ -55,7 +55,7 @@
 	h.listener.Close()
 	for conn := range h.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			tcp.SetLinger(0) // a reset in place of an orderly end
+			tcp.SetLinger(0) // sends a reset instead of closing gracefully
 		}
 		conn.Close()
 	}
@@ -65,7 +65,7 @@
 	h.slotFreed.Broadcast()
 }
 
-// Restart starts a killed host again, cold, as a replica. Its error is that of listening at the old address.
+// Restart restarts a killed host as a cold replica at its old address. It returns an error if listening fails.
 func (h *Host) Restart() error {
 	listener, err := net.Listen("tcp", h.address)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return nil
 }
 
-// Promote makes a host the primary of its set, with the full log. A former primary that still runs becomes a replica.
+// Promote makes a host the primary of its set, with the full log. If a former primary still runs, it becomes a replica.
 func (h *Host) Promote() {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
@@ -86,7 +86,7 @@
 	set.primary, set.logEnd = h, time.Time{}
 }
 
-// SetDrained says since when clients know that the host is draining; the zero time ends the drain.
+// SetDrained sets the time at which clients were notified that the host is draining. The zero time ends the drain.
 func (h *Host) SetDrained(notifiedAt time.Time) {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
@@ -97,7 +97,7 @@
 
 func (h *Host) isPrimary() bool { return h.replicaSet().primary == h }
 
-// appliedUntil returns the time up to which a host has all commits.
+// appliedUntil returns the time up to which a host has applied all commits.
 func (h *Host) appliedUntil(now time.Time) time.Time {
 	set := h.replicaSet()
 	if !set.logEnd.IsZero() {
--- a/internal/fake/postgres/message.go
+++ b/internal/fake/postgres/message.go
@@ -11,13 +11,13 @@
 // protocolViolation is the SQLSTATE of a statement without the router's comment.
 const protocolViolation = "08P01"
 
-// Parameters by which a host reports its role and position with each answer.
+// Parameters with which a host reports its role and position in each answer.
 const (
 	roleParameter     = "node_role"
 	positionParameter = "replay_position"
 )
 
-// byteaOID is the type of the one column in answers; its size is variable.
+// Description of the only column in answers: its type bytea, variable size, no type modifier, and binary format.
 const (
 	byteaOID     = 17
 	variableSize = 0xffff
@@ -25,10 +25,10 @@
 	binaryFormat = 1
 )
 
-// commandTag completes every answer, also those to writes, which return a row.
+// commandTag is the command tag of every answer. Writes return a row too, so they have the same tag as reads.
 const commandTag = "SELECT 1"
 
-// formatPosition formats a position as it is on the wire: a Unix time in milliseconds.
+// formatPosition formats a position for the wire, as a Unix time in milliseconds.
 func formatPosition(t time.Time) string {
 	return strconv.FormatFloat(float64(t.UnixMicro())/1000, 'f', 3, 64)
 }
@@ -40,18 +40,18 @@
 	return "follower"
 }
 
-// row returns an answer of one row with one column.
+// row returns an answer with one row of one column.
 func (h *Host) row(value string, position time.Time) []byte {
-	description := binary.BigEndian.AppendUint16(nil, 1) // columns
+	description := binary.BigEndian.AppendUint16(nil, 1) // number of columns
 	description = append(description, "v\x00"...)
-	description = binary.BigEndian.AppendUint32(description, 0) // of no table
-	description = binary.BigEndian.AppendUint16(description, 0) // and none of its columns
+	description = binary.BigEndian.AppendUint32(description, 0) // no table
+	description = binary.BigEndian.AppendUint16(description, 0) // no column of a table
 	description = binary.BigEndian.AppendUint32(description, byteaOID)
 	description = binary.BigEndian.AppendUint16(description, variableSize)
 	description = binary.BigEndian.AppendUint32(description, noModifier)
 	description = binary.BigEndian.AppendUint16(description, binaryFormat)
 
-	data := binary.BigEndian.AppendUint16(nil, 1) // columns
+	data := binary.BigEndian.AppendUint16(nil, 1) // number of columns
 	data = binary.BigEndian.AppendUint32(data, uint32(len(value)))
 	data = append(data, value...)
 
@@ -61,13 +61,13 @@
 	return h.appendReady(response, position)
 }
 
-// reject returns an answer with an error.
+// reject returns an error answer.
 func (h *Host) reject(sqlState string, now time.Time) []byte {
 	response := protocol.AppendError(nil, "ERROR", sqlState, "refused by "+h.Name, "")
 	return h.appendReady(response, h.appliedUntil(now))
 }
 
-// appendReady ends an answer with the host's role, a position and ReadyForQuery.
+// appendReady appends the host's role, a position and ReadyForQuery to an answer.
 func (h *Host) appendReady(response []byte, position time.Time) []byte {
 	response = appendParameter(response, roleParameter, h.roleName())
 	response = appendParameter(response, positionParameter, formatPosition(position))
--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -1,9 +1,9 @@
-// Package checker judges what clients were answered by what simulated hosts ran and kept: no read is stale, no acknowledged
-// write is lost, no write is in the log twice, and no write is kept whose client was answered that nothing is kept. Seeded
-// simulations and runs on sockets share it.
+// Package checker verifies the answers that clients received against the logs of the simulated hosts: no read is stale, no
+// acknowledged write is lost, no write is in the log twice, and no write is in the log that its client was told is not
+// committed. Seeded simulations and runs over sockets both use it.
 //
-// A client reports each write before it sends it (ReportAttempt) and the answer to it (ReportAnswer or
-// ReportNothingKept); the hosts have each read checked as it runs (CheckRead); CheckFinalLog comes last.
+// A client reports each write before sending it (ReportAttempt) and then the answer (ReportAnswer or ReportNothingKept).
+// Hosts call CheckRead for each read as it runs. CheckFinalLog is called once, at the end of the run.
 package checker
 
 import (
@@ -11,18 +11,18 @@
 	"ferrypitch/internal/wire"
 )
 
-// checkWindow limits how far before a read the check of it goes back. It is longer than every staleness bound in use. A host
-// that lacks an older commit lacks all after it too, some of which lie in the window while writes go on.
+// checkWindow limits how far CheckRead looks back from a read. It is longer than every staleness bound in use. Older commits
+// need no check: a host that lacks one also lacks all later commits, and while clients write, some of these are in the window.
 const checkWindow = 2 * database.Second
 
-// Checker judges one service. Times are in the units of a database.Scheduler. Its methods are called by one goroutine at a
-// time. The fields are set before the first call.
+// Checker verifies the reads and writes of one service. Times are in the units of a database.Scheduler. A Checker is not safe
+// for concurrent use. The exported fields must be set before the first call.
 type Checker struct {
-	// Bounds is how old reads may be, by the kind of their route; reads of other kinds see every acknowledged write.
+	// Bounds holds the staleness bound of reads by route kind. Reads on kinds without a bound must see every acknowledged write.
 	Bounds map[string]int64
-	// ReadYourWrites is the kinds of routes whose sessions see all their own writes.
+	// ReadYourWrites holds the route kinds on which a session must see all its own writes.
 	ReadYourWrites map[string]bool
-	// Group is the hosts.
+	// Group is the hosts of the service.
 	Group *database.Group
 	// Violate is called for each violation.
 	Violate func(format string, args ...any)
@@ -31,13 +31,13 @@
 	outcomes map[string]outcome
 }
 
-// outcome is what the client of a write was answered.
+// outcome is what the client knows about a write.
 type outcome int
 
 const (
-	unknown      outcome = iota // not answered, or with an error that leaves it open
-	acknowledged                // it is kept
-	notKept                     // it is not kept, and never will be
+	outcomeUnknown outcome = iota // no answer, or an error after which the write may be committed or not
+	acknowledged                  // the client was told that the write is committed
+	notCommitted                  // the client was told that the write is not committed and never will be
 )
 
 // commit is an acknowledged transaction or single write.
@@ -47,17 +47,17 @@
 	session        string
 }
 
-// Reader is the client of a read.
+// Reader describes the session that sends a read.
 type Reader struct {
-	// Kind is the kind of its route.
+	// Kind is the kind of the session's route.
 	Kind string
-	// Session names the client's session.
+	// Session is the name of the session.
 	Session string
-	// BeganAt is when the read was sent, or the first statement of its transaction.
+	// BeganAt is when the read was sent; in a transaction, when the first statement of the transaction was sent.
 	BeganAt int64
 }
 
-// CheckRead checks, as a read runs at a host, that it misses no commit that it must see.
+// CheckRead is called as a read runs at a host. It checks that the host has applied every commit that the read must see.
 func (c *Checker) CheckRead(h *database.Host, reader Reader) {
 	kindBound, seesOwn := c.Bounds[reader.Kind], c.ReadYourWrites[reader.Kind]
 	for i := len(c.commits) - 1; i >= 0; i-- {
@@ -77,16 +77,16 @@
 	}
 }
 
-// ReportAttempt takes in that a write is sent. The data of each write is its own.
+// ReportAttempt records that a write is about to be sent. The data identifies the write, so it must be unique.
 func (c *Checker) ReportAttempt(data string) {
 	if c.outcomes == nil {
 		c.outcomes = map[string]outcome{}
 	}
-	c.outcomes[data] = unknown
+	c.outcomes[data] = outcomeUnknown
 }
 
-// ReportAnswer takes in the answer to the statement that ends writes: to a single write, or to the COMMIT of several. An
-// empty code is that of success. Each write was reported as an attempt before.
+// ReportAnswer records the answer to a single write, or to the COMMIT of a transaction with several writes. An empty code
+// means success. Each write must have been reported with ReportAttempt.
 func (c *Checker) ReportAnswer(session string, data []string, code wire.Code, now int64) {
 	if code != "" {
 		if code.NothingKept() {
@@ -108,14 +108,14 @@
 	c.commits = append(c.commits, commit{now, position, session})
 }
 
-// ReportNothingKept takes in that a client was answered that nothing of its writes is kept.
+// ReportNothingKept records that a client was told that none of its writes is committed.
 func (c *Checker) ReportNothingKept(data []string) {
 	for _, write := range data {
-		c.outcomes[write] = notKept
+		c.outcomes[write] = notCommitted
 	}
 }
 
-// AcknowledgedWrites returns how many writes were acknowledged.
+// AcknowledgedWrites returns the number of acknowledged writes.
 func (c *Checker) AcknowledgedWrites() int {
 	writes := 0
 	for _, outcome := range c.outcomes {
@@ -126,12 +126,12 @@
 	return writes
 }
 
-// CheckFinalLog checks the log of the primary against what clients were answered. It is called after all faults have ended and
-// the log has settled.
+// CheckFinalLog checks the primary's log against the answers that clients received. It must be called after all faults have
+// ended and all acknowledged writes are applied.
 func (c *Checker) CheckFinalLog() {
 	primary := c.Group.Primary()
 	if primary == nil {
-		c.Violate("no host is the primary in the end")
+		c.Violate("there is no primary at the end of the run")
 		return
 	}
 	counts := primary.WriteCounts()
@@ -141,8 +141,8 @@
 			c.Violate("TWICE: %s is in the log %d times", write, count)
 		case outcome == acknowledged && count == 0:
 			c.Violate("LOST: %s was acknowledged", write)
-		case outcome == notKept && count > 0:
-			c.Violate("REJECTED: %s is kept, its client was answered that it is not", write)
+		case outcome == notCommitted && count > 0:
+			c.Violate("REJECTED: %s is in the log, but its client was told that it is not committed", write)
 		}
 	}
 }
--- a/internal/simulation/cluster/client.go
+++ b/internal/simulation/cluster/client.go
@@ -13,7 +13,7 @@
 	"ferrypitch/internal/wire"
 )
 
-// Kinds of routes, which are also the names of their hosts.
+// Route kinds. Each is also the host name of the route of that kind.
 const (
 	kindLeader  = "leader"
 	kindBounded = "bounded"
@@ -22,35 +22,35 @@
 
 var routeKinds = []string{kindLeader, kindBounded, kindOwned}
 
-// sessionVariable is a value that each session sets to its own name.
+// sessionVariable is a session variable that each session sets to its own name.
 const sessionVariable = "who"
 
 const (
 	dialTimeout     = time.Second
 	responseTimeout = 5 * time.Second
 	reconnectDelay  = 100 * time.Millisecond
-	maxThinkTimeMs  = 20 // between two operations, exclusive
+	maxThinkTimeMs  = 20 // between two operations; exclusive bound
 )
 
-// maxClients separates the random streams of the clients of one proxy from those of the next.
+// maxClients is the number of random streams reserved for the clients of each proxy.
 const maxClients = 1000
 
-// session is a client's connection to a proxy, on a route of one kind.
+// session is a client's session with a proxy on a route of one kind.
 type session struct {
 	cluster     *cluster
 	kind        string
 	name        string
-	random      *rand.Rand // the client's, for one session after another
+	random      *rand.Rand // shared by the client's successive sessions
 	conn        net.Conn
 	input       *bufio.Reader
-	statements  int       // sent so far
-	operationAt time.Time // when the current operation began
+	statements  int       // number of statements sent
+	operationAt time.Time // when the current operation started
 
-	// onUnanswered is called when the connection ends while a statement has no answer. Optional.
+	// onUnanswered is called if the connection ends before a statement is answered. Optional.
 	onUnanswered func(sent sentStatement, cause error)
 }
 
-// runClient opens one session after another until ctx ends.
+// runClient runs successive sessions until ctx ends.
 func (c *cluster) runClient(ctx context.Context, proxy, client int) {
 	random := rand.New(rand.NewPCG(c.Seed, uint64(proxy*maxClients+client)))
 	for number := 0; ctx.Err() == nil; number++ {
@@ -76,7 +76,7 @@
 	}
 }
 
-// open connects the session, and sets a value that its connection at a host has to keep.
+// open connects the session and sets sessionVariable, which every host connection that serves the session must have.
 func (s *session) open(ctx context.Context, address string) bool {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -96,10 +96,10 @@
 	return true
 }
 
-// errNoResponse is the error of a session that was sent what is no answer.
+// errNoResponse reports that a session received something that is not a response of the protocol.
 var errNoResponse = errors.New("not a response of the wire")
 
-// readResponse reads one answer. An error ends the session.
+// readResponse reads one response. After an error the session can't be used any more.
 func (s *session) readResponse() (response wire.Response, err error) {
 	s.conn.SetReadDeadline(time.Now().Add(responseTimeout))
 	for {
@@ -109,12 +109,12 @@
 		}
 		line, _, err := wire.CutLine(raw, 0)
 		if err != nil {
-			s.cluster.violate("%s is sent what is no line: %q", s.name, raw)
+			s.cluster.violate("%s received a malformed line: %q", s.name, raw)
 			return response, errNoResponse
 		}
 		complete, err := response.AddLine(line, raw)
 		if err != nil {
-			s.cluster.violate("%s is sent %q: %v", s.name, line, err)
+			s.cluster.violate("%s received the malformed response line %q: %v", s.name, line, err)
 			return response, errNoResponse
 		}
 		if complete {
@@ -123,8 +123,8 @@
 	}
 }
 
-// query sends a statement and reads the answer; false: the connection ended. beganAt is when the statement's transaction
-// began, or the statement itself, as the checker of its read counts it.
+// query sends a statement and reads the response. It returns false if the connection ended. beganAt is when the statement or
+// its transaction started; the checker requires a read to see what was acknowledged before.
 func (s *session) query(text string, beganAt int64) (wire.Response, bool) {
 	sent, ok := s.send(text, beganAt)
 	if !ok {
@@ -133,13 +133,13 @@
 	return s.receive(sent)
 }
 
-// sentStatement is a statement whose answer is awaited.
+// sentStatement is a statement that waits for its response.
 type sentStatement struct {
 	id string
 	at time.Time
 }
 
-// send sends a statement.
+// send sends a statement and registers it with the checker of reads.
 func (s *session) send(text string, beganAt int64) (sent sentStatement, ok bool) {
 	s.statements++
 	sent = sentStatement{id: fmt.Sprintf("%s.%d", s.name, s.statements), at: time.Now()}
@@ -150,7 +150,7 @@
 	return sent, err == nil
 }
 
-// receive reads the answer to the earliest statement that has none.
+// receive reads the response to sent, which must be the earliest statement without one.
 func (s *session) receive(sent sentStatement) (wire.Response, bool) {
 	response, err := s.readResponse()
 	if err != nil {
@@ -165,7 +165,7 @@
 	return response, true
 }
 
-// lastLine is the last of some lines, each with its line end of two bytes.
+// lastLine returns the last of several lines that end in CR LF.
 func lastLine(lines []byte) string {
 	start := len(lines) - len("\r\n")
 	for start > 0 && lines[start-1] != '\n' {
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/simulation/cluster/cluster.go
@@ -1,10 +1,10 @@
-// Package cluster runs a whole system on loopback: three members of the control plane and two proxies as processes, and in
+// Package cluster runs a whole system on loopback addresses: three control-plane members and two proxies as processes, and in
 // this process the simulated database hosts, the platform that promotes them, an operator and clients. The clients' sessions
-// go on through a change of the configuration and the crash of the primary, and what they were answered is checked against
-// what the hosts kept.
+// run through a configuration change and a crash of the primary, and the answers that they receive are checked against the
+// hosts' logs.
 //
-// Run goes through these steps: start all processes, configure the control plane, wait until the proxies are ready, play the
-// load and the faults, and collect the Result.
+// Run starts all processes, configures the control plane, waits until the proxies are ready, runs the load and the faults, and
+// collects the Result. Soak runs a system of any size through a random schedule of faults.
 package cluster
 
 import (
@@ -20,86 +20,86 @@
 
 // Options describes a run.
 type Options struct {
-	// For is how long clients send statements.
+	// For is the time during which clients send statements.
 	For time.Duration
-	// Sessions is how many sessions each proxy has at a time, of all kinds of routes.
+	// Sessions is the number of concurrent sessions at each proxy, over all route kinds.
 	Sessions int
-	// Seed decides the random choices and the loopback addresses in use.
+	// Seed determines the random choices and the loopback addresses tried first.
 	Seed uint64
-	// UpgradeFrom is a folder with the programs of another release. The system begins with them, is upgraded process by process
-	// under load, and goes back in the same way. Empty: no upgrade.
+	// UpgradeFrom is a directory with the programs of another release. The system starts with them, is upgraded process by
+	// process under load, and is downgraded in the same way. If it is empty, there is no upgrade.
 	UpgradeFrom string
-	// Say prints progress. Optional.
+	// Say logs progress. Optional.
 	Say func(format string, args ...any)
 }
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
-	// Outcomes counts the answers, by route kind and operation.
+	// Outcomes counts the outcomes of operations by route kind and operation.
 	Outcomes []Outcomes
-	// ReadsByHost counts the reads by the host that ran them and its role at the time, as in "h0 primary".
+	// ReadsByHost counts the reads by the host that ran them and its role at the time; a key is, for example, "h0 primary".
 	ReadsByHost map[string]int
-	// ConfigVersions counts the versions of the configuration that were accepted and read back.
+	// ConfigVersions counts the configuration versions that were accepted and read back.
 	ConfigVersions int
 	Promotions     int
-	// Upgrades are the processes that were stopped and started again with the programs of another release, in order.
+	// Upgrades lists, in order, the restarts of processes with the programs of another release.
 	Upgrades []Upgrade
-	// WriteGap is the time from the crash of the primary to the first acknowledgement of a write begun after it; 0: none
-	// was acknowledged.
+	// WriteGap is the time from the crash of the primary to the first acknowledgement of a write that started after the crash,
+	// or 0 if none was acknowledged.
 	WriteGap           time.Duration
 	AcknowledgedWrites int
-	// Violations describes the first rules that were broken.
+	// Violations describes the first violations.
 	Violations []string
-	// PeakRSSKB is the resident memory in kB by program: that of its largest process at the end.
+	// PeakRSSKB holds, by program, the resident memory in kB of the program's largest process at the end of the run.
 	PeakRSSKB map[string]int
 }
 
-// maxViolations is how many violations a result describes.
+// maxViolations limits the violations in a result.
 const maxViolations = 20
 
-// Outcomes counts how the operations of one kind ended.
+// Outcomes counts the outcomes of the operations of one kind.
 type Outcomes struct {
 	RouteKind   string
 	Operation   string
 	Answered    int
-	NothingKept int // errors that promise that nothing is kept
+	NothingKept int // errors after which the operation is certainly not committed
 	InDoubt     int
-	Failed      int // other errors, and connections that ended
+	Failed      int // other errors, and closed connections
 }
 
-// outcomeKey is what outcomes are counted by.
+// outcomeKey is the key by which outcomes are counted.
 type outcomeKey struct{ routeKind, operation string }
 
-// cluster is a system that runs. The lock of its scheduler protects the hosts and the checker.
+// cluster is a running system. The scheduler's lock protects the hosts and the checker.
 type cluster struct {
 	Options
 	size      size
-	dir       string // of programs, configuration, data and logs
+	dir       string // contains programs, settings, data and logs
 	network   loopbackNetwork
-	binaries  Binaries // of this release
+	binaries  Binaries // of the current release
 	startedAt time.Time
 
 	members []*program.Process
 	proxies []*program.Process
 
-	// onHostEvent is called when a host crashes, is promoted or the like.
+	// onHostEvent is called for events such as a host's crash or promotion.
 	onHostEvent func(event string)
-	// onViolation is called for each violation that the result keeps. Optional.
+	// onViolation is called for each violation that is added to the result. Optional.
 	onViolation func(violation string)
 
 	scheduler *database.RealTimeScheduler
 	hosts     *database.Server
 	checker   *checker.Checker
 
-	mu        sync.Mutex // protects what follows; taken after the scheduler's lock
+	mu        sync.Mutex // protects the fields below; acquired after the scheduler's lock
 	result    Result
 	outcomes  map[outcomeKey]*Outcomes
-	crashedAt time.Time                 // when the primary crashed; zero: it did not yet
-	readers   map[string]checker.Reader // by the id of the statement
-	executed  map[string]bool           // ids of the reads that a host has run
+	crashedAt time.Time                 // when the primary crashed; zero before the crash
+	readers   map[string]checker.Reader // by statement id
+	executed  map[string]bool           // ids of the reads that hosts have run
 }
 
-// Run runs a system once. The programs, their files and their logs are left in dir. Violations are part of the result; an
+// Run runs a system once. It leaves the programs, their files and their logs in dir. Violations are reported in the result; an
 // error means that the run itself failed.
 func Run(ctx context.Context, dir string, options Options) (*Result, error) {
 	if options.Say == nil {
@@ -123,10 +123,10 @@
 		return nil, err
 	}
 	c.Say("all processes are ready; %d sessions at each of %d proxies for %v", c.Sessions, c.size.proxies, c.For)
-	return c.play(ctx)
+	return c.runLoad(ctx)
 }
 
-// newCluster returns a system that is not started.
+// newCluster returns a system whose processes are not started yet.
 func newCluster(dir string, network loopbackNetwork, size size, options Options) *cluster {
 	return &cluster{
 		onHostEvent: func(event string) { options.Say("%s", event) },
@@ -153,7 +153,7 @@
 	}
 }
 
-// stopAll stops processes side by side.
+// stopAll stops processes concurrently.
 func stopAll(processes []*program.Process) {
 	var stops sync.WaitGroup
 	for _, process := range processes {
@@ -162,10 +162,10 @@
 	stops.Wait()
 }
 
-// now is the time of the run in the units of the scheduler. It is never 0.
+// now returns the time since the start of the run in the scheduler's units. It is never 0.
 func (c *cluster) now() int64 { return int64(time.Since(c.startedAt)/database.TimeUnit) + 1 }
 
-// violate records that a rule is broken.
+// violate records a violation.
 func (c *cluster) violate(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +179,7 @@
 	}
 }
 
-// checkRead is called by a host as it runs a read, under the scheduler's lock.
+// checkRead is called when a host runs a read. The caller holds the scheduler's lock.
 func (c *cluster) checkRead(host *database.Host, conn *database.Conn, statementID string) {
 	role := "replica"
 	if host.IsPrimary {
@@ -200,7 +200,7 @@
 	c.checker.CheckRead(host, reader)
 }
 
-// withChecker runs do under the lock that protects the checker.
+// withChecker calls do while holding the lock that protects the checker.
 func (c *cluster) withChecker(do func(*checker.Checker)) {
 	c.scheduler.Lock()
 	defer c.scheduler.Unlock()
--- a/internal/simulation/cluster/operation.go
+++ b/internal/simulation/cluster/operation.go
@@ -8,7 +8,7 @@
 	"ferrypitch/internal/wire"
 )
 
-// Operations of clients.
+// Kinds of client operations.
 const (
 	operationRead        = "read"
 	operationWrite       = "write"
@@ -17,8 +17,8 @@
 
 var operations = []string{operationRead, operationWrite, operationTransaction}
 
-// Shares of the operations, in tenths; the rest are transactions. Routes with bounded staleness take no writes, and have
-// transactions in place of them.
+// Shares of reads and writes among the operations, in tenths; the rest are transactions. Routes with bounded staleness accept
+// no writes and run transactions instead.
 const (
 	readTenths  = 5
 	writeTenths = 3
@@ -26,12 +26,12 @@
 )
 
 const (
-	readKeys                 = 50 // that reads are spread over
+	readKeys                 = 50 // number of keys that reads are spread over
 	minTransactionStatements = 2
-	transactionSpread        = 3 // kinds of length
+	transactionSpread        = 3 // number of different transaction lengths
 )
 
-// runOperation runs a read, a write or a transaction; false ends the session.
+// runOperation runs a random operation. It returns false if the session has ended.
 func (s *session) runOperation() bool {
 	s.operationAt = time.Now()
 	draw := s.random.IntN(allTenths)
@@ -54,7 +54,7 @@
 	return s.count(operationWrite, code, ok)
 }
 
-// store writes outside a transaction.
+// store runs a single write outside a transaction.
 func (s *session) store() (wire.Code, bool) {
 	data := s.attemptWrite()
 	response, ok := s.query("STORE t1 "+data, s.cluster.now())
@@ -64,7 +64,7 @@
 	return response.Code, ok
 }
 
-// transaction runs reads and, but on bounded routes, writes in turn, and commits them.
+// transaction runs a transaction of alternating reads and writes, or of reads only on bounded routes, and commits it.
 func (s *session) transaction() bool {
 	begin, beganAt := "BEGIN", s.cluster.now()
 	if s.kind == kindBounded {
@@ -95,7 +95,7 @@
 	return s.count(operationTransaction, response.Code, ok)
 }
 
-// abort ends a transaction that a statement has failed in.
+// abort ends a transaction after a statement in it has failed.
 func (s *session) abort(response wire.Response, writes []string, beganAt int64) bool {
 	if response.Code.NothingKept() {
 		s.cluster.withChecker(func(checker *checker.Checker) { checker.ReportNothingKept(writes) })
@@ -110,14 +110,15 @@
 
 func (s *session) fetchText() string { return fmt.Sprintf("FETCH t%d", s.random.IntN(readKeys)) }
 
-// attemptWrite returns the data of a new write, after reporting it to the checker.
+// attemptWrite reports a new write to the checker and returns its data.
 func (s *session) attemptWrite() string {
 	data := fmt.Sprintf("%s-%d", s.name, s.statements)
 	s.cluster.withChecker(func(checker *checker.Checker) { checker.ReportAttempt(data) })
 	return data
 }
 
-// reportAnswer reports to the checker how writes ended, and notes the first one that was acknowledged after the crash.
+// reportAnswer reports the answer to writes to the checker, and records the time to the first write that started after the
+// crash of the primary and was acknowledged.
 func (s *session) reportAnswer(writes []string, code wire.Code) {
 	c := s.cluster
 	c.withChecker(func(checker *checker.Checker) { checker.ReportAnswer(s.name, writes, code, c.now()) })
@@ -129,7 +130,7 @@
 	}
 }
 
-// count counts the outcome of an operation; it returns false where the session has ended.
+// count counts the outcome of an operation and returns ok, which is false if the session has ended.
 func (s *session) count(operation string, code wire.Code, ok bool) bool {
 	s.cluster.mu.Lock()
 	defer s.cluster.mu.Unlock()
--- a/internal/simulation/cluster/operator.go
+++ b/internal/simulation/cluster/operator.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	operatorTimeout  = 2 * time.Second // of a call to a member
-	readinessTimeout = time.Second     // of a question to a proxy
+	operatorTimeout  = 2 * time.Second // for a call to a member
+	readinessTimeout = time.Second     // for a readiness check of a proxy
 	retryInterval    = 100 * time.Millisecond
 	maxAttempts      = 100
 )
 
-// Connections that a host takes, from all proxies.
+// MaxConns of the service: the connections that a host accepts from all proxies together.
 const (
 	minConns      = 60
 	connsPerProxy = 6
@@ -30,7 +30,7 @@
 	ownedStalenessMs   = 1500
 )
 
-// serviceConfig is the configuration by the names that the control plane reads.
+// serviceConfig is the configuration in the JSON format of the control plane.
 type serviceConfig struct {
 	Generation int
 	Routes     []routeConfig
@@ -57,7 +57,7 @@
 	TxnIdleMs int
 }
 
-// configOf is the configuration of a generation. Each has other deadlines, so that a change has an effect.
+// configOf returns the configuration of a generation. The deadlines depend on the generation, so that each change has an effect.
 func (c *cluster) configOf(generation int) serviceConfig {
 	route := func(name, host, kind string, deadlineMs, targetMs, stalenessMs int) routeConfig {
 		return routeConfig{
@@ -85,8 +85,8 @@
 	}
 }
 
-// replaceConfig plays the operator: it sends a version to one member after another until one accepts it, and reads it back
-// from the next one.
+// replaceConfig replaces the configuration like an operator: it sends a version to the members in turn until one accepts it,
+// and reads it back from the next member.
 func (c *cluster) replaceConfig(ctx context.Context, base, generation int) error {
 	body, err := json.Marshal(c.configOf(generation))
 	if err != nil {
@@ -104,7 +104,7 @@
 	return fmt.Errorf("configuration %d after %d attempts: %w", generation, maxAttempts, err)
 }
 
-// sendConfig sends a version to one member.
+// sendConfig sends a version to one member. It returns an error unless the member accepts it.
 func sendConfig(ctx context.Context, member string, base int, body []byte) error {
 	status, text, err := postConfig(ctx, member, replacePath, base, body)
 	if err == nil && status != http.StatusOK {
@@ -119,7 +119,7 @@
 	amendPath   = "/Config.Amend"
 )
 
-// postConfig sends a change of the configuration to one member, and returns what it answers.
+// postConfig sends a configuration change to one member and returns the status and body of the response.
 func postConfig(ctx context.Context, member, path string, base int, body []byte) (status int, text string, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member+path, bytes.NewReader(body))
 	if err != nil {
@@ -129,7 +129,7 @@
 	return doRequest(request)
 }
 
-// readConfig asks a member for the configuration.
+// readConfig requests the configuration from a member and returns the status and body of the response.
 func readConfig(ctx context.Context, member string) (status int, text string, err error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+member+"/Config.Read", nil)
 	if err != nil {
@@ -148,7 +148,8 @@
 	return response.StatusCode, string(body), err
 }
 
-// readConfigBack checks that the version that was just accepted is read back, at one member after another until one answers.
+// readConfigBack reads the configuration from the members in turn until one answers, and checks that it is the version that
+// was just accepted.
 func (c *cluster) readConfigBack(ctx context.Context, members []string, want []byte) error {
 	status, got, err := 0, "", error(nil)
 	for attempt := 0; attempt < maxAttempts && status != http.StatusOK; attempt++ {
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// waitReady waits until all proxies say that they are ready.
+// waitReady waits until all proxies report that they are ready.
 func (c *cluster) waitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: readinessTimeout}
 	for i, address := range c.network.addresses(firstProxy, c.size.proxies, readinessPort) {
@@ -197,7 +198,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// sleep waits for a time, or returns the context's error when it ends before.
+// sleep waits for a span. It returns the context's error if ctx ends first.
 func sleep(ctx context.Context, span time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/simulation/cluster/play.go
+++ b/internal/simulation/cluster/play.go
@@ -10,12 +10,12 @@
 	"ferrypitch/internal/simulation/program"
 )
 
-// settleTime is how long a run waits after the last statement until what is acknowledged is applied everywhere.
+// settleTime is how long a run waits after the last statement, so that all hosts can apply the acknowledged writes.
 const settleTime = 300 * time.Millisecond
 
-// play has clients send statements through a change of the configuration, after an eighth of the time, and the crash of the
-// primary, a quarter later.
-func (c *cluster) play(ctx context.Context) (*Result, error) {
+// runLoad has clients send statements. The configuration changes after an eighth of the time, and the primary crashes a quarter
+// of the time after that. With UpgradeFrom, the system is upgraded and downgraded instead.
+func (c *cluster) runLoad(ctx context.Context) (*Result, error) {
 	sending, stop := context.WithTimeout(ctx, c.For)
 	defer stop()
 	var clients sync.WaitGroup
@@ -25,7 +25,7 @@
 		}
 	}
 	if c.UpgradeFrom != "" {
-		err := c.upgradeAndGoBack(sending)
+		err := c.upgradeAndDowngrade(sending)
 		stop()
 		clients.Wait()
 		if err != nil {
@@ -49,7 +49,7 @@
 	return c.collect(), nil
 }
 
-// crashPrimary has the primary down for a quarter of the run.
+// crashPrimary crashes the primary, which stays down for a quarter of the run.
 func (c *cluster) crashPrimary() {
 	c.scheduler.Lock()
 	defer c.scheduler.Unlock()
@@ -63,7 +63,7 @@
 	c.crashedAt = time.Now()
 }
 
-// collect checks the final log and completes the result.
+// collect checks the final log and returns the completed result.
 func (c *cluster) collect() *Result {
 	processes := map[string][]*program.Process{proxyProgram: c.proxies, controlProgram: c.members}
 	for name, all := range processes {
--- a/internal/simulation/cluster/soak.go
+++ b/internal/simulation/cluster/soak.go
@@ -12,62 +12,63 @@
 	"ferrypitch/internal/simulation/faultplan"
 )
 
-// SoakOptions describes a soak.
+// SoakOptions describes a soak test.
 type SoakOptions struct {
-	// Seed decides the schedule, the random choices of clients, and the loopback addresses tried first.
+	// Seed determines the schedule, the random choices of clients, and the loopback addresses tried first.
 	Seed uint64
-	// Duration is how long faults and changes go on.
+	// Duration is the time span of faults and changes.
 	Duration time.Duration
-	// Members and Proxies is how many processes of each kind there are.
+	// Members and Proxies are the numbers of processes of each kind.
 	Members, Proxies int
-	// Clients is how many there are for each proxy.
+	// Clients is the number of clients for each proxy.
 	Clients int
-	// Binaries is the programs; nil: they are built.
+	// Binaries holds the programs. If it is nil, they are built.
 	Binaries Binaries
-	// Say prints progress. Optional.
+	// Say logs progress. Optional.
 	Say func(format string, args ...any)
 }
 
-// SoakResult is what came of a soak.
+// SoakResult is the result of a soak test.
 type SoakResult struct {
 	Seed uint64
-	// Events is how many faults, signals and changes were carried out.
+	// Events counts the faults, signals and changes in the schedule.
 	Events int
-	// Outcomes counts the answers, by route kind and operation.
+	// Outcomes counts the outcomes of operations by route kind and operation.
 	Outcomes []Outcomes
-	// Unanswered counts the statements whose connection ended before their answer, rightly or not.
+	// Unanswered counts the statements whose connection ended before the answer, including cases that are no violation.
 	Unanswered         int
 	AcknowledgedWrites int
 	ConfigVersions     int
 	Promotions         int
-	// RecoveredMs is the time from the last fault until all was served again.
+	// RecoveredMs is the time in milliseconds from the last fault until all nodes served again.
 	RecoveredMs int64
-	// PeakRSSKB is the resident memory in kB: of all processes with this one, and of the largest proxy and member.
+	// PeakRSSKB is the peak resident memory in kB of all processes together, including this one. PeakProxyKB and PeakMemberKB
+	// are those of the largest proxy and member.
 	PeakRSSKB, PeakProxyKB, PeakMemberKB int
-	// StalledMs is how long the machine had no processor for this process, in sum.
+	// StalledMs is the total time in milliseconds for which this process got no processor time.
 	StalledMs int64
-	// Violations describes the first rules that were broken, by name.
+	// Violations describes the first violations. Each text begins with its time and the name of the rule.
 	Violations []string
 }
 
 const (
-	// recoveryTime is how long after the last fault all is served again.
+	// recoveryTime limits the time from the last fault until all nodes must serve again.
 	recoveryTime = 12 * time.Second
-	// quietTime is how long clients go on once all is served again.
+	// quietTime is how long clients continue after the recovery.
 	quietTime  = time.Second
 	eventsFile = "events.log"
 )
 
-// soak is a system that runs through a schedule of faults.
+// soak is a running soak test.
 type soak struct {
 	*cluster
 	memberNodes, proxyNodes []*node
 	operators               *operators
 	stalls                  stallMeter
-	tasks                   sync.WaitGroup // events under way
-	probes                  atomic.Int64   // sessions that ask whether a proxy serves
+	tasks                   sync.WaitGroup // events in progress
+	probes                  atomic.Int64   // number of sessions opened to check whether a proxy serves
 
-	// The cluster's lock protects what follows.
+	// The cluster's lock protects the fields below.
 	unanswered []unanswered
 	soakResult SoakResult
 
@@ -75,14 +76,15 @@
 	events   *os.File
 }
 
-// Soak runs a system through a schedule of faults. Its files and logs are left in dir. Violations are part of the result; an error
-// means that the run itself failed.
+// Soak runs a system through a random schedule of faults. It leaves the files and logs in dir. Violations are reported in the
+// result; an error means that the run itself failed.
 func Soak(ctx context.Context, dir string, options SoakOptions) (*SoakResult, error) {
 	if options.Say == nil {
 		options.Say = func(string, ...any) {}
 	}
 	if options.Members < 1 || options.Members > maxSize.members || options.Proxies < 1 || options.Proxies > maxSize.proxies {
-		return nil, fmt.Errorf("%d members and %d proxies: 1 to %d and 1 to %d", options.Members, options.Proxies, maxSize.members, maxSize.proxies)
+		return nil, fmt.Errorf("%d members and %d proxies: want 1 to %d members and 1 to %d proxies",
+			options.Members, options.Proxies, maxSize.members, maxSize.proxies)
 	}
 	network, claim, err := claimLoopbackNetwork(options.Seed)
 	if err != nil {
@@ -106,16 +108,16 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() {
 		k.stop(cancel)
-		_ = events.Close() // each line was written at once
+		_ = events.Close() // nothing is buffered
 	}()
-	if err := k.begin(ctx); err != nil {
+	if err := k.startSystem(ctx); err != nil {
 		return nil, err
 	}
 	return k.run(ctx)
 }
 
-// begin starts the system, and waits until all proxies are ready.
-func (k *soak) begin(ctx context.Context) error {
+// startSystem starts the system and waits until all proxies are ready.
+func (k *soak) startSystem(ctx context.Context) error {
 	if err := k.start(ctx); err != nil {
 		return err
 	}
@@ -133,24 +135,24 @@
 			maxMemory: maxProxyMemoryKB,
 		}))
 	}
-	first := &version{config: k.configOf(1), ackedAt: time.Now()}
-	k.operators = &operators{soak: k, newest: first, sent: []*version{first}}
+	first := &configVersion{config: k.configOf(1), ackedAt: time.Now()}
+	k.operators = &operators{soak: k, newest: first, sent: []*configVersion{first}}
 	if err := k.replaceConfig(ctx, 0, 1); err != nil {
 		return err
 	}
-	k.operators.change(ctx, 0) // the first version with a marker
+	k.operators.change(ctx, 0) // the first version with a marker route
 	return k.waitReady(ctx)
 }
 
 func (k *soak) newNode(n *node) *node {
-	n.soak, n.name, n.life = k, n.settings.name, newLifeRecord()
+	n.soak, n.name, n.incarnation = k, n.settings.name, newIncarnationRecord()
 	n.settings.restarted = true
 	return n
 }
 
 func (k *soak) nodes() []*node { return append(append([]*node{}, k.memberNodes...), k.proxyNodes...) }
 
-// run plays the schedule under load, waits until all is served again, ends all processes and judges.
+// run carries out the schedule under load, waits for the recovery, stops all processes and runs the final checks.
 func (k *soak) run(ctx context.Context) (*SoakResult, error) {
 	var background sync.WaitGroup
 	defer background.Wait()
@@ -166,7 +168,7 @@
 	for _, n := range k.proxyNodes {
 		watchers.Go(func() { k.watchReadiness(watching, n) })
 	}
-	watchers.Go(func() { k.operators.watch(watching) })
+	watchers.Go(func() { k.operators.watchConfig(watching) })
 	watchers.Go(func() { k.watchMarkers(watching) })
 	watchers.Go(func() { k.watchMemory(watching, abort) })
 	sending, stopSending := context.WithCancel(ctx)
@@ -178,31 +180,31 @@
 	}
 	events := faultplan.Draw(k.Seed, faultplan.System{Members: k.size.members, Proxies: k.size.proxies}, k.For)
 	k.Say("%d members, %d proxies, %d sessions at each; %d events in %v", k.size.members, k.size.proxies, k.Sessions, len(events), k.For)
-	k.playFaults(ctx, events)
+	k.runFaults(ctx, events)
 	for _, n := range k.nodes() {
 		n.awaitRunning(ctx)
 	}
-	k.Say("all faults are over, waiting until all is served again")
+	k.Say("all faults have ended, waiting until all nodes serve again")
 	recovered := k.awaitRecovery(ctx)
-	_ = sleep(ctx, quietTime) // ended early with the run
+	_ = sleep(ctx, quietTime) // an error means that the run is aborted, which is checked below
 	stopSending()
 	clients.Wait()
 	stopWatching()
 	watchers.Wait()
 	k.checkAtEnd(ctx)
-	each(k.proxyNodes, (*node).close)
-	each(k.memberNodes, (*node).close)
+	forEachNode(k.proxyNodes, (*node).close)
+	forEachNode(k.memberNodes, (*node).close)
 	if cause := context.Cause(ctx); cause != nil {
 		return nil, cause
 	}
-	k.checkNothingLeft()
-	k.judgeUnanswered()
+	k.checkNoLeftovers()
+	k.checkUnanswered()
 	result := k.collectSoak(len(events))
 	result.RecoveredMs = recovered.Milliseconds()
 	return result, nil
 }
 
-// collectSoak completes the result.
+// collectSoak returns the completed result.
 func (k *soak) collectSoak(events int) *SoakResult {
 	collected := k.collect()
 	result := &k.soakResult
@@ -229,13 +231,13 @@
 	k.result.ConfigVersions++
 }
 
-func (k *soak) notePeak(totalKB int) {
+func (k *soak) recordPeakMemory(totalKB int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.soakResult.PeakRSSKB = max(k.soakResult.PeakRSSKB, totalKB)
 }
 
-// log writes a line to the log of events.
+// log writes a line to the event log.
 func (k *soak) log(format string, args ...any) {
 	k.eventsMu.Lock()
 	defer k.eventsMu.Unlock()
--- a/internal/simulation/cluster/soak_client.go
+++ b/internal/simulation/cluster/soak_client.go
@@ -11,38 +11,38 @@
 	"ferrypitch/internal/simulation/checker"
 )
 
-// behaviour is how a client of a soak uses its sessions.
+// behaviour is the way in which a client uses its sessions.
 type behaviour int
 
 const (
-	stays     behaviour = iota // one long session, until the process is gone
-	short                      // one operation a session
-	pipelines                  // several statements before the first answer
-	leaves                     // long sessions that it ends in the middle of something
+	longSessions      behaviour = iota // uses each session until it ends, as when the proxy stops
+	shortSessions                      // runs one operation in each session
+	pipelinedSessions                  // often sends several statements before it reads the first answer
+	abandonedSessions                  // uses long sessions and closes them within a transaction or before an answer
 )
 
-// behaviours is those of the clients of one proxy in turn; most sessions are long.
-var behaviours = []behaviour{stays, short, stays, pipelines, stays, leaves}
+// behaviours lists the behaviours that the clients of a proxy have in turn. Most sessions are long.
+var behaviours = []behaviour{longSessions, shortSessions, longSessions, pipelinedSessions, longSessions, abandonedSessions}
 
 const (
-	maxSoakPause  = 300 * time.Millisecond // between two operations of a client, as they are due
-	maxBacklog    = time.Second            // what a client that waited may make up for
+	maxSoakPause  = 300 * time.Millisecond // between the due times of a client's operations
+	maxBacklog    = time.Second            // limits how far a client's due time may lag behind the current time
 	pipelineDepth = 4
-	leaveOneIn    = 8
-	lossSlack     = 200 * time.Millisecond // for which a statement may meet an end that was not known yet
-	maxUnanswered = 10000                  // kept to be judged
+	abandonOneIn  = 8
+	lossSlack     = 200 * time.Millisecond // a client may send a statement this long before it detects that the connection has ended
+	maxUnanswered = 10000                  // unanswered statements kept for the final check
 )
 
-// unanswered is a statement whose connection ended before its answer.
+// unanswered is a statement whose connection ended before the answer.
 type unanswered struct {
-	node    *node
-	life    *lifeRecord
-	sent    sentStatement
-	endedAt time.Time
-	cause   error
+	node        *node
+	incarnation *incarnationRecord
+	sent        sentStatement
+	endedAt     time.Time
+	cause       error
 }
 
-// runSoakClient opens one session after another until ctx ends, each at another proxy than the one before.
+// runSoakClient runs successive sessions until ctx ends: the first at its own proxy, and later ones at random ready proxies.
 func (k *soak) runSoakClient(ctx context.Context, proxy, client int) {
 	random := rand.New(rand.NewPCG(k.Seed, uint64(proxy*maxClients+client)))
 	acts := behaviours[client%len(behaviours)]
@@ -59,18 +59,19 @@
 			random:  random,
 		}
 		if s.open(ctx, target.address) {
-			life := target.current()
+			incarnation := target.currentIncarnation()
 			s.onUnanswered = func(sent sentStatement, cause error) {
-				k.noteUnanswered(unanswered{target, life, sent, time.Now(), cause})
+				k.recordUnanswered(unanswered{target, incarnation, sent, time.Now(), cause})
 			}
-			s.runAs(ctx, acts, &due)
+			s.runBehaviour(ctx, acts, &due)
 			s.conn.Close()
 		}
 		_ = sleep(ctx, reconnectDelay) // the loop ends with the context
 	}
 }
 
-// chooseProxy returns a proxy that the platform takes for ready; where it finds none soon, the proposed one.
+// chooseProxy returns a random proxy whose last readiness check succeeded. If it finds none in a few tries, it returns the
+// proposed one.
 func (k *soak) chooseProxy(random *rand.Rand, proposed *node) *node {
 	for range len(k.proxyNodes) {
 		candidate := k.proxyNodes[random.IntN(len(k.proxyNodes))]
@@ -84,8 +85,8 @@
 	return proposed
 }
 
-// runAs runs operations at the times when they are due, however long those before took, until the session or ctx ends.
-func (s *session) runAs(ctx context.Context, acts behaviour, due *time.Time) {
+// runBehaviour runs operations until the session or ctx ends. Their due times don't depend on how long earlier operations took.
+func (s *session) runBehaviour(ctx context.Context, acts behaviour, due *time.Time) {
 	for ctx.Err() == nil {
 		*due = due.Add(time.Duration(s.random.Int64N(int64(maxSoakPause))))
 		if earliest := time.Now().Add(-maxBacklog); due.Before(earliest) {
@@ -95,20 +96,20 @@
 			return
 		}
 		switch {
-		case acts == pipelines && s.random.IntN(2) == 0:
+		case acts == pipelinedSessions && s.random.IntN(2) == 0:
 			if !s.pipeline() {
 				return
 			}
-		case acts == leaves && s.random.IntN(leaveOneIn) == 0:
-			s.leave()
+		case acts == abandonedSessions && s.random.IntN(abandonOneIn) == 0:
+			s.abandon()
 			return
-		case !s.runOperation() || acts == short:
+		case !s.runOperation() || acts == shortSessions:
 			return
 		}
 	}
 }
 
-// pipeline sends several reads before it reads the first answer.
+// pipeline sends several reads before it reads the first answer. It returns false if the session has ended.
 func (s *session) pipeline() bool {
 	var sent []sentStatement
 	for range pipelineDepth {
@@ -127,8 +128,8 @@
 	return true
 }
 
-// leave ends the session within a transaction, which must not be committed, or while a read is answered.
-func (s *session) leave() {
+// abandon leaves the session to be closed within a transaction, which must not be committed, or before a read is answered.
+func (s *session) abandon() {
 	if s.kind == kindBounded {
 		s.send(s.fetchText(), s.cluster.now())
 		return
@@ -142,7 +143,7 @@
 	s.cluster.withChecker(func(checker *checker.Checker) { checker.ReportNothingKept([]string{data}) })
 }
 
-func (k *soak) noteUnanswered(u unanswered) {
+func (k *soak) recordUnanswered(u unanswered) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.soakResult.Unanswered++
@@ -151,9 +152,9 @@
 	}
 }
 
-// judgeUnanswered checks the statements that got no answer: a process that was not killed or frozen answers every statement that it
-// had time to see, and every one that it gave to a host.
-func (k *soak) judgeUnanswered() {
+// checkUnanswered checks the statements without an answer. A process that was not killed or frozen must answer every statement
+// that it had time to receive, and every statement that a host has run.
+func (k *soak) checkUnanswered() {
 	k.mu.Lock()
 	all := k.unanswered
 	k.mu.Unlock()
@@ -163,20 +164,20 @@
 		k.mu.Unlock()
 		waited := u.endedAt.Sub(u.sent.at)
 		slack := lossSlack + k.stalls.between(u.sent.at, u.endedAt)
-		if !u.node.undisturbed(u.life, u.sent.at.Add(-contactTime)) || waited <= slack && !executed {
+		if !u.node.ranUndisturbed(u.incarnation, u.sent.at.Add(-reconnectTime)) || waited <= slack && !executed {
 			continue
 		}
 		state := "runs"
-		if stopped := u.life.terminatedAt; !stopped.IsZero() && stopped.Before(u.endedAt) {
+		if stopped := u.incarnation.terminatedAt; !stopped.IsZero() && stopped.Before(u.endedAt) {
 			state = fmt.Sprintf("was stopped %d ms before", u.endedAt.Sub(stopped).Milliseconds())
 		}
-		k.violate("LOST: %s at %s, which %s, got no answer in %d ms, executed %v: %s (ended at %.3f s)", u.sent.id, u.node.name, state,
-			waited.Milliseconds(), executed, describeEnd(u.cause), u.endedAt.Sub(k.startedAt).Seconds())
+		k.violate("LOST: %s at %s, which %s, got no answer in %d ms, executed %v: %s (connection ended at %.3f s)", u.sent.id, u.node.name, state,
+			waited.Milliseconds(), executed, describeDisconnect(u.cause), u.endedAt.Sub(k.startedAt).Seconds())
 	}
 }
 
-// describeEnd says how a connection ended.
-func describeEnd(cause error) string {
+// describeDisconnect describes why a connection ended.
+func describeDisconnect(cause error) string {
 	var timeout net.Error
 	if errors.As(cause, &timeout) && timeout.Timeout() {
 		return "silence"
--- a/internal/simulation/cluster/soak_faults.go
+++ b/internal/simulation/cluster/soak_faults.go
@@ -8,8 +8,8 @@
 	"ferrypitch/internal/simulation/faultplan"
 )
 
-// playFaults carries out a schedule. Events overlap; it returns when all are over.
-func (k *soak) playFaults(ctx context.Context, events []faultplan.Event) {
+// runFaults carries out a schedule, in which events may overlap, and returns when all of them have ended.
+func (k *soak) runFaults(ctx context.Context, events []faultplan.Event) {
 	began := time.Now()
 	for _, event := range events {
 		if sleep(ctx, time.Until(began.Add(event.At))) != nil {
@@ -17,7 +17,7 @@
 		}
 		k.log("event %s", event)
 		k.tasks.Go(func() {
-			if err := k.playEvent(ctx, event); err != nil {
+			if err := k.runEvent(ctx, event); err != nil {
 				k.violate("EVENT: %s: %v", event, err)
 			}
 		})
@@ -25,13 +25,13 @@
 	k.tasks.Wait()
 }
 
-func (k *soak) playEvent(ctx context.Context, event faultplan.Event) error {
+func (k *soak) runEvent(ctx context.Context, event faultplan.Event) error {
 	switch event.Target {
 	case faultplan.Member:
-		return k.playAtNode(ctx, k.memberNodes[event.Number], event)
+		return k.applyToNode(ctx, k.memberNodes[event.TargetIndex], event)
 	case faultplan.Proxy:
-		return k.playAtNode(ctx, k.proxyNodes[event.Number], event)
-	case faultplan.None:
+		return k.applyToNode(ctx, k.proxyNodes[event.TargetIndex], event)
+	case faultplan.NoTarget:
 	}
 	switch event.Kind {
 	case faultplan.ChangeConfig:
@@ -41,37 +41,37 @@
 	case faultplan.InvalidConfig:
 		k.operators.sendInvalid(ctx, event.Variant)
 	default:
-		return k.disturbHosts(event)
+		return k.applyToHosts(event)
 	}
 	return nil
 }
 
-func (k *soak) playAtNode(ctx context.Context, target *node, event faultplan.Event) error {
+func (k *soak) applyToNode(ctx context.Context, target *node, event faultplan.Event) error {
 	switch event.Kind {
 	case faultplan.Stop:
-		target.terminate(event.Lasts)
+		target.terminate(event.Duration)
 	case faultplan.StopTwice:
-		target.terminate(event.Lasts)
-		_ = sleep(ctx, event.Lasts) // the second one comes in any case
-		target.terminate(event.Lasts)
+		target.terminate(event.Duration)
+		_ = sleep(ctx, event.Duration) // the second signal is sent even if ctx has ended
+		target.terminate(event.Duration)
 	case faultplan.Kill:
-		target.kill(event.Lasts)
+		target.kill(event.Duration)
 	case faultplan.Freeze:
-		target.freeze(ctx, event.Lasts)
+		target.freeze(ctx, event.Duration)
 	case faultplan.Reload:
 		return target.reload(event.Variant)
 	case faultplan.BreakSettings:
-		return target.breakSettings(ctx, event.Variant, event.Lasts)
+		return target.breakSettings(ctx, event.Variant, event.Duration)
 	default:
 	}
 	return nil
 }
 
-// disturbHosts carries out an event at the database hosts.
-func (k *soak) disturbHosts(event faultplan.Event) error {
+// applyToHosts carries out an event at the database hosts.
+func (k *soak) applyToHosts(event faultplan.Event) error {
 	k.scheduler.Lock()
 	defer k.scheduler.Unlock()
-	span := int64(event.Lasts / database.TimeUnit)
+	span := int64(event.Duration / database.TimeUnit)
 	if event.Kind == faultplan.JoinHost {
 		if joined := len(k.hosts.Hosts); joined < maxHosts {
 			return k.hosts.Join(k.network.address(firstHost+joined, databasePort))
@@ -94,10 +94,10 @@
 	return nil
 }
 
-// hostDownTime is the time between the end of a host and the start of the one that follows at its address.
+// hostDownTime is the time between the end of a host and the start of its replacement at the same address.
 const hostDownTime = 500 * database.Millisecond
 
-// replica returns one of the replicas that run; nil if there is none.
+// replica returns one of the running replicas, selected by variant, or nil if there is none.
 func (k *soak) replica(variant int) *database.Host {
 	var replicas []*database.Host
 	for _, host := range k.hosts.Hosts {
--- a/internal/simulation/cluster/soak_node.go
+++ b/internal/simulation/cluster/soak_node.go
@@ -11,88 +11,88 @@
 	"ferrypitch/internal/simulation/program"
 )
 
-// Times by which the ends of a process are judged.
+// Time limits for the checks of processes.
 const (
 	gracePeriod = graceS * time.Second
-	// graceSlack is what a busy machine may add to an end, before the platform kills the process.
+	// graceSlack extends the grace period, since a shutdown takes longer on a busy machine.
 	graceSlack = time.Second
-	// contactTime is how long after a fault a process counts as disturbed.
-	contactTime = 4 * time.Second
-	// dumpTime is how long a process that outlives its grace has to write the stacks of its goroutines.
-	dumpTime = time.Second
-	// defaultDownTime is how long a process that was not stopped for a time of its own is down.
+	// reconnectTime is how long after a fault a process may still be affected by it.
+	reconnectTime = 4 * time.Second
+	// stackDumpTime is how long a process that exceeds its grace period has to write its goroutine stacks before SIGKILL.
+	stackDumpTime = time.Second
+	// defaultDownTime is how long a process is down unless the event that ended it sets another time.
 	defaultDownTime = 200 * time.Millisecond
 )
 
-// node is a process of a soak. The platform, which it plays, starts it again after each end.
+// node is a process of a soak test. Like the platform, it restarts the process after each exit.
 type node struct {
 	soak         *soak
 	name         string
 	process      *program.Process
 	settings     nodeSettings
-	address      string // that clients or operators use
-	readyAddress string // of a proxy
+	address      string // where clients or operators connect
+	readyAddress string // of the readiness checks of a proxy
 	maxMemory    int    // in kB
 	isMember     bool
 	supervisor   sync.WaitGroup
 
-	mu      sync.Mutex // protects what follows
-	life    *lifeRecord
-	closing bool // it is not started again
-	ready   bool // as the platform saw it last
-	peakKB  int
+	mu          sync.Mutex // protects the fields below
+	incarnation *incarnationRecord
+	closing     bool // the process is not restarted
+	ready       bool // result of the last readiness check
+	peakKB      int
 }
 
-// lifeRecord is what was done to a process in one life. The node's lock protects it.
-type lifeRecord struct {
-	startedAt    time.Time
-	terminatedAt time.Time // the first SIGTERM; zero: none
-	listening    bool      // at the first SIGTERM: it had its handlers of signals
-	killedAt     time.Time
-	disturbedAt  time.Time // the last begin or end of a freeze; zero: none
-	frozen       int       // freezes under way
-	downTime     time.Duration
+// incarnationRecord records the signals sent to one incarnation of a process. The node's lock protects it.
+type incarnationRecord struct {
+	startedAt       time.Time
+	terminatedAt    time.Time // when the first SIGTERM was sent; zero if none was
+	listening       bool      // the process listened at the first SIGTERM, so its signal handlers were installed
+	killedAt        time.Time
+	freezeChangedAt time.Time // when a freeze last began or ended; zero if there was none
+	activeFreezes   int       // number of overlapping freezes in progress
+	downTime        time.Duration
 }
 
-// supervise starts the process again after each end, until the node is closed or ctx ends.
+// supervise restarts the process after each exit until the node is closed or ctx ends.
 func (n *node) supervise(ctx context.Context) {
 	for {
-		life := n.process.Life()
+		incarnation := n.process.Incarnation()
 		select {
 		case <-ctx.Done():
 			return
-		case <-life.Ended():
+		case <-incarnation.Ended():
 		}
-		downTime, again := n.judgeEnd(life)
+		downTime, again := n.checkExit(incarnation)
 		if !again || sleep(ctx, downTime) != nil {
 			return
 		}
 		if err := n.restart(); err != nil {
-			n.soak.violate("CRASH: %s can't be started: %v", n.name, err)
+			n.soak.violate("CRASH: %s can't be restarted: %v", n.name, err)
 			return
 		}
 	}
 }
 
-// judgeEnd checks how a life has ended, and says whether another follows and when.
-func (n *node) judgeEnd(life *program.Life) (downTime time.Duration, again bool) {
+// checkExit checks how an incarnation exited. It returns whether to start another one and how long to wait before that.
+func (n *node) checkExit(incarnation *program.Incarnation) (downTime time.Duration, again bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	record := n.life
+	record := n.incarnation
 	n.ready = false
 	stopped := record.terminatedAt
 	switch {
 	case !record.killedAt.IsZero():
 	case stopped.IsZero():
-		n.soak.violate("CRASH: %s ended by itself: %s; see %s", n.name, life.Status(), n.soak.logFile(n.name))
-	case !life.Succeeded() && record.listening:
-		n.soak.violate("CRASH: %s ended with %s after SIGTERM; see %s", n.name, life.Status(), n.soak.logFile(n.name))
+		n.soak.violate("CRASH: %s ended by itself: %s; see %s", n.name, incarnation.Status(), n.soak.logFile(n.name))
+	case !incarnation.Succeeded() && record.listening:
+		n.soak.violate("CRASH: %s ended with %s after SIGTERM; see %s", n.name, incarnation.Status(), n.soak.logFile(n.name))
 	}
-	n.soak.log("%s ended: %s", n.name, life.Status())
+	n.soak.log("%s ended: %s", n.name, incarnation.Status())
 	return record.downTime, !n.closing
 }
 
-// restart starts the process with proper settings.
+// restart starts the process with its valid settings.
 func (n *node) restart() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,87 +102,88 @@
 	if err := n.soak.writeSettings(n.name, n.settings.toml()); err != nil {
 		return err
 	}
-	n.life = newLifeRecord()
+	n.incarnation = newIncarnationRecord()
 	n.soak.log("%s starts", n.name)
 	return n.process.Restart()
 }
 
-func newLifeRecord() *lifeRecord {
-	return &lifeRecord{startedAt: time.Now(), downTime: defaultDownTime}
+func newIncarnationRecord() *incarnationRecord {
+	return &incarnationRecord{startedAt: time.Now(), downTime: defaultDownTime}
 }
 
-// current returns the record of the present life.
-func (n *node) current() *lifeRecord {
+// currentIncarnation returns the record of the current incarnation.
+func (n *node) currentIncarnation() *incarnationRecord {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.life
+	return n.incarnation
 }
 
-// terminate sends SIGTERM, and SIGKILL once the grace has passed. A process that shuts down already gets another SIGTERM.
+// terminate sends SIGTERM, and SIGKILL after the grace period. If the process is shutting down already, it gets another SIGTERM.
 func (n *node) terminate(downTime time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	life, record := n.process.Life(), n.life
-	if life.HasEnded() {
+	incarnation, record := n.process.Incarnation(), n.incarnation
+	if incarnation.HasEnded() {
 		return
 	}
 	if record.terminatedAt.IsZero() {
-		record.terminatedAt, record.downTime, record.listening = time.Now(), downTime, n.listens()
+		record.terminatedAt, record.downTime, record.listening = time.Now(), downTime, n.isListening()
 		time.AfterFunc(gracePeriod+graceSlack, func() {
 			time.Sleep(n.soak.stalls.since(record.terminatedAt))
-			n.enforceGrace(life, record)
+			n.enforceGrace(incarnation, record)
 		})
 	}
-	life.Signal(syscall.SIGTERM)
+	incarnation.Signal(syscall.SIGTERM)
 }
 
-// enforceGrace kills a process that has not ended within its grace. One that was frozen meanwhile is not blamed.
-func (n *node) enforceGrace(life *program.Life, record *lifeRecord) {
+// enforceGrace kills a process that has not exited within its grace period. This is a violation unless the process was frozen
+// in the meantime.
+func (n *node) enforceGrace(incarnation *program.Incarnation, record *incarnationRecord) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if life.HasEnded() {
+	if incarnation.HasEnded() {
 		return
 	}
-	if record.frozen == 0 && record.disturbedAt.Before(record.terminatedAt) && !life.HasExited() {
+	if record.activeFreezes == 0 && record.freezeChangedAt.Before(record.terminatedAt) && !incarnation.HasExited() {
 		n.soak.violate("GRACE: %s still runs %v after SIGTERM", n.name, roundMs(time.Since(record.terminatedAt)))
 	}
 	record.killedAt = time.Now()
-	life.Signal(syscall.SIGCONT)
-	life.Signal(syscall.SIGQUIT) // its log gets the stacks of its goroutines
-	time.AfterFunc(dumpTime, func() { life.Signal(syscall.SIGKILL) })
+	incarnation.Signal(syscall.SIGCONT)
+	incarnation.Signal(syscall.SIGQUIT) // writes the goroutine stacks to the log
+	time.AfterFunc(stackDumpTime, func() { incarnation.Signal(syscall.SIGKILL) })
 }
 
 // kill sends SIGKILL.
 func (n *node) kill(downTime time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	life := n.process.Life()
-	if life.HasEnded() {
+	incarnation := n.process.Incarnation()
+	if incarnation.HasEnded() {
 		return
 	}
-	n.life.killedAt, n.life.downTime = time.Now(), downTime
-	life.Signal(syscall.SIGKILL)
+	n.incarnation.killedAt, n.incarnation.downTime = time.Now(), downTime
+	incarnation.Signal(syscall.SIGKILL)
 }
 
-// freeze stops the process by SIGSTOP for a time. Where freezes overlap, the process runs after the last of them.
+// freeze suspends the process with SIGSTOP for a span. If freezes overlap, the process resumes after the last one.
 func (n *node) freeze(ctx context.Context, span time.Duration) {
-	life, record := n.process.Life(), n.current()
+	incarnation, record := n.process.Incarnation(), n.currentIncarnation()
 	n.mu.Lock()
-	record.frozen++
-	record.disturbedAt = time.Now()
-	life.Signal(syscall.SIGSTOP)
+	record.activeFreezes++
+	record.freezeChangedAt = time.Now()
+	incarnation.Signal(syscall.SIGSTOP)
 	n.mu.Unlock()
-	_ = sleep(ctx, span) // thawed in any case
+	_ = sleep(ctx, span) // the process is resumed even if ctx has ended
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	record.frozen--
-	record.disturbedAt = time.Now()
-	if record.frozen == 0 {
-		life.Signal(syscall.SIGCONT)
+	record.activeFreezes--
+	record.freezeChangedAt = time.Now()
+	if record.activeFreezes == 0 {
+		incarnation.Signal(syscall.SIGCONT)
 	}
 }
 
-// reload gives the process other valid settings, with SIGHUP or without: it looks at the file by itself, too.
+// reload writes changed valid settings, with or without SIGHUP: the process also watches the file.
 func (n *node) reload(variant int) error {
 	settings := n.settings
 	settings.seedPeers = rotated(settings.seedPeers, variant%len(settings.seedPeers))
@@ -190,7 +191,7 @@
 	return n.replaceSettings(settings.toml(), variant%3 != 0)
 }
 
-// breakSettings gives the process settings that can't be read, and the proper ones again after a time.
+// breakSettings writes invalid settings, and the valid ones again after a span.
 func (n *node) breakSettings(ctx context.Context, variant int, span time.Duration) error {
 	proper := n.settings.toml()
 	broken := proper[:len(proper)/2]
@@ -200,42 +201,43 @@
 	if err := n.replaceSettings(broken, true); err != nil {
 		return err
 	}
-	_ = sleep(ctx, span) // mended in any case
+	_ = sleep(ctx, span) // the valid settings are restored even if ctx has ended
 	return n.replaceSettings(proper, true)
 }
 
-// replaceSettings writes the settings file of a process that runs. One that is down, or has not read it yet, keeps the proper one.
+// replaceSettings writes the settings file of a running process. If the process is down, or has not read its settings yet, the
+// valid file stays.
 func (n *node) replaceSettings(toml string, signal bool) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	life := n.process.Life()
-	if life.HasEnded() || !n.listens() {
+	incarnation := n.process.Incarnation()
+	if incarnation.HasEnded() || !n.isListening() {
 		return nil
 	}
 	if err := n.soak.writeSettings(n.name, toml); err != nil {
 		return err
 	}
 	if signal {
-		life.Signal(syscall.SIGHUP)
+		incarnation.Signal(syscall.SIGHUP)
 	}
 	return nil
 }
 
-// awaitRunning waits until the process runs and is not about to end, or ctx ends.
+// awaitRunning waits until the process runs and has not been told to exit, or ctx ends.
 func (n *node) awaitRunning(ctx context.Context) {
-	for !n.runs() && sleep(ctx, recoverInterval) == nil {
+	for !n.isRunning() && sleep(ctx, recoverInterval) == nil {
 		continue
 	}
 }
 
-func (n *node) runs() bool {
+func (n *node) isRunning() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.process.Life().HasEnded() && n.life.terminatedAt.IsZero() && n.life.killedAt.IsZero()
+	return !n.process.Incarnation().HasEnded() && n.incarnation.terminatedAt.IsZero() && n.incarnation.killedAt.IsZero()
 }
 
-// listens reports whether the process has read its settings, and listens.
-func (n *node) listens() bool {
+// isListening reports whether the process accepts connections, which means that it has read its settings.
+func (n *node) isListening() bool {
 	conn, err := net.DialTimeout("tcp", n.address, dialTimeout)
 	if err == nil {
 		conn.Close()
@@ -243,7 +245,7 @@
 	return err == nil
 }
 
-// close has the process end for good.
+// close stops the process without a restart.
 func (n *node) close() {
 	n.mu.Lock()
 	n.closing = true
@@ -252,23 +254,23 @@
 	n.supervisor.Wait()
 }
 
-// undisturbed reports whether a life ran by itself, without a kill or a freeze, since some time and until now.
-func (n *node) undisturbed(record *lifeRecord, since time.Time) bool {
+// ranUndisturbed reports whether an incarnation was never killed, and not frozen since the given time.
+func (n *node) ranUndisturbed(record *incarnationRecord, since time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return record.killedAt.IsZero() && record.frozen == 0 && record.disturbedAt.Before(since)
+	return record.killedAt.IsZero() && record.activeFreezes == 0 && record.freezeChangedAt.Before(since)
 }
 
-// calm reports whether the present life has been in touch for a time: it was not started, stopped, killed or frozen.
-func (n *node) calm(span time.Duration) bool {
+// isStable reports whether the process runs and was not started, stopped, killed or frozen within the last span.
+func (n *node) isStable(span time.Duration) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	record, since := n.life, time.Now().Add(-span)
-	return !n.process.Life().HasEnded() && record.terminatedAt.IsZero() && record.killedAt.IsZero() && record.frozen == 0 &&
-		record.startedAt.Before(since) && record.disturbedAt.Before(since)
+	record, since := n.incarnation, time.Now().Add(-span)
+	return !n.process.Incarnation().HasEnded() && record.terminatedAt.IsZero() && record.killedAt.IsZero() && record.activeFreezes == 0 &&
+		record.startedAt.Before(since) && record.freezeChangedAt.Before(since)
 }
 
-// rotated returns the items from one on, followed by those before it.
+// rotated returns the items starting at index first, followed by those before it.
 func rotated(items []string, first int) []string {
 	return append(append([]string{}, items[first:]...), items[:first]...)
 }
--- a/internal/simulation/cluster/soak_operator.go
+++ b/internal/simulation/cluster/soak_operator.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// configApplyTime is how long after its acknowledgement a configuration may take to be in force at proxies in touch.
+	// configApplyTime is how long after its acknowledgement a configuration may take to be applied by connected proxies.
 	configApplyTime = 3 * time.Second
-	// maxInvalidTries is how often a configuration that has to be refused is sent for want of a clear answer.
+	// maxInvalidTries limits the attempts to get a conclusive answer to an invalid configuration.
 	maxInvalidTries = 10
 )
 
-// operators sends the changes of a soak one after another, but for races, and keeps what was answered.
+// operators sends the configuration changes of a soak test, one at a time except in races, and records the answers.
 type operators struct {
 	soak *soak
 
-	sequence sync.Mutex // held while a change is under way
+	changeMu sync.Mutex // held while a change is in progress
 
-	mu     sync.Mutex // protects what follows
-	newest *version   // acknowledged
-	sent   []*version // all that may be in force some time, in the order of sending
+	mu     sync.Mutex       // protects the fields below
+	newest *configVersion   // the newest acknowledged version
+	sent   []*configVersion // all valid versions that were sent, in order; each may have been applied
 }
 
-// version is a valid change that was sent.
-type version struct {
-	config  serviceConfig
-	amends  bool
-	body    []byte // of the call
-	base    int
-	refused bool
-	ackedAt time.Time
+// configVersion is a valid configuration change.
+type configVersion struct {
+	config      serviceConfig
+	isAmendment bool
+	body        []byte // of the request
+	base        int
+	rejected    bool
+	ackedAt     time.Time
 }
 
-// change replaces or amends the newest configuration, and waits for a clear answer.
+// change replaces or amends the newest configuration, and waits for a conclusive answer.
 func (o *operators) change(ctx context.Context, variant int) {
-	o.sequence.Lock()
-	defer o.sequence.Unlock()
+	o.changeMu.Lock()
+	defer o.changeMu.Unlock()
 	next := o.draft(variant%2 == 1)
 	if status := o.submit(ctx, next, variant); status != http.StatusOK && ctx.Err() == nil {
-		o.soak.violate("CONFIG: generation %d on the newest base %d is answered %d", next.config.Generation, next.base, status)
+		o.soak.violate("CONFIG: generation %d on the newest base %d was answered with status %d", next.config.Generation, next.base, status)
 	}
 }
 
-// race sends two changes with one base and one generation at the same time: one of them wins.
+// race sends two changes with the same base and generation concurrently, and checks that exactly one of them is accepted.
 func (o *operators) race(ctx context.Context) {
-	o.sequence.Lock()
-	defer o.sequence.Unlock()
-	drafts := []*version{o.draft(true), o.draft(false)}
+	o.changeMu.Lock()
+	defer o.changeMu.Unlock()
+	drafts := []*configVersion{o.draft(true), o.draft(false)}
 	statuses := make([]int, len(drafts))
 	var calls sync.WaitGroup
 	for i, draft := range drafts {
@@ -68,18 +68,19 @@
 		}
 	}
 	if won != 1 && ctx.Err() == nil {
-		o.soak.violate("CONFIG: two changes on base %d are answered %v", drafts[0].base, statuses)
+		o.soak.violate("CONFIG: two changes on base %d were answered with statuses %v", drafts[0].base, statuses)
 	}
 }
 
-// draft is a change of the newest configuration. Its marker is a route of its own name, and that of the version before is gone.
-func (o *operators) draft(amends bool) *version {
+// draft returns a change of the newest configuration. It adds a marker route named after the new generation, and removes the
+// marker route of the version before.
+func (o *operators) draft(isAmendment bool) *configVersion {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	base := o.newest.config
-	next := &version{amends: amends, base: base.Generation, config: o.soak.configOf(base.Generation + 2)}
+	next := &configVersion{isAmendment: isAmendment, base: base.Generation, config: o.soak.configOf(base.Generation + 2)}
 	marker := markerRoute(next.config)
-	if amends {
+	if isAmendment {
 		next.config.Routes = append(slices.Clone(base.Routes[:len(base.Routes)-1]), marker)
 		next.config.Routes[0] = o.soak.configOf(next.config.Generation).Routes[0]
 		next.body = encodeJSON(amendBody{
@@ -94,7 +95,7 @@
 	return next
 }
 
-// amendBody is the body of an amendment, by the names that the control plane reads.
+// amendBody is the body of an Amend call in the JSON format of the control plane.
 type amendBody struct {
 	Generation int
 	Upsert     routeItems
@@ -106,7 +107,8 @@
 	routeNames struct{ Routes []string }
 )
 
-// markerRoute is the last route of each version, by which clients can tell the version in force.
+// markerRoute returns the route that marks a version. It is the last route, and lets a client find out whether a proxy has
+// applied the version.
 func markerRoute(config serviceConfig) routeConfig {
 	marker := config.Routes[0]
 	marker.Name, marker.Host = markerHost(config.Generation), markerHost(config.Generation)
@@ -118,22 +120,22 @@
 func encodeJSON(value any) []byte {
 	body, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // strings and whole numbers always have a form in JSON
+		panic(err) // strings and integers can always be encoded as JSON
 	}
 	return body
 }
 
-// submit sends a change to one member after another until the answer is clear or ctx ends, and notes the outcome. The changes of a
-// race begin at different members.
-func (o *operators) submit(ctx context.Context, next *version, first int) (status int) {
+// submit sends a change to the members in turn until an answer is conclusive or ctx ends, and records the outcome. first is
+// the member to start with; the changes of a race start at different members.
+func (o *operators) submit(ctx context.Context, next *configVersion, first int) (status int) {
 	o.mu.Lock()
 	o.sent = append(o.sent, next)
 	o.mu.Unlock()
 	path := replacePath
-	if next.amends {
+	if next.isAmendment {
 		path = amendPath
 	}
-	status = o.callUntilClear(ctx, path, next.base, next.body, first, -1)
+	status = o.callUntilConclusive(ctx, path, next.base, next.body, first, -1)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch {
@@ -144,18 +146,18 @@
 		}
 		o.soak.countConfig()
 	case status != 0:
-		next.refused = true
+		next.rejected = true
 	}
 	return status
 }
 
-// callUntilClear returns the first clear answer to a change; 0: none came in so many tries, or before ctx ended. Less than no tries
-// are as many as it takes.
-func (o *operators) callUntilClear(ctx context.Context, path string, base int, body []byte, first, tries int) (status int) {
+// callUntilConclusive sends a change to the members in turn and returns the status of the first conclusive answer, or 0 if
+// there is none within the given number of tries or before ctx ends. A negative number of tries means no limit.
+func (o *operators) callUntilConclusive(ctx context.Context, path string, base int, body []byte, first, tries int) (status int) {
 	members := o.soak.memberAddresses()
 	for try := 0; try != tries && ctx.Err() == nil; try++ {
 		status, text, err := postConfig(ctx, members[(first+try)%len(members)], path, base, body)
-		if err == nil && isClear(status) {
+		if err == nil && isConclusive(status) {
 			if status != http.StatusOK {
 				o.soak.log("%s on base %d: %d %.200s", path, base, status, text)
 			}
@@ -166,42 +168,42 @@
 	return 0
 }
 
-// isClear reports whether an answer says that a change was taken, or that it was not.
-func isClear(status int) bool {
+// isConclusive reports whether a status says for certain that a change was accepted or that it was rejected.
+func isConclusive(status int) bool {
 	return status < http.StatusInternalServerError && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// sendInvalid sends a change that has to be refused.
+// sendInvalid sends an invalid change and checks that it is not accepted.
 func (o *operators) sendInvalid(ctx context.Context, variant int) {
-	o.sequence.Lock()
-	defer o.sequence.Unlock()
+	o.changeMu.Lock()
+	defer o.changeMu.Unlock()
 	fault := invalidations[variant%len(invalidations)]
 	next := o.draft(false)
-	body, base := fault.spoil(next.config), next.base
+	body, base := fault.corrupt(next.config), next.base
 	if fault.staleBase {
 		base--
 	}
-	status := o.callUntilClear(ctx, replacePath, base, body, variant, maxInvalidTries)
+	status := o.callUntilConclusive(ctx, replacePath, base, body, variant, maxInvalidTries)
 	if status == http.StatusOK {
-		o.soak.violate("CONFIG: accepted though it is invalid: %s", fault.name)
+		o.soak.violate("CONFIG: an invalid configuration was accepted: %s", fault.name)
 	}
 }
 
-// invalidation makes a valid configuration invalid.
+// invalidation is a way to make a valid configuration invalid.
 type invalidation struct {
 	name      string
 	staleBase bool
-	spoil     func(serviceConfig) []byte
+	corrupt   func(serviceConfig) []byte
 }
 
 var invalidations = []invalidation{
-	{name: "cut short", spoil: func(c serviceConfig) []byte { return encodeJSON(c)[:len(encodeJSON(c))/2] }},
-	{name: "an unknown service", spoil: func(c serviceConfig) []byte { c.Routes[1].Service = "nowhere"; return encodeJSON(c) }},
-	{name: "two routes at one place", spoil: func(c serviceConfig) []byte { c.Routes[1].Host = c.Routes[0].Host; return encodeJSON(c) }},
-	{name: "a deadline of 0", spoil: func(c serviceConfig) []byte { c.Routes[2].DeadlineMs = 0; return encodeJSON(c) }},
-	{name: "an older generation", spoil: func(c serviceConfig) []byte { c.Generation -= 2; return encodeJSON(c) }},
-	{name: "another base", staleBase: true, spoil: func(c serviceConfig) []byte { return encodeJSON(c) }},
-	{name: "one key of two tenants", spoil: func(c serviceConfig) []byte {
+	{name: "a truncated body", corrupt: func(c serviceConfig) []byte { return encodeJSON(c)[:len(encodeJSON(c))/2] }},
+	{name: "an unknown service", corrupt: func(c serviceConfig) []byte { c.Routes[1].Service = "nowhere"; return encodeJSON(c) }},
+	{name: "two routes with the same host and path", corrupt: func(c serviceConfig) []byte { c.Routes[1].Host = c.Routes[0].Host; return encodeJSON(c) }},
+	{name: "a deadline of 0", corrupt: func(c serviceConfig) []byte { c.Routes[2].DeadlineMs = 0; return encodeJSON(c) }},
+	{name: "an older generation", corrupt: func(c serviceConfig) []byte { c.Generation -= 2; return encodeJSON(c) }},
+	{name: "a stale base version", staleBase: true, corrupt: func(c serviceConfig) []byte { return encodeJSON(c) }},
+	{name: "two tenants with the same key", corrupt: func(c serviceConfig) []byte {
 		return encodeJSON(tenantConfig{c, []tenantItem{{"t1", []string{"k1"}}, {"t2", []string{"k2", "k1"}}}})
 	}},
 }
@@ -214,18 +216,18 @@
 
 type tenantItem struct {
 	Name    string
-	ApiKeys []string //nolint:revive,staticcheck // the name on the users' wire
+	ApiKeys []string //nolint:revive,staticcheck // the name in the configuration's JSON format
 }
 
-// watch reads the configuration back from one member after another until ctx ends.
-func (o *operators) watch(ctx context.Context) {
+// watchConfig reads and checks the configuration at the members in turn until ctx ends.
+func (o *operators) watchConfig(ctx context.Context) {
 	members := o.soak.memberAddresses()
 	for i := 0; sleep(ctx, configReadInterval) == nil; i++ {
 		o.checkRead(ctx, members[i%len(members)])
 	}
 }
 
-// checkRead reads the configuration at a member and checks it; false: it does not answer.
+// checkRead reads the configuration at a member and checks it. It returns false if the member does not answer.
 func (o *operators) checkRead(ctx context.Context, member string) bool {
 	o.mu.Lock()
 	newest := o.newest.config.Generation
@@ -236,40 +238,40 @@
 	}
 	var got serviceConfig
 	if err := json.Unmarshal([]byte(text), &got); err != nil {
-		o.soak.violate("CONFIG: %s reads back what is none: %v", member, err)
+		o.soak.violate("CONFIG: %s returns a malformed configuration: %v", member, err)
 		return true
 	}
 	if got.Generation < newest {
-		o.soak.violate("CONFIG: %s reads back generation %d, %d was acknowledged before", member, got.Generation, newest)
+		o.soak.violate("CONFIG: %s returns generation %d, %d was acknowledged before", member, got.Generation, newest)
 	}
-	if found := o.find(got); found == nil {
-		o.soak.violate("CONFIG: %s reads back what nobody sent: %.300s", member, text)
-	} else if found.refused {
-		o.soak.violate("CONFIG: %s reads back generation %d, which was refused", member, got.Generation)
+	if found := o.findVersion(got); found == nil {
+		o.soak.violate("CONFIG: %s returns a configuration that was never sent: %.300s", member, text)
+	} else if found.rejected {
+		o.soak.violate("CONFIG: %s returns generation %d, which was rejected", member, got.Generation)
 	}
 	return true
 }
 
-// find returns the version that was sent with some content; nil if there is none.
-func (o *operators) find(config serviceConfig) *version {
+// findVersion returns the last sent version with the given content, or nil if there is none.
+func (o *operators) findVersion(config serviceConfig) *configVersion {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, sent := range slices.Backward(o.sent) {
-		if sent.config.Generation == config.Generation && reflect.DeepEqual(sorted(sent.config), sorted(config)) {
+		if sent.config.Generation == config.Generation && reflect.DeepEqual(withSortedRoutes(sent.config), withSortedRoutes(config)) {
 			return sent
 		}
 	}
 	return nil
 }
 
-// sorted is the configuration with its routes in the order of their names.
-func sorted(config serviceConfig) serviceConfig {
+// withSortedRoutes returns the configuration with its routes sorted by name.
+func withSortedRoutes(config serviceConfig) serviceConfig {
 	config.Routes = slices.SortedFunc(slices.Values(config.Routes), func(a, b routeConfig) int { return cmp.Compare(a.Name, b.Name) })
 	return config
 }
 
 // newestVersion returns the newest version that was acknowledged.
-func (o *operators) newestVersion() version {
+func (o *operators) newestVersion() configVersion {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return *o.newest
--- a/internal/simulation/cluster/soak_recovery.go
+++ b/internal/simulation/cluster/soak_recovery.go
@@ -11,13 +11,13 @@
 
 const recoverInterval = 100 * time.Millisecond
 
-// awaitRecovery waits until every member reads the newest configuration back, and every proxy is ready and serves all kinds of routes.
-// It returns how long this took.
+// awaitRecovery waits until every member returns the newest configuration, and every proxy is ready and serves all route kinds.
+// It returns how long this took. Exceeding recoveryTime, extended by stalls, is a violation.
 func (k *soak) awaitRecovery(ctx context.Context) time.Duration {
 	began := time.Now()
 	waiting := k.nodes()
 	for {
-		waiting = k.stillDown(ctx, waiting)
+		waiting = k.unavailableNodes(ctx, waiting)
 		if len(waiting) == 0 || ctx.Err() != nil {
 			break
 		}
@@ -32,11 +32,11 @@
 	return time.Since(began)
 }
 
-// stillDown returns the nodes that don't serve.
-func (k *soak) stillDown(ctx context.Context, nodes []*node) (down []*node) {
+// unavailableNodes checks nodes concurrently and returns those that don't serve.
+func (k *soak) unavailableNodes(ctx context.Context, nodes []*node) (down []*node) {
 	var mu sync.Mutex
 	client := &http.Client{Timeout: readinessTimeout}
-	each(nodes, func(n *node) {
+	forEachNode(nodes, func(n *node) {
 		serves := false
 		if n.isMember {
 			serves = k.operators.checkRead(ctx, n.address)
@@ -52,14 +52,14 @@
 	return down
 }
 
-// checkAtEnd checks, with no load and no faults, that all is served and that each proxy has the newest configuration.
+// checkAtEnd checks, without load and faults, that all nodes serve and that each proxy has the newest configuration.
 func (k *soak) checkAtEnd(ctx context.Context) {
-	_ = sleep(ctx, configApplyTime-quietTime) // ended early with the run
+	_ = sleep(ctx, configApplyTime-quietTime) // an error means that the run is aborted
 	k.awaitRecovery(ctx)
-	each(k.proxyNodes, func(n *node) { k.checkMarkers(ctx, n) })
+	forEachNode(k.proxyNodes, func(n *node) { k.checkMarkers(ctx, n) })
 }
 
-// servesAllKinds reports whether a proxy serves a read, and a write where there are any, on each kind of route.
+// servesAllKinds reports whether a proxy serves a read on each kind of route, and a write on each kind that accepts writes.
 func (k *soak) servesAllKinds(ctx context.Context, n *node) bool {
 	for _, kind := range routeKinds {
 		if !k.serves(ctx, n, kind) {
--- a/internal/simulation/cluster/soak_test.go
+++ b/internal/simulation/cluster/soak_test.go
@@ -23,9 +23,9 @@
 	return &soak{cluster: newCluster(t.TempDir(), "127.0.0", defaultSize, options), events: events}
 }
 
-// newTestNode returns a node whose process is a script.
+// newTestNode returns a node whose process runs a shell script.
 func newTestNode(t *testing.T, k *soak, script string) *node {
-	n := &node{soak: k, name: "node", life: newLifeRecord(), closing: true}
+	n := &node{soak: k, name: "node", incarnation: newIncarnationRecord(), closing: true}
 	var err error
 	n.process, err = program.Start(program.Config{Binary: "sh", Args: []string{"-c", script}, Log: k.logFile(n.name)})
 	require.NoError(t, err)
@@ -49,34 +49,34 @@
 	t.Parallel()
 	k := newTestSoak(t)
 	n := newTestNode(t, k, "trap '' TERM; while :; do sleep 0.1; done")
-	time.Sleep(200 * time.Millisecond) // until it ignores the signal
+	time.Sleep(200 * time.Millisecond) // until the script ignores SIGTERM
 	n.terminate(0)
-	<-n.process.Life().Ended()
+	<-n.process.Incarnation().Ended()
 	requireViolation(t, k, "GRACE: node still runs")
 }
 
 func TestUnansweredStatementsAreJudgedByWhatTheProcessSuffered(t *testing.T) {
 	now := time.Now()
 	cases := map[string]struct {
-		life     lifeRecord
-		waited   time.Duration
-		executed bool
-		lost     bool
+		incarnation incarnationRecord
+		waited      time.Duration
+		executed    bool
+		lost        bool
 	}{
 		"a process that ran":                  {waited: time.Second, lost: true},
-		"a process that was stopped":          {life: lifeRecord{terminatedAt: now}, waited: time.Second, lost: true},
-		"met an end that was not known yet":   {waited: 50 * time.Millisecond},
-		"sent to a host before the end":       {waited: 50 * time.Millisecond, executed: true, lost: true},
-		"a process that was killed":           {life: lifeRecord{killedAt: now}, waited: time.Second},
-		"a process that was frozen meanwhile": {life: lifeRecord{disturbedAt: now}, waited: time.Second},
+		"a process that was stopped":          {incarnation: incarnationRecord{terminatedAt: now}, waited: time.Second, lost: true},
+		"connection ended just after sending": {waited: 50 * time.Millisecond},
+		"executed by a host before the end":   {waited: 50 * time.Millisecond, executed: true, lost: true},
+		"a process that was killed":           {incarnation: incarnationRecord{killedAt: now}, waited: time.Second},
+		"a process that was frozen meanwhile": {incarnation: incarnationRecord{freezeChangedAt: now}, waited: time.Second},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			k := newTestSoak(t)
 			k.executed["s.1"] = c.executed
 			sent := sentStatement{id: "s.1", at: now}
-			k.noteUnanswered(unanswered{&node{}, &c.life, sent, now.Add(c.waited), io.EOF})
-			k.judgeUnanswered()
+			k.recordUnanswered(unanswered{&node{}, &c.incarnation, sent, now.Add(c.waited), io.EOF})
+			k.checkUnanswered()
 			require.Equal(t, c.lost, len(k.result.Violations) > 0)
 		})
 	}
@@ -84,17 +84,17 @@
 
 func TestConfigurationThatIsReadBackIsCompared(t *testing.T) {
 	k := newTestSoak(t)
-	newest := &version{config: k.configOf(5)}
-	refused := &version{config: k.configOf(7), refused: true}
-	k.operators = &operators{soak: k, newest: newest, sent: []*version{newest, refused}}
+	newest := &configVersion{config: k.configOf(5)}
+	rejected := &configVersion{config: k.configOf(7), rejected: true}
+	k.operators = &operators{soak: k, newest: newest, sent: []*configVersion{newest, rejected}}
 	for _, c := range []struct {
 		config    serviceConfig
 		violation string
 	}{
 		{k.configOf(5), ""},
 		{k.configOf(3), "5 was acknowledged before"},
-		{k.configOf(7), "which was refused"},
-		{k.configOf(9), "what nobody sent"},
+		{k.configOf(7), "which was rejected"},
+		{k.configOf(9), "a configuration that was never sent"},
 	} {
 		k.result.Violations = nil
 		member := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(encodeJSON(c.config)) }))
--- a/internal/simulation/cluster/soak_watch.go
+++ b/internal/simulation/cluster/soak_watch.go
@@ -20,26 +20,27 @@
 	memoryInterval     = 500 * time.Millisecond
 	markerInterval     = 300 * time.Millisecond
 
-	// unreadyTime is how soon after SIGTERM a proxy says that it is not ready: the platform asks each second.
+	// unreadyTime is the time after SIGTERM within which a proxy must report that it is not ready. The platform polls
+	// readiness every second.
 	unreadyTime = time.Second
 
-	// Memory that a process may take, as in the deployments.
+	// Memory limits of a process, as in the deployments.
 	maxProxyMemoryKB  = 184 << 10
 	maxMemberMemoryKB = 280 << 10
 )
 
-// watchReadiness asks a proxy like the platform does, until ctx ends.
+// watchReadiness polls a proxy's readiness like the platform until ctx ends.
 func (k *soak) watchReadiness(ctx context.Context, n *node) {
 	client := &http.Client{Timeout: readinessTimeout}
 	interval := max(readinessInterval, time.Duration(len(k.proxyNodes))*readinessInterval/20)
 	for sleep(ctx, interval) == nil {
-		life, askedAt := n.current(), time.Now()
+		incarnation, askedAt := n.currentIncarnation(), time.Now()
 		ready := isReady(ctx, client, n.readyAddress)
 		n.mu.Lock()
 		n.ready = ready
-		stopped := life.terminatedAt
-		late := ready && !stopped.IsZero() && askedAt.Sub(stopped) > unreadyTime+k.stalls.since(stopped) && life == n.life &&
-			life.frozen == 0 && life.disturbedAt.Before(stopped)
+		stopped := incarnation.terminatedAt
+		late := ready && !stopped.IsZero() && askedAt.Sub(stopped) > unreadyTime+k.stalls.since(stopped) && incarnation == n.incarnation &&
+			incarnation.activeFreezes == 0 && incarnation.freezeChangedAt.Before(stopped)
 		n.mu.Unlock()
 		if late {
 			k.violate("READY: %s is ready %v after SIGTERM", n.name, roundMs(askedAt.Sub(stopped)))
@@ -47,7 +48,8 @@
 	}
 }
 
-// watchMemory bounds what each process takes, and what all take together: the run ends rather than take half of the machine.
+// watchMemory checks the memory of each process against its limit. It aborts the run if all processes together use more than
+// half of the machine's memory.
 func (k *soak) watchMemory(ctx context.Context, abort context.CancelCauseFunc) {
 	limit := machineMemoryKB() / 2
 	for sleep(ctx, memoryInterval) == nil {
@@ -60,49 +62,51 @@
 			n.peakKB = max(n.peakKB, resident)
 			n.mu.Unlock()
 			if risen && resident > n.maxMemory {
-				k.violate("MEMORY: %s takes %d kB, %d at most", n.name, resident, n.maxMemory)
+				k.violate("MEMORY: %s uses %d kB, its limit is %d kB", n.name, resident, n.maxMemory)
 			}
 		}
-		k.notePeak(total)
+		k.recordPeakMemory(total)
 		if limit > 0 && total > limit {
-			abort(fmt.Errorf("the run takes %d kB, half of the machine's memory is %d kB", total, limit))
+			abort(fmt.Errorf("the run uses %d kB, more than half of the machine's memory (%d kB)", total, limit))
 			return
 		}
 	}
 }
 
-// machineMemoryKB is the memory of the machine in kB; 0 if it is not known.
+// machineMemoryKB returns the memory of the machine in kB, or 0 if it is unknown.
 func machineMemoryKB() (total int) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0
 	}
 	_, rest, _ := strings.Cut(string(text), "MemTotal:")
-	_, _ = fmt.Sscan(rest, &total) // 0 where it does not fit
+	_, _ = fmt.Sscan(rest, &total) // total stays 0 if it can't be parsed
 	return total
 }
 
-// watchMarkers asks proxies that are in touch for the routes of the newest version and of the one before, until ctx ends.
+// watchMarkers checks the marker routes at the proxies in turn until ctx ends. It skips a proxy while the proxy or the control
+// plane recovers from a fault.
 func (k *soak) watchMarkers(ctx context.Context) {
 	for i := 0; sleep(ctx, markerInterval) == nil; i++ {
 		n := k.proxyNodes[i%len(k.proxyNodes)]
-		if n.calm(contactTime) && k.coreCalm() {
+		if n.isStable(reconnectTime) && k.controlPlaneStable() {
 			k.checkMarkers(ctx, n)
 		}
 	}
 }
 
-// coreCalm reports whether all members have been in touch for a time.
-func (k *soak) coreCalm() bool {
+// controlPlaneStable reports whether all members have been stable for reconnectTime.
+func (k *soak) controlPlaneStable() bool {
 	for _, n := range k.memberNodes {
-		if !n.calm(contactTime) {
+		if !n.isStable(reconnectTime) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkMarkers checks that a proxy has the newest version, once that was acknowledged some time ago.
+// checkMarkers checks that a proxy has applied the newest version, if it was acknowledged at least configApplyTime ago. The
+// proxy must have the marker route of that version, and not that of the version before.
 func (k *soak) checkMarkers(ctx context.Context, n *node) {
 	newest := k.operators.newestVersion()
 	if time.Since(newest.ackedAt) < configApplyTime+k.stalls.since(newest.ackedAt) {
@@ -118,7 +122,8 @@
 	}
 }
 
-// connectCode opens a session for a database and returns the code of the answer, empty for success; false: there was none.
+// connectCode opens a session for a database and returns the error code of the answer, which is empty for success. It returns
+// false if there was no answer.
 func connectCode(ctx context.Context, address, database string) (code wire.Code, ok bool) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -138,8 +143,8 @@
 	return "", true
 }
 
-// checkNothingLeft checks that no process of the run listens or holds connections to hosts any more.
-func (k *soak) checkNothingLeft() {
+// checkNoLeftovers checks that no process of the run still listens or holds connections to hosts.
+func (k *soak) checkNoLeftovers() {
 	for _, n := range k.nodes() {
 		for _, listen := range n.settings.listen {
 			listener, err := net.Listen("tcp", listen.address)
@@ -160,8 +165,8 @@
 	}
 }
 
-// each runs do for all nodes side by side, and waits for all.
-func each(nodes []*node, do func(*node)) {
+// forEachNode calls do for all nodes concurrently and waits for all calls to return.
+func forEachNode(nodes []*node, do func(*node)) {
 	var running sync.WaitGroup
 	for _, n := range nodes {
 		running.Go(func() { do(n) })
--- a/internal/simulation/cluster/stall.go
+++ b/internal/simulation/cluster/stall.go
@@ -8,12 +8,12 @@
 
 const (
 	stallInterval = 10 * time.Millisecond
-	// minStall is what a timer may be late without a stall.
+	// minStall is how late a timer must be to count as a stall.
 	minStall = 20 * time.Millisecond
 )
 
-// stallMeter measures how long this process had no processor: what a busy machine takes from all processes of a run is no fault
-// of theirs.
+// stallMeter measures how long this process got no processor time. Checks add this time to their timeouts, since a busy
+// machine delays the processes of a run through no fault of theirs.
 type stallMeter struct {
 	mu     sync.Mutex
 	stalls []stall
@@ -21,11 +21,11 @@
 }
 
 type stall struct {
-	endedAt time.Time
-	took    time.Duration
+	endedAt  time.Time
+	duration time.Duration
 }
 
-// run measures until ctx ends.
+// run records stalls until ctx ends.
 func (m *stallMeter) run(ctx context.Context) {
 	for began := time.Now(); sleep(ctx, stallInterval) == nil; began = time.Now() {
 		if late := time.Since(began) - stallInterval; late > minStall {
@@ -37,16 +37,16 @@
 	}
 }
 
-// since returns how long this process was stalled from some time until now.
+// since returns the total duration of the stalls between begin and now.
 func (m *stallMeter) since(begin time.Time) time.Duration { return m.between(begin, time.Now()) }
 
-// between adds up the stalls that lie in a span, in whole or in part.
+// between returns the total duration of the stalls that overlap a time span. Each of them counts in full.
 func (m *stallMeter) between(begin, end time.Time) (total time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, stall := range m.stalls {
-		if stall.endedAt.After(begin) && stall.endedAt.Add(-stall.took).Before(end) {
-			total += stall.took
+		if stall.endedAt.After(begin) && stall.endedAt.Add(-stall.duration).Before(end) {
+			total += stall.duration
 		}
 	}
 	return total
--- a/internal/simulation/cluster/start.go
+++ b/internal/simulation/cluster/start.go
@@ -13,35 +13,35 @@
 	"ferrypitch/internal/simulation/program"
 )
 
-// Programs that run as processes; a program's name is also its role in the configuration.
+// Programs that run as processes. A program's name is also the Role in its settings.
 const (
 	proxyProgram   = "ferrypitch-proxy"
 	controlProgram = "ferrypitch-control"
 )
 
-// defaultSize is the size of a system unless options say otherwise.
+// defaultSize is the size of the system that Run starts.
 var defaultSize = size{members: 3, proxies: 2}
 
-// size is how many processes of each kind there are.
+// size is the number of processes of each kind.
 type size struct{ members, proxies int }
 
-// maxSize is as many as a loopback network has addresses for.
+// maxSize is limited by the addresses of a loopback network.
 var maxSize = size{members: 10, proxies: 200}
 
 const (
-	hostCount = 3  // at the start
-	maxHosts  = 10 // with those that join
+	hostCount = 3  // at the start of a run
+	maxHosts  = 10 // including hosts that join
 
-	// maxSeedPeers is how many members settings name.
+	// maxSeedPeers limits the members in SeedPeers.
 	maxSeedPeers = 3
 )
 
 // service is the name of the database service.
 const service = "db"
 
-// Ports, which are the same on all machines.
+// Ports, which are the same on all simulated machines.
 const (
-	linkPort      = 17440 // the first of linkPorts
+	linkPort      = 17440 // the first of linkPorts ports
 	linkPorts     = 10
 	clientPort    = 18784
 	readinessPort = 18785
@@ -51,7 +51,7 @@
 	claimPort     = 18779
 )
 
-// Last bytes of the addresses of machines, by what they run: the first machine of each kind.
+// Last byte of the IP address of the first simulated machine of each kind.
 const (
 	claimMachine  = 9
 	firstMember   = 10
@@ -60,14 +60,14 @@
 	firstProxy    = 50
 )
 
-// loopbackNetwork is a /24 network of 127.0.0.0/8 that stands for the machines of a run.
+// loopbackNetwork is the prefix of a /24 network in 127.0.0.0/8. Each simulated machine of a run has one of its addresses.
 type loopbackNetwork string
 
-// loopbackNetworks is how many networks there are to choose from.
+// loopbackNetworks is the number of networks to choose from.
 const loopbackNetworks = 200 * 250
 
-// claimLoopbackNetwork picks a network that no other run on this machine uses, the first from that of the seed on. It is this run's
-// until the claim is closed.
+// claimLoopbackNetwork reserves a network that no other run on this machine uses. It tries the networks in order, beginning
+// with the one that the seed selects. The reservation lasts until claim is closed.
 func claimLoopbackNetwork(seed uint64) (network loopbackNetwork, claim net.Listener, err error) {
 	for number := range uint64(loopbackNetworks) {
 		choice := (seed + number) % loopbackNetworks
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("%s:%d", n.ip(machine), port)
 }
 
-// addresses is those of the first count machines of a kind.
+// addresses returns the addresses of the first count machines of a kind.
 func (n loopbackNetwork) addresses(first, count, port int) []string {
 	var all []string
 	for i := range count {
@@ -98,7 +98,7 @@
 	return c.network.addresses(firstMember, c.size.members, controlPort)
 }
 
-// seedPeers is the members that settings name.
+// seedPeers returns the addresses of the members in SeedPeers.
 func (c *cluster) seedPeers() []string {
 	members := c.memberAddresses()
 	return members[:min(len(members), maxSeedPeers)]
@@ -106,7 +106,8 @@
 
 func (c *cluster) platformAddress() string { return c.network.address(firstPlatform, platformPort) }
 
-// start builds the programs unless they are built, and starts the hosts, the members and the proxies: those of the release that is upgraded, if there is one.
+// start builds the programs if necessary, and starts the hosts, the members and the proxies. With UpgradeFrom, members and
+// proxies start with the older programs.
 func (c *cluster) start(ctx context.Context) error {
 	if c.binaries == nil {
 		c.Say("building %s and %s", proxyProgram, controlProgram)
@@ -140,10 +141,10 @@
 	return nil
 }
 
-// Binaries is the paths of the programs that run as processes, by program.
+// Binaries holds the paths of the programs that run as processes, by program.
 type Binaries map[string]string
 
-// BuildPrograms builds the programs that run as processes into a folder.
+// BuildPrograms builds the programs that run as processes into a directory.
 func BuildPrograms(dir string) (Binaries, error) {
 	binaries := Binaries{}
 	for _, name := range []string{proxyProgram, controlProgram} {
@@ -181,7 +182,7 @@
 	return nil
 }
 
-// startProcess writes the settings of a node and starts it. The files take its name.
+// startProcess writes the settings of a node and starts it. Its settings and log files are named after the node.
 func (c *cluster) startProcess(binary string, settings nodeSettings) (*program.Process, error) {
 	if err := c.writeSettings(settings.name, settings.toml()); err != nil {
 		return nil, err
@@ -229,23 +230,23 @@
 	}
 }
 
-// nodeSettings is what differs between the settings of the nodes.
+// nodeSettings holds the settings that differ between nodes.
 type nodeSettings struct {
 	name       string
 	role       string
 	ip         string
 	seedPeers  []string // addresses of members of the control plane
-	restarted  bool     // the system has been started before
+	restarted  bool     // not the first start of the system, so Bootstrap is false
 	countsLoss bool
-	dataDir    string // empty: none
+	dataDir    string // empty if the node stores nothing
 	listen     []listenAddress
 	platform   string
 }
 
-// listenAddress is an address by its name in the settings.
+// listenAddress is an address and its name in the settings.
 type listenAddress struct{ name, address string }
 
-// Bounds in the settings.
+// Values of GraceS and DrainMs in the settings.
 const (
 	graceS  = 4
 	drainMs = 5000
@@ -272,7 +273,7 @@
 Address = %q
 `
 
-// toml returns the settings as a file.
+// toml returns the settings in TOML.
 func (s nodeSettings) toml() string {
 	var seedPeers, listen []string
 	for _, member := range s.seedPeers {
--- a/internal/simulation/cluster/upgrade.go
+++ b/internal/simulation/cluster/upgrade.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// upgradePause lies between two processes, so that each has taken part again before the next stops.
+	// upgradePause is the pause between two processes, so that each takes part in the system again before the next one stops.
 	upgradePause = 500 * time.Millisecond
-	// readyPollInterval separates two questions whether a process is ready.
+	// readyPollInterval is the interval between readiness checks of a process.
 	readyPollInterval = 20 * time.Millisecond
 	readyTimeout      = 10 * time.Second
 )
 
-// Upgrade is a process that was stopped by SIGTERM and started with the programs of another release.
+// Upgrade describes the restart of a process with the program of another release.
 type Upgrade struct {
 	Process string
-	ToNew   bool          // else back to the older release
-	Stopped time.Duration // from SIGTERM to its end
-	Ready   time.Duration // from its start until it was ready again
+	ToNew   bool          // false for a downgrade to the older release
+	Stopped time.Duration // from SIGTERM to the exit
+	Ready   time.Duration // from the start until the process was ready
 }
 
-// olderBinaries are the programs of the release that is upgraded.
+// olderBinaries returns the programs of the older release.
 func (c *cluster) olderBinaries() Binaries {
 	older := Binaries{}
 	for _, name := range []string{proxyProgram, controlProgram} {
@@ -35,9 +35,9 @@
 	return older
 }
 
-// upgradeAndGoBack replaces the programs of all processes, one after another: members first, then proxies; then all back. The
-// configuration is changed after each member, so also while two releases run side by side.
-func (c *cluster) upgradeAndGoBack(ctx context.Context) error {
+// upgradeAndDowngrade upgrades all processes one after another, members before proxies, and then downgrades them in the same
+// order. The configuration is changed after each member, so also while two releases run at the same time.
+func (c *cluster) upgradeAndDowngrade(ctx context.Context) error {
 	version := 1
 	for _, toNew := range []bool{true, false} {
 		binaries := c.olderBinaries()
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// upgrade stops a process, starts it with another binary, and waits until it is ready.
+// upgrade restarts a process with another binary and waits until it is ready.
 func (c *cluster) upgrade(ctx context.Context, process *program.Process, binary, readyURL string, step Upgrade) error {
 	began := time.Now()
 	process.Stop()
@@ -85,17 +85,17 @@
 	return sleep(ctx, upgradePause)
 }
 
-// memberReady is a URL that a member answers with 200 once it leads or forwards to a leader.
+// memberReady returns a URL that a member answers with 200 once it is the leader or can forward to the leader.
 func (c *cluster) memberReady(i int) string {
 	return "http://" + c.network.address(firstMember+i, controlPort) + "/Config.Read"
 }
 
-// proxyReady is a URL that a proxy answers with 200 once clients may be sent there.
+// proxyReady returns a URL that a proxy answers with 200 once it accepts clients.
 func (c *cluster) proxyReady(i int) string {
 	return "http://" + c.network.address(firstProxy+i, readinessPort) + "/readiness"
 }
 
-// waitForStatusOK waits until a URL is answered with 200.
+// waitForStatusOK polls a URL until it is answered with 200.
 func waitForStatusOK(ctx context.Context, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/internal/simulation/faultplan/plan.go
+++ b/internal/simulation/faultplan/plan.go
@@ -1,5 +1,6 @@
-// Package faultplan draws schedules of faults, signals and changes for a running system. Faults come in series: several of one
-// kind, one after another or at once, at targets of their own. Series overlap. A schedule follows from its seed alone.
+// Package faultplan generates random schedules of faults, signals and configuration changes for a running system. Events come
+// in series: several events of one kind, in sequence or at almost the same time, each for a different target. Series may
+// overlap. The seed, the size of the system and the time span determine the schedule.
 package faultplan
 
 import (
@@ -9,25 +10,25 @@
 	"time"
 )
 
-// Kind is what is done to the system.
+// Kind is the kind of an event.
 type Kind int
 
-// The kinds of faults, signals and changes.
+// Kinds of faults, signals and changes.
 const (
-	Stop           Kind = iota // SIGTERM; the process is started again some time after its end
-	StopTwice                  // SIGTERM, and another one while the process shuts down
-	Kill                       // SIGKILL, and a start
-	Freeze                     // SIGSTOP, and SIGCONT
-	Reload                     // other settings, with SIGHUP or without
-	BreakSettings              // settings that can't be read, SIGHUP, and the proper ones again
-	ChangeConfig               // Replace or Amend
-	RaceConfig                 // two operators on one base version
-	InvalidConfig              // a configuration that has to be refused
-	CrashPrimary               // the primary is down for a time
-	CrashReplica               // a replica is down for a time
-	ReplacePrimary             // the primary drains, leaves, and a new host follows at its address
-	ReplaceReplica             // likewise a replica
-	JoinHost                   // a host is added
+	Stop           Kind = iota // SIGTERM; the process is restarted some time after its exit
+	StopTwice                  // SIGTERM, and a second SIGTERM while the process shuts down
+	Kill                       // SIGKILL, then a restart
+	Freeze                     // SIGSTOP, then SIGCONT
+	Reload                     // changed settings, with or without SIGHUP
+	BreakSettings              // invalid settings and SIGHUP, then the valid settings again
+	ChangeConfig               // a call of Replace or Amend
+	RaceConfig                 // concurrent changes by two operators on the same base version
+	InvalidConfig              // a configuration that the control plane must reject
+	CrashPrimary               // the primary is down for some time
+	CrashReplica               // a replica is down for some time
+	ReplacePrimary             // the primary drains and leaves, and a new host starts at its address
+	ReplaceReplica             // the same with a replica
+	JoinHost                   // a new host joins
 	kindCount
 )
 
@@ -48,59 +49,59 @@
 	JoinHost:       "another host",
 }
 
-// Target is the sort of processes that an event is done to.
+// Target is the kind of process that an event applies to.
 type Target int
 
-// The targets.
+// Targets of events.
 const (
-	None Target = iota // the kind says it
+	NoTarget Target = iota // no process; the event applies to the configuration or to a database host, depending on its kind
 	Member
 	Proxy
 )
 
-// Event is one thing that is done to the system.
+// Event is one fault, signal or change in a schedule.
 type Event struct {
-	// At is when, from the begin of the schedule.
+	// At is the time of the event since the start of the schedule.
 	At time.Duration
-	// Kind is what.
+	// Kind is the kind of the event.
 	Kind Kind
-	// Target and Number say to which process.
-	Target Target
-	Number int
-	// Lasts is how long a process or host is down, frozen or drains, and the pause before a second signal.
-	Lasts time.Duration
-	// Variant chooses among the forms that some kinds have.
+	// Target and TargetIndex select the process that the event applies to.
+	Target      Target
+	TargetIndex int
+	// Duration is how long a process or host is down, frozen or draining, or the delay before a second signal.
+	Duration time.Duration
+	// Variant selects one of the variants that some kinds of events have.
 	Variant int
 }
 
-// String describes the event for a log.
+// String describes the event for log messages.
 func (e Event) String() string {
 	text := fmt.Sprintf("%7.3f s: %s", e.At.Seconds(), kindNames[e.Kind])
 	switch e.Target {
 	case Member:
-		text += fmt.Sprintf(" member %d", e.Number)
+		text += fmt.Sprintf(" member %d", e.TargetIndex)
 	case Proxy:
-		text += fmt.Sprintf(" proxy %d", e.Number)
-	case None:
+		text += fmt.Sprintf(" proxy %d", e.TargetIndex)
+	case NoTarget:
 	}
-	return fmt.Sprintf("%s, %d ms, variant %d", text, e.Lasts.Milliseconds(), e.Variant)
+	return fmt.Sprintf("%s, %d ms, variant %d", text, e.Duration.Milliseconds(), e.Variant)
 }
 
-// System is how many processes there are to choose from.
+// System is the number of processes of each kind in the system.
 type System struct{ Members, Proxies int }
 
-// planStream is the stream of the random generator: with a seed, it decides all draws.
-const planStream = 21
+// randomStream is the stream of the random generator. The seed and the stream determine all random choices.
+const randomStream = 21
 
 const (
-	seriesInterval = 900 * time.Millisecond // the mean time between the begins of two series
-	maxSeries      = 4                      // events of one series, at a small system
-	proxiesAnEvent = 12                     // a series has one event more for so many proxies
-	variants       = 1 << 16
+	seriesInterval       = 900 * time.Millisecond // mean time between the starts of two series
+	maxSeries            = 4                      // maximum number of events in a series in a small system
+	proxiesPerExtraEvent = 12                     // number of proxies per additional event in a series
+	variants             = 1 << 16
 )
 
-// maxLasts bounds Lasts by kind; minLasts is the least of all.
-var maxLasts = [kindCount]time.Duration{
+// maxDurations bounds, by kind, how much longer than minDuration an event may last. minDuration is the shortest duration.
+var maxDurations = [kindCount]time.Duration{
 	Stop:           1500 * time.Millisecond,
 	StopTwice:      1500 * time.Millisecond,
 	Kill:           1500 * time.Millisecond,
@@ -113,9 +114,9 @@
 	ReplaceReplica: 4 * time.Second,
 }
 
-const minLasts = 100 * time.Millisecond
+const minDuration = 100 * time.Millisecond
 
-// weights is how often each kind is drawn for a series.
+// weights holds the relative frequency of each kind of series.
 var weights = [kindCount]int{
 	Stop:           8,
 	StopTwice:      3,
@@ -133,79 +134,81 @@
 	JoinHost:       1,
 }
 
-// Draw returns the schedule of a seed, in order of time. Every event ends within the span, but for what a stop takes.
+// Draw returns the schedule for a seed in order of time. Every event ends within the span, except that a process may take
+// longer to shut down.
 func Draw(seed uint64, system System, span time.Duration) []Event {
-	p := &planner{random: rand.New(rand.NewPCG(seed, planStream)), system: system, span: span}
-	for begin := p.pause(); begin < span; begin += p.pause() {
-		p.drawSeries(begin)
+	g := &generator{random: rand.New(rand.NewPCG(seed, randomStream)), system: system, span: span}
+	for start := g.drawInterval(); start < span; start += g.drawInterval() {
+		g.drawSeries(start)
 	}
-	slices.SortStableFunc(p.events, func(a, b Event) int { return int(a.At - b.At) })
-	return p.events
+	slices.SortStableFunc(g.events, func(a, b Event) int { return int(a.At - b.At) })
+	return g.events
 }
 
-type planner struct {
+type generator struct {
 	random *rand.Rand
 	system System
 	span   time.Duration
 	events []Event
 }
 
-// pause is the time from one series to the next.
-func (p *planner) pause() time.Duration { return p.upTo(2 * seriesInterval) }
+// drawInterval returns a random time from one series to the next.
+func (g *generator) drawInterval() time.Duration { return g.randomDuration(2 * seriesInterval) }
 
-func (p *planner) upTo(limit time.Duration) time.Duration {
-	return time.Duration(p.random.Int64N(int64(limit))) + 1
+func (g *generator) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(g.random.Int64N(int64(limit))) + 1
 }
 
-// drawSeries adds several events of one kind. All have one gap between them, which may be next to nothing; processes are taken in turn.
-func (p *planner) drawSeries(begin time.Duration) {
-	kind, target := p.drawKind()
-	count := 1 + p.random.IntN(maxSeries)
-	number, targets := 0, 1
+// drawSeries adds a series of events of one kind. They are separated by a constant gap, which may be close to zero, and apply
+// to processes in turn.
+func (g *generator) drawSeries(start time.Duration) {
+	kind, target := g.drawKind()
+	count := 1 + g.random.IntN(maxSeries)
+	first, targets := 0, 1
 	switch target {
 	case Member:
-		targets = p.system.Members
+		targets = g.system.Members
 	case Proxy:
-		targets = p.system.Proxies
-		count += p.random.IntN(1 + targets/proxiesAnEvent)
-	case None:
+		targets = g.system.Proxies
+		count += g.random.IntN(1 + targets/proxiesPerExtraEvent)
+	case NoTarget:
 		if kind >= CrashPrimary {
-			count = 1 // more would leave no host
+			count = 1 // more than one would leave no host running
 		}
 	}
-	number = p.random.IntN(targets)
-	gap := p.upTo([]time.Duration{5 * time.Millisecond, 300 * time.Millisecond, time.Second}[p.random.IntN(3)])
+	first = g.random.IntN(targets)
+	gap := g.randomDuration([]time.Duration{5 * time.Millisecond, 300 * time.Millisecond, time.Second}[g.random.IntN(3)])
 	for i := range count {
 		event := Event{
-			At:      begin + time.Duration(i)*gap,
-			Kind:    kind,
-			Target:  target,
-			Number:  (number + i) % targets,
-			Lasts:   minLasts,
-			Variant: p.random.IntN(variants),
+			At:          start + time.Duration(i)*gap,
+			Kind:        kind,
+			Target:      target,
+			TargetIndex: (first + i) % targets,
+			Duration:    minDuration,
+			Variant:     g.random.IntN(variants),
 		}
-		if limit := maxLasts[kind]; limit > 0 {
-			event.Lasts += p.upTo(limit)
+		if limit := maxDurations[kind]; limit > 0 {
+			event.Duration += g.randomDuration(limit)
 		}
-		if event.At+event.Lasts < p.span {
-			p.events = append(p.events, event)
+		if event.At+event.Duration < g.span {
+			g.events = append(g.events, event)
 		}
 	}
 }
 
-// drawKind draws a kind, and whether members or proxies suffer it.
-func (p *planner) drawKind() (kind Kind, target Target) {
+// drawKind returns a random kind, and whether the series applies to members, proxies or neither.
+func (g *generator) drawKind() (kind Kind, target Target) {
 	total := 0
 	for _, weight := range weights {
 		total += weight
 	}
-	for draw := p.random.IntN(total); draw >= weights[kind]; kind++ {
+	for draw := g.random.IntN(total); draw >= weights[kind]; kind++ {
 		draw -= weights[kind]
 	}
 	if kind >= ChangeConfig {
-		return kind, None
+		return kind, NoTarget
 	}
-	if p.random.IntN(2) == 0 {
+	if g.random.IntN(2) == 0 {
 		return kind, Member
 	}
 	return kind, Proxy
--- a/internal/simulation/faultplan/plan_test.go
+++ b/internal/simulation/faultplan/plan_test.go
@@ -18,8 +18,8 @@
 		require.True(t, slices.IsSortedFunc(events, func(a, b Event) int { return int(a.At - b.At) }))
 		for _, event := range events {
 			kinds[event.Kind] = true
-			require.Less(t, event.At+event.Lasts, span, "%s", event)
-			require.Less(t, event.Number, map[Target]int{None: 1, Member: system.Members, Proxy: system.Proxies}[event.Target], "%s", event)
+			require.Less(t, event.At+event.Duration, span, "%s", event)
+			require.Less(t, event.TargetIndex, map[Target]int{NoTarget: 1, Member: system.Members, Proxy: system.Proxies}[event.Target], "%s", event)
 		}
 	}
 	require.Len(t, kinds, int(kindCount))
--- a/internal/simulation/memberdisk/disk.go
+++ b/internal/simulation/memberdisk/disk.go
@@ -1,5 +1,5 @@
-// Package memberdisk simulates the disk of a member of the control plane: what is written lasts once it is synced, and what is not
-// may be lost with the process or the power.
+// Package memberdisk simulates the disk of a control-plane member: synced writes are durable, and unsynced writes may be lost
+// when the process or the machine fails.
 package memberdisk
 
 import (
@@ -8,35 +8,35 @@
 	"ferrypitch/internal/consensus"
 )
 
-// Disk is the disk of one member. The zero value is an empty one.
+// Disk is the disk of one member. The zero value is an empty disk.
 type Disk struct {
 	durable  consensus.RestoredState
 	unsynced []consensus.Write
 }
 
-// Of returns a disk that holds a state.
+// Of returns a disk that holds state durably.
 func Of(state consensus.RestoredState) Disk { return Disk{durable: state} }
 
-// Durable is what the disk holds for good. It is not to be changed.
+// Durable returns the synced state. The caller must not modify it.
 func (d *Disk) Durable() *consensus.RestoredState { return &d.durable }
 
-// Restart returns what a process finds that starts now. What was not synced is gone.
+// Restart drops unsynced writes, and returns a copy of the state that a restarted process reads from the disk.
 func (d *Disk) Restart() consensus.RestoredState {
 	d.unsynced = nil
 	return d.Copy().durable
 }
 
-// Copy returns a disk with what lasts of this one.
+// Copy returns a disk with a copy of the synced state, without the unsynced writes.
 func (d *Disk) Copy() Disk {
 	durable := d.durable
 	durable.Entries = slices.Clone(durable.Entries)
 	return Disk{durable: durable}
 }
 
-// Write takes in writes that are not synced yet.
+// Write queues writes. They are not durable until they are synced.
 func (d *Disk) Write(writes []consensus.Write) { d.unsynced = append(d.unsynced, writes...) }
 
-// Sync makes all writes up to a sequence number last.
+// Sync makes all writes up to sequence number through durable.
 func (d *Disk) Sync(through uint64) {
 	for len(d.unsynced) > 0 && d.unsynced[0].Seq <= through {
 		d.durable.ApplyWrite(d.unsynced[0])
@@ -44,7 +44,7 @@
 	}
 }
 
-// SyncAll makes all writes last, and returns the sequence number of the newest; 0: there was none.
+// SyncAll makes all writes durable, and returns the sequence number of the last one, or 0 if there were none.
 func (d *Disk) SyncAll() (through uint64) {
 	if len(d.unsynced) == 0 {
 		return 0
@@ -54,7 +54,8 @@
 	return through
 }
 
-// Crash loses what is not synced, from the first write on that keepNext does not keep.
+// Crash simulates a crash. It calls keepNext for each unsynced write in order, keeps the write if the call returns true, and
+// loses that write and all later ones once it returns false.
 func (d *Disk) Crash(keepNext func() bool) {
 	for len(d.unsynced) > 0 && keepNext() {
 		d.Sync(d.unsynced[0].Seq)
@@ -62,5 +63,5 @@
 	d.unsynced = nil
 }
 
-// Lose empties the disk.
+// Lose erases the disk.
 func (d *Disk) Lose() { *d = Disk{} }
--- a/internal/simulation/memberdisk/disk_test.go
+++ b/internal/simulation/memberdisk/disk_test.go
@@ -17,9 +17,9 @@
 	kept := 0
 	d.Crash(func() bool { kept++; return kept == 1 })
 	restored := d.Restart()
-	require.Len(t, restored.Entries, 3, "one of two that were not synced is kept")
+	require.Len(t, restored.Entries, 3, "one of the two unsynced entries is kept")
 	restored.Entries[0].Term = 99
-	require.EqualValues(t, 1, d.Durable().Entries[0].Term, "a process changes its copy")
+	require.EqualValues(t, 1, d.Durable().Entries[0].Term, "changes to the restored copy don't reach the disk")
 	require.Zero(t, d.SyncAll())
 	d.Write([]consensus.Write{{Seq: 9, HardState: &consensus.HardState{Term: 7}}})
 	require.EqualValues(t, 9, d.SyncAll())
--- a/internal/simulation/memberprocess/process.go
+++ b/internal/simulation/memberprocess/process.go
@@ -1,60 +1,61 @@
-// Package memberprocess simulates the life of a member's process: it starts, is suspended and resumed, ends, and starts again.
+// Package memberprocess simulates the lifecycle of a member's process: start, suspension, resumption, exit and restart.
 package memberprocess
 
-// Process is one member's process, in one incarnation after the other. The zero value is one that was never started.
+// Process is the process of one member over all its incarnations. The zero value is a process that was never started.
 type Process struct {
-	up          bool
-	suspended   bool
-	incarnation int
-	held        []func() // steps that came while it was suspended
+	up           bool
+	suspended    bool
+	incarnation  int
+	pendingSteps []func() // steps submitted while the process was suspended
 }
 
-// StartIncarnation starts the next incarnation.
+// StartIncarnation starts the process with the next incarnation number.
 func (p *Process) StartIncarnation() {
 	*p = Process{up: true, incarnation: p.incarnation + 1}
 }
 
-// End ends the process. What it still had to do is gone.
+// End ends the process. Its pending steps never run.
 func (p *Process) End() { p.up = false }
 
-// Suspend stops the process until Resume.
+// Suspend suspends the process until Resume is called.
 func (p *Process) Suspend() { p.suspended = true }
 
-// Up says whether the process has started and not ended. It may be suspended.
+// Up reports whether the process has started and not ended. It may be suspended.
 func (p *Process) Up() bool { return p.up }
 
-// Running says whether the process is up and not suspended.
+// Running reports whether the process is up and not suspended.
 func (p *Process) Running() bool { return p.up && !p.suspended }
 
-// Suspended says whether Suspend was called since the start, and not Resume.
+// Suspended reports whether the process was suspended since its start and not resumed.
 func (p *Process) Suspended() bool { return p.suspended }
 
-// Incarnation counts the starts.
+// Incarnation returns the number of the current or last incarnation, 0 before the first start.
 func (p *Process) Incarnation() int { return p.incarnation }
 
-// Is says whether the process is up in an incarnation.
+// Is reports whether the process is up and runs the given incarnation.
 func (p *Process) Is(incarnation int) bool { return p.up && p.incarnation == incarnation }
 
-// Run runs a step of an incarnation: at once, when the process is resumed, or never if the incarnation has ended.
+// Run runs a step of an incarnation at once, or when the process resumes if it is suspended. If the incarnation has ended,
+// the step never runs.
 func (p *Process) Run(incarnation int, step func()) {
 	switch {
 	case !p.Is(incarnation):
 	case p.suspended:
-		p.held = append(p.held, step)
+		p.pendingSteps = append(p.pendingSteps, step)
 	default:
 		step()
 	}
 }
 
-// Resume resumes an incarnation, and runs the steps that came while it was suspended until one ends or suspends it.
+// Resume resumes an incarnation and runs its pending steps in order, until one of them ends or suspends the process.
 func (p *Process) Resume(incarnation int) {
 	if !p.Is(incarnation) {
 		return
 	}
 	p.suspended = false
-	for len(p.held) > 0 && p.Running() {
-		step := p.held[0]
-		p.held = p.held[1:]
+	for len(p.pendingSteps) > 0 && p.Running() {
+		step := p.pendingSteps[0]
+		p.pendingSteps = p.pendingSteps[1:]
 		step()
 	}
 }
--- a/internal/simulation/program/process.go
+++ b/internal/simulation/program/process.go
@@ -1,4 +1,4 @@
-// Package program builds programs of the project and runs them as processes, which simulations kill and start again.
+// Package program builds the project's programs and runs them as processes that simulations stop, kill and restart.
 package program
 
 import (
@@ -12,13 +12,13 @@
 )
 
 const (
-	// stopTimeout is how long a process may take to end by itself after SIGTERM.
+	// stopTimeout is how long a process may take to exit after SIGTERM before it is killed.
 	stopTimeout = 10 * time.Second
-	// killAftermath is how long after a kill the clients of a process may still find their connections ended.
-	killAftermath = 4 * time.Second
+	// killGracePeriod is how long after a kill a process's clients may still discover that their connections are closed.
+	killGracePeriod = 4 * time.Second
 )
 
-// Build builds a program below cmd into a folder and returns the path of the binary.
+// Build builds the program cmd/name into a directory and returns the path of the binary.
 func Build(dir, name string) (binary string, err error) {
 	binary = filepath.Join(dir, name)
 	output, err := exec.Command("go", "build", "-o", binary, "ferrypitch/cmd/"+name).CombinedOutput()
@@ -28,64 +28,65 @@
 	return binary, nil
 }
 
-// Config says how a process is started.
+// Config describes how to start a process.
 type Config struct {
 	// Binary is the path of the program.
 	Binary string
-	// Args is its arguments.
+	// Args holds the command-line arguments.
 	Args []string
-	// Env is variables, NAME=VALUE, beside those of this process.
+	// Env holds environment variables, NAME=VALUE, to add to those of this process.
 	Env []string
-	// Log is the path of the file that standard error is appended to.
+	// Log is the path of the file to which standard error is appended.
 	Log string
 }
 
-// Process is a program that runs, is down, or runs again. Its methods may be called by any goroutine.
+// Process runs a program in successive incarnations: it can be stopped, killed and restarted. It is safe for concurrent use.
 type Process struct {
 	config Config
 
-	mu       sync.Mutex    // protects what follows
-	life     *Life         // the present one, or the last
-	endedAt  time.Time     // when Kill or Stop last ended it; zero: never
-	down     bool          // by Kill or Stop
-	spentCPU time.Duration // of the lives that are over
+	mu          sync.Mutex    // protects the fields below
+	incarnation *Incarnation  // the current one, or the last one if the process is down
+	endedAt     time.Time     // when Kill or Stop was last called; zero if never
+	down        bool          // ended by Kill or Stop and not restarted
+	finishedCPU time.Duration // of the incarnations that have ended
 }
 
-// Life is a process from one start to its end.
-type Life struct {
+// Incarnation is one operating-system process, from its start to its exit.
+type Incarnation struct {
 	cmd   *exec.Cmd
 	ended chan struct{}
 }
 
-// Ended is closed once the process has ended and nothing of it is left.
-func (l *Life) Ended() <-chan struct{} { return l.ended }
+// Ended returns a channel that is closed once the process has exited and has been reaped.
+func (i *Incarnation) Ended() <-chan struct{} { return i.ended }
 
-// HasEnded reports whether Ended is closed.
-func (l *Life) HasEnded() bool {
+// HasEnded reports whether the channel that Ended returns is closed.
+func (i *Incarnation) HasEnded() bool {
 	select {
-	case <-l.ended:
+	case <-i.ended:
 		return true
 	default:
 		return false
 	}
 }
 
-// HasExited reports whether the process has exited, though a busy machine may not have cleared it away yet: it has no program then.
-func (l *Life) HasExited() bool {
-	_, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", l.cmd.Process.Pid))
+// HasExited reports whether the process has exited. On a busy machine this can be the case some time before HasEnded reports
+// it; the process has no executable in /proc then.
+func (i *Incarnation) HasExited() bool {
+	_, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", i.cmd.Process.Pid))
 	return err != nil
 }
 
 // Signal sends a signal to the process.
-func (l *Life) Signal(signal syscall.Signal) {
-	_ = l.cmd.Process.Signal(signal) // fails only if it has ended
+func (i *Incarnation) Signal(signal syscall.Signal) {
+	_ = i.cmd.Process.Signal(signal) // fails only if the process has ended
 }
 
-// Succeeded reports whether the process, which has ended, did so with status 0.
-func (l *Life) Succeeded() bool { return l.cmd.ProcessState.Success() }
+// Succeeded reports whether the process exited with status 0. The process must have ended.
+func (i *Incarnation) Succeeded() bool { return i.cmd.ProcessState.Success() }
 
-// Status describes how the process, which has ended, did so.
-func (l *Life) Status() string { return l.cmd.ProcessState.String() }
+// Status describes the exit status. The process must have ended.
+func (i *Incarnation) Status() string { return i.cmd.ProcessState.String() }
 
 // Start starts a process.
 func Start(config Config) (*Process, error) {
@@ -93,11 +94,11 @@
 	return p, p.Restart()
 }
 
-// Restart starts a process that has ended or is being ended; one that runs is left alone.
+// Restart starts the process if it has ended or is being ended. If it runs, Restart does nothing.
 func (p *Process) Restart() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.life != nil && !p.down && !p.life.HasEnded() {
+	if p.incarnation != nil && !p.down && !p.incarnation.HasEnded() {
 		return nil
 	}
 	log, err := os.OpenFile(p.config.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -108,47 +109,47 @@
 	cmd.Env = append(os.Environ(), p.config.Env...)
 	cmd.Stderr = log
 	err = cmd.Start()
-	_ = log.Close() // the process has a descriptor of its own, and nothing was written here
+	_ = log.Close() // the child process has its own descriptor, and this process wrote nothing
 	if err != nil {
 		return err
 	}
-	p.life, p.down = &Life{cmd: cmd, ended: make(chan struct{})}, false
-	go p.await(p.life)
+	p.incarnation, p.down = &Incarnation{cmd: cmd, ended: make(chan struct{})}, false
+	go p.waitForExit(p.incarnation)
 	return nil
 }
 
-// await waits for the end of a life.
-func (p *Process) await(life *Life) {
-	_ = life.cmd.Wait() // what it was is in ProcessState
+// waitForExit waits until an incarnation has exited.
+func (p *Process) waitForExit(incarnation *Incarnation) {
+	_ = incarnation.cmd.Wait() // the exit status is in ProcessState
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if state := life.cmd.ProcessState; state != nil {
-		p.spentCPU += state.UserTime() + state.SystemTime()
+	if state := incarnation.cmd.ProcessState; state != nil {
+		p.finishedCPU += state.UserTime() + state.SystemTime()
 	}
-	close(life.ended)
+	close(incarnation.ended)
 }
 
-// Life returns the present life, or the last one if the process has ended.
-func (p *Process) Life() *Life {
+// Incarnation returns the current incarnation, or the last one if the process has ended.
+func (p *Process) Incarnation() *Incarnation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.life
+	return p.incarnation
 }
 
-// SetBinary has later starts run another program.
+// SetBinary sets the binary that later starts run.
 func (p *Process) SetBinary(binary string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.config.Binary = binary
 }
 
-// Kill ends a process by SIGKILL and waits for its end.
+// Kill sends SIGKILL and waits for the process to exit.
 func (p *Process) Kill() { p.end(syscall.SIGKILL) }
 
-// Stop ends a process by SIGTERM and waits for its end. One that takes longer than ten seconds is killed.
+// Stop sends SIGTERM and waits for the process to exit. A process that takes longer than ten seconds is killed.
 func (p *Process) Stop() {
-	life := p.Life()
-	timer := time.AfterFunc(stopTimeout, func() { life.Signal(syscall.SIGKILL) })
+	incarnation := p.Incarnation()
+	timer := time.AfterFunc(stopTimeout, func() { incarnation.Signal(syscall.SIGKILL) })
 	defer timer.Stop()
 	p.end(syscall.SIGTERM)
 }
@@ -160,15 +161,15 @@
 		return
 	}
 	p.endedAt, p.down = time.Now(), true
-	life := p.life
+	incarnation := p.incarnation
 	p.mu.Unlock()
-	life.Signal(signal)
-	<-life.Ended()
+	incarnation.Signal(signal)
+	<-incarnation.Ended()
 }
 
-// RecentlyKilled reports whether the process was ended on purpose and is down, or was until a few seconds ago.
+// RecentlyKilled reports whether Kill or Stop ended the process and it is still down, or was ended only a few seconds ago.
 func (p *Process) RecentlyKilled() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.down || !p.endedAt.IsZero() && time.Since(p.endedAt) < killAftermath
+	return p.down || !p.endedAt.IsZero() && time.Since(p.endedAt) < killGracePeriod
 }
--- a/internal/simulation/program/usage.go
+++ b/internal/simulation/program/usage.go
@@ -8,32 +8,33 @@
 	"time"
 )
 
-// Usage is what a process takes of its machine.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// CPU is the processor time of all runs.
+	// CPU is the processor time of all incarnations.
 	CPU time.Duration
-	// ResidentKB is the resident memory of the current run in kB; 0 if the process is down.
+	// ResidentKB is the resident memory of the current incarnation in kB, or 0 if the process is down.
 	ResidentKB int
 }
 
-// clockTick is the unit of processor times in /proc.
+// clockTick is the unit of processor times in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// Places of the processor times in /proc/PID/stat, counted after the name of the program, which may have spaces.
+// Indexes of the processor times among the fields of /proc/PID/stat that follow the program's name. The name may contain
+// spaces.
 const (
 	userTimeField   = 11
 	systemTimeField = 12
 )
 
-// Usage returns the current usage. What /proc does not have counts as 0.
+// Usage returns the current usage. A value that can't be read from /proc counts as 0.
 func (p *Process) Usage() Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.down || p.life.HasEnded() {
-		return Usage{CPU: p.spentCPU}
+	if p.down || p.incarnation.HasEnded() {
+		return Usage{CPU: p.finishedCPU}
 	}
-	pid := p.life.cmd.Process.Pid
-	return Usage{CPU: p.spentCPU + readCPU("/proc/"+strconv.Itoa(pid)+"/stat"), ResidentKB: ResidentKB(pid)}
+	pid := p.incarnation.cmd.Process.Pid
+	return Usage{CPU: p.finishedCPU + readCPU("/proc/"+strconv.Itoa(pid)+"/stat"), ResidentKB: ResidentKB(pid)}
 }
 
 func readCPU(path string) time.Duration {
@@ -51,7 +52,7 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// ResidentKB returns the resident memory of a process in kB; 0 if it does not run.
+// ResidentKB returns the resident memory of a process in kB, or 0 if the process does not run.
 func ResidentKB(pid int) int {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(pid) + "/status")
 	if err != nil {
--- a/internal/simulation/scheduler/event_queue.go
+++ b/internal/simulation/scheduler/event_queue.go
@@ -6,13 +6,13 @@
 	do     func()
 }
 
-// before orders events by time, and those of one moment by serial.
+// before orders events by time, and events at the same time by serial number.
 func (e event) before(other event) bool {
 	return e.at < other.at || e.at == other.at && e.serial < other.serial
 }
 
-// eventQueue is a binary heap with the next event at index 0. It stands in for container/heap, which allocates for each
-// event; simulations have millions.
+// eventQueue is a binary heap with the next event at index 0. container/heap is not used because it allocates for each event,
+// and simulations have millions of them.
 type eventQueue []event
 
 func (q *eventQueue) push(added event) {
@@ -34,7 +34,7 @@
 func (q *eventQueue) pop() event {
 	heap := *q
 	first, last := heap[0], heap[len(heap)-1]
-	heap[len(heap)-1] = event{} // releases the function
+	heap[len(heap)-1] = event{} // lets the garbage collector free the function
 	heap = heap[:len(heap)-1]
 	*q = heap
 	if len(heap) == 0 {
