--- a/internal/simulation/scheduler/scheduler.go
+++ b/internal/simulation/scheduler/scheduler.go
@@ -1,6 +1,6 @@
-// Package scheduler runs seeded simulations on one goroutine. A simulation schedules events in virtual time, draws its
-// random choices from the seed, and records the faults it causes and the violations it finds; the same seed gives the same
-// run. Simulated networks, control planes and databases embed a Scheduler.
+// Package scheduler runs seeded discrete-event simulations on one goroutine. A simulation schedules events in virtual time,
+// draws random numbers from a seeded generator, and records the faults it injects and the violations it finds. The same seed
+// gives the same run. Simulated networks, control planes and databases embed a Scheduler.
 package scheduler
 
 import (
@@ -9,45 +9,45 @@
 )
 
 const (
-	// randomStream is the stream of the random generator: with a seed, it decides all draws.
+	// randomStream is the stream of the random generator. The seed and the stream determine all random choices.
 	randomStream = 7
-	// maxViolations limits what is recorded, since a simulation goes on after the first violation.
+	// maxViolations limits the recorded violations, since a simulation continues after the first one.
 	maxViolations = 10
 )
 
-// Scheduler is one run of a simulation. It is not safe for use by several goroutines.
+// Scheduler is the event loop of one simulation run. It is not safe for concurrent use.
 type Scheduler struct {
 	// Now is the virtual time.
 	Now int64
-	// StartTime is the virtual time at which the run began.
+	// StartTime is the virtual time at which the run started.
 	StartTime int64
-	// PerMs is how many units of virtual time are a millisecond.
+	// PerMs is the number of units of virtual time in a millisecond.
 	PerMs int64
 	// Rand is the source of all random choices.
 	Rand *rand.Rand
-	// Violations describes the first rules that were broken.
+	// Violations describes the first violations that were reported, up to maxViolations.
 	Violations []string
-	// FaultLog describes the faults that the simulation caused.
+	// FaultLog describes the injected faults.
 	FaultLog []string
-	// LastSerial is the last number given to an event. A simulation may count it up to get a number of its own.
+	// LastSerial is the serial number of the last scheduled event. A simulation may increment it to get a unique number.
 	LastSerial int
 
 	events eventQueue
 }
 
-// New returns a scheduler for the run of a seed that begins at a virtual time, in units of which perMs are a millisecond.
+// New returns a scheduler seeded with seed whose virtual time begins at start, in units of which perMs are a millisecond.
 func New(seed uint64, start, perMs int64) *Scheduler {
 	return &Scheduler{Now: start, StartTime: start, PerMs: perMs, Rand: rand.New(rand.NewPCG(seed, randomStream))}
 }
 
-// After schedules an event after a span; a negative span counts as 0. Events of one moment run in the order in which they
-// were scheduled.
+// After schedules an event after a delay; a negative delay counts as 0. Events at the same time run in the order in which
+// they were scheduled.
 func (s *Scheduler) After(after int64, do func()) {
 	s.LastSerial++
 	s.events.push(event{s.Now + max(0, after), s.LastSerial, do})
 }
 
-// RunFor runs the events of the next span, with those that they schedule within it.
+// RunFor advances the virtual time by a span and runs all events due in it, including those scheduled meanwhile.
 func (s *Scheduler) RunFor(span int64) {
 	end := s.Now + span
 	for len(s.events) > 0 && s.events[0].at <= end {
@@ -58,14 +58,14 @@
 	s.Now = max(s.Now, end)
 }
 
-// Violate records that a rule is broken.
+// Violate records the violation of an invariant.
 func (s *Scheduler) Violate(format string, args ...any) {
 	if len(s.Violations) < maxViolations {
 		s.Violations = append(s.Violations, s.timestamp()+fmt.Sprintf(format, args...))
 	}
 }
 
-// LogFault records a fault.
+// LogFault records an injected fault.
 func (s *Scheduler) LogFault(format string, args ...any) {
 	s.FaultLog = append(s.FaultLog, s.timestamp()+fmt.Sprintf(format, args...))
 }
@@ -74,8 +74,8 @@
 	return fmt.Sprintf("%.1f ms: ", float64(s.Now-s.StartTime)/float64(s.PerMs))
 }
 
-// Between draws a number from a to b, both included.
+// Between returns a random number from a to b, both included.
 func (s *Scheduler) Between(a, b int64) int64 { return a + s.Rand.Int64N(b-a+1) }
 
-// OneIn is true with a probability of 1/n.
+// OneIn returns true with probability 1/n.
 func (s *Scheduler) OneIn(n int) bool { return s.Rand.IntN(n) == 0 }
--- a/internal/simulation/statesize/statesize.go
+++ b/internal/simulation/statesize/statesize.go
@@ -1,5 +1,5 @@
-// Package statesize builds control-plane states of given sizes for benchmarks: so many proxies and databases, each
-// database with three hosts, and names and addresses as long as those of the deployments.
+// Package statesize builds control-plane states for benchmarks with a given number of proxies and databases. Each database
+// has three hosts, and names and addresses are as long as in the deployments.
 package statesize
 
 import (
@@ -18,13 +18,13 @@
 // Size is the number of proxies and databases.
 type Size struct{ Proxies, Databases int }
 
-// Full is the size that docs/CAPACITY.md is worked out for.
+// Full is the size that the figures in docs/CAPACITY.md refer to.
 var Full = Size{1200, 2600}
 
-// Sizes are the sizes that are measured, in the proportion of Full.
+// Sizes are the benchmarked sizes, with proxies and databases in the same proportion as in Full.
 var Sizes = []Size{{30, 65}, {100, 217}, {300, 650}, Full}
 
-// String names the size in benchmark results.
+// String returns the name of the size in benchmark results.
 func (s Size) String() string { return fmt.Sprintf("proxies=%d", s.Proxies) }
 
 // Hosts returns the number of hosts.
@@ -33,7 +33,7 @@
 // ServiceName returns the name of the nth database's service.
 func ServiceName(n int) string { return fmt.Sprintf("lecture-core-%d", n) }
 
-// HostAt returns the nth host of all. The first of each three is the primary of their service.
+// HostAt returns the nth host of the state. The first of the three hosts of a service is its primary.
 func HostAt(n int) statemachine.Host {
 	service, place := n/hostsPerDatabase, n%hostsPerDatabase
 	return statemachine.Host{
@@ -50,8 +50,8 @@
 // ProxyName returns the nth proxy's name.
 func ProxyName(n int) string { return fmt.Sprintf("edge-waco-hall-%d", n) }
 
-// Config returns a configuration with a service for each database and a route of each kind to it. Generations differ in
-// the first route's deadline.
+// Config returns a configuration with one service for each database and a route of each kind to it. Generations differ only in
+// the deadline of the first route.
 func (s Size) Config(generation int64) []byte {
 	var body bytes.Buffer
 	fmt.Fprintf(&body, `{"Generation":%d,"Routes":[`, generation)
@@ -82,8 +82,8 @@
 		`"Priority":1,"Service":%q,"MaxTries":2}`, i, i, kinds[i%routesPerDatabase], deadlineMs, ServiceName(i/routesPerDatabase))
 }
 
-// ConfigUpdate returns an operator's change of one route on top of a state, as the log carries it. It panics if the state does
-// not accept the change.
+// ConfigUpdate returns the log entry for an operator's change of one route on top of a state. It panics if the state rejects
+// the change.
 func (s Size) ConfigUpdate(state *statemachine.State) statemachine.Change {
 	update := &statemachine.ConfigUpdate{BaseVersion: state.Generation, Body: s.Config(state.Generation + 1)}
 	config, err := state.CheckConfig(update)
@@ -93,8 +93,8 @@
 	return statemachine.Change{UpdateConfig: state.Delta(update, config)}
 }
 
-// State returns a state of the size, in which the first host of each database is its primary. Hosts and proxies are put
-// in directly: the time to apply a change for each would grow with the square of the size.
+// State returns a state of the size, in which the first host of each database is its primary. Hosts and proxies are inserted
+// directly, because applying one change for each of them takes time quadratic in the size.
 func (s Size) State() *statemachine.State {
 	state := &statemachine.State{}
 	if err := state.Apply(1, statemachine.Change{UpdateConfig: &statemachine.ConfigUpdate{Body: s.Config(1)}}); err != nil {
--- a/internal/simulation/tierfleet/files.go
+++ b/internal/simulation/tierfleet/files.go
@@ -9,10 +9,11 @@
 	"ferrypitch/internal/fake/discovery"
 )
 
-// LinkKeyFile is the name of the file with the key of the links between planners and forwarders, beside the files that name it.
+// LinkKeyFile is the name of the file with the key for links between planners and forwarders. It is in the same directory as
+// the files that refer to it.
 const LinkKeyFile = "link.key"
 
-// Groups of commands.
+// Command groups.
 const (
 	groupList  = "list"  // reads with a staleness bound
 	groupOwn   = "own"   // reads that see the session's last write
@@ -20,7 +21,7 @@
 	groupOrder = "order" // writes, run at most once
 )
 
-// What the settings and the simulated hosts have to agree on.
+// Values used both in the settings and by the simulated hosts.
 const (
 	coldStartFraction = 0.25
 	warmUpMs          = 8000
@@ -29,8 +30,8 @@
 	listStalenessMs   = 1000
 )
 
-// file is a program's file, by the names that setup.LoadOperator reads.
-type file struct {
+// programFile is a program's configuration file in the format that setup.LoadOperator reads.
+type programFile struct {
 	Name      string          `json:"name"`
 	Seed      string          `json:"seed"` // hexadecimal
 	Limits    limits          `json:"limits"`
@@ -59,26 +60,26 @@
 	KeyFile  string   `json:"key_file"`
 }
 
-// TraceSettings is the traces that a router writes.
+// TraceSettings configures the traces that a router writes.
 type TraceSettings struct {
-	// Dir is the folder of the trace files.
+	// Dir is the directory of the trace files.
 	Dir string `json:"dir"`
-	// Fraction is the part of sessions to capture; nil: everything, which makes traces that can be replayed.
+	// Fraction is the fraction of sessions to capture. If it is nil, everything is captured, which replaying a trace requires.
 	Fraction *float64 `json:"part,omitempty"`
-	// KeyFile is the key that picks those sessions, beside the router's file.
+	// KeyFile is the file with the key that selects the captured sessions. It is in the same directory as the router's file.
 	KeyFile string `json:"key_file,omitempty"`
 }
 
-// settings is what all routers of a deployment have in common. Times are in milliseconds.
+// settings holds the settings that all routers of a deployment share. Times are in milliseconds.
 type settings struct {
-	Tick       int        `json:"tick"`
-	PeersTotal int        `json:"peers_total"`
-	Bounds     bounds     `json:"bounds"`
-	Prices     prices     `json:"prices"`
-	Rules      rules      `json:"rules"`
-	Telemetry  struct{}   `json:"telemetry"`
-	FamilyInfo familyInfo `json:"family_info"`
-	Classes    []class    `json:"classes"`
+	Tick       int              `json:"tick"`
+	PeersTotal int              `json:"peers_total"`
+	Bounds     bounds           `json:"bounds"`
+	Prices     prices           `json:"prices"`
+	Rules      rules            `json:"rules"`
+	Telemetry  struct{}         `json:"telemetry"`
+	FamilyInfo classConsistency `json:"family_info"`
+	Classes    []class          `json:"classes"`
 }
 
 type bounds struct {
@@ -101,14 +102,14 @@
 	WarmUp         int     `json:"cold"`
 }
 
-// familyInfo says for each class, in the order of the classes, what its reads must see.
-type familyInfo struct {
+// classConsistency holds the read consistency of each class, in the order of the classes.
+type classConsistency struct {
 	ClassRead  []string `json:"class_read"`
 	ClassBound []int    `json:"class_bound"`
 	Stamps     bool     `json:"stamps"`
 }
 
-// class is the settings of a group of commands.
+// class holds the settings of a command group.
 type class struct {
 	Name          string  `json:"name"`
 	Effect        string  `json:"effect"`
@@ -133,7 +134,7 @@
 		Rules: rules{
 			OverloadFactor: overloadFactor, OverloadWindow: overloadWindowMs, ColdStart: coldStartFraction, WarmUp: warmUpMs,
 		},
-		FamilyInfo: familyInfo{
+		FamilyInfo: classConsistency{
 			ClassRead:  []string{"lag_bound", "causal", "strong", "mutate"},
 			ClassBound: []int{listStalenessMs, 0, 0, 0},
 			Stamps:     true,
@@ -142,10 +143,10 @@
 	}
 }
 
-// newFile is a file with the parts that all programs have. The seed follows from the name.
-func (f *Fleet) newFile(name string) *file {
+// newFile returns a file with the parts that are common to all programs. The seed is derived from the name.
+func (f *Fleet) newFile(name string) *programFile {
 	seed := uint64(len(name))*7919 + uint64(name[len(name)-1])
-	return &file{
+	return &programFile{
 		Name:     name,
 		Seed:     strconv.FormatUint(seed, 16),
 		Limits:   limits{Cores: 1, MemoryMB: 128, Sockets: 512},
@@ -153,7 +154,7 @@
 	}
 }
 
-func (f *Fleet) write(content *file) (path string, err error) {
+func (f *Fleet) write(content *programFile) (path string, err error) {
 	text, err := json.MarshalIndent(content, "", "  ")
 	if err != nil {
 		return "", err
@@ -162,7 +163,7 @@
 	return path, os.WriteFile(path, text, 0o600)
 }
 
-// PlannerFile writes the file of a planner, by its number, and returns the path.
+// PlannerFile writes the configuration file of a planner, selected by number, and returns the path.
 func (f *Fleet) PlannerFile(planner int) (string, error) {
 	content := f.newFile("p" + strconv.Itoa(planner))
 	content.Discovery = f.Discovery.Address()
@@ -170,7 +171,8 @@
 	return f.write(content)
 }
 
-// ForwarderFile writes the file of a forwarder, by its number, with the list of hosts as it is now, and returns the path.
+// ForwarderFile writes the configuration file of a forwarder, selected by number, and returns the path. The file contains the
+// current list of hosts.
 func (f *Fleet) ForwarderFile(forwarder int, listen string) (string, error) {
 	content := f.newFile("f" + strconv.Itoa(forwarder))
 	known := f.Discovery.List()
@@ -179,7 +181,7 @@
 	return f.write(content)
 }
 
-// RouterFile writes the file of a router without planners, by its number, and returns the path.
+// RouterFile writes the configuration file of a router without planners, selected by number, and returns the path.
 func (f *Fleet) RouterFile(router int, listen string) (string, error) {
 	content := f.newFile("r" + strconv.Itoa(router))
 	content.Listen, content.Discovery, content.Trace = listen, f.Discovery.Address(), f.Trace
--- a/internal/simulation/tierfleet/fleet.go
+++ b/internal/simulation/tierfleet/fleet.go
@@ -1,8 +1,8 @@
-// Package tierfleet puts together a small deployment of the older router on free loopback ports: simulated hosts and
+// Package tierfleet sets up a small deployment of the older router on free loopback ports: simulated hosts, simulated
 // discovery, and planners and forwarders, or routers without planners.
 //
-// A Fleet owns the hosts and discovery, and writes the files that the programs read. Plan and Forward run a planner or a
-// forwarder in this process; package tierprocess runs them as processes of their own.
+// A Fleet owns the hosts and discovery, and writes the programs' configuration files. Plan and Forward run a planner or a
+// forwarder in this process. Package tierprocess runs them as separate processes.
 package tierfleet
 
 import (
@@ -17,36 +17,36 @@
 	"ferrypitch/internal/fake/postgres"
 )
 
-// drainGrace is how long after the notice of a drain new commands are excused: a second by the rule, and a tolerance for
-// commands on their way.
+// drainGrace is how long after the notice of a drain new commands are no violation: the rule allows one second, and the rest
+// allows for commands in flight.
 const drainGrace = time.Second + 50*time.Millisecond
 
 // Replication lags of the hosts.
 const (
 	replicationLag     = 20 * time.Millisecond
-	longReplicationLag = 700 * time.Millisecond // of the last replica of each set
+	longReplicationLag = 700 * time.Millisecond // of the last host of each set with several hosts
 )
 
-// States of hosts in discovery.
+// States of hosts in the discovery list.
 const (
 	StateUp       = "up"
 	StateDraining = "draining"
 )
 
-// Fleet is the hosts and discovery of a deployment, and the files of its programs.
+// Fleet is a deployment: its hosts, discovery, and the configuration files of its programs.
 type Fleet struct {
 	Hosts     *postgres.Fleet
 	Discovery *discovery.Discovery
-	// Dir is the folder of the files.
+	// Dir is the directory of the files.
 	Dir string
-	// Trace is the traces that routers and forwarders write; nil: none.
+	// Trace configures the traces that routers and forwarders write. If it is nil, they write none.
 	Trace *TraceSettings
 
-	routers  int      // routers or forwarders of the deployment
-	planners []string // addresses
+	routers  int      // number of routers or forwarders
+	planners []string // addresses of the planners
 }
 
-// hostConfig describes hosts that fit the settings of the programs.
+// hostConfig returns a host configuration that matches the settings of the programs.
 func hostConfig() postgres.Config {
 	return postgres.Config{
 		WorkTime:          4 * time.Millisecond,
@@ -62,7 +62,7 @@
 	}
 }
 
-// New starts discovery and the hosts, so many in each set, and reserves the addresses of planners.
+// New starts discovery and the hosts, hostsPerSet in each set, and picks addresses for the planners.
 func New(dir string, sets, hostsPerSet, routers, planners int) (*Fleet, error) {
 	service, err := discovery.New()
 	if err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Free returns a loopback address with a port that was free just now.
+// Free returns a loopback address with a free port. The port is not reserved.
 func Free() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,8 +123,8 @@
 	}
 }
 
-// Announce has discovery list a host in a state. From the announcement of another state than StateUp on, the host expects
-// its commands to end.
+// Announce has discovery list a host in a state. After the announcement of a state other than StateUp, the host counts commands
+// that arrive after the drain grace period as violations.
 func (f *Fleet) Announce(host *postgres.Host, state string) {
 	announcedAt := f.Discovery.Update(entry(host, state))
 	if state == StateUp {
--- a/internal/simulation/tierfleet/ready.go
+++ b/internal/simulation/tierfleet/ready.go
@@ -16,7 +16,7 @@
 	maxMessageBytes  = 1 << 16
 )
 
-// Ready waits until a router answers an empty query without an error. Its error wraps that of ctx.
+// Ready waits until a router answers an empty query without an error. If ctx ends first, the returned error wraps that of ctx.
 func Ready(ctx context.Context, address string) error {
 	for ctx.Err() == nil {
 		if isReady(ctx, address) {
@@ -41,7 +41,8 @@
 	return answersEmptyQuery(conn)
 }
 
-// answersEmptyQuery reads messages up to the answer to an empty query; an error message ends it too.
+// answersEmptyQuery reads messages until the answer to an empty query, and reports whether it is EmptyQueryResponse rather than
+// an error.
 func answersEmptyQuery(conn net.Conn) bool {
 	var input []byte
 	buffer := make([]byte, readBufferBytes)
--- a/internal/simulation/tierfleet/run.go
+++ b/internal/simulation/tierfleet/run.go
@@ -13,10 +13,10 @@
 	"ferrypitch/internal/router/tier/plannerserver"
 )
 
-// noEnvironment is an environment without variables: files alone say how programs run.
+// noEnvironment is an empty environment, so that only the files configure the programs.
 func noEnvironment(string) string { return "" }
 
-// Plan runs a planner, by its number, as one of tasks until ctx ends.
+// Plan runs a planner, selected by number, in tasks until ctx ends.
 func (f *Fleet) Plan(ctx context.Context, tasks *errgroup.Group, planner int, log *zap.Logger) error {
 	path, err := f.PlannerFile(planner)
 	if err != nil {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Forward runs a forwarder, by its number, as one of tasks until ctx ends, and returns its address.
+// Forward runs a forwarder, selected by number, in tasks until ctx ends, and returns its address.
 func (f *Fleet) Forward(ctx context.Context, tasks *errgroup.Group, forwarder int, log *zap.Logger) (address string, err error) {
 	if address, err = Free(); err != nil {
 		return "", err
--- a/internal/simulation/tierfleet/trace_test.go
+++ b/internal/simulation/tierfleet/trace_test.go
@@ -20,10 +20,10 @@
 	"ferrypitch/internal/simulation/workload"
 )
 
-// writeFile writes the file of a router, by its number and address.
+// writeFile writes the configuration file of a router, given its number and address.
 type writeFile func(router int, listen string) (path string, err error)
 
-// loadRouter runs a router in this process under load, while a replica dies and returns, and stops it.
+// loadRouter runs a router in this process under load, kills and restarts a replica meanwhile, and stops the router.
 func loadRouter(t *testing.T, f *Fleet, write writeFile) *workload.Tally {
 	t.Helper()
 	address, err := Free()
@@ -67,7 +67,7 @@
 	return tally
 }
 
-// replayTrace replays the one trace file of a folder.
+// replayTrace replays the only trace file in a directory.
 func replayTrace(t *testing.T, dir string) *replay.Replay {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.fptrace"))
@@ -113,10 +113,10 @@
 		f.Stop()
 		replayed := replayTrace(t, f.Trace.Dir)
 		if replayed.Different != 0 || replayed.Compared < int64(tally.Sent) {
-			t.Errorf("forwards %v: %d calls, %d asked for, %d apart: %v",
+			t.Errorf("forwards %v: %d calls, %d decisions compared, %d differences: %v",
 				forwards, replayed.Calls, replayed.Compared, replayed.Different, replayed.Differences)
 		}
-		t.Logf("forwards %v: %d commands, %d calls into the module, %d asked for, %d apart",
+		t.Logf("forwards %v: %d commands, %d calls into the module, %d decisions compared, %d differences",
 			forwards, tally.Sent, replayed.Calls, replayed.Compared, replayed.Different)
 	}
 }
--- a/internal/simulation/tiernet/apply.go
+++ b/internal/simulation/tiernet/apply.go
@@ -6,13 +6,13 @@
 	"ferrypitch/policy"
 )
 
-// applyView passes to the decision module what has changed in the view of the planners: the list of hosts first, then the number
-// of routers, then positions and roles.
+// applyView passes the changes of the planners' view to the decision module: first the list of hosts, then the number of
+// routers, then positions and roles.
 func (f *forwarderProcess) applyView(due follower.Actions) {
 	f.updateClock()
 	hosts := due.ChangedHosts
 	for _, name := range due.RemovedHosts {
-		if f.nodes[name] != nil {
+		if f.moduleHosts[name] != nil {
 			hosts = append(hosts, view.Host{Name: name, ListedState: policy.Removed, Size: 1})
 		}
 	}
@@ -24,24 +24,24 @@
 	f.trace.Count(due.RouterCount, due.NoPlanner)
 	f.module.SetRouterCount(due.RouterCount, due.NoPlanner)
 	for _, h := range hosts {
-		if node := f.nodes[h.Name]; node != nil {
+		if node := f.moduleHosts[h.Name]; node != nil {
 			lateness := policy.PlannerLatency(h.Lateness)
 			f.trace.Told(node, h.Position, h.Role, h.RolePosition, lateness)
 			node.ApplyPlannerUpdate(h.Position, h.Role, h.RolePosition, lateness)
-			f.noteNaming(h)
+			f.recordPrimaryView(h)
 		}
 	}
 }
 
-// applyListed applies what discovery says of a host.
+// applyListed applies a host's entry in the discovery list.
 func (f *forwarderProcess) applyListed(h view.Host) {
-	node := f.nodes[h.Name]
+	node := f.moduleHosts[h.Name]
 	if node == nil {
 		if h.ListedState == policy.Removed {
 			return
 		}
 		node = f.module.AddHost(h.Name, h.Set)
-		f.nodes[h.Name], f.nodeNames[node] = node, h.Name
+		f.moduleHosts[h.Name], f.moduleHostNames[node] = node, h.Name
 		f.trace.Host(node, h.Set)
 	}
 	f.trace.Listed(node, h.ListedState, h.ListedPrimary, h.Zone, h.Model, h.Size, h.BootedAt)
@@ -54,17 +54,17 @@
 	}
 }
 
-// noteNaming notes how soon after an election the forwarder's view names the new primary.
-func (f *forwarderProcess) noteNaming(h view.Host) {
+// recordPrimaryView records the time from an election until the forwarder's view has the new primary.
+func (f *forwarderProcess) recordPrimaryView(h view.Host) {
 	named := f.w.host(h.Name)
 	set := named.set
-	if set.naming != nil && !set.naming[f] && h.Role == policy.Primary && set.primary == named {
-		set.naming[f] = true
-		f.w.NamingTimes = append(f.w.NamingTimes, f.w.Now-set.electedAt)
+	if set.primaryInView != nil && !set.primaryInView[f] && h.Role == policy.Primary && set.primary == named {
+		set.primaryInView[f] = true
+		f.w.PrimaryViewTimes = append(f.w.PrimaryViewTimes, f.w.Now-set.electedAt)
 	}
 }
 
-// updateClock sets the module's time for the calls that follow.
+// updateClock sets the time of the module and of the trace before calls into them.
 func (f *forwarderProcess) updateClock() {
 	f.module.SetTime(f.w.Now)
 	f.trace.SetTime(f.w.Now)
--- a/internal/simulation/tiernet/command.go
+++ b/internal/simulation/tiernet/command.go
@@ -8,27 +8,27 @@
 )
 
 const (
-	// sessionCount is how many sessions the commands of a world belong to.
+	// sessionCount is the number of sessions in a world.
 	sessionCount = 40
-	// answerMargin is how long before the client timeout the module has to have answered; an answer may be as late as the
-	// timeout itself.
+	// answerMargin is how long before the client timeout the deadline of a command is. The check allows an answer until the
+	// timeout.
 	answerMargin = 4 * millisecond
 )
 
-// command is a command at a forwarder.
+// command is a command in progress at a forwarder.
 type command struct {
 	handle   *policy.Command
 	group    *policy.CommandGroup
 	session  string
 	deadline policy.TenthMs
-	// requiredPosition is what a read must see because of its session; 0: nothing. That of a read with a staleness bound
-	// follows from when it is dispatched.
+	// requiredPosition is the position that a read must see because of its session's last write, or 0. For reads with a
+	// staleness bound, the required position depends on the dispatch time; see dispatch.staleBefore.
 	requiredPosition policy.TenthMs
 	answered         bool
-	dispatchSerial   int // of the dispatch in flight; 0: none
+	dispatchSerial   int // serial number of the dispatch in flight; 0 if there is none
 }
 
-// receiveCommand takes a command of a random group and session.
+// receiveCommand submits a command of a random group and session to the decision module.
 func (f *forwarderProcess) receiveCommand() {
 	w := f.w
 	w.Received++
@@ -59,7 +59,7 @@
 	f.forgetFinished(c.handle)
 }
 
-// countFinalAnswer counts the final answer to a command, and checks that it is the only one, and in time.
+// countFinalAnswer counts the final answer to a command, and checks that it is the only one and arrives in time.
 func (f *forwarderProcess) countFinalAnswer(handle *policy.Command, count *int) {
 	w, c := f.w, f.commands[handle.Name]
 	if c == nil || c.answered {
@@ -73,7 +73,7 @@
 	*count++
 }
 
-// forgetFinished drops a command that has its answer and no dispatch in flight.
+// forgetFinished removes a command that is answered and has no dispatch in flight.
 func (f *forwarderProcess) forgetFinished(handle *policy.Command) {
 	if c := f.commands[handle.Name]; c != nil && c.answered && handle.IsFinished() {
 		f.trace.Settled(handle)
--- a/internal/simulation/tiernet/dispatch.go
+++ b/internal/simulation/tiernet/dispatch.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// drainGrace is how long after the notice of a drain commands may still go to a host.
+	// drainGrace is how long after the notice of a drain commands may still be sent to a host.
 	drainGrace = second
-	// boundTolerance is added to a staleness bound, for the time that a command is on its way.
+	// boundTolerance is added to a staleness bound to allow for the network delay of a command.
 	boundTolerance = 50 * millisecond
-	// Range of the time that a command takes at a host.
+	// Range of the processing time of a command at a host.
 	minWorkTime = 2 * millisecond
 	maxWorkTime = 10 * millisecond
 )
 
-// maxLateness is the most that a report counts for one answer, in the units of policy.Cmd.Spent.
+// maxLateness limits the lateness that a report counts for one answer, as a multiple of the command's response target.
 const maxLateness = 10
 
 // thousandths is the scale of fractions in reports.
 const thousandths = 1000
 
-// dispatch is a command on its way to a host and back.
+// dispatch is a command in flight to a host and back.
 type dispatch struct {
 	forwarder   *forwarderProcess
 	incarnation int // of the forwarder
@@ -30,25 +30,25 @@
 	host        *host
 	serial      int
 	sentAt      policy.TenthMs
-	// staleBefore is the oldest position that a read with a staleness bound may see.
+	// staleBefore is the oldest position that the host may have for a read with a staleness bound; 0 for other commands.
 	staleBefore policy.TenthMs
-	// excused says that the host was the primary, and the forwarder cannot know that it is no more. By the rule, a read there
-	// may be stale.
-	excused bool
+	// mayBeStale is set if the host was the primary and the forwarder can't know yet that it no longer is. The rule allows
+	// stale reads at such a host.
+	mayBeStale bool
 }
 
-// dispatch sends a command to a host, and checks that it may go there now.
+// dispatch sends a command to a host, and checks that the host may receive it now.
 func (f *forwarderProcess) dispatch(handle *policy.Command, node *policy.Host, timeout policy.TenthMs) {
-	w, c, h := f.w, f.commands[handle.Name], f.w.host(f.nodeNames[node])
+	w, c, h := f.w, f.commands[handle.Name], f.w.host(f.moduleHostNames[node])
 	if c == nil || c.answered {
 		w.Violate("%s: %s is sent after its final answer", f.name, handle.Name)
 		return
 	}
 	if c.dispatchSerial != 0 {
-		w.Violate("%s: %s is out twice", f.name, handle.Name)
+		w.Violate("%s: %s has two dispatches in flight", f.name, handle.Name)
 	}
 	if drainedAt := f.drainedAt[h.name]; drainedAt != 0 && w.Now > drainedAt+drainGrace {
-		w.Violate("%s: %s goes to %s, drained or gone %d ms ago", f.name, handle.Name, h.name, inMs(w.Now-drainedAt))
+		w.Violate("%s: %s is sent to %s, which was drained or removed %d ms ago", f.name, handle.Name, h.name, inMs(w.Now-drainedAt))
 	}
 	f.trace.Dispatch(handle, node, timeout)
 	w.LastSerial++
@@ -64,7 +64,7 @@
 		host:        h,
 		serial:      c.dispatchSerial,
 		sentAt:      w.Now,
-		excused:     h.wasPrimary && !f.demoted[h.name],
+		mayBeStale:  h.wasPrimary && !f.demoted[h.name],
 	}
 	if c.group.ConsistencyLevel == policy.BoundedStaleness {
 		d.staleBefore = w.Now - c.group.MaxStaleness - boundTolerance
@@ -77,7 +77,7 @@
 	w.afterNetwork(d.arrive)
 }
 
-// arrive runs the command at the host, or finds it down.
+// arrive runs the command at the host, or reports that the host is down.
 func (d *dispatch) arrive() {
 	w, h := d.forwarder.w, d.host
 	if !h.up {
@@ -85,7 +85,7 @@
 		return
 	}
 	h.checkOverload(d.forwarder)
-	if h.hanging {
+	if h.hung {
 		h.queued = append(h.queued, d.run)
 		return
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-// write commits at the primary, and checks that the command runs once.
+// write commits at the primary, and checks that the command runs only once.
 func (d *dispatch) write() {
 	w, name := d.forwarder.w, d.command.handle.Name
 	position, role := d.host.position(), d.host.role()
@@ -123,41 +123,41 @@
 	w.afterNetwork(func() {
 		if d.forwarder.up && !d.command.answered {
 			w.lastCommits[d.command.session] = max(w.lastCommits[d.command.session], position)
-			d.noteFollowing(set, electedAt)
+			d.recordFirstWrite(set, electedAt)
 		}
 		const roundUp = millisecond - 1 // positions on the wire are whole milliseconds
 		d.end(policy.Answered, position+roundUp, role)
 	})
 }
 
-// noteFollowing notes how soon after an election the forwarder has a write answered by the new primary.
-func (d *dispatch) noteFollowing(set *replicaSet, electedAt policy.TenthMs) {
+// recordFirstWrite records the time from an election until the forwarder has its first write answered by the new primary.
+func (d *dispatch) recordFirstWrite(set *replicaSet, electedAt policy.TenthMs) {
 	f := d.forwarder
-	if electedAt != 0 && set.electedAt == electedAt && set.following != nil && !set.following[f] {
-		set.following[f] = true
-		f.w.FollowTimes = append(f.w.FollowTimes, f.w.Now-electedAt)
+	if electedAt != 0 && set.electedAt == electedAt && set.firstWriteDone != nil && !set.firstWriteDone[f] {
+		set.firstWriteDone[f] = true
+		f.w.FirstWriteTimes = append(f.w.FirstWriteTimes, f.w.Now-electedAt)
 	}
 }
 
-// read checks that the host has what the command must see.
+// read checks that the host has the position that the command must see.
 func (d *dispatch) read() {
 	f, h := d.forwarder, d.host
 	position, role := h.position(), h.role()
 	required := max(d.command.requiredPosition, d.staleBefore)
-	if position < required && !d.excused && role != policy.Primary {
-		f.w.Violate("%s: %s reads at %s %d ms too old", f.name, d.command.handle.Name, h.name, inMs(required-position))
+	if position < required && !d.mayBeStale && role != policy.Primary {
+		f.w.Violate("%s: %s reads at %s, which is %d ms too old", f.name, d.command.handle.Name, h.name, inMs(required-position))
 	}
 	f.w.afterNetwork(func() { d.end(policy.Answered, position/millisecond*millisecond, role) })
 }
 
-// end brings the outcome to the forwarder, unless the dispatch has ended otherwise before, as by its timeout.
+// end reports the outcome to the forwarder, unless the dispatch has ended already, for example by its timeout.
 func (d *dispatch) end(outcome policy.Outcome, position policy.TenthMs, role policy.Role) {
 	if d.forwarder.isRunning(d.incarnation) && d.command.dispatchSerial == d.serial {
 		d.forwarder.dispatchEnded(d, outcome, position, role)
 	}
 }
 
-// dispatchEnded reports an outcome to the module, and notes what the answer says for the next report.
+// dispatchEnded reports an outcome to the module, and adds what the answer says about the host to the next report.
 func (f *forwarderProcess) dispatchEnded(d *dispatch, outcome policy.Outcome, position policy.TenthMs, role policy.Role) {
 	w, c := f.w, d.command
 	c.dispatchSerial = 0
@@ -181,7 +181,7 @@
 	f.forgetFinished(c.handle)
 }
 
-// observation returns what answers of a host have said since the last report.
+// observation returns the observation of a host that the next report will contain.
 func (f *forwarderProcess) observation(hostName string) *link.Observation {
 	if f.observations[hostName] == nil {
 		f.observations[hostName] = &link.Observation{Evidence: view.Evidence{Name: hostName}}
--- a/internal/simulation/tiernet/fault.go
+++ b/internal/simulation/tiernet/fault.go
@@ -2,7 +2,7 @@
 
 import "ferrypitch/policy"
 
-// Kinds of faults, in the order of the draw. Those that stand twice come twice as often.
+// Kinds of faults, in the order of the random numbers that select them. A kind with two constants is twice as frequent.
 const (
 	faultCrashHost = iota
 	faultCrashHostAgain
@@ -11,18 +11,18 @@
 	faultKillPlanner
 	faultKillPlannerAgain
 	faultKillAllPlanners
-	faultCutLink
+	faultPartitionLink
 	faultKillForwarder
 	faultStalePlanner
 	faultSkewClock
 	faultStepDown
-	faultKinds
+	faultKindCount
 )
 
-// injectFault causes a random fault, which ends by itself after a random time.
+// injectFault injects a random fault. Faults with a duration end by themselves after a random time.
 func (w *World) injectFault() {
 	h := w.hosts[w.Rand.IntN(len(w.hosts))]
-	switch w.Rand.IntN(faultKinds) {
+	switch w.Rand.IntN(faultKindCount) {
 	case faultCrashHost, faultCrashHostAgain:
 		w.crashHost(h, w.Between(300*millisecond, 4*second))
 	case faultHangHost:
@@ -33,20 +33,20 @@
 		w.killPlanner(w.randomPlanner())
 	case faultKillAllPlanners:
 		w.killAllPlanners(w.Between(second, 6*second))
-	case faultCutLink:
+	case faultPartitionLink:
 		forwarder := w.randomForwarder()
-		w.cutLink(forwarder, w.randomPlanner())
+		w.partitionLink(forwarder, w.randomPlanner())
 	case faultKillForwarder:
 		w.killForwarder(w.randomForwarder())
 	case faultStalePlanner:
 		p := w.randomPlanner()
-		w.LogFault("planner %d comes back with an old list", p.index)
+		w.LogFault("planner %d restarts with an old list", p.index)
 		p.kill()
 		w.After(w.Between(100*millisecond, second), func() { p.restart(true) })
 	case faultSkewClock:
 		p := w.randomPlanner()
 		p.clockSkew = w.Between(-second, second)
-		w.LogFault("planner %d has a clock %d ms ahead", p.index, inMs(p.clockSkew))
+		w.LogFault("the clock of planner %d is %d ms ahead", p.index, inMs(p.clockSkew))
 	case faultStepDown:
 		w.stepDown(h)
 	}
@@ -60,36 +60,36 @@
 	return w.forwarders[w.Rand.IntN(len(w.forwarders))]
 }
 
-// crashHost has a host down for a span.
+// crashHost crashes a host and restarts it after a span.
 func (w *World) crashHost(h *host, span policy.TenthMs) {
 	h.kill()
 	w.After(span, h.restart)
 }
 
-// hangHost has a host answer nothing for a span, in which another one is elected if it was the primary. The commands that it
-// took run when it goes on, as a replica.
+// hangHost makes a host stop answering for a span. If it was the primary, another host is elected. The commands that it
+// received meanwhile run when it resumes, as a replica.
 func (w *World) hangHost(h *host, span policy.TenthMs) {
-	if !h.up || h.hanging {
+	if !h.up || h.hung {
 		return
 	}
 	w.LogFault("%s hangs", h.name)
-	h.hanging = true
+	h.hung = true
 	if h.set.primary == h {
 		h.set.losePrimary()
-		h.set.electLater()
+		h.set.scheduleElection()
 	}
 	startedAt := h.startedAt
 	w.After(span, func() {
-		if h.hanging && h.up && h.startedAt == startedAt {
+		if h.hung && h.up && h.startedAt == startedAt {
 			h.resume()
 		}
 	})
 }
 
-// resume runs the commands that arrived while a host hung.
+// resume ends a hang and runs the commands that arrived during it.
 func (h *host) resume() {
 	queued := h.queued
-	h.hanging, h.queued = false, nil
+	h.hung, h.queued = false, nil
 	for _, run := range queued {
 		run()
 	}
@@ -98,29 +98,29 @@
 	}
 }
 
-// drainHost has a host drain for some seconds.
+// drainHost has discovery list a host as draining for some seconds.
 func (w *World) drainHost(h *host) {
 	w.LogFault("%s drains", h.name)
-	w.setStanding(h, policy.Draining)
-	w.After(w.Between(2*second, 4*second), func() { w.setStanding(h, policy.Active) })
+	w.setListState(h, policy.Draining)
+	w.After(w.Between(2*second, 4*second), func() { w.setListState(h, policy.Active) })
 }
 
-// stepDown is a planned change of the primary: it steps down where its log stands, and an election follows soon.
+// stepDown starts a planned switchover: the primary steps down at its current position, and an election follows soon.
 func (w *World) stepDown(h *host) {
-	if h.set.primary == h && h.up && !h.hanging {
+	if h.set.primary == h && h.up && !h.hung {
 		w.LogFault("%s steps down", h.name)
 		h.set.losePrimary()
 		w.After(w.Between(50*millisecond, 400*millisecond), h.set.elect)
 	}
 }
 
-// killPlanner has a planner start again after some time.
+// killPlanner kills a planner and restarts it after a random time.
 func (w *World) killPlanner(p *plannerProcess) {
 	p.kill()
 	w.After(w.Between(100*millisecond, 5*second), func() { p.restart(false) })
 }
 
-// killAllPlanners has all planners down for a span.
+// killAllPlanners kills all planners and restarts them after a span.
 func (w *World) killAllPlanners(span policy.TenthMs) {
 	for _, p := range w.planners {
 		p.kill()
@@ -128,7 +128,7 @@
 	}
 }
 
-// killForwarder has a forwarder that runs start again soon.
+// killForwarder kills a running forwarder and restarts it after a short random time.
 func (w *World) killForwarder(f *forwarderProcess) {
 	if f.up {
 		f.kill()
@@ -136,9 +136,9 @@
 	}
 }
 
-// cutLink has nothing pass between a forwarder and a planner for some seconds, without either seeing the link end.
-func (w *World) cutLink(f *forwarderProcess, p *plannerProcess) {
-	w.LogFault("%s is cut from planner %d", f.name, p.index)
-	f.cutFrom[p.index] = true
-	w.After(w.Between(second, 8*second), func() { f.cutFrom[p.index] = false })
+// partitionLink drops everything between a forwarder and a planner for some seconds, without closing the link at either end.
+func (w *World) partitionLink(f *forwarderProcess, p *plannerProcess) {
+	w.LogFault("%s is partitioned from planner %d", f.name, p.index)
+	f.partitionedFrom[p.index] = true
+	w.After(w.Between(second, 8*second), func() { f.partitionedFrom[p.index] = false })
 }
--- a/internal/simulation/tiernet/forwarder.go
+++ b/internal/simulation/tiernet/forwarder.go
@@ -13,7 +13,7 @@
 	"ferrypitch/policy"
 )
 
-// Ranges of the times of links.
+// Ranges of the delays of links.
 const (
 	minChangeDelay = millisecond / 2
 	maxChangeDelay = 4 * millisecond
@@ -21,35 +21,35 @@
 	maxDialDelay   = 6 * millisecond
 )
 
-// Sizes of traces.
+// Settings of traces.
 const (
 	traceBlockBytes = 64 << 10
-	traceAll        = 1000 // thousandths of sessions
+	traceAll        = 1000 // sampled sessions per mille: all of them
 )
 
-// forwarderProcess is a forwarder's process: the real follower of the planners and the real decision module. It does what the
-// goroutine that owns routing does in the program.
+// forwarderProcess simulates a forwarder's process. It runs the real follower of the planners and the real decision module, and
+// does the work of the program's routing goroutine.
 type forwarderProcess struct {
-	w           *World
-	name        string
-	incarnation int
-	up          bool
-	cutFrom     map[int]bool // planners that nothing passes to or from, by index
-	follower    *follower.Follower
-	module      *policy.Router
-	trace       *record.Recorder // nil unless the world captures
-	groups      []*policy.CommandGroup
-	commands    map[string]*command // without those whose last dispatch has ended
-
-	nodes     map[string]*policy.Host // the module's hosts, by name
-	nodeNames map[*policy.Host]string
-
-	// By the names of hosts.
-	drainedAt    map[string]policy.TenthMs    // since when it knows that a host is drained or gone
-	knownStarts  map[string]policy.TenthMs    // the last start of a host that it knows of
-	demoted      map[string]bool              // the host's last answer said that it is no primary
-	observations map[string]*link.Observation // what answers have said since the last report
-	lastObserved map[string]policy.TenthMs    // when an answer last had a position
+	w               *World
+	name            string
+	incarnation     int
+	up              bool
+	partitionedFrom map[int]bool // planners that the forwarder is partitioned from, by index
+	follower        *follower.Follower
+	module          *policy.Router
+	trace           *record.Recorder // nil unless the world writes traces
+	groups          []*policy.CommandGroup
+	commands        map[string]*command // by id; unanswered or with a dispatch in flight
+
+	moduleHosts     map[string]*policy.Host // the module's hosts, by name
+	moduleHostNames map[*policy.Host]string
+
+	// Fields below are by host name.
+	drainedAt    map[string]policy.TenthMs    // when the forwarder learned that a host is drained or removed
+	knownStarts  map[string]policy.TenthMs    // the last start of a host that the forwarder knows of
+	demoted      map[string]bool              // the host's last answer with a position said that the host is not the primary
+	observations map[string]*link.Observation // collected for the next report
+	lastObserved map[string]policy.TenthMs    // when an answer last contained a position
 }
 
 // newGroups returns the command groups of a forwarder: reads with a staleness bound, reads that see the session's last write,
@@ -69,7 +69,7 @@
 	f.incarnation++
 	f.up = true
 	f.commands = map[string]*command{}
-	f.nodes, f.nodeNames = map[string]*policy.Host{}, map[*policy.Host]string{}
+	f.moduleHosts, f.moduleHostNames = map[string]*policy.Host{}, map[*policy.Host]string{}
 	f.drainedAt, f.knownStarts, f.demoted = map[string]policy.TenthMs{}, map[string]policy.TenthMs{}, map[string]bool{}
 	f.observations, f.lastObserved = map[string]*link.Observation{}, map[string]policy.TenthMs{}
 	f.groups = newGroups()
@@ -114,7 +114,7 @@
 	}, addresses, f.w.Forwarders, f.w.Now)
 }
 
-// kill ends a forwarder. Its commands are lost, which is no router's final answer.
+// kill ends a forwarder. Its commands are dropped without a final answer, which is not a violation.
 func (f *forwarderProcess) kill() {
 	f.w.LogFault("%s dies", f.name)
 	f.up = false
@@ -129,7 +129,7 @@
 	return f.up && f.incarnation == incarnation
 }
 
-// closeLink has a planner see the end of the link to it.
+// closeLink closes a planner's end of the link to it.
 func (f *forwarderProcess) closeLink(p *plannerProcess) {
 	if link := p.links[f]; link != nil {
 		link.Disconnected()
@@ -137,8 +137,8 @@
 	}
 }
 
-// sendTo runs do with the planner's end of a link, once a message sent now has arrived, unless the link has ended since.
-func (f *forwarderProcess) sendTo(p *plannerProcess, incarnation uint64, do func(link *planner.Forwarder)) {
+// sendToPlanner calls do with the planner's end of the link after the network delay, unless the link has been closed by then.
+func (f *forwarderProcess) sendToPlanner(p *plannerProcess, incarnation uint64, do func(link *planner.Forwarder)) {
 	f.w.afterNetwork(func() {
 		if link := p.links[f]; link != nil && p.incarnation == incarnation {
 			do(link)
@@ -146,11 +146,11 @@
 	})
 }
 
-// notifyDisconnect has the forwarder see the end of a link, later. Over a cut link only a reset of the planner's machine
-// comes through.
+// notifyDisconnect tells the forwarder after the network delay that a link was closed. Over a partitioned link it only learns of
+// a reset by the planner's machine.
 func (f *forwarderProcess) notifyDisconnect(p *plannerProcess, reset bool) {
 	incarnation := f.incarnation
-	if f.cutFrom[p.index] && !reset {
+	if f.partitionedFrom[p.index] && !reset {
 		return
 	}
 	f.w.afterNetwork(func() {
@@ -160,35 +160,35 @@
 	})
 }
 
-// receiveChange takes a change of a planner's view, and asks for the full view if changes before it are missing.
+// receiveChange applies a change of a planner's view after a delay. It requests the full view if an earlier change is missing.
 func (f *forwarderProcess) receiveChange(p *plannerProcess, change view.Change) {
 	incarnation, plannerIncarnation := f.incarnation, p.incarnation
-	if f.cutFrom[p.index] {
+	if f.partitionedFrom[p.index] {
 		return
 	}
 	f.w.After(f.w.Between(minChangeDelay, maxChangeDelay), func() {
-		if !f.isRunning(incarnation) || f.cutFrom[p.index] {
+		if !f.isRunning(incarnation) || f.partitionedFrom[p.index] {
 			return
 		}
 		if f.follower.Planners()[p.index].ApplyChange(f.w.Now, change) {
-			f.sendTo(p, plannerIncarnation, func(link *planner.Forwarder) { link.RequestFullView(p.clock()) })
+			f.sendToPlanner(p, plannerIncarnation, func(link *planner.Forwarder) { link.RequestFullView(p.clock()) })
 		}
 		f.tick()
 	})
 }
 
-// runTicks does what is due now, and each time that something is due from here on.
+// runTicks runs tick now and whenever it is due until the incarnation ends.
 func (f *forwarderProcess) runTicks(incarnation int) {
 	if f.isRunning(incarnation) {
 		f.w.After(max(millisecond, f.tick()-f.w.Now), func() { f.runTicks(incarnation) })
 	}
 }
 
-// tick does what is due, and returns when something is due again.
+// tick carries out the follower's due actions, and returns the time of the next ones.
 func (f *forwarderProcess) tick() (next policy.TenthMs) {
 	due := f.follower.Tick(f.w.Now)
 	for _, remote := range due.Disconnect {
-		f.closeLink(f.processOf(remote))
+		f.closeLink(f.plannerAt(remote))
 		remote.Disconnected(f.w.Now)
 	}
 	for _, remote := range due.Dial {
@@ -203,8 +203,8 @@
 	return due.NextTick
 }
 
-// processOf is the process at a planner's address, which is its index.
-func (f *forwarderProcess) processOf(remote *follower.Planner) *plannerProcess {
+// plannerAt returns the process of a planner, whose address is its index.
+func (f *forwarderProcess) plannerAt(remote *follower.Planner) *plannerProcess {
 	index, err := strconv.Atoi(remote.Address)
 	if err != nil {
 		panic(err)
@@ -214,12 +214,12 @@
 
 // dial opens a link to a planner.
 func (f *forwarderProcess) dial(remote *follower.Planner) {
-	w, incarnation, process := f.w, f.incarnation, f.processOf(remote)
+	w, incarnation, process := f.w, f.incarnation, f.plannerAt(remote)
 	w.After(w.Between(minDialDelay, maxDialDelay), func() {
 		if !f.isRunning(incarnation) {
 			return
 		}
-		if !process.up || f.cutFrom[process.index] {
+		if !process.up || f.partitionedFrom[process.index] {
 			remote.Disconnected(w.Now)
 			return
 		}
@@ -243,9 +243,9 @@
 		h.Responses, h.LatenessSum = 0, 0
 	}
 	for _, p := range f.w.planners {
-		if f.cutFrom[p.index] || p.links[f] == nil {
+		if f.partitionedFrom[p.index] || p.links[f] == nil {
 			continue
 		}
-		f.sendTo(p, p.incarnation, func(link *planner.Forwarder) { link.HandleReport(p.clock(), report) })
+		f.sendToPlanner(p, p.incarnation, func(link *planner.Forwarder) { link.HandleReport(p.clock(), report) })
 	}
 }
--- a/internal/simulation/tiernet/module.go
+++ b/internal/simulation/tiernet/module.go
@@ -2,9 +2,9 @@
 
 import "ferrypitch/policy"
 
-// The methods of this file are what the decision module asks of its owner: it is a policy.Caller.
+// The exported methods of forwarderProcess implement policy.Caller, the callbacks of the decision module.
 
-// RejectRetryable answers a command with a rejection.
+// RejectRetryable answers a command with a retryable rejection.
 func (f *forwarderProcess) RejectRetryable(handle *policy.Command, retryAfter policy.TenthMs) {
 	f.trace.Throttle(handle, retryAfter)
 	f.countFinalAnswer(handle, &f.w.Throttled)
@@ -23,7 +23,7 @@
 	f.dispatch(handle, node, timeout)
 }
 
-// ScheduleWakeUp calls the module again after a span.
+// ScheduleWakeUp calls the module's WakeUp after a span.
 func (f *forwarderProcess) ScheduleWakeUp(after policy.TenthMs) {
 	incarnation := f.incarnation
 	f.trace.Wake(after)
@@ -36,23 +36,23 @@
 	})
 }
 
-// CloseIdleConns closes the idle connections to a host, of which there are none here.
+// CloseIdleConns only traces the call, since simulated hosts have no idle connections.
 func (f *forwarderProcess) CloseIdleConns(node *policy.Host) { f.trace.Close(node) }
 
-// ReleaseHost drops a host that is gone.
+// ReleaseHost forgets a removed host.
 func (f *forwarderProcess) ReleaseHost(node *policy.Host) {
 	f.trace.Forget(node)
-	delete(f.nodes, f.nodeNames[node])
-	delete(f.nodeNames, node)
+	delete(f.moduleHosts, f.moduleHostNames[node])
+	delete(f.moduleHostNames, node)
 }
 
-// Probe is the planners' task.
+// Probe reports a violation, since only planners probe hosts.
 func (f *forwarderProcess) Probe(node *policy.Host) {
-	f.w.Violate("%s probes %s", f.name, f.nodeNames[node])
+	f.w.Violate("%s probes %s", f.name, f.moduleHostNames[node])
 }
 
-// Broadcast is a message to other routers, which forwarders do not have.
-func (f *forwarderProcess) Broadcast(string) { f.w.Violate("%s tells others", f.name) }
+// Broadcast reports a violation, since forwarders have no router peers.
+func (f *forwarderProcess) Broadcast(string) { f.w.Violate("%s broadcasts a message", f.name) }
 
-// RequestHostList is the planners' task.
-func (f *forwarderProcess) RequestHostList() { f.w.Violate("%s asks for a list", f.name) }
+// RequestHostList reports a violation, since only planners fetch the list of hosts.
+func (f *forwarderProcess) RequestHostList() { f.w.Violate("%s requests the list of hosts", f.name) }
--- a/internal/simulation/tiernet/planner.go
+++ b/internal/simulation/tiernet/planner.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// probeTimeout is how long a planner waits for a host that hangs.
+	// probeTimeout is how long a planner waits for a hung host.
 	probeTimeout = 250 * millisecond
-	// refusalDelay is the time until a planner learns that a host is down.
+	// refusalDelay is the time until a host that is down refuses a planner's connection.
 	refusalDelay = millisecond
-	// Range of the time until a planner has a new revision of discovery's list.
+	// Range of the time until a planner receives a new revision of the discovery list.
 	minListDelay = 5 * millisecond
 	maxListDelay = 300 * millisecond
-	// faultyChanges is in how many changes sent one is lost, and one sent twice.
+	// faultyChanges is the number of sent changes of which, on average, one is lost and one is sent twice.
 	faultyChanges = 200
 )
 
-// noPosition stands for the position of a host that did not answer.
+// noPosition is the position of a host that did not answer.
 const noPosition = policy.TenthMs(-1)
 
-// plannerProcess is a planner's process: the real planner, and the links of forwarders to it.
+// plannerProcess simulates a planner's process. It runs the real planner, and has the planner's ends of the links to forwarders.
 type plannerProcess struct {
 	w           *World
 	index       int
 	planner     *planner.Planner
 	incarnation uint64
 	up          bool
-	staleList   bool           // it has the first list and gets no newer ones
-	clockSkew   policy.TenthMs // how far its clock is ahead
+	staleList   bool           // the planner has revision 1 of the list and gets no newer one
+	clockSkew   policy.TenthMs // how far its clock is ahead of the simulated time
 	links       map[*forwarderProcess]*planner.Forwarder
 }
 
@@ -58,7 +58,7 @@
 	p.tick(p.incarnation)
 }
 
-// restart starts a planner that is down.
+// restart restarts a planner that is down. With staleList it has only the first revision of the list of hosts.
 func (p *plannerProcess) restart(staleList bool) {
 	if !p.up {
 		p.w.LogFault("planner %d starts", p.index)
@@ -86,7 +86,7 @@
 	return p.up && p.incarnation == incarnation
 }
 
-// fetchList has the planner get the newest list, after some time.
+// fetchList has the planner receive the newest list after a random delay.
 func (p *plannerProcess) fetchList() {
 	if p.staleList {
 		return
@@ -103,7 +103,7 @@
 	p.planner.ApplyList(p.clock(), revision, true, p.w.listAt(revision))
 }
 
-// tick does what is due now, and each time that something is due from here on.
+// tick carries out the planner's due actions, now and whenever more are due, until the incarnation ends.
 func (p *plannerProcess) tick(incarnation uint64) {
 	if !p.isRunning(incarnation) {
 		return
@@ -130,8 +130,8 @@
 	}
 }
 
-// sendChange sends a change to all forwarders, or the full view to those that need it. Some are lost or sent twice, which no
-// link does, and which a forwarder has to stand all the same.
+// sendChange sends a change to all forwarders, or the full view to those that need it. Some changes are lost or sent twice.
+// Links don't do this, but a forwarder must tolerate it.
 func (p *plannerProcess) sendChange(change view.Change, needFull []*planner.Forwarder) {
 	needsFull := map[*planner.Forwarder]bool{}
 	for _, link := range needFull {
@@ -174,7 +174,7 @@
 		switch {
 		case !h.up:
 			w.After(refusalDelay, result(false, noPosition, policy.UnknownRole))
-		case h.hanging:
+		case h.hung:
 			w.After(probeTimeout, result(false, noPosition, policy.UnknownRole))
 		default:
 			delay := w.Between(minNetworkDelay, maxNetworkDelay)
--- a/internal/simulation/tiernet/replay_test.go
+++ b/internal/simulation/tiernet/replay_test.go
@@ -14,17 +14,17 @@
 	"ferrypitch/policy"
 )
 
-// maxDifferences is how many differences a replay describes.
+// maxDifferences limits the differences that a replay describes.
 const maxDifferences = 12
 
-// traceFile is the trace of one incarnation of a forwarder. It is the sink of its recorder.
+// traceFile is a sink that holds the trace of one incarnation of a forwarder in memory.
 type traceFile struct {
 	content []byte
-	// complete says that the forwarder was not killed, which loses the end of a trace.
+	// complete says that the forwarder was not killed. A kill loses the end of a trace.
 	complete bool
 }
 
-// incarnationKey names an incarnation of a forwarder.
+// incarnationKey identifies an incarnation of a forwarder.
 type incarnationKey struct {
 	forwarder   string
 	incarnation int
@@ -59,7 +59,7 @@
 func runCaptured(t *testing.T, seed uint64) (map[incarnationKey]*traceFile, *World) {
 	t.Helper()
 	files := map[incarnationKey]*traceFile{}
-	w := NewCaptured(seed, smallSize, func(forwarder string, incarnation int, d policy.Deployment) record.Sink {
+	w := NewWithTraces(seed, smallSize, func(forwarder string, incarnation int, d policy.Deployment) record.Sink {
 		file := newTraceFile(t, forwarder, incarnation, d)
 		files[incarnationKey{forwarder, incarnation}] = file
 		return file
@@ -72,7 +72,7 @@
 	return files, w
 }
 
-// replayEvents plays the events of a trace until one fails, and returns that error; at the end of the trace it is nil.
+// replayEvents replays the events of a trace. It returns the first error, or nil at the end of the trace.
 func replayEvents(reader *format.Reader, replayed *replay.Replay) error {
 	for {
 		_, events, err := reader.Next()
@@ -102,34 +102,34 @@
 			require.NoError(t, err)
 			require.NoError(t, replayEvents(reader, replayed), "seed %d, %v", seed, key)
 			replayed.Finish(file.complete)
-			require.Zero(t, replayed.Different, "seed %d, %v: of %d asked for: %v", seed, key, replayed.Compared, replayed.Differences)
+			require.Zero(t, replayed.Different, "seed %d, %v: differences among %d decisions: %v", seed, key, replayed.Compared, replayed.Differences)
 			calls, asked = calls+replayed.Calls, asked+replayed.Compared
 		}
 	}
-	t.Logf("%d calls, %d asked for, none apart", calls, asked)
+	t.Logf("%d calls, %d decisions compared, no differences", calls, asked)
 	if asked < 100000 {
-		t.Errorf("only %d decisions were held against", asked)
+		t.Errorf("only %d decisions were compared", asked)
 	}
 }
 
 func TestAReplayWithAnotherModuleReportsDifferences(t *testing.T) {
-	files, _ := runCaptured(t, 2) // with a choice by chance in each incarnation
+	files, _ := runCaptured(t, 2) // in this seed, each incarnation makes a random choice
 	for _, file := range files {
 		reader, err := format.NewReader(bytes.NewReader(file.content))
 		require.NoError(t, err)
 		deployment, err := record.DecodeDeployment(reader.Header.Extra["deployment"])
 		require.NoError(t, err)
-		deployment.Seed++ // stands for a module that decides otherwise
+		deployment.Seed++ // simulates a module that decides differently
 		reader.Header.Extra["deployment"], err = record.EncodeDeployment(deployment)
 		require.NoError(t, err)
 		replayed, err := replay.New(reader.Header, maxDifferences)
 		require.NoError(t, err)
 		if err := replayEvents(reader, replayed); err != nil {
-			t.Logf("the replay ends with %v", err) // as it may, once it has parted
+			t.Logf("the replay ends with %v", err) // a replay may fail after its first difference
 		}
 		replayed.Finish(true)
 		if replayed.Different == 0 || len(replayed.Differences) == 0 || replayed.Differences[0].Recorded == replayed.Differences[0].Replayed {
-			t.Errorf("%d apart of %d: %v", replayed.Different, replayed.Compared, replayed.Differences)
+			t.Errorf("%d differences among %d decisions: %v", replayed.Different, replayed.Compared, replayed.Differences)
 		}
 	}
 }
--- a/internal/simulation/tiernet/world.go
+++ b/internal/simulation/tiernet/world.go
@@ -1,17 +1,17 @@
-// Package tiernet simulates planners and forwarders of the older router in one goroutine, on a network with seeded delays
-// and faults. The cores of both programs and the decision module are the real ones, which take time as an argument; hosts and
-// discovery are simulated. Nothing is measured in real time.
+// Package tiernet simulates the planners and forwarders of the older router in one goroutine, with seeded network delays and
+// faults. The simulation runs the real cores of both programs and the real decision module, which take the time as an
+// argument. Hosts and discovery are simulated. All times are virtual.
 //
-// A World schedules commands and faults. A command goes to a forwarder, whose decision module dispatches it to a host; the
-// host's answer and its role and position go back to the module, and by reports to the planners. Planners probe hosts and
-// send what they learn to the forwarders. On the way the world checks that
+// A World schedules commands and faults. A command arrives at a forwarder, whose decision module dispatches it to a host. The
+// host's answer, role and position go back to the module and, in reports, to the planners. Planners also probe hosts, and send
+// changes of their view to the forwarders. Meanwhile the world checks that
 //   - each command has one final answer, within its client timeout,
 //   - no write runs twice,
 //   - no read misses what it must see,
-//   - no command goes to a host that is drained or gone, and
+//   - no command is sent to a host that is drained or removed, and
 //   - no cold host is overloaded.
 //
-// What breaks one of these is in World.Violations, with the faults before it in World.FaultLog.
+// World.Violations lists the violations of these rules, and World.FaultLog the injected faults.
 package tiernet
 
 import (
@@ -32,32 +32,32 @@
 )
 
 const (
-	startTime = 1000 * second // when a world begins
-	// loadDelay is when the first command comes.
+	startTime = 1000 * second // virtual time at the start of a world
+	// loadDelay is the time until the first command.
 	loadDelay = 500 * millisecond
-	// settleTime is how long a world goes on after its last command, for which it is the longest client timeout and more.
+	// settleTime is how long a world runs after its last command. It is longer than the longest client timeout.
 	settleTime = 4 * second
 )
 
-// Size is what a world has.
+// Size describes the system and the load of a world.
 type Size struct {
 	Forwarders int
 	Planners   int
-	// Sets is how many replica sets there are, of Members hosts each.
+	// Sets is the number of replica sets. Each has Members hosts.
 	Sets    int
 	Members int
-	// Rate is the commands a second over all forwarders.
+	// Rate is the number of commands per second at all forwarders together.
 	Rate float64
-	// For is how long commands come.
-	For policy.TenthMs
-	// Faults is how many faults are injected in the first three quarters of that.
+	// Duration is the time during which commands arrive.
+	Duration policy.TenthMs
+	// Faults is the number of faults injected during the first three quarters of Duration.
 	Faults int
 }
 
-// SinkFunc returns where an incarnation of a forwarder writes its trace.
+// SinkFunc returns the sink for the trace of one incarnation of a forwarder.
 type SinkFunc func(forwarder string, incarnation int, deployment policy.Deployment) record.Sink
 
-// World is one simulation.
+// World is the state of one simulation run.
 type World struct {
 	Size
 	*scheduler.Scheduler
@@ -65,27 +65,28 @@
 	sets        []*replicaSet
 	planners    []*plannerProcess
 	forwarders  []*forwarderProcess
-	hostList    []view.Host               // as discovery has it
-	listHistory [][]view.Host             // by revision, from 1 on
-	executions  map[string]int            // of writes, by command
-	lastCommits map[string]policy.TenthMs // the last commit that a client knows of, by session
-	newSink     SinkFunc                  // nil: forwarders write no traces
+	hostList    []view.Host               // the current discovery list
+	listHistory [][]view.Host             // by revision, starting at 1
+	executions  map[string]int            // number of runs of each write, by command id
+	lastCommits map[string]policy.TenthMs // position of the last acknowledged write, by session
+	newSink     SinkFunc                  // nil if forwarders write no traces
 
-	// Counts of commands, by their final answer.
+	// Numbers of received commands and of final answers by kind.
 	Received, Answered, Throttled, Failed int
 	// Probes counts the health checks of planners.
 	Probes int
-	// FollowTimes is the times from an election to a forwarder's first write answered by the new primary.
-	FollowTimes []policy.TenthMs
-	// NamingTimes is the times from an election to the moment at which a forwarder's view names the new primary.
-	NamingTimes []policy.TenthMs
+	// FirstWriteTimes holds the times from an election to a forwarder's first write answered by the new primary.
+	FirstWriteTimes []policy.TenthMs
+	// PrimaryViewTimes holds the times from an election until a forwarder's view has the new primary.
+	PrimaryViewTimes []policy.TenthMs
 }
 
-// New returns the world of a seed, in which nothing has happened.
-func New(seed uint64, size Size) *World { return NewCaptured(seed, size, nil) }
+// New returns the initial world for a seed. Forwarders write no traces.
+func New(seed uint64, size Size) *World { return NewWithTraces(seed, size, nil) }
 
-// NewCaptured returns a world whose forwarders write traces of what their decision modules do; without newSink, none.
-func NewCaptured(seed uint64, size Size, newSink SinkFunc) *World {
+// NewWithTraces returns the initial world for a seed. Forwarders write traces of their decision modules to the sinks that
+// newSink returns; if newSink is nil, they write none.
+func NewWithTraces(seed uint64, size Size, newSink SinkFunc) *World {
 	w := &World{
 		Size:        size,
 		Scheduler:   scheduler.New(seed, startTime, millisecond),
@@ -103,14 +104,14 @@
 		planner.start()
 	}
 	for i := range size.Forwarders {
-		forwarder := &forwarderProcess{w: w, name: "f" + strconv.Itoa(i), cutFrom: map[int]bool{}}
+		forwarder := &forwarderProcess{w: w, name: "f" + strconv.Itoa(i), partitionedFrom: map[int]bool{}}
 		w.forwarders = append(w.forwarders, forwarder)
 		forwarder.start()
 	}
 	return w
 }
 
-// addSet adds a replica set, whose first host is the primary.
+// addSet adds a replica set. Its first host is the primary.
 func (w *World) addSet(index int) {
 	set := &replicaSet{w: w, id: int64(index + 1)}
 	w.sets = append(w.sets, set)
@@ -130,13 +131,13 @@
 	set.primary.wasPrimary = true
 }
 
-// Run runs the world to its end, with load and faults.
+// Run runs the whole simulation with load and faults, and checks that every command has a final answer.
 func (w *World) Run() {
 	w.After(loadDelay, w.sendCommand)
 	for range w.Faults {
-		w.After(w.Between(second, w.For*3/4), w.injectFault)
+		w.After(w.Between(second, w.Duration*3/4), w.injectFault)
 	}
-	w.RunFor(w.For + settleTime)
+	w.RunFor(w.Duration + settleTime)
 	for _, forwarder := range w.forwarders {
 		for id := range forwarder.commands {
 			w.Violate("%s: %s has no final answer", forwarder.name, id)
@@ -144,9 +145,9 @@
 	}
 }
 
-// sendCommand sends a command to a forwarder, and has the next one follow.
+// sendCommand sends a command to a random forwarder, and schedules the next command.
 func (w *World) sendCommand() {
-	if w.Now > startTime+w.For {
+	if w.Now > startTime+w.Duration {
 		return
 	}
 	w.After(policy.TenthMs(w.Rand.ExpFloat64()/w.Rate*float64(second)), w.sendCommand)
@@ -156,14 +157,14 @@
 	}
 }
 
-// host returns the host with a name, which there must be.
+// host returns the host with a name, which must exist.
 func (w *World) host(name string) *host {
 	i := slices.IndexFunc(w.hosts, func(h *host) bool { return h.name == name })
 	return w.hosts[i]
 }
 
-// setStanding has discovery list a host with another standing. Planners learn of it each in their time.
-func (w *World) setStanding(h *host, standing policy.ListState) {
+// setListState has discovery list a host in another state. Each planner receives the new list after its own delay.
+func (w *World) setListState(h *host, standing policy.ListState) {
 	for i := range w.hostList {
 		if w.hostList[i].Name == h.name {
 			w.hostList[i].ListedState, w.hostList[i].BootedAt = standing, h.startedAt
@@ -175,27 +176,27 @@
 	}
 }
 
-// publishList makes the list of hosts a new revision.
+// publishList publishes the current list of hosts as a new revision.
 func (w *World) publishList() {
 	w.listHistory = append(w.listHistory, slices.Clone(w.hostList))
 }
 
-// revision is that of the newest list.
+// revision returns the newest revision of the list.
 func (w *World) revision() int64 { return int64(len(w.listHistory)) }
 
 // listAt returns a copy of the list at a revision.
 func (w *World) listAt(revision int64) []view.Host { return slices.Clone(w.listHistory[revision-1]) }
 
-// Range of the time that a message takes over the network.
+// Range of the network delay of a message.
 const (
 	minNetworkDelay = millisecond / 2
 	maxNetworkDelay = 3 * millisecond
 )
 
-// afterNetwork runs do once a message sent now has arrived.
+// afterNetwork calls do after a random network delay.
 func (w *World) afterNetwork(do func()) {
 	w.After(w.Between(minNetworkDelay, maxNetworkDelay), do)
 }
 
-// inMs is a span in milliseconds, for messages.
+// inMs returns a span in milliseconds, for messages.
 func inMs(span policy.TenthMs) int64 { return span / millisecond }
--- a/internal/simulation/tiernet/world_test.go
+++ b/internal/simulation/tiernet/world_test.go
@@ -10,9 +10,9 @@
 	"ferrypitch/policy"
 )
 
-var seeds = flag.Int("seeds", 100, "worlds to play")
+var seeds = flag.Int("seeds", 100, "number of worlds to run")
 
-var smallSize = Size{Forwarders: 5, Planners: 3, Sets: 2, Members: 3, Rate: 600, For: 12 * second, Faults: 8}
+var smallSize = Size{Forwarders: 5, Planners: 3, Sets: 2, Members: 3, Rate: 600, Duration: 12 * second, Faults: 8}
 
 func requireNoViolation(t *testing.T, w *World, seed int) {
 	t.Helper()
@@ -42,20 +42,20 @@
 	}
 }
 
-// newSettledWorld is a world without random faults, at a moment when all forwarders know all hosts.
+// newSettledWorld returns a world without random faults that has run until all forwarders know all hosts.
 func newSettledWorld(seed uint64, span policy.TenthMs) *World {
 	size := smallSize
-	size.Faults, size.For = 0, span
+	size.Faults, size.Duration = 0, span
 	w := New(seed, size)
 	w.After(loadDelay, w.sendCommand)
 	w.RunFor(5 * second)
 	return w
 }
 
-// finish runs a world to its end, and checks that no rule was broken.
+// finish runs a world to its end, and requires that there is no violation.
 func (w *World) finish(t *testing.T) {
 	t.Helper()
-	w.RunFor(w.For + settleTime - (w.Now - startTime))
+	w.RunFor(w.Duration + settleTime - (w.Now - startTime))
 	requireNoViolation(t, w, -1)
 }
 
@@ -67,10 +67,10 @@
 	before := w.Answered
 	w.RunFor(5 * second)
 	if served := w.Answered - before; float64(served) < 0.9*5*w.Rate {
-		t.Errorf("%d answered in 5 s, long after the change", served)
+		t.Errorf("only %d answered in 5 s, long after the change of the primary", served)
 	}
-	if len(w.sets[0].following) != len(w.forwarders) {
-		t.Errorf("%d of %d forwarders follow the new primary", len(w.sets[0].following), len(w.forwarders))
+	if len(w.sets[0].firstWriteDone) != len(w.forwarders) {
+		t.Errorf("%d of %d forwarders follow the new primary", len(w.sets[0].firstWriteDone), len(w.forwarders))
 	}
 	w.finish(t)
 }
@@ -92,13 +92,13 @@
 			}
 		}
 	}
-	// Planner 2 has a clock that is behind: it believes nothing new and goes on naming the old primary.
+	// The clock of planner 2 is behind, so it ignores new information and keeps naming the old primary.
 	restartWithSkew(-60*second, w.planners[2])
 	w.RunFor(second)
 	w.hangHost(old, 4*second)
 	w.RunFor(5 * second)
 	requireNewPrimary()
-	// Now that planner is right, and the others, whose clocks are behind, are not.
+	// Now planner 2 is right, and the other planners have clocks that are behind.
 	restartWithSkew(0, w.planners[2])
 	restartWithSkew(-60*second, w.planners[:2]...)
 	w.RunFor(second)
@@ -111,10 +111,10 @@
 func TestADrainAnnouncedByOnePlannerJustBeforeItDies(t *testing.T) {
 	w := newSettledWorld(3, 15*second)
 	for _, p := range w.planners[1:] {
-		p.staleList = true // they get no newer list
+		p.staleList = true // these planners get no newer list
 	}
 	h := w.hosts[1]
-	w.setStanding(h, policy.Draining)
+	w.setListState(h, policy.Draining)
 	for w.forwarders[0].drainedAt[h.name] == 0 {
 		w.RunFor(10 * millisecond)
 	}
@@ -127,7 +127,7 @@
 		}
 	}
 	if notified == 0 {
-		t.Error("the drain was forgotten with the planner that told it")
+		t.Error("no forwarder knows of the drain after the death of the planner that announced it")
 	}
 	w.finish(t)
 }
@@ -146,8 +146,8 @@
 	w.planners[1].restart(true)
 	w.RunFor(4 * second)
 	for _, f := range w.forwarders {
-		if f.nodes[h.name] != nil {
-			t.Errorf("%s has %s again", f.name, h.name)
+		if f.moduleHosts[h.name] != nil {
+			t.Errorf("%s has the removed host %s again", f.name, h.name)
 		}
 	}
 	w.finish(t)
@@ -175,17 +175,17 @@
 func TestAForwarderPartitionedFromOnePlannerHasTheOthers(t *testing.T) {
 	w := newSettledWorld(5, 15*second)
 	f := w.forwarders[0]
-	f.cutFrom[0] = true
+	f.partitionedFrom[0] = true
 	w.RunFor(4 * second)
 	if f.follower.NoPlanner() || f.follower.ViewAge() > second {
-		t.Error("it has lost all planners")
+		t.Error("the forwarder has lost all planners")
 	}
 	if f.follower.SilentLinks == 0 {
 		t.Error("the half-open link was never closed")
 	}
 	for i := range 2 {
 		if n := w.planners[i].planner.LeaseCount(); i == 1 && n != len(w.forwarders) {
-			t.Errorf("planner %d counts %d", i, n)
+			t.Errorf("planner %d counts %d forwarders", i, n)
 		}
 	}
 	w.finish(t)
@@ -200,29 +200,30 @@
 	f.kill()
 	f.start()
 	w.RunFor(second)
-	if f.follower.HasHosts() || len(f.nodes) > 0 {
-		t.Error("it has a view without a planner")
+	if f.follower.HasHosts() || len(f.moduleHosts) > 0 {
+		t.Error("the forwarder has a view without a planner")
 	}
 	w.planners[1].restart(false)
 	w.RunFor(7 * second)
 	if !f.follower.HasHosts() {
-		t.Error("it is not ready once a planner is there")
+		t.Error("the forwarder is not ready although a planner runs")
 	}
 	w.finish(t)
 }
 
-// percentilesMs returns the median and the 99th percentile in milliseconds.
+// percentilesMs sorts spans, and returns their median and 99th percentile in milliseconds.
 func percentilesMs(spans []policy.TenthMs) (median, p99 policy.TenthMs) {
 	slices.Sort(spans)
 	return inMs(spans[len(spans)/2]), inMs(spans[len(spans)*99/100])
 }
 
-// TestANewPrimaryIsNamedSoon states how soon forwarders know of a new primary, with planners and without.
+// TestANewPrimaryIsNamedSoon measures how soon forwarders learn of a new primary, with and without planners. With planners,
+// the 99th percentile must not exceed 500 ms.
 func TestANewPrimaryIsNamedSoon(t *testing.T) {
 	var naming, following, withoutPlanners []policy.TenthMs
 	for seed := range uint64(10) {
 		for _, killPlanners := range []bool{false, true} {
-			w := New(200+seed, Size{Forwarders: 40, Planners: 3, Sets: 2, Members: 3, Rate: 400, For: 12 * second})
+			w := New(200+seed, Size{Forwarders: 40, Planners: 3, Sets: 2, Members: 3, Rate: 400, Duration: 12 * second})
 			w.After(loadDelay, w.sendCommand)
 			w.RunFor(4 * second)
 			if killPlanners {
@@ -231,18 +232,18 @@
 			w.crashHost(w.sets[0].primary, 20*second)
 			w.finish(t)
 			if killPlanners {
-				withoutPlanners = append(withoutPlanners, w.FollowTimes...)
+				withoutPlanners = append(withoutPlanners, w.FirstWriteTimes...)
 			} else {
-				naming, following = append(naming, w.NamingTimes...), append(following, w.FollowTimes...)
+				naming, following = append(naming, w.PrimaryViewTimes...), append(following, w.FirstWriteTimes...)
 			}
 		}
 	}
 	namingMedian, namingP99 := percentilesMs(naming)
 	followingMedian, followingP99 := percentilesMs(following)
 	aloneMedian, aloneP99 := percentilesMs(withoutPlanners)
-	t.Logf("named to half and 99 %% of forwarders after %d and %d ms; first write there after %d and %d ms, with no planner %d and %d",
+	t.Logf("median and p99: primary in the view after %d and %d ms; first write after %d and %d ms, without planners %d and %d ms",
 		namingMedian, namingP99, followingMedian, followingP99, aloneMedian, aloneP99)
 	if len(naming) != 400 || namingP99 > 500 {
-		t.Errorf("named to %d of 400, the last after %d ms", len(naming), namingP99)
+		t.Errorf("%d of 400 forwarders have the new primary in their views, p99 %d ms", len(naming), namingP99)
 	}
 }
--- a/internal/simulation/tierprocess/faults.go
+++ b/internal/simulation/tierprocess/faults.go
@@ -11,20 +11,20 @@
 	"ferrypitch/internal/simulation/workload"
 )
 
-// faultStream is the stream of the random generator of faults: with the seed, it decides all draws.
+// faultStream is the stream of the random generator of faults. The seed and the stream determine all random choices.
 const faultStream = 11
 
-// Times of faults.
+// Timing of faults.
 const (
 	faultInterval   = 500 * time.Millisecond
 	plannerDownTime = 700 * time.Millisecond
 	hostDownTime    = time.Second
 	drainTime       = 2 * time.Second
-	promotionDelay  = 400 * time.Millisecond // from the death of a primary to the promotion of another
-	takeoverTime    = 3 * time.Second        // in which forwarders' first writes at a new primary are noted
+	promotionDelay  = 400 * time.Millisecond // from the death of a primary to the promotion of another host
+	takeoverTime    = 3 * time.Second        // how long after a promotion the forwarders' first writes are recorded
 )
 
-// sleep waits for a time; false: the context has ended before.
+// sleep waits for a span. It returns false if ctx ends first.
 func sleep(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -34,8 +34,8 @@
 	}
 }
 
-// injectFaults kills planners, forwarders and hosts in turn, one at a time, and starts them again, until ctx ends. Every
-// other fault of a host is a drain.
+// injectFaults kills and restarts planners, forwarders and hosts in turn, one at a time, until ctx ends. Every other fault of
+// a host is a drain.
 func (r *run) injectFaults(ctx context.Context) error {
 	random := rand.New(rand.NewPCG(r.Seed, faultStream))
 	hosts := r.fleet.Hosts.Hosts()
@@ -48,7 +48,7 @@
 			err = killAndRestart(r.forwarders[random.IntN(len(r.forwarders))])
 		case 3:
 			host := hosts[random.IntN(len(hosts))]
-			err = r.disturbReplica(ctx, host, n%8 == 3)
+			err = r.disruptReplica(ctx, host, n%8 == 3)
 		}
 		if err != nil {
 			return err
@@ -62,8 +62,8 @@
 	return process.Restart()
 }
 
-// restartPlanner has one planner down for a time. During an outage of all planners it does nothing, and an outage that
-// begins meanwhile restarts the planner itself.
+// restartPlanner kills one planner and restarts it after plannerDownTime. During an outage of all planners it does nothing, and
+// if an outage begins meanwhile, the end of the outage restarts the planner.
 func (r *run) restartPlanner(ctx context.Context, turn int) error {
 	if len(r.planners) == 0 || r.plannersAreDown() {
 		return nil
@@ -77,9 +77,10 @@
 	return planner.Restart()
 }
 
-// disturbReplica drains a host or has it down for a time. It leaves primaries alone. A drain of which no planner can notify
-// the forwarders would be no fault of theirs, so without planners the host goes down.
-func (r *run) disturbReplica(ctx context.Context, host *postgres.Host, drain bool) error {
+// disruptReplica drains a replica, or kills and restarts it. It does nothing to a primary. During an outage of all planners, no
+// planner can notify the forwarders of a drain, and commands that they send after it would count as violations. The host is
+// killed then, even if a drain is asked for.
+func (r *run) disruptReplica(ctx context.Context, host *postgres.Host, drain bool) error {
 	if r.fleet.Hosts.Primary(host.Set) == host {
 		return nil
 	}
@@ -102,8 +103,8 @@
 	return nil
 }
 
-// takePlannersDown has all planners down for the outage of the config.
-func (r *run) takePlannersDown(ctx context.Context) error {
+// injectPlannerOutage kills all planners in the middle of the run and restarts them after PlannerOutage.
+func (r *run) injectPlannerOutage(ctx context.Context) error {
 	if r.PlannerOutage == 0 || !sleep(ctx, (r.For-r.PlannerOutage)/2) {
 		return nil
 	}
@@ -122,14 +123,14 @@
 	return nil
 }
 
-// plannersAreDown reports whether an outage of all planners goes on.
+// plannersAreDown reports whether an outage of all planners is in progress.
 func (r *run) plannersAreDown() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return time.Now().Before(r.outageUntil)
 }
 
-// changePrimaries kills one primary after another, and has another host take over.
+// changePrimaries kills primaries, spread evenly over the run, and promotes another host of the set each time.
 func (r *run) changePrimaries(ctx context.Context) error {
 	for n := range r.PrimaryChanges {
 		if !sleep(ctx, r.For/time.Duration(r.PrimaryChanges+1)) {
@@ -138,7 +139,7 @@
 		old := r.fleet.Hosts.Primary(int64(n%r.Sets + 1))
 		old.Kill()
 		sleep(ctx, promotionDelay)
-		if successor := r.otherHost(old); successor != nil {
+		if successor := r.otherHostInSet(old); successor != nil {
 			r.beginTakeover(successor)
 			successor.Promote()
 			sleep(ctx, takeoverTime)
@@ -151,8 +152,8 @@
 	return nil
 }
 
-// otherHost is the first other host of the same set; nil if it has none.
-func (r *run) otherHost(host *postgres.Host) *postgres.Host {
+// otherHostInSet returns the first other host of the same set, or nil if there is none.
+func (r *run) otherHostInSet(host *postgres.Host) *postgres.Host {
 	for _, other := range r.fleet.Hosts.Hosts() {
 		if other.Set == host.Set && other != host {
 			return other
@@ -174,8 +175,8 @@
 	delete(r.takeovers, primary.Name)
 }
 
-// noteAnswer notes the first write that each forwarder had answered by a new primary.
-func (r *run) noteAnswer(forwarder, host, group string, at time.Time) {
+// recordFirstWrite records the time of the first write of each forwarder that a new primary answered.
+func (r *run) recordFirstWrite(forwarder, host, group string, at time.Time) {
 	if group != workload.GroupWrite {
 		return
 	}
--- a/internal/simulation/tierprocess/result.go
+++ b/internal/simulation/tierprocess/result.go
@@ -10,47 +10,47 @@
 	"ferrypitch/internal/simulation/workload"
 )
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Config
-	// Hosts is the record of the simulated hosts.
+	// Hosts holds the counts of the simulated hosts.
 	Hosts postgres.Stats
-	// The counts of the clients; see workload.Tally.
+	// Counts of commands at the clients; see workload.Tally.
 	Sent, Answered, Throttled, Failed, Lost, Extra, Unsent int
-	// Violations counts the rules that were broken, by the record of hosts and clients.
+	// Violations counts the violations that hosts and clients detected.
 	Violations int
-	// WrongExecutions counts the acknowledged writes that did not run exactly once.
+	// WrongExecutions counts the acknowledged writes that the hosts did not run exactly once.
 	WrongExecutions int
-	// MedianMs and P99Ms are latencies in milliseconds, from when a command was due.
+	// MedianMs and P99Ms are latencies in milliseconds, measured from the due times of commands.
 	MedianMs, P99Ms float64
-	// BehindMs is how late a command was sent at worst, in milliseconds: the load's own delay.
+	// BehindMs is the longest delay in milliseconds between a command's due time and its sending by the load generator.
 	BehindMs float64
-	// DiscoveryLines counts the lines that discovery has sent.
+	// DiscoveryLines counts the lines that discovery sent to its clients.
 	DiscoveryLines int
-	// HealthChecksPerSecond is the health checks at all hosts together.
+	// HealthChecksPerSecond is the rate of health checks at all hosts together.
 	HealthChecksPerSecond float64
-	// Takeovers is the times of each change of a primary that forwarders have followed.
+	// Takeovers holds the times of each change of a primary after which a forwarder had a write answered by the new primary.
 	Takeovers []TakeoverTimes
-	// Forwarder and Planner are what one process takes.
+	// Forwarder and Planner are the resource usage of the processes of each kind.
 	Forwarder, Planner ProcessUsage
 }
 
-// TakeoverTimes is the times in milliseconds from the promotion of a primary until forwarders had a first write answered
-// there: half of them, and 99 %.
+// TakeoverTimes holds the median and the 99th percentile, over all forwarders, of the time in milliseconds from the promotion of
+// a primary to the first write that it answered.
 type TakeoverTimes struct {
 	MedianMs, P99Ms float64
 }
 
-// ProcessUsage is what one of several like processes takes.
+// ProcessUsage is the resource usage of the processes of one kind.
 type ProcessUsage struct {
-	// CPUSeconds is the mean processor time.
+	// CPUSeconds is the mean processor time per process.
 	CPUSeconds float64
-	// RSSKB is the resident memory of the largest in kB.
+	// RSSKB is the resident memory in kB of the largest process.
 	RSSKB int
 }
 
-// result puts together what is known after the faults have ended. before is the hosts' record at the start of the load.
-func (r *run) result(tally *workload.Tally, before postgres.Stats, elapsed time.Duration) *Result {
+// buildResult returns the result of a run after the faults have ended. before holds the hosts' counts at the start of the load.
+func (r *run) buildResult(tally *workload.Tally, before postgres.Stats, elapsed time.Duration) *Result {
 	stats := r.fleet.Hosts.Stats()
 	wrongExecutions := r.countWrongExecutions(tally.Acked)
 	return &Result{
--- a/internal/simulation/tierprocess/run.go
+++ b/internal/simulation/tierprocess/run.go
@@ -1,6 +1,6 @@
-// Package tierprocess runs forwarders and planners of the older router, or as many routers without planners, as processes
-// under load and faults. Run starts the processes of a tierfleet.Fleet, sends a workload, injects the faults that its Config
-// asks for, and returns a Result with the counts of the clients and of the simulated hosts.
+// Package tierprocess runs forwarders and planners of the older router, or routers without planners, as processes under load
+// and faults. Run starts the processes of a tierfleet.Fleet, runs a workload, injects the configured faults, and returns a
+// Result with the counts of the clients and of the simulated hosts.
 package tierprocess
 
 import (
@@ -21,43 +21,43 @@
 const (
 	readyTimeout  = 30 * time.Second
 	writeFraction = 0.15
-	// sessionsPerClient is how many sessions each client plays.
+	// sessionsPerClient is the number of sessions that each client simulates.
 	sessionsPerClient = 4
 	readTimeout       = time.Second
 )
 
 // Config describes a run.
 type Config struct {
-	// Dir is an existing folder for files and logs.
+	// Dir is an existing directory for files and logs.
 	Dir string
 	// Binary is the path of the program ferrypitch.
 	Binary string
-	// Forwarders and Planners are how many processes of each run. Without planners, the forwarders are routers that get the
-	// list of hosts and check their health themselves.
+	// Forwarders and Planners are the numbers of processes of each kind. If there are no planners, the forwarders are routers
+	// that fetch the list of hosts and check the hosts' health themselves.
 	Forwarders int
 	Planners   int
-	// Sets is how many replica sets there are, of HostsPerSet hosts each.
+	// Sets is the number of replica sets. Each has HostsPerSet hosts.
 	Sets        int
 	HostsPerSet int
-	// Rate is the commands a second over all forwarders.
+	// Rate is the number of commands per second at all forwarders together.
 	Rate float64
-	// For is how long commands are sent.
+	// For is the time during which commands are sent.
 	For time.Duration
-	// Clients is how many connections each forwarder has.
+	// Clients is the number of client connections to each forwarder.
 	Clients int
-	// Faults has planners, forwarders and hosts killed in turn.
+	// Faults enables faults that hit planners, forwarders and hosts in turn.
 	Faults bool
-	// PrimaryChanges is how many primaries die and are replaced, spread evenly over the run.
+	// PrimaryChanges is the number of primaries that are killed and replaced, spread evenly over the run.
 	PrimaryChanges int
-	// PlannerOutage has all planners down for so long, in the middle of the run; 0: never.
+	// PlannerOutage is the duration of an outage of all planners in the middle of the run. If it is 0, there is none.
 	PlannerOutage time.Duration
-	// Trace is the traces that forwarders write; nil: none.
+	// Trace configures the traces that forwarders write. If it is nil, they write none.
 	Trace *tierfleet.TraceSettings
-	// Seed decides load and faults.
+	// Seed determines load and faults.
 	Seed uint64
 }
 
-// run is a run in progress.
+// run is the state of a run in progress.
 type run struct {
 	Config
 	fleet      *tierfleet.Fleet
@@ -65,20 +65,20 @@
 	forwarders []*program.Process
 	addresses  []string // of the forwarders
 
-	mu          sync.Mutex // protects what follows
-	outageUntil time.Time  // all planners are down until then
+	mu          sync.Mutex // protects the fields below
+	outageUntil time.Time  // end of the current or last outage of all planners
 	takeovers   map[string]*takeover
 	finished    []*takeover
 }
 
-// takeover is the change of a set to a new primary.
+// takeover records the change of a replica set to a new primary.
 type takeover struct {
 	promotedAt time.Time
-	// firstWrites is the time from the promotion to the first write answered by the new primary, by forwarder.
+	// firstWrites holds the time from the promotion to the first write answered by the new primary, by forwarder address.
 	firstWrites map[string]time.Duration
 }
 
-// Run plays a run. Violations are part of the result; an error means that the run itself failed.
+// Run runs a deployment once. Violations are reported in the result; an error means that the run itself failed.
 func Run(ctx context.Context, config Config) (*Result, error) {
 	fleet, err := tierfleet.New(config.Dir, config.Sets, config.HostsPerSet, config.Forwarders, config.Planners)
 	if err != nil {
@@ -99,17 +99,17 @@
 		faults.Go(func() error { return r.injectFaults(faultCtx) })
 	}
 	faults.Go(func() error { return r.changePrimaries(faultCtx) })
-	faults.Go(func() error { return r.takePlannersDown(faultCtx) })
-	tally := workload.Run(ctx, r.load(), r.recentlyKilled)
+	faults.Go(func() error { return r.injectPlannerOutage(faultCtx) })
+	tally := workload.Run(ctx, r.workloadConfig(), r.recentlyKilled)
 	elapsed := time.Since(startedAt)
 	stopFaults()
 	if err := faults.Wait(); err != nil {
 		return nil, err
 	}
-	return r.result(tally, before, elapsed), nil
+	return r.buildResult(tally, before, elapsed), nil
 }
 
-func (r *run) load() workload.Config {
+func (r *run) workloadConfig() workload.Config {
 	var sets []int64
 	for set := range r.Sets {
 		sets = append(sets, int64(set+1))
@@ -124,7 +124,7 @@
 		Sessions:      sessionsPerClient,
 		Timeout:       readTimeout,
 		Seed:          r.Seed,
-		OnAnswer:      r.noteAnswer,
+		OnAnswer:      r.recordFirstWrite,
 	}
 }
 
@@ -193,7 +193,7 @@
 	processes.Wait()
 }
 
-// recentlyKilled reports to the workload whether the forwarder at an address was killed on purpose.
+// recentlyKilled reports whether the forwarder at an address was killed deliberately. The workload calls it.
 func (r *run) recentlyKilled(address string) bool {
 	return r.forwarders[slices.Index(r.addresses, address)].RecentlyKilled()
 }
--- a/internal/simulation/workload/client.go
+++ b/internal/simulation/workload/client.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// writeTimeoutFactor times the client timeout of reads is that of writes.
+	// writeTimeoutFactor is the ratio of the client timeout of writes to that of reads.
 	writeTimeoutFactor = 3
-	// answerGrace is how much longer than the client timeout a client waits for an answer.
+	// answerGrace is how long after the client timeout a client still waits for an answer.
 	answerGrace = 50 * time.Millisecond
 )
 
-// client sends commands to one router.
+// client is a client connection that sends commands to one router.
 type client struct {
 	load   *load
 	index  int
 	router string
 	random *rand.Rand
-	// lastWrites is the position of the last write of each session.
+	// lastWrites holds the commit position of each session's last write.
 	lastWrites map[int]string
 	conn       *connection // nil while not connected
 }
@@ -48,7 +48,7 @@
 	}
 }
 
-// run sends one command at a time; one that is due meanwhile is sent as soon as the one before has ended.
+// run sends the commands one at a time. A command that becomes due while another is in flight is sent as soon as that one ends.
 func (c *client) run(ctx context.Context) {
 	defer c.disconnect()
 	due := c.load.start
@@ -65,12 +65,13 @@
 			c.load.update(func(t *Tally) { t.Unsent++ })
 			continue
 		}
-		c.fill(cmd)
+		c.buildStatement(cmd)
 		c.send(cmd)
 	}
 }
 
-// interval draws the time from one command to the next, so that the commands of all clients are a Poisson process.
+// interval returns a random time between two commands. It is exponentially distributed, so that the commands of all clients
+// together form a Poisson process.
 func (c *client) interval() time.Duration {
 	mean := float64(c.load.clientCount()) / c.load.Rate * float64(time.Second)
 	return time.Duration(c.random.ExpFloat64() * mean)
@@ -90,8 +91,8 @@
 	}
 }
 
-// fill completes a command with its group and statement. Half of the reads after a session's write must see it.
-func (c *client) fill(cmd *command) {
+// buildStatement sets the group and the statement of a command. Half of the reads after a session's write must see it.
+func (c *client) buildStatement(cmd *command) {
 	set := c.load.ReplicaSets[(c.index+cmd.session)%len(c.load.ReplicaSets)]
 	key := fmt.Sprintf("s%d-%d", c.index, cmd.session)
 	lastWrite := c.lastWrites[cmd.session]
@@ -114,7 +115,7 @@
 		cmd.id, cmd.group, cmd.timeout.Milliseconds(), set, fence, text)
 }
 
-// send sends a command and counts its answer. A connection without an answer is not used again.
+// send sends a command and records its outcome. A connection on which an answer is missing is closed.
 func (c *client) send(cmd *command) {
 	sentAt := time.Now()
 	c.load.update(func(t *Tally) {
@@ -133,17 +134,17 @@
 	}
 }
 
-// count adds the outcome of a command to the tally, which is locked.
+// count adds the outcome of a command to the tally. The caller holds the tally's lock.
 func (c *client) count(t *Tally, cmd *command, answer answer, err error, at time.Time) {
 	switch {
-	case err != nil && c.load.killed != nil && c.load.killed(c.router):
-		t.Sent-- // the router was killed with the command in it
+	case err != nil && c.load.recentlyKilled != nil && c.load.recentlyKilled(c.router):
+		t.Sent-- // the router was killed while the command was in flight
 	case err != nil:
 		t.Lost++
 	case answer.count != 1:
 		t.Extra++
 	case answer.code == "":
-		c.countAnswered(t, cmd, answer, at)
+		c.recordAnswered(t, cmd, answer, at)
 	case answer.code == protocol.TooManyConnections || answer.code == protocol.CannotConnectNow:
 		t.Throttled++
 	default:
@@ -151,10 +152,10 @@
 	}
 }
 
-func (c *client) countAnswered(t *Tally, cmd *command, answer answer, at time.Time) {
+func (c *client) recordAnswered(t *Tally, cmd *command, answer answer, at time.Time) {
 	t.Answered++
 	t.Answers[answer.host+" "+cmd.group]++
-	// It fails only for a value beyond the histogram's range of a minute, which timeouts are far from.
+	// RecordValue fails only for values above the histogram's maximum of one minute, which is far above the timeouts.
 	_ = t.Latency.RecordValue(at.Sub(cmd.due).Microseconds())
 	if cmd.writes {
 		t.Acked = append(t.Acked, cmd.id)
--- a/internal/simulation/workload/connection.go
+++ b/internal/simulation/workload/connection.go
@@ -15,18 +15,18 @@
 	dialTimeout    = time.Second
 	startupTimeout = 2 * time.Second
 
-	headerBytes     = 5 // the kind of a message and its length
-	lengthBytes     = 4 // the length, which counts itself
+	headerBytes     = 5 // a message's kind and length
+	lengthBytes     = 4 // the length field, which includes itself
 	maxMessageBytes = 1 << 20
 )
 
-// connection is a client's connection to a router, past the startup.
+// connection is a client's connection to a router after the startup handshake.
 type connection struct {
 	net.Conn
 	input *bufio.Reader
 }
 
-// dial connects to a router; nil if it does not serve.
+// dial connects to a router and completes the startup. It returns nil if the router does not accept the connection.
 func dial(router string) *connection {
 	conn, err := net.DialTimeout("tcp", router, dialTimeout)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// query sends a statement and reads the answer to it, both until a deadline.
+// query sends a statement and reads its answer. The deadline applies to both.
 func (c *connection) query(statement string, deadline time.Time) (answer, error) {
 	c.SetDeadline(deadline)
 	if _, err := c.Write(protocol.AppendQuery(nil, []byte(statement))); err != nil {
@@ -52,12 +52,12 @@
 	return c.readAnswer()
 }
 
-// answer is what a router sent up to its ReadyForQuery.
+// answer is the result of a statement: what the router sent before ReadyForQuery.
 type answer struct {
-	code     string // SQLSTATE of the error; empty: none
-	host     string // that ran the command
-	position string // of the write's commit
-	count    int    // of CommandComplete and ErrorResponse, each of which ends an answer
+	code     string // SQLSTATE of the error; empty if there was none
+	host     string // name of the host that ran the command
+	position string // commit position of a write
+	count    int    // number of CommandComplete and ErrorResponse messages, each of which completes an answer
 }
 
 func (c *connection) readAnswer() (answer, error) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// setValue reads the row of a simulated host: its name, the command's id and, for writes, the position of the commit.
+// setValue parses the row sent by a simulated host: the host's name, the command's id and, for writes, the commit position.
 func (a *answer) setValue(row []byte) {
 	value, _ := protocol.SingleValue(row)
 	fields := strings.Fields(string(value))
--- a/internal/simulation/workload/workload.go
+++ b/internal/simulation/workload/workload.go
@@ -1,9 +1,9 @@
-// Package workload sends an open-loop load of commands over PostgreSQL's protocol: commands are due at times that the
-// answers do not delay, and latencies count from those times, so that a slow router shows in them. The answers to each command
-// are counted, which shows a missing answer as well as a second one.
+// Package workload generates an open-loop load of commands over the PostgreSQL protocol. Commands are due at times that do
+// not depend on the answers, and latencies are measured from these times, so they include the delay caused by a slow router.
+// The answers to each command are counted, which detects missing and duplicate answers.
 //
-// Run starts the clients, each with a connection of its own to one router. A client sends the commands that are due one at a
-// time; the Tally adds up what all of them saw.
+// Run starts the clients, each with its own connection to one router. A client sends its commands one at a time; the Tally
+// adds up the outcomes of all clients.
 package workload
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Groups of commands, as the deployments of tierfleet know them.
+// Command groups, with the names that the deployments of tierfleet configure.
 const (
 	GroupWrite    = "order" // writes, run at most once
 	GroupOwnReads = "own"   // reads that see the session's last write
@@ -24,55 +24,55 @@
 
 // Config describes a load.
 type Config struct {
-	// Routers is the addresses that clients connect to; each client stays with one.
+	// Routers holds the addresses that clients connect to. Each client uses only one of them.
 	Routers []string
-	// ReplicaSets is the replica sets that commands are for.
+	// ReplicaSets holds the replica sets that commands are sent to.
 	ReplicaSets []int64
-	// Clients is how many connections each router has.
+	// Clients is the number of clients, each with one connection, for each router.
 	Clients int
-	// Rate is the commands a second over all clients.
+	// Rate is the number of commands per second of all clients together.
 	Rate float64
-	// Duration is how long commands are due.
+	// Duration is the time during which commands become due.
 	Duration time.Duration
-	// WriteFraction is the fraction of commands that write, from 0 to 1.
+	// WriteFraction is the fraction of writes among the commands, from 0 to 1.
 	WriteFraction float64
-	// Sessions is how many sessions each client plays; at least one.
+	// Sessions is the number of sessions that each client simulates; less than one counts as one.
 	Sessions int
-	// Timeout is the client timeout of reads. That of writes is three times as long.
+	// Timeout is the client timeout of reads. The timeout of writes is three times as long.
 	Timeout time.Duration
-	// Seed decides when commands are due and what they are.
+	// Seed determines the due times and the contents of the commands.
 	Seed uint64
-	// OnAnswer is called for each answer without an error, by several goroutines one at a time. Optional.
+	// OnAnswer is called for each answer without an error, from several goroutines but never concurrently. Optional.
 	OnAnswer func(router, host, group string, at time.Time)
 }
 
-// Tally counts what came of a load.
+// Tally counts the outcomes of the commands of a load.
 type Tally struct {
 	Sent      int
 	Answered  int // without an error
-	Throttled int // rejected for now
+	Throttled int // rejected with a retryable error
 	Failed    int // answered with another error
-	// Lost counts the commands without an answer within the client timeout, unless their router was killed meanwhile.
+	// Lost counts the commands without an answer within the client timeout, except those whose router was killed meanwhile.
 	Lost int
-	// Extra counts the commands with more than one answer, or with none before the router was ready for the next one.
+	// Extra counts the commands with more than one answer, and those with none before the router's ReadyForQuery.
 	Extra int
 	// Unsent counts the commands that were due while the client could not connect.
 	Unsent int
-	// Behind is how late a command was sent at worst, from when it was due.
+	// Behind is the longest delay between a command's due time and its sending.
 	Behind time.Duration
-	// Answers counts the answers by host and group, as in "set1-a list".
+	// Answers counts the answers without an error by host and group; a key is, for example, "set1-a list".
 	Answers map[string]int
-	// Latency is the time in microseconds from when a command was due to its answer, of those answered without an error.
+	// Latency holds, for commands answered without an error, the time in microseconds from the due time to the answer.
 	Latency *hdrhistogram.Histogram
-	// Acked is the ids of the writes that were answered without an error.
+	// Acked holds the ids of the acknowledged writes.
 	Acked []string
 }
 
-// Range and precision of latencies.
+// Range and precision of the latency histogram.
 const (
 	minLatencyMicros   = 1
 	maxLatencyMicros   = 60_000_000
-	latencySignificant = 3 // digits
+	latencySignificant = 3 // significant digits
 )
 
 // Check returns an error unless each command sent has exactly one answer.
@@ -84,23 +84,23 @@
 	return nil
 }
 
-// load is a load that runs.
+// load is the state of a running load.
 type load struct {
 	Config
-	killed func(router string) bool // may be nil
-	start  time.Time
+	recentlyKilled func(router string) bool // may be nil
+	start          time.Time
 
-	mu    sync.Mutex // protects the tally
+	mu    sync.Mutex // protects tally
 	tally Tally
 }
 
-// Run sends a load until its time is over or ctx ends. killed reports that a router was ended on purpose, so that the
-// commands it had are not lost; it may be nil.
-func Run(ctx context.Context, terms Config, killed func(router string) bool) *Tally {
+// Run generates a load until its duration is over or ctx ends. The function recentlyKilled reports whether a router was killed
+// deliberately, in which case its unanswered commands don't count as lost. It may be nil.
+func Run(ctx context.Context, config Config, recentlyKilled func(router string) bool) *Tally {
 	l := &load{
-		Config: terms,
-		killed: killed,
-		start:  time.Now(),
+		Config:         config,
+		recentlyKilled: recentlyKilled,
+		start:          time.Now(),
 		tally: Tally{
 			Answers: map[string]int{},
 			Latency: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencySignificant),
@@ -116,7 +116,7 @@
 
 func (l *load) clientCount() int { return len(l.Routers) * l.Clients }
 
-// update changes the tally under its lock.
+// update runs change on the tally while holding its lock.
 func (l *load) update(change func(*Tally)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
