--- a/internal/fake/database/conn.go
+++ b/internal/fake/database/conn.go
@@ -31,7 +31,7 @@
 	// Prepared holds the texts of the session's prepared statements by name.
 	Prepared map[string]string
 	// OnResponse is called with each answer, including its IDLE line. The host sends the answer after a delay.
-	OnResponse func(after int64, a wire.Response)
+	OnResponse func(delay int64, response wire.Response)
 	// OnClosed is called when the host ends the connection.
 	OnClosed func()
 
@@ -68,7 +68,7 @@
 
 // respond sends an answer with the given lines and an IDLE line. If LostAnswerOneIn selects the answer, the connection is closed
 // instead.
-func (c *Conn) respond(after int64, lines ...string) {
+func (c *Conn) respond(delay int64, lines ...string) {
 	var response wire.Response
 	lines = append(lines, fmt.Sprintf("IDLE %c %s", c.State, c.Host.PositionAt(c.Host.VisibleEntries())))
 	for _, line := range lines {
@@ -81,7 +81,7 @@
 		c.OnClosed()
 		return
 	}
-	c.OnResponse(after, response)
+	c.OnResponse(delay, response)
 }
 
 // reject answers a statement with an error, without an effect on the transaction.
--- a/internal/fake/database/database.go
+++ b/internal/fake/database/database.go
@@ -21,7 +21,7 @@
 // Scheduler runs the events of a group one at a time, and generates its random numbers.
 type Scheduler interface {
 	// After runs do after a delay.
-	After(after int64, do func())
+	After(delay int64, do func())
 	// Between returns a random number from a to b, both included.
 	Between(a, b int64) int64
 	// OneIn returns true with probability 1/n.
--- a/internal/fake/database/scheduler.go
+++ b/internal/fake/database/scheduler.go
@@ -26,8 +26,8 @@
 }
 
 // After runs do under the lock after a delay, unless the scheduler is stopped by then.
-func (s *RealTimeScheduler) After(after int64, do func()) {
-	time.AfterFunc(time.Duration(after)*TimeUnit, func() {
+func (s *RealTimeScheduler) After(delay int64, do func()) {
+	time.AfterFunc(time.Duration(delay)*TimeUnit, func() {
 		s.Lock()
 		defer s.Unlock()
 		if !s.stopped {
--- a/internal/fake/database/socket.go
+++ b/internal/fake/database/socket.go
@@ -96,9 +96,9 @@
 }
 
 // respond writes an answer after a delay.
-func (s *socketSession) respond(after int64, response wire.Response) {
+func (s *socketSession) respond(delay int64, response wire.Response) {
 	output := wire.AppendIdle(response.Lines, response.State, response.Position)
-	s.server.After(after, func() {
+	s.server.After(delay, func() {
 		s.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, _ = s.socket.Write(output) // the reader ends with the error
 	})
--- a/internal/simulation/scheduler/scheduler.go
+++ b/internal/simulation/scheduler/scheduler.go
@@ -21,8 +21,8 @@
 	Now int64
 	// StartTime is the virtual time at which the run started.
 	StartTime int64
-	// PerMs is the number of units of virtual time in a millisecond.
-	PerMs int64
+	// UnitsPerMs is the number of units of virtual time in a millisecond.
+	UnitsPerMs int64
 	// Rand is the source of all random choices.
 	Rand *rand.Rand
 	// Violations describes the first violations that were reported, up to maxViolations.
@@ -35,16 +35,16 @@
 	events eventQueue
 }
 
-// New returns a scheduler seeded with seed whose virtual time begins at start, in units of which perMs are a millisecond.
-func New(seed uint64, start, perMs int64) *Scheduler {
-	return &Scheduler{Now: start, StartTime: start, PerMs: perMs, Rand: rand.New(rand.NewPCG(seed, randomStream))}
+// New returns a scheduler seeded with seed whose virtual time begins at start, in units of which unitsPerMs are a millisecond.
+func New(seed uint64, start, unitsPerMs int64) *Scheduler {
+	return &Scheduler{Now: start, StartTime: start, UnitsPerMs: unitsPerMs, Rand: rand.New(rand.NewPCG(seed, randomStream))}
 }
 
 // After schedules an event after a delay; a negative delay counts as 0. Events at the same time run in the order in which
 // they were scheduled.
-func (s *Scheduler) After(after int64, do func()) {
+func (s *Scheduler) After(delay int64, do func()) {
 	s.LastSerial++
-	s.events.push(event{s.Now + max(0, after), s.LastSerial, do})
+	s.events.push(event{s.Now + max(0, delay), s.LastSerial, do})
 }
 
 // RunFor advances the virtual time by a span and runs all events due in it, including those scheduled meanwhile.
@@ -71,7 +71,7 @@
 }
 
 func (s *Scheduler) timestamp() string {
-	return fmt.Sprintf("%.1f ms: ", float64(s.Now-s.StartTime)/float64(s.PerMs))
+	return fmt.Sprintf("%.1f ms: ", float64(s.Now-s.StartTime)/float64(s.UnitsPerMs))
 }
 
 // Between returns a random number from a to b, both included.
