--- a/cmd/ferrylab/demo.go
+++ b/cmd/ferrylab/demo.go
@@ -179,7 +179,7 @@
 func waitReady(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, demoReady)
 	defer cancel()
-	return tierfleet.Ready(ctx, address)
+	return tierfleet.WaitReady(ctx, address)
 }
 
 func (d *deployment) stop() error {
@@ -248,7 +248,7 @@
 		name, _, _ := strings.Cut(key, " ")
 		hosts[name] = true
 	}
-	groups := []string{workload.GroupReads, workload.GroupOwnReads, workload.GroupWrite}
+	groups := []string{workload.GroupBoundedReads, workload.GroupReadYourWrites, workload.GroupWrite}
 	table := newTable(out)
 	fmt.Fprintf(table, "answered by\t%s\n", strings.Join(groups, "\t"))
 	for _, host := range slices.Sorted(maps.Keys(hosts)) {
--- a/cmd/ferrylab/soak.go
+++ b/cmd/ferrylab/soak.go
@@ -62,7 +62,7 @@
 		options.Members, options.Proxies, options.Clients = largeMembers, largeProxies, largeClients
 	}
 	if isTerminal(os.Stderr) {
-		options.Say = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+		options.Logf = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	}
 	programs, err := os.MkdirTemp("", "ferrylab-programs")
 	if err != nil {
--- a/cmd/ferrylab/system.go
+++ b/cmd/ferrylab/system.go
@@ -47,7 +47,7 @@
 	}
 	defer os.RemoveAll(dir)
 	if isTerminal(os.Stderr) {
-		options.Say = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
+		options.Logf = func(format string, args ...any) { fmt.Fprintf(os.Stderr, format+"\n", args...) }
 	}
 	result, err := cluster.Run(ctx, dir, options)
 	if err != nil {
--- a/cmd/ferrypitch/command_test.go
+++ b/cmd/ferrypitch/command_test.go
@@ -118,7 +118,7 @@
 	startBinary(t, "forward", path)
 	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
-	if err := tierfleet.Ready(ctx, listen); err != nil {
+	if err := tierfleet.WaitReady(ctx, listen); err != nil {
 		t.Fatal(err)
 	}
 	host, port, _ := net.SplitHostPort(listen)
@@ -168,7 +168,7 @@
 	planner, forwarder := start("plan"), start("forward")
 	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
-	if err := tierfleet.Ready(ctx, listen); err != nil {
+	if err := tierfleet.WaitReady(ctx, listen); err != nil {
 		t.Fatal(err)
 	}
 	for kept := filepath.Join(filepath.Dir(path), "view"); ctx.Err() == nil; time.Sleep(10 * time.Millisecond) {
@@ -180,7 +180,7 @@
 		killProcess(cmd)
 	}
 	startBinary(t, "forward", path)
-	if err := tierfleet.Ready(ctx, listen); err != nil {
+	if err := tierfleet.WaitReady(ctx, listen); err != nil {
 		t.Errorf("with no planner: %v", err)
 	}
 }
@@ -205,7 +205,7 @@
 		})
 		startBinary(t, "forward", path)
 		ctx, stop := context.WithTimeout(t.Context(), 3*time.Second)
-		err := tierfleet.Ready(ctx, listen)
+		err := tierfleet.WaitReady(ctx, listen)
 		stop()
 		if (err == nil) != known {
 			t.Errorf("with a list %v: %v", known, err)
--- a/cmd/ferrypitch/system_test.go
+++ b/cmd/ferrypitch/system_test.go
@@ -254,7 +254,7 @@
 		func(a string) { all["listen"] = a }, func(a string) { all["plan"].(map[string]any)["listen"] = a },
 		func(a string) { all["discovery"] = a },
 	} {
-		a, err := tierfleet.Free()
+		a, err := tierfleet.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/ferrypitch/trace_test.go
+++ b/cmd/ferrypitch/trace_test.go
@@ -45,7 +45,7 @@
 	}
 	ctx, stop := context.WithTimeout(t.Context(), testTimeout)
 	defer stop()
-	if err := tierfleet.Ready(ctx, listen); err != nil {
+	if err := tierfleet.WaitReady(ctx, listen); err != nil {
 		t.Fatal(err)
 	}
 	workload.Run(ctx, workload.Config{
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -146,7 +146,7 @@
 	acknowledged, slowDisks := len(l.acknowledged), l.slowDisks
 	l.After(recoveryTimeoutMs, func() {
 		if len(l.acknowledged) == acknowledged && !slowDisks { // slow disks on all members exceed maxFailures
-			l.Violate("nothing was acknowledged for %d ms after %s failed", recoveryTimeoutMs, m.id)
+			l.RecordViolation("nothing was acknowledged for %d ms after %s failed", recoveryTimeoutMs, m.id)
 		}
 	})
 }
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -54,7 +54,7 @@
 	func() {
 		defer func() {
 			if assertion := recover(); assertion != nil { // a panic in the node
-				s.Violate("%v", assertion)
+				s.RecordViolation("%v", assertion)
 			}
 		}()
 		s.run(9000)
--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -235,7 +235,7 @@
 	s := m.sim
 	if committed.Snapshot != nil {
 		if string(committed.Snapshot.Data) != s.stateAt(committed.Index) {
-			s.Violate("%s installs a snapshot up to %d that differs from what was committed", m.id, committed.Index)
+			s.RecordViolation("%s installs a snapshot up to %d that differs from what was committed", m.id, committed.Index)
 		}
 		return
 	}
@@ -243,12 +243,12 @@
 	switch {
 	case committed.Index < uint64(len(s.committed)):
 		if s.committed[committed.Index] != entry {
-			s.Violate("%s commits %q at %d, where %q was committed", m.id, entry, committed.Index, s.committed[committed.Index])
+			s.RecordViolation("%s commits %q at %d, where %q was committed", m.id, entry, committed.Index, s.committed[committed.Index])
 		}
 	case committed.Index == uint64(len(s.committed)):
 		s.committed = append(s.committed, entry)
 	default:
-		s.Violate("%s commits %d before %d", m.id, committed.Index, len(s.committed))
+		s.RecordViolation("%s commits %d before %d", m.id, committed.Index, len(s.committed))
 	}
 	m.acknowledge(committed)
 	if committed.Index%simSnapshotInterval == 0 && !m.paused {
@@ -293,7 +293,7 @@
 			continue
 		}
 		if holder != nil {
-			s.Violate("%s and %s both hold a lease", holder.id, m.id)
+			s.RecordViolation("%s and %s both hold a lease", holder.id, m.id)
 		}
 		holder = m
 	}
@@ -364,17 +364,17 @@
 		}
 	}
 	if leaseHolders != 1 {
-		s.Violate("%d members hold a lease in the end", leaseHolders)
+		s.RecordViolation("%d members hold a lease in the end", leaseHolders)
 	}
 	state := " " + s.stateAt(uint64(len(s.committed))) + " "
 	for _, data := range s.acknowledged {
 		if !strings.Contains(state, ":"+data+" ") {
-			s.Violate("%s was acknowledged and is gone", data)
+			s.RecordViolation("%s was acknowledged and is gone", data)
 		}
 	}
 	for _, m := range s.members {
 		if m.running && slices.Contains(m.node.Members(), m.id) && int(m.node.CommitIndex()) < len(s.committed)-3 {
-			s.Violate("%s has committed %d of %d", m.id, m.node.CommitIndex(), len(s.committed)-1)
+			s.RecordViolation("%s has committed %d of %d", m.id, m.node.CommitIndex(), len(s.committed)-1)
 		}
 	}
 }
--- a/internal/consensus/snapshot_test.go
+++ b/internal/consensus/snapshot_test.go
@@ -98,7 +98,7 @@
 	})
 	s.RunFor(catchUpMs)
 	if int(m.node.CommitIndex()) < lastIndex {
-		s.Violate("%s has committed %d of %d after %d ms", m.id, m.node.CommitIndex(), lastIndex, catchUpMs)
+		s.RecordViolation("%s has committed %d of %d after %d ms", m.id, m.node.CommitIndex(), lastIndex, catchUpMs)
 	}
 	s.corrupt = nil
 	return m, transfers
--- a/internal/control/backup_api_test.go
+++ b/internal/control/backup_api_test.go
@@ -37,7 +37,7 @@
 		wal, identity, restored, err := storage.Open(folder, nil)
 		require.NoError(t, err)
 		require.NoError(t, wal.Close())
-		m.identity, m.disk = identity, memberdisk.Of(restored)
+		m.identity, m.disk = identity, memberdisk.FromState(restored)
 	}
 	for _, m := range next.members {
 		m.start()
--- a/internal/control/catch_up_test.go
+++ b/internal/control/catch_up_test.go
@@ -93,7 +93,7 @@
 	m.Run(incarnation, func() {
 		m.server.Tick()
 		if currentLeader := m.cluster.leader(); currentLeader == m && m.server.state.Generation < m.cluster.acknowledged {
-			m.cluster.Violate("%s leads with version %d, %d was acknowledged", m.identity.ID, m.server.state.Generation, m.cluster.acknowledged)
+			m.cluster.RecordViolation("%s leads with version %d, %d was acknowledged", m.identity.ID, m.server.state.Generation, m.cluster.acknowledged)
 		}
 		m.cluster.After(50, func() { m.tick(incarnation) })
 	})
@@ -191,7 +191,7 @@
 					done, c.acknowledged, c.acknowledgedBody = true, next, body
 					c.After(c.updateIntervalMs, c.update)
 				case status < 500 && status != http.StatusOK:
-					c.Violate("version %d is rejected: %d %s", next, status, response)
+					c.RecordViolation("version %d is rejected: %d %s", next, status, response)
 				}
 			})
 		})
@@ -214,7 +214,7 @@
 	for i, a := range c.members {
 		for _, b := range c.members[:i] {
 			if a.Up() && b.Up() && !a.server.diverged && !b.server.diverged && a.server.state.Index == b.server.state.Index && a.server.state.Checksum() != b.server.state.Checksum() {
-				c.Violate("%s and %s differ at %d", a.ip(), b.ip(), a.server.state.Index)
+				c.RecordViolation("%s and %s differ at %d", a.ip(), b.ip(), a.server.state.Index)
 			}
 		}
 	}
@@ -278,7 +278,7 @@
 		}
 	}
 	if !caughtUp() {
-		c.Violate("%s (%s, disk %d times slow) has version %d, %d was acknowledged before it came back", m.identity.ID, kind, m.diskSlowdown,
+		c.RecordViolation("%s (%s, disk %d times slow) has version %d, %d was acknowledged before it came back", m.identity.ID, kind, m.diskSlowdown,
 			m.server.state.Generation, acknowledged)
 	}
 	c.checkAgreement()
@@ -299,15 +299,15 @@
 	}
 	c.RunFor(400 + 2000)
 	if leader := c.leader(); leader == nil {
-		c.Violate("no leader 2 s after the last start")
+		c.RecordViolation("no leader 2 s after the last start")
 	} else if state := leader.server.state; state.Generation < acknowledged || !bytes.Equal(state.ConfigBody, body) && !bytes.Equal(state.ConfigBody, pending) {
-		c.Violate("version %d is served, %d was acknowledged", state.Generation, acknowledged)
+		c.RecordViolation("version %d is served, %d was acknowledged", state.Generation, acknowledged)
 	}
 	c.RunFor(1500)
 	c.checkAgreement()
 	for _, m := range c.members {
 		if m.server.state.Generation < acknowledged || m.server.StateDivergences.Load() > 0 {
-			c.Violate("%s has version %d of %d, diverged %d times", m.identity.ID, m.server.state.Generation, acknowledged, m.server.StateDivergences.Load())
+			c.RecordViolation("%s has version %d of %d, diverged %d times", m.identity.ID, m.server.state.Generation, acknowledged, m.server.StateDivergences.Load())
 		}
 	}
 }
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -268,7 +268,7 @@
 	c := m.cluster
 	c.LogFault("%s loses its disk, down for %d ms", m.ip, duration/unitsPerMs)
 	m.crash(true)
-	m.disk.Lose()
+	m.disk.Erase()
 	m.identity = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", m.ip, m.Incarnation()))}
 	c.faultsEndAt += 3 * unitsPerSecond
 	c.After(duration, m.start)
@@ -282,7 +282,7 @@
 func (c *cluster) runGuarded(span int64) {
 	defer func() {
 		if p := recover(); p != nil {
-			c.Violate("panic: %v\n%s", p, debug.Stack())
+			c.RecordViolation("panic: %v\n%s", p, debug.Stack())
 		}
 	}()
 	c.RunFor(span)
--- a/internal/control/forwarding_simulation_test.go
+++ b/internal/control/forwarding_simulation_test.go
@@ -78,7 +78,7 @@
 }
 
 func (m *forwardingMember) tick(incarnation int) {
-	if m.Is(incarnation) {
+	if m.IsIncarnation(incarnation) {
 		m.server.Tick()
 		m.cluster.After(50*unitsPerMs, func() { m.tick(incarnation) })
 	}
@@ -103,7 +103,7 @@
 		}
 	}
 	c.After(c.Between(unitsPerMs/2, 8*unitsPerMs), func() {
-		if m.Is(incarnation) {
+		if m.IsIncarnation(incarnation) {
 			if sequence := m.disk.SyncAll(); sequence > 0 {
 				m.server.Persisted(sequence)
 			}
@@ -182,7 +182,7 @@
 	responses := 0
 	m.server.HandleCall(call.method, call.path, call.baseVersion, call.body, func(status int, body []byte) {
 		if responses++; responses > 1 {
-			c.Violate("%s gets two responses", call.token)
+			c.RecordViolation("%s gets two responses", call.token)
 		}
 		c.responses[fmt.Sprint(call.kind, " ", status)]++
 		c.checkResponse(call, status, string(body))
@@ -216,13 +216,13 @@
 	case status == http.StatusServiceUnavailable:
 	case call.kind == invalidUpdate || call.kind == invalidHeartbeat:
 		if status != http.StatusBadRequest || !strings.Contains(body, call.token+`\"`) {
-			c.Violate("WRONG CALLER: %s %s gets %d %s", call.kind, call.token, status, body)
+			c.RecordViolation("WRONG CALLER: %s %s gets %d %s", call.kind, call.token, status, body)
 		}
 	case status == http.StatusPreconditionFailed && call.kind == validUpdate:
 	case status != http.StatusOK || strings.Contains(body, "BeatTarget") != (call.kind == validHeartbeat):
-		c.Violate("WRONG CALLER: %s %s gets %d %s", call.kind, call.token, status, body)
+		c.RecordViolation("WRONG CALLER: %s %s gets %d %s", call.kind, call.token, status, body)
 	case len(c.logged[call.token]) == 0:
-		c.Violate("NOT LOGGED: %s %s is confirmed and is in no log", call.kind, call.token)
+		c.RecordViolation("NOT LOGGED: %s %s is confirmed and is in no log", call.kind, call.token)
 	}
 }
 
@@ -231,7 +231,7 @@
 	c.RunFor(8000 * unitsPerMs)
 	for token, entries := range c.logged {
 		if len(entries) > 1 && token != "" {
-			c.Violate("TWICE: %s is in the log %d times", token, len(entries))
+			c.RecordViolation("TWICE: %s is in the log %d times", token, len(entries))
 		}
 	}
 }
--- a/internal/control/partition_cluster_test.go
+++ b/internal/control/partition_cluster_test.go
@@ -275,7 +275,7 @@
 	before := c.confirmed
 	c.RunFor(4000)
 	if c.confirmed < before+3 {
-		c.Violate("%d updates are confirmed in 4 s without faults", c.confirmed-before)
+		c.RecordViolation("%d updates are confirmed in 4 s without faults", c.confirmed-before)
 	}
 	c.checkNothingLost()
 }
@@ -288,7 +288,7 @@
 		}
 		for _, m := range c.members {
 			if m.Up() && m.server.leading && !slices.ContainsFunc(m.server.state.AppliedUpdates, func(update statemachine.AppliedUpdate) bool { return update.Digest == version.digest }) {
-				c.Violate("LOST: version %d was acknowledged and is gone", version.generation)
+				c.RecordViolation("LOST: version %d was acknowledged and is gone", version.generation)
 			}
 		}
 	}
@@ -309,7 +309,7 @@
 		c.checkApplied(m)
 		if m.server.consensus.HoldsLease(m.server.clock.Now()) { // including a suspended member, which may resume at any time
 			if holder != nil {
-				c.Violate("%s and %s both hold the leader lease", holder.ip, m.ip)
+				c.RecordViolation("%s and %s both hold the leader lease", holder.ip, m.ip)
 			}
 			holder = m
 		}
@@ -321,7 +321,7 @@
 	now, index := server.clock.Now(), server.state.Index
 	for _, p := range c.proxies {
 		if p.applied < index && p.hasLease() && server.grantor.AllCaughtUp(index, server.state.ProxyNames(), now) {
-			c.Violate("%s has applied %d and holds a lease, leader %s assumes that all have applied %d", p.name, p.applied, holder.ip, index)
+			c.RecordViolation("%s has applied %d and holds a lease, leader %s assumes that all have applied %d", p.name, p.applied, holder.ip, index)
 		}
 	}
 }
@@ -345,7 +345,7 @@
 		case position >= len(c.applied):
 			c.applied = append(c.applied, appliedVersion{generation: generation, digest: update.Digest, appliedAt: c.Now})
 		case c.applied[position].generation != generation || c.applied[position].digest != update.Digest:
-			c.Violate("%s applied version %d as number %d, where %d was", m.ip, generation, position, c.applied[position].generation)
+			c.RecordViolation("%s applied version %d as number %d, where %d was", m.ip, generation, position, c.applied[position].generation)
 		}
 	}
 }
--- a/internal/control/partition_halves_test.go
+++ b/internal/control/partition_halves_test.go
@@ -106,7 +106,7 @@
 	s.diskLossBudget--
 	s.LogFault("%s loses its disk", m.ip)
 	m.crash(true)
-	m.disk.Lose()
+	m.disk.Erase()
 	if !s.keepsIdentity {
 		m.identity = storage.Identity{ID: consensus.ID(fmt.Sprintf("%s+%d", m.ip, m.Incarnation()))}
 	}
@@ -148,7 +148,7 @@
 	before := s.confirmed
 	s.RunFor(4000)
 	if s.confirmed < before+3 {
-		s.Violate("RECOVER: %d updates are confirmed in 4 s, 8 s after the last fault", s.confirmed-before)
+		s.RecordViolation("RECOVER: %d updates are confirmed in 4 s, 8 s after the last fault", s.confirmed-before)
 	}
 	s.checkNothingLost()
 }
@@ -185,7 +185,7 @@
 		func() {
 			defer func() {
 				if p := recover(); p != nil { // an assertion in the consensus log
-					s.Violate("LOST: %v", p)
+					s.RecordViolation("LOST: %v", p)
 				}
 			}()
 			s.After(1500, func() { s.injectFaults(s.StartTime + 12_000) })
--- a/internal/control/partition_operator_test.go
+++ b/internal/control/partition_operator_test.go
@@ -92,7 +92,7 @@
 	case status == http.StatusOK:
 		position := c.indexOf(digestOf(body))
 		if position < 0 {
-			c.Violate("LOST: an update is confirmed and was not applied")
+			c.RecordViolation("LOST: an update is confirmed and was not applied")
 			return
 		}
 		c.confirmed++
@@ -100,7 +100,7 @@
 	case status == http.StatusPreconditionFailed:
 		c.checkConflict(base, body, calledAt)
 	default:
-		c.Violate("REJECTED: %d to %s: %s", status, path, response)
+		c.RecordViolation("REJECTED: %d to %s: %s", status, path, response)
 	}
 }
 
@@ -109,18 +109,18 @@
 	switch status {
 	case http.StatusNotFound:
 		if newest > 0 {
-			c.Violate("STALE: a read finds nothing, after %d was acknowledged", c.applied[newest].generation)
+			c.RecordViolation("STALE: a read finds nothing, after %d was acknowledged", c.applied[newest].generation)
 		}
 	case http.StatusOK:
 		c.reads++
 		position := c.indexOf(digestOf(response))
 		if position < 0 || position < newest {
-			c.Violate("STALE: a read at %d returns number %d, %d was acknowledged", calledAt-c.StartTime, position, newest)
+			c.RecordViolation("STALE: a read at %d returns number %d, %d was acknowledged", calledAt-c.StartTime, position, newest)
 			return
 		}
 		c.acknowledge(position)
 	default:
-		c.Violate("REJECTED: %d to a read: %s", status, response)
+		c.RecordViolation("REJECTED: %d to a read: %s", status, response)
 	}
 }
 
@@ -128,11 +128,11 @@
 	c.conflicts++
 	position := c.indexOf(digestOf(body))
 	if position > 0 && c.applied[position].appliedAt <= calledAt {
-		c.Violate("REJECTED: an update that was applied")
+		c.RecordViolation("REJECTED: an update that was applied")
 	}
 	basePosition := slices.IndexFunc(c.applied, func(version appliedVersion) bool { return fmt.Sprint(version.generation) == base })
 	if basePosition < 0 || basePosition == len(c.applied)-1 { // its base was the current version during the whole call
-		c.Violate("REJECTED: 412 to an update of %s, which is the newest", base)
+		c.RecordViolation("REJECTED: 412 to an update of %s, which is the newest", base)
 	}
 }
 
--- a/internal/control/partition_proxy_test.go
+++ b/internal/control/partition_proxy_test.go
@@ -165,7 +165,7 @@
 		return
 	}
 	if i := c.newestAcknowledged(c.Now - 1800); i > 0 && p.state.Generation < c.applied[i].generation {
-		c.Violate("BEHIND: %s holds a lease with version %d, %d was acknowledged 1.8 s ago", p.name, p.state.Generation, c.applied[i].generation)
+		c.RecordViolation("BEHIND: %s holds a lease with version %d, %d was acknowledged 1.8 s ago", p.name, p.state.Generation, c.applied[i].generation)
 	}
 }
 
--- a/internal/control/partition_test.go
+++ b/internal/control/partition_test.go
@@ -65,7 +65,7 @@
 			func() {
 				defer func() {
 					if p := recover(); p != nil { // an assertion in the consensus log
-						c.Violate("two leaders: %v", p)
+						c.RecordViolation("two leaders: %v", p)
 					}
 				}()
 				c.run(9000, true)
--- a/internal/control/update_history_test.go
+++ b/internal/control/update_history_test.go
@@ -317,19 +317,19 @@
 	}
 	h.runGuarded(8 * unitsPerSecond)
 	if served < len(h.knownVersion) {
-		h.Violate("%d of %d reads got a response after all faults", served, len(h.knownVersion))
+		h.RecordViolation("%d of %d reads got a response after all faults", served, len(h.knownVersion))
 	}
 	currentLeader := h.leader()
 	if currentLeader == nil {
-		h.Violate("no leader after all faults")
+		h.RecordViolation("no leader after all faults")
 		return
 	}
 	if leaderTimeMs := currentLeader.server.state.LeaderTimeMs; leaderTimeMs > (h.Now-h.StartTime)/unitsPerMs {
-		h.Violate("leader time is %d ms after %d ms", leaderTimeMs, (h.Now-h.StartTime)/unitsPerMs)
+		h.RecordViolation("leader time is %d ms after %d ms", leaderTimeMs, (h.Now-h.StartTime)/unitsPerMs)
 	}
 	for _, m := range h.members {
 		if m.server.state.Index == currentLeader.server.state.Index && m.server.state.Checksum() != currentLeader.server.state.Checksum() {
-			h.Violate("the states of %s and %s differ", m.ip, currentLeader.ip)
+			h.RecordViolation("the states of %s and %s differ", m.ip, currentLeader.ip)
 		}
 	}
 	// Updates without a response that were never applied are excluded from the check.
@@ -344,9 +344,9 @@
 	})
 	switch porcupine.CheckOperationsTimeout(linearizabilityModel, checked, 20*time.Second) {
 	case porcupine.Illegal:
-		h.Violate("not linearizable:\n%s", describeOperations(checked))
+		h.RecordViolation("not linearizable:\n%s", describeOperations(checked))
 	case porcupine.Unknown:
-		h.Violate("linearizability check of %d calls timed out", len(checked))
+		h.RecordViolation("linearizability check of %d calls timed out", len(checked))
 	}
 }
 
--- a/internal/fake/discovery/discovery.go
+++ b/internal/fake/discovery/discovery.go
@@ -26,15 +26,15 @@
 	State    string `json:"state"`     // up, draining or removed
 	// Size is the capacity relative to other hosts.
 	Size float64 `json:"capacity_hint"`
-	// Boot is the Unix time of the last start in milliseconds, or 0 if it is unknown.
-	Boot int64 `json:"boot_ms"`
+	// BootedAtMs is the Unix time of the last start in milliseconds, or 0 if it is unknown.
+	BootedAtMs int64 `json:"boot_ms"`
 }
 
 // List is the full list of hosts at a revision, or the changes up to that revision.
 type List struct {
-	Rev int64 `json:"rev"`
-	// All says that Targets is the full list instead of changes.
-	All     bool    `json:"all"`
+	Revision int64 `json:"rev"`
+	// IsFull says that Targets is the full list instead of changes.
+	IsFull  bool    `json:"all"`
 	Targets []Entry `json:"targets"`
 }
 
@@ -121,7 +121,7 @@
 
 // list returns the full list. The caller holds the lock.
 func (d *Discovery) list() List {
-	list := List{Rev: d.revision, All: true, Targets: []Entry{}}
+	list := List{Revision: d.revision, IsFull: true, Targets: []Entry{}}
 	for _, entry := range d.entries {
 		list.Targets = append(list.Targets, entry)
 	}
@@ -130,7 +130,7 @@
 
 // changesSince returns the changes after a revision. The caller holds the lock.
 func (d *Discovery) changesSince(revision int64) List {
-	list := List{Rev: d.revision, Targets: []Entry{}}
+	list := List{Revision: d.revision, Targets: []Entry{}}
 	for _, change := range d.changes {
 		if change.revision > revision {
 			list.Targets = append(list.Targets, change.entry)
@@ -149,7 +149,7 @@
 	if since <= 0 {
 		list = d.list()
 	}
-	if list.All || len(list.Targets) > 0 {
+	if list.IsFull || len(list.Targets) > 0 {
 		if line, err = json.Marshal(list); err != nil {
 			return nil, 0, nil, err
 		}
--- a/internal/proxy/simulation_client_test.go
+++ b/internal/proxy/simulation_client_test.go
@@ -118,7 +118,7 @@
 	sim.After(within, func() {
 		proxyRan := proxy.up && proxy.incarnation == incarnation && proxy.frozenUntil < sim.Now-within
 		if c.sessionNumber == sessionNumber && c.pending == request && proxyRan {
-			sim.Violate("%s of %d at %s is not answered", request.verb, c.index, proxy.name)
+			sim.RecordViolation("%s of %d at %s is not answered", request.verb, c.index, proxy.name)
 		}
 	})
 }
@@ -157,14 +157,14 @@
 	for rest := c.received; ; {
 		line, length, err := wire.CutLine(rest, 0)
 		if err != nil {
-			c.sim.Violate("%d is sent an invalid line", c.index)
+			c.sim.RecordViolation("%d is sent an invalid line", c.index)
 		}
 		if length == 0 {
 			return
 		}
 		complete, err := answer.AddLine(line, rest[:length])
 		if err != nil {
-			c.sim.Violate("%d is sent %q: %v", c.index, line, err)
+			c.sim.RecordViolation("%d is sent %q: %v", c.index, line, err)
 		}
 		rest = rest[length:]
 		if complete || answer.Code == wire.CodeNoDatabase || answer.Code == wire.CodeDenied || c.pending.verb == "CONNECT" && answer.Code != "" {
@@ -178,7 +178,7 @@
 func (c *client) handleAnswer(answer *wire.Response) {
 	sim, request := c.sim, c.pending
 	if request.verb == "" {
-		sim.Violate("%d is sent an answer without a pending request: %+v", c.index, answer)
+		sim.RecordViolation("%d is sent an answer without a pending request: %+v", c.index, answer)
 		return
 	}
 	c.pending = pendingRequest{}
@@ -219,7 +219,7 @@
 		return
 	}
 	if !strings.Contains(string(answer.Lines), "DONE x."+request.id) {
-		sim.Violate("MIXED: %d is answered %q for %s", c.index, answer.Lines, request.id)
+		sim.RecordViolation("MIXED: %d is answered %q for %s", c.index, answer.Lines, request.id)
 	}
 	sim.served++
 	if request.verb == "STORE" && !c.inTransaction {
--- a/internal/proxy/simulation_hostconn_test.go
+++ b/internal/proxy/simulation_hostconn_test.go
@@ -110,7 +110,7 @@
 	for {
 		line, length, err := wire.CutLine(c.received, 0)
 		if err != nil {
-			sim.Violate("%s is sent an invalid line: %v", host.ID, err)
+			sim.RecordViolation("%s is sent an invalid line: %v", host.ID, err)
 		}
 		if length == 0 {
 			return
@@ -118,7 +118,7 @@
 		fields := strings.SplitN(string(line), " ", 3)
 		c.received = c.received[length:]
 		if fields[0] != "QUERY" || len(fields) < 3 {
-			sim.Violate("%s is sent %q", host.ID, line)
+			sim.RecordViolation("%s is sent %q", host.ID, line)
 			return
 		}
 		c.checkStatement(fields[1], fields[2])
@@ -137,7 +137,7 @@
 	}
 	if requestID == internalRequestID {
 		if verb == "RESET" && c.State == stateInTransaction {
-			sim.Violate("RESET inside a transaction")
+			sim.RecordViolation("RESET inside a transaction")
 		}
 		return
 	}
@@ -145,7 +145,7 @@
 	owner, present := sim.ownerOf(requestID)
 	switch {
 	case owner == nil:
-		sim.Violate("UNASKED: %s runs %s %s", c.Host.ID, requestID, text)
+		sim.RecordViolation("UNASKED: %s runs %s %s", c.Host.ID, requestID, text)
 		return
 	case !present: // its session has ended
 		return
@@ -155,15 +155,15 @@
 	case verb == "EXECUTE":
 		name, _, _ := strings.Cut(rest, " ")
 		if preparedText, want := c.Prepared[name], owner.prepared[owner.pending.name]; preparedText != want {
-			sim.Violate("PINNED: %s runs %q for %q", c.Host.ID, preparedText, want)
+			sim.RecordViolation("PINNED: %s runs %q for %q", c.Host.ID, preparedText, want)
 		}
 		fallthrough
 	case verb != "COMMIT" && verb != "ABORT":
 		if !c.HasValues(owner.values) {
-			sim.Violate("PINNED: values %v for %v", c.Values, owner.values)
+			sim.RecordViolation("PINNED: values %v for %v", c.Values, owner.values)
 		}
 		if beganBy, _ := sim.ownerOf(c.BeginID); c.State == stateInTransaction && beganBy != owner {
-			sim.Violate("PINNED: a statement of %d in a transaction of another", owner.index)
+			sim.RecordViolation("PINNED: a statement of %d in a transaction of another", owner.index)
 		}
 	}
 }
--- a/internal/proxy/simulation_member_conn_test.go
+++ b/internal/proxy/simulation_member_conn_test.go
@@ -150,7 +150,7 @@
 func (c *memberConn) receiveChunk(server *Server, chunk *rpc.SnapshotChunk) {
 	ack, err := server.handleSnapshotChunk(chunk)
 	if err != nil {
-		c.proxy.sim.Violate("STATE: %s refuses a chunk: %v", c.proxy.name, err)
+		c.proxy.sim.RecordViolation("STATE: %s refuses a chunk: %v", c.proxy.name, err)
 		c.close()
 		return
 	}
--- a/internal/proxy/simulation_member_faults_test.go
+++ b/internal/proxy/simulation_member_faults_test.go
@@ -182,7 +182,7 @@
 
 // restartWiped starts a member with an empty disk.
 func (m *member) restartWiped() {
-	m.disk.Lose()
+	m.disk.Erase()
 	if !m.cluster.keepsIdentity {
 		m.identity = m.cluster.newIdentity(m.ip)
 	}
@@ -209,7 +209,7 @@
 // resetConns repeatedly resets a member's connections to other members and, at random, to proxies, until the given time.
 func (c *controlCluster) resetConns(m *member, incarnation int, until int64) {
 	sim := c.sim
-	if !m.Is(incarnation) || sim.Now > until {
+	if !m.IsIncarnation(incarnation) || sim.Now > until {
 		return
 	}
 	m.resetCount++
--- a/internal/proxy/simulation_member_test.go
+++ b/internal/proxy/simulation_member_test.go
@@ -147,7 +147,7 @@
 			}
 			for _, other := range c.members {
 				if other != m && other.Up() && other.isLeader() {
-					sim.Violate("LEASE: %s sends %s while %s leads", m.ip, command, other.ip)
+					sim.RecordViolation("LEASE: %s sends %s while %s leads", m.ip, command, other.ip)
 				}
 			}
 			write()
@@ -201,7 +201,7 @@
 	c.promotions++
 	sim.LogFault("%s nominates %s to the platform, fencing token %d", m.ip, promotion.Host, promotion.FencingToken)
 	if owner := c.tokenOwners[promotion.FencingToken]; owner != "" && owner != promotion.Owner {
-		sim.Violate("a fencing token of %s is used by %s", owner, promotion.Owner)
+		sim.RecordViolation("a fencing token of %s is used by %s", owner, promotion.Owner)
 	}
 	c.tokenOwners[promotion.FencingToken] = promotion.Owner
 	requestDelay := sim.Between(2*millisecond, 20*millisecond)
@@ -231,12 +231,12 @@
 func (c *controlCluster) checkNoDivergence() {
 	for _, m := range c.members {
 		if diverged := m.server.StateDivergences.Load(); diverged > 0 {
-			c.sim.Violate("STATE: the state of %s has diverged %d times", m.ip, diverged)
+			c.sim.RecordViolation("STATE: the state of %s has diverged %d times", m.ip, diverged)
 		}
 	}
 	for _, proxy := range c.sim.proxies {
 		if diverged := proxy.server.counters.stateDivergences.Load(); diverged > 0 {
-			c.sim.Violate("STATE: the state of %s has diverged %d times", proxy.name, diverged)
+			c.sim.RecordViolation("STATE: the state of %s has diverged %d times", proxy.name, diverged)
 		}
 	}
 }
@@ -274,7 +274,7 @@
 	m.Run(incarnation, func() { m.server.BeginShutdown() })
 	var poll func()
 	poll = func() {
-		if !m.Is(incarnation) || complete {
+		if !m.IsIncarnation(incarnation) || complete {
 			return
 		}
 		m.Run(incarnation, func() { complete = complete || m.server.ShutdownComplete() })
@@ -284,7 +284,7 @@
 		}
 		complete = true
 		sim.After(100*millisecond, func() {
-			if m.Is(incarnation) {
+			if m.IsIncarnation(incarnation) {
 				sim.LogFault("member %s stops", m.ip)
 				m.crash(false)
 				then()
--- a/internal/proxy/simulation_operator_test.go
+++ b/internal/proxy/simulation_operator_test.go
@@ -103,7 +103,7 @@
 	switch {
 	case status == http.StatusOK:
 		if other, exists := o.confirmed[version]; exists && other != request.body {
-			sim.Violate("ORDER: two are confirmed as version %d", version)
+			sim.RecordViolation("ORDER: two are confirmed as version %d", version)
 		}
 		o.confirmed[version], request.confirmed = request.body, true
 		o.newestVersion = max(o.newestVersion, version)
@@ -111,7 +111,7 @@
 			o.onConfirmed()
 		}
 	case status < http.StatusInternalServerError && request.confirmed:
-		sim.Violate("ORDER: version %d was confirmed, and is rejected when it is repeated: %d %s", version, status, body)
+		sim.RecordViolation("ORDER: version %d was confirmed, and is rejected when it is repeated: %d %s", version, status, body)
 	case status == http.StatusPreconditionFailed:
 		o.newestVersion = max(o.newestVersion, version)
 	}
@@ -128,11 +128,11 @@
 			final, _ := config.PeekGeneration(body)
 			for version, confirmed := range o.confirmed {
 				if version > final || version == final && confirmed != string(body) {
-					sim.Violate("ORDER: version %d was confirmed, and %d is in effect", version, final)
+					sim.RecordViolation("ORDER: version %d was confirmed, and %d is in effect", version, final)
 				}
 			}
 		})
 		return
 	}
-	sim.Violate("no member of the control plane is the leader at the end")
+	sim.RecordViolation("no member of the control plane is the leader at the end")
 }
--- a/internal/proxy/simulation_tenants_test.go
+++ b/internal/proxy/simulation_tenants_test.go
@@ -146,15 +146,15 @@
 	sim := t.sim
 	key := t.history[owner.key]
 	if key == nil {
-		sim.Violate("ROUTE: %s runs %s, whose key no configuration ever held", conn.Host.ID, requestID)
+		sim.RecordViolation("ROUTE: %s runs %s, whose key no configuration ever held", conn.Host.ID, requestID)
 		return
 	}
 	t.executedUnderKey++
 	if conn.Identity != key.tenant {
-		sim.Violate("UNASKED: %s runs %s of %s as %q", conn.Host.ID, requestID, key.tenant, conn.Identity)
+		sim.RecordViolation("UNASKED: %s runs %s of %s as %q", conn.Host.ID, requestID, key.tenant, conn.Identity)
 	}
 	if key.removedIn > 0 && owner.sentAt > key.removedAt+revokeBoundMs*millisecond {
-		sim.Violate("REVOKED: %s runs %s, sent %d ms after its key was revoked", conn.Host.ID, requestID, (owner.sentAt-key.removedAt)/millisecond)
+		sim.RecordViolation("REVOKED: %s runs %s, sent %d ms after its key was revoked", conn.Host.ID, requestID, (owner.sentAt-key.removedAt)/millisecond)
 	}
 	t.checkNoDowngrade(conn.proxy.processName(), key, owner, requestID)
 }
@@ -164,7 +164,7 @@
 	effects := t.effects[process]
 	for _, effect := range effects {
 		if key.removedIn > 0 && key.removedIn <= effect.version && owner.sentAt > effect.seenAt+downgradeMs*millisecond {
-			t.sim.Violate("DOWNGRADE: %s sends %s, whose key is not in version %d", process, requestID, effect.version)
+			t.sim.RecordViolation("DOWNGRADE: %s sends %s, whose key is not in version %d", process, requestID, effect.version)
 		}
 	}
 	if !slices.ContainsFunc(effects, func(e versionEffect) bool { return e.version >= key.addedIn }) {
@@ -179,7 +179,7 @@
 	}
 	t.denials++
 	if key := t.history[c.key]; key != nil && key.removedIn == 0 && t.sim.Now > key.addedAt+denialGrace {
-		t.sim.Violate("DENIED: %d, whose key has been held for %d ms", c.index, (t.sim.Now-key.addedAt)/millisecond)
+		t.sim.RecordViolation("DENIED: %d, whose key has been held for %d ms", c.index, (t.sim.Now-key.addedAt)/millisecond)
 	}
 }
 
--- a/internal/proxy/simulation_test.go
+++ b/internal/proxy/simulation_test.go
@@ -78,10 +78,10 @@
 		OnHeartbeat:        sim.heartbeat,
 	}
 	sim.checker = &checker.Checker{
-		Bounds:         map[string]int64{"bound": 600 * millisecond, "own": 900 * millisecond},
-		ReadYourWrites: map[string]bool{"own": true},
-		Group:          sim.database,
-		Violate:        sim.Violate,
+		Bounds:          map[string]int64{"bound": 600 * millisecond, "own": 900 * millisecond},
+		ReadYourWrites:  map[string]bool{"own": true},
+		Group:           sim.database,
+		RecordViolation: sim.RecordViolation,
 	}
 	return sim
 }
@@ -113,7 +113,7 @@
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			sim.Violate("a panic: %v\n%s", cause, debug.Stack())
+			sim.RecordViolation("a panic: %v\n%s", cause, debug.Stack())
 		}
 	}()
 	sim.RunFor(simulationLength)
@@ -130,7 +130,7 @@
 	}
 	for _, host := range sim.database.Hosts {
 		if host.Up && !host.IsPrimary && host.PausedTimeline > 0 {
-			sim.Violate("PAUSED: %s was never told to go on", host.ID)
+			sim.RecordViolation("PAUSED: %s was never told to go on", host.ID)
 		}
 	}
 }
--- a/internal/simulation/checker/checker.go
+++ b/internal/simulation/checker/checker.go
@@ -24,8 +24,8 @@
 	ReadYourWrites map[string]bool
 	// Group is the hosts of the service.
 	Group *database.Group
-	// Violate is called for each violation.
-	Violate func(format string, args ...any)
+	// RecordViolation is called for each violation.
+	RecordViolation func(format string, args ...any)
 
 	commits  []commit // in the order of their acknowledgement
 	outcomes map[string]outcome
@@ -70,7 +70,7 @@
 		}
 		if commit.acknowledgedAt < reader.BeganAt-bound && !h.Visible(commit.position) {
 			age := float64(reader.BeganAt-commit.acknowledgedAt) / database.Millisecond
-			c.Violate("STALE: a read of %s (%s) at %s of %s misses %s, acknowledged %.1f ms before it",
+			c.RecordViolation("STALE: a read of %s (%s) at %s of %s misses %s, acknowledged %.1f ms before it",
 				reader.Session, reader.Kind, h.PositionAt(h.VisibleEntries()), h.ID, commit.position, age)
 			return
 		}
@@ -102,7 +102,7 @@
 	}
 	position, found := c.Group.FindWrite(data[0])
 	if !found {
-		c.Violate("LOST: %s was acknowledged and is in no log", data[0])
+		c.RecordViolation("LOST: %s was acknowledged and is in no log", data[0])
 		return
 	}
 	c.commits = append(c.commits, commit{now, position, session})
@@ -131,18 +131,18 @@
 func (c *Checker) CheckFinalLog() {
 	primary := c.Group.Primary()
 	if primary == nil {
-		c.Violate("there is no primary at the end of the run")
+		c.RecordViolation("there is no primary at the end of the run")
 		return
 	}
 	counts := primary.WriteCounts()
 	for write, outcome := range c.outcomes {
 		switch count := counts[write]; {
 		case count > 1:
-			c.Violate("TWICE: %s is in the log %d times", write, count)
+			c.RecordViolation("TWICE: %s is in the log %d times", write, count)
 		case outcome == acknowledged && count == 0:
-			c.Violate("LOST: %s was acknowledged", write)
+			c.RecordViolation("LOST: %s was acknowledged", write)
 		case outcome == notCommitted && count > 0:
-			c.Violate("REJECTED: %s is in the log, but its client was told that it is not committed", write)
+			c.RecordViolation("REJECTED: %s is in the log, but its client was told that it is not committed", write)
 		}
 	}
 }
--- a/internal/simulation/cluster/cluster.go
+++ b/internal/simulation/cluster/cluster.go
@@ -29,8 +29,8 @@
 	// UpgradeFrom is a directory with the programs of another release. The system starts with them, is upgraded process by
 	// process under load, and is downgraded in the same way. If it is empty, there is no upgrade.
 	UpgradeFrom string
-	// Say logs progress. Optional.
-	Say func(format string, args ...any)
+	// Logf logs progress. Optional.
+	Logf func(format string, args ...any)
 }
 
 // Result is the result of a run.
@@ -102,8 +102,8 @@
 // Run runs a system once. It leaves the programs, their files and their logs in dir. Violations are reported in the result; an
 // error means that the run itself failed.
 func Run(ctx context.Context, dir string, options Options) (*Result, error) {
-	if options.Say == nil {
-		options.Say = func(string, ...any) {}
+	if options.Logf == nil {
+		options.Logf = func(string, ...any) {}
 	}
 	network, claim, err := claimLoopbackNetwork(options.Seed)
 	if err != nil {
@@ -122,14 +122,14 @@
 	if err := c.waitReady(ctx); err != nil {
 		return nil, err
 	}
-	c.Say("all processes are ready; %d sessions at each of %d proxies for %v", c.Sessions, c.size.proxies, c.For)
+	c.Logf("all processes are ready; %d sessions at each of %d proxies for %v", c.Sessions, c.size.proxies, c.For)
 	return c.runLoad(ctx)
 }
 
 // newCluster returns a system whose processes are not started yet.
 func newCluster(dir string, network loopbackNetwork, size size, options Options) *cluster {
 	return &cluster{
-		onHostEvent: func(event string) { options.Say("%s", event) },
+		onHostEvent: func(event string) { options.Logf("%s", event) },
 		Options:     options,
 		size:        size,
 		dir:         dir,
--- a/internal/simulation/cluster/soak.go
+++ b/internal/simulation/cluster/soak.go
@@ -24,8 +24,8 @@
 	Clients int
 	// Binaries holds the programs. If it is nil, they are built.
 	Binaries Binaries
-	// Say logs progress. Optional.
-	Say func(format string, args ...any)
+	// Logf logs progress. Optional.
+	Logf func(format string, args ...any)
 }
 
 // SoakResult is the result of a soak test.
@@ -79,8 +79,8 @@
 // Soak runs a system through a random schedule of faults. It leaves the files and logs in dir. Violations are reported in the
 // result; an error means that the run itself failed.
 func Soak(ctx context.Context, dir string, options SoakOptions) (*SoakResult, error) {
-	if options.Say == nil {
-		options.Say = func(string, ...any) {}
+	if options.Logf == nil {
+		options.Logf = func(string, ...any) {}
 	}
 	if options.Members < 1 || options.Members > maxSize.members || options.Proxies < 1 || options.Proxies > maxSize.proxies {
 		return nil, fmt.Errorf("%d members and %d proxies: want 1 to %d members and 1 to %d proxies",
@@ -97,7 +97,7 @@
 	}
 	k := &soak{
 		cluster: newCluster(dir, network, size{options.Members, options.Proxies}, Options{
-			For: options.Duration, Sessions: options.Clients, Seed: options.Seed, Say: options.Say,
+			For: options.Duration, Sessions: options.Clients, Seed: options.Seed, Logf: options.Logf,
 		}),
 		events:     events,
 		soakResult: SoakResult{Seed: options.Seed},
@@ -179,12 +179,12 @@
 		}
 	}
 	events := faultplan.Draw(k.Seed, faultplan.System{Members: k.size.members, Proxies: k.size.proxies}, k.For)
-	k.Say("%d members, %d proxies, %d sessions at each; %d events in %v", k.size.members, k.size.proxies, k.Sessions, len(events), k.For)
+	k.Logf("%d members, %d proxies, %d sessions at each; %d events in %v", k.size.members, k.size.proxies, k.Sessions, len(events), k.For)
 	k.runFaults(ctx, events)
 	for _, n := range k.nodes() {
 		n.awaitRunning(ctx)
 	}
-	k.Say("all faults have ended, waiting until all nodes serve again")
+	k.Logf("all faults have ended, waiting until all nodes serve again")
 	recovered := k.awaitRecovery(ctx)
 	_ = sleep(ctx, quietTime) // an error means that the run is aborted, which is checked below
 	stopSending()
--- a/internal/simulation/cluster/soak_test.go
+++ b/internal/simulation/cluster/soak_test.go
@@ -19,7 +19,7 @@
 	events, err := os.Create(filepath.Join(t.TempDir(), eventsFile))
 	require.NoError(t, err)
 	t.Cleanup(func() { require.NoError(t, events.Close()) })
-	options := Options{Say: func(string, ...any) {}}
+	options := Options{Logf: func(string, ...any) {}}
 	return &soak{cluster: newCluster(t.TempDir(), "127.0.0", defaultSize, options), events: events}
 }
 
--- a/internal/simulation/cluster/start.go
+++ b/internal/simulation/cluster/start.go
@@ -110,7 +110,7 @@
 // proxies start with the older programs.
 func (c *cluster) start(ctx context.Context) error {
 	if c.binaries == nil {
-		c.Say("building %s and %s", proxyProgram, controlProgram)
+		c.Logf("building %s and %s", proxyProgram, controlProgram)
 		binaries, err := BuildPrograms(c.dir)
 		if err != nil {
 			return err
@@ -170,10 +170,10 @@
 	}
 	c.hosts = hosts
 	c.checker = &checker.Checker{
-		Bounds:         map[string]int64{kindBounded: boundedStalenessMs * database.Millisecond, kindOwned: ownedStalenessMs * database.Millisecond},
-		ReadYourWrites: map[string]bool{kindOwned: true},
-		Group:          hosts.Group,
-		Violate:        c.violate,
+		Bounds:          map[string]int64{kindBounded: boundedStalenessMs * database.Millisecond, kindOwned: ownedStalenessMs * database.Millisecond},
+		ReadYourWrites:  map[string]bool{kindOwned: true},
+		Group:           hosts.Group,
+		RecordViolation: c.violate,
 	}
 	c.scheduler.Lock()
 	defer c.scheduler.Unlock()
--- a/internal/simulation/cluster/upgrade.go
+++ b/internal/simulation/cluster/upgrade.go
@@ -78,7 +78,7 @@
 		return fmt.Errorf("%s: %w", step.Process, err)
 	}
 	step.Ready = time.Since(began)
-	c.Say("%s runs %s, stopped in %v, ready in %v", step.Process, binary, step.Stopped.Round(time.Millisecond), step.Ready.Round(time.Millisecond))
+	c.Logf("%s runs %s, stopped in %v, ready in %v", step.Process, binary, step.Stopped.Round(time.Millisecond), step.Ready.Round(time.Millisecond))
 	c.mu.Lock()
 	c.result.Upgrades = append(c.result.Upgrades, step)
 	c.mu.Unlock()
--- a/internal/simulation/memberdisk/disk.go
+++ b/internal/simulation/memberdisk/disk.go
@@ -14,8 +14,8 @@
 	unsynced []consensus.Write
 }
 
-// Of returns a disk that holds state durably.
-func Of(state consensus.RestoredState) Disk { return Disk{durable: state} }
+// FromState returns a disk that holds state durably.
+func FromState(state consensus.RestoredState) Disk { return Disk{durable: state} }
 
 // Durable returns the synced state. The caller must not modify it.
 func (d *Disk) Durable() *consensus.RestoredState { return &d.durable }
@@ -63,5 +63,5 @@
 	d.unsynced = nil
 }
 
-// Lose erases the disk.
-func (d *Disk) Lose() { *d = Disk{} }
+// Erase erases the disk.
+func (d *Disk) Erase() { *d = Disk{} }
--- a/internal/simulation/memberdisk/disk_test.go
+++ b/internal/simulation/memberdisk/disk_test.go
@@ -24,6 +24,6 @@
 	d.Write([]consensus.Write{{Seq: 9, HardState: &consensus.HardState{Term: 7}}})
 	require.EqualValues(t, 9, d.SyncAll())
 	require.EqualValues(t, 7, d.Restart().HardState.Term)
-	d.Lose()
+	d.Erase()
 	require.Zero(t, d.Restart())
 }
--- a/internal/simulation/memberprocess/process.go
+++ b/internal/simulation/memberprocess/process.go
@@ -32,14 +32,14 @@
 // Incarnation returns the number of the current or last incarnation, 0 before the first start.
 func (p *Process) Incarnation() int { return p.incarnation }
 
-// Is reports whether the process is up and runs the given incarnation.
-func (p *Process) Is(incarnation int) bool { return p.up && p.incarnation == incarnation }
+// IsIncarnation reports whether the process is up and runs the given incarnation.
+func (p *Process) IsIncarnation(incarnation int) bool { return p.up && p.incarnation == incarnation }
 
 // Run runs a step of an incarnation at once, or when the process resumes if it is suspended. If the incarnation has ended,
 // the step never runs.
 func (p *Process) Run(incarnation int, step func()) {
 	switch {
-	case !p.Is(incarnation):
+	case !p.IsIncarnation(incarnation):
 	case p.suspended:
 		p.pendingSteps = append(p.pendingSteps, step)
 	default:
@@ -49,7 +49,7 @@
 
 // Resume resumes an incarnation and runs its pending steps in order, until one of them ends or suspends the process.
 func (p *Process) Resume(incarnation int) {
-	if !p.Is(incarnation) {
+	if !p.IsIncarnation(incarnation) {
 		return
 	}
 	p.suspended = false
--- a/internal/simulation/memberprocess/process_test.go
+++ b/internal/simulation/memberprocess/process_test.go
@@ -28,7 +28,7 @@
 	p.Run(1, step("after the end"))
 	p.StartIncarnation()
 	require.Equal(t, 2, p.Incarnation())
-	require.True(t, p.Is(2) && !p.Is(1) && p.Running())
+	require.True(t, p.IsIncarnation(2) && !p.IsIncarnation(1) && p.Running())
 	p.Run(1, step("of the earlier incarnation"))
 	p.Run(2, step("e"))
 	require.Equal(t, []string{"a", "b", "c", "e"}, ran)
--- a/internal/simulation/scheduler/scheduler.go
+++ b/internal/simulation/scheduler/scheduler.go
@@ -58,8 +58,8 @@
 	s.Now = max(s.Now, end)
 }
 
-// Violate records the violation of an invariant.
-func (s *Scheduler) Violate(format string, args ...any) {
+// RecordViolation records the violation of an invariant.
+func (s *Scheduler) RecordViolation(format string, args ...any) {
 	if len(s.Violations) < maxViolations {
 		s.Violations = append(s.Violations, s.timestamp()+fmt.Sprintf(format, args...))
 	}
--- a/internal/simulation/tierfleet/fleet.go
+++ b/internal/simulation/tierfleet/fleet.go
@@ -73,7 +73,7 @@
 		return nil, err
 	}
 	for range planners {
-		address, err := Free()
+		address, err := FreeAddress()
 		if err != nil {
 			return nil, err
 		}
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// Free returns a loopback address with a free port. The port is not reserved.
-func Free() (string, error) {
+// FreeAddress returns a loopback address with a free port. The port is not reserved.
+func FreeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -114,12 +114,12 @@
 
 func entry(host *postgres.Host, state string) discovery.Entry {
 	return discovery.Entry{
-		UID:      host.Name,
-		Endpoint: host.Address(),
-		Set:      host.Set,
-		State:    state,
-		Size:     1,
-		Boot:     host.StartedAtMs(),
+		UID:        host.Name,
+		Endpoint:   host.Address(),
+		Set:        host.Set,
+		State:      state,
+		Size:       1,
+		BootedAtMs: host.StartedAtMs(),
 	}
 }
 
--- a/internal/simulation/tierfleet/ready.go
+++ b/internal/simulation/tierfleet/ready.go
@@ -16,8 +16,8 @@
 	maxMessageBytes  = 1 << 16
 )
 
-// Ready waits until a router answers an empty query without an error. If ctx ends first, the returned error wraps that of ctx.
-func Ready(ctx context.Context, address string) error {
+// WaitReady waits until a router answers an empty query without an error. If ctx ends first, the returned error wraps that of ctx.
+func WaitReady(ctx context.Context, address string) error {
 	for ctx.Err() == nil {
 		if isReady(ctx, address) {
 			return nil
--- a/internal/simulation/tierfleet/run.go
+++ b/internal/simulation/tierfleet/run.go
@@ -37,7 +37,7 @@
 
 // Forward runs a forwarder, selected by number, in tasks until ctx ends, and returns its address.
 func (f *Fleet) Forward(ctx context.Context, tasks *errgroup.Group, forwarder int, log *zap.Logger) (address string, err error) {
-	if address, err = Free(); err != nil {
+	if address, err = FreeAddress(); err != nil {
 		return "", err
 	}
 	path, err := f.ForwarderFile(forwarder, address)
--- a/internal/simulation/tierfleet/trace_test.go
+++ b/internal/simulation/tierfleet/trace_test.go
@@ -26,7 +26,7 @@
 // loadRouter runs a router in this process under load, kills and restarts a replica meanwhile, and stops the router.
 func loadRouter(t *testing.T, f *Fleet, write writeFile) *workload.Tally {
 	t.Helper()
-	address, err := Free()
+	address, err := FreeAddress()
 	require.NoError(t, err)
 	path, err := write(0, address)
 	require.NoError(t, err)
@@ -40,7 +40,7 @@
 	tasks.Go(func() error { return service.Run(operator, signals, nil, zap.NewNop()) })
 	ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
 	defer stop()
-	require.NoError(t, Ready(ctx, address))
+	require.NoError(t, WaitReady(ctx, address))
 
 	replica := f.Hosts.Hosts()[1]
 	time.AfterFunc(time.Second, replica.Kill)
--- a/internal/simulation/tiernet/command.go
+++ b/internal/simulation/tiernet/command.go
@@ -49,7 +49,7 @@
 	incarnation := f.incarnation
 	w.After(group.Timeout, func() {
 		if f.isRunning(incarnation) && !c.answered {
-			w.Violate("%s: %s is not answered within its client timeout", f.name, id)
+			w.RecordViolation("%s: %s is not answered within its client timeout", f.name, id)
 		}
 	})
 	f.commands[id] = c
@@ -63,11 +63,11 @@
 func (f *forwarderProcess) countFinalAnswer(handle *policy.Command, count *int) {
 	w, c := f.w, f.commands[handle.Name]
 	if c == nil || c.answered {
-		w.Violate("%s: %s has a second final answer", f.name, handle.Name)
+		w.RecordViolation("%s: %s has a second final answer", f.name, handle.Name)
 		return
 	}
 	if w.Now > c.deadline+answerMargin {
-		w.Violate("%s: %s is answered after its client timeout", f.name, handle.Name)
+		w.RecordViolation("%s: %s is answered after its client timeout", f.name, handle.Name)
 	}
 	c.answered = true
 	*count++
--- a/internal/simulation/tiernet/dispatch.go
+++ b/internal/simulation/tiernet/dispatch.go
@@ -41,14 +41,14 @@
 func (f *forwarderProcess) dispatch(handle *policy.Command, node *policy.Host, timeout policy.TenthMs) {
 	w, c, h := f.w, f.commands[handle.Name], f.w.host(f.moduleHostNames[node])
 	if c == nil || c.answered {
-		w.Violate("%s: %s is sent after its final answer", f.name, handle.Name)
+		w.RecordViolation("%s: %s is sent after its final answer", f.name, handle.Name)
 		return
 	}
 	if c.dispatchSerial != 0 {
-		w.Violate("%s: %s has two dispatches in flight", f.name, handle.Name)
+		w.RecordViolation("%s: %s has two dispatches in flight", f.name, handle.Name)
 	}
 	if drainedAt := f.drainedAt[h.name]; drainedAt != 0 && w.Now > drainedAt+drainGrace {
-		w.Violate("%s: %s is sent to %s, which was drained or removed %d ms ago", f.name, handle.Name, h.name, inMs(w.Now-drainedAt))
+		w.RecordViolation("%s: %s is sent to %s, which was drained or removed %d ms ago", f.name, handle.Name, h.name, inMs(w.Now-drainedAt))
 	}
 	f.trace.Dispatch(handle, node, timeout)
 	w.LastSerial++
@@ -117,7 +117,7 @@
 	}
 	w.executions[name]++
 	if runs := w.executions[name]; runs > 1 {
-		w.Violate("%s ran %d times", name, runs)
+		w.RecordViolation("%s ran %d times", name, runs)
 	}
 	set, electedAt := d.host.set, d.host.set.electedAt
 	w.afterNetwork(func() {
@@ -145,7 +145,7 @@
 	position, role := h.position(), h.role()
 	required := max(d.command.requiredPosition, d.staleBefore)
 	if position < required && !d.mayBeStale && role != policy.Primary {
-		f.w.Violate("%s: %s reads at %s, which is %d ms too old", f.name, d.command.handle.Name, h.name, inMs(required-position))
+		f.w.RecordViolation("%s: %s reads at %s, which is %d ms too old", f.name, d.command.handle.Name, h.name, inMs(required-position))
 	}
 	f.w.afterNetwork(func() { d.end(policy.Answered, position/millisecond*millisecond, role) })
 }
--- a/internal/simulation/tiernet/host.go
+++ b/internal/simulation/tiernet/host.go
@@ -155,7 +155,7 @@
 	}
 	capacity := h.coldCapacity()
 	if arrivals := len(h.coldArrivals); float64(arrivals) > overloadFactor*capacity+overloadSlack && 3*knowing >= 2*arrivals {
-		w.Violate("%s is overloaded: %d commands in %d ms, capacity %.1f", h.name, arrivals, inMs(overloadWindow), capacity)
+		w.RecordViolation("%s is overloaded: %d commands in %d ms, capacity %.1f", h.name, arrivals, inMs(overloadWindow), capacity)
 		h.coldArrivals = nil
 	}
 }
--- a/internal/simulation/tiernet/module.go
+++ b/internal/simulation/tiernet/module.go
@@ -48,11 +48,13 @@
 
 // Probe reports a violation, since only planners probe hosts.
 func (f *forwarderProcess) Probe(node *policy.Host) {
-	f.w.Violate("%s probes %s", f.name, f.moduleHostNames[node])
+	f.w.RecordViolation("%s probes %s", f.name, f.moduleHostNames[node])
 }
 
 // Broadcast reports a violation, since forwarders have no router peers.
-func (f *forwarderProcess) Broadcast(string) { f.w.Violate("%s broadcasts a message", f.name) }
+func (f *forwarderProcess) Broadcast(string) { f.w.RecordViolation("%s broadcasts a message", f.name) }
 
 // RequestHostList reports a violation, since only planners fetch the list of hosts.
-func (f *forwarderProcess) RequestHostList() { f.w.Violate("%s requests the list of hosts", f.name) }
+func (f *forwarderProcess) RequestHostList() {
+	f.w.RecordViolation("%s requests the list of hosts", f.name)
+}
--- a/internal/simulation/tiernet/world.go
+++ b/internal/simulation/tiernet/world.go
@@ -140,7 +140,7 @@
 	w.RunFor(w.Duration + settleTime)
 	for _, forwarder := range w.forwarders {
 		for id := range forwarder.commands {
-			w.Violate("%s: %s has no final answer", forwarder.name, id)
+			w.RecordViolation("%s: %s has no final answer", forwarder.name, id)
 		}
 	}
 }
--- a/internal/simulation/tierprocess/result.go
+++ b/internal/simulation/tierprocess/result.go
@@ -67,7 +67,7 @@
 		WrongExecutions:       wrongExecutions,
 		MedianMs:              float64(tally.Latency.ValueAtQuantile(50)) / 1000,
 		P99Ms:                 float64(tally.Latency.ValueAtQuantile(99)) / 1000,
-		BehindMs:              milliseconds(tally.Behind),
+		BehindMs:              milliseconds(tally.MaxSendDelay),
 		DiscoveryLines:        r.fleet.Discovery.LinesWritten(),
 		HealthChecksPerSecond: float64(stats.HealthChecks-before.HealthChecks) / elapsed.Seconds(),
 		Takeovers:             r.takeoverTimes(),
--- a/internal/simulation/tierprocess/run.go
+++ b/internal/simulation/tierprocess/run.go
@@ -149,7 +149,7 @@
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, address := range r.addresses {
-		if err := tierfleet.Ready(readyCtx, address); err != nil {
+		if err := tierfleet.WaitReady(readyCtx, address); err != nil {
 			return err
 		}
 	}
@@ -157,7 +157,7 @@
 }
 
 func (r *run) startForwarder(i int) error {
-	address, err := tierfleet.Free()
+	address, err := tierfleet.FreeAddress()
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/workload/client.go
+++ b/internal/simulation/workload/client.go
@@ -102,10 +102,10 @@
 		cmd.group = GroupWrite
 		cmd.timeout *= writeTimeoutFactor
 	case lastWrite != "" && c.random.IntN(2) == 0:
-		cmd.group = GroupOwnReads
+		cmd.group = GroupReadYourWrites
 		fence = ",after=" + lastWrite
 	default:
-		cmd.group = GroupReads
+		cmd.group = GroupBoundedReads
 	}
 	text := fmt.Sprintf("SELECT v FROM records WHERE k = '%s'", key)
 	if cmd.writes {
@@ -120,7 +120,7 @@
 	sentAt := time.Now()
 	c.load.update(func(t *Tally) {
 		t.Sent++
-		t.Behind = max(t.Behind, sentAt.Sub(cmd.due))
+		t.MaxSendDelay = max(t.MaxSendDelay, sentAt.Sub(cmd.due))
 	})
 	answer, err := c.conn.query(cmd.statement, sentAt.Add(cmd.timeout+answerGrace))
 	answeredAt := time.Now()
--- a/internal/simulation/workload/workload.go
+++ b/internal/simulation/workload/workload.go
@@ -17,9 +17,9 @@
 
 // Command groups, with the names that the deployments of tierfleet configure.
 const (
-	GroupWrite    = "order" // writes, run at most once
-	GroupOwnReads = "own"   // reads that see the session's last write
-	GroupReads    = "list"  // reads with a staleness bound
+	GroupWrite          = "order" // writes, run at most once
+	GroupReadYourWrites = "own"   // reads that see the session's last write
+	GroupBoundedReads   = "list"  // reads with a staleness bound
 )
 
 // Config describes a load.
@@ -58,8 +58,8 @@
 	Extra int
 	// Unsent counts the commands that were due while the client could not connect.
 	Unsent int
-	// Behind is the longest delay between a command's due time and its sending.
-	Behind time.Duration
+	// MaxSendDelay is the longest delay between a command's due time and its sending.
+	MaxSendDelay time.Duration
 	// Answers counts the answers without an error by host and group; a key is, for example, "set1-a list".
 	Answers map[string]int
 	// Latency holds, for commands answered without an error, the time in microseconds from the due time to the answer.
