--- a/internal/fake/database/membership.go
+++ b/internal/fake/database/membership.go
@@ -9,7 +9,8 @@
 // leaveDelay is the time from a host's Leave call until its process ends.
 const leaveDelay = 100 * Millisecond
 
-// Join starts another host with an empty log at an address. The caller holds the scheduler's lock.
+// Join starts another host at an address. Its log is empty, and the first host is the primary. The caller holds the scheduler's
+// lock.
 func (s *Server) Join(address string) error {
 	id := fmt.Sprintf("h%d", len(s.Hosts))
 	listener, err := net.Listen("tcp", address)
--- a/internal/simulation/cluster/soak_client.go
+++ b/internal/simulation/cluster/soak_client.go
@@ -45,7 +45,7 @@
 // runSoakClient runs successive sessions until ctx ends: the first at its own proxy, and later ones at random ready proxies.
 func (k *soak) runSoakClient(ctx context.Context, proxy, client int) {
 	random := rand.New(rand.NewPCG(k.Seed, uint64(proxy*maxClients+client)))
-	acts := behaviours[client%len(behaviours)]
+	usage := behaviours[client%len(behaviours)]
 	due := time.Now()
 	for number := 0; ctx.Err() == nil; number++ {
 		target := k.proxyNodes[(proxy+number)%len(k.proxyNodes)]
@@ -63,7 +63,7 @@
 			s.onUnanswered = func(sent sentStatement, cause error) {
 				k.recordUnanswered(unanswered{target, incarnation, sent, time.Now(), cause})
 			}
-			s.runBehaviour(ctx, acts, &due)
+			s.runBehaviour(ctx, usage, &due)
 			s.conn.Close()
 		}
 		_ = sleep(ctx, reconnectDelay) // the loop ends with the context
@@ -86,7 +86,7 @@
 }
 
 // runBehaviour runs operations until the session or ctx ends. Their due times don't depend on how long earlier operations took.
-func (s *session) runBehaviour(ctx context.Context, acts behaviour, due *time.Time) {
+func (s *session) runBehaviour(ctx context.Context, usage behaviour, due *time.Time) {
 	for ctx.Err() == nil {
 		*due = due.Add(time.Duration(s.random.Int64N(int64(maxSoakPause))))
 		if earliest := time.Now().Add(-maxBacklog); due.Before(earliest) {
@@ -96,14 +96,14 @@
 			return
 		}
 		switch {
-		case acts == pipelinedSessions && s.random.IntN(2) == 0:
+		case usage == pipelinedSessions && s.random.IntN(2) == 0:
 			if !s.pipeline() {
 				return
 			}
-		case acts == abandonedSessions && s.random.IntN(abandonOneIn) == 0:
+		case usage == abandonedSessions && s.random.IntN(abandonOneIn) == 0:
 			s.abandon()
 			return
-		case !s.runOperation() || acts == shortSessions:
+		case !s.runOperation() || usage == shortSessions:
 			return
 		}
 	}
--- a/internal/simulation/cluster/soak_node.go
+++ b/internal/simulation/cluster/soak_node.go
@@ -36,10 +36,10 @@
 	isMember     bool
 	supervisor   sync.WaitGroup
 
-	mu          sync.Mutex // protects the fields below
-	incarnation *incarnationRecord
-	closing     bool // the process is not restarted
-	ready       bool // result of the last readiness check
+	mu          sync.Mutex         // protects the fields below
+	incarnation *incarnationRecord // of the current incarnation
+	closing     bool               // the process is not restarted
+	ready       bool               // result of the last readiness check
 	peakKB      int
 }
 
@@ -63,8 +63,8 @@
 			return
 		case <-incarnation.Ended():
 		}
-		downTime, again := n.checkExit(incarnation)
-		if !again || sleep(ctx, downTime) != nil {
+		downTime, willRestart := n.checkExit(incarnation)
+		if !willRestart || sleep(ctx, downTime) != nil {
 			return
 		}
 		if err := n.restart(); err != nil {
@@ -75,7 +75,7 @@
 }
 
 // checkExit checks how an incarnation exited. It returns whether to start another one and how long to wait before that.
-func (n *node) checkExit(incarnation *program.Incarnation) (downTime time.Duration, again bool) {
+func (n *node) checkExit(incarnation *program.Incarnation) (downTime time.Duration, willRestart bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	record := n.incarnation
@@ -111,7 +111,7 @@
 	return &incarnationRecord{startedAt: time.Now(), downTime: defaultDownTime}
 }
 
-// currentIncarnation returns the record of the current incarnation.
+// currentIncarnation returns the signal record of the current incarnation.
 func (n *node) currentIncarnation() *incarnationRecord {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simulation/tiernet/replay_test.go
+++ b/internal/simulation/tiernet/replay_test.go
@@ -106,7 +106,7 @@
 			calls, asked = calls+replayed.Calls, asked+replayed.Compared
 		}
 	}
-	t.Logf("%d calls, %d decisions compared, no differences", calls, asked)
+	t.Logf("%d calls, %d asked for, none apart", calls, asked)
 	if asked < 100000 {
 		t.Errorf("only %d decisions were compared", asked)
 	}
--- a/internal/simulation/tiernet/world_test.go
+++ b/internal/simulation/tiernet/world_test.go
@@ -241,7 +241,7 @@
 	namingMedian, namingP99 := percentilesMs(naming)
 	followingMedian, followingP99 := percentilesMs(following)
 	aloneMedian, aloneP99 := percentilesMs(withoutPlanners)
-	t.Logf("median and p99: primary in the view after %d and %d ms; first write after %d and %d ms, without planners %d and %d ms",
+	t.Logf("named to half and 99 %% of forwarders after %d and %d ms; first write there after %d and %d ms, with no planner %d and %d",
 		namingMedian, namingP99, followingMedian, followingP99, aloneMedian, aloneP99)
 	if len(naming) != 400 || namingP99 > 500 {
 		t.Errorf("%d of 400 forwarders have the new primary in their views, p99 %d ms", len(naming), namingP99)
