--- a/cmd/ferrypitch/system_test.go
+++ b/cmd/ferrypitch/system_test.go
@@ -255,7 +255,7 @@
 		func(address string) { all["listen"] = address }, func(address string) { all["plan"].(map[string]any)["listen"] = address },
 		func(address string) { all["discovery"] = address },
 	} {
-		address, err := tierfleet.Free()
+		address, err := tierfleet.FreeAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
