--- a/internal/errcode/kind.go
+++ b/internal/errcode/kind.go
@@ -18,10 +18,10 @@
 	KeyRevoked                         // the key of the session was revoked
 	QuotaExceeded                      // the tenant is at its limit of operations
 	NoHostAvailable                    // no host can execute the statement in time
-	WriteNotSent                       // a write was not sent to any host
+	WriteNotSent                       // the statement was not sent to any host
 	LeaseExpired                       // the lease under which the transaction began has expired
 	PrimaryReplaced                    // the primary was replaced during the transaction
-	RolledBack                         // the connection of the transaction was lost
+	RolledBack                         // the transaction was rolled back, because its connection was lost or the proxy stops
 	InDoubt                            // a write or COMMIT was sent and got no response
 	InDoubtPrimaryReplaced             // a write or COMMIT was answered by a primary that had already been replaced
 	BadMessage                         // not a message of the protocol
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -33,8 +33,8 @@
 type quotaCharge struct {
 	reserved    bool // a token is reserved until the statement is sent
 	reservation quota.Reservation
-	charged     bool // the tenant was charged; cleared once an attempt may have run, so that the next one is charged again
-	timer       timer
+	charged     bool  // the tenant was charged; cleared once an attempt may have run, so that the next one is charged again
+	timer       timer // ends the wait for a token
 }
 
 func newAdmission() admission {
--- a/internal/proxy/connlimit/connlimit_test.go
+++ b/internal/proxy/connlimit/connlimit_test.go
@@ -26,7 +26,7 @@
 type simulation struct {
 	load
 	share     Share
-	openConns [][]conn // by proxy
+	openConns [][]conn // open connections, by proxy
 
 	uses, opened, rejected int
 }
--- a/internal/proxy/greeting.go
+++ b/internal/proxy/greeting.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxWaitingClients    = 2048                   // clients whose CONNECT waits for a valid lease
+	maxWaitingClients    = 2048                   // maximum number of clients whose CONNECT waits for a valid lease
 	waitingClientTimeout = 900 * time.Millisecond // time after which such a CONNECT is answered without a valid lease
 )
 
--- a/internal/proxy/host_pool.go
+++ b/internal/proxy/host_pool.go
@@ -24,7 +24,7 @@
 	suspectReportIntervalMs = 150
 
 	// drainReserve is the part of the platform's time limit for draining a host in which no statement is sent to the host any more,
-	// at most half of the limit. It is left for the last statements and for the shutdown of the host.
+	// at most half of the limit. It is left for the statements in flight and for the shutdown of the host.
 	drainReserve = 1500 * time.Millisecond
 
 	// maxTenantWait is how long a statement waits before a connection of another tenant is closed for it although that tenant has
--- a/internal/proxy/outage_test.go
+++ b/internal/proxy/outage_test.go
@@ -74,7 +74,7 @@
 // for a promotion. go test ./internal/proxy -run Outage -outages 50 -v prints the table of docs/results.md.
 func TestOutageByKindOfFailover(t *testing.T) {
 	if testing.Short() {
-		t.Skip("played in full runs")
+		t.Skip("runs only without -short")
 	}
 	for _, kind := range outageKinds {
 		t.Run(kind.name, func(t *testing.T) {
--- a/internal/proxy/policy_caller.go
+++ b/internal/proxy/policy_caller.go
@@ -126,8 +126,8 @@
 	})
 }
 
-// Fail answers a statement that must not be retried. A write is in doubt if reportFailure recorded that it may have run. COMMIT
-// is handled by commitInDoubt, since statements of a transaction are not submitted to the policy.
+// Fail answers a statement that must not be retried. A write is in doubt if reportFailure recorded that it may have run. A COMMIT
+// never gets here, since statements of a transaction are not submitted to the policy; failPinned answers it.
 func (p policyCaller) Fail(command *policy.Command) {
 	s := p.server
 	stmt := s.statements[command.Name]
--- a/internal/proxy/position/position.go
+++ b/internal/proxy/position/position.go
@@ -28,7 +28,7 @@
 const unknownTime policy.TenthMs = -1
 
 const (
-	maxSamples                      = 160
+	maxSamples                      = 160              // number of samples that a Tracker stores
 	minSampleSpacing policy.TenthMs = 20 * tenthsPerMs // minimum interval between stored samples
 )
 
--- a/internal/proxy/proxy_lease.go
+++ b/internal/proxy/proxy_lease.go
@@ -9,9 +9,9 @@
 // proxyLease is the lease under which this proxy may treat a host as the primary and its configuration as current.
 type proxyLease struct {
 	holder      lease.Holder
-	lastValidAt time.Time // when the sweep last found the lease valid
-	proxyCount  int       // number of proxies with a lease, according to the last grant
-	pending     []pendingGrant
+	lastValidAt time.Time      // when the sweep last found the lease valid
+	proxyCount  int            // number of proxies with a lease, according to the last grant
+	pending     []pendingGrant // grants that wait for log updates, the oldest first
 }
 
 // pendingGrant is a grant that arrived before the log updates that it requires. It takes effect once the log is applied up to
--- a/internal/proxy/safeguard_test.go
+++ b/internal/proxy/safeguard_test.go
@@ -178,7 +178,7 @@
 	})
 }
 
-// foundBy returns the violation by which a seed detects the removed safeguard, or an empty string if it does not.
+// foundBy returns the violation that a seed's simulation reports for the removed safeguard, or "" if it reports none.
 func (r removedSafeguard) foundBy(seed uint64) string {
 	sim := r.build(seed, 3, 9)
 	r.remove(sim)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -58,9 +58,9 @@
 	// Placement of statements.
 	placement
 	admission
-	statements map[string]*statement // submitted to the policy, by commandID
+	statements map[string]*statement // statements submitted to the policy, by commandID
 	sessions   sessionTable
-	lastID     uint64 // last number given to a session, statement or connection
+	lastID     uint64 // last number assigned by nextID
 
 	// State received from the control plane.
 	replica              stateReplica
@@ -74,7 +74,7 @@
 	// Other proxies.
 	membership   *gossip.Membership // nil: gossip is disabled
 	gossipConn   net.PacketConn
-	nextGossipAt int64 // in milliseconds of clock
+	nextGossipAt int64 // time of the next gossip tick, in milliseconds of clock
 	aliveProxies int   // number of live proxies at the last sweep, this one included; 0: gossip is disabled
 
 	// dial opens a connection in the background; hostPool.connOpened receives the result in the event loop.
--- a/internal/proxy/session/session.go
+++ b/internal/proxy/session/session.go
@@ -133,7 +133,8 @@
 	return step
 }
 
-// canAddName reports whether a variable or prepared statement fits into the limits, count being how many of its kind exist.
+// canAddName reports whether another variable or prepared statement fits into the limits. count is the number of existing ones of the
+// same kind.
 func (s *Session) canAddName(count int, name, value string) bool {
 	size := len(name) + len(value)
 	for _, kept := range []map[string]string{s.Variables, s.Prepared} {
--- a/internal/proxy/simulation_client_test.go
+++ b/internal/proxy/simulation_client_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	clientDelay            = 3 * millisecond // in each direction; constant, so that messages stay in order
+	clientDelay            = 3 * millisecond // network delay in each direction; constant, so that messages stay in order
 	connectAnswerTimeout   = 2500 * millisecond
 	statementAnswerTimeout = 4 * second
 )
@@ -29,7 +29,7 @@
 	received         []byte // bytes of an answer that is not complete yet
 
 	values        map[string]string // variables set by the session
-	prepared      map[string]string
+	prepared      map[string]string // texts of the session's prepared statements, by name
 	requestCount  int
 	pending       pendingRequest
 	beganAt       int64 // when the current statement or transaction began
@@ -41,7 +41,7 @@
 // pendingRequest is a request without an answer. The zero value stands for no request.
 type pendingRequest struct {
 	id, verb string
-	name     string // of the variable or prepared statement
+	name     string // name of the variable or prepared statement
 	data     string // value, text or data to store
 }
 
--- a/internal/proxy/simulation_cluster_test.go
+++ b/internal/proxy/simulation_cluster_test.go
@@ -23,11 +23,11 @@
 	callAttempts = 4
 )
 
-// controlCluster is a control plane of several members, with their log, disks that lose unsynced writes, and failover, and the
-// platform. The platform may be slow, reject a call, or answer ambiguously. Where it checks fencing tokens, it rejects older ones.
+// controlCluster simulates the platform and a control plane of several members: their log, failover, and disks that lose unsynced
+// writes. The platform may be slow, reject a call, or answer ambiguously. If it checks fencing tokens, it rejects older ones.
 type controlCluster struct {
 	sim             *simulation
-	members         []*member          // those known to callers and proxies
+	members         []*member          // members known to callers and proxies
 	memberByAddress map[string]*member // all members, including replaced ones, by address
 	machineCount    int                // disks and machines added after the initial ones
 	connCount       int                // number of connections opened by proxies to members
@@ -56,7 +56,7 @@
 	promotionTime  func() int64 // duration of a promotion; nil: random
 
 	// Safeguards that a test may disable.
-	fakeAnswer    func(failover.HostQuery, *database.Host) bool // true: the host is not queried, and its answer is forged
+	fakeAnswer    func(failover.HostQuery, *database.Host) bool // if it returns true, the host is not queried and its answer is forged
 	hostAddress   func(hostID string) string
 	lateOneIn     int  // one in lateOneIn commands to hosts and the platform is written late
 	ignoresLease  bool // a member writes commands even after its lease has expired
--- a/internal/proxy/simulation_member_conn_test.go
+++ b/internal/proxy/simulation_member_conn_test.go
@@ -24,14 +24,14 @@
 	member            *member
 	memberIncarnation int
 
-	proxyConn      *control.ProxyConn // the member's handle; nil until the member has received the hello
+	proxyConn      *control.ProxyConn // the member's handle of the connection; nil until the member has received the hello
 	welcomed       bool               // the member has welcomed the proxy and is the leader
 	closed         bool
-	broken         bool // a partition broke it: frames that should have arrived during the partition, and all later ones, are lost
-	lastReceivedAt int64
+	broken         bool  // a partition broke it: frames that should have arrived during the partition, and all later ones, are lost
+	lastReceivedAt int64 // time at which the proxy last received a frame
 
 	lastSerial  uint64
-	requestedAt map[uint64]int64 // lease requests by serial, in milliseconds of the proxy's clock
+	requestedAt map[uint64]int64 // send times of lease requests by serial, in milliseconds of the proxy's clock
 
 	// Frames arrive in order in each direction, except that lease responses may overtake log updates on the way to a proxy whose
 	// protocol version supports it.
--- a/internal/proxy/simulation_operator_test.go
+++ b/internal/proxy/simulation_operator_test.go
@@ -9,7 +9,7 @@
 	"ferrypitch/internal/config"
 )
 
-// operatorEnd is when the operators stop changing the configuration, after the start of the simulation.
+// operatorEnd is the time after the start of the simulation at which operators stop changing the configuration.
 const operatorEnd = 11 * second
 
 // operator simulates two people who change the configuration concurrently, each based on the newest version seen. Some responses
--- a/internal/proxy/simulation_proxy_test.go
+++ b/internal/proxy/simulation_proxy_test.go
@@ -25,7 +25,7 @@
 	up          bool
 	partitioned bool // cut off from the control plane
 	clockDrift  int64
-	frozenUntil int64
+	frozenUntil int64 // time until which the process is frozen
 	nextStepAt  int64 // when its event loop runs next
 
 	// Used with a reliableControl.
@@ -34,7 +34,7 @@
 
 	// Used with a controlCluster.
 	memberConn *memberConn
-	nextMember int
+	nextMember int // incremented to choose the next member round-robin
 }
 
 func (p *proxyProcess) start() {
--- a/internal/proxy/simulation_tenants_test.go
+++ b/internal/proxy/simulation_tenants_test.go
@@ -14,9 +14,9 @@
 
 const (
 	tenantCount   = 4
-	keyChangesEnd = 12 * second // after the start of the simulation
+	keyChangesEnd = 12 * second // time after the start of the simulation at which keys stop changing
 	revokeBoundMs = 2500        // RevokeMs
-	downgradeMs   = 250
+	downgradeMs   = 250         // DowngradeMs
 
 	// denialGrace is how long a proxy with a valid lease may take to know a new key.
 	denialGrace = 2500 * millisecond
@@ -26,17 +26,17 @@
 	tenantStaleness = 4 * second
 )
 
-// simulatedTenants are the tenants of a simulation, whose keys are added and removed all the time, and the data for the checks on
-// keys.
+// simulatedTenants holds the tenants of a simulation, whose keys are continually added and removed, and what the checks on keys
+// record.
 type simulatedTenants struct {
 	sim              *simulation
 	version          int64
-	keys             [tenantCount][]string // keys in the newest configuration, by tenant, the oldest first
-	history          map[string]*keyHistory
-	effects          map[string][]versionEffect // by processName
+	keys             [tenantCount][]string      // keys in the newest configuration, by tenant, the oldest first
+	history          map[string]*keyHistory     // history of every key, by key
+	effects          map[string][]versionEffect // effects of configuration versions, by processName
 	executedUnderKey int                        // statements that hosts ran under a key
-	denials          int
-	removed          int
+	denials          int                        // answers with DENIED
+	removed          int                        // number of keys removed so far
 }
 
 // keyHistory records the configuration versions that added and removed a key, and their times.
--- a/internal/proxy/state_replica.go
+++ b/internal/proxy/state_replica.go
@@ -26,7 +26,7 @@
 type stateReplica struct {
 	state    *statemachine.State
 	diverged bool             // state does not match the log: a snapshot is needed
-	incoming incomingSnapshot // received in part on the current link
+	incoming incomingSnapshot // snapshot whose chunks are being received
 }
 
 func newStateReplica() stateReplica { return stateReplica{state: &statemachine.State{}} }
--- a/internal/quota/account.go
+++ b/internal/quota/account.go
@@ -30,8 +30,8 @@
 // account is a proxy's state for one tenant: the tokens that it holds, what it has yet to report, and its demand.
 type account struct {
 	batches      []tokenBatch // in order of expiry, earliest first
-	used         int          // tokens of the current term that were spent and not yet reported
-	overdrawn    int          // operations sent without a token and not yet reported
+	used         int          // tokens of the current term that were spent but not yet reported
+	overdrawn    int          // operations sent without a token but not yet reported
 	waiting      int          // operations waiting for a token
 	refused      int          // operations refused since the last request
 	atLimitUntil int64        // time until which operations without a token are refused
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// defect disables a safeguard through hooks in the simulation. The zero value disables none.
+// defect is a set of hooks through which a simulation disables a safeguard. The zero value disables none.
 type defect struct {
 	onNewLeader  func(*Lender)
 	onServed     func(*Lender)
--- a/policy/api.go
+++ b/policy/api.go
@@ -154,7 +154,7 @@
 	ScheduleWakeUp(after TenthMs)
 }
 
-// InitGroup initializes a command group that is not in Deployment.Groups.
+// InitGroup initializes the statistics of a command group. New does this for the groups in Deployment.Groups.
 func (r *Router) InitGroup(group *CommandGroup) *CommandGroup {
 	group.meanLatency, group.latencySamples = float64(group.ResponseTarget)/3, 1
 	return group
@@ -189,7 +189,7 @@
 // IsFinished reports whether the command has its final answer, or needs none, and has no dispatch in flight.
 func (c *Command) IsFinished() bool { return c.done && c.Host == nil }
 
-// Abandon ends a command whose client has disconnected.
+// Abandon ends a command that needs no answer any more, for example because its client has disconnected.
 func (c *Command) Abandon() { c.done, c.queued = true, false }
 
 // IsQueued reports whether the command waits in the queue.
--- a/policy/env_test.go
+++ b/policy/env_test.go
@@ -7,13 +7,13 @@
 	t               *testing.T
 	router          *Router
 	now             TenthMs
-	dispatched      []*Host
+	dispatched      []*Host // hosts of all dispatches so far
 	finalAnswer     map[*Command]string
 	retryAfter      TenthMs
-	dispatchTimeout TenthMs // of the last dispatch
-	commands        int
+	dispatchTimeout TenthMs // timeout of the last dispatch
+	commands        int     // number of submitted commands
 	probes          []*Host
-	closed          []*Host
+	closed          []*Host // hosts whose idle connections were closed
 	messages        []string
 	hosts           []*Host
 
@@ -105,11 +105,11 @@
 }
 
 // submit submits a command of the group with that consistency and idempotency.
-func (e *testEnv) submit(consistency Consistency, idempotency Idempotency, session string, since TenthMs) *Command {
+func (e *testEnv) submit(consistency Consistency, idempotency Idempotency, session string, sinceWrite TenthMs) *Command {
 	for _, group := range e.router.Groups {
 		if group.ConsistencyLevel == consistency && group.IdempotencyClass == idempotency {
 			e.commands++
-			return e.router.Submit(string(rune('0'+e.commands)), group, 1, session, e.now+group.Timeout, since, false)
+			return e.router.Submit(string(rune('0'+e.commands)), group, 1, session, e.now+group.Timeout, sinceWrite, false)
 		}
 	}
 	panic("no such command group")
