--- a/internal/proxy/client_session.go
+++ b/internal/proxy/client_session.go
@@ -151,7 +151,7 @@
 	conn.session = c
 	c.pinnedConn, c.txnRoute, c.primaryEpoch = conn, begin.route, begin.attempt.primaryEpoch
 	if begin.step.ReadOnly && begin.route.stalenessBound > 0 && begin.group == begin.route.readGroup {
-		c.primaryEpoch = noEpoch // the fence of the BEGIN covers the whole transaction, so it does not depend on the primary
+		c.primaryEpoch = noEpoch // the fence of the BEGIN applies to the transaction, which therefore does not depend on the primary
 	}
 }
 
--- a/internal/proxy/control_link.go
+++ b/internal/proxy/control_link.go
@@ -43,7 +43,7 @@
 	errShuttingDown  = errors.New("the proxy is shutting down")
 )
 
-// linkCommand tells the link what to send to the leader. Exactly one field is set.
+// linkCommand is a message that the link must send to the leader. Exactly one field is set.
 type linkCommand struct {
 	quota      *quota.Request
 	suspect    *rpc.SuspectReport
--- a/internal/proxy/lease_loss.go
+++ b/internal/proxy/lease_loss.go
@@ -35,7 +35,7 @@
 const minRetryAfterMs = 100
 
 // rejectUnsentStatements rejects the statements that wait for a host and need the lease. Statements of which an earlier attempt may
-// have been executed are kept: the policy determines their outcome.
+// have been executed are not rejected: the policy determines their outcome.
 func (s *Server) rejectUnsentStatements() {
 	for _, id := range slices.Sorted(maps.Keys(s.statements)) {
 		stmt := s.statements[id]
--- a/internal/proxy/lease_renewal.go
+++ b/internal/proxy/lease_renewal.go
@@ -15,7 +15,7 @@
 // goroutines that send requests and receive responses share it.
 type leaseRequestTimes struct {
 	mu     sync.Mutex
-	sentAt map[uint64]int64 // by serial number of the request
+	sentAt map[uint64]int64 // keyed by serial number of the request
 }
 
 func newLeaseRequestTimes() *leaseRequestTimes { return &leaseRequestTimes{sentAt: map[uint64]int64{}} }
--- a/internal/proxy/placement.go
+++ b/internal/proxy/placement.go
@@ -11,10 +11,10 @@
 	policy           *policy.Router       // chooses the host of each statement, and decides on retries
 	policyNow        policy.TenthMs       // time that was last set at the policy
 	policyWakeAt     time.Time            // next call of WakeUp; zero if none is scheduled
-	pools            map[string]*hostPool // by host id
+	pools            map[string]*hostPool // keyed by host ID
 	poolByPolicyHost map[*policy.Host]*hostPool
 	services         map[string]*service
-	routes           map[string]*route // by database name
+	routes           map[string]*route // keyed by database name
 }
 
 func newPlacement() placement {
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -64,8 +64,8 @@
 
 	// State received from the control plane.
 	replica              stateReplica
-	config               *config.Config // in force; nil until the first one arrives
-	tenants              tenancy.Index  // tenants of config
+	config               *config.Config // configuration in force; nil until the first one arrives
+	tenants              tenancy.Index  // tenants of config, by key hash
 	reconciledServices   *config.Config // the configuration whose services were applied last
 	lease                proxyLease
 	revocationUnreported bool // a revocation was applied and has not been reported to the leader
--- a/internal/proxy/statement.go
+++ b/internal/proxy/statement.go
@@ -48,7 +48,7 @@
 	// The next two fields keep the values of the previous attempt until this attempt is sent. If this attempt ends before it is
 	// sent, elapsed counts from the previous sentAt (policy.Host.recordConns uses it for unreachable hosts), and expireAttempt
 	// decides by the previous primaryEpoch whether to report the host as suspect.
-	sentAt       policy.TenthMs // in tenths of a millisecond; 0 if nothing was sent yet
+	sentAt       policy.TenthMs // when the statement was sent, in tenths of a millisecond; 0 if no attempt was sent yet
 	primaryEpoch primaryEpoch   // epoch in which it was sent to the primary; noEpoch if it was sent with a fence
 }
 
--- a/internal/proxy/tenancy/bounds.go
+++ b/internal/proxy/tenancy/bounds.go
@@ -1,7 +1,7 @@
 package tenancy
 
 const (
-	// maxTransactionGraceMs is the longest time that an open transaction may go on after its key was revoked.
+	// maxTransactionGraceMs is the longest time that an open transaction may continue after its key was revoked.
 	maxTransactionGraceMs = 1000
 
 	// boundShare is the fraction of a platform bound that a proxy uses itself. The rest is left for late configuration updates and
--- a/internal/proxy/tenancy/tenancy.go
+++ b/internal/proxy/tenancy/tenancy.go
@@ -1,4 +1,4 @@
-// Package tenancy maps clients' keys to tenants, and bounds how long sessions and transactions may go on after their key is
+// Package tenancy maps clients' keys to tenants, and bounds how long sessions and transactions may continue after their key is
 // revoked.
 //
 //	CONNECT's key, Secret of the process -> Secret.Hash -> KeyHash, which the session stores instead of the key
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -33,7 +33,7 @@
 	return s.settings.Bounds.RevokeClosed && s.clock.Now() >= s.lease.holder.ExpiresAt()+s.tenancyBounds().MaxLeaseLossMs()
 }
 
-// isAuthorized reports whether a statement may be sent under its client's key now. A transaction whose key was revoked may go on
+// isAuthorized reports whether a statement may be sent under its client's key now. A transaction whose key was revoked may continue
 // for a grace period, within which most transactions end.
 func (s *Server) isAuthorized(stmt *statement) bool {
 	switch {
@@ -46,7 +46,7 @@
 }
 
 // tenantHoldsKey reports whether, by the current configuration, a tenant holds the session's key, so that a statement or
-// transaction that began under the tenant may go on. For an empty tenant it reports whether the session's route needs no key.
+// transaction that began under the tenant may continue. For an empty tenant it reports whether the session's route needs no key.
 func (s *Server) tenantHoldsKey(client *clientSession, tenant string) bool {
 	if tenant != "" {
 		return s.tenants.TenantHoldsKey(tenant, client.keyHash)
--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -53,7 +53,7 @@
 // with NewAccounts. It is not safe for concurrent use.
 type Accounts struct {
 	term          uint64              // latest term in which a lender has answered
-	tenants       map[string]*account // by name, limited tenants only
+	tenants       map[string]*account // tenants with a limit, keyed by name
 	serial        uint64              // serial number of the latest request
 	termStartedAt int64               // when the first response of the term arrived
 	pending       []pendingRequest    // requests without a response, in order of serial
--- a/internal/quota/limit.go
+++ b/internal/quota/limit.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// TokenLifetimeMs is how long after the request a proxy may spend a token, in milliseconds. A longer lifetime lets proxies go on
+	// TokenLifetimeMs is how long after the request a proxy may spend a token, in milliseconds. A longer lifetime lets proxies continue
 	// during a change of the leader; a shorter one frees the tokens of a disconnected proxy sooner.
 	TokenLifetimeMs = 3000
 
--- a/internal/wire/response.go
+++ b/internal/wire/response.go
@@ -9,7 +9,7 @@
 const (
 	StateIdle          TransactionState = 'I'
 	StateInTransaction TransactionState = 'T'
-	StateFailed        TransactionState = 'E' // in a transaction that failed and can only be rolled back
+	StateFailed        TransactionState = 'E' // a transaction failed and can only be rolled back
 )
 
 // maxRetainedTextBytes is the maximum length of the copies that a Response keeps of the first row and of an error text, in bytes.
--- a/policy/api.go
+++ b/policy/api.go
@@ -89,7 +89,7 @@
 	Benefit             float64     // value of an answer within the response target
 	LateBenefitFraction float64     `cbor:"LateShare"` // fraction of Benefit that an answer after the response target is worth
 
-	meanLatency         float64 // in tenths of a millisecond
+	meanLatency         float64 // mean latency of answers, in tenths of a millisecond
 	latencySamples      float64 // number of samples in meanLatency, at most 500
 	firstAttemptTimeout TenthMs // timeout that most clients set on a first attempt
 	firstAttemptVotes   int     // majority counter for firstAttemptTimeout
--- a/policy/outcome.go
+++ b/policy/outcome.go
@@ -96,7 +96,7 @@
 func (h *Host) recordUnreachable(c *Command) {
 	router := h.set.router
 	switch {
-	case h.lastFastSentAt+second < c.sentAt && h.lastAnswerAt <= c.sentAt: // no other command is answered either
+	case h.lastFastSentAt+second < c.sentAt && h.lastAnswerAt <= c.sentAt: // no other command was answered either
 		h.unreachable, h.down = router.ProbesEnabled, router.UsesPlanners
 		h.eject(second / 10)
 	case router.now < h.slowConnectUntil: // it still answers on open connections
--- a/policy/state.go
+++ b/policy/state.go
@@ -16,11 +16,11 @@
 	nextListRequestAt TenthMs // time of the next list request; 0: none is due
 	listRetryDelay    TenthMs // delay after the next refused request
 
-	sets        map[int64]*replicaSet
-	orderedSets []*replicaSet // in creation order
+	sets        map[int64]*replicaSet // keyed by ID
+	orderedSets []*replicaSet         // replica sets in creation order
 	hosts       []*Host
-	hostsByID   map[string]*Host // keyed by peerID
-	models      map[string]*hostModel
+	hostsByID   map[string]*Host      // keyed by peerID
+	models      map[string]*hostModel // keyed by name of the hardware model
 
 	positionTTL     TenthMs            // age up to which a position counts as recent
 	sessionTokens   map[string]TenthMs // position of the last write, keyed by session
