--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -23,7 +23,7 @@
 // to a host, or a whole transaction, which is charged at its BEGIN.
 type admission struct {
 	accounts       *quota.Accounts
-	hasLender      bool         // this proxy is connected to the leader
+	hasLender      bool         // this proxy is connected to the leader, which lends tokens
 	lenderVersion  uint32       // protocol version of the last leader
 	tokenWaiters   []*statement // statements waiting for a token, the oldest first
 	nextReportAtMs int64        // when reportQuota sends the next report, in milliseconds of the clock
@@ -33,8 +33,8 @@
 type quotaCharge struct {
 	reserved    bool // a token is reserved until the statement is sent
 	reservation quota.Reservation
-	charged     bool // the tenant was charged; cleared once an attempt may have run, so that the next one is charged again
-	timer       timer
+	charged     bool  // the tenant was charged; cleared once an attempt may have run, so that the next one is charged again
+	timer       timer // ends the wait for a token
 }
 
 func newAdmission() admission {
--- a/internal/proxy/lease_renewal.go
+++ b/internal/proxy/lease_renewal.go
@@ -15,7 +15,7 @@
 // goroutines that send requests and receive responses share it.
 type leaseRequestTimes struct {
 	mu     sync.Mutex
-	sentAt map[uint64]int64 // by serial number of the request
+	sentAt map[uint64]int64 // keyed by serial number of the request
 }
 
 func newLeaseRequestTimes() *leaseRequestTimes { return &leaseRequestTimes{sentAt: map[uint64]int64{}} }
@@ -91,7 +91,7 @@
 }
 
 // handleLeaseGrant extends the lease once the log is applied up to the leader's commit index at the time of the grant. requestedAt
-// is the time of the lease request, in milliseconds of the server's clock, or 0 if it is not known.
+// is the send time of the lease request, in milliseconds of the server's clock, or 0 if it is not known.
 func (s *Server) handleLeaseGrant(granted *rpc.LeaseResponse, requestedAt int64) {
 	if requestedAt == 0 {
 		return
--- a/internal/proxy/simulation_operator_test.go
+++ b/internal/proxy/simulation_operator_test.go
@@ -9,7 +9,7 @@
 	"ferrypitch/internal/config"
 )
 
-// operatorEnd is when the operators stop changing the configuration, after the start of the simulation.
+// operatorEnd is the time after the start of the simulation at which operators stop changing the configuration.
 const operatorEnd = 11 * second
 
 // operator simulates two people who change the configuration concurrently, each based on the newest version seen. Some responses
@@ -18,8 +18,8 @@
 // that the final version is not older than any confirmed one.
 type operator struct {
 	cluster          *controlCluster
-	newestVersion    int64            // seen by either person
-	confirmed        map[int64]string // bodies by version
+	newestVersion    int64            // newest version seen by either person
+	confirmed        map[int64]string // bodies of the confirmed versions, by version
 	onConfirmed      func()           // called at each confirmation, unless nil
 	repeatedRequests int
 }
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -33,7 +33,7 @@
 	return s.settings.Bounds.RevokeClosed && s.clock.Now() >= s.lease.holder.ExpiresAt()+s.tenancyBounds().MaxLeaseLossMs()
 }
 
-// isAuthorized reports whether a statement may be sent under its client's key now. A transaction whose key was revoked may go on
+// isAuthorized reports whether a statement may be sent under its client's key now. A transaction whose key was revoked may continue
 // for a grace period, within which most transactions end.
 func (s *Server) isAuthorized(stmt *statement) bool {
 	switch {
@@ -46,7 +46,7 @@
 }
 
 // tenantHoldsKey reports whether, by the current configuration, a tenant holds the session's key, so that a statement or
-// transaction that began under the tenant may go on. For an empty tenant it reports whether the session's route needs no key.
+// transaction that began under the tenant may continue. For an empty tenant it reports whether the session's route needs no key.
 func (s *Server) tenantHoldsKey(client *clientSession, tenant string) bool {
 	if tenant != "" {
 		return s.tenants.TenantHoldsKey(tenant, client.keyHash)
@@ -73,7 +73,7 @@
 	switch {
 	case !s.configCurrent():
 		s.reject(stmt, errcode.NoValidLease, stmt.route.retryAfterMs())
-	case held: // by another tenant, under which a retry of the client runs
+	case held: // the key belongs to another tenant, under which the client's retry will run
 		s.reject(stmt, errcode.WriteNotSent, 0)
 	default:
 		stmt.finished, client.statement = true, nil
@@ -118,8 +118,8 @@
 	return ok
 }
 
-// trackKeyRevocation records since when the tenant of a session's statement or transaction no longer holds the session's key. It
-// reports whether the key is revoked.
+// trackKeyRevocation records when the tenant of a session's statement or transaction lost the session's key. It reports whether the
+// key is revoked.
 func (s *Server) trackKeyRevocation(client *clientSession) (revoked bool) {
 	if !client.isActive() || s.tenantHoldsKey(client, client.activeTenant()) {
 		client.keyRevokedAt = time.Time{}
--- a/policy/api.go
+++ b/policy/api.go
@@ -89,7 +89,7 @@
 	Benefit             float64     // value of an answer within the response target
 	LateBenefitFraction float64     `cbor:"LateShare"` // fraction of Benefit that an answer after the response target is worth
 
-	meanLatency         float64 // in tenths of a millisecond
+	meanLatency         float64 // mean latency of answers, in tenths of a millisecond
 	latencySamples      float64 // number of samples in meanLatency, at most 500
 	firstAttemptTimeout TenthMs // timeout that most clients set on a first attempt
 	firstAttemptVotes   int     // majority counter for firstAttemptTimeout
@@ -121,7 +121,7 @@
 	ConnectTimeout     TenthMs `cbor:"ConnectFor"` // timeout for opening a connection
 	MaxRetryAfter      TenthMs `cbor:"Comeback"`   // maximum retry delay that throttled clients observe; 0: none
 	ColdOverloadFactor float64 `cbor:"FallFactor"` // load, relative to a cold host's capacity, at which it fails
-	ColdOverloadWindow TenthMs `cbor:"FallSpan"`   // interval over which a cold host's load is measured
+	ColdOverloadWindow TenthMs `cbor:"FallSpan"`   // interval over which the load of a cold host is measured
 	ColdCapacity       float64 `cbor:"ColdFrom"`   // initial capacity, as a fraction of a warm host's
 	ColdDuration       TenthMs `cbor:"ColdFor"`    // duration of the cold start
 	KeepUnlistedHosts  bool    `cbor:"DrainAlone"` // hosts that left the list may be up and stay in use; only a drain stops them
@@ -154,7 +154,7 @@
 	ScheduleWakeUp(after TenthMs)
 }
 
-// InitGroup initializes a command group that is not in Deployment.Groups.
+// InitGroup initializes the statistics of a command group. New does this for the groups in Deployment.Groups.
 func (r *Router) InitGroup(group *CommandGroup) *CommandGroup {
 	group.meanLatency, group.latencySamples = float64(group.ResponseTarget)/3, 1
 	return group
@@ -189,7 +189,7 @@
 // IsFinished reports whether the command has its final answer, or needs none, and has no dispatch in flight.
 func (c *Command) IsFinished() bool { return c.done && c.Host == nil }
 
-// Abandon ends a command whose client has disconnected.
+// Abandon ends a command that needs no answer any more, for example because its client has disconnected.
 func (c *Command) Abandon() { c.done, c.queued = true, false }
 
 // IsQueued reports whether the command waits in the queue.
@@ -233,7 +233,7 @@
 	Flags               int64   // 1: ejected, 2: unreachable, 4: cold, 8: position known, 16: treated as the primary
 }
 
-// VisitMembers calls visit for each member of the command's replica set, in order of name.
+// VisitMembers calls visit for each member of the command's replica set, ordered by name.
 func (c *Command) VisitMembers(visit func(host *Host, state MemberState)) {
 	for _, h := range c.set.members {
 		visit(h, MemberState{h.listState, h.role, h.position, len(h.inFlight), h.latencyRatio, h.share, h.memberFlags()})
