--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -30,10 +30,10 @@
 }
 
 // hasQuorum reports whether has returns true for a majority of the members.
-func (c configuration) hasQuorum(has func(ID) bool) bool {
+func (c configuration) hasQuorum(satisfies func(ID) bool) bool {
 	count := 0
 	for _, member := range c.members {
-		if has(member) {
+		if satisfies(member) {
 			count++
 		}
 	}
@@ -95,15 +95,15 @@
 }
 
 // HasQuorum reports whether has returns true for a majority of the members of each active configuration.
-func (n *Node) HasQuorum(has func(ID) bool) bool { return n.hasQuorum(has) }
+func (n *Node) HasQuorum(satisfies func(ID) bool) bool { return n.hasQuorum(satisfies) }
 
 // IsVoter reports whether an ID is a voting member in an active configuration.
 func (n *Node) IsVoter(id ID) bool { return n.isMember(id) }
 
 // hasQuorum reports whether has returns true for a majority of the members of each active configuration.
-func (n *Node) hasQuorum(has func(ID) bool) bool {
+func (n *Node) hasQuorum(satisfies func(ID) bool) bool {
 	for _, config := range n.activeConfigurations() {
-		if !config.hasQuorum(has) {
+		if !config.hasQuorum(satisfies) {
 			return false
 		}
 	}
@@ -112,12 +112,12 @@
 
 // allMembers reports whether has returns true for all members of all active configurations; false if there are no
 // members.
-func (n *Node) allMembers(has func(ID) bool) bool {
+func (n *Node) allMembers(satisfies func(ID) bool) bool {
 	count := 0
 	for _, config := range n.activeConfigurations() {
 		for _, member := range config.members {
 			count++
-			if !has(member) {
+			if !satisfies(member) {
 				return false
 			}
 		}
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -71,8 +71,8 @@
 	for i := len(retainedEntries) - 1; i >= 0; i-- {
 		bytes += len(retainedEntries[i].Data)
 		recent := len(retainedEntries)-i <= retain && bytes <= n.RetainedBytes
-		behindTransfer := n.log.compactedIndex()+uint64(i) >= transferIndex && bytes <= n.TransferRetainedBytes
-		if !recent && !behindTransfer {
+		followsTransfer := n.log.compactedIndex()+uint64(i) >= transferIndex && bytes <= n.TransferRetainedBytes
+		if !recent && !followsTransfer {
 			n.log.dropRetained(i + 1)
 			return
 		}
--- a/internal/control/address_check.go
+++ b/internal/control/address_check.go
@@ -13,7 +13,7 @@
 // host may be delayed, however, until its process has ended and another host uses the address. The known host is therefore
 // queried before it is removed: if it responds under its ID, the heartbeat is stale.
 
-// addressCheck is the pending first heartbeat of a new host while the known host at the same address is queried.
+// addressCheck is the first heartbeat of a new host, held back while the known host at the same address is queried.
 type addressCheck struct {
 	accept  func() // processes the heartbeat once the known host is confirmed gone
 	respond Responder
--- a/internal/control/connections.go
+++ b/internal/control/connections.go
@@ -88,7 +88,7 @@
 			_ = conn.Close()
 			return
 		}
-		if outgoing.caughtUp() {
+		if outgoing.drainedAfterRefusal() {
 			onDrained()
 		}
 	}
--- a/internal/control/failover/coordinator.go
+++ b/internal/control/failover/coordinator.go
@@ -4,8 +4,8 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// Actions lists the work that a call asks its caller to do. The caller reports the result of each query to QueryFinished and
-// of each promotion to PromotionFinished.
+// Actions lists the work that the caller of Tick or HandleEvents must do. The caller reports the result of each query to
+// QueryFinished and of each promotion to PromotionFinished.
 type Actions struct {
 	Proposals  []statemachine.Change
 	Queries    []HostQuery
@@ -21,7 +21,7 @@
 	Promoted      int64 // promotions that the platform accepted
 	Resumed       int64 // evaluations that found all replicas of a service receiving again
 	MarkedMissing int64 // evaluations that marked a replica as missing
-	WaitingTicks  int64 // evaluations of failovers in which no host could be chosen yet
+	WaitingTicks  int64 // evaluations, at ticks and events, of failovers in which no host could be chosen yet
 	Evaluated     int64 // evaluations of a service
 }
 
@@ -68,15 +68,16 @@
 	c.schedule.wake(service)
 }
 
-// ClearPendingProposals marks every service as having no pending proposal, after a change that names no service was applied.
+// ClearPendingProposals marks every service as having no pending proposal. The caller uses it after a change that names no
+// service was applied.
 func (c *Coordinator) ClearPendingProposals() {
 	for _, service := range c.services {
 		service.proposedAt = 0
 	}
 }
 
-// Active reports whether any service is in a failover or switchover or has a primary that is being probed. The caller
-// should then tick more often.
+// Active reports whether any service is in a failover or switchover, has a suspected primary or awaits the result of a query.
+// The caller should then tick more often.
 func (c *Coordinator) Active(state *statemachine.State) bool {
 	for name := range c.schedule.active {
 		service, primary := c.service(name), state.Primaries[name]
--- a/internal/control/failover/detection.go
+++ b/internal/control/failover/detection.go
@@ -20,7 +20,7 @@
 func (c *Coordinator) ForgetHost(host string) {
 	delete(c.heartbeats, host)
 	for _, service := range c.services {
-		delete(service.terminatedSince, host)
+		delete(service.missingSince, host)
 		delete(service.uncertainCommands, hostCommand{host, Pause})
 		delete(service.uncertainCommands, hostCommand{host, Resume})
 	}
@@ -48,7 +48,7 @@
 	return e.nowMs >= e.coordinator.lastHeardAt(host)+e.coordinator.heartbeatTimeoutMs()
 }
 
-// setSuspectedHost resets the failure detection if it was about another host.
+// setSuspectedHost makes host the subject of the failure detection, which starts again if it was about another host.
 func (s *serviceState) setSuspectedHost(host string) {
 	if s.suspectedHost != host {
 		s.suspectedHost, s.failedProbes = host, 0
@@ -56,6 +56,7 @@
 	}
 }
 
+// expireSuspicions discards the proxies' reports that are older than suspicionTTLMs.
 func (s *serviceState) expireSuspicions(nowMs int64) {
 	for proxy, reportedAt := range s.suspicions {
 		if nowMs > reportedAt+suspicionTTLMs {
@@ -111,14 +112,15 @@
 	return false
 }
 
-// probeResult returns the outcome of the last probe of the primary. Each probe is evaluated once.
+// probeResult returns the outcome of the last probe of the primary, and probePending if it was returned before or no probe has
+// finished since the primary was suspected.
 func (e *evaluation) probeResult() probeOutcome {
 	service := e.service
 	last, ok := service.lastResults[e.primary.Host]
-	if !ok || !last.isOf(Stat) || last.sentAt < service.suspectedSince || last.sentAt <= service.lastProbeSentAt {
+	if !ok || !last.isOf(Stat) || last.sentAt < service.suspectedSince || last.sentAt <= service.evaluatedProbeSentAt {
 		return probePending
 	}
-	service.lastProbeSentAt = last.sentAt
+	service.evaluatedProbeSentAt = last.sentAt
 	switch {
 	case !last.answered():
 		return probeFailed
@@ -128,6 +130,7 @@
 	return probeAlive
 }
 
+// clearSuspicion ends the failure detection of a primary that has answered a probe.
 func (e *evaluation) clearSuspicion() {
 	e.coordinator.Counters.Cleared++
 	e.service.failedProbes, e.service.suspectedSince = 0, 0
--- a/internal/control/failover/evaluation.go
+++ b/internal/control/failover/evaluation.go
@@ -71,7 +71,8 @@
 // ownsTransition reports whether the log names this member as the owner of the failover or switchover.
 func (e *evaluation) ownsTransition() bool { return e.primary.Owner == e.coordinator.memberID }
 
-// beginTransition records the start of a failover or switchover on this member, and emits its event. Later calls do nothing.
+// beginTransition records when this member started the failover or switchover in progress, and emits the given event. Once that
+// is recorded, it does nothing.
 func (e *evaluation) beginTransition(kind EventKind, host string) {
 	if e.service.startedAt != 0 {
 		return
@@ -84,7 +85,8 @@
 	e.coordinator.OnEvent(Event{Service: e.service.name, Kind: kind, Host: host})
 }
 
-// propose proposes a change to the log, unless another proposal for the service is pending.
+// propose proposes a change to the log, unless a proposal for the service is pending. A proposal that was not applied within
+// proposalTimeoutMs counts as lost.
 func (e *evaluation) propose(change statemachine.Change) {
 	if e.service.proposedAt == 0 || e.nowMs > e.service.proposedAt+proposalTimeoutMs {
 		e.service.proposedAt = e.nowMs
--- a/internal/control/failover/failover.go
+++ b/internal/control/failover/failover.go
@@ -26,6 +26,7 @@
 	return stop
 }
 
+// beginFailover records the start of the failover on this member.
 func (e *evaluation) beginFailover() stepResult {
 	e.beginTransition(FailoverStarted, e.primary.Host)
 	return proceed
@@ -39,8 +40,8 @@
 	return proceed
 }
 
-// installNewPrimary appoints a host that reports itself primary, no matter which leader requested its promotion. It waits
-// until the old primary has been told to step down and no proxy uses the old primary any more.
+// installNewPrimary appoints a host that reports itself primary, whichever leader requested its promotion. It first waits until
+// no other promotion can take effect, the old primary was told to step down, and no proxy uses the old primary.
 func (e *evaluation) installNewPrimary() stepResult {
 	host, status := e.newestPrimary()
 	if host == "" {
@@ -76,7 +77,7 @@
 	}
 	for _, id := range e.hostIDs {
 		last, ok := e.service.lastResults[id]
-		if !ok || last.sentAt < e.service.startedAt-leadershipTTLMs || !last.succeeded() || !last.Status.IsPrimary {
+		if !ok || last.sentAt < e.service.startedAt-newPrimaryReportTTLMs || !last.succeeded() || !last.Status.IsPrimary {
 			continue
 		}
 		if term := last.Status.Timeline; term >= max(minTerm, status.Timeline+1) && term < minTerm+maxTermGap {
@@ -166,8 +167,8 @@
 	return stop
 }
 
-// nominate records a host in the log before its promotion is requested. A previous leader may have requested the promotion
-// of the nominee already in the log, so nominate first waits inheritedNomineeWaitMs for that one to become primary.
+// nominate records a host in the log before its promotion is requested. If the log already has a nominee of a previous leader,
+// which may have requested its promotion, nominate first waits inheritedNomineeWaitMs for that host to become primary.
 func (e *evaluation) nominate(host string) {
 	service, earlier := e.service, e.primary.Nominee
 	if e.isRegistered(earlier) && service.nominatedHost != earlier && e.nowMs < service.startedAt+inheritedNomineeWaitMs {
@@ -183,7 +184,8 @@
 	position wire.Position
 }
 
-// choosePromotion returns the most advanced host. complete reports that it has every write that can have been acknowledged.
+// choosePromotion returns the most advanced host whose position is known. complete reports whether that host has every write that
+// can have been acknowledged, so that it may be promoted.
 func (e *evaluation) choosePromotion() (chosen candidate, complete bool) {
 	e.query(e.primary.Host, StepDown, e.nextTerm(), queryIntervalMs)
 	chosen = e.collectPositions()
@@ -241,8 +243,8 @@
 	return status, pausedAt >= e.service.proxiesCaughtUpAt || e.cannotBeUndone(host, Resume, pausedAt)
 }
 
-// moreAdvanced returns the candidate with the greater position. On a tie it prefers one that is not draining, or the current
-// nominee.
+// moreAdvanced returns the candidate with the greater position. If the positions are equal, it prefers one that is not draining,
+// or the current nominee.
 func (e *evaluation) moreAdvanced(best, other candidate) candidate {
 	other.position.Timeline = min(other.position.Timeline, e.primary.Term) // no proxy held a lease in a later term, so nothing was acknowledged there
 	switch {
@@ -254,7 +256,7 @@
 	return best
 }
 
-// onlyOtherDrains reports whether the other host is draining and this one is not.
+// onlyOtherDrains reports whether other is draining and host is not.
 func (e *evaluation) onlyOtherDrains(host, other string) bool {
 	return !e.state.Hosts[host].Draining && e.state.Hosts[other].Draining
 }
--- a/internal/control/failover/late_commands_test.go
+++ b/internal/control/failover/late_commands_test.go
@@ -20,11 +20,11 @@
 	handledPromotions int              // promotions whose effect was scheduled
 	revokedAt         map[uint64]int64 // by index of a revocation: when allCaughtUp was first called for it
 	behindUntil       [3]int64         // by host: until when it receives no writes
-	frozenHost        string           // executes no commands until frozenUntil, then all of them
-	frozenUntil       int64
+	stalledHost       string           // executes no commands until stalledUntil, then all of them
+	stalledUntil      int64
 	noDelays          bool
 
-	delayedCommands, frozenCommands, switchovers int
+	delayedCommands, stalledCommands, switchovers int
 }
 
 func newLateCommands(t *testing.T, seed uint64) *lateCommands {
@@ -52,9 +52,9 @@
 	delay := 10 + int64(query.Serial*131+l.seed*17)%900
 	delayed := []Command{Resume, Pause}[l.seed%2]
 	switch {
-	case query.Host == l.frozenHost && l.now < l.frozenUntil:
-		l.frozenCommands++
-		return l.frozenUntil - l.now + delay/3
+	case query.Host == l.stalledHost && l.now < l.stalledUntil:
+		l.stalledCommands++
+		return l.stalledUntil - l.now + delay/3
 	case l.noDelays || query.Command != delayed || (query.Serial*7+l.seed)%5 > 2:
 		return 0
 	}
@@ -119,9 +119,9 @@
 // switchOver drains the primary until another host is primary, with occasional changes of the control plane's leader.
 func (l *lateCommands) switchOver() {
 	oldPrimary := l.primary().Host
-	l.frozenHost = fmt.Sprintf("h%d", l.random.IntN(3))
-	if l.frozenHost != oldPrimary && l.random.IntN(3) == 0 {
-		l.frozenUntil = l.now + 300 + l.random.Int64N(3000)
+	l.stalledHost = fmt.Sprintf("h%d", l.random.IntN(3))
+	if l.stalledHost != oldPrimary && l.random.IntN(3) == 0 {
+		l.stalledUntil = l.now + 300 + l.random.Int64N(3000)
 		l.runFor(l.random.Int64N(1500))
 	}
 	if l.random.IntN(3) == 0 {
@@ -144,7 +144,7 @@
 // Runs three consecutive switchovers. Commands from the end of one sometimes time out and are executed during the next one,
 // possibly under another leader. No acknowledged write may be lost, and no replica may stay paused.
 func TestLateCommandsLoseNoAcknowledgedWrite(t *testing.T) {
-	delayedCommands, frozenCommands, switchovers := 0, 0, 0
+	delayedCommands, stalledCommands, switchovers := 0, 0, 0
 	for seed := range uint64(400) {
 		l := newLateCommands(t, seed)
 		for range 3 {
@@ -157,11 +157,11 @@
 			require.False(t, !host.IsPrimary && host.PausedTimeline > 0, "seed %d: %s stays paused", seed, id)
 		}
 		delayedCommands += l.delayedCommands
-		frozenCommands += l.frozenCommands
+		stalledCommands += l.stalledCommands
 		switchovers += l.switchovers
 	}
-	t.Logf("%d delayed commands, %d frozen, %d switchovers", delayedCommands, frozenCommands, switchovers)
+	t.Logf("%d delayed commands, %d frozen, %d switchovers", delayedCommands, stalledCommands, switchovers)
 	require.Greater(t, delayedCommands, 1000)
-	require.Greater(t, frozenCommands, 1000)
+	require.Greater(t, stalledCommands, 1000)
 	require.Greater(t, switchovers, 1000)
 }
--- a/internal/control/failover/monitor.go
+++ b/internal/control/failover/monitor.go
@@ -4,7 +4,7 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// monitorSteps monitor a service that has a primary.
+// monitorSteps run while a service has a primary and no nominee.
 var monitorSteps = []step{
 	(*evaluation).revokeLostPrimary,
 	(*evaluation).revokeForNewerPrimary,
@@ -36,6 +36,7 @@
 	}
 }
 
+// revokeLostPrimary starts a failover if the primary was removed or failure detection finds it lost.
 func (e *evaluation) revokeLostPrimary() stepResult {
 	e.service.resetTransition()
 	if e.isRegistered(e.primary.Host) && !e.primaryLost() {
--- a/internal/control/failover/promotion.go
+++ b/internal/control/failover/promotion.go
@@ -42,7 +42,7 @@
 	case PromotionNotExecuted:
 		service.promotedHost = ""
 		delete(service.unresolvedPromotions, promotion.Host)
-	case PromotionUnknown: // retried sooner than an accepted request
+	case PromotionUnknown: // times out unclearPromotionTimeoutMs after now instead of promotionTimeoutMs
 		service.promotionEndedAt = nowMs - promotionTimeoutMs + unclearPromotionTimeoutMs
 	}
 	return true
@@ -68,14 +68,15 @@
 	e.actions.Promotions = append(e.actions.Promotions, service.promotion)
 }
 
+// promotionRequestedRecently reports whether the last request was for this host and is less than promotionRetryMs old.
 func (e *evaluation) promotionRequestedRecently(host string) bool {
 	service := e.service
 	return service.promotionSentAt > 0 && e.nowMs < service.promotionSentAt+promotionRetryMs && service.promotedHost == host
 }
 
-// unresolvedPromotion returns a host other than except whose promotion may still take effect, requested by this member or by a
-// previous leader, or an empty string if there is none. The host except must not be appointed before: writes that it
-// acknowledged until then would be lost.
+// unresolvedPromotion returns a host other than except whose promotion, requested by this member or by a previous leader, may
+// still take effect, or an empty string if there is none. While there is one, except must not be appointed: if the other host
+// became primary, the writes that except had acknowledged until then would be lost.
 func (e *evaluation) unresolvedPromotion(except string) string {
 	for _, host := range slices.Sorted(maps.Keys(e.service.unresolvedPromotions)) {
 		switch {
--- a/internal/control/failover/query.go
+++ b/internal/control/failover/query.go
@@ -41,6 +41,7 @@
 // answered reports whether the host answered, even if with an error.
 func (r *QueryResult) answered() bool { return !r.TimedOut && !r.ConnectionRefused }
 
+// succeeded reports whether the host answered without an error.
 func (r *QueryResult) succeeded() bool { return r.answered() && r.Code == "" }
 
 // hostResult is a query result with the times when the query was sent and its result received.
@@ -52,6 +53,7 @@
 
 func (r *hostResult) isOf(command Command) bool { return r.Query.Command == command }
 
+// pendingQuery is a query without a result yet.
 type pendingQuery struct {
 	query  HostQuery
 	sentAt int64
@@ -109,6 +111,7 @@
 	service.pendingQueries[host] = e.send(host, command, term)
 }
 
+// send adds a query to the actions. The caller stores the returned value until the query finishes.
 func (e *evaluation) send(host string, command Command, term uint64) *pendingQuery {
 	query := HostQuery{
 		Service:    e.service.name,
--- a/internal/control/failover/replicas.go
+++ b/internal/control/failover/replicas.go
@@ -6,8 +6,8 @@
 
 // markMissingReplicas finds replicas whose processes are gone, so that a failover does not have to wait for them: those that
 // were removed removedHostShutdownMs ago, and those whose machines have refused connections for refusalPeriodMs. Before such a
-// replica is marked, another must have received everything it had: see markMissingOnceOvertaken. A replica that only does not
-// answer never counts as gone.
+// replica is marked, another must have received everything it had: see markMissingOnceOvertaken. A replica that does not answer,
+// without refusing connections, never counts as gone.
 func (e *evaluation) markMissingReplicas() stepResult {
 	for _, host := range e.state.UnaccountedHostIDs(e.service.name) {
 		e.recordGoneSince(host, e.nowMs+removedHostShutdownMs)
@@ -39,19 +39,19 @@
 	}
 }
 
-// removeTerminatedHosts removes hosts that left without draining first, once their processes have terminated: they have been
-// missing for terminatedHostRemovalMs. A heartbeat would have cleared the mark.
+// removeTerminatedHosts removes hosts that left without draining first, once they have been missing for terminatedHostRemovalMs.
+// Their processes have then terminated: a heartbeat would have cleared the mark.
 func (e *evaluation) removeTerminatedHosts() stepResult {
 	for _, host := range e.hostIDs {
 		if host == e.primary.Host || !e.state.Hosts[host].Missing || !e.state.IsLeaving(host) {
-			delete(e.service.terminatedSince, host)
+			delete(e.service.missingSince, host)
 			continue
 		}
-		if e.service.terminatedSince[host] == 0 {
-			e.service.terminatedSince[host] = e.nowMs
+		if e.service.missingSince[host] == 0 {
+			e.service.missingSince[host] = e.nowMs
 		}
-		if e.nowMs >= e.service.terminatedSince[host]+terminatedHostRemovalMs {
-			delete(e.service.terminatedSince, host)
+		if e.nowMs >= e.service.missingSince[host]+terminatedHostRemovalMs {
+			delete(e.service.missingSince, host)
 			e.propose(statemachine.Change{RemoveHost: host})
 			return stop
 		}
--- a/internal/control/failover/schedule.go
+++ b/internal/control/failover/schedule.go
@@ -23,6 +23,7 @@
 	return schedule{woken: map[string]bool{}, active: map[string]bool{}, awaitedIndex: map[string]uint64{}}
 }
 
+// wake makes a service due at the next call of Tick or HandleEvents.
 func (s *schedule) wake(service string) { s.woken[service] = true }
 
 // wakeChangedServices wakes the services of changedHosts, and makes all services due if the state was replaced.
@@ -41,8 +42,8 @@
 	c.schedule.changedHosts = c.schedule.changedHosts[:0]
 }
 
-// Tick evaluates the services that are due. allCaughtUp reports whether no proxy uses state older than an index of the log any
-// more.
+// Tick evaluates the services that are due. allCaughtUp reports whether no proxy uses state older than an index of the log: each
+// has applied the log up to there, or holds no lease.
 func (c *Coordinator) Tick(state *statemachine.State, allCaughtUp func(index uint64) bool, nowMs int64) (actions Actions) {
 	c.wakeChangedServices(state)
 	e := evaluation{coordinator: c, state: state, allCaughtUp: allCaughtUp, nowMs: nowMs, actions: &actions}
@@ -90,6 +91,7 @@
 	}
 }
 
+// isDue reports whether a tick has to evaluate a service.
 func (c *Coordinator) isDue(state *statemachine.State, name string, nowMs int64) bool {
 	service := c.services[name]
 	return service == nil || nowMs >= service.nextEvaluationAt || state.ServiceChangedIndex(name) != service.evaluatedIndex || c.schedule.woken[name]
@@ -124,16 +126,16 @@
 	return true
 }
 
-// firstSilenceAt returns when the first heartbeat timeout of a service's hosts occurs if no more heartbeats arrive. Missing
+// firstSilenceAt returns when the first heartbeat timeout among the service's hosts occurs if no more heartbeats arrive. Missing
 // replicas are not considered.
 func (e *evaluation) firstSilenceAt() int64 {
-	firstMs := e.coordinator.lastHeardAt(e.primary.Host)
+	earliestHeardAt := e.coordinator.lastHeardAt(e.primary.Host)
 	for _, host := range e.hostIDs {
 		if !e.state.Hosts[host].Missing {
-			firstMs = min(firstMs, e.coordinator.lastHeardAt(host))
+			earliestHeardAt = min(earliestHeardAt, e.coordinator.lastHeardAt(host))
 		}
 	}
-	return firstMs + e.coordinator.heartbeatTimeoutMs()
+	return earliestHeardAt + e.coordinator.heartbeatTimeoutMs()
 }
 
 // proxiesHaveApplied reports whether all proxies have applied a change. If not, the service is woken once they have.
--- a/internal/control/failover/service.go
+++ b/internal/control/failover/service.go
@@ -9,14 +9,14 @@
 	nextEvaluationAt int64  // when the service is due without an event; 0: at each tick
 
 	// Failure detection.
-	suspectedHost   string           // the primary that suspicions and failedProbes are about
-	suspicions      map[string]int64 // by proxy: when it last could not reach the primary
-	suspectedSince  int64            // when probing of the primary started; 0: not being probed
-	failedProbes    int              // consecutive failed probes
-	lastProbeSentAt int64            // when the last evaluated probe was sent
-	goneSince       map[string]int64 // by replica: since when its machine refuses connections, or when its process terminates after a removal
+	suspectedHost        string           // the primary that suspicions and failedProbes are about
+	suspicions           map[string]int64 // by proxy: when it last could not reach the primary
+	suspectedSince       int64            // when probing of the primary started; 0: not being probed
+	failedProbes         int              // consecutive failed probes
+	evaluatedProbeSentAt int64            // send time of the last probe whose result was evaluated
+	goneSince            map[string]int64 // by replica: when it first refused connections, or when its process has ended after a removal
 
-	terminatedSince map[string]int64 // by host that left without draining first: since when it is missing
+	missingSince map[string]int64 // by missing host that left without draining first: when this coordinator first saw it missing
 
 	// Queries.
 	pendingQueries    map[string]*pendingQuery // by host
@@ -25,7 +25,7 @@
 	uncertainCommands map[hostCommand]int64    // commands that may still be executed: when their host last failed to answer
 
 	// The current failover or switchover; reset when it ends.
-	startedAt          int64    // when this member started it; 0: not started
+	startedAt          int64    // when this member started or took over the failover or switchover; 0: none in progress
 	proxiesCaughtUpAt  int64    // since when no proxy uses the revoked primary; 0: some may
 	nominatedHost      string   // the host that this member nominated
 	promotedHost       string   // the host of the last promotion request, unless the request is known to have had no effect
@@ -46,6 +46,7 @@
 	resumeStartedAt   int64
 }
 
+// service returns the state of a service, and creates it at the first call.
 func (c *Coordinator) service(name string) *serviceState {
 	service := c.services[name]
 	if service == nil {
@@ -53,7 +54,7 @@
 			name:                 name,
 			suspicions:           map[string]int64{},
 			goneSince:            map[string]int64{},
-			terminatedSince:      map[string]int64{},
+			missingSince:         map[string]int64{},
 			pendingQueries:       map[string]*pendingQuery{},
 			lastResults:          map[string]hostResult{},
 			uncertainCommands:    map[hostCommand]int64{},
--- a/internal/control/failover/switchover.go
+++ b/internal/control/failover/switchover.go
@@ -35,6 +35,7 @@
 	return chosen
 }
 
+// maySucceed reports whether a host may be nominated in place of a draining primary.
 func (e *evaluation) maySucceed(id string) bool {
 	host := e.state.Hosts[id]
 	// Unlike in failure detection, a host that has sent no heartbeat to this member does not count as alive.
@@ -42,17 +43,19 @@
 	return !host.Draining && !host.Missing && heartbeatIsRecent && !e.service.recentlyRejected(id, e.nowMs)
 }
 
+// beginSwitchover records the start of the switchover on this member.
 func (e *evaluation) beginSwitchover() stepResult {
 	e.beginTransition(SwitchoverStarted, e.primary.Nominee)
 	return proceed
 }
 
-// abortSwitchover revokes the primary. The failover steps then determine the nominee's progress, with writes stopped.
+// abortSwitchover revokes the primary, which stops writes. The failover steps then complete the switchover or choose another host.
 func (e *evaluation) abortSwitchover() stepResult {
 	e.proposeRevocation()
 	return stop
 }
 
+// abortIfHostLost aborts the switchover if the primary is lost or the nominee was removed.
 func (e *evaluation) abortIfHostLost() stepResult {
 	if e.primaryLost() || !e.isRegistered(e.primary.Nominee) {
 		return e.abortSwitchover()
@@ -69,6 +72,7 @@
 	return stop
 }
 
+// revokeOncePromoted revokes the old primary once the nominee reports that it is primary.
 func (e *evaluation) revokeOncePromoted() stepResult {
 	nominee, startedAt := e.primary.Nominee, e.service.startedAt
 	status, ok := e.service.statusSince(nominee, Stat, startedAt)
@@ -82,6 +86,7 @@
 	return proceed
 }
 
+// abortIfStalled aborts the switchover if it has requested no promotion within switchoverTimeoutMs or the nominee is draining.
 func (e *evaluation) abortIfStalled() stepResult {
 	timedOut := e.service.promotedHost == "" && e.nowMs > e.service.startedAt+switchoverTimeoutMs
 	if timedOut || e.state.Hosts[e.primary.Nominee].Draining {
@@ -122,6 +127,7 @@
 	return stop
 }
 
+// catchUpNominee lets the nominee catch up with the primary while the following steps wait.
 func (e *evaluation) catchUpNominee() stepResult {
 	e.queryNominee()
 	return proceed
@@ -193,6 +199,7 @@
 	pausedAt       int64         // when the last of their Pause commands was sent
 }
 
+// pauseReplicas pauses all replicas except the nominee, and returns how far that has come.
 func (e *evaluation) pauseReplicas() (paused pauseProgress) {
 	service := e.service
 	for _, host := range e.hostIDs {
--- a/internal/control/failover/timing.go
+++ b/internal/control/failover/timing.go
@@ -37,7 +37,7 @@
 	// removedHostShutdownMs is how long after its removal a host's process may still receive from the primary: it announces
 	// that it leaves and then terminates.
 	removedHostShutdownMs = 500
-	// terminatedHostRemovalMs is how long a host that left without draining first must be missing before it is removed.
+	// terminatedHostRemovalMs is how long a host that left without draining first must be marked missing before it is removed.
 	terminatedHostRemovalMs = 60_000
 	// RegistrationGraceMs is how long after the start of the whole system a host's first heartbeat may still be outstanding:
 	// two lost calls with a one-second wait for each, and the third attempt.
@@ -59,9 +59,9 @@
 	replicaWaitMs = 1200
 	// switchoverTimeoutMs is how long a switchover may run before its promotion is requested.
 	switchoverTimeoutMs = 2 * promotionTimeoutMs
-	// leadershipTTLMs is the maximum age, at the start of a failover, of a host's report that it is primary for the host to be
-	// accepted as the new primary.
-	leadershipTTLMs = 2 * promotionTimeoutMs
+	// newPrimaryReportTTLMs is the maximum age, at the start of a failover, of a host's report that it is primary. A host with an
+	// older report is not accepted as the new primary.
+	newPrimaryReportTTLMs = 2 * promotionTimeoutMs
 	// inheritedNomineeWaitMs is how long a failover waits for the nominee of a previous leader to become primary before it
 	// nominates another host.
 	inheritedNomineeWaitMs = 2 * queryTimeoutMs
--- a/internal/control/failover/transition.go
+++ b/internal/control/failover/transition.go
@@ -8,7 +8,7 @@
 
 // Transition is the progress of a service's failover or switchover.
 type Transition struct {
-	From, Nominee      string
+	From, Nominee      string   // the old primary, and the host nominated to replace it; Nominee is empty if there is none yet
 	ElapsedMs          int64    // since this member started it; 0: not started by this member
 	PromotionRequested string   // the host whose promotion was requested from the platform; empty: none
 	WaitingFor         []string // hosts whose positions or logs are needed before a host can be chosen
--- a/internal/control/forwarding.go
+++ b/internal/control/forwarding.go
@@ -45,6 +45,7 @@
 	}
 }
 
+// remove stops tracking a forwarded call.
 func (f *forwarder) remove(serial uint64) {
 	f.pendingBytes -= f.pending[serial].bytes
 	delete(f.pending, serial)
--- a/internal/control/host_api.go
+++ b/internal/control/host_api.go
@@ -37,10 +37,10 @@
 	Zone       string
 	Generation string
 	Capacity   float64
-	State      string // serving or draining
-	ColdLeftMs float64
-	DBRole     string `json:"DbRole"` // leader or follower
-	CallSeq    int64  // increases with each call from a host; calls with a lower number are ignored
+	State      string  // serving or draining
+	ColdLeftMs float64 // not used by the control plane
+	DBRole     string  `json:"DbRole"` // leader or follower
+	CallSeq    int64   // increases with each call from a host; calls with a lower number are ignored
 }
 
 var hostHeartbeat = endpoint{
@@ -61,7 +61,8 @@
 	handle:       (*Server).handleLeave,
 }
 
-// handleHeartbeat records that a host is alive, and proposes a change if the host is new or its reported data has changed.
+// handleHeartbeat validates a host's heartbeat. If the host is new and its address belongs to a known host, it checks first that
+// the known host is gone.
 func (s *Server) handleHeartbeat(hostID string, call apiCall, respond Responder) {
 	var heartbeat HeartbeatRequest
 	if err := json.Unmarshal(call.body, &heartbeat); err != nil {
@@ -95,7 +96,7 @@
 	accept()
 }
 
-// acceptHeartbeat processes a heartbeat that is neither stale nor in conflict with the state.
+// acceptHeartbeat records that a host is alive, and proposes a change if the host is new or its reported data has changed.
 func (s *Server) acceptHeartbeat(hostID string, heartbeat *HeartbeatRequest, respond Responder) {
 	s.lastCallSeq[hostID] = max(s.lastCallSeq[hostID], heartbeat.CallSeq)
 	s.coordinator.Heartbeat(hostID, heartbeat.DBRole == rolePrimary, s.clock.Now())
@@ -137,7 +138,8 @@
 	return name != "" && len(name) <= maxHostNameBytes && !strings.ContainsAny(name, " \r\n")
 }
 
-// host returns the host record for the replicated state. A host that has started draining remains draining.
+// host returns the host record for the replicated state, which is not marked as missing. A host that has started draining remains
+// draining.
 func (r *HeartbeatRequest) host(id string, previous statemachine.Host) statemachine.Host {
 	return statemachine.Host{
 		ID:         id,
--- a/internal/control/leader_lease.go
+++ b/internal/control/leader_lease.go
@@ -9,7 +9,7 @@
 var errLeaseExpired = errors.New("leader lease expired before the command was sent")
 
 // leaderLease makes the leader lease of this member readable from any goroutine. The event loop decides on commands under the
-// lease, but other goroutines send them later, after a suspension of the process possibly much later. They must therefore check
+// lease, but other goroutines send them later, and much later if the process was suspended in between. They must therefore check
 // the lease again immediately before writing.
 type leaderLease struct{ published atomic.Pointer[termLease] }
 
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -9,9 +9,9 @@
 	"ferrypitch/internal/statemachine"
 )
 
-// updateLeadership starts and stops acting as the leader. A member starts when its consensus node holds the leader lease (Raft
-// dissertation, section 6.4.1) and stops when the node is no longer leader. In between the lease may lapse; holdsLease checks
-// whether an action is allowed.
+// updateLeadership makes this member start or stop acting as the leader. It starts when its consensus node holds the leader lease
+// (Raft dissertation, section 6.4.1) and stops when the node is no longer leader. In between the lease may expire and be renewed,
+// so each action of the leader first checks holdsLease. A diverged member stops, and transfers the leadership if it can.
 func (s *Server) updateLeadership() {
 	now := s.clock.Now()
 	defer s.publishLease()
@@ -26,6 +26,7 @@
 	}
 }
 
+// becomeLeader creates the state of the leader: failover coordinator, grantor of proxy leases and token lender.
 func (s *Server) becomeLeader(now int64) {
 	term := s.consensus.Term()
 	s.leading = true
@@ -75,7 +76,7 @@
 	if !s.holdsLease() {
 		return
 	}
-	var proxies []string // loaded on first use
+	var proxies []string // names of the proxies that may hold leases; sorted on first use, for all services together
 	caughtUp := func(index uint64) bool {
 		if proxies == nil {
 			proxies = s.state.ProxyNames()
--- a/internal/control/member_frames.go
+++ b/internal/control/member_frames.go
@@ -7,8 +7,8 @@
 	"ferrypitch/internal/rpc"
 )
 
-// enqueueMemberFrame queues a frame from another member for the event loop. It does not block when the queue for forwarded calls
-// is full, because consensus messages arrive on the same connection and must not be delayed by these calls.
+// enqueueMemberFrame queues a frame from another member for the event loop. If the queue for forwarded calls is full, it refuses
+// the call instead of blocking: consensus messages arrive on the same connection and must not be delayed.
 func (p *process) enqueueMemberFrame(from string, frame *rpc.Frame) {
 	if frame.ForwardRequest == nil {
 		p.queue.Put(eventloop.PriorityOutcomes, func() { p.server.HandleFrame(from, frame) })
--- a/internal/control/operator_api.go
+++ b/internal/control/operator_api.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// updateConfig proposes a configuration update. The update is validated here, so that invalid ones do not enter the log, and
-// again when it is applied, because another update may be committed first.
+// updateConfig proposes a configuration update and responds once it is applied. The update is validated here, so that invalid ones
+// do not enter the log, and again when it is applied, because another update may be committed first.
 func (s *Server) updateConfig(call apiCall, isAmendment bool, respond Responder) {
 	base, err := parseBaseVersion(call.baseVersion)
 	if err != nil {
--- a/internal/control/proxies.go
+++ b/internal/control/proxies.go
@@ -20,7 +20,7 @@
 	send                func(*rpc.Frame) bool
 	closeConn           func()
 	closed              bool
-	registrationPending bool           // the change that adds the proxy to the state is proposed but not applied
+	registrationPending bool           // the change that adds the proxy to the state was proposed and has no result yet
 	version             uint32         // protocol version that the proxy speaks
 	snapshot            *proxySnapshot // snapshot transfer in progress, or nil
 	snapshotQueued      bool           // the proxy waits for a snapshot transfer to start
@@ -186,6 +186,8 @@
 	s.startTransfers() // the closed connection may have occupied one of the concurrent snapshot transfers
 }
 
+// handleSuspectReport passes a proxy's report that it cannot reach a primary to the failover coordinator. Reports about a host that
+// is no longer the primary are ignored.
 func (s *Server) handleSuspectReport(conn *ProxyConn, report *rpc.SuspectReport) {
 	if s.leading && s.state.Primaries[report.Service].Host == report.Host {
 		s.coordinator.SuspectPrimary(conn.node, report.Service, report.Host, s.clock.Now())
@@ -193,7 +195,8 @@
 	}
 }
 
-// renewLease grants a lease to a proxy if this member holds the leader lease.
+// renewLease responds to a proxy's lease request. It grants the lease if this member holds the leader lease and the proxy has
+// applied the latest revocation of a primary. A proxy that is not in the replicated state is registered first.
 func (s *Server) renewLease(conn *ProxyConn, request *rpc.LeaseRequest) {
 	if _, known := s.state.Proxies[conn.node]; !known && s.leading {
 		s.registerProxy(conn, request)
--- a/internal/control/proxy_queue.go
+++ b/internal/control/proxy_queue.go
@@ -16,14 +16,14 @@
 )
 
 // proxyQueue holds the outgoing frames for one proxy. Leases are sent before log updates and snapshot chunks, which keep their
-// order among themselves: a proxy that receives much data then does not consider the leader silent, and keeps its lease. At most
-// one log update is queued. Further updates are refused, and the proxy gets everything that it misses once the queued update was
-// sent. A proxy with an earlier protocol version gets all frames in a single order and without delay, because it does not support
-// a lease that overtakes an update.
+// order among themselves, so that a proxy that receives much data still gets its leases in time and does not consider the leader
+// silent. At most one log update is queued. Further updates are refused, and the proxy gets everything that it misses once the
+// queued update was sent. A proxy with an earlier protocol version gets all frames in a single order and without delay, because it
+// does not support a lease that overtakes an update.
 type proxyQueue struct {
 	urgent, updates chan *rpc.Frame
-	prioritized     bool        // urgent and updates are separate queues
-	updateRefused   atomic.Bool // an update was refused since caughtUp last returned true
+	prioritized     bool        // urgent and updates are separate queues; otherwise both are the same channel
+	updateRefused   atomic.Bool // an update was refused since drainedAfterRefusal last returned true
 	nextUpdateAt    time.Time   // used only by the goroutine that calls take
 }
 
@@ -54,8 +54,9 @@
 	}
 }
 
-// caughtUp reports that an update was refused and that no update is queued any more. It returns true only once per refusal.
-func (q *proxyQueue) caughtUp() bool {
+// drainedAfterRefusal reports whether an update was refused and no update is queued any more. It returns true once, even if several
+// updates were refused.
+func (q *proxyQueue) drainedAfterRefusal() bool {
 	return len(q.updates) == 0 && q.updateRefused.CompareAndSwap(true, false)
 }
 
--- a/internal/control/run.go
+++ b/internal/control/run.go
@@ -24,13 +24,13 @@
 )
 
 const (
-	tickInterval     = 50 * time.Millisecond
-	busyTickInterval = tickInterval / 3 // while a failover is in progress
+	tickInterval     = 50 * time.Millisecond // the maximum that Server.Tick allows
+	busyTickInterval = tickInterval / 3      // while a failover is in progress
 
 	eventQueueLength = 512
 
 	shutdownPollInterval = 30 * time.Millisecond
-	shutdownLinger       = 100 * time.Millisecond // for the last responses and messages to be sent
+	shutdownLinger       = 100 * time.Millisecond // delay before exit, in which the last responses and messages are sent
 )
 
 // process runs a Server: it owns the goroutines, the sockets and the data directory. Its goroutines pass their input for the
@@ -269,11 +269,11 @@
 // reloadSettings applies the settings that may change while the process runs. It runs in the event loop, the only goroutine that
 // reads them.
 func (p *process) reloadSettings() {
-	fresh, err := settings.Read()
+	reloaded, err := settings.Read()
 	if err != nil {
 		p.log.Error("reloading the settings failed", "error", err)
 		return
 	}
-	p.settings.SeedPeers, p.settings.Provider, p.settings.FaultBudget = fresh.SeedPeers, fresh.Provider, fresh.FaultBudget
-	p.log.Info("settings reloaded", "seeds", fresh.SeedPeers)
+	p.settings.SeedPeers, p.settings.Provider, p.settings.FaultBudget = reloaded.SeedPeers, reloaded.Provider, reloaded.FaultBudget
+	p.log.Info("settings reloaded", "seeds", reloaded.SeedPeers)
 }
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -45,11 +45,11 @@
 	lastCallSeq        map[string]int64        // highest CallSeq of heartbeats, by host
 
 	proxies         servedProxies
-	proxiesAccepted uint64 // number of ProxyConns created since the process started
+	proxiesAccepted uint64 // number of proxy connections accepted since the process started
 	transfers       snapshotTransfers
 	forwarder       forwarder
 
-	shutdownDeadlineMs int64 // time until which a shutdown waits for this member's voting membership to be transferred
+	shutdownDeadlineMs int64 // when a shutdown stops waiting for the transfer of this member's voting membership
 
 	Counters
 }
--- a/internal/control/state_digest.go
+++ b/internal/control/state_digest.go
@@ -15,7 +15,7 @@
 // state was rejected replaces it with a snapshot from the leader.
 
 const (
-	digestIntervalMs = 1000 // between the digests that are taken regardless of the index
+	digestIntervalMs = 1000 // interval between digests of the current state, whatever its index
 	// digestCheckpointInterval is the number of entries between the indices at which every member takes a digest. It ensures that
 	// members have digests at the same indices while changes are frequent.
 	digestCheckpointInterval = 256
@@ -161,8 +161,8 @@
 	s.send(member.Address(), &rpc.Frame{StateRejected: rejected})
 }
 
-// handleStateRejected processes the message that this member's state differs from that of the majority. Messages that do not come
-// from the leader of the current term are discarded.
+// handleStateRejected processes the leader's message that this member's state differs from that of the majority. Messages that do
+// not come from the leader of the current term are discarded.
 func (s *Server) handleStateRejected(from string, rejected *rpc.StateRejected) {
 	leader := s.consensus.RecentLeader(s.clock.Now())
 	if rejected.To != s.id || rejected.Term != s.consensus.Term() || leader == "" || leader.Address() != from {
@@ -203,7 +203,7 @@
 		return
 	}
 	s.StateDivergences.Add(1)
-	s.log.Error("state differs from that of a majority, fetching it anew",
+	s.log.Error("state differs from that of a majority; fetching the state from the leader",
 		"index", majority.Index, "ranges", own.DifferingRanges(majority), "is_leader", s.leading)
 	s.digests = stateDigests{}
 	s.fetchState()
--- a/internal/control/storage/filename.go
+++ b/internal/control/storage/filename.go
@@ -44,7 +44,7 @@
 	noMigration      migration = iota
 	renameLegacy               // only the legacy file exists, or it starts with all of the current file and has more
 	removeLegacy               // the current file starts with all of the legacy file
-	supersedeCurrent           // the files belong to different members, and the legacy file is the later one
+	supersedeCurrent           // the files belong to different members; the legacy file is valid and replaces the current one
 )
 
 // planMigration decides which file is the valid one. It only reads.
--- a/internal/control/storage/wal.go
+++ b/internal/control/storage/wal.go
@@ -55,12 +55,12 @@
 }
 
 // Open opens the file in a folder and creates both if they are missing. It returns the stored identity and state. If there is no
-// file, or it is unreadable, Open stores the identity that fresh returns, and the state is zero.
+// file, or it is unreadable, Open stores the identity that newIdentity returns, and the state is zero.
 //
 // Errors are ErrLocked if another process has the folder open, a *ConflictingFilesError if either of two files could be the
 // member's, and otherwise those of the operating system, converted by package trace. After an error nothing is open, and Open may
 // be called again.
-func Open(folder string, fresh func() Identity) (*WAL, Identity, consensus.RestoredState, error) {
+func Open(folder string, newIdentity func() Identity) (*WAL, Identity, consensus.RestoredState, error) {
 	none := consensus.RestoredState{}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, Identity{}, none, trace.ConvertSystemError(err)
@@ -70,7 +70,7 @@
 		return nil, Identity{}, none, err
 	}
 	wal := &WAL{path: filepath.Join(folder, fileName), lock: lock}
-	identity, restored, err := wal.open(folder, fresh)
+	identity, restored, err := wal.open(folder, newIdentity)
 	if err != nil {
 		return nil, Identity{}, none, errors.Join(err, wal.Close())
 	}
@@ -78,7 +78,7 @@
 }
 
 // open implements Open in a locked folder.
-func (w *WAL) open(folder string, fresh func() Identity) (Identity, consensus.RestoredState, error) {
+func (w *WAL) open(folder string, newIdentity func() Identity) (Identity, consensus.RestoredState, error) {
 	none := consensus.RestoredState{}
 	if err := migrateLegacyFile(snapshotfile.Disk{}, folder); err != nil {
 		return Identity{}, none, err
@@ -98,7 +98,7 @@
 			return Identity{}, none, err
 		}
 	}
-	identity = fresh()
+	identity = newIdentity()
 	return identity, none, w.create(identity)
 }
 
@@ -203,12 +203,12 @@
 	if w.file.Sync() == nil {
 		return nil
 	}
-	// What a failed sync covered may never reach the disk, even if the next sync succeeds.
+	// Data covered by a failed sync may never reach the disk, even if the next sync succeeds.
 	return w.rewrite()
 }
 
-// abandon discards the database after buntdb panicked, which it does if it cannot truncate a failed write. The panic leaves its
-// lock held, so the database cannot be closed: its file handle and a goroutine leak.
+// abandon discards the database after buntdb panicked, which it does if it cannot truncate a failed write. The panic leaves the
+// database's lock held, so the database cannot be closed: its file handle and a goroutine leak.
 func (w *WAL) abandon() {
 	_ = w.file.Close() // nothing is written through this handle
 	w.db, w.file = nil, nil
--- a/internal/control/tenant_quota.go
+++ b/internal/control/tenant_quota.go
@@ -7,7 +7,7 @@
 	"ferrypitch/internal/settings"
 )
 
-// tenantQuota lends the tokens of tenants to proxies while this member leads.
+// tenantQuota holds the token lender that a leader uses to enforce the rate limits of tenants across all proxies.
 type tenantQuota struct {
 	lender *quota.Lender  // of the term led last; nil before the first
 	limits *config.Config // configuration from which the lender's limits were taken
@@ -24,8 +24,8 @@
 	s.updateLenderLimits(nowMs)
 }
 
-// tickLender updates the lender's limits before the first proxy requests tokens, because a tenant's tokens accumulate from then
-// on.
+// tickLender applies a changed configuration to the lender without waiting for a proxy's request, because a tenant's tokens
+// accumulate from the time at which its limit is set.
 func (s *Server) tickLender(nowMs int64) {
 	if s.leading {
 		s.updateLenderLimits(nowMs)
@@ -48,8 +48,8 @@
 	s.quota.lender.SetLimits(limits, nowMs)
 }
 
-// handleQuotaRequest lends tokens to a proxy. If this member does not hold the leader lease, it does not respond, because another
-// member may be lending.
+// handleQuotaRequest processes a proxy's usage reports and lends it tokens. If this member does not hold the leader lease, it does
+// not respond, because another member may be lending.
 func (s *Server) handleQuotaRequest(conn *ProxyConn, request *quota.Request) {
 	if !s.holdsLease() {
 		s.QuotaRequestsIgnored.Add(1)
--- a/internal/control/write_queue.go
+++ b/internal/control/write_queue.go
@@ -6,8 +6,8 @@
 	"ferrypitch/internal/consensus"
 )
 
-// writeQueue passes writes from the event loop to persistLoop. It never blocks the event loop; the consensus node limits the
-// number of pending writes.
+// writeQueue passes writes from the event loop to persistLoop. It has no capacity limit, so that it never blocks the event loop;
+// the consensus node limits the number of pending writes.
 type writeQueue struct {
 	ready chan struct{} // signaled by put; one value may represent several calls
 
