--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -39,17 +39,17 @@
 	TargetMs    float64 `validate:"min=0"` // latency target of an operation
 	Priority    float64 // 0 is the highest priority
 	Service     string  `validate:"required"`
-	MaxTries    float64 `validate:"min=0"`
+	MaxTries    float64 `validate:"min=0"` // retries over which a client's deadline is spread while no lease is valid
 	StalenessMs float64 `validate:"min=0"` // maximum staleness of reads; only for KindBoundedStaleness
 	Public      bool    // clients do not need a tenant's API key
 }
 
 // Service is a set of database hosts, one primary and its replicas.
 type Service struct {
-	Name         string `validate:"required"`
-	HealthPath   string
+	Name         string  `validate:"required"`
+	HealthPath   string  // not used by the proxies and the control plane
 	MaxConns     float64 `validate:"min=0"` // maximum connections to one host, from all proxies together
-	SyncReplicas float64 `validate:"min=0"`
+	SyncReplicas float64 `validate:"min=0"` // not used by the proxies and the control plane
 }
 
 // Limits has limits that apply to all routes.
--- a/internal/config/diff_test.go
+++ b/internal/config/diff_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestPatchRejectsADiffThatDoesNotFit(t *testing.T) {
+func TestPatchRejectsAMismatchedDiff(t *testing.T) {
 	old := []byte("0123456789")
 	for name, diff := range map[string][]byte{
 		"empty":                  {},
--- a/internal/config/null_test.go
+++ b/internal/config/null_test.go
@@ -7,7 +7,7 @@
 )
 
 // Amending a body that is JSON null, or not an object, returns an error and does not panic.
-func TestAmendmentOfNoObjectIsRefused(t *testing.T) {
+func TestAmendmentOfANonObjectIsRejected(t *testing.T) {
 	change := []byte(`{"Generation":2}`)
 	for _, current := range []string{"null", " null ", "[]", "7", ""} {
 		_, err := Amend([]byte(current), change)
--- a/internal/config/tenant.go
+++ b/internal/config/tenant.go
@@ -49,8 +49,8 @@
 		names[tenant.Name] = true
 		for j, key := range tenant.ApiKeys {
 			position := keyPosition{tenant: i, index: j}
-			if fault := invalidKeyReason(key); fault != "" {
-				return &FieldError{position.String(), fault}
+			if reason := invalidKeyReason(key); reason != "" {
+				return &FieldError{position.String(), reason}
 			}
 			if other, taken := positions[key]; taken && other.tenant != i {
 				return &FieldError{position.String(), "the same key as " + other.String()}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -22,19 +22,19 @@
 // validateFields validates a struct according to its tags.
 func validateFields(item any) error {
 	err := validate.Struct(item)
-	var faults validator.ValidationErrors
-	if !errors.As(err, &faults) || len(faults) == 0 {
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) || len(violations) == 0 {
 		return err
 	}
-	_, key, _ := strings.Cut(faults[0].Namespace(), ".")
-	return &FieldError{key, fmt.Sprintf("%v: violates the constraint %s %s", faults[0].Value(), faults[0].Tag(), faults[0].Param())}
+	_, key, _ := strings.Cut(violations[0].Namespace(), ".")
+	return &FieldError{key, fmt.Sprintf("%v: violates the constraint %s %s", violations[0].Value(), violations[0].Tag(), violations[0].Param())}
 }
 
 // prefixKey prepends the path of an item to the key of a FieldError about one of the item's fields.
 func prefixKey(path string, err error) error {
-	var fault *FieldError
-	if errors.As(err, &fault) {
-		return &FieldError{path + "." + fault.Key, fault.Reason}
+	var fieldError *FieldError
+	if errors.As(err, &fieldError) {
+		return &FieldError{path + "." + fieldError.Key, fieldError.Reason}
 	}
 	return err
 }
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -8,7 +8,7 @@
 	HeartbeatMs           int64 // interval between a leader's heartbeats
 	ElectionJitterMs      int64 // upper bound of the random delay added to an election timer
 	RetransmitMs          int64 // timeout after which unacknowledged entries are sent again
-	DiskTimeoutMs         int64 // a leader whose oldest pending write exceeds this transfers its leadership
+	DiskTimeoutMs         int64 // age of a leader's oldest pending write at which it transfers its leadership
 	RemovalTimeoutMs      int64 // silence after which a learner may replace a member
 	MaxMembers            int   // maximum number of voting members; additional nodes remain learners
 	ChunkBytes            int   // payload size of a snapshot chunk
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -15,7 +15,7 @@
 
 // transferIfDiskStalled transfers leadership if the leader's disk is stalled and a majority of members have persisted
 // entries that the leader has not: they can elect another leader without this node's disk. Otherwise the leader
-// continues, since a leader without a working disk is better than no leader.
+// continues, since a leader with a stalled disk is better than no leader.
 func (n *Node) transferIfDiskStalled() {
 	if n.leadership.transferInProgress || !n.diskStalled() || !n.hasQuorum(n.aheadOfLocalDisk) {
 		return
--- a/internal/consensus/disk_test.go
+++ b/internal/consensus/disk_test.go
@@ -27,7 +27,7 @@
 
 // A leader with a stalled disk transfers its leadership soon after DiskTimeoutMs, and an entry proposed in the
 // meantime is committed.
-func TestLeaderWithAStalledDiskHandsOver(t *testing.T) {
+func TestLeaderWithAStalledDiskTransfersLeadership(t *testing.T) {
 	n := newNetworkLedByC(t)
 	n.runFor(600)
 	require.Equal(t, []ID{"c"}, n.leaseHolders())
@@ -49,7 +49,7 @@
 
 // A leader with a stalled disk keeps its leadership, and its lease, if no other member could be elected without that
 // disk.
-func TestLeaderWithAStalledDiskStaysWhereNobodyElseCanLead(t *testing.T) {
+func TestLeaderWithAStalledDiskKeepsLeadershipIfNoOtherCanLead(t *testing.T) {
 	n := newNetworkLedByC(t)
 	n.runFor(600)
 	n.stallDisk("c")
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -26,7 +26,7 @@
 type electionState struct {
 	timeoutAtMs   int64 // when the next campaign starts
 	campaignType  campaignType
-	votes         map[ID]bool // candidate only: members that answered, and whether they granted their vote
+	votes         map[ID]bool // candidate only: whether a member granted its vote, by members that answered
 	coldStarts    map[ID]bool // candidate only: members that have heard from no leader since they started
 	allColdStarts bool        // the last Pre-Vote found that no member has heard from a leader since it started
 	campaignCount int         // campaigns since a leader was last heard from
@@ -41,8 +41,7 @@
 	return uint64(random*(1<<randomBits)) << countBits
 }
 
-// resetElectionTimer sets a randomized deadline for the next campaign, which starts unless a leader is heard from
-// before.
+// resetElectionTimer sets a randomized deadline at which a campaign starts unless a leader is heard from before.
 func (n *Node) resetElectionTimer() {
 	n.election.timeoutAtMs = n.nowMs + n.LeaseMs + electionMarginMs + n.jitterMs()
 	if n.log.lastIndex() < n.commitIndex { // members with a complete log campaign first
@@ -175,7 +174,7 @@
 }
 
 // abortCampaignIfRemoved ends the campaign if the commit point in a response has shown that this node is no longer a
-// member. It reports whether it did so.
+// member. It reports whether it ended the campaign.
 func (n *Node) abortCampaignIfRemoved() bool {
 	if n.isMember(n.id) {
 		return false
--- a/internal/consensus/lease.go
+++ b/internal/consensus/lease.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxDriftDivisor bounds the clock drift between members: a leader relies on a lease for one tenth less than the
-	// time for which the granting member keeps it.
+	// maxDriftDivisor is the inverse of the maximum clock drift between members: a leader relies on a lease for one
+	// tenth less than the time for which the granting member keeps it.
 	maxDriftDivisor = 10
 	// leaderVoteDelayDivisor sets how long a leader keeps refusing votes after the end of its own lease: a fifth of
 	// LeaseMs. Half of that makes up for the tenth by which the leader shortens its lease, the other half for a local
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -23,13 +23,13 @@
 // so if the process of this ID is running, that of the other has ended.
 func (id ID) SharesAddressWith(other ID) bool { return id != other && id.Address() == other.Address() }
 
-// configuration is the set of voting members in effect from the entry at index (4.1).
+// configuration is the set of voting members in effect from the entry at index on (4.1).
 type configuration struct {
 	index   uint64
 	members []ID
 }
 
-// hasQuorum reports whether has returns true for a majority of the members.
+// hasQuorum reports whether satisfies returns true for a majority of the members.
 func (c configuration) hasQuorum(satisfies func(ID) bool) bool {
 	count := 0
 	for _, member := range c.members {
@@ -94,13 +94,15 @@
 	})
 }
 
-// HasQuorum reports whether has returns true for a majority of the members of each active configuration.
+// HasQuorum reports whether satisfies returns true for a majority of the members of each active
+// configuration.
 func (n *Node) HasQuorum(satisfies func(ID) bool) bool { return n.hasQuorum(satisfies) }
 
 // IsVoter reports whether an ID is a voting member in an active configuration.
 func (n *Node) IsVoter(id ID) bool { return n.isMember(id) }
 
-// hasQuorum reports whether has returns true for a majority of the members of each active configuration.
+// hasQuorum reports whether satisfies returns true for a majority of the members of each active
+// configuration.
 func (n *Node) hasQuorum(satisfies func(ID) bool) bool {
 	for _, config := range n.activeConfigurations() {
 		if !config.hasQuorum(satisfies) {
@@ -110,8 +112,8 @@
 	return true
 }
 
-// allMembers reports whether has returns true for all members of all active configurations; false if there are no
-// members.
+// allMembers reports whether satisfies returns true for all members of all active configurations. It returns false if
+// there are no members.
 func (n *Node) allMembers(satisfies func(ID) bool) bool {
 	count := 0
 	for _, config := range n.activeConfigurations() {
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -27,7 +27,7 @@
 	// MsgTimeoutNow tells the receiver to start an election at once and take over leadership (3.10).
 	MsgTimeoutNow
 	// MsgJoin asks the leader to replicate to the sender, which is a learner or a member that has not heard from a
-	// leader for long. It has no receiver and goes to all known members. Index is the sender's last index.
+	// leader for joinDelayLeases. It has no receiver and goes to all known members. Index is the sender's last index.
 	MsgJoin
 	// MsgSnapshotChunkAck reports in Chunk.Offset how many bytes of a snapshot have been received in order.
 	MsgSnapshotChunkAck
@@ -56,7 +56,7 @@
 	PreVote            bool           // of MsgVoteRequest and MsgVoteResponse
 	LeadershipTransfer bool           // of MsgVoteRequest: the leader has given up its lease and requested this election
 	Granted            bool           // of MsgVoteResponse, MsgLeaveResponse and MsgHeartbeatResponse
-	ColdStart          bool           // of MsgVoteResponse: the sender has heard no leader since its start; of MsgVoteRequest: no member has
+	ColdStart          bool           // of MsgVoteResponse: the sender has heard from no leader since its start; of MsgVoteRequest: no member has
 	PreVoteRound       uint64         // of a Pre-Vote: echoed in the response; a cold start counts only in its own round
 	CommitTerm         uint64         // of MsgVoteRequest, MsgVoteResponse and MsgLeaveResponse: term of the entry at CommitIndex
 }
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -5,7 +5,7 @@
 // progress is a leader's view of a member or learner.
 type progress struct {
 	nextIndex             uint64 // index of the next entry to send (3.5)
-	matchIndex            uint64 // the peer's log is persisted and matches the leader's up to here (3.5)
+	matchIndex            uint64 // index up to which the peer's log is persisted and matches the leader's (3.5)
 	sentAtMs              int64  // when the unacknowledged entries or chunks were sent; 0 if there are none
 	heartbeatAckedAtMs    int64  // send time of the newest acknowledged heartbeat
 	heardAtMs             int64  // when the last message from the peer arrived
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	maxAppendBytes     = 256 << 10 // size of the entries after which a message takes no more
-	entryOverheadBytes = 64        // added to the data size of each entry
+	maxAppendBytes     = 256 << 10 // a message with entries of at least this size takes no further entry
+	entryOverheadBytes = 64        // size that each entry counts for in addition to its data
 )
 
 // Propose appends data for the state machine to the log. It returns the index at which the data will be committed if
@@ -97,7 +97,7 @@
 }
 
 // skipCompacted removes from the message the entries that the snapshot replaces. They are committed, so they match
-// this log. It returns false if the message ends before the snapshot does.
+// this log. It returns false if the message ends before the snapshot's index.
 func (n *Node) skipCompacted(m *Message) bool {
 	skip := n.log.snapshot.Index - m.Index
 	if uint64(len(m.Entries)) < skip {
@@ -119,7 +119,7 @@
 	return index, entries
 }
 
-// replaceAfter replaces all entries after index.
+// replaceAfter replaces all entries after index, and sends accepted once the new ones are persisted.
 func (n *Node) replaceAfter(index uint64, entries []Entry, accepted Message) {
 	if index < n.commitIndex {
 		panic("consensus: an append would replace committed entries")
@@ -162,8 +162,8 @@
 	n.replicate(m.From, p)
 }
 
-// advanceCommitIndex commits the entries that a majority has persisted, if the last of them is of the current term
-// (3.6.2).
+// advanceCommitIndex commits the entries that a majority has persisted, up to the last one of the current term. Entries
+// of earlier terms are committed only together with one of the current term (3.6.2).
 func (n *Node) advanceCommitIndex() {
 	for index := n.log.lastIndex(); index > n.commitIndex; index-- {
 		if term, _ := n.log.term(index); term != n.hardState.Term {
--- a/internal/control/backup/backup_test.go
+++ b/internal/control/backup/backup_test.go
@@ -75,7 +75,7 @@
 }
 
 // Snapshots answered by a member are validated like files.
-func TestAnswersThatAreNoSnapshotsAreRefused(t *testing.T) {
+func TestInvalidSnapshotResponsesAreRejected(t *testing.T) {
 	for name, change := range map[string]func(s *Snapshot){
 		"a newer format":    func(s *Snapshot) { s.Format = format + 1 },
 		"no format":         func(s *Snapshot) { s.Format = 0 },
@@ -171,7 +171,7 @@
 }
 
 // Existing data is replaced only if the snapshot covers it or DiscardIndex is its last index. It is kept under another name.
-func TestNewerDataIsGivenUpByNameOnly(t *testing.T) {
+func TestNewerDataIsDiscardedOnlyIfConfirmed(t *testing.T) {
 	snapshot := New(exampleState(t), 9, founders)
 	for _, test := range []struct {
 		existing, discard uint64
--- a/internal/control/event_loop_test.go
+++ b/internal/control/event_loop_test.go
@@ -32,7 +32,7 @@
 }
 
 // The consensus timers must run even if the event queue is never empty.
-func TestTicksGoOnWhileEventsNeverEnd(t *testing.T) {
+func TestTicksContinueWhileEventsAreQueued(t *testing.T) {
 	p := newProcess(t, 8)
 	ctx, cancel := context.WithCancel(t.Context())
 	p.ctx = ctx
@@ -71,7 +71,7 @@
 }
 
 // Consensus messages arrive on the same connection as forwarded calls and must not wait until there is room for these.
-func TestForwardedCallsBeyondTheQueueHoldUpNoConsensusMessages(t *testing.T) {
+func TestForwardedCallsBeyondTheQueueDoNotDelayConsensus(t *testing.T) {
 	p := newProcess(t, 1)
 	done := make(chan struct{})
 	go func() {
--- a/internal/control/failover/failover_test.go
+++ b/internal/control/failover/failover_test.go
@@ -186,7 +186,7 @@
 }
 
 // A primary that answers that it is no longer primary is revoked without further probes.
-func TestPrimaryThatLostLeadershipIsRevoked(t *testing.T) {
+func TestPrimaryThatIsNoLongerPrimaryIsRevoked(t *testing.T) {
 	h := newHarness(t)
 	h.hosts["h0"].IsPrimary = false
 	h.suspectPrimary()
@@ -197,7 +197,7 @@
 }
 
 // A promotion that takes effect after its failover ended is detected, and the promoted host is appointed primary.
-func TestHostThatLeadsInALaterTermBecomesPrimary(t *testing.T) {
+func TestHostPromotedInALaterTermBecomesPrimary(t *testing.T) {
 	h := newHarness(t)
 	h.promote("h2")
 	h.run(3 * testHeartbeatIntervalMs)
@@ -214,7 +214,7 @@
 }
 
 // A primary that leaves without draining first serves until its successor is primary, like a draining one.
-func TestPrimaryThatLeavesFirstIsSwitchedOver(t *testing.T) {
+func TestPrimaryThatLeavesWithoutDrainingIsSwitchedOver(t *testing.T) {
 	h := newHarness(t)
 	h.run(1300)
 	h.leave("h0")
@@ -230,7 +230,7 @@
 
 // A replica that leaves without draining first stays a replica until its process has terminated and others have its log. It is
 // removed after it has been missing for terminatedHostRemovalMs, unless it sends a heartbeat again.
-func TestHostThatLeavesFirstIsRemovedAfterItsEnd(t *testing.T) {
+func TestHostThatLeavesWithoutDrainingIsRemovedAfterItsEnd(t *testing.T) {
 	h := newHarness(t)
 	h.run(1300)
 	h.leave("h2")
@@ -257,7 +257,7 @@
 
 // A removed replica still receives until its process terminates. Before that it must not count as gone, or a write that only it
 // has received could be lost.
-func TestRemovedReplicaIsNotTakenForGoneBeforeItHasEnded(t *testing.T) {
+func TestRemovedReplicaIsNotGoneBeforeItHasTerminated(t *testing.T) {
 	h := newHarness(t)
 	h.run(1300)
 	h.apply(statemachine.Change{DrainHost: "h2"})
--- a/internal/control/failover/late_results_test.go
+++ b/internal/control/failover/late_results_test.go
@@ -43,7 +43,7 @@
 
 // Only the result of the pending request is accepted, not one for an earlier request or another host, service, token, term or
 // serial number.
-func TestOnlyTheOutstandingCallIsCompleted(t *testing.T) {
+func TestOnlyThePendingRequestIsCompleted(t *testing.T) {
 	h := newHarness(t)
 	h.promotionOutcome = func(int) PromotionOutcome { return PromotionUnknown }
 	h.stopPrimary(false)
--- a/internal/control/failover/schedule_test.go
+++ b/internal/control/failover/schedule_test.go
@@ -7,7 +7,7 @@
 )
 
 // An idle service is not evaluated at each tick, but a replica whose heartbeats stop is still marked missing in time.
-func TestSettledServiceIsEvaluatedOnlyOnceAHostIsSilent(t *testing.T) {
+func TestIdleServiceIsEvaluatedOnlyOnceAHostIsSilent(t *testing.T) {
 	h := newHarness(t)
 	h.run(20_000)
 	require.Greater(t, h.skipped, 1900, "of 2,000 ticks")
--- a/internal/control/failover_cost_test.go
+++ b/internal/control/failover_cost_test.go
@@ -12,7 +12,7 @@
 )
 
 // The number of evaluations per heartbeat, lease renewal and tick must not grow with the number of services.
-func TestHeartbeatsRenewalsAndTicksEvaluateOnlyWhatHasNews(t *testing.T) {
+func TestHeartbeatsRenewalsAndTicksEvaluateOnlyAffectedServices(t *testing.T) {
 	s := newSoleLeader(t, statesize.Size{Proxies: 295, Databases: 120})
 	evaluated := func(what string, act func()) int64 {
 		before := s.coordinator.Counters.Evaluated
--- a/internal/control/proxy_queue_test.go
+++ b/internal/control/proxy_queue_test.go
@@ -11,7 +11,7 @@
 
 // Lease responses must be sent before queued updates. If they wait behind much data, the proxy receives none for 0.7 s, considers
 // the leader silent, and disconnects.
-func TestLeasesOvertakeUpdatesOfTheLog(t *testing.T) {
+func TestLeasesAreSentBeforeLogUpdates(t *testing.T) {
 	closed := make(chan struct{})
 	q := newProxyQueue(rpc.ProtocolVersion)
 	chunk, lease := &rpc.Frame{SnapshotChunk: &rpc.SnapshotChunk{}}, &rpc.Frame{LeaseResponse: &rpc.LeaseResponse{}}
@@ -29,7 +29,7 @@
 
 // Consecutive updates must be merged into one. Otherwise 360 hosts that register within seconds cause 360 frames for each of 295
 // proxies.
-func TestUpdatesInARowArePaced(t *testing.T) {
+func TestConsecutiveUpdatesAreMerged(t *testing.T) {
 	closed := make(chan struct{})
 	q := newProxyQueue(rpc.ProtocolVersion)
 	update := func() *rpc.Frame { return &rpc.Frame{LogUpdate: &rpc.LogUpdate{}} }
--- a/internal/control/proxy_welcome_test.go
+++ b/internal/control/proxy_welcome_test.go
@@ -40,7 +40,7 @@
 
 // When all proxies of a large deployment reconnect at once, they must share one encoded snapshot, and the number of concurrent
 // transfers must be limited.
-func TestSnapshotsForManyProxiesAreSharedAndRationed(t *testing.T) {
+func TestSnapshotsForManyProxiesAreSharedAndLimited(t *testing.T) {
 	s := newSoleLeader(t, statesize.Sizes[0])
 	var proxies []*welcomedProxy
 	for n := range 2*maxSnapshotTransfers + 5 {
@@ -60,7 +60,7 @@
 }
 
 // When connections are closed during snapshot transfers, the transfers of queued proxies must start.
-func TestWaitingProxiesGetSnapshotsWhenTransfersEndWithTheirLinks(t *testing.T) {
+func TestQueuedProxiesGetSnapshotsWhenConnectionsClose(t *testing.T) {
 	s := newSoleLeader(t, statesize.Sizes[0])
 	var proxies []*welcomedProxy
 	for n := range maxSnapshotTransfers + 5 {
@@ -84,7 +84,7 @@
 }
 
 // A slow proxy whose queue is full must keep its connection and get the missing entries on it later.
-func TestSlowProxyKeepsItsLink(t *testing.T) {
+func TestSlowProxyKeepsItsConnection(t *testing.T) {
 	s := newSoleLeader(t, statesize.Sizes[0])
 	p := s.welcome(statesize.ProxyName(0), s.state.Index)
 	p.queueFull = true
--- a/internal/control/storage/damage_test.go
+++ b/internal/control/storage/damage_test.go
@@ -47,7 +47,7 @@
 }
 
 // Scrub detects changed bytes on disk and repairs the file, so that nothing is missing after the next start.
-func TestScrubMendsDamageOnDisk(t *testing.T) {
+func TestScrubRepairsDamageOnDisk(t *testing.T) {
 	folder := t.TempDir()
 	wal := filledWAL(t, folder)
 	want := saveSteps[len(saveSteps)-1].want
--- a/internal/control/storage/filename_test.go
+++ b/internal/control/storage/filename_test.go
@@ -180,7 +180,7 @@
 	require.Contains(t, got, "9added", context)
 }
 
-func TestTakeoverOfTheOldFileName(t *testing.T) {
+func TestLegacyFileIsMigrated(t *testing.T) {
 	for _, c := range migrationCases(t) {
 		t.Run(c.name, func(t *testing.T) {
 			folder := t.TempDir()
@@ -192,7 +192,7 @@
 
 // A migration interrupted at any step, by the end of the process or a power loss, with the next one interrupted at any step again,
 // always leads to the same state.
-func TestTakeoverCutShortAtAnyStepLosesNothing(t *testing.T) {
+func TestMigrationInterruptedAtAnyStepLosesNothing(t *testing.T) {
 	states := 0
 	for _, c := range migrationCases(t) {
 		t.Run(c.name, func(t *testing.T) {
@@ -232,7 +232,7 @@
 }
 
 // A rename that was not synced may be undone by a power loss after the member has written more.
-func TestTakeoverThatComesUndoneLosesNoLaterWrite(t *testing.T) {
+func TestUndoneMigrationLosesNoLaterWrite(t *testing.T) {
 	folder := t.TempDir()
 	contents := contentAfterSteps(t, newFounder())
 	writeFiles(t, folder, files{legacyFileName: contents[2]})
--- a/internal/control/storage/wal_test.go
+++ b/internal/control/storage/wal_test.go
@@ -246,7 +246,7 @@
 	return replaced
 }
 
-func TestGarbageThatSpellsASyncedKeyIsToldByItsBytes(t *testing.T) {
+func TestGarbageThatFormsASyncedKeyIsRecognized(t *testing.T) {
 	const step = 4 // adds entries 3 and 4
 	commit := commitsOfStep(t, step)[0]
 	require.False(t, replacesSyncedEntry(commit, commit.content))
--- a/internal/control/tenant_quota_test.go
+++ b/internal/control/tenant_quota_test.go
@@ -38,7 +38,7 @@
 }
 
 // Tokens accumulate from when a configuration is applied, not from the first request of a proxy.
-func TestFirstRequestGetsWhatHasGrown(t *testing.T) {
+func TestFirstRequestGetsAccumulatedTokens(t *testing.T) {
 	c, leader, proxy, last := newTenantCluster(t)
 	c.runGuarded(6 * unitsPerSecond)
 	requestTokens(leader, proxy, "t7")
--- a/internal/eventloop/queue.go
+++ b/internal/eventloop/queue.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// Priority determines the order in which the owner takes functions from the queue.
+// Priority is the class of a function in a queue. The owner chooses the order in which it takes functions of different classes.
 type Priority int
 
-// The priorities, most urgent first.
+// The priorities. Each owner defines their order.
 const (
 	PriorityControl  Priority = iota // control events (membership, leases, shutdown) and queries of the owner's state
 	PriorityOutcomes                 // results of operations that the owner started
@@ -16,10 +16,10 @@
 
 // Queue passes functions to the goroutine that owns a state. Functions of the same priority are taken in FIFO order. Put blocks
 // while the number of waiting functions of its priority has reached the queue's capacity, which applies backpressure to the
-// callers and loses nothing. PriorityOutcomes never blocks; the number of operations in flight bounds it.
+// callers and loses nothing. PriorityOutcomes has no capacity limit and never blocks; the number of operations in flight bounds it.
 type Queue struct {
 	capacity int
-	Ready    chan struct{} // receives a value after Put; one value may stand for several functions
+	Ready    chan struct{} // receives a value after Put and TryPut; one value may stand for several functions
 	Closed   chan struct{} // closed by Close
 
 	mu       sync.Mutex
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -87,7 +87,7 @@
 }
 
 // While the process shuts down, the handler returns an empty response with status 200.
-func TestEndingProcessShowsNothing(t *testing.T) {
+func TestHandlerIsEmptyDuringShutdown(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	Handler("test", func() ([]Sample, bool) { return nil, false }).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
 	require.Equal(t, http.StatusOK, recorder.Code)
@@ -103,7 +103,7 @@
 }
 
 // If the port is in use, Serve logs an error and retries until its context ends. On a free port it serves until its context ends.
-func TestServeBearsAPortInUse(t *testing.T) {
+func TestServeRetriesAPortInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer taken.Close()
--- a/internal/metrics/sample.go
+++ b/internal/metrics/sample.go
@@ -25,7 +25,7 @@
 	Family     Family
 	LabelValue string
 	Value      float64    // for a Counter or Gauge
-	Histogram  *Histogram // for Durations
+	Histogram  *Histogram // for a DurationHistogram
 }
 
 // Source returns all current samples of a process. ok is false if the process is shutting down. It is called by an HTTP handler
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -99,10 +99,10 @@
 
 // LeaseRequest asks the leader to renew the lease of a proxy, and reports the proxy's observations.
 type LeaseRequest struct {
-	Serial           uint64 // copied to the response
-	AppliedIndex     uint64 // index of the last log entry that the proxy has applied
-	PrimaryPositions []PrimaryPosition
-	Sessions         int // open client sessions
+	Serial           uint64            // copied to the response
+	AppliedIndex     uint64            // index of the last log entry that the proxy has applied
+	PrimaryPositions []PrimaryPosition // part of the wire format; this release neither sets nor reads it
+	Sessions         int               // open client sessions of the proxy; the leader does not use it
 }
 
 // PrimaryPosition is the log position of a service's primary, as reported by a proxy.
--- a/internal/rpc/mesh.go
+++ b/internal/rpc/mesh.go
@@ -67,7 +67,7 @@
 	connectFailedAt time.Time // time of the last failed connect
 }
 
-// meshConn is a connection that records when the peer has closed it.
+// meshConn is a connection that records whether the peer has closed it.
 type meshConn struct {
 	*Conn
 	peerClosed atomic.Bool
@@ -88,7 +88,7 @@
 }
 
 // send sends a frame over the existing connection, or over a new one if the existing one is closed or fails: the peer process may
-// have been restarted. A frame that was written to a closed connection has not been read by anyone.
+// have been restarted. A frame whose write failed is incomplete at the peer, so sending it again does not duplicate it.
 func (s *meshSender) send(frame *Frame) {
 	if s.conn != nil && (s.conn.peerClosed.Load() || !s.trySend(frame)) {
 		_ = s.conn.Close()
@@ -124,7 +124,8 @@
 	return true
 }
 
-// closeOnEOF closes a connection once the peer has closed it. The only frames received on it are refusals.
+// closeOnEOF reads from a connection until it fails, which it does when the peer closes it, and then closes it. The only frames
+// received are refusals.
 func (m *Mesh) closeOnEOF(conn *meshConn) {
 	for {
 		frame, err := conn.Receive(meshReadTimeout)
--- a/internal/rpc/payload.go
+++ b/internal/rpc/payload.go
@@ -15,7 +15,7 @@
 	// maxPayloadParts is the maximum number of byte strings in a payload.
 	maxPayloadParts = 1 << 16
 
-	// payloadBlockBytes is the number of bytes that are written at a time, and by which the read buffer grows.
+	// payloadBlockBytes is the number of payload bytes that are written at a time, and by which the read buffer grows.
 	payloadBlockBytes = 32 << 10
 )
 
--- a/internal/rpc/payload_test.go
+++ b/internal/rpc/payload_test.go
@@ -61,7 +61,7 @@
 
 // A connection must not retain a buffer as long as the largest update that it has carried. Otherwise, after one configuration
 // update to 295 connections, the leader held 295 buffers of its length and ran out of memory.
-func TestLinksKeepNoBufferOfTheLongestUpdate(t *testing.T) {
+func TestConnsKeepNoBufferOfTheLongestUpdate(t *testing.T) {
 	const connections, updateBytes, keptBytes = 50, 1 << 20, 64 << 10
 	update := &Frame{LogUpdate: &LogUpdate{Entries: [][]byte{make([]byte, updateBytes)}, LastIndex: 1}}
 	var before, after runtime.MemStats
--- a/internal/settings/read.go
+++ b/internal/settings/read.go
@@ -76,15 +76,15 @@
 
 // validationError returns an error with the first invalid key, its value and the rule that it violates.
 func validationError(err error) error {
-	var faults validator.ValidationErrors
-	if !errors.As(err, &faults) || len(faults) == 0 {
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) || len(violations) == 0 {
 		return err
 	}
-	fault := faults[0]
-	_, key, _ := strings.Cut(fault.Namespace(), ".") // without the name of the struct type
-	rule := fault.Tag()
-	if fault.Param() != "" {
-		rule += " " + fault.Param()
+	first := violations[0]
+	_, key, _ := strings.Cut(first.Namespace(), ".") // without the name of the struct type
+	rule := first.Tag()
+	if first.Param() != "" {
+		rule += " " + first.Param()
 	}
-	return fmt.Errorf("%s: %v: must satisfy %s", key, fault.Value(), rule)
+	return fmt.Errorf("%s: %v: must satisfy %s", key, first.Value(), rule)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -70,9 +70,9 @@
 	CatchupS      float64 // how long a machine still counts as failed after its return
 	DrainMs       float64 `validate:"min=0"` // how long a draining host still serves
 	GraceS        float64 `validate:"min=0"` // time from SIGTERM to SIGKILL
-	ConfigApplyMs float64
-	DowngradeMs   float64
-	RevokeClosed  bool    // RevokeMs also applies to partitioned machines
+	ConfigApplyMs float64 // from the acknowledgement of a configuration change until proxies apply it
+	DowngradeMs   float64 // from the first effect of a version at a proxy until the proxy acts on no older version; 0: no bound
+	RevokeClosed  bool    // RevokeMs also applies to machines that are partitioned from the control plane
 	RevokeMs      float64 `validate:"min=0"` // time from the acknowledgement of a key's removal until no operation runs under the key
 	QuotaWindowS  float64 `validate:"min=0"` // length of the window in which a tenant's operations are counted
 	QuotaExcess   float64 `validate:"min=0"` // fraction of a tenant's limit by which it may be exceeded
--- a/internal/statemachine/apply.go
+++ b/internal/statemachine/apply.go
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// applyAddHost adds a host, or updates a known host with a new announcement. IDs of removed hosts are never reused, so an
-// announcement with the ID of a removed host is a delayed one and is rejected.
+// applyAddHost adds a host, or updates a known host with the data of a new heartbeat. IDs of removed hosts are never reused, so a
+// heartbeat with the ID of a removed host is a delayed one and is rejected.
 func (s *State) applyAddHost(host Host) error {
 	known, found := s.Hosts[host.ID]
 	switch {
@@ -146,7 +146,8 @@
 	s.putPrimary(change.Service, primary)
 }
 
-// setOwner sets the member that runs the failover. Each new owner gets a higher fencing token: the index of the change.
+// setOwner sets the member that runs the failover or switchover. Each new owner gets a higher fencing token: the index of the
+// change.
 func (p *Primary) setOwner(owner string, index uint64) {
 	if p.Owner != owner || p.FencingToken == 0 {
 		p.Owner, p.FencingToken = owner, index
--- a/internal/statemachine/change.go
+++ b/internal/statemachine/change.go
@@ -16,14 +16,14 @@
 	UpdateConfig       *ConfigUpdate
 	AddHost            *Host  // adds a host, or updates a known one
 	DrainHost          string // ID of a host that gets no new work
-	HostLeaving        string // ID of a host that announced its end without draining first; it continues to serve for a while
+	HostLeaving        string // ID of a host that is about to exit without draining first; it continues to serve for a while
 	RemoveHost         string // ID of a host that has left
 	RevokePrimary      *RevokePrimary
 	NominatePrimary    *NominatePrimary
 	AppointPrimary     *AppointPrimary
 	UpdateProxy        *ProxyMembership
-	MarkMissing        string // ID of a host that a failover does not have to query until the host announces itself again
-	ReplicationResumed string // name of a service whose replicas all receive writes again after a failover
+	MarkMissing        string // ID of a host that a failover does not have to query until the host sends a heartbeat again
+	ReplicationResumed string // name of a service whose replicas all receive writes again after a failover or switchover
 }
 
 // ConfigUpdate is an operator's update of the configuration: a complete configuration or an amendment. A request has only a
@@ -48,7 +48,7 @@
 // not revoked keeps serving.
 type NominatePrimary struct{ Service, Host, Owner string }
 
-// AppointPrimary sets the primary of a service.
+// AppointPrimary sets the primary of a service, and ends the failover or switchover in progress, if any.
 type AppointPrimary struct {
 	Service, Host string
 	Term          uint64
--- a/internal/statemachine/config_update_test.go
+++ b/internal/statemachine/config_update_test.go
@@ -38,7 +38,7 @@
 
 // Every replica ends up with the exact bytes that the operator sent, although the log carries deltas, and recognises retried
 // updates.
-func TestUpdatesTravelAsDeltasAndKeepTheirBytes(t *testing.T) {
+func TestUpdatesAreLoggedAsDeltasAndKeepTheirBytes(t *testing.T) {
 	state, replica := &State{}, &State{}
 	updates, deltaBytes := []ConfigUpdate{{Body: configWithRoutes(1, 900, 0, 800)}}, 0
 	for i := range 200 {
--- a/internal/statemachine/retention.go
+++ b/internal/statemachine/retention.go
@@ -12,7 +12,7 @@
 )
 
 // The state keeps a history of applied configuration updates and removed hosts, to recognise retried requests and delayed
-// announcements.
+// heartbeats.
 //
 // Records expire by leader time: each leader stamps its proposals with the last timestamp in the log when it was elected, plus
 // the time elapsed since then on its monotonic clock. Leader time stands still while there is no leader, and the time between a
@@ -21,7 +21,7 @@
 const (
 	RetentionMs = 15 * 60 * 1000 // leader time, in milliseconds, for which all records are retained
 	MinRetained = 1 << 10        // number of newest records that are retained whatever their age
-	MaxRetained = 1 << 15        // one every 27 ms throughout RetentionMs; beyond it, the oldest records are dropped early
+	MaxRetained = 1 << 15        // maximum number of records, one every 27 ms during RetentionMs; the oldest are dropped early
 )
 
 // RequestID identifies a configuration update across retries.
@@ -56,7 +56,7 @@
 	LeaderTimeMs int64 // leader time at which the update was applied
 }
 
-// RemovedHost is a record of a host that has left or was removed. Host IDs are not reused, so an announcement with this ID is a
+// RemovedHost is a record of a host that has left or was removed. Host IDs are not reused, so a heartbeat with this ID is a
 // delayed one, unless the host is still listed, see State.IsLeaving.
 type RemovedHost struct {
 	ID           string
@@ -74,8 +74,8 @@
 	return slices.ContainsFunc(s.RemovedHosts, func(removed RemovedHost) bool { return removed.ID == id })
 }
 
-// retain drops expired records from a list sorted from oldest to newest. It keeps all records of the last RetentionMs, but at
-// least MinRetained and at most MaxRetained of them.
+// retain drops expired records from a list sorted from oldest to newest. It keeps the records of the last RetentionMs, but at
+// least the newest MinRetained and at most the newest MaxRetained records.
 func retain[T any](records []T, timeOf func(T) int64, nowMs int64) []T {
 	recent := sort.Search(len(records), func(position int) bool { return timeOf(records[position]) >= nowMs-RetentionMs })
 	first := max(min(recent, len(records)-MinRetained), len(records)-MaxRetained, 0)
--- a/internal/statemachine/retention_test.go
+++ b/internal/statemachine/retention_test.go
@@ -75,7 +75,7 @@
 	require.False(t, state.wasApplied(RequestID{BaseVersion: 99}))
 }
 
-// A delayed announcement of a removed host does not add the host again, however many hosts were removed since.
+// A delayed heartbeat of a removed host does not add the host again, however many hosts were removed since.
 func TestRemovedHostIsNotAddedAgain(t *testing.T) {
 	state := &State{}
 	applyAfter := func(elapsedMs int64, change Change) error {
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -20,27 +20,27 @@
 	"ferrypitch/internal/config"
 )
 
-// Host is a database host, as described by its announcements.
+// Host is a database host, as described by its heartbeats.
 type Host struct {
 	ID, Service, Address, Zone string
 	Generation                 string
 	Capacity                   int64
 	Draining                   bool
-	Missing                    bool   // the process has ended, and other hosts have everything that it received
+	Missing                    bool   // the process has ended, and another host has everything that it received
 	AddedIndex                 uint64 // index of the change that added it
 }
 
-// Primary describes the primary of a service and the failover in progress, if any. While Revoked is set, no proxy may send any
-// host commands that require the primary.
+// Primary describes the primary of a service and the failover or switchover in progress, if any. While Revoked is set, no proxy may
+// send any host commands that require the primary.
 type Primary struct {
 	Host           string
 	Term           uint64 // timeline of the database
 	Revoked        bool
 	FencingToken   uint64 // increases with each owner
-	Owner          string // control-plane member that runs the failover
+	Owner          string // control-plane member that runs the failover or switchover
 	ChangedIndex   uint64 // index of the change that revoked or appointed the primary
-	Nominee        string // host that the platform was last asked to promote in this failover; it may have been promoted
-	ReplicasPaused bool   // replicas were paused for a failover, and not all of them are known to receive writes again
+	Nominee        string // host nominated in this failover or switchover; its promotion may have taken effect
+	ReplicasPaused bool   // a failover or switchover paused replicas, and not all of them are known to receive writes again
 }
 
 // State is the result of all changes up to Index. The zero value is the state before the first change. Callers may read its
--- a/internal/statemachine/state_test.go
+++ b/internal/statemachine/state_test.go
@@ -76,12 +76,12 @@
 	require.Empty(t, state.UnaccountedHostIDs("db"), "other hosts have all of its log")
 	addHost(11, "h5", "1.1.1.1:3")
 	require.NotContains(t, state.Hosts, "h3", "a host whose address is reused has ended, even if it did not announce it")
-	require.Error(t, state.Apply(12, Change{AddHost: &Host{ID: "h3", Service: "db", Address: "1.1.1.1:3"}}), "a delayed announcement of a removed host")
+	require.Error(t, state.Apply(12, Change{AddHost: &Host{ID: "h3", Service: "db", Address: "1.1.1.1:3"}}), "a delayed heartbeat of a removed host")
 	require.Contains(t, state.Hosts, "h5")
 }
 
-// A host that leaves without draining first stays listed as draining until it is removed, and its announcements are accepted.
-func TestHostThatLeavesFirstStaysListedUntilRemoved(t *testing.T) {
+// A host that leaves without draining first stays listed as draining until it is removed, and its heartbeats are accepted.
+func TestHostThatLeavesWithoutDrainingStaysListedUntilRemoved(t *testing.T) {
 	state := &State{}
 	apply := func(change Change) error {
 		decoded, err := DecodeChange(EncodeChange(change))
@@ -98,7 +98,7 @@
 	require.NoError(t, apply(Change{HostLeaving: "h1"}), "a retry")
 	require.True(t, state.Hosts["h1"].Draining)
 	require.NoError(t, apply(Change{MarkMissing: "h1"}))
-	require.NoError(t, apply(Change{AddHost: &host}), "the host is running and announces itself")
+	require.NoError(t, apply(Change{AddHost: &host}), "the host is running and sends heartbeats")
 	require.True(t, state.Hosts["h1"].Draining, "a drain is final")
 	require.False(t, state.Hosts["h1"].Missing)
 
@@ -108,7 +108,7 @@
 	require.False(t, restored.IsLeaving("nobody"))
 	require.NoError(t, apply(Change{RemoveHost: "h1"}))
 	require.False(t, state.IsLeaving("h1"))
-	require.ErrorIs(t, apply(Change{AddHost: &host}), ErrNotFound, "a delayed announcement of a removed host")
+	require.ErrorIs(t, apply(Change{AddHost: &host}), ErrNotFound, "a delayed heartbeat of a removed host")
 }
 
 // Replicas that apply the same changes have the same state, even if one of them is restored from snapshots in between.
