--- a/internal/consensus/simulation_test.go
+++ b/internal/consensus/simulation_test.go
@@ -55,7 +55,7 @@
 	proposalCount            int
 	faultFree                bool // disables all faults from now on
 	noRandomFaults           bool // disables random member faults; the network still loses and delays messages
-	slowDisks                bool
+	slowDisks                bool // all disks are slow
 	disabled                 safeguard
 	corrupt                  func(m *Message) (copies int) // changes a message and returns the number of copies to deliver; may be nil
 	leavingCount             int                           // members that have been told to leave and have not shut down
--- a/internal/control/catch_up_test.go
+++ b/internal/control/catch_up_test.go
@@ -44,10 +44,10 @@
 	isolated     bool
 	identity     storage.Identity
 	disk         memberdisk.Disk
-	diskSlowdown int64 // factor by which disk writes take longer
-	diskFreeAt   int64 // time at which all writes are done
-	linkFreeAt   map[string]int64
-	sentBytes    int64 // excluding forwarded calls
+	diskSlowdown int64            // factor by which disk writes take longer
+	diskFreeAt   int64            // time at which all writes are done
+	linkFreeAt   map[string]int64 // by receiver address: time at which all frames to it are sent
+	sentBytes    int64            // excluding forwarded calls
 
 	storedBytes, syncs int64
 }
--- a/internal/control/failover/failover_test.go
+++ b/internal/control/failover/failover_test.go
@@ -71,8 +71,8 @@
 	require.EqualValues(t, 5, h.primary().Term)
 }
 
-// The platform is busy, then rejects the host, then its answer is lost. While a promotion may have been executed, the
-// coordinator waits for it and promotes no other host.
+// The platform does not execute the first request, rejects the second, and its response to the third is lost. While a promotion may
+// have been executed, the coordinator waits for it and promotes no other host.
 func TestPromotionOutcomes(t *testing.T) {
 	h := newHarness(t)
 	h.promotionOutcome = func(count int) PromotionOutcome {
@@ -152,7 +152,7 @@
 	h.drain("h0")
 	h.run(300)
 	require.Len(t, h.promotions, 1)
-	require.Zero(t, h.revocations, "the old primary serves until the successor leads")
+	require.Zero(t, h.revocations, "the old primary serves until the successor is primary")
 	successor := h.promotions[0].Host
 	h.hosts[successor].IsPrimary, h.hosts[successor].Timeline = true, 5
 	h.run(400)
@@ -220,7 +220,7 @@
 	h.leave("h0")
 	h.run(300)
 	require.Len(t, h.promotions, 1)
-	require.Zero(t, h.revocations, "the old primary serves until the successor leads")
+	require.Zero(t, h.revocations, "the old primary serves until the successor is primary")
 	successor := h.promotions[0].Host
 	h.promote(successor)
 	h.run(400)
--- a/internal/control/failover/late_commands_test.go
+++ b/internal/control/failover/late_commands_test.go
@@ -16,13 +16,13 @@
 	seed   uint64
 	random *rand.Rand
 
-	acknowledged      uint64           // the greatest position that a replica has received too
+	acknowledged      uint64           // the greatest position that the primary and a replica have received
 	handledPromotions int              // promotions whose effect was scheduled
 	revokedAt         map[uint64]int64 // by index of a revocation: when allCaughtUp was first called for it
 	behindUntil       [3]int64         // by host: until when it receives no writes
 	stalledHost       string           // executes no commands until stalledUntil, then all of them
 	stalledUntil      int64
-	noDelays          bool
+	noDelays          bool // commands are executed in time, except by the stalled host
 
 	delayedCommands, stalledCommands, switchovers int
 }
--- a/internal/control/failover_cost_test.go
+++ b/internal/control/failover_cost_test.go
@@ -48,5 +48,5 @@
 	require.EqualValues(t, 1, evaluated("heartbeat with news", heartbeat("leader")))
 	require.Zero(t, evaluated("renewals", renew))
 	require.EqualValues(t, 1, evaluated("suspect report", suspect))
-	require.EqualValues(t, 2, evaluated("tick with two unsettled services", tick))
+	require.EqualValues(t, 2, evaluated("tick with two active services", tick))
 }
--- a/internal/control/forwarding_test.go
+++ b/internal/control/forwarding_test.go
@@ -59,20 +59,20 @@
 // A response is accepted once, for exactly one pending call, and only from the member that the call was forwarded to.
 func TestForwardResponseMatchesOnePendingCall(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(a *rpc.ForwardResponse, from *string)
-		why    discardReason
+		change func(response *rpc.ForwardResponse, from *string)
+		reason discardReason
 	}{
-		"to a call that was never made":      {func(a *rpc.ForwardResponse, _ *string) { a.Serial += 5 }, responseUnknownCall},
-		"without a serial":                   {func(a *rpc.ForwardResponse, _ *string) { a.Serial = 0 }, responseUnknownCall},
-		"of another incarnation":             {func(a *rpc.ForwardResponse, _ *string) { a.Incarnation++ }, responseOtherIncarnation},
-		"to another member's call":           {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.3" }, responseOtherIncarnation},
-		"to a former member at this address": {func(a *rpc.ForwardResponse, _ *string) { a.From = "10.0.0.1+ab" }, responseOtherIncarnation},
-		"from another member":                {func(a *rpc.ForwardResponse, from *string) { a.By, *from = "10.0.0.3", "10.0.0.3" }, responseOtherMember},
+		"to a call that was never made":      {func(response *rpc.ForwardResponse, _ *string) { response.Serial += 5 }, responseUnknownCall},
+		"without a serial":                   {func(response *rpc.ForwardResponse, _ *string) { response.Serial = 0 }, responseUnknownCall},
+		"of another incarnation":             {func(response *rpc.ForwardResponse, _ *string) { response.Incarnation++ }, responseOtherIncarnation},
+		"to another member's call":           {func(response *rpc.ForwardResponse, _ *string) { response.From = "10.0.0.3" }, responseOtherIncarnation},
+		"to a former member at this address": {func(response *rpc.ForwardResponse, _ *string) { response.From = "10.0.0.1+ab" }, responseOtherIncarnation},
+		"from another member":                {func(response *rpc.ForwardResponse, from *string) { response.By, *from = "10.0.0.3", "10.0.0.3" }, responseOtherMember},
 		"from the address of another":        {func(_ *rpc.ForwardResponse, from *string) { *from = "10.0.0.3" }, responseOtherMember},
-		"from another member at its address": {func(a *rpc.ForwardResponse, _ *string) { a.By = "10.0.0.2+ab" }, responseOtherMember},
-		"of another term":                    {func(a *rpc.ForwardResponse, _ *string) { a.Term++ }, responseOtherMember},
-		"without a status":                   {func(a *rpc.ForwardResponse, _ *string) { a.Status = 0 }, responseMalformed},
-		"with an invalid status":             {func(a *rpc.ForwardResponse, _ *string) { a.Status = 1 << 30 }, responseMalformed},
+		"from another member at its address": {func(response *rpc.ForwardResponse, _ *string) { response.By = "10.0.0.2+ab" }, responseOtherMember},
+		"of another term":                    {func(response *rpc.ForwardResponse, _ *string) { response.Term++ }, responseOtherMember},
+		"without a status":                   {func(response *rpc.ForwardResponse, _ *string) { response.Status = 0 }, responseMalformed},
+		"with an invalid status":             {func(response *rpc.ForwardResponse, _ *string) { response.Status = 1 << 30 }, responseMalformed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newIsolatedMember("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -86,7 +86,7 @@
 			test.change(&bad, &from)
 			m.server.HandleFrame(from, &rpc.Frame{ForwardResponse: &bad})
 			require.Zero(t, responses, "it is passed to the caller")
-			require.EqualValues(t, 1, m.server.counters()[discardCounterNames[test.why]])
+			require.EqualValues(t, 1, m.server.counters()[discardCounterNames[test.reason]])
 			m.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
 			require.Equal(t, 1, responses, "the valid response is passed to the caller")
 			m.server.HandleFrame("10.0.0.2", &rpc.Frame{ForwardResponse: &good})
@@ -100,15 +100,15 @@
 func TestForwardRequestIsProcessedOnceForPermittedSenders(t *testing.T) {
 	body := []byte(`{"Service":"db","Address":"10.1.0.1:80","State":"serving","CallSeq":1}`)
 	for name, test := range map[string]struct {
-		change  func(a *rpc.ForwardRequest, from *string)
-		why     discardReason
+		change  func(request *rpc.ForwardRequest, from *string)
+		reason  discardReason
 		rejects bool // the sender gets a response
 	}{
-		"an unknown process":                 {func(a *rpc.ForwardRequest, from *string) { a.From, *from = "10.9.9.9", "10.9.9.9" }, requestUnknownSender, false},
+		"an unknown process":                 {func(request *rpc.ForwardRequest, from *string) { request.From, *from = "10.9.9.9", "10.9.9.9" }, requestUnknownSender, false},
 		"from another address":               {func(_ *rpc.ForwardRequest, from *string) { *from = "10.9.9.9" }, requestUnknownSender, false},
-		"without a sender":                   {func(a *rpc.ForwardRequest, _ *string) { a.From = "" }, requestUnknownSender, false},
-		"to a former member at this address": {func(a *rpc.ForwardRequest, _ *string) { a.To = "10.0.0.1+ab" }, requestMisdirected, true},
-		"of an older term":                   {func(a *rpc.ForwardRequest, _ *string) { a.Term-- }, requestMisdirected, true},
+		"without a sender":                   {func(request *rpc.ForwardRequest, _ *string) { request.From = "" }, requestUnknownSender, false},
+		"to a former member at this address": {func(request *rpc.ForwardRequest, _ *string) { request.To = "10.0.0.1+ab" }, requestMisdirected, true},
+		"of an older term":                   {func(request *rpc.ForwardRequest, _ *string) { request.Term-- }, requestMisdirected, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := newIsolatedMember("10.0.0.1")
@@ -123,7 +123,7 @@
 			m.server.HandleFrame(from, &rpc.Frame{ForwardRequest: &bad})
 			m.run(200 * time.Millisecond)
 			require.Empty(t, m.server.state.Hosts, "it was processed")
-			require.EqualValues(t, 1, m.server.counters()[discardCounterNames[test.why]])
+			require.EqualValues(t, 1, m.server.counters()[discardCounterNames[test.reason]])
 			if test.rejects {
 				require.Len(t, m.sent, 1)
 				require.Equal(t, http.StatusServiceUnavailable, m.sent[0].ForwardResponse.Status)
--- a/internal/control/host_client_test.go
+++ b/internal/control/host_client_test.go
@@ -100,9 +100,9 @@
 // only if the retry table allows it, and never after a timeout.
 func TestCommandOnIdleConnectionFollowsRetryTable(t *testing.T) {
 	for name, test := range map[string]struct {
-		kept scriptedSocket
-		stat int // number of times that STAT is sent
-		rest int // number of times that PAUSE, RESUME or STEPDOWN is sent
+		kept scriptedSocket // the idle connection
+		stat int            // number of times that STAT is sent
+		rest int            // number of times that PAUSE, RESUME or STEPDOWN is sent
 	}{
 		"answered":              {scriptedSocket{writableBytes: -1, readable: statusResponse}, 1, 1},
 		"ended before writing":  {scriptedSocket{writableBytes: 0, readError: io.EOF}, 1, 1},
--- a/internal/control/partition_proxy_test.go
+++ b/internal/control/partition_proxy_test.go
@@ -14,9 +14,9 @@
 	incarnation uint64
 	lease       lease.Holder
 	state       *statemachine.State
-	applied     uint64
-	link        *partitionLink
-	attempts    int
+	applied     uint64          // index of the last applied log entry
+	link        *partitionLink  // current connection
+	attempts    int             // connections opened; selects the next member
 	slow        map[string]bool // members to and from which frames are delayed, by address
 }
 
@@ -47,11 +47,11 @@
 	memberIncarnation int
 	conn              *ProxyConn
 	closed            bool
-	receivedAt        int64
+	receivedAt        int64            // when the last frame from the member arrived
 	requestedAt       map[uint64]int64 // send times of lease requests on the proxy's clock, by serial
 	lastSerial        uint64
-	memberArrivesAt   int64
-	proxyArrivesAt    int64
+	memberArrivesAt   int64 // arrival time of the last step at the member
+	proxyArrivesAt    int64 // arrival time of the last frame at the proxy
 }
 
 func (p *partitionProxy) connect(m *partitionMember) {
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -22,7 +22,7 @@
 	Hosts            int
 	Proxies          int // proxies that hold leases; 0 unless this member leads
 	Primaries        map[string]statemachine.Primary
-	Transitions      map[string]failover.Transition // changes of primary in progress, by service; empty unless this member leads
+	Transitions      map[string]failover.Transition // failovers and switchovers in progress, by service; empty unless this member leads
 	UnaccountedHosts []statemachine.Host            // removed hosts whose log may contain entries that no other host has
 	MissingHosts     []string                       // IDs of hosts that failover does not wait for
 	TenantsAtLimit   []string                       // names of tenants for which a proxy waits for more tokens; empty unless this member leads
--- a/internal/control/update_history_test.go
+++ b/internal/control/update_history_test.go
@@ -27,8 +27,8 @@
 	baseVersion, generation int64
 	amendment               bool
 	routes                  []route // all routes, or those that an amendment adds
-	remove                  string
-	malformed               bool // whether the body is invalid JSON
+	remove                  string  // name of the route that an amendment removes
+	malformed               bool    // whether the body is invalid JSON
 }
 
 func (u *update) body() []byte {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -15,8 +15,8 @@
 	*scheduler.Scheduler
 	nodes       map[string]*node
 	names       []string
-	partitioned func(from, to string) bool
-	sent        int
+	partitioned func(from, to string) bool // whether messages between two proxies are lost
+	sent        int                        // messages sent by all proxies, including lost ones
 }
 
 type node struct {
--- a/internal/gossip/probe_test.go
+++ b/internal/gossip/probe_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// learnMembers announces r1 and r2 to a membership, in a message from r1.
+// learnMembers gives a membership the updates of r1 and r2, in a message from r1.
 func learnMembers(m *Membership) {
 	updates := []Update{{"r1", "r1", 1, Alive}, {"r2", "r2", 1, Alive}}
 	m.HandleMessage(Message{Type: Ping, From: "r1", Updates: updates}, 1)
@@ -17,8 +17,8 @@
 	return New("r0", "r0", incarnation, DefaultConfig(), zero, 0)
 }
 
-// Only an ack of the current ping, from the proxy that was pinged, counts as a sign of life. Acks of pings from before a restart, acks
-// from a proxy that was not asked, and duplicate acks are discarded.
+// Only an ack of the current ping, from the proxy that was pinged, shows that the proxy is alive. Acks of pings from before a restart,
+// acks from a proxy that was not asked, and duplicate acks are discarded.
 func TestAckCountsOnlyFromTheProbedProxyInThisRun(t *testing.T) {
 	probeR2 := func(incarnation uint64) (*Membership, Outgoing) {
 		m := newMembership(incarnation)
@@ -40,7 +40,7 @@
 	}{
 		"the probed proxy":           {"r2", func(ping Outgoing) uint64 { return ping.Message.Serial }, true},
 		"another proxy":              {"r1", func(ping Outgoing) uint64 { return ping.Message.Serial }, false},
-		"ack to an earlier run":      {"r2", func(Outgoing) uint64 { return earlierPing.Message.Serial }, false},
+		"ack of an earlier process":  {"r2", func(Outgoing) uint64 { return earlierPing.Message.Serial }, false},
 		"a serial that was not sent": {"r2", func(Outgoing) uint64 { return 0 }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
