--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -27,7 +27,8 @@
 	// MsgTimeoutNow tells the receiver to start an election at once and take over leadership (3.10).
 	MsgTimeoutNow
 	// MsgJoin asks the leader to replicate to the sender, which is a learner or a member that has not heard from a
-	// leader for joinDelayLeases. It has no receiver and goes to all known members. Index is the sender's last index.
+	// leader for joinDelayLeases lease durations. It has no receiver and goes to all known members. Index is the
+	// sender's last index.
 	MsgJoin
 	// MsgSnapshotChunkAck reports in Chunk.Offset how many bytes of a snapshot have been received in order.
 	MsgSnapshotChunkAck
--- a/internal/control/failover/detection.go
+++ b/internal/control/failover/detection.go
@@ -112,8 +112,8 @@
 	return false
 }
 
-// probeResult returns the outcome of the last probe of the primary, and probePending if it was returned before or no probe has
-// finished since the primary was suspected.
+// probeResult returns the outcome of the last probe that was sent since the primary is suspected. It returns each outcome once, and
+// probePending otherwise.
 func (e *evaluation) probeResult() probeOutcome {
 	service := e.service
 	last, ok := service.lastResults[e.primary.Host]
