--- a/internal/control/failover_cost_test.go
+++ b/internal/control/failover_cost_test.go
@@ -12,7 +12,7 @@
 )
 
 // The number of evaluations per heartbeat, lease renewal and tick must not grow with the number of services.
-func TestHeartbeatsRenewalsAndTicksEvaluateOnlyWhatHasNews(t *testing.T) {
+func TestHeartbeatsRenewalsAndTicksEvaluateOnlyAffectedServices(t *testing.T) {
 	s := newSoleLeader(t, statesize.Size{Proxies: 295, Databases: 120})
 	evaluated := func(what string, act func()) int64 {
 		before := s.coordinator.Counters.Evaluated
@@ -48,5 +48,5 @@
 	require.EqualValues(t, 1, evaluated("heartbeat with news", heartbeat("leader")))
 	require.Zero(t, evaluated("renewals", renew))
 	require.EqualValues(t, 1, evaluated("suspect report", suspect))
-	require.EqualValues(t, 2, evaluated("tick with two unsettled services", tick))
+	require.EqualValues(t, 2, evaluated("tick with two active services", tick))
 }
