--- a/internal/control/state_digest.go
+++ b/internal/control/state_digest.go
@@ -203,7 +203,7 @@
 		return
 	}
 	s.StateDivergences.Add(1)
-	s.log.Error("state differs from that of a majority; fetching the state from the leader",
+	s.log.Error("state differs from that of a majority, fetching it anew",
 		"index", majority.Index, "ranges", own.DifferingRanges(majority), "is_leader", s.leading)
 	s.digests = stateDigests{}
 	s.fetchState()
