--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -27,7 +27,7 @@
 	Capacity                   int64
 	Draining                   bool
 	Missing                    bool   // the process has ended, and another host has everything that it received
-	AddedIndex                 uint64 // index of the change that added it
+	AddedIndex                 uint64 `json:"AddedAt"` // index of the change that added it; the status has the older name
 }
 
 // Primary describes the primary of a service and the failover or switchover in progress, if any. While Revoked is set, no proxy may
@@ -38,7 +38,7 @@
 	Revoked        bool
 	FencingToken   uint64 // increases with each owner
 	Owner          string // control-plane member that runs the failover or switchover
-	ChangedIndex   uint64 // index of the change that revoked or appointed the primary
+	ChangedIndex   uint64 `json:"ChangedAt"` // index of the change that revoked or appointed the primary; the status has the older name
 	Nominee        string // host nominated in this failover or switchover; its promotion may have taken effect
 	ReplicasPaused bool   // a failover or switchover paused replicas, and not all of them are known to receive writes again
 }
